--- a/deckrelay/addresses.go
+++ b/deckrelay/addresses.go
@@ -9,9 +9,9 @@
 
 // Addresses are the lists by which clients are judged.
 type Addresses struct {
-	Allow     []netip.Prefix // empty: all
-	Deny      []netip.Prefix // wins over Allow
-	ProxyFrom []netip.Prefix // fronts that say whose connection they pass on
+	Allow     []netip.Prefix `json:"Allow"`     // empty: all
+	Deny      []netip.Prefix `json:"Deny"`      // wins over Allow
+	ProxyFrom []netip.Prefix `json:"ProxyFrom"` // fronts that say whose connection they pass on
 }
 
 // Admits says whether a client is let in. One whose address is not known is a stranger to any list.
--- a/deckrelay/checkpoint.go
+++ b/deckrelay/checkpoint.go
@@ -12,96 +12,119 @@
 // saved is the whole state of a Balancer. Servers and requests stand in lists; what points to one has its place
 // there instead.
 type saved struct {
-	Now       time.Duration
-	Random    []byte
-	Servers   []savedServer
-	Mapped    int // so many of the servers are still known; the others only stand in attempts that have ended
-	Requests  []savedRequest
-	Classes   []savedClass
-	Pools     []savedPool
-	Lines     []savedLine
-	Errors    float64
-	LastOK    time.Duration
-	Tokens    float64
-	SubFails  int
-	SubWanted time.Duration
-	Leaving   bool
-	Expired   bool        `json:",omitempty"`
-	Hands     []savedHand `json:",omitempty"`
-	Rules     int
-	Before    []int        `json:",omitempty"` // classes
-	Drills    *savedDrills `json:",omitempty"`
+	Now       time.Duration  `json:"Now"`
+	Random    []byte         `json:"Random"`
+	Servers   []savedServer  `json:"Servers"`
+	Mapped    int            `json:"Mapped"` // so many of the servers are still known; the others only stand in attempts that have ended
+	Requests  []savedRequest `json:"Requests"`
+	Classes   []savedClass   `json:"Classes"`
+	Pools     []savedPool    `json:"Pools"`
+	Lines     []savedLine    `json:"Lines"`
+	Errors    float64        `json:"Errors"`
+	LastOK    time.Duration  `json:"LastOK"`
+	Tokens    float64        `json:"Tokens"`
+	SubFails  int            `json:"SubFails"`
+	SubWanted time.Duration  `json:"SubWanted"`
+	Leaving   bool           `json:"Leaving"`
+	Expired   bool           `json:"Expired,omitempty"`
+	Hands     []savedHand    `json:"Hands,omitempty"`
+	Rules     int            `json:"Rules"`
+	Before    []int          `json:"Before,omitempty"` // classes
+	Drills    *savedDrills   `json:"Drills,omitempty"`
 }
 
 type savedServer struct {
 	Server
-	Listed               bool
-	Open                 [][2]int // request, attempt
-	Streak, Level, Goods int
-	Until, LastOK        time.Duration
-	Room                 int
-	Full                 time.Duration
-	Refusals             int
-	Back, Hungry         time.Duration `json:",omitempty"`
+	Listed   bool          `json:"Listed"`
+	Open     [][2]int      `json:"Open"` // request, attempt
+	Streak   int           `json:"Streak"`
+	Level    int           `json:"Level"`
+	Goods    int           `json:"Goods"`
+	Until    time.Duration `json:"Until"`
+	LastOK   time.Duration `json:"LastOK"`
+	Room     int           `json:"Room"`
+	Full     time.Duration `json:"Full"`
+	Refusals int           `json:"Refusals"`
+	Back     time.Duration `json:"Back,omitempty"`
+	Hungry   time.Duration `json:"Hungry,omitempty"`
 }
 
 type savedHand struct {
-	ID   string
-	Out  bool
-	Back time.Duration
+	ID   string        `json:"ID"`
+	Out  bool          `json:"Out"`
+	Back time.Duration `json:"Back"`
 }
 
 type savedRequest struct {
-	ID        []byte // may be no UTF-8, of which JSON would make something else
-	Class     int
-	Arrived   time.Duration
-	Deadline  time.Duration
-	Attempts  []savedAttempt
-	Repeat    bool
-	Line      *uint64
-	Answered  bool
-	Streaming bool
-	Wake      time.Duration
-	Resume    time.Duration
-	Most      int
-	Bulk      bool `json:",omitempty"`
+	ID        []byte         `json:"ID"` // may be no UTF-8, of which JSON would make something else
+	Class     int            `json:"Class"`
+	Arrived   time.Duration  `json:"Arrived"`
+	Deadline  time.Duration  `json:"Deadline"`
+	Attempts  []savedAttempt `json:"Attempts"`
+	Repeat    bool           `json:"Repeat"`
+	Line      *uint64        `json:"Line"`
+	Answered  bool           `json:"Answered"`
+	Streaming bool           `json:"Streaming"`
+	Wake      time.Duration  `json:"Wake"`
+	Resume    time.Duration  `json:"Resume"`
+	Most      int            `json:"Most"`
+	Bulk      bool           `json:"Bulk,omitempty"`
 }
 
 type savedAttempt struct {
-	Server        int
-	Sent          time.Duration
-	Zone          string
-	Cell          int
-	Boot          time.Duration
-	Ended, Unsent bool
-	Outside       bool `json:",omitempty"`
+	Server  int           `json:"Server"`
+	Sent    time.Duration `json:"Sent"`
+	Zone    string        `json:"Zone"`
+	Cell    int           `json:"Cell"`
+	Boot    time.Duration `json:"Boot"`
+	Ended   bool          `json:"Ended"`
+	Unsent  bool          `json:"Unsent"`
+	Outside bool          `json:"Outside,omitempty"`
 }
 
 type savedClass struct {
-	Mean, Dev, Samples, Arrive, Serve float64
-	UsualTry                          time.Duration
-	Old                               *Class `json:",omitempty"` // of settings before these
-	Pool                              int    `json:",omitempty"` // of an old one
+	Mean     float64       `json:"Mean"`
+	Dev      float64       `json:"Dev"`
+	Samples  float64       `json:"Samples"`
+	Arrive   float64       `json:"Arrive"`
+	Serve    float64       `json:"Serve"`
+	UsualTry time.Duration `json:"UsualTry"`
+	Old      *Class        `json:"Old,omitempty"`  // of settings before these
+	Pool     int           `json:"Pool,omitempty"` // of an old one
 }
 
 type savedPool struct {
-	Ready, Near, Held                                                            []int
-	InFlight                                                                     int
-	Spill, Nearby, Far, Fair, Window, Fill, Bare, Spared, Peak, Base, Part, Shed float64
-	Handed                                                                       bool     `json:",omitempty"`
-	Zones, Kinds                                                                 []string // nil: all
+	Ready    []int    `json:"Ready"`
+	Near     []int    `json:"Near"`
+	Held     []int    `json:"Held"`
+	InFlight int      `json:"InFlight"`
+	Spill    float64  `json:"Spill"`
+	Nearby   float64  `json:"Nearby"`
+	Far      float64  `json:"Far"`
+	Fair     float64  `json:"Fair"`
+	Window   float64  `json:"Window"`
+	Fill     float64  `json:"Fill"`
+	Bare     float64  `json:"Bare"`
+	Spared   float64  `json:"Spared"`
+	Peak     float64  `json:"Peak"`
+	Base     float64  `json:"Base"`
+	Part     float64  `json:"Part"`
+	Shed     float64  `json:"Shed"`
+	Handed   bool     `json:"Handed,omitempty"`
+	Zones    []string `json:"Zones"` // nil: all
+	Kinds    []string `json:"Kinds"` // nil: all
 }
 
 type savedLine struct {
-	Key   uint64
-	Queue []int
-	Rest  time.Duration
+	Key   uint64        `json:"Key"`
+	Queue []int         `json:"Queue"`
+	Rest  time.Duration `json:"Rest"`
 }
 
 type savedDrills struct {
-	Random  []byte
-	Until   []time.Duration
-	Delayed []int
+	Random  []byte          `json:"Random"`
+	Until   []time.Duration `json:"Until"`
+	Delayed []int           `json:"Delayed"`
 }
 
 // Checkpoint returns all that a Balancer has learned and holds. One that Restore makes of it goes on as this one
--- a/deckrelay/deckrelay.go
+++ b/deckrelay/deckrelay.go
@@ -49,45 +49,45 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are discarded, from the first send
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	LateShare float64       // share of the worth that an answer after the aim earns
-	Worth     float64
-	Stream    bool
-	InOrder   bool     // requests with one key run one at a time, in the order of arrival
-	OnlyZones []string // zones open to the class; nil: all
-	OnlyKinds []string // kinds of machine open to the class; nil: all
+	Name      string        `json:"Name"`
+	Effect    Effect        `json:"Effect"`
+	Scope     Scope         `json:"Scope"`     // for Keyed
+	Window    time.Duration `json:"Window"`    // for Keyed: how long repeats are discarded, from the first send
+	Aim       time.Duration `json:"Aim"`       // answers within it earn full worth
+	Deadline  time.Duration `json:"Deadline"`  // how long a client waits over all its tries
+	LateShare float64       `json:"LateShare"` // share of the worth that an answer after the aim earns
+	Worth     float64       `json:"Worth"`
+	Stream    bool          `json:"Stream"`
+	InOrder   bool          `json:"InOrder"`   // requests with one key run one at a time, in the order of arrival
+	OnlyZones []string      `json:"OnlyZones"` // zones open to the class; nil: all
+	OnlyKinds []string      `json:"OnlyKinds"` // kinds of machine open to the class; nil: all
 }
 
 // Settings hold for the requests that come under them; a Retune brings others.
 type Settings struct {
-	Classes     []Class
-	Balancers   int     // copies that place calls on this tier
-	Self        int     // this copy's number among them, from 0
-	Zone        string  // this copy's zone; "": unknown, then no server is nearer than another
-	Tier        int     // the tier sent to, 0 being the clients' first
-	WholeWeight float64 // how much the whole of the worth counts when shedding
-	ClassWeight float64 // how much the worst-served class counts when shedding
-
-	MarksRepeats bool // clients mark their repeats; else short deadlines tell them
-
-	MaxAttempts   int
-	AskDiscovery  bool          // the list follows only a Subscribe
-	AskWithin     time.Duration // an unsubscribed copy must ask at least this often
-	Tick          time.Duration // events come no more often than this
-	MaxRetryAfter time.Duration // longest advice that clients heed
-	OrderSettle   time.Duration // how long a key rests after an attempt that may still run
-
-	ColdFrom     float64       // share of its capacity that a fresh server has at least
-	WarmAfter    time.Duration // time after which it has all of it
-	FallMultiple float64       // a fresh server sent more than this times its capacity falls over; 0: unknown
-
-	Drills    []Drill    // rehearsals that can be started; nil: none
-	Addresses *Addresses // whose requests are let in; nil: everybody's
+	Classes     []Class `json:"Classes"`
+	Balancers   int     `json:"Balancers"`   // copies that place calls on this tier
+	Self        int     `json:"Self"`        // this copy's number among them, from 0
+	Zone        string  `json:"Zone"`        // this copy's zone; "": unknown, then no server is nearer than another
+	Tier        int     `json:"Tier"`        // the tier sent to, 0 being the clients' first
+	WholeWeight float64 `json:"WholeWeight"` // how much the whole of the worth counts when shedding
+	ClassWeight float64 `json:"ClassWeight"` // how much the worst-served class counts when shedding
+
+	MarksRepeats bool `json:"MarksRepeats"` // clients mark their repeats; else short deadlines tell them
+
+	MaxAttempts   int           `json:"MaxAttempts"`
+	AskDiscovery  bool          `json:"AskDiscovery"`  // the list follows only a Subscribe
+	AskWithin     time.Duration `json:"AskWithin"`     // an unsubscribed copy must ask at least this often
+	Tick          time.Duration `json:"Tick"`          // events come no more often than this
+	MaxRetryAfter time.Duration `json:"MaxRetryAfter"` // longest advice that clients heed
+	OrderSettle   time.Duration `json:"OrderSettle"`   // how long a key rests after an attempt that may still run
+
+	ColdFrom     float64       `json:"ColdFrom"`     // share of its capacity that a fresh server has at least
+	WarmAfter    time.Duration `json:"WarmAfter"`    // time after which it has all of it
+	FallMultiple float64       `json:"FallMultiple"` // a fresh server sent more than this times its capacity falls over; 0: unknown
+
+	Drills    []Drill    `json:"Drills"`    // rehearsals that can be started; nil: none
+	Addresses *Addresses `json:"Addresses"` // whose requests are let in; nil: everybody's
 }
 
 // ServerState is what discovery says of a server.
@@ -102,12 +102,12 @@
 
 // Server is an entry of the discovery list.
 type Server struct {
-	ID    string
-	Zone  string
-	Kind  string
-	Cell  int
-	State ServerState
-	Boot  time.Duration // clock time of its last start; 0: long ago
+	ID    string        `json:"ID"`
+	Zone  string        `json:"Zone"`
+	Kind  string        `json:"Kind"`
+	Cell  int           `json:"Cell"`
+	State ServerState   `json:"State"`
+	Boot  time.Duration `json:"Boot"` // clock time of its last start; 0: long ago
 }
 
 // Ending says how an attempt ended.
--- a/deckrelay/drill.go
+++ b/deckrelay/drill.go
@@ -10,12 +10,12 @@
 
 // Drill is a rehearsal that a DrillStart can start.
 type Drill struct {
-	Name        string
-	Class       string
-	Share       float64       // percent of the class's requests
-	Delay       time.Duration // before the first attempt; none for those that are aborted
-	AbortStatus int           // answered at once, without an attempt: 503 or 500; 0: not
-	Duration    time.Duration // from the last start
+	Name        string        `json:"Name"`
+	Class       string        `json:"Class"`
+	Share       float64       `json:"Share"`       // percent of the class's requests
+	Delay       time.Duration `json:"Delay"`       // before the first attempt; none for the aborted
+	AbortStatus int           `json:"AbortStatus"` // answered at once, without an attempt: 503 or 500; 0: not
+	Duration    time.Duration `json:"Duration"`    // from the last start
 }
 
 // rehearsal is the state of the drills. A Balancer without drills has none.
--- a/internal/capture/folder.go
+++ b/internal/capture/folder.go
@@ -55,8 +55,8 @@
 	defer f.Close()
 	if frame, err := readFrame(bufio.NewReader(f)); err == nil {
 		var r struct {
-			At   int64
-			Kind string
+			At   int64  `json:"at"`
+			Kind string `json:"kind"`
 		}
 		if json.Unmarshal(frame, &r) == nil && r.Kind == kindHead {
 			return r.At, true
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -139,7 +139,7 @@
 // Box is a server of a list and where it is reached.
 type Box struct {
 	deckrelay.Server
-	Addr string
+	Addr string `json:"Addr"`
 }
 
 // Update is what a source has to tell: a list or its changes, or that it failed.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -28,21 +28,21 @@
 
 // Estate is what a node knows.
 type Estate struct {
-	Version  int
-	Node     string
-	Listen   string
-	Settings json.RawMessage // the module's, by which Module was made
-	Module   json.RawMessage // as deckrelay.Inherit takes it
-	Boxes    []engine.Box    // in service
-	Seq      int64           // of discovery
-	ListAge  time.Duration   // since it was last known to be all that discovery had; earlier builds do not say
+	Version  int             `json:"Version"`
+	Node     string          `json:"Node"`
+	Listen   string          `json:"Listen"`
+	Settings json.RawMessage `json:"Settings"` // the module's, by which Module was made
+	Module   json.RawMessage `json:"Module"`   // as deckrelay.Inherit takes it
+	Boxes    []engine.Box    `json:"Boxes"`    // in service
+	Seq      int64           `json:"Seq"`      // of discovery
+	ListAge  time.Duration   `json:"ListAge"`  // since it was last known to be all that discovery had; earlier builds do not say
 	Kept
 }
 
 // Kept is the part of an estate that also stands in a file.
 type Kept struct {
-	Out     []string // servers out by hand
-	Drained bool     // clients are sent away
+	Out     []string `json:"Out"`     // servers out by hand
+	Drained bool     `json:"Drained"` // clients are sent away
 }
 
 // Word is what one process tells the other.
