--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,152 @@
+// Package goldentest checks stored and passed JSON against golden files. A golden file has the bytes that a released
+// program wrote: one JSON value on each line. Programs of another build, and the files that they left, have the same
+// form, so that a golden file must not change when a Go name does. Only tests import this package.
+package goldentest
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden files")
+
+// Check checks that a golden file is what json.Marshal makes of the values, and that the file is read as the values. No
+// field of any value may be zero, so that the file has all fields of the form. The flag -update rewrites the file.
+func Check[T any](t testing.TB, path string, values ...T) {
+	t.Helper()
+	if *update {
+		Write(t, path, Lines(t, values...))
+	}
+	read := Read[T](t, path)
+	if !reflect.DeepEqual(read, values) {
+		t.Errorf("%s is read as\n%+v, want\n%+v", path, read, values)
+	}
+	if encoded := Lines(t, values...); !bytes.Equal(encoded, Text(t, path)) {
+		t.Errorf("the values of %s are written as\n%s", path, encoded)
+	}
+}
+
+// Read reads a golden file, and checks that its values have no unknown and no zero fields, and that json.Marshal writes
+// the same bytes again.
+func Read[T any](t testing.TB, path string) (values []T) {
+	t.Helper()
+	values = decode[T](t, path)
+	for n, value := range values {
+		for _, field := range ZeroFields(value) {
+			t.Errorf("%s, line %d: %s is missing or zero", path, n+1, field)
+		}
+	}
+	return values
+}
+
+// ReadKinds reads a golden file as Read does, with values of which each has its own kind's fields only. The caller says
+// which part of a value must have no zero field.
+func ReadKinds[T any](t testing.TB, path string, part func(T) any) (values []T) {
+	t.Helper()
+	values = decode[T](t, path)
+	for n, value := range values {
+		for _, field := range ZeroFields(part(value)) {
+			t.Errorf("%s, line %d: %s is missing or zero", path, n+1, field)
+		}
+	}
+	return values
+}
+
+// decode reads a golden file and checks that it is written again byte for byte.
+func decode[T any](t testing.TB, path string) (values []T) {
+	t.Helper()
+	text := Text(t, path)
+	for line := range bytes.Lines(text) {
+		decoder := json.NewDecoder(bytes.NewReader(line))
+		decoder.DisallowUnknownFields()
+		var value T
+		if err := decoder.Decode(&value); err != nil {
+			t.Fatalf("%s, line %d: %v", path, len(values)+1, err)
+		}
+		values = append(values, value)
+	}
+	if again := Lines(t, values...); !bytes.Equal(again, text) {
+		t.Errorf("%s has\n%s, and is written again as\n%s", path, text, again)
+	}
+	return values
+}
+
+// Text returns the bytes of a golden file.
+func Text(t testing.TB, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// Updating says whether the flag -update is set.
+func Updating() bool { return *update }
+
+// Write writes a golden file.
+func Write(t testing.TB, path string, text []byte) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Lines encodes values as a golden file has them.
+func Lines[T any](t testing.TB, values ...T) (text []byte) {
+	t.Helper()
+	for _, value := range values {
+		line, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(append(text, line...), '\n')
+	}
+	return text
+}
+
+// ZeroFields returns the paths of all exported fields within a value, by Go names, that are zero, nil or empty.
+func ZeroFields(value any) []string { return zeroFields("", reflect.ValueOf(value)) }
+
+func zeroFields(path string, value reflect.Value) (zero []string) {
+	if !value.IsValid() || value.IsZero() {
+		return []string{path}
+	}
+	switch value.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return zeroFields(path, value.Elem())
+	case reflect.Struct:
+		for n := range value.NumField() {
+			if field := value.Type().Field(n); field.IsExported() || field.Anonymous {
+				zero = append(zero, zeroFields(path+"."+field.Name, value.Field(n))...)
+			}
+		}
+	case reflect.Slice, reflect.Array:
+		if value.Len() == 0 {
+			return []string{path}
+		}
+		if value.Type().Elem().Kind() == reflect.Uint8 {
+			return nil // bytes, as of a json.RawMessage
+		}
+		for n := range value.Len() {
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, n), value.Index(n))...)
+		}
+	case reflect.Map:
+		if value.Len() == 0 {
+			return []string{path}
+		}
+		for _, key := range value.MapKeys() {
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))...)
+		}
+	}
+	return zero
+}
--- /dev/null
+++ b/internal/goldentest/goldentest_test.go
@@ -0,0 +1,38 @@
+package goldentest
+
+import (
+	"slices"
+	"testing"
+)
+
+type inner struct {
+	Number int
+	Map    map[string]bool
+}
+
+type outer struct {
+	inner
+	Text    string
+	Pointer *inner
+	List    []inner
+	Raw     []byte
+	hidden  int
+}
+
+// A golden file is worth something only where each field of its form is in it: each that is not is named.
+func TestZeroFields(t *testing.T) {
+	full := inner{1, map[string]bool{"a": true}}
+	for name, c := range map[string]struct {
+		value outer
+		want  []string
+	}{
+		"all fields": {outer{inner: full, Text: "t", Pointer: &full, List: []inner{full}, Raw: []byte("\x00")}, nil},
+		"none":       {outer{hidden: 1}, []string{".inner", ".Text", ".Pointer", ".List", ".Raw"}},
+		"some": {outer{inner: inner{Number: 1}, Text: "t", Pointer: &inner{Map: full.Map}, List: []inner{full, {1, map[string]bool{"b": false}}}, Raw: []byte{}},
+			[]string{".inner.Map", ".Pointer.Number", ".List[1].Map[b]", ".Raw"}},
+	} {
+		if got := ZeroFields(c.value); !slices.Equal(got, c.want) {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
