--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -58,6 +59,15 @@
 	}
 }
 
+// What the commands print and read as JSON is named by tags, so that a field's new name is not another form.
+func TestGoldenNamesAreTags(t *testing.T) {
+	for _, form := range []reflect.Type{reflect.TypeFor[statusReport](), reflect.TypeFor[shown]()} {
+		if untagged := goldentest.UntaggedFields(form); untagged != nil {
+			t.Errorf("%s: without a tag: %v", form, untagged)
+		}
+	}
+}
+
 // A node claims a start number above the one that the build before has left on disk: its peers take a lower one for that
 // of an old process.
 func TestGoldenStartNumber(t *testing.T) {
--- a/cmd/hookwalk/sites.go
+++ b/cmd/hookwalk/sites.go
@@ -22,19 +22,27 @@
 
 // shown is what of a view is printed; the node's answer may have more.
 type shown struct {
-	Self, Site, Digest string
-	Me                 struct {
-		Name  string
-		Start uint64
-	}
-	Sites   map[string]struct{ There, Known int }
+	Self   string `json:"Self"`
+	Site   string `json:"Site"`
+	Digest string `json:"Digest"`
+	Me     struct {
+		Name  string `json:"Name"`
+		Start uint64 `json:"Start"`
+	} `json:"Me"`
+	Sites map[string]struct {
+		There int `json:"There"`
+		Known int `json:"Known"`
+	} `json:"Sites"`
 	Members []struct {
-		Name, Site, State string
-		Start             uint64
-		ForMS             int64
-	}
-	Sent, Bad int64
-	Failed    uint64
+		Name  string `json:"Name"`
+		Site  string `json:"Site"`
+		State string `json:"State"`
+		Start uint64 `json:"Start"`
+		ForMS int64  `json:"ForMS"`
+	} `json:"Members"`
+	Sent   int64  `json:"Sent"`
+	Bad    int64  `json:"Bad"`
+	Failed uint64 `json:"Failed"`
 }
 
 const (
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -185,8 +185,8 @@
 // digest is that of what the command publishes, whoever sends it and when.
 func (c publishCommand) digest() string {
 	text, err := json.Marshal(struct {
-		Document configapi.Document
-		Replaces []configapi.Cluster
+		Document configapi.Document  `json:"Document"`
+		Replaces []configapi.Cluster `json:"Replaces"`
 	}{c.Document, c.Replaces})
 	if err != nil {
 		return ""
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 )
 
@@ -58,9 +59,13 @@
 	return values
 }
 
-// decode reads a golden file and checks that it is written again byte for byte.
+// decode reads a golden file and checks that it is written again byte for byte, and that no name in it is that of a Go
+// field only.
 func decode[T any](t testing.TB, path string) (values []T) {
 	t.Helper()
+	for _, field := range UntaggedFields(reflect.TypeFor[T]()) {
+		t.Errorf("%s: %s needs a tag with its name in JSON: a new name of the field would be another form", path, field)
+	}
 	text := Text(t, path)
 	for line := range bytes.Lines(text) {
 		decoder := json.NewDecoder(bytes.NewReader(line))
@@ -114,6 +119,36 @@
 	return text
 }
 
+// UntaggedFields returns all exported fields within a type, as TYPE.FIELD, to which encoding/json gives their Go names
+// because no tag names them. Embedded structs need no tag: their fields stand in the struct around them.
+func UntaggedFields(within reflect.Type) []string {
+	return untaggedFields(within, map[reflect.Type]bool{})
+}
+
+func untaggedFields(within reflect.Type, seen map[reflect.Type]bool) (untagged []string) {
+	if seen[within] {
+		return nil
+	}
+	seen[within] = true
+	switch within.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+		return untaggedFields(within.Elem(), seen)
+	case reflect.Struct:
+		for n := range within.NumField() {
+			field := within.Field(n)
+			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+			if name == "-" || !field.IsExported() && !field.Anonymous {
+				continue
+			}
+			if name == "" && !field.Anonymous {
+				untagged = append(untagged, within.String()+"."+field.Name)
+			}
+			untagged = append(untagged, untaggedFields(field.Type, seen)...)
+		}
+	}
+	return untagged
+}
+
 // ZeroFields returns the paths of all exported fields within a value, by Go names, that are zero, nil or empty.
 func ZeroFields(value any) []string { return zeroFields("", reflect.ValueOf(value)) }
 
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -1,6 +1,7 @@
 package goldentest
 
 import (
+	"reflect"
 	"slices"
 	"testing"
 )
@@ -36,3 +37,23 @@
 		}
 	}
 }
+
+type tagged struct {
+	inner `json:",omitzero"`  // stays embedded
+	Named []map[string]*mixed `json:"named,omitempty"`
+	Left  inner               `json:"-"`
+}
+
+type mixed struct {
+	Again   *tagged `json:"again"`
+	Options int     `json:",omitempty"`
+	Bare    string
+}
+
+// A field without a tag gives its Go name to the form, so that a rename would change it: each is named, however deep.
+func TestUntaggedFields(t *testing.T) {
+	want := []string{"goldentest.inner.Number", "goldentest.inner.Map", "goldentest.mixed.Options", "goldentest.mixed.Bare"}
+	if got := UntaggedFields(reflect.TypeFor[[]tagged]()); !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+}
--- a/internal/lab/sites/sites.go
+++ b/internal/lab/sites/sites.go
@@ -61,11 +61,16 @@
 
 // View is what of a node's answer is looked at.
 type View struct {
-	Self    string
-	Me      struct{ Start uint64 }
-	Members []struct{ Name, State string }
-	Sent    int64
-	Failed  uint64
+	Self string `json:"Self"`
+	Me   struct {
+		Start uint64 `json:"Start"`
+	} `json:"Me"`
+	Members []struct {
+		Name  string `json:"Name"`
+		State string `json:"State"`
+	} `json:"Members"`
+	Sent   int64  `json:"Sent"`
+	Failed uint64 `json:"Failed"`
 }
 
 // Alive counts the members that are alive, the node among them.
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -8,24 +8,26 @@
 
 // View is what a node knows of its peers at a moment. Its names are those of the control's answer in JSON.
 type View struct {
-	Self    string // the local state
-	Me      members.Incarnation
-	Site    string
-	Digest  string
-	Sites   map[string]members.Count
-	Members []MemberView
-	Sent    int64  // bytes in packets since the start
-	Packets int64  // sent since the start
-	Streams int64  // bytes both ways since the start, on the streams that this node opened
-	Bad     int64  // messages that could not be read
-	Failed  uint64 // times that a member was taken for failed
+	Self    string                   `json:"Self"` // the local state
+	Me      members.Incarnation      `json:"Me"`
+	Site    string                   `json:"Site"`
+	Digest  string                   `json:"Digest"`
+	Sites   map[string]members.Count `json:"Sites"`
+	Members []MemberView             `json:"Members"`
+	Sent    int64                    `json:"Sent"`    // bytes in packets since the start
+	Packets int64                    `json:"Packets"` // sent since the start
+	Streams int64                    `json:"Streams"` // bytes both ways since the start, on the streams that this node opened
+	Bad     int64                    `json:"Bad"`     // messages that could not be read
+	Failed  uint64                   `json:"Failed"`  // times that a member was taken for failed
 }
 
 // MemberView is one member.
 type MemberView struct {
-	Name, Site, State string
-	Start             uint64
-	ForMS             int64 // how long it has been in this state
+	Name  string `json:"Name"`
+	Site  string `json:"Site"`
+	State string `json:"State"`
+	Start uint64 `json:"Start"`
+	ForMS int64  `json:"ForMS"` // how long it has been in this state
 }
 
 // View returns the present view.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -39,12 +39,12 @@
 
 // file is what stands on disk.
 type file struct {
-	Version int
-	Owner   string        `json:",omitempty"` // whose it is: another's is no news of this one
-	Boot    string        `json:",omitempty"` // the machine's run
-	At      time.Duration `json:",omitempty"` // since that began, time asleep included
-	Sum     uint64
-	Kept    json.RawMessage
+	Version int             `json:"Version"`
+	Owner   string          `json:"Owner,omitempty"` // whose it is: another's is no news of this one
+	Boot    string          `json:"Boot,omitempty"`  // the machine's run
+	At      time.Duration   `json:"At,omitempty"`    // since that began, time asleep included
+	Sum     uint64          `json:"Sum"`
+	Kept    json.RawMessage `json:"Kept"`
 }
 
 var table = crc64.MakeTable(crc64.ECMA)
--- a/members/messages.go
+++ b/members/messages.go
@@ -8,8 +8,8 @@
 // Announcement is what a node tells the members that it concerns of its view. The names in JSON are those of the protocol
 // between nodes.
 type Announcement struct {
-	From    Incarnation
-	Site    string
+	From    Incarnation       `json:"From"`
+	Site    string            `json:"Site"`
 	Digests map[string]uint64 `json:"Views"`  // by site: of the running members of it and its parent, as the sender has them
 	Newer   []Incarnation     `json:"Claims"` // known incarnations of nodes that came back with a start number not above them
 	Request bool              `json:"Wants"`  // the sender has no announcements to go by and asks for them
--- a/members/state.go
+++ b/members/state.go
@@ -4,9 +4,9 @@
 
 // Incarnation is one run of a node. A node that restarts is another incarnation, and reports of the one before are stale.
 type Incarnation struct {
-	Name  string
-	Start uint64 // the number of the start, kept on disk: it rises with each start and with each refutation
-	Nonce uint64 // drawn at each start: it tells incarnations apart that claim the same number
+	Name  string `json:"Name"`
+	Start uint64 `json:"Start"` // the number of the start, kept on disk: it rises with each start and with each refutation
+	Nonce uint64 `json:"Nonce"` // drawn at each start: it tells incarnations apart that claim the same number
 }
 
 // NewerThan says that an incarnation has a higher start number than another one of its name.
--- a/members/view.go
+++ b/members/view.go
@@ -15,7 +15,7 @@
 // answer.
 type Count struct {
 	Running int `json:"There"`
-	Known   int
+	Known   int `json:"Known"`
 }
 
 // Sites counts each site's members, without those that have left.
