--- a/deckrelay/addresses.go
+++ b/balancer/accesslist.go
@@ -1,6 +1,6 @@
 // Addresses: whose requests are let in, and whose word is taken for where a connection comes from.
 
-package deckrelay
+package balancer
 
 import (
 	"net/netip"
--- a/deckrelay/hand.go
+++ b/balancer/adminoverride.go
@@ -1,6 +1,6 @@
 // Servers out by hand: what operators take out stays out until they put it back, whatever discovery says.
 
-package deckrelay
+package balancer
 
 import (
 	"errors"
--- a/deckrelay/admission.go
+++ b/balancer/admission.go
@@ -1,6 +1,6 @@
 // Admission: how many own calls a pool of the first tier may have in flight.
 
-package deckrelay
+package balancer
 
 import "math"
 
--- a/deckrelay/deckrelay.go
+++ b/balancer/api.go
@@ -1,26 +1,26 @@
-// Package deckrelay decides where a load balancer sends each request, when it tries again and
+// Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns. This file is the whole interface. The decisions:
 //
 //	balancer.go     state, events, timers
-//	discovery.go    the list of servers, and which of them each pool of classes uses first
+//	endpoints.go    the list of servers, and which of them each pool of classes uses first
 //	request.go      a request's way from its arrival to its final answer
 //	queue.go        requests that wait for room or for their turn
 //	pick.go         the choice among two groups of servers
 //	eligibility.go  which servers may be drawn: scope, room, slow start
-//	health.go       outlier detection, ejection, trials
+//	outlier.go      outlier detection, ejection, trials
 //	retry.go        further attempts and their budget
 //	admission.go    the window of own calls in flight
-//	drill.go        rehearsals
-//	addresses.go    which clients are let in
-//	hand.go         servers that operators take out of use
+//	faultinjection.go rehearsals
+//	accesslist.go   which clients are let in
+//	adminoverride.go servers that operators take out of use
 //
 // A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must
 // never go back, and its only randomness is the seed given to New, so the same events always
 // give the same actions. Balancers share nothing. Memory is held for each request until it is
 // answered and its attempts have ended, and for each server until it has left the list and its
 // attempts have ended.
-package deckrelay
+package balancer
 
 import (
 	"net/netip"
--- a/deckrelay/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,6 @@
 // The Balancer's state and the events that it takes.
 
-package deckrelay
+package balancer
 
 import (
 	"math/rand/v2"
--- a/deckrelay/eligibility.go
+++ b/balancer/eligibility.go
@@ -1,6 +1,6 @@
 // Which servers may be drawn for a request: room, scope, slow start.
 
-package deckrelay
+package balancer
 
 import (
 	"math"
--- a/deckrelay/discovery.go
+++ b/balancer/endpoints.go
@@ -1,6 +1,6 @@
 // The list of servers: what discovery says of them, and which of them each pool uses first.
 
-package deckrelay
+package balancer
 
 import (
 	"slices"
--- a/deckrelay/drill.go
+++ b/balancer/faultinjection.go
@@ -1,6 +1,6 @@
 // Drills: rehearsals that delay or abort a share of one class's requests. Who may start one is the host's.
 
-package deckrelay
+package balancer
 
 import (
 	"math/rand/v2"
--- a/deckrelay/health.go
+++ b/balancer/outlier.go
@@ -1,6 +1,6 @@
 // Outlier detection and ejection: what is learned of a class and of a server from how attempts end.
 
-package deckrelay
+package balancer
 
 import (
 	"math"
--- a/deckrelay/pick.go
+++ b/balancer/pick.go
@@ -1,6 +1,6 @@
 // The choice of a server: two groups of the shared order, one draw from each, the fewer own calls win.
 
-package deckrelay
+package balancer
 
 import (
 	"math"
--- a/deckrelay/queue.go
+++ b/balancer/queue.go
@@ -1,6 +1,6 @@
 // Requests that wait: for a server with room, or for their turn among those of one key.
 
-package deckrelay
+package balancer
 
 import (
 	"slices"
--- a/deckrelay/request.go
+++ b/balancer/request.go
@@ -1,6 +1,6 @@
 // A request's way from its arrival to its one final answer.
 
-package deckrelay
+package balancer
 
 import (
 	"slices"
--- a/deckrelay/retry.go
+++ b/balancer/retry.go
@@ -1,6 +1,6 @@
 // Further attempts: how long one is waited for, and whether another one may follow.
 
-package deckrelay
+package balancer
 
 import (
 	"slices"
--- a/deckrelay/rules_test.go
+++ b/balancer/rules_test.go
@@ -1,4 +1,4 @@
-package deckrelay
+package balancer
 
 import (
 	"fmt"
--- a/cmd/deckrelay-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,4 +1,4 @@
-// Command deckrelay-sim hosts Balancers on the simulator's wire: batches of events on standard
+// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard
 // input, one reply for each on standard output.
 package main
 
@@ -9,23 +9,23 @@
 	"os"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
-	"hookwalk.example/hookwalk/internal/wire"
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "deckrelay-sim: %v\n", err)
+		fmt.Fprintf(os.Stderr, "balancer-sim: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 // run serves batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simwire.NewDecoder(in)
 	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*deckrelay.Balancer{}
+	enc := simwire.NewEncoder(&reply)
+	hosted := map[int]*balancer.Balancer{}
 	var now time.Duration
 	for {
 		m, err := dec.Next()
@@ -36,23 +36,23 @@
 			return err
 		}
 		switch m.Kind {
-		case wire.Sync:
+		case simwire.Sync:
 			now = m.Now
-		case wire.Hello:
-			b, err := deckrelay.New(m.Settings, m.Seed)
+		case simwire.Hello:
+			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case wire.Stop:
+		case simwire.Stop:
 			delete(hosted, m.Instance)
-		case wire.Event:
+		case simwire.Event:
 			if b := hosted[m.Instance]; b != nil {
 				for _, a := range b.Handle(now, m.Event) {
 					enc.Action(m.Instance, a)
 				}
 			}
-		case wire.End:
+		case simwire.End:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
--- a/cmd/hookwalk/configwatch.go
+++ b/cmd/hookwalk/configwatch.go
@@ -9,8 +9,8 @@
 	"log/slog"
 	"time"
 
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/configversion"
-	"hookwalk.example/hookwalk/deckrelay"
 	"hookwalk.example/hookwalk/internal/configapi"
 	"hookwalk.example/hookwalk/internal/configwatch"
 	"hookwalk.example/hookwalk/internal/engine"
@@ -101,7 +101,7 @@
 }
 
 // checkClasses refuses classes that the servers in service can't carry.
-func checkClasses(now, next []deckrelay.Class, servers []deckrelay.Server) error {
+func checkClasses(now, next []balancer.Class, servers []balancer.Server) error {
 	in := make([]configversion.Server, len(servers))
 	for i, s := range servers {
 		in[i] = configversion.Server{Zone: s.Zone, Kind: s.Kind}
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func classesOf(classes []deckrelay.Class) []configversion.Class {
+func classesOf(classes []balancer.Class) []configversion.Class {
 	out := make([]configversion.Class, len(classes))
 	for i, c := range classes {
 		out[i] = configversion.Class{Name: c.Name, Zones: c.OnlyZones, Kinds: c.OnlyKinds}
--- a/cmd/hookwalk/drill.go
+++ b/cmd/hookwalk/faultinjection.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/drills"
+	"hookwalk.example/hookwalk/internal/faultinjection"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), startTime)
 	defer cancel()
-	said, err := drills.Start(ctx, c.Addr, d.Secret)
+	said, err := faultinjection.Start(ctx, c.Addr, d.Secret)
 	if err != nil {
 		return fmt.Errorf("drill %s: %w", d.Name, err)
 	}
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/paper"
 	"hookwalk.example/hookwalk/internal/lab/policies"
@@ -155,7 +155,7 @@
 	defer w.Down(false)
 	class := s.Classes[0]
 	method := ""
-	if class.Effect != deckrelay.Safe {
+	if class.Effect != balancer.Safe {
 		method = " -X POST"
 	}
 	fmt.Fprintf(io.stdout, "%s is up: a node at http://%s, logs in %s; Ctrl-C ends it\n", s.Name, w.Addr(), w.Folder())
--- a/cmd/hookwalk/main.go
+++ b/cmd/hookwalk/main.go
@@ -20,9 +20,9 @@
 
 	"github.com/alecthomas/kong"
 
+	"hookwalk.example/hookwalk/internal/asyncwriter"
 	"hookwalk.example/hookwalk/internal/node"
 	"hookwalk.example/hookwalk/internal/settings"
-	"hookwalk.example/hookwalk/internal/spool"
 )
 
 // Exit codes.
@@ -176,8 +176,8 @@
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a disk without room fails a write, not the node
-	defer spool.Stderr.Flush(lastWords)
-	log := slog.New(slog.NewTextHandler(spool.Stderr, nil))
+	defer asyncwriter.Stderr.Flush(lastWords)
+	log := slog.New(slog.NewTextHandler(asyncwriter.Stderr, nil))
 	cfg, versions, err := prepareConfigWatch(cfg, log)
 	if err != nil {
 		return err
--- a/cmd/hookwalk/peers.go
+++ b/cmd/hookwalk/peers.go
@@ -19,7 +19,7 @@
 	"hookwalk.example/hookwalk/internal/peers"
 	"hookwalk.example/hookwalk/internal/settings"
 	"hookwalk.example/hookwalk/internal/state"
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // leaveTimeout is how long a node that ends waits for its peers to hear of it.
@@ -65,7 +65,7 @@
 		if c := cluster.Load(); c != nil {
 			return c.View()
 		}
-		return peers.View{Self: members.Joining.String(), Site: p.Site}
+		return peers.View{Self: membership.Joining.String(), Site: p.Site}
 	}
 	n.Reread = func() error {
 		if c := cluster.Load(); c != nil {
@@ -91,7 +91,7 @@
 const rejoinInterval = 200 * time.Millisecond
 
 func peersConfig(name string, p *settings.Peers, sites []settings.Site) peers.Config {
-	tree := members.Tree{}
+	tree := membership.Tree{}
 	for _, s := range sites {
 		tree[s.Name] = s.Parent
 	}
--- a/grpcwalk/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"fmt"
@@ -143,7 +143,7 @@
 				c.publish()
 			}})
 		if err != nil {
-			return fmt.Errorf("grpcwalk: box %s: %w", b.ID, err)
+			return fmt.Errorf("grpcbalancer: box %s: %w", b.ID, err)
 		}
 		k.sub = sub
 		c.conns[at] = k
--- a/grpcwalk/bench_test.go
+++ b/grpcbalancer/bench_test.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/resolver/manual"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // BenchmarkUnary is what a call costs its client, box included, with so many boxes in the list: all are one server.
@@ -64,7 +64,7 @@
 		var addrs []resolver.Address
 		for i := range n {
 			addr := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
-			list = append(list, Box{Server: deckrelay.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: addr})
+			list = append(list, Box{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: addr})
 			addrs = append(addrs, resolver.Address{Addr: addr})
 		}
 		for _, policy := range []string{"round_robin", "least_request_experimental"} {
--- a/grpcwalk/grpcwalk_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/grpcbox"
 )
 
@@ -67,7 +67,7 @@
 
 func (f *fleet) list() (l []Box) {
 	for i, b := range f.boxes {
-		l = append(l, Box{Server: deckrelay.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
+		l = append(l, Box{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
 	}
 	return l
 }
@@ -77,11 +77,11 @@
 		Methods: map[string]string{weighIn: "bin-weighin", view: "block-view"}}
 }
 
-var settings = deckrelay.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second, FallMultiple: 3, ColdFrom: 0.2,
+var settings = balancer.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second, FallMultiple: 3, ColdFrom: 0.2,
 	WarmAfter: 10 * time.Second,
-	Classes: []deckrelay.Class{
-		{Name: "bin-weighin", Effect: deckrelay.Unsafe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 3},
-		{Name: "block-view", Effect: deckrelay.Safe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 1}}}
+	Classes: []balancer.Class{
+		{Name: "bin-weighin", Effect: balancer.Unsafe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 3},
+		{Name: "block-view", Effect: balancer.Safe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 1}}}
 
 func dial(t *testing.T, cfg Config, more ...grpc.DialOption) *grpc.ClientConn {
 	t.Helper()
@@ -284,7 +284,7 @@
 	if _, err := ask(t.Context(), cc, weighIn); err != nil {
 		t.Fatal(err)
 	}
-	list[0].State = deckrelay.Draining
+	list[0].State = balancer.Draining
 	source <- List{Boxes: list}
 	source <- List{} // is taken only when the one before has been dealt with
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
@@ -292,7 +292,7 @@
 	if _, err := ask(ctx, cc, weighIn); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
 		t.Errorf("with the only box draining: %v after %d calls", err, f.calls.Load())
 	}
-	list[0].State, list[0].Boot = deckrelay.Ready, time.Second
+	list[0].State, list[0].Boot = balancer.Ready, time.Second
 	source <- List{Boxes: list}
 	source <- List{}
 	if _, err := ask(t.Context(), cc, weighIn); err != nil {
@@ -543,7 +543,7 @@
 		runtime.Gosched()
 	}
 	draining := slices.Clone(list)
-	draining[0].State = deckrelay.Draining
+	draining[0].State = balancer.Draining
 	source <- List{Boxes: draining}
 	source <- List{}
 	ctx2, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -614,7 +614,7 @@
 	const asked = 40
 	for boot := range 2 {
 		for i := range list {
-			list[i] = Box{Server: deckrelay.Server{ID: strconv.Itoa(i), Boot: time.Duration(boot)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
+			list[i] = Box{Server: balancer.Server{ID: strconv.Itoa(i), Boot: time.Duration(boot)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
 		}
 		taken := make(chan struct{})
 		go func() {
--- a/grpcwalk/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
--- a/grpcwalk/endings.go
+++ b/grpcbalancer/outcomes.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // TurnedAway is the trailer, with the value 1, by which a box says that it has not run a call and will not. It goes
@@ -23,39 +23,39 @@
 )
 
 // ending says how an attempt ended, from what its picker and the library saw of it.
-func ending(a *attempt, err error, trailer metadata.MD) deckrelay.Ending {
+func ending(a *attempt, err error, trailer metadata.MD) balancer.Ending {
 	code := status.Code(err)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case err == nil:
-		return deckrelay.Success
+		return balancer.Success
 	case a.stopped:
-		return deckrelay.Void // nothing was sent, and it says nothing of the box
+		return balancer.Void // nothing was sent, and it says nothing of the box
 	case a.picks == 0 && errors.Is(a.call.ctx.Err(), context.Canceled):
-		return deckrelay.Void // its client left before a connection was up
+		return balancer.Void // its client left before a connection was up
 	case a.picks == 0:
-		return deckrelay.Unreachable
+		return balancer.Unreachable
 	case errors.Is(a.call.ctx.Err(), context.Canceled) && code == codes.Canceled:
-		return deckrelay.Withdrawn // its client left: that says nothing of the box
+		return balancer.Withdrawn // its client left: that says nothing of the box
 	case !a.sent && code == codes.DeadlineExceeded:
-		return deckrelay.Overloaded // it waited for one of the streams that the box allows
+		return balancer.Overloaded // it waited for one of the streams that the box allows
 	case !a.sent:
-		return deckrelay.Unreachable // the connection ended before its header was written
+		return balancer.Unreachable // the connection ended before its header was written
 	case a.picks > 1:
 		// The library asks for a connection once more only where the server refused the stream unprocessed: its
 		// retries by policy are off.
-		return deckrelay.Overloaded
+		return balancer.Overloaded
 	case (code == codes.Unavailable || code == codes.ResourceExhausted) && one(trailer):
-		return deckrelay.Overloaded
+		return balancer.Overloaded
 	case answers[code] && a.got:
-		return deckrelay.Success
+		return balancer.Success
 	case code == codes.DeadlineExceeded && !a.got:
-		return deckrelay.TimedOut
+		return balancer.TimedOut
 	case a.got:
-		return deckrelay.Failure
+		return balancer.Failure
 	}
-	return deckrelay.Broken
+	return balancer.Broken
 }
 
 func one(trailer metadata.MD) bool {
--- a/grpcwalk/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -1,11 +1,11 @@
-// Package grpcwalk puts the decisions of hookwalk under a grpc-go channel: which box a call goes to, whether it goes
+// Package grpcbalancer puts the decisions of hookwalk under a grpc-go channel: which box a call goes to, whether it goes
 // again, and what is refused. It has the same engine and the same decision module as the daemon.
 //
-//	opts, err := grpcwalk.Dial(grpcwalk.Config{Tier: "log-logic", Settings: settings, Source: boxes, ...})
+//	opts, err := grpcbalancer.Dial(grpcbalancer.Config{Tier: "log-logic", Settings: settings, Source: boxes, ...})
 //	conn, err := grpc.NewClient("hookwalk:///log-logic", append(opts, credentials)...)
 //
 // A stream is one attempt: placed, counted and refused like any other call, and never moved once it is open.
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -54,7 +54,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	if _, err := deckrelay.New(cfg.Settings, cfg.Seed); err != nil {
+	if _, err := balancer.New(cfg.Settings, cfg.Seed); err != nil {
 		return nil, err
 	}
 	if cfg.Log == nil {
@@ -107,7 +107,7 @@
 	r.Budget -= min(r.Budget/50, answerTime)
 	md, _ := metadata.FromOutgoingContext(ctx)
 	r.Tenant = first(md, Tenant)
-	r.Request = deckrelay.Request{ID: strconv.FormatUint(t.seq.Add(1), 10), Class: p.cfg.Methods[method],
+	r.Request = balancer.Request{ID: strconv.FormatUint(t.seq.Add(1), 10), Class: p.cfg.Methods[method],
 		Deadline: now + r.Budget, Repeat: first(md, Repeat) == "1"}
 	return r
 }
--- a/grpcwalk/source.go
+++ b/grpcbalancer/source.go
@@ -1,14 +1,14 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Box is a server and where it is reached.
 type Box struct {
-	deckrelay.Server
+	balancer.Server
 	Addr string // host:port
 }
 
--- a/grpcwalk/stream.go
+++ b/grpcbalancer/stream.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -28,7 +28,7 @@
 	first time.Duration // when the first message came back; 0: none has
 	ended bool          // its client has seen the end
 	err   error         // as its client has it
-	how   deckrelay.Ending
+	how   balancer.Ending
 }
 
 // stream has the engine place a stream, and gives it to its client when it is open.
@@ -99,7 +99,7 @@
 }
 
 // outcome is the ending of the attempt, and its latency: what counts is when the first message came.
-func (s *stream) outcome(err error) (how deckrelay.Ending, latency time.Duration) {
+func (s *stream) outcome(err error) (how balancer.Ending, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.first > 0 {
@@ -144,9 +144,9 @@
 	s.ended = true
 	s.how = s.result(err, s.Trailer())
 	switch s.how {
-	case deckrelay.Success:
+	case balancer.Success:
 		s.err = err
-	case deckrelay.Overloaded, deckrelay.Unreachable, deckrelay.Void:
+	case balancer.Overloaded, balancer.Unreachable, balancer.Void:
 		s.err = final(engine.Answer{Verdict: engine.Refused, RetryAfter: s.att.tier.comeBack(s.att.call.Request.Class)}, err)
 	default:
 		s.err = err
@@ -160,12 +160,12 @@
 
 // result is the attempt's ending. What has sent a message back has run, whatever it says then. The caller holds the
 // lock.
-func (s *stream) result(err error, trailer metadata.MD) deckrelay.Ending {
+func (s *stream) result(err error, trailer metadata.MD) balancer.Ending {
 	switch code := status.Code(err); {
 	case s.first == 0:
 		return ending(s.att, err, trailer)
 	case err == nil || answers[code] || code == codes.Canceled && s.att.call.ctx.Err() != nil:
-		return deckrelay.Success
+		return balancer.Success
 	}
-	return deckrelay.Broken
+	return balancer.Broken
 }
--- a/grpcwalk/tier.go
+++ b/grpcbalancer/tier.go
@@ -1,4 +1,4 @@
-package grpcwalk
+package grpcbalancer
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"google.golang.org/grpc/metadata"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -49,14 +49,14 @@
 	defer tiers.mu.Unlock()
 	if t := tiers.byName[cfg.Tier]; t != nil {
 		if !reflect.DeepEqual(t.cfg.Settings, cfg.Settings) {
-			return nil, fmt.Errorf("grpcwalk: tier %s is in use with other settings", cfg.Tier)
+			return nil, fmt.Errorf("grpcbalancer: tier %s is in use with other settings", cfg.Tier)
 		}
 		t.uses++
 		return t, nil
 	}
-	bal, err := deckrelay.New(cfg.Settings, cfg.Seed)
+	bal, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("grpcwalk: tier %s: %w", cfg.Tier, err)
+		return nil, fmt.Errorf("grpcbalancer: tier %s: %w", cfg.Tier, err)
 	}
 	t := &tier{cfg: cfg, uses: 1, told: make(chan struct{}), boxes: map[string]Box{}, watchers: map[*listWatch]bool{}}
 	t.engine = engine.New(engine.Options{Clock: engine.NewClock(), Log: cfg.Log, Balancer: bal, Sender: t, Subscribe: func() {}})
@@ -110,7 +110,7 @@
 		clear(t.boxes)
 	}
 	for _, b := range l.Boxes {
-		if b.State == deckrelay.Ready {
+		if b.State == balancer.Ready {
 			t.boxes[b.ID] = b
 		} else {
 			delete(t.boxes, b.ID)
@@ -164,7 +164,7 @@
 		} else {
 			r.Ending, call.err = t.invoked(a)
 		}
-		if r.Ending != deckrelay.Success && r.Ending != deckrelay.Void {
+		if r.Ending != balancer.Success && r.Ending != balancer.Void {
 			r.Err = call.err
 		}
 		t.engine.Ended(r)
@@ -172,7 +172,7 @@
 }
 
 // invoked makes an attempt of a unary call.
-func (t *tier) invoked(a *attempt) (deckrelay.Ending, error) {
+func (t *tier) invoked(a *attempt) (balancer.Ending, error) {
 	ctx, cancel := context.WithDeadline(a.call.ctx, t.engine.Clock.At(a.Deadline))
 	defer cancel()
 	var trailer metadata.MD
@@ -181,7 +181,7 @@
 }
 
 // streamed makes an attempt of a stream.
-func (t *tier) streamed(a *attempt) (how deckrelay.Ending, latency time.Duration, err error) {
+func (t *tier) streamed(a *attempt) (how balancer.Ending, latency time.Duration, err error) {
 	s, err := t.stream(a)
 	if s == nil {
 		return ending(a, err, nil), 0, err
@@ -209,16 +209,16 @@
 // comeBack advises the client of a stream that a box refused. The module is no longer asked once a stream has begun.
 func (t *tier) comeBack(class string) time.Duration {
 	all := t.cfg.Settings.Classes
-	if i := slices.IndexFunc(all, func(c deckrelay.Class) bool { return c.Name == class }); i >= 0 {
+	if i := slices.IndexFunc(all, func(c balancer.Class) bool { return c.Name == class }); i >= 0 {
 		return t.cfg.Settings.ComeBack(all[i])
 	}
-	return t.cfg.Settings.ComeBack(slices.MaxFunc(all, func(a, b deckrelay.Class) int { return int(a.Deadline - b.Deadline) }))
+	return t.cfg.Settings.ComeBack(slices.MaxFunc(all, func(a, b balancer.Class) int { return int(a.Deadline - b.Deadline) }))
 }
 
 // Config says which tier a channel goes to and how.
 type Config struct {
-	Tier     string             // channels of one process with the same name share an engine
-	Settings deckrelay.Settings // the decision module's
+	Tier     string            // channels of one process with the same name share an engine
+	Settings balancer.Settings // the decision module's
 	Seed     uint64
 	Source   Source
 	Methods  map[string]string // class by full method, "/package.Service/Method"; one that is missing is unsafe
@@ -229,15 +229,15 @@
 func (c Config) check() error {
 	switch {
 	case c.Tier == "":
-		return errors.New("grpcwalk: Tier is empty")
+		return errors.New("grpcbalancer: Tier is empty")
 	case c.Source == nil:
-		return fmt.Errorf("grpcwalk: tier %s: Source is missing", c.Tier)
+		return fmt.Errorf("grpcbalancer: tier %s: Source is missing", c.Tier)
 	case c.Deadline <= 0:
-		return fmt.Errorf("grpcwalk: tier %s: Deadline must be above 0", c.Tier)
+		return fmt.Errorf("grpcbalancer: tier %s: Deadline must be above 0", c.Tier)
 	}
 	for method, class := range c.Methods {
-		if !slices.ContainsFunc(c.Settings.Classes, func(k deckrelay.Class) bool { return k.Name == class }) {
-			return fmt.Errorf("grpcwalk: tier %s: method %q has the class %q, which is none of the settings", c.Tier, method, class)
+		if !slices.ContainsFunc(c.Settings.Classes, func(k balancer.Class) bool { return k.Name == class }) {
+			return fmt.Errorf("grpcbalancer: tier %s: method %q has the class %q, which is none of the settings", c.Tier, method, class)
 		}
 	}
 	return nil
--- a/internal/control/control.go
+++ b/internal/adminapi/adminapi.go
@@ -1,7 +1,7 @@
-// Package control answers the calls that operators make to a running node: whether it takes clients, which servers are
+// Package adminapi answers the calls that operators make to a running node: whether it takes clients, which servers are
 // to be left alone, whether clients are to be sent away. It has a listener and places of its own, so that no crowd of
 // clients keeps operators out, and knows the node by one small interface. What a call wants holds when it is answered.
-package control
+package adminapi
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 const (
@@ -102,7 +102,7 @@
 	switch {
 	case err == nil:
 		fmt.Fprintln(w, "yes")
-	case errors.Is(err, deckrelay.ErrUnknownServer):
+	case errors.Is(err, balancer.ErrUnknownServer):
 		http.Error(w, "no: "+err.Error(), http.StatusNotFound)
 	default:
 		http.Error(w, "no: "+err.Error(), http.StatusServiceUnavailable)
--- a/internal/control/control_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // fake is a node that notes what is asked of it.
@@ -39,7 +39,7 @@
 func (f *fake) TakesClients() error { return f.note("ready") }
 func (f *fake) Hand(_ context.Context, id string, out bool) error {
 	if id == "nobody" {
-		return deckrelay.ErrUnknownServer
+		return balancer.ErrUnknownServer
 	}
 	return f.note("%s %v", id, out)
 }
--- a/internal/spool/spool.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,7 +1,7 @@
-// Package spool hands lines to standard error without waiting for whoever reads it. What a pipe takes at once is
+// Package asyncwriter hands lines to standard error without waiting for whoever reads it. What a pipe takes at once is
 // written at once, so that a program that is killed has said all; what it does not take waits in a bounded queue that a
 // goroutine of its own works off while there is anything in it; what finds the queue full is dropped whole and told.
-package spool
+package asyncwriter
 
 import (
 	"errors"
--- a/internal/spool/spool_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -1,4 +1,4 @@
-package spool
+package asyncwriter
 
 import (
 	"bufio"
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -18,23 +18,23 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
 const msec = time.Millisecond
 
-func module() deckrelay.Settings {
-	return deckrelay.Settings{
-		Classes: []deckrelay.Class{
-			{Name: "block-view", Effect: deckrelay.Safe, Scope: deckrelay.ScopeAll, Aim: 250 * msec, Deadline: 600 * msec, Worth: 5},
-			{Name: "bin-weighin", Effect: deckrelay.Unsafe, Aim: 250 * msec, Deadline: 600 * msec, Worth: 8},
-			{Name: "in-order", Effect: deckrelay.Keyed, Window: 400 * msec, InOrder: true, Aim: 250 * msec, Deadline: 600 * msec, Worth: 1},
+func module() balancer.Settings {
+	return balancer.Settings{
+		Classes: []balancer.Class{
+			{Name: "block-view", Effect: balancer.Safe, Scope: balancer.ScopeAll, Aim: 250 * msec, Deadline: 600 * msec, Worth: 5},
+			{Name: "bin-weighin", Effect: balancer.Unsafe, Aim: 250 * msec, Deadline: 600 * msec, Worth: 8},
+			{Name: "in-order", Effect: balancer.Keyed, Window: 400 * msec, InOrder: true, Aim: 250 * msec, Deadline: 600 * msec, Worth: 1},
 		},
 		Balancers: 2, MaxAttempts: 3, Tick: 2 * msec, WholeWeight: 0.6, ClassWeight: 0.1, MaxRetryAfter: time.Second,
 		AskDiscovery: true, AskWithin: time.Second, OrderSettle: 20 * msec, ColdFrom: 0.3, WarmAfter: time.Second, FallMultiple: 3,
-		Drills:    []deckrelay.Drill{{Name: "stall", Class: "bin-weighin", Share: 30, Delay: 50 * msec, Duration: time.Second}},
-		Addresses: &deckrelay.Addresses{Deny: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}},
+		Drills:    []balancer.Drill{{Name: "stall", Class: "bin-weighin", Share: 30, Delay: 50 * msec, Duration: time.Second}},
+		Addresses: &balancer.Addresses{Deny: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}},
 	}
 }
 
@@ -43,32 +43,32 @@
 // captured is a module under busy traffic, with what its Writer wrote.
 type captured struct {
 	*Writer
-	bal    *deckrelay.Balancer
+	bal    *balancer.Balancer
 	rng    *rand.Rand
 	now    time.Duration
 	stderr bytes.Buffer
-	out    []deckrelay.Outcome
+	out    []balancer.Outcome
 	due    []time.Duration
-	timers []deckrelay.Wake
+	timers []balancer.Wake
 	counts map[string]int
 	n      int
 }
 
 func begin(t testing.TB, set settings.Capture, seed uint64) *captured {
 	t.Helper()
-	bal, err := deckrelay.New(module(), seed)
+	bal, err := balancer.New(module(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &captured{bal: bal, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Duration(time.Now().UnixNano()), counts: map[string]int{}}
 	c.Writer = New(set, "n0", bal, module(), seed, &c.stderr, quiet())
-	c.give(deckrelay.ServerList{Full: true, Cached: true, Servers: c.servers()})
+	c.give(balancer.ServerList{Full: true, Cached: true, Servers: c.servers()})
 	return c
 }
 
-func (c *captured) servers() (list []deckrelay.Server) {
+func (c *captured) servers() (list []balancer.Server) {
 	for i := range 6 {
-		s := deckrelay.Server{ID: fmt.Sprint("s-", i), Zone: "z", State: deckrelay.ServerState(c.rng.IntN(12) / 10)}
+		s := balancer.Server{ID: fmt.Sprint("s-", i), Zone: "z", State: balancer.ServerState(c.rng.IntN(12) / 10)}
 		if c.rng.IntN(4) == 0 {
 			s.Boot = c.now
 		}
@@ -77,14 +77,14 @@
 	return list
 }
 
-func (c *captured) give(e deckrelay.Event) {
+func (c *captured) give(e balancer.Event) {
 	acts := c.bal.Handle(c.now, e)
 	c.counts[fmt.Sprintf("%T", e)]++
 	c.Event(c.now, e, acts, Aside{Tenant: "okanagan-ridge", Budget: 600 * msec, Addrs: map[string]string{"s-0": "127.0.0.1:5"}})
 	for _, a := range acts {
 		c.counts[fmt.Sprintf("%T", a)]++
 		switch a := a.(type) {
-		case deckrelay.Send:
+		case balancer.Send:
 			attempt := 0
 			for _, o := range c.out {
 				if o.ID == a.ID {
@@ -92,13 +92,13 @@
 				}
 			}
 			took := time.Duration(c.rng.ExpFloat64() * float64(60*msec))
-			o := deckrelay.Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Ending: deckrelay.Ending(c.rng.IntN(7) * c.rng.IntN(2)), Latency: took}
+			o := balancer.Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Ending: balancer.Ending(c.rng.IntN(7) * c.rng.IntN(2)), Latency: took}
 			if took > a.Timeout || c.rng.IntN(8) == 0 {
-				took, o.Ending = a.Timeout, deckrelay.TimedOut
+				took, o.Ending = a.Timeout, balancer.TimedOut
 			}
-			o.Ended = o.Ending == deckrelay.Success
+			o.Ended = o.Ending == balancer.Success
 			c.out, c.due = append(c.out, o), append(c.due, c.now+took)
-		case deckrelay.Wake:
+		case balancer.Wake:
 			c.timers = append(c.timers, a)
 		}
 	}
@@ -112,7 +112,7 @@
 			if w := c.timers[i]; w.At <= c.now {
 				c.timers = append(c.timers[:i], c.timers[i+1:]...)
 				i--
-				c.give(deckrelay.Timer{Token: w.Token})
+				c.give(balancer.Timer{Token: w.Token})
 			}
 		}
 		for i := 0; i < len(c.due); i++ {
@@ -124,18 +124,18 @@
 		if c.rng.IntN(3) == 0 {
 			c.n++
 			client := netip.AddrFrom4([4]byte{10, byte(c.rng.IntN(10)), 0, 1})
-			c.give(deckrelay.Request{ID: fmt.Sprintf("id-%d\xff", c.n), Class: []string{"block-view", "bin-weighin", "in-order"}[c.rng.IntN(3)],
+			c.give(balancer.Request{ID: fmt.Sprintf("id-%d\xff", c.n), Class: []string{"block-view", "bin-weighin", "in-order"}[c.rng.IntN(3)],
 				Deadline: c.now + time.Duration(100+c.rng.IntN(500))*msec, Key: c.rng.Uint64N(4) << 62, HasKey: true, Client: client})
 		}
 		switch c.rng.IntN(120) {
 		case 0:
-			c.give(deckrelay.ServerList{Full: c.rng.IntN(2) == 0, Servers: c.servers()})
+			c.give(balancer.ServerList{Full: c.rng.IntN(2) == 0, Servers: c.servers()})
 		case 1:
-			c.give(deckrelay.ListFailed{})
+			c.give(balancer.ListFailed{})
 		case 2:
-			c.give(deckrelay.DrillStart{Name: "stall"})
+			c.give(balancer.DrillStart{Name: "stall"})
 		case 3:
-			c.give(deckrelay.ClientGone{ID: fmt.Sprintf("id-%d\xff", c.n)})
+			c.give(balancer.ClientGone{ID: fmt.Sprintf("id-%d\xff", c.n)})
 		}
 	}
 	return c
@@ -154,8 +154,8 @@
 func TestUnchangedBuildShowsNoDifference(t *testing.T) {
 	for seed := range uint64(4) {
 		c := begin(t, settings.Capture{}, seed).run(3000)
-		for _, want := range []string{"deckrelay.ServerList", "deckrelay.Timer", "deckrelay.DrillStart", "deckrelay.ListFailed", "deckrelay.ClientGone",
-			"deckrelay.Send", "deckrelay.Refuse", "deckrelay.Fail", "deckrelay.Deny", "deckrelay.Drilled", "deckrelay.Subscribe"} {
+		for _, want := range []string{"balancer.ServerList", "balancer.Timer", "balancer.DrillStart", "balancer.ListFailed", "balancer.ClientGone",
+			"balancer.Send", "balancer.Refuse", "balancer.Fail", "balancer.Deny", "balancer.Drilled", "balancer.Subscribe"} {
 			if c.counts[want] == 0 {
 				t.Errorf("seed %d: no %s in %v", seed, want, c.counts)
 			}
@@ -347,9 +347,9 @@
 func TestRecordThatDoesNotFit(t *testing.T) {
 	dir := t.TempDir()
 	c := begin(t, settings.Capture{Folder: dir, FileBytes: 128 << 10}, 1).run(20)
-	var long deckrelay.ServerList
+	var long balancer.ServerList
 	for i := range 450 {
-		long.Servers = append(long.Servers, deckrelay.Server{ID: fmt.Sprintf("s-%08d", i), Zone: "z", State: deckrelay.Draining})
+		long.Servers = append(long.Servers, balancer.Server{ID: fmt.Sprintf("s-%08d", i), Zone: "z", State: balancer.Draining})
 	}
 	c.folder.size = c.folder.most - 17<<10 // as if so much had been written: the list does not fit
 	c.give(long)
@@ -474,8 +474,8 @@
 func TestRecordHoldsWhatThePageNames(t *testing.T) {
 	c := begin(t, settings.Capture{}, 1)
 	c.stderr.Reset()
-	c.give(deckrelay.ServerList{Full: true, Servers: []deckrelay.Server{{ID: "s-0"}}})
-	c.give(deckrelay.Request{ID: "9b1f03aa5c7e2d41", Class: "bin-weighin", Deadline: c.now + time.Second, Client: netip.MustParseAddr("10.9.0.1")})
+	c.give(balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "s-0"}}})
+	c.give(balancer.Request{ID: "9b1f03aa5c7e2d41", Class: "bin-weighin", Deadline: c.now + time.Second, Client: netip.MustParseAddr("10.9.0.1")})
 	var text string
 	rewritten(t, c.stderr.String(), func(s string) string { text += s + "\n"; return s })
 	for _, want := range []string{`"id":"9b1f03aa5c7e2d41","class":"bin-weighin","tenant":"okanagan-ridge","budget":600000000`,
@@ -507,13 +507,13 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	bal, err := deckrelay.New(module(), 1)
+	bal, err := balancer.New(module(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	w := New(settings.Capture{}, "n0", bal, module(), 1, bufio.NewWriterSize(io.Discard, 1), quiet())
-	e := deckrelay.Request{ID: "9b1f03aa5c7e2d41", Class: "bin-weighin", Deadline: time.Second}
-	did := []deckrelay.Action{deckrelay.Send{ID: e.ID, Server: "s-5be2a07c", Timeout: time.Second}}
+	e := balancer.Request{ID: "9b1f03aa5c7e2d41", Class: "bin-weighin", Deadline: time.Second}
+	did := []balancer.Action{balancer.Send{ID: e.ID, Server: "s-5be2a07c", Timeout: time.Second}}
 	b.ReportAllocs()
 	for b.Loop() {
 		w.Event(time.Second, e, did, Aside{Tenant: "okanagan-ridge", Budget: time.Second})
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Captures are kept, and replayed by builds that come after the one that wrote them. A key that is not known is passed
@@ -53,8 +53,8 @@
 
 // goldenEvent is an event with what is recorded beside it. The module did not decide so; a record does not care.
 type goldenEvent struct {
-	event deckrelay.Event
-	did   []deckrelay.Action
+	event balancer.Event
+	did   []balancer.Action
 	aside Aside
 }
 
@@ -65,39 +65,39 @@
 	retuned := module()
 	retuned.MaxAttempts = 4
 	events := []goldenEvent{
-		{event: deckrelay.ServerList{Full: true, Cached: true, Servers: []deckrelay.Server{
+		{event: balancer.ServerList{Full: true, Cached: true, Servers: []balancer.Server{
 			{ID: "s-0", Zone: "z", Kind: "large", Cell: 2, Boot: second},
-			{ID: "s-1", State: deckrelay.Draining}, {ID: "s-2", State: deckrelay.Gone}}},
-			did:   []deckrelay.Action{deckrelay.Wake{At: goldenStart + second, Token: "list"}},
+			{ID: "s-1", State: balancer.Draining}, {ID: "s-2", State: balancer.Gone}}},
+			did:   []balancer.Action{balancer.Wake{At: goldenStart + second, Token: "list"}},
 			aside: Aside{Addrs: map[string]string{"s-0": "127.0.0.1:5"}}},
-		{event: deckrelay.Timer{Token: "list"}, did: []deckrelay.Action{deckrelay.Subscribe{}}},
-		{event: deckrelay.ListFailed{}},
-		{event: deckrelay.ListLease{Expired: true}},
-		{event: deckrelay.ListLease{}},
-		{event: deckrelay.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, Repeat: true, Key: 1<<64 - 1, HasKey: true,
+		{event: balancer.Timer{Token: "list"}, did: []balancer.Action{balancer.Subscribe{}}},
+		{event: balancer.ListFailed{}},
+		{event: balancer.ListLease{Expired: true}},
+		{event: balancer.ListLease{}},
+		{event: balancer.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, Repeat: true, Key: 1<<64 - 1, HasKey: true,
 			Client: netip.MustParseAddr("10.1.2.3"), Rules: 3, Bulk: true},
-			did: []deckrelay.Action{deckrelay.Drilled{ID: id, Drill: "stall"}, deckrelay.Wake{At: goldenStart + second, Token: "d:" + id},
-				deckrelay.Send{ID: id, Server: "s-0", Timeout: second}},
+			did: []balancer.Action{balancer.Drilled{ID: id, Drill: "stall"}, balancer.Wake{At: goldenStart + second, Token: "d:" + id},
+				balancer.Send{ID: id, Server: "s-0", Timeout: second}},
 			aside: Aside{Tenant: "okanagan-ridge<&>\xfe", Budget: 2 * second}},
-		{event: deckrelay.Request{ID: "refused", Class: "unknown", HasKey: true, Client: netip.MustParseAddr("2001:db8::1")},
-			did: []deckrelay.Action{deckrelay.Refuse{ID: "refused", RetryAfter: second}}},
-		{event: deckrelay.Request{ID: "denied", Client: netip.MustParseAddr("10.9.0.1")},
-			did: []deckrelay.Action{deckrelay.Deny{ID: "denied"}}},
-		{event: deckrelay.Request{ID: "aborted", Class: "bin-weighin"},
-			did: []deckrelay.Action{deckrelay.Abort{ID: "aborted", Status: 503, RetryAfter: second}}},
-		{event: deckrelay.Started{ID: id, Attempt: 1}},
-		{event: deckrelay.ClientGone{ID: id}},
-		{event: deckrelay.DrillStart{Name: "stall"}},
-		{event: deckrelay.Hand{Server: "s-1", Out: true}},
-		{event: deckrelay.Hand{Server: "s-1"}},
-		{event: deckrelay.Retune{Settings: retuned}},
-		{event: deckrelay.Leaving{}},
-	}
-	for how := deckrelay.Success; how <= deckrelay.Void; how++ {
-		o := goldenEvent{event: deckrelay.Outcome{ID: id, Attempt: int(how), Server: "s-0", Ending: how, Latency: second,
-			Ended: how == deckrelay.Success}, aside: Aside{Served: how == deckrelay.Success}}
-		if how == deckrelay.Failure {
-			o.did = []deckrelay.Action{deckrelay.Fail{ID: id}}
+		{event: balancer.Request{ID: "refused", Class: "unknown", HasKey: true, Client: netip.MustParseAddr("2001:db8::1")},
+			did: []balancer.Action{balancer.Refuse{ID: "refused", RetryAfter: second}}},
+		{event: balancer.Request{ID: "denied", Client: netip.MustParseAddr("10.9.0.1")},
+			did: []balancer.Action{balancer.Deny{ID: "denied"}}},
+		{event: balancer.Request{ID: "aborted", Class: "bin-weighin"},
+			did: []balancer.Action{balancer.Abort{ID: "aborted", Status: 503, RetryAfter: second}}},
+		{event: balancer.Started{ID: id, Attempt: 1}},
+		{event: balancer.ClientGone{ID: id}},
+		{event: balancer.DrillStart{Name: "stall"}},
+		{event: balancer.Hand{Server: "s-1", Out: true}},
+		{event: balancer.Hand{Server: "s-1"}},
+		{event: balancer.Retune{Settings: retuned}},
+		{event: balancer.Leaving{}},
+	}
+	for how := balancer.Success; how <= balancer.Void; how++ {
+		o := goldenEvent{event: balancer.Outcome{ID: id, Attempt: int(how), Server: "s-0", Ending: how, Latency: second,
+			Ended: how == balancer.Success}, aside: Aside{Served: how == balancer.Success}}
+		if how == balancer.Failure {
+			o.did = []balancer.Action{balancer.Fail{ID: id}}
 		}
 		events = append(events, o)
 	}
@@ -107,7 +107,7 @@
 // goldenCapture is a capture as it stands in a log.
 func goldenCapture(t *testing.T) []byte {
 	t.Helper()
-	bal, err := deckrelay.New(module(), 5)
+	bal, err := balancer.New(module(), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 	}
 	for name, text := range map[string][]byte{"capture.log": goldenFile(t, "capture.log"), "capture-0001.hwc": inFile.Bytes()} {
 		var again, file bytes.Buffer
-		var events []deckrelay.Event
+		var events []balancer.Event
 		for _, frame := range framesOf(t, name, text) {
 			r, err := decode(frame)
 			if err != nil {
@@ -169,7 +169,7 @@
 			file.Write(buf.Bytes())
 			again.Write(append(buf.Bytes()[prefixLen:], '\n'))
 			if r.Kind == kindHead {
-				if _, err := deckrelay.Restore(r.Head.Settings, r.Head.Checkpoint); err != nil {
+				if _, err := balancer.Restore(r.Head.Settings, r.Head.Checkpoint); err != nil {
 					t.Errorf("%s: the head's checkpoint: %v", name, err)
 				}
 				continue
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -16,7 +16,7 @@
 	"time"
 	"unicode/utf8"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Version is that of the records. Another build of the same version may decide otherwise; that is what a replay
@@ -48,46 +48,46 @@
 
 // record is one event with its decision, or a head. Times are in ns; At is the module's clock.
 type record struct {
-	Seq      uint64           `json:"seq"` // of a head: that of the last event before it
-	At       time.Duration    `json:"at"`
-	Kind     string           `json:"kind"`
-	ID       string           `json:"id,omitempty"`
-	Class    string           `json:"class,omitempty"`
-	Tenant   string           `json:"tenant,omitempty"`
-	Budget   time.Duration    `json:"budget,omitempty"`
-	Deadline time.Duration    `json:"deadline,omitempty"`
-	Repeat   bool             `json:"repeat,omitempty"`
-	Key      uint64           `json:"key,omitempty"`
-	HasKey   bool             `json:"has_key,omitempty"`
-	Client   netip.Addr       `json:"client,omitzero"`
-	Attempt  int              `json:"attempt,omitempty"`
-	Server   string           `json:"server,omitempty"`
-	Ending   deckrelay.Ending `json:"ending,omitempty"`
-	Latency  time.Duration    `json:"latency,omitempty"`
-	Ended    bool             `json:"ended,omitempty"`
-	Name     string           `json:"name,omitempty"` // of a timer or a drill
-	Full     bool             `json:"full,omitempty"`
-	Cached   bool             `json:"cached,omitempty"`
-	Hosts    []host           `json:"hosts,omitempty"`
-	Decision []decision       `json:"decision,omitempty"`
-	Answer   int              `json:"answer,omitempty"` // the final answer that this event led to
-	Out      bool             `json:"out,omitempty"`
-	Expired  bool             `json:"expired,omitempty"` // the list
-	Rules    int              `json:"rules,omitempty"`
-	Bulk     bool             `json:"bulk,omitempty"`
-	Head     *head            `json:"head,omitempty"`
+	Seq      uint64          `json:"seq"` // of a head: that of the last event before it
+	At       time.Duration   `json:"at"`
+	Kind     string          `json:"kind"`
+	ID       string          `json:"id,omitempty"`
+	Class    string          `json:"class,omitempty"`
+	Tenant   string          `json:"tenant,omitempty"`
+	Budget   time.Duration   `json:"budget,omitempty"`
+	Deadline time.Duration   `json:"deadline,omitempty"`
+	Repeat   bool            `json:"repeat,omitempty"`
+	Key      uint64          `json:"key,omitempty"`
+	HasKey   bool            `json:"has_key,omitempty"`
+	Client   netip.Addr      `json:"client,omitzero"`
+	Attempt  int             `json:"attempt,omitempty"`
+	Server   string          `json:"server,omitempty"`
+	Ending   balancer.Ending `json:"ending,omitempty"`
+	Latency  time.Duration   `json:"latency,omitempty"`
+	Ended    bool            `json:"ended,omitempty"`
+	Name     string          `json:"name,omitempty"` // of a timer or a drill
+	Full     bool            `json:"full,omitempty"`
+	Cached   bool            `json:"cached,omitempty"`
+	Hosts    []host          `json:"hosts,omitempty"`
+	Decision []decision      `json:"decision,omitempty"`
+	Answer   int             `json:"answer,omitempty"` // the final answer that this event led to
+	Out      bool            `json:"out,omitempty"`
+	Expired  bool            `json:"expired,omitempty"` // the list
+	Rules    int             `json:"rules,omitempty"`
+	Bulk     bool            `json:"bulk,omitempty"`
+	Head     *head           `json:"head,omitempty"`
 
-	Settings *deckrelay.Settings `json:"settings,omitempty"`
+	Settings *balancer.Settings `json:"settings,omitempty"`
 }
 
 type host struct {
-	Host  string                `json:"host"`
-	Addr  string                `json:"addr,omitempty"`
-	Zone  string                `json:"zone,omitempty"`
-	Kind  string                `json:"kind,omitempty"`
-	Cell  int                   `json:"cell,omitempty"`
-	State deckrelay.ServerState `json:"state,omitempty"`
-	Boot  time.Duration         `json:"boot,omitempty"`
+	Host  string               `json:"host"`
+	Addr  string               `json:"addr,omitempty"`
+	Zone  string               `json:"zone,omitempty"`
+	Kind  string               `json:"kind,omitempty"`
+	Cell  int                  `json:"cell,omitempty"`
+	State balancer.ServerState `json:"state,omitempty"`
+	Boot  time.Duration        `json:"boot,omitempty"`
 }
 
 // decision is one action of the module.
@@ -103,12 +103,12 @@
 
 // head is what a module was made of and what it holds.
 type head struct {
-	Version    string             `json:"version"`
-	Node       string             `json:"node"`
-	Began      int64              `json:"began"` // tells one run of a node from the next
-	Seed       uint64             `json:"seed"`
-	Settings   deckrelay.Settings `json:"settings"`
-	Checkpoint json.RawMessage    `json:"checkpoint"`
+	Version    string            `json:"version"`
+	Node       string            `json:"node"`
+	Began      int64             `json:"began"` // tells one run of a node from the next
+	Seed       uint64            `json:"seed"`
+	Settings   balancer.Settings `json:"settings"`
+	Checkpoint json.RawMessage   `json:"checkpoint"`
 }
 
 // Aside is what a node knows of an event that the module is not told.
@@ -120,84 +120,84 @@
 }
 
 // newRecord describes an event. An unknown one could not be replayed.
-func newRecord(e deckrelay.Event, aside Aside) (record, error) {
+func newRecord(e balancer.Event, aside Aside) (record, error) {
 	switch e := e.(type) {
-	case deckrelay.Request:
+	case balancer.Request:
 		return record{Kind: kindRequest, ID: plain(e.ID), Class: plain(e.Class), Tenant: plain(aside.Tenant), Budget: aside.Budget,
 			Deadline: e.Deadline, Repeat: e.Repeat, Key: e.Key, HasKey: e.HasKey, Client: e.Client, Rules: e.Rules, Bulk: e.Bulk}, nil
-	case deckrelay.Outcome:
+	case balancer.Outcome:
 		r := record{Kind: kindOutcome, ID: plain(e.ID), Attempt: e.Attempt, Server: e.Server, Ending: e.Ending,
 			Latency: e.Latency, Ended: e.Ended}
 		if aside.Served {
 			r.Answer = http.StatusOK
 		}
 		return r, nil
-	case deckrelay.Timer:
+	case balancer.Timer:
 		return record{Kind: kindTimer, Name: plain(e.Token)}, nil
-	case deckrelay.ServerList:
+	case balancer.ServerList:
 		r := record{Kind: kindList, Full: e.Full, Cached: e.Cached}
 		for _, s := range e.Servers {
 			r.Hosts = append(r.Hosts, host{Host: s.ID, Addr: aside.Addrs[s.ID], Zone: s.Zone, Kind: s.Kind,
 				Cell: s.Cell, State: s.State, Boot: s.Boot})
 		}
 		return r, nil
-	case deckrelay.ListFailed:
+	case balancer.ListFailed:
 		return record{Kind: kindListFailed}, nil
-	case deckrelay.ListLease:
+	case balancer.ListLease:
 		return record{Kind: kindListLease, Expired: e.Expired}, nil
-	case deckrelay.Started:
+	case balancer.Started:
 		return record{Kind: kindStarted, ID: plain(e.ID), Attempt: e.Attempt}, nil
-	case deckrelay.ClientGone:
+	case balancer.ClientGone:
 		return record{Kind: kindGone, ID: plain(e.ID)}, nil
-	case deckrelay.DrillStart:
+	case balancer.DrillStart:
 		return record{Kind: kindDrill, Name: e.Name}, nil
-	case deckrelay.Leaving:
+	case balancer.Leaving:
 		return record{Kind: kindLeaving}, nil
-	case deckrelay.Hand:
+	case balancer.Hand:
 		return record{Kind: kindHand, Server: plain(e.Server), Out: e.Out}, nil
-	case deckrelay.Retune:
+	case balancer.Retune:
 		return record{Kind: kindRetune, Settings: &e.Settings}, nil
 	}
 	return record{}, fmt.Errorf("no record of a %T", e)
 }
 
 // event is what the module was told.
-func (r *record) event() (deckrelay.Event, error) {
+func (r *record) event() (balancer.Event, error) {
 	switch r.Kind {
 	case kindRequest:
-		return deckrelay.Request{ID: raw(r.ID), Class: raw(r.Class), Deadline: r.Deadline, Repeat: r.Repeat, Key: r.Key,
+		return balancer.Request{ID: raw(r.ID), Class: raw(r.Class), Deadline: r.Deadline, Repeat: r.Repeat, Key: r.Key,
 			HasKey: r.HasKey, Client: r.Client, Rules: r.Rules, Bulk: r.Bulk}, nil
 	case kindOutcome:
-		return deckrelay.Outcome{ID: raw(r.ID), Attempt: r.Attempt, Server: r.Server, Ending: r.Ending,
+		return balancer.Outcome{ID: raw(r.ID), Attempt: r.Attempt, Server: r.Server, Ending: r.Ending,
 			Latency: r.Latency, Ended: r.Ended}, nil
 	case kindTimer:
-		return deckrelay.Timer{Token: raw(r.Name)}, nil
+		return balancer.Timer{Token: raw(r.Name)}, nil
 	case kindList:
-		e := deckrelay.ServerList{Full: r.Full, Cached: r.Cached}
+		e := balancer.ServerList{Full: r.Full, Cached: r.Cached}
 		for _, h := range r.Hosts {
-			e.Servers = append(e.Servers, deckrelay.Server{ID: h.Host, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
+			e.Servers = append(e.Servers, balancer.Server{ID: h.Host, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
 				State: h.State, Boot: h.Boot})
 		}
 		return e, nil
 	case kindListFailed:
-		return deckrelay.ListFailed{}, nil
+		return balancer.ListFailed{}, nil
 	case kindListLease:
-		return deckrelay.ListLease{Expired: r.Expired}, nil
+		return balancer.ListLease{Expired: r.Expired}, nil
 	case kindStarted:
-		return deckrelay.Started{ID: raw(r.ID), Attempt: r.Attempt}, nil
+		return balancer.Started{ID: raw(r.ID), Attempt: r.Attempt}, nil
 	case kindGone:
-		return deckrelay.ClientGone{ID: raw(r.ID)}, nil
+		return balancer.ClientGone{ID: raw(r.ID)}, nil
 	case kindDrill:
-		return deckrelay.DrillStart{Name: r.Name}, nil
+		return balancer.DrillStart{Name: r.Name}, nil
 	case kindLeaving:
-		return deckrelay.Leaving{}, nil
+		return balancer.Leaving{}, nil
 	case kindHand:
-		return deckrelay.Hand{Server: raw(r.Server), Out: r.Out}, nil
+		return balancer.Hand{Server: raw(r.Server), Out: r.Out}, nil
 	case kindRetune:
 		if r.Settings == nil {
 			return nil, errors.New("a retune without settings")
 		}
-		return deckrelay.Retune{Settings: *r.Settings}, nil
+		return balancer.Retune{Settings: *r.Settings}, nil
 	}
 	return nil, fmt.Errorf("unknown kind of record %q", r.Kind)
 }
@@ -253,29 +253,29 @@
 	doSubscribe = "subscribe"
 )
 
-func newDecision(a deckrelay.Action) decision {
+func newDecision(a balancer.Action) decision {
 	switch a := a.(type) {
-	case deckrelay.Send:
+	case balancer.Send:
 		return decision{Do: doSend, ID: plain(a.ID), Server: a.Server, For: a.Timeout}
-	case deckrelay.Refuse:
+	case balancer.Refuse:
 		return decision{Do: doRefuse, ID: plain(a.ID), For: a.RetryAfter, Status: http.StatusServiceUnavailable}
-	case deckrelay.Fail:
+	case balancer.Fail:
 		return decision{Do: doFail, ID: plain(a.ID), Status: http.StatusBadGateway}
-	case deckrelay.Deny:
+	case balancer.Deny:
 		return decision{Do: doDeny, ID: plain(a.ID), Status: http.StatusForbidden}
-	case deckrelay.Abort:
+	case balancer.Abort:
 		return decision{Do: doAbort, ID: plain(a.ID), For: a.RetryAfter, Status: a.Status}
-	case deckrelay.Drilled:
+	case balancer.Drilled:
 		return decision{Do: doDrill, ID: plain(a.ID), Name: a.Drill}
-	case deckrelay.Wake:
+	case balancer.Wake:
 		return decision{Do: doWake, At: a.At, Name: plain(a.Token)}
-	case deckrelay.Subscribe:
+	case balancer.Subscribe:
 		return decision{Do: doSubscribe}
 	}
 	return decision{Do: fmt.Sprintf("%T", a)} // differs from all that this build records
 }
 
-func decisions(actions []deckrelay.Action) (list []decision) {
+func decisions(actions []balancer.Action) (list []decision) {
 	for _, a := range actions {
 		list = append(list, newDecision(a))
 	}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Result counts what a replay did.
@@ -88,7 +88,7 @@
 
 // player holds a module at one point of a capture.
 type player struct {
-	bal    *deckrelay.Balancer // nil: nothing to compare with before the next head
+	bal    *balancer.Balancer // nil: nothing to compare with before the next head
 	node   string
 	began  int64
 	seq    uint64
@@ -140,7 +140,7 @@
 	if !p.begins(r.Head) && (r.Seq < p.seq || r.Seq == p.seq && p.bal != nil) {
 		return nil
 	}
-	bal, err := deckrelay.Restore(r.Head.Settings, r.Head.Checkpoint)
+	bal, err := balancer.Restore(r.Head.Settings, r.Head.Checkpoint)
 	if err != nil {
 		return fmt.Errorf("corrupt: %w", err)
 	}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -19,7 +19,7 @@
 
 // Writer records the events of one Balancer. It belongs to the goroutine that feeds it.
 type Writer struct {
-	bal    *deckrelay.Balancer
+	bal    *balancer.Balancer
 	head   head
 	stderr io.Writer
 	log    *slog.Logger
@@ -35,7 +35,7 @@
 }
 
 // New begins a capture of a Balancer that has seen no event yet.
-func New(set settings.Capture, node string, bal *deckrelay.Balancer, module deckrelay.Settings, seed uint64, stderr io.Writer, log *slog.Logger) *Writer {
+func New(set settings.Capture, node string, bal *balancer.Balancer, module balancer.Settings, seed uint64, stderr io.Writer, log *slog.Logger) *Writer {
 	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringSize),
 		head: head{Version: Version, Node: node, Began: time.Now().UnixNano(), Seed: seed, Settings: module}}
 	if set.Folder != "" {
@@ -46,13 +46,13 @@
 }
 
 // Event records what the module was told and what it decided, before anything else is told to it.
-func (w *Writer) Event(at time.Duration, e deckrelay.Event, did []deckrelay.Action, aside Aside) {
+func (w *Writer) Event(at time.Duration, e balancer.Event, did []balancer.Action, aside Aside) {
 	r, err := newRecord(e, aside)
 	if err != nil {
 		w.warn(err)
 		return
 	}
-	if n, ok := e.(deckrelay.Retune); ok {
+	if n, ok := e.(balancer.Retune); ok {
 		w.head.Settings = n.Settings // of the checkpoints from here on
 	}
 	w.seq++
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -13,7 +13,7 @@
 
 	"hookwalk.example/hookwalk/configversion"
 	"hookwalk.example/hookwalk/internal/configapi"
-	"hookwalk.example/hookwalk/internal/jsonwatch"
+	"hookwalk.example/hookwalk/internal/watchstream"
 )
 
 // Bounds on a controller's answers. The rules of a session are quicker: these end what they have given up.
@@ -125,7 +125,7 @@
 
 func (s *Session) readUpdates(ctx context.Context, watch uint64, body io.Reader) error {
 	heard := &watchdog{session: s, ctx: ctx, watch: watch}
-	reader := jsonwatch.NewReader[configapi.Update](body, maxUpdate, heard)
+	reader := watchstream.NewReader[configapi.Update](body, maxUpdate, heard)
 	for {
 		update, err := reader.Next()
 		if err != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,28 +16,28 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/listclock"
 )
 
 // Server is an endpoint as the decision module knows it.
-func Server(h endpoints.Endpoint) deckrelay.Server {
-	s := deckrelay.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: time.Duration(h.Born * float64(time.Millisecond))}
+func Server(h discoveryapi.Endpoint) balancer.Server {
+	s := balancer.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: time.Duration(h.Born * float64(time.Millisecond))}
 	switch h.Health {
 	case "in_service":
-		s.State = deckrelay.Ready
+		s.State = balancer.Ready
 	case "terminated":
-		s.State = deckrelay.Gone
+		s.State = balancer.Gone
 	default: // a state we don't know is no invitation to send
-		s.State = deckrelay.Draining
+		s.State = balancer.Draining
 	}
 	return s
 }
 
 // Update is what the engine is told of a list.
-func Update(l endpoints.List) engine.Update {
+func Update(l discoveryapi.List) engine.Update {
 	u := engine.Update{Version: l.Seq, Whole: l.Whole, Boxes: make([]engine.Box, len(l.Hosts))}
 	for i, h := range l.Hosts {
 		u.Boxes[i] = engine.Box{Server: Server(h), Addr: h.Dial}
@@ -76,15 +76,15 @@
 	version    atomic.Int64  // seq, for others
 	streams    map[int]*subscription
 	reads      chan reading
-	state      listclock.State // as the log has it
-	away       bool            // likewise
-	logged     time.Time       // when a call that ended was logged last
-	ends       int             // calls that ended since
+	state      endpointlease.State // as the log has it
+	away       bool                // likewise
+	logged     time.Time           // when a call that ended was logged last
+	ends       int                 // calls that ended since
 	epoch      time.Time
 
 	mu      sync.Mutex
 	addr    string
-	clock   listclock.Clock
+	clock   endpointlease.Clock
 	expires time.Duration // as Renew was told last
 }
 
@@ -96,7 +96,7 @@
 	d := &Source{addr: cfg.Addr, asked: cfg.Asked,
 		log: log, Tell: tell, asks: make(chan struct{}, 1), moves: make(chan struct{}, 1),
 		streams: map[int]*subscription{}, reads: make(chan reading), epoch: time.Now(),
-		clock: listclock.Clock{Rules: listclock.Rules{Pushed: !cfg.Asked, AskWithin: cfg.AskWithin, Callers: cfg.Callers}},
+		clock: endpointlease.Clock{Rules: endpointlease.Rules{Pushed: !cfg.Asked, AskWithin: cfg.AskWithin, Callers: cfg.Callers}},
 		Client: &http.Client{Transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			DisableKeepAlives:  true,
@@ -151,14 +151,14 @@
 // Hold has the list held be as old as it was in the other process of the node that handed it over. It is for the time
 // before Run.
 func (d *Source) Hold(age time.Duration) {
-	d.clocked(func(c *listclock.Clock) { c.Hold(d.now(), age) })
+	d.clocked(func(c *endpointlease.Clock) { c.Hold(d.now(), age) })
 }
 
 // Age is how long ago the list held was last known to be all that discovery had, as far as that shortens its lease.
 func (d *Source) Age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(listclock.Told-max(d.clock.Expires()-d.now(), 0), 0)
+	return max(endpointlease.Told-max(d.clock.Expires()-d.now(), 0), 0)
 }
 
 // Version is that of the list held.
@@ -192,7 +192,7 @@
 		select {
 		case <-look.C:
 		case <-d.asks: // counts the first time
-			d.clocked((*listclock.Clock).Wish)
+			d.clocked((*endpointlease.Clock).Wish)
 		case <-d.moves: // the clock has it
 		case r := <-d.reads:
 			d.take(ctx, r)
@@ -208,7 +208,7 @@
 		now := d.now()
 		do, name, look := d.clock.Step(now)
 		var s *subscription
-		if do == listclock.Call {
+		if do == endpointlease.Call {
 			name = d.clock.Call(now, rand.Float64())
 			s = &subscription{d: d, name: name, generation: d.clock.Generation(), addr: d.addr, began: now}
 		}
@@ -218,14 +218,14 @@
 		d.mu.Unlock()
 		d.noteLease(state, away)
 		switch do {
-		case listclock.Nothing:
+		case endpointlease.Nothing:
 			return max(min(look, again)-now, 1)
-		case listclock.Call:
+		case endpointlease.Call:
 			d.call(ctx, s, reading)
-		case listclock.Drop:
+		case endpointlease.Drop:
 			d.end(name, errDropped)
-		case listclock.Stuck:
-			d.failed(ctx, d.streams[name], &endpoints.UnreadableError{Err: endpoints.ErrNeverWhole})
+		case endpointlease.Stuck:
+			d.failed(ctx, d.streams[name], &discoveryapi.UnreadableError{Err: discoveryapi.ErrNeverWhole})
 		}
 	}
 }
@@ -254,8 +254,8 @@
 }
 
 // noteLease logs what becomes of the lease on the list: an operator sees when a node began to refuse, and why.
-func (d *Source) noteLease(state listclock.State, away bool) {
-	if expired := state == listclock.Expired; expired != (d.state == listclock.Expired) {
+func (d *Source) noteLease(state endpointlease.State, away bool) {
+	if expired := state == endpointlease.Expired; expired != (d.state == endpointlease.Expired) {
 		if expired {
 			d.log.Warn("the list has expired: nothing is sent until discovery has answered", "version", d.seq, "addr", d.Addr(),
 				"calls", len(d.streams))
@@ -270,7 +270,7 @@
 }
 
 // clocked changes the clock.
-func (d *Source) clocked(f func(*listclock.Clock)) {
+func (d *Source) clocked(f func(*endpointlease.Clock)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(&d.clock)
@@ -288,7 +288,7 @@
 }
 
 // State says what the list that the node holds is worth.
-func (d *Source) State() listclock.State {
+func (d *Source) State() endpointlease.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.clock.State(d.now())
@@ -321,7 +321,7 @@
 		return
 	}
 	if s.generation < d.generation { // a list from a later address is held
-		d.clocked(func(c *listclock.Clock) { c.Ended(s.name, d.now()) })
+		d.clocked(func(c *endpointlease.Clock) { c.Ended(s.name, d.now()) })
 		d.end(s.name, errMoved)
 		return
 	}
@@ -334,7 +334,7 @@
 		return
 	}
 	// The list may be relied on before it is told: else what waited for it would be refused as it comes.
-	d.clocked(func(c *listclock.Clock) {
+	d.clocked(func(c *endpointlease.Clock) {
 		if s.whole {
 			c.Answered(s.name, d.now())
 		} else {
@@ -358,16 +358,16 @@
 const mostOlder = 3
 
 // check says why a list is none to build on.
-func (d *Source) check(s *subscription, l endpoints.List) error {
+func (d *Source) check(s *subscription, l discoveryapi.List) error {
 	base := d.base(s)
 	switch {
 	case l.Whole && l.Hosts == nil:
-		return &endpoints.UnreadableError{Err: endpoints.ErrNoHosts}
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoHosts}
 	case !l.Whole && l.Seq < base:
-		return &endpoints.UnreadableError{Err: endpoints.ErrGap}
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrGap}
 	case l.Whole && l.Seq < base && d.older < mostOlder-1:
 		d.older++
-		return &endpoints.UnreadableError{Err: endpoints.ErrOlder}
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlder}
 	}
 	return nil
 }
@@ -375,9 +375,9 @@
 // failed ends a stream that has failed. Where lists are asked for, the module is told when none is left.
 func (d *Source) failed(ctx context.Context, s *subscription, err error) {
 	d.end(s.name, err)
-	unreadable := errors.As(err, new(*endpoints.UnreadableError))
+	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
 	d.incomplete = d.incomplete || unreadable
-	d.clocked(func(c *listclock.Clock) {
+	d.clocked(func(c *endpointlease.Clock) {
 		switch {
 		case unreadable:
 			c.Garbled(s.name, d.now())
@@ -393,7 +393,7 @@
 	if unreadable { // what the others bring would build on it too
 		for name := range d.streams {
 			d.end(name, err)
-			d.clocked(func(c *listclock.Clock) { c.Ended(name, d.now()) })
+			d.clocked(func(c *endpointlease.Clock) { c.Ended(name, d.now()) })
 		}
 	}
 	if d.ends++; s.lists > 0 || unreadable || time.Since(d.logged) > time.Second {
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/discovery/discoverytest"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/listclock"
 )
 
 // What one process hands to the next is as old as it was: a list that was confirmed 4 s ago may be relied on for 2 s more.
@@ -34,7 +34,7 @@
 		next := New(config, d.log, nil)
 		next.Renew = func(l engine.Lease) { lease = l }
 		next.Hold(d.Age())
-		if left := time.Until(lease.Until); lease.Open || left != listclock.Told-4*time.Second {
+		if left := time.Until(lease.Until); lease.Open || left != endpointlease.Told-4*time.Second {
 			t.Errorf("the next process may rely on it for %v more", left)
 		}
 	})
@@ -73,12 +73,12 @@
 		a.WantCall(t, "watch 1")
 		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-heard
-		if l := newest(); l.Open || time.Until(l.Until) != listclock.Told {
+		if l := newest(); l.Open || time.Until(l.Until) != endpointlease.Told {
 			t.Errorf("after a list: %+v", l)
 		}
 		<-time.After(2 * time.Second)
 		a.Lines <- ""
-		if l := newest(); time.Until(l.Until) != listclock.Told {
+		if l := newest(); time.Until(l.Until) != endpointlease.Told {
 			t.Errorf("after a line: %+v", l)
 		}
 		close(a.End)
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/endpoints"
-	"hookwalk.example/hookwalk/internal/listclock"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
 // subscription is a call to discovery, and the watch that it becomes.
@@ -30,7 +30,7 @@
 // reading is what a stream has read: a list, or its end.
 type reading struct {
 	*subscription
-	list  endpoints.List
+	list  discoveryapi.List
 	err   error // its end
 	taken chan struct{}
 }
@@ -42,7 +42,7 @@
 	if err == nil {
 		defer body.Close()
 		s.Part()
-		err = s.follow(ctx, endpoints.NewReader(body, s))
+		err = s.follow(ctx, discoveryapi.NewReader(body, s))
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
@@ -50,7 +50,7 @@
 	s.hand(ctx, reading{subscription: s, err: err})
 }
 
-func (s *subscription) follow(ctx context.Context, in *endpoints.Reader) error {
+func (s *subscription) follow(ctx context.Context, in *discoveryapi.Reader) error {
 	for {
 		l, err := in.Next()
 		if err != nil {
@@ -75,13 +75,17 @@
 }
 
 // Blank, Begun and Part feed the clock with what comes.
-func (s *subscription) Blank() { s.d.clocked(func(c *listclock.Clock) { c.Heard(s.name, s.d.now()) }) }
-func (s *subscription) Begun() { s.d.clocked(func(c *listclock.Clock) { c.Begun(s.name, s.d.now()) }) }
-func (s *subscription) Part()  { s.Blank() }
+func (s *subscription) Blank() {
+	s.d.clocked(func(c *endpointlease.Clock) { c.Heard(s.name, s.d.now()) })
+}
+func (s *subscription) Begun() {
+	s.d.clocked(func(c *endpointlease.Clock) { c.Begun(s.name, s.d.now()) })
+}
+func (s *subscription) Part() { s.Blank() }
 
 func (d *Source) get(ctx context.Context, name int, addr, query string) (io.ReadCloser, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { d.clocked(func(c *listclock.Clock) { c.Reached(name) }) }})
+		GotConn: func(httptrace.GotConnInfo) { d.clocked(func(c *endpointlease.Clock) { c.Reached(name) }) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/endpoints"+query, nil)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/discovery/discoverytest"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/listclock"
 )
 
 // queue is a discovery that works through its calls one after another, gives up those that wait too long, and has faults.
@@ -63,7 +63,7 @@
 	q.lists++
 	silent, ended, change := q.silent, q.ended, q.change
 	q.mu.Unlock()
-	beat := time.NewTicker(listclock.Beat)
+	beat := time.NewTicker(endpointlease.Beat)
 	defer beat.Stop()
 	write := func(seq int) {
 		fmt.Fprintf(w, `{"seq":%d,"whole":false,"hosts":[]}`+"\n", seq)
@@ -223,7 +223,7 @@
 		}
 		worst = max(worst, at[i].Sub(begin))
 	}
-	if worst > listclock.Told {
+	if worst > endpointlease.Told {
 		t.Errorf("the last was told after %v", worst)
 	}
 	q.mu.Lock()
--- a/internal/endpoints/endpoints.go
+++ b/internal/discoveryapi/discoveryapi.go
@@ -1,14 +1,14 @@
-// Package endpoints reads lists of servers as discovery writes them: one JSON object after another, with empty lines
-// between as heartbeats (see internal/jsonwatch). It decides nothing: what it returns is whole or an error that says
+// Package discoveryapi reads lists of servers as discovery writes them: one JSON object after another, with empty lines
+// between as heartbeats (see internal/watchstream). It decides nothing: what it returns is whole or an error that says
 // whether the list was cut off, too large or not to be read. Internal/node calls it from the goroutine of its watch.
-package endpoints
+package discoveryapi
 
 import (
 	"errors"
 	"fmt"
 	"io"
 
-	"hookwalk.example/hookwalk/internal/jsonwatch"
+	"hookwalk.example/hookwalk/internal/watchstream"
 )
 
 // Most is how many bytes one list may have.
@@ -50,7 +50,7 @@
 
 // What makes a list unreadable, beside its JSON.
 var (
-	ErrTooLarge = jsonwatch.TooLargeError{Limit: Most}
+	ErrTooLarge = watchstream.TooLargeError{Limit: Most}
 	ErrNoHosts  = errors.New("a whole list without hosts") // it can't be told from an empty one
 	ErrGap      = errors.New("a gap in the versions")
 	ErrOlder    = errors.New("a whole list older than the one held")
@@ -59,21 +59,21 @@
 )
 
 // Watchdog is told what is heard while a list is read. Its calls come from the goroutine that reads.
-type Watchdog = jsonwatch.Watchdog
+type Watchdog = watchstream.Watchdog
 
 // Reader reads one list after another from an answer.
-type Reader struct{ objects *jsonwatch.Reader[List] }
+type Reader struct{ objects *watchstream.Reader[List] }
 
 // NewReader reads from r. The Watchdog hears of all that comes.
 func NewReader(r io.Reader, watchdog Watchdog) *Reader {
-	return &Reader{jsonwatch.NewReader[List](r, Most, watchdog)}
+	return &Reader{watchstream.NewReader[List](r, Most, watchdog)}
 }
 
 // Next is the next list, whole. io.EOF: the answer has ended between two.
 func (r *Reader) Next() (List, error) {
 	list, err := r.objects.Next()
-	var cut *jsonwatch.CutError
-	var unreadable *jsonwatch.UnreadableError
+	var cut *watchstream.CutError
+	var unreadable *watchstream.UnreadableError
 	switch {
 	case err == nil && list.Whole && list.Hosts == nil:
 		err = &UnreadableError{ErrNoHosts}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -1,4 +1,4 @@
-package endpoints
+package discoveryapi
 
 import (
 	"bytes"
--- a/internal/listclock/listclock.go
+++ b/internal/endpointlease/endpointlease.go
@@ -1,11 +1,11 @@
-// Package listclock is the one clock by which a list of servers is held: when discovery is called, when what says
+// Package endpointlease is the one clock by which a list of servers is held: when discovery is called, when what says
 // nothing is broken and has another call beside it, and when the lease on the list expires, since from then on changes
 // count as told although nobody told them and nothing may be sent on it. It is pure: events go in with the time at which
 // they happened, Step says what is to be done, and nothing waits here.
 //
 // This file has the events, calls.go when to call, lease.go how long the list may be relied on. The source
 // (internal/discovery) feeds the clock and carries out its steps; the lab's auditor holds nodes to Told.
-package listclock
+package endpointlease
 
 import (
 	"slices"
--- a/internal/listclock/listclock_test.go
+++ b/internal/endpointlease/endpointlease_test.go
@@ -1,4 +1,4 @@
-package listclock
+package endpointlease
 
 import (
 	"testing"
--- a/internal/engine/orders.go
+++ b/internal/engine/admin.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // order is something that an operator wants of the loop.
@@ -40,7 +40,7 @@
 		if out {
 			e.halt(id)
 		}
-		e.handle(deckrelay.Hand{Server: id, Out: out})
+		e.handle(balancer.Hand{Server: id, Out: out})
 		if b, listed := e.boxes[id]; listed {
 			e.aim(b)
 		}
@@ -51,15 +51,15 @@
 }
 
 // Retune has the module take over settings, which it has said are sound. Calls that are open keep their rules.
-func (e *Engine) Retune(ctx context.Context, set deckrelay.Settings) error {
+func (e *Engine) Retune(ctx context.Context, set balancer.Settings) error {
 	return e.order(ctx, func() error {
-		e.handle(deckrelay.Retune{Settings: set})
+		e.handle(balancer.Retune{Settings: set})
 		return nil
 	})
 }
 
 // Servers are the servers that are listed as in service, those out by hand among them, in the order of their names.
-func (e *Engine) Servers(ctx context.Context) (servers []deckrelay.Server, err error) {
+func (e *Engine) Servers(ctx context.Context) (servers []balancer.Server, err error) {
 	err = e.order(ctx, func() error {
 		for _, id := range slices.Sorted(maps.Keys(e.boxes)) {
 			servers = append(servers, e.boxes[id].Server)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -5,18 +5,18 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/metrics"
 	"hookwalk.example/hookwalk/invariants"
 )
 
 // Call is one request of a front's client. The front fills the exported fields and hands it in once.
 type Call struct {
-	Request    deckrelay.Request
+	Request    balancer.Request
 	Tenant     string
 	Budget     time.Duration // as the client gave it
 	Upload     time.Duration // of a bulk call: the longest that its body may take
-	Tags       figures.Tags
+	Tags       metrics.Tags
 	Repeatable bool // its class allows that it runs more than once
 	Stranger   bool // the lists keep its client out; of its request there is only the id
 	Payload    any  // what the sender needs of it; the engine does not look at it
@@ -119,7 +119,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Attempt *Attempt
-	Ending  deckrelay.Ending
+	Ending  balancer.Ending
 	Reply   any           // of a success; goes into the answer
 	Latency time.Duration // of a stream, till its first message; 0: till now
 
@@ -138,7 +138,7 @@
 
 // Box is a server of a list and where it is reached.
 type Box struct {
-	deckrelay.Server
+	balancer.Server
 	Addr string `json:"Addr"`
 }
 
--- a/internal/engine/tally.go
+++ b/internal/engine/counters.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 const (
@@ -19,7 +19,7 @@
 	drilled, denied     int
 	refused, failed     [2]int // before any attempt; after one
 	expired             int    // of the refused, while the list had expired
-	endings             [deckrelay.Void + 1]int
+	endings             [balancer.Void + 1]int
 	nextBreak           time.Duration // until then no further unanswered attempt is logged
 }
 
@@ -46,9 +46,9 @@
 	log.With(features...).Info("counts", "taken", t.taken, "served", t.served, "left", t.left,
 		"refused_unsent", t.refused[0], "refused_sent", t.refused[1],
 		"failed_unsent", t.failed[0], "failed_sent", t.failed[1], "open", out,
-		"ok", e[deckrelay.Success], "error", e[deckrelay.Failure], "full", e[deckrelay.Overloaded],
-		"timeout", e[deckrelay.TimedOut], "connect", e[deckrelay.Unreachable], "reset", e[deckrelay.Broken],
-		"void", e[deckrelay.Void])
+		"ok", e[balancer.Success], "error", e[balancer.Failure], "full", e[balancer.Overloaded],
+		"timeout", e[balancer.TimedOut], "connect", e[balancer.Unreachable], "reset", e[balancer.Broken],
+		"void", e[balancer.Void])
 	*t = fresh
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/capture"
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/metrics"
 	"hookwalk.example/hookwalk/invariants"
 )
 
@@ -22,10 +22,10 @@
 type Options struct {
 	Clock     Clock
 	Log       *slog.Logger
-	Balancer  *deckrelay.Balancer
+	Balancer  *balancer.Balancer
 	Sender    Sender
 	Subscribe func() // asks the source for a watch; must not block
-	Figures   *figures.Reporter
+	Figures   *metrics.Reporter
 	Capture   *capture.Writer
 	Guard     *invariants.Guard // nil: violations are not counted
 }
@@ -148,7 +148,7 @@
 		c.reply <- Answer{Verdict: Served, Reply: b.reply}
 	}
 	b.a.begun = true
-	e.handle(deckrelay.Started{ID: c.Request.ID, Attempt: b.a.N})
+	e.handle(balancer.Started{ID: c.Request.ID, Attempt: b.a.N})
 }
 
 // StartDrill has the module start a drill.
@@ -202,8 +202,8 @@
 		default:
 		}
 		for len(e.wakes) > 0 && e.wakes[0].At <= e.Clock.Now() {
-			w := heap.Pop(&e.wakes).(deckrelay.Wake)
-			e.handle(deckrelay.Timer{Token: w.Token})
+			w := heap.Pop(&e.wakes).(balancer.Wake)
+			e.handle(balancer.Timer{Token: w.Token})
 		}
 		timer.Reset(e.idle())
 		select {
@@ -221,12 +221,12 @@
 			e.takeBeginning(b)
 		case s := <-e.starts:
 			e.Log.Info("drill started", append([]any{"drill", s.Name}, who(s.Client)...)...)
-			e.handle(deckrelay.DrillStart{Name: s.Name})
+			e.handle(balancer.DrillStart{Name: s.Name})
 		case <-e.dumps:
 			e.Capture.Dump()
 		case <-leaves:
 			leaves = nil
-			e.handle(deckrelay.Leaving{})
+			e.handle(balancer.Leaving{})
 		case <-e.lease.renewed:
 		case <-timer.C:
 		case <-report.C:
@@ -251,13 +251,13 @@
 }
 
 // handle gives one event to the module, which is told of an expired list first, and carries out what it answers.
-func (e *Engine) handle(event deckrelay.Event) {
+func (e *Engine) handle(event balancer.Event) {
 	e.checkLease()
 	e.decide(event)
 }
 
 // decide gives one event to the module and carries out what it answers.
-func (e *Engine) decide(event deckrelay.Event) {
+func (e *Engine) decide(event balancer.Event) {
 	now := e.Clock.Now()
 	actions := e.Balancer.Handle(now, event)
 	if e.Capture != nil {
@@ -266,21 +266,21 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case deckrelay.Send:
+		case balancer.Send:
 			e.send(now, a)
-		case deckrelay.Refuse:
+		case balancer.Refuse:
 			e.answer(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
-		case deckrelay.Fail:
+		case balancer.Fail:
 			e.answer(a.ID, Answer{Verdict: Failed})
-		case deckrelay.Deny:
+		case balancer.Deny:
 			e.deny(a)
-		case deckrelay.Drilled:
+		case balancer.Drilled:
 			e.mark(a)
-		case deckrelay.Abort:
+		case balancer.Abort:
 			e.answer(a.ID, Answer{Verdict: Aborted, Status: a.Status, RetryAfter: a.RetryAfter})
-		case deckrelay.Wake:
+		case balancer.Wake:
 			heap.Push(&e.wakes, a)
-		case deckrelay.Subscribe:
+		case balancer.Subscribe:
 			e.Subscribe()
 		}
 	}
@@ -312,7 +312,7 @@
 		return
 	}
 	e.tally.left++
-	e.handle(deckrelay.ClientGone{ID: c.Request.ID})
+	e.handle(balancer.ClientGone{ID: c.Request.ID})
 	e.forget(c)
 }
 
@@ -322,7 +322,7 @@
 }
 
 // deny answers a stranger. Its id may be that of another call.
-func (e *Engine) deny(a deckrelay.Deny) {
+func (e *Engine) deny(a balancer.Deny) {
 	c := e.visitor
 	if !c.Close() {
 		return
@@ -334,15 +334,15 @@
 }
 
 // mark notes that a call is part of a drill.
-func (e *Engine) mark(a deckrelay.Drilled) {
+func (e *Engine) mark(a balancer.Drilled) {
 	if c := e.calls[a.ID]; c != nil {
 		e.tally.drilled++
-		e.Figures.Count(c.Tags, figures.Drilled)
+		e.Figures.Count(c.Tags, metrics.Drilled)
 		e.Log.Info("drilled", append([]any{"id", a.ID, "class", c.Request.Class, "drill", a.Drill}, who(c.Request.Client)...)...)
 	}
 }
 
-func (e *Engine) send(now time.Duration, a deckrelay.Send) {
+func (e *Engine) send(now time.Duration, a balancer.Send) {
 	c := e.calls[a.ID]
 	if c == nil {
 		e.Log.Error("send for an unknown request", "id", a.ID)
@@ -375,7 +375,7 @@
 		e.tally.refused[tried(c)]++
 		if e.expired {
 			e.tally.expired++
-			e.Figures.Count(c.Tags, figures.RefusedExpired)
+			e.Figures.Count(c.Tags, metrics.RefusedExpired)
 		}
 	} else {
 		e.tally.failed[tried(c)]++
@@ -401,7 +401,7 @@
 	r.Attempt.Target.calls--
 	c.mayHaveRun = c.mayHaveRun || !r.Ending.NeverRan()
 	e.tally.note(e.Log, e.Clock.Now(), r)
-	if r.Ending == deckrelay.Success && c.Close() {
+	if r.Ending == balancer.Success && c.Close() {
 		e.tally.served++
 		e.aside.Served = true
 		e.guardClose(c, false)
@@ -414,7 +414,7 @@
 	if latency == 0 {
 		latency = e.Clock.Now() - r.Attempt.Started
 	}
-	e.handle(deckrelay.Outcome{ID: c.Request.ID, Attempt: r.Attempt.N, Server: r.Attempt.Target.ID, Ending: r.Ending,
+	e.handle(balancer.Outcome{ID: c.Request.ID, Attempt: r.Attempt.N, Server: r.Attempt.Target.ID, Ending: r.Ending,
 		Latency: latency, Ended: c.Closed()})
 	e.forget(c)
 }
@@ -422,16 +422,16 @@
 // takeUpdate updates the servers' addresses, stops what must get nothing new, then tells the module.
 func (e *Engine) takeUpdate(n Update) {
 	if n.Failed {
-		e.handle(deckrelay.ListFailed{})
+		e.handle(balancer.ListFailed{})
 		return
 	}
-	list := deckrelay.ServerList{Full: n.Whole, Cached: n.Cached}
+	list := balancer.ServerList{Full: n.Whole, Cached: n.Cached}
 	listed := map[string]bool{}
 	for _, b := range n.Boxes {
 		list.Servers = append(list.Servers, b.Server)
 		listed[b.ID] = true
 		old := e.targets[b.ID]
-		if b.State != deckrelay.Ready {
+		if b.State != balancer.Ready {
 			e.drop(b.ID)
 			continue
 		}
@@ -491,12 +491,12 @@
 }
 
 // wakeHeap holds the timers that the module asked for, the next one first.
-type wakeHeap []deckrelay.Wake
+type wakeHeap []balancer.Wake
 
 func (h wakeHeap) Len() int           { return len(h) }
 func (h wakeHeap) Less(i, j int) bool { return h[i].At < h[j].At }
 func (h wakeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *wakeHeap) Push(x any)        { *h = append(*h, x.(deckrelay.Wake)) }
+func (h *wakeHeap) Push(x any)        { *h = append(*h, x.(balancer.Wake)) }
 func (h *wakeHeap) Pop() any {
 	last := len(*h) - 1
 	w := (*h)[last]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,16 +14,16 @@
 	"testing/synctest"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-var settings = deckrelay.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+var settings = balancer.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 	FallMultiple: 3, ColdFrom: 0.2, WarmAfter: 10 * time.Second,
-	Classes: []deckrelay.Class{
-		{Name: "unsafe", Effect: deckrelay.Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 3},
-		{Name: "safe", Effect: deckrelay.Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}
+	Classes: []balancer.Class{
+		{Name: "unsafe", Effect: balancer.Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 3},
+		{Name: "safe", Effect: balancer.Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}
 
 // scripted is a sender that hands out its attempts and leaves their endings to the test.
 type scripted struct {
@@ -36,7 +36,7 @@
 
 func newEngine(t testing.TB, log *slog.Logger) (*Engine, *scripted) {
 	t.Helper()
-	bal, err := deckrelay.New(settings, 7)
+	bal, err := balancer.New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 func boxes(n int) Update {
 	l := Update{Whole: true}
 	for i := range n {
-		l.Boxes = append(l.Boxes, Box{Server: deckrelay.Server{ID: "s-" + strconv.Itoa(i)}, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l.Boxes = append(l.Boxes, Box{Server: balancer.Server{ID: "s-" + strconv.Itoa(i)}, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
@@ -66,7 +66,7 @@
 }
 
 func newCall(e *Engine, id, class string) *Call {
-	return &Call{Request: deckrelay.Request{ID: id, Class: class, Deadline: e.Clock.Now() + 4*time.Second}}
+	return &Call{Request: balancer.Request{ID: id, Class: class, Deadline: e.Clock.Now() + 4*time.Second}}
 }
 
 // asked hands in a call from a goroutine of its own.
@@ -96,14 +96,14 @@
 func TestWhatBecomesOfACall(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class   string
-		endings []deckrelay.Ending
+		endings []balancer.Ending
 		want    Verdict
 	}{
-		"served":                            {"unsafe", []deckrelay.Ending{deckrelay.Success}, Served},
-		"never ran, then served":            {"unsafe", []deckrelay.Ending{deckrelay.Unreachable, deckrelay.Overloaded, deckrelay.Success}, Served},
-		"never ran three times":             {"unsafe", []deckrelay.Ending{deckrelay.Unreachable, deckrelay.Unreachable, deckrelay.Unreachable}, Refused},
-		"may have run, and is unsafe":       {"unsafe", []deckrelay.Ending{deckrelay.Broken}, Failed},
-		"may have run, then would be again": {"safe", []deckrelay.Ending{deckrelay.Broken, deckrelay.Success}, Served},
+		"served":                            {"unsafe", []balancer.Ending{balancer.Success}, Served},
+		"never ran, then served":            {"unsafe", []balancer.Ending{balancer.Unreachable, balancer.Overloaded, balancer.Success}, Served},
+		"never ran three times":             {"unsafe", []balancer.Ending{balancer.Unreachable, balancer.Unreachable, balancer.Unreachable}, Refused},
+		"may have run, and is unsafe":       {"unsafe", []balancer.Ending{balancer.Broken}, Failed},
+		"may have run, then would be again": {"safe", []balancer.Ending{balancer.Broken, balancer.Success}, Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 10, func(t *testing.T, e *Engine, s *scripted) {
@@ -147,7 +147,7 @@
 		if att.MaySend(e.Clock.Now()) {
 			t.Error("it may be sent at its deadline")
 		}
-		e.Ended(Result{Attempt: att, Ending: deckrelay.TimedOut})
+		e.Ended(Result{Attempt: att, Ending: balancer.TimedOut})
 		if a := next(t, got); a.Verdict != Failed {
 			t.Errorf("got %+v", a)
 		}
@@ -174,7 +174,7 @@
 		if !att.MaySend(e.Clock.Now()) {
 			t.Fatal("another call's leaving has ended the first")
 		}
-		e.Ended(Result{Attempt: att, Ending: deckrelay.Unreachable})
+		e.Ended(Result{Attempt: att, Ending: balancer.Unreachable})
 		e.Ended(Result{Attempt: next(t, s.started), Reply: "ran"})
 		if a := next(t, first); a.Reply != "ran" {
 			t.Errorf("the first call got %+v", a)
@@ -191,7 +191,7 @@
 		if att.MaySend(e.Clock.Now()) {
 			t.Error("its attempt may still be sent")
 		}
-		e.Ended(Result{Attempt: att, Ending: deckrelay.Unreachable})
+		e.Ended(Result{Attempt: att, Ending: balancer.Unreachable})
 		synctest.Wait()
 		if len(s.started) > 0 || len(e.calls) > 0 {
 			t.Errorf("%d attempts after it left, %d calls held", len(s.started), len(e.calls))
@@ -202,8 +202,8 @@
 // A box that drains, goes, moves or starts anew gets nothing more by the target that was.
 func TestUpdateStopsTargets(t *testing.T) {
 	for name, change := range map[string]func(*Box){
-		"drains":       func(b *Box) { b.State = deckrelay.Draining },
-		"gone":         func(b *Box) { b.State = deckrelay.Gone },
+		"drains":       func(b *Box) { b.State = balancer.Draining },
+		"gone":         func(b *Box) { b.State = balancer.Gone },
 		"moved":        func(b *Box) { b.Addr = "10.9.9.9:1" },
 		"started anew": func(b *Box) { b.Boot = time.Second },
 	} {
@@ -220,10 +220,10 @@
 				if att.MaySend(e.Clock.Now()) || len(s.retired) != 1 || s.retired[0] != att.Target {
 					t.Errorf("may send: %v, retired %v", att.MaySend(e.Clock.Now()), s.retired)
 				}
-				if stays := b.State == deckrelay.Ready; e.Usable() != stays {
+				if stays := b.State == balancer.Ready; e.Usable() != stays {
 					t.Errorf("usable: %v", e.Usable())
 				}
-				e.Ended(Result{Attempt: att, Ending: deckrelay.Success}) // it had left before
+				e.Ended(Result{Attempt: att, Ending: balancer.Success}) // it had left before
 				if a := next(t, got); a.Verdict != Served {
 					t.Errorf("what was under way got %+v", a)
 				}
@@ -252,7 +252,7 @@
 		defer close(ended)
 		e.Run()
 	}()
-	if a, err := e.Do(t.Context(), &Call{Request: deckrelay.Request{ID: "1", Class: "unsafe", Deadline: e.Clock.Now() - 1}}); err != nil || a.Verdict == Served {
+	if a, err := e.Do(t.Context(), &Call{Request: balancer.Request{ID: "1", Class: "unsafe", Deadline: e.Clock.Now() - 1}}); err != nil || a.Verdict == Served {
 		t.Errorf("a call that came too late: %+v, %v", a, err)
 	}
 	e.Stop()
@@ -299,17 +299,17 @@
 					out[a.Call] = a
 				}
 			}
-			end := func(c *Call, ending deckrelay.Ending) {
+			end := func(c *Call, ending balancer.Ending) {
 				a := out[c]
 				delete(out, c)
-				mayHaveRun[c] = mayHaveRun[c] || ending == deckrelay.Failure || ending == deckrelay.Broken || ending == deckrelay.TimedOut
+				mayHaveRun[c] = mayHaveRun[c] || ending == balancer.Failure || ending == balancer.Broken || ending == balancer.TimedOut
 				e.Ended(Result{Attempt: a, Ending: ending})
 				take()
 			}
 			overdue := func() {
 				for _, c := range open {
 					if a := out[c]; a != nil && e.Clock.Now() >= a.Deadline {
-						end(c, deckrelay.TimedOut)
+						end(c, balancer.TimedOut)
 					}
 					if e.Clock.Now() > c.Request.Deadline && out[c] == nil && !left[c] && len(answers[c]) != 1 {
 						t.Fatalf("seed %d: no answer by the deadline", seed)
@@ -325,13 +325,13 @@
 					open = append(open, c)
 				case k < 8 && len(open) > 0:
 					if c := open[rng.IntN(len(open))]; out[c] != nil {
-						end(c, deckrelay.Ending(rng.IntN(int(deckrelay.Void)+1)))
+						end(c, balancer.Ending(rng.IntN(int(balancer.Void)+1)))
 					}
 				case k == 8:
 					b := boxes(6).Boxes[rng.IntN(6)]
-					b.State, b.Boot = deckrelay.ServerState(rng.IntN(3)), time.Duration(rng.IntN(2))
+					b.State, b.Boot = balancer.ServerState(rng.IntN(3)), time.Duration(rng.IntN(2))
 					e.Tell(t.Context(), Update{Boxes: []Box{b}})
-					off[b.ID] = b.State != deckrelay.Ready
+					off[b.ID] = b.State != balancer.Ready
 				case k == 9 && len(open) > 0 && rng.IntN(4) == 0:
 					c := open[rng.IntN(len(open))]
 					left[c] = true
@@ -379,7 +379,7 @@
 
 // A stream that breaks once it has begun is over: its call is answered, and nothing of it is kept.
 func TestBrokenStreamEndsItsCall(t *testing.T) {
-	for _, ending := range []deckrelay.Ending{deckrelay.Broken, deckrelay.Failure, deckrelay.Overloaded, deckrelay.TimedOut} {
+	for _, ending := range []balancer.Ending{balancer.Broken, balancer.Failure, balancer.Overloaded, balancer.TimedOut} {
 		inBubble(t, 3, func(t *testing.T, e *Engine, s *scripted) {
 			got := asked(t.Context(), e, newCall(e, "1", "safe"))
 			a := next(t, s.started)
@@ -432,7 +432,7 @@
 		}
 		close(free)
 		for _, a := range out {
-			go e.Ended(Result{Attempt: a, Ending: deckrelay.Void})
+			go e.Ended(Result{Attempt: a, Ending: balancer.Void})
 		}
 		for _, got := range ended {
 			if a, answered := <-got; answered {
@@ -445,7 +445,7 @@
 			if a.MaySend(e.Clock.Now()) {
 				t.Errorf("a further attempt of %s may be sent", a.Call.Request.ID)
 			}
-			e.Ended(Result{Attempt: a, Ending: deckrelay.Void})
+			e.Ended(Result{Attempt: a, Ending: balancer.Void})
 			synctest.Wait()
 		}
 		if len(e.calls) > 0 {
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Lease says until when the list of servers may be relied on.
@@ -58,5 +58,5 @@
 		return
 	}
 	e.expired = expired
-	e.decide(deckrelay.ListLease{Expired: expired})
+	e.decide(balancer.ListLease{Expired: expired})
 }
--- a/internal/drills/drills.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
-// Package drills says who may start a drill, and starts one at a node. What a drill does to requests is decided
+// Package faultinjection says who may start a drill, and starts one at a node. What a drill does to requests is decided
 // by the module.
-package drills
+package faultinjection
 
 import (
 	"context"
--- a/internal/drills/drills_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -1,4 +1,4 @@
-package drills
+package faultinjection
 
 import (
 	"context"
--- a/internal/handover/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"syscall"
 	"testing"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 	"hookwalk.example/hookwalk/internal/state"
 )
@@ -52,8 +52,8 @@
 	return Estate{Version: Version, Node: "n0", Listen: "127.0.0.1:5000", Settings: json.RawMessage(`{"Classes":[]}`),
 		Module: json.RawMessage(`{"Now":5}`), Seq: 41, ListAge: 3e9,
 		Boxes: []engine.Box{
-			{Server: deckrelay.Server{ID: "s-1", Zone: "z", Kind: "k", Cell: 2, State: deckrelay.Draining, Boot: 7}, Addr: "10.0.0.1:1"},
-			{Server: deckrelay.Server{ID: "s-2"}, Addr: "10.0.0.2:1"}},
+			{Server: balancer.Server{ID: "s-1", Zone: "z", Kind: "k", Cell: 2, State: balancer.Draining, Boot: 7}, Addr: "10.0.0.1:1"},
+			{Server: balancer.Server{ID: "s-2"}, Addr: "10.0.0.2:1"}},
 		Kept: Kept{Out: []string{"s-2", "s-3"}, Drained: true}}
 }
 
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,7 +1,7 @@
-// Package handover lets one process of a node take over from another while both run: the new one, the heir, gets the
+// Package hotrestart lets one process of a node take over from another while both run: the new one, the heir, gets the
 // listening socket and what the node knows over a Unix socket, and the two tell each other what operators say until one
 // of them ends. It carries; what it means is the node's.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -61,7 +61,7 @@
 func TestWhatAnHeirGets(t *testing.T) {
 	path, ln := place(t), listening(t)
 	estate := Estate{Node: "n0", Listen: "127.0.0.1:5000", Module: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
-		Boxes: []engine.Box{{Server: deckrelay.Server{ID: "s-1", Boot: 7}, Addr: "10.0.0.1:1"}}, Seq: 41,
+		Boxes: []engine.Box{{Server: balancer.Server{ID: "s-1", Boot: 7}, Addr: "10.0.0.1:1"}}, Seq: 41,
 		Kept: Kept{Out: []string{"s-2"}, Drained: true}}
 	var wg sync.WaitGroup
 	var told []Word
@@ -180,7 +180,7 @@
 			t.Errorf("another node got %v, %v", k, found)
 		}
 	}
-	many := Kept{Out: make([]string, deckrelay.MostHands+1)}
+	many := Kept{Out: make([]string, balancer.MostHands+1)}
 	if err := mine.Keep(t.Context(), func() (Kept, error) { return many, nil }); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/kept.go
+++ b/internal/hotrestart/store.go
@@ -1,11 +1,11 @@
-package handover
+package hotrestart
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/state"
 )
 
@@ -36,7 +36,7 @@
 		return kept, found
 	}
 	err := json.Unmarshal(found.Body, &kept)
-	if err == nil && len(kept.Out) > deckrelay.MostHands {
+	if err == nil && len(kept.Out) > balancer.MostHands {
 		err = fmt.Errorf("%d servers", len(kept.Out))
 	}
 	if err != nil {
--- a/internal/lab/outside/outside.go
+++ b/internal/lab/outside/outside.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
@@ -233,21 +233,21 @@
 	case Reach:
 		c.reach(e, key)
 	case Reply:
-		how := deckrelay.Failure
+		how := balancer.Failure
 		switch {
 		case e.Status == 200:
-			how = deckrelay.Success
+			how = balancer.Success
 			if s := c.calls[key]; s != nil {
 				s.bodies[e.Body] = true
 			}
 		case e.Never:
-			how = deckrelay.Overloaded
+			how = balancer.Overloaded
 		}
 		c.ended(e, key, how)
 	case Broke:
-		c.ended(e, key, deckrelay.Broken)
+		c.ended(e, key, balancer.Broken)
 	case Given:
-		c.ended(e, key, deckrelay.TimedOut)
+		c.ended(e, key, balancer.TimedOut)
 	case Boot:
 		c.boot(e)
 	}
@@ -261,7 +261,7 @@
 			for n, server := range s.out {
 				if server == e.Server {
 					s.out[n] = ""
-					c.audit.Ended(e.At, key.node, key.id, n, deckrelay.Broken)
+					c.audit.Ended(e.At, key.node, key.id, n, balancer.Broken)
 				}
 			}
 		}
@@ -343,7 +343,7 @@
 }
 
 // ended is the end of the latest attempt of a call that is out at a server.
-func (c *checker) ended(e Event, key call, how deckrelay.Ending) {
+func (c *checker) ended(e Event, key call, how balancer.Ending) {
 	s := c.calls[key]
 	if s == nil {
 		return
@@ -351,7 +351,7 @@
 	for n := len(s.out) - 1; n >= 0; n-- {
 		if s.out[n] == e.Server {
 			s.out[n] = ""
-			if how != deckrelay.Overloaded {
+			if how != balancer.Overloaded {
 				c.audit.Ran(e.At, e.Node, e.ID, e.Server)
 			}
 			c.audit.Ended(e.At, e.Node, e.ID, n, how)
--- a/internal/lab/outside/outside_test.go
+++ b/internal/lab/outside/outside_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
@@ -25,7 +25,7 @@
 func head() Head {
 	return Head{Overlap: 100 * ms,
 		Rules:   scenario.Rules{MaxAttempts: 3, DrainGrace: 250 * ms, FallMultiple: 3, Fall: time.Second, Slack: 50 * ms},
-		Classes: []scenario.Class{{Name: "block-view", Effect: deckrelay.Safe}, {Name: "bin-weighin", Effect: deckrelay.Unsafe}},
+		Classes: []scenario.Class{{Name: "block-view", Effect: balancer.Safe}, {Name: "bin-weighin", Effect: balancer.Unsafe}},
 		Kinds:   map[string]scenario.Kind{"s1": {Cores: 1, Speed: 1, ColdFrom: 0.3, Cold: 10 * time.Second}},
 		Means:   map[string]time.Duration{"s1": 20 * ms}}
 }
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/eventq"
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
@@ -106,17 +106,17 @@
 // RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
 	const long = 24 * time.Hour // nothing is ever late, so that what the module does about lateness stays out
-	b, err := deckrelay.New(deckrelay.Settings{Balancers: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
-		Classes: []deckrelay.Class{{Name: "c", Aim: long, Deadline: long, Worth: 1}}}, seed)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "c", Aim: long, Deadline: long, Worth: 1}}}, seed)
 	if err != nil {
 		return 0, err
 	}
-	list := deckrelay.ServerList{Full: true}
+	list := balancer.ServerList{Full: true}
 	at := map[string]int{}
 	for i := range w.Servers {
 		id := "s-" + strconv.Itoa(1000+i)
 		at[id] = i
-		list.Servers = append(list.Servers, deckrelay.Server{ID: id})
+		list.Servers = append(list.Servers, balancer.Server{ID: id})
 	}
 	b.Handle(0, list)
 	rng := model.Stream(seed, "paper", 0)
@@ -125,14 +125,14 @@
 		names[i] = id
 	}
 	mean = w.play(rng, func(now time.Duration, n int) int {
-		for _, a := range b.Handle(now, deckrelay.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + long}) {
-			if s, ok := a.(deckrelay.Send); ok {
+		for _, a := range b.Handle(now, balancer.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + long}) {
+			if s, ok := a.(balancer.Send); ok {
 				return at[s.Server]
 			}
 		}
 		return rng.IntN(w.Servers) // it never holds anything back here
 	}, func(now time.Duration, server, n int) {
-		b.Handle(now, deckrelay.Outcome{ID: strconv.Itoa(n), Server: names[server], Ending: deckrelay.Success, Ended: true})
+		b.Handle(now, balancer.Outcome{ID: strconv.Itoa(n), Server: names[server], Ending: balancer.Success, Ended: true})
 	})
 	return mean, nil
 }
--- a/internal/lab/policies/policies.go
+++ b/internal/lab/policies/policies.go
@@ -11,24 +11,24 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Decider is the decision module, or what stands in for it.
 type Decider interface {
-	Handle(now time.Duration, e deckrelay.Event) []deckrelay.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Truth is the number of requests that a box truly holds: an oracle's.
 type Truth func(box string) int
 
 // New returns the policy of a name. Truth is for the oracle alone.
-func New(name string, set deckrelay.Settings, seed uint64, truth Truth) (Decider, error) {
+func New(name string, set balancer.Settings, seed uint64, truth Truth) (Decider, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x9e3779b9))
 	p := &plain{set: set, rng: rng, boxes: map[string]*box{}, open: map[string]*request{}}
 	switch name {
 	case "deckrelay":
-		return deckrelay.New(set, seed)
+		return balancer.New(set, seed)
 	case "random":
 		p.choose = func(list []*box) *box { return list[rng.IntN(len(list))] }
 	case "round-robin":
@@ -99,23 +99,23 @@
 
 // plain is a policy that differs from others in its choice alone.
 type plain struct {
-	set    deckrelay.Settings
+	set    balancer.Settings
 	rng    *rand.Rand
 	choose func([]*box) *box
 	boxes  map[string]*box
 	ready  []*box // by id
 	open   map[string]*request
 	fails  int
-	out    []deckrelay.Action
+	out    []balancer.Action
 }
 
 type box struct {
-	deckrelay.Server
+	balancer.Server
 	calls int
 }
 
 type request struct {
-	class    deckrelay.Class
+	class    balancer.Class
 	deadline time.Duration
 	tried    []*box
 	mayRun   bool
@@ -123,25 +123,25 @@
 	answered bool
 }
 
-func (p *plain) do(a deckrelay.Action) { p.out = append(p.out, a) }
+func (p *plain) do(a balancer.Action) { p.out = append(p.out, a) }
 
 // Handle takes one event.
-func (p *plain) Handle(now time.Duration, e deckrelay.Event) []deckrelay.Action {
+func (p *plain) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	p.out = nil
 	switch e := e.(type) {
-	case deckrelay.ServerList:
+	case balancer.ServerList:
 		p.takeList(e)
-	case deckrelay.ListFailed:
+	case balancer.ListFailed:
 		p.fails = min(p.fails+1, 4)
 		wait := float64(p.set.AskWithin) / 64 * float64(int(1)<<p.fails) * (0.5 + p.rng.Float64()/2)
-		p.do(deckrelay.Wake{At: now + time.Duration(wait) + 1, Token: "list"})
-	case deckrelay.Timer:
-		p.do(deckrelay.Subscribe{})
-	case deckrelay.Request:
+		p.do(balancer.Wake{At: now + time.Duration(wait) + 1, Token: "list"})
+	case balancer.Timer:
+		p.do(balancer.Subscribe{})
+	case balancer.Request:
 		p.accept(now, e)
-	case deckrelay.Outcome:
+	case balancer.Outcome:
 		p.outcome(now, e)
-	case deckrelay.ClientGone:
+	case balancer.ClientGone:
 		if r := p.open[e.ID]; r != nil {
 			r.answered = true
 			p.forget(e.ID, r)
@@ -150,13 +150,13 @@
 	return p.out
 }
 
-func (p *plain) takeList(e deckrelay.ServerList) {
+func (p *plain) takeList(e balancer.ServerList) {
 	if e.Full {
 		clear(p.boxes) // calls that are out keep the box that they went to
 		old := p.ready
 		for _, b := range old {
 			p.boxes[b.ID] = b
-			b.State = deckrelay.Gone
+			b.State = balancer.Gone
 		}
 	}
 	for _, s := range e.Servers {
@@ -169,21 +169,21 @@
 	p.ready = nil
 	for id, b := range p.boxes {
 		switch b.State {
-		case deckrelay.Ready:
+		case balancer.Ready:
 			p.ready = append(p.ready, b)
-		case deckrelay.Gone:
+		case balancer.Gone:
 			delete(p.boxes, id)
 		}
 	}
 	slices.SortFunc(p.ready, func(a, b *box) int { return strings.Compare(a.ID, b.ID) })
 	if e.Cached && p.set.AskDiscovery {
-		p.do(deckrelay.Subscribe{})
+		p.do(balancer.Subscribe{})
 	} else {
 		p.fails = 0
 	}
 }
 
-func (p *plain) accept(now time.Duration, e deckrelay.Request) {
+func (p *plain) accept(now time.Duration, e balancer.Request) {
 	if p.open[e.ID] != nil {
 		return
 	}
@@ -200,12 +200,12 @@
 // next sends a request, or gives its final answer.
 func (p *plain) next(now time.Duration, id string, r *request) {
 	free := slices.DeleteFunc(slices.Clone(p.ready), func(b *box) bool { return slices.Contains(r.tried, b) })
-	if len(free) == 0 || len(r.tried) >= max(1, p.set.MaxAttempts) || r.mayRun && r.class.Effect != deckrelay.Safe || now >= r.deadline {
+	if len(free) == 0 || len(r.tried) >= max(1, p.set.MaxAttempts) || r.mayRun && r.class.Effect != balancer.Safe || now >= r.deadline {
 		r.answered = true
-		if r.mayRun && r.class.Effect != deckrelay.Safe {
-			p.do(deckrelay.Fail{ID: id})
+		if r.mayRun && r.class.Effect != balancer.Safe {
+			p.do(balancer.Fail{ID: id})
 		} else {
-			p.do(deckrelay.Refuse{ID: id})
+			p.do(balancer.Refuse{ID: id})
 		}
 		p.forget(id, r)
 		return
@@ -214,17 +214,17 @@
 	b.calls++
 	r.tried = append(r.tried, b)
 	r.out++
-	p.do(deckrelay.Send{ID: id, Server: b.ID, Timeout: r.deadline - now})
+	p.do(balancer.Send{ID: id, Server: b.ID, Timeout: r.deadline - now})
 }
 
-func (p *plain) outcome(now time.Duration, e deckrelay.Outcome) {
+func (p *plain) outcome(now time.Duration, e balancer.Outcome) {
 	r := p.open[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tried) {
 		return
 	}
 	r.tried[e.Attempt].calls--
 	r.out--
-	if e.Ending != deckrelay.Overloaded && e.Ending != deckrelay.Unreachable && e.Ending != deckrelay.Void {
+	if e.Ending != balancer.Overloaded && e.Ending != balancer.Unreachable && e.Ending != balancer.Void {
 		r.mayRun = true
 	}
 	if e.Ended {
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
-func settings() deckrelay.Settings {
-	return deckrelay.Settings{Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, AskDiscovery: true, AskWithin: time.Second,
-		Classes: []deckrelay.Class{{Name: "safe", Effect: deckrelay.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+func settings() balancer.Settings {
+	return balancer.Settings{Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, AskDiscovery: true, AskWithin: time.Second,
+		Classes: []balancer.Class{{Name: "safe", Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
 			{Name: "unsafe", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}
 }
 
-func listOf(n int) deckrelay.ServerList {
-	list := deckrelay.ServerList{Full: true}
+func listOf(n int) balancer.ServerList {
+	list := balancer.ServerList{Full: true}
 	for i := range n {
-		list.Servers = append(list.Servers, deckrelay.Server{ID: "s-" + strconv.Itoa(100000+i)})
+		list.Servers = append(list.Servers, balancer.Server{ID: "s-" + strconv.Itoa(100000+i)})
 	}
 	return list
 }
@@ -34,29 +34,29 @@
 		p.Handle(0, listOf(5))
 		for n, c := range []struct {
 			class   string
-			ending  deckrelay.Ending
+			ending  balancer.Ending
 			sends   int
 			refused bool
-		}{{"safe", deckrelay.Overloaded, 3, true}, {"safe", deckrelay.Broken, 3, true},
-			{"unsafe", deckrelay.Unreachable, 3, true}, {"unsafe", deckrelay.Failure, 1, false}, {"unknown", deckrelay.TimedOut, 1, false}} {
+		}{{"safe", balancer.Overloaded, 3, true}, {"safe", balancer.Broken, 3, true},
+			{"unsafe", balancer.Unreachable, 3, true}, {"unsafe", balancer.Failure, 1, false}, {"unknown", balancer.TimedOut, 1, false}} {
 			id := strconv.Itoa(n)
-			out := p.Handle(0, deckrelay.Request{ID: id, Class: c.class, Deadline: time.Second})
+			out := p.Handle(0, balancer.Request{ID: id, Class: c.class, Deadline: time.Second})
 			seen := map[string]bool{}
 			for {
 				if len(out) != 1 {
 					t.Fatalf("%s: %v", name, out)
 				}
-				s, ok := out[0].(deckrelay.Send)
+				s, ok := out[0].(balancer.Send)
 				if !ok {
 					break
 				}
 				if seen[s.Server] {
 					t.Errorf("%s: %s twice to %s", name, id, s.Server)
 				}
-				out = p.Handle(0, deckrelay.Outcome{ID: id, Attempt: len(seen), Server: s.Server, Ending: c.ending})
+				out = p.Handle(0, balancer.Outcome{ID: id, Attempt: len(seen), Server: s.Server, Ending: c.ending})
 				seen[s.Server] = true
 			}
-			if _, refused := out[0].(deckrelay.Refuse); refused != c.refused || len(seen) != c.sends {
+			if _, refused := out[0].(balancer.Refuse); refused != c.refused || len(seen) != c.sends {
 				t.Errorf("%s, %+v: %d sends, then %T", name, c, len(seen), out[0])
 			}
 		}
@@ -70,21 +70,21 @@
 		t.Fatal(err)
 	}
 	p.Handle(0, listOf(2))
-	p.Handle(0, deckrelay.Request{ID: "a", Class: "safe", Deadline: time.Second})
+	p.Handle(0, balancer.Request{ID: "a", Class: "safe", Deadline: time.Second})
 	one := listOf(2)
-	one.Full, one.Servers[0].State, one.Servers[1].State = false, deckrelay.Draining, deckrelay.Gone
+	one.Full, one.Servers[0].State, one.Servers[1].State = false, balancer.Draining, balancer.Gone
 	p.Handle(0, one)
-	if out := p.Handle(0, deckrelay.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (deckrelay.Refuse{ID: "b"}) {
+	if out := p.Handle(0, balancer.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (balancer.Refuse{ID: "b"}) {
 		t.Errorf("with no ready box: %v", out)
 	}
-	if out := p.Handle(0, deckrelay.Outcome{ID: "a", Ending: deckrelay.Success, Ended: true}); len(out) != 0 {
+	if out := p.Handle(0, balancer.Outcome{ID: "a", Ending: balancer.Success, Ended: true}); len(out) != 0 {
 		t.Errorf("a call that was out: %v", out)
 	}
 	back := listOf(2)
 	back.Servers[0].Boot = time.Second
 	p.Handle(0, back)
 	for i := range 20 {
-		if out := p.Handle(0, deckrelay.Request{ID: strconv.Itoa(i), Class: "safe", Deadline: time.Second}); len(out) != 1 {
+		if out := p.Handle(0, balancer.Request{ID: strconv.Itoa(i), Class: "safe", Deadline: time.Second}); len(out) != 1 {
 			t.Errorf("back again: %v", out)
 		}
 	}
@@ -111,10 +111,10 @@
 					now += 100 * time.Microsecond
 					k := i % out
 					if i >= out {
-						p.Handle(now, deckrelay.Outcome{ID: strconv.Itoa(k), Server: servers[k], Ending: deckrelay.Success, Ended: true})
+						p.Handle(now, balancer.Outcome{ID: strconv.Itoa(k), Server: servers[k], Ending: balancer.Success, Ended: true})
 					}
-					for _, a := range p.Handle(now, deckrelay.Request{ID: strconv.Itoa(k), Class: "unsafe", Deadline: now + 2*time.Second}) {
-						if s, ok := a.(deckrelay.Send); ok {
+					for _, a := range p.Handle(now, balancer.Request{ID: strconv.Itoa(k), Class: "unsafe", Deadline: now + 2*time.Second}) {
+						if s, ok := a.(balancer.Send); ok {
 							servers[k] = s.Server
 						}
 					}
@@ -133,11 +133,11 @@
 			}
 			list := listOf(boxes)
 			p.Handle(0, list)
-			one := deckrelay.ServerList{Servers: list.Servers[:1]}
+			one := balancer.ServerList{Servers: list.Servers[:1]}
 			now := time.Second
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
-				one.Servers[0].State = deckrelay.ServerState(i % 2)
+				one.Servers[0].State = balancer.ServerState(i % 2)
 				p.Handle(now, one)
 			}
 		})
--- a/internal/lab/scale/discovery_queue.go
+++ b/internal/lab/scale/discovery_queue.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/listclock"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
 // discoveryHeaderTimeout bounds the reading of a call's header.
@@ -208,7 +208,7 @@
 // one, until the caller goes or the watches end.
 func (q *DiscoveryQueue) follow(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder, flusher := json.NewEncoder(w), w.(http.Flusher)
-	heartbeat := time.NewTicker(listclock.Beat)
+	heartbeat := time.NewTicker(endpointlease.Beat)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		list, news, ended := q.since(version)
--- a/internal/lab/scale/hollowsession.go
+++ b/internal/lab/scale/hollowsession.go
@@ -15,7 +15,7 @@
 	"hookwalk.example/hookwalk/configversion"
 	"hookwalk.example/hookwalk/internal/configapi"
 	"hookwalk.example/hookwalk/internal/configwatch"
-	"hookwalk.example/hookwalk/internal/wire"
+	"hookwalk.example/hookwalk/internal/simwire"
 )
 
 // connectTimeout is how long a hollow node waits for a connection, as a real one does.
@@ -36,7 +36,7 @@
 
 // Apply reads and checks a configuration.
 func (a *hollowApplier) Apply(_ context.Context, config configapi.ServiceConfig) error {
-	settings, err := wire.ParseSettings(config.Settings)
+	settings, err := simwire.ParseSettings(config.Settings)
 	if err != nil {
 		return &configapi.Rejection{Kind: configapi.RejectUnreadable, Message: err.Error()}
 	}
--- a/internal/lab/scale/membership_rig.go
+++ b/internal/lab/scale/membership_rig.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/peers"
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // What a member's view says of itself and of others, as operators see it.
@@ -28,7 +28,7 @@
 // membershipSites are a centre and two sites below it, as in docs/sites.md. Members are spread over them in turn.
 var (
 	membershipSites = []string{"dc", "okanagan", "similkameen"}
-	membershipTree  = members.Tree{"dc": "", "okanagan": "dc", "similkameen": "dc"}
+	membershipTree  = membership.Tree{"dc": "", "okanagan": "dc", "similkameen": "dc"}
 )
 
 // MembershipOptions say what is measured in one run.
--- a/internal/lab/scale/versionsnode_test.go
+++ b/internal/lab/scale/versionsnode_test.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/configapi"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
 // versionNodes are real nodes of one service, with servers and a discovery that pushes one list.
@@ -29,7 +29,7 @@
 	testing.TB
 	program string
 	cluster *ControlCluster
-	list    endpoints.List
+	list    discoveryapi.List
 	watch   string // discovery's address
 	nodes   []*versionNode
 	client  *http.Client
@@ -86,7 +86,7 @@
 	for number, kind := range []string{"a", "b", "b"} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Header.Get("X-Call-Id")) }))
 		t.Cleanup(server.Close)
-		v.list.Hosts = append(v.list.Hosts, endpoints.Endpoint{Host: fmt.Sprintf("server-%d", number), Dial: server.Listener.Addr().String(),
+		v.list.Hosts = append(v.list.Hosts, discoveryapi.Endpoint{Host: fmt.Sprintf("server-%d", number), Dial: server.Listener.Addr().String(),
 			Class: kind, Health: "in_service"})
 	}
 	v.list.Seq, v.list.Whole = 1, true
--- a/internal/lab/scale/versionstopology_test.go
+++ b/internal/lab/scale/versionstopology_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"hookwalk.example/hookwalk/internal/configapi"
-	"hookwalk.example/hookwalk/internal/wire"
+	"hookwalk.example/hookwalk/internal/simwire"
 )
 
 func TestTargetTopologyHasTheTargetsShares(t *testing.T) {
@@ -52,7 +52,7 @@
 		if id := publicationOf(settings); id != "p-7" {
 			t.Errorf("the mark is %q", id)
 		}
-		if _, err := wire.ParseSettings(settings); (err == nil) != good {
+		if _, err := simwire.ParseSettings(settings); (err == nil) != good {
 			t.Errorf("good %v settings are read with %v", good, err)
 		}
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -71,7 +71,7 @@
 type Class struct {
 	Name          string
 	Share         float64 // of the arrivals, over the sum of all
-	Effect        deckrelay.Effect
+	Effect        balancer.Effect
 	Worth         float64
 	LateShare     float64
 	Work          time.Duration // mean, at speed 1, over all tiers' shares
@@ -389,9 +389,9 @@
 		Deadline: r.Millis("deadline_ms", 2*time.Second, ms, time.Hour)}
 	switch r.OneOf("effect", "unsafe", "keyed", "safe") {
 	case "keyed":
-		c.Effect, c.Window = deckrelay.Keyed, r.Seconds("window_s", 30*time.Second, ms, day)
+		c.Effect, c.Window = balancer.Keyed, r.Seconds("window_s", 30*time.Second, ms, day)
 	case "safe":
-		c.Effect = deckrelay.Safe
+		c.Effect = balancer.Safe
 	}
 	if c.Deadline < c.Aim {
 		r.Fail(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/listclock"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
 const (
@@ -196,7 +196,7 @@
 
 // follow writes what has changed since a version and, on a watch, each change and heartbeat after.
 func (d *discovery) follow(w http.ResponseWriter, r *http.Request, node int, from int64) {
-	beat := time.NewTicker(listclock.Beat)
+	beat := time.NewTicker(endpointlease.Beat)
 	defer beat.Stop()
 	d.mu.Lock()
 	silent, ended := d.silent, d.ended
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/listclock"
+	"hookwalk.example/hookwalk/internal/endpointlease"
 	"hookwalk.example/hookwalk/invariants"
 )
 
@@ -78,10 +78,10 @@
 		}
 	}
 	reached := reachable(f, max(d.At, begin))
-	told = min(told, reached+listclock.Told)
+	told = min(told, reached+endpointlease.Told)
 	for _, m := range f.Moves {
 		if m.Node == node && m.At >= d.At && m.At >= begin && m.At < end && reachable(f, m.At) == m.At {
-			told = min(told, m.At+listclock.ToldMoved)
+			told = min(told, m.At+endpointlease.ToldMoved)
 		}
 	}
 	return told
--- a/internal/lab/sockets/box.go
+++ b/internal/lab/sockets/box.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/link"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/outside"
@@ -212,7 +212,7 @@
 	b.w.own(func() { // the box may work on for long after the node has given up
 		select {
 		case <-left:
-			b.w.facts.ended(b.w.now(), v.from, v.id, v.number, deckrelay.TimedOut)
+			b.w.facts.ended(b.w.now(), v.from, v.id, v.number, balancer.TimedOut)
 			b.seen(v, outside.Event{What: outside.Given})
 		case <-over:
 		}
@@ -224,14 +224,14 @@
 		silent(k, back, died)
 		return false
 	}
-	ending := deckrelay.Success
+	ending := balancer.Success
 	switch {
 	case status == 0:
-		ending = deckrelay.Broken
+		ending = balancer.Broken
 	case status == 503:
-		ending = deckrelay.Overloaded
+		ending = balancer.Overloaded
 	case status != 200:
-		ending = deckrelay.Failure
+		ending = balancer.Failure
 	}
 	b.w.facts.visited(v.job.Given, gone || status == 0)
 	b.w.facts.ended(b.w.now(), v.from, v.id, v.number, ending)
--- a/internal/lab/sockets/clients.go
+++ b/internal/lab/sockets/clients.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
@@ -125,7 +125,7 @@
 			if w.stormy() {
 				wait = 0
 			}
-		case !a.refused && class.Effect != deckrelay.Safe:
+		case !a.refused && class.Effect != balancer.Safe:
 			w.facts.over(r, w.now()-r.At, score.Failed)
 			return
 		}
--- a/internal/lab/sockets/facts.go
+++ b/internal/lab/sockets/facts.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
@@ -162,7 +162,7 @@
 	f.do(func() { f.audit.Ran(now, node, id, box) })
 }
 
-func (f *facts) ended(now time.Duration, node, id string, number int, e deckrelay.Ending) {
+func (f *facts) ended(now time.Duration, node, id string, number int, e balancer.Ending) {
 	f.do(func() { f.audit.Ended(now, node, id, number, e) })
 }
 
--- a/internal/lab/sockets/process.go
+++ b/internal/lab/sockets/process.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
@@ -65,7 +65,7 @@
 // config is the node's configuration file.
 func (p *process) config(known roster) ([]byte, error) {
 	set := model.Settings(p.w.s, p.tier, p.self, p.of)
-	effects := map[deckrelay.Effect]string{deckrelay.Safe: "read_like", deckrelay.Keyed: "idempotency_key", deckrelay.Unsafe: "non_idempotent"}
+	effects := map[balancer.Effect]string{balancer.Safe: "read_like", balancer.Keyed: "idempotency_key", balancer.Unsafe: "non_idempotent"}
 	type object = map[string]any
 	var lanes, tenants []object
 	for _, c := range set.Classes {
@@ -309,7 +309,7 @@
 	}
 	c := p.w.s.Classes[class]
 	method := http.MethodPost
-	if c.Effect == deckrelay.Safe {
+	if c.Effect == balancer.Safe {
 		method = http.MethodGet
 	}
 	q := url.Values{"work": {strconv.FormatFloat(work, 'g', -1, 64)}, "root": {root}, "node": {name}}
@@ -331,7 +331,7 @@
 	if repeat {
 		r.Header.Set("X-Again", "1")
 	}
-	if c.Effect == deckrelay.Keyed {
+	if c.Effect == balancer.Keyed {
 		r.Header.Set("Idempotency-Key", id)
 	}
 	p.w.facts.taken(now, name, id, class, deadline)
@@ -341,7 +341,7 @@
 	resp, err := client.Do(r)
 	unread := func() bool {
 		if p.w.away != nil { // nobody here sees the boxes
-			return kept && c.Effect == deckrelay.Safe
+			return kept && c.Effect == balancer.Safe
 		}
 		return p.w.facts.unread(name, id)
 	}
--- a/internal/lab/virtual/misbehave_test.go
+++ b/internal/lab/virtual/misbehave_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 )
@@ -65,14 +65,14 @@
 	s := parsed(t, shared)
 	s.Seed = seed
 	draws := map[string]int{}
-	w, err := New(s, func(name string, set deckrelay.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+	w, err := New(s, func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
 		d, err := policies.New(name, set, seed, truth)
 		if set.Tier > 0 {
 			return d, err
 		}
-		return &rogue{d, func(_ time.Duration, _ deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
+		return &rogue{d, func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for _, a := range out {
-				if send, ok := a.(deckrelay.Send); ok {
+				if send, ok := a.(balancer.Send); ok {
 					draws[send.Server]++
 				}
 			}
@@ -96,7 +96,7 @@
 				r := &root{done: true} // it is nobody's loss
 				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, root: r, reply: func(audit.Answer, time.Duration) {}}
 				n.take(c)
-				n.handle(deckrelay.Request{ID: c.id, Class: o.class, Deadline: c.deadline, Repeat: o.repeat})
+				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, Repeat: o.repeat})
 				if o.leaves > 0 {
 					w.after(o.leaves, func() { n.gone(c.id) })
 				}
--- a/internal/lab/virtual/node.go
+++ b/internal/lab/virtual/node.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/outside"
@@ -30,7 +30,7 @@
 	decider  policies.Decider
 	calls    map[string]*call
 	kept     map[*server][]kept
-	known    []deckrelay.Server // the list as it was last held, for the next start
+	known    []balancer.Server // the list as it was last held, for the next start
 	knownAt  map[string]int
 }
 
@@ -78,7 +78,7 @@
 		n.known = slices.Clone(n.w.disc.lists[n.tier])
 		n.knownAt = n.w.disc.at[n.tier]
 	}
-	n.hear(deckrelay.ServerList{Full: true, Cached: true, Servers: n.known})
+	n.hear(balancer.ServerList{Full: true, Cached: true, Servers: n.known})
 	if !n.w.s.Discovery.Asked && !n.w.disc.down {
 		n.w.disc.subscribe(n)
 	}
@@ -153,10 +153,10 @@
 }
 
 // hear takes news of the boxes.
-func (n *node) hear(list deckrelay.ServerList) {
+func (n *node) hear(list balancer.ServerList) {
 	for _, s := range list.Servers {
-		n.w.audit.Told(n.w.now, n.name, s.ID, s.State == deckrelay.Ready)
-		n.w.seen(outside.Event{What: outside.Told, Node: n.name, Server: s.ID, Ready: s.State == deckrelay.Ready})
+		n.w.audit.Told(n.w.now, n.name, s.ID, s.State == balancer.Ready)
+		n.w.seen(outside.Event{What: outside.Told, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
 	}
 	switch {
 	case list.Cached:
@@ -178,24 +178,24 @@
 	n.calls[c.id] = c
 }
 
-func (n *node) handle(e deckrelay.Event) {
+func (n *node) handle(e balancer.Event) {
 	actions := n.decider.Handle(n.w.now, e)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case deckrelay.Send:
+		case balancer.Send:
 			n.send(a)
-		case deckrelay.Refuse:
+		case balancer.Refuse:
 			n.answer(a.ID, audit.Refused, a.RetryAfter)
-		case deckrelay.Fail:
+		case balancer.Fail:
 			n.answer(a.ID, audit.Failed, 0)
-		case deckrelay.Wake:
+		case balancer.Wake:
 			life := n.life
 			n.w.at(a.At, func() {
 				if n.life == life {
-					n.handle(deckrelay.Timer{Token: a.Token})
+					n.handle(balancer.Timer{Token: a.Token})
 				}
 			})
-		case deckrelay.Subscribe:
+		case balancer.Subscribe:
 			n.w.disc.ask(n)
 		}
 	}
@@ -228,7 +228,7 @@
 	c.closed = true
 	n.w.audit.Gone(n.w.now, n.name, id)
 	n.w.seen(outside.Event{What: outside.Left, Node: n.name, ID: id})
-	n.handle(deckrelay.ClientGone{ID: id})
+	n.handle(balancer.ClientGone{ID: id})
 	n.forget(c)
 }
 
@@ -302,7 +302,7 @@
 }
 
 // send starts an attempt: over a kept connection, or a new one that costs a handshake.
-func (n *node) send(s deckrelay.Send) {
+func (n *node) send(s balancer.Send) {
 	w := n.w
 	b := w.byID[s.Server]
 	w.audit.Sent(w.now, n.name, s.ID, s.Server)
@@ -316,24 +316,24 @@
 	c.root.attempts++
 	w.score.Attempts++
 	if b == nil {
-		a.endAfter(0, deckrelay.Void)
+		a.endAfter(0, balancer.Void)
 		return
 	}
 	a.epoch = b.Epoch
-	w.after(min(s.Timeout, c.deadline-w.now), func() { a.end(deckrelay.TimedOut) })
+	w.after(min(s.Timeout, c.deadline-w.now), func() { a.end(balancer.TimedOut) })
 	hop := w.jitter(w.s.Net.Hop)
 	k, ok := n.takeKept(b)
 	switch {
 	case ok && k.reset:
 		b.Conns--
-		a.endAfter(2*hop, deckrelay.Broken)
+		a.endAfter(2*hop, balancer.Broken)
 	case ok:
 		a.conn = true
 		w.after(hop, func() { a.arrive(0) })
 	case b.Cut:
-		a.endAfter(w.s.Net.ConnectTimeout, deckrelay.Unreachable)
+		a.endAfter(w.s.Net.ConnectTimeout, balancer.Unreachable)
 	case b.State == model.Down || b.Conns >= b.Kind.Conns:
-		a.endAfter(2*hop, deckrelay.Unreachable)
+		a.endAfter(2*hop, balancer.Unreachable)
 	default:
 		a.conn = true
 		b.Conns++
@@ -349,7 +349,7 @@
 	switch {
 	case b.Cut: // nobody answers
 	case b.Epoch != a.epoch || b.State == model.Down:
-		a.endAfter(hop, deckrelay.Broken)
+		a.endAfter(hop, balancer.Broken)
 	case a.ended && a.life != a.n.life: // its node died before it had sent it
 	default:
 		v := newVisit(w, a, handshake)
@@ -363,12 +363,12 @@
 			w.score.Fell++
 			w.crash(b, false)
 			w.after(model.FallenFor, func() { w.boot(b) })
-			a.endAfter(hop, deckrelay.Broken)
+			a.endAfter(hop, balancer.Broken)
 			return
 		}
 		if !b.Offer(w.now, &v.job) {
 			a.seen(outside.Event{What: outside.Reply, Status: 503, Never: true})
-			a.endAfter(hop, deckrelay.Overloaded)
+			a.endAfter(hop, balancer.Overloaded)
 			return
 		}
 		a.visit = v
@@ -383,30 +383,30 @@
 	a.n.w.seen(e)
 }
 
-func (a *attempt) endAfter(wait time.Duration, e deckrelay.Ending) {
+func (a *attempt) endAfter(wait time.Duration, e balancer.Ending) {
 	a.n.w.after(wait, func() { a.end(e) })
 }
 
 // end tells the node how the attempt ended; later ends of the same attempt go nowhere.
-func (a *attempt) end(e deckrelay.Ending) {
+func (a *attempt) end(e balancer.Ending) {
 	if a.ended || a.life != a.n.life {
 		return
 	}
 	a.ended = true
 	n, w, c := a.n, a.n.w, a.call
-	if e == deckrelay.TimedOut && a.visit != nil {
+	if e == balancer.TimedOut && a.visit != nil {
 		a.seen(outside.Event{What: outside.Given})
 	}
 	a.letGo(e)
 	w.audit.Ended(w.now, n.name, c.id, a.number, e)
 	c.out--
-	if e == deckrelay.Success && !c.closed {
+	if e == balancer.Success && !c.closed {
 		c.closed = true
 		w.audit.Answered(w.now, n.name, c.id, audit.Served)
 		w.seen(outside.Event{What: outside.Got, Node: n.name, ID: c.id, Status: 200, Body: a.to})
 		c.reply(audit.Served, 0)
 	}
-	n.handle(deckrelay.Outcome{ID: c.id, Attempt: a.number, Server: a.to, Ending: e, Latency: w.now - a.sent, Ended: c.closed})
+	n.handle(balancer.Outcome{ID: c.id, Attempt: a.number, Server: a.to, Ending: e, Latency: w.now - a.sent, Ended: c.closed})
 	n.forget(c)
 }
 
@@ -414,17 +414,17 @@
 func (a *attempt) abandon() {
 	if !a.ended {
 		a.ended = true
-		a.letGo(deckrelay.Withdrawn)
+		a.letGo(balancer.Withdrawn)
 	}
 }
 
 // letGo keeps the connection of an attempt that was answered, and closes any other.
-func (a *attempt) letGo(e deckrelay.Ending) {
+func (a *attempt) letGo(e balancer.Ending) {
 	b := a.box
 	if b == nil {
 		return
 	}
-	answered := e == deckrelay.Success || e == deckrelay.Failure || e == deckrelay.Overloaded
+	answered := e == balancer.Success || e == balancer.Failure || e == balancer.Overloaded
 	if a.conn && b.Epoch == a.epoch {
 		if answered && a.n.kept != nil {
 			a.n.kept[b] = append(a.n.kept[b], kept{epoch: a.epoch, since: a.n.w.now})
--- a/internal/lab/virtual/visit.go
+++ b/internal/lab/virtual/visit.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/outside"
@@ -96,7 +96,7 @@
 		})
 	}
 	n.take(c)
-	n.handle(deckrelay.Request{ID: c.id, Class: w.s.Classes[c.class].Name, Deadline: c.deadline})
+	n.handle(balancer.Request{ID: c.id, Class: w.s.Classes[c.class].Name, Deadline: c.deadline})
 }
 
 // finish answers, well or with an error, and frees the slot.
@@ -115,12 +115,12 @@
 	switch {
 	case good && b.broken > 0 && w.draws.Float64() < b.broken:
 		v.att.seen(outside.Event{What: outside.Broke})
-		v.att.endAfter(hop, deckrelay.Broken)
+		v.att.endAfter(hop, balancer.Broken)
 	case !good || b.Kind.ErrorRate > 0 && w.draws.Float64() < b.Kind.ErrorRate:
 		v.att.seen(outside.Event{What: outside.Reply, Status: 500})
-		v.att.endAfter(hop, deckrelay.Failure)
+		v.att.endAfter(hop, balancer.Failure)
 	default:
 		v.att.seen(outside.Event{What: outside.Reply, Status: 200, Body: v.att.to})
-		v.att.endAfter(hop, deckrelay.Success)
+		v.att.endAfter(hop, balancer.Success)
 	}
 }
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/virtual/world.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/eventq"
 	"hookwalk.example/hookwalk/internal/lab/model"
@@ -20,7 +20,7 @@
 )
 
 // NewDecider makes the instance of a node; policies.New, or a broken one in the auditor's tests.
-type NewDecider func(name string, set deckrelay.Settings, seed uint64, truth policies.Truth) (policies.Decider, error)
+type NewDecider func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error)
 
 // World is a scenario being played.
 type World struct {
@@ -177,17 +177,17 @@
 	case model.Drain:
 		if b.State == model.Up {
 			b.State = model.Draining
-			w.disc.learn(b, deckrelay.Draining, w.s.Discovery.Drain)
+			w.disc.learn(b, balancer.Draining, w.s.Discovery.Drain)
 		}
 	case model.CutOff:
 		if b.State == model.Up {
 			b.Cut = true
-			w.disc.learn(b, deckrelay.Gone, w.s.Discovery.Silent)
+			w.disc.learn(b, balancer.Gone, w.s.Discovery.Silent)
 		}
 	case model.Rejoin:
 		if b.Cut {
 			b.Cut = false
-			w.disc.learn(b, deckrelay.Ready, w.s.Discovery.Add)
+			w.disc.learn(b, balancer.Ready, w.s.Discovery.Add)
 		}
 	case model.Slow:
 		b.SetSlow(w.now, b.Slow*c.Size)
@@ -242,7 +242,7 @@
 		v.over = true
 		if !cut {
 			v.att.seen(outside.Event{What: outside.Broke})
-			v.att.endAfter(w.jitter(w.s.Net.Hop), deckrelay.Broken)
+			v.att.endAfter(w.jitter(w.s.Net.Hop), balancer.Broken)
 		}
 	}
 	if b.node != nil {
@@ -252,7 +252,7 @@
 	if planned {
 		notice = w.s.Discovery.Drain
 	}
-	w.disc.learn(b, deckrelay.Gone, notice)
+	w.disc.learn(b, balancer.Gone, notice)
 }
 
 // boot starts a box that is down, cold, and its node with it.
@@ -265,7 +265,7 @@
 	if b.node != nil {
 		b.node.start()
 	}
-	w.disc.learn(b, deckrelay.Ready, w.s.Discovery.Add)
+	w.disc.learn(b, balancer.Ready, w.s.Discovery.Add)
 }
 
 // look asks for the box's next completion.
@@ -337,7 +337,7 @@
 // discovery lists boxes: late, and to those that ask it.
 type discovery struct {
 	w      *World
-	lists  [][]deckrelay.Server // by tier, in the order of the boxes
+	lists  [][]balancer.Server // by tier, in the order of the boxes
 	at     []map[string]int
 	orders []map[string]uint64 // the last thing learned of a box; older ones that come later are stale
 	subs   []*node             // in the order of their asking
@@ -348,10 +348,10 @@
 func newDiscovery(w *World) *discovery {
 	d := &discovery{w: w}
 	for _, row := range w.boxes {
-		var list []deckrelay.Server
+		var list []balancer.Server
 		at := map[string]int{}
 		for i, b := range row {
-			list = append(list, deckrelay.Server{ID: b.ID, Zone: "benchland", Kind: b.Kind.Name, Cell: i / 6})
+			list = append(list, balancer.Server{ID: b.ID, Zone: "benchland", Kind: b.Kind.Name, Cell: i / 6})
 			at[b.ID] = i
 		}
 		d.lists, d.at, d.orders = append(d.lists, list), append(d.at, at), append(d.orders, map[string]uint64{})
@@ -360,7 +360,7 @@
 }
 
 // learn has discovery list a box's state after a while.
-func (d *discovery) learn(b *server, state deckrelay.ServerState, wait time.Duration) {
+func (d *discovery) learn(b *server, state balancer.ServerState, wait time.Duration) {
 	d.orders[b.Tier][b.ID]++
 	order, boot := d.orders[b.Tier][b.ID], b.Boot
 	d.w.after(wait, func() {
@@ -369,13 +369,13 @@
 		}
 		e := &d.lists[b.Tier][d.at[b.Tier][b.ID]]
 		e.State, e.Boot = state, boot
-		news := []deckrelay.Server{*e}
+		news := []balancer.Server{*e}
 		for _, n := range d.subs {
 			if n.tier == b.Tier {
-				d.tell(n, deckrelay.ServerList{Servers: news})
+				d.tell(n, balancer.ServerList{Servers: news})
 			}
 		}
-		if state != deckrelay.Ready {
+		if state != balancer.Ready {
 			d.deem(b)
 		}
 	})
@@ -408,7 +408,7 @@
 }
 
 // tell brings a list to a node, after what was told before.
-func (d *discovery) tell(n *node, list deckrelay.ServerList) {
+func (d *discovery) tell(n *node, list balancer.ServerList) {
 	at := d.w.now + time.Duration(d.w.draws.Float64()*float64(d.w.s.Discovery.Spread))
 	n.lastTold = max(n.lastTold, at)
 	life := n.life
@@ -425,7 +425,7 @@
 	fail := func(wait time.Duration) {
 		d.w.after(wait, func() {
 			if n.life == life && n.alive {
-				n.handle(deckrelay.ListFailed{})
+				n.handle(balancer.ListFailed{})
 			}
 		})
 	}
@@ -456,7 +456,7 @@
 		n.watching = true
 		d.subs = append(d.subs, n)
 	}
-	d.tell(n, deckrelay.ServerList{Full: true, Servers: slices.Clone(d.lists[n.tier])})
+	d.tell(n, balancer.ServerList{Full: true, Servers: slices.Clone(d.lists[n.tier])})
 }
 
 func (d *discovery) drop(n *node) {
@@ -488,7 +488,7 @@
 				return
 			}
 			if d.w.s.Discovery.Asked {
-				n.handle(deckrelay.ListFailed{})
+				n.handle(balancer.ListFailed{})
 			} else if !d.down {
 				d.subscribe(n)
 			}
--- a/internal/lab/virtual/world_test.go
+++ b/internal/lab/virtual/world_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/lab/audit"
 	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/policies"
@@ -160,82 +160,82 @@
 // rogue is the module with one fault: it changes an action, adds some, or leaves some out.
 type rogue struct {
 	policies.Decider
-	spoil func(now time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action
+	spoil func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action
 }
 
-func (r *rogue) Handle(now time.Duration, e deckrelay.Event) []deckrelay.Action {
+func (r *rogue) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	return r.spoil(now, e, r.Decider.Handle(now, e))
 }
 
 // faults are nodes that break one rule each, in the worlds that give them the occasion.
 var faults = map[audit.Rule]struct {
 	world string
-	spoil func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action
+	spoil func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
 }{
-	audit.InTime: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if _, ok := e.(deckrelay.Request); ok {
+	audit.InTime: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if _, ok := e.(balancer.Request); ok {
 				return nil // taken, and never heard of again
 			}
 			return out
 		}
 	}},
-	audit.OneAnswer: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if o, ok := e.(deckrelay.Outcome); ok && o.Ended {
-				out = append(out, deckrelay.Fail{ID: o.ID})
+	audit.OneAnswer: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if o, ok := e.(balancer.Outcome); ok && o.Ended {
+				out = append(out, balancer.Fail{ID: o.ID})
 			}
 			return out
 		}
 	}},
-	audit.NoSecondRun: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if o, ok := e.(deckrelay.Outcome); ok && o.Ending == deckrelay.Failure && len(out) > 0 {
-				if _, fails := out[0].(deckrelay.Fail); fails {
-					out[0] = deckrelay.Send{ID: o.ID, Server: o.Server, Timeout: time.Second}
+	audit.NoSecondRun: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if o, ok := e.(balancer.Outcome); ok && o.Ending == balancer.Failure && len(out) > 0 {
+				if _, fails := out[0].(balancer.Fail); fails {
+					out[0] = balancer.Send{ID: o.ID, Server: o.Server, Timeout: time.Second}
 				}
 			}
 			return out
 		}
 	}},
-	audit.Harmless: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, _ deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
+	audit.Harmless: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
-				if f, ok := a.(deckrelay.Fail); ok {
-					out[i] = deckrelay.Refuse{ID: f.ID}
+				if f, ok := a.(balancer.Fail); ok {
+					out[i] = balancer.Refuse{ID: f.ID}
 				}
 			}
 			return out
 		}
 	}},
-	audit.OneOut: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if _, ok := e.(deckrelay.Request); ok && len(out) > 0 {
+	audit.OneOut: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0])
 			}
 			return out
 		}
 	}},
-	audit.MostSends: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if _, ok := e.(deckrelay.Request); ok && len(out) > 0 {
+	audit.MostSends: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0], out[0], out[0])
 			}
 			return out
 		}
 	}},
-	audit.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
+	audit.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		gone := ""
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if l, ok := e.(deckrelay.ServerList); ok {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if l, ok := e.(balancer.ServerList); ok {
 				for _, s := range l.Servers {
-					if s.State == deckrelay.Draining {
+					if s.State == balancer.Draining {
 						gone = s.ID
 					}
 				}
 			}
 			for i, a := range out {
-				if s, ok := a.(deckrelay.Send); ok && gone != "" {
+				if s, ok := a.(balancer.Send); ok && gone != "" {
 					s.Server = gone
 					out[i] = s
 				}
@@ -244,18 +244,18 @@
 		}
 	}},
 	audit.Cold: {small + `trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.25 }
-trouble "overload" { at_s = 2 length_s = 4 size = 4 }`, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
+trouble "overload" { at_s = 2 length_s = 4 size = 4 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		cold := ""
-		return func(_ time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if l, ok := e.(deckrelay.ServerList); ok {
+		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if l, ok := e.(balancer.ServerList); ok {
 				for _, s := range l.Servers {
-					if s.State == deckrelay.Ready && s.Boot > 0 {
+					if s.State == balancer.Ready && s.Boot > 0 {
 						cold = s.ID
 					}
 				}
 			}
 			for i, a := range out {
-				if s, ok := a.(deckrelay.Send); ok && cold != "" {
+				if s, ok := a.(balancer.Send); ok && cold != "" {
 					s.Server = cold
 					out[i] = s
 				}
@@ -263,10 +263,10 @@
 			return out
 		}
 	}},
-	audit.KnownBox: {small, func() func(time.Duration, deckrelay.Event, []deckrelay.Action) []deckrelay.Action {
-		return func(_ time.Duration, _ deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
+	audit.KnownBox: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
-				if s, ok := a.(deckrelay.Send); ok {
+				if s, ok := a.(balancer.Send); ok {
 					s.Server = "s-nowhere"
 					out[i] = s
 				}
@@ -280,7 +280,7 @@
 func TestAuditorSeesEachFault(t *testing.T) {
 	for rule, fault := range faults {
 		t.Run(string(rule), func(t *testing.T) {
-			_, auditor := played(t, parsed(t, fault.world), func(name string, set deckrelay.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+			_, auditor := played(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
 				d, err := policies.New(name, set, seed, truth)
 				if set.Tier > 0 {
 					return d, err // faults of the front nodes alone
@@ -304,10 +304,10 @@
 func TestLostOnStop(t *testing.T) {
 	s := parsed(t, small+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
 	s.Rules.Slack = time.Hour // so that nothing is late, only lost
-	_, auditor := played(t, s, func(name string, set deckrelay.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+	_, auditor := played(t, s, func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
 		d, err := policies.New(name, set, seed, truth)
-		return &rogue{d, func(now time.Duration, e deckrelay.Event, out []deckrelay.Action) []deckrelay.Action {
-			if _, ok := e.(deckrelay.Request); ok && set.Tier == 0 {
+		return &rogue{d, func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
+			if _, ok := e.(balancer.Request); ok && set.Tier == 0 {
 				return nil
 			}
 			return out
@@ -375,7 +375,7 @@
 		if rule == audit.OneAnswer || rule == audit.KnownBox { // what such a node does reaches nobody
 			continue
 		}
-		h, events := recorded(t, parsed(t, fault.world), func(name string, set deckrelay.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+		h, events := recorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
 			d, err := policies.New(name, set, seed, truth)
 			if set.Tier > 0 {
 				return d, err
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures counts what a node does and reports it, as StatsD or InfluxDB lines. Recording never waits: what
+// Package metrics counts what a node does and reports it, as StatsD or InfluxDB lines. Recording never waits: what
 // finds the buffer full, and what can't be written, is dropped and counted. One goroutine writes.
-package figures
+package metrics
 
 import (
 	"io"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/node/addresses.go
+++ b/internal/node/accesslist.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 	"hookwalk.example/hookwalk/internal/proxyproto"
 )
@@ -20,7 +20,7 @@
 
 // doors is what connections from callers are judged by.
 type doors struct {
-	lists   *deckrelay.Addresses
+	lists   *balancer.Addresses
 	timeout time.Duration // for a PROXY header
 	log     *slog.Logger
 }
@@ -157,5 +157,5 @@
 // visit is the call of a stranger: nothing more of its request is read.
 func visit(r *http.Request, client netip.Addr) *call {
 	return &call{Call: engine.Call{Tenant: r.Header.Get("X-Caller"), Stranger: true,
-		Request: deckrelay.Request{ID: r.Header.Get("X-Call-Id"), Class: r.Header.Get("X-Call-Class"), Client: client}}}
+		Request: balancer.Request{ID: r.Header.Get("X-Call-Id"), Class: r.Header.Get("X-Call-Class"), Client: client}}}
 }
--- a/internal/node/addresses_test.go
+++ b/internal/node/accesslist_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/drills"
+	"hookwalk.example/hookwalk/internal/faultinjection"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -193,7 +193,7 @@
 	features.Drills = stall(func(*settings.Drill) {}).Drills
 	n, out := startLogged(t, features, newBackend(t, ok))
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n" }
-	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + drills.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
+	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
 	for text, want := range map[string]int{get("/ready"): 200, get("/api"): 403, start: 403,
 		strings.Replace(requestText("1"), "unsafe", "new", 1):        403,
 		"POST /api HTTP/1.1\r\nHost: n\r\nContent-Length: 9\r\n\r\n": 403} {
--- a/internal/node/operated.go
+++ b/internal/node/admin.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/handover"
+	"hookwalk.example/hookwalk/internal/hotrestart"
 	"hookwalk.example/hookwalk/internal/lifecycle"
 )
 
@@ -46,7 +46,7 @@
 	if err := o.n.engine.Hand(ctx, id, out); err != nil {
 		return err
 	}
-	o.n.pass(ctx, handover.Word{Server: id, Out: out})
+	o.n.pass(ctx, hotrestart.Word{Server: id, Out: out})
 	return nil
 }
 
@@ -54,7 +54,7 @@
 func (o operated) Serve(ctx context.Context, in bool) error {
 	o.n.setService(in)
 	out := !in
-	o.n.pass(ctx, handover.Word{Drain: &out})
+	o.n.pass(ctx, hotrestart.Word{Drain: &out})
 	return nil
 }
 
--- a/internal/node/operated_test.go
+++ b/internal/node/admin_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -29,7 +29,7 @@
 		ask(fmt.Sprint("warm", i))
 	}
 	o := operated{n.Node}
-	if err := o.Hand(t.Context(), "nobody", true); !errors.Is(err, deckrelay.ErrUnknownServer) {
+	if err := o.Hand(t.Context(), "nobody", true); !errors.Is(err, balancer.ErrUnknownServer) {
 		t.Errorf("an unknown server: %v", err)
 	}
 	for range 2 {
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/asyncwriter"
 	"hookwalk.example/hookwalk/internal/capture"
 	"hookwalk.example/hookwalk/internal/discovery"
-	"hookwalk.example/hookwalk/internal/drills"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
+	"hookwalk.example/hookwalk/internal/faultinjection"
 	"hookwalk.example/hookwalk/internal/settings"
-	"hookwalk.example/hookwalk/internal/spool"
 )
 
 // What a node on real sockets records replays without a difference: servers that fail, a list that changes, a drill,
@@ -57,7 +57,7 @@
 				}
 				if caller == 0 && i%5 == 0 { // the list changes beside it
 					hosts[0].Born++
-					n.engine.Tell(t.Context(), discovery.Update(endpoints.List{Hosts: hosts[:1]}))
+					n.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: hosts[:1]}))
 				}
 			}
 		}()
@@ -78,7 +78,7 @@
 		t.Errorf("%+v, %v, said %.500s", result, err, &said)
 	}
 	text := records(t, out.String())
-	for _, never := range []string{"the body", "k-0-0", secret, drills.Header} {
+	for _, never := range []string{"the body", "k-0-0", secret, faultinjection.Header} {
 		if strings.Contains(text, never) || strings.Contains(out.String(), never) {
 			t.Errorf("%q is in it", never)
 		}
@@ -122,7 +122,7 @@
 	}
 	cfg := configWith(t, newBackend(t, ok))
 	cfg.Features.Capture = &settings.Capture{}
-	full := spool.New(w)
+	full := asyncwriter.New(w)
 	n := start(t, cfg, withLog(full), func(n *Node) { n.stderr = full })
 	for i := range 20 {
 		if status, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
--- a/internal/node/gone_test.go
+++ b/internal/node/clientgone_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"hookwalk.example/hookwalk/internal/discovery"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
 // leaver is a client that has sent a request and leaves.
@@ -94,9 +94,9 @@
 }
 
 // tell tells the node of a server, and returns when the engine has it.
-func (r *running) tell(t *testing.T, h endpoints.Endpoint) {
+func (r *running) tell(t *testing.T, h discoveryapi.Endpoint) {
 	t.Helper()
-	if err := r.engine.Tell(t.Context(), discovery.Update(endpoints.List{Hosts: []endpoints.Endpoint{h}})); err != nil {
+	if err := r.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: []discoveryapi.Endpoint{h}})); err != nil {
 		t.Fatal(err)
 	}
 	r.engine.Estate(t.Context(), func() {}) // is answered only when the update has been dealt with
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"hookwalk.example/hookwalk/internal/settings"
-	"hookwalk.example/hookwalk/internal/wire"
+	"hookwalk.example/hookwalk/internal/simwire"
 )
 
 // Config is what the platform tells a node at its start.
@@ -29,8 +29,8 @@
 	Cores     float64
 	MemoryMB  int
 	Sockets   int
-	Known     endpoints.List // the servers as this node last had them
-	Settings  deckrelay.Settings
+	Known     discoveryapi.List // the servers as this node last had them
+	Settings  balancer.Settings
 	Features  settings.File // what the project's own settings file switches on
 
 	text           []byte        // the file as it was read, without an override
@@ -72,8 +72,8 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
-		Known    endpoints.List  `json:"known"`
-		Settings json.RawMessage `json:"settings"`
+		Known    discoveryapi.List `json:"known"`
+		Settings json.RawMessage   `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Config{}, err
@@ -117,7 +117,7 @@
 
 // parsedSettings are the module's settings, and those that the module has no use for: they are the node's.
 type parsedSettings struct {
-	module         deckrelay.Settings
+	module         balancer.Settings
 	tenants        []string
 	connectTimeout time.Duration
 	connIdle       time.Duration
@@ -125,7 +125,7 @@
 
 // parseSettings reads settings and says whether they are of the form of settings, not whether they are sound.
 func parseSettings(text []byte) (parsedSettings, error) {
-	module, err := wire.ParseSettings(text)
+	module, err := simwire.ParseSettings(text)
 	if err != nil {
 		return parsedSettings{}, err
 	}
@@ -156,17 +156,17 @@
 }
 
 // moduleSettings are the platform's settings with what the features have the module decide.
-func (c Config) moduleSettings() (deckrelay.Settings, error) {
+func (c Config) moduleSettings() (balancer.Settings, error) {
 	set := c.Settings
 	for _, d := range c.Features.Drills {
-		if !slices.ContainsFunc(set.Classes, func(k deckrelay.Class) bool { return k.Name == d.Class }) {
+		if !slices.ContainsFunc(set.Classes, func(k balancer.Class) bool { return k.Name == d.Class }) {
 			return set, fmt.Errorf("%s: drill %s: class %q is not one of the node's classes", d.Pos, d.Name, d.Class)
 		}
-		set.Drills = append(set.Drills, deckrelay.Drill{Name: d.Name, Class: d.Class, Share: d.Share,
+		set.Drills = append(set.Drills, balancer.Drill{Name: d.Name, Class: d.Class, Share: d.Share,
 			Delay: d.Delay, AbortStatus: d.AbortStatus, Duration: d.Duration})
 	}
 	if a := c.Features.Addresses; a != nil {
-		set.Addresses = &deckrelay.Addresses{Allow: a.Allow, Deny: a.Deny, ProxyFrom: a.ProxyFrom}
+		set.Addresses = &balancer.Addresses{Allow: a.Allow, Deny: a.Deny, ProxyFrom: a.ProxyFrom}
 	}
 	return set, nil
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -11,9 +11,9 @@
 	"strings"
 	"testing"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/discovery"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"time"
 )
 
@@ -92,10 +92,10 @@
 // A server that ends its connection at each worst moment: what may have run is answered as failed and not sent again,
 // what can't have is, nothing stays in flight, and the next request finds the server as free as any.
 func TestConnectionsEndAtEachWorstMoment(t *testing.T) {
-	may, never := []deckrelay.Ending{deckrelay.Broken}, []deckrelay.Ending{deckrelay.Broken, deckrelay.Unreachable}
+	may, never := []balancer.Ending{balancer.Broken}, []balancer.Ending{balancer.Broken, balancer.Unreachable}
 	for name, tc := range map[string]struct {
 		serve func(c *net.TCPConn)
-		want  []deckrelay.Ending
+		want  []balancer.Ending
 	}{
 		// What the node has written by then is up to the kernel: it may know of the end, or learn of it after its last byte.
 		"reset before the first byte":  {reset, never},
@@ -111,14 +111,14 @@
 			respond(c, "200 OK", "done")
 			c.CloseWrite()
 			io.Copy(io.Discard, c)
-		}, []deckrelay.Ending{deckrelay.Success}},
-		"silent for good": {func(c *net.TCPConn) { io.Copy(io.Discard, c) }, []deckrelay.Ending{deckrelay.TimedOut}},
+		}, []balancer.Ending{balancer.Success}},
+		"silent for good": {func(c *net.TCPConn) { io.Copy(io.Discard, c) }, []balancer.Ending{balancer.TimedOut}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, addr := testPool(t), rawServer(t, tc.serve)
 			wait := time.Minute
-			if tc.want[0] == deckrelay.TimedOut {
+			if tc.want[0] == balancer.TimedOut {
 				wait = 100 * time.Millisecond
 			}
 			if got := p.attempt(testAttempt(p, addr, wait)).Ending; !slices.Contains(tc.want, got) {
@@ -132,7 +132,7 @@
 				r.Header.Set("X-Budget", "300m")
 				status, header, _ := do(t, r)
 				switch {
-				case tc.want[0] == deckrelay.Success && status != 200, tc.want[0] != deckrelay.Success && status == 200:
+				case tc.want[0] == balancer.Success && status != 200, tc.want[0] != balancer.Success && status == 200:
 					t.Errorf("answered %d", status)
 				case status == 503 && header.Get("Retry-After") == "":
 					t.Error("refused, and not told when to come back")
@@ -166,8 +166,8 @@
 	<-came
 	moved := inService("s-0", other.addr())
 	moved.Born = 1000
-	for _, h := range []endpoints.Endpoint{{Host: "s-0", Health: "terminating"}, {Host: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
-		if err := n.engine.Tell(t.Context(), discovery.Update(endpoints.List{Hosts: []endpoints.Endpoint{h}})); err != nil {
+	for _, h := range []discoveryapi.Endpoint{{Host: "s-0", Health: "terminating"}, {Host: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
+		if err := n.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: []discoveryapi.Endpoint{h}})); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/discovery/discoverytest"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
 const platformSettings = `{"balancers":1,"me":0,"tier":0,"registry-mode":%q,"tick-ms":2,"zone":"z",
@@ -25,9 +25,9 @@
  "lanes":[{"name":"keyed","effect":"idempotency_key","key-scope":"cell","window-ms":60000,"target-ms":20000,"deadline-ms":60000,"worth":2},
   {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,"target-ms":20000,"deadline-ms":60000,"worth":3}]}`
 
-func testConfig(t *testing.T, mode string, known ...endpoints.Endpoint) Config {
+func testConfig(t *testing.T, mode string, known ...discoveryapi.Endpoint) Config {
 	t.Helper()
-	k, err := json.Marshal(endpoints.List{Seq: 1, Whole: true, Hosts: known})
+	k, err := json.Marshal(discoveryapi.List{Seq: 1, Whole: true, Hosts: known})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +42,8 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func inService(id, addr string) endpoints.Endpoint {
-	return endpoints.Endpoint{Host: id, Dial: addr, Site: "z", Health: "in_service"}
+func inService(id, addr string) discoveryapi.Endpoint {
+	return discoveryapi.Endpoint{Host: id, Dial: addr, Site: "z", Health: "in_service"}
 }
 
 // eventually waits for what the node does by itself in the background.
@@ -211,7 +211,7 @@
 
 func configWith(t *testing.T, backends ...*backend) Config {
 	t.Helper()
-	var hosts []endpoints.Endpoint
+	var hosts []discoveryapi.Endpoint
 	for i, b := range backends {
 		hosts = append(hosts, inService(fmt.Sprintf("s-%d", i), b.addr()))
 	}
--- a/internal/node/drills_test.go
+++ b/internal/node/faultinjection_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/drills"
+	"hookwalk.example/hookwalk/internal/faultinjection"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -74,12 +74,12 @@
 // startDrill posts to /drills with some keys.
 func startDrill(t *testing.T, url string, keys ...string) int {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodPost, url+drills.Path, nil)
+	r, err := http.NewRequest(http.MethodPost, url+faultinjection.Path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range keys {
-		r.Header.Add(drills.Header, k)
+		r.Header.Add(faultinjection.Header, k)
 	}
 	status, _, _ := do(t, r)
 	return status
@@ -232,17 +232,17 @@
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
-	r.Header.Set(drills.Header, secret)
-	if status, _, _ := do(t, r); status != http.StatusOK || b.seen[0].Header.Get(drills.Header) != "" {
+	r.Header.Set(faultinjection.Header, secret)
+	if status, _, _ := do(t, r); status != http.StatusOK || b.seen[0].Header.Get(faultinjection.Header) != "" {
 		t.Errorf("answered %d, the server got %v", status, b.seen[0].Header)
 	}
 }
 
 func TestNoStartAtANodeThatLeaves(t *testing.T) {
-	h := &callers{drills: drills.NewKeys(stall(func(*settings.Drill) {}).Drills), closing: func() bool { return false },
+	h := &callers{drills: faultinjection.NewKeys(stall(func(*settings.Drill) {}).Drills), closing: func() bool { return false },
 		cutoff: func() time.Duration { return 1 }}
-	r, w := httptest.NewRequest(http.MethodPost, drills.Path, nil), httptest.NewRecorder()
-	r.Header.Set(drills.Header, secret)
+	r, w := httptest.NewRequest(http.MethodPost, faultinjection.Path, nil), httptest.NewRecorder()
+	r.Header.Set(faultinjection.Header, secret)
 	if h.startDrill(w, r, netip.Addr{}); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", w.Code)
 	}
--- a/internal/node/takeover.go
+++ b/internal/node/hotrestart.go
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/discovery"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/handover"
+	"hookwalk.example/hookwalk/internal/hotrestart"
 	"hookwalk.example/hookwalk/internal/lifecycle"
 	"hookwalk.example/hookwalk/internal/state"
 )
@@ -30,15 +30,15 @@
 
 // kin is the other process of the node, while two run. Only a node with operators has any.
 type kin struct {
-	path string           // where the processes meet; "": they can't
-	kept *handover.Keeper // nil: it has no folder
+	path string             // where the processes meet; "": they can't
+	kept *hotrestart.Keeper // nil: it has no folder
 
 	mu     sync.Mutex
-	link   *handover.Link // nil: this process is alone
-	heir   bool           // the other one is the newer
-	serves bool           // and takes clients
-	over   bool           // this process has ended: nobody takes over any more
-	synced chan struct{}  // closed when all that the older one had to tell was taken; nil: this process took over from none
+	link   *hotrestart.Link // nil: this process is alone
+	heir   bool             // the other one is the newer
+	serves bool             // and takes clients
+	over   bool             // this process has ended: nobody takes over any more
+	synced chan struct{}    // closed when all that the older one had to tell was taken; nil: this process took over from none
 }
 
 // listen opens the clients' listener: the one that another process of the node hands over, else one of its own.
@@ -64,8 +64,8 @@
 // claim takes over from another process of the node, if there is one. Without it, it knows at least what stands on
 // disk of what operators said.
 func (n *Node) claim() net.Listener {
-	path, err := handover.Path(os.TempDir(), n.cfg.Name, n.cfg.Listen)
-	n.kin.kept = handover.NewKeeper(path, n.cfg.Name, n.cfg.Listen, func() {
+	path, err := hotrestart.Path(os.TempDir(), n.cfg.Name, n.cfg.Listen)
+	n.kin.kept = hotrestart.NewKeeper(path, n.cfg.Name, n.cfg.Listen, func() {
 		n.log.Warn("another process of the node hangs with what operators said")
 	})
 	if err != nil {
@@ -74,7 +74,7 @@
 		return nil
 	}
 	n.kin.path = path
-	estate, ln, link, err := handover.Claim(n.kin.path, n.cfg.Name, n.cfg.Listen)
+	estate, ln, link, err := hotrestart.Claim(n.kin.path, n.cfg.Name, n.cfg.Listen)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			n.log.Warn("nothing was handed over", "err", err)
@@ -108,12 +108,12 @@
 
 // inherit makes an estate this node's, before it serves. What was learned under other settings is of no use: then
 // the servers and what operators said of them must do.
-func (n *Node) inherit(e handover.Estate) {
+func (n *Node) inherit(e hotrestart.Estate) {
 	now := n.settings()
 	set, err := json.Marshal(now)
 	if err == nil && bytes.Equal(set, e.Settings) {
-		var b *deckrelay.Balancer
-		if b, err = deckrelay.Inherit(now, e.Module, n.cfg.Seed); err == nil {
+		var b *balancer.Balancer
+		if b, err = balancer.Inherit(now, e.Module, n.cfg.Seed); err == nil {
 			n.engine.Balancer = b
 		}
 	}
@@ -139,13 +139,13 @@
 		own(func() { n.talk(link) })
 		own(func() {
 			// All that was told before this comes first; and the older process knows that it may go.
-			if link.Tell(handover.Word{Serves: true}, 2*time.Second) != nil {
+			if link.Tell(hotrestart.Word{Serves: true}, 2*time.Second) != nil {
 				n.log.Warn("the process before this one is gone")
 			}
 			close(n.kin.synced)
 		})
 	}
-	offer, err := handover.NewOffer(n.kin.path)
+	offer, err := hotrestart.NewOffer(n.kin.path)
 	if err != nil {
 		n.log.Warn("no process can take over from this one", "err", err)
 		offer = nil
@@ -166,7 +166,7 @@
 }
 
 // offer hands over to whoever asks; the newest heir counts.
-func (n *Node) offer(o *handover.Offer, ln net.Listener, own func(func())) {
+func (n *Node) offer(o *hotrestart.Offer, ln net.Listener, own func(func())) {
 	for {
 		link, err := o.Accept()
 		if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // give hands this node's estate to an heir. From then on the heir is told what operators say.
-func (n *Node) give(link *handover.Link, ln net.Listener) error {
+func (n *Node) give(link *hotrestart.Link, ln net.Listener) error {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return fmt.Errorf("no socket to hand over in a %T", ln)
@@ -195,9 +195,9 @@
 	n.kin.mu.Lock()
 	defer n.kin.mu.Unlock()
 	if n.kin.over {
-		return handover.ErrOver
+		return hotrestart.ErrOver
 	}
-	e := handover.Estate{Node: n.cfg.Name, Listen: n.cfg.Listen, Settings: set, Seq: n.disc.ResumeAt(), ListAge: n.disc.Age()}
+	e := hotrestart.Estate{Node: n.cfg.Name, Listen: n.cfg.Listen, Settings: set, Seq: n.disc.ResumeAt(), ListAge: n.disc.Age()}
 	e.Module, e.Boxes, e.Out, err = n.engine.Estate(context.Background(), func() {
 		e.Drained = n.life.Load().Drained()
 	})
@@ -217,8 +217,8 @@
 }
 
 // talk takes what the other process tells until one of the two ends.
-func (n *Node) talk(link *handover.Link) {
-	link.Run(func(w handover.Word) {
+func (n *Node) talk(link *hotrestart.Link) {
+	link.Run(func(w hotrestart.Word) {
 		switch {
 		case w.Serves:
 			n.kin.mu.Lock()
@@ -241,7 +241,7 @@
 }
 
 // pass tells the other process what an operator said, if there is one, and keeps it on disk.
-func (n *Node) pass(ctx context.Context, w handover.Word) {
+func (n *Node) pass(ctx context.Context, w hotrestart.Word) {
 	if n.kin.kept == nil {
 		return
 	}
@@ -253,9 +253,9 @@
 			n.log.Warn("the other process was not told", "err", err)
 		}
 	}
-	err := n.kin.kept.Keep(ctx, func() (handover.Kept, error) {
+	err := n.kin.kept.Keep(ctx, func() (hotrestart.Kept, error) {
 		_, _, out, err := n.engine.Estate(ctx, func() {})
-		return handover.Kept{Out: out, Drained: n.life.Load().Drained()}, err
+		return hotrestart.Kept{Out: out, Drained: n.life.Load().Drained()}, err
 	})
 	if err != nil {
 		n.log.Warn("what operators said is not on disk", "err", err)
--- a/internal/node/inbound.go
+++ b/internal/node/inbound.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/metrics"
 )
 
 // restMin is how long a connection without an open request is left alone when places run short. A caller
@@ -24,7 +24,7 @@
 type inbound struct {
 	net.Listener
 	most    int
-	figures *figures.Reporter // nil: off
+	figures *metrics.Reporter // nil: off
 	doors   *doors            // nil: nobody is judged
 	changed chan struct{}     // a place may be free
 	done    chan struct{}
@@ -45,7 +45,7 @@
 	since time.Time     // it rests
 	shut  time.Time     // nothing more is read from it; zero: it is open
 	asked bool          // a request has come on it
-	tags  figures.Tags  // of its last request
+	tags  metrics.Tags  // of its last request
 	gone  bool
 
 	// The reader's own.
@@ -54,7 +54,7 @@
 	ahead    *lookahead
 }
 
-func newInbound(ln net.Listener, most int, reporter *figures.Reporter) *inbound {
+func newInbound(ln net.Listener, most int, reporter *metrics.Reporter) *inbound {
 	done := make(chan struct{})
 	return &inbound{Listener: ln, most: most, figures: reporter, changed: make(chan struct{}, 1), done: done,
 		end: sync.OnceFunc(func() { close(done) }), rests: list.New()}
@@ -93,7 +93,7 @@
 		nc = in.doors.open(nc)
 	}
 	c := &inConn{Conn: nc, in: in, accepted: time.Now(), ahead: newLookahead(nc)}
-	in.figures.Add(c.tags, figures.OpenConnections, 1)
+	in.figures.Add(c.tags, metrics.OpenConnections, 1)
 	in.rest(c)
 	return c, nil
 }
@@ -232,14 +232,14 @@
 }
 
 // tag counts a connection under the tags of its last request.
-func (c *inConn) tag(t figures.Tags) {
+func (c *inConn) tag(t metrics.Tags) {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	if c.gone || c.tags == t {
 		return
 	}
-	c.in.figures.Add(c.tags, figures.OpenConnections, -1)
-	c.in.figures.Add(t, figures.OpenConnections, 1)
+	c.in.figures.Add(c.tags, metrics.OpenConnections, -1)
+	c.in.figures.Add(t, metrics.OpenConnections, 1)
 	c.tags = t
 }
 
@@ -287,7 +287,7 @@
 	c.in.leave(c)
 	if !c.gone {
 		c.gone = true
-		c.in.figures.Add(c.tags, figures.OpenConnections, -1)
+		c.in.figures.Add(c.tags, metrics.OpenConnections, -1)
 		c.in.open--
 		c.in.signal()
 	}
--- a/internal/node/callers.go
+++ b/internal/node/ingress.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
-	"hookwalk.example/hookwalk/internal/drills"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/faultinjection"
+	"hookwalk.example/hookwalk/internal/metrics"
 	"hookwalk.example/hookwalk/invariants"
 )
 
@@ -47,9 +47,9 @@
 	clock   engine.Clock
 	rules   func() *rules
 	held    int // of a body
-	drills  *drills.Keys
-	figures *figures.Reporter    // nil: off
-	lists   *deckrelay.Addresses // nil: everybody is let in
+	drills  *faultinjection.Keys
+	figures *metrics.Reporter   // nil: off
+	lists   *balancer.Addresses // nil: everybody is let in
 	guard   *invariants.Guard
 	ready   func() bool
 	closing func() bool          // every answer ends its connection
@@ -75,7 +75,7 @@
 }
 
 // serve answers a caller's request and returns the status, gaveUp if the client left.
-func (h *callers) serve(w http.ResponseWriter, r *http.Request, tags figures.Tags) (status int) {
+func (h *callers) serve(w http.ResponseWriter, r *http.Request, tags metrics.Tags) (status int) {
 	var c *call
 	client, out := h.stranger(r)
 	if out {
@@ -150,7 +150,7 @@
 	}
 	name, err := h.drills.Match(r.Header)
 	switch {
-	case errors.Is(err, drills.ErrNone):
+	case errors.Is(err, faultinjection.ErrNone):
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	case err != nil:
@@ -171,8 +171,8 @@
 	"Idempotency-Key", "Content-Length"}
 
 // check says why a request is not one of the protocol, before its body is read.
-func (h *callers) check(r *http.Request) (effect deckrelay.Effect, generation, status int, err error) {
-	bad := func(text string) (deckrelay.Effect, int, int, error) {
+func (h *callers) check(r *http.Request) (effect balancer.Effect, generation, status int, err error) {
+	bad := func(text string) (balancer.Effect, int, int, error) {
 		return effect, 0, http.StatusBadRequest, errors.New(text)
 	}
 	if !r.ProtoAtLeast(1, 1) { // net/http overlooks a Transfer-Encoding there
@@ -202,13 +202,13 @@
 		return bad("X-Call-Class is not one of the classes")
 	}
 	want := http.MethodPost
-	if effect == deckrelay.Safe {
+	if effect == balancer.Safe {
 		want = http.MethodGet
 	}
 	switch key := r.Header.Get("Idempotency-Key") != ""; {
 	case r.Method != want:
 		return effect, 0, http.StatusMethodNotAllowed, errors.New("the method of the class is " + want)
-	case key != (effect == deckrelay.Keyed):
+	case key != (effect == balancer.Keyed):
 		return bad("Idempotency-Key does not go with the class")
 	case want == http.MethodGet && r.ContentLength > 0:
 		return bad("a GET has no body")
@@ -226,7 +226,7 @@
 		return nil, status, err
 	}
 	c := &call{method: r.Method, url: r.URL, host: r.Host}
-	c.Repeatable = effect != deckrelay.Unsafe
+	c.Repeatable = effect != balancer.Unsafe
 	c.Tenant = r.Header.Get("X-Caller")
 	c.Request.ID = r.Header.Get("X-Call-Id")
 	c.Request.Class = r.Header.Get("X-Call-Class")
@@ -281,7 +281,7 @@
 
 // hopByHop are the headers that concern one connection, that the node sets anew, or that are for it alone.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
-	"Upgrade", "Expect", "X-Budget", drills.Header}
+	"Upgrade", "Expect", "X-Budget", faultinjection.Header}
 
 func forwardable(h http.Header) http.Header {
 	out := h.Clone()
--- a/internal/node/figures.go
+++ b/internal/node/metrics.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/metrics"
 )
 
 // gaveUp is in place of a status for a request whose client left.
@@ -19,40 +19,40 @@
 func (h *callers) measured(w http.ResponseWriter, r *http.Request) (status int) {
 	f, begin := h.figures, h.clock.Now()
 	tags := f.Tags(r.Header.Get("X-Call-Class"), r.Header.Get("X-Caller"))
-	f.Count(tags, figures.Requests)
-	f.Add(tags, figures.OpenRequests, 1)
+	f.Count(tags, metrics.Requests)
+	f.Add(tags, metrics.OpenRequests, 1)
 	if c := connOf(r); c != nil {
 		c.tag(tags)
 	}
 	status = h.serve(w, r, tags)
-	f.Add(tags, figures.OpenRequests, -1)
+	f.Add(tags, metrics.OpenRequests, -1)
 	f.Count(tags, counterOf(status))
 	h.latency(tags, status, h.clock.Now()-begin)
 	return status
 }
 
 // latency notes how long an answer took, if the module gave it: what is turned down at the door takes no time.
-func (h *callers) latency(tags figures.Tags, status int, took time.Duration) {
+func (h *callers) latency(tags metrics.Tags, status int, took time.Duration) {
 	switch counterOf(status) {
-	case figures.Served, figures.Refused, figures.Failed:
+	case metrics.Served, metrics.Refused, metrics.Failed:
 		h.figures.Latency(tags, took)
 	}
 }
 
-func counterOf(status int) figures.Counter {
+func counterOf(status int) metrics.Counter {
 	switch {
 	case status == gaveUp:
-		return figures.Left
+		return metrics.Left
 	case status == http.StatusOK:
-		return figures.Served
+		return metrics.Served
 	case status == cutShort:
-		return figures.Failed
+		return metrics.Failed
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		return figures.Refused
+		return metrics.Refused
 	case status < http.StatusInternalServerError || status == http.StatusHTTPVersionNotSupported:
-		return figures.TurnedAway
+		return metrics.TurnedAway
 	}
-	return figures.Failed
+	return metrics.Failed
 }
 
 type connKey struct{}
--- a/internal/node/figures_test.go
+++ b/internal/node/metrics_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/metrics"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -96,9 +96,9 @@
 }
 
 func TestCounterOfAStatus(t *testing.T) {
-	for status, want := range map[int]figures.Counter{200: figures.Served, 429: figures.Refused, 503: figures.Refused,
-		400: figures.TurnedAway, 409: figures.TurnedAway, 505: figures.TurnedAway, 403: figures.TurnedAway, 500: figures.Failed,
-		502: figures.Failed, gaveUp: figures.Left} {
+	for status, want := range map[int]metrics.Counter{200: metrics.Served, 429: metrics.Refused, 503: metrics.Refused,
+		400: metrics.TurnedAway, 409: metrics.TurnedAway, 505: metrics.TurnedAway, 403: metrics.TurnedAway, 500: metrics.Failed,
+		502: metrics.Failed, gaveUp: metrics.Left} {
 		if got := counterOf(status); got != want {
 			t.Errorf("%d counts as %v, want %v", status, got, want)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,16 +17,16 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/adminapi"
+	"hookwalk.example/hookwalk/internal/asyncwriter"
 	"hookwalk.example/hookwalk/internal/capture"
-	"hookwalk.example/hookwalk/internal/control"
 	"hookwalk.example/hookwalk/internal/discovery"
-	"hookwalk.example/hookwalk/internal/drills"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/figures"
+	"hookwalk.example/hookwalk/internal/faultinjection"
 	"hookwalk.example/hookwalk/internal/lifecycle"
-	"hookwalk.example/hookwalk/internal/spool"
+	"hookwalk.example/hookwalk/internal/metrics"
 	"hookwalk.example/hookwalk/invariants"
 )
 
@@ -48,11 +48,11 @@
 	engine  *engine.Engine
 	pool    *pool
 	disc    *discovery.Source
-	lists   *deckrelay.Addresses // nil: everybody is let in
-	stderr  io.Writer            // of figures and capture
-	inbound int                  // connections from callers at once
-	heard   atomic.Bool          // discovery has spoken, or had its time
-	first   first                // the list that the node begins with
+	lists   *balancer.Addresses // nil: everybody is let in
+	stderr  io.Writer           // of figures and capture
+	inbound int                 // connections from callers at once
+	heard   atomic.Bool         // discovery has spoken, or had its time
+	first   first               // the list that the node begins with
 	life    atomic.Pointer[lifecycle.Machine]
 	rules   atomic.Pointer[rules] // what the front knows of the classes
 	in      *inbound
@@ -71,7 +71,7 @@
 	reloads sync.Mutex // over what follows
 	now     Config     // as it was read last; cfg is that of the start
 
-	set atomic.Pointer[deckrelay.Settings] // the module's; written with reloads held
+	set atomic.Pointer[balancer.Settings] // the module's; written with reloads held
 }
 
 // New wires a node. It opens nothing yet.
@@ -80,24 +80,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	bal, err := deckrelay.New(set, cfg.Seed)
+	bal, err := balancer.New(set, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Sockets == 0 {
 		cfg.Sockets = anyLimit
 	}
-	n := &Node{cfg: cfg, now: cfg, lists: set.Addresses, log: logger, clock: engine.NewClock(), most: killMost, stderr: spool.Stderr,
+	n := &Node{cfg: cfg, now: cfg, lists: set.Addresses, log: logger, clock: engine.NewClock(), most: killMost, stderr: asyncwriter.Stderr,
 		ended: make(chan struct{})}
 	n.life.Store(&lifecycle.Machine{})
 	n.set.Store(&set)
 	n.rules.Store(newRules(set, nil, 0))
 	spare := reserved
 	if cfg.Control != "" {
-		spare += control.Places + 1
+		spare += adminapi.Places + 1
 	}
 	n.engine = engine.New(engine.Options{Clock: n.clock, Log: logger, Balancer: bal, Guard: invariants.NewGuard(logger)})
-	n.engine.Guard.Counted = func(invariants.Rule) { n.engine.Figures.Count(figures.Tags(0), figures.Violations) }
+	n.engine.Guard.Counted = func(invariants.Rule) { n.engine.Figures.Count(metrics.Tags(0), metrics.Violations) }
 	n.inbound = (cfg.Sockets - spare) * 5 / 8
 	n.pool = newPool(n.clock, cfg, cfg.Sockets-spare-n.inbound, n.engine.Ended, n.engine.Answers)
 	n.disc = discovery.New(discovery.Config{Addr: cfg.Discovery, Asked: cfg.Settings.AskDiscovery, AskWithin: cfg.Settings.AskWithin,
@@ -161,7 +161,7 @@
 	server := &http.Server{
 		Handler: &callers{engine: n.engine, clock: n.clock, rules: n.rules.Load, ready: n.ready,
 			held:    held(n.cfg.MemoryMB, bodyPart, n.inbound),
-			drills:  drills.NewKeys(n.cfg.Features.Drills),
+			drills:  faultinjection.NewKeys(n.cfg.Features.Drills),
 			figures: n.engine.Figures,
 			lists:   n.lists,
 			guard:   n.engine.Guard,
@@ -180,9 +180,9 @@
 		n.sweepAfter(life)
 	}
 	parted := n.meet(ln, own)
-	var operators *control.Server
+	var operators *adminapi.Server
 	if ctl != nil {
-		operators = control.New(ctl, operated{n}, n.log)
+		operators = adminapi.New(ctl, operated{n}, n.log)
 		own(func() {
 			if err := operators.Run(); err != nil {
 				n.log.Error("operators are not heard any more", "err", err)
@@ -220,7 +220,7 @@
 // switchOn begins what the settings file has on and the engine takes part in.
 func (n *Node) switchOn() {
 	if f := n.cfg.Features.Figures; f != nil {
-		n.engine.Figures = figures.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
+		n.engine.Figures = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
 	}
 	if c := n.cfg.Features.Capture; c != nil {
 		n.engine.Capture = capture.New(*c, n.cfg.Name, n.engine.Balancer, n.settings(), n.cfg.Seed, n.stderr, n.log)
@@ -348,7 +348,7 @@
 }
 
 // whole marks the list that a node starts with as complete.
-func whole(l endpoints.List) endpoints.List {
+func whole(l discoveryapi.List) discoveryapi.List {
 	l.Whole = true
 	return l
 }
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/discovery"
 )
 
@@ -47,12 +47,12 @@
 }
 
 // Classes are the classes of the settings, with the servers that are open to each.
-func (c Config) Classes() []deckrelay.Class { return c.Settings.Classes }
+func (c Config) Classes() []balancer.Class { return c.Settings.Classes }
 
 // KnownServers are the servers in service of the list that the configuration names.
-func (c Config) KnownServers() (servers []deckrelay.Server) {
+func (c Config) KnownServers() (servers []balancer.Server) {
 	for _, h := range c.Known.Hosts {
-		if s := discovery.Server(h); s.State == deckrelay.Ready {
+		if s := discovery.Server(h); s.State == balancer.Ready {
 			servers = append(servers, s)
 		}
 	}
@@ -108,7 +108,7 @@
 
 // OverrideCheck says why an override is not to come into force: of the classes that there are now, of those that there
 // would be, and of the servers in service as the node knows them.
-type OverrideCheck func(now, next []deckrelay.Class, servers []deckrelay.Server) error
+type OverrideCheck func(now, next []balancer.Class, servers []balancer.Server) error
 
 // Override has an override take the place of the one before, whole or not at all, and says why not. What changes, and
 // what is refused, is as with Reload; check, unless it is nil, refuses what only those who published can have meant
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -86,7 +86,7 @@
 		"a key out":       {override: Override{Settings: settingsOf(t, cfg, `"blend":`, `"bland":`)}, says: "settings.blend"},
 		"no deadline":     {override: Override{Settings: settingsOf(t, cfg, `"deadline-ms":60000`, `"deadline-ms":0`)}, says: "Deadline"},
 		"no address":      {override: Override{Settings: settingsOf(t, cfg), Discovery: "nowhere"}, says: "discovery"},
-		"the check's own": {override: Override{Settings: settingsOf(t, cfg)}, check: func(_, _ []deckrelay.Class, _ []deckrelay.Server) error { return stays }, says: stays.Error()},
+		"the check's own": {override: Override{Settings: settingsOf(t, cfg)}, check: func(_, _ []balancer.Class, _ []balancer.Server) error { return stays }, says: stays.Error()},
 	} {
 		c.override.Discovery = cmp.Or(c.override.Discovery, "127.0.0.1:9")
 		err := n.Override(t.Context(), c.override, c.check)
@@ -105,7 +105,7 @@
 	n := start(t, cfg)
 	override := Override{Settings: settingsOf(t, cfg, `"name":"unsafe"`, `"name":"fresh","bound-to":["k"]`)}
 	seen := ""
-	err := n.Override(t.Context(), override, func(now, next []deckrelay.Class, servers []deckrelay.Server) error {
+	err := n.Override(t.Context(), override, func(now, next []balancer.Class, servers []balancer.Server) error {
 		seen = fmt.Sprintf("%s, %s of %v, %d servers, the first in %s", now[1].Name, next[1].Name, next[1].OnlyKinds, len(servers), servers[0].Zone)
 		return nil
 	})
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // lateFor is how long a class that was dropped is still served: clients learn of settings later than the node.
@@ -16,15 +16,15 @@
 // rules are what the front knows of the classes. A request is read by those of its arrival; the module is told which
 // they were.
 type rules struct {
-	effects    map[string]deckrelay.Effect
+	effects    map[string]balancer.Effect
 	generation int // settings taken over before these
 	longest    time.Duration
 	before     *rules // without its own before
 	until      time.Duration
 }
 
-func newRules(set deckrelay.Settings, before *rules, now time.Duration) *rules {
-	r := &rules{effects: map[string]deckrelay.Effect{}}
+func newRules(set balancer.Settings, before *rules, now time.Duration) *rules {
+	r := &rules{effects: map[string]balancer.Effect{}}
 	for _, c := range set.Classes {
 		r.effects[c.Name] = c.Effect
 		r.longest = max(r.longest, c.Deadline)
@@ -38,7 +38,7 @@
 }
 
 // of gives the effect of a class, and which settings say so: a class that was dropped a moment ago is the one before's.
-func (r *rules) of(class string, now time.Duration) (e deckrelay.Effect, generation int, known bool) {
+func (r *rules) of(class string, now time.Duration) (e balancer.Effect, generation int, known bool) {
 	if e, known = r.effects[class]; known || r.before == nil || now >= r.until {
 		return e, r.generation, known
 	}
@@ -93,7 +93,7 @@
 }
 
 // checkedSettings are the module's settings, where it takes them.
-func (c Config) checkedSettings() (deckrelay.Settings, error) {
+func (c Config) checkedSettings() (balancer.Settings, error) {
 	set, err := c.moduleSettings()
 	if err == nil {
 		err = set.Check()
@@ -105,7 +105,7 @@
 }
 
 // settings are the module's, as they are now. A reload that waits for the engine holds up nobody who asks.
-func (n *Node) settings() deckrelay.Settings { return *n.set.Load() }
+func (n *Node) settings() balancer.Settings { return *n.set.Load() }
 
 // follows says why a configuration can't take the place of another while the node runs. A file that was cut off may
 // still be sound as JSON: what the one before had is to be there again, but for what the platform leaves out at times.
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/discovery"
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -123,11 +123,11 @@
 func TestBootIsClockTime(t *testing.T) {
 	ck := engine.NewClock()
 	born := time.Now().Add(-5 * time.Second)
-	s := discovery.Server(endpoints.Endpoint{Host: "s", Health: "in_service", Born: float64(born.UnixMicro()) / 1000})
+	s := discovery.Server(discoveryapi.Endpoint{Host: "s", Health: "in_service", Born: float64(born.UnixMicro()) / 1000})
 	if age := ck.Now() - s.Boot; age < 4999*time.Millisecond || age > time.Minute {
 		t.Errorf("a server born 5 s ago is %v old", age)
 	}
-	if s := discovery.Server(endpoints.Endpoint{Health: "terminating"}); s.Boot != 0 || s.State != deckrelay.Draining {
+	if s := discovery.Server(discoveryapi.Endpoint{Health: "terminating"}); s.Boot != 0 || s.State != balancer.Draining {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/internal/node/bulk.go
+++ b/internal/node/streamedbody.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // What is larger than may be held is passed on as it comes, through buffers of chunk.
@@ -137,7 +137,7 @@
 }
 
 type streamEnd struct {
-	ending deckrelay.Ending
+	ending balancer.Ending
 	err    error
 }
 
@@ -151,7 +151,7 @@
 	return s.body.Read(b)
 }
 
-func (s *stream) end(e deckrelay.Ending, err error) { s.ended <- streamEnd{e, err} }
+func (s *stream) end(e balancer.Ending, err error) { s.ended <- streamEnd{e, err} }
 
 // errWriter remembers that writing failed: what is wrong with a copy is then the client's side.
 type errWriter struct {
@@ -193,15 +193,15 @@
 	}
 	switch {
 	case out.err != nil: // the client left, or takes nothing: that says nothing of the server
-		s.end(deckrelay.Withdrawn, out.err)
+		s.end(balancer.Withdrawn, out.err)
 		return gaveUp
 	case err == io.EOF:
-		s.end(deckrelay.Success, nil)
+		s.end(balancer.Success, nil)
 		return http.StatusOK
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		s.end(deckrelay.TimedOut, errNoAnswer)
+		s.end(balancer.TimedOut, errNoAnswer)
 	default:
-		s.end(deckrelay.Broken, err)
+		s.end(balancer.Broken, err)
 	}
 	return cutShort
 }
--- a/internal/node/bulk_test.go
+++ b/internal/node/streamedbody_test.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"testing"
 
-	"hookwalk.example/hookwalk/internal/endpoints"
+	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"time"
 )
 
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	start2 := func(hosts ...endpoints.Endpoint) *running {
+	start2 := func(hosts ...discoveryapi.Endpoint) *running {
 		cfg := testConfig(t, "pushed", hosts...)
 		cfg.Discovery = silentDiscovery(t)
 		return start(t, cfg)
--- a/internal/node/servers.go
+++ b/internal/node/upstream.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -107,16 +107,16 @@
 
 // attempt makes the one send of an attempt and waits for what comes back.
 func (p *pool) attempt(att *engine.Attempt) engine.Result {
-	ended := func(e deckrelay.Ending) engine.Result { return engine.Result{Attempt: att, Ending: e} }
+	ended := func(e balancer.Ending) engine.Result { return engine.Result{Attempt: att, Ending: e} }
 	call := att.Call.Payload.(*call)
 	if call.rest != nil && (call.rest.spent.Load() || call.rest.lost()) {
-		return ended(deckrelay.Void) // of its body some is gone
+		return ended(balancer.Void) // of its body some is gone
 	}
 	if !att.MaySend(p.clock.Now()) {
-		return ended(deckrelay.Void)
+		return ended(balancer.Void)
 	}
 	var c *conn
-	without := func(e deckrelay.Ending, err error) engine.Result {
+	without := func(e balancer.Ending, err error) engine.Result {
 		r := engine.Result{Attempt: att, Ending: e, Err: err}
 		if c != nil {
 			r.Uses, r.Age, r.Idle = c.uses, p.clock.Now()-c.since, c.idled
@@ -128,18 +128,18 @@
 		var err error
 		c, fresh, err = p.take(att)
 		if errors.Is(err, errFull) {
-			return ended(deckrelay.Void) // the lack is the node's own: it says nothing of the server
+			return ended(balancer.Void) // the lack is the node's own: it says nothing of the server
 		}
 		if err != nil {
-			return without(deckrelay.Unreachable, err)
+			return without(balancer.Unreachable, err)
 		}
 		// Connecting takes time: the request may be over by now, or the server may have been told to drain.
 		if !att.MaySend(p.clock.Now()) {
 			p.park(c)
-			return ended(deckrelay.Void)
+			return ended(balancer.Void)
 		}
 		if asked = p.ask(c); fresh && !asked {
-			return without(deckrelay.Unreachable, errClosed)
+			return without(balancer.Unreachable, errClosed)
 		}
 	}
 	began, writes := att.Started, p.clock.Now()
@@ -149,13 +149,13 @@
 		att.Sent(writes, left)
 		if err != nil {
 			p.close(c)
-			return without(deckrelay.Unreachable, err) // the last byte was not written
+			return without(balancer.Unreachable, err) // the last byte was not written
 		}
 	} else if err := p.upload(c, att, writes); err != nil {
 		e := c.unsent()
 		p.close(c)
 		if call.rest.lost() {
-			return ended(deckrelay.Void) // it says nothing of the server
+			return ended(balancer.Void) // it says nothing of the server
 		}
 		return without(e, err)
 	} else {
@@ -164,26 +164,26 @@
 	r := <-c.replies
 	switch {
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
-		return without(deckrelay.TimedOut, errNoAnswer) // the reader has closed the connection
+		return without(balancer.TimedOut, errNoAnswer) // the reader has closed the connection
 	case r.err != nil:
-		return without(deckrelay.Broken, r.err)
+		return without(balancer.Broken, r.err)
 	}
 	res := engine.Result{Attempt: att, Ending: ending(r.resp), Reply: r}
 	if call.rest != nil || r.rest != nil {
 		res.Latency = max(p.clock.Now()-began, 1)
 	}
 	if r.rest != nil {
-		if res.Ending != deckrelay.Success || !p.answers(att, r) {
+		if res.Ending != balancer.Success || !p.answers(att, r) {
 			p.close(c)
 			close(r.rest.over)
 			res.Reply = nil
-			if res.Ending == deckrelay.Success {
-				res.Ending = deckrelay.Withdrawn // nobody waits for it
+			if res.Ending == balancer.Success {
+				res.Ending = balancer.Withdrawn // nobody waits for it
 			}
 			return res
 		}
 		end := <-r.rest.ended
-		if end.ending != deckrelay.Success {
+		if end.ending != balancer.Success {
 			p.close(c)
 		}
 		close(r.rest.over)
@@ -230,7 +230,7 @@
 }
 
 // unsent says how an attempt ended whose last byte was not written. A server may have said why.
-func (c *conn) unsent() deckrelay.Ending {
+func (c *conn) unsent() balancer.Ending {
 	c.pool.mu.Lock()
 	c.deadline = time.Now().Add(lastWord)
 	c.SetReadDeadline(c.deadline)
@@ -239,11 +239,11 @@
 		if r.rest != nil {
 			close(r.rest.over)
 		}
-		if e := ending(r.resp); e == deckrelay.Overloaded {
+		if e := ending(r.resp); e == balancer.Overloaded {
 			return e
 		}
 	}
-	return deckrelay.Unreachable
+	return balancer.Unreachable
 }
 
 // request is a request as it came, but for its body and the time that is left.
@@ -262,15 +262,15 @@
 const lastWord = 50 * time.Millisecond
 
 // ending reads off an answer how the attempt ended.
-func ending(r *http.Response) deckrelay.Ending {
+func ending(r *http.Response) balancer.Ending {
 	switch {
 	case r.StatusCode == http.StatusOK:
-		return deckrelay.Success
+		return balancer.Success
 	case (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
 		r.Header.Get("X-Rejected") == "1":
-		return deckrelay.Overloaded
+		return balancer.Overloaded
 	}
-	return deckrelay.Failure // it may have run
+	return balancer.Failure // it may have run
 }
 
 var (
