--- a/internal/node/servers_test.go
+++ b/internal/node/upstream_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
@@ -57,55 +57,55 @@
 	}
 	for name, tc := range map[string]struct {
 		serve func(int, net.Conn, *http.Request) bool
-		want  deckrelay.Ending
+		want  balancer.Ending
 	}{
-		"served":            {ok, deckrelay.Success},
-		"error":             {status("500 Internal Server Error"), deckrelay.Failure},
-		"not found":         {status("404 Not Found"), deckrelay.Failure},
-		"accepted":          {status("202 Accepted"), deckrelay.Failure},
-		"unmarked 503":      {status("503 Service Unavailable"), deckrelay.Failure},
-		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), deckrelay.Overloaded},
-		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), deckrelay.Overloaded},
-		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), deckrelay.Failure},
-		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, deckrelay.Broken},
-		"half an answer":    {partly, deckrelay.Broken},
+		"served":            {ok, balancer.Success},
+		"error":             {status("500 Internal Server Error"), balancer.Failure},
+		"not found":         {status("404 Not Found"), balancer.Failure},
+		"accepted":          {status("202 Accepted"), balancer.Failure},
+		"unmarked 503":      {status("503 Service Unavailable"), balancer.Failure},
+		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), balancer.Overloaded},
+		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), balancer.Overloaded},
+		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), balancer.Failure},
+		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, balancer.Broken},
+		"half an answer":    {partly, balancer.Broken},
 		"no length": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\npart")
 			return false
-		}, deckrelay.Success},
+		}, balancer.Success},
 		"closed by the end": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
 			return false
-		}, deckrelay.Success},
+		}, balancer.Success},
 		"no length and a reset": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\npart")
 			c.(*net.TCPConn).SetLinger(0)
 			return false
-		}, deckrelay.Broken},
-		"noise":           {raw("\x00\x01\x02\x03\r\n\r\n"), deckrelay.Broken},
-		"negative length": {raw("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n"), deckrelay.Broken},
-		"two lengths":     {raw("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx"), deckrelay.Broken},
-		"odd status":      {raw("HTTP/1.1 020 OK\r\nContent-Length: 0\r\n\r\n"), deckrelay.Broken},
-		"3 GB":            {raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx"), deckrelay.Broken},
-		"chunked":         {raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), deckrelay.Success},
-		"1xx ahead":       {raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), deckrelay.Success},
-		"endless head":    {endless("HTTP/1.1 200 OK\r\n", "X-Long: xxxxxxxxxxxxxxxxxxxxxxxxxxx\r\n"), deckrelay.Broken},
-		"endless line":    {endless("HTTP/1.1 200 OK\r\nX-Long: ", "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"), deckrelay.Broken},
-		"endless 1xx":     {endless("", "HTTP/1.1 100 Continue\r\n\r\n"), deckrelay.Broken},
+		}, balancer.Broken},
+		"noise":           {raw("\x00\x01\x02\x03\r\n\r\n"), balancer.Broken},
+		"negative length": {raw("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n"), balancer.Broken},
+		"two lengths":     {raw("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx"), balancer.Broken},
+		"odd status":      {raw("HTTP/1.1 020 OK\r\nContent-Length: 0\r\n\r\n"), balancer.Broken},
+		"3 GB":            {raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx"), balancer.Broken},
+		"chunked":         {raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), balancer.Success},
+		"1xx ahead":       {raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), balancer.Success},
+		"endless head":    {endless("HTTP/1.1 200 OK\r\n", "X-Long: xxxxxxxxxxxxxxxxxxxxxxxxxxx\r\n"), balancer.Broken},
+		"endless line":    {endless("HTTP/1.1 200 OK\r\nX-Long: ", "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"), balancer.Broken},
+		"endless 1xx":     {endless("", "HTTP/1.1 100 Continue\r\n\r\n"), balancer.Broken},
 		"large": {func(_ int, c net.Conn, _ *http.Request) bool {
 			return respond(c, "200 OK", strings.Repeat("x", 4_000_000))
-		}, deckrelay.Success},
+		}, balancer.Success},
 		"large and cut": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n"+strings.Repeat("x", 400_000))
 			return false
-		}, deckrelay.Broken},
+		}, balancer.Broken},
 		"chunked, large and cut": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n61a80\r\n"+strings.Repeat("x", 400_000)+"\r\n")
 			return false
-		}, deckrelay.Broken},
+		}, balancer.Broken},
 		"a large error": {func(_ int, c net.Conn, _ *http.Request) bool {
 			return respond(c, "500 Internal Server Error", strings.Repeat("x", 400_000))
-		}, deckrelay.Failure},
+		}, balancer.Failure},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
@@ -124,7 +124,7 @@
 		}
 		ln.Close()
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).Ending; got != deckrelay.Unreachable {
+		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).Ending; got != balancer.Unreachable {
 			t.Errorf("ending %v, want Unreachable", got)
 		}
 	})
@@ -136,7 +136,7 @@
 			return false
 		})
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).Ending; got != deckrelay.TimedOut {
+		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).Ending; got != balancer.TimedOut {
 			t.Errorf("ending %v, want TimedOut", got)
 		}
 		<-left // an attempt is given up by closing its connection
@@ -157,7 +157,7 @@
 				stop(att) // the dial is under way
 				return nil
 			}
-			if got := p.attempt(att).Ending; got != deckrelay.Void {
+			if got := p.attempt(att).Ending; got != balancer.Void {
 				t.Errorf("ending %v, want Void", got)
 			}
 			p.shut()
@@ -181,7 +181,7 @@
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []string{"one", "two"} {
 		att := &engine.Attempt{Call: first.Call, Target: first.Target, Deadline: first.Deadline}
-		if r := p.attempt(att); r.Ending != deckrelay.Success || bodyOf(r) != want {
+		if r := p.attempt(att); r.Ending != balancer.Success || bodyOf(r) != want {
 			t.Errorf("got %v %q, want %q", r.Ending, bodyOf(r), want)
 		}
 	}
@@ -200,7 +200,7 @@
 	})
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if got := p.attempt(att).Ending; got != deckrelay.Success {
+	if got := p.attempt(att).Ending; got != balancer.Success {
 		t.Fatalf("ended %v", got)
 	}
 	c, fresh, err := p.take(att)
@@ -217,7 +217,7 @@
 		t.Error("the connection would be used")
 	}
 	again := &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
-	if r := p.attempt(again); r.Ending != deckrelay.Success || bodyOf(r) != "done" {
+	if r := p.attempt(again); r.Ending != balancer.Success || bodyOf(r) != "done" {
 		t.Errorf("got %v %q", r.Ending, bodyOf(r))
 	}
 }
@@ -231,7 +231,7 @@
 	})
 	p := testPool(t)
 	for i := range 3 {
-		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).Ending; got != deckrelay.Success {
+		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).Ending; got != balancer.Success {
 			t.Fatalf("attempt %d ended %v", i, got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
@@ -248,7 +248,7 @@
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool { return n == 1 && respond(c, "200 OK", "done") })
 	p := testPool(t)
 	first := testAttempt(p, b.addr(), time.Minute)
-	for _, want := range []deckrelay.Ending{deckrelay.Success, deckrelay.Broken} {
+	for _, want := range []balancer.Ending{balancer.Success, balancer.Broken} {
 		att := &engine.Attempt{Call: first.Call, Target: first.Target, Deadline: first.Deadline}
 		if got := p.attempt(att).Ending; got != want {
 			t.Fatalf("ended %v, want %v", got, want)
@@ -265,7 +265,7 @@
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
 		att = &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
-		if got := p.attempt(att).Ending; got != deckrelay.Success {
+		if got := p.attempt(att).Ending; got != balancer.Success {
 			t.Fatalf("ended %v", got)
 		}
 	}
@@ -285,7 +285,7 @@
 	p.most = 1
 	for range 2 {
 		for _, s := range []*backend{a, b} {
-			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).Ending; got != deckrelay.Success {
+			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).Ending; got != balancer.Success {
 				t.Fatalf("ended %v", got)
 			}
 			if len(p.open) != 1 {
@@ -299,7 +299,7 @@
 		delete(p.kept, c.target)
 	}
 	// No server is to blame for the node's own lack.
-	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).Ending; got != deckrelay.Void {
+	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).Ending; got != balancer.Void {
 		t.Errorf("ended %v, want Void", got)
 	}
 }
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // delegate answers the library's questions and takes the messages that it delivers.
@@ -92,6 +92,6 @@
 		return
 	}
 	if validName(other.Name) {
-		go c.step(members.NodeAlive{Incarnation: meta.incarnation(other.Name), Site: meta.Site})
+		go c.step(membership.NodeAlive{Incarnation: meta.incarnation(other.Name), Site: meta.Site})
 	}
 }
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // Bounds of what is sent and received.
@@ -55,16 +55,16 @@
 	Site  string `json:"w"`
 }
 
-func (m nodeMeta) incarnation(name string) members.Incarnation {
-	return members.Incarnation{Name: name, Start: m.Start, Nonce: m.Nonce}
+func (m nodeMeta) incarnation(name string) membership.Incarnation {
+	return membership.Incarnation{Name: name, Start: m.Start, Nonce: m.Nonce}
 }
 
 // message carries an announcement. Each node passes on a message that it had not received before.
 type message struct {
-	Version      int                  `json:"V"`
-	Sequence     uint64               `json:"Seq"` // rises with each message of an incarnation
-	Leaving      bool                 `json:"Bye"` // the node ends
-	Announcement members.Announcement `json:"Word"`
+	Version      int                     `json:"V"`
+	Sequence     uint64                  `json:"Seq"` // rises with each message of an incarnation
+	Leaving      bool                    `json:"Bye"` // the node ends
+	Announcement membership.Announcement `json:"Word"`
 }
 
 // validName says that a name may be one of a node or a site.
@@ -82,7 +82,7 @@
 		return m, errVersion
 	}
 	a := m.Announcement
-	if !validName(a.From.Name) || !validName(a.Site) || len(a.Newer) > members.MaxNewer {
+	if !validName(a.From.Name) || !validName(a.Site) || len(a.Newer) > membership.MaxNewer {
 		return m, errName
 	}
 	for _, newer := range a.Newer {
@@ -135,7 +135,7 @@
 func (c *Cluster) enqueueFarewell() (sent <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	farewell := members.Announcement{From: c.module.Local(), Site: c.cfg.Site}
+	farewell := membership.Announcement{From: c.module.Local(), Site: c.cfg.Site}
 	sent = c.enqueue(message{Leaving: true, Announcement: farewell})
 	c.leaving = true
 	return sent
@@ -173,7 +173,7 @@
 }
 
 // receivedEvent is what a message says to the module; nil: nothing, or nothing new.
-func (c *Cluster) receivedEvent(b []byte) members.Event {
+func (c *Cluster) receivedEvent(b []byte) membership.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m, err := parseMessage(b)
@@ -191,7 +191,7 @@
 	c.lastSequence[from] = m.Sequence
 	c.queueBroadcast(&broadcast{from.Name, slices.Clone(b), func() {}})
 	if !m.Leaving {
-		return members.AnnouncementReceived{Announcement: m.Announcement}
+		return membership.AnnouncementReceived{Announcement: m.Announcement}
 	}
 	if len(c.left) > 2*c.cfg.Limits.MaxMembers {
 		clear(c.left)
@@ -200,7 +200,7 @@
 	if _, reported := c.reported[from.Name]; reported {
 		return nil // the detector's report is waited for
 	}
-	return members.NodeDead{Incarnation: from, Left: true}
+	return membership.NodeDead{Incarnation: from, Left: true}
 }
 
 // countMalformed counts a message that can't be read. The caller holds mu.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,20 +20,20 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // Config says who a node is among others.
 type Config struct {
 	Name, Site       string
-	Tree             members.Tree
+	Tree             membership.Tree
 	Listen           string            // HOST:PORT, for packets and streams
 	Seeds            []string          // HOST:PORT of nodes to join through
 	KeyFile          string            // see ReadKeys
 	Label            string            // of the installation: messages with another one are dropped
 	AddressOverrides map[string]string // where a peer's address is reached from here, if elsewhere
 	StartStore       StartStore
-	Limits           members.Limits // zero: members.DefaultLimits
+	Limits           membership.Limits // zero: membership.DefaultLimits
 }
 
 // StartStore keeps the start number of a node.
@@ -84,13 +84,13 @@
 	liveCount atomic.Int64 // of live
 
 	mu           sync.Mutex
-	module       *members.Members
-	live         map[string]detected            // by name, as the detector has them, without this node
-	reported     map[string]members.Incarnation // by name, as the module was told last
-	addresses    map[string]string              // by name, last known
-	left         map[members.Incarnation]bool   // that announced that they leave
-	lastSequence map[members.Incarnation]uint64 // of the messages received
-	sequence     uint64                         // of the messages sent
+	module       *membership.Members
+	live         map[string]detected               // by name, as the detector has them, without this node
+	reported     map[string]membership.Incarnation // by name, as the module was told last
+	addresses    map[string]string                 // by name, last known
+	left         map[membership.Incarnation]bool   // that announced that they leave
+	lastSequence map[membership.Incarnation]uint64 // of the messages received
+	sequence     uint64                            // of the messages sent
 	queue        memberlist.TransmitLimitedQueue
 	leaving      bool // the farewell is queued: nothing may replace it
 	malformed    malformedCount
@@ -115,11 +115,11 @@
 	if err := tryListen(cfg.Listen); err != nil {
 		return nil, &JoinError{cfg.Listen, err}
 	}
-	if cfg.Limits == (members.Limits{}) {
-		cfg.Limits = members.DefaultLimits()
+	if cfg.Limits == (membership.Limits{}) {
+		cfg.Limits = membership.DefaultLimits()
 	}
 	local := newIncarnation(cfg, logger)
-	module, err := members.New(local, cfg.Site, cfg.Tree, cfg.Limits, local.Nonce)
+	module, err := membership.New(local, cfg.Site, cfg.Tree, cfg.Limits, local.Nonce)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -129,10 +129,10 @@
 		started:      time.Now(),
 		module:       module,
 		live:         map[string]detected{},
-		reported:     map[string]members.Incarnation{},
+		reported:     map[string]membership.Incarnation{},
 		addresses:    map[string]string{},
-		left:         map[members.Incarnation]bool{},
-		lastSequence: map[members.Incarnation]uint64{},
+		left:         map[membership.Incarnation]bool{},
+		lastSequence: map[membership.Incarnation]uint64{},
 		changed:      make(chan struct{}),
 		reconcileNow: make(chan struct{}, 1),
 		reconnects:   make(chan string, maxReconnects),
@@ -168,14 +168,14 @@
 
 // newIncarnation begins an incarnation of the local node. Without its start number it claims one that may be stale: the
 // peers know the right one, if there is one.
-func newIncarnation(cfg Config, logger *slog.Logger) members.Incarnation {
+func newIncarnation(cfg Config, logger *slog.Logger) membership.Incarnation {
 	start, err := cfg.StartStore.Next()
 	if err != nil {
 		logger.Warn("peers: the number of this start is not known", "err", err)
 	}
 	var nonce [8]byte
 	rand.Read(nonce[:])
-	return members.Incarnation{Name: cfg.Name, Start: start, Nonce: binary.LittleEndian.Uint64(nonce[:])}
+	return membership.Incarnation{Name: cfg.Name, Start: start, Nonce: binary.LittleEndian.Uint64(nonce[:])}
 }
 
 // startDetector starts the library.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // memoryStore is a StartStore without a disk.
@@ -59,7 +59,7 @@
 
 const key = "0123456789abcdef"
 
-var tree = members.Tree{"dc": "", "okanagan": "dc"}
+var tree = membership.Tree{"dc": "", "okanagan": "dc"}
 
 // port is a free address.
 func port(t *testing.T) string {
@@ -223,11 +223,11 @@
 
 // Nodes of an earlier build read what this one sends: the names in JSON are part of the protocol.
 func TestProtocolNames(t *testing.T) {
-	sent := message{Version: messageVersion, Sequence: 3, Leaving: true, Announcement: members.Announcement{
-		From:    members.Incarnation{Name: "a", Start: 1, Nonce: 2},
+	sent := message{Version: messageVersion, Sequence: 3, Leaving: true, Announcement: membership.Announcement{
+		From:    membership.Incarnation{Name: "a", Start: 1, Nonce: 2},
 		Site:    "dc",
 		Digests: map[string]uint64{"dc": 7},
-		Newer:   []members.Incarnation{{Name: "b", Start: 4}},
+		Newer:   []membership.Incarnation{{Name: "b", Start: 4}},
 		Request: true,
 	}}
 	const want = `{"V":1,"Seq":3,"Bye":true,"Word":{"From":{"Name":"a","Start":1,"Nonce":2},"Site":"dc",` +
@@ -244,7 +244,7 @@
 	if err != nil || string(meta) != `{"s":1,"n":2,"w":"dc"}` {
 		t.Errorf("%s, %v", meta, err)
 	}
-	view, err := json.Marshal(View{Sites: map[string]members.Count{"dc": {Running: 1, Known: 2}}})
+	view, err := json.Marshal(View{Sites: map[string]membership.Count{"dc": {Running: 1, Known: 2}}})
 	if err != nil || !strings.Contains(string(view), `"Sites":{"dc":{"There":1,"Known":2}}`) {
 		t.Errorf("%s, %v", view, err)
 	}
@@ -255,7 +255,7 @@
 	f.Add([]byte(`{"V":1,"Seq":1,"Word":{"From":{"Name":"a","Start":1,"Nonce":2},"Site":"dc","Views":{"dc":7},"Claims":[{"Name":"b"}]}}`))
 	f.Add([]byte(`{"V":2}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if n, err := parseMessage(b); err == nil && (n.Version != messageVersion || !validName(n.Announcement.From.Name) || len(n.Announcement.Newer) > members.MaxNewer) {
+		if n, err := parseMessage(b); err == nil && (n.Version != messageVersion || !validName(n.Announcement.From.Name) || len(n.Announcement.Newer) > membership.MaxNewer) {
 			t.Errorf("%+v", n)
 		}
 		if m, err := parseMeta(b); err == nil && !validName(m.Site) {
@@ -273,7 +273,7 @@
 	second.cfg.Listen, second.cfg.StartStore = port(t), second.store
 	second.join(t)
 	until(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
-	if first.May(members.Grant) {
+	if first.May(membership.Grant) {
 		t.Error("the older of two nodes of a name may grant")
 	}
 	for _, p := range all[:3] {
@@ -293,7 +293,7 @@
 	defer c.Close()
 	c.enqueueFarewell()
 	before := c.View().Digest
-	c.step(members.NodeAlive{Incarnation: members.Incarnation{Name: "b", Start: 1, Nonce: 2}, Site: "dc"})
+	c.step(membership.NodeAlive{Incarnation: membership.Incarnation{Name: "b", Start: 1, Nonce: 2}, Site: "dc"})
 	if c.View().Digest == before {
 		t.Fatal("the view has not changed: there is nothing to announce")
 	}
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // Waits of connect.
@@ -34,11 +34,11 @@
 		}
 		now := c.now()
 		if stalled := now - last - reconcileInterval; stalled >= c.cfg.Limits.StallThreshold {
-			c.step(members.Stalled{Duration: stalled})
+			c.step(membership.Stalled{Duration: stalled})
 		}
 		last = now
 		c.reconcile()
-		c.step(members.Tick{})
+		c.step(membership.Tick{})
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *Cluster) detectorEvents() (events []members.Event) {
+func (c *Cluster) detectorEvents() (events []membership.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, node := range c.live {
@@ -62,11 +62,11 @@
 		incarnation := meta.incarnation(name)
 		c.reported[name] = incarnation
 		c.addresses[name] = node.address
-		events = append(events, members.NodeAlive{Incarnation: incarnation, Site: meta.Site})
+		events = append(events, membership.NodeAlive{Incarnation: incarnation, Site: meta.Site})
 	}
 	for name, incarnation := range c.reported {
 		if _, live := c.live[name]; !live {
-			events = append(events, members.NodeDead{Incarnation: incarnation, Left: c.left[incarnation]})
+			events = append(events, membership.NodeDead{Incarnation: incarnation, Left: c.left[incarnation]})
 			delete(c.reported, name)
 		}
 	}
@@ -74,24 +74,24 @@
 }
 
 // step gives an event to the module and carries out its actions.
-func (c *Cluster) step(event members.Event) {
+func (c *Cluster) step(event membership.Event) {
 	c.mu.Lock()
 	before := c.module.Revision()
 	actions := c.module.Step(c.now(), event)
 	changed := c.module.Revision() != before
-	var refuted *members.Incarnation
+	var refuted *membership.Incarnation
 	for _, action := range actions {
 		switch a := action.(type) {
-		case members.Broadcast:
+		case membership.Broadcast:
 			c.enqueue(message{Announcement: a.Announcement})
-		case members.Reconnect:
+		case membership.Reconnect:
 			c.reconnect(a.Name)
-		case members.Refute:
+		case membership.Refute:
 			refuted = &a.Incarnation
-		case members.LocalStateChanged:
+		case membership.LocalStateChanged:
 			changed = true
 			c.log.Info("among its peers this node", "was", a.From.String(), "is", a.To.String())
-		case members.Warn:
+		case membership.Warn:
 			c.log.Warn("peers", "err", a.Err)
 		}
 	}
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -3,22 +3,22 @@
 import (
 	"fmt"
 
-	"hookwalk.example/hookwalk/members"
+	"hookwalk.example/hookwalk/membership"
 )
 
 // View is what a node knows of its peers at a moment. Its names are those of the control's answer in JSON.
 type View struct {
-	Self    string                   `json:"Self"` // the local state
-	Me      members.Incarnation      `json:"Me"`
-	Site    string                   `json:"Site"`
-	Digest  string                   `json:"Digest"`
-	Sites   map[string]members.Count `json:"Sites"`
-	Members []MemberView             `json:"Members"`
-	Sent    int64                    `json:"Sent"`    // bytes in packets since the start
-	Packets int64                    `json:"Packets"` // sent since the start
-	Streams int64                    `json:"Streams"` // bytes both ways since the start, on the streams that this node opened
-	Bad     int64                    `json:"Bad"`     // messages that could not be read
-	Failed  uint64                   `json:"Failed"`  // times that a member was taken for failed
+	Self    string                      `json:"Self"` // the local state
+	Me      membership.Incarnation      `json:"Me"`
+	Site    string                      `json:"Site"`
+	Digest  string                      `json:"Digest"`
+	Sites   map[string]membership.Count `json:"Sites"`
+	Members []MemberView                `json:"Members"`
+	Sent    int64                       `json:"Sent"`    // bytes in packets since the start
+	Packets int64                       `json:"Packets"` // sent since the start
+	Streams int64                       `json:"Streams"` // bytes both ways since the start, on the streams that this node opened
+	Bad     int64                       `json:"Bad"`     // messages that could not be read
+	Failed  uint64                      `json:"Failed"`  // times that a member was taken for failed
 }
 
 // MemberView is one member.
@@ -54,7 +54,7 @@
 }
 
 // May says whether this node may carry out an operation now.
-func (c *Cluster) May(operation members.Operation) bool {
+func (c *Cluster) May(operation membership.Operation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.module.LocalState().May(operation)
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire reads batches of events from the simulator's text protocol and writes replies.
+// Package simwire reads batches of events from the simulator's text protocol and writes replies.
 // It makes no decisions.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 // Kind tells what a Message carries.
@@ -34,8 +34,8 @@
 	Instance int
 	Now      time.Duration
 	Seed     uint64
-	Settings deckrelay.Settings
-	Event    deckrelay.Event
+	Settings balancer.Settings
+	Event    balancer.Event
 }
 
 // Decoder reads messages one at a time.
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]deckrelay.Server
+	lists    [16][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,24 +142,24 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = deckrelay.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = balancer.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
 		case 3:
-			m.Event = deckrelay.ListFailed{}
+			m.Event = balancer.ListFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
-		m.Event = deckrelay.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
+		m.Event = balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
 			Repeat: f.optNum(4)&2 != 0, Key: f.optKey(2), HasKey: f.opt(2) != ""}
 	case "ring":
-		m.Event = deckrelay.Timer{Token: f.text(0)}
+		m.Event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		m.Event = deckrelay.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
+		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
 			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5)}
 	case "timed_out_client":
-		m.Event = deckrelay.ClientGone{ID: f.text(0)}
+		m.Event = balancer.ClientGone{ID: f.text(0)}
 	case "flowing":
-		m.Event = deckrelay.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -178,7 +178,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []deckrelay.Server
+	var servers []balancer.Server
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -189,14 +189,14 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := deckrelay.Server{ID: g.text(0), Zone: g.text(1), Kind: g.opt(2), Cell: g.num(3), Boot: g.optMS(6)}
+		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Kind: g.opt(2), Cell: g.num(3), Boot: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
-			sv.State = deckrelay.Ready
+			sv.State = balancer.Ready
 		case 0:
-			sv.State = deckrelay.Draining
+			sv.State = balancer.Draining
 		case 1:
-			sv.State = deckrelay.Gone
+			sv.State = balancer.Gone
 		default:
 			g.fail(4, "is no state")
 		}
@@ -287,14 +287,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]deckrelay.Ending{
-	"success": deckrelay.Success, "failure": deckrelay.Failure,
-	"overloaded": deckrelay.Overloaded, "timed_out": deckrelay.TimedOut,
-	"unreachable": deckrelay.Unreachable, "broken": deckrelay.Broken,
-	"withdrawn": deckrelay.Withdrawn, "void": deckrelay.Void,
+var endings = map[string]balancer.Ending{
+	"success": balancer.Success, "failure": balancer.Failure,
+	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
+	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
+	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
 }
 
-func (f *fields) ending(i int) deckrelay.Ending {
+func (f *fields) ending(i int) balancer.Ending {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -355,22 +355,22 @@
 	Zone string  `json:"zone"`
 }
 
-var scopes = map[string]deckrelay.Scope{
-	"all": deckrelay.ScopeAll, "zone": deckrelay.ScopeZone, "cell": deckrelay.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-var effects = map[string]deckrelay.Effect{
-	"read_like": deckrelay.Safe, "idempotency_key": deckrelay.Keyed,
+var effects = map[string]balancer.Effect{
+	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
 }
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
 // not know is Unsafe and a scope it does not know is the narrowest.
-func ParseSettings(text []byte) (deckrelay.Settings, error) {
+func ParseSettings(text []byte) (balancer.Settings, error) {
 	var p profile
 	if err := json.Unmarshal(text, &p); err != nil {
-		return deckrelay.Settings{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := deckrelay.Settings{
+	s := balancer.Settings{
 		Balancers: p.Balancers, Self: p.Self, Tier: p.Tier, Zone: p.Zone,
 		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
 		MarksRepeats: p.Callers.MarksRetry, MaxAttempts: p.Limits.MaxAttempts,
@@ -383,7 +383,7 @@
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, deckrelay.Class{Name: l.Name, Effect: effects[l.Effect],
+		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
 			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
 			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream,
 			InOrder: l.InOrder, OnlyZones: l.OnlyZones, OnlyKinds: l.OnlyKinds})
@@ -407,21 +407,21 @@
 }
 
 // Action adds one action of an instance to the reply.
-func (e *Encoder) Action(instance int, a deckrelay.Action) {
+func (e *Encoder) Action(instance int, a balancer.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.w, "instance\t%d\n", instance)
 		e.instance = instance
 	}
 	switch a := a.(type) {
-	case deckrelay.Send:
+	case balancer.Send:
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
-	case deckrelay.Refuse:
+	case balancer.Refuse:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
-	case deckrelay.Fail:
+	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case deckrelay.Wake:
+	case balancer.Wake:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
-	case deckrelay.Subscribe:
+	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/deckrelay"
+	"hookwalk.example/hookwalk/balancer"
 )
 
 const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
@@ -37,11 +37,11 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: deckrelay.ServerList{Full: true, Cached: true,
-			Servers: []deckrelay.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: deckrelay.Request{ID: "id", Class: "get", Repeat: true,
+		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
+			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, Boot: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: deckrelay.Outcome{ID: "id", Server: "s:1", Ended: true,
+		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
 			Latency: 18500 * time.Microsecond}},
 		{Kind: End, Instance: 3},
 	}
@@ -79,7 +79,7 @@
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != deckrelay.Unsafe || s.Classes[1].Effect != deckrelay.Safe {
+	if err != nil || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -87,8 +87,8 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, deckrelay.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
-	e.Action(5, deckrelay.Refuse{ID: "b"})
+	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(5, balancer.Refuse{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 		t.Errorf("an absent list must set no bound: %+v", b)
 	}
 	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
-	if r := l[1].Event.(deckrelay.Request); err != nil || !r.HasKey || r.Key != 0 {
+	if r := l[1].Event.(balancer.Request); err != nil || !r.HasKey || r.Key != 0 {
 		t.Errorf("key 0 was lost: %+v, %v", r, err)
 	}
 }
--- a/internal/jsonwatch/jsonwatch.go
+++ b/internal/watchstream/watchstream.go
@@ -1,8 +1,8 @@
-// Package jsonwatch reads a watch: a stream of JSON objects of one type, each on one line or many, with empty lines
+// Package watchstream reads a watch: a stream of JSON objects of one type, each on one line or many, with empty lines
 // between them as heartbeats. It decides nothing: an object is returned whole, or there is an error that says whether it
 // was cut off, too large or not to be read. Internal/endpoints reads discovery's lists with it, internal/configwatch the
 // updates of a controller; each calls it from the goroutine of its watch.
-package jsonwatch
+package watchstream
 
 import (
 	"bytes"
--- a/internal/jsonwatch/jsonwatch_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -1,4 +1,4 @@
-package jsonwatch
+package watchstream
 
 import (
 	"bytes"
--- a/members/evaluate.go
+++ b/membership/evaluate.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"maps"
--- a/members/guard.go
+++ b/membership/guard.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // guard is one of the checks on messages that are stale, misdirected or false. Tests disable one at a time, to show that
 // each is needed.
--- a/members/members.go
+++ b/membership/members.go
@@ -1,4 +1,4 @@
-// Package members is the membership view of one node: it turns the reports of a failure detector and the announcements of
+// Package membership is the membership view of one node: it turns the reports of a failure detector and the announcements of
 // other nodes into who is alive, whether a majority agrees on that, and what the local node may therefore do.
 //
 // It is a pure state machine, like raft's Step: events go in with the time at which they happened, actions come out. It
@@ -6,7 +6,7 @@
 //
 // Its rule is one-sided: a node that does not agree with a majority of the members that concern it may take on less and
 // give up what it granted, never more. The members that concern a node are those of its own site and of its parent site.
-package members
+package membership
 
 import (
 	"errors"
