--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -12,8 +12,8 @@
 	"syscall"
 
 	"hookwalk.example/hookwalk/internal/lab/fleet"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
@@ -188,5 +188,5 @@
 // Run plays a part of a fleet's world, as its parent says on standard input, until that ends.
 func (labPart) Run(io streams) error {
 	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
-	return sockets.ServePart(context.Background(), os.Stdin, io.stdout)
+	return loopback.ServePart(context.Background(), os.Stdin, io.stdout)
 }
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/paper"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
-	"hookwalk.example/hookwalk/internal/lab/virtual"
+	"hookwalk.example/hookwalk/internal/lab/simulation"
 )
 
 type labCommands struct {
@@ -57,7 +57,7 @@
 	if c.Sockets {
 		return runSockets(io, s)
 	}
-	w, err := virtual.New(s, policies.New)
+	w, err := simulation.New(s, policies.New)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 }
 
 // verdict names the rules that were broken.
-func verdict(io streams, auditor *audit.Auditor) error {
+func verdict(io streams, auditor *checker.Auditor) error {
 	const shown = 20
 	for i, v := range auditor.Violations() {
 		if i == shown {
@@ -102,12 +102,12 @@
 }
 
 // upSockets brings a world up whose nodes are this program.
-func upSockets(ctx context.Context, s *scenario.Scenario) (*sockets.World, error) {
+func upSockets(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w, err := sockets.Up(ctx, s, sockets.Options{Program: []string{self}})
+	w, err := loopback.Up(ctx, s, loopback.Options{Program: []string{self}})
 	if err != nil {
 		w.Down(true)
 		return nil, fmt.Errorf("lab: %w", err)
--- a/cmd/hookwalk/outside_test.go
+++ b/cmd/hookwalk/outside_test.go
@@ -6,9 +6,9 @@
 	"os"
 	"testing"
 
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // record keeps the history that TestRealNodesFromOutside plays, for the outside checker's own tests.
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	w, err := sockets.Up(t.Context(), s, sockets.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"},
-		Record: outside.NewRecorder(&text, sockets.Head(s))})
+	w, err := loopback.Up(t.Context(), s, loopback.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"},
+		Record: blackbox.NewRecorder(&text, loopback.Head(s))})
 	defer w.Down(false)
 	if err != nil {
 		t.Fatal(err)
@@ -35,11 +35,11 @@
 			t.Fatal(err)
 		}
 	}
-	h, events, err := outside.Read(bytes.NewReader(text.Bytes()))
+	h, events, err := blackbox.Read(bytes.NewReader(text.Bytes()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range outside.Check(h, events) {
+	for _, v := range blackbox.Check(h, events) {
 		t.Error(v)
 	}
 	if len(events) < 500 {
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -27,7 +27,7 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/grpcbox"
+	"hookwalk.example/hookwalk/internal/lab/grpcserver"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -47,15 +47,15 @@
 
 // fleet is some boxes with one script; its calls are numbered over all of them.
 type fleet struct {
-	boxes []*grpcbox.Box
+	boxes []*grpcserver.Box
 	calls atomic.Int64
 }
 
-func newFleet(t *testing.T, n int, maxStreams uint32, script func(n int, k *grpcbox.Call)) *fleet {
+func newFleet(t *testing.T, n int, maxStreams uint32, script func(n int, k *grpcserver.Call)) *fleet {
 	t.Helper()
 	f := &fleet{}
 	for range n {
-		b, err := grpcbox.New(maxStreams, func(k *grpcbox.Call) { script(int(f.calls.Add(1))-1, k) })
+		b, err := grpcserver.New(maxStreams, func(k *grpcserver.Call) { script(int(f.calls.Add(1))-1, k) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,16 +106,16 @@
 
 // What proves that an attempt never ran lets an unsafe call go to another box.
 func TestNeverRan(t *testing.T) {
-	for name, fault := range map[string]func(*grpcbox.Call){
-		"refused stream":                func(k *grpcbox.Call) { k.Reset(http2.ErrCodeRefusedStream) },
-		"goaway before the stream":      func(k *grpcbox.Call) { k.GoAway(true) },
-		"turned away, unavailable":      func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
-		"turned away, after a header":   func(k *grpcbox.Call) { k.Header(); k.Status(int(codes.Unavailable), TurnedAway, "1") },
-		"turned away, no resources":     func(k *grpcbox.Call) { k.Fail(int(codes.ResourceExhausted), TurnedAway, "1") },
-		"goaway before, then cut short": func(k *grpcbox.Call) { k.GoAway(true); k.Cut() },
+	for name, fault := range map[string]func(*grpcserver.Call){
+		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
+		"goaway before the stream":      func(k *grpcserver.Call) { k.GoAway(true) },
+		"turned away, unavailable":      func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
+		"turned away, after a header":   func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), TurnedAway, "1") },
+		"turned away, no resources":     func(k *grpcserver.Call) { k.Fail(int(codes.ResourceExhausted), TurnedAway, "1") },
+		"goaway before, then cut short": func(k *grpcserver.Call) { k.GoAway(true); k.Cut() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 3, 0, func(n int, k *grpcbox.Call) {
+			f := newFleet(t, 3, 0, func(n int, k *grpcserver.Call) {
 				if n == 0 {
 					fault(k)
 					return
@@ -132,7 +132,7 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		f := newFleet(t, 3, 0, func(_ int, k *grpcbox.Call) { k.Answer(served) })
+		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
 		f.boxes[0].Close()
 		cc := dial(t, config(t, Static(f.list())))
 		for range 20 {
@@ -148,28 +148,28 @@
 
 // What may have run ends an unsafe call, with a code that nobody retries; a safe one goes to another box.
 func TestMayHaveRun(t *testing.T) {
-	for name, fault := range map[string]func(*grpcbox.Call){
-		"unavailable":               func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable)) },
-		"internal":                  func(k *grpcbox.Call) { k.Fail(int(codes.Internal)) },
-		"unknown":                   func(k *grpcbox.Call) { k.Fail(int(codes.Unknown)) },
-		"aborted":                   func(k *grpcbox.Call) { k.Fail(int(codes.Aborted)) },
-		"turned away, but ran":      func(k *grpcbox.Call) { k.Fail(int(codes.Internal), TurnedAway, "1") },
-		"turned away, oddly":        func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "yes") },
-		"reset, cancelled":          func(k *grpcbox.Call) { k.Reset(http2.ErrCodeCancel) },
-		"header, then reset":        func(k *grpcbox.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
-		"half a message, then cut":  func(k *grpcbox.Call) { k.Header(); k.Data(served, 7); k.Cut() },
-		"half a message, then over": func(k *grpcbox.Call) { k.Header(); k.Data(served, 7); k.Status(0) },
-		"no message":                func(k *grpcbox.Call) { k.Header(); k.Status(0) },
-		"cut":                       func(k *grpcbox.Call) { k.Cut() },
-		"goaway after, then cut":    func(k *grpcbox.Call) { k.GoAway(false); k.Cut() },
-		"a message that is none":    func(k *grpcbox.Call) { k.Answer([]byte{0xff, 0xff}) },
+	for name, fault := range map[string]func(*grpcserver.Call){
+		"unavailable":               func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) },
+		"internal":                  func(k *grpcserver.Call) { k.Fail(int(codes.Internal)) },
+		"unknown":                   func(k *grpcserver.Call) { k.Fail(int(codes.Unknown)) },
+		"aborted":                   func(k *grpcserver.Call) { k.Fail(int(codes.Aborted)) },
+		"turned away, but ran":      func(k *grpcserver.Call) { k.Fail(int(codes.Internal), TurnedAway, "1") },
+		"turned away, oddly":        func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "yes") },
+		"reset, cancelled":          func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
+		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
+		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Cut() },
+		"half a message, then over": func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Status(0) },
+		"no message":                func(k *grpcserver.Call) { k.Header(); k.Status(0) },
+		"cut":                       func(k *grpcserver.Call) { k.Cut() },
+		"goaway after, then cut":    func(k *grpcserver.Call) { k.GoAway(false); k.Cut() },
+		"a message that is none":    func(k *grpcserver.Call) { k.Answer([]byte{0xff, 0xff}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for method, want := range map[string]struct {
 				code  codes.Code
 				calls int64
 			}{weighIn: {codes.Internal, 1}, view: {codes.OK, 2}} {
-				f := newFleet(t, 3, 0, func(n int, k *grpcbox.Call) {
+				f := newFleet(t, 3, 0, func(n int, k *grpcserver.Call) {
 					if n == 0 {
 						fault(k)
 						return
@@ -192,7 +192,7 @@
 
 // A box that says nothing costs a call its time; a weigh-in is not sent again.
 func TestSilence(t *testing.T) {
-	f := newFleet(t, 3, 0, func(int, *grpcbox.Call) {})
+	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := ask(ctx, dial(t, config(t, Static(f.list()))), weighIn); status.Code(err) != codes.DeadlineExceeded {
@@ -205,7 +205,7 @@
 
 // What a box has found out is its client's, as it is.
 func TestAnswersPass(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcbox.Call) { k.Fail(int(codes.NotFound), "grpc-message", "no such bin") })
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.NotFound), "grpc-message", "no such bin") })
 	_, err := ask(t.Context(), dial(t, config(t, Static(f.list()))), view)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
 		t.Errorf("got %v after %d calls", err, f.calls.Load())
@@ -225,13 +225,13 @@
 // A refusal says that nothing ran, and when to come back. Three attempts are all: the library, which sends again by
 // itself what a server refused unprocessed, adds none.
 func TestRefusal(t *testing.T) {
-	for name, fault := range map[string]func(*grpcbox.Call){
-		"turned away":     func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
-		"refused streams": func(k *grpcbox.Call) { k.Reset(http2.ErrCodeRefusedStream) },
-		"goaway":          func(k *grpcbox.Call) { k.GoAway(true) },
+	for name, fault := range map[string]func(*grpcserver.Call){
+		"turned away":     func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
+		"refused streams": func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
+		"goaway":          func(k *grpcserver.Call) { k.GoAway(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 5, 0, func(_ int, k *grpcbox.Call) { fault(k) })
+			f := newFleet(t, 5, 0, func(_ int, k *grpcserver.Call) { fault(k) })
 			_, err := ask(t.Context(), dial(t, config(t, Static(f.list()))), weighIn)
 			if status.Code(err) != codes.Unavailable || advice(err) <= 0 {
 				t.Errorf("got %v, advice %v", err, advice(err))
@@ -246,7 +246,7 @@
 // A retry policy of the application's service config sends nothing again; a method that no table has is unsafe.
 func TestLibraryDoesNotRetry(t *testing.T) {
 	for _, method := range []string{weighIn, "/harvest.Log/Other"} {
-		f := newFleet(t, 3, 0, func(_ int, k *grpcbox.Call) { k.Fail(int(codes.Unavailable)) })
+		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) })
 		cfg := config(t, Static(f.list()))
 		cfg.Tier += method
 		cc := dial(t, cfg, grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"hookwalk_engine":{}}],"methodConfig":[{"name":[{}],
@@ -277,7 +277,7 @@
 // A box that drains gets nothing new, though its connection is up; one that returns with a new boot time gets a new
 // connection.
 func TestDrainAndReturn(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcbox.Call) { k.Answer(served) })
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
 	source, list := make(told), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- List{Boxes: list, Whole: true} }()
@@ -306,7 +306,7 @@
 // Channels to one tier have one engine, others their own; the last to close ends it, and a call on a closed channel
 // ends at once.
 func TestChannelsShareATier(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcbox.Call) { k.Answer(served) })
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
 	cfg := config(t, Static(f.list()))
 	a, b := dial(t, cfg), dial(t, cfg)
 	cfg.Tier = "other"
@@ -345,7 +345,7 @@
 // Calls that are given up, or whose channel closes under them, end at once and leave nothing out.
 func TestGivenUp(t *testing.T) {
 	came := make(chan struct{}, 20)
-	f := newFleet(t, 3, 0, func(int, *grpcbox.Call) { came <- struct{}{} })
+	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) { came <- struct{}{} })
 	cfg := config(t, Static(f.list()))
 	cc := dial(t, cfg)
 	ctx, leave := context.WithCancel(t.Context())
@@ -376,7 +376,7 @@
 func TestWeighInsRunOnce(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
-	f := newFleet(t, 6, 4, func(n int, k *grpcbox.Call) {
+	f := newFleet(t, 6, 4, func(n int, k *grpcserver.Call) {
 		ran := func() {
 			mu.Lock()
 			defer mu.Unlock()
@@ -464,25 +464,25 @@
 // code that nobody retries.
 func TestStreams(t *testing.T) {
 	for name, tc := range map[string]struct {
-		script   func(*grpcbox.Call)
+		script   func(*grpcserver.Call)
 		messages int
 		want     codes.Code
 	}{
-		"served":         {func(k *grpcbox.Call) { k.Header(); k.Data(served, -1); k.Data(served, -1); k.Status(0) }, 2, codes.OK},
-		"not found":      {func(k *grpcbox.Call) { k.Fail(int(codes.NotFound)) }, 0, codes.NotFound},
-		"turned away":    {func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") }, 0, codes.Unavailable},
-		"refused stream": {func(k *grpcbox.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
-		"unavailable":    {func(k *grpcbox.Call) { k.Fail(int(codes.Unavailable)) }, 0, codes.Internal},
-		"turned away late": {func(k *grpcbox.Call) {
+		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, -1); k.Status(0) }, 2, codes.OK},
+		"not found":      {func(k *grpcserver.Call) { k.Fail(int(codes.NotFound)) }, 0, codes.NotFound},
+		"turned away":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") }, 0, codes.Unavailable},
+		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
+		"unavailable":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) }, 0, codes.Internal},
+		"turned away late": {func(k *grpcserver.Call) {
 			k.Header()
 			k.Data(served, -1)
 			k.Status(int(codes.Unavailable), TurnedAway, "1")
 		}, 1, codes.Internal},
-		"cut half-way":        {func(k *grpcbox.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.Cut() }, 1, codes.Internal},
-		"goaway, then served": {func(k *grpcbox.Call) { k.GoAway(false); k.Header(); k.Data(served, -1); k.Status(0) }, 1, codes.OK},
+		"cut half-way":        {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.Cut() }, 1, codes.Internal},
+		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(served, -1); k.Status(0) }, 1, codes.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 3, 0, func(_ int, k *grpcbox.Call) { tc.script(k) })
+			f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { tc.script(k) })
 			messages, err := watch(t.Context(), dial(t, config(t, Static(f.list()))))
 			if errors.Is(err, io.EOF) {
 				err = nil
@@ -499,7 +499,7 @@
 		})
 	}
 	t.Run("nobody there", func(t *testing.T) {
-		f := newFleet(t, 3, 0, func(int, *grpcbox.Call) {})
+		f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 		for _, b := range f.boxes {
 			b.Close()
 		}
@@ -512,7 +512,7 @@
 // A drain lets a stream finish and starts no new one; a client that leaves its stream takes it off the engine.
 func TestStreamsAndDrains(t *testing.T) {
 	finish, left := make(chan struct{}), make(chan struct{}, 1)
-	f := newFleet(t, 1, 0, func(n int, k *grpcbox.Call) {
+	f := newFleet(t, 1, 0, func(n int, k *grpcserver.Call) {
 		k.Header()
 		k.Data(served, -1)
 		if n == 0 {
@@ -566,7 +566,7 @@
 // A call that waits for one of the streams that a box allows has not been sent: it is refused, not failed.
 func TestNoFreeStream(t *testing.T) {
 	came := make(chan struct{}, 2)
-	f := newFleet(t, 1, 1, func(int, *grpcbox.Call) { came <- struct{}{} })
+	f := newFleet(t, 1, 1, func(int, *grpcserver.Call) { came <- struct{}{} })
 	cc := dial(t, config(t, Static(f.list())))
 	first, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -590,7 +590,7 @@
 
 // WaitForReady does not make the library wait where the engine has decided.
 func TestWaitForReady(t *testing.T) {
-	f := newFleet(t, 3, 0, func(int, *grpcbox.Call) {})
+	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	for _, b := range f.boxes {
 		b.Close()
 	}
@@ -605,7 +605,7 @@
 // All of 10,000 boxes start anew in one update while calls go on: none fails, and only those are connected to that were
 // chosen.
 func TestManyBoxesChangeAtOnce(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcbox.Call) { k.Answer(served) })
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
 	source := make(told)
 	cc := dial(t, config(t, source), grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", f.boxes[0].Addr())
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/codes"
 
 	"hookwalk.example/hookwalk/internal/engine"
-	"hookwalk.example/hookwalk/internal/lab/grpcbox"
+	"hookwalk.example/hookwalk/internal/lab/grpcserver"
 )
 
 // looks is a log that looks at the module whenever the engine's loop writes its counts, as it does when it ends.
@@ -60,7 +60,7 @@
 
 // Whatever becomes of their connections, calls and streams leave nothing in flight behind.
 func TestFaultsLeaveNothingInFlight(t *testing.T) {
-	f := newFleet(t, 4, 0, func(n int, k *grpcbox.Call) {
+	f := newFleet(t, 4, 0, func(n int, k *grpcserver.Call) {
 		switch n % 8 {
 		case 0:
 			k.Reset(http2.ErrCodeRefusedStream)
--- a/internal/lab/outside/outside.go
+++ b/internal/lab/blackbox/blackbox.go
@@ -1,10 +1,10 @@
-// Package outside holds a history to the promises of a node by what can be seen without looking into one: what
+// Package blackbox holds a history to the promises of a node by what can be seen without looking into one: what
 // clients sent and got, what servers got and answered, what discovery wrote, and the signals that processes got. It
 // feeds the lab's auditor. Two of the auditor's facts are a node's own in virtual time, the decision to send and what
 // the node was told of an attempt's end: here an attempt is what reached a server, and its end is what that server did
 // or saw. Two are new: a cold server's load is reckoned from what reached it, and an answer is compared with what
 // servers sent for its request.
-package outside
+package blackbox
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
@@ -159,25 +159,25 @@
 	bodies map[string]bool
 }
 
-// checker turns events into the auditor's facts.
-type checker struct {
+// evaluator turns events into the auditor's facts.
+type evaluator struct {
 	head    Head
-	audit   *audit.Auditor
+	audit   *checker.Auditor
 	servers map[string]*model.Box
 	news    map[string]*start // of servers that have started
 	calls   map[call]*seen
 	heirs   map[string]int
 	stalled map[string]time.Duration    // servers, until when what is seen of them says nothing of its time
 	held    map[[2]string]time.Duration // the same of a node and a server
-	mine    []audit.Violation
+	mine    []checker.Violation
 }
 
 // lateNews is how long a server that was stopped may take to have noted all that came meanwhile.
 const lateNews = 300 * time.Millisecond
 
 // Check names the rules that a history breaks. Events are in the order of their times.
-func Check(h Head, events []Event) []audit.Violation {
-	c := &checker{head: h, audit: audit.New(&scenario.Scenario{Rules: h.Rules, Classes: h.Classes}),
+func Check(h Head, events []Event) []checker.Violation {
+	c := &evaluator{head: h, audit: checker.New(&scenario.Scenario{Rules: h.Rules, Classes: h.Classes}),
 		servers: map[string]*model.Box{}, news: map[string]*start{}, calls: map[call]*seen{}, heirs: map[string]int{},
 		stalled: map[string]time.Duration{}, held: map[[2]string]time.Duration{}}
 	c.audit.Overlap = h.Overlap
@@ -194,7 +194,7 @@
 	return append(c.audit.Violations(), c.mine...)
 }
 
-func (c *checker) take(e Event) {
+func (c *evaluator) take(e Event) {
 	switch key := (call{e.Node, e.ID}); e.What {
 	case Start:
 		c.audit.NodeStarted(e.Node)
@@ -254,7 +254,7 @@
 }
 
 // upset is what happens to a process, or between two.
-func (c *checker) upset(e Event) {
+func (c *evaluator) upset(e Event) {
 	switch {
 	case e.What == Down:
 		for key, s := range c.calls {
@@ -292,7 +292,7 @@
 }
 
 // unseen says of the attempts that are out at a server, of one node or of all, that their end is not to be seen.
-func (c *checker) unseen(e Event, node string) {
+func (c *evaluator) unseen(e Event, node string) {
 	for key, s := range c.calls {
 		for n, server := range s.out {
 			if server == e.Server && (node == "" || node == key.node) {
@@ -305,23 +305,23 @@
 const forEver = time.Duration(1<<63 - 1)
 
 // got is an answer. One that says served must be what a server has said.
-func (c *checker) got(e Event, key call) {
-	how := audit.Failed
+func (c *evaluator) got(e Event, key call) {
+	how := checker.Failed
 	switch e.Status {
 	case 200:
-		how = audit.Served
+		how = checker.Served
 	case 429, 503:
-		how = audit.Refused
+		how = checker.Refused
 	}
-	if s := c.calls[key]; how == audit.Served && s != nil && len(s.out) > 0 && !s.bodies[e.Body] {
-		c.mine = append(c.mine, audit.Violation{Rule: audit.MadeUp, At: e.At, Node: e.Node, Request: e.ID,
+	if s := c.calls[key]; how == checker.Served && s != nil && len(s.out) > 0 && !s.bodies[e.Body] {
+		c.mine = append(c.mine, checker.Violation{Rule: checker.MadeUp, At: e.At, Node: e.Node, Request: e.ID,
 			What: "served with what no server has answered"})
 	}
 	c.audit.Answered(e.At, e.Node, e.ID, how)
 }
 
 // reach is an attempt. Whatever becomes of it, it loads the server.
-func (c *checker) reach(e Event, key call) {
+func (c *evaluator) reach(e Event, key call) {
 	if e.At < max(c.stalled[e.Server], c.held[[2]string{e.Node, e.Server}]) { // it was sent at some time of the stop, or given up meanwhile
 		if s := c.calls[key]; s != nil {
 			s.out = append(s.out, e.Server)
@@ -343,7 +343,7 @@
 }
 
 // ended is the end of the latest attempt of a call that is out at a server.
-func (c *checker) ended(e Event, key call, how balancer.Ending) {
+func (c *evaluator) ended(e Event, key call, how balancer.Ending) {
 	s := c.calls[key]
 	if s == nil {
 		return
@@ -361,7 +361,7 @@
 }
 
 // boot starts a server cold.
-func (c *checker) boot(e Event) {
+func (c *evaluator) boot(e Event) {
 	kind, ok := c.head.Kinds[e.Server]
 	if !ok {
 		return
--- a/internal/lab/outside/outside_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -1,4 +1,4 @@
-package outside
+package blackbox
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
@@ -100,63 +100,63 @@
 // Each rule rejects a history that breaks it, by that rule alone, and accepts one that stays a step inside.
 func TestEachRuleHasItsHistory(t *testing.T) {
 	for name, tc := range map[string]struct {
-		rule          audit.Rule
+		rule          checker.Rule
 		wrong, inside []Event
 	}{
-		"late": {audit.InTime,
+		"late": {checker.InTime,
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(2000*ms, "s1", 200), got(2051*ms, 200)},
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(2000*ms, "s1", 200), got(2050*ms, 200)}},
-		"never": {audit.InTime, []Event{ask(1000*ms, safe)}, []Event{ask(1000*ms, safe), {At: 1100 * ms, What: Left, ID: "1"}}},
-		"never, asked as the node starts again": {audit.InTime,
+		"never": {checker.InTime, []Event{ask(1000*ms, safe)}, []Event{ask(1000*ms, safe), {At: 1100 * ms, What: Left, ID: "1"}}},
+		"never, asked as the node starts again": {checker.InTime,
 			[]Event{{At: 500 * ms, What: Kill}, {At: 1000 * ms, What: Start}, ask(1000*ms, unsafe)},
 			[]Event{ask(499*ms, unsafe), {At: 500 * ms, What: Kill}, {At: 1000 * ms, What: Start}}},
-		"twice": {audit.OneAnswer,
+		"twice": {checker.OneAnswer,
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1200*ms, "s1", 200), got(1200*ms, 200), got(1250*ms, 200)},
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1200*ms, "s1", 200), got(1200*ms, 200)}},
-		"sent after the answer": {audit.OneAnswer,
+		"sent after the answer": {checker.OneAnswer,
 			[]Event{ask(1000*ms, safe), got(1100*ms, 503), reach(1201*ms, "s1"), given(1210*ms, "s1")},
 			[]Event{ask(1000*ms, safe), got(1100*ms, 503), reach(1200*ms, "s1"), given(1210*ms, "s1")}},
-		"run twice": {audit.NoSecondRun,
+		"run twice": {checker.NoSecondRun,
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), broke(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 200), got(1200*ms, 200)},
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 503), reach(1120*ms, "s2"), reply(1200*ms, "s2", 200), got(1200*ms, 200)}},
-		"sent again after a time-out": {audit.NoSecondRun,
+		"sent again after a time-out": {checker.NoSecondRun,
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), given(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 503), got(1200*ms, 502)},
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), given(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 503), got(1200*ms, 503)}},
-		"refused after a run": {audit.Harmless,
+		"refused after a run": {checker.Harmless,
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), broke(1110*ms, "s1"), got(1120*ms, 503)},
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 503), got(1120*ms, 429)}},
-		"refused while out": {audit.Harmless,
+		"refused while out": {checker.Harmless,
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), got(1120*ms, 429), given(1130*ms, "s1")},
 			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), got(1120*ms, 502), given(1130*ms, "s1")}},
-		"two out": {audit.OneOut,
+		"two out": {checker.OneOut,
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reach(1200*ms, "s2"), given(1300*ms, "s1"), reply(1310*ms, "s2", 200), got(1310*ms, 200)},
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reach(1200*ms, "s2"), given(1299*ms, "s1"), reply(1310*ms, "s2", 200), got(1310*ms, 200)}},
-		"four attempts": {audit.MostSends, attempts(4), attempts(3)},
-		"after a drain": {audit.Drain,
+		"four attempts": {checker.MostSends, attempts(4), attempts(3)},
+		"after a drain": {checker.Drain,
 			[]Event{{At: 2000 * ms, What: Told, Server: "s1"}, ask(2200*ms, safe), reach(2301*ms, "s1"), reply(2310*ms, "s1", 200), got(2310*ms, 200)},
 			[]Event{{At: 2000 * ms, What: Told, Server: "s1"}, ask(2200*ms, safe), reach(2300*ms, "s1"), reply(2310*ms, "s1", 200), got(2310*ms, 200)}},
-		"after a word by hand": {audit.ByHand,
+		"after a word by hand": {checker.ByHand,
 			[]Event{hand(1000*ms, false), {At: 1900 * ms, What: Told, Server: "s1", Ready: true}, ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)},
 			[]Event{hand(1000*ms, false), hand(1100*ms, false), hand(1900*ms, true), ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)}},
-		"by hand, over an upgrade": {audit.ByHand,
+		"by hand, over an upgrade": {checker.ByHand,
 			[]Event{hand(1000*ms, false), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)},
 			[]Event{hand(1000*ms, false), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, ask(2000*ms, safe), reach(2100*ms, "s2"), reply(2110*ms, "s2", 200), got(2110*ms, 200)}},
-		"lost in an upgrade": {audit.InTime,
+		"lost in an upgrade": {checker.InTime,
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}},
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, got(1300*ms, 503)}},
-		"pushed over":                   {audit.Cold, cold(69, 0), cold(68, 0)}, // 45 + 3 x root of 45 + 3
-		"pushed over by those who knew": {audit.Cold, cold(69, 22), cold(69, 23)},
-		"lost on SIGTERM": {audit.Lost,
+		"pushed over":                   {checker.Cold, cold(69, 0), cold(68, 0)}, // 45 + 3 x root of 45 + 3
+		"pushed over by those who knew": {checker.Cold, cold(69, 22), cold(69, 23)},
+		"lost on SIGTERM": {checker.Lost,
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Term}, {At: 1200 * ms, What: Exit}},
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Term}, got(1150*ms, 502), {At: 1200 * ms, What: Exit}}},
-		"cut": {audit.Lost,
+		"cut": {checker.Lost,
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Cut, ID: "1"}},
 			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Kill}}},
-		"served with nothing": {audit.MadeUp, []Event{ask(1000*ms, safe), got(1100*ms, 200)}, []Event{ask(1000*ms, safe), got(1100*ms, 503)}},
-		"served with another's": {audit.MadeUp,
+		"served with nothing": {checker.MadeUp, []Event{ask(1000*ms, safe), got(1100*ms, 200)}, []Event{ask(1000*ms, safe), got(1100*ms, 503)}},
+		"served with another's": {checker.MadeUp,
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 500), got(1120*ms, 200)},
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 200), got(1120*ms, 200)}},
-		"unknown server": {audit.KnownBox,
+		"unknown server": {checker.KnownBox,
 			[]Event{ask(1000*ms, safe), reach(1100*ms, "s9"), reply(1110*ms, "s9", 200), got(1120*ms, 200)},
 			[]Event{{At: 900 * ms, What: Told, Server: "s9", Ready: true}, ask(1000*ms, safe), reach(1100*ms, "s9"), reply(1110*ms, "s9", 200), got(1120*ms, 200)}},
 	} {
@@ -203,7 +203,7 @@
 		}
 		refused := false
 		for _, v := range Check(h, events) {
-			refused = refused || v.Rule == audit.Harmless
+			refused = refused || v.Rule == checker.Harmless
 		}
 		if !refused {
 			t.Errorf("%s: every answer turned into a refusal, and accepted", name)
--- a/internal/lab/outside/cold.go
+++ b/internal/lab/blackbox/cold.go
@@ -1,4 +1,4 @@
-package outside
+package blackbox
 
 import "time"
 
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/checker/checker.go
@@ -1,7 +1,7 @@
-// Package audit holds a played world to the promises that a node makes. Virtual time and sockets tell it the same
+// Package checker holds a played world to the promises that a node makes. Virtual time and sockets tell it the same
 // facts: what a node took, sent, heard and answered, what it was told of boxes, and what boxes truly ran. It
 // decides nothing and changes nothing; each broken rule is a Violation that names rule, request, box and time.
-package audit
+package checker
 
 import (
 	"fmt"
--- a/internal/lab/fleet/hand.go
+++ b/internal/lab/fleet/admin.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 )
 
 // hands are the servers that operators have out at nodes: what a node has said yes to outlives its process, as far as
@@ -74,7 +74,7 @@
 	if !h.r.folders.fails(i) && !slices.Contains(h.out[i], id) { // else it is over with this life
 		h.out[i] = append(h.out[i], id)
 	}
-	h.r.nodes.Note(outside.Event{What: outside.Hand, Node: life, Server: id})
+	h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id})
 }
 
 // forget notes that a node may use a server again, before it is told.
@@ -85,7 +85,7 @@
 		h.out[i] = slices.Delete(h.out[i], n, n+1)
 	}
 	life, _ := h.r.nodes.Life(i)
-	h.r.nodes.Note(outside.Event{What: outside.Hand, Node: life, Server: id, Ready: true})
+	h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id, Ready: true})
 }
 
 // reborn notes what a node's next life owes of what operators said to the one before.
@@ -94,7 +94,7 @@
 	defer h.mu.Unlock()
 	life, _ := h.r.nodes.Life(i)
 	for _, id := range h.out[i] {
-		h.r.nodes.Note(outside.Event{What: outside.Hand, Node: life, Server: id})
+		h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id})
 	}
 }
 
--- a/internal/lab/fleet/upset.go
+++ b/internal/lab/fleet/faults.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"syscall"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/link"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // upset turns one into its beginning and its end; end may be nil.
@@ -22,9 +22,9 @@
 		return begin, over, nil
 	case "hush":
 		place := r.infos[u.Who[0]].Place
-		return func() error { r.discovery.tell(sockets.Message{Do: sockets.DoHush, Place: place}); return nil },
+		return func() error { r.discovery.tell(loopback.Message{Do: loopback.DoHush, Place: place}); return nil },
 			func() error {
-				r.discovery.tell(sockets.Message{Do: sockets.DoHush, Place: place, Hears: true})
+				r.discovery.tell(loopback.Message{Do: loopback.DoHush, Place: place, Hears: true})
 				return nil
 			}, nil
 	case "upgrade":
@@ -41,16 +41,16 @@
 	begin = func() error {
 		if u.Kind == "reset_link" {
 			for _, l := range list {
-				r.note(outside.Sever, l, aNode, theClient)
-				r.note(outside.Sever, l, aNode, aBox)
+				r.note(blackbox.Sever, l, aNode, theClient)
+				r.note(blackbox.Sever, l, aNode, aBox)
 				l.Reset()
 			}
 			return nil
 		}
-		r.silence(list, faults, outside.Hold, outside.Mute)
+		r.silence(list, faults, blackbox.Hold, blackbox.Mute)
 		// Nodes that hear nothing of discovery are told nothing from before the silence until after its end.
 		for name := range r.deafened(list, faults) {
-			r.nodes.Note(outside.Event{What: outside.Deaf, Node: name})
+			r.nodes.Note(blackbox.Event{What: blackbox.Deaf, Node: name})
 		}
 		heal = r.wires.fault(list, faults)
 		return nil
@@ -61,8 +61,8 @@
 		}
 		if u.Heal == "reset" {
 			for _, l := range list {
-				r.note(outside.Sever, l, aNode, theClient)
-				r.note(outside.Sever, l, aNode, aBox)
+				r.note(blackbox.Sever, l, aNode, theClient)
+				r.note(blackbox.Sever, l, aNode, aBox)
 			}
 		}
 		deaf := r.deafened(list, faults)
@@ -73,9 +73,9 @@
 			}
 		}
 		heal(u.Heal == "reset")
-		r.silence(list, faults, outside.Free, outside.Speak)
+		r.silence(list, faults, blackbox.Free, blackbox.Speak)
 		for name, l := range deaf {
-			r.nodes.Note(outside.Event{What: outside.Hears, Node: name, Ready: l != nil})
+			r.nodes.Note(blackbox.Event{What: blackbox.Hears, Node: name, Ready: l != nil})
 		}
 		return nil
 	}
@@ -99,7 +99,7 @@
 	if l.to.kind != to || l.from.kind != from {
 		return
 	}
-	e, place := outside.Event{What: what}, l.to.name
+	e, place := blackbox.Event{What: what}, l.to.name
 	if to == aBox {
 		e.Server, place = l.to.name, l.from.name
 	}
@@ -201,14 +201,14 @@
 				if r.nodes.Freeze(i, true) {
 					r.own(func() {
 						if r.nodes.Sleep(min(r.s.Front.Notice, u.Length)) && r.nodes.Now() < u.To {
-							r.clients.tell(sockets.Message{Do: sockets.DoHear, Index: i})
+							r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: i})
 						}
 					})
 				}
 				return nil
 			}, func() error {
 				if r.nodes.Freeze(i, false) && !r.leaves[i].Load() { // one that is about to end says no
-					r.clients.tell(sockets.Message{Do: sockets.DoHear, Index: i, Hears: true})
+					r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: i, Hears: true})
 				}
 				return nil
 			}, nil
@@ -222,17 +222,17 @@
 		for _, at := range p.boxes {
 			ids, _ := r.nodes.BoxNames(at[0])
 			id := ids[at[1]]
-			r.nodes.Note(outside.Event{What: what, Server: id})
+			r.nodes.Note(blackbox.Event{What: what, Server: id})
 			for n, info := range r.infos {
 				if info.HostName == id {
 					name, _ := r.nodes.Life(n)
-					r.nodes.Note(outside.Event{What: beside, Node: name})
+					r.nodes.Note(blackbox.Event{What: beside, Node: name})
 				}
 			}
 		}
 	}
-	return func() error { p.signal(syscall.SIGSTOP); note(outside.Stall, outside.Mute); return nil },
-		func() error { note(outside.Resume, outside.Speak); p.signal(syscall.SIGCONT); return nil }, nil
+	return func() error { p.signal(syscall.SIGSTOP); note(blackbox.Stall, blackbox.Mute); return nil },
+		func() error { note(blackbox.Resume, blackbox.Speak); p.signal(syscall.SIGCONT); return nil }, nil
 }
 
 // upgrade has a node's process replaced, both side by side for a while.
--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // What has become of a folder is what the scenario says, after whatever became of it before.
@@ -77,12 +77,12 @@
 		close(over)
 	}()
 	for n := 0; ended == nil; n++ {
-		if p.tell(sockets.Message{Place: strconv.Itoa(n)}); n > 10*mostWords {
+		if p.tell(loopback.Message{Place: strconv.Itoa(n)}); n > 10*mostWords {
 			t.Fatal("it takes more words than it may")
 		}
 	}
 	p.stop()
 	read.Close() // as its process ends
 	<-over
-	p.tell(sockets.Message{}) // one that is gone needs none
+	p.tell(loopback.Message{}) // one that is gone needs none
 }
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
@@ -103,7 +103,7 @@
 			if plays%7 == 0 {
 				p.Late = time.Second // the machine was slow: nothing is told
 			} else if has(s, "kill") && has(s, "cut") {
-				p.Broken = []audit.Violation{{Rule: audit.Lost}}
+				p.Broken = []checker.Violation{{Rule: checker.Lost}}
 			}
 			return p, nil
 		}}
--- a/internal/lab/fleet/part.go
+++ b/internal/lab/fleet/part.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/sockets"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
 // part is a process of the rig that is no node.
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	words  chan []byte // to it, until nil
-	ready  chan sockets.Message
+	ready  chan loopback.Message
 	exited chan struct{}
 	killed bool
 }
@@ -49,7 +49,7 @@
 const mostWords = 4096
 
 // tell sends a line to a part. One that is gone needs none; one that is stopped holds up nobody.
-func (p *part) tell(m sockets.Message) {
+func (p *part) tell(m loopback.Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
 		p.r.end(fmt.Errorf("%s: %w", p.name, err))
@@ -84,10 +84,10 @@
 }
 
 // start begins a life of a part and returns what it says once it is ready.
-func (p *part) start(m sockets.Message) (sockets.Message, error) {
+func (p *part) start(m loopback.Message) (loopback.Message, error) {
 	r := p.r
 	p.lives++
-	m.Do, m.Scenario, m.Has, m.Boxes, m.Ports = sockets.DoInit, r.s, p.has, p.boxes, r.ports
+	m.Do, m.Scenario, m.Has, m.Boxes, m.Ports = loopback.DoInit, r.s, p.has, p.boxes, r.ports
 	m.History = filepath.Join(r.dir, fmt.Sprintf("%s.%d.jsonl", p.name, p.lives))
 	cmd := exec.Command(r.opt.Program[0], append(append([]string(nil), r.opt.Program[1:]...), "lab", "part")...)
 	cmd.Env = append(os.Environ(), append(slices.Clone(r.opt.Env), "TMPDIR="+r.dir)...)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return m, fmt.Errorf("%s: %w", p.name, err)
 	}
-	ready, exited := make(chan sockets.Message, 1), make(chan struct{})
+	ready, exited := make(chan loopback.Message, 1), make(chan struct{})
 	p.mu.Lock()
 	words := make(chan []byte, mostWords)
 	p.cmd, p.words, p.ready, p.exited, p.killed = cmd, words, ready, exited, false
@@ -127,12 +127,12 @@
 			if err != nil {
 				break
 			}
-			var got sockets.Message
+			var got loopback.Message
 			if err := json.Unmarshal(text, &got); err != nil {
 				r.end(fmt.Errorf("%s: %w", p.name, err))
 				continue
 			}
-			if got.Do == sockets.DoReady {
+			if got.Do == loopback.DoReady {
 				ready <- got
 				continue
 			}
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // act is one thing that the rig does at a time.
@@ -26,8 +26,8 @@
 
 // Played is what came of a play.
 type Played struct {
-	Events  []outside.Event
-	Broken  []audit.Violation
+	Events  []blackbox.Event
+	Broken  []checker.Violation
 	Faults  []Fault       // as they were made
 	Late    time.Duration // the longest that the rig itself was late
 	Folder  string        // kept, where something was broken
@@ -100,12 +100,12 @@
 // play lets the clients come, does what the schedule says, and returns when all is answered.
 func (r *rig) play(list []act, result *Played) error {
 	r.wall = time.Now().Add(lead)
-	r.began = sockets.Monotonic() + lead
+	r.began = loopback.Monotonic() + lead
 	r.nodes.SetClock(r.began, r.wall)
 	if err := r.folders.remember(); err != nil {
 		return err
 	}
-	begin := sockets.Message{Do: sockets.DoPlay, Began: r.began, Wall: r.wall.UnixNano()}
+	begin := loopback.Message{Do: loopback.DoPlay, Began: r.began, Wall: r.wall.UnixNano()}
 	for _, p := range r.boxes {
 		p.tell(begin)
 	}
@@ -114,7 +114,7 @@
 	r.clients.tell(begin)
 	stop := make(chan struct{})
 	defer close(stop)
-	r.own(func() { sockets.Lateness(stop, func(late time.Duration) { r.late.Store(int64(late)) }) })
+	r.own(func() { loopback.Lateness(stop, func(late time.Duration) { r.late.Store(int64(late)) }) })
 	r.own(func() {
 		for _, a := range list {
 			if !r.nodes.Sleep(a.at - r.nodes.Now()) {
@@ -138,7 +138,7 @@
 	}
 	r.nodes.Sleep(model.LongestDeadline(r.s) / 2) // calls of lower tiers may outlive their clients
 	result.Late = time.Duration(r.late.Load())
-	r.nodes.Note(outside.Event{What: outside.End})
+	r.nodes.Note(blackbox.Event{What: blackbox.End})
 	return context.Cause(r.ctx)
 }
 
@@ -165,26 +165,26 @@
 		return err
 	}
 	var err error
-	if result.Events, err = outside.Merge(readers...); err != nil {
+	if result.Events, err = blackbox.Merge(readers...); err != nil {
 		return err
 	}
 	for i, e := range result.Events {
-		if e.What == outside.Late && !r.stopped(e) {
+		if e.What == blackbox.Late && !r.stopped(e) {
 			result.Late = max(result.Late, e.Budget)
 		}
-		if e.What == outside.End { // what a part still noted while it was ended is nothing
+		if e.What == blackbox.End { // what a part still noted while it was ended is nothing
 			result.Events = result.Events[:i+1]
 			break
 		}
 	}
 	if !result.TooLate() {
-		result.Broken = outside.Check(sockets.Head(r.s), result.Events)
+		result.Broken = blackbox.Check(loopback.Head(r.s), result.Events)
 	}
 	return nil
 }
 
 // stopped says that a process was late since the rig itself had stopped one.
-func (r *rig) stopped(e outside.Event) bool {
+func (r *rig) stopped(e blackbox.Event) bool {
 	for _, t := range r.s.Troubles {
 		if t.Kind == "stall" && e.At >= t.At && e.At-e.Budget <= t.At+t.Spread+t.Length {
 			return true
@@ -222,7 +222,7 @@
 
 // change carries out what every way of playing knows.
 func (r *rig) change(c model.Change, result *Played) error {
-	m := sockets.Message{Do: sockets.DoChange, Change: &c}
+	m := loopback.Message{Do: loopback.DoChange, Change: &c}
 	switch c.What {
 	case model.NodeKill:
 		place := r.infos[c.Index].Place
@@ -239,7 +239,7 @@
 		r.folders.met(c.Index, c.Folder)
 		r.nodes.Stop(c.Index, func() {
 			if r.nodes.Sleep(model.FrontDeals) {
-				r.clients.tell(sockets.Message{Do: sockets.DoHear, Index: c.Index})
+				r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: c.Index})
 			}
 		})
 	case model.NodeStart:
@@ -276,6 +276,6 @@
 // frontNotices has the front learn, after a while, that a node does not run.
 func (r *rig) frontNotices(i int) {
 	if r.nodes.Sleep(r.s.Front.Notice) && !r.nodes.Runs(i) {
-		r.clients.tell(sockets.Message{Do: sockets.DoHear, Index: i})
+		r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: i})
 	}
 }
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
@@ -19,7 +19,7 @@
 const piece10 = 100 * time.Millisecond
 
 // CourseOf reads it off a history: a first try that was served within the aim counts whole, later its part.
-func CourseOf(s *scenario.Scenario, events []outside.Event) (c Course) {
+func CourseOf(s *scenario.Scenario, events []blackbox.Event) (c Course) {
 	n := int(s.Length/piece10) + 1
 	c.Asked, c.Got = make([]float64, n), make([]float64, n)
 	for _, e := range events {
@@ -28,9 +28,9 @@
 		}
 		k := s.Classes[e.Class]
 		switch e.What {
-		case outside.Wish:
+		case blackbox.Wish:
 			c.Asked[min(max(int(e.At/piece10), 0), n-1)] += k.Worth
-		case outside.Over:
+		case blackbox.Over:
 			v := 0.0
 			switch {
 			case !e.Ready || e.Budget > k.Deadline:
@@ -103,8 +103,8 @@
 }
 
 // Peaks counts what boxes and discovery got, each box by itself and all together.
-func Peaks(events []outside.Event, fault, length time.Duration) (list []Peak) {
-	count := func(name string, of func(outside.Event) (string, bool)) {
+func Peaks(events []blackbox.Event, fault, length time.Duration) (list []Peak) {
+	count := func(name string, of func(blackbox.Event) (string, bool)) {
 		counts := map[string][]int{}
 		n := int(length/piece10) + 1
 		for _, e := range events {
@@ -137,10 +137,10 @@
 		worst.What = name
 		list = append(list, worst)
 	}
-	count("requests at one box", func(e outside.Event) (string, bool) { return e.Server, e.What == outside.Reach })
-	count("requests at all boxes", func(e outside.Event) (string, bool) { return "", e.What == outside.Reach })
-	count("handshakes at all boxes", func(e outside.Event) (string, bool) { return "", e.What == outside.Conn })
-	count("calls to discovery", func(e outside.Event) (string, bool) { return "", e.What == outside.Call })
+	count("requests at one box", func(e blackbox.Event) (string, bool) { return e.Server, e.What == blackbox.Reach })
+	count("requests at all boxes", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Reach })
+	count("handshakes at all boxes", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Conn })
+	count("calls to discovery", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Call })
 	return list
 }
 
@@ -154,7 +154,7 @@
 	fmt.Fprintf(w, "scenario %s, seed %d, %.0f s: %d nodes, %d other processes\n", s.Name, s.Seed, s.Length.Seconds(), p.Nodes, p.Parts)
 	fmt.Fprintf(w, "worth served   %.4f\n", c.Share())
 	fmt.Fprintf(w, "requests       %d first tries, %d refusals, %d attempts, %d handshakes, %d calls to discovery\n",
-		counts[outside.Wish], counts[outside.Away], counts[outside.Reach], counts[outside.Conn], counts[outside.Call])
+		counts[blackbox.Wish], counts[blackbox.Away], counts[blackbox.Reach], counts[blackbox.Conn], counts[blackbox.Call])
 	if len(p.Restart) > 0 {
 		slices.Sort(p.Restart)
 		fmt.Fprintf(w, "nodes ready    after %.2f s, median; %.2f s at most; %d starts\n",
@@ -232,9 +232,9 @@
 		wishes, away := 0, 0
 		for _, e := range p.Events {
 			switch e.What {
-			case outside.Wish:
+			case blackbox.Wish:
 				wishes++
-			case outside.Away:
+			case blackbox.Away:
 				away++
 			}
 		}
--- a/internal/lab/fleet/result_test.go
+++ b/internal/lab/fleet/result_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
@@ -50,23 +50,23 @@
 
 func TestCourseAndPeaks(t *testing.T) {
 	s := &scenario.Scenario{Length: 10 * time.Second, Classes: []scenario.Class{{Worth: 4, LateShare: 0.5, Aim: time.Second, Deadline: 2 * time.Second}}}
-	wish := func(at time.Duration) outside.Event { return outside.Event{At: at, What: outside.Wish} }
-	over := func(at, took time.Duration, served bool) outside.Event {
-		return outside.Event{At: at + took, What: outside.Over, Budget: took, Ready: served}
+	wish := func(at time.Duration) blackbox.Event { return blackbox.Event{At: at, What: blackbox.Wish} }
+	over := func(at, took time.Duration, served bool) blackbox.Event {
+		return blackbox.Event{At: at + took, What: blackbox.Over, Budget: took, Ready: served}
 	}
-	c := CourseOf(s, []outside.Event{wish(time.Second), over(time.Second, 900*time.Millisecond, true),
+	c := CourseOf(s, []blackbox.Event{wish(time.Second), over(time.Second, 900*time.Millisecond, true),
 		wish(time.Second), over(time.Second, 1500*time.Millisecond, true),
 		wish(2 * time.Second), over(2*time.Second, 100*time.Millisecond, false), wish(3 * time.Second)})
 	asked, got := c.Between(time.Second, 2*time.Second)
 	if asked != 8 || got != 6 || c.Share() != 6.0/16 {
 		t.Errorf("asked %v, got %v, share %v", asked, got, c.Share())
 	}
-	var events []outside.Event
+	var events []blackbox.Event
 	for i := range 100 { // one a tenth of a second, and after 5 s seven at once
-		events = append(events, outside.Event{At: time.Duration(i) * piece10, What: outside.Reach, Server: "s"})
+		events = append(events, blackbox.Event{At: time.Duration(i) * piece10, What: blackbox.Reach, Server: "s"})
 	}
 	for range 6 {
-		events = append(events, outside.Event{At: 7 * time.Second, What: outside.Reach, Server: "s"})
+		events = append(events, blackbox.Event{At: 7 * time.Second, What: blackbox.Reach, Server: "s"})
 	}
 	for _, p := range Peaks(events, 5*time.Second, s.Length) {
 		switch p.What {
@@ -91,7 +91,7 @@
 		p := &Played{Faults: []Fault{{At: 4 * time.Second}}}
 		for i := range 200 {
 			at := time.Duration(i) * piece10
-			p.Events = append(p.Events, outside.Event{At: at, What: outside.Wish}, outside.Event{At: at, What: outside.Over, Ready: i < from || i >= to})
+			p.Events = append(p.Events, blackbox.Event{At: at, What: blackbox.Wish}, blackbox.Event{At: at, What: blackbox.Over, Ready: i < from || i >= to})
 		}
 		return p
 	}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/link"
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // Options say how processes are started.
@@ -52,14 +52,14 @@
 	s      *scenario.Scenario
 	opt    Options
 	dir    string
-	nodes  *sockets.Nodes
-	infos  []sockets.NodeInfo
+	nodes  *loopback.Nodes
+	infos  []loopback.NodeInfo
 	ctx    context.Context
 	end    context.CancelCauseFunc
 	starts chan func()
 	wires  *wires
 	lists  *lists
-	rec    *outside.Recorder
+	rec    *blackbox.Recorder
 	files  []string // of histories; the parent's own is the first
 
 	mu        sync.Mutex
@@ -107,9 +107,9 @@
 	if err != nil {
 		return r, err
 	}
-	r.files, r.rec = append(r.files, own.Name()), outside.Continue(own)
+	r.files, r.rec = append(r.files, own.Name()), blackbox.Continue(own)
 	r.wires, r.lists = &wires{ports: r.ports}, newLists(r)
-	r.nodes, err = sockets.NewNodes(r.ctx, s, sockets.Options{Program: opt.Program, Env: append(slices.Clone(opt.Env), "TMPDIR="+r.dir), Record: r.rec, Ports: r.ports, Begin: r.begin, Dir: r.dir, Born: r.born}, r.lists)
+	r.nodes, err = loopback.NewNodes(r.ctx, s, loopback.Options{Program: opt.Program, Env: append(slices.Clone(opt.Env), "TMPDIR="+r.dir), Record: r.rec, Ports: r.ports, Begin: r.begin, Dir: r.dir, Born: r.born}, r.lists)
 	if err != nil {
 		return r, err
 	}
@@ -136,7 +136,7 @@
 		return r, err
 	}
 	r.discovery = &part{r: r, name: "discovery", has: "discovery"}
-	got, err := r.discovery.start(sockets.Message{Dials: r.lists.dials})
+	got, err := r.discovery.start(loopback.Message{Dials: r.lists.dials})
 	if err != nil {
 		return r, err
 	}
@@ -144,7 +144,7 @@
 	r.doors = got.Addrs
 	r.mu.Unlock()
 	r.clients = &part{r: r, name: "clients", has: "clients"}
-	if _, err := r.clients.start(sockets.Message{}); err != nil {
+	if _, err := r.clients.start(loopback.Message{}); err != nil {
 		return r, err
 	}
 	return r, r.startNodes()
@@ -164,7 +164,7 @@
 		}
 	}
 	return each(len(r.boxes), func(i int) error {
-		got, err := r.boxes[i].start(sockets.Message{})
+		got, err := r.boxes[i].start(loopback.Message{})
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for id, addr := range got.Addrs {
@@ -201,7 +201,7 @@
 
 // born tells discovery whom it will speak to: a node calls before it is ready.
 func (r *rig) born(place, name string) {
-	r.discovery.tell(sockets.Message{Do: sockets.DoLife, Place: place, Name: name})
+	r.discovery.tell(loopback.Message{Do: loopback.DoLife, Place: place, Name: name})
 }
 
 // errKilled says that a node was ended while it started, as the schedule has it.
@@ -220,18 +220,18 @@
 	info := r.infos[i]
 	name, _ := r.nodes.Life(i)
 	r.wires.refuse(toNode(info.Place), false)
-	m := sockets.Message{Do: sockets.DoLife, Place: info.Place, Name: name, Addr: r.wires.addr(info.Place)}
+	m := loopback.Message{Do: loopback.DoLife, Place: info.Place, Name: name, Addr: r.wires.addr(info.Place)}
 	if info.Front < 0 {
 		r.at[info.HostName].tell(m)
 		return nil
 	}
 	r.clients.tell(m)
-	r.clients.tell(sockets.Message{Do: sockets.DoHear, Index: info.Front, Hears: true})
+	r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: info.Front, Hears: true})
 	return nil
 }
 
 // heard is what a part says while it runs.
-func (r *rig) heard(p *part, m sockets.Message) {
+func (r *rig) heard(p *part, m loopback.Message) {
 	ids := []string{}
 	if m.Tier >= 0 && m.Tier < len(r.s.Tiers) {
 		ids, _ = r.nodes.BoxNames(m.Tier)
@@ -241,18 +241,18 @@
 		id = ids[m.Index]
 	}
 	switch m.Do {
-	case sockets.DoLearn:
+	case loopback.DoLearn:
 		r.lists.learn(m)
 		r.discovery.tell(m)
-	case sockets.DoDown:
+	case loopback.DoDown:
 		r.gone(id)
 		r.killHosted(id)
-	case sockets.DoUp:
+	case loopback.DoUp:
 		r.mu.Lock()
 		r.addrs[id] = m.Addr
 		r.mu.Unlock()
 		r.wires.refuse(toBox(id), false)
-	case sockets.DoWant:
+	case loopback.DoWant:
 		r.own(func() {
 			for i, info := range r.infos {
 				if info.HostName != id {
@@ -260,13 +260,13 @@
 				}
 				switch err := r.startNode(i); {
 				case err == nil:
-					p.tell(sockets.Message{Do: sockets.DoUp, Tier: m.Tier, Index: m.Index})
+					p.tell(loopback.Message{Do: loopback.DoUp, Tier: m.Tier, Index: m.Index})
 				case !errors.Is(err, errKilled):
 					r.end(err)
 				}
 			}
 		})
-	case sockets.DoDone:
+	case loopback.DoDone:
 		close(r.done)
 	default:
 		r.end(fmt.Errorf("%s says %q", p.name, m.Do))
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/servers.go
@@ -5,9 +5,9 @@
 import (
 	"syscall"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // boxKill ends a process of boxes as a machine dies, with the nodes beside them.
@@ -20,18 +20,18 @@
 		ids, _ := r.nodes.BoxNames(at[0])
 		id := ids[at[1]]
 		r.gone(id)
-		r.nodes.Note(outside.Event{What: outside.Down, Server: id})
+		r.nodes.Note(blackbox.Event{What: blackbox.Down, Server: id})
 		for n, info := range r.infos {
 			if info.HostName == id {
 				r.folders.met(n, folder)
 			}
 		}
 		r.killHosted(id)
-		r.tellList(sockets.Message{Do: sockets.DoLearn, Tier: at[0], Index: at[1], Health: "terminated", Wait: r.s.Discovery.Notice})
+		r.tellList(loopback.Message{Do: loopback.DoLearn, Tier: at[0], Index: at[1], Health: "terminated", Wait: r.s.Discovery.Notice})
 	}
 }
 
-func (r *rig) tellList(m sockets.Message) {
+func (r *rig) tellList(m loopback.Message) {
 	r.lists.learn(m)
 	r.discovery.tell(m)
 }
@@ -42,12 +42,12 @@
 		return nil
 	}
 	r.own(func() {
-		if _, err := p.start(sockets.Message{Cold: true, Began: r.began, Wall: r.wall.UnixNano()}); err != nil {
+		if _, err := p.start(loopback.Message{Cold: true, Began: r.began, Wall: r.wall.UnixNano()}); err != nil {
 			r.end(err)
 			return
 		}
 		for _, at := range p.boxes {
-			p.tell(sockets.Message{Do: sockets.DoChange, Change: &model.Change{What: model.Boot, Tier: at[0], Index: at[1], Class: -1}})
+			p.tell(loopback.Message{Do: loopback.DoChange, Change: &model.Change{What: model.Boot, Tier: at[0], Index: at[1], Class: -1}})
 		}
 	})
 	return nil
--- a/internal/lab/fleet/rogue_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -9,24 +9,24 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/audit"
-	"hookwalk.example/hookwalk/internal/lab/outside"
-	"hookwalk.example/hookwalk/internal/lab/rogue"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
+	"hookwalk.example/hookwalk/internal/lab/violator"
 )
 
 // TestMain lets the test binary stand in for the rig's parts, and for nodes that break a rule.
 func TestMain(m *testing.M) {
-	fault := os.Getenv(rogue.Variable)
+	fault := os.Getenv(violator.Variable)
 	if fault == "" {
 		os.Exit(m.Run())
 	}
 	var err error
 	if slices.Equal(os.Args[1:], []string{"lab", "part"}) {
-		err = sockets.ServePart(context.Background(), os.Stdin, os.Stdout)
+		err = loopback.ServePart(context.Background(), os.Stdin, os.Stdout)
 	} else {
-		err = rogue.Serve(fault)
+		err = violator.Serve(fault)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -39,7 +39,7 @@
 func judged(t *testing.T, fault string, s *scenario.Scenario) *Played {
 	t.Helper()
 	for range 3 {
-		p, err := Play(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{rogue.Variable + "=" + fault}})
+		p, err := Play(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + fault}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,23 +58,23 @@
 	met := map[string]bool{}
 	for trouble, tc := range map[string]struct {
 		fault string
-		want  audit.Rule
+		want  checker.Rule
 	}{
-		`"kill" { at_s = 0.6 length_s = 0.3 part = 0.5 folder = "emptied" }`: {rogue.NoAnswer, audit.Lost},
-		`"stall" { at_s = 0.6 length_s = 0.4 part = 0.5 }`:                   {rogue.Late, audit.InTime},
-		`"cut" { ` + nodesToBoxes + ` way = "back" }`:                        {rogue.AgainAndAgain, audit.MostSends},
-		`"slow_link" { ` + nodesToBoxes + ` delay_ms = 5 }`:                  {rogue.TwoAtOnce, audit.OneOut},
-		`"reset_link" { ` + nodesToBoxes + ` }`:                              {rogue.AgainAndAgain, audit.NoSecondRun},
-		`"refuse_link" { ` + nodesToBoxes + ` }`:                             {rogue.RefusedRun, audit.Harmless},
-		`"half_open" { ` + nodesToBoxes + ` }`:                               {rogue.MadeUp, audit.MadeUp},
-		`"break_link" { ` + nodesToBoxes + ` bytes = 40 }`:                   {rogue.MadeUp, audit.MadeUp},
-		`"box_kill" { at_s = 0.5 length_s = 0.1 part = 1 }`:                  {rogue.Flood, audit.Cold},
-		`"upgrade" { at_s = 1 part = 1 }`:                                    {rogue.Hasty, audit.Lost},
-		`"hand" { at_s = 0.5 length_s = 1 part = 1 }`:                        {rogue.Hasty, audit.ByHand},
-		`"release" { at_s = 0.5 length_s = 1 part = 1 }`:                     {rogue.DeafToNews, audit.Drain},
+		`"kill" { at_s = 0.6 length_s = 0.3 part = 0.5 folder = "emptied" }`: {violator.NoAnswer, checker.Lost},
+		`"stall" { at_s = 0.6 length_s = 0.4 part = 0.5 }`:                   {violator.Late, checker.InTime},
+		`"cut" { ` + nodesToBoxes + ` way = "back" }`:                        {violator.AgainAndAgain, checker.MostSends},
+		`"slow_link" { ` + nodesToBoxes + ` delay_ms = 5 }`:                  {violator.TwoAtOnce, checker.OneOut},
+		`"reset_link" { ` + nodesToBoxes + ` }`:                              {violator.AgainAndAgain, checker.NoSecondRun},
+		`"refuse_link" { ` + nodesToBoxes + ` }`:                             {violator.RefusedRun, checker.Harmless},
+		`"half_open" { ` + nodesToBoxes + ` }`:                               {violator.MadeUp, checker.MadeUp},
+		`"break_link" { ` + nodesToBoxes + ` bytes = 40 }`:                   {violator.MadeUp, checker.MadeUp},
+		`"box_kill" { at_s = 0.5 length_s = 0.1 part = 1 }`:                  {violator.Flood, checker.Cold},
+		`"upgrade" { at_s = 1 part = 1 }`:                                    {violator.Hasty, checker.Lost},
+		`"hand" { at_s = 0.5 length_s = 1 part = 1 }`:                        {violator.Hasty, checker.ByHand},
+		`"release" { at_s = 0.5 length_s = 1 part = 1 }`:                     {violator.DeafToNews, checker.Drain},
 		// what a silent watch missed counts as told 6 s later to a node that keeps it
 		`"hush" { at_s = 0.2 length_s = 7.5 part = 1 }
-trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {rogue.DeafToNews, audit.Drain},
+trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {violator.DeafToNews, checker.Drain},
 	} {
 		length := "2"
 		if strings.Contains(trouble, "hush") {
@@ -96,7 +96,7 @@
 		t.Run(s.Troubles[0].Kind, func(t *testing.T) {
 			t.Parallel()
 			broken := judged(t, tc.fault, s).Broken
-			if !slices.ContainsFunc(broken, func(v audit.Violation) bool { return v.Rule == tc.want }) {
+			if !slices.ContainsFunc(broken, func(v checker.Violation) bool { return v.Rule == tc.want }) {
 				t.Errorf("%q is not among the %d rules broken: %v", tc.want, len(broken), broken[:min(3, len(broken))])
 			}
 		})
@@ -122,8 +122,8 @@
 `)
 		t.Run(folder, func(t *testing.T) {
 			t.Parallel()
-			broken := judged(t, rogue.Forgetful, s).Broken
-			if other := slices.IndexFunc(broken, func(v audit.Violation) bool { return v.Rule != audit.ByHand || v.At < time.Second }); other >= 0 {
+			broken := judged(t, violator.Forgetful, s).Broken
+			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.ByHand || v.At < time.Second }); other >= 0 {
 				t.Errorf("also broken: %v", broken[other])
 			}
 			if len(broken) > 0 != owed {
@@ -136,7 +136,7 @@
 // Two troubles that have one process of boxes down at a time start it once, after the later; a trouble whose end is
 // that of the play leaves no process behind. Play waits for all of them.
 func TestTroublesThatOverlap(t *testing.T) {
-	p := judged(t, rogue.Hasty, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
+	p := judged(t, violator.Hasty, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
 tier "t" { kind "k" { count = 2 } }
 class "c" { effect = "safe" }
 clients { rate = 10 retries = 0 }
@@ -148,7 +148,7 @@
 `))
 	boots := 0
 	for _, e := range p.Events {
-		if e.What == outside.Boot && e.At > 0 {
+		if e.What == blackbox.Boot && e.At > 0 {
 			boots++
 		}
 	}
--- a/internal/lab/fleet/wires.go
+++ b/internal/lab/fleet/wires.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/lab/link"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
 // kind is what stands at the end of a wire.
@@ -209,7 +209,7 @@
 	dials map[string]map[string]string
 
 	mu     sync.Mutex
-	tiers  []sockets.Roster
+	tiers  []loopback.Roster
 	orders map[[2]int]int
 	past   []snapshot
 }
@@ -217,7 +217,7 @@
 // snapshot is the lists of all tiers from a time on.
 type snapshot struct {
 	at    time.Duration
-	tiers []sockets.Roster
+	tiers []loopback.Roster
 }
 
 func newLists(r *rig) *lists {
@@ -230,10 +230,10 @@
 		return
 	}
 	for t := range l.r.s.Tiers {
-		list := sockets.Roster{Seq: 1, Whole: true}
+		list := loopback.Roster{Seq: 1, Whole: true}
 		ids, kinds := l.r.nodes.BoxNames(t)
 		for i, id := range ids {
-			list.Hosts = append(list.Hosts, sockets.NewEntry(id, kinds[i], "", i))
+			list.Hosts = append(list.Hosts, loopback.NewEntry(id, kinds[i], "", i))
 		}
 		l.tiers = append(l.tiers, list)
 	}
@@ -244,14 +244,14 @@
 func (l *lists) keep() {
 	now := snapshot{at: l.r.nodes.Now()}
 	for _, t := range l.tiers {
-		t.Hosts = append([]sockets.Entry(nil), t.Hosts...)
+		t.Hosts = append([]loopback.Entry(nil), t.Hosts...)
 		now.tiers = append(now.tiers, t)
 	}
 	l.past = append(l.past, now)
 }
 
 // learn notes what discovery will list.
-func (l *lists) learn(m sockets.Message) {
+func (l *lists) learn(m loopback.Message) {
 	key := [2]int{m.Tier, m.Index}
 	l.mu.Lock()
 	l.fill()
@@ -285,7 +285,7 @@
 const seqBack = 4
 
 // Known is the list that a node starts with, as the scenario says.
-func (l *lists) Known(place string, tier int) sockets.Roster {
+func (l *lists) Known(place string, tier int) loopback.Roster {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fill()
@@ -299,7 +299,7 @@
 			}
 		}
 	}
-	given := sockets.Roster{Seq: max(1, list.Seq-seqBack), Whole: true, Hosts: []sockets.Entry{}}
+	given := loopback.Roster{Seq: max(1, list.Seq-seqBack), Whole: true, Hosts: []loopback.Entry{}}
 	if f.Known == "none" {
 		given.Seq = 0
 		return given
--- a/internal/lab/grpcbox/grpcbox.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -1,6 +1,6 @@
-// Package grpcbox is a stand-in for a gRPC server that does to each call what a script says. It writes HTTP/2 frames
+// Package grpcserver is a stand-in for a gRPC server that does to each call what a script says. It writes HTTP/2 frames
 // itself, for a sound server would not let streams be refused, cut or left silent at will.
-package grpcbox
+package grpcserver
 
 import (
 	"bytes"
--- a/internal/lab/sockets/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/link"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 )
 
 // roster is a list, or its changes, in discovery's published form.
@@ -50,9 +50,9 @@
 type door struct {
 	addr   string
 	server *http.Server
-	quiet  chan struct{}   // closed: what is open there brings nothing any more
-	mute   bool            // a call is taken, and never answered
-	given  []outside.Event // watches that the node gave up meanwhile
+	quiet  chan struct{}    // closed: what is open there brings nothing any more
+	mute   bool             // a call is taken, and never answered
+	given  []blackbox.Event // watches that the node gave up meanwhile
 }
 
 // hush has nothing more come on the watches that a node has open. While it is on, the node's calls are taken and not
@@ -75,7 +75,7 @@
 }
 
 // given notes that a node has given up a watch that had fallen silent.
-func (d *discovery) given(p *process, e outside.Event) {
+func (d *discovery) given(p *process, e blackbox.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if door := d.doors[p]; door.mute {
@@ -241,7 +241,7 @@
 	}
 	d.follow(w, from)
 	if w.silent {
-		d.given(p, outside.Event{At: d.w.now(), What: outside.Hears, Node: life, ID: w.id})
+		d.given(p, blackbox.Event{At: d.w.now(), What: blackbox.Hears, Node: life, ID: w.id})
 	}
 }
 
@@ -258,7 +258,7 @@
 
 func (w *watch) hushed(d *discovery) {
 	w.silent, w.quiet = true, nil
-	d.w.facts.seen(outside.Event{At: d.w.now(), What: outside.Deaf, Node: w.life, ID: w.id, Ready: true})
+	d.w.facts.seen(blackbox.Event{At: d.w.now(), What: blackbox.Deaf, Node: w.life, ID: w.id, Ready: true})
 }
 
 // follow writes the changes since a version, and then every change, until the connection ends.
--- a/internal/lab/sockets/facts.go
+++ b/internal/lab/loopback/facts.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"strconv"
@@ -6,8 +6,8 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
@@ -22,11 +22,11 @@
 // facts brings what many goroutines see to one auditor and one score.
 type facts struct {
 	mu    sync.Mutex
-	audit *audit.Auditor
+	audit *checker.Auditor
 	score *score.Score
 	sends map[string]int // attempts by root
 	tries map[attemptKey]int
-	rec   *outside.Recorder // what is seen from outside; nil: not kept
+	rec   *blackbox.Recorder // what is seen from outside; nil: not kept
 }
 
 type attemptKey struct{ node, id string }
@@ -34,7 +34,7 @@
 func newFacts(s *scenario.Scenario) *facts {
 	wide := *s
 	wide.Rules.Slack += socketSlack
-	f := &facts{audit: audit.New(&wide), score: score.New(s), sends: map[string]int{}, tries: map[attemptKey]int{}}
+	f := &facts{audit: checker.New(&wide), score: score.New(s), sends: map[string]int{}, tries: map[attemptKey]int{}}
 	f.audit.Overlap = noticing
 	return f
 }
@@ -46,26 +46,26 @@
 }
 
 // seen records an event, under the lock that keeps the order.
-func (f *facts) seen(e outside.Event) { f.do(func() { f.rec.Note(e) }) }
+func (f *facts) seen(e blackbox.Event) { f.do(func() { f.rec.Note(e) }) }
 
 func (f *facts) handshake(now time.Duration, box string) {
 	f.do(func() {
 		f.score.Handshakes++
-		f.rec.Note(outside.Event{At: now, What: outside.Conn, Server: box})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Conn, Server: box})
 	})
 }
 
 // called is a call to discovery.
 func (f *facts) called(now time.Duration, node string) {
-	f.seen(outside.Event{At: now, What: outside.Call, Node: node})
+	f.seen(blackbox.Event{At: now, What: blackbox.Call, Node: node})
 }
 
 func (f *facts) started(now time.Duration, name string, known roster) {
 	f.do(func() {
 		f.audit.NodeStarted(name)
-		f.rec.Note(outside.Event{At: now, What: outside.Start, Node: name})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Start, Node: name})
 		for _, h := range known.Hosts {
-			f.rec.Note(outside.Event{At: now, What: outside.Told, Node: name, Server: h.Host, Ready: h.Health == "in_service"})
+			f.rec.Note(blackbox.Event{At: now, What: blackbox.Told, Node: name, Server: h.Host, Ready: h.Health == "in_service"})
 			f.audit.Told(now, name, h.Host, h.Health == "in_service")
 		}
 	})
@@ -74,14 +74,14 @@
 func (f *facts) killed(now time.Duration, name string) {
 	f.do(func() {
 		f.audit.NodeKilled(name)
-		f.rec.Note(outside.Event{At: now, What: outside.Kill, Node: name})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Kill, Node: name})
 	})
 }
 
 func (f *facts) stopped(now time.Duration, name string) {
 	f.do(func() {
 		f.audit.NodeStopped(now, name)
-		f.rec.Note(outside.Event{At: now, What: outside.Exit, Node: name})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Exit, Node: name})
 	})
 }
 
@@ -95,7 +95,7 @@
 			if h.Health == "in_service" {
 				at = before
 			}
-			f.rec.Note(outside.Event{At: at, What: outside.Told, Node: name, ID: watch, Server: h.Host, Ready: h.Health == "in_service"})
+			f.rec.Note(blackbox.Event{At: at, What: blackbox.Told, Node: name, ID: watch, Server: h.Host, Ready: h.Health == "in_service"})
 			f.audit.Told(now, name, h.Host, h.Health == "in_service")
 		}
 	})
@@ -104,7 +104,7 @@
 func (f *facts) taken(now time.Duration, node, id string, class int, deadline time.Duration) {
 	f.do(func() {
 		f.audit.Taken(now, node, id, class, deadline)
-		f.rec.Note(outside.Event{At: now, What: outside.Ask, Node: node, ID: id, Class: class, Budget: deadline - now})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Ask, Node: node, ID: id, Class: class, Budget: deadline - now})
 	})
 }
 
@@ -112,14 +112,14 @@
 func (f *facts) noAnswer(now time.Duration, node, id string) {
 	f.do(func() {
 		f.audit.Gone(now, node, id)
-		f.rec.Note(outside.Event{At: now, What: outside.Left, Node: node, ID: id})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Left, Node: node, ID: id})
 	})
 }
 
 func (f *facts) dropped(now time.Duration, node, id string, kept bool) {
 	f.do(func() {
 		f.audit.Dropped(now, node, id)
-		f.rec.Note(outside.Event{At: now, What: outside.Cut, Node: node, ID: id, Ready: kept})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Cut, Node: node, ID: id, Ready: kept})
 	})
 }
 
@@ -130,16 +130,16 @@
 }
 
 func (f *facts) answered(now time.Duration, node, id string, status int, body string) {
-	how := audit.Failed
+	how := checker.Failed
 	switch status {
 	case 200:
-		how = audit.Served
+		how = checker.Served
 	case 429, 503:
-		how = audit.Refused
+		how = checker.Refused
 	}
 	f.do(func() {
 		f.audit.Answered(now, node, id, how)
-		f.rec.Note(outside.Event{At: now, What: outside.Got, Node: node, ID: id, Status: status, Body: body})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Got, Node: node, ID: id, Status: status, Body: body})
 		delete(f.tries, attemptKey{node, id})
 	})
 }
@@ -148,7 +148,7 @@
 func (f *facts) sent(now time.Duration, node, id, box, root string, work time.Duration) (number int) {
 	f.do(func() {
 		f.audit.Sent(now, node, id, box)
-		f.rec.Note(outside.Event{At: now, What: outside.Reach, Node: node, ID: id, Server: box, Work: work})
+		f.rec.Note(blackbox.Event{At: now, What: blackbox.Reach, Node: node, ID: id, Server: box, Work: work})
 		f.score.Attempts++
 		f.sends[root]++
 		key := attemptKey{node, id}
@@ -185,7 +185,7 @@
 func (f *facts) asked(at time.Duration, class, tenant int) {
 	f.do(func() {
 		f.score.Asked(at, class, tenant)
-		f.rec.Note(outside.Event{At: at, What: outside.Wish, Class: class})
+		f.rec.Note(blackbox.Event{At: at, What: blackbox.Wish, Class: class})
 	})
 }
 
@@ -194,14 +194,14 @@
 func (f *facts) refused(at time.Duration) {
 	f.do(func() {
 		f.score.Refused(at)
-		f.rec.Note(outside.Event{At: at, What: outside.Away})
+		f.rec.Note(blackbox.Event{At: at, What: blackbox.Away})
 	})
 }
 
 func (f *facts) over(r *root, took time.Duration, how score.End) {
 	f.do(func() {
 		id := strconv.Itoa(r.number)
-		f.rec.Note(outside.Event{At: r.At + took, What: outside.Over, ID: id, Class: r.Class, Budget: took, Ready: how == score.Served})
+		f.rec.Note(blackbox.Event{At: r.At + took, What: blackbox.Over, ID: id, Class: r.Class, Budget: took, Ready: how == score.Served})
 		f.score.Over(r.At, took, r.Class, r.Tenant, f.sends[id], how)
 		delete(f.sends, id)
 	})
--- a/internal/lab/sockets/nodes.go
+++ b/internal/lab/loopback/nodes.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
@@ -155,7 +155,7 @@
 	if ended == nil {
 		return
 	}
-	w.facts.seen(outside.Event{At: w.now(), What: outside.Term, Node: name})
+	w.facts.seen(blackbox.Event{At: w.now(), What: blackbox.Term, Node: name})
 	w.own(func() {
 		heard()
 		<-ended
@@ -167,22 +167,22 @@
 // Freeze stops a node's process where it is, or lets it go on. False: it does not run.
 func (n *Nodes) Freeze(i int, stop bool) bool {
 	name, _ := n.Life(i)
-	sig, what := syscall.SIGCONT, outside.Resume
+	sig, what := syscall.SIGCONT, blackbox.Resume
 	if stop {
-		sig, what = syscall.SIGSTOP, outside.Stall
+		sig, what = syscall.SIGSTOP, blackbox.Stall
 	}
 	if !stop { // what it does from now on must not be seen before it is known to run
-		n.Note(outside.Event{What: what, Node: name})
+		n.Note(blackbox.Event{What: what, Node: name})
 	}
 	ended, _ := n.w.processes[i].signal(sig)
 	if ended != nil && stop {
-		n.Note(outside.Event{What: what, Node: name})
+		n.Note(blackbox.Event{What: what, Node: name})
 	}
 	return ended != nil
 }
 
 // Note adds an event of now.
-func (n *Nodes) Note(e outside.Event) {
+func (n *Nodes) Note(e blackbox.Event) {
 	e.At = n.w.now()
 	n.w.facts.seen(e)
 }
--- a/internal/lab/sockets/operated.go
+++ b/internal/lab/loopback/operated.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/link"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 )
 
 // operated gives a node that operators may call an address of their own, a new one for each process, and one for
@@ -115,7 +115,7 @@
 	if err := p.ready(ctx, "http://"+control+"/control/ready", exited, late.C); err != nil {
 		return err
 	}
-	p.w.facts.seen(outside.Event{At: p.w.now(), What: outside.Heir, Node: name})
+	p.w.facts.seen(blackbox.Event{At: p.w.now(), What: blackbox.Heir, Node: name})
 	before.Process.Signal(syscall.SIGTERM) // one that has ended meanwhile needs none
 	select {
 	case <-ended:
@@ -127,7 +127,7 @@
 	p.mu.Unlock()
 	if alive {
 		p.w.sleep(socketSlack) // its last answers are still being read
-		p.w.facts.seen(outside.Event{At: p.w.now(), What: outside.Exit, Node: name})
+		p.w.facts.seen(blackbox.Event{At: p.w.now(), What: blackbox.Exit, Node: name})
 	}
 	return nil
 }
--- a/internal/lab/sockets/part.go
+++ b/internal/lab/loopback/part.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
@@ -119,7 +119,7 @@
 		return fmt.Errorf("part: %w", err)
 	}
 	defer file.Close()
-	w, err := newWorld(ctx, first.Scenario, Options{Record: outside.Continue(file), Ports: first.Ports})
+	w, err := newWorld(ctx, first.Scenario, Options{Record: blackbox.Continue(file), Ports: first.Ports})
 	if w.dir != "" {
 		defer os.RemoveAll(w.dir)
 	}
@@ -246,7 +246,7 @@
 	case DoPlay:
 		w.setClock(m.Began, time.Unix(0, m.Wall))
 		w.own(func() {
-			Lateness(w.ctx.Done(), func(late time.Duration) { w.facts.seen(outside.Event{At: w.now(), What: outside.Late, Budget: late}) })
+			Lateness(w.ctx.Done(), func(late time.Duration) { w.facts.seen(blackbox.Event{At: w.now(), What: blackbox.Late, Budget: late}) })
 		})
 		if m.Has == "clients" {
 			w.own(func() {
--- a/internal/lab/sockets/box.go
+++ b/internal/lab/loopback/server.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/link"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
@@ -213,7 +213,7 @@
 		select {
 		case <-left:
 			b.w.facts.ended(b.w.now(), v.from, v.id, v.number, balancer.TimedOut)
-			b.seen(v, outside.Event{What: outside.Given})
+			b.seen(v, blackbox.Event{What: blackbox.Given})
 		case <-over:
 		}
 	})
@@ -244,24 +244,24 @@
 	b.mu.Unlock()
 	switch {
 	case status == 0:
-		b.seen(v, outside.Event{What: outside.Broke})
+		b.seen(v, blackbox.Event{What: blackbox.Broke})
 		reset(k.Conn)
 		return false
 	case status == 200 && broken > 0 && b.w.chance() < broken: // half an answer
-		b.seen(v, outside.Event{What: outside.Broke})
+		b.seen(v, blackbox.Event{What: blackbox.Broke})
 		fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"box\":")
 		return false
 	case status == 503:
-		b.seen(v, outside.Event{What: outside.Reply, Status: 503, Never: true})
+		b.seen(v, blackbox.Event{What: blackbox.Reply, Status: 503, Never: true})
 		return respond(k, 503, []string{"X-Rejected: 1"}, "full\n")
 	}
 	text := fmt.Sprintf("{\"box\":%q,\"class\":%q}\n", b.model.ID, b.w.s.Classes[v.class].Name)
-	b.seen(v, outside.Event{What: outside.Reply, Status: status, Body: text})
+	b.seen(v, blackbox.Event{What: blackbox.Reply, Status: status, Body: text})
 	return respond(k, status, nil, text)
 }
 
 // seen records what a box does with a request.
-func (b *box) seen(v *visit, e outside.Event) {
+func (b *box) seen(v *visit, e blackbox.Event) {
 	e.At, e.Node, e.ID, e.Server = b.w.now(), v.from, v.id, b.model.ID
 	b.w.facts.seen(e)
 }
--- a/internal/lab/sockets/box_test.go
+++ b/internal/lab/loopback/server_test.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"bufio"
--- a/internal/lab/sockets/rogue_test.go
+++ b/internal/lab/loopback/violator_test.go
@@ -1,4 +1,4 @@
-package sockets
+package loopback
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"hookwalk.example/hookwalk/internal/lab/audit"
-	"hookwalk.example/hookwalk/internal/lab/rogue"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
+	"hookwalk.example/hookwalk/internal/lab/violator"
 )
 
 // TestMain lets the test binary stand in for a node that breaks a rule.
 func TestMain(m *testing.M) {
-	if fault := os.Getenv(rogue.Variable); fault != "" {
-		if err := rogue.Serve(fault); err != nil {
+	if fault := os.Getenv(violator.Variable); fault != "" {
+		if err := violator.Serve(fault); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 		os.Exit(1)
@@ -26,12 +26,12 @@
 
 // On sockets too each fault of a node is named for what it is.
 func TestAuditorSeesRoguesOnSockets(t *testing.T) {
-	for fault, want := range map[string][]audit.Rule{
-		rogue.MadeUp:        {audit.MadeUp},
-		rogue.NoAnswer:      {audit.Lost},
-		rogue.TwoAtOnce:     {audit.OneOut, audit.NoSecondRun},
-		rogue.AgainAndAgain: {audit.MostSends, audit.NoSecondRun},
-		rogue.RefusedRun:    {audit.Harmless},
+	for fault, want := range map[string][]checker.Rule{
+		violator.MadeUp:        {checker.MadeUp},
+		violator.NoAnswer:      {checker.Lost},
+		violator.TwoAtOnce:     {checker.OneOut, checker.NoSecondRun},
+		violator.AgainAndAgain: {checker.MostSends, checker.NoSecondRun},
+		violator.RefusedRun:    {checker.Harmless},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, err := Up(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{rogue.Variable + "=" + fault}})
+			w, err := Up(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + fault}})
 			defer w.Down(false)
 			if err != nil {
 				t.Fatal(err)
@@ -52,7 +52,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			seen := map[audit.Rule]bool{}
+			seen := map[checker.Rule]bool{}
 			for _, v := range auditor.Violations() {
 				seen[v.Rule] = true
 			}
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := Up(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{rogue.Variable + "=" + rogue.MadeUp}})
+	w, err := Up(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + violator.MadeUp}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sockets/world.go
+++ b/internal/lab/loopback/world.go
@@ -1,8 +1,8 @@
-// Package sockets plays a scenario on loopback in real time: real node processes, and stand-ins for boxes,
+// Package loopback plays a scenario on loopback in real time: real node processes, and stand-ins for boxes,
 // discovery, front and clients on real connections, with the faults made there: resets, silence, half answers,
 // refused connects, SIGKILL and SIGTERM. The model's boxes, arrivals and troubles are those of virtual time, and
 // the same auditor holds both to the rules.
-package sockets
+package loopback
 
 import (
 	"context"
@@ -18,18 +18,18 @@
 
 	"golang.org/x/sys/unix"
 
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
 // Options say how nodes are started.
 type Options struct {
-	Program []string          // what `run` is added to
-	Env     []string          // added to the environment
-	Record  *outside.Recorder // takes what can be seen from outside; nil: nothing does
+	Program []string           // what `run` is added to
+	Env     []string           // added to the environment
+	Record  *blackbox.Recorder // takes what can be seen from outside; nil: nothing does
 
 	Begin func(*exec.Cmd) error    // starts a process; nil: as usual
 	Born  func(place, name string) // is told of a node's life before it begins; may be nil
@@ -251,7 +251,7 @@
 }
 
 // Play lets the clients and the troubles come, and returns when all is answered.
-func (w *World) Play() (*score.Score, *audit.Auditor, error) {
+func (w *World) Play() (*score.Score, *checker.Auditor, error) {
 	changes, err := model.Troubles(w.s)
 	if err != nil {
 		return nil, nil, err
@@ -283,13 +283,13 @@
 	w.facts.mu.Lock()
 	defer w.facts.mu.Unlock()
 	w.facts.audit.Finish(w.now())
-	w.facts.rec.Note(outside.Event{At: w.now(), What: outside.End})
+	w.facts.rec.Note(blackbox.Event{At: w.now(), What: blackbox.End})
 	return w.facts.score, w.facts.audit, nil
 }
 
 // Head is the head of a history of a scenario on sockets.
-func Head(s *scenario.Scenario) outside.Head {
-	h := outside.HeadOf(s, noticing)
+func Head(s *scenario.Scenario) blackbox.Head {
+	h := blackbox.HeadOf(s, noticing)
 	h.Rules.Slack += socketSlack
 	names := model.Stream(s.Seed, "names", 0)
 	for t, tier := range s.Tiers {
@@ -451,7 +451,7 @@
 func (w *World) bootNow(b *box) error {
 	now := w.now()
 	b.set(func() { b.model.Start(now) })
-	w.facts.seen(outside.Event{At: now, What: outside.Boot, Server: b.model.ID})
+	w.facts.seen(blackbox.Event{At: now, What: blackbox.Boot, Server: b.model.ID})
 	if err := b.start(); err != nil {
 		return err
 	}
@@ -468,7 +468,7 @@
 	if ended == nil {
 		return
 	}
-	w.facts.seen(outside.Event{At: w.now(), What: outside.Term, Node: name})
+	w.facts.seen(blackbox.Event{At: w.now(), What: blackbox.Term, Node: name})
 	w.afterwards(model.FrontDeals, func() { w.front.hear(i, false) })
 	w.own(func() {
 		<-ended
--- a/internal/lab/scale/datapath_load.go
+++ b/internal/lab/scale/datapath_load.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hookwalk.example/hookwalk/internal/lab/sockets"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
 // Bounds of what a histogram of latencies holds, in nanoseconds.
@@ -62,7 +62,7 @@
 	var open sync.WaitGroup
 	defer open.Wait()
 	random := rand.New(rand.NewPCG(l.Seed, 0))
-	began := sockets.Monotonic()
+	began := loopback.Monotonic()
 	due := began
 	for number := 0; ; number++ {
 		due += time.Duration(random.ExpFloat64() / l.Rate * float64(time.Second))
@@ -74,9 +74,9 @@
 		}
 		at, id := due, l.Name+strconv.Itoa(number)
 		open.Go(func() {
-			sent := sockets.Monotonic()
+			sent := loopback.Monotonic()
 			err := call(ctx, client, l.URL(), l.Class, id)
-			record.add(sent-at, sockets.Monotonic()-at, err)
+			record.add(sent-at, loopback.Monotonic()-at, err)
 		})
 	}
 	open.Wait()
--- a/internal/lab/scale/datapath_pacer.go
+++ b/internal/lab/scale/datapath_pacer.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hookwalk.example/hookwalk/internal/lab/sockets"
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
 // pacer waits for moments of the monotonic clock to within some microseconds. A timer of the runtime may be a
@@ -25,9 +25,9 @@
 	return &pacer{timer}, nil
 }
 
-// Wait returns at a moment of sockets.Monotonic, or at once if that has passed.
+// Wait returns at a moment of loopback.Monotonic, or at once if that has passed.
 func (p *pacer) Wait(until time.Duration) error {
-	if sockets.Monotonic() >= until {
+	if loopback.Monotonic() >= until {
 		return nil
 	}
 	expiry := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(until))}
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -13,8 +13,8 @@
 
 	"github.com/google/renameio/v2"
 
+	"hookwalk.example/hookwalk/internal/lab/loopback"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/sockets"
 )
 
 // Classes of calls in the rigs.
@@ -60,14 +60,14 @@
 	Program      string // the node, from BuildForService
 	SettingsFile string
 	Folder       string // where its configuration and log are kept
-	Servers      []sockets.Entry
+	Servers      []loopback.Entry
 }
 
 // NodeProcess is a real node process with a stand-in for discovery of its own.
 type NodeProcess struct {
 	Discovery *WatchServer
 
-	nodes   *sockets.Nodes
+	nodes   *loopback.Nodes
 	process *os.Process
 	reloads int
 }
@@ -89,8 +89,8 @@
 		node.process = command.Process
 		return err
 	}
-	how := sockets.Options{Program: []string{options.Program}, Begin: begin, Dir: options.Folder}
-	node.nodes, err = sockets.NewNodes(ctx, world, how, nodeLists{node.Discovery})
+	how := loopback.Options{Program: []string{options.Program}, Begin: begin, Dir: options.Folder}
+	node.nodes, err = loopback.NewNodes(ctx, world, how, nodeLists{node.Discovery})
 	if err == nil {
 		err = node.nodes.Start(ctx, 0, nil)
 	}
@@ -170,4 +170,4 @@
 func (l nodeLists) Discovery(string) string { return l.discovery.Addr() }
 
 // Known is the list that a node starts with.
-func (l nodeLists) Known(string, int) sockets.Roster { return l.discovery.Whole() }
+func (l nodeLists) Known(string, int) loopback.Roster { return l.discovery.Whole() }
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"slices"
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
@@ -84,7 +84,7 @@
 			return
 		}
 		c := &call{id: w.newID(), class: r.Class, deadline: deadline, work: r.Work, root: r}
-		c.reply = func(how audit.Answer, retryAfter time.Duration) {
+		c.reply = func(how checker.Answer, retryAfter time.Duration) {
 			w.after(w.jitter(w.s.Net.Client), func() {
 				if ended {
 					return
@@ -108,11 +108,11 @@
 }
 
 // answered is a node's answer at the client.
-func (w *World) answered(r *root, how audit.Answer, retryAfter time.Duration) {
+func (w *World) answered(r *root, how checker.Answer, retryAfter time.Duration) {
 	switch {
-	case how == audit.Served:
+	case how == checker.Served:
 		w.over(r, score.Served)
-	case how == audit.Refused:
+	case how == checker.Refused:
 		w.score.Refused(w.now)
 		wait := w.s.Clients.Backoff
 		if r.Honour && retryAfter > 0 {
--- a/internal/lab/virtual/crowd_test.go
+++ b/internal/lab/simulation/crowd_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
--- a/internal/lab/virtual/misbehave_test.go
+++ b/internal/lab/simulation/misbehave_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 )
 
@@ -94,7 +94,7 @@
 			w.at(at, func() {
 				n := w.front.nodes[i%len(w.front.nodes)]
 				r := &root{done: true} // it is nobody's loss
-				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, root: r, reply: func(audit.Answer, time.Duration) {}}
+				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, root: r, reply: func(checker.Answer, time.Duration) {}}
 				n.take(c)
 				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, Repeat: o.repeat})
 				if o.leaves > 0 {
--- a/internal/lab/virtual/node.go
+++ b/internal/lab/simulation/node.go
@@ -1,13 +1,13 @@
-package virtual
+package simulation
 
 import (
 	"slices"
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 )
 
@@ -48,7 +48,7 @@
 	deadline time.Duration
 	work     float64
 	root     *root
-	reply    func(audit.Answer, time.Duration)
+	reply    func(checker.Answer, time.Duration)
 	attempts []*attempt
 	closed   bool
 	out      int
@@ -73,7 +73,7 @@
 		return
 	}
 	n.w.audit.NodeStarted(n.name)
-	n.w.seen(outside.Event{What: outside.Start, Node: n.name})
+	n.w.seen(blackbox.Event{What: blackbox.Start, Node: n.name})
 	if n.known == nil {
 		n.known = slices.Clone(n.w.disc.lists[n.tier])
 		n.knownAt = n.w.disc.at[n.tier]
@@ -95,7 +95,7 @@
 	}
 	n.end()
 	n.w.audit.NodeKilled(n.name)
-	n.w.seen(outside.Event{What: outside.Kill, Node: n.name})
+	n.w.seen(blackbox.Event{What: blackbox.Kill, Node: n.name})
 	if n.front != nil {
 		n.front.hear(n, n.w.s.Front.Notice, false)
 	}
@@ -120,7 +120,7 @@
 		}
 		if !c.closed {
 			c.closed = true
-			c.reply(audit.Failed, -1)
+			c.reply(checker.Failed, -1)
 		}
 	}
 	n.calls = nil
@@ -132,7 +132,7 @@
 		return
 	}
 	n.leaving = true
-	n.w.seen(outside.Event{What: outside.Term, Node: n.name})
+	n.w.seen(blackbox.Event{What: blackbox.Term, Node: n.name})
 	n.front.hear(n, model.FrontDeals, false)
 	life := n.life
 	until := n.w.now + model.FrontDeals + model.LongestDeadline(n.w.s) + 50*time.Millisecond
@@ -146,7 +146,7 @@
 			return
 		}
 		n.w.audit.NodeStopped(n.w.now, n.name)
-		n.w.seen(outside.Event{What: outside.Exit, Node: n.name})
+		n.w.seen(blackbox.Event{What: blackbox.Exit, Node: n.name})
 		n.end()
 	}
 	n.w.after(model.FrontDeals+50*time.Millisecond, look)
@@ -156,7 +156,7 @@
 func (n *node) hear(list balancer.ServerList) {
 	for _, s := range list.Servers {
 		n.w.audit.Told(n.w.now, n.name, s.ID, s.State == balancer.Ready)
-		n.w.seen(outside.Event{What: outside.Told, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
+		n.w.seen(blackbox.Event{What: blackbox.Told, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
 	}
 	switch {
 	case list.Cached:
@@ -174,7 +174,7 @@
 // take is a request that has arrived whole. The reply comes once, at the moment of the answer.
 func (n *node) take(c *call) {
 	n.w.audit.Taken(n.w.now, n.name, c.id, c.class, c.deadline)
-	n.w.seen(outside.Event{What: outside.Ask, Node: n.name, ID: c.id, Class: c.class, Budget: c.deadline - n.w.now})
+	n.w.seen(blackbox.Event{What: blackbox.Ask, Node: n.name, ID: c.id, Class: c.class, Budget: c.deadline - n.w.now})
 	n.calls[c.id] = c
 }
 
@@ -185,9 +185,9 @@
 		case balancer.Send:
 			n.send(a)
 		case balancer.Refuse:
-			n.answer(a.ID, audit.Refused, a.RetryAfter)
+			n.answer(a.ID, checker.Refused, a.RetryAfter)
 		case balancer.Fail:
-			n.answer(a.ID, audit.Failed, 0)
+			n.answer(a.ID, checker.Failed, 0)
 		case balancer.Wake:
 			life := n.life
 			n.w.at(a.At, func() {
@@ -201,9 +201,9 @@
 	}
 }
 
-func (n *node) answer(id string, how audit.Answer, retryAfter time.Duration) {
+func (n *node) answer(id string, how checker.Answer, retryAfter time.Duration) {
 	n.w.audit.Answered(n.w.now, n.name, id, how)
-	n.w.seen(outside.Event{What: outside.Got, Node: n.name, ID: id, Status: map[audit.Answer]int{audit.Refused: 503, audit.Failed: 502}[how]})
+	n.w.seen(blackbox.Event{What: blackbox.Got, Node: n.name, ID: id, Status: map[checker.Answer]int{checker.Refused: 503, checker.Failed: 502}[how]})
 	c := n.calls[id]
 	if c == nil || c.closed {
 		return
@@ -227,7 +227,7 @@
 	}
 	c.closed = true
 	n.w.audit.Gone(n.w.now, n.name, id)
-	n.w.seen(outside.Event{What: outside.Left, Node: n.name, ID: id})
+	n.w.seen(blackbox.Event{What: blackbox.Left, Node: n.name, ID: id})
 	n.handle(balancer.ClientGone{ID: id})
 	n.forget(c)
 }
@@ -353,13 +353,13 @@
 	case a.ended && a.life != a.n.life: // its node died before it had sent it
 	default:
 		v := newVisit(w, a, handshake)
-		a.seen(outside.Event{What: outside.Reach, Work: v.first()})
+		a.seen(blackbox.Event{What: blackbox.Reach, Work: v.first()})
 		if a.ended { // its node has given it up on the way
-			a.seen(outside.Event{What: outside.Given})
+			a.seen(blackbox.Event{What: blackbox.Given})
 		}
 		if b.Sent(w.now, v.first()) { // what it turns away counts too: a crowd at the door costs it as well
 			w.audit.Fell(w.now, a.n.name, a.call.id, b.ID)
-			a.seen(outside.Event{What: outside.Broke})
+			a.seen(blackbox.Event{What: blackbox.Broke})
 			w.score.Fell++
 			w.crash(b, false)
 			w.after(model.FallenFor, func() { w.boot(b) })
@@ -367,7 +367,7 @@
 			return
 		}
 		if !b.Offer(w.now, &v.job) {
-			a.seen(outside.Event{What: outside.Reply, Status: 503, Never: true})
+			a.seen(blackbox.Event{What: blackbox.Reply, Status: 503, Never: true})
 			a.endAfter(hop, balancer.Overloaded)
 			return
 		}
@@ -378,7 +378,7 @@
 }
 
 // seen records what a server gets of an attempt, or does with it.
-func (a *attempt) seen(e outside.Event) {
+func (a *attempt) seen(e blackbox.Event) {
 	e.Node, e.ID, e.Server = a.n.name, a.call.id, a.to
 	a.n.w.seen(e)
 }
@@ -395,16 +395,16 @@
 	a.ended = true
 	n, w, c := a.n, a.n.w, a.call
 	if e == balancer.TimedOut && a.visit != nil {
-		a.seen(outside.Event{What: outside.Given})
+		a.seen(blackbox.Event{What: blackbox.Given})
 	}
 	a.letGo(e)
 	w.audit.Ended(w.now, n.name, c.id, a.number, e)
 	c.out--
 	if e == balancer.Success && !c.closed {
 		c.closed = true
-		w.audit.Answered(w.now, n.name, c.id, audit.Served)
-		w.seen(outside.Event{What: outside.Got, Node: n.name, ID: c.id, Status: 200, Body: a.to})
-		c.reply(audit.Served, 0)
+		w.audit.Answered(w.now, n.name, c.id, checker.Served)
+		w.seen(blackbox.Event{What: blackbox.Got, Node: n.name, ID: c.id, Status: 200, Body: a.to})
+		c.reply(checker.Served, 0)
 	}
 	n.handle(balancer.Outcome{ID: c.id, Attempt: a.number, Server: a.to, Ending: e, Latency: w.now - a.sent, Ended: c.closed})
 	n.forget(c)
--- a/internal/lab/virtual/visit.go
+++ b/internal/lab/simulation/visit.go
@@ -1,12 +1,12 @@
-package virtual
+package simulation
 
 import (
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 )
 
 // visit is one request in one box: a part of the work, the calls to the next tier one after another, and then
@@ -77,7 +77,7 @@
 		v.finish(false)
 		return
 	}
-	c.reply = func(how audit.Answer, _ time.Duration) {
+	c.reply = func(how checker.Answer, _ time.Duration) {
 		if v.over || b.Epoch != v.epoch {
 			return
 		}
@@ -85,7 +85,7 @@
 		w.after(0, func() {
 			switch {
 			case v.over || b.Epoch != v.epoch:
-			case how != audit.Served:
+			case how != checker.Served:
 				v.finish(false)
 			case v.calls > 0:
 				v.call()
@@ -114,13 +114,13 @@
 	hop := w.jitter(w.s.Net.Hop)
 	switch {
 	case good && b.broken > 0 && w.draws.Float64() < b.broken:
-		v.att.seen(outside.Event{What: outside.Broke})
+		v.att.seen(blackbox.Event{What: blackbox.Broke})
 		v.att.endAfter(hop, balancer.Broken)
 	case !good || b.Kind.ErrorRate > 0 && w.draws.Float64() < b.Kind.ErrorRate:
-		v.att.seen(outside.Event{What: outside.Reply, Status: 500})
+		v.att.seen(blackbox.Event{What: blackbox.Reply, Status: 500})
 		v.att.endAfter(hop, balancer.Failure)
 	default:
-		v.att.seen(outside.Event{What: outside.Reply, Status: 200, Body: v.att.to})
+		v.att.seen(blackbox.Event{What: blackbox.Reply, Status: 200, Body: v.att.to})
 		v.att.endAfter(hop, balancer.Success)
 	}
 }
--- a/internal/lab/virtual/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,7 +1,7 @@
-// Package virtual plays a scenario in virtual time: an event queue hosts one instance of the decision module for
+// Package simulation plays a scenario in virtual time: an event queue hosts one instance of the decision module for
 // each node, in one process and one goroutine, and the model's boxes, clients, network and discovery round them.
 // Instances share nothing. The same scenario and seed give the same report, byte for byte.
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/eventq"
 	"hookwalk.example/hookwalk/internal/lab/model"
-	"hookwalk.example/hookwalk/internal/lab/outside"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/score"
@@ -26,7 +26,7 @@
 type World struct {
 	s     *scenario.Scenario
 	make  NewDecider
-	audit *audit.Auditor
+	audit *checker.Auditor
 	score *score.Score
 	queue eventq.Queue[func()]
 	now   time.Duration
@@ -43,7 +43,7 @@
 	events   uint64
 	err      error
 
-	Record *outside.Recorder // takes what can be seen from outside; nil: nothing does
+	Record *blackbox.Recorder // takes what can be seen from outside; nil: nothing does
 }
 
 // tail says how much more work some requests of a class are.
@@ -60,7 +60,7 @@
 
 // New makes the world of a scenario, before anything has happened.
 func New(s *scenario.Scenario, decide NewDecider) (*World, error) {
-	w := &World{s: s, make: decide, audit: audit.New(s), score: score.New(s), draws: model.Stream(s.Seed, "world", 0),
+	w := &World{s: s, make: decide, audit: checker.New(s), score: score.New(s), draws: model.Stream(s.Seed, "world", 0),
 		byID: map[string]*server{}, tails: make([]tail, len(s.Classes)), storm: 1}
 	var err error
 	if w.arrivals, err = model.NewArrivals(s); err != nil {
@@ -112,7 +112,7 @@
 }
 
 // Run plays the world to its end. tick, if there is one, is told the clock now and then.
-func (w *World) Run(tick func(now time.Duration)) (*score.Score, *audit.Auditor, error) {
+func (w *World) Run(tick func(now time.Duration)) (*score.Score, *checker.Auditor, error) {
 	for _, n := range w.front.nodes {
 		n.start()
 	}
@@ -144,14 +144,14 @@
 		}
 	}
 	w.audit.Finish(end)
-	w.seen(outside.Event{At: end, What: outside.End})
+	w.seen(blackbox.Event{At: end, What: blackbox.End})
 	w.score.Events = w.events
 	return w.score, w.audit, w.err
 }
 
 // Head is the head of a history of this world.
-func (w *World) Head() outside.Head {
-	h := outside.HeadOf(w.s, 10*time.Millisecond) // some hops of the network
+func (w *World) Head() blackbox.Head {
+	h := blackbox.HeadOf(w.s, 10*time.Millisecond) // some hops of the network
 	for id, b := range w.byID {
 		h.Kinds[id] = *b.Kind
 	}
@@ -159,7 +159,7 @@
 }
 
 // seen records an event, which has happened now if it has no time of its own.
-func (w *World) seen(e outside.Event) {
+func (w *World) seen(e blackbox.Event) {
 	if e.At == 0 {
 		e.At = w.now
 	}
@@ -241,7 +241,7 @@
 		v := j.Owner.(*visit)
 		v.over = true
 		if !cut {
-			v.att.seen(outside.Event{What: outside.Broke})
+			v.att.seen(blackbox.Event{What: blackbox.Broke})
 			v.att.endAfter(w.jitter(w.s.Net.Hop), balancer.Broken)
 		}
 	}
@@ -261,7 +261,7 @@
 		return
 	}
 	b.Start(w.now)
-	w.seen(outside.Event{What: outside.Boot, Server: b.ID})
+	w.seen(blackbox.Event{What: blackbox.Boot, Server: b.ID})
 	if b.node != nil {
 		b.node.start()
 	}
@@ -401,7 +401,7 @@
 		d.w.eachNode(func(n *node) {
 			if life, ok := lives[n]; ok && n.life == life && n.alive && !n.watching && d.orders[b.Tier][b.ID] == order {
 				d.w.audit.Told(d.w.now, n.name, b.ID, false)
-				d.w.seen(outside.Event{What: outside.Told, Node: n.name, Server: b.ID})
+				d.w.seen(blackbox.Event{What: blackbox.Told, Node: n.name, Server: b.ID})
 			}
 		})
 	})
--- a/internal/lab/virtual/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/audit"
-	"hookwalk.example/hookwalk/internal/lab/outside"
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/score"
@@ -39,7 +39,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *audit.Auditor) {
+func played(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *checker.Auditor) {
 	t.Helper()
 	w, err := New(s, decide)
 	if err != nil {
@@ -129,7 +129,7 @@
 		}
 		_, auditor := played(t, s, policies.New)
 		for _, v := range auditor.Violations() {
-			if policy == "deckrelay" || v.Rule != audit.Cold { // the textbook knows nothing of cold boxes
+			if policy == "deckrelay" || v.Rule != checker.Cold { // the textbook knows nothing of cold boxes
 				t.Errorf("%s: %v", policy, v)
 			}
 		}
@@ -168,11 +168,11 @@
 }
 
 // faults are nodes that break one rule each, in the worlds that give them the occasion.
-var faults = map[audit.Rule]struct {
+var faults = map[checker.Rule]struct {
 	world string
 	spoil func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
 }{
-	audit.InTime: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.InTime: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok {
 				return nil // taken, and never heard of again
@@ -180,7 +180,7 @@
 			return out
 		}
 	}},
-	audit.OneAnswer: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.OneAnswer: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if o, ok := e.(balancer.Outcome); ok && o.Ended {
 				out = append(out, balancer.Fail{ID: o.ID})
@@ -188,7 +188,7 @@
 			return out
 		}
 	}},
-	audit.NoSecondRun: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.NoSecondRun: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if o, ok := e.(balancer.Outcome); ok && o.Ending == balancer.Failure && len(out) > 0 {
 				if _, fails := out[0].(balancer.Fail); fails {
@@ -198,7 +198,7 @@
 			return out
 		}
 	}},
-	audit.Harmless: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.Harmless: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
 				if f, ok := a.(balancer.Fail); ok {
@@ -208,7 +208,7 @@
 			return out
 		}
 	}},
-	audit.OneOut: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.OneOut: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0])
@@ -216,7 +216,7 @@
 			return out
 		}
 	}},
-	audit.MostSends: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.MostSends: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0], out[0], out[0])
@@ -224,7 +224,7 @@
 			return out
 		}
 	}},
-	audit.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		gone := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if l, ok := e.(balancer.ServerList); ok {
@@ -243,7 +243,7 @@
 			return out
 		}
 	}},
-	audit.Cold: {small + `trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.25 }
+	checker.Cold: {small + `trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.25 }
 trouble "overload" { at_s = 2 length_s = 4 size = 4 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		cold := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
@@ -263,7 +263,7 @@
 			return out
 		}
 	}},
-	audit.KnownBox: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.KnownBox: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
 				if s, ok := a.(balancer.Send); ok {
@@ -314,7 +314,7 @@
 		}}, err
 	})
 	for _, v := range auditor.Violations() {
-		if v.Rule == audit.Lost {
+		if v.Rule == checker.Lost {
 			return
 		}
 	}
@@ -337,21 +337,21 @@
 }
 
 // recorded is the history of a world, as it is seen from outside.
-func recorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (outside.Head, []outside.Event) {
+func recorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (blackbox.Head, []blackbox.Event) {
 	t.Helper()
 	w, err := New(s, decide)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	w.Record = outside.NewRecorder(&text, w.Head())
+	w.Record = blackbox.NewRecorder(&text, w.Head())
 	if _, _, err := w.Run(nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Record.Err(); err != nil {
 		t.Fatal(err)
 	}
-	h, events, err := outside.Read(&text)
+	h, events, err := blackbox.Read(&text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +364,7 @@
 		s := parsed(t, allTroubles)
 		s.Seed = 100 + seed
 		h, events := recorded(t, s, policies.New)
-		for _, v := range outside.Check(h, events) {
+		for _, v := range blackbox.Check(h, events) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
 		if len(events) < 3000 {
@@ -372,7 +372,7 @@
 		}
 	}
 	for rule, fault := range faults {
-		if rule == audit.OneAnswer || rule == audit.KnownBox { // what such a node does reaches nobody
+		if rule == checker.OneAnswer || rule == checker.KnownBox { // what such a node does reaches nobody
 			continue
 		}
 		h, events := recorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
@@ -382,8 +382,8 @@
 			}
 			return &rogue{d, fault.spoil()}, err
 		})
-		seen := map[audit.Rule]int{}
-		for _, v := range outside.Check(h, events) {
+		seen := map[checker.Rule]int{}
+		for _, v := range blackbox.Check(h, events) {
 			seen[v.Rule]++
 		}
 		if seen[rule] == 0 {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -22,7 +22,7 @@
 
 	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
-	"hookwalk.example/hookwalk/internal/lab/virtual"
+	"hookwalk.example/hookwalk/internal/lab/simulation"
 )
 
 // Grid says what is varied.
@@ -206,7 +206,7 @@
 		return err
 	}
 	s.Policy, s.Seed = c.Policy, c.Seed
-	w, err := virtual.New(s, policies.New)
+	w, err := simulation.New(s, policies.New)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rogue/rogue.go
+++ b/internal/lab/violator/violator.go
@@ -1,6 +1,6 @@
-// Package rogue is a node that knows the wire and breaks a rule, for the lab's own tests: what judges nodes must catch
+// Package violator is a node that knows the wire and breaks a rule, for the lab's own tests: what judges nodes must catch
 // it, also beside a fault that explains some of what it sees. A test's binary stands in for the program with it.
-package rogue
+package violator
 
 import (
 	"context"
