--- a/balancer/accesslist.go
+++ b/balancer/accesslist.go
@@ -1,4 +1,4 @@
-// Addresses: whose requests are let in, and whose word is taken for where a connection comes from.
+// AccessList: whose requests are let in, and whose word is taken for where a connection comes from.
 
 package balancer
 
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Addresses are the lists by which clients are judged.
-type Addresses struct {
-	Allow     []netip.Prefix `json:"Allow"`     // empty: all
-	Deny      []netip.Prefix `json:"Deny"`      // wins over Allow
-	ProxyFrom []netip.Prefix `json:"ProxyFrom"` // fronts that say whose connection they pass on
+// AccessList are the lists by which clients are judged.
+type AccessList struct {
+	Allow          []netip.Prefix `json:"Allow"`     // empty: all
+	Deny           []netip.Prefix `json:"Deny"`      // wins over Allow
+	TrustedProxies []netip.Prefix `json:"ProxyFrom"` // fronts that say whose connection they pass on
 }
 
-// Admits says whether a client is let in. One whose address is not known is a stranger to any list.
-func (a *Addresses) Admits(client netip.Addr) bool {
+// Allows says whether a client is let in. One whose address is not known is a stranger to any list.
+func (a *AccessList) Allows(client netip.Addr) bool {
 	if a == nil {
 		return true
 	}
@@ -25,9 +25,9 @@
 	return (len(a.Allow) == 0 || within(a.Allow, client)) && !within(a.Deny, client)
 }
 
-// Trusts says whether a connection from an address must begin by naming its client.
-func (a *Addresses) Trusts(peer netip.Addr) bool {
-	return a != nil && within(a.ProxyFrom, peer)
+// TrustsProxy says whether a connection from an address must begin by naming its client.
+func (a *AccessList) TrustsProxy(peer netip.Addr) bool {
+	return a != nil && within(a.TrustedProxies, peer)
 }
 
 func within(list []netip.Prefix, a netip.Addr) bool {
--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -15,10 +15,10 @@
 }
 
 func TestAdmits(t *testing.T) {
-	none, some := &Addresses{}, &Addresses{Allow: ranges("10.4.0.0/16", "fd00:12::/48"), Deny: ranges("10.4.9.0/24")}
-	denies := &Addresses{Deny: ranges("10.4.9.0/24", "::1/128")}
+	none, some := &AccessList{}, &AccessList{Allow: ranges("10.4.0.0/16", "fd00:12::/48"), Deny: ranges("10.4.9.0/24")}
+	denies := &AccessList{Deny: ranges("10.4.9.0/24", "::1/128")}
 	for _, c := range []struct {
-		lists  *Addresses
+		lists  *AccessList
 		client string
 		want   bool
 	}{
@@ -33,28 +33,28 @@
 		if c.client != "" {
 			client = netip.MustParseAddr(c.client)
 		}
-		if got := c.lists.Admits(client); got != c.want {
+		if got := c.lists.Allows(client); got != c.want {
 			t.Errorf("%+v lets %s in: %v", c.lists, c.client, got)
 		}
 	}
 }
 
 func TestTrusts(t *testing.T) {
-	fronts := &Addresses{ProxyFrom: ranges("127.0.0.2/32", "fd00::/64")}
+	fronts := &AccessList{TrustedProxies: ranges("127.0.0.2/32", "fd00::/64")}
 	for addr, want := range map[string]bool{"127.0.0.2": true, "::ffff:127.0.0.2": true, "127.0.0.1": false, "fd00::9": true, "fd01::9": false} {
-		if fronts.Trusts(netip.MustParseAddr(addr)) != want {
+		if fronts.TrustsProxy(netip.MustParseAddr(addr)) != want {
 			t.Errorf("trusts %s: %v", addr, !want)
 		}
 	}
-	if (*Addresses)(nil).Trusts(netip.MustParseAddr("::1")) || (&Addresses{}).Trusts(netip.Addr{}) {
+	if (*AccessList)(nil).TrustsProxy(netip.MustParseAddr("::1")) || (&AccessList{}).TrustsProxy(netip.Addr{}) {
 		t.Error("without a list somebody is trusted")
 	}
 }
 
 // A stranger is denied before anything is learned of its request, also with an id that is in use.
 func TestStrangersAreDenied(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Addresses = &Addresses{Allow: ranges("10.4.0.0/16")} })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: ranges("10.4.0.0/16")} })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	friend := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
 	if acts := b.Handle(0, friend); len(sends(acts)) != 1 {
 		t.Errorf("a friend: %v", acts)
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	MostHands = 1024        // MostHands is how many ids are remembered.
-	feedAfter = time.Second // when a server put back and still unused is given a request; owed within 5 s
+	MaxOverrides = 1024        // MaxOverrides is how many ids are remembered.
+	feedAfter    = time.Second // when a server put back and still unused is given a request; owed within 5 s
 )
 
 // hand is what operators said of a server last.
@@ -21,39 +21,39 @@
 
 // Why a server can't be taken out or put back.
 var (
-	ErrUnknownServer = errors.New("no such server")
-	ErrTooManyOut    = errors.New("too many servers are out by hand")
+	ErrUnknownServer    = errors.New("no such server")
+	ErrTooManyOverrides = errors.New("too many servers are out by hand")
 )
 
-// Out says that a server is out by hand.
-func (b *Balancer) Out(id string) bool { return b.hands[id].out }
+// IsDisabled says that a server is out by hand.
+func (b *Balancer) IsDisabled(id string) bool { return b.hands[id].out }
 
-// CanHand says whether a Hand would be followed: its server is listed or out, and can be remembered.
-func (b *Balancer) CanHand(id string) error {
+// CheckOverride says whether a Hand would be followed: its server is listed or out, and can be remembered.
+func (b *Balancer) CheckOverride(id string) error {
 	s, h := b.servers[id], b.hands[id]
 	if !h.out && (s == nil || !s.listed) {
 		return ErrUnknownServer
 	}
 	b.forgetHands()
-	if _, known := b.hands[id]; !known && len(b.hands) >= MostHands {
-		return ErrTooManyOut
+	if _, known := b.hands[id]; !known && len(b.hands) >= MaxOverrides {
+		return ErrTooManyOverrides
 	}
 	return nil
 }
 
 // forgetHands drops what was put back so long ago that it is warm.
 func (b *Balancer) forgetHands() {
-	maps.DeleteFunc(b.hands, func(_ string, h hand) bool { return !h.out && b.now >= h.back+b.set.WarmAfter })
+	maps.DeleteFunc(b.hands, func(_ string, h hand) bool { return !h.out && b.now >= h.back+b.set.SlowStartDuration })
 }
 
 // takeHand takes a server out, or puts it back as one that has just started: its operators have restarted it,
 // and what was learned before is of its earlier process. Saying it again changes nothing.
-func (b *Balancer) takeHand(e Hand) {
-	if b.CanHand(e.Server) != nil || b.hands[e.Server].out == e.Out {
+func (b *Balancer) takeHand(e AdminOverride) {
+	if b.CheckOverride(e.Server) != nil || b.hands[e.Server].out == e.Disabled {
 		return
 	}
-	b.hands[e.Server] = hand{out: e.Out, back: b.now}
-	if s := b.servers[e.Server]; s != nil && !e.Out {
+	b.hands[e.Server] = hand{out: e.Disabled, back: b.now}
+	if s := b.servers[e.Server]; s != nil && !e.Disabled {
 		*s = server{Server: s.Server, listed: s.listed, open: s.open, back: b.now, hungry: b.now + feedAfter}
 	}
 	b.relist()
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-func list(n int) ServerList { return ServerList{Full: true, Servers: servers(n)} }
+func list(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
 
 // What is out by hand stays out whatever discovery says, and comes back by one call however many took it out.
 func TestOutByHandOutlastsDiscovery(t *testing.T) {
-	boot := func(s Server, at time.Duration) Server { s.Boot = at; return s }
+	boot := func(s Server, at time.Duration) Server { s.StartTime = at; return s }
 	gone, moved := servers(1)[0], servers(1)[0]
-	gone.State, moved.Zone = Gone, "elsewhere"
+	gone.State, moved.Zone = Removed, "elsewhere"
 	for name, news := range map[string][]Event{
 		"nothing":           nil,
 		"the whole list":    {list(2)},
-		"a restart":         {ServerList{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
-		"gone and back":     {ServerList{Servers: []Server{gone}}, list(2)},
-		"left out and back": {ServerList{Full: true, Servers: servers(2)[1:]}, list(2)},
-		"moved":             {ServerList{Servers: []Server{moved}}},
-		"new settings":      {Retune{Settings: testSettings()}, list(2)},
-		"out again":         {Hand{Server: "s00", Out: true}, Hand{Server: "s00", Out: true}},
+		"a restart":         {EndpointUpdate{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
+		"gone and back":     {EndpointUpdate{Servers: []Server{gone}}, list(2)},
+		"left out and back": {EndpointUpdate{Complete: true, Servers: servers(2)[1:]}, list(2)},
+		"moved":             {EndpointUpdate{Servers: []Server{moved}}},
+		"new settings":      {SettingsChanged{Settings: testSettings()}, list(2)},
+		"out again":         {AdminOverride{Server: "s00", Disabled: true}, AdminOverride{Server: "s00", Disabled: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(0, list(2))
-			b.Handle(time.Second, Hand{Server: "s00", Out: true})
+			b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
 			for _, e := range news {
 				b.Handle(2*time.Second, e)
 			}
@@ -43,8 +43,8 @@
 					settle(b, now+msec, id, s, Success)
 				}
 			}
-			b.Handle(100*time.Second, Hand{Server: "s00"})
-			if b.Out("s00") || len(b.pools[0].ready) != 2 {
+			b.Handle(100*time.Second, AdminOverride{Server: "s00"})
+			if b.IsDisabled("s00") || len(b.pools[0].ready) != 2 {
 				t.Error("one call did not put it back")
 			}
 		})
@@ -54,31 +54,31 @@
 // Only listed servers and those that are out are known; nothing is remembered beyond the bound.
 func TestWhoCanBeTakenOut(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(MostHands+2))
-	if err := b.CanHand("nobody"); err != ErrUnknownServer {
+	b.Handle(0, list(MaxOverrides+2))
+	if err := b.CheckOverride("nobody"); err != ErrUnknownServer {
 		t.Errorf("an unknown server: %v", err)
 	}
-	b.Handle(0, Hand{Server: "nobody", Out: true})
-	if b.Out("nobody") {
+	b.Handle(0, AdminOverride{Server: "nobody", Disabled: true})
+	if b.IsDisabled("nobody") {
 		t.Error("an unknown server was taken out")
 	}
-	for i := range MostHands {
-		b.Handle(0, Hand{Server: fmt.Sprintf("s%02d", i), Out: true})
+	for i := range MaxOverrides {
+		b.Handle(0, AdminOverride{Server: fmt.Sprintf("s%02d", i), Disabled: true})
 	}
-	over := fmt.Sprintf("s%02d", MostHands)
-	if err := b.CanHand(over); err != ErrTooManyOut {
+	over := fmt.Sprintf("s%02d", MaxOverrides)
+	if err := b.CheckOverride(over); err != ErrTooManyOverrides {
 		t.Errorf("one more than can be remembered: %v", err)
 	}
-	b.Handle(0, Hand{Server: "s00"})
-	if err := b.CanHand(over); err != ErrTooManyOut { // it is cold still, and so remembered
+	b.Handle(0, AdminOverride{Server: "s00"})
+	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is cold still, and so remembered
 		t.Errorf("just after one came back: %v", err)
 	}
-	b.Handle(b.set.WarmAfter, Timer{})
-	if err := b.CanHand(over); err != nil {
+	b.Handle(b.set.SlowStartDuration, TimerFired{})
+	if err := b.CheckOverride(over); err != nil {
 		t.Errorf("with one long back: %v", err)
 	}
-	b.Handle(b.set.WarmAfter, ServerList{Full: true})
-	if err := b.CanHand("s01"); err != nil {
+	b.Handle(b.set.SlowStartDuration, EndpointUpdate{Complete: true})
+	if err := b.CheckOverride("s01"); err != nil {
 		t.Errorf("a server that is out and not listed any more: %v", err)
 	}
 }
@@ -87,9 +87,9 @@
 func TestBackIsCold(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, list(2))
-	b.Handle(time.Second, Hand{Server: "s00", Out: true})
+	b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
 	call := 20 * time.Second
-	b.Handle(call, Hand{Server: "s00"})
+	b.Handle(call, AdminOverride{Server: "s00"})
 	s := b.servers["s00"]
 	s.streak = 2
 	for _, c := range []struct {
@@ -97,13 +97,13 @@
 		streak      int
 	}{{0, call, 2}, {15 * time.Second, call, 2}, {15 * time.Second, call, 2}, {25 * time.Second, 25 * time.Second, 0}} {
 		n := servers(1)[0]
-		n.Boot = c.boot
-		b.Handle(26*time.Second, ServerList{Servers: []Server{n}})
+		n.StartTime = c.boot
+		b.Handle(26*time.Second, EndpointUpdate{Servers: []Server{n}})
 		if s.start() != c.start || s.streak != c.streak {
 			t.Errorf("told of a boot at %v: start %v, streak %d, want %v, %d", c.boot, s.start(), s.streak, c.start, c.streak)
 		}
 	}
-	b.Handle(27*time.Second, ServerList{Full: true})
+	b.Handle(27*time.Second, EndpointUpdate{Complete: true})
 	b.Handle(28*time.Second, list(2))
 	if got := b.servers["s00"].start(); got != call {
 		t.Errorf("after it was left out of a list its start is %v, want %v", got, call)
@@ -119,8 +119,8 @@
 			t.Fatal(err)
 		}
 		b.Handle(0, list(8))
-		b.Handle(0, Hand{Server: "s03", Out: true})
-		b.Handle(50*time.Second, Hand{Server: "s03"})
+		b.Handle(0, AdminOverride{Server: "s03", Disabled: true})
+		b.Handle(50*time.Second, AdminOverride{Server: "s03"})
 		used := time.Duration(0)
 		for now := 50 * time.Second; now < 60*time.Second; now += time.Second {
 			id := now.String()
@@ -141,17 +141,17 @@
 func TestAllOutByHand(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, list(2))
-	b.Handle(0, Hand{Server: "s00", Out: true})
+	b.Handle(0, AdminOverride{Server: "s00", Disabled: true})
 	b.pools[0].window, b.pools[0].inFlight = 1, 5 // so that a request waits
 	if acts := b.Handle(0, asked("held", "pay", 0, time.Second)); len(sends(acts)) > 0 {
 		t.Fatal("it does not wait")
 	}
-	acts := b.Handle(msec, Hand{Server: "s01", Out: true})
-	if len(acts) != 1 || acts[0].(Refuse).ID != "held" || acts[0].(Refuse).RetryAfter <= 0 {
+	acts := b.Handle(msec, AdminOverride{Server: "s01", Disabled: true})
+	if len(acts) != 1 || acts[0].(Reject).ID != "held" || acts[0].(Reject).RetryAfter <= 0 {
 		t.Errorf("what waited: %v", acts)
 	}
 	acts = b.Handle(2*msec, asked("r", "pay", 2*msec, time.Second))
-	if len(acts) != 1 || acts[0].(Refuse).RetryAfter <= 0 {
+	if len(acts) != 1 || acts[0].(Reject).RetryAfter <= 0 {
 		t.Errorf("what came: %v", acts)
 	}
 }
@@ -171,13 +171,13 @@
 			id := fmt.Sprintf("s%02d", rapid.IntRange(0, 3).Draw(t, "server"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				if known := b.CanHand(id) == nil; known {
+				if known := b.CheckOverride(id) == nil; known {
 					out[id] = true
 				}
-				b.Handle(now, Hand{Server: id, Out: true})
+				b.Handle(now, AdminOverride{Server: id, Disabled: true})
 			case 1:
 				delete(out, id)
-				b.Handle(now, Hand{Server: id})
+				b.Handle(now, AdminOverride{Server: id})
 			case 2:
 				b.Handle(now, list(rapid.IntRange(0, 4).Draw(t, "listed")))
 			case 3:
@@ -206,20 +206,20 @@
 	b.Handle(0, list(4))
 	p := b.pools[0]
 	up := asked("up", "pay", 0, time.Second)
-	up.Bulk = true
+	up.StreamedBody = true
 	first := sends(b.Handle(0, up))
 	second := sends(b.Handle(0, asked("down", "pay", 0, time.Second)))
 	if p.inFlight != 1 {
 		t.Fatalf("%d in flight beside a body that comes", p.inFlight)
 	}
-	b.Handle(10*msec, Started{ID: "down"})
+	b.Handle(10*msec, ResponseStarted{ID: "down"})
 	b = restored(t, b.set, b)
 	p = b.pools[0]
 	for i, id := range []string{"up", "down"} {
 		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].calls(); p.inFlight != 0 || calls == 0 {
 			t.Fatalf("%d in flight, %d at its server", p.inFlight, calls)
 		}
-		b.Handle(time.Minute, Outcome{ID: id, Server: "s", Ending: Success, Latency: 20 * msec, Ended: true})
+		b.Handle(time.Minute, AttemptEnded{ID: id, Server: "s", Outcome: Success, Latency: 20 * msec, RequestDone: true})
 	}
 	if p.inFlight != 0 || b.classes["pay"].mean > float64(time.Second) {
 		t.Errorf("%d in flight, mean latency %v", p.inFlight, time.Duration(b.classes["pay"].mean))
@@ -230,7 +230,7 @@
 // is out, cold and draining.
 func TestHeirsShareTheCareOfColdServers(t *testing.T) {
 	cold := list(4)
-	cold.Servers[1].Boot = 100 * time.Second
+	cold.Servers[1].StartTime = 100 * time.Second
 	cold.Servers[2].State = Draining
 	begin := func(seed uint64) *Balancer {
 		b, err := New(testSettings(), seed)
@@ -238,7 +238,7 @@
 			t.Fatal(err)
 		}
 		b.Handle(99*time.Second, cold)
-		b.Handle(99*time.Second, Hand{Server: "s03", Out: true})
+		b.Handle(99*time.Second, AdminOverride{Server: "s03", Disabled: true})
 		return b
 	}
 	count := func(bs ...*Balancer) (n int) {
@@ -260,11 +260,11 @@
 	for seed := range uint64(10) {
 		alone += count(begin(seed))
 		b := begin(seed)
-		text, err := b.Heir()
+		text, err := b.SuccessorState()
 		if err != nil {
 			t.Fatal(err)
 		}
-		heir, err := Inherit(testSettings(), text, seed+100)
+		heir, err := RestoreSuccessor(testSettings(), text, seed+100)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -22,13 +22,13 @@
 
 // steer moves the window so that the mean latency stays at a set part of the aim: crowded servers choke, so
 // the crowd must wait or be refused here. Those let in show only when answered.
-func (b *Balancer) steer(r *request, e Outcome) {
-	if b.set.Tier > 0 || e.Ending == Withdrawn || e.Ending == Void || e.Ending == Failure {
+func (b *Balancer) steer(r *request, e AttemptEnded) {
+	if b.set.Tier > 0 || e.Outcome == Canceled || e.Outcome == NotSent || e.Outcome == Failure {
 		return
 	}
 	p := r.class.pool
-	over := float64(b.latency(r, r.attempts[e.Attempt], e)) / float64(r.class.Aim)
-	if e.Ending != Success {
+	over := float64(b.latency(r, r.attempts[e.Attempt], e)) / float64(r.class.LatencyObjective)
+	if e.Outcome != Success {
 		over = max(over, 1)
 	}
 	p.fill += 2 / (p.window + 16) * (min(over, 1) - p.fill)
@@ -37,7 +37,7 @@
 	// servers: while it falls, the draw makes all copies hold to it. Else rounding up lets bursts through.
 	// The gain follows the room left to the target: fixed, it would leave servers idle or overshoot.
 	p.part = 0
-	if e.Ending == Success && p.shed < spareShed {
+	if e.Outcome == Success && p.shed < spareShed {
 		p.spared++
 		p.bare += max(memory/4, 1/p.spared) * (over - p.bare)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -132,14 +132,14 @@
 	outside bool // it does not count for the window
 }
 
-// MostAttempts is how many attempts a request that comes now may have.
-func (b *Balancer) MostAttempts() int { return max(1, b.set.MaxAttempts) }
+// MaxAttempts is how many attempts a request that comes now may have.
+func (b *Balancer) MaxAttempts() int { return max(1, b.set.MaxAttempts) }
 
-// WarmAfter is how long after its start a server is in slow start.
-func (b *Balancer) WarmAfter() time.Duration { return b.set.WarmAfter }
+// SlowStartDuration is how long after its start a server is in slow start.
+func (b *Balancer) SlowStartDuration() time.Duration { return b.set.SlowStartDuration }
 
 // start is when a server began to serve: its process's boot, or its return by hand, if that was later.
-func (s *server) start() time.Duration { return max(s.Boot, s.back) }
+func (s *server) start() time.Duration { return max(s.StartTime, s.back) }
 
 // calls is how many own calls are in flight at a server.
 func (s *server) calls() int { return len(s.open) }
@@ -161,11 +161,11 @@
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
 func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	src := rand.NewPCG(seed, 0x51a7e)
-	b := &Balancer{set: set, src: src, rng: rand.New(src), drills: newRehearsal(set.Drills, seed),
+	b := &Balancer{set: set, src: src, rng: rand.New(src), drills: newRehearsal(set.FaultInjections, seed),
 		servers: map[string]*server{}, requests: map[string]*request{},
 		lines: map[uint64]*line{}, hands: map[string]hand{}, errors: 0.02, tokens: retryPurse / 2}
 	b.addClasses(nil, nil)
@@ -177,18 +177,18 @@
 	b.now = max(b.now, now)
 	b.out = nil
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointUpdate:
 		b.takeList(e)
-	case ListFailed:
+	case WatchFailed:
 		b.subFails++
 		b.askAgain()
-	case ListLease:
+	case EndpointLease:
 		b.expired = e.Expired
 	case Request:
 		b.accept(e)
-	case Outcome:
+	case AttemptEnded:
 		b.takeOutcome(e)
-	case Started:
+	case ResponseStarted:
 		if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
 			r.streaming = true
 			r.attempts[e.Attempt].leave()
@@ -197,15 +197,15 @@
 		if r := b.requests[e.ID]; r != nil {
 			b.close(r)
 		}
-	case Timer:
+	case TimerFired:
 		b.takeTimer(e)
-	case DrillStart:
+	case StartFaultInjection:
 		b.startDrill(e.Name)
-	case Leaving:
+	case ShuttingDown:
 		b.leave()
-	case Hand:
+	case AdminOverride:
 		b.takeHand(e)
-	case Retune:
+	case SettingsChanged:
 		b.retune(e.Settings)
 	}
 	b.release()
@@ -216,7 +216,7 @@
 
 // takeTimer does what has come due. A host may round a time down, so a timer can come a hair early: nothing
 // relies on its being late enough, and one that finds nothing due yet asks for another.
-func (b *Balancer) takeTimer(e Timer) {
+func (b *Balancer) takeTimer(e TimerFired) {
 	switch kind, name, _ := strings.Cut(e.Token, ":"); kind {
 	case "list":
 		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
@@ -248,5 +248,5 @@
 		return
 	}
 	r.wake = at
-	b.do(Wake{At: at, Token: "r:" + r.id})
+	b.do(SetTimer{At: at, Token: "r:" + r.id})
 }
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -368,9 +368,9 @@
 	return found
 }
 
-// Heir returns what a Balancer in another process of the same node has to know: all that was learned and is held of
+// SuccessorState returns what a Balancer in another process of the same node has to know: all that was learned and is held of
 // servers, without the requests, which stay with this one.
-func (b *Balancer) Heir() ([]byte, error) {
+func (b *Balancer) SuccessorState() ([]byte, error) {
 	text, err := b.Checkpoint()
 	if err != nil {
 		return nil, err
@@ -394,8 +394,8 @@
 	return json.Marshal(s)
 }
 
-// Inherit returns a Balancer that knows what Heir has of one with the same settings, and draws by a seed of its own.
-func Inherit(set Settings, heir []byte, seed uint64) (*Balancer, error) {
+// RestoreSuccessor returns a Balancer that knows what Heir has of one with the same settings, and draws by a seed of its own.
+func RestoreSuccessor(set Settings, heir []byte, seed uint64) (*Balancer, error) {
 	b, err := Restore(set, heir)
 	if err != nil {
 		return nil, err
@@ -404,8 +404,8 @@
 	return b, nil
 }
 
-// Handed are the servers that are out by hand.
-func (b *Balancer) Handed() (ids []string) {
+// DisabledServers are the servers that are out by hand.
+func (b *Balancer) DisabledServers() (ids []string) {
 	for id, h := range b.hands {
 		if h.out {
 			ids = append(ids, id)
@@ -415,9 +415,9 @@
 	return ids
 }
 
-// Remember takes servers out that were so in an earlier life of the node. It comes before any event.
-func (b *Balancer) Remember(ids []string) {
-	for _, id := range ids[:min(len(ids), MostHands)] {
+// RestoreDisabled takes servers out that were so in an earlier life of the node. It comes before any event.
+func (b *Balancer) RestoreDisabled(ids []string) {
+	for _, id := range ids[:min(len(ids), MaxOverrides)] {
 		b.hands[id] = hand{out: true}
 	}
 }
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -20,9 +20,9 @@
 func TestRestoredBalancerGoesOnAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		set := ruleSettings()
-		set.Tier, set.AskDiscovery = int(seed%2), seed%3 == 0
+		set.Tier, set.PollDiscovery = int(seed%2), seed%3 == 0
 		if seed%2 == 0 {
-			set.Drills = ruleDrills
+			set.FaultInjections = ruleDrills
 		}
 		c := newChecker(set)
 		c.keep = true
@@ -81,7 +81,7 @@
 
 func TestWhatIsNoCheckpoint(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
 	b.Handle(0, Request{ID: "r", Class: "pay", Deadline: time.Second})
 	text, err := b.Checkpoint()
 	if err != nil {
--- a/balancer/days_test.go
+++ b/balancer/days_test.go
@@ -11,7 +11,7 @@
 // truth is what a host knows of the attempts that are out, by server and in all.
 type truth struct {
 	out    map[string]int
-	timers []Wake
+	timers []SetTimer
 	due    []ending
 	most   int // timers at once
 }
@@ -19,19 +19,19 @@
 // ending is an outcome to come.
 type ending struct {
 	at time.Duration
-	e  Outcome
+	e  AttemptEnded
 }
 
 // take notes what the module wants; draw gives an attempt its ending.
-func (h *truth) take(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Ending)) {
+func (h *truth) take(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
 			h.out[a.Server]++
 			took, how := draw(a)
 			n := len(b.requests[a.ID].attempts) - 1
-			h.due = append(h.due, ending{now + took, Outcome{ID: a.ID, Attempt: n, Server: a.Server, Ending: how, Ended: how == Success}})
-		case Wake:
+			h.due = append(h.due, ending{now + took, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: how, RequestDone: how == Success}})
+		case SetTimer:
 			h.timers = append(h.timers, a)
 			h.most = max(h.most, len(h.timers))
 		}
@@ -72,7 +72,7 @@
 func TestDaysLeaveNothingBehind(t *testing.T) {
 	for seed := range uint64(2) {
 		set := ruleSettings()
-		set.Tier, set.AskDiscovery = int(seed%2), seed%2 == 0
+		set.Tier, set.PollDiscovery = int(seed%2), seed%2 == 0
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -80,13 +80,13 @@
 		rng, h := rand.New(rand.NewPCG(seed, 9)), &truth{out: map[string]int{}}
 		fleet, next := servers(6), 6
 		now := time.Duration(0)
-		draw := func(s Send) (time.Duration, Ending) {
+		draw := func(s Send) (time.Duration, Outcome) {
 			took := time.Duration(rng.ExpFloat64() * float64(150*msec))
 			switch {
 			case took > s.Timeout:
 				return s.Timeout, TimedOut
 			case rng.IntN(5) == 0:
-				return took, Ending(1 + rng.IntN(int(Void)))
+				return took, Outcome(1 + rng.IntN(int(NotSent)))
 			}
 			return took, Success
 		}
@@ -98,8 +98,8 @@
 		}
 		pass := func(step time.Duration) {
 			now += step
-			for _, w := range taken(&h.timers, func(w Wake) bool { return w.At <= now }) {
-				give(Timer{Token: w.Token})
+			for _, w := range taken(&h.timers, func(w SetTimer) bool { return w.At <= now }) {
+				give(TimerFired{Token: w.Token})
 			}
 			for _, d := range taken(&h.due, func(d ending) bool { return d.at <= now }) {
 				if h.out[d.e.Server]--; h.out[d.e.Server] == 0 {
@@ -108,13 +108,13 @@
 				give(d.e)
 			}
 		}
-		give(ServerList{Full: true, Servers: fleet})
+		give(EndpointUpdate{Complete: true, Servers: fleet})
 		for i := range 10000 {
 			pass(time.Duration(1+rng.IntN(6000)*rng.IntN(12)) * msec) // about two days in all
 			for k := range 1 + rng.IntN(3) {
 				id := fmt.Sprintf("%d.%d", i, k)
 				give(Request{ID: id, Class: set.Classes[rng.IntN(len(set.Classes))].Name, Key: rng.Uint64(), HasKey: true,
-					Repeat: rng.IntN(4) == 0, Deadline: now + time.Duration(rng.Int64N(int64(time.Hour)))>>rng.IntN(40)})
+					ClientRetry: rng.IntN(4) == 0, Deadline: now + time.Duration(rng.Int64N(int64(time.Hour)))>>rng.IntN(40)})
 				if rng.IntN(10) == 0 {
 					give(ClientGone{ID: id})
 				}
@@ -122,22 +122,22 @@
 			switch s := &fleet[rng.IntN(len(fleet))]; rng.IntN(40) {
 			case 0: // another machine in its place
 				gone := *s
-				gone.State = Gone
-				give(ServerList{Servers: []Server{gone}})
-				*s = Server{ID: fmt.Sprint("n", next), Zone: gone.Zone, Boot: now}
+				gone.State = Removed
+				give(EndpointUpdate{Servers: []Server{gone}})
+				*s = Server{ID: fmt.Sprint("n", next), Zone: gone.Zone, StartTime: now}
 				next++
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Servers: []Server{*s}})
 			case 1: // a new process
-				s.State, s.Boot = Ready, now
-				give(ServerList{Servers: []Server{*s}})
+				s.State, s.StartTime = Ready, now
+				give(EndpointUpdate{Servers: []Server{*s}})
 			case 2:
 				s.State = Draining
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Servers: []Server{*s}})
 			case 3: // back, as it was
 				s.State = Ready
-				give(ServerList{Full: true, Servers: fleet})
+				give(EndpointUpdate{Complete: true, Servers: fleet})
 			case 4:
-				give(ListFailed{})
+				give(WatchFailed{})
 			}
 		}
 		for range 100 {
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -60,10 +60,10 @@
 
 // inScope keeps a request from servers tried before, and a keyed one that may have run in its scope.
 func (b *Balancer) inScope(r *request, s *server) bool {
-	scope := r.class.Scope
+	scope := r.class.DedupScope
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		outside := scope != ScopeAll && a.zone != s.Zone || scope == ScopeCell && a.cell != s.Cell
-		return a.srv == s || r.class.Effect == Keyed && !a.unsent && outside
+		return a.srv == s || r.class.Effect == IdempotentWithKey && !a.unsent && outside
 	})
 }
 
@@ -73,12 +73,12 @@
 // that back. The multiple is left for bursts: half of it, where it is under two.
 func (b *Balancer) warmEnough(s *server, busy float64) bool {
 	age := b.now - s.start()
-	if s.start() <= 0 || age >= b.set.WarmAfter {
+	if s.start() <= 0 || age >= b.set.SlowStartDuration {
 		return true
 	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	share := (b.set.ColdFrom + (1-b.set.ColdFrom)*grown) / (1 + busy)
-	if m := b.set.FallMultiple; m > 0 {
+	grown := max(0, float64(age)/float64(b.set.SlowStartDuration))
+	share := (b.set.SlowStartMinShare + (1-b.set.SlowStartMinShare)*grown) / (1 + busy)
+	if m := b.set.OverloadMultiple; m > 0 {
 		share *= min(1, m/2)
 	}
 	return s.calls() == 0 && b.rng.Float64() < share
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -11,8 +11,8 @@
 const windowStart = 5.0 // own calls admitted per server before anything is known
 
 // takeList applies news of the servers. A new boot time resets what is known of a server.
-func (b *Balancer) takeList(e ServerList) {
-	if e.Full {
+func (b *Balancer) takeList(e EndpointUpdate) {
+	if e.Complete {
 		for _, s := range b.servers {
 			s.listed = false
 		}
@@ -22,11 +22,11 @@
 		if s == nil {
 			s = &server{back: b.hands[n.ID].back}
 			b.servers[n.ID] = s
-		} else if s.start() != max(n.Boot, s.back) {
+		} else if s.start() != max(n.StartTime, s.back) {
 			*s = server{open: s.open, back: s.back}
 		}
 		s.Server = n
-		s.listed = n.State != Gone
+		s.listed = n.State != Removed
 	}
 	b.relist()
 	if e.Cached {
@@ -80,7 +80,7 @@
 	if p.near = without(home, needed); len(p.near) < len(home) {
 		own = without(p.ready, needed)
 	}
-	p.fair = float64(len(own)) / float64(max(1, b.set.Balancers))
+	p.fair = float64(len(own)) / float64(max(1, b.set.Replicas))
 	if p.window == 0 {
 		p.base = p.fair
 		p.window = windowStart * p.base
@@ -102,13 +102,13 @@
 }
 
 // askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies from swamping discovery
-// together; the wait doubles with each failure but leaves time for two tries within AskWithin.
+// together; the wait doubles with each failure but leaves time for two tries within MaxPollInterval.
 func (b *Balancer) askAgain() {
-	if !b.set.AskDiscovery {
+	if !b.set.PollDiscovery {
 		return
 	}
-	most := b.set.AskWithin / 4
+	most := b.set.MaxPollInterval / 4
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	b.do(SetTimer{At: b.subWanted, Token: "list"})
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -11,16 +11,16 @@
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, DedupScope: balancer.ScopeAll,
+			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
+	b.Handle(0, balancer.EndpointUpdate{Complete: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
 	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
@@ -28,14 +28,14 @@
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 0, Server: first.Server,
+		Outcome: balancer.Unreachable, Latency: 3 * time.Millisecond})
 	second := acts[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Server != first.Server)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 1, Server: second.Server,
+		Outcome: balancer.Success, Latency: 20 * time.Millisecond, RequestDone: true})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 1s
@@ -45,9 +45,9 @@
 
 func BenchmarkHandle(bench *testing.B) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
@@ -56,11 +56,11 @@
 	for i := range 50 {
 		list = append(list, balancer.Server{ID: fmt.Sprint("s", i)})
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	b.Handle(0, balancer.EndpointUpdate{Complete: true, Servers: list})
 	bench.ReportAllocs()
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
 		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
-		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+		b.Handle(now, balancer.AttemptEnded{ID: id, Server: s.Server, Outcome: balancer.Success, RequestDone: true})
 	}
 }
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -1,4 +1,4 @@
-// Drills: rehearsals that delay or abort a share of one class's requests. Who may start one is the host's.
+// FaultInjections: rehearsals that delay or abort a share of one class's requests. Who may start one is the host's.
 
 package balancer
 
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Drill is a rehearsal that a DrillStart can start.
-type Drill struct {
+// FaultInjection is a rehearsal that a FaultInjectionStart can start.
+type FaultInjection struct {
 	Name        string        `json:"Name"`
 	Class       string        `json:"Class"`
-	Share       float64       `json:"Share"`       // percent of the class's requests
+	Percent     float64       `json:"Share"`       // percent of the class's requests
 	Delay       time.Duration `json:"Delay"`       // before the first attempt; none for the aborted
 	AbortStatus int           `json:"AbortStatus"` // answered at once, without an attempt: 503 or 500; 0: not
 	Duration    time.Duration `json:"Duration"`    // from the last start
@@ -27,7 +27,7 @@
 	delayed []*request      // in the order of arrival
 }
 
-func newRehearsal(drills []Drill, seed uint64) *rehearsal {
+func newRehearsal(drills []FaultInjection, seed uint64) *rehearsal {
 	if len(drills) == 0 {
 		return nil
 	}
@@ -37,7 +37,7 @@
 
 // startDrill lets a drill run for its whole duration from now, also one that runs already.
 func (b *Balancer) startDrill(name string) {
-	for i, d := range b.set.Drills {
+	for i, d := range b.set.FaultInjections {
 		if d.Name == name && !b.leaving {
 			b.drills.until[i] = b.now + d.Duration
 		}
@@ -58,14 +58,14 @@
 
 // drilled draws whether a request is part of a drill: the first running one of its class that hits. A drill
 // that can't start draws nothing.
-func (b *Balancer) drilled(e Request) *Drill {
+func (b *Balancer) drilled(e Request) *FaultInjection {
 	if b.drills == nil {
 		return nil
 	}
-	for i := range b.set.Drills {
-		d := &b.set.Drills[i]
-		if d.Class == e.Class && b.now < b.drills.until[i] && b.drills.rng.Float64()*100 < d.Share {
-			b.do(Drilled{ID: e.ID, Drill: d.Name})
+	for i := range b.set.FaultInjections {
+		d := &b.set.FaultInjections[i]
+		if d.Class == e.Class && b.now < b.drills.until[i] && b.drills.rng.Float64()*100 < d.Percent {
+			b.do(FaultInjected{ID: e.ID, FaultInjection: d.Name})
 			return d
 		}
 	}
@@ -74,16 +74,16 @@
 
 // abort answers a request that a drill turns away. It leaves no trace in what is learned of the class: those
 // that the drill spares must be served as if there were none.
-func (b *Balancer) abort(e Request, d *Drill) {
+func (b *Balancer) abort(e Request, d *FaultInjection) {
 	a := Abort{ID: e.ID, Status: d.AbortStatus}
 	if a.Status == 503 {
-		a.RetryAfter = b.set.ComeBack(b.classes[d.Class].Class)
+		a.RetryAfter = b.set.RetryAfter(b.classes[d.Class].Class)
 	}
 	b.do(a)
 }
 
 // delay holds a request back for a drill, but leaves time for an answer. False: there is none for a delay.
-func (b *Balancer) delay(r *request, d *Drill) bool {
+func (b *Balancer) delay(r *request, d *FaultInjection) bool {
 	last := r.deadline - max(r.class.longest(2), 2*b.set.Tick)
 	r.resume = min(b.now+d.Delay, last)
 	if r.resume <= b.now {
@@ -91,7 +91,7 @@
 	}
 	r.delayed = true
 	b.drills.delayed = append(b.drills.delayed, r)
-	b.do(Wake{At: r.resume, Token: "d:" + r.id})
+	b.do(SetTimer{At: r.resume, Token: "d:" + r.id})
 	return true
 }
 
@@ -100,7 +100,7 @@
 	switch {
 	case r == nil || !r.delayed:
 	case b.now+b.set.Tick < r.resume:
-		b.do(Wake{At: r.resume, Token: "d:" + r.id})
+		b.do(SetTimer{At: r.resume, Token: "d:" + r.id})
 	default:
 		b.resume(r)
 	}
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -8,20 +8,20 @@
 )
 
 // payDrill is a drill of class pay named stall, with what d says beside.
-func payDrill(d Drill) []Drill {
+func payDrill(d FaultInjection) []FaultInjection {
 	d.Name, d.Duration = "stall", time.Minute
 	if d.Class == "" {
 		d.Class = "pay"
 	}
-	return []Drill{d}
+	return []FaultInjection{d}
 }
 
 // drilling is a Balancer with servers and the drill running from time 0.
-func drilling(t *testing.T, d Drill) *Balancer {
+func drilling(t *testing.T, d FaultInjection) *Balancer {
 	t.Helper()
-	b := newBalancer(t, func(s *Settings) { s.Drills = payDrill(d) })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	b.Handle(0, DrillStart{Name: "stall"})
+	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payDrill(d) })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	b.Handle(0, StartFaultInjection{Name: "stall"})
 	return b
 }
 
@@ -30,14 +30,14 @@
 }
 
 func TestDrillTakesItsShareOfItsClass(t *testing.T) {
-	b := drilling(t, Drill{Share: 10})
+	b := drilling(t, FaultInjection{Percent: 10})
 	marked := map[string]int{}
 	for i := range 1000 {
 		for _, class := range []string{"pay", "get"} {
 			now, id := time.Duration(i)*msec, fmt.Sprint(class, i)
 			acts := b.Handle(now, asked(id, class, now, time.Second))
-			if d, ok := acts[0].(Drilled); ok {
-				if d.Drill != "stall" || d.ID != id {
+			if d, ok := acts[0].(FaultInjected); ok {
+				if d.FaultInjection != "stall" || d.ID != id {
 					t.Fatalf("marked %+v", d)
 				}
 				marked[class]++
@@ -54,68 +54,68 @@
 
 // What a drill draws must not shift the draws of the requests around it: with nothing but marks, all else stays.
 func TestDrillLeavesOrdinaryDrawsAlone(t *testing.T) {
-	play := func(drills []Drill) (rest []Action) {
-		b := newBalancer(t, func(s *Settings) { s.Drills = drills })
-		acts := b.Handle(0, ServerList{Full: true, Servers: servers(20)})
-		acts = append(acts, b.Handle(0, DrillStart{Name: "stall"})...)
+	play := func(drills []FaultInjection) (rest []Action) {
+		b := newBalancer(t, func(s *Settings) { s.FaultInjections = drills })
+		acts := b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
+		acts = append(acts, b.Handle(0, StartFaultInjection{Name: "stall"})...)
 		for i := range 300 {
 			now, id := time.Duration(i)*msec, fmt.Sprint("r", i)
 			acts = append(acts, b.Handle(now, asked(id, []string{"pay", "get"}[i%2], now, time.Second))...)
 			for _, s := range sends(acts[len(acts)-1:]) {
 				if i%5 > 0 {
-					acts = append(acts, settle(b, now, id, s, Ending(i%3))...)
+					acts = append(acts, settle(b, now, id, s, Outcome(i%3))...)
 				}
 			}
 		}
 		for _, a := range acts {
-			if _, mark := a.(Drilled); !mark {
+			if _, mark := a.(FaultInjected); !mark {
 				rest = append(rest, a)
 			}
 		}
 		return rest
 	}
 	want := play(nil)
-	if got := play(payDrill(Drill{Share: 40})); !reflect.DeepEqual(got, want) {
+	if got := play(payDrill(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
 		t.Error("a drill without delay changed what was done")
 	}
 }
 
 // delayed gives a drilled request to a Balancer and returns the timer that ends its delay.
-func delayed(t *testing.T, b *Balancer, now time.Duration, r Request) Wake {
+func delayed(t *testing.T, b *Balancer, now time.Duration, r Request) SetTimer {
 	t.Helper()
 	acts := b.Handle(now, r)
-	if len(acts) != 2 || acts[0] != (Drilled{ID: r.ID, Drill: "stall"}) {
+	if len(acts) != 2 || acts[0] != (FaultInjected{ID: r.ID, FaultInjection: "stall"}) {
 		t.Fatalf("got %v, want a mark and a timer", acts)
 	}
-	return acts[1].(Wake)
+	return acts[1].(SetTimer)
 }
 
 func TestDelayEndsWithItsTimer(t *testing.T) {
-	b := drilling(t, Drill{Share: 100, Delay: 300 * msec})
+	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
 	w := delayed(t, b, 0, asked("r", "pay", 0, 1500*msec))
 	if w.At != 300*msec {
 		t.Errorf("delayed until %v", w.At)
 	}
-	if acts := b.Handle(100*msec, Timer{Token: w.Token}); len(acts) != 1 || acts[0] != Action(w) {
+	if acts := b.Handle(100*msec, TimerFired{Token: w.Token}); len(acts) != 1 || acts[0] != Action(w) {
 		t.Errorf("a timer that came early led to %v, want another", acts)
 	}
-	acts := b.Handle(w.At, Timer{Token: w.Token})
+	acts := b.Handle(w.At, TimerFired{Token: w.Token})
 	if s := sends(acts); len(s) != 1 || s[0].Timeout != 1200*msec {
 		t.Errorf("after the delay: %v", acts)
 	}
-	if acts := b.Handle(w.At, Timer{Token: w.Token}); len(acts) != 0 {
+	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 {
 		t.Errorf("a second timer led to %v", acts)
 	}
 }
 
 // A delay that would use up the client's time ends while an answer can still come.
 func TestDelayIsCutByTheBudget(t *testing.T) {
-	b := drilling(t, Drill{Share: 100, Delay: time.Hour})
+	b := drilling(t, FaultInjection{Percent: 100, Delay: time.Hour})
 	w := delayed(t, b, 0, asked("r", "pay", 0, 1500*msec))
 	if left := 1500*msec - w.At; left < b.classes["pay"].longest(2) || w.At < 500*msec {
 		t.Errorf("delayed until %v of 1500ms", w.At)
 	}
-	if acts := b.Handle(w.At, Timer{Token: w.Token}); len(sends(acts)) != 1 {
+	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(sends(acts)) != 1 {
 		t.Errorf("after the delay: %v", acts)
 	}
 	acts := b.Handle(time.Second, asked("short", "pay", time.Second, 100*msec))
@@ -126,8 +126,8 @@
 
 func TestAbortIsAnsweredAtOnce(t *testing.T) {
 	for status, advice := range map[int]time.Duration{503: 50 * msec, 500: 0} {
-		b := drilling(t, Drill{Share: 100, AbortStatus: status, Delay: time.Second})
-		want := []Action{Drilled{ID: "r", Drill: "stall"}, Abort{ID: "r", Status: status, RetryAfter: advice}}
+		b := drilling(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
+		want := []Action{FaultInjected{ID: "r", FaultInjection: "stall"}, Abort{ID: "r", Status: status, RetryAfter: advice}}
 		if acts := b.Handle(0, asked("r", "pay", 0, time.Second)); !reflect.DeepEqual(acts, want) {
 			t.Errorf("got %v, want %v", acts, want)
 		}
@@ -138,51 +138,51 @@
 }
 
 func TestDrillEndsAndStartsAnew(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Drills = payDrill(Drill{Share: 100, AbortStatus: 500}) })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{Percent: 100, AbortStatus: 500}) })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	n := 0
 	runs := func(now time.Duration) bool {
 		n++
-		_, ok := b.Handle(now, asked(fmt.Sprint(n), "pay", now, time.Second))[0].(Drilled)
+		_, ok := b.Handle(now, asked(fmt.Sprint(n), "pay", now, time.Second))[0].(FaultInjected)
 		return ok
 	}
 	if runs(0) {
 		t.Error("it ran before it was started")
 	}
-	b.Handle(0, DrillStart{Name: "another"})
+	b.Handle(0, StartFaultInjection{Name: "another"})
 	if runs(0) {
 		t.Error("another name started it")
 	}
-	b.Handle(time.Second, DrillStart{Name: "stall"})
-	b.Handle(31*time.Second, DrillStart{Name: "stall"}) // a minute from here
+	b.Handle(time.Second, StartFaultInjection{Name: "stall"})
+	b.Handle(31*time.Second, StartFaultInjection{Name: "stall"}) // a minute from here
 	if !runs(90*time.Second) || runs(91*time.Second) {
 		t.Error("it did not end a minute after the second start")
 	}
 }
 
 func TestClientThatLeavesEndsItsDelay(t *testing.T) {
-	b := drilling(t, Drill{Share: 100, Delay: 300 * msec})
+	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
 	w := delayed(t, b, 0, asked("r", "pay", 0, time.Second))
 	b.Handle(10*msec, ClientGone{ID: "r"})
-	if acts := b.Handle(w.At, Timer{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.drills.delayed) != 0 {
+	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.drills.delayed) != 0 {
 		t.Errorf("it left, and yet: %v", acts)
 	}
 }
 
 // A node that is about to stop sends what a drill delayed at once, in order, and drills nothing more.
 func TestLeavingEndsDrills(t *testing.T) {
-	b := drilling(t, Drill{Share: 100, Delay: 300 * msec})
+	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
 	delayed(t, b, 0, asked("1", "pay", 0, time.Second))
 	delayed(t, b, msec, asked("2", "pay", 0, time.Second))
-	if s := sends(b.Handle(2*msec, Leaving{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
+	if s := sends(b.Handle(2*msec, ShuttingDown{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
 		t.Errorf("sent %v", s)
 	}
-	b.Handle(3*msec, DrillStart{Name: "stall"})
+	b.Handle(3*msec, StartFaultInjection{Name: "stall"})
 	if acts := b.Handle(4*msec, asked("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
 		t.Errorf("after that: %v", acts)
 	}
 	plain := newBalancer(t, nil)
-	if acts := plain.Handle(0, Leaving{}); len(acts) != 0 {
+	if acts := plain.Handle(0, ShuttingDown{}); len(acts) != 0 {
 		t.Errorf("without drills: %v", acts)
 	}
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -98,21 +98,21 @@
 	prefix := netip.MustParsePrefix
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: aim, Deadline: deadline, LateShare: 0.25, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeZone, Window: 900 * msec, Aim: aim, Deadline: deadline, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: aim, Deadline: deadline, Worth: 3},
-			{Name: "watch", Effect: Safe, Aim: aim, Deadline: deadline, Worth: 1, Stream: true},
-			{Name: "order", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, InOrder: true, Aim: aim, Deadline: deadline, Worth: 1,
-				OnlyZones: []string{"z"}, OnlyKinds: []string{"large", "small"}},
-			{Name: "remote", Effect: Safe, Aim: aim, Deadline: deadline, Worth: 1, OnlyZones: []string{"far"}},
+			{Name: "get", Effect: Idempotent, DedupScope: ScopeAll, LatencyObjective: aim, Deadline: deadline, LateCredit: 0.25, PriorityWeight: 1},
+			{Name: "post", Effect: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 900 * msec, LatencyObjective: aim, Deadline: deadline, PriorityWeight: 2},
+			{Name: "pay", Effect: NonIdempotent, LatencyObjective: aim, Deadline: deadline, PriorityWeight: 3},
+			{Name: "watch", Effect: Idempotent, LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, Stream: true},
+			{Name: "order", Effect: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 900 * msec, OrderedByKey: true, LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1,
+				AllowedZones: []string{"z"}, AllowedKinds: []string{"large", "small"}},
+			{Name: "remote", Effect: Idempotent, LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, AllowedZones: []string{"far"}},
 		},
-		Balancers: 2, Self: 1, Zone: "z", WholeWeight: 0.6, ClassWeight: 0.3, MarksRepeats: true,
-		MaxAttempts: 5, AskDiscovery: true, AskWithin: 10 * time.Second, Tick: 2 * msec, MaxRetryAfter: 2 * time.Second,
-		OrderSettle: 30 * msec, ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3,
-		Drills: []Drill{{Name: "refuse", Class: "post", Share: 50, AbortStatus: 503, Duration: time.Second},
-			{Name: "stall", Class: "get", Share: 30, Delay: 80 * msec, Duration: time.Minute}},
-		Addresses: &Addresses{Allow: []netip.Prefix{prefix("10.0.0.0/8"), prefix("2001:db8::/32")},
-			Deny: []netip.Prefix{prefix("10.9.0.0/16")}, ProxyFrom: []netip.Prefix{prefix("192.0.2.1/32")}},
+		Replicas: 2, ReplicaIndex: 1, Zone: "z", TotalValueWeight: 0.6, WorstClassWeight: 0.3, ClientsMarkRetries: true,
+		MaxAttempts: 5, PollDiscovery: true, MaxPollInterval: 10 * time.Second, Tick: 2 * msec, MaxRetryAfter: 2 * time.Second,
+		KeyQuietPeriod: 30 * msec, SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
+		FaultInjections: []FaultInjection{{Name: "refuse", Class: "post", Percent: 50, AbortStatus: 503, Duration: time.Second},
+			{Name: "stall", Class: "get", Percent: 30, Delay: 80 * msec, Duration: time.Minute}},
+		AccessList: &AccessList{Allow: []netip.Prefix{prefix("10.0.0.0/8"), prefix("2001:db8::/32")},
+			Deny: []netip.Prefix{prefix("10.9.0.0/16")}, TrustedProxies: []netip.Prefix{prefix("192.0.2.1/32")}},
 	}
 }
 
@@ -120,7 +120,7 @@
 type goldenRun struct {
 	*Balancer
 	rng    *rand.Rand
-	timers []Wake
+	timers []SetTimer
 	due    []ending
 	n      int
 }
@@ -128,26 +128,26 @@
 func (g *goldenRun) give(e Event) {
 	for _, a := range g.Handle(g.now, e) {
 		switch a := a.(type) {
-		case Wake:
+		case SetTimer:
 			g.timers = append(g.timers, a)
 		case Send:
-			o := Outcome{ID: a.ID, Attempt: len(g.requests[a.ID].attempts) - 1, Server: a.Server}
+			o := AttemptEnded{ID: a.ID, Attempt: len(g.requests[a.ID].attempts) - 1, Server: a.Server}
 			took := time.Duration(60+g.rng.IntN(250)) * msec
 			if g.servers[a.Server].Zone == g.set.Zone {
 				took *= 3 // the nearest are the slowest, so that some requests leave them
 			}
 			switch {
 			case a.Server == "s1":
-				o.Ending = Broken
+				o.Outcome = ConnectionLost
 			case a.Server == "s5" && g.rng.IntN(3) == 0:
-				o.Ending = Overloaded
+				o.Outcome = Overloaded
 			case g.rng.IntN(20) == 0:
 				took = time.Minute // its server hangs
 			}
 			if took > a.Timeout {
-				took, o.Ending = a.Timeout, TimedOut
+				took, o.Outcome = a.Timeout, TimedOut
 			}
-			o.Ended, o.Latency = o.Ending == Success, took
+			o.RequestDone, o.Latency = o.Outcome == Success, took
 			g.due = append(g.due, ending{g.now + took, o})
 		}
 	}
@@ -156,8 +156,8 @@
 // pass lets time go by, in which what comes due happens.
 func (g *goldenRun) pass(step time.Duration) {
 	g.now += step
-	for _, w := range taken(&g.timers, func(w Wake) bool { return w.At <= g.now }) {
-		g.give(Timer{Token: w.Token})
+	for _, w := range taken(&g.timers, func(w SetTimer) bool { return w.At <= g.now }) {
+		g.give(TimerFired{Token: w.Token})
 	}
 	for _, d := range taken(&g.due, func(d ending) bool { return d.at <= g.now }) {
 		g.give(d.e)
@@ -165,9 +165,9 @@
 }
 
 // end gives those attempts that are out an ending before their time.
-func (g *goldenRun) end(how Ending, which func(*attempt) bool) {
+func (g *goldenRun) end(how Outcome, which func(*attempt) bool) {
 	for _, d := range taken(&g.due, func(d ending) bool { return which(g.requests[d.e.ID].attempts[d.e.Attempt]) }) {
-		d.e.Ending, d.e.Ended = how, false
+		d.e.Outcome, d.e.RequestDone = how, false
 		g.give(d.e)
 	}
 }
@@ -175,14 +175,14 @@
 // ask has a request come, each fifth with bytes in its id that are no UTF-8.
 func (g *goldenRun) ask(class string, r Request) {
 	g.n++
-	r.ID, r.Class, r.Rules = fmt.Sprint("r", g.n), class, g.rules
+	r.ID, r.Class, r.SettingsVersion = fmt.Sprint("r", g.n), class, g.rules
 	if g.n%5 == 0 {
 		r.ID += "\xff"
 	}
 	r.Deadline, r.Client = g.now+1500*msec, netip.MustParseAddr("10.1.2.3")
 	g.give(r)
 	if class == "watch" && g.requests[r.ID] != nil {
-		g.give(Started{ID: r.ID})
+		g.give(ResponseStarted{ID: r.ID})
 	}
 }
 
@@ -191,7 +191,7 @@
 	for range n {
 		g.pass(every)
 		class := g.set.Classes[g.rng.IntN(len(g.set.Classes))].Name
-		g.ask(class, Request{Key: 1 + g.rng.Uint64N(3), HasKey: true, Repeat: g.rng.IntN(6) == 0, Bulk: g.rng.IntN(8) == 0})
+		g.ask(class, Request{Key: 1 + g.rng.Uint64N(3), HasKey: true, ClientRetry: g.rng.IntN(6) == 0, StreamedBody: g.rng.IntN(8) == 0})
 	}
 }
 
@@ -208,26 +208,26 @@
 	var list []Server
 	for i := range 9 {
 		list = append(list, Server{ID: fmt.Sprint("s", i), Zone: []string{"z", "y"}[i/6], Kind: []string{"large", "small"}[i%2],
-			Cell: i % 3, Boot: time.Duration(i%2) * 59 * time.Minute})
+			Cell: i % 3, StartTime: time.Duration(i%2) * 59 * time.Minute})
 	}
 	list = append(list, Server{ID: "far", Zone: "far", Kind: "large"}, Server{ID: "old", Zone: "z", Kind: "old", State: Draining})
-	g.give(ServerList{Full: true, Cached: true, Servers: list})
-	g.give(ServerList{Full: true, Servers: list})
+	g.give(EndpointUpdate{Complete: true, Cached: true, Servers: list})
+	g.give(EndpointUpdate{Complete: true, Servers: list})
 	g.crowd(600, 4*msec)
-	g.give(Hand{Server: "far", Out: true}) // the only one of its zone
-	g.give(Hand{Server: "s3", Out: true})
-	g.give(Hand{Server: "s4", Out: true})
+	g.give(AdminOverride{Server: "far", Disabled: true}) // the only one of its zone
+	g.give(AdminOverride{Server: "s3", Disabled: true})
+	g.give(AdminOverride{Server: "s4", Disabled: true})
 	g.crowd(200, 4*msec)
-	g.give(Hand{Server: "s4"})
+	g.give(AdminOverride{Server: "s4"})
 	set := goldenSettings()
-	set.Classes[0].Worth, set.Classes[3].Worth, set.Classes[4].OnlyZones = 4, 2, []string{"z", "y"}
-	g.give(Retune{Settings: set})
-	g.give(DrillStart{Name: "stall"})
+	set.Classes[0].PriorityWeight, set.Classes[3].PriorityWeight, set.Classes[4].AllowedZones = 4, 2, []string{"z", "y"}
+	g.give(SettingsChanged{Settings: set})
+	g.give(StartFaultInjection{Name: "stall"})
 	g.crowd(30, 4*msec)
 	gone := list[2]
-	gone.State = Gone
+	gone.State = Removed
 	g.crowd(100, msec)
-	g.give(ServerList{Servers: []Server{gone}})
+	g.give(EndpointUpdate{Servers: []Server{gone}})
 	g.end(Overloaded, func(a *attempt) bool { return a.srv.ID == gone.ID })
 	g.end(Overloaded, func(a *attempt) bool { return a.srv.ID == "s5" })
 	first := true // its key rests after it
@@ -236,8 +236,8 @@
 		first = first && !ends
 		return ends
 	})
-	g.give(ListFailed{})
-	g.give(ListFailed{})
+	g.give(WatchFailed{})
+	g.give(WatchFailed{})
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // the first client that waits for an attempt leaves
 		if r := g.requests[id]; r.pending() && !r.streaming {
 			g.give(ClientGone{ID: id})
@@ -252,8 +252,8 @@
 func goldenEnding(t *testing.T) *goldenRun {
 	t.Helper()
 	g := goldenBusy(t)
-	g.give(ListLease{Expired: true})
-	g.give(Leaving{})
+	g.give(EndpointLease{Expired: true})
+	g.give(ShuttingDown{})
 	return g
 }
 
@@ -269,7 +269,7 @@
 		}
 		golden(t, name, text)
 	}
-	text, err := goldenBusy(t).Heir()
+	text, err := goldenBusy(t).SuccessorState()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,17 +298,17 @@
 	if err := json.Unmarshal(heir, &s); err != nil {
 		t.Fatal(err)
 	}
-	b, err := Inherit(set, heir, 9)
+	b, err := RestoreSuccessor(set, heir, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text, err := b.Heir(); err != nil || bytes.Equal(text, heir) {
+	if text, err := b.SuccessorState(); err != nil || bytes.Equal(text, heir) {
 		t.Errorf("the heir draws as the one before it, %v", err)
 	}
 	if err := b.src.UnmarshalBinary(s.Random); err != nil {
 		t.Fatal(err)
 	}
-	text, err := b.Heir()
+	text, err := b.SuccessorState()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -348,8 +348,8 @@
 	}
 	wantEveryField(t, 40, &read)
 	// Constants are stored as numbers.
-	if got := []int{int(Unsafe), int(Keyed), int(Safe), int(ScopeCell), int(ScopeZone), int(ScopeAll), int(Ready), int(Draining),
-		int(Gone)}; !slices.Equal(got, []int{0, 1, 2, 0, 1, 2, 0, 1, 2}) {
+	if got := []int{int(NonIdempotent), int(IdempotentWithKey), int(Idempotent), int(ScopeCell), int(ScopeZone), int(ScopeAll), int(Ready), int(Draining),
+		int(Removed)}; !slices.Equal(got, []int{0, 1, 2, 0, 1, 2, 0, 1, 2}) {
 		t.Errorf("effects, scopes and states are %v", got)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -45,7 +45,7 @@
 	}
 	// After an ejection one safe trial at a time decides: a bad server must not eat many requests, nor one
 	// that cannot be repeated. Where nothing safe comes for as long again, an unsafe one must do.
-	early := r.class.Effect == Unsafe && b.now < s.until+time.Duration(ejection*r.class.mean)
+	early := r.class.Effect == NonIdempotent && b.now < s.until+time.Duration(ejection*r.class.mean)
 	return s.level > 0 && s.goods == 0 && (early || s.calls() > 0)
 }
 
@@ -65,7 +65,7 @@
 
 // latency is how long an attempt took; of what is passed on as it comes, from its last byte till the answer's
 // first, as the host has seen it.
-func (b *Balancer) latency(r *request, a *attempt, e Outcome) time.Duration {
+func (b *Balancer) latency(r *request, a *attempt, e AttemptEnded) time.Duration {
 	if r.streaming || r.bulk {
 		return e.Latency
 	}
@@ -78,16 +78,16 @@
 }
 
 // judge learns from an ending: the class's latency, the server's health relative to its peers.
-func (b *Balancer) judge(a *attempt, e Outcome) {
+func (b *Balancer) judge(a *attempt, e AttemptEnded) {
 	s, c := a.srv, a.req.class
 	if a.boot != s.start() { // sent to its process before this one: no longer of any weight
 		s = &server{}
 	}
 	took := float64(b.latency(a.req, a, e))
-	if e.Ending == Success || e.Ending == TimedOut {
+	if e.Outcome == Success || e.Outcome == TimedOut {
 		c.pool.compare(slices.Contains(c.pool.near, a.srv), math.Log(max(took, 1)/c.mean))
 	}
-	switch e.Ending {
+	switch e.Outcome {
 	case Success:
 		b.tokens = min(retryPurse, b.tokens+retryEarn)
 		b.lastOK, s.lastOK = b.now, b.now
@@ -109,13 +109,13 @@
 		s.room = s.calls()
 		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.refusals
 		s.refusals = min(s.refusals+1, maxLevel)
-	case Failure, Broken, TimedOut:
+	case Failure, ConnectionLost, TimedOut:
 		s.streak++
 		s.goods = 0
 		// Errors that strike everywhere come from the tier below; ejecting on them would leave nobody. A
 		// run counts only if the peers' share makes it unlikely, and by the hundredth call one error is not.
 		luck := errorChance
-		if e.Ending == TimedOut {
+		if e.Outcome == TimedOut {
 			luck = chance
 		}
 		if b.now >= s.until && math.Pow(b.errors, float64(s.streak)) < luck {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -99,7 +99,7 @@
 // stretch is a part of a group, taken as a ring. The copies' numbers say where it starts, so that the
 // stretches of all copies cover the servers evenly; a change of the list moves it by little.
 func (b *Balancer) stretch(group []*server, part float64) []*server {
-	_, at := math.Modf(spread * float64(b.set.Self))
+	_, at := math.Modf(spread * float64(b.set.ReplicaIndex))
 	start := int(at * float64(len(group)))
 	end := start + int(math.Ceil(part*float64(len(group))))
 	if over := end - len(group); over > 0 {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -15,15 +15,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "get", Effect: Idempotent, DedupScope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Effect: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
+		Replicas: 2, Tier: 0, TotalValueWeight: 0.6, WorstClassWeight: 0.3,
 		MaxAttempts: 5, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3,
+		MaxPollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
 	}
 }
 
@@ -126,9 +126,9 @@
 func TestCopiesShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
-	a.Handle(0, ServerList{Full: true, Servers: l})
+	a.Handle(0, EndpointUpdate{Complete: true, Servers: l})
 	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, ServerList{Servers: l[i : i+1]})
+		b.Handle(0, EndpointUpdate{Servers: l[i : i+1]})
 	}
 	for i := range l {
 		if a.pools[0].ready[i].ID != b.pools[0].ready[i].ID {
@@ -142,12 +142,12 @@
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
-		var next Wake
+		var next SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -155,19 +155,19 @@
 			t.Fatalf("at %v neither an answer nor a timer", now)
 		}
 		now = max(now+2*msec, next.At-500) // half a microsecond early
-		acts = b.Handle(now, Timer{Token: next.Token})
+		acts = b.Handle(now, TimerFired{Token: next.Token})
 	}
 	t.Fatal("no final answer in time")
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
-	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
+func settle(b *Balancer, now time.Duration, id string, s Send, e Outcome) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: e, RequestDone: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
+func traffic(b *Balancer, n int, class string, fate func(server string) Outcome) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
@@ -178,7 +178,7 @@
 			for k := 0; k < 5; k++ {
 				e := fate(s.Server)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Server: s.Server, Outcome: e, RequestDone: e == Success}))
 				if len(again) == 0 {
 					break
 				}
@@ -191,11 +191,11 @@
 
 // A server that errs at once drains its count; without ejection it would win every draw.
 func TestFastErrorsAreEjected(t *testing.T) {
-	for _, e := range []Ending{Failure, Unreachable, Broken} {
+	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 		wide(b)
-		got := traffic(b, 600, "get", func(s string) Ending {
+		got := traffic(b, 600, "get", func(s string) Outcome {
 			if s == "s03" {
 				return e
 			}
@@ -212,19 +212,19 @@
 // capacity away. Some in a row while its peers serve, or a time-out, tell of the server.
 func TestOneErrorDoesNotEject(t *testing.T) {
 	for _, tc := range []struct {
-		endings []Ending
+		endings []Outcome
 		ejected bool
-	}{{[]Ending{Failure}, false}, {[]Ending{Broken}, false}, {[]Ending{Failure, Success, Failure}, false},
-		{[]Ending{Failure, Failure, Failure}, true}, {[]Ending{TimedOut}, true}} {
+	}{{[]Outcome{Failure}, false}, {[]Outcome{ConnectionLost}, false}, {[]Outcome{Failure, Success, Failure}, false},
+		{[]Outcome{Failure, Failure, Failure}, true}, {[]Outcome{TimedOut}, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		b.now = 20 * msec // what each call takes
 		s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
 		for _, e := range tc.endings {
 			for i := range 9 {
-				b.judge(&attempt{req: r, srv: b.pools[0].ready[1+i%3]}, Outcome{Ending: Success})
+				b.judge(&attempt{req: r, srv: b.pools[0].ready[1+i%3]}, AttemptEnded{Outcome: Success})
 			}
-			b.judge(&attempt{req: r, srv: s}, Outcome{Ending: e})
+			b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: e})
 		}
 		if got := s.until > b.now; got != tc.ejected {
 			t.Errorf("after endings %v: ejected %v, want %v", tc.endings, got, tc.ejected)
@@ -234,8 +234,8 @@
 
 func TestOneOfFourIsEjected(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	got := traffic(b, 600, "get", func(s string) Ending {
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	got := traffic(b, 600, "get", func(s string) Outcome {
 		if s == "s03" {
 			return Failure
 		}
@@ -249,9 +249,9 @@
 // When every server fails alike the trouble is below them: nobody may be starved of calls.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	wide(b)
-	got := traffic(b, 800, "get", func(string) Ending { return Failure })
+	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
@@ -260,7 +260,7 @@
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	wide(b)
 	stuck, now := 0, time.Duration(0)
 	for i := range 600 {
@@ -282,19 +282,19 @@
 // After an ejection the first trial must not be a request that cannot be repeated, while others come.
 func TestTrialIsSafeWhereItCanBe(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	wide(b)
 	s := b.servers["s03"]
 	s.level = 1
 	for range 100 {
 		s.until = b.now // the ejection has just ended
-		traffic(b, 2, "pay", func(string) Ending { return Success })
+		traffic(b, 2, "pay", func(string) Outcome { return Success })
 		if s.goods > 0 {
 			t.Fatal("a server on trial got an unsafe request")
 		}
 	}
 	wide(b)
-	if got := traffic(b, 400, "get", func(string) Ending { return Success }); got["s03"] == 0 {
+	if got := traffic(b, 400, "get", func(string) Outcome { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
@@ -302,10 +302,10 @@
 // Below the first tier a server that holds several of our calls is passed over while others idle.
 func TestCrowdedServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
 	wide(b)
 	b.servers["s00"].open, b.pools[0].inFlight = calling(2), 2
-	got := traffic(b, 300, "get", func(string) Ending { return Success })
+	got := traffic(b, 300, "get", func(string) Outcome { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
@@ -316,9 +316,9 @@
 func TestStretchesCoverTheServersEvenly(t *testing.T) {
 	drawn := map[string]int{}
 	for self := range 60 {
-		b := newBalancer(t, func(s *Settings) { s.Self, s.Tier, s.Balancers = self, 1, 60 })
-		b.Handle(0, ServerList{Full: true, Servers: servers(80)})
-		got := traffic(b, 400, "get", func(string) Ending { return Success })
+		b := newBalancer(t, func(s *Settings) { s.ReplicaIndex, s.Tier, s.Replicas = self, 1, 60 })
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(80)})
+		got := traffic(b, 400, "get", func(string) Outcome { return Success })
 		left := 0
 		for id := range got {
 			drawn[id]++
@@ -330,7 +330,7 @@
 			t.Fatalf("copy %d drew %d servers, %d of them left", self, len(got), left)
 		}
 		b.pools[0].inFlight = 160
-		if got := traffic(b, 4000, "get", func(string) Ending { return Success }); len(got) < 70 {
+		if got := traffic(b, 4000, "get", func(string) Outcome { return Success }); len(got) < 70 {
 			t.Fatalf("swamped copy %d drew only %d servers", self, len(got))
 		}
 	}
@@ -344,12 +344,12 @@
 // With its whole stretch unable to take a request, a copy draws from the rest of the list.
 func TestStretchWithoutRoomFallsBackToTheList(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(80)})
-	own := traffic(b, 400, "get", func(string) Ending { return Success })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(80)})
+	own := traffic(b, 400, "get", func(string) Outcome { return Success })
 	for id := range own {
 		b.servers[id].full, b.servers[id].room = time.Hour, 0
 	}
-	got := traffic(b, 100, "get", func(string) Ending { return Success })
+	got := traffic(b, 100, "get", func(string) Outcome { return Success })
 	for id := range got {
 		if own[id] > 0 {
 			t.Errorf("%s was drawn though it has no room", id)
@@ -363,13 +363,13 @@
 // When half of the list goes, the rest must not take the calls of all: the window goes with the list.
 func TestWindowShrinksWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(20)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 	b.pools[0].window = 100
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(10)})
 	if b.pools[0].window != 50 {
 		t.Errorf("window %v after half of the list went, want 50", b.pools[0].window)
 	}
-	b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(20)})
 	if b.pools[0].window != 50 {
 		t.Errorf("window %v after the list grew, want 50: it grows by answers alone", b.pools[0].window)
 	}
@@ -379,8 +379,8 @@
 // that grew with the list, and answers in good time must raise it.
 func TestFloorGrowsByAnswersNotByTheList(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	b.Handle(msec, ServerList{Full: true, Servers: servers(40)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(40)})
 	now := msec
 	answers := func(n int, after time.Duration) {
 		for i := range n {
@@ -412,7 +412,7 @@
 		grow bool
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		start, now := b.pools[0].window, time.Duration(0)
 		var open []Send
 		for i := range 3000 {
@@ -437,15 +437,15 @@
 func TestWindowGrowsWithTheRoomLeft(t *testing.T) {
 	grown := func(fill float64) float64 {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
 		p := b.pools[0]
 		p.window, p.fill, p.shed = 20, fill, spareShed
-		sent := time.Duration(float64(b.set.Classes[0].Aim) * fill)
+		sent := time.Duration(float64(b.set.Classes[0].LatencyObjective) * fill)
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: time.Second - sent}}}
 		b.now = time.Second
 		for range 40 {
 			p.inFlight = int(p.window) // in full use
-			b.steer(r, Outcome{Ending: Success})
+			b.steer(r, AttemptEnded{Outcome: Success})
 		}
 		return p.window - 20
 	}
@@ -459,7 +459,7 @@
 // guess made from the aim, which is for all tiers together.
 func TestFirstAnswersOutweighTheGuess(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 2 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	now := time.Duration(0)
 	for i := range 10 {
 		id := fmt.Sprint(i)
@@ -477,7 +477,7 @@
 func TestSafeAttemptsLeaveTimeForAnother(t *testing.T) {
 	for class, early := range map[string]bool{"get": true, "pay": false} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		now := time.Duration(0)
 		send := func(id string) Send {
 			return sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second}))[0]
@@ -510,14 +510,14 @@
 		falls       bool
 	}{{"long from the start", 0.55, 0.55, false}, {"long by a crowd", 0.2, 0.55, true}, {"near the aim", 0.8, 0.8, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
-		p, aim := b.pools[0], float64(b.set.Classes[0].Aim)
+		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
+		p, aim := b.pools[0], float64(b.set.Classes[0].LatencyObjective)
 		p.window = 60
 		answers := func(over float64) {
 			r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 			b.now = time.Duration(over * aim)
 			for range 200 {
-				b.steer(r, Outcome{Ending: Success})
+				b.steer(r, AttemptEnded{Outcome: Success})
 			}
 		}
 		answers(tc.before)
@@ -532,22 +532,22 @@
 // must be given more again, or those that never refused take all the load.
 func TestRoomGrowsWithAnswers(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.now = 20 * msec
 	s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
 	s.open = calling(2)
-	b.judge(&attempt{req: r, srv: s}, Outcome{Ending: Overloaded})
+	b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Overloaded})
 	if b.roomy(s) != 2 {
 		t.Fatalf("room for %d calls after a refusal at 2", b.roomy(s))
 	}
 	s.open = nil // both are answered, the second with the server idle but for it
-	b.judge(&attempt{req: r, srv: s}, Outcome{Ending: Success})
+	b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Success})
 	if b.roomy(s) != 2 {
 		t.Errorf("room for %d calls after an answer below the room, want 2", b.roomy(s))
 	}
 	for n := 1; n < 4; n++ {
 		s.open = calling(n)
-		b.judge(&attempt{req: r, srv: s}, Outcome{Ending: Success})
+		b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Success})
 	}
 	if got := b.roomy(s); got != 5 {
 		t.Errorf("room for %d calls after three answers at the room, want 5", got)
@@ -558,14 +558,14 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes is empty":  func(s *Settings) { s.Classes = nil },
 		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
-		"Classes[1] (post)": func(s *Settings) { s.Classes[1].Window = -1 },
-		"ColdFrom":          func(s *Settings) { s.ColdFrom = 1.5 },
-		"WarmAfter":         func(s *Settings) { s.WarmAfter = -1 },
-		"LateShare":         func(s *Settings) { s.Classes[0].LateShare = 2 },
-		"Drills[0].Name":    func(s *Settings) { s.Drills = []Drill{{Class: "get", Duration: 1}} },
-		"Drills[1].Name":    func(s *Settings) { s.Drills = slices.Repeat(payDrill(Drill{}), 2) },
-		"Class \"gone\"":    func(s *Settings) { s.Drills = payDrill(Drill{Class: "gone"}) },
-		"AbortStatus":       func(s *Settings) { s.Drills = payDrill(Drill{AbortStatus: 200}) },
+		"Classes[1] (post)": func(s *Settings) { s.Classes[1].DedupWindow = -1 },
+		"ColdFrom":          func(s *Settings) { s.SlowStartMinShare = 1.5 },
+		"WarmAfter":         func(s *Settings) { s.SlowStartDuration = -1 },
+		"LateShare":         func(s *Settings) { s.Classes[0].LateCredit = 2 },
+		"Drills[0].Name":    func(s *Settings) { s.FaultInjections = []FaultInjection{{Class: "get", Duration: 1}} },
+		"Drills[1].Name":    func(s *Settings) { s.FaultInjections = slices.Repeat(payDrill(FaultInjection{}), 2) },
+		"Class \"gone\"":    func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{Class: "gone"}) },
+		"AbortStatus":       func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{AbortStatus: 200}) },
 	} {
 		s := testSettings()
 		change(&s)
@@ -578,12 +578,12 @@
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(1)})
 	b.pools[0].window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
-	b.classes["get"].LateShare = 0.5
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
+	b.classes["get"].LateCredit = 0.5
 	b.pools[0].inFlight = int(windowFloor*b.pools[0].fair) + 2
 	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
@@ -595,7 +595,7 @@
 // An unmarked repeat shows by a deadline shorter than other tries have.
 func TestShortDeadlineTellsARepeat(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
 	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
@@ -610,13 +610,13 @@
 
 // Where clients mark repeats, a first try with less time than a last one has is still a first try.
 func TestMarksOutrankShortDeadlines(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.MarksRepeats = true })
-	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, Repeat: true})
+	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
+	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, ClientRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * msec})
 	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != time.Second {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
-	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, Repeat: true})
+	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, ClientRetry: true})
 	if r := b.requests["again"]; r == nil || !r.repeat || r.arrived != 4900*msec {
 		t.Errorf("the marked repeat was not dated back: %+v", r)
 	}
@@ -629,7 +629,7 @@
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 1}} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(20)})
 		for _, s := range b.pools[0].ready[:10] {
 			s.until = time.Minute
 		}
@@ -650,7 +650,7 @@
 // bring it back into the draw.
 func TestSheddingKeepsADeadServerOut(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.pools[0].ready[2].until = time.Minute
 	b.pools[0].shed = 0.6
 	if out := b.ruledOut(&request{class: b.classes["get"]}, b.pools[0].ready); fmt.Sprint(out) != "[false false true false]" {
@@ -662,7 +662,7 @@
 // calls than it had, however many others refuse too, and is tried again later.
 func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(10)})
 	wide(b)
 	b.classes["get"].samples = 1 / memory // its answers took a quarter of the aim until now
 	now, id := msec, 0
@@ -679,8 +679,8 @@
 					count++
 				}
 				now += 2 * msec
-				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
+					Outcome: end, RequestDone: end == Success}))
 			}
 		}
 		return count
@@ -702,7 +702,7 @@
 // would keep up the shedding that lowered it.
 func TestSheddingDoesNotLowerTheTarget(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	p := b.pools[0]
 	p.window, p.fill = 100, 0.4
 	for i := range 50 {
@@ -715,8 +715,8 @@
 		}
 		a := &attempt{srv: p.ready[i%10], sent: b.now - took}
 		a.req = &request{class: b.classes["get"], attempts: []*attempt{a}}
-		b.judge(a, Outcome{Ending: Success})
-		b.steer(a.req, Outcome{Ending: Success})
+		b.judge(a, AttemptEnded{Outcome: Success})
+		b.steer(a.req, AttemptEnded{Outcome: Success})
 	}
 	if p.window <= 100 {
 		t.Errorf("window from 100 to %.1f while answers took 0.4 of the aim on the whole", p.window)
@@ -727,13 +727,13 @@
 // time, or it would use up its tries on the crowd that it was refused for.
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(2)})
 	b.pools[0].window, b.pools[0].inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
-	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit || f.RetryAfter < limit/2 {
+	for _, a := range b.Handle(600*msec, TimerFired{Token: "r:a"}) {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit || f.RetryAfter < limit/2 {
 				t.Errorf("RetryAfter %v, want at most %v and at least half of that", f.RetryAfter, limit)
 			}
 			return
@@ -744,10 +744,10 @@
 
 // A pool with every server down holds or ends its own requests, and the others go on.
 func TestDeadPoolStopsNobodyElse(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[0].OnlyKinds = []string{"x"} })
+	b := newBalancer(t, func(s *Settings) { s.Classes[0].AllowedKinds = []string{"x"} })
 	list := servers(6)
 	list[0].Kind, list[1].Kind = "x", "x"
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		todo := sends(b.Handle(0, Request{ID: id, Class: "get", Deadline: time.Second}))
@@ -755,10 +755,10 @@
 			if s := todo[0].Server; s != "s00" && s != "s01" {
 				t.Fatalf("a bound request went to %s", s)
 			}
-			todo = sends(b.Handle(b.now, Outcome{ID: id, Attempt: k, Server: todo[0].Server, Ending: Unreachable}))
+			todo = sends(b.Handle(b.now, AttemptEnded{ID: id, Attempt: k, Server: todo[0].Server, Outcome: Unreachable}))
 		}
 	}
-	b.Handle(msec, ServerList{Servers: []Server{{ID: "s00", State: Gone}, {ID: "s01", State: Gone}}})
+	b.Handle(msec, EndpointUpdate{Servers: []Server{{ID: "s00", State: Removed}, {ID: "s01", State: Removed}}})
 	if n := len(sends(b.Handle(2*msec, Request{ID: "b", Class: "get", Deadline: time.Second}))); n != 0 {
 		t.Errorf("%d sends though no server is open to the class", n)
 	}
@@ -770,8 +770,8 @@
 // The next of a key goes when the one before is over and rested; a hot key turns away who would wait in
 // vain and holds up no other key.
 func TestKeyKeepsItsOrder(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[2].InOrder, s.OrderSettle = true, 50*msec })
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b := newBalancer(t, func(s *Settings) { s.Classes[2].OrderedByKey, s.KeyQuietPeriod = true, 50*msec })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
 	pay := func(at time.Duration, id string, key uint64) []Action {
 		return b.Handle(at, Request{ID: id, Class: "pay", Deadline: 1500 * msec, Key: key, HasKey: true})
 	}
@@ -779,17 +779,17 @@
 	if len(first) != 1 || len(sends(pay(msec, "b", 1))) != 0 || len(sends(pay(msec, "c", 2))) != 1 {
 		t.Fatal("want a and c sent, and b held behind a")
 	}
-	acts := b.Handle(20*msec, Outcome{ID: "a", Server: first[0].Server, Ending: Broken})
+	acts := b.Handle(20*msec, AttemptEnded{ID: "a", Server: first[0].Server, Outcome: ConnectionLost})
 	if len(sends(acts)) != 0 {
 		t.Fatal("b was sent while a may still run")
 	}
-	if got := sends(b.Handle(70*msec, Timer{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
+	if got := sends(b.Handle(70*msec, TimerFired{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
 		t.Fatalf("after the rest %v was sent, want b", got)
 	}
 	refused := 0
 	for i := range 50 {
 		for _, a := range pay(80*msec, fmt.Sprint("hot", i), 1) {
-			if _, ok := a.(Refuse); ok {
+			if _, ok := a.(Reject); ok {
 				refused++
 			}
 		}
@@ -807,7 +807,7 @@
 	for i := range list {
 		list[i].Zone = []string{"y", "z", "x"}[i%3]
 	}
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
 	n := 0
 	crossed := func(home time.Duration) float64 {
 		far, all := 0, 0
@@ -841,12 +841,12 @@
 
 // boundToSlow is a Balancer over n servers of three kinds, the slow one alone open to the class post.
 func boundToSlow(t *testing.T, n int) (*Balancer, []Server) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[1].OnlyKinds = []string{"slow"} })
+	b := newBalancer(t, func(s *Settings) { s.Classes[1].AllowedKinds = []string{"slow"} })
 	list := servers(n)
 	for i := range list {
 		list[i].Kind = []string{"slow", "mid", "fast"}[i%3]
 	}
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
 	return b, list
 }
 
@@ -854,7 +854,7 @@
 func TestServersOfANarrowPoolAreLeftToIt(t *testing.T) {
 	b, list := boundToSlow(t, 9)
 	bound := 0
-	for id, n := range traffic(b, 1000, "get", func(string) Ending { return Success }) {
+	for id, n := range traffic(b, 1000, "get", func(string) Outcome { return Success }) {
 		if b.servers[id].Kind == "slow" {
 			bound += n
 		}
@@ -862,7 +862,7 @@
 	if bound > 25 {
 		t.Errorf("%d of 500 free requests went to the servers of a bound class", bound)
 	}
-	b.Handle(b.now, ServerList{Full: true, Servers: []Server{list[0], list[3]}})
+	b.Handle(b.now, EndpointUpdate{Complete: true, Servers: []Server{list[0], list[3]}})
 	if n := len(sends(b.Handle(b.now, Request{ID: "x", Class: "get", Deadline: b.now + time.Second}))); n != 1 {
 		t.Errorf("%d sends with only those left, want 1", n)
 	}
@@ -880,8 +880,8 @@
 // Clients that leave early and ask again must not make room: their calls run on and fill the window until
 // each has its outcome.
 func TestCallsOfClientsThatLeftKeepTheirRoom(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers = 5 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	b.pools[0].window = 4
 	var sent []Send
 	for i := range 40 {
@@ -894,7 +894,7 @@
 	if len(sent) != 4 {
 		t.Fatalf("%d calls out in a window of 4", len(sent))
 	}
-	b.Handle(100*msec, Outcome{ID: sent[0].ID, Server: sent[0].Server, Ending: Success, Ended: true})
+	b.Handle(100*msec, AttemptEnded{ID: sent[0].ID, Server: sent[0].Server, Outcome: Success, RequestDone: true})
 	if got := sends(b.Handle(100*msec, Request{ID: "next", Class: "get", Deadline: time.Second})); len(got) != 1 {
 		t.Errorf("%d calls sent when an outcome has made room, want 1", len(got))
 	}
@@ -902,12 +902,12 @@
 
 // Many copies with windows of one and a half calls must not all let two out when answers come late.
 func TestFallingWindowIsRoundedByADraw(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers = 40 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(12)}) // a floor of 1.5 calls
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(12)}) // a floor of 1.5 calls
 	p, closed := b.pools[0], 0
-	ends := func(fill float64, e Ending) bool {
+	ends := func(fill float64, e Outcome) bool {
 		p.window, p.fill, p.inFlight = 1.5, fill, 1
-		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, Outcome{Ending: e})
+		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Outcome: e})
 		return b.full(p)
 	}
 	for range 400 {
@@ -927,9 +927,9 @@
 func TestSmallFallMultipleThinsMore(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, multiple := range []float64{0, 1, 2, 3} {
-		b := newBalancer(t, func(s *Settings) { s.ColdFrom, s.FallMultiple = 0.5, multiple })
+		b := newBalancer(t, func(s *Settings) { s.SlowStartMinShare, s.OverloadMultiple = 0.5, multiple })
 		b.now = 2 * time.Second
-		cold := &server{Server: Server{Boot: 2 * time.Second}}
+		cold := &server{Server: Server{StartTime: 2 * time.Second}}
 		for range 2000 {
 			if b.warmEnough(cold, 0) {
 				drawn[multiple]++
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -35,7 +35,7 @@
 	switch {
 	case l == nil:
 	case b.now < l.rest:
-		b.do(Wake{At: l.rest, Token: "k:" + strconv.FormatUint(l.key, 10)})
+		b.do(SetTimer{At: l.rest, Token: "k:" + strconv.FormatUint(l.key, 10)})
 	case len(l.queue) == 0:
 		delete(b.lines, l.key)
 	}
@@ -65,7 +65,7 @@
 // holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take the
 // room of those in time. Then the client is told when to come back, also where there is no server at all.
 func (b *Balancer) holdUntil(r *request) time.Duration {
-	aim := r.class.Aim
+	aim := r.class.LatencyObjective
 	return min(r.deadline-2*b.set.Tick, r.arrived+max(aim/4, aim-r.class.longest(2)))
 }
 
@@ -102,17 +102,17 @@
 	var total float64
 	worst := c
 	for _, k := range b.order {
-		total += k.Worth * k.arrive
+		total += k.PriorityWeight * k.arrive
 		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
 			worst = k
 		}
 	}
-	v := b.set.WholeWeight * c.Worth / max(total, 1e-9)
+	v := b.set.TotalValueWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.set.ClassWeight / max(c.arrive, 1e-9)
+		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
 	}
 	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateShare
+		v *= c.LateCredit
 	}
 	return v / c.mean
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,7 +10,7 @@
 const comeBack = 10 // part of the aim after which a refused client should ask again
 
 func (b *Balancer) accept(e Request) {
-	if !b.set.Addresses.Admits(e.Client) {
+	if !b.set.AccessList.Allows(e.Client) {
 		b.do(Deny{ID: e.ID})
 		return
 	}
@@ -23,14 +23,14 @@
 		return
 	}
 	c := b.classes[e.Class]
-	if e.Rules < b.rules && b.before[e.Class] != nil { // what it came with
+	if e.SettingsVersion < b.rules && b.before[e.Class] != nil { // what it came with
 		c = b.before[e.Class]
 	}
 	if c == nil {
 		c = b.order[len(b.order)-1] // unknown: unsafe
 	}
 	r := &request{id: e.ID, class: c, arrived: b.now, deadline: min(e.Deadline, b.now+c.Deadline),
-		repeat: e.Repeat, bulk: e.Bulk, most: b.MostAttempts()}
+		repeat: e.ClientRetry, bulk: e.StreamedBody, most: b.MaxAttempts()}
 	b.requests[e.ID] = r
 	b.backdate(r)
 	for _, k := range b.order {
@@ -38,7 +38,7 @@
 		k.serve *= 0.99
 	}
 	c.arrive++
-	if c.InOrder && e.HasKey && !b.joinLine(r, e.Key) {
+	if c.OrderedByKey && e.HasKey && !b.joinLine(r, e.Key) {
 		b.answer(r)
 		return
 	}
@@ -63,7 +63,7 @@
 		c.usualTry -= c.usualTry / 100
 	}
 	short := float64(left) < 0.95*float64(c.usualTry)
-	if b.set.Tier == 0 && (r.repeat || short && !b.set.MarksRepeats) {
+	if b.set.Tier == 0 && (r.repeat || short && !b.set.ClientsMarkRetries) {
 		r.arrived = min(b.now, r.deadline-r.class.Deadline)
 		r.repeat = true
 	}
@@ -101,20 +101,20 @@
 	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(b.patience(r), b.set.Tick)})
 }
 
-func (b *Balancer) takeOutcome(e Outcome) {
+func (b *Balancer) takeOutcome(e AttemptEnded) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := r.attempts[e.Attempt]
 	a.ended = true
-	a.unsent = e.Ending.NeverRan()
+	a.unsent = e.Outcome.NeverRan()
 	a.leave()
-	if l := r.line; l != nil && (e.Ending == TimedOut || e.Ending == Broken || e.Ending == Withdrawn) {
-		l.rest = b.now + b.set.OrderSettle // it may still run
+	if l := r.line; l != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled) {
+		l.rest = b.now + b.set.KeyQuietPeriod // it may still run
 	}
 	// A client that gave less time than answers take tells of itself: neither of the server nor of a crowd.
-	brief := e.Ending == TimedOut && b.now-a.sent < time.Duration(r.class.mean)
+	brief := e.Outcome == TimedOut && b.now-a.sent < time.Duration(r.class.mean)
 	if !brief && !b.silent(a.srv) { // a hung server's waits tell nothing of how crowded the others are
 		b.steer(r, e)
 	}
@@ -126,9 +126,9 @@
 		delete(b.servers, a.srv.ID)
 	}
 	switch {
-	case e.Ended:
-		late := r.arrived + r.class.Aim
-		if e.Ending == Success && !r.answered && (b.now <= late || a.sent+b.latency(r, a, e) <= late) {
+	case e.RequestDone:
+		late := r.arrived + r.class.LatencyObjective
+		if e.Outcome == Success && !r.answered && (b.now <= late || a.sent+b.latency(r, a, e) <= late) {
 			r.class.serve++
 		}
 		b.close(r)
@@ -143,24 +143,24 @@
 	if r.answered || r.streaming {
 		return
 	}
-	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll ||
+	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll ||
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
 	if len(r.attempts) == 0 {
 		r.class.pool.shed += memory / 4 * (1 - r.class.pool.shed)
 	}
 	if harmless {
-		b.do(Refuse{ID: r.id, RetryAfter: b.set.ComeBack(r.class.Class)})
+		b.do(Reject{ID: r.id, RetryAfter: b.set.RetryAfter(r.class.Class)})
 	} else {
 		b.do(Fail{ID: r.id})
 	}
 	b.close(r)
 }
 
-// ComeBack advises a client that is sent away; a host asks for a stream that a server refused. One sent away
+// RetryAfter advises a client that is sent away; a host asks for a stream that a server refused. One sent away
 // for long comes back when its aim is mostly over, and its late answer takes the room of one in time. One
 // that comes back at once finds the same crowd and burns its few tries.
-func (s Settings) ComeBack(c Class) time.Duration {
-	return min(s.MaxRetryAfter, c.Aim/comeBack)
+func (s Settings) RetryAfter(c Class) time.Duration {
+	return min(s.MaxRetryAfter, c.LatencyObjective/comeBack)
 }
 
 // close ends a request. What is still out for it is not called off and counts until its own ending: servers
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -20,7 +20,7 @@
 // Where many wait long it is the load: what is given up is worked on all the same, and sent again adds to it.
 func (b *Balancer) patience(r *request) time.Duration {
 	c, left := r.class, r.deadline-b.now
-	if wait := c.longest(trySpread); c.Effect == Safe && c.samples >= 1/memory && b.tokens >= 1 &&
+	if wait := c.longest(trySpread); c.Effect == Idempotent && c.samples >= 1/memory && b.tokens >= 1 &&
 		b.errors <= tryErrors && b.maySendAgain(r) && left-wait > time.Duration(c.mean) {
 		return wait
 	}
@@ -33,8 +33,8 @@
 		return false
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		expired := b.now >= a.sent+r.class.Window-2*b.set.Tick
-		return !a.unsent && (r.class.Effect == Unsafe || r.class.Effect == Keyed && expired)
+		expired := b.now >= a.sent+r.class.DedupWindow-2*b.set.Tick
+		return !a.unsent && (r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired)
 	})
 }
 
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -8,7 +8,7 @@
 // A request keeps the effect and the most attempts that it came with, whatever its class becomes; the next has the
 // new ones. A checkpoint in the middle changes nothing.
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
-	unsafe := func(s *Settings) { s.Classes[0].Effect = Unsafe }
+	unsafe := func(s *Settings) { s.Classes[0].Effect = NonIdempotent }
 	for name, c := range map[string]struct {
 		change     func(*Settings)
 		rules      int // that the request's front knew
@@ -29,13 +29,13 @@
 			first := sends(b.Handle(0, asked("old", "get", 0, time.Second)))
 			set := testSettings()
 			c.change(&set)
-			b.Handle(msec, Retune{Settings: set})
+			b.Handle(msec, SettingsChanged{Settings: set})
 			b = restored(t, b.set, b)
 			if got := len(sends(settle(b, 2*msec, "old", first[0], Failure))) > 0; got != c.old {
 				t.Errorf("the open request was sent again: %v", got)
 			}
 			r := asked("new", "get", 3*msec, time.Second)
-			r.Rules = c.rules
+			r.SettingsVersion = c.rules
 			second := sends(b.Handle(3*msec, r))
 			if got := len(sends(settle(b, 4*msec, "new", second[0], Failure))) > 0; got != c.fresh {
 				t.Errorf("the next request was sent again: %v", got)
@@ -52,16 +52,16 @@
 	b.classes["pay"].samples, b.classes["pay"].mean = 100, 9
 	b.pools[0].window = 33
 	set := testSettings()
-	set.Classes[2].Effect = Safe
-	b.Handle(0, Retune{Settings: set})
+	set.Classes[2].Effect = Idempotent
+	b.Handle(0, SettingsChanged{Settings: set})
 	if b.classes["get"].mean != 7 || b.classes["pay"].mean != 9 || b.pools[0].window != 33 {
 		t.Errorf("get %v, pay %v, window %v", b.classes["get"].mean, b.classes["pay"].mean, b.pools[0].window)
 	}
 	for range 50 { // neither classes nor pools pile up
-		set.Classes[0].OnlyKinds = nil
-		b.Handle(0, Retune{Settings: set})
-		set.Classes[0].OnlyKinds = []string{"k"}
-		b.Handle(0, Retune{Settings: set})
+		set.Classes[0].AllowedKinds = nil
+		b.Handle(0, SettingsChanged{Settings: set})
+		set.Classes[0].AllowedKinds = []string{"k"}
+		b.Handle(0, SettingsChanged{Settings: set})
 	}
 	if len(b.pools) > 3 || len(b.order) != 4 {
 		t.Errorf("%d pools, %d classes", len(b.pools), len(b.order))
@@ -70,13 +70,13 @@
 
 // A request that waits in a pool of which the new settings have nothing is placed when there is room.
 func TestWaitingInAPoolThatIsGone(t *testing.T) {
-	bound := func(s *Settings) { s.Classes[0].OnlyZones = []string{"z"} }
+	bound := func(s *Settings) { s.Classes[0].AllowedZones = []string{"z"} }
 	b := newBalancer(t, bound)
 	b.Handle(0, list(2))
 	b.pools[0].window = 1
 	first := sends(b.Handle(0, asked("first", "get", 0, time.Second)))
 	b.Handle(0, asked("held", "get", 0, time.Second))
-	b.Handle(msec, Retune{Settings: testSettings()})
+	b.Handle(msec, SettingsChanged{Settings: testSettings()})
 	b = restored(t, b.set, b)
 	if got := sends(settle(b, 2*msec, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
 		t.Errorf("sent %v", got)
--- a/balancer/review_test.go
+++ b/balancer/review_test.go
@@ -10,12 +10,12 @@
 func answers(b *Balancer, now time.Duration, e Request) (at time.Duration, answer Action) {
 	acts := b.Handle(now, e)
 	for range 100 {
-		var next *Wake
+		var next *SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Refuse, Fail, Send:
+			case Reject, Fail, Send:
 				return now, a
-			case Wake:
+			case SetTimer:
 				next = &a
 			}
 		}
@@ -23,7 +23,7 @@
 			break
 		}
 		now = next.At
-		acts = b.Handle(now, Timer{Token: next.Token})
+		acts = b.Handle(now, TimerFired{Token: next.Token})
 	}
 	return now, nil
 }
@@ -33,9 +33,9 @@
 func TestNoServerKeepsNobodyToTheDeadline(t *testing.T) {
 	for _, class := range []string{"get", "pay"} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true})
+		b.Handle(0, EndpointUpdate{Complete: true})
 		at, a := answers(b, msec, Request{ID: "r", Class: class, Deadline: time.Hour})
-		if r, ok := a.(Refuse); !ok || r.RetryAfter != 50*msec || at > 500*msec {
+		if r, ok := a.(Reject); !ok || r.RetryAfter != 50*msec || at > 500*msec {
 			t.Errorf("%s: %+v at %v", class, a, at)
 		}
 		if len(b.requests) > 0 {
@@ -47,10 +47,10 @@
 // What has used up its attempts is answered in the same event, with advice where it is refused.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	for class, want := range map[string]Action{"get": Refuse{ID: "get", RetryAfter: 50 * msec}, "pay": Fail{ID: "pay"}} {
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	for class, want := range map[string]Action{"get": Reject{ID: "get", RetryAfter: 50 * msec}, "pay": Fail{ID: "pay"}} {
 		s := sends(b.Handle(msec, Request{ID: class, Class: class, Deadline: time.Second}))[0]
-		acts := b.Handle(2*msec, Outcome{ID: class, Server: s.Server, Ending: Broken})
+		acts := b.Handle(2*msec, AttemptEnded{ID: class, Server: s.Server, Outcome: ConnectionLost})
 		if len(acts) != 1 || acts[0] != want {
 			t.Errorf("%s: %+v", class, acts)
 		}
@@ -61,7 +61,7 @@
 // window for as long, and outlive a node that is told to stop.
 func TestBudgetIsNoLongerThanTheClass(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
 	if s := sends(b.Handle(msec, Request{ID: "r", Class: "pay", Deadline: time.Hour}))[0]; s.Timeout > 1500*msec {
 		t.Errorf("waited for during %v", s.Timeout)
 	}
@@ -70,7 +70,7 @@
 // Where only unsafe requests come, one of them must be the trial after an ejection: else the server is out for good.
 func TestUnsafeAloneBringsAServerBack(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	wide(b)
 	b.servers["s03"].level, b.servers["s03"].until = 1, time.Second
 	got := map[string]int{}
@@ -93,9 +93,9 @@
 // window stays for the others.
 func TestShortBudgetsTellNothing(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	wide(b)
-	traffic(b, 200, "get", func(string) Ending { return Success })
+	traffic(b, 200, "get", func(string) Outcome { return Success })
 	now, window := b.now+msec, b.pools[0].window
 	for i := range 300 {
 		id := fmt.Sprint("short", i)
@@ -116,15 +116,15 @@
 
 // What was sent to a process before it started anew says nothing of the new one, and yet is in flight until it ends.
 func TestEarlierLifeIsNotHeldAgainstTheNext(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers, s.MaxAttempts = 1, 1 })
+	b := newBalancer(t, func(s *Settings) { s.Replicas, s.MaxAttempts = 1, 1 })
 	l := servers(1)
-	b.Handle(0, ServerList{Full: true, Servers: l})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: l})
 	var out []Send
 	for i := range 4 {
 		out = append(out, sends(b.Handle(msec, Request{ID: fmt.Sprint(i), Class: "pay", Deadline: time.Second}))...)
 	}
-	l[0].Boot = 2 * msec
-	b.Handle(3*msec, ServerList{Servers: l})
+	l[0].StartTime = 2 * msec
+	b.Handle(3*msec, EndpointUpdate{Servers: l})
 	s := b.servers["s00"]
 	b.lastOK = 900 * msec // others have been answered meanwhile
 	if b.now = 950 * msec; b.silent(s) {
@@ -134,7 +134,7 @@
 		if s.calls() != len(out)-i {
 			t.Fatalf("%d calls in flight, want %d", s.calls(), len(out)-i)
 		}
-		b.Handle(960*msec, Outcome{ID: o.ID, Server: o.Server, Ending: []Ending{Broken, TimedOut, Unreachable, Broken}[i]})
+		b.Handle(960*msec, AttemptEnded{ID: o.ID, Server: o.Server, Outcome: []Outcome{ConnectionLost, TimedOut, Unreachable, ConnectionLost}[i]})
 	}
 	if s.calls() != 0 || s.streak != 0 || s.until != 0 || s.full != 0 {
 		t.Errorf("held against the new process: %+v", s)
@@ -144,12 +144,12 @@
 // A stream's latency is the time till its first message, which its host has measured: it may last for hours.
 func TestAStreamsLifeIsNoLatency(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
 	for i := range 20 {
 		id, now := fmt.Sprint(i), time.Duration(i)*time.Hour
 		s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-		b.Handle(now+msec, Started{ID: id})
-		b.Handle(now+time.Hour-msec, Outcome{ID: id, Server: s.Server, Ending: Success, Latency: 20 * msec, Ended: true})
+		b.Handle(now+msec, ResponseStarted{ID: id})
+		b.Handle(now+time.Hour-msec, AttemptEnded{ID: id, Server: s.Server, Outcome: Success, Latency: 20 * msec, RequestDone: true})
 	}
 	if mean := time.Duration(b.classes["get"].mean); mean > 21*msec {
 		t.Errorf("the class is taken to last %v", mean)
@@ -162,7 +162,7 @@
 // Where clients mark no repeats, one client with a longer budget than all others must not make these look like repeats.
 func TestOneLongBudgetMakesNobodyARepeat(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	repeats := 0
 	for i := range 1000 {
 		now, budget := time.Duration(i)*10*msec, 800*msec
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -39,7 +39,7 @@
 	server string
 	at     time.Duration
 	over   bool
-	ending Ending
+	ending Outcome
 }
 
 func newChecker(set Settings) *checker {
@@ -52,7 +52,7 @@
 }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotSent)
 }
 
 func (t *tracked) out() bool {
@@ -61,17 +61,17 @@
 
 func (c *checker) event(now time.Duration, e Event) {
 	if c.keep {
-		if l, ok := e.(ServerList); ok { // its list is used again
+		if l, ok := e.(EndpointUpdate); ok { // its list is used again
 			l.Servers = slices.Clone(l.Servers)
 			e = l
 		}
 		c.seen = append(c.seen, timed{now, e})
 	}
 	switch e := e.(type) {
-	case ServerList:
-		if e.Full {
+	case EndpointUpdate:
+		if e.Complete {
 			for id := range c.state {
-				c.state[id] = Gone
+				c.state[id] = Removed
 			}
 		}
 		for _, s := range e.Servers {
@@ -79,26 +79,26 @@
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: Unsafe}
+			cl := Class{Effect: NonIdempotent}
 			for _, k := range c.set.Classes {
 				if k.Name == e.Class {
 					cl = k
 				}
 			}
 			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline, id: e.ID, key: e.Key}
-			if cl.InOrder && e.HasKey {
+			if cl.OrderedByKey && e.HasKey {
 				c.order = append(c.order, c.reqs[e.ID])
 			}
 		}
-	case Outcome:
+	case AttemptEnded:
 		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
 			t := r.tries[e.Attempt]
 			if !t.over {
-				t.over, t.ending = true, e.Ending
-				if e.Ending == TimedOut || e.Ending == Broken || e.Ending == Withdrawn {
-					r.rest = now + c.set.OrderSettle
+				t.over, t.ending = true, e.Outcome
+				if e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled {
+					r.rest = now + c.set.KeyQuietPeriod
 				}
-				r.ended = r.ended || e.Ended
+				r.ended = r.ended || e.RequestDone
 			}
 		}
 	case ClientGone:
@@ -119,10 +119,10 @@
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.tries {
-					loose := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
 					}
@@ -168,10 +168,10 @@
 			}
 		}
 	}
-	if z := r.class.OnlyZones; z != nil && !slices.Contains(z, c.zones[a.Server]) {
+	if z := r.class.AllowedZones; z != nil && !slices.Contains(z, c.zones[a.Server]) {
 		c.fault("rule 6: %s sent to zone %s", a.ID, c.zones[a.Server])
 	}
-	if k := r.class.OnlyKinds; k != nil && !slices.Contains(k, c.kinds[a.Server]) {
+	if k := r.class.AllowedKinds; k != nil && !slices.Contains(k, c.kinds[a.Server]) {
 		c.fault("rule 6: %s sent to kind %s", a.ID, c.kinds[a.Server])
 	}
 	for _, t := range r.tries {
@@ -182,14 +182,14 @@
 			continue
 		}
 		switch r.class.Effect {
-		case Unsafe:
+		case NonIdempotent:
 			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case Keyed:
-			if now > t.at+r.class.Window {
+		case IdempotentWithKey:
+			if now > t.at+r.class.DedupWindow {
 				c.fault("rule 2: %s sent again outside its window", a.ID)
 			}
-			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
-				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+			if r.class.DedupScope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
+				r.class.DedupScope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
 				c.fault("rule 2: %s sent again outside its scope", a.ID)
 			}
 		}
@@ -198,26 +198,26 @@
 }
 
 // ruleDrills delay and abort requests of all kinds of classes.
-var ruleDrills = []Drill{
-	{Name: "slow", Class: "seq", Share: 30, Delay: 200 * msec, Duration: time.Second},
-	{Name: "slower", Class: "pay", Share: 50, Delay: time.Second, Duration: time.Second},
-	{Name: "away", Class: "seq2", Share: 20, AbortStatus: 503, Duration: time.Second},
-	{Name: "odd", Class: "kin", Share: 100, Delay: 50 * msec, Duration: 2 * time.Second},
+var ruleDrills = []FaultInjection{
+	{Name: "slow", Class: "seq", Percent: 30, Delay: 200 * msec, Duration: time.Second},
+	{Name: "slower", Class: "pay", Percent: 50, Delay: time.Second, Duration: time.Second},
+	{Name: "away", Class: "seq2", Percent: 20, AbortStatus: 503, Duration: time.Second},
+	{Name: "odd", Class: "kin", Percent: 100, Delay: 50 * msec, Duration: 2 * time.Second},
 }
 
 // ruleSettings adds classes that keep their order or are bound to some servers.
 func ruleSettings() Settings {
 	set := testSettings()
-	set.OrderSettle = 30 * msec
+	set.KeyQuietPeriod = 30 * msec
 	for _, c := range []Class{
-		{Name: "seq", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, InOrder: true, OnlyZones: []string{"z"}},
-		{Name: "seq2", Effect: Unsafe, InOrder: true},
-		{Name: "kin", Effect: Safe, OnlyKinds: []string{"k1", "k2"}},
-		{Name: "both", Effect: Keyed, Scope: ScopeZone, Window: 300 * msec, OnlyKinds: []string{"k1"},
-			OnlyZones: []string{"y"}},
-		{Name: "none", Effect: Safe, OnlyKinds: []string{"k9"}},
+		{Name: "seq", Effect: IdempotentWithKey, DedupScope: ScopeCell, DedupWindow: 900 * msec, OrderedByKey: true, AllowedZones: []string{"z"}},
+		{Name: "seq2", Effect: NonIdempotent, OrderedByKey: true},
+		{Name: "kin", Effect: Idempotent, AllowedKinds: []string{"k1", "k2"}},
+		{Name: "both", Effect: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 300 * msec, AllowedKinds: []string{"k1"},
+			AllowedZones: []string{"y"}},
+		{Name: "none", Effect: Idempotent, AllowedKinds: []string{"k9"}},
 	} {
-		c.Aim, c.Deadline, c.Worth = 500*msec, 1500*msec, 1
+		c.LatencyObjective, c.Deadline, c.PriorityWeight = 500*msec, 1500*msec, 1
 		set.Classes = append(set.Classes, c)
 	}
 	return set
@@ -225,14 +225,14 @@
 
 // TestCheckerCanFail gives the checker a trace that breaks each rule.
 func TestCheckerCanFail(t *testing.T) {
-	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0, Zone: "z"},
+	list := EndpointUpdate{Complete: true, Servers: []Server{{ID: "a", Cell: 0, Zone: "z"},
 		{ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
-	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
+	timedOut := AttemptEnded{ID: "r", Attempt: 0, Outcome: TimedOut}
 	seq := func(id string) Request {
 		return Request{ID: id, Class: "seq", Deadline: 1000 * msec, Key: 4, HasKey: true}
 	}
-	ends := func(id string, e Ending) Outcome { return Outcome{ID: id, Ending: e, Ended: true} }
+	ends := func(id string, e Outcome) AttemptEnded { return AttemptEnded{ID: id, Outcome: e, RequestDone: true} }
 	for _, tc := range []struct {
 		want  string
 		steps []any
@@ -241,14 +241,14 @@
 		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), Send{ID: "s1", Server: "a"},
 			ClientGone{ID: "s1"}, Send{ID: "s2", Server: "a"}}},
 		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), Send{ID: "s1", Server: "a"},
-			ends("s1", Broken), 29 * msec, Send{ID: "s2", Server: "a"}}},
+			ends("s1", ConnectionLost), 29 * msec, Send{ID: "s2", Server: "a"}}},
 		{"rule 6: r sent to zone", []any{list, req("seq"), Send{ID: "r", Server: "b"}}},
 		{"rule 6: r sent to kind", []any{list, req("kin"), Send{ID: "r", Server: "b"}}},
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, TimerFired{}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
 			Send{ID: "r", Server: "a"}}},
 		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
@@ -288,7 +288,7 @@
 		timeout bool
 	}
 	var out []pending
-	var timers []Wake
+	var timers []SetTimer
 	var ids []string
 	fleet := servers(8)
 	for i := range fleet {
@@ -322,12 +322,12 @@
 					p.due, p.timeout = now+a.Timeout, true
 				}
 				out = append(out, p)
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 	}
-	give(ServerList{Full: true, Cached: true, Servers: fleet})
+	give(EndpointUpdate{Complete: true, Cached: true, Servers: fleet})
 	ended := map[string]bool{}
 	for i := range steps {
 		now += 2 * msec
@@ -335,9 +335,9 @@
 			if w := timers[k]; w.At <= now {
 				timers = append(timers[:k], timers[k+1:]...)
 				k--
-				give(Timer{Token: w.Token})
+				give(TimerFired{Token: w.Token})
 				if rng.IntN(20) == 0 {
-					give(Timer{Token: w.Token})
+					give(TimerFired{Token: w.Token})
 				}
 			}
 		}
@@ -348,17 +348,17 @@
 			}
 			out = append(out[:k], out[k+1:]...)
 			k--
-			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Ending: Success}
+			e := AttemptEnded{ID: p.id, Attempt: p.n, Server: p.server, Outcome: Success}
 			switch {
 			case p.timeout:
-				e.Ending = TimedOut
+				e.Outcome = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Outcome = Outcome(1 + rng.IntN(int(NotSent)))
 			}
-			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
+			if r := b.requests[p.id]; e.Outcome == Success || r == nil || r.answered {
 				ended[p.id] = true
 			}
-			e.Ended = ended[p.id]
+			e.RequestDone = ended[p.id]
 			give(e)
 			if rng.IntN(10) == 0 {
 				give(e)
@@ -379,31 +379,31 @@
 			s := &fleet[rng.IntN(len(fleet))]
 			s.State = ServerState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.State, s.Boot = Ready, now
+				s.State, s.StartTime = Ready, now
 			}
 			switch rng.IntN(4) {
 			case 0:
 				var l []Server
 				for _, s := range fleet {
-					if s.State != Gone {
+					if s.State != Removed {
 						l = append(l, s)
 					}
 				}
-				give(ServerList{Full: true, Servers: l})
+				give(EndpointUpdate{Complete: true, Servers: l})
 			case 1:
-				give(ListFailed{})
-				give(ServerList{Servers: []Server{*s}})
+				give(WatchFailed{})
+				give(EndpointUpdate{Servers: []Server{*s}})
 			default:
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Servers: []Server{*s}})
 			}
 		}
-		if len(set.Drills) > 0 && rng.IntN(100) == 0 {
-			give(DrillStart{Name: set.Drills[rng.IntN(len(set.Drills))].Name})
+		if len(set.FaultInjections) > 0 && rng.IntN(100) == 0 {
+			give(StartFaultInjection{Name: set.FaultInjections[rng.IntN(len(set.FaultInjections))].Name})
 		}
 		if rng.IntN(40) == 0 {
-			give(Outcome{ID: "nobody", Attempt: 3, Ending: Success})
-			give(Timer{Token: "r:nobody"})
-			give(Timer{Token: "x"})
+			give(AttemptEnded{ID: "nobody", Attempt: 3, Outcome: Success})
+			give(TimerFired{Token: "r:nobody"})
+			give(TimerFired{Token: "x"})
 			give(ClientGone{ID: "nobody"})
 		}
 		if rng.IntN(50) == 0 && len(ids) > 0 {
@@ -419,9 +419,9 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := ruleSettings()
 		set.Tier = int(seed % 2)
-		set.AskDiscovery = seed%4 == 0
+		set.PollDiscovery = seed%4 == 0
 		if seed%3 == 0 {
-			set.Drills = ruleDrills
+			set.FaultInjections = ruleDrills
 		}
 		c := newChecker(set)
 		log, b := run(t, set, seed, 6000, c)
@@ -452,7 +452,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, _ := run(t, ruleSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
-	other.Handle(0, ServerList{Full: true, Servers: servers(3)})
+	other.Handle(0, EndpointUpdate{Complete: true, Servers: servers(3)})
 	b, _ := run(t, ruleSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
@@ -465,7 +465,7 @@
 const fallFor = 2 * time.Second
 
 // overBudget names the first span of fallFor in which a server that started at boot was sent more than
-// FallMultiple times what it could do, or nothing. capacity is a warm server's calls a second.
+// OverloadMultiple times what it could do, or nothing. capacity is a warm server's calls a second.
 func overBudget(set Settings, boot time.Duration, capacity float64, sent []time.Duration) string {
 	for i, from := range sent {
 		n := 0
@@ -474,8 +474,8 @@
 				n++
 			}
 		}
-		grown := min(1, float64(from-boot+fallFor/2)/float64(set.WarmAfter)) // in the middle of the span
-		limit := set.FallMultiple * capacity * (set.ColdFrom + (1-set.ColdFrom)*grown) * fallFor.Seconds()
+		grown := min(1, float64(from-boot+fallFor/2)/float64(set.SlowStartDuration)) // in the middle of the span
+		limit := set.OverloadMultiple * capacity * (set.SlowStartMinShare + (1-set.SlowStartMinShare)*grown) * fallFor.Seconds()
 		if float64(n) > limit {
 			return fmt.Sprintf("rule 4: %d calls in %v from %v, limit %.0f", n, fallFor, from, limit)
 		}
@@ -507,29 +507,29 @@
 		keyed           bool
 	}{{12, 6, 1, false}, {3, 12, 2, false}, {12, 6, 2, false}, {120, 40, 2, false}, {40, 6, 2, true}} {
 		set := testSettings()
-		set.Tier, set.Balancers = 1, tc.copies
+		set.Tier, set.Replicas = 1, tc.copies
 		class := "get"
 		if tc.keyed {
 			class = "post"
 		}
 		const capacity, boot = 50.0, time.Second // a warm server's calls a second
 		list := servers(tc.servers)
-		list[2].Boot = boot
+		list[2].StartTime = boot
 		type call struct {
 			b   *Balancer
 			at  time.Duration
-			out Outcome
+			out AttemptEnded
 		}
 		var bs []*Balancer
 		var calls []call
 		var cold []time.Duration
 		for i := range tc.copies {
-			set.Self = i
+			set.ReplicaIndex = i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: list})
+			b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
 			bs = append(bs, b)
 		}
 		rng := rand.New(rand.NewPCG(3, 3))
@@ -550,7 +550,7 @@
 					cold = append(cold, now)
 				}
 				calls = append(calls, call{b, now + 100*msec,
-					Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true}})
+					AttemptEnded{ID: id, Server: s.Server, Outcome: Success, RequestDone: true}})
 			}
 		}
 		if len(cold) < 20 {
@@ -577,17 +577,17 @@
 			switch x % 7 {
 			case 0:
 				fleet[int(x/7)%4].State = ServerState(x % 3)
-				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
+				b.Handle(now, EndpointUpdate{Complete: x%2 == 0, Servers: fleet[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
+				b.Handle(now, AttemptEnded{ID: id, Attempt: int(x%4) - 1, Outcome: Outcome(x % 9), RequestDone: x%2 == 0})
 			case 4:
-				b.Handle(now, Timer{Token: "r:" + id})
+				b.Handle(now, TimerFired{Token: "r:" + id})
 			case 5:
 				b.Handle(now, ClientGone{ID: id})
 			case 6:
-				b.Handle(now, Started{ID: id, Attempt: i % 3})
+				b.Handle(now, ResponseStarted{ID: id, Attempt: i % 3})
 			}
 			now += time.Duration(x) * msec / 4
 		}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Check names the setting at fault.
-func (s Settings) Check() error {
+// Validate names the setting at fault.
+func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("balancer: Classes is empty")
 	}
@@ -19,36 +19,36 @@
 		if slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }) {
 			return fmt.Errorf("balancer: Classes[%d].Name (%s) is repeated", i, c.Name)
 		}
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("balancer: Classes[%d] (%s): Aim, Deadline or Window out of range", i, c.Name)
 		}
-		if !(c.Worth >= 0) || !(c.LateShare >= 0 && c.LateShare <= 1) {
+		if !(c.PriorityWeight >= 0) || !(c.LateCredit >= 0 && c.LateCredit <= 1) {
 			return fmt.Errorf("balancer: Classes[%d] (%s): Worth or LateShare out of range", i, c.Name)
 		}
 	}
-	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) {
+	if !(s.SlowStartMinShare >= 0 && s.SlowStartMinShare <= 1) {
 		return fmt.Errorf("balancer: ColdFrom must be from 0 to 1")
 	}
 	for _, d := range []struct {
 		name string
 		v    time.Duration
-	}{{"AskWithin", s.AskWithin}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"OrderSettle", s.OrderSettle},
-		{"WarmAfter", s.WarmAfter}} {
+	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"OrderSettle", s.KeyQuietPeriod},
+		{"WarmAfter", s.SlowStartDuration}} {
 		if d.v < 0 {
 			return fmt.Errorf("balancer: %s is negative", d.name)
 		}
 	}
-	if s.Tier < 0 || s.Balancers < 0 || s.Self < 0 || s.MaxAttempts < 0 || !(s.FallMultiple >= 0) {
+	if s.Tier < 0 || s.Replicas < 0 || s.ReplicaIndex < 0 || s.MaxAttempts < 0 || !(s.OverloadMultiple >= 0) {
 		return fmt.Errorf("balancer: Tier, Balancers, Self, MaxAttempts or FallMultiple is negative")
 	}
-	for i, d := range s.Drills {
-		if d.Name == "" || slices.ContainsFunc(s.Drills[:i], func(o Drill) bool { return o.Name == d.Name }) {
+	for i, d := range s.FaultInjections {
+		if d.Name == "" || slices.ContainsFunc(s.FaultInjections[:i], func(o FaultInjection) bool { return o.Name == d.Name }) {
 			return fmt.Errorf("balancer: Drills[%d].Name (%q) is empty or repeated", i, d.Name)
 		}
 		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == d.Class }) {
 			return fmt.Errorf("balancer: Drills[%d] (%s): Class %q is not one of the classes", i, d.Name, d.Class)
 		}
-		if !(d.Share >= 0 && d.Share <= 100) || d.Delay < 0 || d.Duration <= 0 ||
+		if !(d.Percent >= 0 && d.Percent <= 100) || d.Delay < 0 || d.Duration <= 0 ||
 			d.AbortStatus != 0 && d.AbortStatus != 503 && d.AbortStatus != 500 {
 			return fmt.Errorf("balancer: Drills[%d] (%s): Share, Delay, Duration or AbortStatus out of range", i, d.Name)
 		}
@@ -66,11 +66,11 @@
 			longest = c
 		}
 	}
-	b.addClass(Class{Aim: longest.Aim, Deadline: longest.Deadline, Worth: longest.Worth}, classes, pools)
+	b.addClass(Class{LatencyObjective: longest.LatencyObjective, Deadline: longest.Deadline, PriorityWeight: longest.PriorityWeight}, classes, pools)
 }
 
 func (b *Balancer) addClass(c Class, classes map[string]*class, pools []*pool) {
-	k := &class{Class: c, mean: float64(c.Aim) / 4, dev: float64(c.Aim) / 8}
+	k := &class{Class: c, mean: float64(c.LatencyObjective) / 4, dev: float64(c.LatencyObjective) / 8}
 	if o := classes[c.Name]; o != nil && reflect.DeepEqual(o.Class, c) {
 		k = o
 	} else if o != nil && o.samples > 0 { // other rules, the same work
@@ -78,13 +78,13 @@
 	}
 	k.pool = nil
 	for _, p := range slices.Concat(b.pools, pools) {
-		same := reflect.DeepEqual([][]string{p.zones, p.kinds}, [][]string{c.OnlyZones, c.OnlyKinds})
+		same := reflect.DeepEqual([][]string{p.zones, p.kinds}, [][]string{c.AllowedZones, c.AllowedKinds})
 		if same && k.pool == nil {
 			k.pool = p
 		}
 	}
 	if k.pool == nil {
-		k.pool = &pool{zones: c.OnlyZones, kinds: c.OnlyKinds}
+		k.pool = &pool{zones: c.AllowedZones, kinds: c.AllowedKinds}
 	}
 	if !slices.Contains(b.pools, k.pool) {
 		b.pools = append(b.pools, k.pool)
@@ -96,7 +96,7 @@
 // retune takes over other settings while requests are open, or none of them if they are unsound. Classes that stay as
 // they were keep what was learned; open requests keep the class that they came with, also one that is gone.
 func (b *Balancer) retune(set Settings) {
-	if set.Check() != nil {
+	if set.Validate() != nil {
 		return
 	}
 	classes, pools := b.classes, b.pools
--- a/cmd/hookwalk/configwatch.go
+++ b/cmd/hookwalk/configwatch.go
@@ -23,7 +23,7 @@
 	watch *settings.ConfigWatch // nil: off
 	name  string
 	seed  uint64
-	kept  configversion.Kept
+	kept  configversion.LastKnownGood
 	store *configwatch.Store // nil: nothing is kept
 	log   *slog.Logger
 }
@@ -49,11 +49,11 @@
 		s.kept = kept
 		return cfg, s, nil
 	}
-	composed, err := cfg.With(overrideOf(*kept.Config))
+	composed, err := cfg.WithOverride(overrideOf(*kept.Config))
 	if err != nil {
 		log.Warn("the node starts with its own configuration file: the last known good version can't be used with it",
 			"version", kept.Version, "err", err)
-		s.kept = configversion.Kept{Cluster: kept.Cluster, Former: kept.Former, Controllers: kept.Controllers}
+		s.kept = configversion.LastKnownGood{Cluster: kept.Cluster, Former: kept.Former, Controllers: kept.Controllers}
 		return cfg, s, nil
 	}
 	log.Info("the node starts with its last known good version", "version", kept.Version, "cluster", kept.Cluster)
@@ -67,7 +67,7 @@
 		return func() {}
 	}
 	session := configwatch.Start(configwatch.Options{Node: s.name, Service: s.watch.Service, Region: s.watch.Region, Zone: s.watch.Zone,
-		Controllers: s.watch.Controllers, Seed: s.seed, Started: time.Now(), Kept: s.kept, Applier: nodeApplier{n}, Store: s.store, Log: s.log})
+		Controllers: s.watch.Controllers, Seed: s.seed, Started: time.Now(), LastKnownGood: s.kept, Applier: nodeApplier{n}, Store: s.store, Log: s.log})
 	return session.Close
 }
 
@@ -115,7 +115,7 @@
 func classesOf(classes []balancer.Class) []configversion.Class {
 	out := make([]configversion.Class, len(classes))
 	for i, c := range classes {
-		out[i] = configversion.Class{Name: c.Name, Zones: c.OnlyZones, Kinds: c.OnlyKinds}
+		out[i] = configversion.Class{Name: c.Name, Zones: c.AllowedZones, Kinds: c.AllowedKinds}
 	}
 	return out
 }
--- a/cmd/hookwalk/faultinjection.go
+++ b/cmd/hookwalk/faultinjection.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := startable(f.Drills, c.Name)
+	d, err := startable(f.FaultInjections, c.Name)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
@@ -47,7 +47,7 @@
 }
 
 // startable finds the drill of a name, which may be left out where there is just one.
-func startable(list []settings.Drill, name string) (found settings.Drill, err error) {
+func startable(list []settings.FaultInjection, name string) (found settings.FaultInjection, err error) {
 	n := 0
 	for _, d := range list {
 		if name == "" || d.Name == name {
--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -81,7 +81,7 @@
 	}
 	file.writes.Wait()
 	if found := state.Read(file.path, "node-1"); string(found.Body) != "8" {
-		t.Errorf("written as %s, %v", found.Body, found.Bad)
+		t.Errorf("written as %s, %v", found.Body, found.Errors)
 	}
 	if _, err := os.Stat(file.path + ".before"); err != nil {
 		t.Error(err)
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -155,7 +155,7 @@
 	defer w.Down(false)
 	class := s.Classes[0]
 	method := ""
-	if class.Effect != balancer.Safe {
+	if class.Effect != balancer.Idempotent {
 		method = " -X POST"
 	}
 	fmt.Fprintf(io.stdout, "%s is up: a node at http://%s, logs in %s; Ctrl-C ends it\n", s.Name, w.Addr(), w.Folder())
--- a/cmd/hookwalk/main.go
+++ b/cmd/hookwalk/main.go
@@ -217,7 +217,7 @@
 		select {
 		case <-hangups:
 		case <-dumps:
-			n.Dump()
+			n.DumpCapture()
 			continue
 		case <-ended:
 			return
@@ -226,8 +226,8 @@
 		if err == nil {
 			err = n.Reload(cfg)
 		}
-		if err == nil && n.Reread != nil {
-			err = n.Reread()
+		if err == nil && n.ReloadKeys != nil {
+			err = n.ReloadKeys()
 		}
 		if err != nil {
 			log.Error("configuration not read again", "err", err)
--- a/cmd/hookwalk/peers.go
+++ b/cmd/hookwalk/peers.go
@@ -61,13 +61,13 @@
 			}
 		})
 	}
-	n.Sites = func() any {
+	n.PeersView = func() any {
 		if c := cluster.Load(); c != nil {
 			return c.View()
 		}
 		return peers.View{Self: membership.Joining.String(), Site: p.Site}
 	}
-	n.Reread = func() error {
+	n.ReloadKeys = func() error {
 		if c := cluster.Load(); c != nil {
 			return c.ReloadKeys()
 		}
@@ -129,8 +129,8 @@
 	switch {
 	case found.Body != nil:
 		wrong = json.Unmarshal(found.Body, &last)
-	case len(found.Bad) > 0:
-		wrong = found.Bad[0]
+	case len(found.Errors) > 0:
+		wrong = found.Errors[0]
 	}
 	s.writes.Go(func() { // a node that is killed before it is on disk claims the number again, and its peers settle it
 		if err := s.write(last + 1); err != nil {
--- a/cmd/hookwalk/state.go
+++ b/cmd/hookwalk/state.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	age := "unknown: it is of another run of the machine, or says none"
-	if info.Age != state.Unknown {
+	if info.Age != state.UnknownAge {
 		age = info.Age.Round(time.Millisecond).String()
 	}
 	fmt.Fprintf(io.stdout, "version %d\nof      %s\nage     %s\n%s\n", info.Version, info.Owner, age, info.Body)
--- a/configversion/session.go
+++ b/configversion/session.go
@@ -21,14 +21,14 @@
 	Started int64 // when the process started, Unix milliseconds
 	// Controllers are the addresses that the settings name, HOST:PORT.
 	Controllers []string
-	// Kept is what the node has kept of an earlier process, and started with.
-	Kept Kept
+	// LastKnownGood is what the node has kept of an earlier process, and started with.
+	LastKnownGood LastKnownGood
 	// Seed is of the random numbers that spread nodes in time and over controllers.
 	Seed uint64
 }
 
-// Kept is what a node keeps of configuration versions for its next start: the last known good version.
-type Kept struct {
+// LastKnownGood is what a node keeps of configuration versions for its next start: the last known good version.
+type LastKnownGood struct {
 	Cluster configapi.Cluster        `json:"cluster"`
 	Version configapi.Version        `json:"version"`          // in force
 	Config  *configapi.ServiceConfig `json:"config,omitempty"` // what it says; nil: nothing, the node has its own file's
@@ -105,8 +105,8 @@
 		Address string // HOST:PORT
 		Ack     configapi.Acknowledgement
 	}
-	// Keep asks for the last known good version to be kept for the node's next start. The newest is enough.
-	Keep struct{ Kept Kept }
+	// Persist asks for the last known good version to be kept for the node's next start. The newest is enough.
+	Persist struct{ LastKnownGood LastKnownGood }
 	// VersionAnswered reports the node's answer to a version.
 	VersionAnswered struct {
 		Cluster    configapi.Cluster
@@ -127,7 +127,7 @@
 func (CloseWatch) sessionAction()        {}
 func (ApplyConfig) sessionAction()       {}
 func (SendAck) sessionAction()           {}
-func (Keep) sessionAction()              {}
+func (Persist) sessionAction()           {}
 func (VersionAnswered) sessionAction()   {}
 func (ControllerChanged) sessionAction() {}
 
@@ -149,7 +149,7 @@
 // NewSession begins a session at a time. The first watch is due within FirstConnectSpread of that.
 func NewSession(options SessionOptions, now time.Duration) *Session {
 	s := &Session{options: options, now: now, random: rand.New(rand.NewPCG(options.Seed, uint64(options.Started)))}
-	s.versions = newVersionState(options.Kept)
+	s.versions = newVersionState(options.LastKnownGood)
 	s.watches = newWatchSet(options)
 	s.watches.openAt = now + s.spread(FirstConnectSpread)
 	s.next = s.watches.openAt
@@ -219,14 +219,14 @@
 }
 
 // kept is what the node would start with.
-func (s *Session) kept() Kept {
+func (s *Session) kept() LastKnownGood {
 	v := &s.versions
-	return Kept{Cluster: v.cluster, Version: v.applied, Config: v.inForce, Former: maps.Clone(v.former), Controllers: slices.Clone(s.watches.known)}
+	return LastKnownGood{Cluster: v.cluster, Version: v.applied, Config: v.inForce, Former: maps.Clone(v.former), Controllers: slices.Clone(s.watches.known)}
 }
 
 // Supersedes says whether k is newer than another: a later version of the same cluster, or of one that has taken the
 // other's cluster's place.
-func (k Kept) Supersedes(other Kept) bool {
+func (k LastKnownGood) Supersedes(other LastKnownGood) bool {
 	if k.Cluster == other.Cluster {
 		return k.Version > other.Version
 	}
--- a/configversion/session_test.go
+++ b/configversion/session_test.go
@@ -32,7 +32,7 @@
 	ack      *SendAck
 	acks     []configapi.Acknowledgement
 	answers  []VersionAnswered
-	kept     *Kept
+	kept     *LastKnownGood
 }
 
 func newDriver(t tester, options SessionOptions) *driver {
@@ -73,8 +73,8 @@
 			}
 			d.ack = &a
 			d.acks = append(d.acks, a.Ack)
-		case Keep:
-			d.kept = &a.Kept
+		case Persist:
+			d.kept = &a.LastKnownGood
 		case VersionAnswered:
 			d.answers = append(d.answers, a)
 		}
@@ -212,7 +212,7 @@
 // A node that knows where controllers stand goes to its own zone, then its own region, then the rest, and to what only
 // its settings name last.
 func TestNearestFirst(t *testing.T) {
-	d := newDriver(t, SessionOptions{Controllers: []string{"old:1"}, Region: "east", Zone: "b", Kept: Kept{Cluster: "x", Controllers: three}})
+	d := newDriver(t, SessionOptions{Controllers: []string{"old:1"}, Region: "east", Zone: "b", LastKnownGood: LastKnownGood{Cluster: "x", Controllers: three}})
 	for _, want := range []string{"b:1", "a:1", "c:1", "old:1"} {
 		w := d.nextWatch(3 * time.Second)
 		if w.Address != want {
@@ -615,7 +615,7 @@
 
 // A node that was kept at a version starts there.
 func TestStartFromWhatWasKept(t *testing.T) {
-	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}, Kept: Kept{Cluster: "x", Version: 8, Config: config(8)}})
+	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}, LastKnownGood: LastKnownGood{Cluster: "x", Version: 8, Config: config(8)}})
 	w := d.nextWatch(FirstConnectSpread)
 	if r := w.Request; r.Cluster != "x" || r.Held != 8 || r.Applied != 8 || r.Rejected {
 		t.Errorf("it asks with %+v", r)
@@ -632,19 +632,19 @@
 		return map[configapi.Cluster]configapi.Version{c: v}
 	}
 	for name, c := range map[string]struct {
-		k, other Kept
+		k, other LastKnownGood
 		want     bool
 	}{
-		"newer":                   {Kept{Cluster: "x", Version: 2}, Kept{Cluster: "x", Version: 1}, true},
-		"same":                    {Kept{Cluster: "x", Version: 2}, Kept{Cluster: "x", Version: 2}, false},
-		"older":                   {Kept{Cluster: "x", Version: 1}, Kept{Cluster: "x", Version: 2}, false},
-		"of another cluster":      {Kept{Cluster: "y", Version: 9}, Kept{Cluster: "x", Version: 2}, false},
-		"of one that took over":   {Kept{Cluster: "y", Version: 1, Former: former("x", 2)}, Kept{Cluster: "x", Version: 2}, true},
-		"of the one that is left": {Kept{Cluster: "x", Version: 2}, Kept{Cluster: "y", Version: 1, Former: former("x", 2)}, false},
-		"taken over and back": {Kept{Cluster: "x", Version: 3, Former: former("y", 1)},
-			Kept{Cluster: "y", Version: 1, Former: former("x", 2)}, true},
-		"before it came back": {Kept{Cluster: "y", Version: 1, Former: former("x", 2)},
-			Kept{Cluster: "x", Version: 3, Former: former("y", 1)}, false},
+		"newer":                   {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "x", Version: 1}, true},
+		"same":                    {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "x", Version: 2}, false},
+		"older":                   {LastKnownGood{Cluster: "x", Version: 1}, LastKnownGood{Cluster: "x", Version: 2}, false},
+		"of another cluster":      {LastKnownGood{Cluster: "y", Version: 9}, LastKnownGood{Cluster: "x", Version: 2}, false},
+		"of one that took over":   {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, LastKnownGood{Cluster: "x", Version: 2}, true},
+		"of the one that is left": {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, false},
+		"taken over and back": {LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)},
+			LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, true},
+		"before it came back": {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)},
+			LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)}, false},
 	} {
 		if got := c.k.Supersedes(c.other); got != c.want {
 			t.Errorf("%s: %v", name, got)
--- a/configversion/session_versions.go
+++ b/configversion/session_versions.go
@@ -58,7 +58,7 @@
 	version configapi.Version
 }
 
-func newVersionState(kept Kept) versionState {
+func newVersionState(kept LastKnownGood) versionState {
 	former := maps.Clone(kept.Former)
 	if former == nil {
 		former = map[configapi.Cluster]configapi.Version{}
@@ -187,7 +187,7 @@
 func (s *Session) applied(c *candidate) {
 	s.versions.applied, s.versions.refused = c.version, nil
 	s.answer(c, configapi.Applied)
-	s.do(Keep{s.kept()})
+	s.do(Persist{s.kept()})
 }
 
 func (s *Session) answer(c *candidate, outcome configapi.Outcome) {
--- a/configversion/session_watches.go
+++ b/configversion/session_watches.go
@@ -96,7 +96,7 @@
 
 func newWatchSet(options SessionOptions) watchSet {
 	return watchSet{place: configapi.Endpoint{Region: options.Region, Zone: options.Zone}, settings: slices.Clone(options.Controllers),
-		known: slices.Clone(options.Kept.Controllers), avoid: map[string]time.Duration{}}
+		known: slices.Clone(options.LastKnownGood.Controllers), avoid: map[string]time.Duration{}}
 }
 
 // find returns an open watch; nil: there is none of this number.
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -28,7 +28,7 @@
 type listKey struct{}
 
 // placed is a list as an attribute.
-type placed struct{ boxes []Box }
+type placed struct{ boxes []Endpoint }
 
 // Equal says that no two lists are the same: each is told.
 func (placed) Equal(any) bool { return false }
@@ -45,7 +45,7 @@
 		b.p.joined(nil, err)
 		return nil, err
 	}
-	w := &listWatch{p: b.p, tier: t, cc: cc, lists: make(chan []Box, 1), done: make(chan struct{})}
+	w := &listWatch{p: b.p, tier: t, cc: cc, lists: make(chan []Endpoint, 1), done: make(chan struct{})}
 	go w.run()
 	t.mu.Lock()
 	t.watchers[w] = true
@@ -60,12 +60,12 @@
 	p     *plugin
 	tier  *tier
 	cc    resolver.ClientConn
-	lists chan []Box // the newest that the channel has not been told
+	lists chan []Endpoint // the newest that the channel has not been told
 	done  chan struct{}
 }
 
 // update leaves a list for the channel, in place of one that it was not told yet. The caller holds the tier's lock.
-func (w *listWatch) update(l []Box) {
+func (w *listWatch) update(l []Endpoint) {
 	select {
 	case <-w.lists:
 	default:
@@ -129,7 +129,7 @@
 	list, _ := s.ResolverState.Attributes.Value(listKey{}).(placed)
 	listed := map[place]bool{}
 	for _, b := range list.boxes {
-		at := place{b.ID, b.Addr, int64(b.Boot)}
+		at := place{b.ID, b.Addr, int64(b.StartTime)}
 		listed[at] = true
 		if c.conns[at] != nil {
 			continue
@@ -160,7 +160,7 @@
 
 // publish has waiting picks look again.
 func (c *channel) publish() {
-	// Boxes are connected to as the engine chooses them, so the channel as a whole is always ready.
+	// Endpoints are connected to as the engine chooses them, so the channel as a whole is always ready.
 	c.cc.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: &picker{c}})
 }
 
--- a/grpcbalancer/bench_test.go
+++ b/grpcbalancer/bench_test.go
@@ -64,7 +64,7 @@
 		var addrs []resolver.Address
 		for i := range n {
 			addr := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
-			list = append(list, Box{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: addr})
+			list = append(list, Endpoint{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: addr})
 			addrs = append(addrs, resolver.Address{Addr: addr})
 		}
 		for _, policy := range []string{"round_robin", "least_request_experimental"} {
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -65,9 +65,9 @@
 	return f
 }
 
-func (f *fleet) list() (l []Box) {
+func (f *fleet) list() (l []Endpoint) {
 	for i, b := range f.boxes {
-		l = append(l, Box{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
+		l = append(l, Endpoint{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
 	}
 	return l
 }
@@ -77,11 +77,11 @@
 		Methods: map[string]string{weighIn: "bin-weighin", view: "block-view"}}
 }
 
-var settings = balancer.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second, FallMultiple: 3, ColdFrom: 0.2,
-	WarmAfter: 10 * time.Second,
+var settings = balancer.Settings{Replicas: 1, MaxAttempts: 3, MaxRetryAfter: time.Second, OverloadMultiple: 3, SlowStartMinShare: 0.2,
+	SlowStartDuration: 10 * time.Second,
 	Classes: []balancer.Class{
-		{Name: "bin-weighin", Effect: balancer.Unsafe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 3},
-		{Name: "block-view", Effect: balancer.Safe, Aim: 5 * time.Second, Deadline: 20 * time.Second, Worth: 1}}}
+		{Name: "bin-weighin", Effect: balancer.NonIdempotent, LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 3},
+		{Name: "block-view", Effect: balancer.Idempotent, LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}}}
 
 func dial(t *testing.T, cfg Config, more ...grpc.DialOption) *grpc.ClientConn {
 	t.Helper()
@@ -109,9 +109,9 @@
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway before the stream":      func(k *grpcserver.Call) { k.GoAway(true) },
-		"turned away, unavailable":      func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
-		"turned away, after a header":   func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), TurnedAway, "1") },
-		"turned away, no resources":     func(k *grpcserver.Call) { k.Fail(int(codes.ResourceExhausted), TurnedAway, "1") },
+		"turned away, unavailable":      func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") },
+		"turned away, after a header":   func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), RejectedKey, "1") },
+		"turned away, no resources":     func(k *grpcserver.Call) { k.Fail(int(codes.ResourceExhausted), RejectedKey, "1") },
 		"goaway before, then cut short": func(k *grpcserver.Call) { k.GoAway(true); k.Cut() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -153,8 +153,8 @@
 		"internal":                  func(k *grpcserver.Call) { k.Fail(int(codes.Internal)) },
 		"unknown":                   func(k *grpcserver.Call) { k.Fail(int(codes.Unknown)) },
 		"aborted":                   func(k *grpcserver.Call) { k.Fail(int(codes.Aborted)) },
-		"turned away, but ran":      func(k *grpcserver.Call) { k.Fail(int(codes.Internal), TurnedAway, "1") },
-		"turned away, oddly":        func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "yes") },
+		"turned away, but ran":      func(k *grpcserver.Call) { k.Fail(int(codes.Internal), RejectedKey, "1") },
+		"turned away, oddly":        func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "yes") },
 		"reset, cancelled":          func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
 		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
 		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Cut() },
@@ -226,7 +226,7 @@
 // itself what a server refused unprocessed, adds none.
 func TestRefusal(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
-		"turned away":     func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") },
+		"turned away":     func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") },
 		"refused streams": func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway":          func(k *grpcserver.Call) { k.GoAway(true) },
 	} {
@@ -261,9 +261,9 @@
 }
 
 // told is a source that a test speaks through.
-type told chan List
+type told chan EndpointList
 
-func (c told) Watch(ctx context.Context, tell func(List)) {
+func (c told) Watch(ctx context.Context, tell func(EndpointList)) {
 	for {
 		select {
 		case l := <-c:
@@ -280,21 +280,21 @@
 	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
 	source, list := make(told), f.list()
 	cc := dial(t, config(t, source))
-	go func() { source <- List{Boxes: list, Whole: true} }()
+	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
 	if _, err := ask(t.Context(), cc, weighIn); err != nil {
 		t.Fatal(err)
 	}
 	list[0].State = balancer.Draining
-	source <- List{Boxes: list}
-	source <- List{} // is taken only when the one before has been dealt with
+	source <- EndpointList{Endpoints: list}
+	source <- EndpointList{} // is taken only when the one before has been dealt with
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if _, err := ask(ctx, cc, weighIn); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
 		t.Errorf("with the only box draining: %v after %d calls", err, f.calls.Load())
 	}
-	list[0].State, list[0].Boot = balancer.Ready, time.Second
-	source <- List{Boxes: list}
-	source <- List{}
+	list[0].State, list[0].StartTime = balancer.Ready, time.Second
+	source <- EndpointList{Endpoints: list}
+	source <- EndpointList{}
 	if _, err := ask(t.Context(), cc, weighIn); err != nil {
 		t.Error(err)
 	}
@@ -386,7 +386,7 @@
 		case 3:
 			k.Reset(http2.ErrCodeRefusedStream)
 		case 7:
-			k.Fail(int(codes.Unavailable), TurnedAway, "1")
+			k.Fail(int(codes.Unavailable), RejectedKey, "1")
 		case 11:
 			if !k.GoAway(true) { // a later call of the connection has run
 				k.Reset(http2.ErrCodeRefusedStream)
@@ -470,13 +470,13 @@
 	}{
 		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, -1); k.Status(0) }, 2, codes.OK},
 		"not found":      {func(k *grpcserver.Call) { k.Fail(int(codes.NotFound)) }, 0, codes.NotFound},
-		"turned away":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), TurnedAway, "1") }, 0, codes.Unavailable},
+		"turned away":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
 		"unavailable":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) }, 0, codes.Internal},
 		"turned away late": {func(k *grpcserver.Call) {
 			k.Header()
 			k.Data(served, -1)
-			k.Status(int(codes.Unavailable), TurnedAway, "1")
+			k.Status(int(codes.Unavailable), RejectedKey, "1")
 		}, 1, codes.Internal},
 		"cut half-way":        {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.Cut() }, 1, codes.Internal},
 		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(served, -1); k.Status(0) }, 1, codes.OK},
@@ -523,7 +523,7 @@
 	})
 	source, list := make(told), f.list()
 	cc := dial(t, config(t, source))
-	go func() { source <- List{Boxes: list, Whole: true} }()
+	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
 	s, err := cc.NewStream(t.Context(), watching, view)
 	if err != nil {
 		t.Fatal(err)
@@ -544,8 +544,8 @@
 	}
 	draining := slices.Clone(list)
 	draining[0].State = balancer.Draining
-	source <- List{Boxes: draining}
-	source <- List{}
+	source <- EndpointList{Endpoints: draining}
+	source <- EndpointList{}
 	ctx2, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := watch(ctx2, cc); status.Code(err) != codes.Unavailable {
@@ -610,16 +610,16 @@
 	cc := dial(t, config(t, source), grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", f.boxes[0].Addr())
 	}))
-	list := make([]Box, 10000)
+	list := make([]Endpoint, 10000)
 	const asked = 40
 	for boot := range 2 {
 		for i := range list {
-			list[i] = Box{Server: balancer.Server{ID: strconv.Itoa(i), Boot: time.Duration(boot)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
+			list[i] = Endpoint{Server: balancer.Server{ID: strconv.Itoa(i), StartTime: time.Duration(boot)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
 		}
 		taken := make(chan struct{})
 		go func() {
 			defer close(taken)
-			source <- List{Boxes: slices.Clone(list), Whole: true}
+			source <- EndpointList{Endpoints: slices.Clone(list), Complete: true}
 		}()
 		for range asked {
 			if _, err := ask(t.Context(), cc, weighIn); err != nil {
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -73,7 +73,7 @@
 		case 3:
 			k.GoAway(true)
 		case 4:
-			k.Fail(int(codes.Unavailable), TurnedAway, "1")
+			k.Fail(int(codes.Unavailable), RejectedKey, "1")
 		case 5:
 			k.Fail(int(codes.Internal))
 		default:
--- a/grpcbalancer/outcomes.go
+++ b/grpcbalancer/outcomes.go
@@ -11,9 +11,9 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// TurnedAway is the trailer, with the value 1, by which a box says that it has not run a call and will not. It goes
+// RejectedKey is the trailer, with the value 1, by which a box says that it has not run a call and will not. It goes
 // with UNAVAILABLE or RESOURCE_EXHAUSTED.
-const TurnedAway = "hookwalk-turned-away"
+const RejectedKey = "hookwalk-turned-away"
 
 // What the picker says of an attempt whose box can't be reached, or that the library wanted to send once more.
 var (
@@ -23,7 +23,7 @@
 )
 
 // ending says how an attempt ended, from what its picker and the library saw of it.
-func ending(a *attempt, err error, trailer metadata.MD) balancer.Ending {
+func ending(a *attempt, err error, trailer metadata.MD) balancer.Outcome {
 	code := status.Code(err)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,13 +31,13 @@
 	case err == nil:
 		return balancer.Success
 	case a.stopped:
-		return balancer.Void // nothing was sent, and it says nothing of the box
+		return balancer.NotSent // nothing was sent, and it says nothing of the box
 	case a.picks == 0 && errors.Is(a.call.ctx.Err(), context.Canceled):
-		return balancer.Void // its client left before a connection was up
+		return balancer.NotSent // its client left before a connection was up
 	case a.picks == 0:
 		return balancer.Unreachable
 	case errors.Is(a.call.ctx.Err(), context.Canceled) && code == codes.Canceled:
-		return balancer.Withdrawn // its client left: that says nothing of the box
+		return balancer.Canceled // its client left: that says nothing of the box
 	case !a.sent && code == codes.DeadlineExceeded:
 		return balancer.Overloaded // it waited for one of the streams that the box allows
 	case !a.sent:
@@ -55,11 +55,11 @@
 	case a.got:
 		return balancer.Failure
 	}
-	return balancer.Broken
+	return balancer.ConnectionLost
 }
 
 func one(trailer metadata.MD) bool {
-	v := trailer.Get(TurnedAway)
+	v := trailer.Get(RejectedKey)
 	return len(v) == 1 && v[0] == "1"
 }
 
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -28,11 +28,11 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// Repeat is the metadata key, with the value 1, by which a client says that it has sent a call before.
-const Repeat = "hookwalk-repeat"
+// RetryKey is the metadata key, with the value 1, by which a client says that it has sent a call before.
+const RetryKey = "hookwalk-repeat"
 
-// Tenant is the metadata key of the tenant that a call is for.
-const Tenant = "hookwalk-tenant"
+// TenantKey is the metadata key of the tenant that a call is for.
+const TenantKey = "hookwalk-tenant"
 
 // answerTime is the most that a final answer is given ahead of a call's deadline.
 const answerTime = 20 * time.Millisecond
@@ -106,9 +106,9 @@
 	// A refusal must come before the caller stops listening: only it says that nothing ran.
 	r.Budget -= min(r.Budget/50, answerTime)
 	md, _ := metadata.FromOutgoingContext(ctx)
-	r.Tenant = first(md, Tenant)
+	r.Tenant = first(md, TenantKey)
 	r.Request = balancer.Request{ID: strconv.FormatUint(t.seq.Add(1), 10), Class: p.cfg.Methods[method],
-		Deadline: now + r.Budget, Repeat: first(md, Repeat) == "1"}
+		Deadline: now + r.Budget, ClientRetry: first(md, RetryKey) == "1"}
 	return r
 }
 
@@ -181,7 +181,7 @@
 	switch a.Verdict {
 	case engine.Served:
 		return last // nil, or what the box has found out
-	case engine.Refused, engine.Aborted:
+	case engine.Rejected, engine.Aborted:
 		if a.Verdict == engine.Aborted && a.Status != 503 {
 			return status.Error(codes.Internal, "hookwalk: ended by a drill")
 		}
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -28,7 +28,7 @@
 	first time.Duration // when the first message came back; 0: none has
 	ended bool          // its client has seen the end
 	err   error         // as its client has it
-	how   balancer.Ending
+	how   balancer.Outcome
 }
 
 // stream has the engine place a stream, and gives it to its client when it is open.
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	s.att = a
-	t.engine.Began(a.Attempt)
+	t.engine.ResponseStarted(a.Attempt)
 	a.call.opened <- s
 	select {
 	case err = <-s.over:
@@ -99,7 +99,7 @@
 }
 
 // outcome is the ending of the attempt, and its latency: what counts is when the first message came.
-func (s *stream) outcome(err error) (how balancer.Ending, latency time.Duration) {
+func (s *stream) outcome(err error) (how balancer.Outcome, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.first > 0 {
@@ -146,8 +146,8 @@
 	switch s.how {
 	case balancer.Success:
 		s.err = err
-	case balancer.Overloaded, balancer.Unreachable, balancer.Void:
-		s.err = final(engine.Answer{Verdict: engine.Refused, RetryAfter: s.att.tier.comeBack(s.att.call.Request.Class)}, err)
+	case balancer.Overloaded, balancer.Unreachable, balancer.NotSent:
+		s.err = final(engine.Answer{Verdict: engine.Rejected, RetryAfter: s.att.tier.comeBack(s.att.call.Request.Class)}, err)
 	default:
 		s.err = err
 		if status.Code(err) != codes.Canceled {
@@ -160,12 +160,12 @@
 
 // result is the attempt's ending. What has sent a message back has run, whatever it says then. The caller holds the
 // lock.
-func (s *stream) result(err error, trailer metadata.MD) balancer.Ending {
+func (s *stream) result(err error, trailer metadata.MD) balancer.Outcome {
 	switch code := status.Code(err); {
 	case s.first == 0:
 		return ending(s.att, err, trailer)
 	case err == nil || answers[code] || code == codes.Canceled && s.att.call.ctx.Err() != nil:
 		return balancer.Success
 	}
-	return balancer.Broken
+	return balancer.ConnectionLost
 }
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -39,7 +39,7 @@
 	uses int                // channels and calls in progress; guarded by tiers.mu
 
 	mu       sync.Mutex
-	boxes    map[string]Box
+	boxes    map[string]Endpoint
 	watchers map[*listWatch]bool
 }
 
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("grpcbalancer: tier %s: %w", cfg.Tier, err)
 	}
-	t := &tier{cfg: cfg, uses: 1, told: make(chan struct{}), boxes: map[string]Box{}, watchers: map[*listWatch]bool{}}
+	t := &tier{cfg: cfg, uses: 1, told: make(chan struct{}), boxes: map[string]Endpoint{}, watchers: map[*listWatch]bool{}}
 	t.engine = engine.New(engine.Options{Clock: engine.NewClock(), Log: cfg.Log, Balancer: bal, Sender: t, Subscribe: func() {}})
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
@@ -68,7 +68,7 @@
 	go t.engine.Run()
 	go func() {
 		defer patience.Stop()
-		cfg.Source.Watch(ctx, func(l List) {
+		cfg.Source.Watch(ctx, func(l EndpointList) {
 			t.tell(ctx, l)
 			heard()
 		})
@@ -96,20 +96,20 @@
 }
 
 // tell hands a list to the engine, which stops what must get nothing new, and then to the channels.
-func (t *tier) tell(ctx context.Context, l List) {
-	news := engine.Update{Whole: l.Whole}
-	for _, b := range l.Boxes {
-		news.Boxes = append(news.Boxes, engine.Box{Server: b.Server, Addr: b.Addr})
+func (t *tier) tell(ctx context.Context, l EndpointList) {
+	news := engine.Update{Complete: l.Complete}
+	for _, b := range l.Endpoints {
+		news.Endpoints = append(news.Endpoints, engine.Endpoint{Server: b.Server, Addr: b.Addr})
 	}
-	if t.engine.Tell(ctx, news) != nil {
+	if t.engine.ApplyUpdate(ctx, news) != nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l.Whole {
+	if l.Complete {
 		clear(t.boxes)
 	}
-	for _, b := range l.Boxes {
+	for _, b := range l.Endpoints {
 		if b.State == balancer.Ready {
 			t.boxes[b.ID] = b
 		} else {
@@ -123,7 +123,7 @@
 }
 
 // list is what a channel may connect to. The caller holds the lock.
-func (t *tier) list() []Box { return slices.Collect(maps.Values(t.boxes)) }
+func (t *tier) list() []Endpoint { return slices.Collect(maps.Values(t.boxes)) }
 
 // rpc is a call with what its attempts need.
 type rpc struct {
@@ -160,19 +160,19 @@
 		a := &attempt{Attempt: att, call: call, tier: t}
 		r := engine.Result{Attempt: att}
 		if call.open != nil {
-			r.Ending, r.Latency, call.err = t.streamed(a)
+			r.Outcome, r.Latency, call.err = t.streamed(a)
 		} else {
-			r.Ending, call.err = t.invoked(a)
+			r.Outcome, call.err = t.invoked(a)
 		}
-		if r.Ending != balancer.Success && r.Ending != balancer.Void {
+		if r.Outcome != balancer.Success && r.Outcome != balancer.NotSent {
 			r.Err = call.err
 		}
-		t.engine.Ended(r)
+		t.engine.AttemptEnded(r)
 	}()
 }
 
 // invoked makes an attempt of a unary call.
-func (t *tier) invoked(a *attempt) (balancer.Ending, error) {
+func (t *tier) invoked(a *attempt) (balancer.Outcome, error) {
 	ctx, cancel := context.WithDeadline(a.call.ctx, t.engine.Clock.At(a.Deadline))
 	defer cancel()
 	var trailer metadata.MD
@@ -181,7 +181,7 @@
 }
 
 // streamed makes an attempt of a stream.
-func (t *tier) streamed(a *attempt) (how balancer.Ending, latency time.Duration, err error) {
+func (t *tier) streamed(a *attempt) (how balancer.Outcome, latency time.Duration, err error) {
 	s, err := t.stream(a)
 	if s == nil {
 		return ending(a, err, nil), 0, err
@@ -200,7 +200,7 @@
 	defer r.out.Wait()
 	defer cancel()
 	a, err := t.engine.Do(ctx, &r.Call)
-	if errors.Is(err, engine.ErrLeft) && ctx.Err() != nil {
+	if errors.Is(err, engine.ErrClientGone) && ctx.Err() != nil {
 		err = ctx.Err()
 	}
 	return a, err
@@ -210,9 +210,9 @@
 func (t *tier) comeBack(class string) time.Duration {
 	all := t.cfg.Settings.Classes
 	if i := slices.IndexFunc(all, func(c balancer.Class) bool { return c.Name == class }); i >= 0 {
-		return t.cfg.Settings.ComeBack(all[i])
+		return t.cfg.Settings.RetryAfter(all[i])
 	}
-	return t.cfg.Settings.ComeBack(slices.MaxFunc(all, func(a, b balancer.Class) int { return int(a.Deadline - b.Deadline) }))
+	return t.cfg.Settings.RetryAfter(slices.MaxFunc(all, func(a, b balancer.Class) int { return int(a.Deadline - b.Deadline) }))
 }
 
 // Config says which tier a channel goes to and how.
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// Places is how many connections are held at once. With the listener that is what it costs of the descriptors.
-	Places    = 16
-	wholeCall = 1500 * time.Millisecond // for a connection to bring a whole call
-	effect    = 900 * time.Millisecond  // for what a call wants to hold; an answer is owed within 1 s
-	answer    = 2 * time.Second         // for whoever called to take the answer
-	maxHead   = 8 << 10                 // bytes
-	lastCalls = time.Second             // for calls that are open when the node ends
+	// MaxConnections is how many connections are held at once. With the listener that is what it costs of the descriptors.
+	MaxConnections = 16
+	wholeCall      = 1500 * time.Millisecond // for a connection to bring a whole call
+	effect         = 900 * time.Millisecond  // for what a call wants to hold; an answer is owed within 1 s
+	answer         = 2 * time.Second         // for whoever called to take the answer
+	maxHead        = 8 << 10                 // bytes
+	lastCalls      = time.Second             // for calls that are open when the node ends
 )
 
 // Node is what can be asked of a node. A nil error says that the effect holds; else nothing has changed.
 type Node interface {
-	TakesClients() error // why it does not
-	Hand(ctx context.Context, server string, out bool) error
-	Serve(ctx context.Context, in bool) error // in service or out of it
-	Sites() any                               // what it knows of its peers; nil: it has none
+	CheckReady() error // why it does not
+	SetServerDisabled(ctx context.Context, server string, out bool) error
+	SetInService(ctx context.Context, in bool) error // in service or out of it
+	Sites() any                                      // what it knows of its peers; nil: it has none
 }
 
 // Server answers calls on one listener.
@@ -47,7 +47,7 @@
 
 // New makes a Server for a listener; Run starts it.
 func New(ln net.Listener, node Node, log *slog.Logger) *Server {
-	s := &Server{node: node, log: log, in: &places{Listener: ln, free: make(chan struct{}, Places)}}
+	s := &Server{node: node, log: log, in: &places{Listener: ln, free: make(chan struct{}, MaxConnections)}}
 	s.http = &http.Server{Handler: s, ReadTimeout: wholeCall, WriteTimeout: wholeCall + answer, MaxHeaderBytes: maxHead,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -124,11 +124,11 @@
 func (s *Server) route(path string) (method string, act func(context.Context) error) {
 	switch path {
 	case "/control/ready":
-		return http.MethodGet, func(context.Context) error { return s.node.TakesClients() }
+		return http.MethodGet, func(context.Context) error { return s.node.CheckReady() }
 	case "/control/out-of-service":
-		return http.MethodPost, func(ctx context.Context) error { return s.node.Serve(ctx, false) }
+		return http.MethodPost, func(ctx context.Context) error { return s.node.SetInService(ctx, false) }
 	case "/control/in-service":
-		return http.MethodPost, func(ctx context.Context) error { return s.node.Serve(ctx, true) }
+		return http.MethodPost, func(ctx context.Context) error { return s.node.SetInService(ctx, true) }
 	}
 	rest, ok := strings.CutPrefix(path, "/control/servers/")
 	name, what, found := strings.Cut(rest, "/")
@@ -136,7 +136,7 @@
 	if !ok || !found || err != nil || id == "" || what != "offline" && what != "online" {
 		return "", nil
 	}
-	return http.MethodPost, func(ctx context.Context) error { return s.node.Hand(ctx, id, what == "offline") }
+	return http.MethodPost, func(ctx context.Context) error { return s.node.SetServerDisabled(ctx, id, what == "offline") }
 }
 
 type connKey struct{}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,33 +19,33 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// fake is a node that notes what is asked of it.
-type fake struct {
+// fakeNode is a node that notes what is asked of it.
+type fakeNode struct {
 	sites any
 	mu    sync.Mutex
 	asked []string
 	err   error
 }
 
-func (f *fake) Sites() any { return f.sites }
+func (f *fakeNode) Sites() any { return f.sites }
 
-func (f *fake) note(format string, args ...any) error {
+func (f *fakeNode) note(format string, args ...any) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked = append(f.asked, fmt.Sprintf(format, args...))
 	return f.err
 }
 
-func (f *fake) TakesClients() error { return f.note("ready") }
-func (f *fake) Hand(_ context.Context, id string, out bool) error {
+func (f *fakeNode) CheckReady() error { return f.note("ready") }
+func (f *fakeNode) SetServerDisabled(_ context.Context, id string, out bool) error {
 	if id == "nobody" {
 		return balancer.ErrUnknownServer
 	}
 	return f.note("%s %v", id, out)
 }
-func (f *fake) Serve(_ context.Context, in bool) error { return f.note("in service %v", in) }
+func (f *fakeNode) SetInService(_ context.Context, in bool) error { return f.note("in service %v", in) }
 
-func serving(t *testing.T, f *fake) (addr string, s *Server) {
+func serving(t *testing.T, f *fakeNode) (addr string, s *Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	f := &fake{}
+	f := &fakeNode{}
 	addr, _ := serving(t, f)
 	get := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 	for _, c := range []struct {
@@ -131,10 +131,10 @@
 // Callers that hold connections without a whole call keep nobody out, however many they are; the oldest of them go,
 // and each by itself at the latest when its time is over.
 func TestHeldConnectionsKeepNobodyOut(t *testing.T) {
-	addr, _ := serving(t, &fake{})
+	addr, _ := serving(t, &fakeNode{})
 	began := time.Now()
 	var held []net.Conn
-	for i := range 4 * Places {
+	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -162,7 +162,7 @@
 		f.Add(p)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
-		n := &fake{}
+		n := &fakeNode{}
 		method, act := (&Server{node: n}).route(path)
 		if (act == nil) != (method == "") {
 			t.Fatalf("%q: method %q", path, method)
@@ -178,7 +178,7 @@
 
 // A caller that leaves at once has its wish all the same.
 func TestCallerThatLeft(t *testing.T) {
-	f := &fake{}
+	f := &fakeNode{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	(&Server{node: f, log: slog.New(slog.NewTextHandler(io.Discard, nil))}).ServeHTTP(httptest.NewRecorder(),
--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -20,8 +20,8 @@
 // ErrFull says that a line was dropped: nobody reads what was written before it.
 var ErrFull = errors.New("standard error takes nothing more; a line is dropped")
 
-// Spool is a writer that does not wait. Each Write is a line, or several whole ones.
-type Spool struct {
+// Writer is a writer that does not wait. Each Write is a line, or several whole ones.
+type Writer struct {
 	out *os.File
 	fd  int32
 
@@ -35,10 +35,10 @@
 var Stderr = New(os.Stderr)
 
 // New makes a Spool for a file.
-func New(f *os.File) *Spool { return &Spool{out: f, fd: int32(f.Fd())} }
+func New(f *os.File) *Writer { return &Writer{out: f, fd: int32(f.Fd())} }
 
 // Write writes what can be written at once, and lets the rest wait.
-func (s *Spool) Write(line []byte) (int, error) {
+func (s *Writer) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.idle == nil && len(line) <= atOnce && s.room() {
@@ -57,14 +57,14 @@
 }
 
 // room says that a write of atOnce bytes would not wait.
-func (s *Spool) room() bool {
+func (s *Writer) room() bool {
 	poll := []unix.PollFd{{Fd: s.fd, Events: unix.POLLOUT}}
 	n, err := unix.Poll(poll, 0)
 	return err == nil && n == 1 && poll[0].Revents&unix.POLLOUT != 0
 }
 
 // work writes what waits, and ends when nothing does.
-func (s *Spool) work(idle chan struct{}) {
+func (s *Writer) work(idle chan struct{}) {
 	defer close(idle)
 	for {
 		s.mu.Lock()
@@ -84,7 +84,7 @@
 }
 
 // Flush waits until nothing waits any more, though not for long.
-func (s *Spool) Flush(patience time.Duration) {
+func (s *Writer) Flush(patience time.Duration) {
 	s.mu.Lock()
 	idle := s.idle
 	s.mu.Unlock()
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -27,14 +27,14 @@
 func module() balancer.Settings {
 	return balancer.Settings{
 		Classes: []balancer.Class{
-			{Name: "block-view", Effect: balancer.Safe, Scope: balancer.ScopeAll, Aim: 250 * msec, Deadline: 600 * msec, Worth: 5},
-			{Name: "bin-weighin", Effect: balancer.Unsafe, Aim: 250 * msec, Deadline: 600 * msec, Worth: 8},
-			{Name: "in-order", Effect: balancer.Keyed, Window: 400 * msec, InOrder: true, Aim: 250 * msec, Deadline: 600 * msec, Worth: 1},
+			{Name: "block-view", Effect: balancer.Idempotent, DedupScope: balancer.ScopeAll, LatencyObjective: 250 * msec, Deadline: 600 * msec, PriorityWeight: 5},
+			{Name: "bin-weighin", Effect: balancer.NonIdempotent, LatencyObjective: 250 * msec, Deadline: 600 * msec, PriorityWeight: 8},
+			{Name: "in-order", Effect: balancer.IdempotentWithKey, DedupWindow: 400 * msec, OrderedByKey: true, LatencyObjective: 250 * msec, Deadline: 600 * msec, PriorityWeight: 1},
 		},
-		Balancers: 2, MaxAttempts: 3, Tick: 2 * msec, WholeWeight: 0.6, ClassWeight: 0.1, MaxRetryAfter: time.Second,
-		AskDiscovery: true, AskWithin: time.Second, OrderSettle: 20 * msec, ColdFrom: 0.3, WarmAfter: time.Second, FallMultiple: 3,
-		Drills:    []balancer.Drill{{Name: "stall", Class: "bin-weighin", Share: 30, Delay: 50 * msec, Duration: time.Second}},
-		Addresses: &balancer.Addresses{Deny: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}},
+		Replicas: 2, MaxAttempts: 3, Tick: 2 * msec, TotalValueWeight: 0.6, WorstClassWeight: 0.1, MaxRetryAfter: time.Second,
+		PollDiscovery: true, MaxPollInterval: time.Second, KeyQuietPeriod: 20 * msec, SlowStartMinShare: 0.3, SlowStartDuration: time.Second, OverloadMultiple: 3,
+		FaultInjections: []balancer.FaultInjection{{Name: "stall", Class: "bin-weighin", Percent: 30, Delay: 50 * msec, Duration: time.Second}},
+		AccessList:      &balancer.AccessList{Deny: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}},
 	}
 }
 
@@ -47,9 +47,9 @@
 	rng    *rand.Rand
 	now    time.Duration
 	stderr bytes.Buffer
-	out    []balancer.Outcome
+	out    []balancer.AttemptEnded
 	due    []time.Duration
-	timers []balancer.Wake
+	timers []balancer.SetTimer
 	counts map[string]int
 	n      int
 }
@@ -62,7 +62,7 @@
 	}
 	c := &captured{bal: bal, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Duration(time.Now().UnixNano()), counts: map[string]int{}}
 	c.Writer = New(set, "n0", bal, module(), seed, &c.stderr, quiet())
-	c.give(balancer.ServerList{Full: true, Cached: true, Servers: c.servers()})
+	c.give(balancer.EndpointUpdate{Complete: true, Cached: true, Servers: c.servers()})
 	return c
 }
 
@@ -70,7 +70,7 @@
 	for i := range 6 {
 		s := balancer.Server{ID: fmt.Sprint("s-", i), Zone: "z", State: balancer.ServerState(c.rng.IntN(12) / 10)}
 		if c.rng.IntN(4) == 0 {
-			s.Boot = c.now
+			s.StartTime = c.now
 		}
 		list = append(list, s)
 	}
@@ -80,7 +80,7 @@
 func (c *captured) give(e balancer.Event) {
 	acts := c.bal.Handle(c.now, e)
 	c.counts[fmt.Sprintf("%T", e)]++
-	c.Event(c.now, e, acts, Aside{Tenant: "okanagan-ridge", Budget: 600 * msec, Addrs: map[string]string{"s-0": "127.0.0.1:5"}})
+	c.Event(c.now, e, acts, EventContext{Tenant: "okanagan-ridge", Budget: 600 * msec, Addresses: map[string]string{"s-0": "127.0.0.1:5"}})
 	for _, a := range acts {
 		c.counts[fmt.Sprintf("%T", a)]++
 		switch a := a.(type) {
@@ -92,13 +92,13 @@
 				}
 			}
 			took := time.Duration(c.rng.ExpFloat64() * float64(60*msec))
-			o := balancer.Outcome{ID: a.ID, Attempt: attempt, Server: a.Server, Ending: balancer.Ending(c.rng.IntN(7) * c.rng.IntN(2)), Latency: took}
+			o := balancer.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Outcome: balancer.Outcome(c.rng.IntN(7) * c.rng.IntN(2)), Latency: took}
 			if took > a.Timeout || c.rng.IntN(8) == 0 {
-				took, o.Ending = a.Timeout, balancer.TimedOut
+				took, o.Outcome = a.Timeout, balancer.TimedOut
 			}
-			o.Ended = o.Ending == balancer.Success
+			o.RequestDone = o.Outcome == balancer.Success
 			c.out, c.due = append(c.out, o), append(c.due, c.now+took)
-		case balancer.Wake:
+		case balancer.SetTimer:
 			c.timers = append(c.timers, a)
 		}
 	}
@@ -112,7 +112,7 @@
 			if w := c.timers[i]; w.At <= c.now {
 				c.timers = append(c.timers[:i], c.timers[i+1:]...)
 				i--
-				c.give(balancer.Timer{Token: w.Token})
+				c.give(balancer.TimerFired{Token: w.Token})
 			}
 		}
 		for i := 0; i < len(c.due); i++ {
@@ -129,11 +129,11 @@
 		}
 		switch c.rng.IntN(120) {
 		case 0:
-			c.give(balancer.ServerList{Full: c.rng.IntN(2) == 0, Servers: c.servers()})
+			c.give(balancer.EndpointUpdate{Complete: c.rng.IntN(2) == 0, Servers: c.servers()})
 		case 1:
-			c.give(balancer.ListFailed{})
+			c.give(balancer.WatchFailed{})
 		case 2:
-			c.give(balancer.DrillStart{Name: "stall"})
+			c.give(balancer.StartFaultInjection{Name: "stall"})
 		case 3:
 			c.give(balancer.ClientGone{ID: fmt.Sprintf("id-%d\xff", c.n)})
 		}
@@ -347,7 +347,7 @@
 func TestRecordThatDoesNotFit(t *testing.T) {
 	dir := t.TempDir()
 	c := begin(t, settings.Capture{Folder: dir, FileBytes: 128 << 10}, 1).run(20)
-	var long balancer.ServerList
+	var long balancer.EndpointUpdate
 	for i := range 450 {
 		long.Servers = append(long.Servers, balancer.Server{ID: fmt.Sprintf("s-%08d", i), Zone: "z", State: balancer.Draining})
 	}
@@ -474,7 +474,7 @@
 func TestRecordHoldsWhatThePageNames(t *testing.T) {
 	c := begin(t, settings.Capture{}, 1)
 	c.stderr.Reset()
-	c.give(balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "s-0"}}})
+	c.give(balancer.EndpointUpdate{Complete: true, Servers: []balancer.Server{{ID: "s-0"}}})
 	c.give(balancer.Request{ID: "9b1f03aa5c7e2d41", Class: "bin-weighin", Deadline: c.now + time.Second, Client: netip.MustParseAddr("10.9.0.1")})
 	var text string
 	rewritten(t, c.stderr.String(), func(s string) string { text += s + "\n"; return s })
@@ -516,6 +516,6 @@
 	did := []balancer.Action{balancer.Send{ID: e.ID, Server: "s-5be2a07c", Timeout: time.Second}}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.Event(time.Second, e, did, Aside{Tenant: "okanagan-ridge", Budget: time.Second})
+		w.Event(time.Second, e, did, EventContext{Tenant: "okanagan-ridge", Budget: time.Second})
 	}
 }
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -55,7 +55,7 @@
 type goldenEvent struct {
 	event balancer.Event
 	did   []balancer.Action
-	aside Aside
+	aside EventContext
 }
 
 // goldenEvents are events and actions of each kind, with each ending and each state of a server.
@@ -65,37 +65,37 @@
 	retuned := module()
 	retuned.MaxAttempts = 4
 	events := []goldenEvent{
-		{event: balancer.ServerList{Full: true, Cached: true, Servers: []balancer.Server{
-			{ID: "s-0", Zone: "z", Kind: "large", Cell: 2, Boot: second},
-			{ID: "s-1", State: balancer.Draining}, {ID: "s-2", State: balancer.Gone}}},
-			did:   []balancer.Action{balancer.Wake{At: goldenStart + second, Token: "list"}},
-			aside: Aside{Addrs: map[string]string{"s-0": "127.0.0.1:5"}}},
-		{event: balancer.Timer{Token: "list"}, did: []balancer.Action{balancer.Subscribe{}}},
-		{event: balancer.ListFailed{}},
-		{event: balancer.ListLease{Expired: true}},
-		{event: balancer.ListLease{}},
-		{event: balancer.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, Repeat: true, Key: 1<<64 - 1, HasKey: true,
-			Client: netip.MustParseAddr("10.1.2.3"), Rules: 3, Bulk: true},
-			did: []balancer.Action{balancer.Drilled{ID: id, Drill: "stall"}, balancer.Wake{At: goldenStart + second, Token: "d:" + id},
+		{event: balancer.EndpointUpdate{Complete: true, Cached: true, Servers: []balancer.Server{
+			{ID: "s-0", Zone: "z", Kind: "large", Cell: 2, StartTime: second},
+			{ID: "s-1", State: balancer.Draining}, {ID: "s-2", State: balancer.Removed}}},
+			did:   []balancer.Action{balancer.SetTimer{At: goldenStart + second, Token: "list"}},
+			aside: EventContext{Addresses: map[string]string{"s-0": "127.0.0.1:5"}}},
+		{event: balancer.TimerFired{Token: "list"}, did: []balancer.Action{balancer.Subscribe{}}},
+		{event: balancer.WatchFailed{}},
+		{event: balancer.EndpointLease{Expired: true}},
+		{event: balancer.EndpointLease{}},
+		{event: balancer.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, ClientRetry: true, Key: 1<<64 - 1, HasKey: true,
+			Client: netip.MustParseAddr("10.1.2.3"), SettingsVersion: 3, StreamedBody: true},
+			did: []balancer.Action{balancer.FaultInjected{ID: id, FaultInjection: "stall"}, balancer.SetTimer{At: goldenStart + second, Token: "d:" + id},
 				balancer.Send{ID: id, Server: "s-0", Timeout: second}},
-			aside: Aside{Tenant: "okanagan-ridge<&>\xfe", Budget: 2 * second}},
+			aside: EventContext{Tenant: "okanagan-ridge<&>\xfe", Budget: 2 * second}},
 		{event: balancer.Request{ID: "refused", Class: "unknown", HasKey: true, Client: netip.MustParseAddr("2001:db8::1")},
-			did: []balancer.Action{balancer.Refuse{ID: "refused", RetryAfter: second}}},
+			did: []balancer.Action{balancer.Reject{ID: "refused", RetryAfter: second}}},
 		{event: balancer.Request{ID: "denied", Client: netip.MustParseAddr("10.9.0.1")},
 			did: []balancer.Action{balancer.Deny{ID: "denied"}}},
 		{event: balancer.Request{ID: "aborted", Class: "bin-weighin"},
 			did: []balancer.Action{balancer.Abort{ID: "aborted", Status: 503, RetryAfter: second}}},
-		{event: balancer.Started{ID: id, Attempt: 1}},
+		{event: balancer.ResponseStarted{ID: id, Attempt: 1}},
 		{event: balancer.ClientGone{ID: id}},
-		{event: balancer.DrillStart{Name: "stall"}},
-		{event: balancer.Hand{Server: "s-1", Out: true}},
-		{event: balancer.Hand{Server: "s-1"}},
-		{event: balancer.Retune{Settings: retuned}},
-		{event: balancer.Leaving{}},
-	}
-	for how := balancer.Success; how <= balancer.Void; how++ {
-		o := goldenEvent{event: balancer.Outcome{ID: id, Attempt: int(how), Server: "s-0", Ending: how, Latency: second,
-			Ended: how == balancer.Success}, aside: Aside{Served: how == balancer.Success}}
+		{event: balancer.StartFaultInjection{Name: "stall"}},
+		{event: balancer.AdminOverride{Server: "s-1", Disabled: true}},
+		{event: balancer.AdminOverride{Server: "s-1"}},
+		{event: balancer.SettingsChanged{Settings: retuned}},
+		{event: balancer.ShuttingDown{}},
+	}
+	for how := balancer.Success; how <= balancer.NotSent; how++ {
+		o := goldenEvent{event: balancer.AttemptEnded{ID: id, Attempt: int(how), Server: "s-0", Outcome: how, Latency: second,
+			RequestDone: how == balancer.Success}, aside: EventContext{Served: how == balancer.Success}}
 		if how == balancer.Failure {
 			o.did = []balancer.Action{balancer.Fail{ID: id}}
 		}
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -48,34 +48,34 @@
 
 // record is one event with its decision, or a head. Times are in ns; At is the module's clock.
 type record struct {
-	Seq      uint64          `json:"seq"` // of a head: that of the last event before it
-	At       time.Duration   `json:"at"`
-	Kind     string          `json:"kind"`
-	ID       string          `json:"id,omitempty"`
-	Class    string          `json:"class,omitempty"`
-	Tenant   string          `json:"tenant,omitempty"`
-	Budget   time.Duration   `json:"budget,omitempty"`
-	Deadline time.Duration   `json:"deadline,omitempty"`
-	Repeat   bool            `json:"repeat,omitempty"`
-	Key      uint64          `json:"key,omitempty"`
-	HasKey   bool            `json:"has_key,omitempty"`
-	Client   netip.Addr      `json:"client,omitzero"`
-	Attempt  int             `json:"attempt,omitempty"`
-	Server   string          `json:"server,omitempty"`
-	Ending   balancer.Ending `json:"ending,omitempty"`
-	Latency  time.Duration   `json:"latency,omitempty"`
-	Ended    bool            `json:"ended,omitempty"`
-	Name     string          `json:"name,omitempty"` // of a timer or a drill
-	Full     bool            `json:"full,omitempty"`
-	Cached   bool            `json:"cached,omitempty"`
-	Hosts    []host          `json:"hosts,omitempty"`
-	Decision []decision      `json:"decision,omitempty"`
-	Answer   int             `json:"answer,omitempty"` // the final answer that this event led to
-	Out      bool            `json:"out,omitempty"`
-	Expired  bool            `json:"expired,omitempty"` // the list
-	Rules    int             `json:"rules,omitempty"`
-	Bulk     bool            `json:"bulk,omitempty"`
-	Head     *head           `json:"head,omitempty"`
+	Seq      uint64           `json:"seq"` // of a head: that of the last event before it
+	At       time.Duration    `json:"at"`
+	Kind     string           `json:"kind"`
+	ID       string           `json:"id,omitempty"`
+	Class    string           `json:"class,omitempty"`
+	Tenant   string           `json:"tenant,omitempty"`
+	Budget   time.Duration    `json:"budget,omitempty"`
+	Deadline time.Duration    `json:"deadline,omitempty"`
+	Repeat   bool             `json:"repeat,omitempty"`
+	Key      uint64           `json:"key,omitempty"`
+	HasKey   bool             `json:"has_key,omitempty"`
+	Client   netip.Addr       `json:"client,omitzero"`
+	Attempt  int              `json:"attempt,omitempty"`
+	Server   string           `json:"server,omitempty"`
+	Ending   balancer.Outcome `json:"ending,omitempty"`
+	Latency  time.Duration    `json:"latency,omitempty"`
+	Ended    bool             `json:"ended,omitempty"`
+	Name     string           `json:"name,omitempty"` // of a timer or a drill
+	Full     bool             `json:"full,omitempty"`
+	Cached   bool             `json:"cached,omitempty"`
+	Hosts    []host           `json:"hosts,omitempty"`
+	Decision []decision       `json:"decision,omitempty"`
+	Answer   int              `json:"answer,omitempty"` // the final answer that this event led to
+	Out      bool             `json:"out,omitempty"`
+	Expired  bool             `json:"expired,omitempty"` // the list
+	Rules    int              `json:"rules,omitempty"`
+	Bulk     bool             `json:"bulk,omitempty"`
+	Head     *head            `json:"head,omitempty"`
 
 	Settings *balancer.Settings `json:"settings,omitempty"`
 }
@@ -111,51 +111,51 @@
 	Checkpoint json.RawMessage   `json:"checkpoint"`
 }
 
-// Aside is what a node knows of an event that the module is not told.
-type Aside struct {
-	Tenant string
-	Budget time.Duration
-	Served bool              // the outcome is the client's answer
-	Addrs  map[string]string // of the hosts of a list
+// EventContext is what a node knows of an event that the module is not told.
+type EventContext struct {
+	Tenant    string
+	Budget    time.Duration
+	Served    bool              // the outcome is the client's answer
+	Addresses map[string]string // of the hosts of a list
 }
 
 // newRecord describes an event. An unknown one could not be replayed.
-func newRecord(e balancer.Event, aside Aside) (record, error) {
+func newRecord(e balancer.Event, aside EventContext) (record, error) {
 	switch e := e.(type) {
 	case balancer.Request:
 		return record{Kind: kindRequest, ID: plain(e.ID), Class: plain(e.Class), Tenant: plain(aside.Tenant), Budget: aside.Budget,
-			Deadline: e.Deadline, Repeat: e.Repeat, Key: e.Key, HasKey: e.HasKey, Client: e.Client, Rules: e.Rules, Bulk: e.Bulk}, nil
-	case balancer.Outcome:
-		r := record{Kind: kindOutcome, ID: plain(e.ID), Attempt: e.Attempt, Server: e.Server, Ending: e.Ending,
-			Latency: e.Latency, Ended: e.Ended}
+			Deadline: e.Deadline, Repeat: e.ClientRetry, Key: e.Key, HasKey: e.HasKey, Client: e.Client, Rules: e.SettingsVersion, Bulk: e.StreamedBody}, nil
+	case balancer.AttemptEnded:
+		r := record{Kind: kindOutcome, ID: plain(e.ID), Attempt: e.Attempt, Server: e.Server, Ending: e.Outcome,
+			Latency: e.Latency, Ended: e.RequestDone}
 		if aside.Served {
 			r.Answer = http.StatusOK
 		}
 		return r, nil
-	case balancer.Timer:
+	case balancer.TimerFired:
 		return record{Kind: kindTimer, Name: plain(e.Token)}, nil
-	case balancer.ServerList:
-		r := record{Kind: kindList, Full: e.Full, Cached: e.Cached}
+	case balancer.EndpointUpdate:
+		r := record{Kind: kindList, Full: e.Complete, Cached: e.Cached}
 		for _, s := range e.Servers {
-			r.Hosts = append(r.Hosts, host{Host: s.ID, Addr: aside.Addrs[s.ID], Zone: s.Zone, Kind: s.Kind,
-				Cell: s.Cell, State: s.State, Boot: s.Boot})
+			r.Hosts = append(r.Hosts, host{Host: s.ID, Addr: aside.Addresses[s.ID], Zone: s.Zone, Kind: s.Kind,
+				Cell: s.Cell, State: s.State, Boot: s.StartTime})
 		}
 		return r, nil
-	case balancer.ListFailed:
+	case balancer.WatchFailed:
 		return record{Kind: kindListFailed}, nil
-	case balancer.ListLease:
+	case balancer.EndpointLease:
 		return record{Kind: kindListLease, Expired: e.Expired}, nil
-	case balancer.Started:
+	case balancer.ResponseStarted:
 		return record{Kind: kindStarted, ID: plain(e.ID), Attempt: e.Attempt}, nil
 	case balancer.ClientGone:
 		return record{Kind: kindGone, ID: plain(e.ID)}, nil
-	case balancer.DrillStart:
+	case balancer.StartFaultInjection:
 		return record{Kind: kindDrill, Name: e.Name}, nil
-	case balancer.Leaving:
+	case balancer.ShuttingDown:
 		return record{Kind: kindLeaving}, nil
-	case balancer.Hand:
-		return record{Kind: kindHand, Server: plain(e.Server), Out: e.Out}, nil
-	case balancer.Retune:
+	case balancer.AdminOverride:
+		return record{Kind: kindHand, Server: plain(e.Server), Out: e.Disabled}, nil
+	case balancer.SettingsChanged:
 		return record{Kind: kindRetune, Settings: &e.Settings}, nil
 	}
 	return record{}, fmt.Errorf("no record of a %T", e)
@@ -165,39 +165,39 @@
 func (r *record) event() (balancer.Event, error) {
 	switch r.Kind {
 	case kindRequest:
-		return balancer.Request{ID: raw(r.ID), Class: raw(r.Class), Deadline: r.Deadline, Repeat: r.Repeat, Key: r.Key,
-			HasKey: r.HasKey, Client: r.Client, Rules: r.Rules, Bulk: r.Bulk}, nil
+		return balancer.Request{ID: raw(r.ID), Class: raw(r.Class), Deadline: r.Deadline, ClientRetry: r.Repeat, Key: r.Key,
+			HasKey: r.HasKey, Client: r.Client, SettingsVersion: r.Rules, StreamedBody: r.Bulk}, nil
 	case kindOutcome:
-		return balancer.Outcome{ID: raw(r.ID), Attempt: r.Attempt, Server: r.Server, Ending: r.Ending,
-			Latency: r.Latency, Ended: r.Ended}, nil
+		return balancer.AttemptEnded{ID: raw(r.ID), Attempt: r.Attempt, Server: r.Server, Outcome: r.Ending,
+			Latency: r.Latency, RequestDone: r.Ended}, nil
 	case kindTimer:
-		return balancer.Timer{Token: raw(r.Name)}, nil
+		return balancer.TimerFired{Token: raw(r.Name)}, nil
 	case kindList:
-		e := balancer.ServerList{Full: r.Full, Cached: r.Cached}
+		e := balancer.EndpointUpdate{Complete: r.Full, Cached: r.Cached}
 		for _, h := range r.Hosts {
 			e.Servers = append(e.Servers, balancer.Server{ID: h.Host, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
-				State: h.State, Boot: h.Boot})
+				State: h.State, StartTime: h.Boot})
 		}
 		return e, nil
 	case kindListFailed:
-		return balancer.ListFailed{}, nil
+		return balancer.WatchFailed{}, nil
 	case kindListLease:
-		return balancer.ListLease{Expired: r.Expired}, nil
+		return balancer.EndpointLease{Expired: r.Expired}, nil
 	case kindStarted:
-		return balancer.Started{ID: raw(r.ID), Attempt: r.Attempt}, nil
+		return balancer.ResponseStarted{ID: raw(r.ID), Attempt: r.Attempt}, nil
 	case kindGone:
 		return balancer.ClientGone{ID: raw(r.ID)}, nil
 	case kindDrill:
-		return balancer.DrillStart{Name: r.Name}, nil
+		return balancer.StartFaultInjection{Name: r.Name}, nil
 	case kindLeaving:
-		return balancer.Leaving{}, nil
+		return balancer.ShuttingDown{}, nil
 	case kindHand:
-		return balancer.Hand{Server: raw(r.Server), Out: r.Out}, nil
+		return balancer.AdminOverride{Server: raw(r.Server), Disabled: r.Out}, nil
 	case kindRetune:
 		if r.Settings == nil {
 			return nil, errors.New("a retune without settings")
 		}
-		return balancer.Retune{Settings: *r.Settings}, nil
+		return balancer.SettingsChanged{Settings: *r.Settings}, nil
 	}
 	return nil, fmt.Errorf("unknown kind of record %q", r.Kind)
 }
@@ -257,7 +257,7 @@
 	switch a := a.(type) {
 	case balancer.Send:
 		return decision{Do: doSend, ID: plain(a.ID), Server: a.Server, For: a.Timeout}
-	case balancer.Refuse:
+	case balancer.Reject:
 		return decision{Do: doRefuse, ID: plain(a.ID), For: a.RetryAfter, Status: http.StatusServiceUnavailable}
 	case balancer.Fail:
 		return decision{Do: doFail, ID: plain(a.ID), Status: http.StatusBadGateway}
@@ -265,9 +265,9 @@
 		return decision{Do: doDeny, ID: plain(a.ID), Status: http.StatusForbidden}
 	case balancer.Abort:
 		return decision{Do: doAbort, ID: plain(a.ID), For: a.RetryAfter, Status: a.Status}
-	case balancer.Drilled:
-		return decision{Do: doDrill, ID: plain(a.ID), Name: a.Drill}
-	case balancer.Wake:
+	case balancer.FaultInjected:
+		return decision{Do: doDrill, ID: plain(a.ID), Name: a.FaultInjection}
+	case balancer.SetTimer:
 		return decision{Do: doWake, At: a.At, Name: plain(a.Token)}
 	case balancer.Subscribe:
 		return decision{Do: doSubscribe}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -46,13 +46,13 @@
 }
 
 // Event records what the module was told and what it decided, before anything else is told to it.
-func (w *Writer) Event(at time.Duration, e balancer.Event, did []balancer.Action, aside Aside) {
+func (w *Writer) Event(at time.Duration, e balancer.Event, did []balancer.Action, aside EventContext) {
 	r, err := newRecord(e, aside)
 	if err != nil {
 		w.warn(err)
 		return
 	}
-	if n, ok := e.(balancer.Retune); ok {
+	if n, ok := e.(balancer.SettingsChanged); ok {
 		w.head.Settings = n.Settings // of the checkpoints from here on
 	}
 	w.seq++
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -27,17 +27,17 @@
 
 // Options say whose session it is.
 type Options struct {
-	Node        string
-	Service     string
-	Region      string
-	Zone        string
-	Controllers []string // HOST:PORT, one at least
-	Seed        uint64
-	Started     time.Time // of the process
-	Kept        configversion.Kept
-	Applier     Applier
-	Store       *Store // nil: the version in force is not kept
-	Log         *slog.Logger
+	Node          string
+	Service       string
+	Region        string
+	Zone          string
+	Controllers   []string // HOST:PORT, one at least
+	Seed          uint64
+	Started       time.Time // of the process
+	LastKnownGood configversion.LastKnownGood
+	Applier       Applier
+	Store         *Store // nil: the version in force is not kept
+	Log           *slog.Logger
 	// Dial connects to a controller; nil: by TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Counters, if there are any, count what the session sends and gets. Sessions may share them.
@@ -90,7 +90,7 @@
 		watches: map[uint64]context.CancelFunc{}, acks: ackClient{options: &options}}
 	s.rules = configversion.NewSession(configversion.SessionOptions{Node: options.Node, Service: options.Service,
 		Region: options.Region, Zone: options.Zone, Started: options.Started.UnixMilli(), Controllers: options.Controllers,
-		Kept: options.Kept, Seed: options.Seed}, 0)
+		LastKnownGood: options.LastKnownGood, Seed: options.Seed}, 0)
 	s.noteState()
 	s.running.Go(func() { s.run(ctx) })
 	return s
@@ -172,9 +172,9 @@
 		s.running.Go(func() { s.post(ctx, s.apply(ctx, a)) })
 	case configversion.SendAck:
 		s.running.Go(func() { s.post(ctx, s.acknowledge(ctx, a)) })
-	case configversion.Keep:
+	case configversion.Persist:
 		if s.options.Store != nil {
-			s.options.Store.Keep(a.Kept)
+			s.options.Store.Save(a.LastKnownGood)
 		}
 	case configversion.VersionAnswered:
 		s.noteState()
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -18,7 +18,7 @@
 // neither the name of the file nor the form of its body may change.
 func TestGoldenKeptVersion(t *testing.T) {
 	path := filepath.Join("testdata", "kept.json")
-	want := configversion.Kept{Cluster: "cluster-2", Version: 17,
+	want := configversion.LastKnownGood{Cluster: "cluster-2", Version: 17,
 		Config:      &configapi.ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"},
 		Former:      map[configapi.Cluster]configapi.Version{"cluster-1": 9},
 		Controllers: []configapi.Endpoint{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}}
@@ -39,6 +39,6 @@
 	}
 	keep(store, want)
 	if found := state.Read(file, "n/0"); !bytes.Equal(found.Body, body) {
-		t.Errorf("written as %s, %v", found.Body, found.Bad)
+		t.Errorf("written as %s, %v", found.Body, found.Errors)
 	}
 }
--- a/internal/configwatch/store.go
+++ b/internal/configwatch/store.go
@@ -24,8 +24,8 @@
 	log        *slog.Logger
 
 	lock    sync.Mutex
-	newest  *configversion.Kept // not written yet; nil: none
-	writing chan struct{}       // closed when the write under way has ended; nil: none is
+	newest  *configversion.LastKnownGood // not written yet; nil: none
+	writing chan struct{}                // closed when the write under way has ended; nil: none is
 }
 
 // StoreError says that the last known good version could not be kept or read.
@@ -47,23 +47,23 @@
 }
 
 // Read reads what was kept last. Without a file there is nothing kept, and no error.
-func (s *Store) Read() (configversion.Kept, error) {
-	var kept configversion.Kept
+func (s *Store) Read() (configversion.LastKnownGood, error) {
+	var kept configversion.LastKnownGood
 	found := state.Read(s.path, s.node)
 	switch {
-	case found.Body == nil && len(found.Bad) > 0:
-		return kept, &StoreError{s.path, found.Bad[0]}
+	case found.Body == nil && len(found.Errors) > 0:
+		return kept, &StoreError{s.path, found.Errors[0]}
 	case found.Body == nil:
 		return kept, nil
 	}
 	if err := json.Unmarshal(found.Body, &kept); err != nil {
-		return configversion.Kept{}, &StoreError{s.path, err}
+		return configversion.LastKnownGood{}, &StoreError{s.path, err}
 	}
 	return kept, nil
 }
 
-// Keep has a version written, unless a newer one comes first. It does not wait.
-func (s *Store) Keep(kept configversion.Kept) {
+// Save has a version written, unless a newer one comes first. It does not wait.
+func (s *Store) Save(kept configversion.LastKnownGood) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.newest = &kept
@@ -94,7 +94,7 @@
 }
 
 // write replaces the file, unless another process of the node has kept a newer version there.
-func (s *Store) write(kept configversion.Kept) error {
+func (s *Store) write(kept configversion.LastKnownGood) error {
 	release, err := state.Lock(context.Background(), s.path)
 	if err != nil {
 		return err
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -16,8 +16,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-func keptVersion(n int) configversion.Kept {
-	return configversion.Kept{Cluster: "x", Version: configapi.Version(n), Config: &configapi.ServiceConfig{Settings: json.RawMessage(`{"a":1}`)},
+func keptVersion(n int) configversion.LastKnownGood {
+	return configversion.LastKnownGood{Cluster: "x", Version: configapi.Version(n), Config: &configapi.ServiceConfig{Settings: json.RawMessage(`{"a":1}`)},
 		Controllers: []configapi.Endpoint{{Address: "a:1", Region: "r", Zone: "z"}}}
 }
 
@@ -26,8 +26,8 @@
 }
 
 // keep writes a version and waits until it is on disk.
-func keep(s *Store, k configversion.Kept) {
-	s.Keep(k)
+func keep(s *Store, k configversion.LastKnownGood) {
+	s.Save(k)
 	s.wait(time.Minute)
 }
 
@@ -55,7 +55,7 @@
 func TestStoreKeepsTheNewest(t *testing.T) {
 	s := newTestStore(t.TempDir())
 	for n := range 200 {
-		s.Keep(keptVersion(n + 1))
+		s.Save(keptVersion(n + 1))
 	}
 	s.wait(time.Minute)
 	if kept, err := s.Read(); err != nil || kept.Version != 200 {
