--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -89,7 +89,7 @@
 		case "controller":
 			config.readMember(reader)
 		default:
-			return Config{}, settings.Fault(file, block.Line, "unknown block %s", block.Kind)
+			return Config{}, settings.ErrorAt(file, block.Line, "unknown block %s", block.Kind)
 		}
 		if err := reader.End(); err != nil {
 			return Config{}, err
@@ -101,18 +101,18 @@
 // readCommon reads the settings that all controllers have in common.
 func (c *Config) readCommon(r *settings.Reader) {
 	c.Folder = r.Text("folder", c.Folder)
-	c.MaxSessions = r.Whole("max_sessions", defaultMaxSessions, 1, 20000)
-	c.Heartbeat = r.Millis("heartbeat_ms", configapi.Heartbeat, 50*time.Millisecond, time.Second)
-	c.Election = r.Millis("election_ms", defaultElection, 100*time.Millisecond, 10*time.Second)
-	c.Lease = r.Millis("lease_ms", min(defaultLease, c.Election), 50*time.Millisecond, 10*time.Second)
+	c.MaxSessions = r.Integer("max_sessions", defaultMaxSessions, 1, 20000)
+	c.Heartbeat = r.Milliseconds("heartbeat_ms", configapi.Heartbeat, 50*time.Millisecond, time.Second)
+	c.Election = r.Milliseconds("election_ms", defaultElection, 100*time.Millisecond, 10*time.Second)
+	c.Lease = r.Milliseconds("lease_ms", min(defaultLease, c.Election), 50*time.Millisecond, 10*time.Second)
 	if line, ok := r.Has("lease_ms"); c.Lease > c.Election {
 		if !ok {
 			line = r.Block.Line
 		}
-		r.Fail(line, "lease_ms must not be above election_ms")
+		r.AddError(line, "lease_ms must not be above election_ms")
 	}
 	if line, ok := r.Has("folder"); ok && c.Folder == "" {
-		r.Fail(line, "folder must name a folder")
+		r.AddError(line, "folder must name a folder")
 	}
 }
 
@@ -121,7 +121,7 @@
 	member := Member{Name: r.Label(), Listen: r.Text("listen", ""), Raft: r.Text("raft", ""), Dial: r.Text("dial", ""),
 		Region: r.Text("region", ""), Zone: r.Text("zone", "")}
 	if !validMemberName(member.Name) {
-		r.Fail(r.Block.Line, "a controller's label is its name: 1 to 64 letters, digits, '-', '_' or '.'")
+		r.AddError(r.Block.Line, "a controller's label is its name: 1 to 64 letters, digits, '-', '_' or '.'")
 	}
 	checkAddress(r, "listen", member.Listen)
 	checkAddress(r, "raft", member.Raft)
@@ -132,31 +132,31 @@
 	}
 	for _, other := range c.Members {
 		if other.Name == member.Name {
-			r.Fail(r.Block.Line, "controller %s is there already", member.Name)
+			r.AddError(r.Block.Line, "controller %s is there already", member.Name)
 		}
 		for _, taken := range []string{other.Listen, other.Raft} {
 			if taken == member.Listen || taken == member.Raft {
-				r.Fail(r.Block.Line, "controller %s has the address %s of controller %s", member.Name, taken, other.Name)
+				r.AddError(r.Block.Line, "controller %s has the address %s of controller %s", member.Name, taken, other.Name)
 			}
 		}
 	}
 	if member.Listen == member.Raft {
-		r.Fail(r.Block.Line, "listen and raft of controller %s must differ", member.Name)
+		r.AddError(r.Block.Line, "listen and raft of controller %s must differ", member.Name)
 	}
 	c.Members = append(c.Members, member)
 	if len(c.Members) > maxMembers {
-		r.Fail(r.Block.Line, "more than %d controllers", maxMembers)
+		r.AddError(r.Block.Line, "more than %d controllers", maxMembers)
 	}
 }
 
 func checkAddress(r *settings.Reader, name, address string) {
 	line, ok := r.Has(name)
 	if !ok {
-		r.Fail(r.Block.Line, "controller %s needs %s", r.Block.Label, name)
+		r.AddError(r.Block.Line, "controller %s needs %s", r.Block.Label, name)
 		return
 	}
 	if host, port, err := net.SplitHostPort(address); err != nil || host == "" || port == "" {
-		r.Fail(line, "%s must be HOST:PORT", name)
+		r.AddError(line, "%s must be HOST:PORT", name)
 	}
 }
 
--- a/internal/discovery/crowd_test.go
+++ b/internal/discovery/crowd_test.go
@@ -59,9 +59,9 @@
 	begin := time.Now()
 	for i := range nodes {
 		config := testConfig(caller(i), "on_request")
-		config.AskWithin, config.Callers = 10*time.Second, nodes
+		config.MaxPollInterval, config.Pollers = 10*time.Second, nodes
 		d := New(config, slog.New(slog.DiscardHandler), nil)
-		d.Tell = func(_ context.Context, u engine.Update) error {
+		d.ApplyUpdate = func(_ context.Context, u engine.Update) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if u.Failed {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -22,36 +22,36 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// Server is an endpoint as the decision module knows it.
-func Server(h discoveryapi.Endpoint) balancer.Server {
-	s := balancer.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: time.Duration(h.Born * float64(time.Millisecond))}
+// ToServer is an endpoint as the decision module knows it.
+func ToServer(h discoveryapi.Endpoint) balancer.Server {
+	s := balancer.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, StartTime: time.Duration(h.Born * float64(time.Millisecond))}
 	switch h.Health {
 	case "in_service":
 		s.State = balancer.Ready
 	case "terminated":
-		s.State = balancer.Gone
+		s.State = balancer.Removed
 	default: // a state we don't know is no invitation to send
 		s.State = balancer.Draining
 	}
 	return s
 }
 
-// Update is what the engine is told of a list.
-func Update(l discoveryapi.List) engine.Update {
-	u := engine.Update{Version: l.Seq, Whole: l.Whole, Boxes: make([]engine.Box, len(l.Hosts))}
-	for i, h := range l.Hosts {
-		u.Boxes[i] = engine.Box{Server: Server(h), Addr: h.Dial}
+// ToUpdate is what the engine is told of a list.
+func ToUpdate(l discoveryapi.List) engine.Update {
+	u := engine.Update{Version: l.Seq, Complete: l.Complete, Endpoints: make([]engine.Endpoint, len(l.Endpoints))}
+	for i, h := range l.Endpoints {
+		u.Endpoints[i] = engine.Endpoint{Server: ToServer(h), Addr: h.Dial}
 	}
 	return u
 }
 
 // Config says which discovery is asked, how, and what is held from before.
 type Config struct {
-	Addr      string        // HOST:PORT
-	Asked     bool          // lists are asked for, and Subscribe says when the first is; else they are pushed
-	AskWithin time.Duration // where they are asked for: a list held without a watch binds so long after the last call
-	Callers   int           // nodes that call the same discovery; 0: not known
-	Version   int64         // of the list held
+	Addr            string        // HOST:PORT
+	Polled          bool          // lists are asked for, and Subscribe says when the first is; else they are pushed
+	MaxPollInterval time.Duration // where they are asked for: a list held without a watch binds so long after the last call
+	Pollers         int           // nodes that call the same discovery; 0: not known
+	Version         int64         // of the list held
 }
 
 // Source keeps a watch on the list. The clock says when to call, and when a call or a watch that says nothing has
@@ -60,10 +60,10 @@
 type Source struct {
 	// Client makes the calls, and Tell hands an update to the engine; it fails only as its context ends. Both may be replaced
 	// before Run.
-	Client *http.Client
-	Tell   func(context.Context, engine.Update) error
-	// Renew, if it is there, is told until when the list may be relied on, whenever that changes. It must not block.
-	Renew func(engine.Lease)
+	Client      *http.Client
+	ApplyUpdate func(context.Context, engine.Update) error
+	// RenewLease, if it is there, is told until when the list may be relied on, whenever that changes. It must not block.
+	RenewLease func(engine.Lease)
 
 	asked      bool
 	seq        int64
@@ -84,7 +84,7 @@
 
 	mu      sync.Mutex
 	addr    string
-	clock   endpointlease.Clock
+	clock   endpointlease.Tracker
 	expires time.Duration // as Renew was told last
 }
 
@@ -93,16 +93,16 @@
 
 // New makes a Source that makes no call yet. Run does.
 func New(cfg Config, log *slog.Logger, tell func(context.Context, engine.Update) error) *Source {
-	d := &Source{addr: cfg.Addr, asked: cfg.Asked,
-		log: log, Tell: tell, asks: make(chan struct{}, 1), moves: make(chan struct{}, 1),
+	d := &Source{addr: cfg.Addr, asked: cfg.Polled,
+		log: log, ApplyUpdate: tell, asks: make(chan struct{}, 1), moves: make(chan struct{}, 1),
 		streams: map[int]*subscription{}, reads: make(chan reading), epoch: time.Now(),
-		clock: endpointlease.Clock{Rules: endpointlease.Rules{Pushed: !cfg.Asked, AskWithin: cfg.AskWithin, Callers: cfg.Callers}},
+		clock: endpointlease.Tracker{Options: endpointlease.Options{Pushed: !cfg.Polled, MaxPollInterval: cfg.MaxPollInterval, Pollers: cfg.Pollers}},
 		Client: &http.Client{Transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 		}}}
-	d.Resume(cfg.Version)
+	d.ResumeFrom(cfg.Version)
 	return d
 }
 
@@ -131,49 +131,49 @@
 	return d.addr
 }
 
-// Resume has Run begin from a version that another process of the node held. It is for the time before Run.
-func (d *Source) Resume(version int64) {
+// ResumeFrom has Run begin from a version that another process of the node held. It is for the time before Run.
+func (d *Source) ResumeFrom(version int64) {
 	d.seq = version
 	d.version.Store(version)
 }
 
-// ResumeAt is the version from which another process of the node may ask at the present address: none, where the list held
+// ResumeVersion is the version from which another process of the node may ask at the present address: none, where the list held
 // came from an earlier one, for each may count in its own way.
-func (d *Source) ResumeAt() int64 {
+func (d *Source) ResumeVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.clock.Moving() {
+	if d.clock.DiscoveryChanging() {
 		return 0
 	}
 	return d.Version()
 }
 
-// Hold has the list held be as old as it was in the other process of the node that handed it over. It is for the time
+// InheritAge has the list held be as old as it was in the other process of the node that handed it over. It is for the time
 // before Run.
-func (d *Source) Hold(age time.Duration) {
-	d.clocked(func(c *endpointlease.Clock) { c.Hold(d.now(), age) })
+func (d *Source) InheritAge(age time.Duration) {
+	d.clocked(func(c *endpointlease.Tracker) { c.InheritAge(d.now(), age) })
 }
 
 // Age is how long ago the list held was last known to be all that discovery had, as far as that shortens its lease.
 func (d *Source) Age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(endpointlease.Told-max(d.clock.Expires()-d.now(), 0), 0)
+	return max(endpointlease.NotificationDeadline-max(d.clock.Expires()-d.now(), 0), 0)
 }
 
 // Version is that of the list held.
 func (d *Source) Version() int64 { return d.version.Load() }
 
-// Move takes the watch to another address, at once: the old one is about to close, and what the new one
+// SetAddress takes the watch to another address, at once: the old one is about to close, and what the new one
 // has to tell counts as told soon. The servers held stay until its list is there.
-func (d *Source) Move(addr string) {
+func (d *Source) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
 		return
 	}
 	d.addr = addr
-	d.clock.Moved(d.now())
+	d.clock.DiscoveryChanged(d.now())
 	d.renew()
 	d.log.Info("discovery has moved", "addr", addr, "version", d.seq)
 	signal(d.moves)
@@ -192,7 +192,7 @@
 		select {
 		case <-look.C:
 		case <-d.asks: // counts the first time
-			d.clocked((*endpointlease.Clock).Wish)
+			d.clocked((*endpointlease.Tracker).RequestPoll)
 		case <-d.moves: // the clock has it
 		case r := <-d.reads:
 			d.take(ctx, r)
@@ -208,24 +208,24 @@
 		now := d.now()
 		do, name, look := d.clock.Step(now)
 		var s *subscription
-		if do == endpointlease.Call {
-			name = d.clock.Call(now, rand.Float64())
+		if do == endpointlease.OpenStream {
+			name = d.clock.StreamOpened(now, rand.Float64())
 			s = &subscription{d: d, name: name, generation: d.clock.Generation(), addr: d.addr, began: now}
 		}
 		state, _, again := d.clock.Lease(now)
-		away := d.clock.Away()
+		away := d.clock.Unavailable()
 		d.renew()
 		d.mu.Unlock()
 		d.noteLease(state, away)
 		switch do {
-		case endpointlease.Nothing:
+		case endpointlease.NoAction:
 			return max(min(look, again)-now, 1)
-		case endpointlease.Call:
+		case endpointlease.OpenStream:
 			d.call(ctx, s, reading)
-		case endpointlease.Drop:
+		case endpointlease.DropStream:
 			d.end(name, errDropped)
-		case endpointlease.Stuck:
-			d.failed(ctx, d.streams[name], &discoveryapi.UnreadableError{Err: discoveryapi.ErrNeverWhole})
+		case endpointlease.AbortStalledStream:
+			d.failed(ctx, d.streams[name], &discoveryapi.UnreadableError{Err: discoveryapi.ErrIncomplete})
 		}
 	}
 }
@@ -270,7 +270,7 @@
 }
 
 // clocked changes the clock.
-func (d *Source) clocked(f func(*endpointlease.Clock)) {
+func (d *Source) clocked(f func(*endpointlease.Tracker)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(&d.clock)
@@ -280,11 +280,11 @@
 // renew passes the lease on, if it has changed. The caller holds the lock.
 func (d *Source) renew() {
 	expires := d.clock.Expires()
-	if d.Renew == nil || expires == d.expires {
+	if d.RenewLease == nil || expires == d.expires {
 		return
 	}
 	d.expires = expires
-	d.Renew(engine.Lease{Until: d.epoch.Add(expires), Open: d.clock.Open()})
+	d.RenewLease(engine.Lease{Until: d.epoch.Add(expires), Unbounded: d.clock.Unbounded()})
 }
 
 // State says what the list that the node holds is worth.
@@ -294,11 +294,11 @@
 	return d.clock.State(d.now())
 }
 
-// Away says that discovery can't be reached at all.
-func (d *Source) Away() bool {
+// Unavailable says that discovery can't be reached at all.
+func (d *Source) Unavailable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.clock.Away()
+	return d.clock.Unavailable()
 }
 
 // end ends a stream's reading. What it still brings is nobody's.
@@ -321,33 +321,33 @@
 		return
 	}
 	if s.generation < d.generation { // a list from a later address is held
-		d.clocked(func(c *endpointlease.Clock) { c.Ended(s.name, d.now()) })
+		d.clocked(func(c *endpointlease.Tracker) { c.StreamEnded(s.name, d.now()) })
 		d.end(s.name, errMoved)
 		return
 	}
 	l := r.list
 	if s.whole {
-		l.Whole = true
+		l.Complete = true
 	}
 	if err := d.check(s, l); err != nil {
 		d.failed(ctx, s, err)
 		return
 	}
 	// The list may be relied on before it is told: else what waited for it would be refused as it comes.
-	d.clocked(func(c *endpointlease.Clock) {
+	d.clocked(func(c *endpointlease.Tracker) {
 		if s.whole {
-			c.Answered(s.name, d.now())
+			c.PollAnswered(s.name, d.now())
 		} else {
-			c.Whole(s.name, d.now())
+			c.ListComplete(s.name, d.now())
 		}
 	})
-	if d.Tell(ctx, Update(l)) != nil {
+	if d.ApplyUpdate(ctx, ToUpdate(l)) != nil {
 		return // only as ctx ends
 	}
 	s.lists++
 	d.seq, d.generation, d.older = l.Seq, s.generation, 0
 	d.version.Store(l.Seq)
-	d.incomplete = d.incomplete && !l.Whole
+	d.incomplete = d.incomplete && !l.Complete
 	if s.whole {
 		d.end(s.name, errDropped)
 	}
@@ -361,13 +361,13 @@
 func (d *Source) check(s *subscription, l discoveryapi.List) error {
 	base := d.base(s)
 	switch {
-	case l.Whole && l.Hosts == nil:
-		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoHosts}
-	case !l.Whole && l.Seq < base:
-		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrGap}
-	case l.Whole && l.Seq < base && d.older < mostOlder-1:
+	case l.Complete && l.Endpoints == nil:
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoEndpoints}
+	case !l.Complete && l.Seq < base:
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrVersionGap}
+	case l.Complete && l.Seq < base && d.older < mostOlder-1:
 		d.older++
-		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlder}
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlderVersion}
 	}
 	return nil
 }
@@ -377,23 +377,23 @@
 	d.end(s.name, err)
 	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
 	d.incomplete = d.incomplete || unreadable
-	d.clocked(func(c *endpointlease.Clock) {
+	d.clocked(func(c *endpointlease.Tracker) {
 		switch {
 		case unreadable:
-			c.Garbled(s.name, d.now())
+			c.MalformedList(s.name, d.now())
 		case errors.As(err, new(*StatusError)):
-			c.Refused(s.name, d.now())
+			c.PollRejected(s.name, d.now())
 		case neverReached(err):
 			c.Unreachable(s.name)
 		default:
-			c.Failed(s.name)
+			c.StreamFailed(s.name)
 		}
-		c.Ended(s.name, d.now())
+		c.StreamEnded(s.name, d.now())
 	})
 	if unreadable { // what the others bring would build on it too
 		for name := range d.streams {
 			d.end(name, err)
-			d.clocked(func(c *endpointlease.Clock) { c.Ended(name, d.now()) })
+			d.clocked(func(c *endpointlease.Tracker) { c.StreamEnded(name, d.now()) })
 		}
 	}
 	if d.ends++; s.lists > 0 || unreadable || time.Since(d.logged) > time.Second {
@@ -402,6 +402,6 @@
 		d.ends, d.logged = 0, time.Now()
 	}
 	if d.asked && len(d.streams) == 0 {
-		d.Tell(ctx, engine.Update{Failed: true}) // fails only as ctx ends
+		d.ApplyUpdate(ctx, engine.Update{Failed: true}) // fails only as ctx ends
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -28,7 +28,7 @@
 
 // testConfig is that of a node which holds version 1.
 func testConfig(addr, mode string) Config {
-	return Config{Addr: addr, Asked: mode == "on_request", AskWithin: time.Second, Version: 1}
+	return Config{Addr: addr, Polled: mode == "on_request", MaxPollInterval: time.Second, Version: 1}
 }
 
 func watchOn(t *testing.T, addr, mode string, options ...func(*Source)) (*Source, <-chan engine.Update) {
@@ -58,7 +58,7 @@
 }
 
 func TestWatchFollowsAndReconnects(t *testing.T) {
-	a, addr := newAgent(t, discoverytest.WholeList)
+	a, addr := newAgent(t, discoverytest.CompleteList)
 	_, heard := watchOn(t, addr, "pushed")
 	a.WantCall(t, "watch 1")
 	a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
@@ -66,7 +66,7 @@
 		t.Fatalf("heard %+v", n)
 	}
 	a.Lines <- ""
-	a.End <- struct{}{}
+	a.EndWatch <- struct{}{}
 	a.WantCall(t, "watch 43")
 }
 
@@ -80,12 +80,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := discoverytest.NewAgent(discoverytest.WholeList)
+				a := discoverytest.NewAgent(discoverytest.CompleteList)
 				_, heard := watchOn(t, "agent:1", "pushed", piped(t, a))
 				a.WantCall(t, "watch 1")
 				a.Lines <- line
 				a.WantCall(t, "list")
-				if n := <-heard; n.Version != 50 || !n.Whole || len(n.Boxes) != 1 {
+				if n := <-heard; n.Version != 50 || !n.Complete || len(n.Endpoints) != 1 {
 					t.Fatalf("heard %+v", n)
 				}
 				a.WantCall(t, "watch 50")
@@ -100,27 +100,27 @@
 func TestWatchMoves(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			old, oldAddr := newAgent(t, discoverytest.WholeList)
-			a, addr := newAgent(t, discoverytest.WholeList)
+			old, oldAddr := newAgent(t, discoverytest.CompleteList)
+			a, addr := newAgent(t, discoverytest.CompleteList)
 			d, heard := watchOn(t, oldAddr, mode)
 			d.Subscribe()
 			old.WantCall(t, "watch 1")
-			d.Move(addr)
+			d.SetAddress(addr)
 			a.WantCall(t, "watch 0")
 			a.Lines <- `{"seq":7,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
-			if n := <-heard; n.Version != 7 || !n.Whole || n.Failed {
+			if n := <-heard; n.Version != 7 || !n.Complete || n.Failed {
 				t.Fatalf("heard %+v", n)
 			}
 			a.Lines <- `{"seq":8,"whole":false,"hosts":[]}`
 			if n := <-heard; n.Version != 8 {
 				t.Fatalf("heard %+v", n)
 			}
-			d.Move(addr) // no move at all
+			d.SetAddress(addr) // no move at all
 			a.Lines <- `{"seq":9,"whole":false,"hosts":[]}`
 			if n := <-heard; n.Version != 9 {
 				t.Fatalf("heard %+v", n)
 			}
-			d.Move(oldAddr)
+			d.SetAddress(oldAddr)
 			old.WantCall(t, "watch 0")
 		})
 	}
@@ -130,7 +130,7 @@
 // for it may be heard again, and takes its place with its list.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, begin := discoverytest.NewAgent(discoverytest.WholeList), time.Now()
+		a, begin := discoverytest.NewAgent(discoverytest.CompleteList), time.Now()
 		_, heard := watchOn(t, "agent:1", "pushed", piped(t, a))
 		a.WantCall(t, "watch 1")
 		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
@@ -148,12 +148,12 @@
 
 // Where the list is asked for, the module says when: the node calls only then, and reports failures.
 func TestAskedMode(t *testing.T) {
-	a, addr := newAgent(t, discoverytest.WholeList)
+	a, addr := newAgent(t, discoverytest.CompleteList)
 	d, heard := watchOn(t, addr, "on_request")
 	for range 2 {
 		d.Subscribe()
 		a.WantCall(t, "watch 1")
-		a.End <- struct{}{}
+		a.EndWatch <- struct{}{}
 		if n := <-heard; !n.Failed {
 			t.Fatalf("heard %+v", n)
 		}
@@ -184,7 +184,7 @@
 			<-r.Context().Done()
 		}))
 		_, heard := watchOn(t, addr, "pushed")
-		if n := <-heard; n.Version != 43 || n.Whole {
+		if n := <-heard; n.Version != 43 || n.Complete {
 			t.Fatalf("cut at %d: told %+v", cut, n)
 		}
 		if a, b := <-from, <-from; a != b || a == "" {
@@ -195,7 +195,7 @@
 	_, heard := watchOn(t, addr, "pushed")
 	<-a.Calls
 	a.Lines <- `{"seq":44,"whole":true}`
-	if n := <-heard; n.Version != 42 || len(n.Boxes) != 1 {
+	if n := <-heard; n.Version != 42 || len(n.Endpoints) != 1 {
 		t.Errorf("told %+v", n)
 	}
 }
@@ -203,14 +203,14 @@
 // A list that spans lines is read as it comes, on one watch: given up at its first line, it would be asked for again and
 // again by every node.
 func TestIndentedWatch(t *testing.T) {
-	a, addr := newAgent(t, discoverytest.WholeList)
+	a, addr := newAgent(t, discoverytest.CompleteList)
 	_, heard := watchOn(t, addr, "pushed")
 	a.WantCall(t, "watch 1")
 	for seq := 43; seq < 46; seq++ {
 		for _, line := range []string{"{", fmt.Sprintf(`  "seq": %d,`, seq), "", `  "hosts": [`, `    {"host": "s-9",`, `     "health": "terminating"}`, "  ]", "}", ""} {
 			a.Lines <- line
 		}
-		if n := <-heard; n.Version != int64(seq) || len(n.Boxes) != 1 || n.Whole {
+		if n := <-heard; n.Version != int64(seq) || len(n.Endpoints) != 1 || n.Complete {
 			t.Fatalf("heard %+v", n)
 		}
 	}
@@ -228,7 +228,7 @@
 		_, heard := watchOn(t, "agent:1", "pushed", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls <- struct{}{}
 			if r.URL.Query().Get("watch") == "" {
-				fmt.Fprintln(w, discoverytest.WholeList)
+				fmt.Fprintln(w, discoverytest.CompleteList)
 				return
 			}
 			fmt.Fprintln(w, `{"seq":,}`)
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -14,21 +14,21 @@
 	"testing"
 )
 
-// WholeList is a whole list of one server, as discovery writes it.
-const WholeList = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
+// CompleteList is a whole list of one server, as discovery writes it.
+const CompleteList = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 
 // Agent is a discovery that answers from a script.
 type Agent struct {
-	Calls chan string   // "watch FROM" or "list", of each call that came
-	Lines chan string   // each is written to the watch that takes it
-	End   chan struct{} // ends the watch that takes it
+	Calls    chan string   // "watch FROM" or "list", of each call that came
+	Lines    chan string   // each is written to the watch that takes it
+	EndWatch chan struct{} // ends the watch that takes it
 
 	whole string
 }
 
 // NewAgent makes an Agent that answers a call for the whole list with whole.
 func NewAgent(whole string) *Agent {
-	return &Agent{whole: whole, Calls: make(chan string, 100), Lines: make(chan string), End: make(chan struct{})}
+	return &Agent{whole: whole, Calls: make(chan string, 100), Lines: make(chan string), EndWatch: make(chan struct{})}
 }
 
 // ServeHTTP answers one call.
@@ -45,7 +45,7 @@
 		case l := <-a.Lines:
 			fmt.Fprintln(w, l)
 			w.(http.Flusher).Flush()
-		case <-a.End:
+		case <-a.EndWatch:
 			return
 		case <-r.Context().Done():
 			return
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -15,26 +15,26 @@
 // Where it came from an address that is no longer named, its version says nothing.
 func TestHandedOverListKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := discoverytest.NewAgent(discoverytest.WholeList)
+		a := discoverytest.NewAgent(discoverytest.CompleteList)
 		d, heard := watchOn(t, "agent:1", "on_request", piped(t, a), func(d *Source) { d.Subscribe() })
 		a.WantCall(t, "watch 1")
 		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-heard
 		<-time.After(4 * time.Second)
-		if d.Age() != 4*time.Second || d.ResumeAt() != 43 {
-			t.Errorf("handed over %v old, version %d", d.Age(), d.ResumeAt())
+		if d.Age() != 4*time.Second || d.ResumeVersion() != 43 {
+			t.Errorf("handed over %v old, version %d", d.Age(), d.ResumeVersion())
 		}
-		d.Move("agent:2")
-		if d.ResumeAt() != 0 {
-			t.Errorf("after a move handed over version %d", d.ResumeAt())
+		d.SetAddress("agent:2")
+		if d.ResumeVersion() != 0 {
+			t.Errorf("after a move handed over version %d", d.ResumeVersion())
 		}
 		var lease engine.Lease
 		config := testConfig("agent:2", "on_request")
-		config.AskWithin = 10 * time.Second
+		config.MaxPollInterval = 10 * time.Second
 		next := New(config, d.log, nil)
-		next.Renew = func(l engine.Lease) { lease = l }
-		next.Hold(d.Age())
-		if left := time.Until(lease.Until); lease.Open || left != endpointlease.Told-4*time.Second {
+		next.RenewLease = func(l engine.Lease) { lease = l }
+		next.InheritAge(d.Age())
+		if left := time.Until(lease.Until); lease.Unbounded || left != endpointlease.NotificationDeadline-4*time.Second {
 			t.Errorf("the next process may rely on it for %v more", left)
 		}
 	})
@@ -44,11 +44,11 @@
 // discovery away.
 func TestLeaseFollowsDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := discoverytest.NewAgent(discoverytest.WholeList)
+		a := discoverytest.NewAgent(discoverytest.CompleteList)
 		leases := make(chan engine.Lease, 100)
 		_, heard := watchOn(t, "agent:1", "on_request", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case <-a.End: // closed: down
+			case <-a.EndWatch: // closed: down
 				select {
 				case <-time.After(2 * time.Second):
 					w.WriteHeader(http.StatusServiceUnavailable)
@@ -58,8 +58,8 @@
 				a.ServeHTTP(w, r)
 			}
 		})), func(d *Source) {
-			d.clock.AskWithin = 10 * time.Second
-			d.Renew = func(l engine.Lease) { leases <- l }
+			d.clock.MaxPollInterval = 10 * time.Second
+			d.RenewLease = func(l engine.Lease) { leases <- l }
 			d.Subscribe()
 		})
 		var last engine.Lease
@@ -73,15 +73,15 @@
 		a.WantCall(t, "watch 1")
 		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-heard
-		if l := newest(); l.Open || time.Until(l.Until) != endpointlease.Told {
+		if l := newest(); l.Unbounded || time.Until(l.Until) != endpointlease.NotificationDeadline {
 			t.Errorf("after a list: %+v", l)
 		}
 		<-time.After(2 * time.Second)
 		a.Lines <- ""
-		if l := newest(); time.Until(l.Until) != endpointlease.Told {
+		if l := newest(); time.Until(l.Until) != endpointlease.NotificationDeadline {
 			t.Errorf("after a line: %+v", l)
 		}
-		close(a.End)
+		close(a.EndWatch)
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 			select {
 			case <-heard: // that all calls have failed
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -76,16 +76,16 @@
 
 // Blank, Begun and Part feed the clock with what comes.
 func (s *subscription) Blank() {
-	s.d.clocked(func(c *endpointlease.Clock) { c.Heard(s.name, s.d.now()) })
+	s.d.clocked(func(c *endpointlease.Tracker) { c.Activity(s.name, s.d.now()) })
 }
 func (s *subscription) Begun() {
-	s.d.clocked(func(c *endpointlease.Clock) { c.Begun(s.name, s.d.now()) })
+	s.d.clocked(func(c *endpointlease.Tracker) { c.ListBegan(s.name, s.d.now()) })
 }
 func (s *subscription) Part() { s.Blank() }
 
 func (d *Source) get(ctx context.Context, name int, addr, query string) (io.ReadCloser, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { d.clocked(func(c *endpointlease.Clock) { c.Reached(name) }) }})
+		GotConn: func(httptrace.GotConnInfo) { d.clocked(func(c *endpointlease.Tracker) { c.Connected(name) }) }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/endpoints"+query, nil)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -63,7 +63,7 @@
 	q.lists++
 	silent, ended, change := q.silent, q.ended, q.change
 	q.mu.Unlock()
-	beat := time.NewTicker(endpointlease.Beat)
+	beat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer beat.Stop()
 	write := func(seq int) {
 		fmt.Fprintf(w, `{"seq":%d,"whole":false,"hosts":[]}`+"\n", seq)
@@ -135,9 +135,9 @@
 func callAll(t *testing.T, n, callers int, mode string, way func(*Source), told func(caller int, version int64)) {
 	for i := range n {
 		config := testConfig(caller(i), mode)
-		config.Callers = callers
+		config.Pollers = callers
 		d := New(config, slog.New(slog.DiscardHandler), nil)
-		d.Tell = func(ctx context.Context, u engine.Update) error {
+		d.ApplyUpdate = func(ctx context.Context, u engine.Update) error {
 			if u.Failed { // the module's wish, as it draws it
 				time.AfterFunc(rand.N(300*time.Millisecond), d.Subscribe)
 			} else {
@@ -223,7 +223,7 @@
 		}
 		worst = max(worst, at[i].Sub(begin))
 	}
-	if worst > endpointlease.Told {
+	if worst > endpointlease.NotificationDeadline {
 		t.Errorf("the last was told after %v", worst)
 	}
 	q.mu.Lock()
@@ -238,7 +238,7 @@
 func TestPushedListAfterAnOutage(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			a := discoverytest.NewAgent(discoverytest.WholeList)
+			a := discoverytest.NewAgent(discoverytest.CompleteList)
 			back := make(chan struct{})
 			_, heard := watchOn(t, "agent:1", "pushed", piped(t, a), func(d *Source) {
 				way := d.Client.Transport.(*http.Transport)
@@ -316,7 +316,7 @@
 					if r.URL.Query().Get("watch") != "" {
 						<-r.Context().Done()
 					}
-				})), func(d *Source) { d.Resume(50); d.Subscribe() })
+				})), func(d *Source) { d.ResumeFrom(50); d.Subscribe() })
 				for u := range heard {
 					if u.Failed {
 						continue
--- a/internal/discoveryapi/discoveryapi.go
+++ b/internal/discoveryapi/discoveryapi.go
@@ -11,14 +11,14 @@
 	"hookwalk.example/hookwalk/internal/watchstream"
 )
 
-// Most is how many bytes one list may have.
-const Most = 4 << 20
+// MaxListBytes is how many bytes one list may have.
+const MaxListBytes = 4 << 20
 
 // List is a list of servers, or its changes.
 type List struct {
-	Seq   int64      `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Endpoint `json:"hosts"`
+	Seq       int64      `json:"seq"`
+	Complete  bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
 // Endpoint is a server's entry.
@@ -32,13 +32,13 @@
 	Born   float64 `json:"born_ms"`
 }
 
-// CutError says that an answer ended within a list. Nothing that came before is in doubt.
-type CutError struct{ Err error }
+// TruncatedError says that an answer ended within a list. Nothing that came before is in doubt.
+type TruncatedError struct{ Err error }
 
-func (e *CutError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("a list was cut short (%v): the next call asks from the version held; if it goes on, look at what lies between the node and discovery", e.Err)
 }
-func (e *CutError) Unwrap() error { return e.Err }
+func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // UnreadableError says that what came is no list. What is held is nothing to build on.
 type UnreadableError struct{ Err error }
@@ -50,12 +50,12 @@
 
 // What makes a list unreadable, beside its JSON.
 var (
-	ErrTooLarge = watchstream.TooLargeError{Limit: Most}
-	ErrNoHosts  = errors.New("a whole list without hosts") // it can't be told from an empty one
-	ErrGap      = errors.New("a gap in the versions")
-	ErrOlder    = errors.New("a whole list older than the one held")
+	ErrTooLarge     = watchstream.TooLargeError{Limit: MaxListBytes}
+	ErrNoEndpoints  = errors.New("a whole list without hosts") // it can't be told from an empty one
+	ErrVersionGap   = errors.New("a gap in the versions")
+	ErrOlderVersion = errors.New("a whole list older than the one held")
 
-	ErrNeverWhole = errors.New("one that began is not whole in time")
+	ErrIncomplete = errors.New("one that began is not whole in time")
 )
 
 // Watchdog is told what is heard while a list is read. Its calls come from the goroutine that reads.
@@ -66,19 +66,19 @@
 
 // NewReader reads from r. The Watchdog hears of all that comes.
 func NewReader(r io.Reader, watchdog Watchdog) *Reader {
-	return &Reader{watchstream.NewReader[List](r, Most, watchdog)}
+	return &Reader{watchstream.NewReader[List](r, MaxListBytes, watchdog)}
 }
 
 // Next is the next list, whole. io.EOF: the answer has ended between two.
 func (r *Reader) Next() (List, error) {
 	list, err := r.objects.Next()
-	var cut *watchstream.CutError
+	var cut *watchstream.TruncatedError
 	var unreadable *watchstream.UnreadableError
 	switch {
-	case err == nil && list.Whole && list.Hosts == nil:
-		err = &UnreadableError{ErrNoHosts}
+	case err == nil && list.Complete && list.Endpoints == nil:
+		err = &UnreadableError{ErrNoEndpoints}
 	case errors.As(err, &cut):
-		err = &CutError{cut.Err}
+		err = &TruncatedError{cut.Err}
 	case errors.As(err, &unreadable):
 		err = &UnreadableError{unreadable.Err}
 	}
--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -33,7 +33,7 @@
 		a, err := r.Next()
 		b, err2 := r.Next()
 		_, end := r.Next()
-		if err != nil || err2 != nil || a.Seq != 1 || !a.Whole || b.Seq != 2 || b.Whole || len(b.Hosts) != 1 || b.Hosts[0].Host != "b\n{" || end != io.EOF {
+		if err != nil || err2 != nil || a.Seq != 1 || !a.Complete || b.Seq != 2 || b.Complete || len(b.Endpoints) != 1 || b.Endpoints[0].Host != "b\n{" || end != io.EOF {
 			t.Errorf("%s: %+v %v, %+v %v, %v", name, a, err, b, err2, end)
 		}
 		if e.begun != 2 || name == "byte by byte" && e.blanks != 6 {
@@ -51,17 +51,17 @@
 		`nonsense`:               &UnreadableError{},
 		`[1]`:                    &UnreadableError{},
 		`]`:                      &UnreadableError{},
-		`{"seq":1,"hosts":[{"ho`: &CutError{},
-		`{"seq":"` + strings.Repeat("x", Most) + `"}`: &UnreadableError{},
+		`{"seq":1,"hosts":[{"ho`: &TruncatedError{},
+		`{"seq":"` + strings.Repeat("x", MaxListBytes) + `"}`: &UnreadableError{},
 	} {
 		_, err := NewReader(strings.NewReader(text), &dog{}).Next()
-		cut, bad := new(*CutError), new(*UnreadableError)
-		if _, isCut := want.(*CutError); errors.As(err, cut) != isCut || errors.As(err, bad) == isCut {
+		cut, bad := new(*TruncatedError), new(*UnreadableError)
+		if _, isCut := want.(*TruncatedError); errors.As(err, cut) != isCut || errors.As(err, bad) == isCut {
 			t.Errorf("%.30q: %v", text, err)
 		}
 	}
 	r := NewReader(io.MultiReader(strings.NewReader(`{"seq":1,`), iotest.ErrReader(reset)), &dog{})
-	if _, err := r.Next(); !errors.As(err, new(*CutError)) || !errors.Is(err, reset) {
+	if _, err := r.Next(); !errors.As(err, new(*TruncatedError)) || !errors.Is(err, reset) {
 		t.Errorf("a reset within a list: %v", err)
 	}
 	r = NewReader(io.MultiReader(strings.NewReader("\n"), iotest.ErrReader(reset)), &dog{})
@@ -72,7 +72,7 @@
 
 // A watch in which nothing changes for days holds no more than at its start.
 func TestSpaceIsNotKept(t *testing.T) {
-	space := bytes.Repeat([]byte("\n"), 2*Most)
+	space := bytes.Repeat([]byte("\n"), 2*MaxListBytes)
 	r := NewReader(io.MultiReader(iotest.HalfReader(bytes.NewReader(space)), strings.NewReader(`{"seq":3}`)), &dog{})
 	if n, err := r.Next(); err != nil || n.Seq != 3 {
 		t.Errorf("%+v, %v", n, err)
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -14,24 +14,24 @@
 
 // The operators' figures.
 const (
-	Beat      = 2 * time.Second         // a sound watch brings a line so often at least
-	Told      = 6 * time.Second         // a change counts as told so long after discovery had it and could be reached
-	ToldMoved = 4 * time.Second         // what a new discovery has, after SIGHUP names it
-	Object    = 4500 * time.Millisecond // from the first byte of a list till its last
+	HeartbeatInterval               = 2 * time.Second         // a sound watch brings a line so often at least
+	NotificationDeadline            = 6 * time.Second         // a change counts as told so long after discovery had it and could be reached
+	NotificationDeadlineAfterChange = 4 * time.Second         // what a new discovery has, after SIGHUP names it
+	ListTransferTimeout             = 4500 * time.Millisecond // from the first byte of a list till its last
 )
 
 const forEver = time.Duration(1<<63 - 1)
 
-// Rules are what the settings say of the list.
-type Rules struct {
-	Pushed    bool          // changes come by themselves, and what the agent has counts as told
-	AskWithin time.Duration // else: a list held without a watch binds so long after the last call
-	Callers   int           // nodes that call the same discovery, this one among them; 0: it is alone
+// Options are what the settings say of the list.
+type Options struct {
+	Pushed          bool          // changes come by themselves, and what the agent has counts as told
+	MaxPollInterval time.Duration // else: a list held without a watch binds so long after the last call
+	Pollers         int           // nodes that call the same discovery, this one among them; 0: it is alone
 }
 
-// Clock is the state of one node's list. The zero Clock with Rules has heard nothing yet.
-type Clock struct {
-	Rules
+// Tracker is the state of one node's list. The zero Clock with Rules has heard nothing yet.
+type Tracker struct {
+	Options
 	streams    []stream
 	names      int
 	generation int // how many times the configuration named another discovery
@@ -73,10 +73,10 @@
 }
 
 // Generation counts the addresses so far: it is that of the streams that are called now.
-func (c *Clock) Generation() int { return c.generation }
+func (c *Tracker) Generation() int { return c.generation }
 
-// Moving says that no list has come yet from the present address.
-func (c *Clock) Moving() bool { return len(c.moves) > 0 }
+// DiscoveryChanging says that no list has come yet from the present address.
+func (c *Tracker) DiscoveryChanging() bool { return len(c.moves) > 0 }
 
 // mostMoves are kept apart. Of further ones the last is held to the time of the one before it.
 const mostMoves = 16
@@ -93,18 +93,18 @@
 	listed     time.Duration // the first list was whole; 0: none was
 }
 
-// Call begins a stream and names it. The draw, from 0 to 1, says when this node acts within the time that all share.
-func (c *Clock) Call(now time.Duration, draw float64) (name int) {
+// StreamOpened begins a stream and names it. The draw, from 0 to 1, says when this node acts within the time that all share.
+func (c *Tracker) StreamOpened(now time.Duration, draw float64) (name int) {
 	c.names++
 	c.streams = append(c.streams, stream{name: c.names, generation: c.generation, begin: now, heard: now, draw: draw})
 	c.asked, c.begun = now, true
 	return c.names
 }
 
-// Wish notes that the module wants the list to be asked for. Where it is asked for, the first call waits for that.
-func (c *Clock) Wish() { c.begun = true }
+// RequestPoll notes that the module wants the list to be asked for. Where it is asked for, the first call waits for that.
+func (c *Tracker) RequestPoll() { c.begun = true }
 
-func (c *Clock) stream(name int) *stream {
+func (c *Tracker) stream(name int) *stream {
 	for i := range c.streams {
 		if c.streams[i].name == name {
 			return &c.streams[i]
@@ -113,8 +113,8 @@
 	return &stream{} // it was dropped, and says nothing any more
 }
 
-// Reached notes that a call's connection has come up: discovery can be reached, whether or not it answers.
-func (c *Clock) Reached(name int) {
+// Connected notes that a call's connection has come up: discovery can be reached, whether or not it answers.
+func (c *Tracker) Connected(name int) {
 	c.stream(name).reached = true
 	if c.absence == unreachable {
 		c.absence = present
@@ -122,13 +122,13 @@
 }
 
 // Unreachable notes, before its end, that a call's connection was refused or did not come up.
-func (c *Clock) Unreachable(name int) { c.away(unreachable, name) }
+func (c *Tracker) Unreachable(name int) { c.away(unreachable, name) }
 
-// Refused notes, before its end, that a call was answered with a no. One that comes at once is of a discovery that is
+// PollRejected notes, before its end, that a call was answered with a no. One that comes at once is of a discovery that is
 // there and has too many callers. One that comes late may be of whoever waits for it in vain: a discovery that goes down
 // ends its watches, and what stands before it turns calls down after a wait. Where the watch is open and silent, or
 // discovery has moved, it may as well be slow.
-func (c *Clock) Refused(name int, now time.Duration) {
+func (c *Tracker) PollRejected(name int, now time.Duration) {
 	s := c.stream(name)
 	if s.name == 0 || s.generation != c.generation {
 		return
@@ -140,16 +140,16 @@
 	}
 }
 
-// Failed notes, before its end, that a stream was reset or is at its end. A call whose connection had come up, and that
+// StreamFailed notes, before its end, that a stream was reset or is at its end. A call whose connection had come up, and that
 // brought no list, may have been to a discovery that had something to tell.
-func (c *Clock) Failed(name int) {
+func (c *Tracker) StreamFailed(name int) {
 	s := c.stream(name)
 	c.touched = c.touched || s.reached && s.listed == 0
 }
 
 // away notes that discovery was absent when a call began. What it may have had before that, while it could be reached and
 // told nothing, goes on to count: then the lease keeps its end.
-func (c *Clock) away(how absence, name int) {
+func (c *Tracker) away(how absence, name int) {
 	s := c.stream(name)
 	if c.absence == present {
 		touched := c.touched || slices.ContainsFunc(c.streams, func(o stream) bool { return o.name != name && o.listed == 0 && o.reached })
@@ -165,15 +165,15 @@
 }
 
 // spoke notes that discovery is there.
-func (c *Clock) spoke(now time.Duration) {
+func (c *Tracker) spoke(now time.Duration) {
 	c.alive, c.absence, c.touched = now, present, true
 }
 
 // confirm notes that the list held is all that discovery has.
-func (c *Clock) confirm(now time.Duration) { c.current, c.fixed, c.touched = now, 0, false }
+func (c *Tracker) confirm(now time.Duration) { c.current, c.fixed, c.touched = now, 0, false }
 
-// Heard notes a sign of life on a stream: the head of an answer, a line, an empty one too, or a part of a list.
-func (c *Clock) Heard(name int, now time.Duration) {
+// Activity notes a sign of life on a stream: the head of an answer, a line, an empty one too, or a part of a list.
+func (c *Tracker) Activity(name int, now time.Duration) {
 	c.spoke(now)
 	s := c.stream(name)
 	if s.heard = now; s.listed > 0 && s.object == 0 {
@@ -181,16 +181,16 @@
 	}
 }
 
-// Begun notes the first byte of a list: it is to be whole within Object, whatever comes beside it.
-func (c *Clock) Begun(name int, now time.Duration) {
-	c.Heard(name, now)
+// ListBegan notes the first byte of a list: it is to be whole within Object, whatever comes beside it.
+func (c *Tracker) ListBegan(name int, now time.Duration) {
+	c.Activity(name, now)
 	if s := c.stream(name); s.object == 0 {
 		s.object = max(now, 1)
 	}
 }
 
-// Whole notes that a watch has brought a list or its changes, whole: what discovery had is held.
-func (c *Clock) Whole(name int, now time.Duration) {
+// ListComplete notes that a watch has brought a list or its changes, whole: what discovery had is held.
+func (c *Tracker) ListComplete(name int, now time.Duration) {
 	c.spoke(now)
 	s := c.stream(name)
 	if s.heard, s.object = now, 0; s.listed == 0 {
@@ -203,16 +203,16 @@
 	}
 }
 
-// Answered notes that a call for the whole list was answered: what discovery had is held, and a watch is to follow.
-func (c *Clock) Answered(name int, now time.Duration) {
-	c.Whole(name, now)
+// PollAnswered notes that a call for the whole list was answered: what discovery had is held, and a watch is to follow.
+func (c *Tracker) PollAnswered(name int, now time.Duration) {
+	c.ListComplete(name, now)
 	c.forget(name, now)
 	c.next = now
 }
 
-// Ended notes that a stream is over: refused, reset, or at its end. One to an earlier address changes no call to the
+// StreamEnded notes that a stream is over: refused, reset, or at its end. One to an earlier address changes no call to the
 // present one.
-func (c *Clock) Ended(name int, now time.Duration) {
+func (c *Tracker) StreamEnded(name int, now time.Duration) {
 	s := c.forget(name, now)
 	if s.name == 0 || s.generation != c.generation {
 		return
@@ -227,7 +227,7 @@
 }
 
 // forget takes a stream off the list. Where it was the last watch, the node is without one from now on.
-func (c *Clock) forget(name int, now time.Duration) (s stream) {
+func (c *Tracker) forget(name int, now time.Duration) (s stream) {
 	s = *c.stream(name)
 	c.streams = slices.DeleteFunc(c.streams, func(o stream) bool { return o.name == name })
 	if s.listed > 0 && !c.watched() {
@@ -237,21 +237,21 @@
 }
 
 // watched says that a watch is open, be it silent or to an earlier address.
-func (c *Clock) watched() bool {
+func (c *Tracker) watched() bool {
 	return slices.ContainsFunc(c.streams, func(s stream) bool { return s.listed > 0 })
 }
 
-// Garbled notes, before its end, that what a stream brought can't be read or is no list to build on.
-func (c *Clock) Garbled(name int, now time.Duration) {
+// MalformedList notes, before its end, that what a stream brought can't be read or is no list to build on.
+func (c *Tracker) MalformedList(name int, now time.Duration) {
 	if s := c.stream(name); s.listed > 0 && now-s.listed > soundFor {
 		c.garbled = 0
 	}
 	c.garbled++
 }
 
-// Moved notes that the configuration names another discovery. What is open is of earlier ones: it is heard until a list
+// DiscoveryChanged notes that the configuration names another discovery. What is open is of earlier ones: it is heard until a list
 // has come from the new one, for until then it may be the last to tell a change.
-func (c *Clock) Moved(now time.Duration) {
+func (c *Tracker) DiscoveryChanged(now time.Duration) {
 	c.generation++
 	c.next, c.begun = now, true
 	c.mute, c.fails, c.garbled, c.crowded = 0, 0, 0, false
--- a/internal/endpointlease/polling.go
+++ b/internal/endpointlease/polling.go
@@ -33,29 +33,29 @@
 	soundFor    = 2 * garbledMost // a watch that could be read for so long: what was unreadable before is over
 )
 
-// Do is what Step wants done.
-type Do int
+// Action is what Step wants done.
+type Action int
 
 // What is to be done.
 const (
-	Nothing Do = iota
-	Call       // open one more stream
-	Drop       // end this stream, which the clock has forgotten: it is not needed any more, or gives way to another
-	Stuck      // end this stream: a list had begun there and is not whole in time
+	NoAction           Action = iota
+	OpenStream                // open one more stream
+	DropStream                // end this stream, which the clock has forgotten: it is not needed any more, or gives way to another
+	AbortStalledStream        // end this stream: a list had begun there and is not whole in time
 )
 
 // Step says what is to be done at a time, one thing after another until Nothing, and with that when to look again.
-func (c *Clock) Step(now time.Duration) (do Do, name int, look time.Duration) {
+func (c *Tracker) Step(now time.Duration) (do Action, name int, look time.Duration) {
 	look = forEver
 	var calls, earlier int
 	var oldest, youngest, oldestEarlier *stream
 	for i := range c.streams {
 		s := &c.streams[i]
 		if s.object > 0 {
-			if now >= s.object+Object {
-				return Stuck, s.name, 0
+			if now >= s.object+ListTransferTimeout {
+				return AbortStalledStream, s.name, 0
 			}
-			look = min(look, s.object+Object)
+			look = min(look, s.object+ListTransferTimeout)
 		}
 		if s.generation != c.generation {
 			if earlier++; earlier == 1 {
@@ -82,15 +82,15 @@
 	}
 	if now >= at {
 		c.hurried = c.watched() && c.fails == 0
-		return Call, 0, 0
+		return OpenStream, 0, 0
 	}
-	return Nothing, 0, min(look, at)
+	return NoAction, 0, min(look, at)
 }
 
 // keepOnly drops all streams but a watch that speaks.
-func (c *Clock) keepOnly(s *stream, look, now time.Duration) (Do, int, time.Duration) {
+func (c *Tracker) keepOnly(s *stream, look, now time.Duration) (Action, int, time.Duration) {
 	if len(c.streams) == 1 {
-		return Nothing, 0, look
+		return NoAction, 0, look
 	}
 	if c.streams[0].name != s.name {
 		return c.drop(c.streams[0].name, now)
@@ -100,29 +100,29 @@
 
 // callBeside makes a call beside those that are out once the youngest has waited long enough. The oldest is the one that
 // a slow discovery answers first: it gives way only when no answer can come of it any more.
-func (c *Clock) callBeside(oldest, youngest *stream, calls int, look, now time.Duration) (Do, int, time.Duration) {
+func (c *Tracker) callBeside(oldest, youngest *stream, calls int, look, now time.Duration) (Action, int, time.Duration) {
 	// One that was turned down beside a call that nobody answers waits too.
 	at := max(c.beside(youngest), c.next)
 	if calls == mostCalls {
 		at = max(at, oldest.begin+longest)
 	}
 	if now < at {
-		return Nothing, 0, min(look, at)
+		return NoAction, 0, min(look, at)
 	}
 	if calls == mostCalls {
 		return c.drop(oldest.name, now)
 	}
 	c.mute++
-	return Call, 0, 0
+	return OpenStream, 0, 0
 }
 
-func (c *Clock) drop(name int, now time.Duration) (Do, int, time.Duration) {
+func (c *Tracker) drop(name int, now time.Duration) (Action, int, time.Duration) {
 	c.forget(name, now)
-	return Drop, name, 0
+	return DropStream, name, 0
 }
 
 // sound is the youngest watch at the present address that speaks, and nil if there is none.
-func (c *Clock) sound(now time.Duration) (found *stream) {
+func (c *Tracker) sound(now time.Duration) (found *stream) {
 	for i := range c.streams {
 		if s := &c.streams[i]; s.generation == c.generation && s.listed > 0 && now < s.silent() {
 			found = s
@@ -137,13 +137,13 @@
 }
 
 // beside is when a call gets another beside it. A list that has begun to come is waited for.
-func (c *Clock) beside(s *stream) time.Duration {
+func (c *Tracker) beside(s *stream) time.Duration {
 	if s.object > 0 {
-		return s.object + Object
+		return s.object + ListTransferTimeout
 	}
 	wait := besideNext
 	switch {
-	case c.Callers > 1:
+	case c.Pollers > 1:
 		wait = min(shared<<min(c.mute, 1), mostBeside)
 	case c.mute >= quickly:
 		wait = min(beside<<min(c.mute+1-quickly, 4), mostBeside)
@@ -156,16 +156,16 @@
 }
 
 // again is the wait after a failure.
-func (c *Clock) again(draw float64) time.Duration {
+func (c *Tracker) again(draw float64) time.Duration {
 	most := againMost
 	if c.crowded {
-		most = max(most, time.Duration(c.Callers)*againCaller)
+		most = max(most, time.Duration(c.Pollers)*againCaller)
 	}
-	if c.Away() {
+	if c.Unavailable() {
 		most = againAway
 	}
 	wait := min(againFirst<<min(c.fails, 8), most)
-	if c.Pushed && c.Away() {
+	if c.Pushed && c.Unavailable() {
 		return time.Duration((1 + draw) / 2 * float64(min(wait, againPushed)))
 	}
 	if c.garbled > 1 { // one whole list at once
--- a/internal/engine/admin.go
+++ b/internal/engine/admin.go
@@ -27,20 +27,20 @@
 	}
 }
 
-// Hand takes a server out of use by an operator's word, or puts it back. When it returns nil nothing new goes to a
+// SetServerDisabled takes a server out of use by an operator's word, or puts it back. When it returns nil nothing new goes to a
 // server that was taken out, also not what was chosen for it before. Else nothing has changed.
-func (e *Engine) Hand(ctx context.Context, id string, out bool) error {
+func (e *Engine) SetServerDisabled(ctx context.Context, id string, out bool) error {
 	return e.order(ctx, func() error {
-		if err := e.Balancer.CanHand(id); err != nil {
+		if err := e.Balancer.CheckOverride(id); err != nil {
 			return err
 		}
-		if e.Balancer.Out(id) == out {
+		if e.Balancer.IsDisabled(id) == out {
 			return nil
 		}
 		if out {
 			e.halt(id)
 		}
-		e.handle(balancer.Hand{Server: id, Out: out})
+		e.handle(balancer.AdminOverride{Server: id, Disabled: out})
 		if b, listed := e.boxes[id]; listed {
 			e.aim(b)
 		}
@@ -50,10 +50,10 @@
 	})
 }
 
-// Retune has the module take over settings, which it has said are sound. Calls that are open keep their rules.
-func (e *Engine) Retune(ctx context.Context, set balancer.Settings) error {
+// ChangeSettings has the module take over settings, which it has said are sound. Calls that are open keep their rules.
+func (e *Engine) ChangeSettings(ctx context.Context, set balancer.Settings) error {
 	return e.order(ctx, func() error {
-		e.handle(balancer.Retune{Settings: set})
+		e.handle(balancer.SettingsChanged{Settings: set})
 		return nil
 	})
 }
@@ -69,17 +69,17 @@
 	return servers, err
 }
 
-// Estate is what another process of the node has to know: the module's heir, the servers in service with their
+// SuccessorState is what another process of the node has to know: the module's heir, the servers in service with their
 // addresses, and those out by hand. commit is called in the loop with nothing happening between; it must not wait.
-func (e *Engine) Estate(ctx context.Context, commit func()) (heir []byte, boxes []Box, out []string, err error) {
+func (e *Engine) SuccessorState(ctx context.Context, commit func()) (heir []byte, boxes []Endpoint, out []string, err error) {
 	err = e.order(ctx, func() error {
-		if heir, err = e.Balancer.Heir(); err != nil {
+		if heir, err = e.Balancer.SuccessorState(); err != nil {
 			return err
 		}
 		for _, id := range slices.Sorted(maps.Keys(e.boxes)) {
 			boxes = append(boxes, e.boxes[id])
 		}
-		out = e.Balancer.Handed()
+		out = e.Balancer.DisabledServers()
 		commit()
 		return nil
 	})
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -19,7 +19,7 @@
 	drilled, denied     int
 	refused, failed     [2]int // before any attempt; after one
 	expired             int    // of the refused, while the list had expired
-	endings             [balancer.Void + 1]int
+	endings             [balancer.NotSent + 1]int
 	nextBreak           time.Duration // until then no further unanswered attempt is logged
 }
 
@@ -47,18 +47,18 @@
 		"refused_unsent", t.refused[0], "refused_sent", t.refused[1],
 		"failed_unsent", t.failed[0], "failed_sent", t.failed[1], "open", out,
 		"ok", e[balancer.Success], "error", e[balancer.Failure], "full", e[balancer.Overloaded],
-		"timeout", e[balancer.TimedOut], "connect", e[balancer.Unreachable], "reset", e[balancer.Broken],
-		"void", e[balancer.Void])
+		"timeout", e[balancer.TimedOut], "connect", e[balancer.Unreachable], "reset", e[balancer.ConnectionLost],
+		"void", e[balancer.NotSent])
 	*t = fresh
 }
 
 // note counts an ending and logs an attempt that got no answer, though not each of a run of them.
 func (t *tally) note(log *slog.Logger, now time.Duration, r Result) {
-	t.endings[r.Ending]++
+	t.endings[r.Outcome]++
 	if r.Err == nil || now < t.nextBreak {
 		return
 	}
 	t.nextBreak = now + breakEvery
 	log.Warn("attempt without an answer", append([]any{"server", r.Attempt.Target.ID, "err", r.Err,
-		"after", now - r.Attempt.Started, "uses", r.Uses, "age", r.Age, "idle", r.Idle}, who(r.Attempt.Call.Request.Client)...)...)
+		"after", now - r.Attempt.Started, "uses", r.ConnectionUses, "age", r.ConnectionAge, "idle", r.ConnectionIdle}, who(r.Attempt.Call.Request.Client)...)...)
 }
--- a/internal/engine/counters_test.go
+++ b/internal/engine/counters_test.go
@@ -16,10 +16,10 @@
 	log, tl := slog.New(slog.NewTextHandler(&out, nil)), &tally{}
 	att := &Attempt{Call: &Call{attempts: 1}, Target: &Target{ID: "s-1"}, Started: breakEvery / 2}
 	for i := range 10 { // ten in one interval
-		tl.note(log, breakEvery+breakEvery/10*time.Duration(i), Result{Attempt: att, Ending: balancer.Broken, Err: errors.New("reset"), Uses: 3})
+		tl.note(log, breakEvery+breakEvery/10*time.Duration(i), Result{Attempt: att, Outcome: balancer.ConnectionLost, Err: errors.New("reset"), ConnectionUses: 3})
 	}
-	tl.note(log, 3*breakEvery, Result{Attempt: att, Ending: balancer.Unreachable, Err: errors.New("refused")})
-	tl.note(log, 9*breakEvery, Result{Attempt: att, Ending: balancer.Success})
+	tl.note(log, 3*breakEvery, Result{Attempt: att, Outcome: balancer.Unreachable, Err: errors.New("refused")})
+	tl.note(log, 9*breakEvery, Result{Attempt: att, Outcome: balancer.Success})
 	if n := strings.Count(out.String(), "attempt without an answer"); n != 2 {
 		t.Errorf("%d lines of broken attempts, want one for each interval with some, 2:\n%s", n, out.String())
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -25,7 +25,7 @@
 	Balancer  *balancer.Balancer
 	Sender    Sender
 	Subscribe func() // asks the source for a watch; must not block
-	Figures   *metrics.Reporter
+	Metrics   *metrics.Reporter
 	Capture   *capture.Writer
 	Guard     *invariants.Guard // nil: violations are not counted
 }
@@ -39,15 +39,15 @@
 	gone     chan *Call
 	results  chan Result
 	begun    chan beginning
-	starts   chan DrillStart
+	starts   chan FaultInjectionStart
 	orders   chan order
 	dumps    chan struct{} // takes a wish to see what the capture holds without blocking
 	leaves   chan struct{}
 	stop     chan struct{}
 
 	calls   map[string]*Call
-	visitor *Call          // that is being taken
-	boxes   map[string]Box // listed as ready, those out by hand among them
+	visitor *Call               // that is being taken
+	boxes   map[string]Endpoint // listed as ready, those out by hand among them
 	targets map[string]*Target
 	wakes   wakeHeap
 	lease   lease       // on the list
@@ -55,23 +55,23 @@
 	usable  atomic.Bool // some listed server is in service
 	listed  atomic.Bool // the same, those out by hand among them
 	tally   tally
-	aside   capture.Aside // of the event that comes next
+	aside   capture.EventContext // of the event that comes next
 }
 
 // New makes an engine; Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{Options: o,
 		lists: make(chan Update), arrivals: make(chan *Call), gone: make(chan *Call),
-		results: make(chan Result), begun: make(chan beginning), starts: make(chan DrillStart), orders: make(chan order), dumps: make(chan struct{}, 1),
+		results: make(chan Result), begun: make(chan beginning), starts: make(chan FaultInjectionStart), orders: make(chan order), dumps: make(chan struct{}, 1),
 		leaves: make(chan struct{}), stop: make(chan struct{}),
-		calls: map[string]*Call{}, boxes: map[string]Box{}, targets: map[string]*Target{}, lease: newLease()}
+		calls: map[string]*Call{}, boxes: map[string]Endpoint{}, targets: map[string]*Target{}, lease: newLease()}
 	return e
 }
 
 // Why Do has no answer.
 var (
-	ErrStopped = errors.New("the engine has stopped")
-	ErrLeft    = errors.New("the client has left")
+	ErrStopped    = errors.New("the engine has stopped")
+	ErrClientGone = errors.New("the client has left")
 )
 
 // Do hands in a call and waits for its final answer. If ctx ends first the call counts as given up by its client:
@@ -79,12 +79,12 @@
 func (e *Engine) Do(ctx context.Context, c *Call) (Answer, error) {
 	c.reply = make(chan Answer, 1)
 	if ctx.Err() != nil {
-		return Answer{}, ErrLeft
+		return Answer{}, ErrClientGone
 	}
 	select {
 	case e.arrivals <- c:
 	case <-ctx.Done():
-		return Answer{}, ErrLeft
+		return Answer{}, ErrClientGone
 	case <-e.stop:
 		return Answer{}, ErrStopped
 	}
@@ -98,12 +98,12 @@
 	case e.gone <- c:
 	case <-e.stop:
 	}
-	return Answer{}, ErrLeft
+	return Answer{}, ErrClientGone
 }
 
-// Tell hands in an update of the list. When it returns nil they go ahead of all that is
+// ApplyUpdate hands in an update of the list. When it returns nil they go ahead of all that is
 // handed in after.
-func (e *Engine) Tell(ctx context.Context, n Update) error {
+func (e *Engine) ApplyUpdate(ctx context.Context, n Update) error {
 	select {
 	case e.lists <- n:
 		return nil
@@ -114,16 +114,16 @@
 	}
 }
 
-// Ended hands in how an attempt ended. A sender may wait here, so it is called from an attempt's own goroutine; Stop
+// AttemptEnded hands in how an attempt ended. A sender may wait here, so it is called from an attempt's own goroutine; Stop
 // comes only after all of them have ended.
-func (e *Engine) Ended(r Result) { e.results <- r }
+func (e *Engine) AttemptEnded(r Result) { e.results <- r }
 
-// Began tells that a streamed answer is the client's from here on: its call is not sent again. Like Ended.
-func (e *Engine) Began(a *Attempt) { e.begun <- beginning{a: a} }
+// ResponseStarted tells that a streamed answer is the client's from here on: its call is not sent again. Like Ended.
+func (e *Engine) ResponseStarted(a *Attempt) { e.begun <- beginning{a: a} }
 
-// Answers tells that an attempt's answer begins and is passed on as it comes: it is the call's final answer. False: the
+// PassResponse tells that an attempt's answer begins and is passed on as it comes: it is the call's final answer. False: the
 // call is over, and nobody takes it. The attempt's Result comes when it has ended. Like Ended.
-func (e *Engine) Answers(a *Attempt, reply any) bool {
+func (e *Engine) PassResponse(a *Attempt, reply any) bool {
 	wanted := make(chan bool, 1)
 	e.begun <- beginning{a: a, reply: reply, wanted: wanted}
 	return <-wanted
@@ -148,11 +148,11 @@
 		c.reply <- Answer{Verdict: Served, Reply: b.reply}
 	}
 	b.a.begun = true
-	e.handle(balancer.Started{ID: c.Request.ID, Attempt: b.a.N})
+	e.handle(balancer.ResponseStarted{ID: c.Request.ID, Attempt: b.a.Number})
 }
 
-// StartDrill has the module start a drill.
-func (e *Engine) StartDrill(s DrillStart) error {
+// StartFaultInjection has the module start a drill.
+func (e *Engine) StartFaultInjection(s FaultInjectionStart) error {
 	select {
 	case e.starts <- s:
 		return nil
@@ -161,22 +161,22 @@
 	}
 }
 
-// Leave tells the module, once, that the node begins to leave.
-func (e *Engine) Leave() { close(e.leaves) }
+// BeginShutdown tells the module, once, that the node begins to leave.
+func (e *Engine) BeginShutdown() { close(e.leaves) }
 
-// Dump has what the capture holds in memory written, where there is one. A wish that still waits is enough.
-func (e *Engine) Dump() {
+// DumpCapture has what the capture holds in memory written, where there is one. A wish that still waits is enough.
+func (e *Engine) DumpCapture() {
 	select {
 	case e.dumps <- struct{}{}:
 	default:
 	}
 }
 
-// Listed says whether some server is listed as in service, be it out by hand.
-func (e *Engine) Listed() bool { return e.listed.Load() }
+// HasListedServer says whether some server is listed as in service, be it out by hand.
+func (e *Engine) HasListedServer() bool { return e.listed.Load() }
 
-// Usable says whether some listed server is in service.
-func (e *Engine) Usable() bool { return e.usable.Load() }
+// HasUsableServer says whether some listed server is in service.
+func (e *Engine) HasUsableServer() bool { return e.usable.Load() }
 
 // Stop ends Run. No attempt may be out any more.
 func (e *Engine) Stop() { close(e.stop) }
@@ -202,8 +202,8 @@
 		default:
 		}
 		for len(e.wakes) > 0 && e.wakes[0].At <= e.Clock.Now() {
-			w := heap.Pop(&e.wakes).(balancer.Wake)
-			e.handle(balancer.Timer{Token: w.Token})
+			w := heap.Pop(&e.wakes).(balancer.SetTimer)
+			e.handle(balancer.TimerFired{Token: w.Token})
 		}
 		timer.Reset(e.idle())
 		select {
@@ -221,12 +221,12 @@
 			e.takeBeginning(b)
 		case s := <-e.starts:
 			e.Log.Info("drill started", append([]any{"drill", s.Name}, who(s.Client)...)...)
-			e.handle(balancer.DrillStart{Name: s.Name})
+			e.handle(balancer.StartFaultInjection{Name: s.Name})
 		case <-e.dumps:
 			e.Capture.Dump()
 		case <-leaves:
 			leaves = nil
-			e.handle(balancer.Leaving{})
+			e.handle(balancer.ShuttingDown{})
 		case <-e.lease.renewed:
 		case <-timer.C:
 		case <-report.C:
@@ -262,23 +262,23 @@
 	actions := e.Balancer.Handle(now, event)
 	if e.Capture != nil {
 		e.Capture.Event(now, event, actions, e.aside)
-		e.aside = capture.Aside{}
+		e.aside = capture.EventContext{}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balancer.Send:
 			e.send(now, a)
-		case balancer.Refuse:
-			e.answer(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+		case balancer.Reject:
+			e.answer(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 		case balancer.Fail:
 			e.answer(a.ID, Answer{Verdict: Failed})
 		case balancer.Deny:
 			e.deny(a)
-		case balancer.Drilled:
+		case balancer.FaultInjected:
 			e.mark(a)
 		case balancer.Abort:
 			e.answer(a.ID, Answer{Verdict: Aborted, Status: a.Status, RetryAfter: a.RetryAfter})
-		case balancer.Wake:
+		case balancer.SetTimer:
 			heap.Push(&e.wakes, a)
 		case balancer.Subscribe:
 			e.Subscribe()
@@ -288,7 +288,7 @@
 
 func (e *Engine) takeCall(c *Call) {
 	e.visitor = c
-	if c.Stranger {
+	if c.AccessDenied {
 		e.aside = c.aside()
 		e.handle(c.Request)
 		return
@@ -296,10 +296,10 @@
 	// An id still in use would be taken by the module for the request that it has, and never answered.
 	if e.calls[c.Request.ID] != nil {
 		c.Close()
-		c.reply <- Answer{Verdict: Doubled}
+		c.reply <- Answer{Verdict: DuplicateID}
 		return
 	}
-	c.most = e.Balancer.MostAttempts()
+	c.most = e.Balancer.MaxAttempts()
 	e.calls[c.Request.ID] = c
 	e.tally.taken++
 	e.aside = c.aside()
@@ -317,8 +317,8 @@
 }
 
 // aside is what a capture has of a call beside what the module is told.
-func (c *Call) aside() capture.Aside {
-	return capture.Aside{Tenant: c.Tenant, Budget: c.Budget}
+func (c *Call) aside() capture.EventContext {
+	return capture.EventContext{Tenant: c.Tenant, Budget: c.Budget}
 }
 
 // deny answers a stranger. Its id may be that of another call.
@@ -334,11 +334,11 @@
 }
 
 // mark notes that a call is part of a drill.
-func (e *Engine) mark(a balancer.Drilled) {
+func (e *Engine) mark(a balancer.FaultInjected) {
 	if c := e.calls[a.ID]; c != nil {
 		e.tally.drilled++
-		e.Figures.Count(c.Tags, metrics.Drilled)
-		e.Log.Info("drilled", append([]any{"id", a.ID, "class", c.Request.Class, "drill", a.Drill}, who(c.Request.Client)...)...)
+		e.Metrics.Count(c.Tags, metrics.FaultInjected)
+		e.Log.Info("drilled", append([]any{"id", a.ID, "class", c.Request.Class, "drill", a.FaultInjection}, who(c.Request.Client)...)...)
 	}
 }
 
@@ -348,14 +348,14 @@
 		e.Log.Error("send for an unknown request", "id", a.ID)
 		return
 	}
-	att := &Attempt{Call: c, N: c.attempts, Target: e.targets[a.Server], Deadline: min(now+a.Timeout, c.Request.Deadline),
-		Patience: a.Timeout, lease: &e.lease, guard: e.Guard}
-	if c.Request.Bulk {
-		att.Deadline = now + c.Upload + a.Timeout
+	att := &Attempt{Call: c, Number: c.attempts, Target: e.targets[a.Server], Deadline: min(now+a.Timeout, c.Request.Deadline),
+		Timeout: a.Timeout, lease: &e.lease, guard: e.Guard}
+	if c.Request.StreamedBody {
+		att.Deadline = now + c.BodyTimeout + a.Timeout
 	}
 	if att.Target == nil { // no such server any more: the attempt ends unsent
 		att.Target = &Target{ID: a.Server}
-		att.Target.Stop(now)
+		att.Target.StopSending(now)
 	}
 	e.guardStart(now, att)
 	c.attempts++
@@ -371,16 +371,16 @@
 	if c == nil || !c.Close() {
 		return
 	}
-	if a.Verdict == Refused || a.Status == unavailable {
+	if a.Verdict == Rejected || a.Status == unavailable {
 		e.tally.refused[tried(c)]++
 		if e.expired {
 			e.tally.expired++
-			e.Figures.Count(c.Tags, metrics.RefusedExpired)
+			e.Metrics.Count(c.Tags, metrics.RejectedExpired)
 		}
 	} else {
 		e.tally.failed[tried(c)]++
 	}
-	e.guardClose(c, a.Verdict == Refused || a.Status == unavailable)
+	e.guardClose(c, a.Verdict == Rejected || a.Status == unavailable)
 	c.reply <- a
 	e.forget(c)
 }
@@ -399,9 +399,9 @@
 	}
 	c.out--
 	r.Attempt.Target.calls--
-	c.mayHaveRun = c.mayHaveRun || !r.Ending.NeverRan()
+	c.mayHaveRun = c.mayHaveRun || !r.Outcome.NeverRan()
 	e.tally.note(e.Log, e.Clock.Now(), r)
-	if r.Ending == balancer.Success && c.Close() {
+	if r.Outcome == balancer.Success && c.Close() {
 		e.tally.served++
 		e.aside.Served = true
 		e.guardClose(c, false)
@@ -414,20 +414,20 @@
 	if latency == 0 {
 		latency = e.Clock.Now() - r.Attempt.Started
 	}
-	e.handle(balancer.Outcome{ID: c.Request.ID, Attempt: r.Attempt.N, Server: r.Attempt.Target.ID, Ending: r.Ending,
-		Latency: latency, Ended: c.Closed()})
+	e.handle(balancer.AttemptEnded{ID: c.Request.ID, Attempt: r.Attempt.Number, Server: r.Attempt.Target.ID, Outcome: r.Outcome,
+		Latency: latency, RequestDone: c.Closed()})
 	e.forget(c)
 }
 
 // takeUpdate updates the servers' addresses, stops what must get nothing new, then tells the module.
 func (e *Engine) takeUpdate(n Update) {
 	if n.Failed {
-		e.handle(balancer.ListFailed{})
+		e.handle(balancer.WatchFailed{})
 		return
 	}
-	list := balancer.ServerList{Full: n.Whole, Cached: n.Cached}
+	list := balancer.EndpointUpdate{Complete: n.Complete, Cached: n.Cached}
 	listed := map[string]bool{}
-	for _, b := range n.Boxes {
+	for _, b := range n.Endpoints {
 		list.Servers = append(list.Servers, b.Server)
 		listed[b.ID] = true
 		old := e.targets[b.ID]
@@ -436,13 +436,13 @@
 			continue
 		}
 		// A server that moved or started anew shares no connection with the one before.
-		if old != nil && (old.Addr != b.Addr || old.Boot != b.Boot) {
+		if old != nil && (old.Addr != b.Addr || old.Boot != b.StartTime) {
 			e.drop(b.ID)
 		}
 		e.boxes[b.ID] = b
 		e.aim(b)
 	}
-	if n.Whole {
+	if n.Complete {
 		for id := range e.boxes {
 			if !listed[id] {
 				e.drop(id)
@@ -450,9 +450,9 @@
 		}
 	}
 	if e.Capture != nil {
-		e.aside.Addrs = map[string]string{}
-		for _, b := range n.Boxes {
-			e.aside.Addrs[b.ID] = b.Addr
+		e.aside.Addresses = map[string]string{}
+		for _, b := range n.Endpoints {
+			e.aside.Addresses[b.ID] = b.Addr
 		}
 	}
 	e.handle(list)
@@ -461,9 +461,9 @@
 }
 
 // aim lets a listed server get attempts, unless it does already or the module says that it is out by hand.
-func (e *Engine) aim(b Box) {
-	if e.targets[b.ID] == nil && !e.Balancer.Out(b.ID) {
-		e.targets[b.ID] = &Target{ID: b.ID, Addr: b.Addr, Boot: b.Boot}
+func (e *Engine) aim(b Endpoint) {
+	if e.targets[b.ID] == nil && !e.Balancer.IsDisabled(b.ID) {
+		e.targets[b.ID] = &Target{ID: b.ID, Addr: b.Addr, Boot: b.StartTime}
 	}
 }
 
@@ -476,7 +476,7 @@
 // halt stops all sends to a server, those that wait for a connection among them.
 func (e *Engine) halt(id string) {
 	if t := e.targets[id]; t != nil {
-		t.Stop(e.Clock.Now())
+		t.StopSending(e.Clock.Now())
 		e.Sender.Retire(t)
 		delete(e.targets, id)
 	}
@@ -491,12 +491,12 @@
 }
 
 // wakeHeap holds the timers that the module asked for, the next one first.
-type wakeHeap []balancer.Wake
+type wakeHeap []balancer.SetTimer
 
 func (h wakeHeap) Len() int           { return len(h) }
 func (h wakeHeap) Less(i, j int) bool { return h[i].At < h[j].At }
 func (h wakeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *wakeHeap) Push(x any)        { *h = append(*h, x.(balancer.Wake)) }
+func (h *wakeHeap) Push(x any)        { *h = append(*h, x.(balancer.SetTimer)) }
 func (h *wakeHeap) Pop() any {
 	last := len(*h) - 1
 	w := (*h)[last]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -19,11 +19,11 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-var settings = balancer.Settings{Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
-	FallMultiple: 3, ColdFrom: 0.2, WarmAfter: 10 * time.Second,
+var settings = balancer.Settings{Replicas: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
+	OverloadMultiple: 3, SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second,
 	Classes: []balancer.Class{
-		{Name: "unsafe", Effect: balancer.Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 3},
-		{Name: "safe", Effect: balancer.Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}
+		{Name: "unsafe", Effect: balancer.NonIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
+		{Name: "safe", Effect: balancer.Idempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}}}
 
 // scripted is a sender that hands out its attempts and leaves their endings to the test.
 type scripted struct {
@@ -45,9 +45,9 @@
 }
 
 func boxes(n int) Update {
-	l := Update{Whole: true}
+	l := Update{Complete: true}
 	for i := range n {
-		l.Boxes = append(l.Boxes, Box{Server: balancer.Server{ID: "s-" + strconv.Itoa(i)}, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
+		l.Endpoints = append(l.Endpoints, Endpoint{Server: balancer.Server{ID: "s-" + strconv.Itoa(i)}, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	return l
 }
@@ -58,7 +58,7 @@
 		e, s := newEngine(t, quiet())
 		go e.Run()
 		defer e.Stop()
-		if err := e.Tell(t.Context(), boxes(n)); err != nil {
+		if err := e.ApplyUpdate(t.Context(), boxes(n)); err != nil {
 			t.Fatal(err)
 		}
 		f(t, e, s)
@@ -96,24 +96,24 @@
 func TestWhatBecomesOfACall(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class   string
-		endings []balancer.Ending
+		endings []balancer.Outcome
 		want    Verdict
 	}{
-		"served":                            {"unsafe", []balancer.Ending{balancer.Success}, Served},
-		"never ran, then served":            {"unsafe", []balancer.Ending{balancer.Unreachable, balancer.Overloaded, balancer.Success}, Served},
-		"never ran three times":             {"unsafe", []balancer.Ending{balancer.Unreachable, balancer.Unreachable, balancer.Unreachable}, Refused},
-		"may have run, and is unsafe":       {"unsafe", []balancer.Ending{balancer.Broken}, Failed},
-		"may have run, then would be again": {"safe", []balancer.Ending{balancer.Broken, balancer.Success}, Served},
+		"served":                            {"unsafe", []balancer.Outcome{balancer.Success}, Served},
+		"never ran, then served":            {"unsafe", []balancer.Outcome{balancer.Unreachable, balancer.Overloaded, balancer.Success}, Served},
+		"never ran three times":             {"unsafe", []balancer.Outcome{balancer.Unreachable, balancer.Unreachable, balancer.Unreachable}, Rejected},
+		"may have run, and is unsafe":       {"unsafe", []balancer.Outcome{balancer.ConnectionLost}, Failed},
+		"may have run, then would be again": {"safe", []balancer.Outcome{balancer.ConnectionLost, balancer.Success}, Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 10, func(t *testing.T, e *Engine, s *scripted) {
 				got := asked(t.Context(), e, newCall(e, "1", tc.class))
 				for i, ending := range tc.endings {
 					a := next(t, s.started)
-					if a.N != i || !a.MaySend(e.Clock.Now()) {
-						t.Fatalf("attempt %d is numbered %d, may be sent: %v", i, a.N, a.MaySend(e.Clock.Now()))
+					if a.Number != i || !a.MaySend(e.Clock.Now()) {
+						t.Fatalf("attempt %d is numbered %d, may be sent: %v", i, a.Number, a.MaySend(e.Clock.Now()))
 					}
-					e.Ended(Result{Attempt: a, Ending: ending, Reply: i})
+					e.AttemptEnded(Result{Attempt: a, Outcome: ending, Reply: i})
 				}
 				a := next(t, got)
 				if a.Verdict != tc.want {
@@ -137,7 +137,7 @@
 		c := newCall(e, "1", "unsafe")
 		got := asked(t.Context(), e, c)
 		att := next(t, s.started)
-		if a := next(t, asked(t.Context(), e, newCall(e, "1", "unsafe"))); a.Verdict != Doubled {
+		if a := next(t, asked(t.Context(), e, newCall(e, "1", "unsafe"))); a.Verdict != DuplicateID {
 			t.Errorf("its id, while its attempt is out: %+v", a)
 		}
 		if att.Deadline > c.Request.Deadline {
@@ -147,12 +147,12 @@
 		if att.MaySend(e.Clock.Now()) {
 			t.Error("it may be sent at its deadline")
 		}
-		e.Ended(Result{Attempt: att, Ending: balancer.TimedOut})
+		e.AttemptEnded(Result{Attempt: att, Outcome: balancer.TimedOut})
 		if a := next(t, got); a.Verdict != Failed {
 			t.Errorf("got %+v", a)
 		}
 		again := asked(t.Context(), e, newCall(e, "1", "unsafe"))
-		e.Ended(Result{Attempt: next(t, s.started)})
+		e.AttemptEnded(Result{Attempt: next(t, s.started)})
 		if a := next(t, again); a.Verdict != Served {
 			t.Errorf("its id, once nothing is out: %+v", a)
 		}
@@ -174,8 +174,8 @@
 		if !att.MaySend(e.Clock.Now()) {
 			t.Fatal("another call's leaving has ended the first")
 		}
-		e.Ended(Result{Attempt: att, Ending: balancer.Unreachable})
-		e.Ended(Result{Attempt: next(t, s.started), Reply: "ran"})
+		e.AttemptEnded(Result{Attempt: att, Outcome: balancer.Unreachable})
+		e.AttemptEnded(Result{Attempt: next(t, s.started), Reply: "ran"})
 		if a := next(t, first); a.Reply != "ran" {
 			t.Errorf("the first call got %+v", a)
 		}
@@ -191,7 +191,7 @@
 		if att.MaySend(e.Clock.Now()) {
 			t.Error("its attempt may still be sent")
 		}
-		e.Ended(Result{Attempt: att, Ending: balancer.Unreachable})
+		e.AttemptEnded(Result{Attempt: att, Outcome: balancer.Unreachable})
 		synctest.Wait()
 		if len(s.started) > 0 || len(e.calls) > 0 {
 			t.Errorf("%d attempts after it left, %d calls held", len(s.started), len(e.calls))
@@ -201,29 +201,29 @@
 
 // A box that drains, goes, moves or starts anew gets nothing more by the target that was.
 func TestUpdateStopsTargets(t *testing.T) {
-	for name, change := range map[string]func(*Box){
-		"drains":       func(b *Box) { b.State = balancer.Draining },
-		"gone":         func(b *Box) { b.State = balancer.Gone },
-		"moved":        func(b *Box) { b.Addr = "10.9.9.9:1" },
-		"started anew": func(b *Box) { b.Boot = time.Second },
+	for name, change := range map[string]func(*Endpoint){
+		"drains":       func(b *Endpoint) { b.State = balancer.Draining },
+		"gone":         func(b *Endpoint) { b.State = balancer.Removed },
+		"moved":        func(b *Endpoint) { b.Addr = "10.9.9.9:1" },
+		"started anew": func(b *Endpoint) { b.StartTime = time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 1, func(t *testing.T, e *Engine, s *scripted) {
 				got := asked(t.Context(), e, newCall(e, "1", "unsafe"))
 				att := next(t, s.started)
-				b := boxes(1).Boxes[0]
+				b := boxes(1).Endpoints[0]
 				change(&b)
-				if err := e.Tell(t.Context(), Update{Boxes: []Box{b}}); err != nil {
+				if err := e.ApplyUpdate(t.Context(), Update{Endpoints: []Endpoint{b}}); err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
 				if att.MaySend(e.Clock.Now()) || len(s.retired) != 1 || s.retired[0] != att.Target {
 					t.Errorf("may send: %v, retired %v", att.MaySend(e.Clock.Now()), s.retired)
 				}
-				if stays := b.State == balancer.Ready; e.Usable() != stays {
-					t.Errorf("usable: %v", e.Usable())
+				if stays := b.State == balancer.Ready; e.HasUsableServer() != stays {
+					t.Errorf("usable: %v", e.HasUsableServer())
 				}
-				e.Ended(Result{Attempt: att, Ending: balancer.Success}) // it had left before
+				e.AttemptEnded(Result{Attempt: att, Outcome: balancer.Success}) // it had left before
 				if a := next(t, got); a.Verdict != Served {
 					t.Errorf("what was under way got %+v", a)
 				}
@@ -232,7 +232,7 @@
 	}
 	t.Run("not in a whole list", func(t *testing.T) {
 		inBubble(t, 3, func(t *testing.T, e *Engine, s *scripted) {
-			if err := e.Tell(t.Context(), boxes(1)); err != nil {
+			if err := e.ApplyUpdate(t.Context(), boxes(1)); err != nil {
 				t.Fatal(err)
 			}
 			synctest.Wait()
@@ -263,10 +263,10 @@
 	if _, err := e.Do(t.Context(), newCall(e, "1", "safe")); !errors.Is(err, ErrStopped) {
 		t.Errorf("a call: %v", err)
 	}
-	if err := e.Tell(t.Context(), boxes(1)); !errors.Is(err, ErrStopped) {
+	if err := e.ApplyUpdate(t.Context(), boxes(1)); !errors.Is(err, ErrStopped) {
 		t.Errorf("a list: %v", err)
 	}
-	if err := e.StartDrill(DrillStart{Name: "x"}); !errors.Is(err, ErrStopped) {
+	if err := e.StartFaultInjection(FaultInjectionStart{Name: "x"}); !errors.Is(err, ErrStopped) {
 		t.Errorf("a drill: %v", err)
 	}
 }
@@ -289,8 +289,8 @@
 				for len(s.started) > 0 {
 					a := <-s.started
 					switch {
-					case out[a.Call] != nil || a.N > 2:
-						t.Fatalf("seed %d: attempt %d while another is out: %v", seed, a.N, out[a.Call] != nil)
+					case out[a.Call] != nil || a.Number > 2:
+						t.Fatalf("seed %d: attempt %d while another is out: %v", seed, a.Number, out[a.Call] != nil)
 					case off[a.Target.ID] && a.MaySend(e.Clock.Now()):
 						t.Fatalf("seed %d: sent to %s, which is out of service", seed, a.Target.ID)
 					case mayHaveRun[a.Call] && a.Call.Request.Class == "unsafe":
@@ -299,11 +299,11 @@
 					out[a.Call] = a
 				}
 			}
-			end := func(c *Call, ending balancer.Ending) {
+			end := func(c *Call, ending balancer.Outcome) {
 				a := out[c]
 				delete(out, c)
-				mayHaveRun[c] = mayHaveRun[c] || ending == balancer.Failure || ending == balancer.Broken || ending == balancer.TimedOut
-				e.Ended(Result{Attempt: a, Ending: ending})
+				mayHaveRun[c] = mayHaveRun[c] || ending == balancer.Failure || ending == balancer.ConnectionLost || ending == balancer.TimedOut
+				e.AttemptEnded(Result{Attempt: a, Outcome: ending})
 				take()
 			}
 			overdue := func() {
@@ -325,12 +325,12 @@
 					open = append(open, c)
 				case k < 8 && len(open) > 0:
 					if c := open[rng.IntN(len(open))]; out[c] != nil {
-						end(c, balancer.Ending(rng.IntN(int(balancer.Void)+1)))
+						end(c, balancer.Outcome(rng.IntN(int(balancer.NotSent)+1)))
 					}
 				case k == 8:
-					b := boxes(6).Boxes[rng.IntN(6)]
-					b.State, b.Boot = balancer.ServerState(rng.IntN(3)), time.Duration(rng.IntN(2))
-					e.Tell(t.Context(), Update{Boxes: []Box{b}})
+					b := boxes(6).Endpoints[rng.IntN(6)]
+					b.State, b.StartTime = balancer.ServerState(rng.IntN(3)), time.Duration(rng.IntN(2))
+					e.ApplyUpdate(t.Context(), Update{Endpoints: []Endpoint{b}})
 					off[b.ID] = b.State != balancer.Ready
 				case k == 9 && len(open) > 0 && rng.IntN(4) == 0:
 					c := open[rng.IntN(len(open))]
@@ -348,7 +348,7 @@
 				leave[c]()
 				if a, ok := <-answers[c]; ok {
 					answered++
-					if a.Verdict == Refused && mayHaveRun[c] && c.Request.Class == "unsafe" {
+					if a.Verdict == Rejected && mayHaveRun[c] && c.Request.Class == "unsafe" {
 						t.Fatalf("seed %d: refused, but may have run", seed)
 					}
 				}
@@ -379,12 +379,12 @@
 
 // A stream that breaks once it has begun is over: its call is answered, and nothing of it is kept.
 func TestBrokenStreamEndsItsCall(t *testing.T) {
-	for _, ending := range []balancer.Ending{balancer.Broken, balancer.Failure, balancer.Overloaded, balancer.TimedOut} {
+	for _, ending := range []balancer.Outcome{balancer.ConnectionLost, balancer.Failure, balancer.Overloaded, balancer.TimedOut} {
 		inBubble(t, 3, func(t *testing.T, e *Engine, s *scripted) {
 			got := asked(t.Context(), e, newCall(e, "1", "safe"))
 			a := next(t, s.started)
-			e.Began(a)
-			e.Ended(Result{Attempt: a, Ending: ending})
+			e.ResponseStarted(a)
+			e.AttemptEnded(Result{Attempt: a, Outcome: ending})
 			if answer := next(t, got); answer.Verdict != Failed {
 				t.Errorf("ending %v: answered %+v", ending, answer)
 			}
@@ -427,12 +427,12 @@
 			}
 		}
 		late := newCall(e, "late", "safe")
-		if _, err := e.Do(ctx, late); err != ErrLeft {
+		if _, err := e.Do(ctx, late); err != ErrClientGone {
 			t.Errorf("one that left before it came: %v", err)
 		}
 		close(free)
 		for _, a := range out {
-			go e.Ended(Result{Attempt: a, Ending: balancer.Void})
+			go e.AttemptEnded(Result{Attempt: a, Outcome: balancer.NotSent})
 		}
 		for _, got := range ended {
 			if a, answered := <-got; answered {
@@ -445,7 +445,7 @@
 			if a.MaySend(e.Clock.Now()) {
 				t.Errorf("a further attempt of %s may be sent", a.Call.Request.ID)
 			}
-			e.Ended(Result{Attempt: a, Ending: balancer.Void})
+			e.AttemptEnded(Result{Attempt: a, Outcome: balancer.NotSent})
 			synctest.Wait()
 		}
 		if len(e.calls) > 0 {
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -10,8 +10,8 @@
 
 // Lease says until when the list of servers may be relied on.
 type Lease struct {
-	Until time.Time // with a reading of the monotonic clock
-	Open  bool      // there is no end: the source is away, and has nothing that counts
+	Until     time.Time // with a reading of the monotonic clock
+	Unbounded bool      // there is no end: the source is away, and has nothing that counts
 }
 
 // lease is the one that is in force. Senders ask for it right before they write, whatever the loop is busy with.
@@ -38,10 +38,10 @@
 // expired says that the list may not be relied on at a time.
 func (l *lease) expired(now time.Duration) bool { return now >= l.until() }
 
-// Renew says until when the list may be relied on. It does not block, and holds at once for what has not been written.
-func (e *Engine) Renew(l Lease) {
+// RenewLease says until when the list may be relied on. It does not block, and holds at once for what has not been written.
+func (e *Engine) RenewLease(l Lease) {
 	until := time.Duration(math.MaxInt64)
-	if !l.Open {
+	if !l.Unbounded {
 		until = e.Clock.Of(l.Until)
 	}
 	e.lease.end.Store(int64(until))
@@ -58,5 +58,5 @@
 		return
 	}
 	e.expired = expired
-	e.decide(balancer.ListLease{Expired: expired})
+	e.decide(balancer.EndpointLease{Expired: expired})
 }
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -11,7 +11,7 @@
 func TestNothingIsSentOnAnExpiredList(t *testing.T) {
 	inBubble(t, 10, func(t *testing.T, e *Engine, s *scripted) {
 		const left = 300 * time.Millisecond
-		e.Renew(Lease{Until: time.Now().Add(left)})
+		e.RenewLease(Lease{Until: time.Now().Add(left)})
 		got := asked(t.Context(), e, newCall(e, "1", "unsafe"))
 		a := next(t, s.started)
 		if !a.MaySend(e.Clock.Now()) || a.MaySend(e.Clock.Now()+left) {
@@ -19,18 +19,18 @@
 		}
 		<-time.After(left)
 		refused := asked(t.Context(), e, newCall(e, "2", "unsafe"))
-		if a := next(t, refused); a.Verdict != Refused || a.RetryAfter == 0 {
+		if a := next(t, refused); a.Verdict != Rejected || a.RetryAfter == 0 {
 			t.Errorf("answered %+v", a)
 		}
-		e.Renew(Lease{Open: true})
+		e.RenewLease(Lease{Unbounded: true})
 		synctest.Wait()
 		served := asked(t.Context(), e, newCall(e, "3", "unsafe"))
 		b := next(t, s.started)
 		if !a.MaySend(e.Clock.Now()) || !b.MaySend(e.Clock.Now()) {
 			t.Error("nothing may be sent while discovery is away")
 		}
-		e.Ended(Result{Attempt: a, Reply: 1})
-		e.Ended(Result{Attempt: b, Reply: 2})
+		e.AttemptEnded(Result{Attempt: a, Reply: 1})
+		e.AttemptEnded(Result{Attempt: b, Reply: 2})
 		if a, b := next(t, got), next(t, served); a.Verdict != Served || b.Verdict != Served {
 			t.Errorf("answered %+v and %+v", a, b)
 		}
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -23,8 +23,8 @@
 
 // Why a drill can't be started.
 var (
-	ErrNone = errors.New("no drill can be started here")
-	ErrKey  = errors.New("the key is not that of a drill")
+	ErrNotConfigured = errors.New("no drill can be started here")
+	ErrWrongKey      = errors.New("the key is not that of a drill")
 )
 
 // Keys knows the secrets of the drills that can be started.
@@ -35,7 +35,7 @@
 }
 
 // NewKeys takes the drills of the settings, of which some may have no secret.
-func NewKeys(list []settings.Drill) *Keys {
+func NewKeys(list []settings.FaultInjection) *Keys {
 	k := &Keys{configured: len(list) > 0}
 	for _, d := range list {
 		if d.Secret != "" {
@@ -46,16 +46,16 @@
 	return k
 }
 
-// Asked says that a request asks for a drill. Where no drill is configured only the header tells: one without
+// Requested says that a request asks for a drill. Where no drill is configured only the header tells: one without
 // it is any other request.
-func (k *Keys) Asked(r *http.Request) bool {
+func (k *Keys) Requested(r *http.Request) bool {
 	return r.URL.Path == Path && r.Method == http.MethodPost && (k.configured || len(r.Header[Header]) > 0)
 }
 
 // Match finds the drill that a request's key starts, in a time that tells nothing of the secrets.
 func (k *Keys) Match(h http.Header) (name string, err error) {
 	if len(k.names) == 0 {
-		return "", ErrNone
+		return "", ErrNotConfigured
 	}
 	var sum [sha256.Size]byte
 	keys := h[Header]
@@ -68,7 +68,7 @@
 		}
 	}
 	if name == "" || len(keys) != 1 {
-		return "", ErrKey
+		return "", ErrWrongKey
 	}
 	return name, nil
 }
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestMatch(t *testing.T) {
-	two := NewKeys([]settings.Drill{{Name: "a", Secret: "one"}, {Name: "b", Secret: "two"}, {Name: "locked"}})
+	two := NewKeys([]settings.FaultInjection{{Name: "a", Secret: "one"}, {Name: "b", Secret: "two"}, {Name: "locked"}})
 	for _, c := range []struct {
 		keys   *Keys
 		sent   []string
@@ -20,10 +20,10 @@
 		reason error
 	}{
 		{two, []string{"one"}, "a", nil}, {two, []string{"two"}, "b", nil},
-		{two, nil, "", ErrKey}, {two, []string{""}, "", ErrKey}, {two, []string{"One"}, "", ErrKey},
-		{two, []string{"one", "one"}, "", ErrKey}, {two, []string{"", "one"}, "", ErrKey},
-		{NewKeys([]settings.Drill{{Name: "locked"}}), []string{""}, "", ErrNone},
-		{NewKeys(nil), []string{"one"}, "", ErrNone},
+		{two, nil, "", ErrWrongKey}, {two, []string{""}, "", ErrWrongKey}, {two, []string{"One"}, "", ErrWrongKey},
+		{two, []string{"one", "one"}, "", ErrWrongKey}, {two, []string{"", "one"}, "", ErrWrongKey},
+		{NewKeys([]settings.FaultInjection{{Name: "locked"}}), []string{""}, "", ErrNotConfigured},
+		{NewKeys(nil), []string{"one"}, "", ErrNotConfigured},
 	} {
 		name, err := c.keys.Match(http.Header{Header: c.sent})
 		if name != c.name || !errors.Is(err, c.reason) {
@@ -33,7 +33,7 @@
 }
 
 func TestAsked(t *testing.T) {
-	off, on := NewKeys(nil), NewKeys([]settings.Drill{{Name: "locked"}})
+	off, on := NewKeys(nil), NewKeys([]settings.FaultInjection{{Name: "locked"}})
 	for _, c := range []struct {
 		method, path, key string
 		off, on           bool
@@ -45,8 +45,8 @@
 		if c.key != "" {
 			r.Header.Set(Header, c.key)
 		}
-		if off.Asked(r) != c.off || on.Asked(r) != c.on {
-			t.Errorf("%+v: %v while off, %v while on", c, off.Asked(r), on.Asked(r))
+		if off.Requested(r) != c.off || on.Requested(r) != c.on {
+			t.Errorf("%+v: %v while off, %v while on", c, off.Requested(r), on.Requested(r))
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		case r.Header.Get(Header) == "elsewhere":
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		case r.Method != http.MethodPost || r.Header.Get(Header) != "one":
-			http.Error(w, ErrKey.Error(), http.StatusForbidden)
+			http.Error(w, ErrWrongKey.Error(), http.StatusForbidden)
 		default:
 			w.Write([]byte("drill=a started\n"))
 		}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -48,34 +48,34 @@
 }
 
 // goldenEstate has each field.
-func goldenEstate() Estate {
-	return Estate{Version: Version, Node: "n0", Listen: "127.0.0.1:5000", Settings: json.RawMessage(`{"Classes":[]}`),
-		Module: json.RawMessage(`{"Now":5}`), Seq: 41, ListAge: 3e9,
-		Boxes: []engine.Box{
-			{Server: balancer.Server{ID: "s-1", Zone: "z", Kind: "k", Cell: 2, State: balancer.Draining, Boot: 7}, Addr: "10.0.0.1:1"},
+func goldenEstate() HandoverState {
+	return HandoverState{Version: Version, Node: "n0", Listen: "127.0.0.1:5000", Settings: json.RawMessage(`{"Classes":[]}`),
+		BalancerState: json.RawMessage(`{"Now":5}`), ListVersion: 41, ListAge: 3e9,
+		Endpoints: []engine.Endpoint{
+			{Server: balancer.Server{ID: "s-1", Zone: "z", Kind: "k", Cell: 2, State: balancer.Draining, StartTime: 7}, Addr: "10.0.0.1:1"},
 			{Server: balancer.Server{ID: "s-2"}, Addr: "10.0.0.2:1"}},
-		Kept: Kept{Out: []string{"s-2", "s-3"}, Drained: true}}
+		OperatorState: OperatorState{DisabledServers: []string{"s-2", "s-3"}, OutOfService: true}}
 }
 
 // goldenWords are what Link and the node's processes say to each other.
-func goldenWords() []Word {
+func goldenWords() []Message {
 	drain, take := true, false
-	return []Word{{N: 1, Serves: true}, {Ack: 1}, {N: 2, Server: "s-1", Out: true}, {N: 3, Server: "s-1"}, {N: 4, Drain: &drain},
-		{N: 5, Drain: &take}}
+	return []Message{{ID: 1, Serving: true}, {AckID: 1}, {ID: 2, Server: "s-1", Disabled: true}, {ID: 3, Server: "s-1"}, {ID: 4, OutOfService: &drain},
+		{ID: 5, OutOfService: &take}}
 }
 
 // Every field of the examples is other than zero, or a golden file would not notice when its key changes.
 func TestGoldenExamplesHaveEveryField(t *testing.T) {
 	e := goldenEstate()
-	for _, v := range []any{e, e.Kept, e.Boxes[0], e.Boxes[0].Server} {
+	for _, v := range []any{e, e.OperatorState, e.Endpoints[0], e.Endpoints[0].Server} {
 		for i, value := 0, reflect.ValueOf(v); i < value.NumField(); i++ {
 			if value.Field(i).IsZero() {
 				t.Errorf("%T.%s is zero", v, value.Type().Field(i).Name)
 			}
 		}
 	}
-	for i, word := 0, reflect.TypeFor[Word](); i < word.NumField(); i++ {
-		if !slices.ContainsFunc(goldenWords(), func(w Word) bool { return !reflect.ValueOf(w).Field(i).IsZero() }) {
+	for i, word := 0, reflect.TypeFor[Message](); i < word.NumField(); i++ {
+		if !slices.ContainsFunc(goldenWords(), func(w Message) bool { return !reflect.ValueOf(w).Field(i).IsZero() }) {
 			t.Errorf("Word.%s is zero in every word", word.Field(i).Name)
 		}
 	}
@@ -86,8 +86,8 @@
 	path, ln := place(t), listening(t)
 	given := goldenEstate()
 	given.Version = 0 // Give fills it in
-	offering(t, path, func(l *Link) {
-		if err := l.Give(given, ln); err != nil {
+	offering(t, path, func(l *Conn) {
+		if err := l.HandOver(given, ln); err != nil {
 			t.Error(err)
 		}
 	})
@@ -112,7 +112,7 @@
 func TestGoldenEstateIsRead(t *testing.T) {
 	path, ln := place(t), listening(t)
 	text := goldenFile(t, "estate.json")
-	offering(t, path, func(l *Link) {
+	offering(t, path, func(l *Conn) {
 		raw, err := ln.SyscallConn()
 		if err != nil {
 			t.Error(err)
@@ -130,7 +130,7 @@
 			t.Error(err)
 		}
 	})
-	got, socket, link, err := Claim(path, "n0", "127.0.0.1:5000")
+	got, socket, link, err := TakeOver(path, "n0", "127.0.0.1:5000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,11 +142,11 @@
 }
 
 // pipe is a Link and what is at its other end.
-func pipe(t *testing.T) (*Link, *net.UnixConn) {
+func pipe(t *testing.T) (*Conn, *net.UnixConn) {
 	t.Helper()
-	ends := make(chan *Link, 1)
+	ends := make(chan *Conn, 1)
 	path, done := place(t), make(chan struct{})
-	offering(t, path, func(l *Link) {
+	offering(t, path, func(l *Conn) {
 		ends <- l
 		<-done
 	})
@@ -185,10 +185,10 @@
 	}
 	acked := make(chan struct{})
 	l.waits[1] = acked
-	var got, want []Word
-	l.Run(func(w Word) { got = append(got, w) })
+	var got, want []Message
+	l.Run(func(w Message) { got = append(got, w) })
 	for _, w := range goldenWords() {
-		if w.Ack == 0 {
+		if w.AckID == 0 {
 			want = append(want, w)
 		}
 	}
@@ -211,18 +211,18 @@
 
 // What operators said stands on disk over an upgrade: in the body of a file of package state.
 func TestGoldenKept(t *testing.T) {
-	keeper := func() *Keeper { return NewKeeper(place(t), "n0", "127.0.0.1:5000", func() {}) }
+	keeper := func() *Store { return NewStore(place(t), "n0", "127.0.0.1:5000", func() {}) }
 	k := keeper()
-	if err := k.Keep(context.Background(), func() (Kept, error) { return goldenEstate().Kept, nil }); err != nil {
+	if err := k.Save(context.Background(), func() (OperatorState, error) { return goldenEstate().OperatorState, nil }); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "kept.json", k.Keeper.Read().Body)
+	golden(t, "kept.json", k.Store.Read().Body)
 
 	k = keeper()
 	if err := state.Write(k.Path, k.Owner, goldenFile(t, "kept.json")); err != nil {
 		t.Fatal(err)
 	}
-	if got, found := k.Read(); !reflect.DeepEqual(got, goldenEstate().Kept) {
-		t.Errorf("read %+v, %v", got, found.Bad)
+	if got, found := k.Read(); !reflect.DeepEqual(got, goldenEstate().OperatorState) {
+		t.Errorf("read %+v, %v", got, found.Errors)
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -26,38 +26,38 @@
 	longest  = 100         // bytes of a socket's path; the system takes 107
 )
 
-// Estate is what a node knows.
-type Estate struct {
-	Version  int             `json:"Version"`
-	Node     string          `json:"Node"`
-	Listen   string          `json:"Listen"`
-	Settings json.RawMessage `json:"Settings"` // the module's, by which Module was made
-	Module   json.RawMessage `json:"Module"`   // as deckrelay.Inherit takes it
-	Boxes    []engine.Box    `json:"Boxes"`    // in service
-	Seq      int64           `json:"Seq"`      // of discovery
-	ListAge  time.Duration   `json:"ListAge"`  // since it was last known to be all that discovery had; earlier builds do not say
-	Kept
+// HandoverState is what a node knows.
+type HandoverState struct {
+	Version       int               `json:"Version"`
+	Node          string            `json:"Node"`
+	Listen        string            `json:"Listen"`
+	Settings      json.RawMessage   `json:"Settings"` // the module's, by which Module was made
+	BalancerState json.RawMessage   `json:"Module"`   // as deckrelay.Inherit takes it
+	Endpoints     []engine.Endpoint `json:"Boxes"`    // in service
+	ListVersion   int64             `json:"Seq"`      // of discovery
+	ListAge       time.Duration     `json:"ListAge"`  // since it was last known to be all that discovery had; earlier builds do not say
+	OperatorState
 }
 
-// Kept is the part of an estate that also stands in a file.
-type Kept struct {
-	Out     []string `json:"Out"`     // servers out by hand
-	Drained bool     `json:"Drained"` // clients are sent away
+// OperatorState is the part of an estate that also stands in a file.
+type OperatorState struct {
+	DisabledServers []string `json:"Out"`     // servers out by hand
+	OutOfService    bool     `json:"Drained"` // clients are sent away
 }
 
-// Word is what one process tells the other.
-type Word struct {
-	N      int    `json:"n,omitempty"`   // asks for an answer
-	Ack    int    `json:"ack,omitempty"` // is one
-	Serves bool   `json:"serves,omitempty"`
-	Server string `json:"server,omitempty"` // by hand
-	Out    bool   `json:"out,omitempty"`
-	Drain  *bool  `json:"drain,omitempty"` // clients are sent away, or taken again
+// Message is what one process tells the other.
+type Message struct {
+	ID           int    `json:"n,omitempty"`   // asks for an answer
+	AckID        int    `json:"ack,omitempty"` // is one
+	Serving      bool   `json:"serves,omitempty"`
+	Server       string `json:"server,omitempty"` // by hand
+	Disabled     bool   `json:"out,omitempty"`
+	OutOfService *bool  `json:"drain,omitempty"` // clients are sent away, or taken again
 }
 
-// Path is where the processes of a node meet, and beside which it keeps what operators said. An error says that they
+// SocketPath is where the processes of a node meet, and beside which it keeps what operators said. An error says that they
 // can't meet there; what is kept can be.
-func Path(dir, node, listen string) (string, error) {
+func SocketPath(dir, node, listen string) (string, error) {
 	sum := fnv.New64a()
 	fmt.Fprintf(sum, "%s\n%s", node, listen)
 	path := filepath.Join(dir, fmt.Sprintf("hookwalk-%016x.sock", sum.Sum64()))
@@ -69,9 +69,9 @@
 
 // ---- The heir ----
 
-// Claim asks the process that serves at a path for its estate. The link is to be run.
-func Claim(path, node, listen string) (Estate, net.Listener, *Link, error) {
-	var e Estate
+// TakeOver asks the process that serves at a path for its estate. The link is to be run.
+func TakeOver(path, node, listen string) (HandoverState, net.Listener, *Conn, error) {
+	var e HandoverState
 	nc, err := net.DialTimeout("unix", path, patience)
 	if err != nil {
 		return e, nil, nil, err
@@ -119,13 +119,13 @@
 
 // ---- The one that hands over ----
 
-// Offer is a place where heirs can ask.
-type Offer struct {
+// Listener is a place where heirs can ask.
+type Listener struct {
 	ln *net.UnixListener
 }
 
-// NewOffer opens the place, in the stead of whoever had it before.
-func NewOffer(path string) (*Offer, error) {
+// Listen opens the place, in the stead of whoever had it before.
+func Listen(path string) (*Listener, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
@@ -138,11 +138,11 @@
 		os.Remove(fresh)
 		return nil, err
 	}
-	return &Offer{ln}, nil
+	return &Listener{ln}, nil
 }
 
 // Accept waits for an heir.
-func (o *Offer) Accept() (*Link, error) {
+func (o *Listener) Accept() (*Conn, error) {
 	c, err := o.ln.AcceptUnix()
 	if err != nil {
 		return nil, err
@@ -151,10 +151,10 @@
 }
 
 // Close ends Accept. The path stays: nobody answers there.
-func (o *Offer) Close() error { return o.ln.Close() }
+func (o *Listener) Close() error { return o.ln.Close() }
 
-// Give hands an estate and the listener to an heir. Words that were told meanwhile follow it.
-func (l *Link) Give(e Estate, ln *net.TCPListener) error {
+// HandOver hands an estate and the listener to an heir. Words that were told meanwhile follow it.
+func (l *Conn) HandOver(e HandoverState, ln *net.TCPListener) error {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return err
@@ -178,8 +178,8 @@
 
 // ---- Both ----
 
-// Link is the connection between two processes of a node.
-type Link struct {
+// Conn is the connection between two processes of a node.
+type Conn struct {
 	c  *net.UnixConn
 	in *json.Decoder
 
@@ -190,44 +190,44 @@
 	end   sync.Once
 }
 
-func newLink(c *net.UnixConn) *Link {
-	return &Link{c: c, in: json.NewDecoder(c), waits: map[int]chan struct{}{}, over: make(chan struct{})}
+func newLink(c *net.UnixConn) *Conn {
+	return &Conn{c: c, in: json.NewDecoder(c), waits: map[int]chan struct{}{}, over: make(chan struct{})}
 }
 
-// ErrOver says that the other process is gone, or does not answer.
-var ErrOver = errors.New("the other process is gone")
+// ErrPeerGone says that the other process is gone, or does not answer.
+var ErrPeerGone = errors.New("the other process is gone")
 
 // Run hands every word of the other process to take, in order, and answers it after, until the link ends.
-func (l *Link) Run(take func(Word)) {
+func (l *Conn) Run(take func(Message)) {
 	defer l.Close()
 	for {
-		var w Word
+		var w Message
 		if l.in.Decode(&w) != nil {
 			return
 		}
-		if w.Ack > 0 {
+		if w.AckID > 0 {
 			l.mu.Lock()
-			if done := l.waits[w.Ack]; done != nil {
+			if done := l.waits[w.AckID]; done != nil {
 				close(done)
-				delete(l.waits, w.Ack)
+				delete(l.waits, w.AckID)
 			}
 			l.mu.Unlock()
 			continue
 		}
 		take(w)
-		if w.N > 0 && l.write(Word{Ack: w.N}) != nil {
+		if w.ID > 0 && l.write(Message{AckID: w.ID}) != nil {
 			return
 		}
 	}
 }
 
-// Tell tells the other process a word and waits until it has taken it.
-func (l *Link) Tell(w Word, patience time.Duration) error {
+// Send tells the other process a word and waits until it has taken it.
+func (l *Conn) Send(w Message, patience time.Duration) error {
 	done := make(chan struct{})
 	l.mu.Lock()
 	l.next++
-	w.N = l.next
-	l.waits[w.N] = done
+	w.ID = l.next
+	l.waits[w.ID] = done
 	l.mu.Unlock()
 	if err := l.write(w); err != nil {
 		return err
@@ -240,24 +240,24 @@
 	case <-l.over:
 	case <-late.C:
 		l.mu.Lock()
-		delete(l.waits, w.N)
+		delete(l.waits, w.ID)
 		l.mu.Unlock()
 	}
-	return ErrOver
+	return ErrPeerGone
 }
 
-func (l *Link) write(w Word) error {
+func (l *Conn) write(w Message) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.c.SetWriteDeadline(time.Now().Add(patience))
 	return json.NewEncoder(l.c).Encode(w)
 }
 
-// Over is closed when the link has ended.
-func (l *Link) Over() <-chan struct{} { return l.over }
+// Done is closed when the link has ended.
+func (l *Conn) Done() <-chan struct{} { return l.over }
 
 // Close ends the link.
-func (l *Link) Close() {
+func (l *Conn) Close() {
 	l.end.Do(func() {
 		close(l.over)
 		l.c.Close()
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -17,7 +17,7 @@
 
 func place(t *testing.T) string {
 	t.Helper()
-	path, err := Path(t.TempDir(), "n0", "127.0.0.1:5000")
+	path, err := SocketPath(t.TempDir(), "n0", "127.0.0.1:5000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,9 +36,9 @@
 }
 
 // offering answers the first heir with f.
-func offering(t *testing.T, path string, f func(*Link)) {
+func offering(t *testing.T, path string, f func(*Conn)) {
 	t.Helper()
-	o, err := NewOffer(path)
+	o, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,23 +60,23 @@
 // copy. Words come in order, each answered after it was taken.
 func TestWhatAnHeirGets(t *testing.T) {
 	path, ln := place(t), listening(t)
-	estate := Estate{Node: "n0", Listen: "127.0.0.1:5000", Module: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
-		Boxes: []engine.Box{{Server: balancer.Server{ID: "s-1", Boot: 7}, Addr: "10.0.0.1:1"}}, Seq: 41,
-		Kept: Kept{Out: []string{"s-2"}, Drained: true}}
+	estate := HandoverState{Node: "n0", Listen: "127.0.0.1:5000", BalancerState: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
+		Endpoints: []engine.Endpoint{{Server: balancer.Server{ID: "s-1", StartTime: 7}, Addr: "10.0.0.1:1"}}, ListVersion: 41,
+		OperatorState: OperatorState{DisabledServers: []string{"s-2"}, OutOfService: true}}
 	var wg sync.WaitGroup
-	var told []Word
-	offering(t, path, func(l *Link) {
-		if err := l.Give(estate, ln); err != nil {
+	var told []Message
+	offering(t, path, func(l *Conn) {
+		if err := l.HandOver(estate, ln); err != nil {
 			t.Error(err)
 		}
-		l.Run(func(w Word) { told = append(told, w) })
+		l.Run(func(w Message) { told = append(told, w) })
 	})
 	waiting, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer waiting.Close()
-	got, heir, link, err := Claim(path, "n0", "127.0.0.1:5000")
+	got, heir, link, err := TakeOver(path, "n0", "127.0.0.1:5000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,51 +89,51 @@
 	if err != nil || c.RemoteAddr().String() != waiting.LocalAddr().String() {
 		t.Errorf("accepted %v, %v, and %v had waited", c, err, waiting.LocalAddr())
 	}
-	wg.Go(func() { link.Run(func(Word) {}) })
+	wg.Go(func() { link.Run(func(Message) {}) })
 	for i := range 3 {
-		if err := link.Tell(Word{Server: "s", Out: i%2 == 0}, 10*time.Second); err != nil {
+		if err := link.Send(Message{Server: "s", Disabled: i%2 == 0}, 10*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if len(told) != i+1 || told[i].Out != (i%2 == 0) { // answered, so it was taken
+		if len(told) != i+1 || told[i].Disabled != (i%2 == 0) { // answered, so it was taken
 			t.Errorf("told %v", told)
 		}
 	}
 	link.Close()
 	wg.Wait()
-	if link.Tell(Word{}, time.Second) == nil {
+	if link.Send(Message{}, time.Second) == nil {
 		t.Error("told to nobody")
 	}
 }
 
 // An old process that is of no use hands nothing over, and soon.
 func TestClaimOfNoUse(t *testing.T) {
-	good := Estate{Node: "n0", Listen: "l"}
+	good := HandoverState{Node: "n0", Listen: "l"}
 	for name, f := range map[string]func(t *testing.T, path string){
 		"nobody there": func(t *testing.T, path string) {},
 		"a plain file": func(t *testing.T, path string) { os.WriteFile(path, []byte("x"), 0o600) },
 		"a stale socket": func(t *testing.T, path string) {
-			o, err := NewOffer(path)
+			o, err := Listen(path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			o.Close()
 		},
 		"hung": func(t *testing.T, path string) {
-			offering(t, path, func(l *Link) { io.Copy(io.Discard, l.c) })
+			offering(t, path, func(l *Conn) { io.Copy(io.Discard, l.c) })
 		},
-		"ends at once": func(t *testing.T, path string) { offering(t, path, func(*Link) {}) },
+		"ends at once": func(t *testing.T, path string) { offering(t, path, func(*Conn) {}) },
 		"no listener": func(t *testing.T, path string) {
-			offering(t, path, func(l *Link) { l.c.Write([]byte("h{}\n")) })
+			offering(t, path, func(l *Conn) { l.c.Write([]byte("h{}\n")) })
 		},
 		"half an estate": func(t *testing.T, path string) {
-			offering(t, path, func(l *Link) {
+			offering(t, path, func(l *Conn) {
 				long := good
-				long.Module = json.RawMessage(`"` + strings.Repeat("x", 1<<20) + `"`)
+				long.BalancerState = json.RawMessage(`"` + strings.Repeat("x", 1<<20) + `"`)
 				l.c.SetWriteBuffer(1 << 12)
 				ln := listening(t)
 				given := make(chan struct{})
 				go func() {
-					l.Give(long, ln)
+					l.HandOver(long, ln)
 					close(given)
 				}()
 				l.c.SetReadDeadline(time.Now()) // the heir reads nothing of it before it is cut
@@ -142,14 +142,14 @@
 			})
 		},
 		"another node": func(t *testing.T, path string) {
-			offering(t, path, func(l *Link) { l.Give(Estate{Node: "n1", Listen: "l"}, listening(t)) })
+			offering(t, path, func(l *Conn) { l.HandOver(HandoverState{Node: "n1", Listen: "l"}, listening(t)) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := place(t)
 			f(t, path)
 			begin := time.Now()
-			_, ln, link, err := Claim(path, "n0", "l")
+			_, ln, link, err := TakeOver(path, "n0", "l")
 			if err == nil || ln != nil || link != nil {
 				t.Errorf("got %v, %v, %v", ln, link, err)
 			}
@@ -163,28 +163,28 @@
 // What an operator said is found again by the same node, of the build before too; another node's is not.
 func TestFile(t *testing.T) {
 	path := place(t)
-	mine := NewKeeper(path, "n0", "a:1", func() {})
-	if k, found := mine.Read(); found.Body != nil || found.Bad != nil || !reflect.DeepEqual(k, Kept{}) {
+	mine := NewStore(path, "n0", "a:1", func() {})
+	if k, found := mine.Read(); found.Body != nil || found.Errors != nil || !reflect.DeepEqual(k, OperatorState{}) {
 		t.Errorf("without a file: %v, %v", k, found)
 	}
-	for _, want := range []Kept{{}, {Out: []string{"s-1", "s-2"}, Drained: true}} {
-		if err := mine.Keep(t.Context(), func() (Kept, error) { return want, nil }); err != nil {
+	for _, want := range []OperatorState{{}, {DisabledServers: []string{"s-1", "s-2"}, OutOfService: true}} {
+		if err := mine.Save(t.Context(), func() (OperatorState, error) { return want, nil }); err != nil {
 			t.Fatal(err)
 		}
-		if k, found := mine.Read(); found.Bad != nil || !reflect.DeepEqual(k, want) {
+		if k, found := mine.Read(); found.Errors != nil || !reflect.DeepEqual(k, want) {
 			t.Errorf("got %v, %v", k, found)
 		}
 	}
-	for _, other := range []*Keeper{NewKeeper(path, "n1", "a:1", func() {}), NewKeeper(path, "n0", "a:2", func() {})} {
-		if k, found := other.Read(); len(found.Bad) != 2 || !reflect.DeepEqual(k, Kept{}) {
+	for _, other := range []*Store{NewStore(path, "n1", "a:1", func() {}), NewStore(path, "n0", "a:2", func() {})} {
+		if k, found := other.Read(); len(found.Errors) != 2 || !reflect.DeepEqual(k, OperatorState{}) {
 			t.Errorf("another node got %v, %v", k, found)
 		}
 	}
-	many := Kept{Out: make([]string, balancer.MostHands+1)}
-	if err := mine.Keep(t.Context(), func() (Kept, error) { return many, nil }); err != nil {
+	many := OperatorState{DisabledServers: make([]string, balancer.MaxOverrides+1)}
+	if err := mine.Save(t.Context(), func() (OperatorState, error) { return many, nil }); err != nil {
 		t.Fatal(err)
 	}
-	if k, found := mine.Read(); found.Body != nil || len(found.Bad) != 1 || !reflect.DeepEqual(k, Kept{}) {
-		t.Errorf("too many: %v", found.Bad)
+	if k, found := mine.Read(); found.Body != nil || len(found.Errors) != 1 || !reflect.DeepEqual(k, OperatorState{}) {
+		t.Errorf("too many: %v", found.Errors)
 	}
 }
--- a/internal/lab/blackbox/blackbox.go
+++ b/internal/lab/blackbox/blackbox.go
@@ -245,7 +245,7 @@
 		}
 		c.ended(e, key, how)
 	case Broke:
-		c.ended(e, key, balancer.Broken)
+		c.ended(e, key, balancer.ConnectionLost)
 	case Given:
 		c.ended(e, key, balancer.TimedOut)
 	case Boot:
@@ -261,7 +261,7 @@
 			for n, server := range s.out {
 				if server == e.Server {
 					s.out[n] = ""
-					c.audit.Ended(e.At, key.node, key.id, n, balancer.Broken)
+					c.audit.Ended(e.At, key.node, key.id, n, balancer.ConnectionLost)
 				}
 			}
 		}
@@ -343,7 +343,7 @@
 }
 
 // ended is the end of the latest attempt of a call that is out at a server.
-func (c *evaluator) ended(e Event, key call, how balancer.Ending) {
+func (c *evaluator) ended(e Event, key call, how balancer.Outcome) {
 	s := c.calls[key]
 	if s == nil {
 		return
--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -25,7 +25,7 @@
 func head() Head {
 	return Head{Overlap: 100 * ms,
 		Rules:   scenario.Rules{MaxAttempts: 3, DrainGrace: 250 * ms, FallMultiple: 3, Fall: time.Second, Slack: 50 * ms},
-		Classes: []scenario.Class{{Name: "block-view", Effect: balancer.Safe}, {Name: "bin-weighin", Effect: balancer.Unsafe}},
+		Classes: []scenario.Class{{Name: "block-view", Effect: balancer.Idempotent}, {Name: "bin-weighin", Effect: balancer.NonIdempotent}},
 		Kinds:   map[string]scenario.Kind{"s1": {Cores: 1, Speed: 1, ColdFrom: 0.3, Cold: 10 * time.Second}},
 		Means:   map[string]time.Duration{"s1": 20 * ms}}
 }
--- a/internal/lab/blackbox/clock.go
+++ b/internal/lab/blackbox/clock.go
@@ -51,12 +51,12 @@
 			s.held = append(s.held, e)
 		case e.What == Hears && s != nil:
 			for _, t := range s.held {
-				if bound := max(t.At, s.since+endpointlease.Told); e.Ready {
+				if bound := max(t.At, s.since+endpointlease.NotificationDeadline); e.Ready {
 					add(t, min(e.At, bound))
 				} else if s.seen && bound < e.At-e.Budget { // it kept the watch for longer than the clock lets it
 					add(t, bound)
 				} else {
-					add(t, e.At+endpointlease.Told) // from then on discovery could be reached
+					add(t, e.At+endpointlease.NotificationDeadline) // from then on discovery could be reached
 				}
 			}
 			delete(silent, call{e.Node, e.ID})
@@ -67,7 +67,7 @@
 	for _, s := range silent { // these are open to the end
 		for _, t := range s.held {
 			if s.seen {
-				add(t, max(t.At, s.since+endpointlease.Told))
+				add(t, max(t.At, s.since+endpointlease.NotificationDeadline))
 			}
 		}
 	}
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -239,7 +239,7 @@
 		a.broke(KnownBox, now, node, id, box, "the node was never told of it")
 	}
 	for _, t := range r.attempts { // whichever of the two came first: it may have run when the other was sent
-		if !t.never && a.classes[r.class].Effect == balancer.Unsafe {
+		if !t.never && a.classes[r.class].Effect == balancer.NonIdempotent {
 			a.broke(NoSecondRun, now, node, id, box, "sent here and to %s, and each may have run it", t.box)
 			break
 		}
@@ -318,8 +318,8 @@
 	}
 	c := a.classes[r.class]
 	for _, t := range r.attempts {
-		late := c.Effect == balancer.Keyed && now > t.at+c.Window
-		if !t.never && (c.Effect == balancer.Unsafe || late) {
+		late := c.Effect == balancer.IdempotentWithKey && now > t.at+c.Window
+		if !t.never && (c.Effect == balancer.NonIdempotent || late) {
 			a.broke(NoSecondRun, now, node, id, box, "sent again though %s may have run it", t.box)
 			break
 		}
@@ -342,19 +342,19 @@
 	if r == nil {
 		return
 	}
-	if r.ran++; r.ran > 1 && a.classes[r.class].Effect == balancer.Unsafe {
+	if r.ran++; r.ran > 1 && a.classes[r.class].Effect == balancer.NonIdempotent {
 		a.broke(NoSecondRun, now, node, id, box, "run %d of a request that must run once", r.ran)
 	}
 }
 
 // Ended is what a node was told of an attempt's end.
-func (a *Auditor) Ended(now time.Duration, node, id string, n int, e balancer.Ending) {
+func (a *Auditor) Ended(now time.Duration, node, id string, n int, e balancer.Outcome) {
 	at, r := a.find(node, id)
 	if r == nil || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
 	r.attempts[n].ended = true
-	r.attempts[n].never = e == balancer.Overloaded || e == balancer.Unreachable || e == balancer.Void
+	r.attempts[n].never = e == balancer.Overloaded || e == balancer.Unreachable || e == balancer.NotSent
 	if r.attempts[n].unseen {
 		return
 	}
@@ -386,7 +386,7 @@
 	if how == Served && r.ran == 0 {
 		a.broke(MadeUp, now, node, id, "", "served though no box has run it")
 	}
-	if how == Refused && a.classes[r.class].Effect == balancer.Unsafe {
+	if how == Refused && a.classes[r.class].Effect == balancer.NonIdempotent {
 		for _, t := range r.attempts {
 			if !t.never {
 				a.broke(Harmless, now, node, id, t.box, "refused though it may have run there")
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -125,7 +125,7 @@
 			if w.stormy() {
 				wait = 0
 			}
-		case !a.refused && class.Effect != balancer.Safe:
+		case !a.refused && class.Effect != balancer.Idempotent:
 			w.facts.over(r, w.now()-r.At, score.Failed)
 			return
 		}
--- a/internal/lab/loopback/facts.go
+++ b/internal/lab/loopback/facts.go
@@ -162,7 +162,7 @@
 	f.do(func() { f.audit.Ran(now, node, id, box) })
 }
 
-func (f *facts) ended(now time.Duration, node, id string, number int, e balancer.Ending) {
+func (f *facts) ended(now time.Duration, node, id string, number int, e balancer.Outcome) {
 	f.do(func() { f.audit.Ended(now, node, id, number, e) })
 }
 
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -65,18 +65,18 @@
 // config is the node's configuration file.
 func (p *process) config(known roster) ([]byte, error) {
 	set := model.Settings(p.w.s, p.tier, p.self, p.of)
-	effects := map[balancer.Effect]string{balancer.Safe: "read_like", balancer.Keyed: "idempotency_key", balancer.Unsafe: "non_idempotent"}
+	effects := map[balancer.Effect]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}
 	type object = map[string]any
 	var lanes, tenants []object
 	for _, c := range set.Classes {
-		lanes = append(lanes, object{"name": c.Name, "effect": effects[c.Effect], "key-scope": "all", "window-ms": millis(c.Window),
-			"target-ms": millis(c.Aim), "deadline-ms": millis(c.Deadline), "late-share": c.LateShare, "worth": c.Worth})
+		lanes = append(lanes, object{"name": c.Name, "effect": effects[c.Effect], "key-scope": "all", "window-ms": millis(c.DedupWindow),
+			"target-ms": millis(c.LatencyObjective), "deadline-ms": millis(c.Deadline), "late-share": c.LateCredit, "worth": c.PriorityWeight})
 	}
 	for _, t := range p.w.s.Tenants {
 		tenants = append(tenants, object{"name": t.Name})
 	}
 	mode := "pushed"
-	if set.AskDiscovery {
+	if set.PollDiscovery {
 		mode = "on_request"
 	}
 	listen := p.addr
@@ -90,14 +90,14 @@
 	return json.Marshal(object{"name": name, "listen": listen, "control": p.control, "discovery": p.w.lists.addr(p),
 		"seed":   strconv.FormatUint(model.Stream(p.w.s.Seed, "node "+p.place, p.life).Uint64(), 16),
 		"limits": object{"cores": 1, "memory_mb": 128, "sockets": 512}, "known": known,
-		"settings": object{"balancers": set.Balancers, "me": set.Self, "tier": set.Tier, "registry-mode": mode, "tick-ms": millis(set.Tick),
-			"zone": "", "blend": object{"whole": set.WholeWeight, "worst-class": set.ClassWeight},
-			"callers": object{"marks-retry": set.MarksRepeats}, "lanes": lanes, "tenants": tenants,
+		"settings": object{"balancers": set.Replicas, "me": set.ReplicaIndex, "tier": set.Tier, "registry-mode": mode, "tick-ms": millis(set.Tick),
+			"zone": "", "blend": object{"whole": set.TotalValueWeight, "worst-class": set.WorstClassWeight},
+			"callers": object{"marks-retry": set.ClientsMarkRetries}, "lanes": lanes, "tenants": tenants,
 			"limits": object{"max-attempts": set.MaxAttempts, "retry-after": true,
 				"max-retry-after-ms": millis(set.MaxRetryAfter), "conn-idle-ms": millis(p.w.s.Net.Idle),
 				"connect-timeout-ms": millis(p.w.s.Net.ConnectTimeout)},
-			"rules": object{"ask-within-ms": millis(set.AskWithin), "cold-from": set.ColdFrom, "warm-after-ms": millis(set.WarmAfter),
-				"fall-multiple": set.FallMultiple}}})
+			"rules": object{"ask-within-ms": millis(set.MaxPollInterval), "cold-from": set.SlowStartMinShare, "warm-after-ms": millis(set.SlowStartDuration),
+				"fall-multiple": set.OverloadMultiple}}})
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -309,7 +309,7 @@
 	}
 	c := p.w.s.Classes[class]
 	method := http.MethodPost
-	if c.Effect == balancer.Safe {
+	if c.Effect == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	q := url.Values{"work": {strconv.FormatFloat(work, 'g', -1, 64)}, "root": {root}, "node": {name}}
@@ -331,7 +331,7 @@
 	if repeat {
 		r.Header.Set("X-Again", "1")
 	}
-	if c.Effect == balancer.Keyed {
+	if c.Effect == balancer.IdempotentWithKey {
 		r.Header.Set("Idempotency-Key", id)
 	}
 	p.w.facts.taken(now, name, id, class, deadline)
@@ -341,7 +341,7 @@
 	resp, err := client.Do(r)
 	unread := func() bool {
 		if p.w.away != nil { // nobody here sees the boxes
-			return kept && c.Effect == balancer.Safe
+			return kept && c.Effect == balancer.Idempotent
 		}
 		return p.w.facts.unread(name, id)
 	}
--- a/internal/lab/loopback/server.go
+++ b/internal/lab/loopback/server.go
@@ -227,7 +227,7 @@
 	ending := balancer.Success
 	switch {
 	case status == 0:
-		ending = balancer.Broken
+		ending = balancer.ConnectionLost
 	case status == 503:
 		ending = balancer.Overloaded
 	case status != 200:
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -106,12 +106,12 @@
 // RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
 	const long = 24 * time.Hour // nothing is ever late, so that what the module does about lateness stays out
-	b, err := balancer.New(balancer.Settings{Balancers: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
-		Classes: []balancer.Class{{Name: "c", Aim: long, Deadline: long, Worth: 1}}}, seed)
+	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: long, Deadline: long, PriorityWeight: 1}}}, seed)
 	if err != nil {
 		return 0, err
 	}
-	list := balancer.ServerList{Full: true}
+	list := balancer.EndpointUpdate{Complete: true}
 	at := map[string]int{}
 	for i := range w.Servers {
 		id := "s-" + strconv.Itoa(1000+i)
@@ -132,7 +132,7 @@
 		}
 		return rng.IntN(w.Servers) // it never holds anything back here
 	}, func(now time.Duration, server, n int) {
-		b.Handle(now, balancer.Outcome{ID: strconv.Itoa(n), Server: names[server], Ending: balancer.Success, Ended: true})
+		b.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(n), Server: names[server], Outcome: balancer.Success, RequestDone: true})
 	})
 	return mean, nil
 }
--- a/internal/lab/policies/policies.go
+++ b/internal/lab/policies/policies.go
@@ -129,17 +129,17 @@
 func (p *plain) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	p.out = nil
 	switch e := e.(type) {
-	case balancer.ServerList:
+	case balancer.EndpointUpdate:
 		p.takeList(e)
-	case balancer.ListFailed:
+	case balancer.WatchFailed:
 		p.fails = min(p.fails+1, 4)
-		wait := float64(p.set.AskWithin) / 64 * float64(int(1)<<p.fails) * (0.5 + p.rng.Float64()/2)
-		p.do(balancer.Wake{At: now + time.Duration(wait) + 1, Token: "list"})
-	case balancer.Timer:
+		wait := float64(p.set.MaxPollInterval) / 64 * float64(int(1)<<p.fails) * (0.5 + p.rng.Float64()/2)
+		p.do(balancer.SetTimer{At: now + time.Duration(wait) + 1, Token: "list"})
+	case balancer.TimerFired:
 		p.do(balancer.Subscribe{})
 	case balancer.Request:
 		p.accept(now, e)
-	case balancer.Outcome:
+	case balancer.AttemptEnded:
 		p.outcome(now, e)
 	case balancer.ClientGone:
 		if r := p.open[e.ID]; r != nil {
@@ -150,17 +150,17 @@
 	return p.out
 }
 
-func (p *plain) takeList(e balancer.ServerList) {
-	if e.Full {
+func (p *plain) takeList(e balancer.EndpointUpdate) {
+	if e.Complete {
 		clear(p.boxes) // calls that are out keep the box that they went to
 		old := p.ready
 		for _, b := range old {
 			p.boxes[b.ID] = b
-			b.State = balancer.Gone
+			b.State = balancer.Removed
 		}
 	}
 	for _, s := range e.Servers {
-		if b := p.boxes[s.ID]; b != nil && b.Boot == s.Boot {
+		if b := p.boxes[s.ID]; b != nil && b.StartTime == s.StartTime {
 			b.Server = s
 		} else {
 			p.boxes[s.ID] = &box{Server: s}
@@ -171,12 +171,12 @@
 		switch b.State {
 		case balancer.Ready:
 			p.ready = append(p.ready, b)
-		case balancer.Gone:
+		case balancer.Removed:
 			delete(p.boxes, id)
 		}
 	}
 	slices.SortFunc(p.ready, func(a, b *box) int { return strings.Compare(a.ID, b.ID) })
-	if e.Cached && p.set.AskDiscovery {
+	if e.Cached && p.set.PollDiscovery {
 		p.do(balancer.Subscribe{})
 	} else {
 		p.fails = 0
@@ -200,12 +200,12 @@
 // next sends a request, or gives its final answer.
 func (p *plain) next(now time.Duration, id string, r *request) {
 	free := slices.DeleteFunc(slices.Clone(p.ready), func(b *box) bool { return slices.Contains(r.tried, b) })
-	if len(free) == 0 || len(r.tried) >= max(1, p.set.MaxAttempts) || r.mayRun && r.class.Effect != balancer.Safe || now >= r.deadline {
+	if len(free) == 0 || len(r.tried) >= max(1, p.set.MaxAttempts) || r.mayRun && r.class.Effect != balancer.Idempotent || now >= r.deadline {
 		r.answered = true
-		if r.mayRun && r.class.Effect != balancer.Safe {
+		if r.mayRun && r.class.Effect != balancer.Idempotent {
 			p.do(balancer.Fail{ID: id})
 		} else {
-			p.do(balancer.Refuse{ID: id})
+			p.do(balancer.Reject{ID: id})
 		}
 		p.forget(id, r)
 		return
@@ -217,17 +217,17 @@
 	p.do(balancer.Send{ID: id, Server: b.ID, Timeout: r.deadline - now})
 }
 
-func (p *plain) outcome(now time.Duration, e balancer.Outcome) {
+func (p *plain) outcome(now time.Duration, e balancer.AttemptEnded) {
 	r := p.open[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tried) {
 		return
 	}
 	r.tried[e.Attempt].calls--
 	r.out--
-	if e.Ending != balancer.Overloaded && e.Ending != balancer.Unreachable && e.Ending != balancer.Void {
+	if e.Outcome != balancer.Overloaded && e.Outcome != balancer.Unreachable && e.Outcome != balancer.NotSent {
 		r.mayRun = true
 	}
-	if e.Ended {
+	if e.RequestDone {
 		r.answered = true
 	}
 	if !r.answered && r.out == 0 {
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -10,13 +10,13 @@
 )
 
 func settings() balancer.Settings {
-	return balancer.Settings{Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, AskDiscovery: true, AskWithin: time.Second,
-		Classes: []balancer.Class{{Name: "safe", Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "unsafe", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}
+	return balancer.Settings{Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond, PollDiscovery: true, MaxPollInterval: time.Second,
+		Classes: []balancer.Class{{Name: "safe", Effect: balancer.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "unsafe", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-func listOf(n int) balancer.ServerList {
-	list := balancer.ServerList{Full: true}
+func listOf(n int) balancer.EndpointUpdate {
+	list := balancer.EndpointUpdate{Complete: true}
 	for i := range n {
 		list.Servers = append(list.Servers, balancer.Server{ID: "s-" + strconv.Itoa(100000+i)})
 	}
@@ -34,10 +34,10 @@
 		p.Handle(0, listOf(5))
 		for n, c := range []struct {
 			class   string
-			ending  balancer.Ending
+			ending  balancer.Outcome
 			sends   int
 			refused bool
-		}{{"safe", balancer.Overloaded, 3, true}, {"safe", balancer.Broken, 3, true},
+		}{{"safe", balancer.Overloaded, 3, true}, {"safe", balancer.ConnectionLost, 3, true},
 			{"unsafe", balancer.Unreachable, 3, true}, {"unsafe", balancer.Failure, 1, false}, {"unknown", balancer.TimedOut, 1, false}} {
 			id := strconv.Itoa(n)
 			out := p.Handle(0, balancer.Request{ID: id, Class: c.class, Deadline: time.Second})
@@ -53,10 +53,10 @@
 				if seen[s.Server] {
 					t.Errorf("%s: %s twice to %s", name, id, s.Server)
 				}
-				out = p.Handle(0, balancer.Outcome{ID: id, Attempt: len(seen), Server: s.Server, Ending: c.ending})
+				out = p.Handle(0, balancer.AttemptEnded{ID: id, Attempt: len(seen), Server: s.Server, Outcome: c.ending})
 				seen[s.Server] = true
 			}
-			if _, refused := out[0].(balancer.Refuse); refused != c.refused || len(seen) != c.sends {
+			if _, refused := out[0].(balancer.Reject); refused != c.refused || len(seen) != c.sends {
 				t.Errorf("%s, %+v: %d sends, then %T", name, c, len(seen), out[0])
 			}
 		}
@@ -72,16 +72,16 @@
 	p.Handle(0, listOf(2))
 	p.Handle(0, balancer.Request{ID: "a", Class: "safe", Deadline: time.Second})
 	one := listOf(2)
-	one.Full, one.Servers[0].State, one.Servers[1].State = false, balancer.Draining, balancer.Gone
+	one.Complete, one.Servers[0].State, one.Servers[1].State = false, balancer.Draining, balancer.Removed
 	p.Handle(0, one)
-	if out := p.Handle(0, balancer.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (balancer.Refuse{ID: "b"}) {
+	if out := p.Handle(0, balancer.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (balancer.Reject{ID: "b"}) {
 		t.Errorf("with no ready box: %v", out)
 	}
-	if out := p.Handle(0, balancer.Outcome{ID: "a", Ending: balancer.Success, Ended: true}); len(out) != 0 {
+	if out := p.Handle(0, balancer.AttemptEnded{ID: "a", Outcome: balancer.Success, RequestDone: true}); len(out) != 0 {
 		t.Errorf("a call that was out: %v", out)
 	}
 	back := listOf(2)
-	back.Servers[0].Boot = time.Second
+	back.Servers[0].StartTime = time.Second
 	p.Handle(0, back)
 	for i := range 20 {
 		if out := p.Handle(0, balancer.Request{ID: strconv.Itoa(i), Class: "safe", Deadline: time.Second}); len(out) != 1 {
@@ -111,7 +111,7 @@
 					now += 100 * time.Microsecond
 					k := i % out
 					if i >= out {
-						p.Handle(now, balancer.Outcome{ID: strconv.Itoa(k), Server: servers[k], Ending: balancer.Success, Ended: true})
+						p.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(k), Server: servers[k], Outcome: balancer.Success, RequestDone: true})
 					}
 					for _, a := range p.Handle(now, balancer.Request{ID: strconv.Itoa(k), Class: "unsafe", Deadline: now + 2*time.Second}) {
 						if s, ok := a.(balancer.Send); ok {
@@ -133,7 +133,7 @@
 			}
 			list := listOf(boxes)
 			p.Handle(0, list)
-			one := balancer.ServerList{Servers: list.Servers[:1]}
+			one := balancer.EndpointUpdate{Servers: list.Servers[:1]}
 			now := time.Second
 			for i := 0; b.Loop(); i++ {
 				now += time.Millisecond
--- a/internal/lab/scale/discovery_fleet.go
+++ b/internal/lab/scale/discovery_fleet.go
@@ -127,7 +127,7 @@
 
 func newHollowSource(options DiscoveryFleetOptions, fleet *DiscoveryFleet, index int) *hollowSource {
 	h := &hollowSource{fleet: fleet, index: index}
-	config := discovery.Config{Addr: options.Addr, Asked: options.Asked, AskWithin: askWithin, Version: options.Version}
+	config := discovery.Config{Addr: options.Addr, Polled: options.Asked, MaxPollInterval: askWithin, Version: options.Version}
 	h.source = discovery.New(config, slog.New(slog.DiscardHandler), h.tell)
 	if options.Dial != nil {
 		h.source.Client.Transport.(*http.Transport).DialContext = options.Dial
--- a/internal/lab/scale/discovery_queue.go
+++ b/internal/lab/scale/discovery_queue.go
@@ -208,7 +208,7 @@
 // one, until the caller goes or the watches end.
 func (q *DiscoveryQueue) follow(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder, flusher := json.NewEncoder(w), w.(http.Flusher)
-	heartbeat := time.NewTicker(endpointlease.Beat)
+	heartbeat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		list, news, ended := q.since(version)
--- a/internal/lab/scale/hollowsession.go
+++ b/internal/lab/scale/hollowsession.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return &configapi.Rejection{Kind: configapi.RejectUnreadable, Message: err.Error()}
 	}
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return &configapi.Rejection{Kind: configapi.RejectInvalid, Message: err.Error()}
 	}
 	a.take(config)
@@ -81,11 +81,11 @@
 			return nil, err
 		}
 		options.Store = configwatch.NewStore(folder, node.Name, log)
-		if options.Kept, err = options.Store.Read(); err != nil {
+		if options.LastKnownGood, err = options.Store.Read(); err != nil {
 			return nil, err
 		}
 	}
-	if kept := options.Kept; kept.Version > 0 {
+	if kept := options.LastKnownGood; kept.Version > 0 {
 		if kept.Config != nil {
 			applier.take(*kept.Config)
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -252,7 +252,7 @@
 	}
 	for _, need := range []string{"scenario", "tier", "class"} {
 		if len(byKind[need]) == 0 {
-			return nil, settings.Fault(name, 1, "no block %s", need)
+			return nil, settings.ErrorAt(name, 1, "no block %s", need)
 		}
 	}
 	if len(s.Tenants) == 0 {
@@ -302,7 +302,7 @@
 	byKind := map[string][]*settings.Reader{}
 	for _, b := range blocks {
 		if !slices.Contains(order, b.Kind) {
-			return nil, settings.Fault(name, b.Line, "unknown block %s", b.Kind)
+			return nil, settings.ErrorAt(name, b.Line, "unknown block %s", b.Kind)
 		}
 		byKind[b.Kind] = append(byKind[b.Kind], settings.NewReader(name, b))
 	}
@@ -313,12 +313,12 @@
 func under(byKind map[string][]*settings.Reader, name, base string, head *settings.Reader, read func(string) ([]byte, error)) error {
 	line, _ := head.Has("base")
 	if base != filepath.Base(base) {
-		return settings.Fault(name, line, "base must name a file in the same folder")
+		return settings.ErrorAt(name, line, "base must name a file in the same folder")
 	}
 	path := filepath.Join(filepath.Dir(name), base)
 	text, err := read(path)
 	if err != nil {
-		return settings.Fault(name, line, "base: %w", err)
+		return settings.ErrorAt(name, line, "base: %w", err)
 	}
 	below, err := group(path, text)
 	if err != nil {
@@ -326,7 +326,7 @@
 	}
 	if h := below["scenario"]; len(h) > 0 {
 		if at, ok := h[0].Has("base"); ok {
-			return settings.Fault(path, at, "a base has no base of its own")
+			return settings.ErrorAt(path, at, "a base has no base of its own")
 		}
 	}
 	for _, kind := range order {
@@ -345,11 +345,11 @@
 
 func (s *Scenario) takeHead(r *settings.Reader, again bool) {
 	if again {
-		r.Fail(r.Block.Line, "block scenario is there already")
+		r.AddError(r.Block.Line, "block scenario is there already")
 	}
 	s.Name = r.Label()
 	r.Text("base", "") // Parse has read it
-	s.Seed = uint64(r.Whole("seed", 1, 0, 1<<53))
+	s.Seed = uint64(r.Integer("seed", 1, 0, 1<<53))
 	s.Length = r.Seconds("length_s", 30*time.Second, ms, day)
 	s.Policy = r.OneOf("policy", Policies...)
 }
@@ -357,47 +357,47 @@
 func (s *Scenario) takeTier(r *settings.Reader, _ bool) {
 	t := Tier{Name: r.Label(), Work: r.Number("work", 1, 0.0001, 100), Calls: r.Number("calls", 1, 0, 20)}
 	if slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Name }) {
-		r.Fail(r.Block.Line, "tier %s is there already", t.Name)
-	}
-	for _, k := range r.Inner("kind") {
-		kind := Kind{Name: k.Label(), Count: k.Whole("count", 1, 1, 100000), Cores: k.Number("cores", 2, 0.01, 1024),
-			Speed: k.Number("speed", 1, 0.0001, 1000), Slots: k.Whole("slots", 64, 1, 1<<20),
-			Queue: k.Whole("queue", 32, 0, 1<<20), Thrash: k.Number("thrash", 0.1, 0, 100),
-			ThrashAt: k.Whole("thrash_at", 48, 1, 1<<20), ColdFrom: k.Number("cold_from", 0.35, 0.001, 1),
-			Cold: k.Seconds("cold_s", 6*time.Second, 0, time.Hour), Conns: k.Whole("conns", 1200, 1, 1<<20),
+		r.AddError(r.Block.Line, "tier %s is there already", t.Name)
+	}
+	for _, k := range r.Blocks("kind") {
+		kind := Kind{Name: k.Label(), Count: k.Integer("count", 1, 1, 100000), Cores: k.Number("cores", 2, 0.01, 1024),
+			Speed: k.Number("speed", 1, 0.0001, 1000), Slots: k.Integer("slots", 64, 1, 1<<20),
+			Queue: k.Integer("queue", 32, 0, 1<<20), Thrash: k.Number("thrash", 0.1, 0, 100),
+			ThrashAt: k.Integer("thrash_at", 48, 1, 1<<20), ColdFrom: k.Number("cold_from", 0.35, 0.001, 1),
+			Cold: k.Seconds("cold_s", 6*time.Second, 0, time.Hour), Conns: k.Integer("conns", 1200, 1, 1<<20),
 			Handshake: time.Duration(k.Number("handshake_us", 800, 0, 1e6) * float64(time.Microsecond)),
 			ErrorRate: k.Number("error_rate", 0, 0, 1), Cancels: k.OneOf("cancel", "none", "queued") == "queued"}
-		r.Keep(k.End())
+		r.AddErr(k.End())
 		t.Kinds = append(t.Kinds, kind)
 	}
 	if len(t.Kinds) == 0 {
-		r.Fail(r.Block.Line, "tier %s has no kind", t.Name)
+		r.AddError(r.Block.Line, "tier %s has no kind", t.Name)
 	}
 	if t.Boxes() > 100000 {
-		r.Fail(r.Block.Line, "tier %s has over 100000 boxes", t.Name)
+		r.AddError(r.Block.Line, "tier %s has over 100000 boxes", t.Name)
 	}
 	s.Tiers = append(s.Tiers, t)
 	if len(s.Tiers) > 8 {
-		r.Fail(r.Block.Line, "over 8 tiers")
+		r.AddError(r.Block.Line, "over 8 tiers")
 	}
 }
 
 func (s *Scenario) takeClass(r *settings.Reader, _ bool) {
 	c := Class{Name: r.Label(), Share: r.Number("share", 1, 0, 1e6), Worth: r.Number("worth", 1, 0, 1e6),
-		LateShare: r.Number("late_worth", 0.5, 0, 1), Work: r.Millis("work_ms", 10*ms, time.Microsecond, time.Hour),
-		CV: r.Number("cv", 0.4, 0, 10), Aim: r.Millis("aim_ms", 500*ms, ms, time.Hour),
-		Deadline: r.Millis("deadline_ms", 2*time.Second, ms, time.Hour)}
+		LateShare: r.Number("late_worth", 0.5, 0, 1), Work: r.Milliseconds("work_ms", 10*ms, time.Microsecond, time.Hour),
+		CV: r.Number("cv", 0.4, 0, 10), Aim: r.Milliseconds("aim_ms", 500*ms, ms, time.Hour),
+		Deadline: r.Milliseconds("deadline_ms", 2*time.Second, ms, time.Hour)}
 	switch r.OneOf("effect", "unsafe", "keyed", "safe") {
 	case "keyed":
-		c.Effect, c.Window = balancer.Keyed, r.Seconds("window_s", 30*time.Second, ms, day)
+		c.Effect, c.Window = balancer.IdempotentWithKey, r.Seconds("window_s", 30*time.Second, ms, day)
 	case "safe":
-		c.Effect = balancer.Safe
+		c.Effect = balancer.Idempotent
 	}
 	if c.Deadline < c.Aim {
-		r.Fail(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
+		r.AddError(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
 	}
 	if c.Name == "" || slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == c.Name }) {
-		r.Fail(r.Block.Line, "class %q is empty or there already", c.Name)
+		r.AddError(r.Block.Line, "class %q is empty or there already", c.Name)
 	}
 	s.Classes = append(s.Classes, c)
 }
@@ -405,7 +405,7 @@
 func (s *Scenario) takeTenant(r *settings.Reader, _ bool) {
 	t := Tenant{Name: r.Label(), Share: r.Number("share", 1, 0, 1e6)}
 	if t.Name == "" || slices.ContainsFunc(s.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
-		r.Fail(r.Block.Line, "tenant %q is empty or there already", t.Name)
+		r.AddError(r.Block.Line, "tenant %q is empty or there already", t.Name)
 	}
 	s.Tenants = append(s.Tenants, t)
 }
@@ -413,48 +413,48 @@
 func (s *Scenario) takeClients(r *settings.Reader, again bool) {
 	r.Once(again)
 	s.Clients = Clients{Rate: r.Number("rate", 100, 0.001, 1e6), Arrivals: r.OneOf("arrivals", "poisson", "ramp", "recorded"),
-		File: r.Text("file", ""), Retries: r.Whole("retries", 2, 0, 20), TryShare: r.Number("try_share", 0.55, 0.01, 1),
-		Backoff: r.Millis("backoff_ms", 200*ms, 0, minute), Honour: r.Number("honour", 0.25, 0, 1),
+		File: r.Text("file", ""), Retries: r.Integer("retries", 2, 0, 20), TryShare: r.Number("try_share", 0.55, 0.01, 1),
+		Backoff: r.Milliseconds("backoff_ms", 200*ms, 0, minute), Honour: r.Number("honour", 0.25, 0, 1),
 		Marks: r.OneOf("marks", "on", "off") == "on", Impatient: r.Number("impatient", 0, 0, 1),
-		ClosedLoop: r.Whole("closed_loop", 0, 0, 100000)}
+		ClosedLoop: r.Integer("closed_loop", 0, 0, 100000)}
 	if (s.Clients.Arrivals == "recorded") != (s.Clients.File != "") {
-		r.Fail(r.Block.Line, "arrivals = \"recorded\" and file go together")
+		r.AddError(r.Block.Line, "arrivals = \"recorded\" and file go together")
 	}
 }
 
 func (s *Scenario) takeFront(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Front = Front{Nodes: r.Whole("nodes", 2, 1, 10000), Notice: r.Seconds("notice_s", 3*time.Second, 0, minute)}
+	s.Front = Front{Nodes: r.Integer("nodes", 2, 1, 10000), Notice: r.Seconds("notice_s", 3*time.Second, 0, minute)}
 }
 
 func (s *Scenario) takeDiscovery(r *settings.Reader, again bool) {
 	r.Once(again)
 	s.Discovery = Discovery{Asked: r.OneOf("mode", "ask", "push") == "ask",
-		Drain: r.Millis("drain_ms", 50*ms, 0, minute), Add: r.Millis("add_ms", time.Second, 0, minute),
-		Notice: r.Millis("notice_ms", 2500*ms, 0, minute), Silent: r.Millis("silent_ms", 9*time.Second, 0, time.Hour),
-		Spread: r.Millis("spread_ms", 200*ms, 0, minute), Capacity: r.Number("calls_per_s", 40, 0.01, 1e6),
-		Timeout: r.Millis("timeout_ms", 2*time.Second, ms, minute), Within: r.Seconds("ask_within_s", 10*time.Second, 100*ms, time.Hour),
+		Drain: r.Milliseconds("drain_ms", 50*ms, 0, minute), Add: r.Milliseconds("add_ms", time.Second, 0, minute),
+		Notice: r.Milliseconds("notice_ms", 2500*ms, 0, minute), Silent: r.Milliseconds("silent_ms", 9*time.Second, 0, time.Hour),
+		Spread: r.Milliseconds("spread_ms", 200*ms, 0, minute), Capacity: r.Number("calls_per_s", 40, 0.01, 1e6),
+		Timeout: r.Milliseconds("timeout_ms", 2*time.Second, ms, minute), Within: r.Seconds("ask_within_s", 10*time.Second, 100*ms, time.Hour),
 		Indented: r.OneOf("form", "lines", "indented") == "indented"}
 }
 
 func (s *Scenario) takeNet(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Net = Net{Hop: r.Millis("hop_ms", 200*time.Microsecond, 0, time.Second), Client: r.Millis("client_ms", ms, 0, 10*time.Second),
-		Jitter: r.Number("jitter", 0.2, 0, 1), HandshakeTrips: r.Whole("handshake_trips", 2, 0, 10),
-		ConnectTimeout: r.Millis("connect_timeout_ms", 250*ms, ms, minute), Idle: r.Seconds("idle_s", 30*time.Second, 10*ms, time.Hour)}
+	s.Net = Net{Hop: r.Milliseconds("hop_ms", 200*time.Microsecond, 0, time.Second), Client: r.Milliseconds("client_ms", ms, 0, 10*time.Second),
+		Jitter: r.Number("jitter", 0.2, 0, 1), HandshakeTrips: r.Integer("handshake_trips", 2, 0, 10),
+		ConnectTimeout: r.Milliseconds("connect_timeout_ms", 250*ms, ms, minute), Idle: r.Seconds("idle_s", 30*time.Second, 10*ms, time.Hour)}
 }
 
 func (s *Scenario) takeRules(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Rules = Rules{MaxAttempts: r.Whole("max_attempts", 3, 1, 10),
-		DrainGrace: r.Millis("drain_grace_ms", 250*ms, 0, minute), FallMultiple: r.Number("fall_multiple", 3, 0, 100),
-		Fall: r.Millis("fall_ms", time.Second, ms, minute), MaxRetryAfter: r.Millis("max_retry_after_ms", 2*time.Second, 0, time.Hour),
-		Slack: r.Millis("slack_ms", 20*ms, 0, time.Second)}
+	s.Rules = Rules{MaxAttempts: r.Integer("max_attempts", 3, 1, 10),
+		DrainGrace: r.Milliseconds("drain_grace_ms", 250*ms, 0, minute), FallMultiple: r.Number("fall_multiple", 3, 0, 100),
+		Fall: r.Milliseconds("fall_ms", time.Second, ms, minute), MaxRetryAfter: r.Milliseconds("max_retry_after_ms", 2*time.Second, 0, time.Hour),
+		Slack: r.Milliseconds("slack_ms", 20*ms, 0, time.Second)}
 }
 
 func (s *Scenario) takeFleet(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Fleet = Fleet{BoxesPer: r.Whole("boxes_per_process", 4, 1, 1000), Known: r.OneOf("known", "fresh", "old", "none"),
+	s.Fleet = Fleet{BoxesPer: r.Integer("boxes_per_process", 4, 1, 1000), Known: r.OneOf("known", "fresh", "old", "none"),
 		Age: r.Seconds("known_age_s", 0, 0, day), Old: r.Number("old_build", 0, 0, 1),
 		Control: r.OneOf("control", "off", "on") == "on"}
 }
@@ -466,29 +466,29 @@
 		Period: r.Seconds("period_s", 0, 0, time.Hour), Class: r.Text("class", ""),
 		Who: r.OneOf("who", "nodes", "boxes", "discovery"), Whom: r.OneOf("whom", "all", "nodes", "boxes", "discovery", "clients"),
 		Spread: r.Seconds("spread_s", 0, 0, time.Hour), Way: r.OneOf("way", "both", "out", "back"),
-		Heal: r.OneOf("heal", "held", "reset"), Delay: r.Millis("delay_ms", 0, 0, minute),
-		Rate: r.Number("rate_kb", 0, 0, 1e9) * 1000, Bytes: r.Whole("bytes", 0, 0, 1<<30),
+		Heal: r.OneOf("heal", "held", "reset"), Delay: r.Milliseconds("delay_ms", 0, 0, minute),
+		Rate: r.Number("rate_kb", 0, 0, 1e9) * 1000, Bytes: r.Integer("bytes", 0, 0, 1<<30),
 		Folder: r.OneOf("folder", Folders...)}
 	if !slices.Contains(TroubleKinds, t.Kind) && !slices.Contains(FleetKinds, t.Kind) {
-		r.Fail(r.Block.Line, "unknown trouble %q", t.Kind)
+		r.AddError(r.Block.Line, "unknown trouble %q", t.Kind)
 	}
 	if t.Tier == "" && len(s.Tiers) > 0 {
 		t.Tier = s.Tiers[len(s.Tiers)-1].Name
 	}
 	if line, ok := r.Has("tier"); ok && !slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Tier }) {
-		r.Fail(line, "tier %q is not one of the tiers", t.Tier)
+		r.AddError(line, "tier %q is not one of the tiers", t.Tier)
 	}
 	if line, ok := r.Has("class"); ok && !slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == t.Class }) {
-		r.Fail(line, "class %q is not one of the classes", t.Class)
+		r.AddError(line, "class %q is not one of the classes", t.Class)
 	}
 	if !s.Fleet.Control && (t.Kind == "upgrade" || t.Kind == "hand" || t.Folder != "kept") {
-		r.Fail(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", t.Kind, t.Folder)
+		r.AddError(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", t.Kind, t.Folder)
 	}
 	if line, ok := r.Has("size"); ok && t.Size == 0 {
-		r.Fail(line, "size must be above 0")
+		r.AddError(line, "size must be above 0")
 	}
 	if t.Period > 0 && t.Period < 10*ms {
-		r.Fail(r.Block.Line, "period_s is under 0.01")
+		r.AddError(r.Block.Line, "period_s is under 0.01")
 	}
 	s.Troubles = append(s.Troubles, t)
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "a" || s.Seed != 1 || s.Length != 3*time.Second || s.Front.Nodes != 1 || s.Tiers[0].Boxes() != 7 ||
-		len(s.Troubles) != 0 || s.Classes[0].Effect != balancer.Keyed || s.Classes[0].Window != 3*time.Second {
+		len(s.Troubles) != 0 || s.Classes[0].Effect != balancer.IdempotentWithKey || s.Classes[0].Window != 3*time.Second {
 		t.Errorf("got %+v", s)
 	}
 	if s.Clients.Rate != 100 || s.Rules.MaxAttempts != 3 || s.Tenants[0].Name == "" || !s.Clients.Marks {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -69,7 +69,7 @@
 	w.at(deadline, func() {
 		if !ended {
 			ended = true
-			w.retry(r, 0, class.Effect == balancer.Safe)
+			w.retry(r, 0, class.Effect == balancer.Idempotent)
 		}
 	})
 	life := n.life
@@ -94,7 +94,7 @@
 			})
 		}
 		n.take(c)
-		n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, Repeat: repeat && w.s.Clients.Marks})
+		n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, ClientRetry: repeat && w.s.Clients.Marks})
 		if r.Leaves > 0 && !repeat {
 			w.after(time.Duration(r.Leaves*float64(budget)), func() {
 				if n.life == life && !ended {
@@ -123,7 +123,7 @@
 		}
 		w.retry(r, wait, true)
 	default:
-		w.retry(r, w.s.Clients.Backoff, w.s.Classes[r.Class].Effect == balancer.Safe)
+		w.retry(r, w.s.Clients.Backoff, w.s.Classes[r.Class].Effect == balancer.Idempotent)
 	}
 }
 
--- a/internal/lab/simulation/misbehave_test.go
+++ b/internal/lab/simulation/misbehave_test.go
@@ -96,7 +96,7 @@
 				r := &root{done: true} // it is nobody's loss
 				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, root: r, reply: func(checker.Answer, time.Duration) {}}
 				n.take(c)
-				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, Repeat: o.repeat})
+				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, ClientRetry: o.repeat})
 				if o.leaves > 0 {
 					w.after(o.leaves, func() { n.gone(c.id) })
 				}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -78,7 +78,7 @@
 		n.known = slices.Clone(n.w.disc.lists[n.tier])
 		n.knownAt = n.w.disc.at[n.tier]
 	}
-	n.hear(balancer.ServerList{Full: true, Cached: true, Servers: n.known})
+	n.hear(balancer.EndpointUpdate{Complete: true, Cached: true, Servers: n.known})
 	if !n.w.s.Discovery.Asked && !n.w.disc.down {
 		n.w.disc.subscribe(n)
 	}
@@ -153,14 +153,14 @@
 }
 
 // hear takes news of the boxes.
-func (n *node) hear(list balancer.ServerList) {
+func (n *node) hear(list balancer.EndpointUpdate) {
 	for _, s := range list.Servers {
 		n.w.audit.Told(n.w.now, n.name, s.ID, s.State == balancer.Ready)
 		n.w.seen(blackbox.Event{What: blackbox.Told, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
 	}
 	switch {
 	case list.Cached:
-	case list.Full:
+	case list.Complete:
 		n.known = list.Servers
 	default:
 		n.known = slices.Clone(n.known)
@@ -184,15 +184,15 @@
 		switch a := a.(type) {
 		case balancer.Send:
 			n.send(a)
-		case balancer.Refuse:
+		case balancer.Reject:
 			n.answer(a.ID, checker.Refused, a.RetryAfter)
 		case balancer.Fail:
 			n.answer(a.ID, checker.Failed, 0)
-		case balancer.Wake:
+		case balancer.SetTimer:
 			life := n.life
 			n.w.at(a.At, func() {
 				if n.life == life {
-					n.handle(balancer.Timer{Token: a.Token})
+					n.handle(balancer.TimerFired{Token: a.Token})
 				}
 			})
 		case balancer.Subscribe:
@@ -316,7 +316,7 @@
 	c.root.attempts++
 	w.score.Attempts++
 	if b == nil {
-		a.endAfter(0, balancer.Void)
+		a.endAfter(0, balancer.NotSent)
 		return
 	}
 	a.epoch = b.Epoch
@@ -326,7 +326,7 @@
 	switch {
 	case ok && k.reset:
 		b.Conns--
-		a.endAfter(2*hop, balancer.Broken)
+		a.endAfter(2*hop, balancer.ConnectionLost)
 	case ok:
 		a.conn = true
 		w.after(hop, func() { a.arrive(0) })
@@ -349,7 +349,7 @@
 	switch {
 	case b.Cut: // nobody answers
 	case b.Epoch != a.epoch || b.State == model.Down:
-		a.endAfter(hop, balancer.Broken)
+		a.endAfter(hop, balancer.ConnectionLost)
 	case a.ended && a.life != a.n.life: // its node died before it had sent it
 	default:
 		v := newVisit(w, a, handshake)
@@ -363,7 +363,7 @@
 			w.score.Fell++
 			w.crash(b, false)
 			w.after(model.FallenFor, func() { w.boot(b) })
-			a.endAfter(hop, balancer.Broken)
+			a.endAfter(hop, balancer.ConnectionLost)
 			return
 		}
 		if !b.Offer(w.now, &v.job) {
@@ -383,12 +383,12 @@
 	a.n.w.seen(e)
 }
 
-func (a *attempt) endAfter(wait time.Duration, e balancer.Ending) {
+func (a *attempt) endAfter(wait time.Duration, e balancer.Outcome) {
 	a.n.w.after(wait, func() { a.end(e) })
 }
 
 // end tells the node how the attempt ended; later ends of the same attempt go nowhere.
-func (a *attempt) end(e balancer.Ending) {
+func (a *attempt) end(e balancer.Outcome) {
 	if a.ended || a.life != a.n.life {
 		return
 	}
@@ -406,7 +406,7 @@
 		w.seen(blackbox.Event{What: blackbox.Got, Node: n.name, ID: c.id, Status: 200, Body: a.to})
 		c.reply(checker.Served, 0)
 	}
-	n.handle(balancer.Outcome{ID: c.id, Attempt: a.number, Server: a.to, Ending: e, Latency: w.now - a.sent, Ended: c.closed})
+	n.handle(balancer.AttemptEnded{ID: c.id, Attempt: a.number, Server: a.to, Outcome: e, Latency: w.now - a.sent, RequestDone: c.closed})
 	n.forget(c)
 }
 
@@ -414,12 +414,12 @@
 func (a *attempt) abandon() {
 	if !a.ended {
 		a.ended = true
-		a.letGo(balancer.Withdrawn)
+		a.letGo(balancer.Canceled)
 	}
 }
 
 // letGo keeps the connection of an attempt that was answered, and closes any other.
-func (a *attempt) letGo(e balancer.Ending) {
+func (a *attempt) letGo(e balancer.Outcome) {
 	b := a.box
 	if b == nil {
 		return
--- a/internal/lab/simulation/visit.go
+++ b/internal/lab/simulation/visit.go
@@ -115,7 +115,7 @@
 	switch {
 	case good && b.broken > 0 && w.draws.Float64() < b.broken:
 		v.att.seen(blackbox.Event{What: blackbox.Broke})
-		v.att.endAfter(hop, balancer.Broken)
+		v.att.endAfter(hop, balancer.ConnectionLost)
 	case !good || b.Kind.ErrorRate > 0 && w.draws.Float64() < b.Kind.ErrorRate:
 		v.att.seen(blackbox.Event{What: blackbox.Reply, Status: 500})
 		v.att.endAfter(hop, balancer.Failure)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -182,7 +182,7 @@
 	case model.CutOff:
 		if b.State == model.Up {
 			b.Cut = true
-			w.disc.learn(b, balancer.Gone, w.s.Discovery.Silent)
+			w.disc.learn(b, balancer.Removed, w.s.Discovery.Silent)
 		}
 	case model.Rejoin:
 		if b.Cut {
@@ -242,7 +242,7 @@
 		v.over = true
 		if !cut {
 			v.att.seen(blackbox.Event{What: blackbox.Broke})
-			v.att.endAfter(w.jitter(w.s.Net.Hop), balancer.Broken)
+			v.att.endAfter(w.jitter(w.s.Net.Hop), balancer.ConnectionLost)
 		}
 	}
 	if b.node != nil {
@@ -252,7 +252,7 @@
 	if planned {
 		notice = w.s.Discovery.Drain
 	}
-	w.disc.learn(b, balancer.Gone, notice)
+	w.disc.learn(b, balancer.Removed, notice)
 }
 
 // boot starts a box that is down, cold, and its node with it.
@@ -368,11 +368,11 @@
 			return
 		}
 		e := &d.lists[b.Tier][d.at[b.Tier][b.ID]]
-		e.State, e.Boot = state, boot
+		e.State, e.StartTime = state, boot
 		news := []balancer.Server{*e}
 		for _, n := range d.subs {
 			if n.tier == b.Tier {
-				d.tell(n, balancer.ServerList{Servers: news})
+				d.tell(n, balancer.EndpointUpdate{Servers: news})
 			}
 		}
 		if state != balancer.Ready {
@@ -408,7 +408,7 @@
 }
 
 // tell brings a list to a node, after what was told before.
-func (d *discovery) tell(n *node, list balancer.ServerList) {
+func (d *discovery) tell(n *node, list balancer.EndpointUpdate) {
 	at := d.w.now + time.Duration(d.w.draws.Float64()*float64(d.w.s.Discovery.Spread))
 	n.lastTold = max(n.lastTold, at)
 	life := n.life
@@ -425,7 +425,7 @@
 	fail := func(wait time.Duration) {
 		d.w.after(wait, func() {
 			if n.life == life && n.alive {
-				n.handle(balancer.ListFailed{})
+				n.handle(balancer.WatchFailed{})
 			}
 		})
 	}
@@ -456,7 +456,7 @@
 		n.watching = true
 		d.subs = append(d.subs, n)
 	}
-	d.tell(n, balancer.ServerList{Full: true, Servers: slices.Clone(d.lists[n.tier])})
+	d.tell(n, balancer.EndpointUpdate{Complete: true, Servers: slices.Clone(d.lists[n.tier])})
 }
 
 func (d *discovery) drop(n *node) {
@@ -488,7 +488,7 @@
 				return
 			}
 			if d.w.s.Discovery.Asked {
-				n.handle(balancer.ListFailed{})
+				n.handle(balancer.WatchFailed{})
 			} else if !d.down {
 				d.subscribe(n)
 			}
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -182,7 +182,7 @@
 	}},
 	checker.OneAnswer: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
-			if o, ok := e.(balancer.Outcome); ok && o.Ended {
+			if o, ok := e.(balancer.AttemptEnded); ok && o.RequestDone {
 				out = append(out, balancer.Fail{ID: o.ID})
 			}
 			return out
@@ -190,7 +190,7 @@
 	}},
 	checker.NoSecondRun: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
-			if o, ok := e.(balancer.Outcome); ok && o.Ending == balancer.Failure && len(out) > 0 {
+			if o, ok := e.(balancer.AttemptEnded); ok && o.Outcome == balancer.Failure && len(out) > 0 {
 				if _, fails := out[0].(balancer.Fail); fails {
 					out[0] = balancer.Send{ID: o.ID, Server: o.Server, Timeout: time.Second}
 				}
@@ -202,7 +202,7 @@
 		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
 				if f, ok := a.(balancer.Fail); ok {
-					out[i] = balancer.Refuse{ID: f.ID}
+					out[i] = balancer.Reject{ID: f.ID}
 				}
 			}
 			return out
@@ -227,7 +227,7 @@
 	checker.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		gone := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
-			if l, ok := e.(balancer.ServerList); ok {
+			if l, ok := e.(balancer.EndpointUpdate); ok {
 				for _, s := range l.Servers {
 					if s.State == balancer.Draining {
 						gone = s.ID
@@ -247,9 +247,9 @@
 trouble "overload" { at_s = 2 length_s = 4 size = 4 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		cold := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
-			if l, ok := e.(balancer.ServerList); ok {
+			if l, ok := e.(balancer.EndpointUpdate); ok {
 				for _, s := range l.Servers {
-					if s.State == balancer.Ready && s.Boot > 0 {
+					if s.State == balancer.Ready && s.StartTime > 0 {
 						cold = s.ID
 					}
 				}
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -196,7 +196,7 @@
 
 // follow writes what has changed since a version and, on a watch, each change and heartbeat after.
 func (d *discovery) follow(w http.ResponseWriter, r *http.Request, node int, from int64) {
-	beat := time.NewTicker(endpointlease.Beat)
+	beat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer beat.Stop()
 	d.mu.Lock()
 	silent, ended := d.silent, d.ended
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -78,10 +78,10 @@
 		}
 	}
 	reached := reachable(f, max(d.At, begin))
-	told = min(told, reached+endpointlease.Told)
+	told = min(told, reached+endpointlease.NotificationDeadline)
 	for _, m := range f.Moves {
 		if m.Node == node && m.At >= d.At && m.At >= begin && m.At < end && reachable(f, m.At) == m.At {
-			told = min(told, m.At+endpointlease.ToldMoved)
+			told = min(told, m.At+endpointlease.NotificationDeadlineAfterChange)
 		}
 	}
 	return told
@@ -129,7 +129,7 @@
 	}
 	for _, a := range f.Asked {
 		for _, r := range at[a.ID] {
-			if a.Left > 0 && r.At > a.Left+invariants.LeaveGrace+late {
+			if a.Left > 0 && r.At > a.Left+invariants.ClientGoneGrace+late {
 				broken = append(broken, fmt.Sprintf("lost: request %s was sent %v after its client had left", a.ID, r.At-a.Left))
 			}
 			if by := r.Left - (a.Deadline - r.At) - invariants.BudgetSlack - late; by > 0 {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -84,11 +84,11 @@
 // Running says that the process serves whoever comes: it has started and is not about to end.
 func (m Machine) Running() bool { return m.state == serving || m.state == drained }
 
-// Leaving says that the process is to end.
-func (m Machine) Leaving() bool { return m.state == leaving }
+// ShuttingDown says that the process is to end.
+func (m Machine) ShuttingDown() bool { return m.state == leaving }
 
-// Drained says that an operator has sent clients away.
-func (m Machine) Drained() bool { return m.out }
+// IsOutOfService says that an operator has sent clients away.
+func (m Machine) IsOutOfService() bool { return m.out }
 
 // EndsConnections says that answers end the connections that they are given on.
 func (m Machine) EndsConnections(now time.Duration) bool {
@@ -101,8 +101,8 @@
 	return false
 }
 
-// Sweeps says that connections at rest are closed, and how long they have to have rested.
-func (m Machine) Sweeps(now time.Duration) (rest time.Duration, yes bool) {
+// ClosesIdleConnections says that connections at rest are closed, and how long they have to have rested.
+func (m Machine) ClosesIdleConnections(now time.Duration) (rest time.Duration, yes bool) {
 	switch m.state {
 	case drained:
 		return atRest, now >= m.since+sweep
@@ -112,17 +112,17 @@
 	return 0, false
 }
 
-// Cutoff is when the last answer has to be given; 0: nothing ends.
-func (m Machine) Cutoff() time.Duration {
+// HardDeadline is when the last answer has to be given; 0: nothing ends.
+func (m Machine) HardDeadline() time.Duration {
 	if m.state != leaving {
 		return 0
 	}
 	return m.kill - answered
 }
 
-// Stops is how long a node that is to end still takes connections that the front deals out. One that has another
+// StopsAt is how long a node that is to end still takes connections that the front deals out. One that has another
 // process beside it takes none, one that sent its clients away long ago has none to wait for.
-func (m Machine) Stops(now time.Duration) time.Duration {
+func (m Machine) StopsAt(now time.Duration) time.Duration {
 	switch {
 	case m.heir:
 		return 0
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -42,7 +42,7 @@
 		{"ends while drained", after(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
 		{"has an heir", after(Started).Step(0, Terminate, kill, true), 0, false, true, false},
 	} {
-		_, sweeps := c.m.Sweeps(c.at)
+		_, sweeps := c.m.ClosesIdleConnections(c.at)
 		if c.m.Ready() != c.ready || c.m.EndsConnections(c.at) != c.ends || sweeps != c.sweeps {
 			t.Errorf("%s: ready %v, ends connections %v, sweeps %v", c.name, c.m.Ready(), c.m.EndsConnections(c.at), sweeps)
 		}
@@ -66,10 +66,10 @@
 			default:
 				out = e == OutOfService
 			}
-			if m.Ready() != (started && !out && !ended) || m.Leaving() != ended {
+			if m.Ready() != (started && !out && !ended) || m.ShuttingDown() != ended {
 				t.Fatalf("started %v, out %v, ended %v: %+v", started, out, ended, m)
 			}
-			if cut := m.Cutoff(); ended != (cut > 0) {
+			if cut := m.HardDeadline(); ended != (cut > 0) {
 				t.Fatalf("cutoff %v", cut)
 			}
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -27,15 +27,15 @@
 
 // Counters.
 const (
-	Requests       Counter = iota // all that came, those that were turned away among them
-	Served                        // answered 200
-	Refused                       // answered 429 or 503
-	TurnedAway                    // not taken: answered another 4xx
-	Failed                        // answered anything else
-	Left                          // given up by the client
-	Drilled                       // part of a drill
-	Violations                    // of an invariant; without tags
-	RefusedExpired                // of the refused, while the list of servers had expired
+	Requests        Counter = iota // all that came, those that were turned away among them
+	Served                         // answered 200
+	Rejected                       // answered 429 or 503
+	NotAccepted                    // not taken: answered another 4xx
+	Failed                         // answered anything else
+	ClientGone                     // given up by the client
+	FaultInjected                  // part of a drill
+	Violations                     // of an invariant; without tags
+	RejectedExpired                // of the refused, while the list of servers had expired
 	counters
 )
 
@@ -108,7 +108,7 @@
 }
 
 // New returns a Reporter for the classes and tenants of the platform's settings. It writes nothing before Run.
-func New(set settings.Figures, classes, tenants []string, stderr io.Writer, log *slog.Logger) *Reporter {
+func New(set settings.Metrics, classes, tenants []string, stderr io.Writer, log *slog.Logger) *Reporter {
 	r := &Reporter{format: formats[set.Format], classes: map[string]bool{}, tenants: map[string]bool{},
 		flush: set.Flush, max: set.MaxBatch, log: log, early: make(chan struct{}, 1), tags: map[[2]string]Tags{},
 		invented: map[string]bool{}, ended: make(chan struct{})}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -50,8 +50,8 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func reporter(change func(*settings.Figures)) (*Reporter, *writes) {
-	set := settings.Figures{Format: "statsd", Flush: time.Hour, MaxBatch: 1400}
+func reporter(change func(*settings.Metrics)) (*Reporter, *writes) {
+	set := settings.Metrics{Format: "statsd", Flush: time.Hour, MaxBatch: 1400}
 	if change != nil {
 		change(&set)
 	}
@@ -69,7 +69,7 @@
 	}
 	for range 3 {
 		r.Count(tags, Requests)
-		r.Count(tags, Drilled)
+		r.Count(tags, FaultInjected)
 	}
 	r.Add(tags, OpenConnections, 2)
 	r.Latency(tags, 12345*time.Microsecond)
@@ -89,7 +89,7 @@
 }
 
 func TestInfluxLines(t *testing.T) {
-	r, out := reporter(func(s *settings.Figures) { s.Format = "influx" })
+	r, out := reporter(func(s *settings.Metrics) { s.Format = "influx" })
 	tags := r.Tags("brix-update", "okanagan-ridge")
 	r.Count(tags, Requests)
 	r.Add(tags, OpenConnections, 2)
@@ -188,7 +188,7 @@
 
 func TestDatagramsHoldWholeLines(t *testing.T) {
 	addr, got := datagrams(t)
-	r, _ := reporter(func(s *settings.Figures) { s.UDP, s.MaxBatch = addr, 200 })
+	r, _ := reporter(func(s *settings.Metrics) { s.UDP, s.MaxBatch = addr, 200 })
 	for i := range 100 {
 		r.Latency(r.Tags("bin-weighin", "okanagan-ridge"), time.Duration(i)*time.Millisecond)
 	}
@@ -212,7 +212,7 @@
 }
 
 func TestLineOverTheBatchIsDropped(t *testing.T) {
-	r, out := reporter(func(s *settings.Figures) { s.MaxBatch = 62 })
+	r, out := reporter(func(s *settings.Metrics) { s.MaxBatch = 62 })
 	r.Count(r.Tags("bin-weighin", "okanagan-ridge"), Requests) // 63 bytes with its end
 	r.Count(r.Tags("bin-weighin", ""), Requests)
 	r.write()
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	r, _ := reporter(func(s *settings.Figures) { s.UDP = gone.LocalAddr().String() })
+	r, _ := reporter(func(s *settings.Metrics) { s.UDP = gone.LocalAddr().String() })
 	for range 1000 { // nobody listens: the machine says so by the next send
 		r.Count(0, Requests)
 		if r.write(); r.dropped > 0 {
@@ -263,7 +263,7 @@
 func TestFile(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	path := filepath.Join(dir, "figures")
-	r, _ := reporter(func(s *settings.Figures) { s.File = path })
+	r, _ := reporter(func(s *settings.Metrics) { s.File = path })
 	r.Count(0, Requests)
 	r.write()
 	if r.dropped != 1 {
@@ -290,7 +290,7 @@
 }
 
 func TestFullDisk(t *testing.T) {
-	r, _ := reporter(func(s *settings.Figures) { s.File = "/dev/full" })
+	r, _ := reporter(func(s *settings.Metrics) { s.File = "/dev/full" })
 	r.Count(0, Requests)
 	r.write()
 	if r.dropped != 1 {
@@ -318,7 +318,7 @@
 }
 
 func TestFullBufferIsCounted(t *testing.T) {
-	r, out := reporter(func(s *settings.Figures) { s.MaxBatch = 65507 })
+	r, out := reporter(func(s *settings.Metrics) { s.MaxBatch = 65507 })
 	for range maxTimers + 10 {
 		r.Latency(0, time.Millisecond)
 	}
@@ -344,7 +344,7 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	r, _ := reporter(func(s *settings.Figures) { s.Flush = time.Millisecond })
+	r, _ := reporter(func(s *settings.Metrics) { s.Flush = time.Millisecond })
 	r.outs = []out{lineOut{stuck}}
 	stop := make(chan struct{})
 	go r.Run(stop)
@@ -377,7 +377,7 @@
 }
 
 func TestRunFlushesByTimeAndAtTheEnd(t *testing.T) {
-	r, out := reporter(func(s *settings.Figures) { s.Flush = time.Millisecond })
+	r, out := reporter(func(s *settings.Metrics) { s.Flush = time.Millisecond })
 	stop := make(chan struct{})
 	go r.Run(stop)
 	r.Count(0, Requests)
@@ -408,7 +408,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	r := New(settings.Figures{Format: "statsd", Flush: time.Second, MaxBatch: 1400}, []string{"c"}, []string{"t"}, &bytes.Buffer{}, quiet())
+	r := New(settings.Metrics{Format: "statsd", Flush: time.Second, MaxBatch: 1400}, []string{"c"}, []string{"t"}, &bytes.Buffer{}, quiet())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		tags := r.Tags("c", "t")
--- a/internal/node/accesslist.go
+++ b/internal/node/accesslist.go
@@ -20,7 +20,7 @@
 
 // doors is what connections from callers are judged by.
 type doors struct {
-	lists   *balancer.Addresses
+	lists   *balancer.AccessList
 	timeout time.Duration // for a PROXY header
 	log     *slog.Logger
 }
@@ -49,7 +49,7 @@
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		c.peer = a.AddrPort().Addr().Unmap().WithZone("")
 	}
-	c.trusted = d.lists.Trusts(c.peer)
+	c.trusted = d.lists.TrustsProxy(c.peer)
 	return c
 }
 
@@ -142,7 +142,7 @@
 		return client, false
 	}
 	client = c.client()
-	return client, !h.lists.Admits(client)
+	return client, !h.lists.Allows(client)
 }
 
 // client is the address that the lists judge; without lists none is known.
@@ -156,6 +156,6 @@
 
 // visit is the call of a stranger: nothing more of its request is read.
 func visit(r *http.Request, client netip.Addr) *call {
-	return &call{Call: engine.Call{Tenant: r.Header.Get("X-Caller"), Stranger: true,
+	return &call{Call: engine.Call{Tenant: r.Header.Get("X-Caller"), AccessDenied: true,
 		Request: balancer.Request{ID: r.Header.Get("X-Call-Id"), Class: r.Header.Get("X-Call-Class"), Client: client}}}
 }
--- a/internal/node/accesslist_test.go
+++ b/internal/node/accesslist_test.go
@@ -19,10 +19,10 @@
 // front is an address that the tests' nodes trust.
 const front = "127.0.0.2"
 
-func lists(change func(*settings.Addresses)) settings.File {
-	a := settings.Addresses{ProxyFrom: []netip.Prefix{netip.MustParsePrefix(front + "/32")}, ProxyTimeout: 20 * time.Second}
+func lists(change func(*settings.AccessList)) settings.File {
+	a := settings.AccessList{TrustedProxies: []netip.Prefix{netip.MustParsePrefix(front + "/32")}, ProxyTimeout: 20 * time.Second}
 	change(&a)
-	return settings.File{Addresses: &a}
+	return settings.File{AccessList: &a}
 }
 
 func prefixes(list ...string) (all []netip.Prefix) {
@@ -79,7 +79,7 @@
 // The operators' check: headers of both versions, from trusted and untrusted addresses.
 func TestHeadersFromTrustedAndUntrusted(t *testing.T) {
 	b := newBackend(t, ok)
-	n, out := startLogged(t, lists(func(a *settings.Addresses) {
+	n, out := startLogged(t, lists(func(a *settings.AccessList) {
 		a.Allow, a.Deny = prefixes("10.4.0.0/16", "fd00:12::/48", "127.0.0.1/32"), prefixes("10.4.9.0/24")
 	}), b)
 	for i, c := range []struct {
@@ -132,7 +132,7 @@
 
 // The request that came last in a connection from a front is judged by the front's header, also piece by piece.
 func TestHeaderInPieces(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.Addresses) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, ok))
+	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, ok))
 	for _, header := range []string{"PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", header2("10.4.1.1")} {
 		c := from(t, n, front)
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -151,7 +151,7 @@
 
 // A front that is slow with its header is closed, and holds up nobody meanwhile.
 func TestLateHeader(t *testing.T) {
-	n, out := startLogged(t, lists(func(a *settings.Addresses) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, ok))
+	n, out := startLogged(t, lists(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, ok))
 	var slow []net.Conn
 	for i := range 50 {
 		c := from(t, n, front)
@@ -175,9 +175,9 @@
 	}
 }
 
-// With a header that comes late but in time, the peer still gets its answer or close within 3 s of connecting.
+// WithOverride a header that comes late but in time, the peer still gets its answer or close within 3 s of connecting.
 func TestLateHeaderAndNoRequest(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.Addresses) {}), newBackend(t, ok))
+	n, _ := startLogged(t, lists(func(a *settings.AccessList) {}), newBackend(t, ok))
 	begin := time.Now()
 	c := from(t, n, front)
 	if got := answers(t, c, "PROXY UNKNOWN\r\nPOST /api HTTP/1.1\r\n"); got[0] != 0 && got[0] < 400 {
@@ -189,8 +189,8 @@
 }
 
 func TestDeniedEverywhereButReady(t *testing.T) {
-	features := lists(func(a *settings.Addresses) { a.Deny = prefixes("127.0.0.3/32") })
-	features.Drills = stall(func(*settings.Drill) {}).Drills
+	features := lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+	features.FaultInjections = stall(func(*settings.FaultInjection) {}).FaultInjections
 	n, out := startLogged(t, features, newBackend(t, ok))
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n" }
 	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
@@ -225,7 +225,7 @@
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n, _ := startLogged(t, lists(func(a *settings.Addresses) { a.Deny = prefixes("127.0.0.3/32") }), b)
+	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") }), b)
 	got := make(chan []int, 1)
 	c := from(t, n, "127.0.0.1")
 	go func() { got <- answers(t, c, requestText("1")) }()
@@ -242,7 +242,7 @@
 // Log lines about attempts name the client too.
 func TestBrokenAttemptNamesItsClient(t *testing.T) {
 	b := newBackend(t, func(int, net.Conn, *http.Request) bool { return false })
-	n, out := startLogged(t, lists(func(*settings.Addresses) {}), b)
+	n, out := startLogged(t, lists(func(*settings.AccessList) {}), b)
 	if got := answers(t, from(t, n, front), "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n"+requestText("1")); got[0] != 502 {
 		t.Errorf("answered %v", got)
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -9,12 +9,12 @@
 	"hookwalk.example/hookwalk/internal/lifecycle"
 )
 
-// operated is a node as its operators can call it.
-type operated struct{ n *Node }
+// adminService is a node as its operators can call it.
+type adminService struct{ n *Node }
 
-// TakesClients says why the process does not take clients, if it does not. One that has sent its clients away takes
+// CheckReady says why the process does not take clients, if it does not. One that has sent its clients away takes
 // whoever comes all the same: that it is out of service is the front's to know, from /ready.
-func (o operated) TakesClients() error {
+func (o adminService) CheckReady() error {
 	if synced := o.n.kin.synced; synced != nil {
 		select {
 		case <-synced:
@@ -23,38 +23,38 @@
 		}
 	}
 	switch life := o.n.life.Load(); {
-	case life.Leaving():
+	case life.ShuttingDown():
 		return errors.New("the process is about to end")
 	case !o.n.heard.Load():
 		return errors.New("it has no list of servers yet")
-	case !life.Running() || !o.n.engine.Listed():
+	case !life.Running() || !o.n.engine.HasListedServer():
 		return errors.New("it knows no server in service")
 	}
 	return nil
 }
 
-// Sites is what the node knows of its peers, to be read as JSON; nil: it has none.
-func (o operated) Sites() any {
-	if o.n.Sites == nil {
+// PeersView is what the node knows of its peers, to be read as JSON; nil: it has none.
+func (o adminService) Sites() any {
+	if o.n.PeersView == nil {
 		return nil
 	}
-	return o.n.Sites()
+	return o.n.PeersView()
 }
 
-// Hand takes a server out of use, or puts it back.
-func (o operated) Hand(ctx context.Context, id string, out bool) error {
-	if err := o.n.engine.Hand(ctx, id, out); err != nil {
+// SetServerDisabled takes a server out of use, or puts it back.
+func (o adminService) SetServerDisabled(ctx context.Context, id string, out bool) error {
+	if err := o.n.engine.SetServerDisabled(ctx, id, out); err != nil {
 		return err
 	}
-	o.n.pass(ctx, hotrestart.Word{Server: id, Out: out})
+	o.n.pass(ctx, hotrestart.Message{Server: id, Disabled: out})
 	return nil
 }
 
-// Serve sends clients away, or takes them again.
-func (o operated) Serve(ctx context.Context, in bool) error {
+// SetInService sends clients away, or takes them again.
+func (o adminService) SetInService(ctx context.Context, in bool) error {
 	o.n.setService(in)
 	out := !in
-	o.n.pass(ctx, hotrestart.Word{Drain: &out})
+	o.n.pass(ctx, hotrestart.Message{OutOfService: &out})
 	return nil
 }
 
@@ -78,7 +78,7 @@
 			case <-n.ended:
 				return
 			}
-			if rest, yes := m.Sweeps(n.clock.Now()); yes {
+			if rest, yes := m.ClosesIdleConnections(n.clock.Now()); yes {
 				n.in.sweep(rest)
 			}
 		}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -28,12 +28,12 @@
 	for i := 0; a.requests() == 0 || b.requests() == 0; i++ {
 		ask(fmt.Sprint("warm", i))
 	}
-	o := operated{n.Node}
-	if err := o.Hand(t.Context(), "nobody", true); !errors.Is(err, balancer.ErrUnknownServer) {
+	o := adminService{n.Node}
+	if err := o.SetServerDisabled(t.Context(), "nobody", true); !errors.Is(err, balancer.ErrUnknownServer) {
 		t.Errorf("an unknown server: %v", err)
 	}
 	for range 2 {
-		if err := o.Hand(t.Context(), "s-0", true); err != nil {
+		if err := o.SetServerDisabled(t.Context(), "s-0", true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -46,18 +46,18 @@
 	if a.requests() != had {
 		t.Error("a server that is out got a request")
 	}
-	if err := o.Hand(t.Context(), "s-1", true); err != nil {
+	if err := o.SetServerDisabled(t.Context(), "s-1", true); err != nil {
 		t.Fatal(err)
 	}
 	begin := time.Now()
 	if got := ask("none"); got != http.StatusServiceUnavailable || time.Since(begin) > 5*time.Second {
 		t.Errorf("with all out: %d after %v", got, time.Since(begin))
 	}
-	if o.TakesClients() != nil {
+	if o.CheckReady() != nil {
 		t.Error("a process with all servers out by hand is not one that can't serve")
 	}
 	for _, id := range []string{"s-0", "s-1"} {
-		if err := o.Hand(t.Context(), id, false); err != nil {
+		if err := o.SetServerDisabled(t.Context(), id, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,14 +68,14 @@
 // undoes all of it, twice in a row, and no listener closes.
 func TestDrainAndReturn(t *testing.T) {
 	n := startWith(t, newBackend(t, ok))
-	o := operated{n.Node}
+	o := adminService{n.Node}
 	for round := range 2 {
 		idle, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer idle.Close()
-		if err := o.Serve(t.Context(), false); err != nil {
+		if err := o.SetInService(t.Context(), false); err != nil {
 			t.Fatal(err)
 		}
 		if status(t, n.url) != http.StatusServiceUnavailable {
@@ -97,7 +97,7 @@
 			t.Errorf("round %d: the connection at rest ended with %v", round, err)
 		}
 		for range 2 {
-			if err := o.Serve(t.Context(), true); err != nil {
+			if err := o.SetInService(t.Context(), true); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -293,7 +293,7 @@
 		if err != nil || c.follows(cfg) != nil {
 			return
 		}
-		if set, err := c.moduleSettings(); err == nil && set.Check() == nil && set.MaxAttempts <= 0 {
+		if set, err := c.moduleSettings(); err == nil && set.Validate() == nil && set.MaxAttempts <= 0 {
 			t.Error("no attempts")
 		}
 	})
@@ -308,14 +308,14 @@
 	}
 	defer taken.Close()
 	with := cfg
-	with.Control = taken.Addr().String()
+	with.AdminAddress = taken.Addr().String()
 	for _, c := range []Config{cfg, with} {
 		n, err := New(c, quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := n.pool.most + n.inbound; (got == cfg.Sockets-reserved) != (c.Control == "") {
-			t.Errorf("control %q: %d places", c.Control, got)
+		if got := n.pool.most + n.inbound; (got == cfg.Sockets-reserved) != (c.AdminAddress == "") {
+			t.Errorf("control %q: %d places", c.AdminAddress, got)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -34,14 +34,14 @@
 		}
 		return respond(c, "200 OK", "done")
 	}
-	features := lists(func(a *settings.Addresses) { a.Deny = prefixes("127.0.0.3/32") })
-	features.Drills = stall(func(d *settings.Drill) { d.Share, d.Delay = 30, 5*time.Millisecond }).Drills
+	features := lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+	features.FaultInjections = stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 30, 5*time.Millisecond }).FaultInjections
 	features.Capture = &settings.Capture{FileBytes: 512 << 10}
 	cfg, out := configWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty)), &logText{}
 	cfg.Features = features
 	n := start(t, cfg, withLog(out), func(n *Node) { n.stderr = out })
 	startDrill(t, n.url, secret)
-	hosts := cfg.Known.Hosts
+	hosts := cfg.BootstrapList.Endpoints
 	var wg sync.WaitGroup
 	for caller := range 8 {
 		wg.Add(1)
@@ -57,7 +57,7 @@
 				}
 				if caller == 0 && i%5 == 0 { // the list changes beside it
 					hosts[0].Born++
-					n.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: hosts[:1]}))
+					n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: hosts[:1]}))
 				}
 			}
 		}()
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -96,16 +96,16 @@
 // tell tells the node of a server, and returns when the engine has it.
 func (r *running) tell(t *testing.T, h discoveryapi.Endpoint) {
 	t.Helper()
-	if err := r.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: []discoveryapi.Endpoint{h}})); err != nil {
+	if err := r.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 		t.Fatal(err)
 	}
-	r.engine.Estate(t.Context(), func() {}) // is answered only when the update has been dealt with
+	r.engine.SuccessorState(t.Context(), func() {}) // is answered only when the update has been dealt with
 }
 
 // arrived counts the open requests, by the module's own account.
 func (r *running) arrived() int {
 	var saved struct{ Requests []any }
-	r.engine.Estate(context.Background(), func() {
+	r.engine.SuccessorState(context.Background(), func() {
 		if text, err := r.engine.Balancer.Checkpoint(); err == nil {
 			json.Unmarshal(text, &saved)
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,17 +21,17 @@
 
 // Config is what the platform tells a node at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Control   string // where operators call; "": nowhere
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     discoveryapi.List // the servers as this node last had them
-	Settings  balancer.Settings
-	Features  settings.File // what the project's own settings file switches on
+	Name          string
+	Listen        string
+	Discovery     string
+	AdminAddress  string // where operators call; "": nowhere
+	Seed          uint64
+	Cores         float64
+	MemoryMB      int
+	Sockets       int
+	BootstrapList discoveryapi.List // the servers as this node last had them
+	Settings      balancer.Settings
+	Features      settings.File // what the project's own settings file switches on
 
 	text           []byte        // the file as it was read, without an override
 	override       *Override     // what stands over the file; nil: nothing
@@ -54,8 +54,8 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if c.Control == "" {
-		c.Control = os.Getenv("ROUTER_CONTROL")
+	if c.AdminAddress == "" {
+		c.AdminAddress = os.Getenv("ROUTER_CONTROL")
 	}
 	return c, nil
 }
@@ -78,15 +78,15 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Control: raw.Control, Known: raw.Known, text: text,
+	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, AdminAddress: raw.Control, BootstrapList: raw.Known, text: text,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets}
 	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
 			return Config{}, fmt.Errorf("%s: %w", a.name, err)
 		}
 	}
-	if c.Control != "" {
-		if _, _, err := net.SplitHostPort(c.Control); err != nil {
+	if c.AdminAddress != "" {
+		if _, _, err := net.SplitHostPort(c.AdminAddress); err != nil {
 			return Config{}, fmt.Errorf("control: %w", err)
 		}
 	}
@@ -158,15 +158,15 @@
 // moduleSettings are the platform's settings with what the features have the module decide.
 func (c Config) moduleSettings() (balancer.Settings, error) {
 	set := c.Settings
-	for _, d := range c.Features.Drills {
+	for _, d := range c.Features.FaultInjections {
 		if !slices.ContainsFunc(set.Classes, func(k balancer.Class) bool { return k.Name == d.Class }) {
 			return set, fmt.Errorf("%s: drill %s: class %q is not one of the node's classes", d.Pos, d.Name, d.Class)
 		}
-		set.Drills = append(set.Drills, balancer.Drill{Name: d.Name, Class: d.Class, Share: d.Share,
+		set.FaultInjections = append(set.FaultInjections, balancer.FaultInjection{Name: d.Name, Class: d.Class, Percent: d.Percent,
 			Delay: d.Delay, AbortStatus: d.AbortStatus, Duration: d.Duration})
 	}
-	if a := c.Features.Addresses; a != nil {
-		set.Addresses = &balancer.Addresses{Allow: a.Allow, Deny: a.Deny, ProxyFrom: a.ProxyFrom}
+	if a := c.Features.AccessList; a != nil {
+		set.AccessList = &balancer.AccessList{Allow: a.Allow, Deny: a.Deny, TrustedProxies: a.TrustedProxies}
 	}
 	return set, nil
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -92,10 +92,10 @@
 // A server that ends its connection at each worst moment: what may have run is answered as failed and not sent again,
 // what can't have is, nothing stays in flight, and the next request finds the server as free as any.
 func TestConnectionsEndAtEachWorstMoment(t *testing.T) {
-	may, never := []balancer.Ending{balancer.Broken}, []balancer.Ending{balancer.Broken, balancer.Unreachable}
+	may, never := []balancer.Outcome{balancer.ConnectionLost}, []balancer.Outcome{balancer.ConnectionLost, balancer.Unreachable}
 	for name, tc := range map[string]struct {
 		serve func(c *net.TCPConn)
-		want  []balancer.Ending
+		want  []balancer.Outcome
 	}{
 		// What the node has written by then is up to the kernel: it may know of the end, or learn of it after its last byte.
 		"reset before the first byte":  {reset, never},
@@ -111,8 +111,8 @@
 			respond(c, "200 OK", "done")
 			c.CloseWrite()
 			io.Copy(io.Discard, c)
-		}, []balancer.Ending{balancer.Success}},
-		"silent for good": {func(c *net.TCPConn) { io.Copy(io.Discard, c) }, []balancer.Ending{balancer.TimedOut}},
+		}, []balancer.Outcome{balancer.Success}},
+		"silent for good": {func(c *net.TCPConn) { io.Copy(io.Discard, c) }, []balancer.Outcome{balancer.TimedOut}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -121,7 +121,7 @@
 			if tc.want[0] == balancer.TimedOut {
 				wait = 100 * time.Millisecond
 			}
-			if got := p.attempt(testAttempt(p, addr, wait)).Ending; !slices.Contains(tc.want, got) {
+			if got := p.attempt(testAttempt(p, addr, wait)).Outcome; !slices.Contains(tc.want, got) {
 				t.Errorf("ended %v, want one of %v", got, tc.want)
 			}
 			cfg := testConfig(t, "pushed", inService("s-0", addr))
@@ -167,7 +167,7 @@
 	moved := inService("s-0", other.addr())
 	moved.Born = 1000
 	for _, h := range []discoveryapi.Endpoint{{Host: "s-0", Health: "terminating"}, {Host: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
-		if err := n.engine.Tell(t.Context(), discovery.Update(discoveryapi.List{Hosts: []discoveryapi.Endpoint{h}})); err != nil {
+		if err := n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -188,7 +188,7 @@
 	cfg := testConfig(t, "pushed", inService("s-0", addr))
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 300*time.Millisecond, time.Second
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 300*time.Millisecond, time.Second
 	}
 	n := start(t, cfg)
 	got := make(chan string, 1)
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -27,7 +27,7 @@
 
 func testConfig(t *testing.T, mode string, known ...discoveryapi.Endpoint) Config {
 	t.Helper()
-	k, err := json.Marshal(discoveryapi.List{Seq: 1, Whole: true, Hosts: known})
+	k, err := json.Marshal(discoveryapi.List{Seq: 1, Complete: true, Endpoints: known})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -65,10 +65,10 @@
 
 const secret = "crush-pad-7"
 
-func stall(change func(*settings.Drill)) settings.File {
-	d := settings.Drill{Name: "stall", Secret: secret, Class: "unsafe", Share: 100, Duration: 10 * time.Minute}
+func stall(change func(*settings.FaultInjection)) settings.File {
+	d := settings.FaultInjection{Name: "stall", Secret: secret, Class: "unsafe", Percent: 100, Duration: 10 * time.Minute}
 	change(&d)
-	return settings.File{Drills: []settings.Drill{d}}
+	return settings.File{FaultInjections: []settings.FaultInjection{d}}
 }
 
 // startDrill posts to /drills with some keys.
@@ -87,7 +87,7 @@
 
 // The operators' check: of 1,000 requests about 10% carry the mark, and each of them is answered.
 func TestATenthIsDrilled(t *testing.T) {
-	n, out := startLogged(t, stall(func(d *settings.Drill) { d.Share, d.Delay = 10, 20*time.Millisecond }), newBackend(t, ok))
+	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, ok))
 	if status := startDrill(t, n.url, secret); status != http.StatusOK {
 		t.Fatalf("started with %d", status)
 	}
@@ -143,13 +143,13 @@
 	if status := startDrill(t, none.url); status != http.StatusBadRequest {
 		t.Errorf("without drills and a key it is any request without an id, and got %d", status)
 	}
-	locked, _ := startLogged(t, stall(func(d *settings.Drill) { d.Secret = "" }), b)
+	locked, _ := startLogged(t, stall(func(d *settings.FaultInjection) { d.Secret = "" }), b)
 	for _, keys := range [][]string{nil, {""}, {secret}} {
 		if status := startDrill(t, locked.url, keys...); status != http.StatusNotFound {
 			t.Errorf("without a secret, keys %q: %d", keys, status)
 		}
 	}
-	n, out := startLogged(t, stall(func(*settings.Drill) {}), b)
+	n, out := startLogged(t, stall(func(*settings.FaultInjection) {}), b)
 	for _, keys := range [][]string{nil, {""}, {"crush-pad-"}, {secret + "7"}, {secret, secret}} {
 		if status := startDrill(t, n.url, keys...); status != http.StatusForbidden {
 			t.Errorf("keys %q: %d", keys, status)
@@ -174,7 +174,7 @@
 func TestAbortedRequestsReachNoServer(t *testing.T) {
 	for status, advice := range map[int]string{503: "1.2", 500: ""} {
 		b := newBackend(t, ok)
-		n, out := startLogged(t, stall(func(d *settings.Drill) { d.AbortStatus, d.Delay = status, time.Hour }), b)
+		n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.AbortStatus, d.Delay = status, time.Hour }), b)
 		startDrill(t, n.url, secret)
 		got, header, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		if got != status || header.Get("Retry-After") != advice || b.requests() != 0 {
@@ -193,7 +193,7 @@
 // others are served at once.
 func TestDelayedRequestsOnTheWayOut(t *testing.T) {
 	b := newBackend(t, ok)
-	n, out := startLogged(t, stall(func(d *settings.Drill) { d.Delay = time.Hour }), b)
+	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
 	startDrill(t, n.url, secret)
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
@@ -239,7 +239,7 @@
 }
 
 func TestNoStartAtANodeThatLeaves(t *testing.T) {
-	h := &callers{drills: faultinjection.NewKeys(stall(func(*settings.Drill) {}).Drills), closing: func() bool { return false },
+	h := &callers{drills: faultinjection.NewKeys(stall(func(*settings.FaultInjection) {}).FaultInjections), closing: func() bool { return false },
 		cutoff: func() time.Duration { return 1 }}
 	r, w := httptest.NewRequest(http.MethodPost, faultinjection.Path, nil), httptest.NewRecorder()
 	r.Header.Set(faultinjection.Header, secret)
@@ -250,7 +250,7 @@
 
 func TestDrillOfAnUnknownClass(t *testing.T) {
 	cfg := testConfig(t, "pushed")
-	cfg.Features = stall(func(d *settings.Drill) { d.Class, d.Pos = "new", "a.hcl:3" })
+	cfg.Features = stall(func(d *settings.FaultInjection) { d.Class, d.Pos = "new", "a.hcl:3" })
 	if _, err := New(cfg, quiet()); err == nil || !strings.Contains(err.Error(), `a.hcl:3: drill stall: class "new"`) {
 		t.Errorf("said %v", err)
 	}
@@ -258,7 +258,7 @@
 
 // A start that brings a body, or half of one, is answered and holds nothing up.
 func TestStartWithABody(t *testing.T) {
-	n, _ := startLogged(t, stall(func(*settings.Drill) {}), newBackend(t, ok))
+	n, _ := startLogged(t, stall(func(*settings.FaultInjection) {}), newBackend(t, ok))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
