--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -46,6 +47,13 @@
 	text := goldentest.Text(t, filepath.Join("..", "..", "internal", "peers", "testdata", "view.json"))
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
 	defer server.Close()
+	var read shown
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	if zero := goldentest.ZeroFields(read); zero != nil {
+		t.Errorf("not found in the view: %v", zero)
+	}
 	path := filepath.Join("testdata", "sites-show.txt")
 	var printed bytes.Buffer
 	if err := (sitesShow{Addr: strings.TrimPrefix(server.URL, "http://")}).Run(streams{stdout: &printed}); err != nil {
