--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-func ranges(list ...string) (all []netip.Prefix) {
+func prefixes(list ...string) (all []netip.Prefix) {
 	for _, s := range list {
 		all = append(all, netip.MustParsePrefix(s))
 	}
 	return all
 }
 
-func TestAdmits(t *testing.T) {
-	none, some := &AccessList{}, &AccessList{Allow: ranges("10.4.0.0/16", "fd00:12::/48"), Deny: ranges("10.4.9.0/24")}
-	denies := &AccessList{Deny: ranges("10.4.9.0/24", "::1/128")}
+func TestAccessListAllows(t *testing.T) {
+	none, some := &AccessList{}, &AccessList{Allow: prefixes("10.4.0.0/16", "fd00:12::/48"), Deny: prefixes("10.4.9.0/24")}
+	denies := &AccessList{Deny: prefixes("10.4.9.0/24", "::1/128")}
 	for _, c := range []struct {
 		lists  *AccessList
 		client string
@@ -39,8 +39,8 @@
 	}
 }
 
-func TestTrusts(t *testing.T) {
-	fronts := &AccessList{TrustedProxies: ranges("127.0.0.2/32", "fd00::/64")}
+func TestAccessListTrustsProxy(t *testing.T) {
+	fronts := &AccessList{TrustedProxies: prefixes("127.0.0.2/32", "fd00::/64")}
 	for addr, want := range map[string]bool{"127.0.0.2": true, "::ffff:127.0.0.2": true, "127.0.0.1": false, "fd00::9": true, "fd01::9": false} {
 		if fronts.TrustsProxy(netip.MustParseAddr(addr)) != want {
 			t.Errorf("trusts %s: %v", addr, !want)
@@ -52,8 +52,8 @@
 }
 
 // A stranger is denied before anything is learned of its request, also with an id that is in use.
-func TestStrangersAreDenied(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: ranges("10.4.0.0/16")} })
+func TestClientsOutsideTheAccessListAreDenied(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: prefixes("10.4.0.0/16")} })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	friend := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
 	if acts := b.Handle(0, friend); len(sends(acts)) != 1 {
@@ -65,7 +65,7 @@
 			t.Errorf("a stranger: %v", acts)
 		}
 	}
-	if len(b.requests) != 1 || b.classes["pay"].arrive != 1 {
-		t.Errorf("%d requests are held, %g counted", len(b.requests), b.classes["pay"].arrive)
+	if len(b.requests) != 1 || b.classes["pay"].arrivals != 1 {
+		t.Errorf("%d requests are held, %g counted", len(b.requests), b.classes["pay"].arrivals)
 	}
 }
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -8,39 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-func list(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
+func completeList(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
 
 // What is out by hand stays out whatever discovery says, and comes back by one call however many took it out.
-func TestOutByHandOutlastsDiscovery(t *testing.T) {
+func TestOverrideOutlastsDiscovery(t *testing.T) {
 	boot := func(s Server, at time.Duration) Server { s.StartTime = at; return s }
 	gone, moved := servers(1)[0], servers(1)[0]
 	gone.State, moved.Zone = Removed, "elsewhere"
 	for name, news := range map[string][]Event{
 		"nothing":           nil,
-		"the whole list":    {list(2)},
+		"the whole list":    {completeList(2)},
 		"a restart":         {EndpointUpdate{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
-		"gone and back":     {EndpointUpdate{Servers: []Server{gone}}, list(2)},
-		"left out and back": {EndpointUpdate{Complete: true, Servers: servers(2)[1:]}, list(2)},
+		"gone and back":     {EndpointUpdate{Servers: []Server{gone}}, completeList(2)},
+		"left out and back": {EndpointUpdate{Complete: true, Servers: servers(2)[1:]}, completeList(2)},
 		"moved":             {EndpointUpdate{Servers: []Server{moved}}},
-		"new settings":      {SettingsChanged{Settings: testSettings()}, list(2)},
+		"new settings":      {SettingsChanged{Settings: testSettings()}, completeList(2)},
 		"out again":         {AdminOverride{Server: "s00", Disabled: true}, AdminOverride{Server: "s00", Disabled: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer(t, nil)
-			b.Handle(0, list(2))
+			b.Handle(0, completeList(2))
 			b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
 			for _, e := range news {
 				b.Handle(2*time.Second, e)
 			}
-			b = restored(t, b.set, b)
+			b = restored(t, b.settings, b)
 			for i := range 50 {
 				id := fmt.Sprint("r", i)
 				now := time.Duration(40+i) * time.Second
-				for _, s := range sends(b.Handle(now, asked(id, "get", now, time.Second))) {
+				for _, s := range sends(b.Handle(now, newRequest(id, "get", now, time.Second))) {
 					if s.Server == "s00" {
 						t.Fatal("a server that is out got a request")
 					}
-					settle(b, now+msec, id, s, Success)
+					endAttempt(b, now+msec, id, s, Success)
 				}
 			}
 			b.Handle(100*time.Second, AdminOverride{Server: "s00"})
@@ -52,9 +52,9 @@
 }
 
 // Only listed servers and those that are out are known; nothing is remembered beyond the bound.
-func TestWhoCanBeTakenOut(t *testing.T) {
+func TestCheckOverride(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(MaxOverrides+2))
+	b.Handle(0, completeList(MaxOverrides+2))
 	if err := b.CheckOverride("nobody"); err != ErrUnknownServer {
 		t.Errorf("an unknown server: %v", err)
 	}
@@ -73,25 +73,25 @@
 	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is cold still, and so remembered
 		t.Errorf("just after one came back: %v", err)
 	}
-	b.Handle(b.set.SlowStartDuration, TimerFired{})
+	b.Handle(b.settings.SlowStartDuration, TimerFired{})
 	if err := b.CheckOverride(over); err != nil {
 		t.Errorf("with one long back: %v", err)
 	}
-	b.Handle(b.set.SlowStartDuration, EndpointUpdate{Complete: true})
+	b.Handle(b.settings.SlowStartDuration, EndpointUpdate{Complete: true})
 	if err := b.CheckOverride("s01"); err != nil {
 		t.Errorf("a server that is out and not listed any more: %v", err)
 	}
 }
 
 // Back is cold from the call; a boot before it, told later, changes nothing, one after it begins anew.
-func TestBackIsCold(t *testing.T) {
+func TestEnabledServerStartsSlowly(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(2))
+	b.Handle(0, completeList(2))
 	b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
 	call := 20 * time.Second
 	b.Handle(call, AdminOverride{Server: "s00"})
 	s := b.servers["s00"]
-	s.streak = 2
+	s.consecutiveFailures = 2
 	for _, c := range []struct {
 		boot, start time.Duration
 		streak      int
@@ -99,36 +99,36 @@
 		n := servers(1)[0]
 		n.StartTime = c.boot
 		b.Handle(26*time.Second, EndpointUpdate{Servers: []Server{n}})
-		if s.start() != c.start || s.streak != c.streak {
-			t.Errorf("told of a boot at %v: start %v, streak %d, want %v, %d", c.boot, s.start(), s.streak, c.start, c.streak)
+		if s.startedAt() != c.start || s.consecutiveFailures != c.streak {
+			t.Errorf("told of a boot at %v: start %v, streak %d, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
 		}
 	}
 	b.Handle(27*time.Second, EndpointUpdate{Complete: true})
-	b.Handle(28*time.Second, list(2))
-	if got := b.servers["s00"].start(); got != call {
+	b.Handle(28*time.Second, completeList(2))
+	if got := b.servers["s00"].startedAt(); got != call {
 		t.Errorf("after it was left out of a list its start is %v, want %v", got, call)
 	}
 }
 
 // A server that came back has a request within 5 s, though one comes a second and none may be sent twice; never two
 // at once.
-func TestBackIsUsedWhereTrafficIsThin(t *testing.T) {
+func TestEnabledServerIsUsedInLightTraffic(t *testing.T) {
 	for seed := range uint64(40) {
 		b, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, list(8))
+		b.Handle(0, completeList(8))
 		b.Handle(0, AdminOverride{Server: "s03", Disabled: true})
 		b.Handle(50*time.Second, AdminOverride{Server: "s03"})
 		used := time.Duration(0)
 		for now := 50 * time.Second; now < 60*time.Second; now += time.Second {
 			id := now.String()
-			for _, s := range sends(b.Handle(now, asked(id, "pay", now, time.Second))) {
+			for _, s := range sends(b.Handle(now, newRequest(id, "pay", now, time.Second))) {
 				if s.Server == "s03" && used == 0 {
 					used = now - 50*time.Second
 				}
-				settle(b, now+10*msec, id, s, Success)
+				endAttempt(b, now+10*msec, id, s, Success)
 			}
 		}
 		if used == 0 || used > 3*time.Second {
@@ -138,19 +138,19 @@
 }
 
 // With every server out a request is refused at once, one that waits too, and told when to come back.
-func TestAllOutByHand(t *testing.T) {
+func TestAllServersDisabled(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(2))
+	b.Handle(0, completeList(2))
 	b.Handle(0, AdminOverride{Server: "s00", Disabled: true})
 	b.pools[0].window, b.pools[0].inFlight = 1, 5 // so that a request waits
-	if acts := b.Handle(0, asked("held", "pay", 0, time.Second)); len(sends(acts)) > 0 {
+	if acts := b.Handle(0, newRequest("held", "pay", 0, time.Second)); len(sends(acts)) > 0 {
 		t.Fatal("it does not wait")
 	}
 	acts := b.Handle(msec, AdminOverride{Server: "s01", Disabled: true})
 	if len(acts) != 1 || acts[0].(Reject).ID != "held" || acts[0].(Reject).RetryAfter <= 0 {
 		t.Errorf("what waited: %v", acts)
 	}
-	acts = b.Handle(2*msec, asked("r", "pay", 2*msec, time.Second))
+	acts = b.Handle(2*msec, newRequest("r", "pay", 2*msec, time.Second))
 	if len(acts) != 1 || acts[0].(Reject).RetryAfter <= 0 {
 		t.Errorf("what came: %v", acts)
 	}
@@ -158,13 +158,13 @@
 
 // Whatever is said of servers by hand and by discovery in whatever order, nothing goes to one that is out, and a
 // checkpoint in between changes nothing.
-func TestHandsInAnyOrder(t *testing.T) {
+func TestOverridesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, list(4))
+		b.Handle(0, completeList(4))
 		out := map[string]bool{}
 		for i := range 60 {
 			now := time.Duration(i) * 200 * msec
@@ -179,17 +179,17 @@
 				delete(out, id)
 				b.Handle(now, AdminOverride{Server: id})
 			case 2:
-				b.Handle(now, list(rapid.IntRange(0, 4).Draw(t, "listed")))
+				b.Handle(now, completeList(rapid.IntRange(0, 4).Draw(t, "listed")))
 			case 3:
 				text, err := b.Checkpoint()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if b, err = Restore(b.set, text); err != nil {
+				if b, err = Restore(b.settings, text); err != nil {
 					t.Fatal(err)
 				}
 			default:
-				for _, s := range sends(b.Handle(now, asked(now.String(), "get", now, time.Second))) {
+				for _, s := range sends(b.Handle(now, newRequest(now.String(), "get", now, time.Second))) {
 					if out[s.Server] {
 						t.Fatalf("%s is out", s.Server)
 					}
@@ -201,35 +201,35 @@
 
 // What is passed on as it comes fills the window for nobody else: a body never, an answer from its beginning on. Its
 // end gives nothing back twice, and its latency is what the host saw.
-func TestSlowMessagesLeaveTheWindow(t *testing.T) {
+func TestStreamedMessagesLeaveTheWindow(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(4))
+	b.Handle(0, completeList(4))
 	p := b.pools[0]
-	up := asked("up", "pay", 0, time.Second)
+	up := newRequest("up", "pay", 0, time.Second)
 	up.StreamedBody = true
 	first := sends(b.Handle(0, up))
-	second := sends(b.Handle(0, asked("down", "pay", 0, time.Second)))
+	second := sends(b.Handle(0, newRequest("down", "pay", 0, time.Second)))
 	if p.inFlight != 1 {
 		t.Fatalf("%d in flight beside a body that comes", p.inFlight)
 	}
 	b.Handle(10*msec, ResponseStarted{ID: "down"})
-	b = restored(t, b.set, b)
+	b = restored(t, b.settings, b)
 	p = b.pools[0]
 	for i, id := range []string{"up", "down"} {
-		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].calls(); p.inFlight != 0 || calls == 0 {
+		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].inFlightCount(); p.inFlight != 0 || calls == 0 {
 			t.Fatalf("%d in flight, %d at its server", p.inFlight, calls)
 		}
 		b.Handle(time.Minute, AttemptEnded{ID: id, Server: "s", Outcome: Success, Latency: 20 * msec, RequestDone: true})
 	}
-	if p.inFlight != 0 || b.classes["pay"].mean > float64(time.Second) {
-		t.Errorf("%d in flight, mean latency %v", p.inFlight, time.Duration(b.classes["pay"].mean))
+	if p.inFlight != 0 || b.classes["pay"].meanLatency > float64(time.Second) {
+		t.Errorf("%d in flight, mean latency %v", p.inFlight, time.Duration(b.classes["pay"].meanLatency))
 	}
 }
 
 // A process and its heir together send a cold server no more than one process would, within chance, each knowing what
 // is out, cold and draining.
-func TestHeirsShareTheCareOfColdServers(t *testing.T) {
-	cold := list(4)
+func TestSuccessorKeepsSlowStart(t *testing.T) {
+	cold := completeList(4)
 	cold.Servers[1].StartTime = 100 * time.Second
 	cold.Servers[2].State = Draining
 	begin := func(seed uint64) *Balancer {
@@ -244,14 +244,14 @@
 	count := func(bs ...*Balancer) (n int) {
 		for i := range 2000 {
 			now, id, b := 100*time.Second+time.Duration(i)*msec, fmt.Sprint(i), bs[i%len(bs)]
-			for _, s := range sends(b.Handle(now, asked(id, "pay", now, time.Second))) {
+			for _, s := range sends(b.Handle(now, newRequest(id, "pay", now, time.Second))) {
 				switch s.Server {
 				case "s01":
 					n++
 				case "s02", "s03":
 					t.Fatalf("sent to %s", s.Server)
 				}
-				settle(b, now, id, s, Success)
+				endAttempt(b, now, id, s, Success)
 			}
 		}
 		return n
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -11,181 +11,181 @@
 
 // saved is the whole state of a Balancer. Servers and requests stand in lists; what points to one has its place
 // there instead.
-type saved struct {
-	Now       time.Duration  `json:"Now"`
-	Random    []byte         `json:"Random"`
-	Servers   []savedServer  `json:"Servers"`
-	Mapped    int            `json:"Mapped"` // so many of the servers are still known; the others only stand in attempts that have ended
-	Requests  []savedRequest `json:"Requests"`
-	Classes   []savedClass   `json:"Classes"`
-	Pools     []savedPool    `json:"Pools"`
-	Lines     []savedLine    `json:"Lines"`
-	Errors    float64        `json:"Errors"`
-	LastOK    time.Duration  `json:"LastOK"`
-	Tokens    float64        `json:"Tokens"`
-	SubFails  int            `json:"SubFails"`
-	SubWanted time.Duration  `json:"SubWanted"`
-	Leaving   bool           `json:"Leaving"`
-	Expired   bool           `json:"Expired,omitempty"`
-	Hands     []savedHand    `json:"Hands,omitempty"`
-	Rules     int            `json:"Rules"`
-	Before    []int          `json:"Before,omitempty"` // classes
-	Drills    *savedDrills   `json:"Drills,omitempty"`
+type savedBalancer struct {
+	Now             time.Duration       `json:"Now"`
+	RNGState        []byte              `json:"Random"`
+	Servers         []savedServer       `json:"Servers"`
+	KnownServers    int                 `json:"Mapped"` // so many of the servers are still known; the others only stand in attempts that have ended
+	Requests        []savedRequest      `json:"Requests"`
+	Classes         []savedClass        `json:"Classes"`
+	Pools           []savedPool         `json:"Pools"`
+	KeyQueues       []savedKeyQueue     `json:"Lines"`
+	ErrorRate       float64             `json:"Errors"`
+	LastSuccess     time.Duration       `json:"LastOK"`
+	RetryBalance    float64             `json:"Tokens"`
+	PollFailures    int                 `json:"SubFails"`
+	NextPoll        time.Duration       `json:"SubWanted"`
+	ShuttingDown    bool                `json:"Leaving"`
+	LeaseExpired    bool                `json:"Expired,omitempty"`
+	Overrides       []savedOverride     `json:"Hands,omitempty"`
+	SettingsVersion int                 `json:"Rules"`
+	PreviousClasses []int               `json:"Before,omitempty"` // classes
+	FaultInjector   *savedFaultInjector `json:"Drills,omitempty"`
 }
 
 type savedServer struct {
 	Server
-	Listed   bool          `json:"Listed"`
-	Open     [][2]int      `json:"Open"` // request, attempt
-	Streak   int           `json:"Streak"`
-	Level    int           `json:"Level"`
-	Goods    int           `json:"Goods"`
-	Until    time.Duration `json:"Until"`
-	LastOK   time.Duration `json:"LastOK"`
-	Room     int           `json:"Room"`
-	Full     time.Duration `json:"Full"`
-	Refusals int           `json:"Refusals"`
-	Back     time.Duration `json:"Back,omitempty"`
-	Hungry   time.Duration `json:"Hungry,omitempty"`
+	Listed                bool          `json:"Listed"`
+	InFlight              [][2]int      `json:"Open"` // request, attempt
+	ConsecutiveFailures   int           `json:"Streak"`
+	EjectionLevel         int           `json:"Level"`
+	ConsecutiveSuccesses  int           `json:"Goods"`
+	EjectedUntil          time.Duration `json:"Until"`
+	LastSuccess           time.Duration `json:"LastOK"`
+	CapacityLimit         int           `json:"Room"`
+	CapacityLimitUntil    time.Duration `json:"Full"`
+	ConsecutiveRejections int           `json:"Refusals"`
+	EnabledAt             time.Duration `json:"Back,omitempty"`
+	FirstRequestDue       time.Duration `json:"Hungry,omitempty"`
 }
 
-type savedHand struct {
-	ID   string        `json:"ID"`
-	Out  bool          `json:"Out"`
-	Back time.Duration `json:"Back"`
+type savedOverride struct {
+	ID        string        `json:"ID"`
+	Disabled  bool          `json:"Out"`
+	EnabledAt time.Duration `json:"Back"`
 }
 
 type savedRequest struct {
-	ID        []byte         `json:"ID"` // may be no UTF-8, of which JSON would make something else
-	Class     int            `json:"Class"`
-	Arrived   time.Duration  `json:"Arrived"`
-	Deadline  time.Duration  `json:"Deadline"`
-	Attempts  []savedAttempt `json:"Attempts"`
-	Repeat    bool           `json:"Repeat"`
-	Line      *uint64        `json:"Line"`
-	Answered  bool           `json:"Answered"`
-	Streaming bool           `json:"Streaming"`
-	Wake      time.Duration  `json:"Wake"`
-	Resume    time.Duration  `json:"Resume"`
-	Most      int            `json:"Most"`
-	Bulk      bool           `json:"Bulk,omitempty"`
+	ID           []byte         `json:"ID"` // may be no UTF-8, of which JSON would make something else
+	Class        int            `json:"Class"`
+	Arrived      time.Duration  `json:"Arrived"`
+	Deadline     time.Duration  `json:"Deadline"`
+	Attempts     []savedAttempt `json:"Attempts"`
+	ClientRetry  bool           `json:"Repeat"`
+	KeyQueue     *uint64        `json:"Line"`
+	Answered     bool           `json:"Answered"`
+	Streaming    bool           `json:"Streaming"`
+	TimerAt      time.Duration  `json:"Wake"`
+	DelayedUntil time.Duration  `json:"Resume"`
+	MaxAttempts  int            `json:"Most"`
+	StreamedBody bool           `json:"Bulk,omitempty"`
 }
 
 type savedAttempt struct {
-	Server  int           `json:"Server"`
-	Sent    time.Duration `json:"Sent"`
-	Zone    string        `json:"Zone"`
-	Cell    int           `json:"Cell"`
-	Boot    time.Duration `json:"Boot"`
-	Ended   bool          `json:"Ended"`
-	Unsent  bool          `json:"Unsent"`
-	Outside bool          `json:"Outside,omitempty"`
+	Server        int           `json:"Server"`
+	SentAt        time.Duration `json:"Sent"`
+	Zone          string        `json:"Zone"`
+	Cell          int           `json:"Cell"`
+	ServerStart   time.Duration `json:"Boot"`
+	Ended         bool          `json:"Ended"`
+	NeverRan      bool          `json:"Unsent"`
+	OutsideWindow bool          `json:"Outside,omitempty"`
 }
 
 type savedClass struct {
-	Mean     float64       `json:"Mean"`
-	Dev      float64       `json:"Dev"`
-	Samples  float64       `json:"Samples"`
-	Arrive   float64       `json:"Arrive"`
-	Serve    float64       `json:"Serve"`
-	UsualTry time.Duration `json:"UsualTry"`
-	Old      *Class        `json:"Old,omitempty"`  // of settings before these
-	Pool     int           `json:"Pool,omitempty"` // of an old one
+	MeanLatency      float64       `json:"Mean"`
+	LatencyDeviation float64       `json:"Dev"`
+	Samples          float64       `json:"Samples"`
+	Arrivals         float64       `json:"Arrive"`
+	Served           float64       `json:"Serve"`
+	TypicalBudget    time.Duration `json:"UsualTry"`
+	PreviousClass    *Class        `json:"Old,omitempty"`  // of settings before these
+	Pool             int           `json:"Pool,omitempty"` // of an old one
 }
 
 type savedPool struct {
-	Ready    []int    `json:"Ready"`
-	Near     []int    `json:"Near"`
-	Held     []int    `json:"Held"`
-	InFlight int      `json:"InFlight"`
-	Spill    float64  `json:"Spill"`
-	Nearby   float64  `json:"Nearby"`
-	Far      float64  `json:"Far"`
-	Fair     float64  `json:"Fair"`
-	Window   float64  `json:"Window"`
-	Fill     float64  `json:"Fill"`
-	Bare     float64  `json:"Bare"`
-	Spared   float64  `json:"Spared"`
-	Peak     float64  `json:"Peak"`
-	Base     float64  `json:"Base"`
-	Part     float64  `json:"Part"`
-	Shed     float64  `json:"Shed"`
-	Handed   bool     `json:"Handed,omitempty"`
-	Zones    []string `json:"Zones"` // nil: all
-	Kinds    []string `json:"Kinds"` // nil: all
+	Ready             []int    `json:"Ready"`
+	Preferred         []int    `json:"Near"`
+	Queued            []int    `json:"Held"`
+	InFlight          int      `json:"InFlight"`
+	CrossZoneShare    float64  `json:"Spill"`
+	PreferredLatency  float64  `json:"Nearby"`
+	OtherLatency      float64  `json:"Far"`
+	ServersPerReplica float64  `json:"Fair"`
+	Window            float64  `json:"Window"`
+	LoadRatio         float64  `json:"Fill"`
+	UnloadedRatio     float64  `json:"Bare"`
+	UnloadedSamples   float64  `json:"Spared"`
+	PeakInFlight      float64  `json:"Peak"`
+	FloorServers      float64  `json:"Base"`
+	WindowFraction    float64  `json:"Part"`
+	ShedShare         float64  `json:"Shed"`
+	AllDisabled       bool     `json:"Handed,omitempty"`
+	AllowedZones      []string `json:"Zones"` // nil: all
+	AllowedKinds      []string `json:"Kinds"` // nil: all
 }
 
-type savedLine struct {
-	Key   uint64        `json:"Key"`
-	Queue []int         `json:"Queue"`
-	Rest  time.Duration `json:"Rest"`
+type savedKeyQueue struct {
+	Key        uint64        `json:"Key"`
+	Requests   []int         `json:"Queue"`
+	QuietUntil time.Duration `json:"Rest"`
 }
 
-type savedDrills struct {
-	Random  []byte          `json:"Random"`
-	Until   []time.Duration `json:"Until"`
-	Delayed []int           `json:"Delayed"`
+type savedFaultInjector struct {
+	RNGState    []byte          `json:"Random"`
+	ActiveUntil []time.Duration `json:"Until"`
+	Delayed     []int           `json:"Delayed"`
 }
 
 // Checkpoint returns all that a Balancer has learned and holds. One that Restore makes of it goes on as this one
 // does.
 func (b *Balancer) Checkpoint() ([]byte, error) {
-	s := saved{Now: b.now, Errors: b.errors, LastOK: b.lastOK, Tokens: b.tokens, SubFails: b.subFails,
-		SubWanted: b.subWanted, Leaving: b.leaving, Expired: b.expired, Rules: b.rules}
-	for _, id := range slices.Sorted(maps.Keys(b.hands)) {
-		s.Hands = append(s.Hands, savedHand{ID: id, Out: b.hands[id].out, Back: b.hands[id].back})
+	s := savedBalancer{Now: b.now, ErrorRate: b.errorRate, LastSuccess: b.lastSuccess, RetryBalance: b.retryBalance, PollFailures: b.pollFailures,
+		NextPoll: b.nextPoll, ShuttingDown: b.shuttingDown, LeaseExpired: b.leaseExpired, SettingsVersion: b.settingsVersion}
+	for _, id := range slices.Sorted(maps.Keys(b.overrides)) {
+		s.Overrides = append(s.Overrides, savedOverride{ID: id, Disabled: b.overrides[id].disabled, EnabledAt: b.overrides[id].enabledAt})
 	}
 	var err error
-	if s.Random, err = b.src.MarshalBinary(); err != nil {
+	if s.RNGState, err = b.rngSource.MarshalBinary(); err != nil {
 		return nil, fmt.Errorf("checkpoint: %w", err)
 	}
-	servers := places[*server]{}
+	servers := numberTable[*server]{}
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		servers.of(b.servers[id])
+		servers.number(b.servers[id])
 	}
-	s.Mapped = len(servers.list)
-	requests := places[*request]{}
+	s.KnownServers = len(servers.list)
+	requests := numberTable[*request]{}
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		requests.of(b.requests[id])
+		requests.number(b.requests[id])
 	}
-	classes := places[*class]{}
-	classes.all(b.order)
-	for _, name := range slices.Sorted(maps.Keys(b.before)) {
-		s.Before = append(s.Before, classes.of(b.before[name]))
+	classes := numberTable[*class]{}
+	classes.numbers(b.classList)
+	for _, name := range slices.Sorted(maps.Keys(b.previousClasses)) {
+		s.PreviousClasses = append(s.PreviousClasses, classes.number(b.previousClasses[name]))
 	}
 	for _, r := range requests.list {
 		s.Requests = append(s.Requests, b.saveRequest(r, &servers, &classes))
 	}
 	for _, v := range servers.list {
-		o := savedServer{Server: v.Server, Listed: v.listed, Streak: v.streak, Level: v.level,
-			Goods: v.goods, Until: v.until, LastOK: v.lastOK, Room: v.room, Full: v.full, Refusals: v.refusals,
-			Back: v.back, Hungry: v.hungry}
-		for _, a := range v.open {
-			o.Open = append(o.Open, [2]int{requests.of(a.req), a.n})
+		o := savedServer{Server: v.Server, Listed: v.listed, ConsecutiveFailures: v.consecutiveFailures, EjectionLevel: v.ejectionLevel,
+			ConsecutiveSuccesses: v.consecutiveSuccesses, EjectedUntil: v.ejectedUntil, LastSuccess: v.lastSuccess, CapacityLimit: v.capacityLimit, CapacityLimitUntil: v.capacityLimitUntil, ConsecutiveRejections: v.consecutiveRejections,
+			EnabledAt: v.enabledAt, FirstRequestDue: v.firstRequestDue}
+		for _, a := range v.inFlight {
+			o.InFlight = append(o.InFlight, [2]int{requests.number(a.request), a.number})
 		}
 		s.Servers = append(s.Servers, o)
 	}
 	for i, c := range classes.list {
-		o := savedClass{Mean: c.mean, Dev: c.dev, Samples: c.samples, Arrive: c.arrive,
-			Serve: c.serve, UsualTry: c.usualTry}
-		if i >= len(b.order) {
-			o.Old, o.Pool = &c.Class, slices.Index(b.pools, c.pool)
+		o := savedClass{MeanLatency: c.meanLatency, LatencyDeviation: c.latencyDeviation, Samples: c.samples, Arrivals: c.arrivals,
+			Served: c.served, TypicalBudget: c.typicalBudget}
+		if i >= len(b.classList) {
+			o.PreviousClass, o.Pool = &c.Class, slices.Index(b.pools, c.pool)
 		}
 		s.Classes = append(s.Classes, o)
 	}
 	for _, p := range b.pools {
-		s.Pools = append(s.Pools, savedPool{Ready: servers.all(p.ready), Near: servers.all(p.near),
-			Held: requests.all(p.held), InFlight: p.inFlight, Spill: p.spill, Nearby: p.nearby, Far: p.far,
-			Fair: p.fair, Window: p.window, Fill: p.fill, Bare: p.bare, Spared: p.spared, Peak: p.peak,
-			Base: p.base, Part: p.part, Shed: p.shed, Handed: p.handed, Zones: p.zones, Kinds: p.kinds})
-	}
-	for _, key := range slices.Sorted(maps.Keys(b.lines)) {
-		l := b.lines[key]
-		s.Lines = append(s.Lines, savedLine{Key: key, Queue: requests.all(l.queue), Rest: l.rest})
-	}
-	if d := b.drills; d != nil {
-		s.Drills = &savedDrills{Until: d.until, Delayed: requests.all(d.delayed)}
-		if s.Drills.Random, err = d.src.MarshalBinary(); err != nil {
+		s.Pools = append(s.Pools, savedPool{Ready: servers.numbers(p.ready), Preferred: servers.numbers(p.preferred),
+			Queued: requests.numbers(p.queued), InFlight: p.inFlight, CrossZoneShare: p.crossZoneShare, PreferredLatency: p.preferredLatency, OtherLatency: p.otherLatency,
+			ServersPerReplica: p.serversPerReplica, Window: p.window, LoadRatio: p.loadRatio, UnloadedRatio: p.unloadedRatio, UnloadedSamples: p.unloadedSamples, PeakInFlight: p.peakInFlight,
+			FloorServers: p.floorServers, WindowFraction: p.windowFraction, ShedShare: p.shedShare, AllDisabled: p.allDisabled, AllowedZones: p.allowedZones, AllowedKinds: p.allowedKinds})
+	}
+	for _, key := range slices.Sorted(maps.Keys(b.keyQueues)) {
+		l := b.keyQueues[key]
+		s.KeyQueues = append(s.KeyQueues, savedKeyQueue{Key: key, Requests: requests.numbers(l.requests), QuietUntil: l.quietUntil})
+	}
+	if d := b.faults; d != nil {
+		s.FaultInjector = &savedFaultInjector{ActiveUntil: d.activeUntil, Delayed: requests.numbers(d.delayed)}
+		if s.FaultInjector.RNGState, err = d.rngSource.MarshalBinary(); err != nil {
 			return nil, fmt.Errorf("checkpoint: %w", err)
 		}
 	}
@@ -196,98 +196,98 @@
 	return text, nil
 }
 
-func (b *Balancer) saveRequest(r *request, servers *places[*server], classes *places[*class]) savedRequest {
-	o := savedRequest{ID: []byte(r.id), Class: classes.of(r.class), Most: r.most, Bulk: r.bulk, Arrived: r.arrived, Deadline: r.deadline,
-		Repeat: r.repeat, Answered: r.answered, Streaming: r.streaming, Wake: r.wake, Resume: r.resume}
-	if r.line != nil {
-		o.Line = &r.line.key
+func (b *Balancer) saveRequest(r *request, servers *numberTable[*server], classes *numberTable[*class]) savedRequest {
+	o := savedRequest{ID: []byte(r.id), Class: classes.number(r.class), MaxAttempts: r.maxAttempts, StreamedBody: r.streamedBody, Arrived: r.arrived, Deadline: r.deadline,
+		ClientRetry: r.clientRetry, Answered: r.answered, Streaming: r.streaming, TimerAt: r.timerAt, DelayedUntil: r.delayedUntil}
+	if r.keyQueue != nil {
+		o.KeyQueue = &r.keyQueue.key
 	}
 	for _, a := range r.attempts {
-		o.Attempts = append(o.Attempts, savedAttempt{Server: servers.of(a.srv), Sent: a.sent, Zone: a.zone,
-			Cell: a.cell, Boot: a.boot, Ended: a.ended, Unsent: a.unsent, Outside: a.outside})
+		o.Attempts = append(o.Attempts, savedAttempt{Server: servers.number(a.server), SentAt: a.sentAt, Zone: a.zone,
+			Cell: a.cell, ServerStart: a.serverStart, Ended: a.ended, NeverRan: a.neverRan, OutsideWindow: a.outsideWindow})
 	}
 	return o
 }
 
 // places numbers what it is asked for.
-type places[T comparable] struct {
-	list []T
-	at   map[T]int
+type numberTable[T comparable] struct {
+	list    []T
+	indexes map[T]int
 }
 
-func (p *places[T]) of(v T) int {
-	i, ok := p.at[v]
+func (p *numberTable[T]) number(v T) int {
+	i, ok := p.indexes[v]
 	if !ok {
-		if p.at == nil {
-			p.at = map[T]int{}
+		if p.indexes == nil {
+			p.indexes = map[T]int{}
 		}
 		i = len(p.list)
-		p.at[v] = i
+		p.indexes[v] = i
 		p.list = append(p.list, v)
 	}
 	return i
 }
 
-func (p *places[T]) all(list []T) (at []int) {
+func (p *numberTable[T]) numbers(list []T) (at []int) {
 	for _, v := range list {
-		at = append(at, p.of(v))
+		at = append(at, p.number(v))
 	}
 	return at
 }
 
-var errNoCheckpoint = errors.New("not a checkpoint of a Balancer with these settings")
+var errInvalidCheckpoint = errors.New("not a checkpoint of a Balancer with these settings")
 
 // Restore returns a Balancer that goes on from a checkpoint of one with the same settings.
 func Restore(set Settings, checkpoint []byte) (*Balancer, error) {
-	var s saved
+	var s savedBalancer
 	if err := json.Unmarshal(checkpoint, &s); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoCheckpoint, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidCheckpoint, err)
 	}
 	b, err := New(set, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := b.src.UnmarshalBinary(s.Random); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoCheckpoint, err)
+	if err := b.rngSource.UnmarshalBinary(s.RNGState); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalidCheckpoint, err)
 	}
-	if len(s.Classes) < len(b.order) || len(s.Pools) < len(b.pools) || (s.Drills != nil) != (b.drills != nil) ||
-		s.Mapped < 0 || s.Mapped > len(s.Servers) {
-		return nil, errNoCheckpoint
+	if len(s.Classes) < len(b.classList) || len(s.Pools) < len(b.pools) || (s.FaultInjector != nil) != (b.faults != nil) ||
+		s.KnownServers < 0 || s.KnownServers > len(s.Servers) {
+		return nil, errInvalidCheckpoint
 	}
-	b.now, b.errors, b.lastOK, b.tokens = s.Now, s.Errors, s.LastOK, s.Tokens
-	b.subFails, b.subWanted, b.leaving, b.expired = s.SubFails, s.SubWanted, s.Leaving, s.Expired
-	b.rules = s.Rules
-	for _, h := range s.Hands {
-		b.hands[h.ID] = hand{out: h.Out, back: h.Back}
+	b.now, b.errorRate, b.lastSuccess, b.retryBalance = s.Now, s.ErrorRate, s.LastSuccess, s.RetryBalance
+	b.pollFailures, b.nextPoll, b.shuttingDown, b.leaseExpired = s.PollFailures, s.NextPoll, s.ShuttingDown, s.LeaseExpired
+	b.settingsVersion = s.SettingsVersion
+	for _, h := range s.Overrides {
+		b.overrides[h.ID] = override{disabled: h.Disabled, enabledAt: h.EnabledAt}
 	}
 	for _, p := range s.Pools[len(b.pools):] {
-		b.pools = append(b.pools, &pool{zones: p.Zones, kinds: p.Kinds})
+		b.pools = append(b.pools, &pool{allowedZones: p.AllowedZones, allowedKinds: p.AllowedKinds})
 	}
-	classes := slices.Clone(b.order)
+	classes := slices.Clone(b.classList)
 	for i, c := range s.Classes {
-		if i >= len(b.order) {
-			if c.Old == nil || c.Pool < 0 || c.Pool >= len(b.pools) {
-				return nil, errNoCheckpoint
+		if i >= len(b.classList) {
+			if c.PreviousClass == nil || c.Pool < 0 || c.Pool >= len(b.pools) {
+				return nil, errInvalidCheckpoint
 			}
-			classes = append(classes, &class{Class: *c.Old, pool: b.pools[c.Pool]})
+			classes = append(classes, &class{Class: *c.PreviousClass, pool: b.pools[c.Pool]})
 		}
 		k := classes[i]
-		k.mean, k.dev, k.samples, k.arrive, k.serve, k.usualTry = c.Mean, c.Dev, c.Samples, c.Arrive, c.Serve, c.UsualTry
+		k.meanLatency, k.latencyDeviation, k.samples, k.arrivals, k.served, k.typicalBudget = c.MeanLatency, c.LatencyDeviation, c.Samples, c.Arrivals, c.Served, c.TypicalBudget
 	}
 	// Pointers go last: each list must be there before another one points into it.
-	f := &fetcher{}
-	for _, c := range fetch(f, classes, s.Before) {
-		if b.before == nil {
-			b.before = map[string]*class{}
+	f := &resolver{}
+	for _, c := range resolve(f, classes, s.PreviousClasses) {
+		if b.previousClasses == nil {
+			b.previousClasses = map[string]*class{}
 		}
-		b.before[c.Name] = c
+		b.previousClasses[c.Name] = c
 	}
 	servers := make([]*server, len(s.Servers))
 	for i, o := range s.Servers {
-		servers[i] = &server{Server: o.Server, listed: o.Listed, streak: o.Streak, level: o.Level,
-			goods: o.Goods, until: o.Until, lastOK: o.LastOK, room: o.Room, full: o.Full, refusals: o.Refusals,
-			back: o.Back, hungry: o.Hungry}
-		if i < s.Mapped {
+		servers[i] = &server{Server: o.Server, listed: o.Listed, consecutiveFailures: o.ConsecutiveFailures, ejectionLevel: o.EjectionLevel,
+			consecutiveSuccesses: o.ConsecutiveSuccesses, ejectedUntil: o.EjectedUntil, lastSuccess: o.LastSuccess, capacityLimit: o.CapacityLimit, capacityLimitUntil: o.CapacityLimitUntil, consecutiveRejections: o.ConsecutiveRejections,
+			enabledAt: o.EnabledAt, firstRequestDue: o.FirstRequestDue}
+		if i < s.KnownServers {
 			b.servers[o.ID] = servers[i]
 		}
 	}
@@ -296,71 +296,71 @@
 		requests[i] = b.loadRequest(o, servers, classes, f)
 		b.requests[requests[i].id] = requests[i]
 	}
-	for _, l := range s.Lines {
-		b.lines[l.Key] = &line{key: l.Key, queue: fetch(f, requests, l.Queue), rest: l.Rest}
+	for _, l := range s.KeyQueues {
+		b.keyQueues[l.Key] = &keyQueue{key: l.Key, requests: resolve(f, requests, l.Requests), quietUntil: l.QuietUntil}
 	}
 	for i, o := range s.Requests {
-		if o.Line != nil {
-			requests[i].line = b.lines[*o.Line]
-			f.bad = f.bad || requests[i].line == nil
+		if o.KeyQueue != nil {
+			requests[i].keyQueue = b.keyQueues[*o.KeyQueue]
+			f.failed = f.failed || requests[i].keyQueue == nil
 		}
 	}
 	for i, o := range s.Servers {
-		for _, at := range o.Open {
-			r := fetch(f, requests, at[:1])
+		for _, at := range o.InFlight {
+			r := resolve(f, requests, at[:1])
 			if len(r) == 1 {
-				servers[i].open = append(servers[i].open, fetch(f, r[0].attempts, at[1:])...)
+				servers[i].inFlight = append(servers[i].inFlight, resolve(f, r[0].attempts, at[1:])...)
 			}
 		}
 	}
 	for i, o := range s.Pools {
 		p := b.pools[i]
-		p.ready, p.near, p.held = fetch(f, servers, o.Ready), fetch(f, servers, o.Near), fetch(f, requests, o.Held)
-		for _, r := range p.held {
-			r.held = true
+		p.ready, p.preferred, p.queued = resolve(f, servers, o.Ready), resolve(f, servers, o.Preferred), resolve(f, requests, o.Queued)
+		for _, r := range p.queued {
+			r.queued = true
 		}
-		p.inFlight, p.spill, p.nearby, p.far = o.InFlight, o.Spill, o.Nearby, o.Far
-		p.fair, p.window, p.fill, p.bare, p.spared = o.Fair, o.Window, o.Fill, o.Bare, o.Spared
-		p.peak, p.base, p.part, p.shed, p.handed = o.Peak, o.Base, o.Part, o.Shed, o.Handed
+		p.inFlight, p.crossZoneShare, p.preferredLatency, p.otherLatency = o.InFlight, o.CrossZoneShare, o.PreferredLatency, o.OtherLatency
+		p.serversPerReplica, p.window, p.loadRatio, p.unloadedRatio, p.unloadedSamples = o.ServersPerReplica, o.Window, o.LoadRatio, o.UnloadedRatio, o.UnloadedSamples
+		p.peakInFlight, p.floorServers, p.windowFraction, p.shedShare, p.allDisabled = o.PeakInFlight, o.FloorServers, o.WindowFraction, o.ShedShare, o.AllDisabled
 	}
-	if d := s.Drills; d != nil {
-		if err := b.drills.src.UnmarshalBinary(d.Random); err != nil || len(d.Until) != len(b.drills.until) {
-			return nil, errNoCheckpoint
+	if d := s.FaultInjector; d != nil {
+		if err := b.faults.rngSource.UnmarshalBinary(d.RNGState); err != nil || len(d.ActiveUntil) != len(b.faults.activeUntil) {
+			return nil, errInvalidCheckpoint
 		}
-		copy(b.drills.until, d.Until)
-		b.drills.delayed = fetch(f, requests, d.Delayed)
-		for _, r := range b.drills.delayed {
+		copy(b.faults.activeUntil, d.ActiveUntil)
+		b.faults.delayed = resolve(f, requests, d.Delayed)
+		for _, r := range b.faults.delayed {
 			r.delayed = true
 		}
 	}
-	if f.bad {
-		return nil, errNoCheckpoint
+	if f.failed {
+		return nil, errInvalidCheckpoint
 	}
 	return b, nil
 }
 
-func (b *Balancer) loadRequest(o savedRequest, servers []*server, classes []*class, f *fetcher) *request {
-	r := &request{id: string(o.ID), arrived: o.Arrived, deadline: o.Deadline, repeat: o.Repeat,
-		answered: o.Answered, streaming: o.Streaming, wake: o.Wake, resume: o.Resume, most: o.Most, bulk: o.Bulk}
-	if c := fetch(f, classes, []int{o.Class}); len(c) == 1 {
+func (b *Balancer) loadRequest(o savedRequest, servers []*server, classes []*class, f *resolver) *request {
+	r := &request{id: string(o.ID), arrived: o.Arrived, deadline: o.Deadline, clientRetry: o.ClientRetry,
+		answered: o.Answered, streaming: o.Streaming, timerAt: o.TimerAt, delayedUntil: o.DelayedUntil, maxAttempts: o.MaxAttempts, streamedBody: o.StreamedBody}
+	if c := resolve(f, classes, []int{o.Class}); len(c) == 1 {
 		r.class = c[0]
 	}
 	for n, a := range o.Attempts {
-		if v := fetch(f, servers, []int{a.Server}); len(v) == 1 {
-			r.attempts = append(r.attempts, &attempt{req: r, srv: v[0], n: n, sent: a.Sent, zone: a.Zone,
-				cell: a.Cell, boot: a.Boot, ended: a.Ended, unsent: a.Unsent, outside: a.Outside})
+		if v := resolve(f, servers, []int{a.Server}); len(v) == 1 {
+			r.attempts = append(r.attempts, &attempt{request: r, server: v[0], number: n, sentAt: a.SentAt, zone: a.Zone,
+				cell: a.Cell, serverStart: a.ServerStart, ended: a.Ended, neverRan: a.NeverRan, outsideWindow: a.OutsideWindow})
 		}
 	}
 	return r
 }
 
 // fetcher notes whether a place was none.
-type fetcher struct{ bad bool }
+type resolver struct{ failed bool }
 
-func fetch[T any](f *fetcher, list []T, at []int) (found []T) {
+func resolve[T any](f *resolver, list []T, at []int) (found []T) {
 	for _, i := range at {
 		if i < 0 || i >= len(list) {
-			f.bad = true
+			f.failed = true
 			return nil
 		}
 		found = append(found, list[i])
@@ -375,21 +375,21 @@
 	if err != nil {
 		return nil, err
 	}
-	var s saved
+	var s savedBalancer
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("heir: %w", err)
 	}
-	s.Requests, s.Lines, s.Before, s.Rules, s.Leaving, s.Expired, s.SubWanted = nil, nil, nil, 0, false, false, 0
-	s.Classes = s.Classes[:len(b.order)]
-	s.Servers = s.Servers[:s.Mapped]
+	s.Requests, s.KeyQueues, s.PreviousClasses, s.SettingsVersion, s.ShuttingDown, s.LeaseExpired, s.NextPoll = nil, nil, nil, 0, false, false, 0
+	s.Classes = s.Classes[:len(b.classList)]
+	s.Servers = s.Servers[:s.KnownServers]
 	for i := range s.Servers {
-		s.Servers[i].Open = nil
+		s.Servers[i].InFlight = nil
 	}
 	for i := range s.Pools {
-		s.Pools[i].Held, s.Pools[i].InFlight = nil, 0
+		s.Pools[i].Queued, s.Pools[i].InFlight = nil, 0
 	}
-	if s.Drills != nil {
-		s.Drills.Delayed = nil
+	if s.FaultInjector != nil {
+		s.FaultInjector.Delayed = nil
 	}
 	return json.Marshal(s)
 }
@@ -400,14 +400,14 @@
 	if err != nil {
 		return nil, err
 	}
-	b.src.Seed(seed, 0x51a7e)
+	b.rngSource.Seed(seed, 0x51a7e)
 	return b, nil
 }
 
 // DisabledServers are the servers that are out by hand.
 func (b *Balancer) DisabledServers() (ids []string) {
-	for id, h := range b.hands {
-		if h.out {
+	for id, h := range b.overrides {
+		if h.disabled {
 			ids = append(ids, id)
 		}
 	}
@@ -418,6 +418,6 @@
 // RestoreDisabled takes servers out that were so in an earlier life of the node. It comes before any event.
 func (b *Balancer) RestoreDisabled(ids []string) {
 	for _, id := range ids[:min(len(ids), MaxOverrides)] {
-		b.hands[id] = hand{out: true}
+		b.overrides[id] = override{disabled: true}
 	}
 }
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -17,12 +17,12 @@
 
 // A Balancer that is made anew from checkpoints, again and again in the middle of random events, does just what one
 // does that runs through.
-func TestRestoredBalancerGoesOnAlike(t *testing.T) {
+func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		set := ruleSettings()
 		set.Tier, set.PollDiscovery = int(seed%2), seed%3 == 0
 		if seed%2 == 0 {
-			set.FaultInjections = ruleDrills
+			set.FaultInjections = ruleFaultInjections
 		}
 		c := newChecker(set)
 		c.keep = true
@@ -71,15 +71,15 @@
 
 // Whoever adds a field must say here that the checkpoint has it, or that it need not.
 func TestCheckpointKnowsEveryField(t *testing.T) {
-	for v, want := range map[any]int{&Balancer{}: 22, &pool{}: 19, &line{}: 3, &class{}: 8, &server{}: 13,
-		&request{}: 15, &attempt{}: 10, &rehearsal{}: 4} {
+	for v, want := range map[any]int{&Balancer{}: 22, &pool{}: 19, &keyQueue{}: 3, &class{}: 8, &server{}: 13,
+		&request{}: 15, &attempt{}: 10, &faultInjector{}: 4} {
 		if n := reflect.TypeOf(v).Elem().NumField(); n != want {
 			t.Errorf("%T has %d fields, and the checkpoint was written for %d", v, n, want)
 		}
 	}
 }
 
-func TestWhatIsNoCheckpoint(t *testing.T) {
+func TestInvalidCheckpointsAreRejected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
 	b.Handle(0, Request{ID: "r", Class: "pay", Deadline: time.Second})
--- a/balancer/days_test.go
+++ b/balancer/days_test.go
@@ -9,7 +9,7 @@
 )
 
 // truth is what a host knows of the attempts that are out, by server and in all.
-type truth struct {
+type expectedState struct {
 	out    map[string]int
 	timers []SetTimer
 	due    []ending
@@ -23,7 +23,7 @@
 }
 
 // take notes what the module wants; draw gives an attempt its ending.
-func (h *truth) take(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
+func (h *expectedState) apply(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
@@ -39,9 +39,9 @@
 }
 
 // agrees says where the module's count of its own calls is not that of the attempts truly out.
-func (h *truth) agrees(b *Balancer) string {
+func (h *expectedState) difference(b *Balancer) string {
 	for id, n := range h.out {
-		if s := b.servers[id]; n < 0 || s == nil && n > 0 || s != nil && s.calls() != n {
+		if s := b.servers[id]; n < 0 || s == nil && n > 0 || s != nil && s.inFlightCount() != n {
 			return fmt.Sprintf("%s: %d attempts are out, the module has %+v", id, n, s)
 		}
 	}
@@ -53,8 +53,8 @@
 		all += p.inFlight
 	}
 	for id, s := range b.servers {
-		if s.calls() > 0 && h.out[id] == 0 {
-			return fmt.Sprintf("%s: none is out, the module has %d", id, s.calls())
+		if s.inFlightCount() > 0 && h.out[id] == 0 {
+			return fmt.Sprintf("%s: none is out, the module has %d", id, s.inFlightCount())
 		}
 	}
 	for _, n := range h.out {
@@ -69,7 +69,7 @@
 // Days go by in which servers, ids and keys keep changing, servers leave with calls out, come back, restart and drain,
 // clients leave and give odd budgets. After every event the own calls in flight are those that are truly out; in the end
 // nothing is kept, and no timer or counter has grown.
-func TestDaysLeaveNothingBehind(t *testing.T) {
+func TestChurnLeavesNothingBehind(t *testing.T) {
 	for seed := range uint64(2) {
 		set := ruleSettings()
 		set.Tier, set.PollDiscovery = int(seed%2), seed%2 == 0
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rng, h := rand.New(rand.NewPCG(seed, 9)), &truth{out: map[string]int{}}
+		rng, h := rand.New(rand.NewPCG(seed, 9)), &expectedState{out: map[string]int{}}
 		fleet, next := servers(6), 6
 		now := time.Duration(0)
 		draw := func(s Send) (time.Duration, Outcome) {
@@ -91,17 +91,17 @@
 			return took, Success
 		}
 		give := func(e Event) {
-			h.take(now, b, b.Handle(now, e), draw)
-			if fault := h.agrees(b); fault != "" {
+			h.apply(now, b, b.Handle(now, e), draw)
+			if fault := h.difference(b); fault != "" {
 				t.Fatalf("seed %d at %v after %T%+v: %s", seed, now, e, e, fault)
 			}
 		}
 		pass := func(step time.Duration) {
 			now += step
-			for _, w := range taken(&h.timers, func(w SetTimer) bool { return w.At <= now }) {
+			for _, w := range takeDue(&h.timers, func(w SetTimer) bool { return w.At <= now }) {
 				give(TimerFired{Token: w.Token})
 			}
-			for _, d := range taken(&h.due, func(d ending) bool { return d.at <= now }) {
+			for _, d := range takeDue(&h.due, func(d ending) bool { return d.at <= now }) {
 				if h.out[d.e.Server]--; h.out[d.e.Server] == 0 {
 					delete(h.out, d.e.Server)
 				}
@@ -143,22 +143,22 @@
 		for range 100 {
 			pass(time.Minute)
 		}
-		if len(b.requests) > 0 || len(b.lines) > 0 || len(b.servers) > len(fleet) {
-			t.Errorf("seed %d: %d requests, %d lines, %d servers are kept", seed, len(b.requests), len(b.lines), len(b.servers))
+		if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.servers) > len(fleet) {
+			t.Errorf("seed %d: %d requests, %d lines, %d servers are kept", seed, len(b.requests), len(b.keyQueues), len(b.servers))
 		}
 		for _, s := range b.servers {
-			if s.calls() != 0 || s.level > maxLevel || s.refusals > maxLevel || s.room < 0 {
+			if s.inFlightCount() != 0 || s.ejectionLevel > maxBackoffLevel || s.consecutiveRejections > maxBackoffLevel || s.capacityLimit < 0 {
 				t.Errorf("seed %d: %+v", seed, s)
 			}
 		}
 		for _, p := range b.pools {
-			for _, v := range []float64{p.window, p.fill, p.bare, p.peak, p.base, p.shed, p.spill, p.nearby, p.far, b.tokens, b.errors} {
+			for _, v := range []float64{p.window, p.loadRatio, p.unloadedRatio, p.peakInFlight, p.floorServers, p.shedShare, p.crossZoneShare, p.preferredLatency, p.otherLatency, b.retryBalance, b.errorRate} {
 				if math.IsNaN(v) || math.Abs(v) > 1000 {
 					t.Errorf("seed %d: %+v", seed, p)
 				}
 			}
-			if p.inFlight != 0 || len(p.held) > 0 {
-				t.Errorf("seed %d: %d in flight, %d held", seed, p.inFlight, len(p.held))
+			if p.inFlight != 0 || len(p.queued) > 0 {
+				t.Errorf("seed %d: %d in flight, %d held", seed, p.inFlight, len(p.queued))
 			}
 		}
 		if h.most > 100 || len(h.timers) > 1 { // the next asking of discovery
@@ -171,7 +171,7 @@
 }
 
 // taken removes what is due from a list and returns it.
-func taken[T any](list *[]T, due func(T) bool) (out []T) {
+func takeDue[T any](list *[]T, due func(T) bool) (out []T) {
 	keep := (*list)[:0:0]
 	for _, v := range *list {
 		if due(v) {
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -9,22 +9,22 @@
 
 // eligible gives those of each group that may be drawn: in scope, untried, fit, warm enough, with room and,
 // while any are, not crowded. The last groups may be drawn from without room.
-func (b *Balancer) eligible(r *request, left, right []*server, last bool) (okLeft, okRight []*server) {
+func (b *Balancer) eligibleServers(r *request, left, right []*server, last bool) (okLeft, okRight []*server) {
 	list := slices.Concat(left, right)
-	unfit := b.ruledOut(r, list)
-	limits := []func(*server) int{b.crowd(list), b.roomy}
+	unfit := b.excludeOutliers(r, list)
+	limits := []func(*server) int{b.concurrencyCap(list), b.capacityLimit}
 	if last {
 		limits = append(limits, func(*server) int { return math.MaxInt })
 	}
 	busy := 0.0
 	for _, s := range list {
-		if s.calls() > 0 {
+		if s.inFlightCount() > 0 {
 			busy += 1 / float64(len(list))
 		}
 	}
 	for _, limit := range limits {
 		for i, s := range list {
-			if unfit[i] || s.calls() >= limit(s) || !b.inScope(r, s) || !b.warmEnough(s, busy) {
+			if unfit[i] || s.inFlightCount() >= limit(s) || !b.mayServe(r, s) || !b.slowStartAdmits(s, busy) {
 				continue
 			}
 			if i < len(left) {
@@ -41,29 +41,29 @@
 }
 
 // crowd gives the own calls at which a server is passed over: draws that met it twice would choke it.
-func (b *Balancer) crowd(list []*server) func(*server) int {
+func (b *Balancer) concurrencyCap(list []*server) func(*server) int {
 	calls := 0
 	for _, s := range list {
-		calls += s.calls()
+		calls += s.inFlightCount()
 	}
-	return func(s *server) int { return min(b.roomy(s), 1+calls/len(list)) }
+	return func(s *server) int { return min(b.capacityLimit(s), 1+calls/len(list)) }
 }
 
 // roomy is the count of own calls at which a server is passed over because it refused one more: its queue
 // or connections are full, and refusals drain its count. It is not ill: the health cap is not for it.
-func (b *Balancer) roomy(s *server) int {
-	if b.now < s.full {
-		return s.room
+func (b *Balancer) capacityLimit(s *server) int {
+	if b.now < s.capacityLimitUntil {
+		return s.capacityLimit
 	}
 	return math.MaxInt
 }
 
 // inScope keeps a request from servers tried before, and a keyed one that may have run in its scope.
-func (b *Balancer) inScope(r *request, s *server) bool {
+func (b *Balancer) mayServe(r *request, s *server) bool {
 	scope := r.class.DedupScope
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		outside := scope != ScopeAll && a.zone != s.Zone || scope == ScopeCell && a.cell != s.Cell
-		return a.srv == s || r.class.Effect == IdempotentWithKey && !a.unsent && outside
+		return a.server == s || r.class.Effect == IdempotentWithKey && !a.neverRan && outside
 	})
 }
 
@@ -71,15 +71,15 @@
 // keeps it to one own call at a time: many nodes that each send a little would push it over together. Being
 // idle, it wins against all busy servers, up to twice as often as a warm one: busy, the share of those, takes
 // that back. The multiple is left for bursts: half of it, where it is under two.
-func (b *Balancer) warmEnough(s *server, busy float64) bool {
-	age := b.now - s.start()
-	if s.start() <= 0 || age >= b.set.SlowStartDuration {
+func (b *Balancer) slowStartAdmits(s *server, busy float64) bool {
+	age := b.now - s.startedAt()
+	if s.startedAt() <= 0 || age >= b.settings.SlowStartDuration {
 		return true
 	}
-	grown := max(0, float64(age)/float64(b.set.SlowStartDuration))
-	share := (b.set.SlowStartMinShare + (1-b.set.SlowStartMinShare)*grown) / (1 + busy)
-	if m := b.set.OverloadMultiple; m > 0 {
+	grown := max(0, float64(age)/float64(b.settings.SlowStartDuration))
+	share := (b.settings.SlowStartMinShare + (1-b.settings.SlowStartMinShare)*grown) / (1 + busy)
+	if m := b.settings.OverloadMultiple; m > 0 {
 		share *= min(1, m/2)
 	}
-	return s.calls() == 0 && b.rng.Float64() < share
+	return s.inFlightCount() == 0 && b.rng.Float64() < share
 }
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -8,7 +8,7 @@
 )
 
 // payDrill is a drill of class pay named stall, with what d says beside.
-func payDrill(d FaultInjection) []FaultInjection {
+func payFault(d FaultInjection) []FaultInjection {
 	d.Name, d.Duration = "stall", time.Minute
 	if d.Class == "" {
 		d.Class = "pay"
@@ -17,25 +17,25 @@
 }
 
 // drilling is a Balancer with servers and the drill running from time 0.
-func drilling(t *testing.T, d FaultInjection) *Balancer {
+func withFaultInjection(t *testing.T, d FaultInjection) *Balancer {
 	t.Helper()
-	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payDrill(d) })
+	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(d) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, StartFaultInjection{Name: "stall"})
 	return b
 }
 
-func asked(id, class string, now, budget time.Duration) Request {
+func newRequest(id, class string, now, budget time.Duration) Request {
 	return Request{ID: id, Class: class, Deadline: now + budget}
 }
 
-func TestDrillTakesItsShareOfItsClass(t *testing.T) {
-	b := drilling(t, FaultInjection{Percent: 10})
+func TestFaultInjectionTakesItsShareOfItsClass(t *testing.T) {
+	b := withFaultInjection(t, FaultInjection{Percent: 10})
 	marked := map[string]int{}
 	for i := range 1000 {
 		for _, class := range []string{"pay", "get"} {
 			now, id := time.Duration(i)*msec, fmt.Sprint(class, i)
-			acts := b.Handle(now, asked(id, class, now, time.Second))
+			acts := b.Handle(now, newRequest(id, class, now, time.Second))
 			if d, ok := acts[0].(FaultInjected); ok {
 				if d.FaultInjection != "stall" || d.ID != id {
 					t.Fatalf("marked %+v", d)
@@ -43,7 +43,7 @@
 				marked[class]++
 			}
 			for _, s := range sends(acts) {
-				settle(b, now, id, s, Success)
+				endAttempt(b, now, id, s, Success)
 			}
 		}
 	}
@@ -53,17 +53,17 @@
 }
 
 // What a drill draws must not shift the draws of the requests around it: with nothing but marks, all else stays.
-func TestDrillLeavesOrdinaryDrawsAlone(t *testing.T) {
+func TestFaultInjectionLeavesOrdinaryDrawsAlone(t *testing.T) {
 	play := func(drills []FaultInjection) (rest []Action) {
 		b := newBalancer(t, func(s *Settings) { s.FaultInjections = drills })
 		acts := b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 		acts = append(acts, b.Handle(0, StartFaultInjection{Name: "stall"})...)
 		for i := range 300 {
 			now, id := time.Duration(i)*msec, fmt.Sprint("r", i)
-			acts = append(acts, b.Handle(now, asked(id, []string{"pay", "get"}[i%2], now, time.Second))...)
+			acts = append(acts, b.Handle(now, newRequest(id, []string{"pay", "get"}[i%2], now, time.Second))...)
 			for _, s := range sends(acts[len(acts)-1:]) {
 				if i%5 > 0 {
-					acts = append(acts, settle(b, now, id, s, Outcome(i%3))...)
+					acts = append(acts, endAttempt(b, now, id, s, Outcome(i%3))...)
 				}
 			}
 		}
@@ -75,7 +75,7 @@
 		return rest
 	}
 	want := play(nil)
-	if got := play(payDrill(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
+	if got := play(payFault(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
 		t.Error("a drill without delay changed what was done")
 	}
 }
@@ -91,8 +91,8 @@
 }
 
 func TestDelayEndsWithItsTimer(t *testing.T) {
-	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
-	w := delayed(t, b, 0, asked("r", "pay", 0, 1500*msec))
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
+	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*msec))
 	if w.At != 300*msec {
 		t.Errorf("delayed until %v", w.At)
 	}
@@ -109,16 +109,16 @@
 }
 
 // A delay that would use up the client's time ends while an answer can still come.
-func TestDelayIsCutByTheBudget(t *testing.T) {
-	b := drilling(t, FaultInjection{Percent: 100, Delay: time.Hour})
-	w := delayed(t, b, 0, asked("r", "pay", 0, 1500*msec))
-	if left := 1500*msec - w.At; left < b.classes["pay"].longest(2) || w.At < 500*msec {
+func TestDelayIsLimitedByTheDeadline(t *testing.T) {
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: time.Hour})
+	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*msec))
+	if left := 1500*msec - w.At; left < b.classes["pay"].latencyBound(2) || w.At < 500*msec {
 		t.Errorf("delayed until %v of 1500ms", w.At)
 	}
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(sends(acts)) != 1 {
 		t.Errorf("after the delay: %v", acts)
 	}
-	acts := b.Handle(time.Second, asked("short", "pay", time.Second, 100*msec))
+	acts := b.Handle(time.Second, newRequest("short", "pay", time.Second, 100*msec))
 	if len(acts) != 2 || len(sends(acts)) != 1 {
 		t.Errorf("with no time for a delay: %v, want a mark and a send", acts)
 	}
@@ -126,9 +126,9 @@
 
 func TestAbortIsAnsweredAtOnce(t *testing.T) {
 	for status, advice := range map[int]time.Duration{503: 50 * msec, 500: 0} {
-		b := drilling(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
+		b := withFaultInjection(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
 		want := []Action{FaultInjected{ID: "r", FaultInjection: "stall"}, Abort{ID: "r", Status: status, RetryAfter: advice}}
-		if acts := b.Handle(0, asked("r", "pay", 0, time.Second)); !reflect.DeepEqual(acts, want) {
+		if acts := b.Handle(0, newRequest("r", "pay", 0, time.Second)); !reflect.DeepEqual(acts, want) {
 			t.Errorf("got %v, want %v", acts, want)
 		}
 		if len(b.requests) != 0 {
@@ -137,13 +137,13 @@
 	}
 }
 
-func TestDrillEndsAndStartsAnew(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{Percent: 100, AbortStatus: 500}) })
+func TestFaultInjectionEndsAndRestarts(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Percent: 100, AbortStatus: 500}) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	n := 0
 	runs := func(now time.Duration) bool {
 		n++
-		_, ok := b.Handle(now, asked(fmt.Sprint(n), "pay", now, time.Second))[0].(FaultInjected)
+		_, ok := b.Handle(now, newRequest(fmt.Sprint(n), "pay", now, time.Second))[0].(FaultInjected)
 		return ok
 	}
 	if runs(0) {
@@ -160,25 +160,25 @@
 	}
 }
 
-func TestClientThatLeavesEndsItsDelay(t *testing.T) {
-	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
-	w := delayed(t, b, 0, asked("r", "pay", 0, time.Second))
+func TestClientGoneEndsItsDelay(t *testing.T) {
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
+	w := delayed(t, b, 0, newRequest("r", "pay", 0, time.Second))
 	b.Handle(10*msec, ClientGone{ID: "r"})
-	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.drills.delayed) != 0 {
+	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.faults.delayed) != 0 {
 		t.Errorf("it left, and yet: %v", acts)
 	}
 }
 
 // A node that is about to stop sends what a drill delayed at once, in order, and drills nothing more.
-func TestLeavingEndsDrills(t *testing.T) {
-	b := drilling(t, FaultInjection{Percent: 100, Delay: 300 * msec})
-	delayed(t, b, 0, asked("1", "pay", 0, time.Second))
-	delayed(t, b, msec, asked("2", "pay", 0, time.Second))
+func TestShutdownEndsFaultInjection(t *testing.T) {
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
+	delayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
+	delayed(t, b, msec, newRequest("2", "pay", 0, time.Second))
 	if s := sends(b.Handle(2*msec, ShuttingDown{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
 		t.Errorf("sent %v", s)
 	}
 	b.Handle(3*msec, StartFaultInjection{Name: "stall"})
-	if acts := b.Handle(4*msec, asked("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
+	if acts := b.Handle(4*msec, newRequest("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
 		t.Errorf("after that: %v", acts)
 	}
 	plain := newBalancer(t, nil)
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -22,12 +22,12 @@
 // over. So the golden files in testdata must not change. Whoever changes a form on purpose raises the version of what
 // holds it (capture.Version, handover.Version) and writes the files anew with -update.
 
-var update = flag.Bool("update", false, "rewrite the golden files")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 // golden compares a text with a golden file.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(filepath.Join("testdata", name), got, 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 }
 
 // goldenRun is a Balancer with its host, which answers what is due.
-type goldenRun struct {
+type goldenSimulation struct {
 	*Balancer
 	rng    *rand.Rand
 	timers []SetTimer
@@ -125,7 +125,7 @@
 	n      int
 }
 
-func (g *goldenRun) give(e Event) {
+func (g *goldenSimulation) handle(e Event) {
 	for _, a := range g.Handle(g.now, e) {
 		switch a := a.(type) {
 		case SetTimer:
@@ -133,7 +133,7 @@
 		case Send:
 			o := AttemptEnded{ID: a.ID, Attempt: len(g.requests[a.ID].attempts) - 1, Server: a.Server}
 			took := time.Duration(60+g.rng.IntN(250)) * msec
-			if g.servers[a.Server].Zone == g.set.Zone {
+			if g.servers[a.Server].Zone == g.settings.Zone {
 				took *= 3 // the nearest are the slowest, so that some requests leave them
 			}
 			switch {
@@ -154,56 +154,56 @@
 }
 
 // pass lets time go by, in which what comes due happens.
-func (g *goldenRun) pass(step time.Duration) {
+func (g *goldenSimulation) advance(step time.Duration) {
 	g.now += step
-	for _, w := range taken(&g.timers, func(w SetTimer) bool { return w.At <= g.now }) {
-		g.give(TimerFired{Token: w.Token})
+	for _, w := range takeDue(&g.timers, func(w SetTimer) bool { return w.At <= g.now }) {
+		g.handle(TimerFired{Token: w.Token})
 	}
-	for _, d := range taken(&g.due, func(d ending) bool { return d.at <= g.now }) {
-		g.give(d.e)
+	for _, d := range takeDue(&g.due, func(d ending) bool { return d.at <= g.now }) {
+		g.handle(d.e)
 	}
 }
 
 // end gives those attempts that are out an ending before their time.
-func (g *goldenRun) end(how Outcome, which func(*attempt) bool) {
-	for _, d := range taken(&g.due, func(d ending) bool { return which(g.requests[d.e.ID].attempts[d.e.Attempt]) }) {
+func (g *goldenSimulation) endAttempts(how Outcome, which func(*attempt) bool) {
+	for _, d := range takeDue(&g.due, func(d ending) bool { return which(g.requests[d.e.ID].attempts[d.e.Attempt]) }) {
 		d.e.Outcome, d.e.RequestDone = how, false
-		g.give(d.e)
+		g.handle(d.e)
 	}
 }
 
 // ask has a request come, each fifth with bytes in its id that are no UTF-8.
-func (g *goldenRun) ask(class string, r Request) {
+func (g *goldenSimulation) request(class string, r Request) {
 	g.n++
-	r.ID, r.Class, r.SettingsVersion = fmt.Sprint("r", g.n), class, g.rules
+	r.ID, r.Class, r.SettingsVersion = fmt.Sprint("r", g.n), class, g.settingsVersion
 	if g.n%5 == 0 {
 		r.ID += "\xff"
 	}
 	r.Deadline, r.Client = g.now+1500*msec, netip.MustParseAddr("10.1.2.3")
-	g.give(r)
+	g.handle(r)
 	if class == "watch" && g.requests[r.ID] != nil {
-		g.give(ResponseStarted{ID: r.ID})
+		g.handle(ResponseStarted{ID: r.ID})
 	}
 }
 
 // crowd has so many requests of all classes come, more than the servers take.
-func (g *goldenRun) crowd(n int, every time.Duration) {
+func (g *goldenSimulation) overload(n int, every time.Duration) {
 	for range n {
-		g.pass(every)
-		class := g.set.Classes[g.rng.IntN(len(g.set.Classes))].Name
-		g.ask(class, Request{Key: 1 + g.rng.Uint64N(3), HasKey: true, ClientRetry: g.rng.IntN(6) == 0, StreamedBody: g.rng.IntN(8) == 0})
+		g.advance(every)
+		class := g.settings.Classes[g.rng.IntN(len(g.settings.Classes))].Name
+		g.request(class, Request{Key: 1 + g.rng.Uint64N(3), HasKey: true, ClientRetry: g.rng.IntN(6) == 0, StreamedBody: g.rng.IntN(8) == 0})
 	}
 }
 
 // goldenBusy is a Balancer in the middle of everything that a checkpoint can hold, but for the two things of
 // goldenEnding.
-func goldenBusy(t *testing.T) *goldenRun {
+func goldenBusy(t *testing.T) *goldenSimulation {
 	t.Helper()
 	b, err := New(goldenSettings(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &goldenRun{Balancer: b, rng: rand.New(rand.NewPCG(7, 1))}
+	g := &goldenSimulation{Balancer: b, rng: rand.New(rand.NewPCG(7, 1))}
 	g.now = time.Hour
 	var list []Server
 	for i := range 9 {
@@ -211,36 +211,36 @@
 			Cell: i % 3, StartTime: time.Duration(i%2) * 59 * time.Minute})
 	}
 	list = append(list, Server{ID: "far", Zone: "far", Kind: "large"}, Server{ID: "old", Zone: "z", Kind: "old", State: Draining})
-	g.give(EndpointUpdate{Complete: true, Cached: true, Servers: list})
-	g.give(EndpointUpdate{Complete: true, Servers: list})
-	g.crowd(600, 4*msec)
-	g.give(AdminOverride{Server: "far", Disabled: true}) // the only one of its zone
-	g.give(AdminOverride{Server: "s3", Disabled: true})
-	g.give(AdminOverride{Server: "s4", Disabled: true})
-	g.crowd(200, 4*msec)
-	g.give(AdminOverride{Server: "s4"})
+	g.handle(EndpointUpdate{Complete: true, Cached: true, Servers: list})
+	g.handle(EndpointUpdate{Complete: true, Servers: list})
+	g.overload(600, 4*msec)
+	g.handle(AdminOverride{Server: "far", Disabled: true}) // the only one of its zone
+	g.handle(AdminOverride{Server: "s3", Disabled: true})
+	g.handle(AdminOverride{Server: "s4", Disabled: true})
+	g.overload(200, 4*msec)
+	g.handle(AdminOverride{Server: "s4"})
 	set := goldenSettings()
 	set.Classes[0].PriorityWeight, set.Classes[3].PriorityWeight, set.Classes[4].AllowedZones = 4, 2, []string{"z", "y"}
-	g.give(SettingsChanged{Settings: set})
-	g.give(StartFaultInjection{Name: "stall"})
-	g.crowd(30, 4*msec)
+	g.handle(SettingsChanged{Settings: set})
+	g.handle(StartFaultInjection{Name: "stall"})
+	g.overload(30, 4*msec)
 	gone := list[2]
 	gone.State = Removed
-	g.crowd(100, msec)
-	g.give(EndpointUpdate{Servers: []Server{gone}})
-	g.end(Overloaded, func(a *attempt) bool { return a.srv.ID == gone.ID })
-	g.end(Overloaded, func(a *attempt) bool { return a.srv.ID == "s5" })
+	g.overload(100, msec)
+	g.handle(EndpointUpdate{Servers: []Server{gone}})
+	g.endAttempts(Overloaded, func(a *attempt) bool { return a.server.ID == gone.ID })
+	g.endAttempts(Overloaded, func(a *attempt) bool { return a.server.ID == "s5" })
 	first := true // its key rests after it
-	g.end(TimedOut, func(a *attempt) bool {
-		ends := first && a.req.line != nil
+	g.endAttempts(TimedOut, func(a *attempt) bool {
+		ends := first && a.request.keyQueue != nil
 		first = first && !ends
 		return ends
 	})
-	g.give(WatchFailed{})
-	g.give(WatchFailed{})
+	g.handle(WatchFailed{})
+	g.handle(WatchFailed{})
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // the first client that waits for an attempt leaves
 		if r := g.requests[id]; r.pending() && !r.streaming {
-			g.give(ClientGone{ID: id})
+			g.handle(ClientGone{ID: id})
 			break
 		}
 	}
@@ -249,15 +249,15 @@
 
 // goldenEnding is that Balancer when its list has expired and its node is about to stop. Then neither is a request held
 // nor does a drill delay one.
-func goldenEnding(t *testing.T) *goldenRun {
+func goldenEnding(t *testing.T) *goldenSimulation {
 	t.Helper()
 	g := goldenBusy(t)
-	g.give(EndpointLease{Expired: true})
-	g.give(ShuttingDown{})
+	g.handle(EndpointLease{Expired: true})
+	g.handle(ShuttingDown{})
 	return g
 }
 
-var goldenCheckpoints = map[string]func(*testing.T) *goldenRun{"checkpoint.json": goldenBusy, "checkpoint_ending.json": goldenEnding}
+var goldenCheckpoints = map[string]func(*testing.T) *goldenSimulation{"checkpoint.json": goldenBusy, "checkpoint_ending.json": goldenEnding}
 
 // The same events lead to the same bytes. The golden files are of amd64: other machines may round sums of products
 // otherwise.
@@ -279,7 +279,7 @@
 // A checkpoint of before is read whole: what is made of it writes the same bytes.
 func TestGoldenCheckpointsAreRead(t *testing.T) {
 	for name, run := range goldenCheckpoints {
-		b, err := Restore(run(t).set, goldenFile(t, name))
+		b, err := Restore(run(t).settings, goldenFile(t, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -292,9 +292,9 @@
 }
 
 // An heir's knowledge of before is read whole, but for its own draws.
-func TestGoldenHeirIsRead(t *testing.T) {
-	set, heir := goldenBusy(t).set, goldenFile(t, "heir.json")
-	var s saved
+func TestGoldenSuccessorStateIsRead(t *testing.T) {
+	set, heir := goldenBusy(t).settings, goldenFile(t, "heir.json")
+	var s savedBalancer
 	if err := json.Unmarshal(heir, &s); err != nil {
 		t.Fatal(err)
 	}
@@ -305,7 +305,7 @@
 	if text, err := b.SuccessorState(); err != nil || bytes.Equal(text, heir) {
 		t.Errorf("the heir draws as the one before it, %v", err)
 	}
-	if err := b.src.UnmarshalBinary(s.Random); err != nil {
+	if err := b.rngSource.UnmarshalBinary(s.RNGState); err != nil {
 		t.Fatal(err)
 	}
 	text, err := b.SuccessorState()
@@ -318,12 +318,12 @@
 func TestGoldenCheckpointsHaveEveryField(t *testing.T) {
 	var all []any
 	for name := range goldenCheckpoints {
-		var s saved
+		var s savedBalancer
 		if err := json.Unmarshal(goldenFile(t, name), &s); err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, &s)
-		if s.Mapped == len(s.Servers) {
+		if s.KnownServers == len(s.Servers) {
 			t.Errorf("%s: no attempt was at a server that has left", name)
 		}
 	}
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -42,7 +42,7 @@
 }
 
 // sentTo is the server of a request's one attempt.
-func sentTo(b *Balancer, id string) string { return b.requests[id].attempts[0].srv.ID }
+func sentTo(b *Balancer, id string) string { return b.requests[id].attempts[0].server.ID }
 
 // finalAnswer is the first of a list of actions that ends a request, nil if none does.
 func finalAnswer(out []Action) Action {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -41,12 +41,12 @@
 }
 
 // wide makes a copy draw from the whole list for some hundred calls, as a busy one does.
-func wide(b *Balancer) { b.pools[0].peak = 1e9 }
+func drawFromAll(b *Balancer) { b.pools[0].peakInFlight = 1e9 }
 
 // calling are n calls just sent.
-func calling(n int) (open []*attempt) {
+func callsInFlight(n int) (open []*attempt) {
 	for range n {
-		open = append(open, &attempt{req: &request{class: &class{mean: 1e18}}})
+		open = append(open, &attempt{request: &request{class: &class{meanLatency: 1e18}}})
 	}
 	return open
 }
@@ -70,11 +70,11 @@
 	return l
 }
 
-func TestPickFollowsTheDesign(t *testing.T) {
+func TestPickFromGroups(t *testing.T) {
 	mk := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, open: calling(c)})
+			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, inFlight: callsInFlight(c)})
 		}
 		return l
 	}
@@ -83,7 +83,7 @@
 	shareLeft := func(left, right []*server) float64 {
 		got := 0
 		for range n {
-			s := b.pick(left, right)
+			s := b.pickFromGroups(left, right)
 			for _, l := range left {
 				if s == l {
 					got++
@@ -109,12 +109,12 @@
 			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
 		}
 	}
-	if b.pick(nil, nil) != nil {
+	if b.pickFromGroups(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
 	left, count := mk(0, 0, 0, 0), map[*server]int{}
 	for range n {
-		count[b.pick(left, nil)]++
+		count[b.pickFromGroups(left, nil)]++
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestCopiesShareTheOrder(t *testing.T) {
+func TestReplicasShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
 	a.Handle(0, EndpointUpdate{Complete: true, Servers: l})
@@ -138,7 +138,7 @@
 }
 
 // A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
-func TestHeldRequestIsAnsweredThoughTimersComeEarly(t *testing.T) {
+func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
@@ -161,7 +161,7 @@
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Outcome) []Action {
+func endAttempt(b *Balancer, now time.Duration, id string, s Send, e Outcome) []Action {
 	return b.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: e, RequestDone: e == Success})
 }
 
@@ -194,7 +194,7 @@
 	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-		wide(b)
+		drawFromAll(b)
 		got := traffic(b, 600, "get", func(s string) Outcome {
 			if s == "s03" {
 				return e
@@ -222,11 +222,11 @@
 		s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
 		for _, e := range tc.endings {
 			for i := range 9 {
-				b.judge(&attempt{req: r, srv: b.pools[0].ready[1+i%3]}, AttemptEnded{Outcome: Success})
+				b.recordOutcome(&attempt{request: r, server: b.pools[0].ready[1+i%3]}, AttemptEnded{Outcome: Success})
 			}
-			b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: e})
+			b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: e})
 		}
-		if got := s.until > b.now; got != tc.ejected {
+		if got := s.ejectedUntil > b.now; got != tc.ejected {
 			t.Errorf("after endings %v: ejected %v, want %v", tc.endings, got, tc.ejected)
 		}
 	}
@@ -250,7 +250,7 @@
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	wide(b)
+	drawFromAll(b)
 	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
@@ -258,10 +258,10 @@
 }
 
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
-func TestSilentServerIsPassedOver(t *testing.T) {
+func TestUnresponsiveServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	wide(b)
+	drawFromAll(b)
 	stuck, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
@@ -270,7 +270,7 @@
 			if s.Server == "s03" {
 				stuck++
 			} else {
-				settle(b, now+10*msec, id, s, Success)
+				endAttempt(b, now+10*msec, id, s, Success)
 			}
 		}
 	}
@@ -280,31 +280,31 @@
 }
 
 // After an ejection the first trial must not be a request that cannot be repeated, while others come.
-func TestTrialIsSafeWhereItCanBe(t *testing.T) {
+func TestProbationRequestIsIdempotentWherePossible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	wide(b)
+	drawFromAll(b)
 	s := b.servers["s03"]
-	s.level = 1
+	s.ejectionLevel = 1
 	for range 100 {
-		s.until = b.now // the ejection has just ended
+		s.ejectedUntil = b.now // the ejection has just ended
 		traffic(b, 2, "pay", func(string) Outcome { return Success })
-		if s.goods > 0 {
+		if s.consecutiveSuccesses > 0 {
 			t.Fatal("a server on trial got an unsafe request")
 		}
 	}
-	wide(b)
+	drawFromAll(b)
 	if got := traffic(b, 400, "get", func(string) Outcome { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
 
 // Below the first tier a server that holds several of our calls is passed over while others idle.
-func TestCrowdedServerIsPassedOver(t *testing.T) {
+func TestServerOverItsConcurrencyCapIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
-	wide(b)
-	b.servers["s00"].open, b.pools[0].inFlight = calling(2), 2
+	drawFromAll(b)
+	b.servers["s00"].inFlight, b.pools[0].inFlight = callsInFlight(2), 2
 	got := traffic(b, 300, "get", func(string) Outcome { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -313,7 +313,7 @@
 
 // The stretches of all copies cover the servers about evenly, each has its share of both groups, and a
 // swamped copy reaches every server: else connection tables fill up where many copies call.
-func TestStretchesCoverTheServersEvenly(t *testing.T) {
+func TestSubsetsCoverTheServersEvenly(t *testing.T) {
 	drawn := map[string]int{}
 	for self := range 60 {
 		b := newBalancer(t, func(s *Settings) { s.ReplicaIndex, s.Tier, s.Replicas = self, 1, 60 })
@@ -326,7 +326,7 @@
 				left++
 			}
 		}
-		if len(got) < leastReach || len(got) > leastReach+2 || left*2 != len(got) {
+		if len(got) < minSubset || len(got) > minSubset+2 || left*2 != len(got) {
 			t.Fatalf("copy %d drew %d servers, %d of them left", self, len(got), left)
 		}
 		b.pools[0].inFlight = 160
@@ -342,12 +342,12 @@
 }
 
 // With its whole stretch unable to take a request, a copy draws from the rest of the list.
-func TestStretchWithoutRoomFallsBackToTheList(t *testing.T) {
+func TestSubsetWithoutCapacityFallsBackToTheList(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(80)})
 	own := traffic(b, 400, "get", func(string) Outcome { return Success })
 	for id := range own {
-		b.servers[id].full, b.servers[id].room = time.Hour, 0
+		b.servers[id].capacityLimitUntil, b.servers[id].capacityLimit = time.Hour, 0
 	}
 	got := traffic(b, 100, "get", func(string) Outcome { return Success })
 	for id := range got {
@@ -377,7 +377,7 @@
 
 // A fleet enlarged in a surge stands on tiers below that did not grow: late answers must not find a floor
 // that grew with the list, and answers in good time must raise it.
-func TestFloorGrowsByAnswersNotByTheList(t *testing.T) {
+func TestWindowFloorGrowsByAnswersNotByTheList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(40)})
@@ -388,20 +388,20 @@
 			todo := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*msec}))
 			b.pools[0].inFlight += 1000 // a window in full use
 			for _, s := range todo {
-				settle(b, now+after, id, s, Success)
+				endAttempt(b, now+after, id, s, Success)
 			}
 			b.pools[0].inFlight -= 1000
 			now += after
 		}
 	}
 	answers(300, 490*msec)
-	if floor := windowFloor * 2.0; math.Abs(b.pools[0].window-floor) > 0.5 {
+	if floor := minWindowPerServer * 2.0; math.Abs(b.pools[0].window-floor) > 0.5 {
 		t.Errorf("window %v after late answers, want the floor of the 4 servers it knew, %v", b.pools[0].window, floor)
 	}
-	before := b.pools[0].base
+	before := b.pools[0].floorServers
 	answers(300, 5*msec)
-	if b.pools[0].base <= before || b.pools[0].base > b.pools[0].fair {
-		t.Errorf("base %v after answers in good time, %v before", b.pools[0].base, before)
+	if b.pools[0].floorServers <= before || b.pools[0].floorServers > b.pools[0].serversPerReplica {
+		t.Errorf("base %v after answers in good time, %v before", b.pools[0].floorServers, before)
 	}
 }
 
@@ -418,15 +418,15 @@
 		for i := range 3000 {
 			now += 4 * msec
 			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
+			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sentAt+tc.took <= now {
 				s := open[0]
-				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+				open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.pools[0].window > start; grew != tc.grow && tc.grow || b.pools[0].window < windowFloor*b.pools[0].fair {
+		if grew := b.pools[0].window > start; grew != tc.grow && tc.grow || b.pools[0].window < minWindowPerServer*b.pools[0].serversPerReplica {
 			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.pools[0].window, start)
 		}
-		if !tc.grow && b.pools[0].window > windowFloor*b.pools[0].fair+1 {
+		if !tc.grow && b.pools[0].window > minWindowPerServer*b.pools[0].serversPerReplica+1 {
 			t.Errorf("late answers left the window at %.1f", b.pools[0].window)
 		}
 	}
@@ -434,22 +434,22 @@
 
 // Servers far from crowded must not see callers turned away for half a minute while a full window creeps up;
 // near the target the window must creep.
-func TestWindowGrowsWithTheRoomLeft(t *testing.T) {
+func TestWindowGrowsWithTheFreePartOfTheTarget(t *testing.T) {
 	grown := func(fill float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
 		p := b.pools[0]
-		p.window, p.fill, p.shed = 20, fill, spareShed
-		sent := time.Duration(float64(b.set.Classes[0].LatencyObjective) * fill)
-		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: time.Second - sent}}}
+		p.window, p.loadRatio, p.shedShare = 20, fill, maxUnloadedShedShare
+		sent := time.Duration(float64(b.settings.Classes[0].LatencyObjective) * fill)
+		r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: time.Second - sent}}}
 		b.now = time.Second
 		for range 40 {
 			p.inFlight = int(p.window) // in full use
-			b.steer(r, AttemptEnded{Outcome: Success})
+			b.adjustWindow(r, AttemptEnded{Outcome: Success})
 		}
 		return p.window - 20
 	}
-	if far, near := grown(0.2*aimFill), grown(0.98*aimFill); far < 20 || near > 2 || near <= 0 {
+	if far, near := grown(0.2*targetLoadRatio), grown(0.98*targetLoadRatio); far < 20 || near > 2 || near <= 0 {
 		t.Errorf("40 answers grew a window of 20 by %.1f far from the target, want 20 or more, "+
 			"and by %.1f near it, want little", far, near)
 	}
@@ -465,16 +465,16 @@
 		id := fmt.Sprint(i)
 		s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))
 		now += 10 * msec
-		settle(b, now, id, s[0], Success)
+		endAttempt(b, now, id, s[0], Success)
 	}
-	if c := b.classes["get"]; c.longest(tailSpread) > 100*msec {
-		t.Errorf("after ten answers of 10 ms each, an answer is overlong only after %v", c.longest(tailSpread))
+	if c := b.classes["get"]; c.latencyBound(unresponsiveDeviations) > 100*msec {
+		t.Errorf("after ten answers of 10 ms each, an answer is overlong only after %v", c.latencyBound(unresponsiveDeviations))
 	}
 }
 
 // A machine that is cut off takes requests and says nothing. What may be sent again must not wait there until
 // its time is up; what must never run twice has nothing else to wait for.
-func TestSafeAttemptsLeaveTimeForAnother(t *testing.T) {
+func TestIdempotentAttemptsLeaveTimeForARetry(t *testing.T) {
 	for class, early := range map[string]bool{"get": true, "pay": false} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -488,14 +488,14 @@
 		for i := range 20 {
 			s := send(fmt.Sprint(i))
 			now += 20 * msec
-			settle(b, now, s.ID, s, Success)
+			endAttempt(b, now, s.ID, s, Success)
 		}
 		s := send("cut off")
 		if got := s.Timeout < 500*msec; got != early {
 			t.Fatalf("%s: waited for %v of a second, answers take 20 ms", class, s.Timeout)
 		}
 		now += s.Timeout
-		if next := sends(settle(b, now, s.ID, s, TimedOut)); early && (len(next) != 1 || next[0].Server == s.Server) {
+		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); early && (len(next) != 1 || next[0].Server == s.Server) {
 			t.Errorf("%s: %v after the time-out, want one send to another server", class, next)
 		}
 	}
@@ -503,7 +503,7 @@
 
 // Work that takes half of the aim with nobody turned away is no crowd; the same latency after quicker answers
 // is one, and so is one near the whole aim.
-func TestBareWorkIsNoCrowd(t *testing.T) {
+func TestUnloadedLatencyIsNoOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		before, now float64 // latency over aim
@@ -511,17 +511,17 @@
 	}{{"long from the start", 0.55, 0.55, false}, {"long by a crowd", 0.2, 0.55, true}, {"near the aim", 0.8, 0.8, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
-		p, aim := b.pools[0], float64(b.set.Classes[0].LatencyObjective)
+		p, aim := b.pools[0], float64(b.settings.Classes[0].LatencyObjective)
 		p.window = 60
 		answers := func(over float64) {
-			r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+			r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: 0}}}
 			b.now = time.Duration(over * aim)
 			for range 200 {
-				b.steer(r, AttemptEnded{Outcome: Success})
+				b.adjustWindow(r, AttemptEnded{Outcome: Success})
 			}
 		}
 		answers(tc.before)
-		p.window, p.shed = 60, 0.2
+		p.window, p.shedShare = 60, 0.2
 		if answers(tc.now); p.window < 60 != tc.falls {
 			t.Errorf("%s: window from 60 to %.1f", tc.name, p.window)
 		}
@@ -530,26 +530,26 @@
 
 // A refusal tells of a queue at one moment. A server that goes on answering with all the calls that it then had
 // must be given more again, or those that never refused take all the load.
-func TestRoomGrowsWithAnswers(t *testing.T) {
+func TestCapacityLimitGrowsWithAnswers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.now = 20 * msec
 	s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
-	s.open = calling(2)
-	b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Overloaded})
-	if b.roomy(s) != 2 {
-		t.Fatalf("room for %d calls after a refusal at 2", b.roomy(s))
+	s.inFlight = callsInFlight(2)
+	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Overloaded})
+	if b.capacityLimit(s) != 2 {
+		t.Fatalf("room for %d calls after a refusal at 2", b.capacityLimit(s))
 	}
-	s.open = nil // both are answered, the second with the server idle but for it
-	b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Success})
-	if b.roomy(s) != 2 {
-		t.Errorf("room for %d calls after an answer below the room, want 2", b.roomy(s))
+	s.inFlight = nil // both are answered, the second with the server idle but for it
+	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
+	if b.capacityLimit(s) != 2 {
+		t.Errorf("room for %d calls after an answer below the room, want 2", b.capacityLimit(s))
 	}
 	for n := 1; n < 4; n++ {
-		s.open = calling(n)
-		b.judge(&attempt{req: r, srv: s}, AttemptEnded{Outcome: Success})
+		s.inFlight = callsInFlight(n)
+		b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
 	}
-	if got := b.roomy(s); got != 5 {
+	if got := b.capacityLimit(s); got != 5 {
 		t.Errorf("room for %d calls after three answers at the room, want 5", got)
 	}
 }
@@ -563,9 +563,9 @@
 		"WarmAfter":         func(s *Settings) { s.SlowStartDuration = -1 },
 		"LateShare":         func(s *Settings) { s.Classes[0].LateCredit = 2 },
 		"Drills[0].Name":    func(s *Settings) { s.FaultInjections = []FaultInjection{{Class: "get", Duration: 1}} },
-		"Drills[1].Name":    func(s *Settings) { s.FaultInjections = slices.Repeat(payDrill(FaultInjection{}), 2) },
-		"Class \"gone\"":    func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{Class: "gone"}) },
-		"AbortStatus":       func(s *Settings) { s.FaultInjections = payDrill(FaultInjection{AbortStatus: 200}) },
+		"Drills[1].Name":    func(s *Settings) { s.FaultInjections = slices.Repeat(payFault(FaultInjection{}), 2) },
+		"Class \"gone\"":    func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Class: "gone"}) },
+		"AbortStatus":       func(s *Settings) { s.FaultInjections = payFault(FaultInjection{AbortStatus: 200}) },
 	} {
 		s := testSettings()
 		change(&s)
@@ -576,7 +576,7 @@
 }
 
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
-func TestFirstTriesGoBeforeRepeats(t *testing.T) {
+func TestFirstTriesGoBeforeClientRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(1)})
 	b.pools[0].window = 1
@@ -584,40 +584,40 @@
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
 	b.classes["get"].LateCredit = 0.5
-	b.pools[0].inFlight = int(windowFloor*b.pools[0].fair) + 2
+	b.pools[0].inFlight = int(minWindowPerServer*b.pools[0].serversPerReplica) + 2
 	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
-	next := sends(settle(b, 10*msec, "a", first[0], Success))
+	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
 	}
 }
 
 // An unmarked repeat shows by a deadline shorter than other tries have.
-func TestShortDeadlineTellsARepeat(t *testing.T) {
+func TestShortDeadlineMarksAClientRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.clientRetry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	// The repeat's aim of 500 ms ended 100 ms before it came.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.clientRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
 
 // Where clients mark repeats, a first try with less time than a last one has is still a first try.
-func TestMarksOutrankShortDeadlines(t *testing.T) {
+func TestRetryMarksOutrankShortDeadlines(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
 	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, ClientRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != time.Second {
+	if r := b.requests["first"]; r == nil || r.clientRetry || r.arrived != time.Second {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, ClientRetry: true})
-	if r := b.requests["again"]; r == nil || !r.repeat || r.arrived != 4900*msec {
+	if r := b.requests["again"]; r == nil || !r.clientRetry || r.arrived != 4900*msec {
 		t.Errorf("the marked repeat was not dated back: %+v", r)
 	}
 }
@@ -631,11 +631,11 @@
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(20)})
 		for _, s := range b.pools[0].ready[:10] {
-			s.until = time.Minute
+			s.ejectedUntil = time.Minute
 		}
-		b.pools[0].shed = c.shed
+		b.pools[0].shedShare = c.shed
 		out := 0
-		for _, o := range b.ruledOut(&request{class: b.classes["get"]}, b.pools[0].ready) {
+		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready) {
 			if o {
 				out++
 			}
@@ -651,20 +651,20 @@
 func TestSheddingKeepsADeadServerOut(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(4)})
-	b.pools[0].ready[2].until = time.Minute
-	b.pools[0].shed = 0.6
-	if out := b.ruledOut(&request{class: b.classes["get"]}, b.pools[0].ready); fmt.Sprint(out) != "[false false true false]" {
+	b.pools[0].ready[2].ejectedUntil = time.Minute
+	b.pools[0].shedShare = 0.6
+	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready); fmt.Sprint(out) != "[false false true false]" {
 		t.Errorf("ruled out %v, want the third alone", out)
 	}
 }
 
 // Connection tables filled by other copies refuse at once: a server that refused gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
-func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(10)})
-	wide(b)
-	b.classes["get"].samples = 1 / memory // its answers took a quarter of the aim until now
+	drawFromAll(b)
+	b.classes["get"].samples = 1 / sampleWeight // its answers took a quarter of the aim until now
 	now, id := msec, 0
 	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
 	refused := func(n int) (count int) {
@@ -704,19 +704,19 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	p := b.pools[0]
-	p.window, p.fill = 100, 0.4
+	p.window, p.loadRatio = 100, 0.4
 	for i := range 50 {
-		p.shed = 0.8
+		p.shedShare = 0.8
 		b.now = time.Second
 		p.inFlight = int(p.window)
 		took := 340 * msec // of an aim of 500: some servers are slower than others
 		if i%2 == 0 {
 			took = 60 * msec
 		}
-		a := &attempt{srv: p.ready[i%10], sent: b.now - took}
-		a.req = &request{class: b.classes["get"], attempts: []*attempt{a}}
-		b.judge(a, AttemptEnded{Outcome: Success})
-		b.steer(a.req, AttemptEnded{Outcome: Success})
+		a := &attempt{server: p.ready[i%10], sentAt: b.now - took}
+		a.request = &request{class: b.classes["get"], attempts: []*attempt{a}}
+		b.recordOutcome(a, AttemptEnded{Outcome: Success})
+		b.adjustWindow(a.request, AttemptEnded{Outcome: Success})
 	}
 	if p.window <= 100 {
 		t.Errorf("window from 100 to %.1f while answers took 0.4 of the aim on the whole", p.window)
@@ -725,7 +725,7 @@
 
 // A refused client is not sent away for long, or it would come back when its aim is mostly over, nor for no
 // time, or it would use up its tries on the crowd that it was refused for.
-func TestRefusalsBringClientsBackSoon(t *testing.T) {
+func TestRejectedClientsRetrySoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Servers: servers(2)})
 	b.pools[0].window, b.pools[0].inFlight = 1, 1
@@ -733,7 +733,7 @@
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, TimerFired{Token: "r:a"}) {
 		if f, ok := a.(Reject); ok {
-			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit || f.RetryAfter < limit/2 {
+			if limit := b.settings.Classes[0].LatencyObjective / 10; f.RetryAfter > limit || f.RetryAfter < limit/2 {
 				t.Errorf("RetryAfter %v, want at most %v and at least half of that", f.RetryAfter, limit)
 			}
 			return
@@ -801,7 +801,7 @@
 
 // Crossing zones has a price: a copy keeps to its own zone while that is as good as the others, spills over
 // when it is slower, and comes back.
-func TestOwnZoneFirstAndSpillsByLatency(t *testing.T) {
+func TestSameZoneFirstAndCrossZoneByLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Zone = "y" })
 	list := servers(12)
 	for i := range list {
@@ -822,7 +822,7 @@
 					far++
 				}
 				all++
-				settle(b, now+took, id, s, Success)
+				endAttempt(b, now+took, id, s, Success)
 			}
 		}
 		return float64(far) / float64(all)
@@ -851,7 +851,7 @@
 }
 
 // A class that may go anywhere leaves the servers that a bound class depends on alone, while it has others.
-func TestServersOfANarrowPoolAreLeftToIt(t *testing.T) {
+func TestServersOfANarrowerPoolAreLeftToIt(t *testing.T) {
 	b, list := boundToSlow(t, 9)
 	bound := 0
 	for id, n := range traffic(b, 1000, "get", func(string) Outcome { return Success }) {
@@ -872,14 +872,14 @@
 func TestFloorsOfOverlappingPoolsDoNotAddUp(t *testing.T) {
 	b, _ := boundToSlow(t, 12)
 	free, bound := b.classes["get"].pool, b.classes["post"].pool
-	if bound.fair != 2 || free.fair != 4 {
-		t.Errorf("12 servers for 2 copies: %v fair ones for the bound pool, %v for the free one; want 2 and 4", bound.fair, free.fair)
+	if bound.serversPerReplica != 2 || free.serversPerReplica != 4 {
+		t.Errorf("12 servers for 2 copies: %v fair ones for the bound pool, %v for the free one; want 2 and 4", bound.serversPerReplica, free.serversPerReplica)
 	}
 }
 
 // Clients that leave early and ask again must not make room: their calls run on and fill the window until
 // each has its outcome.
-func TestCallsOfClientsThatLeftKeepTheirRoom(t *testing.T) {
+func TestAttemptsOfGoneClientsCountInTheWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	b.pools[0].window = 4
@@ -906,9 +906,9 @@
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(12)}) // a floor of 1.5 calls
 	p, closed := b.pools[0], 0
 	ends := func(fill float64, e Outcome) bool {
-		p.window, p.fill, p.inFlight = 1.5, fill, 1
-		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Outcome: e})
-		return b.full(p)
+		p.window, p.loadRatio, p.inFlight = 1.5, fill, 1
+		b.adjustWindow(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Outcome: e})
+		return b.windowFull(p)
 	}
 	for range 400 {
 		if ends(1, TimedOut) {
@@ -924,14 +924,14 @@
 }
 
 // A multiple under two leaves no room for bursts: a cold server is drawn less often.
-func TestSmallFallMultipleThinsMore(t *testing.T) {
+func TestSmallOverloadMultipleAdmitsLess(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, multiple := range []float64{0, 1, 2, 3} {
 		b := newBalancer(t, func(s *Settings) { s.SlowStartMinShare, s.OverloadMultiple = 0.5, multiple })
 		b.now = 2 * time.Second
 		cold := &server{Server: Server{StartTime: 2 * time.Second}}
 		for range 2000 {
-			if b.warmEnough(cold, 0) {
+			if b.slowStartAdmits(cold, 0) {
 				drawn[multiple]++
 			}
 		}
--- a/balancer/processes_test.go
+++ b/balancer/processes_test.go
@@ -15,13 +15,13 @@
 func TestSameActionsInSeveralProcesses(t *testing.T) {
 	log, _ := run(t, ruleSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
-	if os.Getenv("DECKRELAY_CHILD") != "" {
+	if os.Getenv("BALANCER_TEST_CHILD") != "" {
 		fmt.Println(own)
 		return
 	}
 	for range 2 {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestSameActionsInSeveralProcesses$")
-		cmd.Env = append(os.Environ(), "DECKRELAY_CHILD=1")
+		cmd.Env = append(os.Environ(), "BALANCER_TEST_CHILD=1")
 		out, err := cmd.Output()
 		if err != nil {
 			t.Fatal(err)
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -7,7 +7,7 @@
 
 // A request keeps the effect and the most attempts that it came with, whatever its class becomes; the next has the
 // new ones. A checkpoint in the middle changes nothing.
-func TestOpenRequestsKeepTheirRules(t *testing.T) {
+func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	unsafe := func(s *Settings) { s.Classes[0].Effect = NonIdempotent }
 	for name, c := range map[string]struct {
 		change     func(*Settings)
@@ -25,19 +25,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer(t, nil)
-			b.Handle(0, list(4))
-			first := sends(b.Handle(0, asked("old", "get", 0, time.Second)))
+			b.Handle(0, completeList(4))
+			first := sends(b.Handle(0, newRequest("old", "get", 0, time.Second)))
 			set := testSettings()
 			c.change(&set)
 			b.Handle(msec, SettingsChanged{Settings: set})
-			b = restored(t, b.set, b)
-			if got := len(sends(settle(b, 2*msec, "old", first[0], Failure))) > 0; got != c.old {
+			b = restored(t, b.settings, b)
+			if got := len(sends(endAttempt(b, 2*msec, "old", first[0], Failure))) > 0; got != c.old {
 				t.Errorf("the open request was sent again: %v", got)
 			}
-			r := asked("new", "get", 3*msec, time.Second)
+			r := newRequest("new", "get", 3*msec, time.Second)
 			r.SettingsVersion = c.rules
 			second := sends(b.Handle(3*msec, r))
-			if got := len(sends(settle(b, 4*msec, "new", second[0], Failure))) > 0; got != c.fresh {
+			if got := len(sends(endAttempt(b, 4*msec, "new", second[0], Failure))) > 0; got != c.fresh {
 				t.Errorf("the next request was sent again: %v", got)
 			}
 		})
@@ -45,17 +45,17 @@
 }
 
 // Classes that stay keep what was learned of them; one of other rules keeps how long its work takes.
-func TestRetuneKeepsWhatWasLearned(t *testing.T) {
+func TestSettingsChangeKeepsWhatWasLearned(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, list(4))
-	b.classes["get"].samples, b.classes["get"].mean = 100, 7
-	b.classes["pay"].samples, b.classes["pay"].mean = 100, 9
+	b.Handle(0, completeList(4))
+	b.classes["get"].samples, b.classes["get"].meanLatency = 100, 7
+	b.classes["pay"].samples, b.classes["pay"].meanLatency = 100, 9
 	b.pools[0].window = 33
 	set := testSettings()
 	set.Classes[2].Effect = Idempotent
 	b.Handle(0, SettingsChanged{Settings: set})
-	if b.classes["get"].mean != 7 || b.classes["pay"].mean != 9 || b.pools[0].window != 33 {
-		t.Errorf("get %v, pay %v, window %v", b.classes["get"].mean, b.classes["pay"].mean, b.pools[0].window)
+	if b.classes["get"].meanLatency != 7 || b.classes["pay"].meanLatency != 9 || b.pools[0].window != 33 {
+		t.Errorf("get %v, pay %v, window %v", b.classes["get"].meanLatency, b.classes["pay"].meanLatency, b.pools[0].window)
 	}
 	for range 50 { // neither classes nor pools pile up
 		set.Classes[0].AllowedKinds = nil
@@ -63,22 +63,22 @@
 		set.Classes[0].AllowedKinds = []string{"k"}
 		b.Handle(0, SettingsChanged{Settings: set})
 	}
-	if len(b.pools) > 3 || len(b.order) != 4 {
-		t.Errorf("%d pools, %d classes", len(b.pools), len(b.order))
+	if len(b.pools) > 3 || len(b.classList) != 4 {
+		t.Errorf("%d pools, %d classes", len(b.pools), len(b.classList))
 	}
 }
 
 // A request that waits in a pool of which the new settings have nothing is placed when there is room.
-func TestWaitingInAPoolThatIsGone(t *testing.T) {
+func TestQueuedInAPoolThatIsGone(t *testing.T) {
 	bound := func(s *Settings) { s.Classes[0].AllowedZones = []string{"z"} }
 	b := newBalancer(t, bound)
-	b.Handle(0, list(2))
+	b.Handle(0, completeList(2))
 	b.pools[0].window = 1
-	first := sends(b.Handle(0, asked("first", "get", 0, time.Second)))
-	b.Handle(0, asked("held", "get", 0, time.Second))
+	first := sends(b.Handle(0, newRequest("first", "get", 0, time.Second)))
+	b.Handle(0, newRequest("held", "get", 0, time.Second))
 	b.Handle(msec, SettingsChanged{Settings: testSettings()})
-	b = restored(t, b.set, b)
-	if got := sends(settle(b, 2*msec, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
+	b = restored(t, b.settings, b)
+	if got := sends(endAttempt(b, 2*msec, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
 		t.Errorf("sent %v", got)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -18,24 +18,24 @@
 	cells  map[string]int
 	zones  map[string]string
 	kinds  map[string]string
-	reqs   map[string]*tracked
-	order  []*tracked // of classes that keep their order, as they came
+	reqs   map[string]*trackedRequest
+	order  []*trackedRequest // of classes that keep their order, as they came
 	broken []string
 	keep   bool    // what it is told, in seen
 	seen   []timed // events
 }
 
-type tracked struct {
+type trackedRequest struct {
 	class    Class
 	deadline time.Duration
 	id       string
 	key      uint64
 	ended    bool
 	rest     time.Duration // an attempt may run on: the key rests until then
-	tries    []*tracking
+	tries    []*trackedAttempt
 }
 
-type tracking struct {
+type trackedAttempt struct {
 	server string
 	at     time.Duration
 	over   bool
@@ -44,19 +44,19 @@
 
 func newChecker(set Settings) *checker {
 	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
-		zones: map[string]string{}, kinds: map[string]string{}, reqs: map[string]*tracked{}}
+		zones: map[string]string{}, kinds: map[string]string{}, reqs: map[string]*trackedRequest{}}
 }
 
 func (c *checker) fault(format string, args ...any) {
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
-func (t *tracking) mayHaveRun() bool {
+func (t *trackedAttempt) mayHaveRun() bool {
 	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotSent)
 }
 
-func (t *tracked) out() bool {
-	return slices.ContainsFunc(t.tries, func(t *tracking) bool { return !t.over })
+func (t *trackedRequest) out() bool {
+	return slices.ContainsFunc(t.tries, func(t *trackedAttempt) bool { return !t.over })
 }
 
 func (c *checker) event(now time.Duration, e Event) {
@@ -85,7 +85,7 @@
 					cl = k
 				}
 			}
-			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline, id: e.ID, key: e.Key}
+			c.reqs[e.ID] = &trackedRequest{class: cl, deadline: e.Deadline, id: e.ID, key: e.Key}
 			if cl.OrderedByKey && e.HasKey {
 				c.order = append(c.order, c.reqs[e.ID])
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-func (c *checker) final(id string) *tracked {
+func (c *checker) final(id string) *trackedRequest {
 	r := c.reqs[id]
 	if r == nil || r.ended {
 		c.fault("rule 1: final answer for %s, which is over or unknown", id)
@@ -194,11 +194,11 @@
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.tries = append(r.tries, &trackedAttempt{server: a.Server, at: now})
 }
 
 // ruleDrills delay and abort requests of all kinds of classes.
-var ruleDrills = []FaultInjection{
+var ruleFaultInjections = []FaultInjection{
 	{Name: "slow", Class: "seq", Percent: 30, Delay: 200 * msec, Duration: time.Second},
 	{Name: "slower", Class: "pay", Percent: 50, Delay: time.Second, Duration: time.Second},
 	{Name: "away", Class: "seq2", Percent: 20, AbortStatus: 503, Duration: time.Second},
@@ -421,7 +421,7 @@
 		set.Tier = int(seed % 2)
 		set.PollDiscovery = seed%4 == 0
 		if seed%3 == 0 {
-			set.FaultInjections = ruleDrills
+			set.FaultInjections = ruleFaultInjections
 		}
 		c := newChecker(set)
 		log, b := run(t, set, seed, 6000, c)
@@ -433,16 +433,16 @@
 		if len(log) < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, len(log))
 		}
-		if len(b.requests) > 0 || len(b.lines) > 0 {
-			t.Errorf("seed %d: %d requests and %d lines are left over", seed, len(b.requests), len(b.lines))
+		if len(b.requests) > 0 || len(b.keyQueues) > 0 {
+			t.Errorf("seed %d: %d requests and %d lines are left over", seed, len(b.requests), len(b.keyQueues))
 		}
 		for i, p := range b.pools {
-			if len(p.held) > 0 || p.inFlight != 0 {
-				t.Errorf("seed %d: %d held and %d calls of pool %d are left over", seed, len(p.held), p.inFlight, i)
+			if len(p.queued) > 0 || p.inFlight != 0 {
+				t.Errorf("seed %d: %d held and %d calls of pool %d are left over", seed, len(p.queued), p.inFlight, i)
 			}
 		}
 		for id, s := range b.servers {
-			if !s.listed || s.calls() != 0 {
+			if !s.listed || s.inFlightCount() != 0 {
 				t.Errorf("seed %d: server %s is left over", seed, id)
 			}
 		}
@@ -500,7 +500,7 @@
 // Many copies send to servers of which one is fresh, and none sees the others. What all of them send it in any
 // span must keep the budget: at a steady three quarters of capacity, and in a burst of twice that right after
 // its start, with few copies that have many calls out and with many that have hardly any.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestSlowStartKeepsServersBelowOverload(t *testing.T) {
 	for _, tc := range []struct {
 		copies, servers int
 		burst           float64 // times the usual rate, for the first two seconds
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -59,8 +59,8 @@
 // addClasses takes the classes and pools of the settings, from those before where they are there already.
 func (b *Balancer) addClasses(classes map[string]*class, pools []*pool) {
 	b.classes = map[string]*class{}
-	longest := b.set.Classes[0]
-	for _, c := range b.set.Classes {
+	longest := b.settings.Classes[0]
+	for _, c := range b.settings.Classes {
 		b.addClass(c, classes, pools)
 		if c.Deadline > longest.Deadline {
 			longest = c
@@ -70,47 +70,47 @@
 }
 
 func (b *Balancer) addClass(c Class, classes map[string]*class, pools []*pool) {
-	k := &class{Class: c, mean: float64(c.LatencyObjective) / 4, dev: float64(c.LatencyObjective) / 8}
+	k := &class{Class: c, meanLatency: float64(c.LatencyObjective) / 4, latencyDeviation: float64(c.LatencyObjective) / 8}
 	if o := classes[c.Name]; o != nil && reflect.DeepEqual(o.Class, c) {
 		k = o
 	} else if o != nil && o.samples > 0 { // other rules, the same work
-		k.mean, k.dev, k.samples = o.mean, o.dev, o.samples
+		k.meanLatency, k.latencyDeviation, k.samples = o.meanLatency, o.latencyDeviation, o.samples
 	}
 	k.pool = nil
 	for _, p := range slices.Concat(b.pools, pools) {
-		same := reflect.DeepEqual([][]string{p.zones, p.kinds}, [][]string{c.AllowedZones, c.AllowedKinds})
+		same := reflect.DeepEqual([][]string{p.allowedZones, p.allowedKinds}, [][]string{c.AllowedZones, c.AllowedKinds})
 		if same && k.pool == nil {
 			k.pool = p
 		}
 	}
 	if k.pool == nil {
-		k.pool = &pool{zones: c.AllowedZones, kinds: c.AllowedKinds}
+		k.pool = &pool{allowedZones: c.AllowedZones, allowedKinds: c.AllowedKinds}
 	}
 	if !slices.Contains(b.pools, k.pool) {
 		b.pools = append(b.pools, k.pool)
 	}
 	b.classes[c.Name] = k
-	b.order = append(b.order, k)
+	b.classList = append(b.classList, k)
 }
 
 // retune takes over other settings while requests are open, or none of them if they are unsound. Classes that stay as
 // they were keep what was learned; open requests keep the class that they came with, also one that is gone.
-func (b *Balancer) retune(set Settings) {
+func (b *Balancer) changeSettings(set Settings) {
 	if set.Validate() != nil {
 		return
 	}
 	classes, pools := b.classes, b.pools
-	b.set, b.order, b.pools = set, nil, nil
+	b.settings, b.classList, b.pools = set, nil, nil
 	b.addClasses(classes, pools)
-	b.rules, b.before = b.rules+1, classes
-	b.keepPools(pools)
-	b.relist()
+	b.settingsVersion, b.previousClasses = b.settingsVersion+1, classes
+	b.keepUsedPools(pools)
+	b.refreshPools()
 }
 
 // keepPools keeps those pools that no class has any more while something may still be placed in them.
-func (b *Balancer) keepPools(pools []*pool) {
+func (b *Balancer) keepUsedPools(pools []*pool) {
 	used := map[*pool]bool{}
-	for _, c := range b.before {
+	for _, c := range b.previousClasses {
 		used[c.pool] = true
 	}
 	for _, r := range b.requests {
