--- a/balancer/accesslist.go
+++ b/balancer/accesslist.go
@@ -1,4 +1,4 @@
-// AccessList: whose requests are let in, and whose word is taken for where a connection comes from.
+// Access list: which clients are admitted, and which proxies may name the clients that they pass on.
 
 package balancer
 
@@ -7,30 +7,33 @@
 	"slices"
 )
 
-// AccessList are the lists by which clients are judged.
+// AccessList is the address ranges by which clients are admitted. A nil list admits all and trusts no
+// proxy.
 type AccessList struct {
 	Allow          []netip.Prefix `json:"Allow"`     // empty: all
 	Deny           []netip.Prefix `json:"Deny"`      // wins over Allow
-	TrustedProxies []netip.Prefix `json:"ProxyFrom"` // fronts that say whose connection they pass on
+	TrustedProxies []netip.Prefix `json:"ProxyFrom"` // proxies that name the client of each connection
 }
 
-// Allows says whether a client is let in. One whose address is not known is a stranger to any list.
-func (a *AccessList) Allows(client netip.Addr) bool {
-	if a == nil {
+// Allows says whether a client is admitted. One whose address is not known is admitted only by an empty
+// list.
+func (l *AccessList) Allows(client netip.Addr) bool {
+	if l == nil {
 		return true
 	}
 	if !client.IsValid() {
-		return len(a.Allow) == 0 && len(a.Deny) == 0
+		return len(l.Allow) == 0 && len(l.Deny) == 0
 	}
-	return (len(a.Allow) == 0 || within(a.Allow, client)) && !within(a.Deny, client)
+	return (len(l.Allow) == 0 || contains(l.Allow, client)) && !contains(l.Deny, client)
 }
 
 // TrustsProxy says whether a connection from an address must begin by naming its client.
-func (a *AccessList) TrustsProxy(peer netip.Addr) bool {
-	return a != nil && within(a.TrustedProxies, peer)
+func (l *AccessList) TrustsProxy(peer netip.Addr) bool {
+	return l != nil && contains(l.TrustedProxies, peer)
 }
 
-func within(list []netip.Prefix, a netip.Addr) bool {
-	a = a.Unmap().WithZone("")
-	return slices.ContainsFunc(list, func(p netip.Prefix) bool { return p.Contains(a) })
+// contains says that an address is in one of the ranges, an IPv4 address also in its IPv6 form.
+func contains(ranges []netip.Prefix, address netip.Addr) bool {
+	address = address.Unmap().WithZone("")
+	return slices.ContainsFunc(ranges, func(r netip.Prefix) bool { return r.Contains(address) })
 }
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -1,37 +1,63 @@
-// Servers out by hand: what operators take out stays out until they put it back, whatever discovery says.
+// Administrative override: servers that operators disable stay out of service until they enable them again,
+// whatever discovery says.
 
 package balancer
 
 import (
 	"errors"
 	"maps"
+	"slices"
 	"time"
 )
 
-const (
-	MaxOverrides      = 1024        // MaxOverrides is how many ids are remembered.
-	firstRequestAfter = time.Second // when a server put back and still unused is given a request; owed within 5 s
-)
+// MaxOverrides is how many servers' overrides are remembered.
+const MaxOverrides = 1024
+
+// firstRequestAfter is when a server that was enabled and is still unused is given a request. Operators who
+// enable a server look for its first requests within 5 s.
+const firstRequestAfter = time.Second
 
-// hand is what operators said of a server last.
+// override is what operators said of a server last.
 type override struct {
 	disabled  bool
-	enabledAt time.Duration // when it was put back
+	enabledAt time.Duration // when it was enabled again
 }
 
-// Why a server can't be taken out or put back.
+// Why a server can't be disabled or enabled.
 var (
-	ErrUnknownServer    = errors.New("no such server")
+	// ErrUnknownServer: the server is neither on the endpoint list nor disabled. Check its ID.
+	ErrUnknownServer = errors.New("no such server")
+	// ErrTooManyOverrides: MaxOverrides are remembered already. Enable servers that need not be disabled.
 	ErrTooManyOverrides = errors.New("too many servers are out by hand")
 )
 
-// IsDisabled says that a server is out by hand.
+// IsDisabled says that a server is disabled by an operator.
 func (b *Balancer) IsDisabled(id string) bool { return b.overrides[id].disabled }
 
-// CheckOverride says whether a Hand would be followed: its server is listed or out, and can be remembered.
+// DisabledServers are the IDs of the servers that are disabled by an operator, sorted.
+func (b *Balancer) DisabledServers() (ids []string) {
+	for id, o := range b.overrides {
+		if o.disabled {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// RestoreDisabled disables servers that were disabled before the node started, up to MaxOverrides. It comes
+// before any event.
+func (b *Balancer) RestoreDisabled(ids []string) {
+	for _, id := range ids[:min(len(ids), MaxOverrides)] {
+		b.overrides[id] = override{disabled: true}
+	}
+}
+
+// CheckOverride says whether an AdminOverride would be followed: its server is listed or disabled, and can
+// be remembered. The error is ErrUnknownServer or ErrTooManyOverrides.
 func (b *Balancer) CheckOverride(id string) error {
-	s, h := b.servers[id], b.overrides[id]
-	if !h.disabled && (s == nil || !s.listed) {
+	s := b.servers[id]
+	if !b.IsDisabled(id) && (s == nil || !s.listed) {
 		return ErrUnknownServer
 	}
 	b.forgetOldOverrides()
@@ -41,32 +67,39 @@
 	return nil
 }
 
-// forgetHands drops what was put back so long ago that it is warm.
+// forgetOldOverrides drops servers that were enabled so long ago that their slow start is over.
 func (b *Balancer) forgetOldOverrides() {
-	maps.DeleteFunc(b.overrides, func(_ string, h override) bool {
-		return !h.disabled && b.now >= h.enabledAt+b.settings.SlowStartDuration
+	maps.DeleteFunc(b.overrides, func(_ string, o override) bool {
+		return !o.disabled && b.now >= o.enabledAt+b.settings.SlowStartDuration
 	})
 }
 
-// takeHand takes a server out, or puts it back as one that has just started: its operators have restarted it,
-// and what was learned before is of its earlier process. Saying it again changes nothing.
+// applyOverride disables a server, or enables it as one that has just started: its operators have restarted
+// it, and what was learned before is of its earlier process. Saying the same again changes nothing.
 func (b *Balancer) applyOverride(e AdminOverride) {
-	if b.CheckOverride(e.Server) != nil || b.overrides[e.Server].disabled == e.Disabled {
+	if b.CheckOverride(e.Server) != nil || b.IsDisabled(e.Server) == e.Disabled {
 		return
 	}
 	b.overrides[e.Server] = override{disabled: e.Disabled, enabledAt: b.now}
 	if s := b.servers[e.Server]; s != nil && !e.Disabled {
-		*s = server{Server: s.Server, listed: s.listed, inFlight: s.inFlight, enabledAt: b.now, firstRequestDue: b.now + firstRequestAfter}
+		*s = server{
+			Server:          s.Server,
+			listed:          s.listed,
+			inFlight:        s.inFlight,
+			enabledAt:       b.now,
+			firstRequestDue: b.now + firstRequestAfter,
+		}
 	}
 	b.refreshPools()
 }
 
-// starved gives a server that was put back and got nothing since, if the request may go there. A cold server
-// is drawn seldom, and where traffic is thin it could wait long; one call at a time is none too many for it.
+// firstRequestOwed gives a server that was enabled and is unused since, if the request may go there; else
+// nil. A server in slow start is drawn seldom, and in light traffic its operators would wait long to see
+// whether it works. One attempt at a time is none too many for it.
 func (b *Balancer) firstRequestOwed(r *request) *server {
 	for _, s := range r.class.pool.ready {
-		due := s.firstRequestDue > 0 && b.now >= s.firstRequestDue && s.inFlightCount() == 0 && b.capacityLimit(s) > 0
-		if due && !b.isOutlier(s, r) && b.mayServe(r, s) {
+		due := s.firstRequestDue > 0 && b.now >= s.firstRequestDue
+		if due && s.inFlightCount() == 0 && b.capacityLimit(s) > 0 && !b.isOutlier(s, r) && b.mayServe(r, s) {
 			return s
 		}
 	}
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,57 +1,118 @@
-// Admission: how many own calls a pool of the first tier may have in flight.
+// Admission window: how many own attempts a pool of the first tier may have in flight.
 
 package balancer
 
 import "math"
 
 const (
-	maxUnloadedShedShare  = 0.02 // share answered without an attempt above which there is no room to spare
-	minWindowPerServer    = 5.0  // own calls a server that are always admitted
-	targetLoadRatio       = 0.5  // mean latency over aim that admission steers to,
-	unloadedRatioMultiple = 1.4  // or, where it is more, so many times that of answers while there is room to spare,
-	maxTargetLoadRatio    = 0.7  // up to this
-	windowGain            = 1.0  // window gained by an answer in good time, times the part of the target that is free
-	windowLoss            = 0.1  // window lost by a late one
+	// initialWindowPerServer is how many attempts a server are admitted before anything is known.
+	initialWindowPerServer = 5.0
+	// minWindowPerServer is how many attempts a server are always admitted: with fewer, a single slow
+	// answer would close the window, and nothing would be learned that opens it again.
+	minWindowPerServer = 5.0
+	// minWindow is the least window: with none, no answer would ever open it again.
+	minWindow = 1
+
+	// targetLoadRatio is the mean latency, over the latency objective, that the window steers to. Half of
+	// the objective is left for the spread of latencies.
+	targetLoadRatio = 0.5
+	// unloadedRatioMultiple raises the target to so many times the ratio without overload, where that is
+	// more: work that takes most of the objective by itself is no overload.
+	unloadedRatioMultiple = 1.4
+	// maxTargetLoadRatio is the highest target: above it too many answers would miss the objective.
+	maxTargetLoadRatio = 0.7
+	// maxUnloadedShedShare is the share of shed requests above which answers tell of an overload rather
+	// than of the time that the work takes by itself.
+	maxUnloadedShedShare = 0.02
+
+	// windowGain is the attempts by which an answer in good time raises the window, times the free part of
+	// the target.
+	windowGain = 1.0
+	// windowLoss is the attempts by which an answer lowers the window while the mean is above the target.
+	windowLoss = 0.1
+	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns
+	// nothing of what the tiers below can take.
+	minWindowUse = 0.8
+
+	// loadSampleWeight over the window plus loadSampleWindow is the weight of an answer in the load ratio:
+	// answers of a larger window come faster, and each tells less.
+	loadSampleWeight = 2
+	// loadSampleWindow keeps that weight small in a small window, in attempts.
+	loadSampleWindow = 16
 )
 
-// full says that the node has as many calls out as the tiers below answer in good time. Only the
-// first tier holds back: a call refused further down wastes what was done above it.
+// windowFull says that a node has as many attempts out as the tiers below answer in good time, or no
+// server. Only tier 0 holds back: a request rejected further down wastes the work done above it.
 func (b *Balancer) windowFull(p *pool) bool {
-	return len(p.ready) == 0 || b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.windowFraction)
+	if len(p.ready) == 0 {
+		return true
+	}
+	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.windowFraction)
+}
+
+// leaveWindow takes an attempt out of the window, once. A streamed message is slow for its client's sake:
+// its server does nothing before it has all of a request, and no more while a response is read. Were these
+// counted, a few slow clients would cause the rejection of all others. As attempts at their servers they
+// count to the end.
+func (a *attempt) leaveWindow() {
+	if !a.outsideWindow {
+		a.outsideWindow = true
+		a.request.class.pool.inFlight--
+	}
 }
 
-// steer moves the window so that the mean latency stays at a set part of the aim: crowded servers choke, so
-// the crowd must wait or be refused here. Those let in show only when answered.
+// adjustWindow steers the window so that the mean latency stays at a part of the latency objective. Input:
+// the end of an attempt. Output: the window, in attempts.
+//
+// Servers that are sent more than they can work on answer all of it late, and clients that time out ask
+// again: an overload that feeds itself. So the excess must wait or be shed here, before it costs the tiers
+// below anything. It shows as latencies at the objective with all servers busy and few answers in time.
+// Outcomes that tell nothing of the load are left out.
 func (b *Balancer) adjustWindow(r *request, e AttemptEnded) {
 	if b.settings.Tier > 0 || e.Outcome == Canceled || e.Outcome == NotSent || e.Outcome == Failure {
 		return
 	}
 	p := r.class.pool
-	over := float64(b.attemptLatency(r, r.attempts[e.Attempt], e)) / float64(r.class.LatencyObjective)
+	ratio := float64(b.attemptLatency(r, r.attempts[e.Attempt], e)) / float64(r.class.LatencyObjective)
 	if e.Outcome != Success {
-		over = max(over, 1)
+		ratio = max(ratio, 1)
 	}
-	p.loadRatio += 2 / (p.window + 16) * (min(over, 1) - p.loadRatio)
-	// Bare work that fills much of the aim is no crowd: it raises the target. Unknown, the floor holds.
-	// Where copies outnumber servers, windows of a call or two rounded up at every copy would choke the
-	// servers: while it falls, the draw makes all copies hold to it. Else rounding up lets bursts through.
-	// The gain follows the room left to the target: fixed, it would leave servers idle or overshoot.
+	moveTowards(&p.loadRatio, min(ratio, 1), loadSampleWeight/(p.window+loadSampleWindow))
 	p.windowFraction = 0
 	if e.Outcome == Success && p.shedShare < maxUnloadedShedShare {
 		p.unloadedSamples++
-		p.unloadedRatio += max(sampleWeight/4, 1/p.unloadedSamples) * (over - p.unloadedRatio)
+		moveTowards(&p.unloadedRatio, ratio, max(slowSampleWeight, 1/p.unloadedSamples))
 	}
 	target := min(max(targetLoadRatio, unloadedRatioMultiple*p.unloadedRatio), maxTargetLoadRatio)
 	if p.loadRatio > target {
-		p.window -= windowLoss
-		p.windowFraction = b.rng.Float64()
-	} else if over < target && float64(p.inFlight+1) >= 0.8*p.window {
-		up := windowGain * (1 - p.loadRatio/target)
-		p.window += up
-		p.floorServers += up / minWindowPerServer
+		b.lowerWindow(p)
+	} else if ratio < target && float64(p.inFlight+1) >= minWindowUse*p.window {
+		p.raiseWindow(target)
 	}
-	// A list that grows in a surge says nothing of the tiers below, which would choke under a floor that
-	// grew with it: base follows the list down at once, and up by answers in good time.
+	p.keepWindowFloor()
+}
+
+// lowerWindow lowers a window. Where replicas outnumber servers, windows of an attempt or two that are
+// rounded up at every replica would overload the servers: while the window falls, a draw rounds it up or
+// down, so that all replicas together hold to it. At other times it is rounded up, which lets bursts
+// through.
+func (b *Balancer) lowerWindow(p *pool) {
+	p.window -= windowLoss
+	p.windowFraction = b.rng.Float64()
+}
+
+// raiseWindow raises a window by the free part of the target: a fixed step would leave servers idle, or
+// overshoot.
+func (p *pool) raiseWindow(target float64) {
+	gain := windowGain * (1 - p.loadRatio/target)
+	p.window += gain
+	p.floorServers += gain / minWindowPerServer
+}
+
+// keepWindowFloor keeps a window at its floor. The floor follows the list of servers down at once, and up
+// only by answers in good time: a list that grows in a surge says nothing of the tiers below, which a floor
+// that grew with it would overload.
+func (p *pool) keepWindowFloor() {
 	p.floorServers = min(p.floorServers, p.serversPerReplica)
-	p.window = max(p.window, 1, minWindowPerServer*p.floorServers)
+	p.window = max(p.window, minWindow, minWindowPerServer*p.floorServers)
 }
--- /dev/null
+++ b/balancer/checkpointforms.go
@@ -0,0 +1,132 @@
+// The stored form of a Balancer's state. Checkpoints stand in captures on disk, and pass from one process
+// of a node to the next, which may be of another build: the JSON keys stay as they are.
+
+package balancer
+
+import "time"
+
+// savedBalancer is the whole state of a Balancer. Servers, requests and classes stand in lists; what refers
+// to one has its index there instead.
+type savedBalancer struct {
+	Now             time.Duration       `json:"Now"`
+	RNGState        []byte              `json:"Random"`
+	Servers         []savedServer       `json:"Servers"`
+	KnownServers    int                 `json:"Mapped"` // the first of Servers; others stand in ended attempts
+	Requests        []savedRequest      `json:"Requests"`
+	Classes         []savedClass        `json:"Classes"`
+	Pools           []savedPool         `json:"Pools"`
+	KeyQueues       []savedKeyQueue     `json:"Lines"`
+	ErrorRate       float64             `json:"Errors"`
+	LastSuccess     time.Duration       `json:"LastOK"`
+	RetryBalance    float64             `json:"Tokens"`
+	PollFailures    int                 `json:"SubFails"`
+	NextPoll        time.Duration       `json:"SubWanted"`
+	ShuttingDown    bool                `json:"Leaving"`
+	LeaseExpired    bool                `json:"Expired,omitempty"`
+	Overrides       []savedOverride     `json:"Hands,omitempty"`
+	SettingsVersion int                 `json:"Rules"`
+	PreviousClasses []int               `json:"Before,omitempty"` // indexes of Classes
+	FaultInjector   *savedFaultInjector `json:"Drills,omitempty"`
+}
+
+// savedServer is a server and what was learned of it.
+type savedServer struct {
+	Server
+	Listed                bool          `json:"Listed"`
+	InFlight              [][2]int      `json:"Open"` // index of the request, number of the attempt
+	ConsecutiveFailures   int           `json:"Streak"`
+	EjectionLevel         int           `json:"Level"`
+	ConsecutiveSuccesses  int           `json:"Goods"`
+	EjectedUntil          time.Duration `json:"Until"`
+	LastSuccess           time.Duration `json:"LastOK"`
+	CapacityLimit         int           `json:"Room"`
+	CapacityLimitUntil    time.Duration `json:"Full"`
+	ConsecutiveRejections int           `json:"Refusals"`
+	EnabledAt             time.Duration `json:"Back,omitempty"`
+	FirstRequestDue       time.Duration `json:"Hungry,omitempty"`
+}
+
+// savedOverride is what operators said of a server.
+type savedOverride struct {
+	ID        string        `json:"ID"`
+	Disabled  bool          `json:"Out"`
+	EnabledAt time.Duration `json:"Back"`
+}
+
+// savedRequest is an open request, or an answered one with attempts out.
+type savedRequest struct {
+	ID           []byte         `json:"ID"` // may be no UTF-8, which JSON would replace
+	Class        int            `json:"Class"`
+	Arrived      time.Duration  `json:"Arrived"`
+	Deadline     time.Duration  `json:"Deadline"`
+	Attempts     []savedAttempt `json:"Attempts"`
+	ClientRetry  bool           `json:"Repeat"`
+	KeyQueue     *uint64        `json:"Line"`
+	Answered     bool           `json:"Answered"`
+	Streaming    bool           `json:"Streaming"`
+	TimerAt      time.Duration  `json:"Wake"`
+	DelayedUntil time.Duration  `json:"Resume"`
+	MaxAttempts  int            `json:"Most"`
+	StreamedBody bool           `json:"Bulk,omitempty"`
+}
+
+// savedAttempt is an attempt of a request.
+type savedAttempt struct {
+	Server        int           `json:"Server"`
+	SentAt        time.Duration `json:"Sent"`
+	Zone          string        `json:"Zone"`
+	Cell          int           `json:"Cell"`
+	ServerStart   time.Duration `json:"Boot"`
+	Ended         bool          `json:"Ended"`
+	NeverRan      bool          `json:"Unsent"`
+	OutsideWindow bool          `json:"Outside,omitempty"`
+}
+
+// savedClass is what was learned of a class. The first are those of the settings, in their order.
+type savedClass struct {
+	MeanLatency      float64       `json:"Mean"`
+	LatencyDeviation float64       `json:"Dev"`
+	Samples          float64       `json:"Samples"`
+	Arrivals         float64       `json:"Arrive"`
+	Served           float64       `json:"Serve"`
+	TypicalBudget    time.Duration `json:"UsualTry"`
+	PreviousClass    *Class        `json:"Old,omitempty"`  // nil: as in the settings
+	Pool             int           `json:"Pool,omitempty"` // index, of a previous class
+}
+
+// savedPool is a pool and what was learned of it.
+type savedPool struct {
+	Ready             []int    `json:"Ready"`
+	Preferred         []int    `json:"Near"`
+	Queued            []int    `json:"Held"`
+	InFlight          int      `json:"InFlight"`
+	CrossZoneShare    float64  `json:"Spill"`
+	PreferredLatency  float64  `json:"Nearby"`
+	OtherLatency      float64  `json:"Far"`
+	ServersPerReplica float64  `json:"Fair"`
+	Window            float64  `json:"Window"`
+	LoadRatio         float64  `json:"Fill"`
+	UnloadedRatio     float64  `json:"Bare"`
+	UnloadedSamples   float64  `json:"Spared"`
+	PeakInFlight      float64  `json:"Peak"`
+	FloorServers      float64  `json:"Base"`
+	WindowFraction    float64  `json:"Part"`
+	ShedShare         float64  `json:"Shed"`
+	AllDisabled       bool     `json:"Handed,omitempty"`
+	AllowedZones      []string `json:"Zones"` // nil: all
+	AllowedKinds      []string `json:"Kinds"` // nil: all
+}
+
+// savedKeyQueue is the open requests of one key.
+type savedKeyQueue struct {
+	Key        uint64        `json:"Key"`
+	Requests   []int         `json:"Queue"`
+	QuietUntil time.Duration `json:"Rest"`
+}
+
+// savedFaultInjector is the state of the fault injections.
+type savedFaultInjector struct {
+	RNGState    []byte          `json:"Random"`
+	ActiveUntil []time.Duration `json:"Until"`
+	Delayed     []int           `json:"Delayed"`
+}
--- /dev/null
+++ b/balancer/checkpointread.go
@@ -0,0 +1,288 @@
+package balancer
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// Why a stored form is no checkpoint of a Balancer with given settings.
+var (
+	errMissingParts  = errors.New("it lacks classes, pools or fault injections of the settings")
+	errPreviousClass = errors.New("a previous class lacks its settings or its pool")
+	errUnknownKey    = errors.New("a request waits in the queue of a key that has none")
+)
+
+// checkpointReader fills a new Balancer from its stored form. References are resolved last: each list must
+// be there before another one refers to it. The first reference that leads nowhere is kept as the error.
+type checkpointReader struct {
+	balancer *Balancer
+	saved    *savedBalancer
+	servers  []*server
+	requests []*request
+	classes  []*class
+	err      error
+}
+
+func newCheckpointReader(b *Balancer, saved *savedBalancer) *checkpointReader {
+	return &checkpointReader{balancer: b, saved: saved}
+}
+
+// read takes all steps.
+func (r *checkpointReader) read() error {
+	if err := r.balancer.rngSource.UnmarshalBinary(r.saved.RNGState); err != nil {
+		return err
+	}
+	if err := r.checkParts(); err != nil {
+		return err
+	}
+	r.readScalars()
+	r.readOverrides()
+	r.addPools()
+	if err := r.readClasses(); err != nil {
+		return err
+	}
+	r.readServers()
+	r.readRequests()
+	r.readKeyQueues()
+	r.readInFlight()
+	r.readPools()
+	if err := r.readFaultInjector(); err != nil {
+		return err
+	}
+	return r.err
+}
+
+// checkParts checks that the stored form has what the settings ask for.
+func (r *checkpointReader) checkParts() error {
+	b, saved := r.balancer, r.saved
+	if len(saved.Classes) < len(b.classList) || len(saved.Pools) < len(b.pools) ||
+		(saved.FaultInjector != nil) != (b.faults != nil) {
+		return errMissingParts
+	}
+	if saved.KnownServers < 0 || saved.KnownServers > len(saved.Servers) {
+		return fmt.Errorf("%d of its %d servers are known", saved.KnownServers, len(saved.Servers))
+	}
+	return nil
+}
+
+func (r *checkpointReader) readScalars() {
+	b, saved := r.balancer, r.saved
+	b.now = saved.Now
+	b.errorRate = saved.ErrorRate
+	b.lastSuccess = saved.LastSuccess
+	b.retryBalance = saved.RetryBalance
+	b.pollFailures = saved.PollFailures
+	b.nextPoll = saved.NextPoll
+	b.shuttingDown = saved.ShuttingDown
+	b.leaseExpired = saved.LeaseExpired
+	b.settingsVersion = saved.SettingsVersion
+}
+
+func (r *checkpointReader) readOverrides() {
+	for _, saved := range r.saved.Overrides {
+		r.balancer.overrides[saved.ID] = override{disabled: saved.Disabled, enabledAt: saved.EnabledAt}
+	}
+}
+
+// addPools adds the pools that no class of the settings has any more.
+func (r *checkpointReader) addPools() {
+	b := r.balancer
+	for _, saved := range r.saved.Pools[len(b.pools):] {
+		b.pools = append(b.pools, &pool{allowedZones: saved.AllowedZones, allowedKinds: saved.AllowedKinds})
+	}
+}
+
+// readClasses reads what was learned of the classes of the settings, and all of the previous ones.
+func (r *checkpointReader) readClasses() error {
+	b := r.balancer
+	r.classes = slices.Clone(b.classList)
+	for i, saved := range r.saved.Classes {
+		if i >= len(b.classList) {
+			if saved.PreviousClass == nil || saved.Pool < 0 || saved.Pool >= len(b.pools) {
+				return errPreviousClass
+			}
+			r.classes = append(r.classes, &class{Class: *saved.PreviousClass, pool: b.pools[saved.Pool]})
+		}
+		c := r.classes[i]
+		c.meanLatency = saved.MeanLatency
+		c.latencyDeviation = saved.LatencyDeviation
+		c.samples = saved.Samples
+		c.arrivals = saved.Arrivals
+		c.served = saved.Served
+		c.typicalBudget = saved.TypicalBudget
+	}
+	for _, c := range resolve(r, "class", r.classes, r.saved.PreviousClasses) {
+		if b.previousClasses == nil {
+			b.previousClasses = map[string]*class{}
+		}
+		b.previousClasses[c.Name] = c
+	}
+	return nil
+}
+
+func (r *checkpointReader) readServers() {
+	for i, saved := range r.saved.Servers {
+		s := &server{
+			Server:                saved.Server,
+			listed:                saved.Listed,
+			consecutiveFailures:   saved.ConsecutiveFailures,
+			ejectionLevel:         saved.EjectionLevel,
+			consecutiveSuccesses:  saved.ConsecutiveSuccesses,
+			ejectedUntil:          saved.EjectedUntil,
+			lastSuccess:           saved.LastSuccess,
+			capacityLimit:         saved.CapacityLimit,
+			capacityLimitUntil:    saved.CapacityLimitUntil,
+			consecutiveRejections: saved.ConsecutiveRejections,
+			enabledAt:             saved.EnabledAt,
+			firstRequestDue:       saved.FirstRequestDue,
+		}
+		r.servers = append(r.servers, s)
+		if i < r.saved.KnownServers {
+			r.balancer.servers[s.ID] = s
+		}
+	}
+}
+
+func (r *checkpointReader) readRequests() {
+	for _, saved := range r.saved.Requests {
+		q := r.request(saved)
+		r.requests = append(r.requests, q)
+		r.balancer.requests[q.id] = q
+	}
+}
+
+// request makes a request of its stored form, without its queues.
+func (r *checkpointReader) request(saved savedRequest) *request {
+	q := &request{
+		id:           string(saved.ID),
+		class:        resolveOne(r, "class", r.classes, saved.Class),
+		arrived:      saved.Arrived,
+		deadline:     saved.Deadline,
+		clientRetry:  saved.ClientRetry,
+		answered:     saved.Answered,
+		streaming:    saved.Streaming,
+		timerAt:      saved.TimerAt,
+		streamedBody: saved.StreamedBody,
+		maxAttempts:  saved.MaxAttempts,
+		delayedUntil: saved.DelayedUntil,
+	}
+	for n, a := range saved.Attempts {
+		q.attempts = append(q.attempts, &attempt{
+			request:       q,
+			server:        resolveOne(r, "server", r.servers, a.Server),
+			number:        n,
+			sentAt:        a.SentAt,
+			zone:          a.Zone,
+			cell:          a.Cell,
+			serverStart:   a.ServerStart,
+			ended:         a.Ended,
+			neverRan:      a.NeverRan,
+			outsideWindow: a.OutsideWindow,
+		})
+	}
+	return q
+}
+
+func (r *checkpointReader) readKeyQueues() {
+	queues := r.balancer.keyQueues
+	for _, saved := range r.saved.KeyQueues {
+		queues[saved.Key] = &keyQueue{
+			key:        saved.Key,
+			requests:   resolve(r, "request", r.requests, saved.Requests),
+			quietUntil: saved.QuietUntil,
+		}
+	}
+	for i, saved := range r.saved.Requests {
+		if saved.KeyQueue == nil {
+			continue
+		}
+		if r.requests[i].keyQueue = queues[*saved.KeyQueue]; r.requests[i].keyQueue == nil {
+			r.fail(errUnknownKey)
+		}
+	}
+}
+
+// readInFlight gives the servers their attempts.
+func (r *checkpointReader) readInFlight() {
+	for i, saved := range r.saved.Servers {
+		for _, at := range saved.InFlight {
+			if q := resolveOne(r, "request", r.requests, at[0]); q != nil {
+				a := resolveOne(r, "attempt", q.attempts, at[1])
+				r.servers[i].inFlight = append(r.servers[i].inFlight, a)
+			}
+		}
+	}
+}
+
+func (r *checkpointReader) readPools() {
+	for i, saved := range r.saved.Pools {
+		p := r.balancer.pools[i]
+		p.ready = resolve(r, "server", r.servers, saved.Ready)
+		p.preferred = resolve(r, "server", r.servers, saved.Preferred)
+		p.queued = resolve(r, "request", r.requests, saved.Queued)
+		for _, q := range p.queued {
+			q.queued = true
+		}
+		p.inFlight = saved.InFlight
+		p.crossZoneShare = saved.CrossZoneShare
+		p.preferredLatency = saved.PreferredLatency
+		p.otherLatency = saved.OtherLatency
+		p.serversPerReplica = saved.ServersPerReplica
+		p.window = saved.Window
+		p.loadRatio = saved.LoadRatio
+		p.unloadedRatio = saved.UnloadedRatio
+		p.unloadedSamples = saved.UnloadedSamples
+		p.peakInFlight = saved.PeakInFlight
+		p.floorServers = saved.FloorServers
+		p.windowFraction = saved.WindowFraction
+		p.shedShare = saved.ShedShare
+		p.allDisabled = saved.AllDisabled
+	}
+}
+
+func (r *checkpointReader) readFaultInjector() error {
+	saved, faults := r.saved.FaultInjector, r.balancer.faults
+	if saved == nil {
+		return nil
+	}
+	if err := faults.rngSource.UnmarshalBinary(saved.RNGState); err != nil {
+		return err
+	}
+	if len(saved.ActiveUntil) != len(faults.activeUntil) {
+		return errMissingParts
+	}
+	copy(faults.activeUntil, saved.ActiveUntil)
+	faults.delayed = resolve(r, "request", r.requests, saved.Delayed)
+	for _, q := range faults.delayed {
+		q.delayed = true
+	}
+	return nil
+}
+
+// fail keeps the first error.
+func (r *checkpointReader) fail(err error) {
+	if r.err == nil {
+		r.err = err
+	}
+}
+
+// resolve finds what indexes refer to, nil for none and if one leads nowhere.
+func resolve[T any](r *checkpointReader, kind string, list []T, indexes []int) (found []T) {
+	for _, i := range indexes {
+		if i < 0 || i >= len(list) {
+			r.fail(fmt.Errorf("%s %d of %d is referred to", kind, i, len(list)))
+			return nil
+		}
+		found = append(found, list[i])
+	}
+	return found
+}
+
+// resolveOne finds what an index refers to, the zero value if it leads nowhere.
+func resolveOne[T any](r *checkpointReader, kind string, list []T, index int) (found T) {
+	if all := resolve(r, kind, list, []int{index}); len(all) == 1 {
+		return all[0]
+	}
+	return found
+}
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -1,4 +1,4 @@
-// Which servers may be drawn for a request: room, scope, slow start.
+// Eligibility: which servers may be drawn for a request.
 
 package balancer
 
@@ -7,24 +7,24 @@
 	"slices"
 )
 
-// eligible gives those of each group that may be drawn: in scope, untried, fit, warm enough, with room and,
-// while any are, not crowded. The last groups may be drawn from without room.
-func (b *Balancer) eligibleServers(r *request, left, right []*server, last bool) (okLeft, okRight []*server) {
+// eligibleServers gives those of each group that may be drawn for a request: neither excluded as outliers
+// nor tried before, within the deduplication scope, admitted by slow start, and with capacity. While any
+// are, only those under the concurrency cap; as a last resort, also those at their capacity limit: a server
+// that has rejected an attempt may have room again, and the request has nowhere else to go.
+func (b *Balancer) eligibleServers(r *request, left, right []*server, lastResort bool) (
+	okLeft, okRight []*server) {
 	list := slices.Concat(left, right)
-	unfit := b.excludeOutliers(r, list)
+	excluded := b.excludeOutliers(r, list)
 	limits := []func(*server) int{b.concurrencyCap(list), b.capacityLimit}
-	if last {
-		limits = append(limits, func(*server) int { return math.MaxInt })
-	}
-	busy := 0.0
-	for _, s := range list {
-		if s.inFlightCount() > 0 {
-			busy += 1 / float64(len(list))
-		}
+	if lastResort {
+		limits = append(limits, unlimited)
 	}
+	busy := busyShare(list)
 	for _, limit := range limits {
 		for i, s := range list {
-			if unfit[i] || s.inFlightCount() >= limit(s) || !b.mayServe(r, s) || !b.slowStartAdmits(s, busy) {
+			// The draw of slow start comes last: a server that is passed over anyway draws nothing.
+			atLimit := s.inFlightCount() >= limit(s)
+			if excluded[i] || atLimit || !b.mayServe(r, s) || !b.slowStartAdmits(s, busy) {
 				continue
 			}
 			if i < len(left) {
@@ -40,46 +40,46 @@
 	return okLeft, okRight
 }
 
-// crowd gives the own calls at which a server is passed over: draws that met it twice would choke it.
-func (b *Balancer) concurrencyCap(list []*server) func(*server) int {
-	calls := 0
+// unlimited is the limit of a server without one.
+func unlimited(*server) int { return math.MaxInt }
+
+// busyShare is the share of servers, from 0 to 1, that have own attempts in flight.
+func busyShare(list []*server) float64 {
+	share := 0.0
 	for _, s := range list {
-		calls += s.inFlightCount()
+		if s.inFlightCount() > 0 {
+			share += 1 / float64(len(list))
+		}
 	}
-	return func(s *server) int { return min(b.capacityLimit(s), 1+calls/len(list)) }
+	return share
 }
 
-// roomy is the count of own calls at which a server is passed over because it refused one more: its queue
-// or connections are full, and refusals drain its count. It is not ill: the health cap is not for it.
-func (b *Balancer) capacityLimit(s *server) int {
-	if b.now < s.capacityLimitUntil {
-		return s.capacityLimit
+// concurrencyCap gives the number of own attempts at which a server is passed over: one more than the mean
+// of the list. Draws that happen to meet one server twice would choke it while others idle.
+func (b *Balancer) concurrencyCap(list []*server) func(*server) int {
+	attempts := 0
+	for _, s := range list {
+		attempts += s.inFlightCount()
 	}
-	return math.MaxInt
+	return func(s *server) int { return min(b.capacityLimit(s), 1+attempts/len(list)) }
 }
 
-// inScope keeps a request from servers tried before, and a keyed one that may have run in its scope.
+// mayServe keeps a request from servers that it was tried at before. One that is idempotent with a key, and
+// may have run, stays within the scope whose servers discard its duplicates: outside it would run twice.
 func (b *Balancer) mayServe(r *request, s *server) bool {
-	scope := r.class.DedupScope
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		outside := scope != ScopeAll && a.zone != s.Zone || scope == ScopeCell && a.cell != s.Cell
-		return a.server == s || r.class.Effect == IdempotentWithKey && !a.neverRan && outside
+		return a.server == s || r.class.Effect == IdempotentWithKey && !a.neverRan && !a.sharesScope(s)
 	})
 }
 
-// warmEnough thins the draw of a cold server to the share of a warm one's capacity that it surely has, and
-// keeps it to one own call at a time: many nodes that each send a little would push it over together. Being
-// idle, it wins against all busy servers, up to twice as often as a warm one: busy, the share of those, takes
-// that back. The multiple is left for bursts: half of it, where it is under two.
-func (b *Balancer) slowStartAdmits(s *server, busy float64) bool {
-	age := b.now - s.startedAt()
-	if s.startedAt() <= 0 || age >= b.settings.SlowStartDuration {
+// sharesScope says that a server discards duplicates of an attempt.
+func (a *attempt) sharesScope(s *server) bool {
+	switch a.request.class.DedupScope {
+	case ScopeAll:
 		return true
+	case ScopeCell:
+		return a.zone == s.Zone && a.cell == s.Cell
+	default:
+		return a.zone == s.Zone
 	}
-	grown := max(0, float64(age)/float64(b.settings.SlowStartDuration))
-	share := (b.settings.SlowStartMinShare + (1-b.settings.SlowStartMinShare)*grown) / (1 + busy)
-	if m := b.settings.OverloadMultiple; m > 0 {
-		share *= min(1, m/2)
-	}
-	return s.inFlightCount() == 0 && b.rng.Float64() < share
 }
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -1,119 +1,127 @@
-// FaultInjections: rehearsals that delay or abort a share of one class's requests. Who may start one is the host's.
+// Fault injection: delays and errors that operators inject into a share of one class's requests, to see how
+// clients cope. The host decides who may start one. Settings and operators call it a drill.
 
 package balancer
 
 import (
 	"math/rand/v2"
-	"slices"
+	"net/http"
 	"time"
 )
 
-// FaultInjection is a rehearsal that a FaultInjectionStart can start.
+const (
+	// faultRNGStream is the second half of the seed of fault injections.
+	faultRNGStream = 0xd2111
+	// percentPerShare turns a share of a class's requests into percent.
+	percentPerShare = 100
+	// delayDeviations is how many deviations above the mean latency an injected delay leaves for the
+	// answer.
+	delayDeviations = 2
+)
+
+// FaultInjection is a fault that StartFaultInjection can start.
 type FaultInjection struct {
 	Name        string        `json:"Name"`
 	Class       string        `json:"Class"`
 	Percent     float64       `json:"Share"`       // percent of the class's requests
 	Delay       time.Duration `json:"Delay"`       // before the first attempt; none for the aborted
-	AbortStatus int           `json:"AbortStatus"` // answered at once, without an attempt: 503 or 500; 0: not
+	AbortStatus int           `json:"AbortStatus"` // answered at once, not sent: 503 or 500; 0: none
 	Duration    time.Duration `json:"Duration"`    // from the last start
 }
 
-// rehearsal is the state of the drills. A Balancer without drills has none.
+// faultInjector is the state of the fault injections. A Balancer without any has none. It draws from a
+// stream of its own: with the ordinary one, a fault would shift all draws of the requests that it spares.
 type faultInjector struct {
-	// Its own stream: with the ordinary one, a drill would shift every draw of the requests that it spares.
-	rngSource   *rand.PCG
+	rngSource   *rand.PCG // of rng
 	rng         *rand.Rand
-	activeUntil []time.Duration // of each drill: when it ends
-	delayed     []*request      // in the order of arrival
+	activeUntil []time.Duration // of each fault injection: when it ends
+	delayed     []*request      // in the order of their arrival
 }
 
-func newFaultInjector(drills []FaultInjection, seed uint64) *faultInjector {
-	if len(drills) == 0 {
+func newFaultInjector(faults []FaultInjection, seed uint64) *faultInjector {
+	if len(faults) == 0 {
 		return nil
 	}
-	src := rand.NewPCG(seed, 0xd2111)
-	return &faultInjector{rngSource: src, rng: rand.New(src), activeUntil: make([]time.Duration, len(drills))}
+	source := rand.NewPCG(seed, faultRNGStream)
+	return &faultInjector{
+		rngSource:   source,
+		rng:         rand.New(source),
+		activeUntil: make([]time.Duration, len(faults)),
+	}
 }
 
-// startDrill lets a drill run for its whole duration from now, also one that runs already.
+// startFaultInjection lets a fault injection run for its whole duration from now, also one that runs
+// already. A node that shuts down starts none.
 func (b *Balancer) startFaultInjection(name string) {
-	for i, d := range b.settings.FaultInjections {
-		if d.Name == name && !b.shuttingDown {
-			b.faults.activeUntil[i] = b.now + d.Duration
+	for i, fault := range b.settings.FaultInjections {
+		if fault.Name == name && !b.shuttingDown {
+			b.faults.activeUntil[i] = b.now + fault.Duration
 		}
 	}
 }
 
-// leave ends all drills for good: a node that goes must not spend its last seconds on a rehearsal.
-func (b *Balancer) beginShutdown() {
-	b.shuttingDown = true
-	if b.faults == nil {
-		return
-	}
-	clear(b.faults.activeUntil)
-	for len(b.faults.delayed) > 0 {
-		b.resumeRequest(b.faults.delayed[0])
-	}
-}
-
-// drilled draws whether a request is part of a drill: the first running one of its class that hits. A drill
-// that can't start draws nothing.
+// drawFaultInjection draws whether a fault is injected into a request: the first active one of its class
+// that hits, or nil. One that is not active draws nothing.
 func (b *Balancer) drawFaultInjection(e Request) *FaultInjection {
 	if b.faults == nil {
 		return nil
 	}
 	for i := range b.settings.FaultInjections {
-		d := &b.settings.FaultInjections[i]
-		if d.Class == e.Class && b.now < b.faults.activeUntil[i] && b.faults.rng.Float64()*100 < d.Percent {
-			b.emit(FaultInjected{ID: e.ID, FaultInjection: d.Name})
-			return d
+		fault := &b.settings.FaultInjections[i]
+		active := fault.Class == e.Class && b.now < b.faults.activeUntil[i]
+		if active && b.faults.rng.Float64()*percentPerShare < fault.Percent {
+			b.emit(FaultInjected{ID: e.ID, FaultInjection: fault.Name})
+			return fault
 		}
 	}
 	return nil
 }
 
-// abort answers a request that a drill turns away. It leaves no trace in what is learned of the class: those
-// that the drill spares must be served as if there were none.
-func (b *Balancer) abortRequest(e Request, d *FaultInjection) {
-	a := Abort{ID: e.ID, Status: d.AbortStatus}
-	if a.Status == 503 {
-		a.RetryAfter = b.settings.RetryAfter(b.classes[d.Class].Class)
+// abortRequest answers a request with an injected error. It leaves no trace in what is learned of the
+// class: the requests that the fault spares must be served as if there were none.
+func (b *Balancer) abortRequest(e Request, fault *FaultInjection) {
+	abort := Abort{ID: e.ID, Status: fault.AbortStatus}
+	if abort.Status == http.StatusServiceUnavailable {
+		abort.RetryAfter = b.settings.RetryAfter(b.classes[fault.Class].Class)
 	}
-	b.emit(a)
+	b.emit(abort)
 }
 
-// delay holds a request back for a drill, but leaves time for an answer. False: there is none for a delay.
-func (b *Balancer) delayRequest(r *request, d *FaultInjection) bool {
-	last := r.deadline - max(r.class.latencyBound(2), 2*b.settings.Tick)
-	r.delayedUntil = min(b.now+d.Delay, last)
+// delayRequest keeps a request for an injected delay, but leaves time for an answer. False: there is none
+// for a delay.
+func (b *Balancer) delayRequest(r *request, fault *FaultInjection) bool {
+	latest := r.deadline - max(r.class.latencyBound(delayDeviations), b.deadlineMargin())
+	r.delayedUntil = min(b.now+fault.Delay, latest)
 	if r.delayedUntil <= b.now {
 		return false
 	}
 	r.delayed = true
 	b.faults.delayed = append(b.faults.delayed, r)
-	b.emit(SetTimer{At: r.delayedUntil, Token: "d:" + r.id})
+	b.emit(SetTimer{At: r.delayedUntil, Token: timerToken(delayTimer, r)})
 	return true
 }
 
-// delayOver goes on with a delayed request when its timer comes due, or asks for another if it came early.
+// handleDelayTimer goes on with a delayed request when its timer is due, or sets another if it fired early.
 func (b *Balancer) handleDelayTimer(r *request) {
 	switch {
 	case r == nil || !r.delayed:
-	case b.now+b.settings.Tick < r.delayedUntil:
-		b.emit(SetTimer{At: r.delayedUntil, Token: "d:" + r.id})
+	case !b.isDue(r.delayedUntil):
+		b.emit(SetTimer{At: r.delayedUntil, Token: timerToken(delayTimer, r)})
 	default:
 		b.resumeRequest(r)
 	}
 }
 
+// resumeRequest goes on with a delayed request.
 func (b *Balancer) resumeRequest(r *request) {
 	b.removeDelayed(r)
 	b.sendOrQueue(r)
 }
 
+// removeDelayed ends the delay of a request, if it has one.
 func (b *Balancer) removeDelayed(r *request) {
 	if r.delayed {
 		r.delayed = false
-		b.faults.delayed = slices.DeleteFunc(b.faults.delayed, func(d *request) bool { return d == r })
+		b.faults.delayed = remove(b.faults.delayed, r)
 	}
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -239,7 +239,7 @@
 	g.handle(WatchFailed{})
 	g.handle(WatchFailed{})
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // the first client that waits for an attempt leaves
-		if r := g.requests[id]; r.pending() && !r.streaming {
+		if r := g.requests[id]; r.hasAttemptOut() && !r.streaming {
 			g.handle(ClientGone{ID: id})
 			break
 		}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -1,118 +1,109 @@
-// Requests that wait: for a server with room, or for their turn among those of one key.
+// Queue discipline: requests that wait for a server or for their turn.
 
 package balancer
 
-import (
-	"slices"
-	"strconv"
-	"time"
-)
+import "time"
 
-// joinLine puts a request behind the earlier ones of its key. False: the line is so long that its turn
-// would come too late, and waiting there would only keep its client from what else it can do.
-func (b *Balancer) joinKeyQueue(r *request, key uint64) bool {
-	l := b.keyQueues[key]
-	if l == nil {
-		l = &keyQueue{key: key}
-	}
-	if float64(len(l.requests))*r.class.meanLatency > float64(b.queueDeadline(r)-b.now) {
-		return false
-	}
-	r.keyQueue, b.keyQueues[key] = l, l
-	l.requests = append(l.requests, r)
-	return true
-}
+const (
+	// marginTicks is how many ticks before a deadline the Balancer acts: one in which a timer may be late,
+	// and one in which the answer reaches the client.
+	marginTicks = 2
+	// minQueueDivisor: a request may wait for at least a quarter of its latency objective.
+	minQueueDivisor = 4
+	// queueDeviations is how many deviations above the mean latency are left for its answer.
+	queueDeviations = 2
+)
 
-// onTurn says that the order of its key lets a request go. The next one goes only when the one before is
-// over, has no attempt without an outcome, and the key has rested; the head may be sent again at once.
-func (b *Balancer) keyOrderAllows(r *request) bool {
-	l := r.keyQueue
-	return l == nil || l.requests[0] == r && (len(r.attempts) > 0 || b.now >= l.quietUntil)
-}
+// deadlineMargin is the time before a deadline that is left for timers and the way to the client.
+func (b *Balancer) deadlineMargin() time.Duration { return marginTicks * b.settings.Tick }
 
-// settle drops a line that is empty and rested, and asks for a timer while it rests: then the next one goes.
-func (b *Balancer) settleKeyQueue(l *keyQueue) {
-	switch {
-	case l == nil:
-	case b.now < l.quietUntil:
-		b.emit(SetTimer{At: l.quietUntil, Token: "k:" + strconv.FormatUint(l.key, 10)})
-	case len(l.requests) == 0:
-		delete(b.keyQueues, l.key)
-	}
+// queueDeadline is the clock time until which it makes sense to queue a request: until its answer may well
+// miss the latency objective, for late answers take the capacity of those in time. Then the client is told
+// when to come back, also where there is no server at all. Waiting to the request's own deadline would fill
+// the queue with requests that nobody waits for any more, which is how an overload feeds itself.
+func (b *Balancer) queueDeadline(r *request) time.Duration {
+	objective := r.class.LatencyObjective
+	wait := max(objective/minQueueDivisor, objective-r.class.latencyBound(queueDeviations))
+	return min(r.deadline-b.deadlineMargin(), r.arrived+wait)
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
+// enqueue keeps a request until a server may take it; its timer makes sure that it is answered. One that
+// waits in vain is answered at once: past its queue deadline, without a list to rely on, or with all
+// servers disabled.
 func (b *Balancer) enqueue(r *request) {
-	if b.now >= b.queueDeadline(r) || r.class.pool.allDisabled || b.listUnreliable() {
+	p := r.class.pool
+	if b.now >= b.queueDeadline(r) || p.allDisabled || b.listUnreliable() {
 		b.giveUp(r)
 		return
 	}
 	if !r.queued {
 		r.queued = true
-		r.class.pool.queued = append(r.class.pool.queued, r)
+		p.queued = append(p.queued, r)
 	}
 	b.setQueueTimer(r, b.queueDeadline(r))
 }
 
+// dequeue takes a request out of the queue, if it is in it.
 func (b *Balancer) dequeue(r *request) {
 	if r.queued {
 		r.queued = false
 		p := r.class.pool
-		p.queued = slices.DeleteFunc(p.queued, func(h *request) bool { return h == r })
+		p.queued = remove(p.queued, r)
 	}
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take the
-// room of those in time. Then the client is told when to come back, also where there is no server at all.
-func (b *Balancer) queueDeadline(r *request) time.Duration {
-	aim := r.class.LatencyObjective
-	return min(r.deadline-2*b.settings.Tick, r.arrived+max(aim/4, aim-r.class.latencyBound(2)))
+// setQueueTimer asks for a look at a queued request, unless one is due by then already.
+func (b *Balancer) setQueueTimer(r *request, at time.Duration) {
+	at = max(at, b.now+1)
+	if r.timerAt > b.now && r.timerAt <= at {
+		return
+	}
+	r.timerAt = at
+	b.emit(SetTimer{At: at, Token: timerToken(queueTimer, r)})
 }
 
-// release sends held requests while their pools have room, the most valuable first.
+// handleQueueTimer answers a queued request that has waited long enough, or sets its timer anew.
+func (b *Balancer) handleQueueTimer(r *request) {
+	if r == nil {
+		return
+	}
+	if b.isDue(r.timerAt) {
+		r.timerAt = 0
+	}
+	if r.queued {
+		b.enqueue(r)
+	}
+}
+
+// dispatchQueued sends queued requests after every event, while their pools' windows and servers have
+// capacity.
 func (b *Balancer) dispatchQueued() {
 	for _, p := range b.pools {
 		for (p.allDisabled || b.listUnreliable()) && len(p.queued) > 0 {
 			b.giveUp(p.queued[0])
 		}
 		for len(p.queued) > 0 && !b.windowFull(p) {
-			var best *request
-			for _, r := range p.queued {
-				// Of equal value the youngest goes, for it has most time left.
-				if b.keyOrderAllows(r) && (best == nil || b.sheddingValue(r) >= b.sheddingValue(best)) {
-					best = r
-				}
-			}
-			if best == nil {
+			r := b.mostValuable(p.queued)
+			if r == nil {
 				break
 			}
-			s := b.chooseServer(best)
+			s := b.chooseServer(r)
 			if s == nil {
 				break
 			}
-			b.send(best, s)
+			b.send(r, s)
 		}
 	}
 }
 
-// value is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
-func (b *Balancer) sheddingValue(r *request) float64 {
-	c := r.class
-	var total float64
-	worst := c
-	for _, k := range b.classList {
-		total += k.PriorityWeight * k.arrivals
-		if k.arrivals > 1 && k.served*worst.arrivals < worst.served*k.arrivals {
-			worst = k
+// mostValuable is the queued request to send next: that of the highest shedding value whose turn it is. Of
+// equal value the youngest goes, for it has most time left; nil if no request may go.
+func (b *Balancer) mostValuable(queued []*request) *request {
+	var best *request
+	for _, r := range queued {
+		if b.keyOrderAllows(r) && (best == nil || b.sheddingValue(r) >= b.sheddingValue(best)) {
+			best = r
 		}
 	}
-	v := b.settings.TotalValueWeight * c.PriorityWeight / max(total, 1e-9)
-	if worst == c {
-		v += b.settings.WorstClassWeight / max(c.arrivals, 1e-9)
-	}
-	if r.clientRetry { // its aim runs from the client's first try and is mostly over
-		v *= c.LateCredit
-	}
-	return v / c.meanLatency
+	return best
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,8 +7,71 @@
 	"time"
 )
 
-const retryAfterDivisor = 10 // part of the aim after which a refused client should ask again
+// request is an accepted request. Its states, and who changes them:
+//
+//	delayed      by an injected fault, until delayedUntil (delayRequest, removeDelayed)
+//	queued       waits for a server, the window or its turn among those of its key (enqueue, dequeue)
+//	attempt out  an attempt has no outcome yet: hasAttemptOut (send, handleAttemptEnded)
+//	streaming    the client has part of the response: no other answer is possible (handleResponseStarted)
+//	answered     it has its final answer, or its client has gone (closeRequest); attempts may still be out
+//	forgotten    answered and without attempts out (forgetIfDone)
+//
+// From queued it goes to attempt out; from there to answered, or back to attempt out or queued by a retry.
+// An answered request is never sent again.
+type request struct {
+	id           string
+	class        *class
+	arrived      time.Duration // of a client's retry: when the client asked first
+	deadline     time.Duration
+	attempts     []*attempt
+	clientRetry  bool      // the client has asked before
+	keyQueue     *keyQueue // nil: it keeps no order
+	queued       bool
+	answered     bool
+	streaming    bool
+	timerAt      time.Duration // when its queue timer fires
+	streamedBody bool
+	maxAttempts  int // by the settings that it came with
+	delayed      bool
+	delayedUntil time.Duration
+}
+
+// attempt is one send of a request. It is out until it has ended.
+type attempt struct {
+	request       *request
+	server        *server
+	number        int // from 0
+	sentAt        time.Duration
+	zone          string // of the server, when it was sent
+	cell          int
+	serverStart   time.Duration
+	ended         bool
+	neverRan      bool // proven by its outcome
+	outsideWindow bool // it no longer counts in the admission window
+}
+
+// hasAttemptOut says that an attempt of a request has no outcome yet.
+func (r *request) hasAttemptOut() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
+}
+
+// mayHaveRun says that an attempt of a request may have run, or may run yet.
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
+}
+
+// findAttempt returns the attempt of a number of a request, nil if either is unknown.
+func (b *Balancer) findAttempt(id string, number int) *attempt {
+	r := b.requests[id]
+	if r == nil || number < 0 || number >= len(r.attempts) {
+		return nil
+	}
+	return r.attempts[number]
+}
 
+// acceptRequest takes a request in. It is denied by the access list, aborted or delayed by a fault
+// injection, rejected for the length of its key's queue, sent or queued. A request whose ID is known is
+// ignored.
 func (b *Balancer) acceptRequest(e Request) {
 	if !b.settings.AccessList.Allows(e.Client) {
 		b.emit(Deny{ID: e.ID})
@@ -17,59 +80,47 @@
 	if b.requests[e.ID] != nil {
 		return
 	}
-	drill := b.drawFaultInjection(e)
-	if drill != nil && drill.AbortStatus != 0 {
-		b.abortRequest(e, drill)
+	fault := b.drawFaultInjection(e)
+	if fault != nil && fault.AbortStatus != 0 {
+		b.abortRequest(e, fault)
 		return
 	}
-	c := b.classes[e.Class]
-	if e.SettingsVersion < b.settingsVersion && b.previousClasses[e.Class] != nil { // what it came with
-		c = b.previousClasses[e.Class]
-	}
-	if c == nil {
-		c = b.classList[len(b.classList)-1] // unknown: unsafe
-	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: min(e.Deadline, b.now+c.Deadline),
-		clientRetry: e.ClientRetry, streamedBody: e.StreamedBody, maxAttempts: b.MaxAttempts()}
-	b.requests[e.ID] = r
-	b.detectClientRetry(r)
-	for _, k := range b.classList {
-		k.arrivals *= 0.99
-		k.served *= 0.99
-	}
-	c.arrivals++
-	if c.OrderedByKey && e.HasKey && !b.joinKeyQueue(r, e.Key) {
+	r := b.addRequest(e)
+	if r.class.OrderedByKey && e.HasKey && !b.joinKeyQueue(r, e.Key) {
 		b.giveUp(r)
 		return
 	}
-	if drill != nil && b.delayRequest(r, drill) {
+	if fault != nil && b.delayRequest(r, fault) {
 		return
 	}
 	b.sendOrQueue(r)
 }
 
-// backdate finds when the client first asked. Tries are all given the same time unless the class's
-// deadline, which runs over all of them, ends sooner: a shorter one tells how much is over already. Where
-// clients mark repeats only the mark counts, for a last try may be given more time than the first. What is
-// usual is the middle of what comes: one client's long budgets would make everybody else's tries look short.
-func (b *Balancer) detectClientRetry(r *request) {
-	left, c := r.deadline-b.now, r.class
-	switch {
-	case c.typicalBudget == 0:
-		c.typicalBudget = left
-	case left > c.typicalBudget:
-		c.typicalBudget += c.typicalBudget / 100
-	default:
-		c.typicalBudget -= c.typicalBudget / 100
-	}
-	short := float64(left) < 0.95*float64(c.typicalBudget)
-	if b.settings.Tier == 0 && (r.clientRetry || short && !b.settings.ClientsMarkRetries) {
-		r.arrived = min(b.now, r.deadline-r.class.Deadline)
-		r.clientRetry = true
+// addRequest makes a request known and counts it. It has the time that its client gives, but no more than
+// its class has: one that claimed an hour would hold its place in the window for as long, and outlive a
+// node that shuts down.
+func (b *Balancer) addRequest(e Request) *request {
+	c := b.classOf(e)
+	r := &request{
+		id:           e.ID,
+		class:        c,
+		arrived:      b.now,
+		deadline:     min(e.Deadline, b.now+c.Deadline),
+		clientRetry:  e.ClientRetry,
+		streamedBody: e.StreamedBody,
+		maxAttempts:  b.MaxAttempts(),
+	}
+	b.requests[e.ID] = r
+	b.detectClientRetry(r)
+	for _, other := range b.classList {
+		other.arrivals *= countDecay
+		other.served *= countDecay
 	}
+	c.arrivals++
+	return r
 }
 
-// place sends a request, or holds it while no server may take it.
+// sendOrQueue sends a request, or queues it while no server may take it.
 func (b *Balancer) sendOrQueue(r *request) {
 	if b.keyOrderAllows(r) && !b.windowFull(r.class.pool) {
 		if s := b.chooseServer(r); s != nil {
@@ -80,12 +131,20 @@
 	b.enqueue(r)
 }
 
+// send starts an attempt of a request at a server.
 func (b *Balancer) send(r *request, s *server) {
-	a := &attempt{request: r, server: s, number: len(r.attempts), sentAt: b.now, zone: s.Zone, cell: s.Cell}
-	a.serverStart = s.startedAt()
+	a := &attempt{
+		request:     r,
+		server:      s,
+		number:      len(r.attempts),
+		sentAt:      b.now,
+		zone:        s.Zone,
+		cell:        s.Cell,
+		serverStart: s.startedAt(),
+	}
 	p := r.class.pool
 	if a.number == 0 {
-		p.shedShare -= sampleWeight / 4 * p.shedShare
+		p.countAdmitted()
 	}
 	r.attempts = append(r.attempts, a)
 	b.dequeue(r)
@@ -97,29 +156,39 @@
 	if r.streamedBody {
 		a.leaveWindow()
 	}
-	p.peakInFlight = max(float64(p.inFlight), p.peakInFlight-sampleWeight/4*(p.peakInFlight-float64(p.inFlight)))
+	inFlight := float64(p.inFlight)
+	moveTowards(&p.peakInFlight, inFlight, slowSampleWeight)
+	p.peakInFlight = max(inFlight, p.peakInFlight)
 	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(b.attemptTimeout(r), b.settings.Tick)})
 }
 
+// handleResponseStarted notes that a response is streamed to the client.
+func (b *Balancer) handleResponseStarted(e ResponseStarted) {
+	if a := b.findAttempt(e.ID, e.Attempt); a != nil {
+		a.request.streaming = true
+		a.leaveWindow()
+	}
+}
+
+// handleAttemptEnded takes in the end of an attempt: what it teaches, and what becomes of its request. A
+// client that gave less time than answers take has timed out by its own choice: that says nothing of the
+// server or its load.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
-	r := b.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+	a := b.findAttempt(e.ID, e.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	a := r.attempts[e.Attempt]
+	r := a.request
 	a.ended = true
 	a.neverRan = e.Outcome.NeverRan()
 	a.leaveWindow()
-	if l := r.keyQueue; l != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled) {
-		l.quietUntil = b.now + b.settings.KeyQuietPeriod // it may still run
-	}
-	// A client that gave less time than answers take tells of itself: neither of the server nor of a crowd.
-	brief := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
-	if !brief && !b.isUnresponsive(a.server) { // a hung server's waits tell nothing of how crowded the others are
+	b.startQuietPeriod(r, e.Outcome)
+	tooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
+	if !tooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
 		b.adjustWindow(r, e)
 	}
 	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
-	if !brief {
+	if !tooShort {
 		b.recordOutcome(a, e)
 	}
 	if !a.server.listed && a.server.inFlightCount() == 0 && b.servers[a.server.ID] == a.server {
@@ -127,28 +196,34 @@
 	}
 	switch {
 	case e.RequestDone:
-		late := r.arrived + r.class.LatencyObjective
-		if e.Outcome == Success && !r.answered && (b.now <= late || a.sentAt+b.attemptLatency(r, a, e) <= late) {
+		if e.Outcome == Success && !r.answered && b.inTime(a, e) {
 			r.class.served++
 		}
 		b.closeRequest(r)
-	case !r.answered && !r.pending():
+	case !r.answered && !r.hasAttemptOut():
 		b.retryOrGiveUp(r)
 	}
 	b.forgetIfDone(r)
 }
 
-// answer gives the final answer: a refusal where a retry is surely harmless, else a failure.
+// inTime says that an answer met the latency objective. Of a stream that is its first message.
+func (b *Balancer) inTime(a *attempt, e AttemptEnded) bool {
+	objective := a.request.arrived + a.request.class.LatencyObjective
+	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
+}
+
+// giveUp gives the final answer to a request that gets none from a server: a rejection where a retry by the
+// client is surely harmless, else a failure. A request of which the client has part of a response gets no
+// other answer.
 func (b *Balancer) giveUp(r *request) {
 	if r.answered || r.streaming {
 		return
 	}
-	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll ||
-		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 	if len(r.attempts) == 0 {
-		r.class.pool.shedShare += sampleWeight / 4 * (1 - r.class.pool.shedShare)
+		r.class.pool.countShed()
 	}
-	if harmless {
+	anyServerDeduplicates := r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
+	if r.class.Effect == Idempotent || anyServerDeduplicates || !r.mayHaveRun() {
 		b.emit(Reject{ID: r.id, RetryAfter: b.settings.RetryAfter(r.class.Class)})
 	} else {
 		b.emit(Fail{ID: r.id})
@@ -156,15 +231,9 @@
 	b.closeRequest(r)
 }
 
-// RetryAfter advises a client that is sent away; a host asks for a stream that a server refused. One sent away
-// for long comes back when its aim is mostly over, and its late answer takes the room of one in time. One
-// that comes back at once finds the same crowd and burns its few tries.
-func (s Settings) RetryAfter(c Class) time.Duration {
-	return min(s.MaxRetryAfter, c.LatencyObjective/retryAfterDivisor)
-}
-
-// close ends a request. What is still out for it is not called off and counts until its own ending: servers
-// may work on regardless, and the room that it takes is not there for clients that leave early and ask again.
+// closeRequest ends a request. Attempts that are still out are not called off and count until they end:
+// servers may work on regardless, and their capacity is not there for clients that leave early and ask
+// again.
 func (b *Balancer) closeRequest(r *request) {
 	if r.answered {
 		return
@@ -175,14 +244,14 @@
 	b.forgetIfDone(r)
 }
 
-// forget drops a request once nothing of it is left.
+// forgetIfDone drops a request once nothing of it is left.
 func (b *Balancer) forgetIfDone(r *request) {
-	if !r.answered || r.pending() || b.requests[r.id] != r {
+	if !r.answered || r.hasAttemptOut() || b.requests[r.id] != r {
 		return
 	}
 	delete(b.requests, r.id)
-	if l := r.keyQueue; l != nil {
-		l.requests = slices.DeleteFunc(l.requests, func(q *request) bool { return q == r })
-		b.settleKeyQueue(l)
+	if queue := r.keyQueue; queue != nil {
+		queue.requests = remove(queue.requests, r)
+		b.settleKeyQueue(queue)
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,53 +1,34 @@
-// Further attempts: how long one is waited for, and whether another one may follow.
+// Retry eligibility: which requests may be tried again.
 
 package balancer
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-const (
-	attemptTimeoutDeviations = 5.0  // deviations above the mean after which an attempt is given up for another one,
-	maxErrorRateToRetryEarly = 0.03 // where no more than this share of all attempts ends badly
-	retryRefill              = 0.15 // further attempts earned by a success
-	maxRetryBalance          = 10   // most that can be saved up
-	neverRanRetryCost        = 0.1  // what a further attempt costs when the last one never ran
-)
+// minRetryTimeDivisor: a retry needs at least half of the class's mean latency, or its answer would nearly
+// always come after the deadline.
+const minRetryTimeDivisor = 2
 
-// patience is how long an attempt is waited for: to the deadline, unless another may follow. A machine that
-// is cut off takes requests and says nothing: what has waited there to the end has no time left for another.
-// Where many wait long it is the load: what is given up is worked on all the same, and sent again adds to it.
-func (b *Balancer) attemptTimeout(r *request) time.Duration {
-	c, left := r.class, r.deadline-b.now
-	if wait := c.latencyBound(attemptTimeoutDeviations); c.Effect == Idempotent && c.samples >= 1/sampleWeight && b.retryBalance >= 1 &&
-		b.errorRate <= maxErrorRateToRetryEarly && b.mayRetry(r) && left-wait > time.Duration(c.meanLatency) {
-		return wait
-	}
-	return left
-}
-
-// maySendAgain says that the class's effect and the limits allow one more attempt now.
+// mayRetry says that the effect of a request's class and the limits allow one more attempt now. A request
+// that may have run must not run again, unless its class is idempotent, or its servers still discard
+// duplicates. Once the client has part of a response there is nothing to retry.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || len(r.attempts) >= r.maxAttempts {
 		return false
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		expired := b.now >= a.sentAt+r.class.DedupWindow-2*b.settings.Tick
-		return !a.neverRan && (r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired)
+		expired := b.now >= a.sentAt+r.class.DedupWindow-b.deadlineMargin()
+		unsafe := r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired
+		return !a.neverRan && unsafe
 	})
 }
 
-// further decides what follows when no attempt is left out: another within the budget and with
-// time for an answer, or the final answer. Without the budget, retries of every tier multiply.
+// retryOrGiveUp decides what follows when no attempt of a request is out any more: a retry, where one may
+// follow, the budget covers it and there is time for its answer; else the final answer.
 func (b *Balancer) retryOrGiveUp(r *request) {
 	left := float64(r.deadline - b.now)
-	cost := 1.0
-	if r.attempts[len(r.attempts)-1].neverRan {
-		cost = neverRanRetryCost
-	}
+	cost := costOfRetry(r)
 	var s *server
-	if b.mayRetry(r) && b.retryBalance >= cost && left >= r.class.meanLatency/2 {
+	if b.mayRetry(r) && b.retryBalance >= cost && left >= r.class.meanLatency/minRetryTimeDivisor {
 		s = b.chooseServer(r)
 	}
 	if s == nil {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,124 +1,68 @@
+// Settings: what operators configure. The JSON keys are those of the stored forms and stay as they are.
+
 package balancer
 
-import (
-	"fmt"
-	"reflect"
-	"slices"
-	"time"
+import "time"
+
+// Effect says what happens when a request runs more than once.
+type Effect int
+
+// Effects. The zero Effect is the careful one.
+const (
+	NonIdempotent     Effect = iota // must never run twice
+	IdempotentWithKey               // the servers of one scope discard duplicates for a while
+	Idempotent                      // may run any number of times
 )
 
-// Validate names the setting at fault.
-func (s Settings) Validate() error {
-	if len(s.Classes) == 0 {
-		return fmt.Errorf("balancer: Classes is empty")
-	}
-	for i, c := range s.Classes {
-		if c.Name == "" {
-			return fmt.Errorf("balancer: Classes[%d].Name is empty", i)
-		}
-		if slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }) {
-			return fmt.Errorf("balancer: Classes[%d].Name (%s) is repeated", i, c.Name)
-		}
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
-			return fmt.Errorf("balancer: Classes[%d] (%s): Aim, Deadline or Window out of range", i, c.Name)
-		}
-		if !(c.PriorityWeight >= 0) || !(c.LateCredit >= 0 && c.LateCredit <= 1) {
-			return fmt.Errorf("balancer: Classes[%d] (%s): Worth or LateShare out of range", i, c.Name)
-		}
-	}
-	if !(s.SlowStartMinShare >= 0 && s.SlowStartMinShare <= 1) {
-		return fmt.Errorf("balancer: ColdFrom must be from 0 to 1")
-	}
-	for _, d := range []struct {
-		name string
-		v    time.Duration
-	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"OrderSettle", s.KeyQuietPeriod},
-		{"WarmAfter", s.SlowStartDuration}} {
-		if d.v < 0 {
-			return fmt.Errorf("balancer: %s is negative", d.name)
-		}
-	}
-	if s.Tier < 0 || s.Replicas < 0 || s.ReplicaIndex < 0 || s.MaxAttempts < 0 || !(s.OverloadMultiple >= 0) {
-		return fmt.Errorf("balancer: Tier, Balancers, Self, MaxAttempts or FallMultiple is negative")
-	}
-	for i, d := range s.FaultInjections {
-		if d.Name == "" || slices.ContainsFunc(s.FaultInjections[:i], func(o FaultInjection) bool { return o.Name == d.Name }) {
-			return fmt.Errorf("balancer: Drills[%d].Name (%q) is empty or repeated", i, d.Name)
-		}
-		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == d.Class }) {
-			return fmt.Errorf("balancer: Drills[%d] (%s): Class %q is not one of the classes", i, d.Name, d.Class)
-		}
-		if !(d.Percent >= 0 && d.Percent <= 100) || d.Delay < 0 || d.Duration <= 0 ||
-			d.AbortStatus != 0 && d.AbortStatus != 503 && d.AbortStatus != 500 {
-			return fmt.Errorf("balancer: Drills[%d] (%s): Share, Delay, Duration or AbortStatus out of range", i, d.Name)
-		}
-	}
-	return nil
-}
+// Scope names the servers that discard the duplicates of a request that is IdempotentWithKey.
+type Scope int
 
-// addClasses takes the classes and pools of the settings, from those before where they are there already.
-func (b *Balancer) addClasses(classes map[string]*class, pools []*pool) {
-	b.classes = map[string]*class{}
-	longest := b.settings.Classes[0]
-	for _, c := range b.settings.Classes {
-		b.addClass(c, classes, pools)
-		if c.Deadline > longest.Deadline {
-			longest = c
-		}
-	}
-	b.addClass(Class{LatencyObjective: longest.LatencyObjective, Deadline: longest.Deadline, PriorityWeight: longest.PriorityWeight}, classes, pools)
-}
+// Scopes, from the narrowest.
+const (
+	ScopeCell Scope = iota // the servers of one cell of a zone
+	ScopeZone              // the servers of one zone
+	ScopeAll               // all servers
+)
 
-func (b *Balancer) addClass(c Class, classes map[string]*class, pools []*pool) {
-	k := &class{Class: c, meanLatency: float64(c.LatencyObjective) / 4, latencyDeviation: float64(c.LatencyObjective) / 8}
-	if o := classes[c.Name]; o != nil && reflect.DeepEqual(o.Class, c) {
-		k = o
-	} else if o != nil && o.samples > 0 { // other rules, the same work
-		k.meanLatency, k.latencyDeviation, k.samples = o.meanLatency, o.latencyDeviation, o.samples
-	}
-	k.pool = nil
-	for _, p := range slices.Concat(b.pools, pools) {
-		same := reflect.DeepEqual([][]string{p.allowedZones, p.allowedKinds}, [][]string{c.AllowedZones, c.AllowedKinds})
-		if same && k.pool == nil {
-			k.pool = p
-		}
-	}
-	if k.pool == nil {
-		k.pool = &pool{allowedZones: c.AllowedZones, allowedKinds: c.AllowedKinds}
-	}
-	if !slices.Contains(b.pools, k.pool) {
-		b.pools = append(b.pools, k.pool)
-	}
-	b.classes[c.Name] = k
-	b.classList = append(b.classList, k)
+// Class describes one class of requests.
+type Class struct {
+	Name             string        `json:"Name"`
+	Effect           Effect        `json:"Effect"`
+	DedupScope       Scope         `json:"Scope"`     // for IdempotentWithKey
+	DedupWindow      time.Duration `json:"Window"`    // for IdempotentWithKey: since the first attempt
+	LatencyObjective time.Duration `json:"Aim"`       // answers within it earn the whole PriorityWeight
+	Deadline         time.Duration `json:"Deadline"`  // how long a client waits, over all its tries
+	LateCredit       float64       `json:"LateShare"` // share of it that a later answer earns, 0 to 1
+	PriorityWeight   float64       `json:"Worth"`     // value of an answer; only ratios between classes count
+	Stream           bool          `json:"Stream"`    // responses are streamed
+	OrderedByKey     bool          `json:"InOrder"`   // requests of one key run one by one, as they came
+	AllowedZones     []string      `json:"OnlyZones"` // zones that may serve the class; nil: all
+	AllowedKinds     []string      `json:"OnlyKinds"` // kinds of server that may serve the class; nil: all
 }
 
-// retune takes over other settings while requests are open, or none of them if they are unsound. Classes that stay as
-// they were keep what was learned; open requests keep the class that they came with, also one that is gone.
-func (b *Balancer) changeSettings(set Settings) {
-	if set.Validate() != nil {
-		return
-	}
-	classes, pools := b.classes, b.pools
-	b.settings, b.classList, b.pools = set, nil, nil
-	b.addClasses(classes, pools)
-	b.settingsVersion, b.previousClasses = b.settingsVersion+1, classes
-	b.keepUsedPools(pools)
-	b.refreshPools()
-}
+// Settings hold for the requests that arrive under them; SettingsChanged brings others.
+type Settings struct {
+	Classes          []Class `json:"Classes"`
+	Replicas         int     `json:"Balancers"`   // balancers that send to this tier
+	ReplicaIndex     int     `json:"Self"`        // this one's number among them, from 0
+	Zone             string  `json:"Zone"`        // this replica's zone; "": unknown, none is preferred
+	Tier             int     `json:"Tier"`        // the tier sent to, 0 being the one that clients call
+	TotalValueWeight float64 `json:"WholeWeight"` // weight of the value over all classes when shedding load
+	WorstClassWeight float64 `json:"ClassWeight"` // weight of the worst-served class when shedding load
+
+	ClientsMarkRetries bool `json:"MarksRepeats"` // clients mark retries; else short deadlines do
+
+	MaxAttempts     int           `json:"MaxAttempts"`   // attempts a request
+	PollDiscovery   bool          `json:"AskDiscovery"`  // the endpoint list comes only after a Subscribe
+	MaxPollInterval time.Duration `json:"AskWithin"`     // longest time between polls while unsubscribed
+	Tick            time.Duration `json:"Tick"`          // shortest time between two events
+	MaxRetryAfter   time.Duration `json:"MaxRetryAfter"` // longest Retry-After that clients follow; 0: none
+	KeyQuietPeriod  time.Duration `json:"OrderSettle"`   // pause of a key after an attempt that may still run
+
+	SlowStartMinShare float64       `json:"ColdFrom"`     // share of capacity that a new server has at least
+	SlowStartDuration time.Duration `json:"WarmAfter"`    // time from its start until it has all of it
+	OverloadMultiple  float64       `json:"FallMultiple"` // load over capacity at which it fails; 0: unknown
 
-// keepPools keeps those pools that no class has any more while something may still be placed in them.
-func (b *Balancer) keepUsedPools(pools []*pool) {
-	used := map[*pool]bool{}
-	for _, c := range b.previousClasses {
-		used[c.pool] = true
-	}
-	for _, r := range b.requests {
-		used[r.class.pool] = true
-	}
-	for _, p := range pools {
-		if used[p] && !slices.Contains(b.pools, p) {
-			b.pools = append(b.pools, p)
-		}
-	}
+	FaultInjections []FaultInjection `json:"Drills"`    // faults that can be started; nil: none
+	AccessList      *AccessList      `json:"Addresses"` // clients admitted; nil: all
 }
--- /dev/null
+++ b/balancer/settingschange.go
@@ -0,0 +1,96 @@
+// Changes of the settings while requests are open.
+
+package balancer
+
+import (
+	"reflect"
+	"slices"
+)
+
+// changeSettings takes over other settings, or none of them if they are invalid. Classes that stay as they
+// were keep what was learned. Open requests keep the class that they came with, also one that is gone: its
+// effect decides whether they may be tried again, and was promised when they were accepted.
+func (b *Balancer) changeSettings(settings Settings) {
+	if settings.Validate() != nil {
+		return
+	}
+	classes, pools := b.classes, b.pools
+	b.settings, b.classList, b.pools = settings, nil, nil
+	b.addClasses(classes, pools)
+	b.settingsVersion++
+	b.previousClasses = classes
+	b.keepUsedPools(pools)
+	b.refreshPools()
+}
+
+// classOf finds the class of a request. An ingress that has not seen the last change of the settings yet
+// has read the request by those before. An unknown class is that of the longest deadline and
+// non-idempotent.
+func (b *Balancer) classOf(e Request) *class {
+	if previous := b.previousClasses[e.Class]; previous != nil && e.SettingsVersion < b.settingsVersion {
+		return previous
+	}
+	if c := b.classes[e.Class]; c != nil {
+		return c
+	}
+	return b.classList[len(b.classList)-1]
+}
+
+// addClasses makes the classes and pools of the settings, of the previous ones where they are the same. The
+// last class is that of requests whose class is not in the settings.
+func (b *Balancer) addClasses(previous map[string]*class, pools []*pool) {
+	b.classes = map[string]*class{}
+	longest := b.settings.Classes[0]
+	for _, c := range b.settings.Classes {
+		b.addClass(c, previous, pools)
+		if c.Deadline > longest.Deadline {
+			longest = c
+		}
+	}
+	b.addClass(Class{LatencyObjective: longest.LatencyObjective, Deadline: longest.Deadline,
+		PriorityWeight: longest.PriorityWeight}, previous, pools)
+}
+
+// addClass adds one class. One whose settings have changed still does the same work: how long that takes is
+// kept.
+func (b *Balancer) addClass(settings Class, previous map[string]*class, pools []*pool) {
+	c := newClass(settings)
+	if p := previous[settings.Name]; p != nil && reflect.DeepEqual(p.Class, settings) {
+		c = p
+	} else if p != nil && p.samples > 0 {
+		c.meanLatency, c.latencyDeviation, c.samples = p.meanLatency, p.latencyDeviation, p.samples
+	}
+	c.pool = findPool(slices.Concat(b.pools, pools), settings)
+	if !slices.Contains(b.pools, c.pool) {
+		b.pools = append(b.pools, c.pool)
+	}
+	b.classes[settings.Name] = c
+	b.classList = append(b.classList, c)
+}
+
+// findPool returns the first pool with the placement of a class, or a new one.
+func findPool(pools []*pool, c Class) *pool {
+	placement := [][]string{c.AllowedZones, c.AllowedKinds}
+	for _, p := range pools {
+		if reflect.DeepEqual([][]string{p.allowedZones, p.allowedKinds}, placement) {
+			return p
+		}
+	}
+	return &pool{allowedZones: c.AllowedZones, allowedKinds: c.AllowedKinds}
+}
+
+// keepUsedPools keeps those pools that no class has any more while something may still be placed in them.
+func (b *Balancer) keepUsedPools(pools []*pool) {
+	used := map[*pool]bool{}
+	for _, c := range b.previousClasses {
+		used[c.pool] = true
+	}
+	for _, r := range b.requests {
+		used[r.class.pool] = true
+	}
+	for _, p := range pools {
+		if used[p] && !slices.Contains(b.pools, p) {
+			b.pools = append(b.pools, p)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/validate.go
@@ -0,0 +1,122 @@
+package balancer
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// SettingsError says which setting is wrong. Validate, New and Restore return it.
+type SettingsError struct {
+	Path    string // the setting, by the keys of the stored form
+	Problem string // what is wrong with it
+	Remedy  string // what the operator can do
+}
+
+// Error names the setting, the problem and the remedy.
+func (e *SettingsError) Error() string {
+	return fmt.Sprintf("balancer: %s %s: %s", e.Path, e.Problem, e.Remedy)
+}
+
+// Remedies that several settings share.
+const (
+	remedyNotNegative = "set it to zero or more"         // of times and counts
+	remedyPositive    = "set it to more than zero"       // of times that something must fit into
+	remedyShare       = "set it to a number from 0 to 1" // of parts of a whole
+)
+
+// Validate returns a *SettingsError for the first setting that no Balancer can work with, or nil.
+func (s Settings) Validate() error {
+	if len(s.Classes) == 0 {
+		return &SettingsError{"Classes", "is empty", "configure at least one class"}
+	}
+	for i := range s.Classes {
+		if err := s.validateClass(i); err != nil {
+			return err
+		}
+	}
+	if !isShare(s.SlowStartMinShare) {
+		return &SettingsError{"ColdFrom", "is out of range", remedyShare}
+	}
+	for _, d := range []struct {
+		path  string
+		value time.Duration
+	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter},
+		{"OrderSettle", s.KeyQuietPeriod}, {"WarmAfter", s.SlowStartDuration}} {
+		if d.value < 0 {
+			return &SettingsError{d.path, "is negative", remedyNotNegative}
+		}
+	}
+	for _, n := range []struct {
+		path  string
+		value float64
+	}{{"Tier", float64(s.Tier)}, {"Balancers", float64(s.Replicas)}, {"Self", float64(s.ReplicaIndex)},
+		{"MaxAttempts", float64(s.MaxAttempts)}, {"FallMultiple", s.OverloadMultiple}} {
+		if !(n.value >= 0) { // also not a number
+			return &SettingsError{n.path, "is negative or not a number", remedyNotNegative}
+		}
+	}
+	for i := range s.FaultInjections {
+		if err := s.validateFaultInjection(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s Settings) validateClass(i int) error {
+	c, path := s.Classes[i], fmt.Sprintf("Classes[%d]", i)
+	if c.Name == "" {
+		return &SettingsError{path + ".Name", "is empty", "name the class"}
+	}
+	if slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }) {
+		path = fmt.Sprintf("%s.Name (%s)", path, c.Name)
+		return &SettingsError{path, "is repeated", "give each class its own name"}
+	}
+	path = fmt.Sprintf("%s (%s)", path, c.Name)
+	switch {
+	case c.LatencyObjective <= 0:
+		return &SettingsError{path + ": Aim", "is not positive", remedyPositive}
+	case c.Deadline <= 0:
+		return &SettingsError{path + ": Deadline", "is not positive", remedyPositive}
+	case c.DedupWindow < 0:
+		return &SettingsError{path + ": Window", "is negative", remedyNotNegative}
+	case !(c.PriorityWeight >= 0):
+		return &SettingsError{path + ": Worth", "is negative or not a number", remedyNotNegative}
+	case !isShare(c.LateCredit):
+		return &SettingsError{path + ": LateShare", "is out of range", remedyShare}
+	}
+	return nil
+}
+
+func (s Settings) validateFaultInjection(i int) error {
+	f, path := s.FaultInjections[i], fmt.Sprintf("Drills[%d]", i)
+	if f.Name == "" {
+		return &SettingsError{path + ".Name", "is empty", "name the drill"}
+	}
+	if slices.ContainsFunc(s.FaultInjections[:i], func(o FaultInjection) bool { return o.Name == f.Name }) {
+		path = fmt.Sprintf("%s.Name (%s)", path, f.Name)
+		return &SettingsError{path, "is repeated", "give each drill its own name"}
+	}
+	path = fmt.Sprintf("%s (%s)", path, f.Name)
+	if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }) {
+		path = fmt.Sprintf("%s: Class %q", path, f.Class)
+		return &SettingsError{path, "is not one of the classes", "name a configured class"}
+	}
+	switch {
+	case !(f.Percent >= 0 && f.Percent <= 100):
+		return &SettingsError{path + ": Share", "is out of range", "set it to a percentage from 0 to 100"}
+	case f.Delay < 0:
+		return &SettingsError{path + ": Delay", "is negative", remedyNotNegative}
+	case f.Duration <= 0:
+		return &SettingsError{path + ": Duration", "is not positive", remedyPositive}
+	case f.AbortStatus != 0 && f.AbortStatus != http.StatusServiceUnavailable &&
+		f.AbortStatus != http.StatusInternalServerError:
+		return &SettingsError{path + ": AbortStatus", "is out of range", "set it to 503 or 500, or to 0"}
+	}
+	return nil
+}
+
+// isShare says that a number is from 0 to 1.
+func isShare(x float64) bool { return x >= 0 && x <= 1 }
