--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -43,7 +43,9 @@
 
 // forgetHands drops what was put back so long ago that it is warm.
 func (b *Balancer) forgetHands() {
-	maps.DeleteFunc(b.hands, func(_ string, h hand) bool { return !h.out && b.now >= h.back+b.set.SlowStartDuration })
+	maps.DeleteFunc(b.hands, func(_ string, h hand) bool {
+		return !h.out && b.now >= h.back+b.set.SlowStartDuration
+	})
 }
 
 // takeHand takes a server out, or puts it back as one that has just started: its operators have restarted it,
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -1,4 +1,4 @@
-// FaultInjections: rehearsals that delay or abort a share of one class's requests. Who may start one is the host's.
+// Fault injection: a share of one class's requests is delayed or aborted. Who may start that is the host's.
 
 package balancer
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -110,7 +110,8 @@
 	a.ended = true
 	a.unsent = e.Outcome.NeverRan()
 	a.leave()
-	if l := r.line; l != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled) {
+	mayRun := e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled
+	if l := r.line; l != nil && mayRun {
 		l.rest = b.now + b.set.KeyQuietPeriod // it may still run
 	}
 	// A client that gave less time than answers take tells of itself: neither of the server nor of a crowd.
@@ -143,7 +144,8 @@
 	if r.answered || r.streaming {
 		return
 	}
-	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll ||
+	harmless := r.class.Effect == Idempotent ||
+		r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll ||
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
 	if len(r.attempts) == 0 {
 		r.class.pool.shed += memory / 4 * (1 - r.class.pool.shed)
@@ -156,9 +158,9 @@
 	b.close(r)
 }
 
-// RetryAfter advises a client that is sent away; a host asks for a stream that a server refused. One sent away
-// for long comes back when its aim is mostly over, and its late answer takes the room of one in time. One
-// that comes back at once finds the same crowd and burns its few tries.
+// RetryAfter advises a client whose request was rejected; a host asks for a stream that a server rejected.
+// A client told to stay away for long comes back when its objective is mostly over, and its late answer takes
+// the place of one in time. One that comes back at once finds the same overload and spends its few tries.
 func (s Settings) RetryAfter(c Class) time.Duration {
 	return min(s.MaxRetryAfter, c.LatencyObjective/comeBack)
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -34,7 +34,8 @@
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		expired := b.now >= a.sent+r.class.DedupWindow-2*b.set.Tick
-		return !a.unsent && (r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired)
+		return !a.unsent &&
+			(r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired)
 	})
 }
 
