--- a/cmd/hookwalk/peers.go
+++ b/cmd/hookwalk/peers.go
@@ -100,7 +100,7 @@
 		folder = os.TempDir()
 	}
 	return peers.Config{Name: name, Site: p.Site, Tree: tree, Listen: p.Listen, Seeds: p.Seeds, KeyFile: p.KeyFile, Label: p.Label,
-		AddressOverrides: p.Via, StartStore: &startFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}}
+		AddressOverrides: p.AddressOverrides, StartStore: &startFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}}
 }
 
 // startFile keeps the number of a node's start in a file.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -199,7 +199,7 @@
 	if f, err := Load(path); err != nil || len(f.FaultInjections) != 1 || f.FaultInjections[0].Pos != path+":1" {
 		t.Errorf("got %+v, %v", f, err)
 	}
-	if err := os.WriteFile(path, make([]byte, maxFile+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, maxFileSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err == nil {
--- /dev/null
+++ b/internal/settings/sites.go
@@ -0,0 +1,66 @@
+package settings
+
+import "fmt"
+
+// Site is one of the installation's sites, which are a tree.
+type Site struct {
+	Pos    string // file:line of its block
+	Name   string
+	Parent string // "": it is the root
+}
+
+func (f *File) readSite(r *Reader) {
+	s := Site{Pos: r.Position(), Name: r.Label(), Parent: r.Text("parent", "")}
+	if !isPrintable(s.Name) {
+		r.AddError(r.Block.Line, "a site's label is its name: 1 to %d visible characters", maxTextLength)
+	}
+	for _, other := range f.Sites {
+		if other.Name == s.Name {
+			r.AddError(r.Block.Line, "site %s is there already (%s)", s.Name, other.Pos)
+		}
+	}
+	f.Sites = append(f.Sites, s)
+}
+
+// checkSites returns an error unless the sites are one tree and the node's own site is in it.
+func (f *File) checkSites() error {
+	parents := map[string]string{}
+	for _, s := range f.Sites {
+		parents[s.Name] = s.Parent
+	}
+	roots := 0
+	for _, s := range f.Sites {
+		if s.Parent == "" {
+			roots++
+			if roots > 1 {
+				return fmt.Errorf("%s: site %s has no parent, and another has none either: one is the root", s.Pos, s.Name)
+			}
+			continue
+		}
+		if _, ok := parents[s.Parent]; !ok {
+			return fmt.Errorf("%s: site %s has the parent %s, which is no site", s.Pos, s.Name, s.Parent)
+		}
+		if inCycle(parents, s.Name) {
+			return fmt.Errorf("%s: site %s is above itself", s.Pos, s.Name)
+		}
+	}
+	if f.Peers == nil {
+		return nil
+	}
+	if _, ok := parents[f.Peers.Site]; !ok {
+		return fmt.Errorf("%s: site %q is not one of the blocks site", f.Peers.Pos, f.Peers.Site)
+	}
+	return nil
+}
+
+// inCycle reports whether the way from a site to its parents never reaches the root.
+func inCycle(parents map[string]string, name string) bool {
+	steps := 0
+	for at := name; at != ""; at = parents[at] {
+		if steps > len(parents) {
+			return true
+		}
+		steps++
+	}
+	return false
+}
