--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -32,7 +32,7 @@
 	publishTimeout = 10 * time.Second // until a publish must be answered
 	statusTimeout  = 5 * time.Second
 	// maxDocumentFile is how much of a document's file is read: one byte more than any controller takes.
-	maxDocumentFile = configapi.MaxDocument + 1
+	maxDocumentFile = configapi.MaxDocumentBytes + 1
 )
 
 type configPublish struct {
@@ -70,7 +70,7 @@
 // publishFailure says what became of a request, and what to do.
 func publishFailure(err error, file, id string) error {
 	var refusal *configapi.Error
-	if errors.As(err, &refusal) && refusal.Kind == configapi.ErrorUnknown {
+	if errors.As(err, &refusal) && refusal.Kind == configapi.ErrorOutcomeUnknown {
 		return fmt.Errorf("config: %w; repeat it, which adds no second version: hookwalk config publish %s --id %s", err, file, id)
 	}
 	return fmt.Errorf("config: %w", err)
@@ -92,7 +92,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("config: %w", err)
 	case len(text) == maxDocumentFile:
-		return nil, fmt.Errorf("config: %s is over %d bytes, the most that a document may have", path, configapi.MaxDocument)
+		return nil, fmt.Errorf("config: %s is over %d bytes, the most that a document may have", path, configapi.MaxDocumentBytes)
 	case !json.Valid(text):
 		return nil, fmt.Errorf("config: %s is not JSON", path)
 	}
@@ -158,7 +158,7 @@
 		fmt.Fprintln(to, failure)
 	}
 	fmt.Fprintf(to, "\nversion %d of cluster %s: in force at %d nodes, %d lag, %d rejected it, %d are away; %d controllers answered, %d did not\n",
-		r.Version, r.Cluster, r.Current, r.Lagging, r.Rejected, r.Away, len(r.Controllers), len(r.Unreachable))
+		r.Version, r.Cluster, r.Current, r.Lagging, r.Rejected, r.Disconnected, len(r.Controllers), len(r.Unreachable))
 	return nil
 }
 
@@ -170,7 +170,7 @@
 		if node.Rejection != nil {
 			reason = node.Rejection.Error()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s/%s\t%s\t%d\t%s\t%d\t%s\t%s\n", node.Node, node.Service, node.Region, node.Zone, node.State, node.Held,
+		fmt.Fprintf(w, "%s\t%s\t%s/%s\t%s\t%d\t%s\t%d\t%s\t%s\n", node.Node, node.Service, node.Region, node.Zone, node.State, node.LastDecided,
 			dashIfEmpty(string(node.Outcome)), node.Applied, node.Controller, reason)
 	}
 	return w.Flush()
--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -57,7 +57,7 @@
 		return
 	}
 	c.watches <- request
-	heartbeat := time.NewTicker(configapi.Heartbeat)
+	heartbeat := time.NewTicker(configapi.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		w.(http.Flusher).Flush()
@@ -228,7 +228,7 @@
 }
 
 func setsConfig(cluster configapi.Cluster, n configapi.Version, settings string) configapi.Update {
-	return configapi.Update{Cluster: cluster, Version: n, Changed: n, Current: true, Config: &configapi.ServiceConfig{Settings: json.RawMessage(settings)}}
+	return configapi.Update{Cluster: cluster, Version: n, ConfigVersion: n, Current: true, Config: &configapi.ServiceConfig{Settings: json.RawMessage(settings)}}
 }
 
 // A real node does what it acknowledges, as requests show: it applies what is sound, keeps what it has where a version is
--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -24,9 +24,9 @@
 	path := filepath.Join("testdata", "config-status.json")
 	status := goldentest.Read[configapi.ControllerStatus](t, filepath.Join("..", "..", "internal", "configapi", "testdata", "status.json"))[0]
 	want := statusReport{Complete: true, Controllers: []configapi.ControllerStatus{status}, Unreachable: []string{"127.0.0.1:7402: no answer"},
-		Rollout: configversion.Rollout{Cluster: "cluster-2", Version: 17, Current: 1, Lagging: 2, Rejected: 3, Away: 4,
-			Nodes:  []configversion.NodeRollout{{NodeStatus: status.Nodes[0], State: configversion.RolloutRejected, Controller: "c1"}},
-			Behind: []string{"c3"}, Foreign: []string{"c4"}}}
+		Rollout: configversion.Rollout{Cluster: "cluster-2", Version: 17, Current: 1, Lagging: 2, Rejected: 3, Disconnected: 4,
+			Nodes:             []configversion.NodeRollout{{NodeStatus: status.Nodes[0], State: configversion.RolloutRejected, Controller: "c1"}},
+			BehindControllers: []string{"c3"}, ForeignControllers: []string{"c4"}}}
 	if zero := goldentest.ZeroFields(want); zero != nil {
 		t.Errorf("missing or zero: %v", zero)
 	}
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -79,8 +79,8 @@
 			target = m.ownPlace(n, target+1)
 			continue
 		}
-		m.rules[target].SetOwn(m.sessions(target))
-		admitted, elsewhere := m.rules[target].Admit(Arrival{Region: n.region, Zone: n.zone, Refused: n.refused})
+		m.rules[target].SetSessions(m.sessions(target))
+		admitted, elsewhere := m.rules[target].Admit(SessionRequest{Region: n.region, Zone: n.zone, WatchRejections: n.refused})
 		if admitted {
 			m.attach(n, target)
 			n.refused = 0
@@ -137,24 +137,24 @@
 				peers = append(peers, PeerLoad{Endpoint: endpoint, Sessions: m.sessions(j), Available: !m.down[j]})
 			}
 		}
-		rules.SetOwn(m.sessions(i))
+		rules.SetSessions(m.sessions(i))
 		rules.SetPeers(peers)
 	}
 	for i, rules := range m.rules {
 		if m.down[i] {
 			continue
 		}
-		var own []PlacedSession
+		var own []MigrationCandidate
 		for id, node := range m.nodes {
 			if node.at == i {
-				own = append(own, PlacedSession{ID: uint64(id), Region: node.region, Zone: node.zone})
+				own = append(own, MigrationCandidate{ID: uint64(id), Region: node.region, Zone: node.zone})
 			}
 		}
-		moves := rules.Moves(own)
+		moves := rules.PlanMigrations(own)
 		m.moves += len(moves)
 		m.mostMoves = max(m.mostMoves, len(moves))
 		for _, move := range moves {
-			m.nodes[move.ID].moveTo = m.index(move.To.Address)
+			m.nodes[move.ID].moveTo = m.index(move.Target.Address)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		if m.down[i] {
 			continue
 		}
-		if n := m.sessions(i); n < share-shareSlack(share) || n > share+shareSlack(share) {
+		if n := m.sessions(i); n < share-shareTolerance(share) || n > share+shareTolerance(share) {
 			return fmt.Errorf("controller %d has %d sessions, the share is %d", i, n, share)
 		}
 	}
@@ -309,27 +309,27 @@
 	p := NewPlacement(configapi.Endpoint{Address: "127.0.0.1:7400"}, 3, 1)
 	p.SetPeers([]PeerLoad{{Endpoint: configapi.Endpoint{Address: "127.0.0.1:7401"}, Available: false}})
 	for have := range 3 {
-		p.SetOwn(have)
-		if admitted, _ := p.Admit(Arrival{}); !admitted {
+		p.SetSessions(have)
+		if admitted, _ := p.Admit(SessionRequest{}); !admitted {
 			t.Errorf("refused with %d sessions of at most 3 and nobody else there", have)
 		}
 	}
-	p.SetOwn(3)
-	if admitted, elsewhere := p.Admit(Arrival{}); admitted || len(elsewhere) > 0 {
+	p.SetSessions(3)
+	if admitted, elsewhere := p.Admit(SessionRequest{}); admitted || len(elsewhere) > 0 {
 		t.Errorf("with 3 of at most 3 sessions: admitted %v, elsewhere %v", admitted, elsewhere)
 	}
 }
 
 func TestPlacementSpreadsRefusedNodes(t *testing.T) {
 	p := NewPlacement(configapi.Endpoint{Address: "a:1"}, 10, 1)
-	p.SetOwn(10)
+	p.SetSessions(10)
 	p.SetPeers([]PeerLoad{
 		{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 2, Available: true},
 		{Endpoint: configapi.Endpoint{Address: "c:1"}, Sessions: 4, Available: true},
 		{Endpoint: configapi.Endpoint{Address: "d:1"}, Sessions: 0, Available: false}})
 	sent := map[string]int{}
 	for range 10 {
-		admitted, elsewhere := p.Admit(Arrival{})
+		admitted, elsewhere := p.Admit(SessionRequest{})
 		if admitted || len(elsewhere) != 2 {
 			t.Fatalf("admitted %v, elsewhere %v", admitted, elsewhere)
 		}
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -13,10 +13,10 @@
 
 // Node states.
 const (
-	RolloutCurrent  RolloutState = "current"  // connected, and the newest version is in force
-	RolloutLagging  RolloutState = "lagging"  // connected, and has not answered for the newest version yet
-	RolloutRejected RolloutState = "rejected" // connected, and rejected the newest version, or all of another cluster
-	RolloutAway     RolloutState = "away"     // has no session
+	RolloutCurrent      RolloutState = "current"  // connected, and the newest version is in force
+	RolloutLagging      RolloutState = "lagging"  // connected, and has not answered for the newest version yet
+	RolloutRejected     RolloutState = "rejected" // connected, and rejected the newest version, or all of another cluster
+	RolloutDisconnected RolloutState = "away"     // has no session
 )
 
 // NodeRollout is one node in a Rollout.
@@ -28,22 +28,22 @@
 
 // Rollout is where the newest version is in force.
 type Rollout struct {
-	Cluster  configapi.Cluster `json:"cluster"`
-	Version  configapi.Version `json:"version"` // the newest that any controller has
-	Nodes    []NodeRollout     `json:"nodes"`   // by name
-	Current  int               `json:"current"`
-	Lagging  int               `json:"lagging"`
-	Rejected int               `json:"rejected"`
-	Away     int               `json:"away"`
-	// Behind are the controllers that have an older version, or are not in touch with the leader.
-	Behind []string `json:"behind,omitempty"`
-	// Foreign are the controllers that are of another cluster than the rest.
-	Foreign []string `json:"foreign,omitempty"`
+	Cluster      configapi.Cluster `json:"cluster"`
+	Version      configapi.Version `json:"version"` // the newest that any controller has
+	Nodes        []NodeRollout     `json:"nodes"`   // by name
+	Current      int               `json:"current"`
+	Lagging      int               `json:"lagging"`
+	Rejected     int               `json:"rejected"`
+	Disconnected int               `json:"away"`
+	// BehindControllers are the controllers that have an older version, or are not in touch with the leader.
+	BehindControllers []string `json:"behind,omitempty"`
+	// ForeignControllers are the controllers that are of another cluster than the rest.
+	ForeignControllers []string `json:"foreign,omitempty"`
 }
 
 // Complete says whether the newest version is in force at all connected nodes, and all controllers have it.
 func (r Rollout) Complete() bool {
-	return r.Lagging == 0 && r.Rejected == 0 && len(r.Behind) == 0 && len(r.Foreign) == 0
+	return r.Lagging == 0 && r.Rejected == 0 && len(r.BehindControllers) == 0 && len(r.ForeignControllers) == 0
 }
 
 // MergeStatuses joins what several controllers know. Of a node that more than one of them knows, the newest session counts.
@@ -54,13 +54,13 @@
 	for _, status := range statuses {
 		switch {
 		case status.Cluster != r.Cluster:
-			r.Foreign = append(r.Foreign, status.Name)
+			r.ForeignControllers = append(r.ForeignControllers, status.Name)
 		case status.Version < r.Version || !status.Current:
-			r.Behind = append(r.Behind, status.Name)
+			r.BehindControllers = append(r.BehindControllers, status.Name)
 		}
 		for _, node := range status.Nodes {
 			known, ok := nodes[node.Node]
-			if !ok || r.laterReport(node, known.NodeStatus) {
+			if !ok || r.supersedes(node, known.NodeStatus) {
 				nodes[node.Node] = NodeRollout{NodeStatus: node, Controller: status.Name}
 			}
 		}
@@ -68,7 +68,7 @@
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		node := nodes[name]
 		node.State = r.stateOf(node.NodeStatus)
-		r.count(node.State)
+		r.countState(node.State)
 		r.Nodes = append(r.Nodes, node)
 	}
 	return r
@@ -93,26 +93,26 @@
 	return best, versions[best]
 }
 
-// laterReport says whether one report about a node goes before another one. The report about its newer process does. Of
+// supersedes says whether one report about a node goes before another one. The report about its newer process does. Of
 // one process, the version held of one cluster never falls, so the greater one is the later, whatever session it came by:
 // a node may open a second watch and close it, because the first one speaks again. Then that of a controller which has a
 // session with the node: one that was stalled may read the request of a watch that was given up long before. Then that of
 // the newer session, and the later one.
-func (r *Rollout) laterReport(x, y configapi.NodeStatus) bool {
+func (r *Rollout) supersedes(x, y configapi.NodeStatus) bool {
 	return cmp.Or(
-		cmp.Compare(x.Started, y.Started),
-		cmp.Compare(r.held(x), r.held(y)),
+		cmp.Compare(x.StartedMS, y.StartedMS),
+		cmp.Compare(r.decidedVersion(x), r.decidedVersion(y)),
 		compareBool(x.Connected, y.Connected),
 		cmp.Compare(x.Session, y.Session),
-		cmp.Compare(x.SeenMS, y.SeenMS)) > 0
+		cmp.Compare(x.LastSeenMS, y.LastSeenMS)) > 0
 }
 
-// held is the version that a node holds of the rollout's cluster.
-func (r *Rollout) held(node configapi.NodeStatus) configapi.Version {
+// decidedVersion is the version that a node holds of the rollout's cluster.
+func (r *Rollout) decidedVersion(node configapi.NodeStatus) configapi.Version {
 	if node.Cluster != r.Cluster {
 		return 0
 	}
-	return node.Held
+	return node.LastDecided
 }
 
 // compareBool orders false before true.
@@ -130,16 +130,16 @@
 func (r *Rollout) stateOf(node configapi.NodeStatus) RolloutState {
 	switch {
 	case !node.Connected:
-		return RolloutAway
-	case node.Outcome == configapi.Rejected && (node.Cluster != r.Cluster || node.Held >= r.Version):
+		return RolloutDisconnected
+	case node.Outcome == configapi.Rejected && (node.Cluster != r.Cluster || node.LastDecided >= r.Version):
 		return RolloutRejected
-	case r.Version == 0, node.Cluster == r.Cluster && node.Held >= r.Version:
+	case r.Version == 0, node.Cluster == r.Cluster && node.LastDecided >= r.Version:
 		return RolloutCurrent
 	}
 	return RolloutLagging
 }
 
-func (r *Rollout) count(state RolloutState) {
+func (r *Rollout) countState(state RolloutState) {
 	switch state {
 	case RolloutCurrent:
 		r.Current++
@@ -147,7 +147,7 @@
 		r.Lagging++
 	case RolloutRejected:
 		r.Rejected++
-	case RolloutAway:
-		r.Away++
+	case RolloutDisconnected:
+		r.Disconnected++
 	}
 }
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -10,14 +10,14 @@
 )
 
 func appliedNode(name string, session uint64, held configapi.Version) configapi.NodeStatus {
-	return configapi.NodeStatus{Node: name, Started: 1, Session: session, Connected: true, Cluster: "c", Held: held, Applied: held, Outcome: configapi.Applied}
+	return configapi.NodeStatus{Node: name, StartedMS: 1, Session: session, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
 }
 
 func TestRolloutStates(t *testing.T) {
 	rejected := appliedNode("n", 1, 7)
 	rejected.Outcome, rejected.Applied = configapi.Rejected, 6
 	rejectedBefore := rejected
-	rejectedBefore.Held = 6
+	rejectedBefore.LastDecided = 6
 	foreign := appliedNode("n", 1, 9)
 	foreign.Cluster, foreign.Outcome = "other", configapi.Rejected
 	otherCluster := appliedNode("n", 1, 9)
@@ -35,13 +35,13 @@
 		"rejected an older one, lags now":     {rejectedBefore, RolloutLagging},
 		"rejects another cluster":             {foreign, RolloutRejected},
 		"has another cluster, says nothing":   {otherCluster, RolloutLagging},
-		"without a session, whatever it held": {away, RolloutAway},
+		"without a session, whatever it held": {away, RolloutDisconnected},
 	} {
 		r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{c.node}}})
 		if got := r.Nodes[0].State; got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
-		if want := c.want == RolloutCurrent || c.want == RolloutAway; r.Complete() != want {
+		if want := c.want == RolloutCurrent || c.want == RolloutDisconnected; r.Complete() != want {
 			t.Errorf("%s: complete %v, want %v", name, r.Complete(), want)
 		}
 	}
@@ -49,8 +49,8 @@
 
 func TestRolloutTakesTheNewestSession(t *testing.T) {
 	atFirst, atSecond := appliedNode("n", 3, 5), appliedNode("n", 4, 7)
-	atFirst.SeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
-	atSecond.SeenMS = 8000
+	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
+	atSecond.LastSeenMS = 8000
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{atFirst}},
 		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{atSecond}}})
@@ -63,8 +63,8 @@
 // session number there, and no session.
 func TestRolloutTakesTheSessionThatIsOpen(t *testing.T) {
 	open, givenUp, olderProcess := appliedNode("n", 3, 7), appliedNode("n", 4, 6), appliedNode("n", 9, 6)
-	givenUp.Connected, givenUp.SeenMS = false, 9000
-	olderProcess.Started = 0
+	givenUp.Connected, givenUp.LastSeenMS = false, 9000
+	olderProcess.StartedMS = 0
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{givenUp}},
 		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{open}},
@@ -78,7 +78,7 @@
 // not know yet that it was closed.
 func TestRolloutTakesTheGreaterVersionOfAProcess(t *testing.T) {
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
-	second.SeenMS = 9000
+	second.LastSeenMS = 9000
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{first}},
 		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{second}}})
@@ -97,11 +97,11 @@
 	if r.Cluster != "c" || r.Version != 7 {
 		t.Errorf("cluster %s, version %d", r.Cluster, r.Version)
 	}
-	if want := []string{"c2", "c3"}; !reflect.DeepEqual(r.Behind, want) {
-		t.Errorf("behind: %v, want %v", r.Behind, want)
+	if want := []string{"c2", "c3"}; !reflect.DeepEqual(r.BehindControllers, want) {
+		t.Errorf("behind: %v, want %v", r.BehindControllers, want)
 	}
-	if want := []string{"c4", "c5"}; !reflect.DeepEqual(r.Foreign, want) {
-		t.Errorf("foreign: %v, want %v", r.Foreign, want)
+	if want := []string{"c4", "c5"}; !reflect.DeepEqual(r.ForeignControllers, want) {
+		t.Errorf("foreign: %v, want %v", r.ForeignControllers, want)
 	}
 	if r.Complete() {
 		t.Error("complete though controllers are behind")
@@ -121,15 +121,15 @@
 				}
 				names[name] = true
 				node := appliedNode(name, uint64(rapid.IntRange(1, 4).Draw(t, "session")), configapi.Version(rapid.IntRange(0, 3).Draw(t, "held")))
-				node.Started = int64(rapid.IntRange(1, 2).Draw(t, "started"))
-				node.SeenMS = int64(len(statuses)*10 + len(status.Nodes)) // no two the same
+				node.StartedMS = int64(rapid.IntRange(1, 2).Draw(t, "started"))
+				node.LastSeenMS = int64(len(statuses)*10 + len(status.Nodes)) // no two the same
 				node.Connected = rapid.Bool().Draw(t, "connected")
 				status.Nodes = append(status.Nodes, node)
 			}
 			statuses = append(statuses, status)
 		}
 		r := MergeStatuses(statuses)
-		if got := r.Current + r.Lagging + r.Rejected + r.Away; got != len(names) || len(r.Nodes) != len(names) {
+		if got := r.Current + r.Lagging + r.Rejected + r.Disconnected; got != len(names) || len(r.Nodes) != len(names) {
 			t.Fatalf("%d nodes counted, %d listed, %d known", got, len(r.Nodes), len(names))
 		}
 		reordered := MergeStatuses([]configapi.ControllerStatus{statuses[2], statuses[0], statuses[1]})
@@ -141,8 +141,8 @@
 
 // A node opens a second watch while its first one is silent, and closes it when the first one speaks again.
 func TestMergeStatusesOfASecondWatchThatWasClosed(t *testing.T) {
-	first := configapi.NodeStatus{Node: "a", Started: 1, Session: 1, Connected: true, SeenMS: 30, Cluster: "c", Held: 9, Applied: 9, Outcome: configapi.Applied}
-	second := configapi.NodeStatus{Node: "a", Started: 1, Session: 2, SeenMS: 20, Cluster: "c", Held: 1, Applied: 1, Outcome: configapi.Applied}
+	first := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
+	second := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
 	for name, tc := range map[string]struct {
 		first, second configapi.NodeStatus
 		want          string
@@ -150,7 +150,7 @@
 		"a version was acknowledged by the first one": {first, second, "one"},
 		"no version has come since": {first, func() configapi.NodeStatus {
 			same := second
-			same.Held, same.Applied = 9, 9
+			same.LastDecided, same.Applied = 9, 9
 			return same
 		}(), "one"},
 		"the node has moved to the second one": {func() configapi.NodeStatus {
@@ -159,7 +159,7 @@
 			return left
 		}(), func() configapi.NodeStatus {
 			there := second
-			there.Connected, there.Held, there.Applied = true, 9, 9
+			there.Connected, there.LastDecided, there.Applied = true, 9, 9
 			return there
 		}(), "two"},
 	} {
--- a/configversion/session.go
+++ b/configversion/session.go
@@ -9,16 +9,16 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// forever is later than any time.
-const forever = time.Duration(1<<63 - 1)
+// never is later than any time.
+const never = time.Duration(1<<63 - 1)
 
 // SessionOptions say whose session it is.
 type SessionOptions struct {
-	Node    string
-	Service string
-	Region  string
-	Zone    string
-	Started int64 // when the process started, Unix milliseconds
+	Node      string
+	Service   string
+	Region    string
+	Zone      string
+	StartedMS int64 // when the process started, Unix milliseconds
 	// Controllers are the addresses that the settings name, HOST:PORT.
 	Controllers []string
 	// LastKnownGood is what the node has kept of an earlier process, and started with.
@@ -45,40 +45,40 @@
 type (
 	// Tick says that the time that Next gave has come.
 	Tick struct{}
-	// WatchHeard is a sign of life on a watch: a heartbeat, or a part of an update.
-	WatchHeard struct {
-		Watch uint64
-		Part  bool // an update is arriving, and is not whole yet
+	// WatchActivity is a sign of life on a watch: a heartbeat, or a part of an update.
+	WatchActivity struct {
+		Watch            uint64
+		UpdateInProgress bool // an update is arriving, and is not whole yet
 	}
 	// WatchUpdated is an update, whole.
 	WatchUpdated struct {
 		Watch  uint64
 		Update configapi.Update
 	}
-	// WatchRefused is the answer to a watch that is not let in. The watch has ended.
-	WatchRefused struct {
-		Watch   uint64
-		Refusal configapi.Error
+	// WatchRejected is the answer to a watch that is not let in. The watch has ended.
+	WatchRejected struct {
+		Watch uint64
+		Err   configapi.Error
 	}
 	// WatchEnded says that a watch could not be opened, has ended or can't be read.
 	WatchEnded struct{ Watch uint64 }
-	// ConfigTried is what came of an ApplyConfig.
-	ConfigTried struct {
+	// ApplyFinished is what came of an ApplyConfig.
+	ApplyFinished struct {
 		Rejection *configapi.Rejection // nil: it is in force
 		// Interrupted says that it could not be tried: nothing is in force, and nothing is answered.
 		Interrupted bool
 	}
-	// AckAnswered is what came of a SendAck.
-	AckAnswered struct{ Taken bool }
+	// AckFinished is what came of a SendAck.
+	AckFinished struct{ Accepted bool }
 )
 
-func (Tick) sessionEvent()         {}
-func (WatchHeard) sessionEvent()   {}
-func (WatchUpdated) sessionEvent() {}
-func (WatchRefused) sessionEvent() {}
-func (WatchEnded) sessionEvent()   {}
-func (ConfigTried) sessionEvent()  {}
-func (AckAnswered) sessionEvent()  {}
+func (Tick) sessionEvent()          {}
+func (WatchActivity) sessionEvent() {}
+func (WatchUpdated) sessionEvent()  {}
+func (WatchRejected) sessionEvent() {}
+func (WatchEnded) sessionEvent()    {}
+func (ApplyFinished) sessionEvent() {}
+func (AckFinished) sessionEvent()   {}
 
 // SessionAction is something that the caller of Step is to do, in the order given.
 type SessionAction interface{ sessionAction() }
@@ -94,21 +94,21 @@
 	// CloseWatch ends a watch. No event of it is wanted any more.
 	CloseWatch struct{ Watch uint64 }
 	// ApplyConfig asks for a configuration to be checked and brought into force, whole or not at all. It is answered by
-	// ConfigTried; there is one at a time.
+	// ApplyFinished; there is one at a time.
 	ApplyConfig struct {
 		Cluster configapi.Cluster
 		Version configapi.Version
 		Config  configapi.ServiceConfig
 	}
-	// SendAck asks for an acknowledgement to be sent. It is answered by AckAnswered; there is one at a time.
+	// SendAck asks for an acknowledgement to be sent. It is answered by AckFinished; there is one at a time.
 	SendAck struct {
 		Address string // HOST:PORT
 		Ack     configapi.Acknowledgement
 	}
 	// Persist asks for the last known good version to be kept for the node's next start. The newest is enough.
 	Persist struct{ LastKnownGood LastKnownGood }
-	// VersionAnswered reports the node's answer to a version.
-	VersionAnswered struct {
+	// VersionDecided reports the node's answer to a version.
+	VersionDecided struct {
 		Cluster    configapi.Cluster
 		Version    configapi.Version
 		Outcome    configapi.Outcome
@@ -128,63 +128,63 @@
 func (ApplyConfig) sessionAction()       {}
 func (SendAck) sessionAction()           {}
 func (Persist) sessionAction()           {}
-func (VersionAnswered) sessionAction()   {}
+func (VersionDecided) sessionAction()    {}
 func (ControllerChanged) sessionAction() {}
 
 // Session decides for one node which controller it watches, which versions it takes and how it answers for them. It
 // never goes back: within a cluster a version is taken only if it is newer than all that were answered before, and
 // another cluster's versions are rejected until an operator has handed the node's cluster to it.
 type Session struct {
-	options SessionOptions
-	random  *rand.Rand
-	now     time.Duration
-	next    time.Duration
-	actions []SessionAction
+	options  SessionOptions
+	random   *rand.Rand
+	now      time.Duration
+	nextWake time.Duration
+	actions  []SessionAction
 
 	versions versionState
-	acks     ackQueue
+	ackQueue ackQueue
 	watches  watchSet
 }
 
-// NewSession begins a session at a time. The first watch is due within FirstConnectSpread of that.
+// NewSession begins a session at a time. The first watch is due within InitialConnectJitter of that.
 func NewSession(options SessionOptions, now time.Duration) *Session {
-	s := &Session{options: options, now: now, random: rand.New(rand.NewPCG(options.Seed, uint64(options.Started)))}
+	s := &Session{options: options, now: now, random: rand.New(rand.NewPCG(options.Seed, uint64(options.StartedMS)))}
 	s.versions = newVersionState(options.LastKnownGood)
 	s.watches = newWatchSet(options)
-	s.watches.openAt = now + s.spread(FirstConnectSpread)
-	s.next = s.watches.openAt
+	s.watches.nextOpenAt = now + s.jitter(InitialConnectJitter)
+	s.nextWake = s.watches.nextOpenAt
 	return s
 }
 
 // Step takes an event at a time, and returns what is to be done.
 func (s *Session) Step(now time.Duration, event SessionEvent) []SessionAction {
-	s.now, s.next, s.actions = now, forever, nil
+	s.now, s.nextWake, s.actions = now, never, nil
 	switch e := event.(type) {
-	case WatchHeard:
-		s.watchHeard(e)
+	case WatchActivity:
+		s.watchActivity(e)
 	case WatchUpdated:
 		s.watchUpdated(e)
-	case WatchRefused:
-		s.watchRefused(e)
+	case WatchRejected:
+		s.watchRejected(e)
 	case WatchEnded:
 		s.watchEnded(e.Watch)
-	case ConfigTried:
-		s.configTried(e)
-	case AckAnswered:
-		s.ackAnswered(e.Taken)
+	case ApplyFinished:
+		s.applyFinished(e)
+	case AckFinished:
+		s.ackFinished(e.Accepted)
 	case Tick:
 	}
-	s.tryPending()
-	s.manageWatches()
+	s.applyPending()
+	s.reconcileWatches()
 	s.sendAck()
 	return s.actions
 }
 
 // Next is when Step is to be called with a Tick, unless an event comes before.
-func (s *Session) Next() time.Duration { return s.next }
+func (s *Session) Next() time.Duration { return s.nextWake }
 
-// Held is the newest version that was answered, applied or rejected.
-func (s *Session) Held() configapi.Version { return s.versions.held }
+// LastDecided is the newest version that was answered, applied or rejected.
+func (s *Session) LastDecided() configapi.Version { return s.versions.lastDecided }
 
 // Applied is the version in force; 0: the configuration that the process was started with, or one of another cluster.
 func (s *Session) Applied() configapi.Version { return s.versions.applied }
@@ -200,28 +200,28 @@
 	return ""
 }
 
-func (s *Session) do(action SessionAction) { s.actions = append(s.actions, action) }
+func (s *Session) emit(action SessionAction) { s.actions = append(s.actions, action) }
 
 // wakeAt has Next be no later than a time.
-func (s *Session) wakeAt(at time.Duration) { s.next = min(s.next, at) }
+func (s *Session) wakeAt(at time.Duration) { s.nextWake = min(s.nextWake, at) }
 
-// spread is a time drawn from 0 up to most.
-func (s *Session) spread(most time.Duration) time.Duration {
-	return time.Duration(s.random.Float64() * float64(most))
+// jitter is a time drawn from 0 up to most.
+func (s *Session) jitter(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Float64() * float64(limit))
 }
 
 // backoff is the wait after a number of failures in a row: twice as long after each, at most longest, and half of it
 // drawn.
 func (s *Session) backoff(failures int, first, longest time.Duration) time.Duration {
-	const mostDoublings = 16
-	wait := min(first<<min(max(failures-1, 0), mostDoublings), longest)
-	return wait/2 + s.spread(wait/2)
+	const maxDoublings = 16
+	wait := min(first<<min(max(failures-1, 0), maxDoublings), longest)
+	return wait/2 + s.jitter(wait/2)
 }
 
-// kept is what the node would start with.
-func (s *Session) kept() LastKnownGood {
+// lastKnownGood is what the node would start with.
+func (s *Session) lastKnownGood() LastKnownGood {
 	v := &s.versions
-	return LastKnownGood{Cluster: v.cluster, Version: v.applied, Config: v.inForce, Former: maps.Clone(v.former), Controllers: slices.Clone(s.watches.known)}
+	return LastKnownGood{Cluster: v.cluster, Version: v.applied, Config: v.appliedConfig, Former: maps.Clone(v.formerClusters), Controllers: slices.Clone(s.watches.clusterEndpoints)}
 }
 
 // Supersedes says whether k is newer than another: a later version of the same cluster, or of one that has taken the
--- a/configversion/session_property_test.go
+++ b/configversion/session_property_test.go
@@ -46,9 +46,9 @@
 	if n == 0 {
 		return u
 	}
-	u.Changed = configapi.Version(p.changed[n-1])
-	if withConfig && u.Changed > 0 {
-		u.Config = clusterConfig(p.cluster, u.Changed)
+	u.ConfigVersion = configapi.Version(p.changed[n-1])
+	if withConfig && u.ConfigVersion > 0 {
+		u.Config = clusterConfig(p.cluster, u.ConfigVersion)
 	}
 	return u
 }
@@ -100,7 +100,7 @@
 func (m *sessionModel) check() {
 	for _, a := range m.driver.answers[m.answers:] {
 		if a.Rejection != nil && a.Rejection.Kind == configapi.RejectForeign {
-			if a.Cluster == m.session.Cluster() && m.session.Held() >= a.Version {
+			if a.Cluster == m.session.Cluster() && m.session.LastDecided() >= a.Version {
 				m.t.Fatalf("it calls its own cluster %s foreign", a.Cluster)
 			}
 			continue
@@ -121,7 +121,7 @@
 }
 
 // joined checks that a cluster is followed only if it is the first, or an operator has handed the one before to it.
-func (m *sessionModel) joined(a VersionAnswered) {
+func (m *sessionModel) joined(a VersionDecided) {
 	if n := len(m.order); n > 0 && m.order[n-1] != a.Cluster {
 		from, confirmed := m.cluster(a.Cluster).replaces[m.order[n-1]]
 		if !confirmed || int(a.Version) < from {
@@ -188,9 +188,9 @@
 			},
 			"end": func(*rapid.T) { m.step(WatchEnded{anyWatch()}) },
 			"refuse": func(*rapid.T) {
-				m.step(WatchRefused{anyWatch(), configapi.Error{Kind: configapi.ErrorFull, Elsewhere: three}})
+				m.step(WatchRejected{anyWatch(), configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: three}})
 			},
-			"beat":    func(t *rapid.T) { m.step(WatchHeard{anyWatch(), rapid.Bool().Draw(t, "part")}) },
+			"beat":    func(t *rapid.T) { m.step(WatchActivity{anyWatch(), rapid.Bool().Draw(t, "part")}) },
 			"time":    func(t *rapid.T) { m.pass(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms) },
 			"applied": func(*rapid.T) { m.finishIfAny() },
 			"acked": func(t *rapid.T) {
@@ -221,11 +221,11 @@
 	if p.newest() == 0 {
 		return
 	}
-	if int(m.session.Held()) != p.newest() {
-		m.t.Fatalf("it has answered %d of %s, the newest is %d", m.session.Held(), p.cluster, p.newest())
+	if int(m.session.LastDecided()) != p.newest() {
+		m.t.Fatalf("it has answered %d of %s, the newest is %d", m.session.LastDecided(), p.cluster, p.newest())
 	}
-	if m.ack != nil || len(m.session.acks.waiting) > 0 {
-		m.t.Fatalf("%d acknowledgements wait", len(m.session.acks.waiting))
+	if m.ack != nil || len(m.session.ackQueue.waiting) > 0 {
+		m.t.Fatalf("%d acknowledgements wait", len(m.session.ackQueue.waiting))
 	}
 	applied := m.session.Applied()
 	if applied == 0 || p.changed[applied-1] == 0 {
--- a/configversion/session_test.go
+++ b/configversion/session_test.go
@@ -31,13 +31,13 @@
 	applying *ApplyConfig
 	ack      *SendAck
 	acks     []configapi.Acknowledgement
-	answers  []VersionAnswered
+	answers  []VersionDecided
 	kept     *LastKnownGood
 }
 
 func newDriver(t tester, options SessionOptions) *driver {
 	if options.Node == "" {
-		options.Node, options.Service, options.Started = "n", "s", 1
+		options.Node, options.Service, options.StartedMS = "n", "s", 1
 	}
 	return &driver{t: t, session: NewSession(options, 0), open: map[uint64]OpenWatch{}}
 }
@@ -48,7 +48,7 @@
 	switch e := event.(type) {
 	case WatchEnded:
 		delete(d.open, e.Watch)
-	case WatchRefused:
+	case WatchRejected:
 		delete(d.open, e.Watch)
 	}
 	for _, action := range d.session.Step(d.now, event) {
@@ -75,7 +75,7 @@
 			d.acks = append(d.acks, a.Ack)
 		case Persist:
 			d.kept = &a.LastKnownGood
-		case VersionAnswered:
+		case VersionDecided:
 			d.answers = append(d.answers, a)
 		}
 	}
@@ -108,8 +108,8 @@
 func (d *driver) beat(watch uint64, time time.Duration) {
 	d.t.Helper()
 	for end := d.now + time; d.now < end; {
-		d.pass(min(configapi.Heartbeat, end-d.now))
-		d.step(WatchHeard{Watch: watch})
+		d.pass(min(configapi.HeartbeatInterval, end-d.now))
+		d.step(WatchActivity{Watch: watch})
 	}
 }
 
@@ -135,7 +135,7 @@
 		d.t.Fatal("nothing is applied")
 	}
 	d.applying = nil
-	d.step(ConfigTried{Rejection: rejection})
+	d.step(ApplyFinished{Rejection: rejection})
 }
 
 // acked answers the acknowledgement that is under way.
@@ -145,7 +145,7 @@
 		d.t.Fatal("nothing is acknowledged")
 	}
 	d.ack = nil
-	d.step(AckAnswered{taken})
+	d.step(AckFinished{taken})
 }
 
 var bad = &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no"}
@@ -156,7 +156,7 @@
 
 // version is an update with a version that sets the service's configuration.
 func version(cluster configapi.Cluster, n int) configapi.Update {
-	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), Changed: configapi.Version(n), Config: config(n), Current: true}
+	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), Current: true}
 }
 
 // empty is an update of a cluster without a version.
@@ -181,7 +181,7 @@
 		options.Controllers = addressesOf(three)
 	}
 	d := newDriver(t, options)
-	w := d.nextWatch(FirstConnectSpread)
+	w := d.nextWatch(InitialConnectJitter)
 	d.update(w.Watch, empty("x"))
 	return d, w
 }
@@ -193,9 +193,9 @@
 	perTenth := [10]int{}
 	for seed := range uint64(nodes) {
 		d := newDriver(t, SessionOptions{Controllers: addressesOf(three), Seed: seed})
-		w := d.nextWatch(FirstConnectSpread)
+		w := d.nextWatch(InitialConnectJitter)
 		perController[w.Address]++
-		perTenth[d.now*10/FirstConnectSpread]++
+		perTenth[d.now*10/InitialConnectJitter]++
 	}
 	for address, n := range perController {
 		if n < nodes/3-60 || n > nodes/3+60 {
@@ -229,7 +229,7 @@
 		d.beat(first.Watch, 5*time.Second)
 		silent := d.now
 		second := d.nextWatch(configapi.SilenceTimeout)
-		if wait := d.now - silent; wait < configapi.SilenceTimeout-silenceSpread {
+		if wait := d.now - silent; wait < configapi.SilenceTimeout-silenceJitter {
 			t.Errorf("a second watch after %v", wait)
 		}
 		if second.Address == first.Address || len(d.open) != 2 {
@@ -266,7 +266,7 @@
 func TestSilenceThatEnds(t *testing.T) {
 	d, first := connected(t, SessionOptions{})
 	second := d.nextWatch(configapi.SilenceTimeout)
-	d.step(WatchHeard{Watch: first.Watch})
+	d.step(WatchActivity{Watch: first.Watch})
 	if _, still := d.open[second.Watch]; still || d.session.Controller() != first.Address {
 		t.Errorf("%d watches open, it goes by %s", len(d.open), d.session.Controller())
 	}
@@ -277,7 +277,7 @@
 	d, first := connected(t, SessionOptions{})
 	begun := d.now
 	for range 20 {
-		d.step(WatchHeard{Watch: first.Watch, Part: true})
+		d.step(WatchActivity{Watch: first.Watch, UpdateInProgress: true})
 		d.pass(100 * ms)
 	}
 	if len(d.open) < 2 || d.openedAt[1]-begun > configapi.SilenceTimeout {
@@ -288,19 +288,19 @@
 // A controller that is full says where else to go; that is gone to at once, and the request says so.
 func TestRefusedWatchGoesElsewhere(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}})
-	first := d.nextWatch(FirstConnectSpread)
-	refusal := configapi.Error{Kind: configapi.ErrorFull, Elsewhere: []configapi.Endpoint{{Address: "d:1"}, {Address: "e:1"}}}
-	d.step(WatchRefused{first.Watch, refusal})
-	second := d.nextWatch(redirectSpread)
-	d.step(WatchRefused{second.Watch, configapi.Error{Kind: configapi.ErrorFull, Elsewhere: []configapi.Endpoint{{Address: "a:1"}, {Address: "e:1"}}}})
-	third := d.nextWatch(redirectSpread)
-	if second.Address != "d:1" || third.Address != "e:1" || second.Request.Refused != 1 || third.Request.Refused != 2 {
+	first := d.nextWatch(InitialConnectJitter)
+	refusal := configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "d:1"}, {Address: "e:1"}}}
+	d.step(WatchRejected{first.Watch, refusal})
+	second := d.nextWatch(redirectJitter)
+	d.step(WatchRejected{second.Watch, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "a:1"}, {Address: "e:1"}}}})
+	third := d.nextWatch(redirectJitter)
+	if second.Address != "d:1" || third.Address != "e:1" || second.Request.WatchRejections != 1 || third.Request.WatchRejections != 2 {
 		t.Errorf("it goes to %+v, then %+v", second, third)
 	}
 	d.update(third.Watch, empty("x"))
 	d.step(WatchEnded{third.Watch})
-	if w := d.nextWatch(reconnectSpread); w.Request.Refused != 0 {
-		t.Errorf("after a watch it says that it was refused %d times", w.Request.Refused)
+	if w := d.nextWatch(reconnectJitter); w.Request.WatchRejections != 0 {
+		t.Errorf("after a watch it says that it was refused %d times", w.Request.WatchRejections)
 	}
 }
 
@@ -308,7 +308,7 @@
 func TestMove(t *testing.T) {
 	d, first := connected(t, SessionOptions{})
 	move := empty("x")
-	move.MoveTo = "m:1"
+	move.MigrateTo = "m:1"
 	d.update(first.Watch, move)
 	second := d.opened[len(d.opened)-1]
 	if second.Address != "m:1" || len(d.open) != 2 {
@@ -324,19 +324,19 @@
 func TestMoveThatFails(t *testing.T) {
 	for name, fails := range map[string]func(d *driver, w uint64){
 		"ended":     func(d *driver, w uint64) { d.step(WatchEnded{w}) },
-		"refused":   func(d *driver, w uint64) { d.step(WatchRefused{w, configapi.Error{Kind: configapi.ErrorFull}}) },
-		"no answer": func(d *driver, _ uint64) { d.pass(openPatience) },
+		"refused":   func(d *driver, w uint64) { d.step(WatchRejected{w, configapi.Error{Kind: configapi.ErrorNoCapacity}}) },
+		"no answer": func(d *driver, _ uint64) { d.pass(openTimeout) },
 	} {
 		d, first := connected(t, SessionOptions{})
 		move := empty("x")
-		move.MoveTo = "m:1"
+		move.MigrateTo = "m:1"
 		d.update(first.Watch, move)
 		fails(d, d.opened[1].Watch)
 		d.update(first.Watch, move)
 		if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
 			t.Errorf("%s: %d open, %d opened, at %s", name, len(d.open), len(d.opened), d.session.Controller())
 		}
-		d.beat(first.Watch, moveAgain)
+		d.beat(first.Watch, migrationRetryDelay)
 		d.update(first.Watch, move)
 		if len(d.opened) != 3 {
 			t.Errorf("%s: later it is asked again, and does not try", name)
@@ -355,7 +355,7 @@
 	elections := func() {
 		for end := d.now + time.Minute; d.now < end; {
 			d.pass(100 * ms)
-			d.step(WatchHeard{Watch: first.Watch})
+			d.step(WatchActivity{Watch: first.Watch})
 			for id, w := range d.open {
 				if w.Address != first.Address {
 					d.update(id, stale)
@@ -364,7 +364,7 @@
 		}
 	}
 	elections()
-	if d.openedAt[1]-began < searchDelay || d.openedAt[1]-began > searchDelay+searchSpread+100*ms {
+	if d.openedAt[1]-began < searchDelay || d.openedAt[1]-began > searchDelay+searchJitter+100*ms {
 		t.Errorf("it first looks after %v", d.openedAt[1]-began)
 	}
 	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
@@ -418,13 +418,13 @@
 		"no answer at all": func(*driver) {},
 		"all are full": func(d *driver) {
 			for id := range d.open {
-				d.step(WatchRefused{id, configapi.Error{Kind: configapi.ErrorFull, Elsewhere: three}})
+				d.step(WatchRejected{id, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: three}})
 			}
 		},
 	} {
 		d := newDriver(t, SessionOptions{Controllers: addressesOf(three)})
 		for d.now < time.Minute {
-			d.nextWatch(openLongestBackoff + FirstConnectSpread)
+			d.nextWatch(openMaxBackoff + InitialConnectJitter)
 			ends(d)
 			if len(d.open) > maxOpening {
 				t.Fatalf("%s: %d watches are open", name, len(d.open))
@@ -440,7 +440,7 @@
 func TestLostSession(t *testing.T) {
 	d, first := connected(t, SessionOptions{})
 	d.step(WatchEnded{first.Watch})
-	if w := d.nextWatch(reconnectSpread); w.Address == first.Address {
+	if w := d.nextWatch(reconnectJitter); w.Address == first.Address {
 		t.Error("it goes to the controller that it has just lost")
 	}
 }
@@ -466,8 +466,8 @@
 	d.acked(true)
 	d.acked(true)
 	want := []configapi.Acknowledgement{
-		{Node: "n", Started: 1, Session: w.Watch, Cluster: "x", Version: 3, Outcome: configapi.Applied, Applied: 3},
-		{Node: "n", Started: 1, Session: w.Watch, Cluster: "x", Version: 6, Outcome: configapi.Rejected, Rejection: bad, Applied: 3},
+		{Node: "n", StartedMS: 1, Session: w.Watch, Cluster: "x", Version: 3, Outcome: configapi.Applied, Applied: 3},
+		{Node: "n", StartedMS: 1, Session: w.Watch, Cluster: "x", Version: 6, Outcome: configapi.Rejected, Rejection: bad, Applied: 3},
 	}
 	if !slices.Equal(d.acks, want) {
 		t.Errorf("it acknowledged %+v", d.acks)
@@ -476,8 +476,8 @@
 		t.Errorf("it keeps %+v", d.kept)
 	}
 	d.step(WatchEnded{w.Watch})
-	next := d.nextWatch(reconnectSpread).Request
-	if next.Held != 6 || next.Applied != 3 || !next.Rejected || next.Reason != bad.Error() || next.Cluster != "x" || next.Session <= w.Watch {
+	next := d.nextWatch(reconnectJitter).Request
+	if next.LastDecided != 6 || next.Applied != 3 || !next.LastRejected || next.RejectionReason != bad.Error() || next.Cluster != "x" || next.Session <= w.Watch {
 		t.Errorf("it asks with %+v", next)
 	}
 }
@@ -492,19 +492,19 @@
 	}
 	d.update(w.Watch, version("x", 2))
 	d.tried(nil)
-	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 3, Changed: 2, Current: true})
+	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 3, ConfigVersion: 2, Current: true})
 	if d.applying != nil || d.session.Applied() != 3 || string(d.kept.Config.Settings) != "2" || d.kept.Version != 3 {
 		t.Errorf("%d is in force, kept %+v", d.session.Applied(), d.kept)
 	}
 	d.update(w.Watch, version("x", 4))
 	d.tried(bad)
-	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 5, Changed: 4, Current: true})
+	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 5, ConfigVersion: 4, Current: true})
 	if d.applying == nil || d.applying.Version != 5 || string(d.applying.Config.Settings) != "4" {
 		t.Errorf("it tries %+v", d.applying)
 	}
 	d.tried(bad)
-	if d.session.Held() != 5 || d.session.Applied() != 3 {
-		t.Errorf("held %d, in force %d", d.session.Held(), d.session.Applied())
+	if d.session.LastDecided() != 5 || d.session.Applied() != 3 {
+		t.Errorf("held %d, in force %d", d.session.LastDecided(), d.session.Applied())
 	}
 }
 
@@ -512,11 +512,11 @@
 func TestMissingConfiguration(t *testing.T) {
 	d, w := connected(t, SessionOptions{})
 	for range 100 {
-		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, Changed: 7, Current: true})
+		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, Current: true})
 		if _, still := d.open[w.Watch]; still || d.session.Applied() != 0 {
 			t.Fatal("the watch stays open")
 		}
-		w = d.nextWatch(openLongestBackoff)
+		w = d.nextWatch(openMaxBackoff)
 	}
 	if d.now < 60*time.Second {
 		t.Errorf("100 watches in %v", d.now)
@@ -533,8 +533,8 @@
 	d, w := connected(t, SessionOptions{})
 	d.update(w.Watch, version("x", 1))
 	d.applying = nil
-	d.step(ConfigTried{Interrupted: true})
-	if len(d.answers) != 0 || d.session.Held() != 0 {
+	d.step(ApplyFinished{Interrupted: true})
+	if len(d.answers) != 0 || d.session.LastDecided() != 0 {
 		t.Errorf("it answered %+v", d.answers)
 	}
 	d.update(w.Watch, version("x", 1))
@@ -551,14 +551,14 @@
 	d.tried(nil)
 	for range 5 {
 		d.acked(false)
-		if !d.until(d.now+ackLongestBackoff, func() bool { return d.ack != nil }) {
+		if !d.until(d.now+ackMaxBackoff, func() bool { return d.ack != nil }) {
 			t.Fatal("it is not repeated")
 		}
-		d.step(WatchHeard{Watch: w.Watch})
+		d.step(WatchActivity{Watch: w.Watch})
 	}
 	d.acked(false)
 	d.step(WatchEnded{w.Watch})
-	next := d.nextWatch(reconnectSpread)
+	next := d.nextWatch(reconnectJitter)
 	if d.ack != nil {
 		t.Error("an acknowledgement goes to nobody")
 	}
@@ -616,8 +616,8 @@
 // A node that was kept at a version starts there.
 func TestStartFromWhatWasKept(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}, LastKnownGood: LastKnownGood{Cluster: "x", Version: 8, Config: config(8)}})
-	w := d.nextWatch(FirstConnectSpread)
-	if r := w.Request; r.Cluster != "x" || r.Held != 8 || r.Applied != 8 || r.Rejected {
+	w := d.nextWatch(InitialConnectJitter)
+	if r := w.Request; r.Cluster != "x" || r.LastDecided != 8 || r.Applied != 8 || r.LastRejected {
 		t.Errorf("it asks with %+v", r)
 	}
 	d.update(w.Watch, version("x", 7))
--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -28,14 +28,14 @@
 
 // Limits and timings. Those that a settings file may change are defaults.
 const (
-	// MaxDocument is the size of one published document, in bytes.
-	MaxDocument = 1 << 20
+	// MaxDocumentBytes is the size of one published document, in bytes.
+	MaxDocumentBytes = 1 << 20
 	// MaxPublishRate is how many versions a cluster accepts in any second.
 	MaxPublishRate = 10
-	// MaxReason is the length of a node's reason for a rejection, in bytes; longer ones are cut.
-	MaxReason = 512
-	// Heartbeat is the longest silence on a watch: a controller writes an empty line after so long without an Update.
-	Heartbeat = 500 * time.Millisecond
+	// MaxReasonBytes is the length of a node's reason for a rejection, in bytes; longer ones are cut.
+	MaxReasonBytes = 512
+	// HeartbeatInterval is the longest silence on a watch: a controller writes an empty line after so long without an Update.
+	HeartbeatInterval = 500 * time.Millisecond
 	// SilenceTimeout is how long a node waits on a silent watch before it opens one to another controller.
 	SilenceTimeout = 1200 * time.Millisecond
 	// DefaultAddress is where a controller listens, and where commands look for one, without a setting.
@@ -63,20 +63,20 @@
 
 // WatchRequest is what a node says when it opens a watch; it travels in the query.
 type WatchRequest struct {
-	Node     string // the node's name, the same after a restart
-	Service  string
-	Region   string
-	Zone     string
-	Started  int64   // when the process started, Unix milliseconds: tells two processes of one node apart
-	Session  uint64  // rises by 1 with each watch that the process opens
-	Cluster  Cluster // of the version held; empty: none
-	Held     Version // the newest version answered for, applied or rejected; 0: none
-	Applied  Version // the version in force; 0: the configuration that the process was started with
-	Rejected bool    // Held was rejected
-	Reason   string  // why, where it was
-	// Refused is how many controllers have refused a watch since the node last had one. A controller lets a node in
+	Node            string // the node's name, the same after a restart
+	Service         string
+	Region          string
+	Zone            string
+	StartedMS       int64   // when the process started, Unix milliseconds: tells two processes of one node apart
+	Session         uint64  // rises by 1 with each watch that the process opens
+	Cluster         Cluster // of the version held; empty: none
+	LastDecided     Version // the newest version answered for, applied or rejected; 0: none
+	Applied         Version // the version in force; 0: the configuration that the process was started with
+	LastRejected    bool    // Held was rejected
+	RejectionReason string  // why, where it was
+	// WatchRejections is how many controllers have refused a watch since the node last had one. A controller lets a node in
 	// more readily that was refused before, so that it is not sent round.
-	Refused uint64
+	WatchRejections uint64
 }
 
 // Query writes the request as a URL query.
@@ -86,17 +86,17 @@
 	q.Set("service", r.Service)
 	q.Set("region", r.Region)
 	q.Set("zone", r.Zone)
-	q.Set("started", strconv.FormatInt(r.Started, 10))
+	q.Set("started", strconv.FormatInt(r.StartedMS, 10))
 	q.Set("session", strconv.FormatUint(r.Session, 10))
 	q.Set("cluster", string(r.Cluster))
-	q.Set("held", strconv.FormatUint(uint64(r.Held), 10))
+	q.Set("held", strconv.FormatUint(uint64(r.LastDecided), 10))
 	q.Set("applied", strconv.FormatUint(uint64(r.Applied), 10))
-	if r.Refused > 0 {
-		q.Set("refused", strconv.FormatUint(r.Refused, 10))
+	if r.WatchRejections > 0 {
+		q.Set("refused", strconv.FormatUint(r.WatchRejections, 10))
 	}
-	if r.Rejected {
+	if r.LastRejected {
 		q.Set("rejected", "1")
-		q.Set("reason", r.Reason)
+		q.Set("reason", r.RejectionReason)
 	}
 	return q.Encode()
 }
@@ -104,11 +104,11 @@
 // ParseWatchRequest reads what Query wrote.
 func ParseWatchRequest(q url.Values) (WatchRequest, error) {
 	r := WatchRequest{Node: q.Get("node"), Service: q.Get("service"), Region: q.Get("region"), Zone: q.Get("zone"),
-		Cluster: Cluster(q.Get("cluster")), Rejected: q.Get("rejected") == "1", Reason: q.Get("reason")}
+		Cluster: Cluster(q.Get("cluster")), LastRejected: q.Get("rejected") == "1", RejectionReason: q.Get("reason")}
 	if r.Node == "" || r.Service == "" {
 		return r, &Error{Kind: ErrorInvalid, Message: "a watch needs node and service"}
 	}
-	for name, into := range map[string]*uint64{"session": &r.Session, "held": (*uint64)(&r.Held), "applied": (*uint64)(&r.Applied)} {
+	for name, into := range map[string]*uint64{"session": &r.Session, "held": (*uint64)(&r.LastDecided), "applied": (*uint64)(&r.Applied)} {
 		n, err := strconv.ParseUint(q.Get(name), 10, 64)
 		if err != nil {
 			return r, &Error{Kind: ErrorInvalid, Message: fmt.Sprintf("%s is not a number", name)}
@@ -120,13 +120,13 @@
 		if err != nil {
 			return r, &Error{Kind: ErrorInvalid, Message: "refused is not a number"}
 		}
-		r.Refused = n
+		r.WatchRejections = n
 	}
 	started, err := strconv.ParseInt(q.Get("started"), 10, 64)
 	if err != nil {
 		return r, &Error{Kind: ErrorInvalid, Message: "started is not a number"}
 	}
-	r.Started = started
+	r.StartedMS = started
 	return r, nil
 }
 
@@ -136,15 +136,15 @@
 	Cluster  Cluster   `json:"cluster"`
 	Replaces []Cluster `json:"replaces,omitempty"` // clusters whose nodes an operator has handed to this one
 	Version  Version   `json:"version"`            // the newest that this controller has committed
-	// Changed is the newest version, at most Version, that names the node's service; 0: none does. A node that applied
-	// Changed or a later one has the configuration of Version already, and Config is absent.
-	Changed Version        `json:"changed"`
-	Config  *ServiceConfig `json:"config,omitempty"`
+	// ConfigVersion is the newest version, at most Version, that names the node's service; 0: none does. A node that applied
+	// ConfigVersion or a later one has the configuration of Version already, and Config is absent.
+	ConfigVersion Version        `json:"changed"`
+	Config        *ServiceConfig `json:"config,omitempty"`
 	// Current says that the controller was in touch with the leader of a quorum within the last second. A controller
 	// that is not serves what it has; a node prefers one that is.
 	Current bool `json:"current"`
-	// MoveTo asks the node to open a watch at another controller and then to end this one.
-	MoveTo string `json:"move_to,omitempty"`
+	// MigrateTo asks the node to open a watch at another controller and then to end this one.
+	MigrateTo string `json:"move_to,omitempty"`
 	// Controllers are the addresses of all controllers of the cluster; only the first Update of a watch has them.
 	Controllers []Endpoint `json:"controllers,omitempty"`
 }
@@ -189,7 +189,7 @@
 // Acknowledgement is a node's answer to a version.
 type Acknowledgement struct {
 	Node      string     `json:"node"`
-	Started   int64      `json:"started"`
+	StartedMS int64      `json:"started"`
 	Session   uint64     `json:"session"`
 	Cluster   Cluster    `json:"cluster"`
 	Version   Version    `json:"version"`
@@ -219,21 +219,21 @@
 
 // Error kinds.
 const (
-	ErrorInvalid   ErrorKind = "invalid"    // the request itself is wrong; nothing was taken
-	ErrorTooLarge  ErrorKind = "too_large"  // over MaxDocument; nothing was taken
-	ErrorTooMany   ErrorKind = "too_many"   // over MaxPublishRate; nothing was taken
-	ErrorNotLeader ErrorKind = "not_leader" // ask Leader; nothing was taken
-	ErrorNoQuorum  ErrorKind = "no_quorum"  // there is no leader; nothing was taken
-	ErrorUnknown   ErrorKind = "unknown"    // the version may or may not come into force: repeat with the same ID
-	ErrorFull      ErrorKind = "full"       // no more sessions here: open one at one of Elsewhere
+	ErrorInvalid        ErrorKind = "invalid"    // the request itself is wrong; nothing was taken
+	ErrorTooLarge       ErrorKind = "too_large"  // over MaxDocument; nothing was taken
+	ErrorRateLimited    ErrorKind = "too_many"   // over MaxPublishRate; nothing was taken
+	ErrorNotLeader      ErrorKind = "not_leader" // ask Leader; nothing was taken
+	ErrorNoQuorum       ErrorKind = "no_quorum"  // there is no leader; nothing was taken
+	ErrorOutcomeUnknown ErrorKind = "unknown"    // the version may or may not come into force: repeat with the same ID
+	ErrorNoCapacity     ErrorKind = "full"       // no more sessions here: open one at one of Elsewhere
 )
 
 // Error is a controller's refusal, the body of any answer that is not 200.
 type Error struct {
-	Kind      ErrorKind  `json:"kind"`
-	Message   string     `json:"message"`
-	Leader    string     `json:"leader,omitempty"`    // HOST:PORT, for ErrorNotLeader, where known
-	Elsewhere []Endpoint `json:"elsewhere,omitempty"` // the least loaded first, for ErrorFull
+	Kind         ErrorKind  `json:"kind"`
+	Message      string     `json:"message"`
+	Leader       string     `json:"leader,omitempty"`    // HOST:PORT, for ErrorNotLeader, where known
+	Alternatives []Endpoint `json:"elsewhere,omitempty"` // the least loaded first, for ErrorFull
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s", e.Kind, e.Message) }
@@ -261,17 +261,17 @@
 
 // NodeStatus is what a controller last heard of a node.
 type NodeStatus struct {
-	Node      string     `json:"node"`
-	Service   string     `json:"service"`
-	Region    string     `json:"region,omitempty"`
-	Zone      string     `json:"zone,omitempty"`
-	Started   int64      `json:"started"`
-	Session   uint64     `json:"session"`
-	Connected bool       `json:"connected"`
-	SeenMS    int64      `json:"seen_ms"` // Unix milliseconds of the last word
-	Cluster   Cluster    `json:"cluster,omitempty"`
-	Held      Version    `json:"held"`
-	Outcome   Outcome    `json:"outcome,omitempty"`
-	Applied   Version    `json:"applied"`
-	Rejection *Rejection `json:"rejection,omitempty"`
+	Node        string     `json:"node"`
+	Service     string     `json:"service"`
+	Region      string     `json:"region,omitempty"`
+	Zone        string     `json:"zone,omitempty"`
+	StartedMS   int64      `json:"started"`
+	Session     uint64     `json:"session"`
+	Connected   bool       `json:"connected"`
+	LastSeenMS  int64      `json:"seen_ms"` // Unix milliseconds of the last word
+	Cluster     Cluster    `json:"cluster,omitempty"`
+	LastDecided Version    `json:"held"`
+	Outcome     Outcome    `json:"outcome,omitempty"`
+	Applied     Version    `json:"applied"`
+	Rejection   *Rejection `json:"rejection,omitempty"`
 }
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -19,18 +19,18 @@
 	golden := func(name string) string { return filepath.Join("testdata", name+".json") }
 
 	goldentest.Check(t, golden("document"), document)
-	goldentest.Check(t, golden("update"), Update{Cluster: "cluster-2", Replaces: []Cluster{"cluster-1"}, Version: 17, Changed: 16,
-		Config: &config, Current: true, MoveTo: "127.0.0.1:7401", Controllers: endpoints})
-	goldentest.Check(t, golden("acknowledgement"), Acknowledgement{Node: "node-1", Started: 1700000000000, Session: 3,
+	goldentest.Check(t, golden("update"), Update{Cluster: "cluster-2", Replaces: []Cluster{"cluster-1"}, Version: 17, ConfigVersion: 16,
+		Config: &config, Current: true, MigrateTo: "127.0.0.1:7401", Controllers: endpoints})
+	goldentest.Check(t, golden("acknowledgement"), Acknowledgement{Node: "node-1", StartedMS: 1700000000000, Session: 3,
 		Cluster: "cluster-2", Version: 17, Outcome: Rejected, Rejection: rejection, Applied: 16})
 	goldentest.Check(t, golden("publish-request"), PublishRequest{ID: "id-1",
 		Document: json.RawMessage(`{"services":{"front":{"settings":{"tick-ms":5}}}}`), Replaces: []Cluster{"cluster-1"}})
 	goldentest.Check(t, golden("publish-reply"), PublishReply{Cluster: "cluster-2", Version: 17})
-	goldentest.Check(t, golden("error"), Error{Kind: ErrorFull, Message: "no more sessions", Leader: "127.0.0.1:7401", Elsewhere: endpoints})
+	goldentest.Check(t, golden("error"), Error{Kind: ErrorNoCapacity, Message: "no more sessions", Leader: "127.0.0.1:7401", Alternatives: endpoints})
 	goldentest.Check(t, golden("load"), Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, Current: true})
 	goldentest.Check(t, golden("status"), ControllerStatus{Name: "c1", Cluster: "cluster-2", Version: 17, Leader: "c2", Current: true,
 		Sessions: 4, Controllers: endpoints, Nodes: []NodeStatus{{Node: "node-1", Service: "front", Region: "north", Zone: "north-a",
-			Started: 1700000000000, Session: 3, Connected: true, SeenMS: 1700000001000, Cluster: "cluster-2", Held: 17,
+			StartedMS: 1700000000000, Session: 3, Connected: true, LastSeenMS: 1700000001000, Cluster: "cluster-2", LastDecided: 17,
 			Outcome: Rejected, Applied: 16, Rejection: rejection}}})
 }
 
@@ -39,7 +39,7 @@
 	goldentest.Check(t, filepath.Join("testdata", "words.json"), map[string]any{
 		"outcomes":   []any{string(Applied), string(Rejected)},
 		"rejections": []any{string(RejectUnreadable), string(RejectInvalid), string(RejectNoServer), string(RejectOneServer), string(RejectForeign), string(RejectOlder)},
-		"errors":     []any{string(ErrorInvalid), string(ErrorTooLarge), string(ErrorTooMany), string(ErrorNotLeader), string(ErrorNoQuorum), string(ErrorUnknown), string(ErrorFull)},
+		"errors":     []any{string(ErrorInvalid), string(ErrorTooLarge), string(ErrorRateLimited), string(ErrorNotLeader), string(ErrorNoQuorum), string(ErrorOutcomeUnknown), string(ErrorNoCapacity)},
 		"paths":      []any{PathWatch, PathAck, PathPublish, PathStatus, PathLoad},
 	})
 }
@@ -47,8 +47,8 @@
 // A node opens its watch with a query, which a controller of another build reads.
 func TestGoldenWatchRequest(t *testing.T) {
 	const golden = "applied=16&cluster=cluster-2&held=17&node=node-1&reason=no+server&refused=2&region=north&rejected=1&service=front&session=3&started=1700000000000&zone=north-a"
-	want := WatchRequest{Node: "node-1", Service: "front", Region: "north", Zone: "north-a", Started: 1700000000000, Session: 3,
-		Cluster: "cluster-2", Held: 17, Applied: 16, Rejected: true, Reason: "no server", Refused: 2}
+	want := WatchRequest{Node: "node-1", Service: "front", Region: "north", Zone: "north-a", StartedMS: 1700000000000, Session: 3,
+		Cluster: "cluster-2", LastDecided: 17, Applied: 16, LastRejected: true, RejectionReason: "no server", WatchRejections: 2}
 	if zero := goldentest.ZeroFields(want); zero != nil {
 		t.Errorf("zero: %v", zero)
 	}
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -27,8 +27,8 @@
 	// statusTimeout is how long one controller may take to say what it knows.
 	statusTimeout = 2 * time.Second
 	// retryDelay is the pause after a controller that could not take the request.
-	retryDelay = 150 * time.Millisecond
-	maxReply   = 64 << 20 // bytes: 10,000 nodes of a few hundred bytes, and room
+	retryDelay    = 150 * time.Millisecond
+	maxReplyBytes = 64 << 20 // bytes: 10,000 nodes of a few hundred bytes, and room
 )
 
 // Client asks controllers. It may be used by several goroutines.
@@ -52,9 +52,9 @@
 
 // UnreachableError says that a controller did not answer.
 type UnreachableError struct {
-	Address string
-	Err     error
-	sent    bool // the request may have arrived
+	Address   string
+	Err       error
+	maybeSent bool // the request may have arrived
 }
 
 func (e *UnreachableError) Error() string {
@@ -63,7 +63,7 @@
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
 // Publish publishes a version: it looks for the leader, and repeats the request with the same ID until it is answered or
-// ctx ends. An error of kind ErrorUnknown says that the version may come into force none the less.
+// ctx ends. An error of kind ErrorOutcomeUnknown says that the version may come into force none the less.
 func (c *Client) Publish(ctx context.Context, request configapi.PublishRequest) (configapi.PublishReply, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -71,30 +71,30 @@
 	}
 	p := publisher{client: c, body: body, targets: slices.Clone(c.addresses)}
 	for {
-		reply, err := p.try(ctx)
+		reply, err := p.attempt(ctx)
 		if err == nil {
 			return reply, nil
 		}
-		if final := p.note(err); final != nil {
+		if final := p.classify(err); final != nil {
 			return configapi.PublishReply{}, final
 		}
-		if !pause(ctx, p.delay) {
-			return configapi.PublishReply{}, p.unfinished()
+		if !sleep(ctx, p.delay) {
+			return configapi.PublishReply{}, p.timeoutError()
 		}
 	}
 }
 
 // publisher is one publish request on its way.
 type publisher struct {
-	client  *Client
-	body    []byte
-	targets []string // the first one is asked next
-	last    error
-	maybe   bool // an earlier try may have been taken
-	delay   time.Duration
+	client     *Client
+	body       []byte
+	targets    []string // the first one is asked next
+	lastErr    error
+	maybeTaken bool // an earlier try may have been taken
+	delay      time.Duration
 }
 
-func (p *publisher) try(ctx context.Context) (configapi.PublishReply, error) {
+func (p *publisher) attempt(ctx context.Context) (configapi.PublishReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	var reply configapi.PublishReply
@@ -102,43 +102,43 @@
 	return reply, err
 }
 
-// note draws the conclusions from a try that failed: the error to return, or nil if another try makes sense.
-func (p *publisher) note(err error) (final error) {
-	p.last, p.delay = err, retryDelay
+// classify draws the conclusions from a try that failed: the error to return, or nil if another try makes sense.
+func (p *publisher) classify(err error) (final error) {
+	p.lastErr, p.delay = err, retryDelay
 	tried := p.targets[0]
 	p.targets = append(p.targets[1:], tried)
 	var refusal *configapi.Error
 	var unreachable *UnreachableError
 	switch {
 	case errors.As(err, &unreachable):
-		p.maybe = p.maybe || unreachable.sent
+		p.maybeTaken = p.maybeTaken || unreachable.maybeSent
 	case !errors.As(err, &refusal):
 		return err
-	case refusal.Kind == configapi.ErrorUnknown:
-		p.maybe = true
+	case refusal.Kind == configapi.ErrorOutcomeUnknown:
+		p.maybeTaken = true
 	case refusal.Kind == configapi.ErrorNotLeader && refusal.Leader != "":
 		p.targets = slices.DeleteFunc(p.targets, func(address string) bool { return address == refusal.Leader })
 		p.targets = slices.Insert(p.targets, 0, refusal.Leader)
 		p.delay = 0
 	case refusal.Kind == configapi.ErrorNotLeader, refusal.Kind == configapi.ErrorNoQuorum:
-	case refusal.Kind == configapi.ErrorTooMany && p.maybe:
+	case refusal.Kind == configapi.ErrorRateLimited && p.maybeTaken:
 	default:
 		return err
 	}
 	return nil
 }
 
-// unfinished is the error when the time is over.
-func (p *publisher) unfinished() error {
-	if !p.maybe {
-		return p.last
+// timeoutError is the error when the time is over.
+func (p *publisher) timeoutError() error {
+	if !p.maybeTaken {
+		return p.lastErr
 	}
-	return &configapi.Error{Kind: configapi.ErrorUnknown,
-		Message: fmt.Sprintf("the version may or may not come into force; the last answer: %v", p.last)}
+	return &configapi.Error{Kind: configapi.ErrorOutcomeUnknown,
+		Message: fmt.Sprintf("the version may or may not come into force; the last answer: %v", p.lastErr)}
 }
 
-// pause waits a moment. It returns false when ctx has ended.
-func pause(ctx context.Context, delay time.Duration) bool {
+// sleep waits a moment. It returns false when ctx has ended.
+func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -160,7 +160,7 @@
 	var all Statuses
 	asked := map[string]bool{}
 	for next := slices.Clone(c.addresses); len(next) > 0; {
-		round := c.askAll(ctx, next)
+		round := c.queryAll(ctx, next)
 		for _, address := range next {
 			asked[address] = true
 		}
@@ -178,8 +178,8 @@
 	return all
 }
 
-// askAll asks some controllers side by side.
-func (c *Client) askAll(ctx context.Context, addresses []string) Statuses {
+// queryAll asks some controllers side by side.
+func (c *Client) queryAll(ctx context.Context, addresses []string) Statuses {
 	answers := make([]configapi.ControllerStatus, len(addresses))
 	failures := make([]error, len(addresses))
 	var calls sync.WaitGroup
@@ -216,24 +216,24 @@
 	if err != nil {
 		var dial *net.OpError
 		refused := errors.As(err, &dial) && dial.Op == "dial"
-		return &UnreachableError{Address: address, Err: err, sent: !refused}
+		return &UnreachableError{Address: address, Err: err, maybeSent: !refused}
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return &UnreachableError{Address: address, Err: err, sent: true}
+		return &UnreachableError{Address: address, Err: err, maybeSent: true}
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(address, response.Status, text)
+		return decodeError(address, response.Status, text)
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return &UnreachableError{Address: address, Err: fmt.Errorf("the answer can't be read: %w", err), sent: true}
+		return &UnreachableError{Address: address, Err: fmt.Errorf("the answer can't be read: %w", err), maybeSent: true}
 	}
 	return nil
 }
 
-// refusalOf reads a controller's refusal.
-func refusalOf(address, status string, text []byte) error {
+// decodeError reads a controller's refusal.
+func decodeError(address, status string, text []byte) error {
 	var refusal configapi.Error
 	if err := json.Unmarshal(text, &refusal); err != nil || refusal.Kind == "" {
 		return &UnreachableError{Address: address, Err: fmt.Errorf("it answers %s, as no controller does", status)}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -67,7 +67,7 @@
 func TestPublishRepeats(t *testing.T) {
 	for name, first := range map[string]answer{
 		"there is no quorum for a moment": refusal(configapi.ErrorNoQuorum),
-		"the result is unknown":           refusal(configapi.ErrorUnknown),
+		"the result is unknown":           refusal(configapi.ErrorOutcomeUnknown),
 		"the controller ends meanwhile":   {cut: true},
 	} {
 		var asked atomic.Int32
@@ -87,7 +87,7 @@
 }
 
 func TestPublishRefusedForGood(t *testing.T) {
-	for _, kind := range []configapi.ErrorKind{configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorTooMany} {
+	for _, kind := range []configapi.ErrorKind{configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited} {
 		var asked atomic.Int32
 		_, err := publishAt(t, longEnough, newStandIn(t, &asked, refusal(kind)))
 		var got *configapi.Error
@@ -104,9 +104,9 @@
 		want    configapi.ErrorKind
 	}{
 		"no quorum all the time":   {[]answer{refusal(configapi.ErrorNoQuorum)}, configapi.ErrorNoQuorum},
-		"no quorum behind a cut":   {[]answer{{cut: true}, refusal(configapi.ErrorNoQuorum)}, configapi.ErrorUnknown},
-		"no quorum behind unknown": {[]answer{refusal(configapi.ErrorUnknown), refusal(configapi.ErrorNoQuorum)}, configapi.ErrorUnknown},
-		"too many behind unknown":  {[]answer{refusal(configapi.ErrorUnknown), refusal(configapi.ErrorTooMany)}, configapi.ErrorUnknown},
+		"no quorum behind a cut":   {[]answer{{cut: true}, refusal(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"no quorum behind unknown": {[]answer{refusal(configapi.ErrorOutcomeUnknown), refusal(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"too many behind unknown":  {[]answer{refusal(configapi.ErrorOutcomeUnknown), refusal(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
 	} {
 		var asked atomic.Int32
 		_, err := publishAt(t, time.Second, newStandIn(t, &asked, c.answers...))
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -18,59 +18,59 @@
 
 // Bounds on a controller's answers. The rules of a session are quicker: these end what they have given up.
 const (
-	dialTimeout  = 2 * time.Second
-	headTimeout  = 5 * time.Second  // a watch's request and the head of its answer
-	readTimeout  = 10 * time.Second // silence within a watch
-	ackTimeout   = 2 * time.Second  // an acknowledgement and its answer
-	maxHead      = 16 << 10         // bytes of an answer's head
-	maxRefusal   = 64 << 10         // bytes of a refusal
-	maxUpdate    = configapi.MaxDocument + 64<<10
-	readerBuffer = 1 << 10 // bytes; an update that is larger goes through the decoder's own
+	dialTimeout       = 2 * time.Second
+	headTimeout       = 5 * time.Second  // a watch's request and the head of its answer
+	readTimeout       = 10 * time.Second // silence within a watch
+	ackTimeout        = 2 * time.Second  // an acknowledgement and its answer
+	maxHeadBytes      = 16 << 10         // bytes of an answer's head
+	maxErrorBytes     = 64 << 10         // bytes of a refusal
+	maxUpdateBytes    = configapi.MaxDocumentBytes + 64<<10
+	readerBufferBytes = 1 << 10 // bytes; an update that is larger goes through the decoder's own
 )
 
-// connection is a connection to a controller, with a deadline on each read and write.
-type connection struct {
+// controllerConn is a connection to a controller, with a deadline on each read and write.
+type controllerConn struct {
 	net.Conn
-	counters *Counters
-	reader   *bufio.Reader
-	timeout  time.Duration
-	left     int // bytes that may still come; below 0: any number
+	counters      *Counters
+	reader        *bufio.Reader
+	timeout       time.Duration
+	headBytesLeft int // bytes that may still come; below 0: any number
 }
 
-var errHeadTooLarge = fmt.Errorf("the head of the answer is over %d bytes", maxHead)
+var errHeadTooLarge = fmt.Errorf("the head of the answer is over %d bytes", maxHeadBytes)
 
 // connect connects to a controller.
-func connect(ctx context.Context, address string, options *Options) (*connection, error) {
+func connect(ctx context.Context, address string, options *Options) (*controllerConn, error) {
 	raw, err := options.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &connection{Conn: raw, counters: options.Counters}
-	c.reader = bufio.NewReaderSize(c, readerBuffer)
+	c := &controllerConn{Conn: raw, counters: options.Counters}
+	c.reader = bufio.NewReaderSize(c, readerBufferBytes)
 	return c, nil
 }
 
 // Read reads within the connection's timeout.
-func (c *connection) Read(buf []byte) (int, error) {
-	if c.left == 0 {
+func (c *controllerConn) Read(buf []byte) (int, error) {
+	if c.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
 	}
-	if c.left > 0 {
-		buf = buf[:min(len(buf), c.left)]
+	if c.headBytesLeft > 0 {
+		buf = buf[:min(len(buf), c.headBytesLeft)]
 	}
 	if err := c.Conn.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(buf)
-	if c.left > 0 {
-		c.left -= n
+	if c.headBytesLeft > 0 {
+		c.headBytesLeft -= n
 	}
 	c.counters.BytesRead.Add(int64(n))
 	return n, err
 }
 
 // Write writes within the connection's timeout.
-func (c *connection) Write(buf []byte) (int, error) {
+func (c *controllerConn) Write(buf []byte) (int, error) {
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
@@ -79,14 +79,14 @@
 	return n, err
 }
 
-// call sends a request and reads the head of its answer.
-func (c *connection) call(text []byte, request *http.Request) (*http.Response, error) {
+// exchangeHead sends a request and reads the head of its answer.
+func (c *controllerConn) exchangeHead(text []byte, request *http.Request) (*http.Response, error) {
 	if _, err := c.Write(text); err != nil {
 		return nil, err
 	}
-	c.left = maxHead
+	c.headBytesLeft = maxHeadBytes
 	response, err := http.ReadResponse(c.reader, request)
-	c.left = -1
+	c.headBytesLeft = -1
 	return response, err
 }
 
@@ -102,18 +102,18 @@
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	c.timeout = headTimeout
 	text := fmt.Appendf(nil, "GET %s?%s HTTP/1.1\r\nHost: %s\r\n\r\n", configapi.PathWatch, open.Request.Query(), open.Address)
-	response, err := c.call(text, nil)
+	response, err := c.exchangeHead(text, nil)
 	if err != nil {
 		return ended
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		refusal, err := readRefusal(response)
+		refusal, err := readError(response)
 		if err != nil {
 			return ended
 		}
 		s.options.Log.Debug("watch refused", "controller", open.Address, "err", refusal)
-		return configversion.WatchRefused{Watch: open.Watch, Refusal: *refusal}
+		return configversion.WatchRejected{Watch: open.Watch, Err: *refusal}
 	}
 	c.timeout = readTimeout
 	err = s.readUpdates(ctx, open.Watch, response.Body)
@@ -124,8 +124,8 @@
 }
 
 func (s *Session) readUpdates(ctx context.Context, watch uint64, body io.Reader) error {
-	heard := &watchdog{session: s, ctx: ctx, watch: watch}
-	reader := watchstream.NewReader[configapi.Update](body, maxUpdate, heard)
+	heard := &activityReporter{session: s, ctx: ctx, watch: watch}
+	reader := watchstream.NewReader[configapi.Update](body, maxUpdateBytes, heard)
 	for {
 		update, err := reader.Next()
 		if err != nil {
@@ -139,26 +139,26 @@
 	}
 }
 
-// watchdog posts the signs of life of a watch.
-type watchdog struct {
+// activityReporter posts the signs of life of a watch.
+type activityReporter struct {
 	session *Session
 	ctx     context.Context
 	watch   uint64
 }
 
-func (d *watchdog) Blank() {
+func (d *activityReporter) Blank() {
 	d.session.options.Counters.Heartbeats.Add(1)
-	d.session.post(d.ctx, configversion.WatchHeard{Watch: d.watch})
+	d.session.post(d.ctx, configversion.WatchActivity{Watch: d.watch})
 }
-func (d *watchdog) Begun() { d.Part() }
-func (d *watchdog) Part() {
-	d.session.post(d.ctx, configversion.WatchHeard{Watch: d.watch, Part: true})
+func (d *activityReporter) Begun() { d.Part() }
+func (d *activityReporter) Part() {
+	d.session.post(d.ctx, configversion.WatchActivity{Watch: d.watch, UpdateInProgress: true})
 }
 
-// readRefusal reads a controller's error from an answer.
-func readRefusal(response *http.Response) (*configapi.Error, error) {
+// readError reads a controller's error from an answer.
+func readError(response *http.Response) (*configapi.Error, error) {
 	refusal := &configapi.Error{}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxRefusal)).Decode(refusal); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxErrorBytes)).Decode(refusal); err != nil {
 		return nil, fmt.Errorf("answered %s", response.Status)
 	}
 	return refusal, nil
@@ -166,9 +166,9 @@
 
 // ackClient sends acknowledgements, one at a time, over a connection that it keeps.
 type ackClient struct {
-	options *Options
-	address string
-	kept    *connection // nil: none
+	options    *Options
+	address    string
+	connection *controllerConn // nil: none
 }
 
 // send sends an acknowledgement and waits for its answer.
@@ -182,13 +182,13 @@
 	if a.address != address {
 		a.close()
 	}
-	if a.kept != nil {
+	if a.connection != nil {
 		var refusal *configapi.Error
 		if err = a.exchange(ctx, text); err == nil || errors.As(err, &refusal) || ctx.Err() != nil {
 			return err
 		}
 	} // the controller has closed it meanwhile, as a rule: an acknowledgement may be sent twice
-	if a.kept, err = connect(ctx, address, a.options); err != nil {
+	if a.connection, err = connect(ctx, address, a.options); err != nil {
 		return err
 	}
 	a.address = address
@@ -197,7 +197,7 @@
 
 // exchange sends a request over the kept connection, which ends if the answer says so or does not come.
 func (a *ackClient) exchange(ctx context.Context, text []byte) (err error) {
-	c := a.kept
+	c := a.connection
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	keep := false
 	defer func() {
@@ -206,27 +206,27 @@
 		}
 	}()
 	c.timeout = ackTimeout
-	response, err := c.call(text, &http.Request{Method: http.MethodPost})
+	response, err := c.exchangeHead(text, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		refusal, err := readRefusal(response)
+		refusal, err := readError(response)
 		if err != nil {
 			return err
 		}
 		return refusal
 	}
-	_, err = io.CopyN(io.Discard, response.Body, maxRefusal)
+	_, err = io.CopyN(io.Discard, response.Body, maxErrorBytes)
 	keep = errors.Is(err, io.EOF) && !response.Close
 	return nil
 }
 
 // close ends the kept connection.
 func (a *ackClient) close() {
-	if a.kept != nil {
-		a.kept.Close()
-		a.kept = nil
+	if a.connection != nil {
+		a.connection.Close()
+		a.connection = nil
 	}
 }
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -43,7 +43,7 @@
 	// Counters, if there are any, count what the session sends and gets. Sessions may share them.
 	Counters *Counters
 	// Observe, if there is one, is told of each answer to a version, from the session's goroutine. It must not wait.
-	Observe func(configversion.VersionAnswered)
+	Observe func(configversion.VersionDecided)
 }
 
 // Counters count what sessions send and get.
@@ -58,23 +58,23 @@
 
 // State is where a session stands.
 type State struct {
-	Cluster    configapi.Cluster
-	Held       configapi.Version // the newest answered
-	Applied    configapi.Version // in force; 0: the configuration that the process was started with
-	Controller string            // HOST:PORT of the controller that the node goes by; "": none
+	Cluster     configapi.Cluster
+	LastDecided configapi.Version // the newest answered
+	Applied     configapi.Version // in force; 0: the configuration that the process was started with
+	Controller  string            // HOST:PORT of the controller that the node goes by; "": none
 }
 
 // Session is a node's session, from Start to Close.
 type Session struct {
-	options Options
-	rules   *configversion.Session
-	begin   time.Time
-	events  chan configversion.SessionEvent
-	watches map[uint64]context.CancelFunc
-	acks    ackClient
-	state   atomic.Pointer[State]
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	options   Options
+	decisions *configversion.Session
+	startedAt time.Time
+	events    chan configversion.SessionEvent
+	watches   map[uint64]context.CancelFunc
+	acks      ackClient
+	state     atomic.Pointer[State]
+	stop      context.CancelFunc
+	tasks     sync.WaitGroup
 }
 
 // Start begins a session. It waits for nothing.
@@ -86,38 +86,38 @@
 		options.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Session{options: options, begin: time.Now(), events: make(chan configversion.SessionEvent), stop: stop,
+	s := &Session{options: options, startedAt: time.Now(), events: make(chan configversion.SessionEvent), stop: stop,
 		watches: map[uint64]context.CancelFunc{}, acks: ackClient{options: &options}}
-	s.rules = configversion.NewSession(configversion.SessionOptions{Node: options.Node, Service: options.Service,
-		Region: options.Region, Zone: options.Zone, Started: options.Started.UnixMilli(), Controllers: options.Controllers,
+	s.decisions = configversion.NewSession(configversion.SessionOptions{Node: options.Node, Service: options.Service,
+		Region: options.Region, Zone: options.Zone, StartedMS: options.Started.UnixMilli(), Controllers: options.Controllers,
 		LastKnownGood: options.LastKnownGood, Seed: options.Seed}, 0)
-	s.noteState()
-	s.running.Go(func() { s.run(ctx) })
+	s.publishState()
+	s.tasks.Go(func() { s.run(ctx) })
 	return s
 }
 
 // Close ends the session: its watches, and what is under way. A write to disk is given a short time.
 func (s *Session) Close() {
 	s.stop()
-	s.running.Wait()
+	s.tasks.Wait()
 	s.acks.close()
 	if s.options.Store != nil {
-		s.options.Store.wait(storePatience)
+		s.options.Store.flush(storeCloseTimeout)
 	}
 }
 
 // State says where the session stands.
 func (s *Session) State() State { return *s.state.Load() }
 
-func (s *Session) noteState() {
-	s.state.Store(&State{Cluster: s.rules.Cluster(), Held: s.rules.Held(), Applied: s.rules.Applied(), Controller: s.rules.Controller()})
+func (s *Session) publishState() {
+	s.state.Store(&State{Cluster: s.decisions.Cluster(), LastDecided: s.decisions.LastDecided(), Applied: s.decisions.Applied(), Controller: s.decisions.Controller()})
 }
 
-func (s *Session) now() time.Duration { return time.Since(s.begin) }
+func (s *Session) now() time.Duration { return time.Since(s.startedAt) }
 
 // run hands events to the rules and carries out what they want, until ctx ends.
 func (s *Session) run(ctx context.Context) {
-	timer := time.NewTimer(s.rules.Next() - s.now())
+	timer := time.NewTimer(s.decisions.Next() - s.now())
 	defer timer.Stop()
 	for {
 		var event configversion.SessionEvent
@@ -128,20 +128,20 @@
 		case <-ctx.Done():
 			return
 		}
-		s.forgetEnded(event)
-		for _, action := range s.rules.Step(s.now(), event) {
-			s.carryOut(ctx, action)
+		s.removeEnded(event)
+		for _, action := range s.decisions.Step(s.now(), event) {
+			s.execute(ctx, action)
 		}
-		timer.Reset(s.rules.Next() - s.now())
+		timer.Reset(s.decisions.Next() - s.now())
 	}
 }
 
-// forgetEnded drops what is held for a watch that has ended by itself.
-func (s *Session) forgetEnded(event configversion.SessionEvent) {
+// removeEnded drops what is held for a watch that has ended by itself.
+func (s *Session) removeEnded(event configversion.SessionEvent) {
 	switch e := event.(type) {
 	case configversion.WatchEnded:
 		delete(s.watches, e.Watch)
-	case configversion.WatchRefused:
+	case configversion.WatchRejected:
 		delete(s.watches, e.Watch)
 	}
 }
@@ -154,12 +154,12 @@
 	}
 }
 
-func (s *Session) carryOut(ctx context.Context, action configversion.SessionAction) {
+func (s *Session) execute(ctx context.Context, action configversion.SessionAction) {
 	switch a := action.(type) {
 	case configversion.OpenWatch:
 		watching, cancel := context.WithCancel(ctx)
 		s.watches[a.Watch] = cancel
-		s.running.Go(func() {
+		s.tasks.Go(func() {
 			defer cancel()
 			s.post(watching, s.watch(watching, a))
 		})
@@ -169,21 +169,21 @@
 			delete(s.watches, a.Watch)
 		}
 	case configversion.ApplyConfig:
-		s.running.Go(func() { s.post(ctx, s.apply(ctx, a)) })
+		s.tasks.Go(func() { s.post(ctx, s.apply(ctx, a)) })
 	case configversion.SendAck:
-		s.running.Go(func() { s.post(ctx, s.acknowledge(ctx, a)) })
+		s.tasks.Go(func() { s.post(ctx, s.acknowledge(ctx, a)) })
 	case configversion.Persist:
 		if s.options.Store != nil {
 			s.options.Store.Save(a.LastKnownGood)
 		}
-	case configversion.VersionAnswered:
-		s.noteState()
-		s.logAnswer(a)
+	case configversion.VersionDecided:
+		s.publishState()
+		s.logDecision(a)
 		if s.options.Observe != nil {
 			s.options.Observe(a)
 		}
 	case configversion.ControllerChanged:
-		s.noteState()
+		s.publishState()
 		s.options.Log.Info("configuration watch", "controller", a.Controller, "current", a.Current)
 	}
 }
@@ -193,12 +193,12 @@
 	var rejection *configapi.Rejection
 	switch {
 	case err == nil:
-		return configversion.ConfigTried{}
+		return configversion.ApplyFinished{}
 	case errors.As(err, &rejection):
-		return configversion.ConfigTried{Rejection: rejection}
+		return configversion.ApplyFinished{Rejection: rejection}
 	}
 	s.options.Log.Warn("configuration version not tried", "version", a.Version, "cluster", a.Cluster, "err", err)
-	return configversion.ConfigTried{Interrupted: true}
+	return configversion.ApplyFinished{Interrupted: true}
 }
 
 func (s *Session) acknowledge(ctx context.Context, a configversion.SendAck) configversion.SessionEvent {
@@ -207,10 +207,10 @@
 	if err != nil && ctx.Err() == nil {
 		s.options.Log.Debug("acknowledgement not taken", "controller", a.Address, "version", a.Ack.Version, "err", err)
 	}
-	return configversion.AckAnswered{Taken: err == nil}
+	return configversion.AckFinished{Accepted: err == nil}
 }
 
-func (s *Session) logAnswer(a configversion.VersionAnswered) {
+func (s *Session) logDecision(a configversion.VersionDecided) {
 	if a.Outcome == configapi.Applied {
 		s.options.Log.Info("configuration version", "version", a.Version, "outcome", a.Outcome, "cluster", a.Cluster,
 			"controller", a.Controller)
--- a/internal/configwatch/configwatch_test.go
+++ b/internal/configwatch/configwatch_test.go
@@ -119,7 +119,7 @@
 		json.NewEncoder(w).Encode(c.refuse)
 		return
 	}
-	beats := time.NewTicker(configapi.Heartbeat)
+	beats := time.NewTicker(configapi.HeartbeatInterval)
 	defer beats.Stop()
 	for {
 		w.(http.Flusher).Flush()
@@ -174,7 +174,7 @@
 }
 
 func version(n int) configapi.Update {
-	return configapi.Update{Cluster: "x", Version: configapi.Version(n), Changed: configapi.Version(n), Current: true,
+	return configapi.Update{Cluster: "x", Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Current: true,
 		Config: &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}}
 }
 
@@ -213,10 +213,10 @@
 		n := newNetwork()
 		c := startController(t, n, "a:1")
 		applied := make(chan string, 10)
-		observed := make(chan configversion.VersionAnswered, 10)
-		s := startSession(t, n, takesAll(applied), func(o *Options) { o.Observe = func(a configversion.VersionAnswered) { observed <- a } })
-		request := within(t, c.watches, configversion.FirstConnectSpread, "watch")
-		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", Started: request.Started, Session: 1}); request != want {
+		observed := make(chan configversion.VersionDecided, 10)
+		s := startSession(t, n, takesAll(applied), func(o *Options) { o.Observe = func(a configversion.VersionDecided) { observed <- a } })
+		request := within(t, c.watches, configversion.InitialConnectJitter, "watch")
+		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", StartedMS: request.StartedMS, Session: 1}); request != want {
 			t.Errorf("asked with %+v", request)
 		}
 		c.updates <- version(1)
@@ -224,7 +224,7 @@
 			t.Errorf("applied %s", got)
 		}
 		ack := within(t, c.acks, time.Second, "acknowledgement")
-		want := configapi.Acknowledgement{Node: "n", Started: request.Started, Session: 1, Cluster: "x", Version: 1,
+		want := configapi.Acknowledgement{Node: "n", StartedMS: request.StartedMS, Session: 1, Cluster: "x", Version: 1,
 			Outcome: configapi.Applied, Applied: 1}
 		if ack != want {
 			t.Errorf("acknowledged %+v", ack)
@@ -232,7 +232,7 @@
 		if a := within(t, observed, time.Second, "observed"); a.Version != 1 || a.Controller != "a:1" {
 			t.Errorf("observed %+v", a)
 		}
-		if got, want := s.State(), (State{Cluster: "x", Held: 1, Applied: 1, Controller: "a:1"}); got != want {
+		if got, want := s.State(), (State{Cluster: "x", LastDecided: 1, Applied: 1, Controller: "a:1"}); got != want {
 			t.Errorf("state %+v", got)
 		}
 	})
@@ -257,7 +257,7 @@
 		}
 		c.updates <- version(2)
 		pass(10 * time.Second)
-		if got := s.State(); got.Held != 1 || len(c.acks) != 0 {
+		if got := s.State(); got.LastDecided != 1 || len(c.acks) != 0 {
 			t.Errorf("state %+v, %d acknowledgements", got, len(c.acks))
 		}
 	})
@@ -283,7 +283,7 @@
 			c.updates <- version(i + 1)
 		}
 		pass(time.Minute)
-		if len(c.watches) != 1 || s.State().Held != 0 {
+		if len(c.watches) != 1 || s.State().LastDecided != 0 {
 			t.Errorf("%d watches, state %+v", len(c.watches), s.State())
 		}
 		goOn <- struct{}{}
@@ -307,7 +307,7 @@
 		a, b := startController(t, n, "a:1"), startController(t, n, "b:1")
 		applied := make(chan string, 10)
 		startSession(t, n, takesAll(applied), func(o *Options) { o.Controllers = []string{"a:1", "b:1"} })
-		pass(configversion.FirstConnectSpread)
+		pass(configversion.InitialConnectJitter)
 		first, other := a, b
 		if len(b.watches) > 0 {
 			first, other = b, a
@@ -352,11 +352,11 @@
 	for name, text := range map[string]string{
 		"nothing":             "",
 		"no HTTP":             "hello\r\n\r\n",
-		"a head without end":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead),
+		"a head without end":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes),
 		"a refusal, garbled":  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\n???",
 		"an update, garbled":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":7}",
 		"an update, cut":      "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"x\",\"version\":1,\"changed\":1,\"config\":{\"settings\":",
-		"an update too large": "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"" + strings.Repeat("x", maxUpdate) + "\"}",
+		"an update too large": "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"" + strings.Repeat("x", maxUpdateBytes) + "\"}",
 		"chunks, garbled":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -390,7 +390,7 @@
 				if held := len(s.watches); held > 3 {
 					t.Errorf("%d watches are held after a minute", held)
 				}
-				if calls < 20 || calls > 150 || len(applied) > 0 || s.State().Held != 0 {
+				if calls < 20 || calls > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
 					t.Errorf("%d calls in a minute, %d applied, %+v", calls, len(applied), s.State())
 				}
 			})
@@ -403,12 +403,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		startController(t, n, "a:1", func(c *controller) {
-			c.refuse = &configapi.Error{Kind: configapi.ErrorFull, Elsewhere: []configapi.Endpoint{{Address: "b:1"}}}
+			c.refuse = &configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "b:1"}}}
 		})
 		b := startController(t, n, "b:1")
 		startSession(t, n, takesAll(make(chan string, 10)))
-		if request := within(t, b.watches, 2*time.Second, "watch elsewhere"); request.Refused != 1 {
-			t.Errorf("refused %d times", request.Refused)
+		if request := within(t, b.watches, 2*time.Second, "watch elsewhere"); request.WatchRejections != 1 {
+			t.Errorf("refused %d times", request.WatchRejections)
 		}
 	})
 }
--- a/internal/configwatch/store.go
+++ b/internal/configwatch/store.go
@@ -14,8 +14,8 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// storePatience is how long a session that ends waits for a write to disk.
-const storePatience = time.Second
+// storeCloseTimeout is how long a session that ends waits for a write to disk.
+const storeCloseTimeout = time.Second
 
 // Store keeps a node's last known good version in a file. Writes go on by themselves: nobody waits for the disk, and of
 // the versions that come while it writes only the newest is written.
@@ -48,25 +48,25 @@
 
 // Read reads what was kept last. Without a file there is nothing kept, and no error.
 func (s *Store) Read() (configversion.LastKnownGood, error) {
-	var kept configversion.LastKnownGood
+	var saved configversion.LastKnownGood
 	found := state.Read(s.path, s.node)
 	switch {
 	case found.Body == nil && len(found.Errors) > 0:
-		return kept, &StoreError{s.path, found.Errors[0]}
+		return saved, &StoreError{s.path, found.Errors[0]}
 	case found.Body == nil:
-		return kept, nil
+		return saved, nil
 	}
-	if err := json.Unmarshal(found.Body, &kept); err != nil {
+	if err := json.Unmarshal(found.Body, &saved); err != nil {
 		return configversion.LastKnownGood{}, &StoreError{s.path, err}
 	}
-	return kept, nil
+	return saved, nil
 }
 
 // Save has a version written, unless a newer one comes first. It does not wait.
-func (s *Store) Save(kept configversion.LastKnownGood) {
+func (s *Store) Save(lastKnownGood configversion.LastKnownGood) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.newest = &kept
+	s.newest = &lastKnownGood
 	if s.writing == nil {
 		s.writing = make(chan struct{})
 		go s.writeAll(s.writing)
@@ -78,47 +78,47 @@
 	defer close(done)
 	for {
 		s.lock.Lock()
-		kept := s.newest
+		lastKnownGood := s.newest
 		s.newest = nil
-		if kept == nil {
+		if lastKnownGood == nil {
 			s.writing = nil
 		}
 		s.lock.Unlock()
-		if kept == nil {
+		if lastKnownGood == nil {
 			return
 		}
-		if err := s.write(*kept); err != nil {
-			s.log.Warn("configuration version not kept", "version", kept.Version, "err", &StoreError{s.path, err})
+		if err := s.write(*lastKnownGood); err != nil {
+			s.log.Warn("configuration version not kept", "version", lastKnownGood.Version, "err", &StoreError{s.path, err})
 		}
 	}
 }
 
 // write replaces the file, unless another process of the node has kept a newer version there.
-func (s *Store) write(kept configversion.LastKnownGood) error {
+func (s *Store) write(lastKnownGood configversion.LastKnownGood) error {
 	release, err := state.Lock(context.Background(), s.path)
 	if err != nil {
 		return err
 	}
 	defer release()
-	if there, err := s.Read(); err == nil && there.Supersedes(kept) {
+	if saved, err := s.Read(); err == nil && saved.Supersedes(lastKnownGood) {
 		return nil
 	}
-	body, err := json.Marshal(kept)
+	body, err := json.Marshal(lastKnownGood)
 	if err != nil {
 		return err
 	}
 	return state.Write(s.path, s.node, body)
 }
 
-// wait waits until all is written, but not for longer than most.
-func (s *Store) wait(most time.Duration) {
+// flush waits until all is written, but not for longer than most.
+func (s *Store) flush(timeout time.Duration) {
 	s.lock.Lock()
 	writing := s.writing
 	s.lock.Unlock()
 	if writing == nil {
 		return
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-writing:
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -28,7 +28,7 @@
 // keep writes a version and waits until it is on disk.
 func keep(s *Store, k configversion.LastKnownGood) {
 	s.Save(k)
-	s.wait(time.Minute)
+	s.flush(time.Minute)
 }
 
 func TestStoreKeeps(t *testing.T) {
@@ -57,7 +57,7 @@
 	for n := range 200 {
 		s.Save(keptVersion(n + 1))
 	}
-	s.wait(time.Minute)
+	s.flush(time.Minute)
 	if kept, err := s.Read(); err != nil || kept.Version != 200 {
 		t.Errorf("kept %d, %v", kept.Version, err)
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -51,7 +51,7 @@
 		_ = listener.Close()
 	}
 	cluster := &testCluster{t: t, running: map[string]*testController{}}
-	cluster.config = Config{MaxSessions: 10, Heartbeat: configapi.Heartbeat, Election: time.Second, Lease: 800 * time.Millisecond, Folder: t.TempDir()}
+	cluster.config = Config{MaxSessions: 10, HeartbeatInterval: configapi.HeartbeatInterval, ElectionTimeout: time.Second, LeaderLease: 800 * time.Millisecond, Folder: t.TempDir()}
 	for i, name := range names {
 		cluster.config.Members = append(cluster.config.Members, Member{Name: name, Listen: ports[2*i], Dial: ports[2*i], Raft: ports[2*i+1], Region: "west"})
 	}
@@ -104,10 +104,12 @@
 
 // cut takes a controller's log off the network, in both directions: its process goes on, without a word to the others.
 func (tc *testCluster) cut(name string) {
-	tc.running[name].consensus.Load().stream.open.Store(false)
+	tc.running[name].consensus.Load().stream.enabled.Store(false)
 }
 
-func (tc *testCluster) heal(name string) { tc.running[name].consensus.Load().stream.open.Store(true) }
+func (tc *testCluster) heal(name string) {
+	tc.running[name].consensus.Load().stream.enabled.Store(true)
+}
 
 // eventually looks again and again until a condition holds.
 func (tc *testCluster) eventually(what string, condition func() bool) {
@@ -163,7 +165,7 @@
 	tc.t.Helper()
 	tc.eventually(fmt.Sprintf("version %d everywhere", version), func() bool {
 		for _, running := range tc.running {
-			if now := running.hub.view(); now.state.Version != version || !now.current {
+			if now := running.views.load(); now.state.Version != version || !now.current {
 				return false
 			}
 		}
@@ -172,7 +174,7 @@
 }
 
 func (tc *testCluster) cluster(name string) configapi.Cluster {
-	return tc.running[name].hub.view().state.Cluster
+	return tc.running[name].views.load().state.Cluster
 }
 
 func TestClusterPublishesAndSurvivesItsLeader(t *testing.T) {
@@ -189,7 +191,7 @@
 	}
 	tc.start(leader)
 	tc.allHave(2)
-	if services := tc.running[leader].hub.view().state.Services; len(services) != 2 {
+	if services := tc.running[leader].views.load().state.Services; len(services) != 2 {
 		t.Errorf("the controller that returned has %d services", len(services))
 	}
 }
@@ -221,7 +223,7 @@
 	tc.allHave(1)
 	leader := tc.leader()
 	tc.cut(leader)
-	tc.eventually("the leader that is cut off says so", func() bool { return !tc.running[leader].hub.view().current })
+	tc.eventually("the leader that is cut off says so", func() bool { return !tc.running[leader].views.load().current })
 	alone := configclient.New([]string{tc.configOf(leader).Self.Listen})
 	defer alone.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -235,7 +237,7 @@
 	if version := tc.publish("press"); version != 2 {
 		t.Errorf("the majority's version is %d", version)
 	}
-	if got := tc.running[leader].hub.view().state.Version; got != 1 {
+	if got := tc.running[leader].views.load().state.Version; got != 1 {
 		t.Errorf("the controller that is cut off has version %d", got)
 	}
 	tc.heal(leader)
@@ -255,8 +257,8 @@
 	}
 	tc.start("c2")
 	tc.eventually("c2 is a member with a new server ID", func() bool {
-		joined := tc.running["c2"].joined.Load()
-		return joined.phase == phaseMember && strings.HasPrefix(joined.server, "c2/")
+		joined := tc.running["c2"].participation.Load()
+		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
 	})
 	tc.publish("press")
 	tc.allHave(2)
@@ -299,14 +301,14 @@
 	tc.publish("press")
 	tc.allHave(2)
 	tc.eventually("the second start of c2 is recorded", func() bool {
-		return tc.running["c1"].hub.view().state.Starts["c2"].Start == 2 && tc.running["c3"].hub.view().state.Starts["c2"].Start == 2
+		return tc.running["c1"].views.load().state.Starts["c2"].Start == 2 && tc.running["c3"].views.load().state.Starts["c2"].Start == 2
 	})
 	tc.stop("c2")
 	replaceFolder(t, tc.configOf("c2").Folder, old)
 	tc.start("c2")
 	tc.eventually("c2 is a member with a new server ID", func() bool {
-		joined := tc.running["c2"].joined.Load()
-		return joined.phase == phaseMember && strings.HasPrefix(joined.server, "c2/")
+		joined := tc.running["c2"].participation.Load()
+		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
 	})
 	tc.publish("mill")
 	tc.allHave(3)
@@ -344,7 +346,7 @@
 		tc.stop(name)
 	}
 	tc.start("c1")
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
 	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.Current {
 		t.Errorf("a controller that is alone says %+v", u)
 	}
@@ -428,23 +430,23 @@
 	tc.publish("dry")
 	tc.allHave(1)
 	address := tc.configOf("c1").Self.Listen
-	watch := openWatch(t, address, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 1})
+	watch := openWatch(t, address, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
 	first := watch.update(t)
-	if first.Version != 1 || first.Changed != 1 || first.Config == nil || len(first.Controllers) != 1 || !first.Current {
+	if first.Version != 1 || first.ConfigVersion != 1 || first.Config == nil || len(first.Controllers) != 1 || !first.Current {
 		t.Fatalf("the first update is %+v", first)
 	}
-	ack(t, address, configapi.Acknowledgement{Node: "n1", Started: 1, Session: 1, Cluster: first.Cluster, Version: 1, Outcome: configapi.Applied, Applied: 1})
+	ack(t, address, configapi.Acknowledgement{Node: "n1", StartedMS: 1, Session: 1, Cluster: first.Cluster, Version: 1, Outcome: configapi.Applied, Applied: 1})
 	watch.heartbeat(t)
 	tc.publish("press")
-	if u := watch.update(t); u.Version != 2 || u.Changed != 1 || u.Config != nil || u.Controllers != nil {
+	if u := watch.update(t); u.Version != 2 || u.ConfigVersion != 1 || u.Config != nil || u.Controllers != nil {
 		t.Errorf("after a version for another service: %+v", u)
 	}
 	tc.publish("dry")
-	if u := watch.update(t); u.Version != 3 || u.Changed != 3 || u.Config == nil {
+	if u := watch.update(t); u.Version != 3 || u.ConfigVersion != 3 || u.Config == nil {
 		t.Errorf("after a version for its service: %+v", u)
 	}
 	status := tc.client().Status(t.Context())
-	if len(status.Answers) != 1 || len(status.Answers[0].Nodes) != 1 || status.Answers[0].Nodes[0].Held != 1 || !status.Answers[0].Nodes[0].Connected {
+	if len(status.Answers) != 1 || len(status.Answers[0].Nodes) != 1 || status.Answers[0].Nodes[0].LastDecided != 1 || !status.Answers[0].Nodes[0].Connected {
 		t.Errorf("status %+v", status)
 	}
 }
@@ -462,15 +464,15 @@
 		config  bool
 	}{
 		"nothing held":           {configapi.WatchRequest{}, true},
-		"the newest in force":    {configapi.WatchRequest{Cluster: cluster, Held: 2, Applied: 2}, false},
-		"unchanged since":        {configapi.WatchRequest{Cluster: cluster, Held: 1, Applied: 1}, false},
-		"rejected":               {configapi.WatchRequest{Cluster: cluster, Held: 1, Rejected: true}, true},
-		"of another cluster":     {configapi.WatchRequest{Cluster: "other", Held: 9, Applied: 9}, true},
+		"the newest in force":    {configapi.WatchRequest{Cluster: cluster, LastDecided: 2, Applied: 2}, false},
+		"unchanged since":        {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, Applied: 1}, false},
+		"rejected":               {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, LastRejected: true}, true},
+		"of another cluster":     {configapi.WatchRequest{Cluster: "other", LastDecided: 9, Applied: 9}, true},
 		"a service without any":  {configapi.WatchRequest{Service: "mill"}, false},
-		"another service's turn": {configapi.WatchRequest{Service: "press", Cluster: cluster, Held: 1, Applied: 1}, true},
+		"another service's turn": {configapi.WatchRequest{Service: "press", Cluster: cluster, LastDecided: 1, Applied: 1}, true},
 	} {
 		request := c.request
-		request.Node, request.Started, request.Session = strings.ReplaceAll(name, " ", "-"), 1, 1
+		request.Node, request.StartedMS, request.Session = strings.ReplaceAll(name, " ", "-"), 1, 1
 		if request.Service == "" {
 			request.Service = "dry"
 		}
@@ -488,7 +490,7 @@
 	tc.start("c1")
 	tc.publish("dry")
 	tc.allHave(1)
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
 	watch.update(t)
 	running := tc.running["c1"].consensus.Load()
 	if _, err := running.propose(command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{"c9", 1, "p"}}); err != nil {
@@ -504,7 +506,7 @@
 	tc.publish("dry")
 	tc.allHave(1)
 	address := tc.configOf("c1").Self.Listen
-	request := configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 1}
+	request := configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1}
 	older := openWatch(t, address, request)
 	older.update(t)
 	request.Session = 2
@@ -524,16 +526,16 @@
 	tc.start("c1", "c2", "c3")
 	tc.publish("dry")
 	tc.allHave(1)
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
 	watch.update(t)
 	tc.eventually("c1 knows the others' loads", func() bool {
-		return len(tc.running["c1"].peers.fresh(time.Now())) == 2 && len(tc.running["c1"].nodes.elsewhere(configapi.WatchRequest{})) == 2
+		return len(tc.running["c1"].peers.valid(time.Now())) == 2 && len(tc.running["c1"].nodes.alternatives(configapi.WatchRequest{})) == 2
 	})
 	tc.running["c1"].stop()
 	for {
-		if u := watch.update(t); u.MoveTo != "" {
-			if u.MoveTo != tc.configOf("c2").Self.Listen && u.MoveTo != tc.configOf("c3").Self.Listen {
-				t.Errorf("asked to move to %s", u.MoveTo)
+		if u := watch.update(t); u.MigrateTo != "" {
+			if u.MigrateTo != tc.configOf("c2").Self.Listen && u.MigrateTo != tc.configOf("c3").Self.Listen {
+				t.Errorf("asked to move to %s", u.MigrateTo)
 			}
 			return
 		}
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -19,7 +19,7 @@
 const (
 	// commitInterval is how often a leader tells followers up to where the log is committed, when nothing else does.
 	commitInterval = 50 * time.Millisecond
-	// appendBatch is the number of log entries in one message; each may have configapi.MaxDocument bytes.
+	// appendBatch is the number of log entries in one message; each may have configapi.MaxDocumentBytes bytes.
 	appendBatch = 8
 	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag.
 	trailingLogs = 256
@@ -27,8 +27,8 @@
 	snapshotEntries  = 128
 	snapshotInterval = 20 * time.Second
 
-	// currentWithin is how long ago a follower may have heard the leader to call itself current.
-	currentWithin = time.Second
+	// leaderContactTimeout is how long ago a follower may have heard the leader to call itself current.
+	leaderContactTimeout = time.Second
 	// enqueueTimeout is how long a command waits for the leader's loop to take it.
 	enqueueTimeout = time.Second
 	// commitTimeout is how long a publish waits for a quorum, before its result is called unknown.
@@ -41,20 +41,20 @@
 type consensus struct {
 	config Config
 	log    *slog.Logger
-	hub    *hub
+	views  *viewStore
 	disk   *disk
-	stream *stream
+	stream *raftStream
 	raft   *raft.Raft
 	// started is raft, too, for its own goroutines, which run before raft is set.
 	started atomic.Pointer[raft.Raft]
-	// ready is the term in which this controller leads and has applied all that was committed before; 0: none.
-	ready     atomic.Uint64
-	leaderCh  <-chan bool
-	publishes chan struct{} // a place for one publish at a time
+	// readyTerm is the term in which this controller leads and has applied all that was committed before; 0: none.
+	readyTerm   atomic.Uint64
+	leaderCh    <-chan bool
+	publishSlot chan struct{} // a place for one publish at a time
 }
 
-// bootstrapServers is the raft configuration with which a new cluster begins, the same at each of its members.
-func bootstrapServers(config Config) raft.Configuration {
+// bootstrapConfiguration is the raft configuration with which a new cluster begins, the same at each of its members.
+func bootstrapConfiguration(config Config) raft.Configuration {
 	var servers []raft.Server
 	for _, member := range config.Members {
 		servers = append(servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(member.Name), Address: logAddress(member)})
@@ -72,29 +72,29 @@
 	return name
 }
 
-// replacementServer draws the raft server ID of a controller whose disk was lost.
-func replacementServer(name string) string { return name + "/" + randomText()[:12] }
+// replacementServerID draws the raft server ID of a controller whose disk was lost.
+func replacementServerID(name string) string { return name + "/" + randomText()[:12] }
 
 // startConsensus starts raft on a disk whose server ID is chosen. bootstrap: the disk begins a new cluster.
-func startConsensus(config Config, d *disk, listener net.Listener, h *hub, log *slog.Logger, bootstrap bool) (*consensus, error) {
-	c := &consensus{config: config, log: log, hub: h, disk: d, publishes: make(chan struct{}, 1)}
-	c.stream = newStream(listener, config.Self.Name, d.identity.Server, func() configapi.Cluster { return h.view().state.Cluster })
+func startConsensus(config Config, d *disk, listener net.Listener, h *viewStore, log *slog.Logger, bootstrap bool) (*consensus, error) {
+	c := &consensus{config: config, log: log, views: h, disk: d, publishSlot: make(chan struct{}, 1)}
+	c.stream = newRaftStream(listener, config.Self.Name, d.identity.ServerID, func() configapi.Cluster { return h.load().state.Cluster })
 	logger := raftLogger(log)
-	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.stream, MaxPool: raftPool, Timeout: raftTimeout,
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.stream, MaxPool: raftIdleConnections, Timeout: raftMessageTimeout,
 		Logger: logger, ServerAddressProvider: c})
-	transport := &retryingTransport{NetworkTransport: network, wanted: c.replicatesTo, closing: c.stream.closing}
-	options := raftOptions(config, d.identity.Server)
+	transport := &retryingTransport{NetworkTransport: network, shouldRetry: c.replicatesTo, closing: c.stream.closing}
+	options := raftOptions(config, d.identity.ServerID)
 	options.Logger = logger
 	changes := make(chan bool, 16)
 	options.NotifyCh = changes
 	c.leaderCh = changes
 	if bootstrap {
-		if err := raft.BootstrapCluster(options, d.logs, d.bolt, d.snapshots, transport, bootstrapServers(config)); err != nil {
+		if err := raft.BootstrapCluster(options, d.logs, d.bolt, d.snapshots, transport, bootstrapConfiguration(config)); err != nil {
 			_ = transport.Close()
 			return nil, fmt.Errorf("controller: a new cluster can't begin: %w", err)
 		}
 	}
-	server, err := raft.NewRaft(options, newMachine(h), d.logs, d.bolt, d.snapshots, transport)
+	server, err := raft.NewRaft(options, newFSM(h), d.logs, d.bolt, d.snapshots, transport)
 	if err != nil {
 		_ = transport.Close()
 		return nil, fmt.Errorf("controller: raft can't start: %w", err)
@@ -120,9 +120,9 @@
 func raftOptions(config Config, server string) *raft.Config {
 	options := raft.DefaultConfig()
 	options.LocalID = raft.ServerID(server)
-	options.HeartbeatTimeout = config.Election
-	options.ElectionTimeout = config.Election
-	options.LeaderLeaseTimeout = config.Lease
+	options.HeartbeatTimeout = config.ElectionTimeout
+	options.ElectionTimeout = config.ElectionTimeout
+	options.LeaderLeaseTimeout = config.LeaderLease
 	options.CommitTimeout = commitInterval
 	options.MaxAppendEntries = appendBatch
 	options.TrailingLogs = trailingLogs
@@ -151,52 +151,52 @@
 	return c.config.member(controllerOf(id))
 }
 
-func (c *consensus) leads() bool { return c.raft.State() == raft.Leader }
+func (c *consensus) isLeader() bool { return c.raft.State() == raft.Leader }
 
-// current says whether the controller is in touch with the leader of a quorum. A leader steps down by itself when its
+// isCurrent says whether the controller is in touch with the leader of a quorum. A leader steps down by itself when its
 // lease ends.
-func (c *consensus) current(now time.Time) bool {
-	if c.hub.view().state.Cluster == "" {
+func (c *consensus) isCurrent(now time.Time) bool {
+	if c.views.load().state.Cluster == "" {
 		return false
 	}
-	if c.leads() {
+	if c.isLeader() {
 		return true
 	}
 	_, known := c.leader()
-	return known && now.Sub(c.raft.LastContact()) < currentWithin
+	return known && now.Sub(c.raft.LastContact()) < leaderContactTimeout
 }
 
-// lead prepares a leader that was just elected: it applies what was committed before, and gives a new cluster its
+// prepareLeadership prepares a leader that was just elected: it applies what was committed before, and gives a new cluster its
 // identity.
-func (c *consensus) lead() {
+func (c *consensus) prepareLeadership() {
 	term := c.raft.CurrentTerm()
 	if err := c.raft.Barrier(commitTimeout).Error(); err != nil {
 		c.log.Warn("leadership lost again before the log was applied", "err", err)
 		return
 	}
-	if c.hub.view().state.Cluster == "" {
+	if c.views.load().state.Cluster == "" {
 		identity := configapi.Cluster(randomText())
 		if _, err := c.propose(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{identity}}); err != nil {
 			c.log.Warn("the new cluster has no identity yet", "err", err)
 			return
 		}
-		c.log.Info("a new cluster has begun", "cluster", c.hub.view().state.Cluster)
+		c.log.Info("a new cluster has begun", "cluster", c.views.load().state.Cluster)
 	}
-	if c.leads() && c.raft.CurrentTerm() == term {
-		c.ready.Store(term)
-		c.log.Info("leading", "term", term, "version", c.hub.view().state.Version)
+	if c.isLeader() && c.raft.CurrentTerm() == term {
+		c.readyTerm.Store(term)
+		c.log.Info("leading", "term", term, "version", c.views.load().state.Version)
 	}
 }
 
 // isReady says whether this controller leads and knows all that was committed before.
 func (c *consensus) isReady() bool {
-	term := c.ready.Load()
-	return term != 0 && c.leads() && c.raft.CurrentTerm() == term
+	term := c.readyTerm.Load()
+	return term != 0 && c.isLeader() && c.raft.CurrentTerm() == term
 }
 
 // propose has a command written to the log by a quorum and applied here.
-func (c *consensus) propose(what command) (commandResult, error) {
-	text, err := json.Marshal(what)
+func (c *consensus) propose(proposal command) (commandResult, error) {
+	text, err := json.Marshal(proposal)
 	if err != nil {
 		return commandResult{}, err
 	}
@@ -223,19 +223,19 @@
 // errCommitTimeout says that no quorum has answered yet.
 var errCommitTimeout = errors.New("no quorum has written it yet")
 
-// publish adds a version, or says why not. With ErrorUnknown it may still come into force.
+// publish adds a version, or says why not. With ErrorOutcomeUnknown it may still come into force.
 func (c *consensus) publish(publish publishCommand, done <-chan struct{}) (configapi.PublishReply, *configapi.Error) {
 	select {
-	case c.publishes <- struct{}{}:
-		defer func() { <-c.publishes }()
+	case c.publishSlot <- struct{}{}:
+		defer func() { <-c.publishSlot }()
 	case <-done:
 		return configapi.PublishReply{}, &configapi.Error{Kind: configapi.ErrorNoQuorum, Message: "other publish requests take too long: nothing was taken, repeat it"}
 	}
-	if err := c.mayPublish(); err != nil {
+	if err := c.checkLeadership(); err != nil {
 		return configapi.PublishReply{}, err
 	}
 	publish.TimeMS = time.Now().UnixMilli()
-	now := c.hub.view().state
+	now := c.views.load().state
 	if reply, err := now.earlierReply(publish); reply.Version != 0 || err != nil {
 		return reply, err
 	}
@@ -249,14 +249,14 @@
 	return result.Reply, result.Err
 }
 
-// mayPublish says where to publish, if not here.
-func (c *consensus) mayPublish() *configapi.Error {
+// checkLeadership says where to publish, if not here.
+func (c *consensus) checkLeadership() *configapi.Error {
 	switch leader, known := c.leader(); {
 	case c.isReady():
 		return nil
-	case c.leads():
+	case c.isLeader():
 		return &configapi.Error{Kind: configapi.ErrorNoQuorum, Message: "this controller was just elected and reads its log: nothing was taken, repeat it"}
-	case known && leader.Name != c.config.Self.Name && time.Since(c.raft.LastContact()) < currentWithin:
+	case known && leader.Name != c.config.Self.Name && time.Since(c.raft.LastContact()) < leaderContactTimeout:
 		return &configapi.Error{Kind: configapi.ErrorNotLeader, Message: "the leader is controller " + leader.Name, Leader: leader.Listen}
 	}
 	return &configapi.Error{Kind: configapi.ErrorNoQuorum,
@@ -269,7 +269,7 @@
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
 		return &configapi.Error{Kind: configapi.ErrorNoQuorum, Message: fmt.Sprintf("%v: nothing was taken, repeat it", err)}
 	}
-	return &configapi.Error{Kind: configapi.ErrorUnknown,
+	return &configapi.Error{Kind: configapi.ErrorOutcomeUnknown,
 		Message: fmt.Sprintf("%v: the version may or may not come into force: repeat the request with the same ID, %s", err, id)}
 }
 
@@ -280,9 +280,9 @@
 	}
 }
 
-// handOver gives the leadership to another controller, if this one leads and there is another.
-func (c *consensus) handOver() {
-	if !c.leads() || len(c.config.Members) < 2 {
+// transferLeadership gives the leadership to another controller, if this one leads and there is another.
+func (c *consensus) transferLeadership() {
+	if !c.isLeader() || len(c.config.Members) < 2 {
 		return
 	}
 	if err := c.raft.LeadershipTransfer().Error(); err != nil {
@@ -297,7 +297,7 @@
 		return false
 	}
 	for _, server := range configuration.Configuration().Servers {
-		if server.ID == raft.ServerID(c.disk.identity.Server) {
+		if server.ID == raft.ServerID(c.disk.identity.ServerID) {
 			return server.Suffrage == raft.Voter
 		}
 	}
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -20,8 +20,8 @@
 	identityFile = "identity.json"
 	logFile      = "raft.db"
 
-	keptSnapshots   = 2
-	logCacheEntries = 16
+	retainedSnapshots = 2
+	logCacheEntries   = 16
 	// lockTimeout is how long a start waits for another process that has the folder.
 	lockTimeout = 2 * time.Second
 )
@@ -29,9 +29,9 @@
 // identity says whose disk a folder is. It is written before anything of raft.
 type identity struct {
 	Name string `json:"name"` // the controller's
-	// Server is the raft server ID. A disk of a new cluster has the controller's name; one that replaces a lost or an
+	// ServerID is the raft server ID. A disk of a new cluster has the controller's name; one that replaces a lost or an
 	// old disk has another, so that it is not taken for the server that voted before. Empty: not decided yet.
-	Server string `json:"server"`
+	ServerID string `json:"server"`
 	// Start rises by 1 with each start on the disk.
 	Start uint64 `json:"start"`
 }
@@ -78,7 +78,7 @@
 		_ = bolt.Close()
 		return &FolderError{d.folder, "", err}
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.folder, keptSnapshots, quietLogger())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.folder, retainedSnapshots, discardLogger())
 	if err != nil {
 		_ = bolt.Close()
 		return &FolderError{d.folder, "name a folder that this process may write", err}
@@ -134,9 +134,9 @@
 	return nil
 }
 
-// chooseServer decides under which ID the disk takes part, for its whole life.
-func (d *disk) chooseServer(server string) error {
-	d.identity.Server = server
+// setServerID decides under which ID the disk takes part, for its whole life.
+func (d *disk) setServerID(server string) error {
+	d.identity.ServerID = server
 	return d.writeIdentity()
 }
 
@@ -145,9 +145,9 @@
 
 func (d *disk) close() error { return d.bolt.Close() }
 
-// wipe empties the folder and opens it again, for a disk whose content must not be used. The next start is counted from
+// reset empties the folder and opens it again, for a disk whose content must not be used. The next start is counted from
 // 1, under another server ID.
-func (d *disk) wipe() error {
+func (d *disk) reset() error {
 	if err := d.bolt.Close(); err != nil {
 		return &FolderError{d.folder, "look at the disk", err}
 	}
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// maxName is the length of a name of a service, a node, a region or a zone, in bytes.
-	maxName = 256
-	// maxID is the length of a publish request's ID, in bytes.
-	maxID = 128
+	// maxNameBytes is the length of a name of a service, a node, a region or a zone, in bytes.
+	maxNameBytes = 256
+	// maxPublishIDBytes is the length of a publish request's ID, in bytes.
+	maxPublishIDBytes = 128
 )
 
 // readDocument checks the form of a published document. What a service's settings mean is checked by its nodes.
 func readDocument(text []byte) (configapi.Document, *configapi.Error) {
-	if len(text) > configapi.MaxDocument {
+	if len(text) > configapi.MaxDocumentBytes {
 		return configapi.Document{}, &configapi.Error{Kind: configapi.ErrorTooLarge,
-			Message: fmt.Sprintf("the document has %d bytes, at most %d are taken: publish the services in several documents", len(text), configapi.MaxDocument)}
+			Message: fmt.Sprintf("the document has %d bytes, at most %d are taken: publish the services in several documents", len(text), configapi.MaxDocumentBytes)}
 	}
 	var document configapi.Document
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&document); err != nil {
-		return configapi.Document{}, invalid("the document can't be read: %v", err)
+		return configapi.Document{}, invalidError("the document can't be read: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return configapi.Document{}, invalid("more text stands behind the document's end")
+		return configapi.Document{}, invalidError("more text stands behind the document's end")
 	}
 	for name, service := range document.Services {
 		if err := checkService(name, service); err != nil {
@@ -44,48 +44,48 @@
 
 func checkService(name string, service configapi.ServiceConfig) *configapi.Error {
 	if !validName(name) {
-		return invalid("%q is not a service's name: 1 to %d visible ASCII characters", clip(name), maxName)
+		return invalidError("%q is not a service's name: 1 to %d visible ASCII characters", truncate(name), maxNameBytes)
 	}
 	if len(service.Settings) == 0 {
-		return invalid("service %s has no settings", name)
+		return invalidError("service %s has no settings", name)
 	}
 	if service.Discovery == "" {
 		return nil
 	}
 	if host, port, err := net.SplitHostPort(service.Discovery); err != nil || host == "" || port == "" {
-		return invalid("service %s: discovery must be HOST:PORT", name)
+		return invalidError("service %s: discovery must be HOST:PORT", name)
 	}
 	return nil
 }
 
 // checkPublish checks all of a publish request but its document.
 func checkPublish(request configapi.PublishRequest) *configapi.Error {
-	if request.ID == "" || len(request.ID) > maxID || !validName(request.ID) {
-		return invalid("a publish request needs an ID of 1 to %d visible ASCII characters", maxID)
+	if request.ID == "" || len(request.ID) > maxPublishIDBytes || !validName(request.ID) {
+		return invalidError("a publish request needs an ID of 1 to %d visible ASCII characters", maxPublishIDBytes)
 	}
 	for _, cluster := range request.Replaces {
 		if !validName(string(cluster)) {
-			return invalid("%q is not a cluster's identity", clip(string(cluster)))
+			return invalidError("%q is not a cluster's identity", truncate(string(cluster)))
 		}
 	}
 	return nil
 }
 
-func invalid(format string, args ...any) *configapi.Error {
+func invalidError(format string, args ...any) *configapi.Error {
 	return &configapi.Error{Kind: configapi.ErrorInvalid, Message: fmt.Sprintf(format, args...)}
 }
 
 // validName says that a text can be a name: visible ASCII characters, and spaces between them, as in nodes' settings.
 func validName(text string) bool {
-	return text != "" && len(text) <= maxName && text == strings.TrimSpace(text) &&
+	return text != "" && len(text) <= maxNameBytes && text == strings.TrimSpace(text) &&
 		!strings.ContainsFunc(text, func(c rune) bool { return c < ' ' || c > '~' })
 }
 
-// clip shortens a text for a message.
-func clip(text string) string {
-	const most = 40
-	if len(text) <= most {
+// truncate shortens a text for a message.
+func truncate(text string) string {
+	const maxLength = 40
+	if len(text) <= maxLength {
 		return text
 	}
-	return text[:most] + "..."
+	return text[:maxLength] + "..."
 }
--- a/internal/controller/document_test.go
+++ b/internal/controller/document_test.go
@@ -25,7 +25,7 @@
 		"a line break":                {`{"services":{"dry\nbay":{"settings":{}}}}`, configapi.ErrorInvalid, "name"},
 		"an empty name":               {`{"services":{"":{"settings":{}}}}`, configapi.ErrorInvalid, "name"},
 		"a bad discovery":             {`{"services":{"dry":{"settings":{},"discovery":"there"}}}`, configapi.ErrorInvalid, "HOST:PORT"},
-		"too large":                   {`{"services":{"dry":{"settings":"` + strings.Repeat("x", configapi.MaxDocument) + `"}}}`, configapi.ErrorTooLarge, "several documents"},
+		"too large":                   {`{"services":{"dry":{"settings":"` + strings.Repeat("x", configapi.MaxDocumentBytes) + `"}}}`, configapi.ErrorTooLarge, "several documents"},
 	} {
 		_, err := readDocument([]byte(c.text))
 		switch {
@@ -44,7 +44,7 @@
 	}{
 		"an ID":                   {configapi.PublishRequest{ID: "ABC"}, false},
 		"no ID":                   {configapi.PublishRequest{}, true},
-		"a long ID":               {configapi.PublishRequest{ID: strings.Repeat("x", maxID+1)}, true},
+		"a long ID":               {configapi.PublishRequest{ID: strings.Repeat("x", maxPublishIDBytes+1)}, true},
 		"an ID with a line break": {configapi.PublishRequest{ID: "a\nb"}, true},
 		"replaces a cluster":      {configapi.PublishRequest{ID: "ABC", Replaces: []configapi.Cluster{"XYZ"}}, false},
 		"replaces nothing":        {configapi.PublishRequest{ID: "ABC", Replaces: []configapi.Cluster{""}}, true},
--- a/internal/controller/fsm.go
+++ b/internal/controller/fsm.go
@@ -10,19 +10,19 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// maxSnapshot is the size of a snapshot that is read, in bytes: far above 68 services of 1 MB each.
-const maxSnapshot = 1 << 30
+// maxSnapshotBytes is the size of a snapshot that is read, in bytes: far above 68 services of 1 MB each.
+const maxSnapshotBytes = 1 << 30
 
-// machine makes the replicated state a raft.FSM. It hands each new state to the hub.
-type machine struct {
+// fsm makes the replicated state a raft.FSM. It hands each new state to the hub.
+type fsm struct {
 	state *state // of the goroutine that raft runs the machine on
-	hub   *hub
+	views *viewStore
 }
 
-func newMachine(h *hub) *machine { return &machine{state: &state{}, hub: h} }
+func newFSM(h *viewStore) *fsm { return &fsm{state: &state{}, views: h} }
 
 // Apply carries out a committed entry of the log; raft calls it in the log's order.
-func (m *machine) Apply(entry *raft.Log) any {
+func (m *fsm) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
 		message := fmt.Sprintf("the log's entry %d can't be read: %v", entry.Index, err)
@@ -31,23 +31,23 @@
 	next, result := m.state.apply(c)
 	if next != m.state {
 		m.state = next
-		m.hub.setState(next)
+		m.views.setState(next)
 	}
 	return result
 }
 
 // Snapshot returns the present state, which is immutable.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state}, nil }
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state}, nil }
 
 // Restore replaces the state by that of a snapshot.
-func (m *machine) Restore(from io.ReadCloser) error {
+func (m *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	var restored state
-	if err := json.NewDecoder(io.LimitReader(from, maxSnapshot)).Decode(&restored); err != nil {
+	if err := json.NewDecoder(io.LimitReader(from, maxSnapshotBytes)).Decode(&restored); err != nil {
 		return fmt.Errorf("controller: a snapshot can't be read: %w", err)
 	}
 	m.state = &restored
-	m.hub.setState(&restored)
+	m.views.setState(&restored)
 	return nil
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -25,7 +25,7 @@
 		{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{Cluster: "cluster-2"}},
 		{Kind: commandPublish, Publish: &publishCommand{ID: "id-1", TimeMS: 1700000000000, Replaces: []configapi.Cluster{"cluster-1"},
 			Document: configapi.Document{Services: map[string]configapi.ServiceConfig{"front": config, "mill": config}}}},
-		{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{Server: "c1/2", Start: 3, Process: "process-1"}},
+		{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{ServerID: "c1/2", Start: 3, ProcessID: "process-1"}},
 	}
 }
 
@@ -54,7 +54,7 @@
 		}
 	}
 
-	built := newMachine(newHub())
+	built := newFSM(newViewStore())
 	for line := range bytes.Lines(goldentest.Text(t, logPath)) {
 		if result, ok := built.Apply(&raft.Log{Data: line}).(commandResult); !ok || result.Err != nil {
 			t.Fatalf("%s: %+v", line, result)
@@ -75,7 +75,7 @@
 	if !bytes.Equal(sink.Bytes(), text) {
 		t.Errorf("the log makes the snapshot %s", sink.Bytes())
 	}
-	restored := newMachine(newHub())
+	restored := newFSM(newViewStore())
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 // A controller that does not know its own disk again must be given an empty one: the identity on disk keeps its form.
 func TestGoldenIdentity(t *testing.T) {
 	path := filepath.Join("testdata", "identity.json")
-	want := identity{Name: "c1", Server: "c1/2", Start: 3}
+	want := identity{Name: "c1", ServerID: "c1/2", Start: 3}
 	goldentest.Check(t, path, want)
 	text := bytes.TrimSpace(goldentest.Text(t, path))
 	d := &disk{folder: t.TempDir()}
@@ -127,8 +127,8 @@
 func TestGoldenMemberReport(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "member-report.json"), memberReport{
 		Load:  configapi.Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, Current: true},
-		Phase: phaseMember, Server: "c1/2", Start: 3, Process: "process-1", Applied: 99,
-		Founders: map[string]string{"c1": "process-1", "c2": "process-2"}, Known: &memberStart{Start: 2, Process: "process-0"}})
+		Phase: phaseMember, ServerID: "c1/2", Start: 3, ProcessID: "process-1", AppliedIndex: 99,
+		Founders: map[string]string{"c1": "process-1", "c2": "process-2"}, RecordedStart: &memberStart{Start: 2, ProcessID: "process-0"}})
 	goldentest.Check(t, filepath.Join("testdata", "phases.json"), []phase{phaseEmpty, phaseJoining, phaseMember})
 }
 
@@ -165,7 +165,7 @@
 	if line, err := bufio.NewReader(accepted).ReadString('\n'); err != nil || line != golden {
 		t.Errorf("greeted with %q, %v", line, err)
 	}
-	if err := newTestStream(t, "c2/3", "cluster-2").check(golden[:len(golden)-1]); err != nil {
+	if err := newTestStream(t, "c2/3", "cluster-2").checkGreeting(golden[:len(golden)-1]); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/controller/handlers.go
+++ b/internal/controller/handlers.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	maxAck = 16 << 10 // bytes of an acknowledgement
-	// maxPublish is the size of a publish request in bytes: the document, and room for the rest.
-	maxPublish = configapi.MaxDocument + 64<<10
+	maxAckBytes = 16 << 10 // bytes of an acknowledgement
+	// maxPublishBytes is the size of a publish request in bytes: the document, and room for the rest.
+	maxPublishBytes = configapi.MaxDocumentBytes + 64<<10
 )
 
 // statusCodes are the HTTP status codes of refusals.
 var statusCodes = map[configapi.ErrorKind]int{
-	configapi.ErrorInvalid:   http.StatusBadRequest,
-	configapi.ErrorTooLarge:  http.StatusRequestEntityTooLarge,
-	configapi.ErrorTooMany:   http.StatusTooManyRequests,
-	configapi.ErrorNotLeader: http.StatusMisdirectedRequest,
-	configapi.ErrorNoQuorum:  http.StatusServiceUnavailable,
-	configapi.ErrorUnknown:   http.StatusGatewayTimeout,
-	configapi.ErrorFull:      http.StatusServiceUnavailable,
+	configapi.ErrorInvalid:        http.StatusBadRequest,
+	configapi.ErrorTooLarge:       http.StatusRequestEntityTooLarge,
+	configapi.ErrorRateLimited:    http.StatusTooManyRequests,
+	configapi.ErrorNotLeader:      http.StatusMisdirectedRequest,
+	configapi.ErrorNoQuorum:       http.StatusServiceUnavailable,
+	configapi.ErrorOutcomeUnknown: http.StatusGatewayTimeout,
+	configapi.ErrorNoCapacity:     http.StatusServiceUnavailable,
 }
 
 // routes are the controller's calls.
@@ -47,7 +47,7 @@
 
 func (c *Controller) serveAck(w http.ResponseWriter, r *http.Request) {
 	var ack configapi.Acknowledgement
-	if err := readBody(w, r, maxAck, &ack); err != nil {
+	if err := readBody(w, r, maxAckBytes, &ack); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -65,27 +65,27 @@
 // checkAck checks the form of an acknowledgement, and cuts its reason to the length that is kept.
 func checkAck(ack *configapi.Acknowledgement) *configapi.Error {
 	if ack.Outcome != configapi.Applied && ack.Outcome != configapi.Rejected {
-		return invalid("outcome must be %s or %s", configapi.Applied, configapi.Rejected)
+		return invalidError("outcome must be %s or %s", configapi.Applied, configapi.Rejected)
 	}
 	if ack.Cluster != "" && !validName(string(ack.Cluster)) {
-		return invalid("%q is not a cluster's identity", clip(string(ack.Cluster)))
+		return invalidError("%q is not a cluster's identity", truncate(string(ack.Cluster)))
 	}
 	if ack.Rejection != nil {
-		ack.Rejection.Kind = configapi.RejectionKind(clip(string(ack.Rejection.Kind)))
-		ack.Rejection.Message = clipReason(ack.Rejection.Message)
+		ack.Rejection.Kind = configapi.RejectionKind(truncate(string(ack.Rejection.Kind)))
+		ack.Rejection.Message = truncateReason(ack.Rejection.Message)
 	}
 	return nil
 }
 
 func (c *Controller) servePublish(w http.ResponseWriter, r *http.Request) {
 	var request configapi.PublishRequest
-	if err := readBody(w, r, maxPublish, &request); err != nil {
+	if err := readBody(w, r, maxPublishBytes, &request); err != nil {
 		writeError(w, err)
 		return
 	}
 	reply, err := c.publish(r, request)
 	if err != nil {
-		c.log.Info("publish refused", "id", clip(request.ID), "kind", err.Kind, "err", err.Message)
+		c.log.Info("publish refused", "id", truncate(request.ID), "kind", err.Kind, "err", err.Message)
 		writeError(w, err)
 		return
 	}
@@ -102,7 +102,7 @@
 		return configapi.PublishReply{}, err
 	}
 	if len(document.Services) == 0 && len(request.Replaces) == 0 {
-		return configapi.PublishReply{}, invalid("the document names no service")
+		return configapi.PublishReply{}, invalidError("the document names no service")
 	}
 	running := c.consensus.Load()
 	if running == nil {
@@ -121,12 +121,12 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &configapi.Error{Kind: configapi.ErrorTooLarge, Message: fmt.Sprintf("the request is over %d bytes; a document has %d at most", most, configapi.MaxDocument)}
+		return &configapi.Error{Kind: configapi.ErrorTooLarge, Message: fmt.Sprintf("the request is over %d bytes; a document has %d at most", most, configapi.MaxDocumentBytes)}
 	case err != nil:
-		return invalid("the request can't be read: %v", err)
+		return invalidError("the request can't be read: %v", err)
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return invalid("the request is not of the form expected: %v", err)
+		return invalidError("the request is not of the form expected: %v", err)
 	}
 	return nil
 }
--- a/internal/controller/hub.go
+++ b/internal/controller/hub.go
@@ -7,7 +7,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// view is what a controller serves at one moment. It is immutable but for its cache of encoded updates.
+// load is what a controller serves at one moment. It is immutable but for its cache of encoded updates.
 type view struct {
 	state      *state
 	current    bool          // in touch with the leader of a quorum
@@ -24,12 +24,14 @@
 	first      bool
 }
 
-// changed is the newest version that names a service.
-func (v *view) changed(service string) configapi.Version { return v.state.Services[service].Changed }
+// configVersion is the newest version that names a service.
+func (v *view) configVersion(service string) configapi.Version {
+	return v.state.Services[service].ConfigVersion
+}
 
-// saysTheSame says whether nodes are told the same by another view: the start of a controller, for one, is no news to
+// equalForNodes says whether nodes are told the same by another view: the start of a controller, for one, is no news to
 // them.
-func (v *view) saysTheSame(other *view) bool {
+func (v *view) equalForNodes(other *view) bool {
 	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.current == other.current &&
 		len(v.state.Replaces) == len(other.state.Replaces)
 }
@@ -37,7 +39,7 @@
 // update builds the update of a service.
 func (v *view) update(key updateKey, controllers []configapi.Endpoint) configapi.Update {
 	u := configapi.Update{Cluster: v.state.Cluster, Replaces: v.state.Replaces, Version: v.state.Version,
-		Changed: v.changed(key.service), Current: v.current}
+		ConfigVersion: v.configVersion(key.service), Current: v.current}
 	if service, ok := v.state.Services[key.service]; ok && key.withConfig {
 		u.Config = &service.Config
 	}
@@ -71,48 +73,48 @@
 	return append(text, '\n')
 }
 
-// hub hands the newest view to the sessions. A session that is slow misses the views in between.
-type hub struct {
-	lock sync.Mutex
-	now  *view
+// views hands the newest view to the sessions. A session that is slow misses the views in between.
+type viewStore struct {
+	lock   sync.Mutex
+	latest *view
 }
 
-func newHub() *hub { return &hub{now: newView(&state{}, false)} }
+func newViewStore() *viewStore { return &viewStore{latest: newView(&state{}, false)} }
 
 func newView(s *state, current bool) *view {
 	return &view{state: s, current: current, superseded: make(chan struct{}), encoded: map[updateKey][]byte{}}
 }
 
-// view returns the newest view.
-func (h *hub) view() *view {
+// load returns the newest view.
+func (h *viewStore) load() *view {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	return h.now
+	return h.latest
 }
 
 // setState puts a newer state in force.
-func (h *hub) setState(s *state) {
+func (h *viewStore) setState(s *state) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if s == h.now.state {
+	if s == h.latest.state {
 		return
 	}
-	h.replace(newView(s, h.now.current))
+	h.publish(newView(s, h.latest.current))
 }
 
 // setCurrent notes whether the controller is in touch with the leader of a quorum.
-func (h *hub) setCurrent(current bool) (changed bool) {
+func (h *viewStore) setCurrent(current bool) (changed bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if current == h.now.current {
+	if current == h.latest.current {
 		return false
 	}
-	h.replace(newView(h.now.state, current))
+	h.publish(newView(h.latest.state, current))
 	return true
 }
 
-func (h *hub) replace(next *view) {
-	before := h.now
-	h.now = next
+func (h *viewStore) publish(next *view) {
+	before := h.latest
+	h.latest = next
 	close(before.superseded)
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -20,9 +20,9 @@
 	// pollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
 	// nodes notice that theirs is stalled 0.7 s after the fact at the earliest, and must not be sent to it.
 	pollTimeout = 250 * time.Millisecond
-	// reportValid is how long a reading counts for who is a member.
-	reportValid = 2 * time.Second
-	maxLoad     = 64 << 10 // bytes of one answer
+	// reportValidity is how long a reading counts for who is a member.
+	reportValidity = 2 * time.Second
+	maxReportBytes = 64 << 10 // bytes of one answer
 )
 
 // phase says what a controller's disk has.
@@ -37,20 +37,20 @@
 // memberReport is one controller's answer to GET /v1/load: what nodes need to know, and what the other controllers need.
 type memberReport struct {
 	configapi.Load
-	Phase   phase  `json:"phase"`
-	Server  string `json:"server,omitempty"` // its raft server ID
-	Start   uint64 `json:"start"`
-	Process string `json:"process"` // drawn at random by each process
-	Applied uint64 `json:"applied"` // index of the newest log entry in its state
+	Phase        phase  `json:"phase"`
+	ServerID     string `json:"server,omitempty"` // its raft server ID
+	Start        uint64 `json:"start"`
+	ProcessID    string `json:"process"` // drawn at random by each process
+	AppliedIndex uint64 `json:"applied"` // index of the newest log entry in its state
 	// Founders are the processes that this one found empty before it began a new cluster. One of those has never voted
 	// in it, and may begin it, too.
 	Founders map[string]string `json:"founders,omitempty"`
-	// Known is the last recorded start of the server that the request names.
-	Known *memberStart `json:"known,omitempty"`
+	// RecordedStart is the last recorded start of the server that the request names.
+	RecordedStart *memberStart `json:"known,omitempty"`
 }
 
-// peers reads the other controllers' reports.
-type peers struct {
+// peerReports reads the other controllers' reports.
+type peerReports struct {
 	config Config
 	client *http.Client
 
@@ -60,17 +60,17 @@
 
 type timedReport struct {
 	memberReport
-	at     time.Time
-	failed bool // a later reading failed
+	receivedAt      time.Time
+	lastFetchFailed bool // a later reading failed
 }
 
-func newPeers(config Config) *peers {
+func newPeerReports(config Config) *peerReports {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
-	return &peers{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
+	return &peerReports{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
 }
 
 // poll reads all others' reports, side by side.
-func (p *peers) poll(ctx context.Context, server string) {
+func (p *peerReports) poll(ctx context.Context, server string) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var readings sync.WaitGroup
@@ -79,27 +79,27 @@
 			continue
 		}
 		readings.Go(func() {
-			report, err := p.read(ctx, member, server)
-			p.take(member.Name, report, err)
+			report, err := p.fetch(ctx, member, server)
+			p.record(member.Name, report, err)
 		})
 	}
 	readings.Wait()
 }
 
-// take notes a reading. Of one that failed, what the controller said last is kept until it is too old.
-func (p *peers) take(name string, report memberReport, err error) {
+// record notes a reading. Of one that failed, what the controller said last is kept until it is too old.
+func (p *peerReports) record(name string, report memberReport, err error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if err == nil {
-		p.reports[name] = timedReport{memberReport: report, at: time.Now()}
+		p.reports[name] = timedReport{memberReport: report, receivedAt: time.Now()}
 		return
 	}
 	last := p.reports[name]
-	last.failed = true
+	last.lastFetchFailed = true
 	p.reports[name] = last
 }
 
-func (p *peers) read(ctx context.Context, member Member, server string) (memberReport, error) {
+func (p *peerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
 	address := "http://" + member.Dial + configapi.PathLoad + "?server=" + url.QueryEscape(server)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -114,7 +114,7 @@
 	if response.StatusCode != http.StatusOK {
 		return memberReport{}, fmt.Errorf("answered %s", response.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxLoad)).Decode(&report); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report); err != nil {
 		return memberReport{}, err
 	}
 	if report.Name != member.Name {
@@ -123,13 +123,13 @@
 	return report, nil
 }
 
-// fresh returns the reports that are not too old.
-func (p *peers) fresh(now time.Time) map[string]memberReport {
+// valid returns the reports that are not too old.
+func (p *peerReports) valid(now time.Time) map[string]memberReport {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	fresh := map[string]memberReport{}
 	for name, report := range p.reports {
-		if now.Sub(report.at) < reportValid {
+		if now.Sub(report.receivedAt) < reportValidity {
 			fresh[name] = report.memberReport
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // loads is what the rules of placement need to know of the others.
-func (p *peers) loads(now time.Time, current bool) []configversion.PeerLoad {
+func (p *peerReports) loads(now time.Time, current bool) []configversion.PeerLoad {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	var loads []configversion.PeerLoad
@@ -146,82 +146,82 @@
 			continue
 		}
 		report := p.reports[member.Name]
-		answers := !report.failed && now.Sub(report.at) < reportValid
+		answers := !report.lastFetchFailed && now.Sub(report.receivedAt) < reportValidity
 		available := answers && report.Cluster != "" && (report.Current || !current)
 		loads = append(loads, configversion.PeerLoad{Endpoint: member.Endpoint(), Sessions: report.Sessions, Available: available})
 	}
 	return loads
 }
 
-// startDecision is how an empty disk takes part.
-type startDecision int
+// emptyDiskStart is how an empty disk takes part.
+type emptyDiskStart int
 
 const (
-	decideWait      startDecision = iota // it can't be told yet
-	decideBootstrap                      // begin a new cluster, with the others that are empty
-	decideJoin                           // as a new server of the cluster that there is
+	startUndecided emptyDiskStart = iota // it can't be told yet
+	startBootstrap                       // begin a new cluster, with the others that are empty
+	startJoin                            // as a new server of the cluster that there is
 )
 
-// decideStart decides how a controller with an empty disk takes part. It must not begin a cluster, nor vote under its
+// decideEmptyDiskStart decides how a controller with an empty disk takes part. It must not begin a cluster, nor vote under its
 // old server ID, where another controller has a log: the disk may have been emptied after it voted. It begins one where
 // a majority is empty; patient: it waits for all to answer first.
-func decideStart(config Config, process string, reports map[string]memberReport, patient bool) startDecision {
+func decideEmptyDiskStart(config Config, process string, reports map[string]memberReport, patient bool) emptyDiskStart {
 	empty := 1
 	for _, report := range reports {
 		if report.Phase == phaseMember && report.Founders[config.Self.Name] == process {
-			return decideBootstrap
+			return startBootstrap
 		}
 	}
 	for _, report := range reports {
 		switch report.Phase {
 		case phaseMember:
-			return decideJoin
+			return startJoin
 		case phaseEmpty:
 			empty++
 		}
 	}
 	switch {
 	case empty == len(config.Members):
-		return decideBootstrap
+		return startBootstrap
 	case patient || empty <= len(config.Members)/2:
-		return decideWait
+		return startUndecided
 	}
-	return decideBootstrap
+	return startBootstrap
 }
 
-// founders are the processes that are empty.
-func founders(config Config, process string, reports map[string]memberReport) map[string]string {
+// emptyMembers are the processes that are empty.
+func emptyMembers(config Config, process string, reports map[string]memberReport) map[string]string {
 	found := map[string]string{config.Self.Name: process}
 	for name, report := range reports {
 		if report.Phase == phaseEmpty {
-			found[name] = report.Process
+			found[name] = report.ProcessID
 		}
 	}
 	return found
 }
 
-// diskJudgement says whether a disk with a log may take part.
-type diskJudgement int
+// diskVerdict says whether a disk with a log may take part.
+type diskVerdict int
 
 const (
-	judgeWait diskJudgement = iota // fewer than a majority have answered
-	judgeGood
-	judgeOld // the others know of a later start on it: it is an old copy
+	diskUndecided diskVerdict = iota // fewer than a majority have answered
+	diskValid
+	diskStale // the others know of a later start on it: it is an old copy
 )
 
 // judgeDisk compares a disk's start with what the others have recorded.
-func judgeDisk(config Config, self identity, process string, reports map[string]memberReport) diskJudgement {
+func judgeDisk(config Config, self identity, process string, reports map[string]memberReport) diskVerdict {
 	answers := 1
 	for _, report := range reports {
-		if known := report.Known; known != nil {
-			if known.Start > self.Start || known.Start == self.Start && known.Process != process {
-				return judgeOld
+		if known := report.RecordedStart; known != nil {
+			if known.Start > self.Start || known.Start == self.Start && known.ProcessID != process {
+				return diskStale
 			}
 		}
 		answers++
 	}
 	if answers <= len(config.Members)/2 {
-		return judgeWait
+		return diskUndecided
 	}
-	return judgeGood
+	return diskValid
 }
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -24,44 +24,44 @@
 	for name, c := range map[string]struct {
 		reports map[string]memberReport
 		patient bool
-		want    startDecision
+		want    emptyDiskStart
 	}{
-		"nobody answers": {nil, false, decideWait},
-		"all are empty":  {map[string]memberReport{"c2": empty, "c3": empty}, true, decideBootstrap},
-		"a majority is empty, one may still come": {map[string]memberReport{"c2": empty}, true, decideWait},
-		"a majority is empty for long":            {map[string]memberReport{"c2": empty}, false, decideBootstrap},
-		"one has a log":                           {map[string]memberReport{"c2": empty, "c3": member}, false, decideJoin},
-		"all others have a log":                   {map[string]memberReport{"c2": member, "c3": member}, true, decideJoin},
-		"one has a log and saw this one empty":    {map[string]memberReport{"c2": empty, "c3": founder}, false, decideBootstrap},
-		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlier}, false, decideJoin},
-		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, decideWait},
+		"nobody answers": {nil, false, startUndecided},
+		"all are empty":  {map[string]memberReport{"c2": empty, "c3": empty}, true, startBootstrap},
+		"a majority is empty, one may still come": {map[string]memberReport{"c2": empty}, true, startUndecided},
+		"a majority is empty for long":            {map[string]memberReport{"c2": empty}, false, startBootstrap},
+		"one has a log":                           {map[string]memberReport{"c2": empty, "c3": member}, false, startJoin},
+		"all others have a log":                   {map[string]memberReport{"c2": member, "c3": member}, true, startJoin},
+		"one has a log and saw this one empty":    {map[string]memberReport{"c2": empty, "c3": founder}, false, startBootstrap},
+		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlier}, false, startJoin},
+		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, startUndecided},
 	} {
-		if got := decideStart(configOf("c1", "c2", "c3"), "me", c.reports, c.patient); got != c.want {
+		if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.patient); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
-	if got := decideStart(configOf("c1"), "me", nil, true); got != decideBootstrap {
+	if got := decideEmptyDiskStart(configOf("c1"), "me", nil, true); got != startBootstrap {
 		t.Errorf("a single controller: %d", got)
 	}
 }
 
 func TestJudgeDisk(t *testing.T) {
-	self := identity{Name: "c1", Server: "c1", Start: 5}
+	self := identity{Name: "c1", ServerID: "c1", Start: 5}
 	known := func(start uint64, process string) memberReport {
-		return memberReport{Phase: phaseMember, Known: &memberStart{start, process}}
+		return memberReport{Phase: phaseMember, RecordedStart: &memberStart{start, process}}
 	}
 	unknown := memberReport{Phase: phaseMember}
 	for name, c := range map[string]struct {
 		reports map[string]memberReport
-		want    diskJudgement
+		want    diskVerdict
 	}{
-		"nobody answers":                    {nil, judgeWait},
-		"the start before is known":         {map[string]memberReport{"c2": known(4, "before")}, judgeGood},
-		"a later start is known":            {map[string]memberReport{"c2": known(6, "other")}, judgeOld},
-		"the same start of another process": {map[string]memberReport{"c2": known(5, "other")}, judgeOld},
-		"the same start of this process":    {map[string]memberReport{"c2": known(5, "me")}, judgeGood},
-		"nothing is known":                  {map[string]memberReport{"c2": unknown}, judgeGood},
-		"one of two knows of a later start": {map[string]memberReport{"c2": unknown, "c3": known(6, "other")}, judgeOld},
+		"nobody answers":                    {nil, diskUndecided},
+		"the start before is known":         {map[string]memberReport{"c2": known(4, "before")}, diskValid},
+		"a later start is known":            {map[string]memberReport{"c2": known(6, "other")}, diskStale},
+		"the same start of another process": {map[string]memberReport{"c2": known(5, "other")}, diskStale},
+		"the same start of this process":    {map[string]memberReport{"c2": known(5, "me")}, diskValid},
+		"nothing is known":                  {map[string]memberReport{"c2": unknown}, diskValid},
+		"one of two knows of a later start": {map[string]memberReport{"c2": unknown, "c3": known(6, "other")}, diskStale},
 	} {
 		if got := judgeDisk(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
@@ -70,8 +70,8 @@
 }
 
 func TestFounders(t *testing.T) {
-	got := founders(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
-		"c2": {Phase: phaseEmpty, Process: "p2"}, "c3": {Phase: phaseJoining, Process: "p3", Load: configapi.Load{}}})
+	got := emptyMembers(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
+		"c2": {Phase: phaseEmpty, ProcessID: "p2"}, "c3": {Phase: phaseJoining, ProcessID: "p3", Load: configapi.Load{}}})
 	if len(got) != 2 || got["c1"] != "me" || got["c2"] != "p2" {
 		t.Errorf("founders %v", got)
 	}
@@ -79,24 +79,24 @@
 
 // A controller that does not answer gets no node; it still counts as a member for a moment.
 func TestLoadsOfAControllerThatDoesNotAnswer(t *testing.T) {
-	p := newPeers(configOf("c1", "c2", "c3"))
+	p := newPeerReports(configOf("c1", "c2", "c3"))
 	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, Current: true}}
-	p.take("c2", report, nil)
-	p.take("c3", report, nil)
-	p.take("c3", memberReport{}, errors.New("no answer"))
+	p.record("c2", report, nil)
+	p.record("c3", report, nil)
+	p.record("c3", memberReport{}, errors.New("no answer"))
 	now := time.Now()
 	loads := p.loads(now, true)
 	if len(loads) != 2 || !loads[0].Available || loads[1].Available {
 		t.Errorf("loads %+v", loads)
 	}
-	if len(p.fresh(now)) != 2 {
-		t.Errorf("members that answered lately: %v", p.fresh(now))
+	if len(p.valid(now)) != 2 {
+		t.Errorf("members that answered lately: %v", p.valid(now))
 	}
-	p.take("c3", report, nil)
+	p.record("c3", report, nil)
 	if loads := p.loads(now, true); !loads[1].Available {
 		t.Errorf("after it answered again: %+v", loads)
 	}
-	if loads := p.loads(now.Add(reportValid), true); loads[0].Available {
+	if loads := p.loads(now.Add(reportValidity), true); loads[0].Available {
 		t.Errorf("without any reading: %+v", loads)
 	}
 }
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -31,12 +31,12 @@
 	first := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry"})
 	mustOpen(t, table, configapi.WatchRequest{Node: "n2", Service: "dry"})
 	_, err := table.openSession(configapi.WatchRequest{Node: "n3", Service: "dry"}, noon)
-	if err == nil || err.Kind != configapi.ErrorFull || len(err.Elsewhere) != 1 || err.Elsewhere[0].Address != "b:1" {
+	if err == nil || err.Kind != configapi.ErrorNoCapacity || len(err.Alternatives) != 1 || err.Alternatives[0].Address != "b:1" {
 		t.Errorf("the third of at most two: %+v", err)
 	}
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Session: 2}) // replaces its older session
 	select {
-	case <-first.end:
+	case <-first.done:
 	default:
 		t.Error("the older session of n1 goes on")
 	}
@@ -48,8 +48,8 @@
 
 func TestOlderProcessOfANodeIsRefused(t *testing.T) {
 	table := newTestTable(5)
-	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 2, Session: 1})
-	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", Started: 1, Session: 9}, noon)
+	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 2, Session: 1})
+	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 9}, noon)
 	if err == nil || err.Kind != configapi.ErrorInvalid {
 		t.Errorf("an older process: %+v", err)
 	}
@@ -58,13 +58,13 @@
 // Acknowledgements that are late, of an older session or for an older version, change nothing.
 func TestAcknowledgementsInAnyOrder(t *testing.T) {
 	table := newTestTable(5)
-	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Started: 5, Session: 2, Cluster: "c", Held: 3, Applied: 3})
-	ack := configapi.Acknowledgement{Node: "n1", Started: 5, Session: 2, Cluster: "c", Outcome: configapi.Applied}
+	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, Session: 2, Cluster: "c", LastDecided: 3, Applied: 3})
+	ack := configapi.Acknowledgement{Node: "n1", StartedMS: 5, Session: 2, Cluster: "c", Outcome: configapi.Applied}
 	for _, late := range []func(*configapi.Acknowledgement){
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 7, 7 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 6, 6 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.Session = 9, 9, 1 },
-		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.Started = 9, 9, 4 },
+		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.StartedMS = 9, 9, 4 },
 	} {
 		a := ack
 		late(&a)
@@ -72,7 +72,7 @@
 			t.Error(err)
 		}
 	}
-	if got := table.list(noon)[0]; got.Held != 7 || got.Applied != 7 || got.Outcome != configapi.Applied {
+	if got := table.list(noon)[0]; got.LastDecided != 7 || got.Applied != 7 || got.Outcome != configapi.Applied {
 		t.Errorf("node is known as %+v", got)
 	}
 	if s.needsConfig("c", 7) || !s.needsConfig("c", 8) || !s.needsConfig("d", 1) {
@@ -87,14 +87,14 @@
 func TestRejectionIsKept(t *testing.T) {
 	table := newTestTable(5)
 	rejection := &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no such class"}
-	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Cluster: "c", Held: 4, Applied: 3, Rejected: true, Reason: rejection.Error()})
+	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Cluster: "c", LastDecided: 4, Applied: 3, LastRejected: true, RejectionReason: rejection.Error()})
 	got := table.list(noon)[0]
 	if got.Outcome != configapi.Rejected || got.Rejection == nil || *got.Rejection != *rejection {
 		t.Errorf("node is known as %+v", got)
 	}
-	long := configapi.WatchRequest{Node: "n2", Service: "dry", Held: 4, Rejected: true, Reason: strings.Repeat("x", 2*configapi.MaxReason)}
+	long := configapi.WatchRequest{Node: "n2", Service: "dry", LastDecided: 4, LastRejected: true, RejectionReason: strings.Repeat("x", 2*configapi.MaxReasonBytes)}
 	mustOpen(t, table, long)
-	if got := table.list(noon)[1].Rejection.Message; len(got) != configapi.MaxReason {
+	if got := table.list(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
 		t.Errorf("a reason of %d bytes is kept", len(got))
 	}
 }
@@ -114,7 +114,7 @@
 
 func TestNodeTableIsBounded(t *testing.T) {
 	table := newTestTable(5)
-	table.most = 3
+	table.maxNodes = 3
 	for i := range 5 {
 		s := mustOpen(t, table, configapi.WatchRequest{Node: fmt.Sprint("n", i), Service: "dry"})
 		table.closeSession(s, noon.Add(time.Duration(i)*time.Second))
@@ -136,7 +136,7 @@
 	targets := map[string]int{}
 	for _, s := range sessions {
 		select {
-		case to := <-s.move:
+		case to := <-s.migrate:
 			targets[to.Address]++
 		default:
 			t.Error("a session was not asked to move")
@@ -145,7 +145,7 @@
 	if targets["b:1"] != 2 || targets["c:1"] != 2 {
 		t.Errorf("four sessions were sent to %v", targets)
 	}
-	if _, err := table.openSession(configapi.WatchRequest{Node: "n9", Service: "dry"}, noon); err == nil || err.Kind != configapi.ErrorFull {
+	if _, err := table.openSession(configapi.WatchRequest{Node: "n9", Service: "dry"}, noon); err == nil || err.Kind != configapi.ErrorNoCapacity {
 		t.Errorf("a node that comes meanwhile: %+v", err)
 	}
 }
--- a/internal/controller/raftlog_test.go
+++ b/internal/controller/raftlog_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestRaftLogLeavesRepetitionsOut(t *testing.T) {
-	s := &slogSink{said: map[string]*repetition{}}
+	s := &slogSink{lastLogged: map[string]*repetition{}}
 	for _, c := range []struct {
 		message string
 		after   time.Duration
@@ -17,10 +17,10 @@
 		{"failed to heartbeat to", time.Second, 0, true},
 		{"heartbeat timeout reached", time.Second, 0, false},
 		{"failed to heartbeat to", 2 * time.Second, 0, true},
-		{"failed to heartbeat to", repeatInterval, 2, false},
-		{"failed to heartbeat to", 2 * repeatInterval, 0, false},
+		{"failed to heartbeat to", repeatLogInterval, 2, false},
+		{"failed to heartbeat to", 2 * repeatLogInterval, 0, false},
 	} {
-		if leftOut, again := s.count(c.message, noon.Add(c.after)); leftOut != c.leftOut || again != c.again {
+		if leftOut, again := s.countRepetition(c.message, noon.Add(c.after)); leftOut != c.leftOut || again != c.again {
 			t.Errorf("%q after %v: %d left out, again %v", c.message, c.after, leftOut, again)
 		}
 	}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -13,23 +13,23 @@
 	if !c.isReady() {
 		return
 	}
-	c.recordStart(c.disk.identity.Server, memberStart{c.disk.identity.Start, process})
+	c.recordStart(c.disk.identity.ServerID, memberStart{c.disk.identity.Start, process})
 	for _, member := range c.config.Members {
 		report, ok := reports[member.Name]
-		if !ok || report.Server == "" || report.Phase == phaseEmpty {
+		if !ok || report.ServerID == "" || report.Phase == phaseEmpty {
 			continue
 		}
-		if err := c.admitServer(member, report); err != nil {
-			c.log.Warn("a controller could not be made a member", "controller", member.Name, "server", report.Server, "err", err)
+		if err := c.reconcileMember(member, report); err != nil {
+			c.log.Warn("a controller could not be made a member", "controller", member.Name, "server", report.ServerID, "err", err)
 			return
 		}
-		c.recordStart(report.Server, memberStart{report.Start, report.Process})
+		c.recordStart(report.ServerID, memberStart{report.Start, report.ProcessID})
 	}
 }
 
-// admitServer takes the next steps for one controller.
-func (c *consensus) admitServer(member Member, report memberReport) error {
-	server := raft.ServerID(report.Server)
+// reconcileMember takes the next steps for one controller.
+func (c *consensus) reconcileMember(member Member, report memberReport) error {
+	server := raft.ServerID(report.ServerID)
 	if controllerOf(server) != member.Name {
 		return nil
 	}
@@ -59,29 +59,29 @@
 
 // promote makes a nonvoter a voter once it has what was committed a moment ago.
 func (c *consensus) promote(member Member, report memberReport) error {
-	if report.Applied+appendBatch < c.raft.CommitIndex() || report.Cluster != c.hub.view().state.Cluster {
+	if report.AppliedIndex+appendBatch < c.raft.CommitIndex() || report.Cluster != c.views.load().state.Cluster {
 		return nil
 	}
-	c.log.Info("a controller that joined has the log and may vote", "controller", member.Name, "server", report.Server)
-	return c.raft.AddVoter(raft.ServerID(report.Server), logAddress(member), 0, changeTimeout).Error()
+	c.log.Info("a controller that joined has the log and may vote", "controller", member.Name, "server", report.ServerID)
+	return c.raft.AddVoter(raft.ServerID(report.ServerID), logAddress(member), 0, changeTimeout).Error()
 }
 
 // recordStart has a controller's start written to the log, once for each.
 func (c *consensus) recordStart(server string, start memberStart) {
-	if known := c.hub.view().state.Starts[server]; known.Start >= start.Start {
+	if known := c.views.load().state.Starts[server]; known.Start >= start.Start {
 		return
 	}
-	what := command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{server, start.Start, start.Process}}
+	what := command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{server, start.Start, start.ProcessID}}
 	if _, err := c.propose(what); err != nil {
 		c.log.Warn("a controller's start was not recorded", "server", server, "err", err)
 	}
 }
 
-// keepSnapshots takes a snapshot a moment after each change of the state, so that a controller that starts without a
+// snapshotOnChange takes a snapshot a moment after each change of the state, so that a controller that starts without a
 // quorum serves its nodes what it had.
-func (c *consensus) keepSnapshots(done <-chan struct{}) {
+func (c *consensus) snapshotOnChange(done <-chan struct{}) {
 	for {
-		changed := c.hub.view().superseded
+		changed := c.views.load().superseded
 		select {
 		case <-changed:
 		case <-done:
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -18,59 +18,59 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second  // for a request's header
-	bodyTimeout   = 10 * time.Second // for a request's body
-	replyTimeout  = 10 * time.Second // for an answer that is not a watch
-	idleTimeout   = 60 * time.Second // of a connection without a request
-	writeTimeout  = 3 * time.Second  // of one write to a watch: a node that takes none is dropped
-	maxHeader     = 16 << 10         // bytes
+	headerTimeout  = 5 * time.Second  // for a request's header
+	bodyTimeout    = 10 * time.Second // for a request's body
+	replyTimeout   = 10 * time.Second // for an answer that is not a watch
+	idleTimeout    = 60 * time.Second // of a connection without a request
+	writeTimeout   = 3 * time.Second  // of one write to a watch: a node that takes none is dropped
+	maxHeaderBytes = 16 << 10         // bytes
 
 	// extraConnections are those beside the nodes' watches and acknowledgements: operators, other controllers.
 	extraConnections = 256
-	// movesPerSecond is how many sessions a controller hands on to others, at most.
-	movesPerSecond = 20
+	// migrationsPerSecond is how many sessions a controller hands on to others, at most.
+	migrationsPerSecond = 20
 	// monitorInterval is how often a controller looks whether it is in touch with the leader.
 	monitorInterval = 50 * time.Millisecond
-	// patience is how long an empty controller waits for all others to answer, before it begins a cluster with a
+	// bootstrapWait is how long an empty controller waits for all others to answer, before it begins a cluster with a
 	// majority of them.
-	patience = 3 * time.Second
-	// waitNotice is how often a controller that can't take part yet says so.
-	waitNotice = 10 * time.Second
+	bootstrapWait = 3 * time.Second
+	// waitLogInterval is how often a controller that can't take part yet says so.
+	waitLogInterval = 10 * time.Second
 	// drainTimeout is how long a controller that ends waits for its nodes to move.
 	drainTimeout = 2 * time.Second
 )
 
 // Controller is a running controller.
 type Controller struct {
-	config  Config
-	log     *slog.Logger
-	process string // drawn at random, to tell two processes on one disk apart
-	hub     *hub
-	nodes   *nodeTable
-	peers   *peers
+	config    Config
+	log       *slog.Logger
+	processID string // drawn at random, to tell two processes on one disk apart
+	views     *viewStore
+	nodes     *nodeTable
+	peers     *peerReports
 
-	disk     *disk
-	listener net.Listener
-	raftPort net.Listener
-	server   *http.Server
+	disk         *disk
+	listener     net.Listener
+	raftListener net.Listener
+	server       *http.Server
 
-	consensus atomic.Pointer[consensus]
-	joined    atomic.Pointer[membership]
-	tasks     sync.WaitGroup
+	consensus     atomic.Pointer[consensus]
+	participation atomic.Pointer[participation]
+	tasks         sync.WaitGroup
 }
 
-// membership is how a controller takes part, for its reports.
-type membership struct {
+// participation is how a controller takes part, for its reports.
+type participation struct {
 	phase    phase
-	server   string
+	serverID string
 	start    uint64
 	founders map[string]string
 }
 
 // New opens a controller's folder and its addresses.
 func New(config Config, log *slog.Logger) (*Controller, error) {
-	c := &Controller{config: config, log: log.With("controller", config.Self.Name), process: randomText(), hub: newHub(), peers: newPeers(config)}
-	movesPerPoll := int(movesPerSecond * pollInterval / time.Second)
+	c := &Controller{config: config, log: log.With("controller", config.Self.Name), processID: randomText(), views: newViewStore(), peers: newPeerReports(config)}
+	movesPerPoll := int(migrationsPerSecond * pollInterval / time.Second)
 	c.nodes = newNodeTable(configversion.NewPlacement(config.Self.Endpoint(), config.MaxSessions, movesPerPoll))
 	d, err := openDisk(config.Folder, config.Self.Name)
 	if err != nil {
@@ -81,17 +81,17 @@
 		_ = d.close()
 		return nil, err
 	}
-	if err := c.setFirstPhase(); err != nil {
-		c.closeAll()
+	if err := c.initParticipation(); err != nil {
+		c.releaseResources()
 		return nil, err
 	}
-	c.server = &http.Server{Handler: c.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+	c.server = &http.Server{Handler: c.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug)}
 	return c, nil
 }
 
 func (c *Controller) listen() error {
-	options := net.ListenConfig{Control: controlSocket}
+	options := net.ListenConfig{Control: setSocketOptions}
 	listener, err := options.Listen(context.Background(), "tcp", c.config.Self.Listen)
 	if err != nil {
 		return &ListenError{c.config.Self.Listen, err}
@@ -102,31 +102,31 @@
 		return &ListenError{c.config.Self.Raft, err}
 	}
 	c.listener = netutil.LimitListener(listener, 2*c.config.MaxSessions+extraConnections)
-	c.raftPort = raftPort
+	c.raftListener = raftPort
 	return nil
 }
 
-// setFirstPhase says how the disk takes part, as far as the disk can tell.
-func (c *Controller) setFirstPhase() error {
+// initParticipation says how the disk takes part, as far as the disk can tell.
+func (c *Controller) initParticipation() error {
 	used, err := c.disk.hasState()
 	if err != nil {
 		return &FolderError{c.config.Folder, "empty the folder, and the controller copies the state from the others", err}
 	}
-	switch server := c.disk.identity.Server; {
+	switch server := c.disk.identity.ServerID; {
 	case used:
-		c.join(phaseMember, nil)
+		c.setParticipation(phaseMember, nil)
 	case server != "" && server != c.config.Self.Name:
-		c.join(phaseJoining, nil)
+		c.setParticipation(phaseJoining, nil)
 	default:
-		c.join(phaseEmpty, nil)
+		c.setParticipation(phaseEmpty, nil)
 	}
 	return nil
 }
 
-// closeAll gives back what New has opened.
-func (c *Controller) closeAll() {
+// releaseResources gives back what New has opened.
+func (c *Controller) releaseResources() {
 	_ = c.listener.Close()
-	_ = c.raftPort.Close()
+	_ = c.raftListener.Close()
 	_ = c.disk.close()
 }
 
@@ -145,7 +145,7 @@
 	})
 	c.tasks.Go(func() { c.pollPeers(work) })
 	c.tasks.Go(func() {
-		if err := c.takePart(work); err != nil {
+		if err := c.runConsensus(work); err != nil {
 			failed <- err
 		}
 	})
@@ -161,10 +161,10 @@
 // shutdown ends the controller in stages.
 func (c *Controller) shutdown(stop context.CancelFunc) {
 	if running := c.consensus.Load(); running != nil {
-		running.handOver()
+		running.transferLeadership()
 	}
 	c.nodes.drain(time.Now())
-	c.awaitSessions()
+	c.waitForSessions()
 	c.nodes.closeAll()
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
@@ -176,7 +176,7 @@
 	if running := c.consensus.Load(); running != nil {
 		running.close()
 	} else {
-		_ = c.raftPort.Close()
+		_ = c.raftListener.Close()
 	}
 	if err := c.disk.close(); err != nil {
 		c.log.Warn("the log was not closed as it should be", "err", err)
@@ -185,8 +185,8 @@
 	c.log.Info("ended")
 }
 
-// awaitSessions waits a bounded time for the nodes to move.
-func (c *Controller) awaitSessions() {
+// waitForSessions waits a bounded time for the nodes to move.
+func (c *Controller) waitForSessions() {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for rest := drainTimeout; rest > 0 && c.nodes.sessions() > 0; rest -= monitorInterval {
@@ -199,9 +199,9 @@
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		c.peers.poll(ctx, c.joined.Load().server)
+		c.peers.poll(ctx, c.participation.Load().serverID)
 		now := time.Now()
-		moved := c.nodes.setPeers(c.peers.loads(now, c.hub.view().current), now)
+		moved := c.nodes.setPeers(c.peers.loads(now, c.views.load().current), now)
 		if moved > 0 {
 			c.log.Info("sessions asked to move to controllers with fewer", "moved", moved, "sessions", c.nodes.sessions())
 		}
@@ -212,92 +212,92 @@
 	}
 }
 
-// takePart finds out how this controller takes part in the cluster, runs raft, and watches over it.
-func (c *Controller) takePart(ctx context.Context) error {
+// runConsensus finds out how this controller takes part in the cluster, runs raft, and watches over it.
+func (c *Controller) runConsensus(ctx context.Context) error {
 	running, err := c.startRaft(ctx)
 	if err != nil || running == nil {
 		return err
 	}
-	c.tasks.Go(func() { running.keepSnapshots(ctx.Done()) })
-	c.tasks.Go(func() { c.lead(ctx, running) })
+	c.tasks.Go(func() { running.snapshotOnChange(ctx.Done()) })
+	c.tasks.Go(func() { c.runLeader(ctx, running) })
 	c.monitor(ctx, running)
 	return nil
 }
 
 // startRaft starts raft in the way that the disk allows. It returns nil when the controller ends before.
 func (c *Controller) startRaft(ctx context.Context) (*consensus, error) {
-	switch c.joined.Load().phase {
+	switch c.participation.Load().phase {
 	case phaseMember:
-		return c.resume(ctx)
+		return c.resumeFromDisk(ctx)
 	case phaseJoining:
-		return c.begin(phaseJoining, false, nil)
+		return c.launchConsensus(phaseJoining, false, nil)
 	}
-	return c.startEmpty(ctx)
+	return c.startWithEmptyDisk(ctx)
 }
 
-// startEmpty waits until it is clear how an empty disk takes part.
-func (c *Controller) startEmpty(ctx context.Context) (*consensus, error) {
+// startWithEmptyDisk waits until it is clear how an empty disk takes part.
+func (c *Controller) startWithEmptyDisk(ctx context.Context) (*consensus, error) {
 	began := time.Now()
-	decision := decideWait
+	decision := startUndecided
 	var reports map[string]memberReport
-	err := c.await(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
-		reports = c.peers.fresh(time.Now())
-		decision = decideStart(c.config, c.process, reports, time.Since(began) < patience)
-		return decision != decideWait
+	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
+		reports = c.peers.valid(time.Now())
+		decision = decideEmptyDiskStart(c.config, c.processID, reports, time.Since(began) < bootstrapWait)
+		return decision != startUndecided
 	})
 	switch {
 	case err != nil:
 		return nil, nil
-	case decision == decideJoin:
+	case decision == startJoin:
 		c.log.Info("the folder is empty, and others have a log: this controller joins with a new server ID and copies it")
-		if err := c.disk.chooseServer(replacementServer(c.config.Self.Name)); err != nil {
+		if err := c.disk.setServerID(replacementServerID(c.config.Self.Name)); err != nil {
 			return nil, err
 		}
-		return c.begin(phaseJoining, false, nil)
+		return c.launchConsensus(phaseJoining, false, nil)
 	}
-	c.log.Info("beginning a new cluster", "members", len(c.config.Members), "empty", len(founders(c.config, c.process, reports)))
-	if err := c.disk.chooseServer(c.config.Self.Name); err != nil {
+	c.log.Info("beginning a new cluster", "members", len(c.config.Members), "empty", len(emptyMembers(c.config, c.processID, reports)))
+	if err := c.disk.setServerID(c.config.Self.Name); err != nil {
 		return nil, err
 	}
-	return c.begin(phaseMember, true, founders(c.config, c.process, reports))
+	return c.launchConsensus(phaseMember, true, emptyMembers(c.config, c.processID, reports))
 }
 
-// begin starts raft, open to the others at once.
-func (c *Controller) begin(p phase, bootstrap bool, founders map[string]string) (*consensus, error) {
-	running, err := startConsensus(c.config, c.disk, c.raftPort, c.hub, c.log, bootstrap)
+// launchConsensus starts raft, open to the others at once.
+func (c *Controller) launchConsensus(p phase, bootstrap bool, founders map[string]string) (*consensus, error) {
+	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrap)
 	if err != nil {
 		return nil, err
 	}
-	running.stream.open.Store(true)
+	running.stream.enabled.Store(true)
 	c.consensus.Store(running)
-	c.join(p, founders)
+	c.setParticipation(p, founders)
 	return running, nil
 }
 
-func (c *Controller) join(p phase, founders map[string]string) {
-	c.joined.Store(&membership{phase: p, server: c.disk.identity.Server, start: c.disk.identity.Start, founders: founders})
+func (c *Controller) setParticipation(p phase, founders map[string]string) {
+	c.participation.Store(&participation{phase: p, serverID: c.disk.identity.ServerID, start: c.disk.identity.Start, founders: founders})
 }
 
-// resume starts raft on a disk that has a log. It serves what it has at once, and takes part once a majority of the
+// resumeFromDisk starts raft on a disk that has a log. It serves what it has at once, and takes part once a majority of the
 // controllers have answered and none of them knows of a later start: the disk could be an old copy.
-func (c *Controller) resume(ctx context.Context) (*consensus, error) {
-	running, err := startConsensus(c.config, c.disk, c.raftPort, c.hub, c.log, false)
+func (c *Controller) resumeFromDisk(ctx context.Context) (*consensus, error) {
+	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, false)
 	if err != nil {
 		return nil, err
 	}
 	c.consensus.Store(running)
-	judgement := judgeWait
-	err = c.await(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
-		judgement = judgeDisk(c.config, c.disk.identity, c.process, c.peers.fresh(time.Now()))
-		return judgement != judgeWait
+	judgement := diskUndecided
+	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
+		judgement = judgeDisk(c.config, c.disk.identity, c.processID, c.peers.valid(time.Now()))
+		return judgement != diskUndecided
 	})
 	switch {
 	case err != nil:
 		return nil, nil
-	case judgement == judgeOld:
+	case judgement == diskStale:
 		return c.replaceOldDisk(running)
 	}
-	running.stream.open.Store(true)
+	running.stream.enabled.Store(true)
 	return running, nil
 }
 
@@ -306,28 +306,28 @@
 	c.log.Warn("the folder is an old copy of this controller's disk: the others know of a later start; it is emptied, and the log copied from them")
 	c.consensus.Store(nil)
 	running.close()
-	if err := c.disk.wipe(); err != nil {
+	if err := c.disk.reset(); err != nil {
 		return nil, err
 	}
-	if err := c.disk.chooseServer(replacementServer(c.config.Self.Name)); err != nil {
+	if err := c.disk.setServerID(replacementServerID(c.config.Self.Name)); err != nil {
 		return nil, err
 	}
 	raftPort, err := net.Listen("tcp", c.config.Self.Raft)
 	if err != nil {
 		return nil, &ListenError{c.config.Self.Raft, err}
 	}
-	c.raftPort = raftPort
-	return c.begin(phaseJoining, false, nil)
+	c.raftListener = raftPort
+	return c.launchConsensus(phaseJoining, false, nil)
 }
 
-// await looks again and again until done, and says now and then what it waits for.
-func (c *Controller) await(ctx context.Context, what string, done func() bool) error {
+// waitUntil looks again and again until done, and says now and then what it waits for.
+func (c *Controller) waitUntil(ctx context.Context, what string, done func() bool) error {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for notice := time.Duration(0); !done(); notice -= monitorInterval {
 		if notice <= 0 {
 			c.log.Info("waiting: " + what)
-			notice = waitNotice
+			notice = waitLogInterval
 		}
 		select {
 		case <-tick.C:
@@ -343,12 +343,12 @@
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
-		if c.hub.setCurrent(running.current(time.Now())) {
-			c.log.Info("in touch with the leader of a quorum", "current", c.hub.view().current, "version", c.hub.view().state.Version)
+		if c.views.setCurrent(running.isCurrent(time.Now())) {
+			c.log.Info("in touch with the leader of a quorum", "current", c.views.load().current, "version", c.views.load().state.Version)
 		}
-		if joined := c.joined.Load(); joined.phase == phaseJoining && running.isVoter() {
-			c.join(phaseMember, nil)
-			c.log.Info("this controller is a member of the cluster again", "server", joined.server)
+		if joined := c.participation.Load(); joined.phase == phaseJoining && running.isVoter() {
+			c.setParticipation(phaseMember, nil)
+			c.log.Info("this controller is a member of the cluster again", "server", joined.serverID)
 		}
 		select {
 		case <-tick.C:
@@ -358,15 +358,15 @@
 	}
 }
 
-// lead does a leader's work while the controller is one.
-func (c *Controller) lead(ctx context.Context, running *consensus) {
+// prepareLeadership does a leader's work while the controller is one.
+func (c *Controller) runLeader(ctx context.Context, running *consensus) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if running.leads() && !running.isReady() {
-			running.lead()
+		if running.isLeader() && !running.isReady() {
+			running.prepareLeadership()
 		}
-		running.reconcile(c.peers.fresh(time.Now()), c.process)
+		running.reconcile(c.peers.valid(time.Now()), c.processID)
 		select {
 		case <-tick.C:
 		case <-running.leaderCh:
@@ -378,21 +378,21 @@
 
 // report is what this controller tells the others; server is the one whose last recorded start is asked for.
 func (c *Controller) report(server string) memberReport {
-	joined, now := c.joined.Load(), c.hub.view()
-	r := memberReport{Phase: joined.phase, Server: joined.server, Start: joined.start, Process: c.process, Founders: joined.founders}
+	joined, now := c.participation.Load(), c.views.load()
+	r := memberReport{Phase: joined.phase, ServerID: joined.serverID, Start: joined.start, ProcessID: c.processID, Founders: joined.founders}
 	r.Load = configapi.Load{Name: c.config.Self.Name, Cluster: now.state.Cluster, Sessions: c.nodes.sessions(), Current: now.current}
 	if running := c.consensus.Load(); running != nil {
-		r.Applied = running.raft.AppliedIndex()
+		r.AppliedIndex = running.raft.AppliedIndex()
 	}
 	if known, ok := now.state.Starts[server]; ok {
-		r.Known = &known
+		r.RecordedStart = &known
 	}
 	return r
 }
 
 // status is what this controller tells operators.
 func (c *Controller) status() configapi.ControllerStatus {
-	now := c.hub.view()
+	now := c.views.load()
 	s := configapi.ControllerStatus{Name: c.config.Self.Name, Cluster: now.state.Cluster, Version: now.state.Version, Current: now.current,
 		Sessions: c.nodes.sessions(), Nodes: c.nodes.list(time.Now()), Controllers: c.endpoints()}
 	if running := c.consensus.Load(); running != nil {
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -14,24 +14,24 @@
 
 // Defaults of the settings, and the bounds of what a file may say.
 const (
-	defaultMaxSessions = 600 // a node's share is 271 of 1,900 at seven controllers, and 475 with three of them gone
-	defaultElection    = 400 * time.Millisecond
-	defaultLease       = 300 * time.Millisecond
-	defaultFolderName  = "hookwalk-controllers"
+	defaultMaxSessions     = 600 // a node's share is 271 of 1,900 at seven controllers, and 475 with three of them gone
+	defaultElectionTimeout = 400 * time.Millisecond
+	defaultLeaderLease     = 300 * time.Millisecond
+	defaultFolderName      = "hookwalk-controllers"
 
-	maxSettingsFile = 1 << 20 // bytes
-	maxMembers      = 15
+	maxSettingsFileBytes = 1 << 20 // bytes
+	maxMembers           = 15
 )
 
 // Config is what one controller is started with.
 type Config struct {
-	Self        Member
-	Members     []Member // all controllers of the cluster, Self among them, in the file's order
-	Folder      string   // of this controller alone
-	MaxSessions int
-	Heartbeat   time.Duration // the longest silence on a watch
-	Election    time.Duration // without a word of the leader for so long, a follower asks for an election
-	Lease       time.Duration // without a word of a quorum for so long, a leader steps down
+	Self              Member
+	Members           []Member // all controllers of the cluster, Self among them, in the file's order
+	Folder            string   // of this controller alone
+	MaxSessions       int
+	HeartbeatInterval time.Duration // the longest silence on a watch
+	ElectionTimeout   time.Duration // without a word of the leader for so long, a follower asks for an election
+	LeaderLease       time.Duration // without a word of a quorum for so long, a leader steps down
 }
 
 // Member is one controller of the cluster.
@@ -56,8 +56,8 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("controller: %w", err)
 	}
-	if info.Size() > maxSettingsFile {
-		return Config{}, fmt.Errorf("controller: %s is over %d bytes", path, maxSettingsFile)
+	if info.Size() > maxSettingsFileBytes {
+		return Config{}, fmt.Errorf("controller: %s is over %d bytes", path, maxSettingsFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	config := Config{MaxSessions: defaultMaxSessions, Heartbeat: configapi.Heartbeat, Election: defaultElection, Lease: defaultLease,
+	config := Config{MaxSessions: defaultMaxSessions, HeartbeatInterval: configapi.HeartbeatInterval, ElectionTimeout: defaultElectionTimeout, LeaderLease: defaultLeaderLease,
 		Folder: filepath.Join(os.TempDir(), defaultFolderName)}
 	clusterSeen := false
 	for _, block := range blocks {
@@ -102,10 +102,10 @@
 func (c *Config) readCommon(r *settings.Reader) {
 	c.Folder = r.Text("folder", c.Folder)
 	c.MaxSessions = r.Integer("max_sessions", defaultMaxSessions, 1, 20000)
-	c.Heartbeat = r.Milliseconds("heartbeat_ms", configapi.Heartbeat, 50*time.Millisecond, time.Second)
-	c.Election = r.Milliseconds("election_ms", defaultElection, 100*time.Millisecond, 10*time.Second)
-	c.Lease = r.Milliseconds("lease_ms", min(defaultLease, c.Election), 50*time.Millisecond, 10*time.Second)
-	if line, ok := r.Has("lease_ms"); c.Lease > c.Election {
+	c.HeartbeatInterval = r.Milliseconds("heartbeat_ms", configapi.HeartbeatInterval, 50*time.Millisecond, time.Second)
+	c.ElectionTimeout = r.Milliseconds("election_ms", defaultElectionTimeout, 100*time.Millisecond, 10*time.Second)
+	c.LeaderLease = r.Milliseconds("lease_ms", min(defaultLeaderLease, c.ElectionTimeout), 50*time.Millisecond, 10*time.Second)
+	if line, ok := r.Has("lease_ms"); c.LeaderLease > c.ElectionTimeout {
 		if !ok {
 			line = r.Block.Line
 		}
--- a/internal/controller/settings_test.go
+++ b/internal/controller/settings_test.go
@@ -21,7 +21,7 @@
 	if config.Self.Name != "c2" || len(config.Members) != 3 || config.Folder != filepath.Join("/var/lib/hw", "c2") {
 		t.Errorf("%+v", config)
 	}
-	if config.MaxSessions != 7 || config.Heartbeat != 200*time.Millisecond || config.Election != 900*time.Millisecond || config.Lease != defaultLease {
+	if config.MaxSessions != 7 || config.HeartbeatInterval != 200*time.Millisecond || config.ElectionTimeout != 900*time.Millisecond || config.LeaderLease != defaultLeaderLease {
 		t.Errorf("%+v", config)
 	}
 	if config.Members[0].Region != "west" || config.Members[0].Zone != "w1" {
--- a/internal/controller/socket_linux.go
+++ b/internal/controller/socket_linux.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// unackedMS is how long data may stay without the other machine's acknowledgement before a connection is given up, in
+// tcpUserTimeoutMS is how long data may stay without the other machine's acknowledgement before a connection is given up, in
 // milliseconds: a machine that is gone does not close its connections.
-const unackedMS = 3000
+const tcpUserTimeoutMS = 3000
 
-// controlSocket sets a listener's options, which the connections that it accepts inherit.
-func controlSocket(_, _ string, conn syscall.RawConn) error {
+// setSocketOptions sets a listener's options, which the connections that it accepts inherit.
+func setSocketOptions(_, _ string, conn syscall.RawConn) error {
 	var failed error
 	err := conn.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unackedMS)
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
 	})
 	if err != nil {
 		return err
--- a/internal/controller/socket_other.go
+++ b/internal/controller/socket_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// controlSocket has no options to set: connections of machines that are gone end by TCP's own timing.
+// setSocketOptions has no options to set: connections of machines that are gone end by TCP's own timing.
 func controlSocket(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -11,9 +11,9 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// historyLength is how many versions the state remembers. A publish request that is repeated within as many versions is
+// maxHistory is how many versions the state remembers. A publish request that is repeated within as many versions is
 // recognised by its ID. 1,000 versions are 31 hours at 760 a day, and about 200 KB.
-const historyLength = 1000
+const maxHistory = 1000
 
 // rateWindowMS is the time within which configapi.MaxPublishRate versions are accepted, in milliseconds.
 const rateWindowMS = 1000
@@ -51,9 +51,9 @@
 // memberStartedCommand records that a controller's process has started on its disk. A disk that names a lower start, or
 // the same one by another process, is an old copy.
 type memberStartedCommand struct {
-	Server  string `json:"server"`  // the raft server ID
-	Start   uint64 `json:"start"`   // rises by 1 with each start on the disk
-	Process string `json:"process"` // drawn at random by each process
+	ServerID  string `json:"server"`  // the raft server ID
+	Start     uint64 `json:"start"`   // rises by 1 with each start on the disk
+	ProcessID string `json:"process"` // drawn at random by each process
 }
 
 // commandResult is what the state machine answers to a command.
@@ -64,8 +64,8 @@
 
 // serviceState is the newest configuration of one service.
 type serviceState struct {
-	Config  configapi.ServiceConfig `json:"config"`
-	Changed configapi.Version       `json:"changed"` // the version that set Config
+	Config        configapi.ServiceConfig `json:"config"`
+	ConfigVersion configapi.Version       `json:"changed"` // the version that set Config
 }
 
 // historyEntry describes one version.
@@ -79,8 +79,8 @@
 
 // memberStart is the last recorded start of a raft server.
 type memberStart struct {
-	Start   uint64 `json:"start"`
-	Process string `json:"process"`
+	Start     uint64 `json:"start"`
+	ProcessID string `json:"process"`
 }
 
 // state is the replicated state. It is immutable: apply returns another one, which may share parts with the one before.
@@ -132,12 +132,12 @@
 		next.Services = map[string]serviceState{}
 	}
 	for name, config := range c.Document.Services {
-		next.Services[name] = serviceState{Config: config, Changed: next.Version}
+		next.Services[name] = serviceState{Config: config, ConfigVersion: next.Version}
 	}
-	next.Replaces = addClusters(s.Replaces, c.Replaces)
+	next.Replaces = unionClusters(s.Replaces, c.Replaces)
 	entry := historyEntry{Version: next.Version, ID: c.ID, Digest: c.digest(), TimeMS: c.TimeMS,
 		Services: slices.Sorted(maps.Keys(c.Document.Services))}
-	kept := s.History[max(0, len(s.History)+1-historyLength):]
+	kept := s.History[max(0, len(s.History)+1-maxHistory):]
 	next.History = append(slices.Clone(kept), entry)
 	return &next, commandResult{Reply: configapi.PublishReply{Cluster: next.Cluster, Version: next.Version}}
 }
@@ -165,12 +165,12 @@
 	if age := timeMS - earlier; age < 0 || age >= rateWindowMS {
 		return nil
 	}
-	return &configapi.Error{Kind: configapi.ErrorTooMany,
+	return &configapi.Error{Kind: configapi.ErrorRateLimited,
 		Message: fmt.Sprintf("%d versions within the last second, which is the most: publish again in a second", configapi.MaxPublishRate)}
 }
 
 func (s *state) memberStarted(c memberStartedCommand) *state {
-	if known, ok := s.Starts[c.Server]; ok && known.Start >= c.Start {
+	if known, ok := s.Starts[c.ServerID]; ok && known.Start >= c.Start {
 		return s
 	}
 	next := *s
@@ -178,7 +178,7 @@
 	if next.Starts == nil {
 		next.Starts = map[string]memberStart{}
 	}
-	next.Starts[c.Server] = memberStart{Start: c.Start, Process: c.Process}
+	next.Starts[c.ServerID] = memberStart{Start: c.Start, ProcessID: c.ProcessID}
 	return &next
 }
 
@@ -195,8 +195,8 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// addClusters returns the union of two lists, in the order in which clusters were added.
-func addClusters(have, more []configapi.Cluster) []configapi.Cluster {
+// unionClusters returns the union of two lists, in the order in which clusters were added.
+func unionClusters(have, more []configapi.Cluster) []configapi.Cluster {
 	all := slices.Clone(have)
 	for _, c := range more {
 		if !slices.Contains(all, c) {
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -34,7 +34,7 @@
 func TestStateKeepsWhatAVersionDoesNotName(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry", "press")})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press")})
-	if s.Version != 2 || s.Services["dry"].Changed != 1 || s.Services["press"].Changed != 2 {
+	if s.Version != 2 || s.Services["dry"].ConfigVersion != 1 || s.Services["press"].ConfigVersion != 2 {
 		t.Errorf("version %d, services %+v", s.Version, s.Services)
 	}
 }
@@ -84,7 +84,7 @@
 			s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: 1000 + int64(i)})
 		}
 		next, result := s.apply(command{Kind: commandPublish, Publish: &publishCommand{ID: "late", Document: documentOf("dry"), TimeMS: c.at}})
-		refused := result.Err != nil && result.Err.Kind == configapi.ErrorTooMany
+		refused := result.Err != nil && result.Err.Kind == configapi.ErrorRateLimited
 		if refused != c.refused || (next == s) != c.refused {
 			t.Errorf("%s: %+v, version %d", name, result, next.Version)
 		}
@@ -93,10 +93,10 @@
 
 func TestStateHistoryIsBounded(t *testing.T) {
 	s := &state{Cluster: "c"}
-	for i := range historyLength + 5 {
+	for i := range maxHistory + 5 {
 		s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: int64(i) * rateWindowMS})
 	}
-	if len(s.History) != historyLength || s.History[0].Version != 6 || s.Version != historyLength+5 {
+	if len(s.History) != maxHistory || s.History[0].Version != 6 || s.Version != maxHistory+5 {
 		t.Errorf("%d entries from version %d at version %d", len(s.History), s.History[0].Version, s.Version)
 	}
 }
@@ -135,8 +135,8 @@
 		cluster := configapi.Cluster(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "cluster"))
 		return command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{cluster}}
 	case 1:
-		start := memberStartedCommand{Server: rapid.SampledFrom([]string{"c1", "c2"}).Draw(t, "server"),
-			Start: uint64(rapid.IntRange(1, 5).Draw(t, "start")), Process: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "process")}
+		start := memberStartedCommand{ServerID: rapid.SampledFrom([]string{"c1", "c2"}).Draw(t, "server"),
+			Start: uint64(rapid.IntRange(1, 5).Draw(t, "start")), ProcessID: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "process")}
 		return command{Kind: commandMemberStarted, MemberStarted: &start}
 	}
 	services := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"dry", "press", "mill"}), 1, 3, rapid.ID).Draw(t, "services")
@@ -165,7 +165,7 @@
 			log = append(log, &raft.Log{Index: uint64(i + 1), Data: text})
 		}
 		cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot behind")
-		whole, restored := newMachine(newHub()), newMachine(newHub())
+		whole, restored := newFSM(newViewStore()), newFSM(newViewStore())
 		var sink memorySink
 		for i, entry := range log {
 			if i == cut {
@@ -189,13 +189,13 @@
 		if got, want := encoded(t, restored.state), encoded(t, whole.state); got != want {
 			t.Fatalf("restored:\n%s\nreplayed:\n%s", got, want)
 		}
-		if restored.hub.view().state != restored.state {
+		if restored.views.load().state != restored.state {
 			t.Fatal("the hub has another state than the machine")
 		}
 	})
 }
 
-func takeSnapshot(t *rapid.T, m *machine, sink *memorySink) {
+func takeSnapshot(t *rapid.T, m *fsm, sink *memorySink) {
 	s, err := m.Snapshot()
 	if err == nil {
 		err = s.Persist(sink)
@@ -214,7 +214,7 @@
 }
 
 func TestMachineAnswersUnreadableEntries(t *testing.T) {
-	m := newMachine(newHub())
+	m := newFSM(newViewStore())
 	result, ok := m.Apply(&raft.Log{Index: 3, Data: []byte("{")}).(commandResult)
 	if !ok || result.Err == nil {
 		t.Errorf("answered %+v", result)
