--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -22,12 +22,12 @@
 // that voted before, and two clusters on the same addresses do not mix their logs.
 
 const (
-	raftTimeout     = 2 * time.Second // for one message between controllers, and for a connection's first line
-	raftConnections = 128             // accepted at most, at the same time
-	raftPool        = 3               // idle connections to each other controller
-	maxGreeting     = 512             // bytes of a connection's first line
-	greetingWord    = "hookwalk-raft/1"
-	noCluster       = "-"
+	raftMessageTimeout  = 2 * time.Second // for one message between controllers, and for a connection's first line
+	maxRaftConnections  = 128             // accepted at most, at the same time
+	raftIdleConnections = 3               // idle connections to each other controller
+	maxGreetingBytes    = 512             // bytes of a connection's first line
+	greetingProtocol    = "hookwalk-raft/1"
+	noClusterToken      = "-"
 )
 
 // GreetingError says that a raft connection reached another server or cluster than the one it meant.
@@ -37,28 +37,28 @@
 	return fmt.Sprintf("a raft connection for %q reached %q: do two controllers have one address, or was a cluster built twice?", e.Got, e.Want)
 }
 
-// stream is the raft.StreamLayer of a controller.
-type stream struct {
+// raftStream is the raft.StreamLayer of a controller.
+type raftStream struct {
 	listener net.Listener
-	name     address
-	server   string // the own raft server ID
+	name     raftAddress
+	serverID string // the own raft server ID
 	cluster  func() configapi.Cluster
 	slots    chan struct{}
 	closing  chan struct{}
 	once     sync.Once
-	open     atomic.Bool // false: nothing is sent or read, on connections that exist neither
+	enabled  atomic.Bool // false: nothing is sent or read, on connections that exist neither
 }
 
-// address is the text of an address.
-type address string
+// raftAddress is the text of an address.
+type raftAddress string
 
 // Network is that of net.Addr.
-func (a address) Network() string { return "tcp" }
-func (a address) String() string  { return string(a) }
+func (a raftAddress) Network() string { return "tcp" }
+func (a raftAddress) String() string  { return string(a) }
 
-func newStream(listener net.Listener, name, server string, cluster func() configapi.Cluster) *stream {
-	return &stream{listener: listener, name: address(name), server: server, cluster: cluster,
-		slots: make(chan struct{}, raftConnections), closing: make(chan struct{})}
+func newRaftStream(listener net.Listener, name, server string, cluster func() configapi.Cluster) *raftStream {
+	return &raftStream{listener: listener, name: raftAddress(name), serverID: server, cluster: cluster,
+		slots: make(chan struct{}, maxRaftConnections), closing: make(chan struct{})}
 }
 
 // serverAddress writes a server's ID into its address, so that Dial knows whom to ask for.
@@ -67,9 +67,9 @@
 }
 
 // Dial connects to a server whose address serverAddress wrote.
-func (s *stream) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	if !s.open.Load() {
-		return nil, errClosedGate
+func (s *raftStream) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	if !s.enabled.Load() {
+		return nil, errStreamDisabled
 	}
 	address, id, _ := strings.Cut(string(target), "|")
 	conn, err := net.DialTimeout("tcp", address, timeout)
@@ -77,16 +77,16 @@
 		return nil, err
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := fmt.Fprintf(conn, "%s %s %s\n", greetingWord, id, clusterWord(s.cluster())); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s %s %s\n", greetingProtocol, id, clusterToken(s.cluster())); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	_ = conn.SetWriteDeadline(time.Time{})
-	return &gated{conn, s}, nil
+	return &guardedConn{conn, s}, nil
 }
 
 // Accept returns the next connection. Its first line is read, and checked, by the first Read.
-func (s *stream) Accept() (net.Conn, error) {
+func (s *raftStream) Accept() (net.Conn, error) {
 	select {
 	case s.slots <- struct{}{}:
 	case <-s.closing:
@@ -97,93 +97,93 @@
 		<-s.slots
 		return nil, err
 	}
-	return &accepted{gated: gated{conn, s}}, nil
+	return &inboundConn{guardedConn: guardedConn{conn, s}}, nil
 }
 
 // Close closes the listener.
-func (s *stream) Close() error {
+func (s *raftStream) Close() error {
 	s.once.Do(func() { close(s.closing) })
 	return s.listener.Close()
 }
 
 // Addr is the controller's address in the log.
-func (s *stream) Addr() net.Addr { return s.name }
+func (s *raftStream) Addr() net.Addr { return s.name }
 
-// check compares a connection's first line with what this server is.
-func (s *stream) check(line string) error {
+// checkGreeting compares a connection's first line with what this server is.
+func (s *raftStream) checkGreeting(line string) error {
 	words := strings.Fields(line)
-	own := clusterWord(s.cluster())
-	want := strings.Join([]string{greetingWord, s.server, own}, " ")
-	if !s.open.Load() || len(words) != 3 || words[0] != greetingWord || words[1] != s.server {
+	own := clusterToken(s.cluster())
+	want := strings.Join([]string{greetingProtocol, s.serverID, own}, " ")
+	if !s.enabled.Load() || len(words) != 3 || words[0] != greetingProtocol || words[1] != s.serverID {
 		return &GreetingError{line, want}
 	}
-	if words[2] != own && words[2] != noCluster && own != noCluster {
+	if words[2] != own && words[2] != noClusterToken && own != noClusterToken {
 		return &GreetingError{line, want}
 	}
 	return nil
 }
 
-func clusterWord(c configapi.Cluster) string {
+func clusterToken(c configapi.Cluster) string {
 	if c == "" {
-		return noCluster
+		return noClusterToken
 	}
 	return string(c)
 }
 
-// errClosedGate says that this controller does not take part in the replicated log at the moment.
-var errClosedGate = errors.New("controller: raft is not open to the others")
+// errStreamDisabled says that this controller does not take part in the replicated log at the moment.
+var errStreamDisabled = errors.New("controller: raft is not open to the others")
 
-// gated is a connection that ends when its stream is not open.
-type gated struct {
+// guardedConn is a connection that ends when its stream is not open.
+type guardedConn struct {
 	net.Conn
-	stream *stream
+	stream *raftStream
 }
 
-func (g *gated) Read(into []byte) (int, error) {
+func (g *guardedConn) Read(into []byte) (int, error) {
 	n, err := g.Conn.Read(into)
-	if err == nil && !g.stream.open.Load() {
-		return 0, errClosedGate
+	if err == nil && !g.stream.enabled.Load() {
+		return 0, errStreamDisabled
 	}
 	return n, err
 }
 
-func (g *gated) Write(from []byte) (int, error) {
-	if !g.stream.open.Load() {
-		return 0, errClosedGate
+func (g *guardedConn) Write(from []byte) (int, error) {
+	if !g.stream.enabled.Load() {
+		return 0, errStreamDisabled
 	}
 	return g.Conn.Write(from)
 }
 
-// accepted is a connection that another controller has opened.
-type accepted struct {
-	gated
-	greeted bool
-	release sync.Once
+// inboundConn is a connection that another controller has opened.
+type inboundConn struct {
+	guardedConn
+	greeted     bool
+	releaseSlot sync.Once
 }
 
 // Read reads behind the first line, which it checks.
-func (c *accepted) Read(into []byte) (int, error) {
+func (c *inboundConn) Read(into []byte) (int, error) {
 	if !c.greeted {
 		if err := c.readGreeting(); err != nil {
 			return 0, err
 		}
 		c.greeted = true
 	}
-	return c.gated.Read(into)
+	return c.guardedConn.Read(into)
 }
 
 // readGreeting reads byte by byte, once for each connection, because what follows is raft's.
-func (c *accepted) readGreeting() error {
-	_ = c.SetReadDeadline(time.Now().Add(raftTimeout))
+func (c *inboundConn) readGreeting() error {
+	_ = c.SetReadDeadline(time.Now().Add(raftMessageTimeout))
 	var line bytes.Buffer
 	one := make([]byte, 1)
-	for line.Len() < maxGreeting {
+	for line.Len() < maxGreetingBytes {
 		if _, err := io.ReadFull(c.Conn, one); err != nil {
 			return io.EOF // nothing was said: no news for raft's log
 		}
 		if one[0] == '\n' {
 			_ = c.SetReadDeadline(time.Time{})
-			if err := c.stream.check(line.String()); err != nil {
+			if err := c.stream.checkGreeting(line.String()); err != nil {
 				return io.EOF
 			}
 			return nil
@@ -194,7 +194,7 @@
 }
 
 // Close closes the connection and gives its place to another one.
-func (c *accepted) Close() error {
-	c.release.Do(func() { <-c.stream.slots })
+func (c *inboundConn) Close() error {
+	c.releaseSlot.Do(func() { <-c.stream.slots })
 	return c.Conn.Close()
 }
--- a/internal/controller/transport_retry.go
+++ b/internal/controller/transport_retry.go
@@ -14,9 +14,9 @@
 // a partition would get its versions that much later, though a version has to be in force everywhere within 3 s.
 type retryingTransport struct {
 	*raft.NetworkTransport
-	// wanted says whether entries of a leader's term are still to be sent to a server.
-	wanted  func(server raft.ServerID, term uint64) bool
-	closing <-chan struct{}
+	// shouldRetry says whether entries of a leader's term are still to be sent to a server.
+	shouldRetry func(server raft.ServerID, term uint64) bool
+	closing     <-chan struct{}
 }
 
 // AppendEntries sends entries until the server answers, as long as they are wanted. Heartbeats are sent once: raft
@@ -28,14 +28,14 @@
 		if err == nil || isHeartbeat(request) {
 			return err
 		}
-		if !t.pause() || !t.wanted(id, request.Term) {
+		if !t.waitForRetry() || !t.shouldRetry(id, request.Term) {
 			return err
 		}
 	}
 }
 
-// pause waits for the next attempt. False: the transport is closing.
-func (t *retryingTransport) pause() bool {
+// waitForRetry waits for the next attempt. False: the transport is closing.
+func (t *retryingTransport) waitForRetry() bool {
 	timer := time.NewTimer(appendRetryInterval)
 	defer timer.Stop()
 	select {
--- a/internal/controller/transport_retry_test.go
+++ b/internal/controller/transport_retry_test.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-func (u *unreachable) Addr() net.Addr { return address("c1") }
+func (u *unreachable) Addr() net.Addr { return raftAddress("c1") }
 
 // newRetryingTransport returns a transport that reaches nobody.
 func newRetryingTransport(t *testing.T, wanted func(raft.ServerID, uint64) bool) (*retryingTransport, *unreachable) {
@@ -44,7 +44,7 @@
 	layer := &unreachable{closed: make(chan struct{})}
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, Timeout: time.Second,
 		Logger: raftLogger(slog.New(slog.DiscardHandler))})
-	return &retryingTransport{NetworkTransport: network, wanted: wanted, closing: layer.closed}, layer
+	return &retryingTransport{NetworkTransport: network, shouldRetry: wanted, closing: layer.closed}, layer
 }
 
 var entries = &raft.AppendEntriesRequest{Term: 7, PrevLogEntry: 3, Entries: []*raft.Log{{Index: 4}}}
--- a/internal/controller/transport_test.go
+++ b/internal/controller/transport_test.go
@@ -9,14 +9,14 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-func newTestStream(t *testing.T, server string, cluster configapi.Cluster) *stream {
+func newTestStream(t *testing.T, server string, cluster configapi.Cluster) *raftStream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newStream(listener, "c1", server, func() configapi.Cluster { return cluster })
-	s.open.Store(true)
+	s := newRaftStream(listener, "c1", server, func() configapi.Cluster { return cluster })
+	s.enabled.Store(true)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
@@ -37,7 +37,7 @@
 		"not open yet":                   {"c1", "c1", "x", "x", true, false},
 	} {
 		server, dialer := newTestStream(t, c.server, c.cluster), newTestStream(t, "c2", c.asker)
-		server.open.Store(!c.closed)
+		server.enabled.Store(!c.closed)
 		read := make(chan string, 1)
 		go func() {
 			conn, err := server.Accept()
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	s.open.Store(false)
+	s.enabled.Store(false)
 	if _, err := conn.Write([]byte("word")); err == nil {
 		t.Error("wrote to a stream that is not open")
 	}
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := conn.Write([]byte(strings.Repeat("x", 2*maxGreeting))); err != nil {
+	if _, err := conn.Write([]byte(strings.Repeat("x", 2*maxGreetingBytes))); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-failed; err == nil {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -17,8 +17,8 @@
 		writeError(w, refusal)
 		return
 	}
-	if c.hub.view().state.Cluster == "" {
-		writeError(w, &configapi.Error{Kind: configapi.ErrorFull, Message: "this controller has no state yet", Elsewhere: c.nodes.elsewhere(request)})
+	if c.views.load().state.Cluster == "" {
+		writeError(w, &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller has no state yet", Alternatives: c.nodes.alternatives(request)})
 		return
 	}
 	s, refusal := c.nodes.openSession(request, time.Now())
@@ -38,16 +38,16 @@
 func (c *Controller) readWatch(r *http.Request) (configapi.WatchRequest, *configapi.Error) {
 	request, err := configapi.ParseWatchRequest(r.URL.Query())
 	if err != nil {
-		return request, invalid("%v", err)
+		return request, invalidError("%v", err)
 	}
 	for name, value := range map[string]string{"node": request.Node, "service": request.Service} {
 		if !validName(value) {
-			return request, invalid("%s: %q is no name: 1 to %d visible ASCII characters", name, clip(value), maxName)
+			return request, invalidError("%s: %q is no name: 1 to %d visible ASCII characters", name, truncate(value), maxNameBytes)
 		}
 	}
 	for name, value := range map[string]string{"region": request.Region, "zone": request.Zone, "cluster": string(request.Cluster)} {
 		if value != "" && !validName(value) {
-			return request, invalid("%s: %q is no name: at most %d visible ASCII characters", name, clip(value), maxName)
+			return request, invalidError("%s: %q is no name: at most %d visible ASCII characters", name, truncate(value), maxNameBytes)
 		}
 	}
 	return request, nil
@@ -56,9 +56,9 @@
 // watch writes updates until the node goes, the session ends, or a write fails. A slow node misses the versions between
 // the one it was written and the newest.
 func (c *Controller) watch(r *http.Request, s *session, writer *watchWriter) error {
-	heartbeat := time.NewTicker(c.config.Heartbeat)
+	heartbeat := time.NewTicker(c.config.HeartbeatInterval)
 	defer heartbeat.Stop()
-	now := c.hub.view()
+	now := c.views.load()
 	if err := writer.write(c.line(now, s, true)); err != nil {
 		return err
 	}
@@ -67,18 +67,18 @@
 		select {
 		case <-now.superseded:
 			before := now
-			now = c.hub.view()
-			if now.saysTheSame(before) {
+			now = c.views.load()
+			if now.equalForNodes(before) {
 				continue
 			}
 			line = c.line(now, s, false)
-			heartbeat.Reset(c.config.Heartbeat)
-		case to := <-s.move:
+			heartbeat.Reset(c.config.HeartbeatInterval)
+		case to := <-s.migrate:
 			u := now.update(updateKey{service: s.request.Service}, nil)
-			u.MoveTo = to.Address
+			u.MigrateTo = to.Address
 			line = encodeLine(u)
 		case <-heartbeat.C:
-		case <-s.end:
+		case <-s.done:
 			return nil
 		case <-r.Context().Done():
 			return r.Context().Err()
@@ -91,7 +91,7 @@
 
 // line is a session's update.
 func (c *Controller) line(v *view, s *session, first bool) []byte {
-	key := updateKey{service: s.request.Service, withConfig: s.needsConfig(v.state.Cluster, v.changed(s.request.Service)), first: first}
+	key := updateKey{service: s.request.Service, withConfig: s.needsConfig(v.state.Cluster, v.configVersion(s.request.Service)), first: first}
 	return v.encodedUpdate(key, c.endpoints())
 }
 
--- a/internal/lab/scale/hollowsession.go
+++ b/internal/lab/scale/hollowsession.go
@@ -70,7 +70,7 @@
 	}
 	options := configwatch.Options{Node: node.Name, Service: node.Service, Region: node.Region, Zone: node.Zone, Seed: spec.Seed + nameHash(node.Name),
 		Started: time.Now(), Applier: applier, Log: log, Dial: dialThrough(network),
-		Observe: func(a configversion.VersionAnswered) { report(a.Version, a.Applied, a.Outcome) }}
+		Observe: func(a configversion.VersionDecided) { report(a.Version, a.Applied, a.Outcome) }}
 	for _, controller := range spec.Controllers {
 		options.Controllers = append(options.Controllers, controller.Address)
 	}
--- a/internal/lab/scale/versionsaudit.go
+++ b/internal/lab/scale/versionsaudit.go
@@ -246,9 +246,9 @@
 		switch {
 		case !heard:
 			check.violate(RuleAcknowledged, "no controller knows of %s", node)
-		case word.Applied != last.InForce || word.Held != last.Version || word.Outcome != last.Outcome:
+		case word.Applied != last.InForce || word.LastDecided != last.Version || word.Outcome != last.Outcome:
 			check.violate(RuleAcknowledged, "%s answered for %d (%s) with %d in force; its controller has %d (%s) with %d",
-				node, last.Version, last.Outcome, last.InForce, word.Held, word.Outcome, word.Applied)
+				node, last.Version, last.Outcome, last.InForce, word.LastDecided, word.Outcome, word.Applied)
 		}
 	}
 	return check.violations
--- a/internal/lab/scale/versionsbad_test.go
+++ b/internal/lab/scale/versionsbad_test.go
@@ -82,7 +82,7 @@
 	err := poll(ctx, func() bool {
 		words = s.words()
 		for _, node := range s.nodes {
-			if words[node.Name].Held < version {
+			if words[node.Name].LastDecided < version {
 				return false
 			}
 		}
--- a/internal/lab/scale/versionspublish.go
+++ b/internal/lab/scale/versionspublish.go
@@ -101,7 +101,7 @@
 // outcomeOf is what a refusal says of the document.
 func outcomeOf(kind configapi.ErrorKind) PublishOutcome {
 	switch kind {
-	case configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorTooMany, configapi.ErrorNotLeader, configapi.ErrorNoQuorum:
+	case configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited, configapi.ErrorNotLeader, configapi.ErrorNoQuorum:
 		return PublishRefused
 	default:
 		return PublishUnknown
--- a/internal/lab/scale/versionspublish_test.go
+++ b/internal/lab/scale/versionspublish_test.go
@@ -45,7 +45,7 @@
 		"accepted after no answer": {[]configapi.ErrorKind{hangUp, ""}, 0, PublishAccepted, 2},
 		"refused":                  {[]configapi.ErrorKind{configapi.ErrorNoQuorum, configapi.ErrorNotLeader}, 2, PublishRefused, 2},
 		"no answer":                {[]configapi.ErrorKind{hangUp}, 1, PublishUnknown, 1},
-		"unknown":                  {[]configapi.ErrorKind{configapi.ErrorUnknown}, 1, PublishUnknown, 1},
+		"unknown":                  {[]configapi.ErrorKind{configapi.ErrorOutcomeUnknown}, 1, PublishUnknown, 1},
 		"refused after no answer":  {[]configapi.ErrorKind{hangUp, configapi.ErrorNoQuorum}, 2, PublishUnknown, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
