--- /dev/null
+++ b/configversion/acknowledgement_test.go
@@ -0,0 +1,35 @@
+package configversion
+
+import (
+	"testing"
+	"time"
+)
+
+// A controller does not accept an acknowledgement. It is retried with backoff until one does, also at the next controller.
+func TestAcknowledgementsAreRetried(t *testing.T) {
+	d, w := newConnectedDriver(t, SessionOptions{})
+	d.update(w.Watch, versionUpdate("x", 1))
+	d.finishApply(nil)
+	for range 5 {
+		d.finishAck(false)
+		if !d.advanceUntil(d.now+ackMaxBackoff, func() bool { return d.ack != nil }) {
+			t.Fatal("it is not retried")
+		}
+		d.step(WatchActivity{Watch: w.Watch})
+	}
+	d.finishAck(false)
+	d.step(WatchEnded{w.Watch})
+	next := d.nextWatch(reconnectJitter)
+	if d.ack != nil {
+		t.Error("an acknowledgement is sent without a watch")
+	}
+	d.update(next.Watch, versionUpdate("x", 1))
+	if d.ack == nil || d.ack.Address != next.Address || d.ack.Ack.Session != next.Watch || d.ack.Ack.Version != 1 {
+		t.Errorf("at the next controller: %+v", d.ack)
+	}
+	d.finishAck(true)
+	d.advanceWithHeartbeats(next.Watch, 10*time.Second)
+	if d.ack != nil {
+		t.Error("it is retried after it was accepted")
+	}
+}
--- a/configversion/checks_test.go
+++ b/configversion/class_check_test.go
@@ -6,6 +6,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
+// A misspelt zone or kind would take a class out of service at all nodes at once; a change that does no harm must pass.
 func TestCheckClasses(t *testing.T) {
 	servers := []Server{{"a", "big"}, {"a", "big"}, {"a", "small"}, {"b", "big"}}
 	class := func(zones, kinds []string) []Class { return []Class{{Name: "c", Zones: zones, Kinds: kinds}} }
--- /dev/null
+++ b/configversion/controller_search_test.go
@@ -0,0 +1,69 @@
+package configversion
+
+import (
+	"testing"
+	"time"
+)
+
+// A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller after
+// a delay and with a bounded number of probes, stay while there is none, and change when there is one.
+func TestSearchForACurrentController(t *testing.T) {
+	d, first := newConnectedDriver(t, SessionOptions{})
+	stale := emptyUpdate("x")
+	stale.Current = false
+	d.update(first.Watch, stale)
+	began := d.now
+	elections := func() {
+		for end := d.now + time.Minute; d.now < end; {
+			d.advance(100 * ms)
+			d.step(WatchActivity{Watch: first.Watch})
+			for id, w := range d.open {
+				if w.Address != first.Address {
+					d.update(id, stale)
+				}
+			}
+		}
+	}
+	elections()
+	if d.openedAt[1]-began < searchDelay || d.openedAt[1]-began > searchDelay+searchJitter+100*ms {
+		t.Errorf("the first probe after %v", d.openedAt[1]-began)
+	}
+	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
+		t.Errorf("%d watches in a minute", n)
+	}
+	if d.session.Controller() != first.Address || len(d.open) > 2 {
+		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+	}
+	for id, w := range d.open { // one that it tried may be open
+		if w.Address != first.Address {
+			d.step(WatchEnded{id})
+		}
+	}
+	second := OpenWatch{}
+	for second.Watch == 0 {
+		d.advanceWithHeartbeats(first.Watch, 100*ms)
+		for id, w := range d.open {
+			if id != first.Watch {
+				second = w
+			}
+		}
+	}
+	d.update(second.Watch, versionUpdate("x", 1))
+	if d.session.Controller() != second.Address || len(d.open) != 1 {
+		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+	}
+}
+
+// A leader election is over within half a second, as most are. No node opens a second watch.
+func TestShortElectionStartsNoSearch(t *testing.T) {
+	d, first := newConnectedDriver(t, SessionOptions{})
+	stale := emptyUpdate("x")
+	stale.Current = false
+	d.update(first.Watch, stale)
+	d.advance(searchDelay - ms)
+	d.update(first.Watch, emptyUpdate("x"))
+	d.advanceWithHeartbeats(first.Watch, 10*time.Second)
+	if len(d.opened) != 1 {
+		t.Errorf("%d watches were opened", len(d.opened))
+	}
+}
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -7,73 +7,88 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Placement decides at a controller which sessions it lets in, where it sends the others, and which of its own it hands
-// on. It goes by the loads that the controllers read from each other about once a second, and counts what it has itself
-// inFlight to the others since, so that many nodes that arrive between two readings are spread.
+// Placement decides at one controller which sessions it admits, where it redirects the others (this file), and which
+// of its own sessions it migrates (migration.go).
 //
-// The rules: a node that asks first is let in while the controller is less than a quarter above the even share, or has few
-// sessions (the nodes of a controller that is gone come before the others' loads show it); a node that another controller has refused is let in up to the limit, so that it is not sent round; nobody
-// is let in above the limit. A controller that is over its share, while another is under, hands the excess on: a bounded
-// number a second, the sum of what all hand on within the room of those who take it.
+// Its input are the session counts that the controllers read from each other several times a second, plus what this
+// one has itself redirected or migrated to the others since, so that many nodes that arrive between two reports are
+// spread and not all sent to the controller that was the emptiest.
+//
+// Admission, with the even share as the sessions of all controllers divided by their number:
+//   - A node that was not rejected before is admitted up to a quarter above the even share, and in any case up to a
+//     quarter of MaxSessions: when a controller fails, its nodes come before the reports of the others show it.
+//   - A node that was rejected before is admitted up to MaxSessions, so that it is not passed around.
+//   - No node is admitted above MaxSessions: it bounds the controller's memory and connections.
+//
+// It guards against a controller that is overloaded while others idle, and against nodes that find no controller after
+// several have failed. It shows as uneven numbers of sessions in `hookwalk config status`, and as watches rejected with
+// "full".
+//
+// A Placement must not be used by several goroutines at once.
 type Placement struct {
 	// MaxSessions is the limit of sessions at each controller.
 	MaxSessions int
-	// MaxMigrationsPerPlan is how many sessions a controller hands on between two calls of Moves, at most.
+	// MaxMigrationsPerPlan is how many sessions a call of PlanMigrations returns at most.
 	MaxMigrationsPerPlan int
 
 	self      configapi.Endpoint
 	sessions  int // own
 	peers     []peerLoad
-	migrating bool
+	migrating bool // see PlanMigrations
 }
 
-// PeerLoad is what another controller said of itself last.
+// PeerLoad is what another controller last reported.
 type PeerLoad struct {
 	Endpoint configapi.Endpoint
 	Sessions int
-	// Available says that it answered lately and serves nodes. One that is not counts for nothing.
+	// Available says that the controller answers and serves nodes. One that does not is left out of all decisions.
 	Available bool
 }
 
-// peerLoad is a controller's load with what this one has sent there since it was read.
+// peerLoad is a controller's report with the sessions that this controller has sent there.
 type peerLoad struct {
 	PeerLoad
-	sentSinceReport  int // since the newest reading
-	sentBeforeReport int // between the reading before and the newest: may be in the newest already, or still on the way
+	sentSinceReport int // after the newest report
+	// sentBeforeReport counts those sent between the two newest reports: they may be in the newest report or still on
+	// their way.
+	sentBeforeReport int
 }
 
-// estimate is the number of sessions that the controller has by now, as far as this one can know.
+// estimate is the number of sessions that the controller has by now, as far as this one can know; never too low by what
+// this one has sent.
 func (p peerLoad) estimate() int { return p.Sessions + p.sentSinceReport + p.sentBeforeReport }
 
 const (
-	// shareToleranceDivisor is the part of the even share by which a controller may be above or below it: one in shareToleranceDivisor.
-	shareToleranceDivisor = 10
-	// minShareTolerance is the least tolerance, in sessions, for clusters with few nodes.
-	minShareTolerance = 2
-	// admissionToleranceDivisor is the part of the even share up to which nodes that ask first are let in above it.
+	// admissionToleranceDivisor is the part of the even share, one in so many, by which a controller may exceed it with
+	// nodes that were not rejected before. Without it, nodes would be redirected for a difference of a few sessions.
 	admissionToleranceDivisor = 4
-	// freeAdmissionDivisor is the part of MaxSessions that a controller lets in whatever the others have: one in
-	// freeAdmissionDivisor. Nodes that all start at the same time find controllers that do not know each other's load yet.
+	// freeAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others have.
+	// Nodes that all start at the same time find controllers that do not know each other's load yet.
 	freeAdmissionDivisor = 4
+	// shareToleranceDivisor is the part of the even share, one in so many, by which a controller may be above or below it
+	// before sessions are migrated: each migration costs a new connection.
+	shareToleranceDivisor = 10
+	// minShareTolerance is the least tolerance in sessions, for clusters with few nodes.
+	minShareTolerance = 2
 )
 
-// NewPlacement makes the rules of the controller at self.
-func NewPlacement(self configapi.Endpoint, maxSessions, movesPerTick int) *Placement {
-	return &Placement{MaxSessions: maxSessions, MaxMigrationsPerPlan: movesPerTick, self: self}
+// NewPlacement makes the Placement of the controller at self.
+func NewPlacement(self configapi.Endpoint, maxSessions, maxMigrationsPerPlan int) *Placement {
+	return &Placement{MaxSessions: maxSessions, MaxMigrationsPerPlan: maxMigrationsPerPlan, self: self}
 }
 
-// SetSessions says how many sessions the controller has itself.
+// SetSessions sets the number of the controller's own sessions.
 func (p *Placement) SetSessions(sessions int) { p.sessions = sessions }
 
-// SetPeers takes a new reading of the others' loads.
+// SetPeers replaces the reports of the other controllers.
 func (p *Placement) SetPeers(peers []PeerLoad) {
 	next := make([]peerLoad, 0, len(peers))
 	for _, peer := range peers {
-		n := peerLoad{PeerLoad: peer}
+		load := peerLoad{PeerLoad: peer}
 		if at := p.peerIndex(peer.Endpoint.Address); at >= 0 {
-			n.sentBeforeReport = p.peers[at].sentSinceReport
+			load.sentBeforeReport = p.peers[at].sentSinceReport
 		}
-		next = append(next, n)
+		next = append(next, load)
 	}
 	p.peers = next
 }
@@ -81,186 +96,84 @@
 // SessionRequest is a node that asks for a session.
 type SessionRequest struct {
 	Region, Zone string
-	// WatchRejections is how many controllers have refused the node since it last had a session.
+	// WatchRejections is how many controllers have rejected the node since it last had a session.
 	WatchRejections uint64
 }
 
-// Admit decides about a node that asks for a session. If it is refused, elsewhere lists the other controllers, the best
-// one first; the first one is counted as having the node.
-func (p *Placement) Admit(a SessionRequest) (admitted bool, alternatives []configapi.Endpoint) {
-	limit := p.MaxSessions
-	if a.WatchRejections == 0 && p.peersHaveCapacity() {
-		share := p.evenShare(1)
-		limit = min(limit, max(share+max(share/admissionToleranceDivisor, minShareTolerance), p.MaxSessions/freeAdmissionDivisor))
-	}
-	if p.sessions < limit {
+// Admit decides about a node that asks for a session. If the node is not admitted, alternatives are the other
+// controllers, the best one first; the node is counted as sent to the first.
+func (p *Placement) Admit(r SessionRequest) (admitted bool, alternatives []configapi.Endpoint) {
+	if p.sessions < p.admissionLimit(r) {
 		return true, nil
 	}
-	return false, p.Redirect(a)
+	return false, p.Redirect(r)
+}
+
+// admissionLimit is the number of sessions below which a node is admitted.
+func (p *Placement) admissionLimit(r SessionRequest) int {
+	if r.WatchRejections > 0 || !p.peersHaveCapacity() {
+		return p.MaxSessions
+	}
+	share := p.evenShare(1)
+	tolerated := share + max(share/admissionToleranceDivisor, minShareTolerance)
+	return min(p.MaxSessions, max(tolerated, p.MaxSessions/freeAdmissionDivisor))
+}
+
+// Redirect returns the other controllers for a node, the best one first, and counts the node as sent to the first.
+func (p *Placement) Redirect(r SessionRequest) (alternatives []configapi.Endpoint) {
+	alternatives = p.Alternatives(r)
+	if len(alternatives) > 0 {
+		p.recordSent(alternatives[0].Address)
+	}
+	return alternatives
 }
 
-// Alternatives lists the other controllers, the best one for a node first: those below the even share, of its zone, of its
-// region, the others; then the rest, the least loaded first.
-func (p *Placement) Alternatives(a SessionRequest) []configapi.Endpoint {
+// Alternatives returns the other controllers, the best one for a node first: those below the even share in its zone, in
+// its region, elsewhere; then those at or above it. Of equals the least loaded comes first.
+func (p *Placement) Alternatives(r SessionRequest) []configapi.Endpoint {
 	share := p.evenShare(1)
-	list := p.available()
-	slices.SortStableFunc(list, func(x, y peerLoad) int {
+	peers := p.available()
+	slices.SortStableFunc(peers, func(x, y peerLoad) int {
 		return cmp.Or(
-			cmp.Compare(placementRank(x, a, share), placementRank(y, a, share)),
+			cmp.Compare(rankPeer(x, r, share), rankPeer(y, r, share)),
 			cmp.Compare(x.estimate(), y.estimate()),
 			cmp.Compare(x.Endpoint.Address, y.Endpoint.Address))
 	})
 	var endpoints []configapi.Endpoint
-	for _, peer := range list {
+	for _, peer := range peers {
 		endpoints = append(endpoints, peer.Endpoint)
 	}
 	return endpoints
 }
 
-// placementRank orders controllers for a node: 0 is the best.
-func placementRank(peer peerLoad, a SessionRequest, share int) int {
-	switch at := peer.Endpoint; {
-	case peer.estimate() >= share:
-		return 3
-	case at.Region == a.Region && at.Zone == a.Zone:
-		return 0
-	case at.Region == a.Region:
-		return 1
-	}
-	return 2
-}
-
-// MigrationCandidate is a session that may be handed on.
-type MigrationCandidate struct {
-	ID           uint64 // the caller's, given back in Migration
-	Region, Zone string
-}
-
-// Migration asks for a session to be handed on.
-type Migration struct {
-	ID     uint64
-	Target configapi.Endpoint
-}
+// peerRank orders controllers for a node; the least comes first.
+type peerRank int
 
-// PlanMigrations decides which of the controller's sessions are handed on now; it is called once after each reading of the loads.
-// It begins when the controller is over the even share by more than the tolerance, or another is under it by more; it
-// goes on until the controller is at its share.
-func (p *Placement) PlanMigrations(sessions []MigrationCandidate) []Migration {
-	share := p.migrationGoal()
-	excess := p.sessions - share
-	if !p.migrating {
-		p.migrating = excess > 0 && p.isUnbalanced()
-	}
-	capacity := p.capacityByPeer(share)
-	if excess <= 0 || len(capacity) == 0 {
-		p.migrating = false
-	}
-	if !p.migrating {
-		return nil
-	}
-	slices.SortStableFunc(sessions, func(x, y MigrationCandidate) int { return cmp.Compare(p.sessionDistance(y), p.sessionDistance(x)) })
-	var migrations []Migration
-	for _, session := range sessions[:min(len(sessions), excess, p.MaxMigrationsPerPlan)] {
-		to, ok := p.pickTarget(session, capacity)
-		if !ok {
-			break
-		}
-		capacity[to.Address]--
-		p.recordSent(to.Address)
-		migrations = append(migrations, Migration{session.ID, to})
-	}
-	return migrations
-}
-
-// migrationGoal is the share down to which sessions are handed on. Where the sessions can't be divided evenly, it is the
-// lower share, so that a controller far below finds some above it; the upper one if this controller is far above.
-func (p *Placement) migrationGoal() int {
-	upper := p.evenShare(0)
-	if p.sessions > upper+shareTolerance(upper) {
-		return upper
-	}
-	return p.totalSessions() / p.controllerCount()
-}
-
-// capacityByPeer is how many sessions this controller may hand on to each of those below the share. All controllers above
-// the share divide the room of each target; what is left over goes to the first of them.
-func (p *Placement) capacityByPeer(share int) map[string]int {
-	rank, donors := p.donorRank(share)
-	capacity := map[string]int{}
-	for _, peer := range p.available() {
-		free := share - peer.estimate()
-		if free <= 0 {
-			continue
-		}
-		quota := free / donors
-		if rank < free%donors {
-			quota++
-		}
-		if quota > 0 {
-			capacity[peer.Endpoint.Address] = quota
-		}
-	}
-	return capacity
-}
-
-// donorRank is this controller's place among those above the share, from 0, and the number of them.
-func (p *Placement) donorRank(share int) (rank, donors int) {
-	donors = 1
-	for _, peer := range p.available() {
-		if peer.Sessions <= share {
-			continue
-		}
-		donors++
-		if cmp.Or(cmp.Compare(peer.Sessions, p.sessions), cmp.Compare(p.self.Address, peer.Endpoint.Address)) > 0 {
-			rank++
-		}
-	}
-	return rank, donors
-}
-
-// pickTarget finds a controller with room for a session, in its own zone or region if it can.
-func (p *Placement) pickTarget(s MigrationCandidate, capacity map[string]int) (configapi.Endpoint, bool) {
-	best, found := peerLoad{}, false
-	class := func(peer peerLoad) int {
-		return placementRank(peer, SessionRequest{Region: s.Region, Zone: s.Zone}, peer.estimate()+1)
-	}
-	for _, peer := range p.available() {
-		if capacity[peer.Endpoint.Address] <= 0 {
-			continue
-		}
-		if !found || cmp.Or(cmp.Compare(class(peer), class(best)), cmp.Compare(peer.estimate(), best.estimate())) < 0 {
-			best, found = peer, true
-		}
-	}
-	return best.Endpoint, found
-}
-
-// sessionDistance is 0 for a session of the controller's own zone, 1 of its region, 2 of another.
-func (p *Placement) sessionDistance(s MigrationCandidate) int {
-	switch {
-	case s.Region != p.self.Region:
-		return 2
-	case s.Zone != p.self.Zone:
-		return 1
-	}
-	return 0
-}
+const (
+	peerInZone      peerRank = iota // below the even share, in the node's zone
+	peerInRegion                    // below it, in another zone of the node's region
+	peerOtherRegion                 // below it, in another region
+	peerAboveShare                  // at the even share or above
+)
 
-// isUnbalanced says whether a controller is outside of the tolerance.
-func (p *Placement) isUnbalanced() bool {
-	share := p.evenShare(0)
-	if p.sessions > share+shareTolerance(share) {
-		return true
+func rankPeer(peer peerLoad, r SessionRequest, share int) peerRank {
+	switch at := peer.Endpoint; {
+	case peer.estimate() >= share:
+		return peerAboveShare
+	case at.Region == r.Region && at.Zone == r.Zone:
+		return peerInZone
+	case at.Region == r.Region:
+		return peerInRegion
 	}
-	return slices.ContainsFunc(p.available(), func(peer peerLoad) bool { return peer.estimate() < share-shareTolerance(share) })
+	return peerOtherRegion
 }
 
-// peersHaveCapacity says whether a node that is refused could be let in by another controller.
+// peersHaveCapacity says whether another controller could admit a node that this one rejects.
 func (p *Placement) peersHaveCapacity() bool {
 	return slices.ContainsFunc(p.available(), func(peer peerLoad) bool { return peer.estimate() < p.MaxSessions })
 }
 
-// evenShare is the even share, rounded up, of all known sessions and some more.
+// evenShare is the even share of all known sessions and of some that are arriving, rounded up.
 func (p *Placement) evenShare(arriving int) int {
 	count := p.controllerCount()
 	return (p.totalSessions() + arriving + count - 1) / count
@@ -275,12 +188,9 @@
 	return total
 }
 
-// countState is the number of controllers that can be used, this one included.
+// controllerCount is the number of available controllers, this one included.
 func (p *Placement) controllerCount() int { return 1 + len(p.available()) }
 
-// shareToleranceDivisor is the tolerance of a share.
-func shareTolerance(share int) int { return max(share/shareToleranceDivisor, minShareTolerance) }
-
 func (p *Placement) available() []peerLoad {
 	return slices.DeleteFunc(slices.Clone(p.peers), func(peer peerLoad) bool { return !peer.Available })
 }
@@ -289,18 +199,9 @@
 	return slices.IndexFunc(p.peers, func(peer peerLoad) bool { return peer.Endpoint.Address == address })
 }
 
-// recordSent notes that a node was sent to a controller.
+// recordSent counts a node as sent to a controller.
 func (p *Placement) recordSent(address string) {
 	if at := p.peerIndex(address); at >= 0 {
 		p.peers[at].sentSinceReport++
 	}
 }
-
-// Redirect sends a node elsewhere whatever the shares are: the first controller of the list is counted as having it.
-func (p *Placement) Redirect(a SessionRequest) (alternatives []configapi.Endpoint) {
-	alternatives = p.Alternatives(a)
-	if len(alternatives) > 0 {
-		p.recordSent(alternatives[0].Address)
-	}
-	return alternatives
-}
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -10,60 +10,61 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// placementModel is a cluster of controllers and nodes, with time in rounds: in each, nodes without a session ask for
-// one, sessions that were asked to move do, and then all controllers read each other's load. Loads are stale by a round.
+// placementModel is a cluster of controllers and nodes, with time in rounds: in each, nodes without a session request
+// one, nodes that were asked to migrate do, and then all controllers read each other's reports. Reports are out of date
+// by a round.
 type placementModel struct {
-	endpoints []configapi.Endpoint
-	rules     []*Placement
-	down      []bool
-	nodes     []modelNode
-	open      []int // sessions of each controller
-	moves     int   // asked for since the last reset
-	mostMoves int   // by one controller in one round
-	mostOpen  int   // at one controller
+	endpoints            []configapi.Endpoint
+	placements           []*Placement
+	down                 []bool
+	nodes                []modelNode
+	sessionCounts        []int // sessions of each controller
+	migrations           int   // asked for since the last reset
+	maxMigrationsInRound int   // by one controller in one round
+	maxSessions          int   // at one controller
 }
 
 type modelNode struct {
 	region, zone string
-	at           int // controller; -1: none
-	moveTo       int // -1: nowhere
-	refused      uint64
+	controller   int // controller; -1: none
+	migrateTo    int // -1: nowhere
+	rejections   uint64
 }
 
 const (
-	modelLimit         = 600
-	modelMovesPerRound = 10
+	modelLimit              = 600
+	modelMigrationsPerRound = 10
 )
 
-func newPlacementModel(places []configapi.Endpoint, limit int) *placementModel {
+func newPlacementModel(locations []configapi.Endpoint, limit int) *placementModel {
 	m := &placementModel{}
-	for i, place := range places {
-		place.Address = fmt.Sprintf("10.0.0.%d:7400", i+1)
-		m.endpoints = append(m.endpoints, place)
-		m.rules = append(m.rules, NewPlacement(place, limit, modelMovesPerRound))
+	for i, location := range locations {
+		location.Address = fmt.Sprintf("10.0.0.%d:7400", i+1)
+		m.endpoints = append(m.endpoints, location)
+		m.placements = append(m.placements, NewPlacement(location, limit, modelMigrationsPerRound))
 		m.down = append(m.down, false)
-		m.open = append(m.open, 0)
+		m.sessionCounts = append(m.sessionCounts, 0)
 	}
 	return m
 }
 
 func (m *placementModel) addNodes(count int, region, zone string) {
 	for range count {
-		m.nodes = append(m.nodes, modelNode{region: region, zone: zone, at: -1, moveTo: -1})
+		m.nodes = append(m.nodes, modelNode{region: region, zone: zone, controller: -1, migrateTo: -1})
 	}
 }
 
-func (m *placementModel) sessions(controller int) int { return m.open[controller] }
+func (m *placementModel) sessions(controller int) int { return m.sessionCounts[controller] }
 
-// attach has a node end its session and have one at another controller; -1: none.
+// attach ends a node's session and opens one at another controller; -1: none.
 func (m *placementModel) attach(n *modelNode, controller int) {
-	if n.at >= 0 {
-		m.open[n.at]--
+	if n.controller >= 0 {
+		m.sessionCounts[n.controller]--
 	}
-	n.at = controller
+	n.controller = controller
 	if controller >= 0 {
-		m.open[controller]++
-		m.mostOpen = max(m.mostOpen, m.open[controller])
+		m.sessionCounts[controller]++
+		m.maxSessions = max(m.maxSessions, m.sessionCounts[controller])
 	}
 }
 
@@ -71,22 +72,22 @@
 	return slices.IndexFunc(m.endpoints, func(e configapi.Endpoint) bool { return e.Address == address })
 }
 
-// ask has a node ask controllers until one lets it in or three have refused: then it tries again in the next round.
-func (m *placementModel) ask(n *modelNode, first int) {
+// requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next round.
+func (m *placementModel) requestSession(n *modelNode, first int) {
 	target := first
 	for range 3 {
 		if m.down[target] {
-			target = m.ownPlace(n, target+1)
+			target = m.preferredController(n, target+1)
 			continue
 		}
-		m.rules[target].SetSessions(m.sessions(target))
-		admitted, elsewhere := m.rules[target].Admit(SessionRequest{Region: n.region, Zone: n.zone, WatchRejections: n.refused})
+		m.placements[target].SetSessions(m.sessions(target))
+		admitted, elsewhere := m.placements[target].Admit(SessionRequest{Region: n.region, Zone: n.zone, WatchRejections: n.rejections})
 		if admitted {
 			m.attach(n, target)
-			n.refused = 0
+			n.rejections = 0
 			return
 		}
-		n.refused++
+		n.rejections++
 		if len(elsewhere) == 0 {
 			return
 		}
@@ -94,8 +95,8 @@
 	}
 }
 
-// ownPlace is the controller that a node asks first: one of its region, if there is one, else any; spread picks.
-func (m *placementModel) ownPlace(n *modelNode, spread int) int {
+// preferredController is the controller that a node asks first: one of its region if there is one, else any; spread picks.
+func (m *placementModel) preferredController(n *modelNode, spread int) int {
 	var own []int
 	for i, endpoint := range m.endpoints {
 		if endpoint.Region == n.region && !m.down[i] {
@@ -112,22 +113,22 @@
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		switch {
-		case n.at >= 0 && m.down[n.at]:
+		case n.controller >= 0 && m.down[n.controller]:
 			m.attach(n, -1)
-			n.moveTo = -1
-		case n.at >= 0 && n.moveTo >= 0:
-			m.ask(n, n.moveTo) // it opens the new watch before it ends the old one
-			n.moveTo = -1
+			n.migrateTo = -1
+		case n.controller >= 0 && n.migrateTo >= 0:
+			m.requestSession(n, n.migrateTo) // it opens the new watch before it ends the old one
+			n.migrateTo = -1
 		}
-		if n.at < 0 {
-			m.ask(n, m.ownPlace(n, i))
+		if n.controller < 0 {
+			m.requestSession(n, m.preferredController(n, i))
 		}
 	}
-	m.readLoads()
+	m.exchangeReports()
 }
 
-func (m *placementModel) readLoads() {
-	for i, rules := range m.rules {
+func (m *placementModel) exchangeReports() {
+	for i, rules := range m.placements {
 		if m.down[i] {
 			continue
 		}
@@ -140,36 +141,36 @@
 		rules.SetSessions(m.sessions(i))
 		rules.SetPeers(peers)
 	}
-	for i, rules := range m.rules {
+	for i, rules := range m.placements {
 		if m.down[i] {
 			continue
 		}
 		var own []MigrationCandidate
 		for id, node := range m.nodes {
-			if node.at == i {
+			if node.controller == i {
 				own = append(own, MigrationCandidate{ID: uint64(id), Region: node.region, Zone: node.zone})
 			}
 		}
 		moves := rules.PlanMigrations(own)
-		m.moves += len(moves)
-		m.mostMoves = max(m.mostMoves, len(moves))
+		m.migrations += len(moves)
+		m.maxMigrationsInRound = max(m.maxMigrationsInRound, len(moves))
 		for _, move := range moves {
-			m.nodes[move.ID].moveTo = m.index(move.Target.Address)
+			m.nodes[move.ID].migrateTo = m.index(move.Target.Address)
 		}
 	}
 }
 
 func (m *placementModel) connected() (count int) {
 	for _, node := range m.nodes {
-		if node.at >= 0 {
+		if node.controller >= 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// even says whether all running controllers are within the tolerance of the even share.
-func (m *placementModel) even() error {
+// checkEven checks that all running controllers are within the tolerance of the even share.
+func (m *placementModel) checkEven() error {
 	up := 0
 	for _, down := range m.down {
 		if !down {
@@ -211,100 +212,102 @@
 	if m.connected() != len(m.nodes) {
 		t.Fatalf("%d of %d nodes have a session", m.connected(), len(m.nodes))
 	}
-	if err := m.even(); err != nil {
+	if err := m.checkEven(); err != nil {
 		t.Fatalf("%v", err)
 	}
-	m.moves = 0
+	m.migrations = 0
 	for range 5 {
 		m.round()
 	}
-	if m.moves > 0 {
-		t.Fatalf("%d sessions still move after the shares are even", m.moves)
+	if m.migrations > 0 {
+		t.Fatalf("%d sessions still move after the shares are even", m.migrations)
 	}
 }
 
-// 1,904 nodes that arrive at the same time all have a session after one round, and the shares get even.
-func TestPlacementOfAllNodesAtOnce(t *testing.T) {
+// All nodes of a fleet start at the same time, before controllers know each other's load. All have a session after one
+// round, and the shares get even.
+func TestPlacementOfAllNodesArrivingAtOnce(t *testing.T) {
 	m := newPlacementModel(fourRegions(), modelLimit)
-	m.readLoads()
+	m.exchangeReports()
 	addFourRegions(m, 119)
 	m.round()
 	if m.connected() != len(m.nodes) {
 		t.Errorf("after the first round %d of %d nodes have a session", m.connected(), len(m.nodes))
 	}
 	settle(t, m)
-	if m.mostOpen > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.mostOpen, modelLimit)
+	if m.maxSessions > modelLimit {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
 	}
 }
 
-// All nodes know one controller only: its limit holds, and the others get their share.
+// All nodes know the same single controller. Its limit holds, and the others get their share.
 func TestPlacementWithOneAddressKnown(t *testing.T) {
 	places := make([]configapi.Endpoint, 7)
 	places[0] = configapi.Endpoint{Region: "a"}
 	m := newPlacementModel(places, modelLimit)
-	m.readLoads()
+	m.exchangeReports()
 	m.addNodes(1900, "a", "a1")
 	settle(t, m)
-	if m.mostOpen > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.mostOpen, modelLimit)
+	if m.maxSessions > modelLimit {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
 	}
 }
 
-// A controller that returns gets its share at a bounded rate; what moves is about as much as it gets, not more.
+// A controller that returns gets its share at a bounded rate. About as many sessions migrate as it gets, not more.
 func TestPlacementAfterAControllerReturns(t *testing.T) {
 	m := newPlacementModel(fourRegions(), modelLimit)
-	m.readLoads()
+	m.exchangeReports()
 	addFourRegions(m, 119)
 	settle(t, m)
 	m.down[6] = true
 	settle(t, m)
 	m.down[6] = false
-	m.moves, m.mostMoves = 0, 0
+	m.migrations, m.maxMigrationsInRound = 0, 0
 	for range settleRounds {
 		m.round()
 	}
-	if err := m.even(); err != nil {
+	if err := m.checkEven(); err != nil {
 		t.Error(err)
 	}
 	got := m.sessions(6)
-	if m.moves > got*12/10 {
-		t.Errorf("%d sessions moved to give one controller %d", m.moves, got)
+	if m.migrations > got*12/10 {
+		t.Errorf("%d sessions moved to give one controller %d", m.migrations, got)
 	}
-	if m.mostMoves > modelMovesPerRound {
-		t.Errorf("a controller handed %d sessions on in one round, the most is %d", m.mostMoves, modelMovesPerRound)
+	if m.maxMigrationsInRound > modelMigrationsPerRound {
+		t.Errorf("a controller handed %d sessions on in one round, the most is %d", m.maxMigrationsInRound, modelMigrationsPerRound)
 	}
 }
 
-// When three of seven controllers are gone, the four others have all nodes.
+// Three of seven controllers fail. The four others take all nodes within their limits.
 func TestPlacementWithThreeControllersGone(t *testing.T) {
 	m := newPlacementModel(fourRegions(), modelLimit)
-	m.readLoads()
+	m.exchangeReports()
 	addFourRegions(m, 119)
 	settle(t, m)
 	m.down[1], m.down[3], m.down[6] = true, true, true
-	m.readLoads()
+	m.exchangeReports()
 	settle(t, m)
-	if m.mostOpen > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.mostOpen, modelLimit)
+	if m.maxSessions > modelLimit {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
 	}
 }
 
-// Nodes have a controller of their own region as far as the shares allow.
+// Nodes get a controller of their own region as far as the shares allow: regions are often cut off from each other.
 func TestPlacementPrefersTheOwnRegion(t *testing.T) {
 	m := newPlacementModel([]configapi.Endpoint{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelLimit)
-	m.readLoads()
+	m.exchangeReports()
 	for _, region := range []string{"a", "b", "c"} {
 		m.addNodes(100, region, region+"1")
 	}
 	settle(t, m)
 	for i, node := range m.nodes {
-		if m.endpoints[node.at].Region != node.region {
-			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.endpoints[node.at])
+		if m.endpoints[node.controller].Region != node.region {
+			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.endpoints[node.controller])
 		}
 	}
 }
 
+// A controller that reaches no other one admits nodes up to its limit: there is nowhere to redirect them.
 func TestPlacementAloneAdmitsUpToTheLimit(t *testing.T) {
 	p := NewPlacement(configapi.Endpoint{Address: "127.0.0.1:7400"}, 3, 1)
 	p.SetPeers([]PeerLoad{{Endpoint: configapi.Endpoint{Address: "127.0.0.1:7401"}, Available: false}})
@@ -320,7 +323,9 @@
 	}
 }
 
-func TestPlacementSpreadsRefusedNodes(t *testing.T) {
+// Many nodes are redirected between two reports. They are spread by the capacity of the others, not all sent to the one
+// that was the emptiest in the report.
+func TestPlacementSpreadsRedirectedNodes(t *testing.T) {
 	p := NewPlacement(configapi.Endpoint{Address: "a:1"}, 10, 1)
 	p.SetSessions(10)
 	p.SetPeers([]PeerLoad{
@@ -340,8 +345,8 @@
 	}
 }
 
-// Whatever the sizes: all nodes get a session where there is room, nobody is above the limit, the shares get even, and
-// then nothing moves.
+// For any sizes, also when a controller fails and returns: all nodes get a session if there is capacity, no controller is
+// above the limit, the shares get even, and then no session migrates any more.
 func TestPlacementSettles(t *testing.T) {
 	const limit = 40
 	rapid.Check(t, func(t *rapid.T) {
@@ -352,7 +357,7 @@
 			places = append(places, configapi.Endpoint{Region: rapid.SampledFrom(regions).Draw(t, "region")})
 		}
 		m := newPlacementModel(places, limit)
-		m.readLoads()
+		m.exchangeReports()
 		for _, region := range regions {
 			m.addNodes(rapid.IntRange(0, 6*count).Draw(t, "nodes"), region, region+"1")
 		}
@@ -361,13 +366,13 @@
 		if count > 1 && rapid.Bool().Draw(t, "one goes and returns") {
 			gone := rapid.IntRange(0, count-1).Draw(t, "gone")
 			m.down[gone] = true
-			m.readLoads()
+			m.exchangeReports()
 			settle(t, m)
 			m.down[gone] = false
 			settle(t, m)
 		}
-		if m.mostOpen > limit {
-			t.Fatalf("a controller had %d sessions, its limit is %d", m.mostOpen, limit)
+		if m.maxSessions > limit {
+			t.Fatalf("a controller had %d sessions, its limit is %d", m.maxSessions, limit)
 		}
 	})
 }
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -8,45 +8,48 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// RolloutState says where a node stands with respect to the newest version.
+// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from reports; nothing
+// else changes it.
 type RolloutState string
 
-// Node states.
+// Rollout states.
 const (
-	RolloutCurrent      RolloutState = "current"  // connected, and the newest version is in force
-	RolloutLagging      RolloutState = "lagging"  // connected, and has not answered for the newest version yet
+	RolloutCurrent      RolloutState = "current"  // connected, and the newest version is applied
+	RolloutLagging      RolloutState = "lagging"  // connected, and has not decided on the newest version yet
 	RolloutRejected     RolloutState = "rejected" // connected, and rejected the newest version, or all of another cluster
 	RolloutDisconnected RolloutState = "away"     // has no session
 )
 
-// NodeRollout is one node in a Rollout.
+// NodeRollout is the state of one node in a Rollout.
 type NodeRollout struct {
 	configapi.NodeStatus
 	State      RolloutState `json:"state"`
-	Controller string       `json:"controller"` // the one that heard the node last
+	Controller string       `json:"controller"` // name of the one whose report counts
 }
 
-// Rollout is where the newest version is in force.
+// Rollout says where the newest version is in force.
 type Rollout struct {
 	Cluster      configapi.Cluster `json:"cluster"`
-	Version      configapi.Version `json:"version"` // the newest that any controller has
+	Version      configapi.Version `json:"version"` // the newest of any controller of the cluster
 	Nodes        []NodeRollout     `json:"nodes"`   // by name
 	Current      int               `json:"current"`
 	Lagging      int               `json:"lagging"`
 	Rejected     int               `json:"rejected"`
 	Disconnected int               `json:"away"`
-	// BehindControllers are the controllers that have an older version, or are not in touch with the leader.
+	// BehindControllers are the names of controllers that have an older version, or no contact with the leader.
 	BehindControllers []string `json:"behind,omitempty"`
-	// ForeignControllers are the controllers that are of another cluster than the rest.
+	// ForeignControllers are the names of controllers of another cluster than most.
 	ForeignControllers []string `json:"foreign,omitempty"`
 }
 
-// Complete says whether the newest version is in force at all connected nodes, and all controllers have it.
+// Complete says whether the newest version is in force at all connected nodes, and all controllers have it. Disconnected
+// nodes do not count: nobody knows whether they still exist.
 func (r Rollout) Complete() bool {
 	return r.Lagging == 0 && r.Rejected == 0 && len(r.BehindControllers) == 0 && len(r.ForeignControllers) == 0
 }
 
-// MergeStatuses joins what several controllers know. Of a node that more than one of them knows, the newest session counts.
+// MergeStatuses merges the reports of several controllers. Of a node that more than one of them reports, the report that
+// supersedes the others counts. The result does not depend on the order of the reports.
 func MergeStatuses(statuses []configapi.ControllerStatus) Rollout {
 	var r Rollout
 	r.Cluster, r.Version = newestVersion(statuses)
@@ -74,7 +77,7 @@
 	return r
 }
 
-// newestVersion finds the cluster that most controllers are of, and its newest version.
+// newestVersion finds the cluster of most controllers (of equals, the first by name) and its newest version.
 func newestVersion(statuses []configapi.ControllerStatus) (configapi.Cluster, configapi.Version) {
 	members := map[configapi.Cluster]int{}
 	versions := map[configapi.Cluster]configapi.Version{}
@@ -93,11 +96,13 @@
 	return best, versions[best]
 }
 
-// supersedes says whether one report about a node goes before another one. The report about its newer process does. Of
-// one process, the version held of one cluster never falls, so the greater one is the later, whatever session it came by:
-// a node may open a second watch and close it, because the first one speaks again. Then that of a controller which has a
-// session with the node: one that was stalled may read the request of a watch that was given up long before. Then that of
-// the newer session, and the later one.
+// supersedes says whether report x counts before report y of the same node. In this order:
+//   - the report about the node's newer process;
+//   - of one process, the greater version decided, whatever its session: the version of one cluster never falls, and a
+//     node may open a second watch and close it again because the first one came back to life;
+//   - that of a controller which has a session with the node: a controller that was stalled may read the request of a
+//     watch that was given up long before;
+//   - that of the newer session, and the later one.
 func (r *Rollout) supersedes(x, y configapi.NodeStatus) bool {
 	return cmp.Or(
 		cmp.Compare(x.StartedMS, y.StartedMS),
@@ -107,7 +112,7 @@
 		cmp.Compare(x.LastSeenMS, y.LastSeenMS)) > 0
 }
 
-// decidedVersion is the version that a node holds of the rollout's cluster.
+// decidedVersion is the newest version of the rollout's cluster that a node has decided on.
 func (r *Rollout) decidedVersion(node configapi.NodeStatus) configapi.Version {
 	if node.Cluster != r.Cluster {
 		return 0
@@ -126,7 +131,7 @@
 	return -1
 }
 
-// stateOf judges a node by what it last said.
+// stateOf is the state of a node by the report that counts.
 func (r *Rollout) stateOf(node configapi.NodeStatus) RolloutState {
 	switch {
 	case !node.Connected:
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -13,6 +13,7 @@
 	return configapi.NodeStatus{Node: name, StartedMS: 1, Session: session, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
 }
 
+// The state of a node follows from its report, in all combinations of cluster, version and outcome.
 func TestRolloutStates(t *testing.T) {
 	rejected := appliedNode("n", 1, 7)
 	rejected.Outcome, rejected.Applied = configapi.Rejected, 6
@@ -47,7 +48,9 @@
 	}
 }
 
-func TestRolloutTakesTheNewestSession(t *testing.T) {
+// A node has moved from one controller to another, and the first one saw the end of its session last. The newer session
+// counts.
+func TestRolloutCountsTheNewestSession(t *testing.T) {
 	atFirst, atSecond := appliedNode("n", 3, 5), appliedNode("n", 4, 7)
 	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
 	atSecond.LastSeenMS = 8000
@@ -61,7 +64,7 @@
 
 // A controller that was stalled reads, late, the request of a watch that its node has given up: the node has a higher
 // session number there, and no session.
-func TestRolloutTakesTheSessionThatIsOpen(t *testing.T) {
+func TestRolloutPrefersTheOpenSession(t *testing.T) {
 	open, givenUp, olderProcess := appliedNode("n", 3, 7), appliedNode("n", 4, 6), appliedNode("n", 9, 6)
 	givenUp.Connected, givenUp.LastSeenMS = false, 9000
 	olderProcess.StartedMS = 0
@@ -76,7 +79,7 @@
 
 // A node that has opened a second watch and closed it acknowledges by the first one; the controller of the second one may
 // not know yet that it was closed.
-func TestRolloutTakesTheGreaterVersionOfAProcess(t *testing.T) {
+func TestRolloutCountsTheGreaterVersionOfAProcess(t *testing.T) {
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
 	second.LastSeenMS = 9000
 	r := MergeStatuses([]configapi.ControllerStatus{
@@ -87,6 +90,7 @@
 	}
 }
 
+// A controller lags or has lost its leader, and another one belongs to a second cluster: operators must see which.
 func TestRolloutNamesControllersThatAreBehindOrForeign(t *testing.T) {
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, Current: true},
--- a/configversion/session.go
+++ b/configversion/session.go
@@ -1,139 +1,36 @@
 package configversion
 
 import (
-	"maps"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// never is later than any time.
+// never is a time later than any event: no wake-up is due.
 const never = time.Duration(1<<63 - 1)
 
-// SessionOptions say whose session it is.
+// SessionOptions identify the node that a Session decides for.
 type SessionOptions struct {
 	Node      string
 	Service   string
 	Region    string
 	Zone      string
-	StartedMS int64 // when the process started, Unix milliseconds
-	// Controllers are the addresses that the settings name, HOST:PORT.
+	StartedMS int64 // start of the node's process, Unix milliseconds
+	// Controllers are the configured addresses, HOST:PORT; at least one.
 	Controllers []string
-	// LastKnownGood is what the node has kept of an earlier process, and started with.
+	// LastKnownGood is the version that an earlier process of the node stored, and that this one started with.
 	LastKnownGood LastKnownGood
-	// Seed is of the random numbers that spread nodes in time and over controllers.
+	// Seed is the seed of the random numbers that spread nodes over time and over controllers.
 	Seed uint64
 }
 
-// LastKnownGood is what a node keeps of configuration versions for its next start: the last known good version.
-type LastKnownGood struct {
-	Cluster configapi.Cluster        `json:"cluster"`
-	Version configapi.Version        `json:"version"`          // in force
-	Config  *configapi.ServiceConfig `json:"config,omitempty"` // what it says; nil: nothing, the node has its own file's
-	// Former are clusters that the node has left on an operator's confirmation, each with its newest version seen.
-	Former map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
-	// Controllers are those of the cluster, with the places where they stand.
-	Controllers []configapi.Endpoint `json:"controllers,omitempty"`
-}
-
-// SessionEvent is something that happened to a session.
-type SessionEvent interface{ sessionEvent() }
-
-// Events. Those of a watch that the session has closed are passed over.
-type (
-	// Tick says that the time that Next gave has come.
-	Tick struct{}
-	// WatchActivity is a sign of life on a watch: a heartbeat, or a part of an update.
-	WatchActivity struct {
-		Watch            uint64
-		UpdateInProgress bool // an update is arriving, and is not whole yet
-	}
-	// WatchUpdated is an update, whole.
-	WatchUpdated struct {
-		Watch  uint64
-		Update configapi.Update
-	}
-	// WatchRejected is the answer to a watch that is not let in. The watch has ended.
-	WatchRejected struct {
-		Watch uint64
-		Err   configapi.Error
-	}
-	// WatchEnded says that a watch could not be opened, has ended or can't be read.
-	WatchEnded struct{ Watch uint64 }
-	// ApplyFinished is what came of an ApplyConfig.
-	ApplyFinished struct {
-		Rejection *configapi.Rejection // nil: it is in force
-		// Interrupted says that it could not be tried: nothing is in force, and nothing is answered.
-		Interrupted bool
-	}
-	// AckFinished is what came of a SendAck.
-	AckFinished struct{ Accepted bool }
-)
-
-func (Tick) sessionEvent()          {}
-func (WatchActivity) sessionEvent() {}
-func (WatchUpdated) sessionEvent()  {}
-func (WatchRejected) sessionEvent() {}
-func (WatchEnded) sessionEvent()    {}
-func (ApplyFinished) sessionEvent() {}
-func (AckFinished) sessionEvent()   {}
-
-// SessionAction is something that the caller of Step is to do, in the order given.
-type SessionAction interface{ sessionAction() }
-
-// Actions.
-type (
-	// OpenWatch asks for a watch.
-	OpenWatch struct {
-		Watch   uint64
-		Address string // HOST:PORT
-		Request configapi.WatchRequest
-	}
-	// CloseWatch ends a watch. No event of it is wanted any more.
-	CloseWatch struct{ Watch uint64 }
-	// ApplyConfig asks for a configuration to be checked and brought into force, whole or not at all. It is answered by
-	// ApplyFinished; there is one at a time.
-	ApplyConfig struct {
-		Cluster configapi.Cluster
-		Version configapi.Version
-		Config  configapi.ServiceConfig
-	}
-	// SendAck asks for an acknowledgement to be sent. It is answered by AckFinished; there is one at a time.
-	SendAck struct {
-		Address string // HOST:PORT
-		Ack     configapi.Acknowledgement
-	}
-	// Persist asks for the last known good version to be kept for the node's next start. The newest is enough.
-	Persist struct{ LastKnownGood LastKnownGood }
-	// VersionDecided reports the node's answer to a version.
-	VersionDecided struct {
-		Cluster    configapi.Cluster
-		Version    configapi.Version
-		Outcome    configapi.Outcome
-		Rejection  *configapi.Rejection
-		Applied    configapi.Version // in force after this
-		Controller string            // that the version came from
-	}
-	// ControllerChanged reports which controller the node goes by.
-	ControllerChanged struct {
-		Controller string // "": none
-		Current    bool   // see configapi.Update
-	}
-)
-
-func (OpenWatch) sessionAction()         {}
-func (CloseWatch) sessionAction()        {}
-func (ApplyConfig) sessionAction()       {}
-func (SendAck) sessionAction()           {}
-func (Persist) sessionAction()           {}
-func (VersionDecided) sessionAction()    {}
-func (ControllerChanged) sessionAction() {}
-
-// Session decides for one node which controller it watches, which versions it takes and how it answers for them. It
-// never goes back: within a cluster a version is taken only if it is newer than all that were answered before, and
-// another cluster's versions are rejected until an operator has handed the node's cluster to it.
+// Session decides for one node which controller it watches, which versions it applies and how it acknowledges them. It
+// never goes back: within a cluster a version is applied only if it is newer than all versions decided before, and
+// versions of another cluster are rejected until an operator has confirmed that it replaces the node's cluster.
+//
+// All times are durations since an origin that the caller chooses once, by a monotonic clock. A Session must not be
+// used by several goroutines at once.
 type Session struct {
 	options  SessionOptions
 	random   *rand.Rand
@@ -146,9 +43,10 @@
 	watches  watchSet
 }
 
-// NewSession begins a session at a time. The first watch is due within InitialConnectJitter of that.
+// NewSession begins a session at the time now. The first watch opens within InitialConnectJitter of it.
 func NewSession(options SessionOptions, now time.Duration) *Session {
-	s := &Session{options: options, now: now, random: rand.New(rand.NewPCG(options.Seed, uint64(options.StartedMS)))}
+	s := &Session{options: options, now: now}
+	s.random = rand.New(rand.NewPCG(options.Seed, uint64(options.StartedMS)))
 	s.versions = newVersionState(options.LastKnownGood)
 	s.watches = newWatchSet(options)
 	s.watches.nextOpenAt = now + s.jitter(InitialConnectJitter)
@@ -156,7 +54,7 @@
 	return s
 }
 
-// Step takes an event at a time, and returns what is to be done.
+// Step handles an event at the time now, and returns the actions to carry out, in order.
 func (s *Session) Step(now time.Duration, event SessionEvent) []SessionAction {
 	s.now, s.nextWake, s.actions = now, never, nil
 	switch e := event.(type) {
@@ -180,10 +78,10 @@
 	return s.actions
 }
 
-// Next is when Step is to be called with a Tick, unless an event comes before.
+// Next is the time at which Step is to be called with a Tick, unless another event comes before.
 func (s *Session) Next() time.Duration { return s.nextWake }
 
-// LastDecided is the newest version that was answered, applied or rejected.
+// LastDecided is the newest version that the node has applied or rejected; 0: none.
 func (s *Session) LastDecided() configapi.Version { return s.versions.lastDecided }
 
 // Applied is the version in force; 0: the configuration that the process was started with, or one of another cluster.
@@ -192,7 +90,7 @@
 // Cluster is the identity of the cluster that the node follows; empty: none yet.
 func (s *Session) Cluster() configapi.Cluster { return s.versions.cluster }
 
-// Controller is the address of the controller that the node goes by; "": none.
+// Controller is the address of the controller whose watch is the main one; "": none.
 func (s *Session) Controller() string {
 	if main := s.watches.main; main != nil {
 		return main.address
@@ -202,35 +100,26 @@
 
 func (s *Session) emit(action SessionAction) { s.actions = append(s.actions, action) }
 
-// wakeAt has Next be no later than a time.
+// wakeAt makes Next return the given time at the latest.
 func (s *Session) wakeAt(at time.Duration) { s.nextWake = min(s.nextWake, at) }
 
-// jitter is a time drawn from 0 up to most.
+// jitter draws a delay, uniformly from 0 up to limit.
 func (s *Session) jitter(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Float64() * float64(limit))
 }
 
-// backoff is the wait after a number of failures in a row: twice as long after each, at most longest, and half of it
-// drawn.
-func (s *Session) backoff(failures int, first, longest time.Duration) time.Duration {
-	const maxDoublings = 16
-	wait := min(first<<min(max(failures-1, 0), maxDoublings), longest)
-	return wait/2 + s.jitter(wait/2)
-}
-
-// lastKnownGood is what the node would start with.
-func (s *Session) lastKnownGood() LastKnownGood {
-	v := &s.versions
-	return LastKnownGood{Cluster: v.cluster, Version: v.applied, Config: v.appliedConfig, Former: maps.Clone(v.formerClusters), Controllers: slices.Clone(s.watches.clusterEndpoints)}
-}
+const (
+	// maxBackoffDoublings bounds the shift in backoff, so that a long row of failures does not overflow it. Every
+	// backoff has reached its maximum by then.
+	maxBackoffDoublings = 16
+	// backoffJitterDivisor is halves a backoff into a fixed and a drawn part: nodes that failed
+	// together must not come back together.
+	backoffJitterDivisor = 2
+)
 
-// Supersedes says whether k is newer than another: a later version of the same cluster, or of one that has taken the
-// other's cluster's place.
-func (k LastKnownGood) Supersedes(other LastKnownGood) bool {
-	if k.Cluster == other.Cluster {
-		return k.Version > other.Version
-	}
-	left, hasLeft := k.Former[other.Cluster]
-	back, isBack := other.Former[k.Cluster]
-	return hasLeft && left >= other.Version && !(isBack && back >= k.Version)
+// backoff is the delay after a number of consecutive failures (1 or more): it doubles from initial to longest, and half
+// of it is jitter. Without it a controller that comes back is met by all its nodes at once, and fails again.
+func (s *Session) backoff(failures int, initial, longest time.Duration) time.Duration {
+	delay := min(initial<<min(max(failures-1, 0), maxBackoffDoublings), longest)
+	return delay/backoffJitterDivisor + s.jitter(delay/backoffJitterDivisor)
 }
--- /dev/null
+++ b/configversion/session_driver_test.go
@@ -0,0 +1,186 @@
+package configversion
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+const ms = time.Millisecond
+
+// tester is what a driver needs of a test, *rapid.T among them.
+type tester interface {
+	Helper()
+	Fatal(args ...any)
+	Fatalf(format string, args ...any)
+}
+
+// driver runs a session against controllers that a test simulates: it advances the time to where the session wants to
+// be called, and records the session's actions.
+type driver struct {
+	t         tester
+	session   *Session
+	now       time.Duration
+	open      map[uint64]OpenWatch
+	opened    []OpenWatch
+	openedAt  []time.Duration
+	applying  *ApplyConfig
+	ack       *SendAck
+	acks      []configapi.Acknowledgement
+	decisions []VersionDecided
+	persisted *LastKnownGood
+}
+
+func newDriver(t tester, options SessionOptions) *driver {
+	if options.Node == "" {
+		options.Node, options.Service, options.StartedMS = "n", "s", 1
+	}
+	return &driver{t: t, session: NewSession(options, 0), open: map[uint64]OpenWatch{}}
+}
+
+// step passes an event to the session at the present time.
+func (d *driver) step(event SessionEvent) {
+	d.t.Helper()
+	switch e := event.(type) {
+	case WatchEnded:
+		delete(d.open, e.Watch)
+	case WatchRejected:
+		delete(d.open, e.Watch)
+	}
+	for _, action := range d.session.Step(d.now, event) {
+		switch a := action.(type) {
+		case OpenWatch:
+			d.open[a.Watch] = a
+			d.opened = append(d.opened, a)
+			d.openedAt = append(d.openedAt, d.now)
+		case CloseWatch:
+			if _, is := d.open[a.Watch]; !is {
+				d.t.Fatalf("it closes watch %d, which is not open", a.Watch)
+			}
+			delete(d.open, a.Watch)
+		case ApplyConfig:
+			if d.applying != nil {
+				d.t.Fatal("it applies two versions at once")
+			}
+			d.applying = &a
+		case SendAck:
+			if d.ack != nil {
+				d.t.Fatal("it sends two acknowledgements at once")
+			}
+			d.ack = &a
+			d.acks = append(d.acks, a.Ack)
+		case Persist:
+			d.persisted = &a.LastKnownGood
+		case VersionDecided:
+			d.decisions = append(d.decisions, a)
+		}
+	}
+	if next := d.session.Next(); next <= d.now {
+		d.t.Fatalf("at %v it wants to be called at %v", d.now, next)
+	}
+}
+
+// advanceUntil advances the time, with ticks where the session wants them, until a condition holds or the end is reached.
+func (d *driver) advanceUntil(end time.Duration, holds func() bool) bool {
+	d.t.Helper()
+	for !holds() {
+		if d.session.Next() > end {
+			d.now = end
+			return false
+		}
+		d.now = max(d.now, d.session.Next())
+		d.step(Tick{})
+	}
+	return true
+}
+
+// advance advances the time, with ticks where the session wants them.
+func (d *driver) advance(time time.Duration) {
+	d.t.Helper()
+	d.advanceUntil(d.now+time, func() bool { return false })
+}
+
+// advanceWithHeartbeats advances the time with heartbeats on a watch.
+func (d *driver) advanceWithHeartbeats(watch uint64, time time.Duration) {
+	d.t.Helper()
+	for end := d.now + time; d.now < end; {
+		d.advance(min(configapi.HeartbeatInterval, end-d.now))
+		d.step(WatchActivity{Watch: watch})
+	}
+}
+
+// nextWatch advances the time until a watch is opened, and returns it.
+func (d *driver) nextWatch(within time.Duration) OpenWatch {
+	d.t.Helper()
+	had := len(d.opened)
+	if !d.advanceUntil(d.now+within, func() bool { return len(d.opened) > had }) {
+		d.t.Fatalf("no watch within %v", within)
+	}
+	return d.opened[had]
+}
+
+func (d *driver) update(watch uint64, u configapi.Update) {
+	d.t.Helper()
+	d.step(WatchUpdated{watch, u})
+}
+
+// finishApply finishes the apply in progress.
+func (d *driver) finishApply(rejection *configapi.Rejection) {
+	d.t.Helper()
+	if d.applying == nil {
+		d.t.Fatal("nothing is applied")
+	}
+	d.applying = nil
+	d.step(ApplyFinished{Rejection: rejection})
+}
+
+// finishAck finishes the acknowledgement in flight.
+func (d *driver) finishAck(taken bool) {
+	d.t.Helper()
+	if d.ack == nil {
+		d.t.Fatal("nothing is acknowledged")
+	}
+	d.ack = nil
+	d.step(AckFinished{taken})
+}
+
+var invalidRejection = &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no"}
+
+func config(n int) *configapi.ServiceConfig {
+	return &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}
+}
+
+// versionUpdate is an update with a version that sets the service's configuration.
+func versionUpdate(cluster configapi.Cluster, n int) configapi.Update {
+	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), Current: true}
+}
+
+// emptyUpdate is an update of a cluster without a version.
+func emptyUpdate(cluster configapi.Cluster) configapi.Update {
+	return configapi.Update{Cluster: cluster, Current: true}
+}
+
+var threeControllers = []configapi.Endpoint{{Address: "a:1", Region: "east", Zone: "a"}, {Address: "b:1", Region: "east", Zone: "b"},
+	{Address: "c:1", Region: "west", Zone: "a"}}
+
+func addressesOf(endpoints []configapi.Endpoint) (addresses []string) {
+	for _, e := range endpoints {
+		addresses = append(addresses, e.Address)
+	}
+	return addresses
+}
+
+// newConnectedDriver is a driver whose session has a live watch.
+func newConnectedDriver(t testing.TB, options SessionOptions) (*driver, OpenWatch) {
+	t.Helper()
+	if options.Controllers == nil {
+		options.Controllers = addressesOf(threeControllers)
+	}
+	d := newDriver(t, options)
+	w := d.nextWatch(InitialConnectJitter)
+	d.update(w.Watch, emptyUpdate("x"))
+	return d, w
+}
--- /dev/null
+++ b/configversion/watch.go
@@ -0,0 +1,231 @@
+package configversion
+
+import (
+	"slices"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// watchState is the state of a watch. The Session changes it: a watch is opening from openWatch on, live from its first
+// update on, and silent or live again by the time of its last byte. A watch that is closed, rejected or ended is removed
+// from the set and has no state.
+type watchState int
+
+const (
+	watchOpening watchState = iota // its first update has not come
+	watchLive                      // it has an update, and bytes keep coming: it is the main watch
+	watchSilent                    // no byte within its silence timeout: others are opened beside it
+)
+
+// watch is one open call for updates.
+type watch struct {
+	id             uint64
+	address        string // of the controller, HOST:PORT
+	openedAt       time.Duration
+	silenceTimeout time.Duration // see watch_silence.go
+	lastActivity   time.Duration // the last byte
+	updateBegan    time.Duration // when the update that is arriving began; 0: none is
+	updated        bool          // its first update has come
+	current        bool          // its last update says that the controller has a leader
+	foreign        bool          // its last update was of a cluster that the node does not follow
+	behind         bool          // its last update was older than what the node has decided
+}
+
+// state is the watch's state at a time.
+func (w *watch) state(now time.Duration) watchState {
+	switch {
+	case !w.updated:
+		return watchOpening
+	case now >= w.silenceDeadline():
+		return watchSilent
+	}
+	return watchLive
+}
+
+// bringsNewest says that a watch brings the newest versions of the node's cluster as soon as they are committed.
+func (w *watch) bringsNewest() bool { return w.current && !w.foreign && !w.behind }
+
+// watchSet holds the open watches of a session. The main watch is the one whose controller the node takes versions from
+// and sends acknowledgements to. Others are opened beside it only while it is silent or does not bring the newest
+// versions, or when its controller asks the node to migrate.
+type watchSet struct {
+	location            configapi.Endpoint // the node's own, without an address
+	configuredAddresses []string
+	clusterEndpoints    []configapi.Endpoint // the cluster's controllers, as it last named them
+	open                []*watch             // the oldest first
+	main                *watch               // nil: none
+	lastID              uint64
+
+	nextOpenAt            time.Duration            // without a live watch, none is opened before
+	consecutiveFailures   int                      // of watches, since the last that became main
+	consecutiveReopens    int                      // for a missing configuration, since the last decision
+	slowOpens             int                      // watches over their open timeout, since the last that became main
+	consecutiveRejections uint64                   // of watches, since the last that became main
+	avoidedUntil          map[string]time.Duration // by address
+	redirects             []string                 // where the last rejection sent the node, the best first
+
+	migrateTo           string // address that the main watch's controller asks to migrate to; "": none
+	migrationsAllowedAt time.Duration
+	nextSearchAt        time.Duration // 0: no search is under way
+	searchedAddresses   []string      // in this round
+}
+
+func newWatchSet(options SessionOptions) watchSet {
+	return watchSet{
+		location:            configapi.Endpoint{Region: options.Region, Zone: options.Zone},
+		configuredAddresses: slices.Clone(options.Controllers),
+		clusterEndpoints:    slices.Clone(options.LastKnownGood.Controllers),
+		avoidedUntil:        map[string]time.Duration{},
+	}
+}
+
+// find returns the open watch of a number; nil: there is none.
+func (s *watchSet) find(id uint64) *watch {
+	for _, w := range s.open {
+		if w.id == id {
+			return w
+		}
+	}
+	return nil
+}
+
+func (s *watchSet) isOpenAt(address string) bool {
+	return slices.ContainsFunc(s.open, func(w *watch) bool { return w.address == address })
+}
+
+// opening are the watches in state watchOpening, the oldest first.
+func (s *watchSet) opening() (opening []*watch) {
+	for _, w := range s.open {
+		if !w.updated {
+			opening = append(opening, w)
+		}
+	}
+	return opening
+}
+
+// mainIsLive says whether there is a main watch and it is not silent.
+func (s *watchSet) mainIsLive(now time.Duration) bool {
+	return s.main != nil && s.main.state(now) == watchLive
+}
+
+func (s *watchSet) remove(w *watch) {
+	s.open = slices.DeleteFunc(s.open, func(other *watch) bool { return other == w })
+	if s.main == w {
+		s.main = nil
+	}
+}
+
+// reconcileWatches opens and closes watches as the rules want it now, and sets the time of the next look.
+func (s *Session) reconcileWatches() {
+	set := &s.watches
+	if !set.mainIsLive(s.now) {
+		set.migrateTo = ""
+		set.endSearch()
+		s.connect()
+		return
+	}
+	s.wakeAt(set.main.silenceDeadline())
+	switch {
+	case set.migrateTo != "":
+		set.endSearch()
+		s.closeOpeningExcept(set.migrateTo)
+		s.probe(set.migrateTo)
+	case !set.main.bringsNewest():
+		s.searchForCurrent()
+	default:
+		set.endSearch()
+		s.closeOpeningExcept("")
+	}
+}
+
+// watchUpdated handles a complete update: it refreshes the watch, lets a first update choose the main watch, and passes
+// the version on to version acceptance.
+func (s *Session) watchUpdated(e WatchUpdated) {
+	w := s.watches.find(e.Watch)
+	if w == nil {
+		return
+	}
+	u := e.Update
+	wasCurrent := w.current
+	w.lastActivity, w.updateBegan = s.now, 0
+	w.current, w.foreign, w.behind = u.Current, !s.versions.follows(u), s.versions.behind(u)
+	if !w.foreign && len(u.Controllers) > 0 {
+		s.watches.clusterEndpoints = slices.Clone(u.Controllers)
+	}
+	if !w.updated {
+		w.updated = true
+		s.chooseMain(w)
+	} else if w == s.watches.main && w.current != wasCurrent {
+		s.emit(ControllerChanged{w.address, w.current})
+	}
+	s.considerUpdate(w, u)
+	if w == s.watches.main && u.MigrateTo != "" {
+		s.migrationRequested(u.MigrateTo)
+	}
+}
+
+// watchEnded handles the end of a watch that the session did not close.
+func (s *Session) watchEnded(id uint64) {
+	set := &s.watches
+	w := set.find(id)
+	if w == nil {
+		return
+	}
+	set.remove(w)
+	set.avoidFor(w.address, s.now, avoidAfterFailure)
+	if w.updated { // it was the main watch
+		set.nextOpenAt = s.now + s.jitter(reconnectJitter)
+		s.emit(ControllerChanged{})
+		return
+	}
+	set.consecutiveFailures++
+	set.nextOpenAt = s.now + s.backoff(set.consecutiveFailures, openInitialBackoff, openMaxBackoff)
+	s.probeFailed(w)
+}
+
+// openWatch opens a watch at an address. Its request says what the node has decided and has in force.
+func (s *Session) openWatch(address string) *watch {
+	set := &s.watches
+	v := &s.versions
+	set.lastID++
+	w := &watch{
+		id:             set.lastID,
+		address:        address,
+		openedAt:       s.now,
+		lastActivity:   s.now,
+		silenceTimeout: s.drawSilenceTimeout(),
+	}
+	set.open = append(set.open, w)
+	request := configapi.WatchRequest{
+		Node:            s.options.Node,
+		Service:         s.options.Service,
+		Region:          s.options.Region,
+		Zone:            s.options.Zone,
+		StartedMS:       s.options.StartedMS,
+		Session:         w.id,
+		Cluster:         v.cluster,
+		LastDecided:     v.lastDecided,
+		Applied:         v.applied,
+		WatchRejections: set.consecutiveRejections,
+	}
+	if v.rejection != nil {
+		request.LastRejected, request.RejectionReason = true, v.rejection.Error()
+	}
+	s.emit(OpenWatch{w.id, address, request})
+	return w
+}
+
+func (s *Session) closeWatch(w *watch) {
+	s.watches.remove(w)
+	s.emit(CloseWatch{w.id})
+}
+
+// closeOpeningExcept closes the watches in state watchOpening, except those at one address.
+func (s *Session) closeOpeningExcept(exceptAddress string) {
+	for _, w := range s.watches.opening() {
+		if w.address != exceptAddress {
+			s.closeWatch(w)
+		}
+	}
+}
--- /dev/null
+++ b/configversion/watch_opening_test.go
@@ -0,0 +1,92 @@
+package configversion
+
+import (
+	"testing"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// A whole fleet is restarted at once. If all nodes connected in the same moment, to the same controller, it would reject
+// most of them: their first watches are spread over a second and over the controllers.
+func TestFirstWatchesAreJittered(t *testing.T) {
+	const nodes = 700
+	perController := map[string]int{}
+	perTenth := [10]int{}
+	for seed := range uint64(nodes) {
+		d := newDriver(t, SessionOptions{Controllers: addressesOf(threeControllers), Seed: seed})
+		w := d.nextWatch(InitialConnectJitter)
+		perController[w.Address]++
+		perTenth[d.now*10/InitialConnectJitter]++
+	}
+	for address, n := range perController {
+		if n < nodes/3-60 || n > nodes/3+60 {
+			t.Errorf("%d of %d at %s", n, nodes, address)
+		}
+	}
+	for i, n := range perTenth {
+		if n < nodes/10-35 || n > nodes/10+35 {
+			t.Errorf("%d of %d in tenth %d of the second", n, nodes, i)
+		}
+	}
+}
+
+// No controller can be reached for a minute. A node must neither hammer them nor back off for so long that it misses the
+// moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
+func TestOpenBackoffIsBounded(t *testing.T) {
+	for name, ends := range map[string]func(d *driver){
+		"refused at once": func(d *driver) {
+			for id := range d.open {
+				d.step(WatchEnded{id})
+			}
+		},
+		"no answer at all": func(*driver) {},
+		"all are full": func(d *driver) {
+			for id := range d.open {
+				d.step(WatchRejected{id, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: threeControllers}})
+			}
+		},
+	} {
+		d := newDriver(t, SessionOptions{Controllers: addressesOf(threeControllers)})
+		for d.now < time.Minute {
+			d.nextWatch(openMaxBackoff + InitialConnectJitter)
+			ends(d)
+			if len(d.open) > maxOpening {
+				t.Fatalf("%s: %d watches are open", name, len(d.open))
+			}
+		}
+		if n := len(d.opened); n < 40 || n > 100 {
+			t.Errorf("%s: %d watches in a minute", name, n)
+		}
+	}
+}
+
+// A controller dies, and its watches end. The next watch opens within 400 ms, at another controller.
+func TestLostWatchReopensElsewhere(t *testing.T) {
+	d, first := newConnectedDriver(t, SessionOptions{})
+	d.step(WatchEnded{first.Watch})
+	if w := d.nextWatch(reconnectJitter); w.Address == first.Address {
+		t.Error("the watch is at the controller that was just lost")
+	}
+}
+
+// A controller leaves out a configuration because it takes it for applied, but the node does not have it. The node
+// reopens the watch, which says what it has, and backs off if that does not help.
+func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
+	d, w := newConnectedDriver(t, SessionOptions{})
+	for range 100 {
+		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, Current: true})
+		if _, still := d.open[w.Watch]; still || d.session.Applied() != 0 {
+			t.Fatal("the watch stays open")
+		}
+		w = d.nextWatch(openMaxBackoff)
+	}
+	if d.now < 60*time.Second {
+		t.Errorf("100 watches in %v", d.now)
+	}
+	d.update(w.Watch, versionUpdate("x", 7))
+	d.finishApply(nil)
+	if d.session.Applied() != 7 {
+		t.Errorf("%d is in force", d.session.Applied())
+	}
+}
