--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest has stand-ins of discovery for the tests of those that watch it, as net/http/httptest has of
-// servers. Only tests import it.
+// Package discoverytest has stand-ins for discovery, as net/http/httptest has for servers: an agent that answers from a
+// script, and a network without sockets for tests within a bubble of testing/synctest. Only tests import it.
 package discoverytest
 
 import (
@@ -14,36 +14,39 @@
 	"testing"
 )
 
-// CompleteList is a whole list of one server, as discovery writes it.
+// CompleteList is a complete list of one endpoint, as discovery writes it.
 const CompleteList = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 
 // Agent is a discovery that answers from a script.
 type Agent struct {
-	Calls    chan string   // "watch FROM" or "list", of each call that came
-	Lines    chan string   // each is written to the watch that takes it
-	EndWatch chan struct{} // ends the watch that takes it
+	Calls    chan string   // of each poll that came, "watch FROM" or "list"
+	Lines    chan string   // each is written to the one watch that takes it
+	EndWatch chan struct{} // ends the one watch that takes it
 
-	whole string
+	completeList string
 }
 
-// NewAgent makes an Agent that answers a call for the whole list with whole.
-func NewAgent(whole string) *Agent {
-	return &Agent{whole: whole, Calls: make(chan string, 100), Lines: make(chan string), EndWatch: make(chan struct{})}
+// maxCalls is how many polls may come before the test looks at them.
+const maxCalls = 100
+
+// NewAgent makes an Agent that answers a poll without a watch with the complete list.
+func NewAgent(completeList string) *Agent {
+	return &Agent{completeList: completeList, Calls: make(chan string, maxCalls), Lines: make(chan string), EndWatch: make(chan struct{})}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP answers one poll. A watch brings what Lines has, until EndWatch or the client ends it.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		a.Calls <- "list"
-		fmt.Fprintln(w, a.whole)
+		fmt.Fprintln(w, a.completeList)
 		return
 	}
 	a.Calls <- "watch " + r.URL.Query().Get("from")
 	w.(http.Flusher).Flush()
 	for {
 		select {
-		case l := <-a.Lines:
-			fmt.Fprintln(w, l)
+		case line := <-a.Lines:
+			fmt.Fprintln(w, line)
 			w.(http.Flusher).Flush()
 		case <-a.EndWatch:
 			return
@@ -53,40 +56,40 @@
 	}
 }
 
-// WantCall waits for the next call and fails the test if it is another one than wanted.
+// WantCall waits for the next poll, and fails the test if it is not as wanted, in the form of Calls.
 func (a *Agent) WantCall(t testing.TB, want string) {
 	t.Helper()
 	if got := <-a.Calls; got != want {
-		t.Fatalf("discovery was asked for %q, want %q", got, want)
+		t.Fatalf("discovery was polled for %q, want %q", got, want)
 	}
 }
 
 // Serve serves a handler on loopback until the test ends, and returns its address.
 func Serve(t testing.TB, h http.Handler) string {
 	t.Helper()
-	s := httptest.NewServer(h)
+	server := httptest.NewServer(h)
 	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return s.Listener.Addr().String()
+	return server.Listener.Addr().String()
 }
 
-// Pipes is a network without sockets, for tests whose time is not the machine's. It is a net.Listener.
+// Pipes is a network without sockets, for tests with the virtual time of testing/synctest. It is a net.Listener.
 type Pipes struct {
 	conns chan net.Conn
-	done  chan struct{}
-	close func()
+	done  chan struct{} // closed by Close
+	close func()        // closes done, once
 }
 
-// NewPipes makes a network on which nobody calls yet.
+// NewPipes makes a network without connections.
 func NewPipes() *Pipes {
 	p := &Pipes{conns: make(chan net.Conn), done: make(chan struct{})}
 	p.close = sync.OnceFunc(func() { close(p.done) })
 	return p
 }
 
-// Accept waits for a call, until Close.
+// Accept waits for a connection, until Close.
 func (p *Pipes) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
@@ -102,15 +105,15 @@
 	return nil
 }
 
-// Addr is nobody's address.
+// Addr is an address without meaning.
 func (p *Pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Dial calls whoever accepts here, whatever the address.
+// Dial connects to whoever accepts here, whatever the address.
 func (p *Pipes) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	here, there := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case p.conns <- there:
-		return here, nil
+	case p.conns <- server:
+		return client, nil
 	case <-p.done: // http.Transport may go on dialing after its caller has left
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -118,11 +121,12 @@
 	}
 }
 
-// Dial is the form of a way to a server, as in http.Transport.
+// Dial opens a connection, as the field DialContext of http.Transport does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pipe serves a handler in a bubble of testing/synctest until the test ends, and returns the way there.
+// Pipe serves a handler within a bubble of testing/synctest until the test ends, and returns how to dial it.
 func Pipe(t testing.TB, h http.Handler) Dial {
+	t.Helper()
 	p := NewPipes()
 	server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
 	done := make(chan struct{})
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -11,56 +11,57 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// What one process hands to the next is as old as it was: a list that was confirmed 4 s ago may be relied on for 2 s more.
-// Where it came from an address that is no longer named, its version says nothing.
-func TestHandedOverListKeepsItsAge(t *testing.T) {
+// A process hands its list to the next one. If the lease began anew there, a node that is upgraded while discovery is slow
+// would go on sending on an expired list. So a list that was confirmed 4 s ago may be relied on for 2 s more. Its version
+// is handed over only where it came from the present address.
+func TestInheritedListKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := discoverytest.NewAgent(discoverytest.CompleteList)
-		d, heard := watchOn(t, "agent:1", "on_request", piped(t, a), func(d *Source) { d.Subscribe() })
-		a.WantCall(t, "watch 1")
-		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
-		<-heard
+		agent := discoverytest.NewAgent(discoverytest.CompleteList)
+		source, updates := startSource(t, "agent:1", "on_request", piped(t, agent), func(source *Source) { source.Subscribe() })
+		agent.WantCall(t, "watch 1")
+		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
+		<-updates
 		<-time.After(4 * time.Second)
-		if d.Age() != 4*time.Second || d.ResumeVersion() != 43 {
-			t.Errorf("handed over %v old, version %d", d.Age(), d.ResumeVersion())
+		if source.Age() != 4*time.Second || source.ResumeVersion() != 43 {
+			t.Errorf("hands over a list %v old, version %d", source.Age(), source.ResumeVersion())
 		}
-		d.SetAddress("agent:2")
-		if d.ResumeVersion() != 0 {
-			t.Errorf("after a move handed over version %d", d.ResumeVersion())
+		source.SetAddress("agent:2")
+		if source.ResumeVersion() != 0 {
+			t.Errorf("after an address change it hands over version %d", source.ResumeVersion())
 		}
 		var lease engine.Lease
 		config := testConfig("agent:2", "on_request")
 		config.MaxPollInterval = 10 * time.Second
-		next := New(config, d.log, nil)
+		next := New(config, source.log, nil)
 		next.RenewLease = func(l engine.Lease) { lease = l }
-		next.InheritAge(d.Age())
+		next.InheritAge(source.Age())
 		if left := time.Until(lease.Until); lease.Unbounded || left != endpointlease.NotificationDeadline-4*time.Second {
-			t.Errorf("the next process may rely on it for %v more", left)
+			t.Errorf("the next process may use it for %v more", left)
 		}
 	})
 }
 
-// The lease follows what is heard: each line of a watch renews it, and each call that finds
-// discovery away.
-func TestLeaseFollowsDiscovery(t *testing.T) {
+// Each line of a watch renews the lease, and so does each poll that finds discovery down: a node must neither send on a list
+// that may be out of date, nor reject requests for as long as discovery is down.
+func TestLeaseIsRenewedByHeartbeatsAndOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := discoverytest.NewAgent(discoverytest.CompleteList)
+		agent := discoverytest.NewAgent(discoverytest.CompleteList)
 		leases := make(chan engine.Lease, 100)
-		_, heard := watchOn(t, "agent:1", "on_request", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, updates := startSource(t, "agent:1", "on_request", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case <-a.EndWatch: // closed: down
+			case <-agent.EndWatch: // closed: down
 				select {
 				case <-time.After(2 * time.Second):
 					w.WriteHeader(http.StatusServiceUnavailable)
 				case <-r.Context().Done():
 				}
 			default:
-				a.ServeHTTP(w, r)
+				agent.ServeHTTP(w, r)
 			}
-		})), func(d *Source) {
-			d.clock.MaxPollInterval = 10 * time.Second
-			d.RenewLease = func(l engine.Lease) { leases <- l }
-			d.Subscribe()
+		})), func(source *Source) {
+			source.tracker.MaxPollInterval = 10 * time.Second
+			source.RenewLease = func(l engine.Lease) { leases <- l }
+			source.Subscribe()
 		})
 		var last engine.Lease
 		newest := func() engine.Lease {
@@ -70,21 +71,21 @@
 			}
 			return last
 		}
-		a.WantCall(t, "watch 1")
-		a.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
-		<-heard
+		agent.WantCall(t, "watch 1")
+		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
+		<-updates
 		if l := newest(); l.Unbounded || time.Until(l.Until) != endpointlease.NotificationDeadline {
 			t.Errorf("after a list: %+v", l)
 		}
 		<-time.After(2 * time.Second)
-		a.Lines <- ""
+		agent.Lines <- ""
 		if l := newest(); time.Until(l.Until) != endpointlease.NotificationDeadline {
 			t.Errorf("after a line: %+v", l)
 		}
-		close(a.EndWatch)
+		close(agent.EndWatch)
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 			select {
-			case <-heard: // that all calls have failed
+			case <-updates: // that all polls have failed
 			case <-time.After(100 * time.Millisecond):
 			}
 			if l := newest(); time.Until(l.Until) <= 0 {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -3,125 +3,123 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"net/http/httptrace"
-	"syscall"
+	"math/rand/v2"
+	"strconv"
+	"sync"
 	"time"
 
 	"hookwalk.example/hookwalk/internal/discoveryapi"
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// subscription is a call to discovery, and the watch that it becomes.
-type subscription struct {
-	d          *Source
-	name       int
+// Why a stream was ended from this side, as the cause of its context.
+var (
+	errSuperseded = errors.New("a list of a later address of discovery is held")
+	errDropped    = errors.New("another stream serves")
+)
+
+// errStalled ends a stream whose list has begun and is not complete in time.
+var errStalled = &discoveryapi.UnreadableError{Err: discoveryapi.ErrIncomplete}
+
+// stream is a poll of discovery and the watch that it becomes. Its states, and the rules for them, are the tracker's.
+type stream struct {
+	source     *Source
+	id         int // the tracker's
 	generation int // of its address
 	addr       string
-	began      time.Duration
-	whole      bool // it asks for the whole list, and no more
-	lists      int
+	openedAt   time.Duration
+	pollOnly   bool // it asks for the complete list and for no watch
+	lists      int  // that it brought
 	cancel     context.CancelCauseFunc
 }
 
-// reading is what a stream has read: a list, or its end.
-type reading struct {
-	*subscription
-	list  discoveryapi.List
-	err   error // its end
-	taken chan struct{}
+// streamEvent is what a stream has read: a list, or its end.
+type streamEvent struct {
+	stream  *stream
+	list    discoveryapi.List
+	err     error         // not nil: its end
+	handled chan struct{} // closed once a list is handled: the next one is read after it
+}
+
+// newStream has the tracker note a poll. The caller holds the lock.
+func (s *Source) newStream(now time.Duration) *stream {
+	return &stream{
+		source:     s,
+		id:         s.tracker.StreamOpened(now, rand.Float64()),
+		generation: s.tracker.Generation(),
+		addr:       s.addr,
+		openedAt:   now,
+	}
+}
+
+// openStream begins a poll. After an address change it asks for all changes from the first version on: polling the complete
+// list and then the watch would double the queue at a discovery to which all nodes turn at once.
+func (s *Source) openStream(ctx context.Context, opened *stream, readers *sync.WaitGroup) {
+	opened.pollOnly = s.needComplete
+	query := "?watch=1&from=" + strconv.FormatInt(s.baseVersion(opened), 10)
+	if opened.pollOnly {
+		query = ""
+	}
+	var streamCtx context.Context
+	streamCtx, opened.cancel = context.WithCancelCause(ctx)
+	s.streams[opened.id] = opened
+	readers.Go(func() { opened.read(streamCtx, query) })
+}
+
+// endStream ends the reading of a stream. What it still brings is ignored.
+func (s *Source) endStream(id int, why error) {
+	s.streams[id].cancel(why)
+	delete(s.streams, id)
 }
 
-// read makes the call and hands on each list of its answer, until that ends or can't be read.
-func (s *subscription) read(ctx context.Context, query string) {
-	defer s.cancel(nil)
-	body, err := s.d.get(ctx, s.name, s.addr, query)
+// read polls, and hands on each list of the answer, until that ends or can't be read.
+func (st *stream) read(ctx context.Context, query string) {
+	defer st.cancel(nil)
+	body, err := st.source.get(ctx, st.id, st.addr, query)
 	if err == nil {
 		defer body.Close()
-		s.Part()
-		err = s.follow(ctx, discoveryapi.NewReader(body, s))
+		st.Part()
+		err = st.readLists(ctx, discoveryapi.NewReader(body, st))
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	s.hand(ctx, reading{subscription: s, err: err})
+	st.emit(ctx, streamEvent{stream: st, err: err})
 }
 
-func (s *subscription) follow(ctx context.Context, in *discoveryapi.Reader) error {
+func (st *stream) readLists(ctx context.Context, lists *discoveryapi.Reader) error {
 	for {
-		l, err := in.Next()
+		list, err := lists.Next()
 		if err != nil {
 			return err
 		}
-		taken := make(chan struct{})
-		if err := s.hand(ctx, reading{subscription: s, list: l, taken: taken}); err != nil {
+		handled := make(chan struct{})
+		if err := st.emit(ctx, streamEvent{stream: st, list: list, handled: handled}); err != nil {
 			return err
 		}
-		<-taken
+		<-handled
 	}
 }
 
-// hand hands on what was read, unless nobody wants it any more.
-func (s *subscription) hand(ctx context.Context, r reading) error {
+// emit hands an event to Run, unless the stream has been ended.
+func (st *stream) emit(ctx context.Context, event streamEvent) error {
 	select {
-	case s.d.reads <- r:
+	case st.source.events <- event:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// Blank, Begun and Part feed the clock with what comes.
-func (s *subscription) Blank() {
-	s.d.clocked(func(c *endpointlease.Tracker) { c.Activity(s.name, s.d.now()) })
-}
-func (s *subscription) Begun() {
-	s.d.clocked(func(c *endpointlease.Tracker) { c.ListBegan(s.name, s.d.now()) })
+// Blank notes a heartbeat.
+func (st *stream) Blank() {
+	st.source.track(func(t *endpointlease.Tracker) { t.Activity(st.id, st.source.now()) })
 }
-func (s *subscription) Part() { s.Blank() }
 
-func (d *Source) get(ctx context.Context, name int, addr, query string) (io.ReadCloser, error) {
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { d.clocked(func(c *endpointlease.Tracker) { c.Connected(name) }) }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/endpoints"+query, nil)
-	if err != nil {
-		return nil, err
-	}
-	resp, err := d.Client.Do(req)
-	if err != nil {
-		return nil, err
-	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		return nil, &StatusError{resp.Status}
-	}
-	return resp.Body, nil
-}
-
-// StatusError is an answer to a call that has no list.
-type StatusError struct{ Status string }
-
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("discovery answered %s: if it goes on, it is down or has more callers than it can serve", e.Status)
+// Begun notes the first bytes of a list.
+func (st *stream) Begun() {
+	st.source.track(func(t *endpointlease.Tracker) { t.ListBegan(st.id, st.source.now()) })
 }
 
-// neverReached says that a call failed because discovery can't be reached: its machine refuses connections, or says
-// nothing to those who want one. What this machine lacks for a connection says nothing of discovery.
-func neverReached(err error) bool {
-	var dial *net.OpError
-	if !errors.As(err, &dial) || dial.Op != "dial" {
-		return errors.Is(err, syscall.ECONNREFUSED)
-	}
-	if dial.Timeout() {
-		return true
-	}
-	for _, e := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
+// Part notes the head of an answer, or a part of a list.
+func (st *stream) Part() { st.Blank() }
--- /dev/null
+++ b/internal/discovery/updates.go
@@ -0,0 +1,137 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/discoveryapi"
+	"hookwalk.example/hookwalk/internal/endpointlease"
+	"hookwalk.example/hookwalk/internal/engine"
+)
+
+const (
+	// maxOlderLists is how many complete lists in a row must be older than the one held for the last to be believed. A
+	// discovery that answers late would bring endpoints back that have drained; one that has lost its state counts anew,
+	// and says so each time.
+	maxOlderLists = 3
+	// endLogInterval bounds the log of ended polls: while discovery is down each node's fail several times a second.
+	endLogInterval = time.Second
+)
+
+// handle takes what a stream has read, if the stream still counts.
+func (s *Source) handle(ctx context.Context, event streamEvent) {
+	if event.handled != nil {
+		defer close(event.handled)
+	}
+	st := event.stream
+	switch {
+	case s.streams[st.id] != st: // it was ended meanwhile
+	case event.err != nil:
+		s.streamFailed(ctx, st, event.err)
+	case st.generation < s.heldGeneration:
+		s.track(func(t *endpointlease.Tracker) { t.StreamEnded(st.id, s.now()) })
+		s.endStream(st.id, errSuperseded)
+	default:
+		s.handleList(ctx, st, event.list)
+	}
+}
+
+// handleList applies a list that can be built on.
+func (s *Source) handleList(ctx context.Context, st *stream, list discoveryapi.List) {
+	if st.pollOnly {
+		list.Complete = true
+	}
+	if err := s.checkList(st, list); err != nil {
+		s.streamFailed(ctx, st, err)
+		return
+	}
+	// The lease is renewed before the update is applied: requests that waited for the list would be rejected otherwise.
+	s.track(func(t *endpointlease.Tracker) {
+		if st.pollOnly {
+			t.PollAnswered(st.id, s.now())
+		} else {
+			t.ListComplete(st.id, s.now())
+		}
+	})
+	if s.ApplyUpdate(ctx, ToUpdate(list)) != nil {
+		return // ctx has ended
+	}
+	st.lists++
+	s.heldGeneration, s.olderLists = st.generation, 0
+	s.version.Store(list.Seq)
+	s.needComplete = s.needComplete && !list.Complete
+	if st.pollOnly {
+		s.endStream(st.id, errDropped)
+	}
+}
+
+// baseVersion is the version on which what a stream brings builds: 0 after an address change, for each discovery may count
+// its versions in its own way.
+func (s *Source) baseVersion(st *stream) int64 {
+	if st.generation != s.heldGeneration {
+		return 0
+	}
+	return s.Version()
+}
+
+// checkList says why a list can't be built on: a *discoveryapi.UnreadableError, or nil.
+func (s *Source) checkList(st *stream, list discoveryapi.List) error {
+	base := s.baseVersion(st)
+	switch {
+	case list.Complete && list.Endpoints == nil:
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoEndpoints}
+	case !list.Complete && list.Seq < base:
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrVersionGap}
+	case list.Complete && list.Seq < base && s.olderLists < maxOlderLists-1:
+		s.olderLists++
+		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlderVersion}
+	}
+	return nil
+}
+
+// streamFailed ends a stream that has failed. After something that can't be read the complete list is polled next, and all
+// streams end: what the others bring would build on it too. Where lists are polled, the module is told when no stream is
+// left, and requests the next.
+func (s *Source) streamFailed(ctx context.Context, st *stream, err error) {
+	s.endStream(st.id, err)
+	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
+	s.needComplete = s.needComplete || unreadable
+	s.track(func(t *endpointlease.Tracker) { noteFailure(t, st.id, s.now(), err) })
+	if unreadable {
+		for id := range s.streams {
+			s.endStream(id, err)
+			s.track(func(t *endpointlease.Tracker) { t.StreamEnded(id, s.now()) })
+		}
+	}
+	s.logEnd(st, err, unreadable)
+	if s.polled && len(s.streams) == 0 {
+		s.ApplyUpdate(ctx, engine.Update{Failed: true}) // fails only as ctx ends
+	}
+}
+
+// noteFailure notes with the tracker that a stream has ended, and what its error says about discovery.
+func noteFailure(t *endpointlease.Tracker, id int, now time.Duration, err error) {
+	switch {
+	case errors.As(err, new(*discoveryapi.UnreadableError)):
+		t.MalformedList(id, now)
+	case errors.As(err, new(*StatusError)):
+		t.PollRejected(id, now)
+	case isUnreachable(err):
+		t.Unreachable(id)
+	default:
+		t.StreamFailed(id)
+	}
+	t.StreamEnded(id, now)
+}
+
+// logEnd logs the end of a watch, and of polls without a list one in endLogInterval, with how many there were.
+func (s *Source) logEnd(st *stream, err error, unreadable bool) {
+	s.endsSinceLog++
+	if st.lists == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
+		return
+	}
+	s.log.Warn("discovery watch ended", "addr", st.addr, "lists", st.lists, "list", s.State(), "err", err, "polls", s.endsSinceLog,
+		"after", s.now()-st.openedAt)
+	s.endsSinceLog, s.lastEndLogged = 0, time.Now()
+}
--- /dev/null
+++ b/internal/endpointlease/availability.go
@@ -0,0 +1,104 @@
+package endpointlease
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// immediateRejection is how soon a rejection comes from a discovery that is up. A later one may be of a proxy before
+	// it that waited in vain.
+	immediateRejection = time.Second
+
+	// A discovery that accepts connections and sends nothing is slow, overloaded, or down. It counts as slow until this
+	// long after the lease has expired, while the node rejects requests; from then on it counts as unavailable.
+	slowPeriod          = 10 * time.Second
+	slowPeriodPerPoller = 50 * time.Millisecond // a discovery with many pollers takes longer for all of them,
+	maxSlowPeriod       = 20 * time.Second      // but the node does not reject requests for longer than this
+)
+
+// availability says whether discovery can notify nodes of changes. While it can't, nothing that it has counts as known to
+// them, and each poll that finds it so renews the lease.
+//
+// Slow is not a state of its own: a slow discovery is available, so the lease expires while it sends nothing.
+type availability int
+
+const (
+	// available: discovery has sent something, or a connection to it has come up. Also the state before the first poll,
+	// and again once the lease has expired, until polls find another.
+	available availability = iota
+	// unreachable: the last connection was refused or did not come up. Set by Unreachable; ended by Connected.
+	unreachable
+	// rejecting: the watch has ended, and polls are rejected after a wait, as by a proxy before a discovery that is down.
+	// Set by PollRejected.
+	rejecting
+	// unresponsive: connections come up and nothing has come on any for slowPeriod and more. Set by CheckLease.
+	unresponsive
+)
+
+// Unavailable says whether discovery can't be reached, or has sent nothing for long. Any activity ends that.
+func (t *Tracker) Unavailable() bool { return t.availability != available }
+
+// Connected notes that a poll's connection has come up: discovery can be reached, whether or not it answers.
+func (t *Tracker) Connected(id int) {
+	t.stream(id).connected = true
+	if t.availability == unreachable {
+		t.availability = available
+	}
+}
+
+// Unreachable notes, before StreamEnded, that a poll's connection was refused or did not come up.
+func (t *Tracker) Unreachable(id int) { t.noteUnavailable(unreachable, id) }
+
+// PollRejected notes, before StreamEnded, that a poll was answered with an error status. The time tells two cases apart:
+//
+//   - A rejection within immediateRejection is of a discovery that is up and overloaded.
+//   - A later one means that discovery is down if its watch has ended too. While a watch is open, or the address has
+//     changed, a late rejection may as well come from a slow discovery, which must not renew the lease.
+func (t *Tracker) PollRejected(id int, now time.Duration) {
+	s := t.stream(id)
+	if s.id == 0 || s.generation != t.generation {
+		return
+	}
+	t.overloaded = now-s.openedAt <= immediateRejection
+	if t.overloaded {
+		t.noteAlive(now)
+	} else if !t.watchOpen {
+		t.noteUnavailable(rejecting, id)
+	}
+}
+
+// noteAlive notes that discovery has sent something.
+func (t *Tracker) noteAlive(now time.Duration) {
+	t.lastActivityAt, t.availability, t.reachedSinceConfirm = now, available, true
+}
+
+// noteUnavailable notes that discovery was unavailable when a poll began. A change that it had before the outage, while it
+// could be reached and sent nothing, still counts as known to the node at its deadline: then the lease keeps its end, and
+// the outage does not put it off. Without that a node would go on sending to an endpoint that began to drain just before
+// discovery went down.
+func (t *Tracker) noteUnavailable(how availability, id int) {
+	s := t.stream(id)
+	if t.availability == available {
+		outageBegan := s.openedAt
+		if t.Pushed { // its watch ended as it went down
+			outageBegan = min(outageBegan, t.lastWatchEndedAt)
+		}
+		expires := t.Expires()
+		if t.reachedSinceConfirm || t.otherPollConnected(id) || expires <= outageBegan {
+			t.frozenExpiry = max(expires, 1) // 0 means that there is none
+		}
+	}
+	t.availability, t.unavailablePollAt = how, s.openedAt
+}
+
+// otherPollConnected says whether a poll beside this one has reached discovery and waits for a list.
+func (t *Tracker) otherPollConnected(id int) bool {
+	return slices.ContainsFunc(t.streams, func(s stream) bool { return s.id != id && !s.isWatch() && s.connected })
+}
+
+// slowUntil is when a discovery that sends nothing no longer counts as slow, but as unresponsive.
+func (t *Tracker) slowUntil() time.Duration {
+	allPollers := time.Duration(t.Pollers) * slowPeriodPerPoller
+	return max(t.Expires(), t.lastActivityAt) + min(max(slowPeriod, allPollers), maxSlowPeriod)
+}
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -1,264 +1,79 @@
-// Package endpointlease is the one clock by which a list of servers is held: when discovery is called, when what says
-// nothing is broken and has another call beside it, and when the lease on the list expires, since from then on changes
-// count as told although nobody told them and nothing may be sent on it. It is pure: events go in with the time at which
-// they happened, Step says what is to be done, and nothing waits here.
+// Package endpointlease has the rules for polling discovery and for the lease on the endpoint list: until when a node may
+// send to the endpoints that it holds without hearing from discovery.
 //
-// This file has the events, calls.go when to call, lease.go how long the list may be relied on. The source
-// (internal/discovery) feeds the clock and carries out its steps; the lab's auditor holds nodes to Told.
+// A Tracker is the state of one node's list. It is pure: the caller notes each event with its time, Step says what to do
+// next, and nothing here waits, reads a clock or does I/O. All times are durations since one moment of the caller's
+// choosing, on a monotonic clock, so that a step of the wall clock neither expires a lease nor prolongs it. The caller
+// (internal/discovery) serializes all calls.
+//
+// The rules, and where they stand:
+//
+//	lease expiry                        lease.go         Expires, CheckLease, State
+//	unavailable, unresponsive or slow   availability.go  PollRejected, Unreachable, slowUntil
+//	when to poll                        schedule.go      Step
+//	parallel polls                      parallel.go      parallelPollAt
+//	heartbeat time-out                  stream.go        heartbeatDeadline
+//	list transfer time-out              stream.go        transferDeadline
+//	backoff, limit on malformed lists   backoff.go       backoff
+//	address change                      events.go        DiscoveryChanged
+//
+// The incident that this package answers to is docs/incidents/2026-12-02-sends-on-an-expired-list.md; the alternatives
+// that were weighed are in docs/design/endpoint-lease.md.
 package endpointlease
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// The operators' figures.
+// The limits that discovery's protocol sets. The lab's checker holds nodes to them.
 const (
-	HeartbeatInterval               = 2 * time.Second         // a sound watch brings a line so often at least
-	NotificationDeadline            = 6 * time.Second         // a change counts as told so long after discovery had it and could be reached
-	NotificationDeadlineAfterChange = 4 * time.Second         // what a new discovery has, after SIGHUP names it
-	ListTransferTimeout             = 4500 * time.Millisecond // from the first byte of a list till its last
+	// HeartbeatInterval is the longest time between two lines of a healthy watch; an empty line is a heartbeat.
+	HeartbeatInterval = 2 * time.Second
+	// NotificationDeadline is how long after discovery had a change, and could be reached, a node counts as notified of it.
+	NotificationDeadline = 6 * time.Second
+	// NotificationDeadlineAfterChange is the same for what a new discovery has, counted from the SIGHUP that named it.
+	NotificationDeadlineAfterChange = 4 * time.Second
+	// ListTransferTimeout is the time from the first byte of a list to its last. Without it a discovery that stops in the
+	// middle of a list, and sends a byte now and then, would look alive for ever.
+	ListTransferTimeout = 4500 * time.Millisecond
 )
 
-const forEver = time.Duration(1<<63 - 1)
+// never is a time that does not come.
+const never = time.Duration(1<<63 - 1)
 
-// Options are what the settings say of the list.
+// Options are what the settings say about the endpoint list.
 type Options struct {
-	Pushed          bool          // changes come by themselves, and what the agent has counts as told
-	MaxPollInterval time.Duration // else: a list held without a watch binds so long after the last call
-	Pollers         int           // nodes that call the same discovery, this one among them; 0: it is alone
+	Pushed          bool          // an agent pushes changes, and a node counts as notified of what the agent has at once
+	MaxPollInterval time.Duration // where lists are polled: the lease of a list without a watch ends so long after the last poll
+	Pollers         int           // nodes that poll the same discovery, this one included; 0 or 1: it is alone
 }
 
-// Tracker is the state of one node's list. The zero Clock with Rules has heard nothing yet.
+// Tracker is the state of one node's endpoint list: the polls and watches that are open, what is known of discovery, and
+// the lease. The zero Tracker with Options has polled nothing and heard nothing.
 type Tracker struct {
 	Options
-	streams    []stream
-	names      int
-	generation int // how many times the configuration named another discovery
-
-	next    time.Duration // no call before, where none is out
-	begun   bool          // the first call was wanted or made: the next ones are made unasked
-	mute    int           // calls in a row that had to get another beside them
-	hurried bool          // the first of them was made because a watch fell silent
-	fails   int           // calls in a row that failed
-	crowded bool          // the last of them was turned down at once: discovery is there, and has too many callers
-	garbled int           // answers that could not be read, in a row
-
-	current   time.Duration // the list held was all that discovery had
-	asked     time.Duration // the last call's begin
-	unwatched time.Duration // when the last watch ended, where there is none
-	alive     time.Duration // when discovery spoke last, be it to say no at once
-	absence   absence
-	absent    time.Duration // the begin of the last call that found discovery absent
-	fixed     time.Duration // the end of a lease that an outage does not put off; 0: it does
-	touched   bool          // discovery could be reached since the list was confirmed last, and told nothing
-	moves     []move        // to addresses from which no list has come yet
-	watching  bool          // the last watch is open, be it silent; one that ended may be of a discovery that went down
-}
-
-// absence says why a discovery that does not tell changes is not held to them.
-type absence int
-
-const (
-	present      absence = iota
-	unreachable          // the last connection was refused, or did not come up
-	unresponsive         // connections come up, and calls are turned down after a wait
-	hung                 // connections come up, and for long nothing has come of any
-)
-
-// move is a configuration that names another discovery.
-type move struct {
-	generation int // of the streams to that address
-	at         time.Duration
-}
-
-// Generation counts the addresses so far: it is that of the streams that are called now.
-func (c *Tracker) Generation() int { return c.generation }
-
-// DiscoveryChanging says that no list has come yet from the present address.
-func (c *Tracker) DiscoveryChanging() bool { return len(c.moves) > 0 }
-
-// mostMoves are kept apart. Of further ones the last is held to the time of the one before it.
-const mostMoves = 16
-
-// stream is a call to discovery, and the watch that it becomes with its first list.
-type stream struct {
-	name       int
-	generation int
-	begin      time.Duration
-	heard      time.Duration // the last byte
-	object     time.Duration // when the list that is arriving began; 0: none is
-	draw       float64
-	reached    bool          // its connection has come up
-	listed     time.Duration // the first list was whole; 0: none was
-}
-
-// StreamOpened begins a stream and names it. The draw, from 0 to 1, says when this node acts within the time that all share.
-func (c *Tracker) StreamOpened(now time.Duration, draw float64) (name int) {
-	c.names++
-	c.streams = append(c.streams, stream{name: c.names, generation: c.generation, begin: now, heard: now, draw: draw})
-	c.asked, c.begun = now, true
-	return c.names
-}
-
-// RequestPoll notes that the module wants the list to be asked for. Where it is asked for, the first call waits for that.
-func (c *Tracker) RequestPoll() { c.begun = true }
-
-func (c *Tracker) stream(name int) *stream {
-	for i := range c.streams {
-		if c.streams[i].name == name {
-			return &c.streams[i]
-		}
-	}
-	return &stream{} // it was dropped, and says nothing any more
-}
-
-// Connected notes that a call's connection has come up: discovery can be reached, whether or not it answers.
-func (c *Tracker) Connected(name int) {
-	c.stream(name).reached = true
-	if c.absence == unreachable {
-		c.absence = present
-	}
-}
-
-// Unreachable notes, before its end, that a call's connection was refused or did not come up.
-func (c *Tracker) Unreachable(name int) { c.away(unreachable, name) }
-
-// PollRejected notes, before its end, that a call was answered with a no. One that comes at once is of a discovery that is
-// there and has too many callers. One that comes late may be of whoever waits for it in vain: a discovery that goes down
-// ends its watches, and what stands before it turns calls down after a wait. Where the watch is open and silent, or
-// discovery has moved, it may as well be slow.
-func (c *Tracker) PollRejected(name int, now time.Duration) {
-	s := c.stream(name)
-	if s.name == 0 || s.generation != c.generation {
-		return
-	}
-	if c.crowded = now-s.begin <= atOnce; c.crowded {
-		c.spoke(now)
-	} else if !c.watching {
-		c.away(unresponsive, name)
-	}
-}
-
-// StreamFailed notes, before its end, that a stream was reset or is at its end. A call whose connection had come up, and that
-// brought no list, may have been to a discovery that had something to tell.
-func (c *Tracker) StreamFailed(name int) {
-	s := c.stream(name)
-	c.touched = c.touched || s.reached && s.listed == 0
-}
-
-// away notes that discovery was absent when a call began. What it may have had before that, while it could be reached and
-// told nothing, goes on to count: then the lease keeps its end.
-func (c *Tracker) away(how absence, name int) {
-	s := c.stream(name)
-	if c.absence == present {
-		touched := c.touched || slices.ContainsFunc(c.streams, func(o stream) bool { return o.name != name && o.listed == 0 && o.reached })
-		began := s.begin
-		if c.Pushed { // its watch ended as it went
-			began = min(began, c.unwatched)
-		}
-		if expires := c.Expires(); touched || expires <= began {
-			c.fixed = max(expires, 1)
-		}
-	}
-	c.absence, c.absent = how, s.begin
-}
-
-// spoke notes that discovery is there.
-func (c *Tracker) spoke(now time.Duration) {
-	c.alive, c.absence, c.touched = now, present, true
-}
-
-// confirm notes that the list held is all that discovery has.
-func (c *Tracker) confirm(now time.Duration) { c.current, c.fixed, c.touched = now, 0, false }
-
-// Activity notes a sign of life on a stream: the head of an answer, a line, an empty one too, or a part of a list.
-func (c *Tracker) Activity(name int, now time.Duration) {
-	c.spoke(now)
-	s := c.stream(name)
-	if s.heard = now; s.listed > 0 && s.object == 0 {
-		c.confirm(now) // a line of a watch: it holds all that there was
-	}
-}
-
-// ListBegan notes the first byte of a list: it is to be whole within Object, whatever comes beside it.
-func (c *Tracker) ListBegan(name int, now time.Duration) {
-	c.Activity(name, now)
-	if s := c.stream(name); s.object == 0 {
-		s.object = max(now, 1)
-	}
-}
-
-// ListComplete notes that a watch has brought a list or its changes, whole: what discovery had is held.
-func (c *Tracker) ListComplete(name int, now time.Duration) {
-	c.spoke(now)
-	s := c.stream(name)
-	if s.heard, s.object = now, 0; s.listed == 0 {
-		s.listed = max(now, 1)
-	}
-	c.confirm(now)
-	c.moves = slices.DeleteFunc(c.moves, func(m move) bool { return m.generation <= s.generation })
-	if s.generation == c.generation {
-		c.mute, c.fails, c.crowded, c.watching = 0, 0, false, true
-	}
-}
-
-// PollAnswered notes that a call for the whole list was answered: what discovery had is held, and a watch is to follow.
-func (c *Tracker) PollAnswered(name int, now time.Duration) {
-	c.ListComplete(name, now)
-	c.forget(name, now)
-	c.next = now
-}
-
-// StreamEnded notes that a stream is over: refused, reset, or at its end. One to an earlier address changes no call to the
-// present one.
-func (c *Tracker) StreamEnded(name int, now time.Duration) {
-	s := c.forget(name, now)
-	if s.name == 0 || s.generation != c.generation {
-		return
-	}
-	if s.listed == 0 {
-		c.mute = 0 // it was answered, if with a no
-		c.fails++
-	} else if !c.watched() {
-		c.watching = false
-	}
-	c.next = now + c.again(s.draw)
-}
-
-// forget takes a stream off the list. Where it was the last watch, the node is without one from now on.
-func (c *Tracker) forget(name int, now time.Duration) (s stream) {
-	s = *c.stream(name)
-	c.streams = slices.DeleteFunc(c.streams, func(o stream) bool { return o.name == name })
-	if s.listed > 0 && !c.watched() {
-		c.unwatched = now
-	}
-	return s
-}
-
-// watched says that a watch is open, be it silent or to an earlier address.
-func (c *Tracker) watched() bool {
-	return slices.ContainsFunc(c.streams, func(s stream) bool { return s.listed > 0 })
-}
-
-// MalformedList notes, before its end, that what a stream brought can't be read or is no list to build on.
-func (c *Tracker) MalformedList(name int, now time.Duration) {
-	if s := c.stream(name); s.listed > 0 && now-s.listed > soundFor {
-		c.garbled = 0
-	}
-	c.garbled++
-}
-
-// DiscoveryChanged notes that the configuration names another discovery. What is open is of earlier ones: it is heard until a list
-// has come from the new one, for until then it may be the last to tell a change.
-func (c *Tracker) DiscoveryChanged(now time.Duration) {
-	c.generation++
-	c.next, c.begun = now, true
-	c.mute, c.fails, c.garbled, c.crowded = 0, 0, 0, false
-	c.watching = true
-	if len(c.moves) == mostMoves {
-		c.moves[mostMoves-1].generation = c.generation
-		return
-	}
-	c.moves = append(c.moves, move{generation: c.generation, at: now})
+	streams      []stream // open polls and watches, the oldest first
+	lastStreamID int
+	generation   int // how many times the configuration named another discovery
+
+	// The poll schedule: see Step, parallelPollAt and backoff.
+	nextPollAt          time.Duration // no poll before this where none is open
+	pollingStarted      bool          // the first poll was requested or made: later ones need no request
+	parallelPolls       int           // consecutive polls without an answer that another was opened beside
+	afterSilentWatch    bool          // the poll that began them was made because a watch missed its heartbeat
+	consecutiveFailures int           // polls that failed since the last list
+	overloaded          bool          // the last poll was rejected at once: discovery is up, with too many pollers
+	malformedLists      int           // consecutive answers that could not be read
+
+	// What is known of discovery: see availability.go.
+	availability          availability
+	lastActivityAt        time.Duration // the last sign of life, a rejection that came at once included
+	unavailablePollAt     time.Duration // the begin of the last poll that found discovery unavailable
+	watchOpen             bool          // the last watch is open, even if silent; an ended one may be of a discovery that went down
+	reachedSinceConfirm   bool          // discovery could be reached since the list was last confirmed, and sent nothing
+	pendingAddressChanges []addressChange
+
+	// The lease: see Expires.
+	confirmedAt      time.Duration // when the list held was last known to be all that discovery had
+	lastPollAt       time.Duration // the begin of the last poll
+	lastWatchEndedAt time.Duration // when the last watch ended, where none is open
+	frozenExpiry     time.Duration // an end of the lease that an outage does not put off; 0: there is none
 }
--- /dev/null
+++ b/internal/endpointlease/events.go
@@ -0,0 +1,128 @@
+package endpointlease
+
+import (
+	"slices"
+	"time"
+)
+
+// RequestPoll notes that the decision module wants the list. Where lists are polled, the first poll waits for this.
+func (t *Tracker) RequestPoll() { t.pollingStarted = true }
+
+// StreamOpened notes that a poll has begun, and returns the stream's ID. The jitter, from 0 to 1, is drawn by the caller.
+func (t *Tracker) StreamOpened(now time.Duration, jitter float64) (id int) {
+	t.lastStreamID++
+	t.streams = append(t.streams, stream{id: t.lastStreamID, generation: t.generation, openedAt: now, lastByteAt: now, jitter: jitter})
+	t.lastPollAt, t.pollingStarted = now, true
+	return t.lastStreamID
+}
+
+// Activity notes a sign of life on a stream: the head of an answer, a heartbeat, or a part of a list.
+func (t *Tracker) Activity(id int, now time.Duration) {
+	t.noteAlive(now)
+	s := t.stream(id)
+	s.lastByteAt = now
+	if s.isWatch() && s.listBeganAt == 0 {
+		t.confirm(now) // a heartbeat: the watch holds no newer list back
+	}
+}
+
+// ListBegan notes the first byte of a list. The list must be complete within ListTransferTimeout.
+func (t *Tracker) ListBegan(id int, now time.Duration) {
+	t.Activity(id, now)
+	if s := t.stream(id); s.listBeganAt == 0 {
+		s.listBeganAt = max(now, 1) // 0 means that none has begun
+	}
+}
+
+// ListComplete notes that a watch has brought a complete list or complete changes: the node holds what discovery had.
+func (t *Tracker) ListComplete(id int, now time.Duration) {
+	t.noteAlive(now)
+	s := t.stream(id)
+	s.lastByteAt, s.listBeganAt = now, 0
+	if !s.isWatch() {
+		s.firstListAt = max(now, 1) // 0 means that none was complete
+	}
+	t.confirm(now)
+	t.pendingAddressChanges = slices.DeleteFunc(t.pendingAddressChanges, func(c addressChange) bool { return c.generation <= s.generation })
+	if s.generation == t.generation {
+		t.parallelPolls, t.consecutiveFailures, t.overloaded, t.watchOpen = 0, 0, false, true
+	}
+}
+
+// PollAnswered notes that a poll without a watch has brought the complete list. A watch is opened at once after it.
+func (t *Tracker) PollAnswered(id int, now time.Duration) {
+	t.ListComplete(id, now)
+	t.forget(id, now)
+	t.nextPollAt = now
+}
+
+// StreamFailed notes, before StreamEnded, that a stream was reset or has ended. If the connection of a poll had come up
+// and no list came, discovery may have had a change that it could not send: see noteUnavailable.
+func (t *Tracker) StreamFailed(id int) {
+	s := t.stream(id)
+	t.reachedSinceConfirm = t.reachedSinceConfirm || s.connected && !s.isWatch()
+}
+
+// MalformedList notes, before StreamEnded, that a stream brought something that can't be read or built on. A watch that
+// was read without fault for healthyWatchAge is a new case: what was malformed before it no longer counts.
+func (t *Tracker) MalformedList(id int, now time.Duration) {
+	if s := t.stream(id); s.isWatch() && now-s.firstListAt > healthyWatchAge {
+		t.malformedLists = 0
+	}
+	t.malformedLists++
+}
+
+// StreamEnded notes that a stream is over: rejected, reset, or at its end. A stream to an earlier address does not change
+// the schedule of polls to the present one.
+func (t *Tracker) StreamEnded(id int, now time.Duration) {
+	s := t.forget(id, now)
+	if s.id == 0 || s.generation != t.generation {
+		return
+	}
+	if !s.isWatch() {
+		t.parallelPolls = 0 // it was answered, even if with a rejection
+		t.consecutiveFailures++
+	} else if !t.hasWatch() {
+		t.watchOpen = false
+	}
+	t.nextPollAt = now + t.backoff(s.jitter)
+}
+
+// confirm notes that the list held is all that discovery has: the lease begins anew.
+func (t *Tracker) confirm(now time.Duration) {
+	t.confirmedAt, t.frozenExpiry, t.reachedSinceConfirm = now, 0, false
+}
+
+// InheritAge takes over the list of the process before this one: it was confirmed so long ago. Without it a restart would
+// renew the lease of a list that nobody has confirmed.
+func (t *Tracker) InheritAge(now, age time.Duration) { t.confirmedAt = now - age }
+
+// maxPendingAddressChanges bounds what many SIGHUPs in a row can store. Further changes share the time of the last one
+// kept, which can only end the lease sooner.
+const maxPendingAddressChanges = 16
+
+// addressChange is a configuration that names another discovery, from which no list has come yet.
+type addressChange struct {
+	generation int // of the streams to the new address
+	at         time.Duration
+}
+
+// DiscoveryChanged notes that the configuration names another discovery. It is polled at once. Open streams are of earlier
+// addresses: they are read until a list has come from the new one, for until then they may be the last to report a change.
+func (t *Tracker) DiscoveryChanged(now time.Duration) {
+	t.generation++
+	t.nextPollAt, t.pollingStarted = now, true
+	t.parallelPolls, t.consecutiveFailures, t.malformedLists, t.overloaded = 0, 0, 0, false
+	t.watchOpen = true
+	if len(t.pendingAddressChanges) == maxPendingAddressChanges {
+		t.pendingAddressChanges[maxPendingAddressChanges-1].generation = t.generation
+		return
+	}
+	t.pendingAddressChanges = append(t.pendingAddressChanges, addressChange{generation: t.generation, at: now})
+}
+
+// DiscoveryChanging says whether no list has come yet from the present address.
+func (t *Tracker) DiscoveryChanging() bool { return len(t.pendingAddressChanges) > 0 }
+
+// Generation counts the changes of address so far: it is that of streams that are opened now.
+func (t *Tracker) Generation() int { return t.generation }
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -3,100 +3,107 @@
 import "time"
 
 const (
-	// Of the 250 ms in which a node has to cease to send to a server that it was told of, a node that is held up between
-	// its clock and its write needs 150 ms. The rest is for a watch that ended where lists are pushed: what the agent
-	// has counts at once.
+	// pushedGrace is how long the lease outlives the last watch where lists are pushed: a node counts as notified at once
+	// of what the agent has. Of the 250 ms within which a node must stop sending to an endpoint that it was notified of,
+	// 150 ms are left for a node that is held up between its check and its write.
 	pushedGrace = 100 * time.Millisecond
 
-	// A discovery that takes connections and gives nothing back is slow, crowded, or not there. It is held to be slow for a
-	// while after the lease has expired, during which the node refuses; then it counts as away until it speaks.
-	slowFor       = 10 * time.Second
-	slowForCaller = 50 * time.Millisecond // of each caller, where that is more,
-	slowForMost   = 20 * time.Second      // and no longer than this
+	// freshWithin is how long after its last line a watch counts as up to date: one heartbeat, and a quarter for its way.
+	freshWithin = HeartbeatInterval + HeartbeatInterval/4
 )
 
-// Unavailable says that discovery is not there: it can't be reached, or has said nothing for long. Nothing that it has counts as
-// told until it is back.
-func (c *Tracker) Unavailable() bool { return c.absence != present }
+// State is what a node may say of its endpoint list. Fresh and Aging lists may be used. A list becomes Aging as its watch
+// misses a heartbeat or ends, Expired as the lease ends, and Fresh with a list or line of the present discovery.
+type State int
+
+const (
+	// Fresh says that a watch keeps its heartbeat: the list held is what discovery has.
+	Fresh State = iota
+	// Aging says that nothing is heard at present, and the lease has not expired.
+	Aging
+	// Expired says that the lease is over: there may be a change that the node should know and does not. Nothing may be
+	// sent on the list.
+	Expired
+)
 
-// Expires is when the lease on the list held ends: from then on a change may count as told that the node was not told of,
-// and nothing may be sent on the list. It may be past. Whatever a call that failed or was given up allows, a change
-// counts Told after discovery had it and could be reached. While calls find it absent, each puts that off.
-func (c *Tracker) Expires() time.Duration {
+// String returns the state as the log has it.
+func (s State) String() string { return [...]string{"fresh", "aging", "expired"}[s] }
+
+// Expires is when the lease on the list ends: from then on the node counts as notified of changes that it may not have,
+// and must send nothing on the list. It may be in the past.
+//
+// The lease ends NotificationDeadline after the list was last confirmed, whatever becomes of polls. It ends sooner where
+//   - an agent pushed the list and no watch is open: pushedGrace after the last one ended,
+//   - the list is polled and nothing is open: MaxPollInterval after the last poll,
+//   - the configuration named another discovery: NotificationDeadlineAfterChange after the first such SIGHUP.
+//
+// While discovery is unavailable it can notify nobody: each poll that finds it so puts the end off to NotificationDeadline
+// after that poll's begin, unless a change may have come before the outage (frozenExpiry). Without an end at all is the
+// lease while discovery is unresponsive.
+//
+// Without this rule a node goes on sending to a drained endpoint while discovery is slow: the incident of 2 December 2026.
+func (t *Tracker) Expires() time.Duration {
 	switch {
-	case c.fixed > 0:
-		return c.fixed
-	case c.absence == hung:
-		return forEver
-	case c.Unavailable():
-		return c.absent + NotificationDeadline
+	case t.frozenExpiry > 0:
+		return t.frozenExpiry
+	case t.availability == unresponsive:
+		return never
+	case t.Unavailable():
+		return t.unavailablePollAt + NotificationDeadline
 	}
-	expires := c.current + NotificationDeadline
-	if c.absent > 0 {
-		expires = max(expires, c.absent+NotificationDeadline)
+	expires := t.confirmedAt + NotificationDeadline
+	if t.unavailablePollAt > 0 {
+		expires = max(expires, t.unavailablePollAt+NotificationDeadline)
 	}
 	switch {
-	case c.watched():
-	case c.Pushed:
-		expires = min(expires, c.unwatched+pushedGrace)
-	case len(c.streams) == 0:
-		expires = min(expires, max(c.asked, c.absent)+c.MaxPollInterval)
+	case t.hasWatch():
+	case t.Pushed:
+		expires = min(expires, t.lastWatchEndedAt+pushedGrace)
+	case len(t.streams) == 0:
+		expires = min(expires, max(t.lastPollAt, t.unavailablePollAt)+t.MaxPollInterval)
 	}
-	if len(c.moves) > 0 {
-		expires = min(expires, c.moves[0].at+NotificationDeadlineAfterChange)
+	if len(t.pendingAddressChanges) > 0 {
+		expires = min(expires, t.pendingAddressChanges[0].at+NotificationDeadlineAfterChange)
 	}
 	return expires
 }
 
-// Unbounded says that the lease has no end for now: discovery is away.
-func (c *Tracker) Unbounded() bool { return c.Expires() == forEver }
-
-// InheritAge takes over a list from the process before this one: it was all that discovery had so long ago.
-func (c *Tracker) InheritAge(now, age time.Duration) { c.current = now - age }
+// Unbounded says whether the lease has no end for now: discovery is unresponsive.
+func (t *Tracker) Unbounded() bool { return t.Expires() == never }
 
-// slow is when a discovery that says nothing is no longer held to be slow.
-func (c *Tracker) slow() time.Duration {
-	inTurn := time.Duration(c.Pollers) * slowForCaller
-	return max(c.Expires(), c.alive) + min(max(slowFor, inTurn), slowForMost)
+// Lease is what CheckLease finds.
+type Lease struct {
+	State   State
+	Expires time.Duration
+	CheckAt time.Duration // when to check again if no event comes before
 }
 
-// Lease says at a time what the list is worth, until when it may be relied on, and when to ask again. A discovery that has
-// said nothing for too long is absent from then on.
-func (c *Tracker) Lease(now time.Duration) (state State, expires, look time.Duration) {
-	if c.absence != hung && now >= c.Expires() {
-		c.absence = present // what said otherwise is too long ago
-		if c.begun && now >= c.slow() {
-			c.absence = hung
+// CheckLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date, and
+// discovery counts as slow; once it has been slow for too long, it counts as unresponsive.
+func (t *Tracker) CheckLease(now time.Duration) Lease {
+	if t.availability != unresponsive && now >= t.Expires() {
+		t.availability = available
+		if t.pollingStarted && now >= t.slowUntil() {
+			t.availability = unresponsive
 		}
 	}
-	expires = c.Expires()
-	switch look = expires; {
-	case c.absence == hung:
-		look = forEver
-	case now >= expires:
-		look = c.slow()
+	lease := Lease{State: t.State(now), Expires: t.Expires()}
+	switch lease.CheckAt = lease.Expires; {
+	case t.availability == unresponsive:
+		lease.CheckAt = never
+	case now >= lease.Expires:
+		lease.CheckAt = t.slowUntil()
 	}
-	return c.State(now), expires, look
+	return lease
 }
 
-// State is what a node may say of its list.
-type State int
-
-// States.
-const (
-	Fresh   State = iota // a watch speaks: what is held is what discovery has
-	Aging                // nothing is heard at present, and the lease has not expired
-	Expired              // what discovery has counts as told, and the node can't know it: nothing is sent
-)
-
-func (s State) String() string { return [...]string{"fresh", "aging", "expired"}[s] }
-
 // State says what the list is worth at a time.
-func (c *Tracker) State(now time.Duration) State {
-	if s := c.sound(now); s != nil && s.object == 0 && len(c.moves) == 0 && now-s.heard <= HeartbeatInterval+HeartbeatInterval/4 {
+func (t *Tracker) State(now time.Duration) State {
+	watch := t.healthyWatch(now)
+	if watch != nil && watch.listBeganAt == 0 && !t.DiscoveryChanging() && now-watch.lastByteAt <= freshWithin {
 		return Fresh
 	}
-	if now < c.Expires() {
+	if now < t.Expires() {
 		return Aging
 	}
 	return Expired
