--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -4,9 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"flag"
 	"net"
-	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -15,40 +13,35 @@
 
 	"hookwalk.example/hookwalk/balancer"
 	"hookwalk.example/hookwalk/internal/engine"
+	"hookwalk.example/hookwalk/internal/goldentest"
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// The two processes of a node that takes over from itself may be of different builds: that is how a node is upgraded.
-// What one writes the other must read, key by key. A key that is not known is passed over without an error, so a key
-// that changed would lose the servers, what operators said, or what was learned. So the golden files in testdata must
-// not change while Version is the same. Whoever changes the form on purpose raises Version and writes them anew with
-// -update.
+// The two processes of a hot restart may be of different builds: that is how a node is upgraded. What one writes the other
+// must read, key by key. A key that is not known is ignored without an error, so a key that changed would lose the
+// endpoints, what operators said, or what was learned. So the golden files in testdata must not change while Version is the
+// same. Whoever changes the form on purpose raises Version and writes them anew with -update.
 
-var update = flag.Bool("update", false, "rewrite the golden files")
+// The golden files: the handover state, the messages of both processes, and the body of the file of Store.
+var (
+	goldenStateFile    = filepath.Join("testdata", "estate.json")
+	goldenMessagesFile = filepath.Join("testdata", "messages.jsonl")
+	goldenStoreFile    = filepath.Join("testdata", "kept.json")
+)
 
-func golden(t *testing.T, name string, got []byte) {
+// checkGolden checks that what was written is a golden file, byte for byte.
+func checkGolden(t *testing.T, path string, got []byte) {
 	t.Helper()
-	if *update {
-		if err := os.WriteFile(filepath.Join("testdata", name), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
+	if goldentest.Updating() {
+		goldentest.Write(t, path, got)
 	}
-	if want := goldenFile(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s has another form:\n got %s\nwant %s", name, got, want)
-	}
-}
-
-func goldenFile(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
+	if want := goldentest.Text(t, path); !bytes.Equal(got, want) {
+		t.Errorf("%s has another form:\n got %s\nwant %s", path, got, want)
 	}
-	return text
 }
 
-// goldenEstate has each field.
-func goldenEstate() HandoverState {
+// goldenState has a value in each field.
+func goldenState() HandoverState {
 	return HandoverState{Version: Version, Node: "n0", Listen: "127.0.0.1:5000", Settings: json.RawMessage(`{"Classes":[]}`),
 		BalancerState: json.RawMessage(`{"Now":5}`), ListVersion: 41, ListAge: 3e9,
 		Endpoints: []engine.Endpoint{
@@ -57,139 +50,140 @@
 		OperatorState: OperatorState{DisabledServers: []string{"s-2", "s-3"}, OutOfService: true}}
 }
 
-// goldenWords are what Link and the node's processes say to each other.
-func goldenWords() []Message {
-	drain, take := true, false
-	return []Message{{ID: 1, Serving: true}, {AckID: 1}, {ID: 2, Server: "s-1", Disabled: true}, {ID: 3, Server: "s-1"}, {ID: 4, OutOfService: &drain},
-		{ID: 5, OutOfService: &take}}
+// goldenMessages are the kinds of messages that the processes of a node send.
+func goldenMessages() []Message {
+	out, back := true, false
+	return []Message{{ID: 1, Serving: true}, {AckID: 1}, {ID: 2, Server: "s-1", Disabled: true}, {ID: 3, Server: "s-1"}, {ID: 4, OutOfService: &out},
+		{ID: 5, OutOfService: &back}}
 }
 
-// Every field of the examples is other than zero, or a golden file would not notice when its key changes.
+// No field of the examples is zero, or a golden file would not show it when its key changes.
 func TestGoldenExamplesHaveEveryField(t *testing.T) {
-	e := goldenEstate()
-	for _, v := range []any{e, e.OperatorState, e.Endpoints[0], e.Endpoints[0].Server} {
+	state := goldenState()
+	for _, v := range []any{state, state.OperatorState, state.Endpoints[0], state.Endpoints[0].Server} {
 		for i, value := 0, reflect.ValueOf(v); i < value.NumField(); i++ {
 			if value.Field(i).IsZero() {
 				t.Errorf("%T.%s is zero", v, value.Type().Field(i).Name)
 			}
 		}
 	}
-	for i, word := 0, reflect.TypeFor[Message](); i < word.NumField(); i++ {
-		if !slices.ContainsFunc(goldenWords(), func(w Message) bool { return !reflect.ValueOf(w).Field(i).IsZero() }) {
-			t.Errorf("Word.%s is zero in every word", word.Field(i).Name)
+	for i, message := 0, reflect.TypeFor[Message](); i < message.NumField(); i++ {
+		if !slices.ContainsFunc(goldenMessages(), func(m Message) bool { return !reflect.ValueOf(m).Field(i).IsZero() }) {
+			t.Errorf("Message.%s is zero in every message", message.Field(i).Name)
 		}
 	}
 }
 
-// An heir of any build finds these bytes behind the byte with the socket.
-func TestGoldenEstateIsWritten(t *testing.T) {
-	path, ln := place(t), listening(t)
-	given := goldenEstate()
-	given.Version = 0 // Give fills it in
-	offering(t, path, func(l *Conn) {
-		if err := l.HandOver(given, ln); err != nil {
+// A new process of any build finds these bytes behind the byte with the descriptor.
+func TestGoldenStateIsWritten(t *testing.T) {
+	path, ln := socketPath(t), clientListener(t)
+	state := goldenState()
+	state.Version = 0 // HandOver sets it
+	acceptOne(t, path, func(old *Conn) {
+		if err := old.HandOver(state, ln); err != nil {
 			t.Error(err)
 		}
 	})
-	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	socket, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	socket, err := takeListener(c)
+	defer socket.Close()
+	received, err := receiveListener(socket)
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket.Close()
-	var estate bytes.Buffer
-	if _, err := estate.ReadFrom(c); err != nil {
+	received.Close()
+	var written bytes.Buffer
+	if _, err := written.ReadFrom(socket); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "estate.json", estate.Bytes())
+	checkGolden(t, goldenStateFile, written.Bytes())
 }
 
-// An estate that a process of an earlier build gives is taken whole.
-func TestGoldenEstateIsRead(t *testing.T) {
-	path, ln := place(t), listening(t)
-	text := goldenFile(t, "estate.json")
-	offering(t, path, func(l *Conn) {
+// The state that a process of an earlier build hands over is read, each field of it.
+func TestGoldenStateIsRead(t *testing.T) {
+	path, ln := socketPath(t), clientListener(t)
+	text := goldentest.Text(t, goldenStateFile)
+	acceptOne(t, path, func(old *Conn) {
 		raw, err := ln.SyscallConn()
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		if err := raw.Control(func(fd uintptr) {
-			_, _, err = l.c.WriteMsgUnix([]byte{'h'}, syscall.UnixRights(int(fd)), nil)
+			_, _, err = old.socket.WriteMsgUnix([]byte{'h'}, syscall.UnixRights(int(fd)), nil)
 		}); err != nil {
 			t.Error(err)
 		}
 		if err != nil {
 			t.Error(err)
 		}
-		if _, err := l.c.Write(text); err != nil {
+		if _, err := old.socket.Write(text); err != nil {
 			t.Error(err)
 		}
 	})
-	got, socket, link, err := TakeOver(path, "n0", "127.0.0.1:5000")
+	got, received, conn, err := TakeOver(path, "n0", "127.0.0.1:5000")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer link.Close()
-	socket.Close()
-	if want := goldenEstate(); !reflect.DeepEqual(got, want) {
+	defer conn.Close()
+	received.Close()
+	if want := goldenState(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// pipe is a Link and what is at its other end.
-func pipe(t *testing.T) (*Conn, *net.UnixConn) {
+// connected returns a Conn and the socket at its other end.
+func connected(t *testing.T) (*Conn, *net.UnixConn) {
 	t.Helper()
-	ends := make(chan *Conn, 1)
-	path, done := place(t), make(chan struct{})
-	offering(t, path, func(l *Conn) {
-		ends <- l
+	accepted := make(chan *Conn, 1)
+	path, done := socketPath(t), make(chan struct{})
+	acceptOne(t, path, func(conn *Conn) {
+		accepted <- conn
 		<-done
 	})
 	t.Cleanup(func() { close(done) })
-	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	socket, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return <-ends, c
+	t.Cleanup(func() { socket.Close() })
+	return <-accepted, socket
 }
 
-func TestGoldenWordsAreWritten(t *testing.T) {
-	l, c := pipe(t)
-	for _, w := range goldenWords() {
-		if err := l.write(w); err != nil {
+// A process of any build reads these bytes as the messages of the other one.
+func TestGoldenMessagesAreWritten(t *testing.T) {
+	conn, socket := connected(t)
+	for _, message := range goldenMessages() {
+		if err := conn.write(message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Close()
-	var words bytes.Buffer
-	if _, err := words.ReadFrom(c); err != nil {
+	conn.Close()
+	var written bytes.Buffer
+	if _, err := written.ReadFrom(socket); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "messages.jsonl", words.Bytes())
+	checkGolden(t, goldenMessagesFile, written.Bytes())
 }
 
-// Each word of an earlier build is taken and answered; an answer of it is one.
-func TestGoldenWordsAreRead(t *testing.T) {
-	l, c := pipe(t)
-	if _, err := c.Write(goldenFile(t, "messages.jsonl")); err != nil {
+// Each message of an earlier build is received and acknowledged, and its acknowledgements are taken for such.
+func TestGoldenMessagesAreRead(t *testing.T) {
+	conn, socket := connected(t)
+	if _, err := socket.Write(goldentest.Text(t, goldenMessagesFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.CloseWrite(); err != nil {
+	if err := socket.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	acked := make(chan struct{})
-	l.waits[1] = acked
+	conn.pending[1] = acked
 	var got, want []Message
-	l.Run(func(w Message) { got = append(got, w) })
-	for _, w := range goldenWords() {
-		if w.AckID == 0 {
-			want = append(want, w)
+	conn.Run(func(message Message) { got = append(got, message) })
+	for _, message := range goldenMessages() {
+		if message.AckID == 0 {
+			want = append(want, message)
 		}
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -198,31 +192,32 @@
 	select {
 	case <-acked:
 	default:
-		t.Error("the answer was not taken for one")
+		t.Error("the acknowledgement was not taken for one")
 	}
-	var answers bytes.Buffer
-	if _, err := answers.ReadFrom(c); err != nil {
+	var acks bytes.Buffer
+	if _, err := acks.ReadFrom(socket); err != nil {
 		t.Fatal(err)
 	}
-	if want := "{\"ack\":1}\n{\"ack\":2}\n{\"ack\":3}\n{\"ack\":4}\n{\"ack\":5}\n"; answers.String() != want {
-		t.Errorf("answered %q, want %q", answers.String(), want)
+	if want := "{\"ack\":1}\n{\"ack\":2}\n{\"ack\":3}\n{\"ack\":4}\n{\"ack\":5}\n"; acks.String() != want {
+		t.Errorf("acknowledged with %q, want %q", acks.String(), want)
 	}
 }
 
-// What operators said stands on disk over an upgrade: in the body of a file of package state.
-func TestGoldenKept(t *testing.T) {
-	keeper := func() *Store { return NewStore(place(t), "n0", "127.0.0.1:5000", func() {}) }
-	k := keeper()
-	if err := k.Save(context.Background(), func() (OperatorState, error) { return goldenEstate().OperatorState, nil }); err != nil {
+// What operators said is on disk over an upgrade, in the body of a file of package state. A new build that read it by other
+// names would send to servers that operators disabled.
+func TestGoldenOperatorState(t *testing.T) {
+	newStore := func() *Store { return NewStore(socketPath(t), "n0", "127.0.0.1:5000", func() {}) }
+	store := newStore()
+	if err := store.Save(context.Background(), func() (OperatorState, error) { return goldenState().OperatorState, nil }); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "kept.json", k.Store.Read().Body)
+	checkGolden(t, goldenStoreFile, store.Store.Read().Body)
 
-	k = keeper()
-	if err := state.Write(k.Path, k.Owner, goldenFile(t, "kept.json")); err != nil {
+	store = newStore()
+	if err := state.Write(store.Path, store.Owner, goldentest.Text(t, goldenStoreFile)); err != nil {
 		t.Fatal(err)
 	}
-	if got, found := k.Read(); !reflect.DeepEqual(got, goldenEstate().OperatorState) {
+	if got, found := store.Read(); !reflect.DeepEqual(got, goldenState().OperatorState) {
 		t.Errorf("read %+v, %v", got, found.Errors)
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,6 +1,20 @@
-// Package hotrestart lets one process of a node take over from another while both run: the new one, the heir, gets the
-// listening socket and what the node knows over a Unix socket, and the two tell each other what operators say until one
-// of them ends. It carries; what it means is the node's.
+// Package hotrestart lets a new process of a node take over from the old one while both run, as Envoy's hot restart does:
+// clients see no refused connection, and nothing that the node has learned or that operators said is lost.
+//
+// The two processes meet at a Unix socket. The protocol, of which Version is the version:
+//
+//  1. The new process connects (TakeOver).
+//  2. The old one sends one byte with the descriptor of the clients' listening socket, then the HandoverState as one JSON
+//     object (Conn.HandOver).
+//  3. From then on both send Messages, one JSON object each: what operators say at one of them, and from the new process
+//     once that it serves. Each is answered after the other side has taken it (Conn.Send, Conn.Run).
+//  4. The connection ends as one of the processes does.
+//
+// The processes may be of different builds: that is how a node is upgraded. So the forms must not change while Version is
+// the same; golden tests hold them.
+//
+// The package carries; what the content means is the node's (internal/node). What operators said is also kept on disk
+// (Store), for a process that starts when none is there to hand over.
 package hotrestart
 
 import (
@@ -8,258 +22,63 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
-	"net"
-	"os"
 	"path/filepath"
-	"sync"
-	"syscall"
 	"time"
 
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// Version is that of what is handed over. Another version hands nothing over.
+// Version is that of the protocol. A process takes nothing over from one of another version.
 const Version = 1
 
 const (
-	patience = time.Second // for the whole of what is handed over; a process that is hung must not hold up its heir
-	longest  = 100         // bytes of a socket's path; the system takes 107
+	// handoverTimeout bounds each step of a handover and each write: a process that hangs must not hold up its successor.
+	handoverTimeout = time.Second
+	// maxSocketPath is how many bytes the path of the socket may have: the system takes 107, and Listen appends a process ID.
+	maxSocketPath = 100
 )
 
-// HandoverState is what a node knows.
+// HandoverState is what the old process hands to the new one.
 type HandoverState struct {
-	Version       int               `json:"Version"`
-	Node          string            `json:"Node"`
-	Listen        string            `json:"Listen"`
-	Settings      json.RawMessage   `json:"Settings"` // the module's, by which Module was made
-	BalancerState json.RawMessage   `json:"Module"`   // as deckrelay.Inherit takes it
-	Endpoints     []engine.Endpoint `json:"Boxes"`    // in service
-	ListVersion   int64             `json:"Seq"`      // of discovery
-	ListAge       time.Duration     `json:"ListAge"`  // since it was last known to be all that discovery had; earlier builds do not say
+	Version       int               `json:"Version"`  // set by HandOver
+	Node          string            `json:"Node"`     // the name of the node: another one must not take over
+	Listen        string            `json:"Listen"`   // its address for clients, likewise
+	Settings      json.RawMessage   `json:"Settings"` // the decision module's, under which BalancerState was made
+	BalancerState json.RawMessage   `json:"Module"`   // as balancer.RestoreSuccessor takes it
+	Endpoints     []engine.Endpoint `json:"Boxes"`    // the endpoint list held
+	ListVersion   int64             `json:"Seq"`      // discovery's version of that list; 0: the next one begins from none
+	ListAge       time.Duration     `json:"ListAge"`  // since the list was last known to be all that discovery had; 0 from builds that do not say
 	OperatorState
 }
 
-// OperatorState is the part of an estate that also stands in a file.
+// OperatorState is what operators said that holds until they say otherwise.
 type OperatorState struct {
-	DisabledServers []string `json:"Out"`     // servers out by hand
-	OutOfService    bool     `json:"Drained"` // clients are sent away
+	DisabledServers []string `json:"Out"`     // IDs of servers that operators disabled
+	OutOfService    bool     `json:"Drained"` // operators took the node out of service
 }
 
-// Message is what one process tells the other.
+// Message is what one process sends to the other. It is an acknowledgement (AckID), or says one of: the sender serves
+// clients (Serving), a server was disabled or enabled (Server, Disabled), the node went out of service or back (OutOfService).
 type Message struct {
-	ID           int    `json:"n,omitempty"`   // asks for an answer
-	AckID        int    `json:"ack,omitempty"` // is one
-	Serving      bool   `json:"serves,omitempty"`
-	Server       string `json:"server,omitempty"` // by hand
-	Disabled     bool   `json:"out,omitempty"`
-	OutOfService *bool  `json:"drain,omitempty"` // clients are sent away, or taken again
+	ID           int    `json:"n,omitempty"`      // set by Send; the receiver acknowledges it
+	AckID        int    `json:"ack,omitempty"`    // the ID that is acknowledged
+	Serving      bool   `json:"serves,omitempty"` // the new process takes clients: the old one may go
+	Server       string `json:"server,omitempty"` // the ID of a server
+	Disabled     bool   `json:"out,omitempty"`    // whether an operator disabled it
+	OutOfService *bool  `json:"drain,omitempty"`  // nil: the message is about something else
 }
 
-// SocketPath is where the processes of a node meet, and beside which it keeps what operators said. An error says that they
-// can't meet there; what is kept can be.
+// ErrSocketPathTooLong says that the processes of a node can't meet, so that no process can take over from another.
+var ErrSocketPathTooLong = errors.New("the path of $TMPDIR is too long for a socket: set one that is shorter")
+
+// SocketPath is where the processes of a node meet, and beside which Store keeps its file. With ErrSocketPathTooLong they
+// can't meet there; the path is good for Store all the same.
 func SocketPath(dir, node, listen string) (string, error) {
-	sum := fnv.New64a()
-	fmt.Fprintf(sum, "%s\n%s", node, listen)
-	path := filepath.Join(dir, fmt.Sprintf("hookwalk-%016x.sock", sum.Sum64()))
-	if len(path) > longest {
-		return path, errors.New("the path of $TMPDIR is too long for a socket")
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%s\n%s", node, listen)
+	path := filepath.Join(dir, fmt.Sprintf("hookwalk-%016x.sock", hash.Sum64()))
+	if len(path) > maxSocketPath {
+		return path, ErrSocketPathTooLong
 	}
 	return path, nil
 }
-
-// ---- The heir ----
-
-// TakeOver asks the process that serves at a path for its estate. The link is to be run.
-func TakeOver(path, node, listen string) (HandoverState, net.Listener, *Conn, error) {
-	var e HandoverState
-	nc, err := net.DialTimeout("unix", path, patience)
-	if err != nil {
-		return e, nil, nil, err
-	}
-	c := nc.(*net.UnixConn)
-	c.SetDeadline(time.Now().Add(patience))
-	ln, err := takeListener(c)
-	if err != nil {
-		c.Close()
-		return e, nil, nil, err
-	}
-	link := newLink(c)
-	if err = link.in.Decode(&e); err == nil && (e.Version != Version || e.Node != node || e.Listen != listen) {
-		err = fmt.Errorf("an estate of version %d, node %q at %q", e.Version, e.Node, e.Listen)
-	}
-	if err != nil {
-		ln.Close()
-		c.Close()
-		return e, nil, nil, err
-	}
-	c.SetDeadline(time.Time{})
-	return e, ln, link, nil
-}
-
-// takeListener reads the one byte that carries the listening socket.
-func takeListener(c *net.UnixConn) (net.Listener, error) {
-	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	_, n, _, _, err := c.ReadMsgUnix(b, oob)
-	if err != nil {
-		return nil, err
-	}
-	msgs, err := syscall.ParseSocketControlMessage(oob[:n])
-	if err != nil || len(msgs) != 1 {
-		return nil, fmt.Errorf("no listener came: %v", err)
-	}
-	fds, err := syscall.ParseUnixRights(&msgs[0])
-	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("no listener came: %v", err)
-	}
-	syscall.CloseOnExec(fds[0])
-	f := os.NewFile(uintptr(fds[0]), "listener")
-	defer f.Close()
-	return net.FileListener(f)
-}
-
-// ---- The one that hands over ----
-
-// Listener is a place where heirs can ask.
-type Listener struct {
-	ln *net.UnixListener
-}
-
-// Listen opens the place, in the stead of whoever had it before.
-func Listen(path string) (*Listener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
-	if err != nil {
-		return nil, err
-	}
-	ln.SetUnlinkOnClose(false) // by then the path may be another's
-	if err := os.Rename(fresh, path); err != nil {
-		ln.Close()
-		os.Remove(fresh)
-		return nil, err
-	}
-	return &Listener{ln}, nil
-}
-
-// Accept waits for an heir.
-func (o *Listener) Accept() (*Conn, error) {
-	c, err := o.ln.AcceptUnix()
-	if err != nil {
-		return nil, err
-	}
-	return newLink(c), nil
-}
-
-// Close ends Accept. The path stays: nobody answers there.
-func (o *Listener) Close() error { return o.ln.Close() }
-
-// HandOver hands an estate and the listener to an heir. Words that were told meanwhile follow it.
-func (l *Conn) HandOver(e HandoverState, ln *net.TCPListener) error {
-	raw, err := ln.SyscallConn()
-	if err != nil {
-		return err
-	}
-	l.c.SetDeadline(time.Now().Add(patience))
-	var sent error
-	if err := raw.Control(func(fd uintptr) {
-		_, _, sent = l.c.WriteMsgUnix([]byte{'h'}, syscall.UnixRights(int(fd)), nil)
-	}); err != nil {
-		return err
-	}
-	if sent != nil {
-		return sent
-	}
-	e.Version = Version
-	if err := json.NewEncoder(l.c).Encode(e); err != nil {
-		return err
-	}
-	return l.c.SetDeadline(time.Time{})
-}
-
-// ---- Both ----
-
-// Conn is the connection between two processes of a node.
-type Conn struct {
-	c  *net.UnixConn
-	in *json.Decoder
-
-	mu    sync.Mutex // over writing
-	next  int
-	waits map[int]chan struct{}
-	over  chan struct{}
-	end   sync.Once
-}
-
-func newLink(c *net.UnixConn) *Conn {
-	return &Conn{c: c, in: json.NewDecoder(c), waits: map[int]chan struct{}{}, over: make(chan struct{})}
-}
-
-// ErrPeerGone says that the other process is gone, or does not answer.
-var ErrPeerGone = errors.New("the other process is gone")
-
-// Run hands every word of the other process to take, in order, and answers it after, until the link ends.
-func (l *Conn) Run(take func(Message)) {
-	defer l.Close()
-	for {
-		var w Message
-		if l.in.Decode(&w) != nil {
-			return
-		}
-		if w.AckID > 0 {
-			l.mu.Lock()
-			if done := l.waits[w.AckID]; done != nil {
-				close(done)
-				delete(l.waits, w.AckID)
-			}
-			l.mu.Unlock()
-			continue
-		}
-		take(w)
-		if w.ID > 0 && l.write(Message{AckID: w.ID}) != nil {
-			return
-		}
-	}
-}
-
-// Send tells the other process a word and waits until it has taken it.
-func (l *Conn) Send(w Message, patience time.Duration) error {
-	done := make(chan struct{})
-	l.mu.Lock()
-	l.next++
-	w.ID = l.next
-	l.waits[w.ID] = done
-	l.mu.Unlock()
-	if err := l.write(w); err != nil {
-		return err
-	}
-	late := time.NewTimer(patience)
-	defer late.Stop()
-	select {
-	case <-done:
-		return nil
-	case <-l.over:
-	case <-late.C:
-		l.mu.Lock()
-		delete(l.waits, w.ID)
-		l.mu.Unlock()
-	}
-	return ErrPeerGone
-}
-
-func (l *Conn) write(w Message) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.c.SetWriteDeadline(time.Now().Add(patience))
-	return json.NewEncoder(l.c).Encode(w)
-}
-
-// Done is closed when the link has ended.
-func (l *Conn) Done() <-chan struct{} { return l.over }
-
-// Close ends the link.
-func (l *Conn) Close() {
-	l.end.Do(func() {
-		close(l.over)
-		l.c.Close()
-	})
-}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -15,7 +16,8 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-func place(t *testing.T) string {
+// socketPath is where the processes of a test meet.
+func socketPath(t *testing.T) string {
 	t.Helper()
 	path, err := SocketPath(t.TempDir(), "n0", "127.0.0.1:5000")
 	if err != nil {
@@ -24,8 +26,8 @@
 	return path
 }
 
-// listening is a socket of clients.
-func listening(t *testing.T) *net.TCPListener {
+// clientListener is a listening socket of clients.
+func clientListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,156 +37,160 @@
 	return ln.(*net.TCPListener)
 }
 
-// offering answers the first heir with f.
-func offering(t *testing.T, path string, f func(*Conn)) {
+// acceptOne listens at a path, and answers the first process that connects with handle.
+func acceptOne(t *testing.T, path string, handle func(*Conn)) {
 	t.Helper()
-	o, err := Listen(path)
+	ln, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if l, err := o.Accept(); err == nil {
-			defer l.Close()
-			f(l)
+		if conn, err := ln.Accept(); err == nil {
+			defer conn.Close()
+			handle(conn)
 		}
 	}()
 	t.Cleanup(func() {
-		o.Close()
+		ln.Close()
 		<-done
 	})
 }
 
-// The heir has the estate and the very socket: what waited in its queue is there, and outlives the first process's
-// copy. Words come in order, each answered after it was taken.
-func TestWhatAnHeirGets(t *testing.T) {
-	path, ln := place(t), listening(t)
-	estate := HandoverState{Node: "n0", Listen: "127.0.0.1:5000", BalancerState: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
+// A new process takes over while clients connect. It has the state and the very socket of the old process: a connection that
+// waits in its queue is not lost, even once the old process has closed its copy. Messages come in order, each acknowledged
+// after it was received.
+func TestTakeOver(t *testing.T) {
+	path, ln := socketPath(t), clientListener(t)
+	state := HandoverState{Node: "n0", Listen: "127.0.0.1:5000", BalancerState: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
 		Endpoints: []engine.Endpoint{{Server: balancer.Server{ID: "s-1", StartTime: 7}, Addr: "10.0.0.1:1"}}, ListVersion: 41,
 		OperatorState: OperatorState{DisabledServers: []string{"s-2"}, OutOfService: true}}
-	var wg sync.WaitGroup
-	var told []Message
-	offering(t, path, func(l *Conn) {
-		if err := l.HandOver(estate, ln); err != nil {
+	var running sync.WaitGroup
+	var received []Message
+	acceptOne(t, path, func(old *Conn) {
+		if err := old.HandOver(state, ln); err != nil {
 			t.Error(err)
 		}
-		l.Run(func(w Message) { told = append(told, w) })
+		old.Run(func(message Message) { received = append(received, message) })
 	})
 	waiting, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer waiting.Close()
-	got, heir, link, err := TakeOver(path, "n0", "127.0.0.1:5000")
+	got, inherited, conn, err := TakeOver(path, "n0", "127.0.0.1:5000")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer heir.Close()
-	if got.Version = 0; !reflect.DeepEqual(got, estate) {
-		t.Errorf("got %+v, want %+v", got, estate)
+	defer inherited.Close()
+	if got.Version = 0; !reflect.DeepEqual(got, state) {
+		t.Errorf("got %+v, want %+v", got, state)
 	}
 	ln.Close()
-	c, err := heir.Accept()
-	if err != nil || c.RemoteAddr().String() != waiting.LocalAddr().String() {
-		t.Errorf("accepted %v, %v, and %v had waited", c, err, waiting.LocalAddr())
+	client, err := inherited.Accept()
+	if err != nil || client.RemoteAddr().String() != waiting.LocalAddr().String() {
+		t.Errorf("accepted %v, %v, and %v had waited", client, err, waiting.LocalAddr())
 	}
-	wg.Go(func() { link.Run(func(Message) {}) })
+	running.Go(func() { conn.Run(func(Message) {}) })
 	for i := range 3 {
-		if err := link.Send(Message{Server: "s", Disabled: i%2 == 0}, 10*time.Second); err != nil {
+		if err := conn.Send(Message{Server: "s", Disabled: i%2 == 0}, 10*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if len(told) != i+1 || told[i].Disabled != (i%2 == 0) { // answered, so it was taken
-			t.Errorf("told %v", told)
+		if len(received) != i+1 || received[i].Disabled != (i%2 == 0) { // acknowledged, so it was received
+			t.Errorf("received %v", received)
 		}
 	}
-	link.Close()
-	wg.Wait()
-	if link.Send(Message{}, time.Second) == nil {
-		t.Error("told to nobody")
+	conn.Close()
+	running.Wait()
+	if conn.Send(Message{}, time.Second) == nil {
+		t.Error("sent to nobody")
 	}
 }
 
-// An old process that is of no use hands nothing over, and soon.
-func TestClaimOfNoUse(t *testing.T) {
+// What is at the path is no process that can hand over: it has ended, hangs, sends half of its state, or is of another node.
+// The new process must find that out soon, and start by itself: meanwhile nobody may serve the clients.
+func TestTakeOverFails(t *testing.T) {
 	good := HandoverState{Node: "n0", Listen: "l"}
-	for name, f := range map[string]func(t *testing.T, path string){
-		"nobody there": func(t *testing.T, path string) {},
+	for name, start := range map[string]func(t *testing.T, path string){
+		"no socket":    func(t *testing.T, path string) {},
 		"a plain file": func(t *testing.T, path string) { os.WriteFile(path, []byte("x"), 0o600) },
 		"a stale socket": func(t *testing.T, path string) {
-			o, err := Listen(path)
+			ln, err := Listen(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			o.Close()
+			ln.Close()
 		},
 		"hung": func(t *testing.T, path string) {
-			offering(t, path, func(l *Conn) { io.Copy(io.Discard, l.c) })
+			acceptOne(t, path, func(old *Conn) { io.Copy(io.Discard, old.socket) })
 		},
-		"ends at once": func(t *testing.T, path string) { offering(t, path, func(*Conn) {}) },
+		"ends at once": func(t *testing.T, path string) { acceptOne(t, path, func(*Conn) {}) },
 		"no listener": func(t *testing.T, path string) {
-			offering(t, path, func(l *Conn) { l.c.Write([]byte("h{}\n")) })
+			acceptOne(t, path, func(old *Conn) { old.socket.Write([]byte("h{}\n")) })
 		},
-		"half an estate": func(t *testing.T, path string) {
-			offering(t, path, func(l *Conn) {
+		"half of a state": func(t *testing.T, path string) {
+			acceptOne(t, path, func(old *Conn) {
 				long := good
 				long.BalancerState = json.RawMessage(`"` + strings.Repeat("x", 1<<20) + `"`)
-				l.c.SetWriteBuffer(1 << 12)
-				ln := listening(t)
-				given := make(chan struct{})
+				old.socket.SetWriteBuffer(1 << 12)
+				ln := clientListener(t)
+				handedOver := make(chan struct{})
 				go func() {
-					l.HandOver(long, ln)
-					close(given)
+					old.HandOver(long, ln)
+					close(handedOver)
 				}()
-				l.c.SetReadDeadline(time.Now()) // the heir reads nothing of it before it is cut
-				l.Close()
-				<-given
+				old.socket.SetReadDeadline(time.Now()) // the new process reads nothing of it before it is cut off
+				old.Close()
+				<-handedOver
 			})
 		},
 		"another node": func(t *testing.T, path string) {
-			offering(t, path, func(l *Conn) { l.HandOver(HandoverState{Node: "n1", Listen: "l"}, listening(t)) })
+			acceptOne(t, path, func(old *Conn) { old.HandOver(HandoverState{Node: "n1", Listen: "l"}, clientListener(t)) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			path := place(t)
-			f(t, path)
+			path := socketPath(t)
+			start(t, path)
 			begin := time.Now()
-			_, ln, link, err := TakeOver(path, "n0", "l")
-			if err == nil || ln != nil || link != nil {
-				t.Errorf("got %v, %v, %v", ln, link, err)
+			_, ln, conn, err := TakeOver(path, "n0", "l")
+			if err == nil || ln != nil || conn != nil {
+				t.Errorf("got %v, %v, %v", ln, conn, err)
 			}
-			if took := time.Since(begin); took > 3*patience {
+			if took := time.Since(begin); took > 3*handoverTimeout {
 				t.Errorf("it took %v", took)
 			}
 		})
 	}
 }
 
-// What an operator said is found again by the same node, of the build before too; another node's is not.
-func TestFile(t *testing.T) {
-	path := place(t)
+// A node finds again what operators said to it. A file of another node that shares the folder must not be used, and neither
+// must one with more servers than operators may disable.
+func TestStoreIsOfOneNode(t *testing.T) {
+	path := socketPath(t)
 	mine := NewStore(path, "n0", "a:1", func() {})
-	if k, found := mine.Read(); found.Body != nil || found.Errors != nil || !reflect.DeepEqual(k, OperatorState{}) {
-		t.Errorf("without a file: %v, %v", k, found)
+	if got, found := mine.Read(); found.Body != nil || found.Errors != nil || !reflect.DeepEqual(got, OperatorState{}) {
+		t.Errorf("without a file: %v, %v", got, found)
 	}
 	for _, want := range []OperatorState{{}, {DisabledServers: []string{"s-1", "s-2"}, OutOfService: true}} {
 		if err := mine.Save(t.Context(), func() (OperatorState, error) { return want, nil }); err != nil {
 			t.Fatal(err)
 		}
-		if k, found := mine.Read(); found.Errors != nil || !reflect.DeepEqual(k, want) {
-			t.Errorf("got %v, %v", k, found)
+		if got, found := mine.Read(); found.Errors != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("got %v, %v", got, found)
 		}
 	}
 	for _, other := range []*Store{NewStore(path, "n1", "a:1", func() {}), NewStore(path, "n0", "a:2", func() {})} {
-		if k, found := other.Read(); len(found.Errors) != 2 || !reflect.DeepEqual(k, OperatorState{}) {
-			t.Errorf("another node got %v, %v", k, found)
+		if got, found := other.Read(); len(found.Errors) != 2 || !reflect.DeepEqual(got, OperatorState{}) {
+			t.Errorf("another node got %v, %v", got, found)
 		}
 	}
 	many := OperatorState{DisabledServers: make([]string, balancer.MaxOverrides+1)}
 	if err := mine.Save(t.Context(), func() (OperatorState, error) { return many, nil }); err != nil {
 		t.Fatal(err)
 	}
-	if k, found := mine.Read(); found.Body != nil || len(found.Errors) != 1 || !reflect.DeepEqual(k, OperatorState{}) {
+	if got, found := mine.Read(); found.Body != nil || len(found.Errors) != 1 || !reflect.DeepEqual(got, OperatorState{}) ||
+		!errors.As(found.Errors[0], new(*TooManyOverridesError)) {
 		t.Errorf("too many: %v", found.Errors)
 	}
 }
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -9,39 +9,54 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// Store has what operators said on disk, for the process that comes when none is there to hand over.
+// Store keeps what operators said on disk, for a process that starts when no other is there to hand over.
 type Store struct{ state.Store }
 
-// NewStore keeps beside the path where the processes of a node meet. busy is told when another process hangs with the
-// file.
-func NewStore(path, node, listen string, busy func()) *Store {
-	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnBusy: busy}}
+// TooManyOverridesError says that a file disables more servers than operators may: it was not written by this program.
+type TooManyOverridesError struct{ Servers int }
+
+func (e *TooManyOverridesError) Error() string {
+	return fmt.Sprintf("it disables %d servers, and operators may disable %d", e.Servers, balancer.MaxOverrides)
+}
+
+// NewStore keeps a file beside the path of SocketPath. onBusy is called when another process hangs with the file's lock.
+func NewStore(path, node, listen string, onBusy func()) *Store {
+	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnBusy: onBusy}}
 }
 
-// Save has on disk what is now so: what is asked for it while no other process writes.
-func (k *Store) Save(ctx context.Context, what func() (OperatorState, error)) error {
-	return k.Store.Save(ctx, func() (json.RawMessage, error) {
-		now, err := what()
+// Save has on disk what current returns. current is called while no other process writes. See state.Store.
+func (s *Store) Save(ctx context.Context, current func() (OperatorState, error)) error {
+	return s.Store.Save(ctx, func() (json.RawMessage, error) {
+		operators, err := current()
 		if err != nil {
 			return nil, err
 		}
-		return json.Marshal(now)
+		return json.Marshal(operators)
 	})
 }
 
-// Read gives what stands on disk. What can't be used is in the image's Bad.
-func (k *Store) Read() (kept OperatorState, found state.Snapshot) {
-	found = k.Store.Read()
+// Read returns what stands on disk: nothing if no file can be used, and found.Errors says why not.
+func (s *Store) Read() (operators OperatorState, found state.Snapshot) {
+	found = s.Store.Read()
 	if found.Body == nil {
-		return kept, found
-	}
-	err := json.Unmarshal(found.Body, &kept)
-	if err == nil && len(kept.DisabledServers) > balancer.MaxOverrides {
-		err = fmt.Errorf("%d servers", len(kept.DisabledServers))
+		return OperatorState{}, found
 	}
+	operators, err := parseOperatorState(found.Body)
 	if err != nil {
-		found.Body, found.Errors = nil, append(found.Errors, fmt.Errorf("%s: %w", k.Path, err))
-		return OperatorState{}, found
+		found.Body = nil
+		found.Errors = append(found.Errors, &state.FileError{Path: s.Path, Err: err})
+	}
+	return operators, found
+}
+
+// parseOperatorState reads the body of a file.
+func parseOperatorState(body json.RawMessage) (OperatorState, error) {
+	var operators OperatorState
+	if err := json.Unmarshal(body, &operators); err != nil {
+		return OperatorState{}, err
+	}
+	if servers := len(operators.DisabledServers); servers > balancer.MaxOverrides {
+		return OperatorState{}, &TooManyOverridesError{servers}
 	}
-	return kept, found
+	return operators, nil
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -15,9 +15,9 @@
 // one here, because a golden file can't have that of each machine.
 func TestGoldenFileOfVersion2(t *testing.T) {
 	path := filepath.Join("testdata", "state-v2.json")
-	want := file{Version: 2, Owner: "node-1 at 127.0.0.1:8080", Boot: "00000000-0000-4000-8000-000000000001", At: 123456789,
-		Kept: json.RawMessage(`{"any":["body",1]}`)}
-	want.Sum = want.sum()
+	want := file{Version: 2, Owner: "node-1 at 127.0.0.1:8080", BootID: "00000000-0000-4000-8000-000000000001", SinceBoot: 123456789,
+		Body: json.RawMessage(`{"any":["body",1]}`)}
+	want.Checksum = want.checksum()
 	goldentest.Check(t, path, want)
 	checkFound(t, path, want)
 }
@@ -26,7 +26,7 @@
 func TestGoldenFileOfVersion1(t *testing.T) {
 	path := filepath.Join("testdata", "state-v1.json")
 	body := json.RawMessage(`{"any":["body",1]}`)
-	want := file{Version: 1, Sum: sum1(body), Kept: body}
+	want := file{Version: 1, Checksum: checksumVersion1(body), Body: body}
 	text := goldentest.Lines(t, want)
 	if goldentest.Updating() {
 		goldentest.Write(t, path, text)
@@ -45,11 +45,11 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if found := Read(path, want.Owner); string(found.Body) != string(want.Kept) || found.Age != UnknownAge || found.Previous || found.Errors != nil {
+	if found := Read(path, want.Owner); string(found.Body) != string(want.Body) || found.Age != UnknownAge || found.Previous || found.Errors != nil {
 		t.Errorf("found %+v", found)
 	}
 	info, err := Inspect(path)
-	if err != nil || info.Version != want.Version || info.Owner != want.Owner || string(info.Body) != string(want.Kept) {
+	if err != nil || info.Version != want.Version || info.Owner != want.Owner || string(info.Body) != string(want.Body) {
 		t.Errorf("inspected as %+v, %v", info, err)
 	}
 	if want.Version > 1 {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,9 +15,12 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for a process that writes without end.
+// writesVariable names the file that the test binary, started as a child process, writes again and again.
+const writesVariable = "STATE_WRITES"
+
+// TestMain lets the test binary stand in for a process that writes until it is killed.
 func TestMain(m *testing.M) {
-	path := os.Getenv("STATE_WRITES")
+	path := os.Getenv(writesVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
@@ -30,11 +33,12 @@
 	}
 }
 
-// body is of some length, so that a part of it could be told from the whole.
+// body is so long that a part of it differs from the whole.
 func body(n int) json.RawMessage {
 	return json.RawMessage(`{"n":` + strconv.Itoa(n) + `,"fill":"` + strings.Repeat(strconv.Itoa(n%10), 40000) + `"}`)
 }
 
+// number is the n of a body, which must be complete.
 func number(t testing.TB, text json.RawMessage) int {
 	t.Helper()
 	var b struct{ N int }
@@ -44,34 +48,34 @@
 	return b.N
 }
 
-// A process that is killed while it writes, wherever that is, leaves a file that is whole and no older than the last
-// that it was told is on disk; and nothing of its attempts is left after the next.
-func TestKilledWhileItWrites(t *testing.T) {
+// A node is killed while it writes its state. Whichever step of Write that hits, the file that it leaves is complete and no
+// older than the last of which Write said that it is on disk; and the next Write removes what was left half written.
+func TestFileSurvivesAKillDuringWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
 	for kill := range 25 {
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "STATE_WRITES="+path)
-		out, err := c.StdoutPipe()
+		child := exec.Command(os.Args[0])
+		child.Env = append(os.Environ(), writesVariable+"="+path)
+		out, err := child.StdoutPipe()
 		if err == nil {
-			err = c.Start()
+			err = child.Start()
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := -1
+		written := -1
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			if told, err = strconv.Atoi(lines.Text()); err != nil {
+			if written, err = strconv.Atoi(lines.Text()); err != nil {
 				t.Fatal(lines.Text())
 			}
-			if told == kill { // it is at some step of the next, or of one after it
-				c.Process.Kill()
+			if written == kill { // the child is at some step of the next write, or of one after it
+				child.Process.Kill()
 			}
 		}
-		c.Wait()
+		child.Wait()
 		got := Read(path, "me")
-		if n := number(t, got.Body); n < told || n > told+1 || got.Previous || len(got.Errors) > 0 || got.Age == UnknownAge || got.Age > time.Minute {
-			t.Fatalf("told %d, found %d, age %v, before %v, bad %v", told, n, got.Age, got.Previous, got.Errors)
+		if n := number(t, got.Body); n < written || n > written+1 || got.Previous || len(got.Errors) > 0 || got.Age == UnknownAge || got.Age > time.Minute {
+			t.Fatalf("%d was written, found %d, age %v, previous %v, errors %v", written, n, got.Age, got.Previous, got.Errors)
 		}
 	}
 	if err := Write(path, "me", body(7)); err != nil {
@@ -82,13 +86,13 @@
 	}
 }
 
-// put makes a file of this node, whole but for what is changed.
+// put makes a file of this node that is good but for the change.
 func put(path string, change func(*file)) error {
-	f := file{Version: Version, Owner: "me", Kept: body(1)}
-	f.Boot, f.At = BootClock()
+	f := file{Version: Version, Owner: "me", Body: body(1)}
+	f.BootID, f.SinceBoot = BootClock()
 	change(&f)
-	if f.Sum == 0 {
-		f.Sum = f.sum()
+	if f.Checksum == 0 {
+		f.Checksum = f.checksum()
 	}
 	text, err := json.Marshal(f)
 	if err != nil {
@@ -97,22 +101,30 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Whatever has become of the file, the one before it is used, and the reason is told; a bad file never takes that one's
-// place, and without it nothing is used. Nothing at its place holds up a start.
-func TestWhatCannotBeUsed(t *testing.T) {
+// A file is damaged on disk, or something else stands in its place. The previous file is used, and the error says why the
+// last one was not. A bad file never takes the place of the previous one, and where there is neither, nothing is used.
+// Nothing that stands there delays a start: opening a pipe would wait for a writer, and reading a huge file would fill the
+// memory.
+func TestPreviousFileIsUsed(t *testing.T) {
 	for name, tc := range map[string]struct {
-		says   string
+		reason func(error) bool
 		damage func(path string) error
 	}{
-		"empty":              {"torn", func(p string) error { return os.WriteFile(p, nil, 0o600) }},
-		"cut":                {"torn", func(p string) error { return os.Truncate(p, 900) }},
-		"no JSON":            {"torn", func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
-		"a byte changed":     {"checksum", func(p string) error { return put(p, func(f *file) { f.Sum = f.sum() ^ 1 }) }},
-		"another's":          {`of "you"`, func(p string) error { return put(p, func(f *file) { f.Owner = "you" }) }},
-		"of a later version": {"version 3", func(p string) error { return put(p, func(f *file) { f.Version = Version + 1 }) }},
-		"too long":           {"over", func(p string) error { return os.Truncate(p, 1<<40) }},
-		"a folder":           {"no plain file", func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
-		"a pipe":             {"no plain file", func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
+		"empty":          {is(ErrTorn), func(p string) error { return os.WriteFile(p, nil, 0o600) }},
+		"truncated":      {is(ErrTorn), func(p string) error { return os.Truncate(p, 900) }},
+		"not JSON":       {is(ErrTorn), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
+		"a byte changed": {is(ErrChecksum), func(p string) error { return put(p, func(f *file) { f.Checksum = f.checksum() ^ 1 }) }},
+		"of another owner": {func(err error) bool {
+			var owner *OwnerError
+			return errors.As(err, &owner) && owner.Owner == "you"
+		}, func(p string) error { return put(p, func(f *file) { f.Owner = "you" }) }},
+		"of a later version": {func(err error) bool {
+			var version *VersionError
+			return errors.As(err, &version) && version.Version == Version+1
+		}, func(p string) error { return put(p, func(f *file) { f.Version = Version + 1 }) }},
+		"too large": {is(ErrTooLarge), func(p string) error { return os.Truncate(p, 1<<40) }},
+		"a folder":  {is(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
+		"a pipe":    {is(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "[s")
@@ -121,58 +133,64 @@
 					t.Fatal(err)
 				}
 			}
-			for range 2 { // the second time beside a file that was written over the bad one
+			for range 2 { // the second time after a write over the bad file
 				if err := tc.damage(path); err != nil {
 					t.Fatal(err)
 				}
 				got := Read(path, "me")
-				if n := number(t, got.Body); n > 1 || !got.Previous || len(got.Errors) != 1 || !strings.Contains(got.Errors[0].Error(), tc.says) {
-					t.Errorf("found %d, before %v, bad %v", n, got.Previous, got.Errors)
+				if n := number(t, got.Body); n > 1 || !got.Previous || len(got.Errors) != 1 || !tc.reason(got.Errors[0]) || !strings.HasPrefix(got.Errors[0].Error(), path+": ") {
+					t.Errorf("found %d, previous %v, errors %v", n, got.Previous, got.Errors)
 				}
-				if name == "a folder" { // no file takes its place
+				if name == "a folder" { // which Write does not replace
 					break
 				}
 				if err := Write(path, "me", body(5)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if err := errors.Join(os.Remove(path), os.Remove(before(path))); err != nil {
+			if err := errors.Join(os.Remove(path), os.Remove(previousPath(path))); err != nil {
 				t.Fatal(err)
 			}
 			if got := Read(path, "me"); got.Body != nil || got.Errors != nil {
-				t.Errorf("of nothing: %d bytes, bad %v", len(got.Body), got.Errors)
+				t.Errorf("without files: %d bytes, errors %v", len(got.Body), got.Errors)
 			}
 		})
 	}
 }
 
-// A file of another run of the machine, or from the future, has no age; one of version 1 has none either, and is read.
-func TestAges(t *testing.T) {
+// is makes a check that an error wraps another.
+func is(target error) func(error) bool {
+	return func(err error) bool { return errors.Is(err, target) }
+}
+
+// A node uses the age of what it finds to judge how much it is worth. A wrong age is worse than none: a file of another run
+// of the machine, or from the future, has none, and neither has one of version 1, which is read all the same.
+func TestAge(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change   func(*file)
 		from, to time.Duration
 	}{
-		"an hour ago":     {func(f *file) { f.At -= time.Hour }, time.Hour, time.Hour + time.Minute},
-		"from the future": {func(f *file) { f.At += time.Hour }, UnknownAge, UnknownAge},
-		"another run":     {func(f *file) { f.Boot = "x" }, UnknownAge, UnknownAge},
-		"no run":          {func(f *file) { f.Boot = "" }, UnknownAge, UnknownAge},
-		"of version 1":    {func(f *file) { *f = file{Version: 1, Kept: f.Kept, Sum: sum1(f.Kept)} }, UnknownAge, UnknownAge},
+		"an hour ago":     {func(f *file) { f.SinceBoot -= time.Hour }, time.Hour, time.Hour + time.Minute},
+		"from the future": {func(f *file) { f.SinceBoot += time.Hour }, UnknownAge, UnknownAge},
+		"another boot":    {func(f *file) { f.BootID = "x" }, UnknownAge, UnknownAge},
+		"no boot clock":   {func(f *file) { f.BootID = "" }, UnknownAge, UnknownAge},
+		"of version 1":    {func(f *file) { *f = file{Version: 1, Body: f.Body, Checksum: checksumVersion1(f.Body)} }, UnknownAge, UnknownAge},
 	} {
 		path := filepath.Join(t.TempDir(), "s")
 		if err := put(path, tc.change); err != nil {
 			t.Fatal(err)
 		}
 		if got := Read(path, "me"); number(t, got.Body) != 1 || got.Age < tc.from || got.Age > tc.to {
-			t.Errorf("%s: age %v, bad %v", name, got.Age, got.Errors)
+			t.Errorf("%s: age %v, errors %v", name, got.Age, got.Errors)
 		}
 	}
 }
 
-// No bytes crash the reader, and what is taken has its checksum.
+// No bytes crash the reader, and a file that is taken has its checksum.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"Version":1,"Sum":0,"Kept":{}}`))
-	good := file{Version: Version, Owner: "me", Kept: json.RawMessage(`{"n":1}`)}
-	good.Sum = good.sum()
+	good := file{Version: Version, Owner: "me", Body: json.RawMessage(`{"n":1}`)}
+	good.Checksum = good.checksum()
 	text, err := json.Marshal(good)
 	if err != nil {
 		f.Fatal(err)
@@ -181,7 +199,7 @@
 	f.Add(text[:len(text)-3])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, err := parse(text)
-		if err == nil && (got.Kept == nil || got.Version != 1 && got.Sum != got.sum()) {
+		if err == nil && (got.Body == nil || got.Version != 1 && got.Checksum != got.checksum()) {
 			t.Errorf("taken: %+v", got)
 		}
 	})
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -8,44 +8,50 @@
 	"sync/atomic"
 )
 
-// Store keeps one thing on disk for callers that come side by side, of this process and of another one: what each of
-// them has changed before it called is in the file when its call returns. Callers that wait together share a write.
+// Store is one file for callers that come at once, in this process and in another one: what a caller changed before it
+// called Save is on disk when its call returns. Callers that wait together share a write.
 type Store struct {
 	Path, Owner string
-	OnBusy      func() // is told that another process has the lock and hangs; then it writes nothing either
+	// OnBusy is told that another process holds the lock and hangs. The file is written all the same: a process that hangs
+	// does not write either, and what an operator said must not be lost for its sake.
+	OnBusy func()
 
-	wanted  atomic.Uint64
-	mu      sync.Mutex
-	written uint64 // what is on disk covers so many of them
+	requests atomic.Uint64 // calls of Save so far
+	mu       sync.Mutex    // held while the file is written
+	covered  uint64        // of requests, how many are on disk
 }
 
-// Save has what is now so on disk. what is called with nobody else writing, here or in another process.
-func (k *Store) Save(ctx context.Context, what func() (json.RawMessage, error)) error {
-	mine := k.wanted.Add(1)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.written >= mine {
-		return nil
+// Save has on disk what current returns. current is called while nobody else writes, here or in another process, so that
+// it sees all that callers up to now have changed. It fails with the error of current, of the lock, or of Write.
+func (s *Store) Save(ctx context.Context, current func() (json.RawMessage, error)) error {
+	request := s.requests.Add(1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.covered >= request {
+		return nil // the write of another caller, which began after this request
 	}
-	covered := k.wanted.Load() // all that these have changed, what sees
-	release, err := Lock(ctx, k.Path)
-	if errors.Is(err, ErrBusy) {
-		k.OnBusy()
-		err = nil
+	covers := s.requests.Load() // current will see what all these have changed
+	if err := s.write(ctx, current); err != nil {
+		return err // covered stays: callers that wait try by themselves, for the error may be this caller's context's
 	}
+	s.covered = covers
+	return nil
+}
+
+func (s *Store) write(ctx context.Context, current func() (json.RawMessage, error)) error {
+	release, err := Lock(ctx, s.Path)
 	defer release()
-	var body json.RawMessage
-	if err == nil {
-		body, err = what()
-	}
-	if err == nil {
-		err = Write(k.Path, k.Owner, body)
+	if errors.Is(err, ErrBusy) {
+		s.OnBusy()
+	} else if err != nil {
+		return err
 	}
-	if err == nil { // else each that waits tries by itself: it may have failed for its caller's sake
-		k.written = covered
+	body, err := current()
+	if err != nil {
+		return err
 	}
-	return err
+	return Write(s.Path, s.Owner, body)
 }
 
-// Read gives the newest that can be used.
-func (k *Store) Read() Snapshot { return Read(k.Path, k.Owner) }
+// Read returns the newest file that can be used.
+func (s *Store) Read() Snapshot { return Read(s.Path, s.Owner) }
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-// Two keepers of one path, as two processes of a node have them, and many callers of each: what a caller has changed is
-// on disk when its call returns.
+// Two processes of a node have a Store of one path, and operators call both at once. An operator who was answered relies on
+// it that the change is on disk: when a call of Save returns, what its caller changed before is there.
 func TestEachCallersChangeIsOnDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	var set [64]atomic.Bool // what all of them know, as the processes tell each other before they write
-	what := func() (json.RawMessage, error) {
+	var set [64]atomic.Bool // known to both, as the processes notify each other before they write
+	current := func() (json.RawMessage, error) {
 		on := []int{}
 		for i := range set {
 			if set[i].Load() {
@@ -25,77 +25,78 @@
 		}
 		return json.Marshal(on)
 	}
-	var all sync.WaitGroup
-	keepers := []*Store{{Path: path, Owner: "me", OnBusy: func() {}}, {Path: path, Owner: "me", OnBusy: func() {}}}
+	var callers sync.WaitGroup
+	stores := []*Store{{Path: path, Owner: "me", OnBusy: func() {}}, {Path: path, Owner: "me", OnBusy: func() {}}}
 	for i := range set {
-		all.Go(func() {
+		callers.Go(func() {
 			set[i].Store(true)
-			err := keepers[i%2].Save(t.Context(), what)
+			err := stores[i%2].Save(t.Context(), current)
 			var on []int
-			if err = errors.Join(err, json.Unmarshal(keepers[i%2].Read().Body, &on)); err != nil || !slices.Contains(on, i) {
+			if err = errors.Join(err, json.Unmarshal(stores[i%2].Read().Body, &on)); err != nil || !slices.Contains(on, i) {
 				t.Errorf("%d is not among %v, %v", i, on, err)
 			}
 		})
 	}
-	all.Wait()
+	callers.Wait()
 }
 
-// Callers that wait for one write share the next. One whose write fails is told, and the others write by themselves.
-func TestCallersShareAWrite(t *testing.T) {
-	k := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() {}}
-	hold, writes, calls, failed := make(chan struct{}), make(chan struct{}), 0, errors.New("no")
-	what := func() (json.RawMessage, error) {
-		calls++
-		switch calls {
+// Many callers wait while one writes. They share the next write, or each would cost a sync of the disk. Where that fails, the
+// caller that made it has the error, and the others write anew: none is told of success that was not.
+func TestWaitingCallersShareAWrite(t *testing.T) {
+	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() {}}
+	resume, writing, writes, failed := make(chan struct{}), make(chan struct{}), 0, errors.New("no")
+	current := func() (json.RawMessage, error) {
+		writes++
+		switch writes {
 		case 1:
-			close(writes)
-			<-hold
+			close(writing)
+			<-resume
 		case 2:
 			return nil, failed
 		}
-		return json.Marshal(calls)
+		return json.Marshal(writes)
 	}
 	errs := make(chan error, 9)
-	keep := func() { errs <- k.Save(t.Context(), what) }
-	go keep()
-	<-writes
+	save := func() { errs <- store.Save(t.Context(), current) }
+	go save()
+	<-writing
 	for range 8 {
-		go keep()
+		go save()
 	}
-	for k.wanted.Load() < 9 { // all of them have come
+	for store.requests.Load() < 9 { // all of them have come
 		runtime.Gosched()
 	}
-	close(hold)
-	told := 0
+	close(resume)
+	failures := 0
 	for range 9 {
 		if err := <-errs; err != nil {
-			told++
+			failures++
 		}
 	}
-	if got := k.Read(); told != 1 || calls != 3 || string(got.Body) != "3" {
-		t.Errorf("%d writes for 9 callers, %d told of the one that failed, found %s", calls, told, got.Body)
+	if got := store.Read(); failures != 1 || writes != 3 || string(got.Body) != "3" {
+		t.Errorf("%d writes for 9 callers, %d had the error of the one that failed, found %s", writes, failures, got.Body)
 	}
 }
 
-// Whoever hangs with the lock holds a keeper up for a moment, which it is told, and no longer; one that has let go, not
-// at all.
-func TestKeeperBesideOneThatHangs(t *testing.T) {
+// A process hangs while it holds the lock, and another is started to replace it. What operators say must still be kept: Save
+// waits for LockTimeout, reports it through OnBusy, and writes. Once the lock is released there is no wait and no report.
+func TestSaveBesideAHungLockHolder(t *testing.T) {
 	busy := 0
-	k := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() { busy++ }}
-	keep := func(n int) {
+	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() { busy++ }}
+	save := func(n int) {
 		t.Helper()
-		if err := k.Save(t.Context(), func() (json.RawMessage, error) { return json.Marshal(n) }); err != nil || busy != 1 {
-			t.Errorf("%v, told %d times", err, busy)
+		if err := store.Save(t.Context(), func() (json.RawMessage, error) { return json.Marshal(n) }); err != nil || busy != 1 {
+			t.Errorf("%v, reported %d times", err, busy)
 		}
 	}
-	release, err := Lock(t.Context(), k.Path)
+	release, err := Lock(t.Context(), store.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep(1)
+	save(1)
 	release()
-	keep(2)
-	if got := k.Read(); string(got.Body) != "2" {
+	save(2)
+	if got := store.Read(); string(got.Body) != "2" {
 		t.Errorf("found %s", got.Body)
 	}
 }
--- a/internal/state/version1.go
+++ b/internal/state/version1.go
@@ -2,9 +2,10 @@
 
 import "hash/fnv"
 
-// sum1 is the checksum of version 1, which a node of the build before may have left.
-func sum1(b []byte) uint64 {
-	h := fnv.New64a()
-	h.Write(b)
-	return h.Sum64()
+// checksumVersion1 is the checksum of a file of version 1, which covers its body alone. The first builds wrote such files,
+// and a node that is upgraded from one finds it.
+func checksumVersion1(body []byte) uint64 {
+	hash := fnv.New64a()
+	hash.Write(body)
+	return hash.Sum64()
 }
