--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,17 @@
-// Package adminapi answers the calls that operators make to a running node: whether it takes clients, which servers are
-// to be left alone, whether clients are to be sent away. It has a listener and places of its own, so that no crowd of
-// clients keeps operators out, and knows the node by one small interface. What a call wants holds when it is answered.
+// Package adminapi serves the HTTP calls that operators make to a running node:
+//
+//	GET  /control/ready                    whether this process takes clients
+//	POST /control/out-of-service           send the clients away
+//	POST /control/in-service               take clients again
+//	POST /control/servers/SERVER/offline   disable a server: no requests to it
+//	POST /control/servers/SERVER/online    enable it again
+//	GET  /control/sites                    what the node knows of its peers, as JSON
+//
+// An answer is "yes" with status 200 once the effect holds, or "no: REASON" with status 404 for something unknown and 503
+// for what can't be done now. The node is known by one small interface.
+//
+// The package has a listener and a bound on connections of its own (connections.go), so that no number of clients, at the
+// node or here, keeps an operator out.
 package adminapi
 
 import (
@@ -13,61 +24,70 @@
 	"net/http"
 	"net/url"
 	"strings"
-	"sync"
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
 )
 
 const (
-	// MaxConnections is how many connections are held at once. With the listener that is what it costs of the descriptors.
-	MaxConnections = 16
-	wholeCall      = 1500 * time.Millisecond // for a connection to bring a whole call
-	effect         = 900 * time.Millisecond  // for what a call wants to hold; an answer is owed within 1 s
-	answer         = 2 * time.Second         // for whoever called to take the answer
-	maxHead        = 8 << 10                 // bytes
-	lastCalls      = time.Second             // for calls that are open when the node ends
+	// requestTimeout is for a connection to bring a complete request: one that does not takes a place from an operator.
+	requestTimeout = 1500 * time.Millisecond
+	// effectTimeout is for the node to do what a call wants. An answer is owed within 1 s; the rest is for writing it.
+	effectTimeout = 900 * time.Millisecond
+	// responseTimeout is for the caller to read the response.
+	responseTimeout = 2 * time.Second
+	// maxHeaderBytes is enough for any call of operators, and bounds the memory of the others.
+	maxHeaderBytes = 8 << 10
+	// closeTimeout is for calls that are open when the node ends.
+	closeTimeout = time.Second
 )
 
-// Node is what can be asked of a node. A nil error says that the effect holds; else nothing has changed.
+// Node is what operators can ask of a node. A nil error says that the effect holds; after another nothing has changed.
 type Node interface {
-	CheckReady() error // why it does not
-	SetServerDisabled(ctx context.Context, server string, out bool) error
-	SetInService(ctx context.Context, in bool) error // in service or out of it
-	Sites() any                                      // what it knows of its peers; nil: it has none
+	// CheckReady says why the process does not take clients.
+	CheckReady() error
+	// SetServerDisabled disables or enables a server. The error wraps balancer.ErrUnknownServer for one that is not known.
+	SetServerDisabled(ctx context.Context, server string, disabled bool) error
+	// SetInService puts the node in service or out of it.
+	SetInService(ctx context.Context, inService bool) error
+	// Sites is what the node knows of its peers, for JSON; nil: it has none.
+	Sites() any
 }
 
 // Server answers calls on one listener.
 type Server struct {
-	node Node
-	log  *slog.Logger
-	http *http.Server
-	in   *places
+	node     Node
+	log      *slog.Logger
+	http     *http.Server
+	listener *limitedListener
 }
 
-// New makes a Server for a listener; Run starts it.
+// New makes a Server for a listener, which it closes; Run starts it.
 func New(ln net.Listener, node Node, log *slog.Logger) *Server {
-	s := &Server{node: node, log: log, in: &places{Listener: ln, free: make(chan struct{}, MaxConnections)}}
-	s.http = &http.Server{Handler: s, ReadTimeout: wholeCall, WriteTimeout: wholeCall + answer, MaxHeaderBytes: maxHead,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
-		}}
+	s := &Server{node: node, log: log, listener: newLimitedListener(ln)}
+	s.http = &http.Server{
+		Handler:        s,
+		ReadTimeout:    requestTimeout,
+		WriteTimeout:   requestTimeout + responseTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		ConnContext:    withConn,
+	}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// Run answers calls until Close.
+// Run answers calls until Close. The error is that of the listener; nil after Close.
 func (s *Server) Run() error {
-	if err := s.http.Serve(s.in); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("control: %w", err)
 	}
 	return nil
 }
 
-// Close ends the listener, lets calls that are open come to their answer and returns.
+// Close closes the listener, and returns once open calls are answered, or after closeTimeout.
 func (s *Server) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), lastCalls)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
 		s.http.Close()
@@ -76,27 +96,30 @@
 
 // ServeHTTP answers one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		c.in.whole(c)
-	}
+	noteRequest(r.Context())
 	if r.URL.EscapedPath() == "/control/sites" && r.Method == http.MethodGet {
-		s.sites(w)
+		s.serveSites(w)
 		return
 	}
-	method, act := s.route(r.URL.EscapedPath())
+	method, call := s.route(r.URL.EscapedPath())
 	switch {
-	case act == nil:
+	case call == nil:
 		http.Error(w, "no such call", http.StatusNotFound)
-		return
 	case r.Method != method:
 		w.Header().Set("Allow", method)
 		http.Error(w, "the method of this call is "+method, http.StatusMethodNotAllowed)
-		return
+	default:
+		s.serveCall(w, r, call)
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), effect) // a caller that left wanted it all the same
+}
+
+// serveCall makes a call to the node and answers with what came of it. A caller that leaves meanwhile wanted the effect all
+// the same, so the call is carried out without it.
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request, call func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), effectTimeout)
 	defer cancel()
-	err := act(ctx)
-	if method != http.MethodGet {
+	err := call(ctx)
+	if r.Method != http.MethodGet {
 		s.log.Info("control", "call", r.URL.Path, "from", r.RemoteAddr, "err", err)
 	}
 	switch {
@@ -109,19 +132,26 @@
 	}
 }
 
-// sites answers what the node knows of its peers. It changes nothing.
-func (s *Server) sites(w http.ResponseWriter) {
-	v := s.node.Sites()
-	if v == nil {
+// serveSites answers with what the node knows of its peers. It changes nothing.
+func (s *Server) serveSites(w http.ResponseWriter) {
+	sites := s.node.Sites()
+	if sites == nil {
 		http.Error(w, "no: this node has no peers: its settings have no block peers", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(v) // a caller that has left reads nothing
+	json.NewEncoder(w).Encode(sites) // an error is of a caller that has left
 }
 
-// route finds the call of a path. act is nil if there is none.
-func (s *Server) route(path string) (method string, act func(context.Context) error) {
+// The calls about one server: serversPath, its ID escaped, and one of two actions.
+const (
+	serversPath   = "/control/servers/"
+	actionOffline = "offline" // disable the server
+	actionOnline  = "online"  // enable it
+)
+
+// route finds the call of an escaped path, and its method. call is nil if there is none.
+func (s *Server) route(path string) (method string, call func(context.Context) error) {
 	switch path {
 	case "/control/ready":
 		return http.MethodGet, func(context.Context) error { return s.node.CheckReady() }
@@ -130,81 +160,25 @@
 	case "/control/in-service":
 		return http.MethodPost, func(ctx context.Context) error { return s.node.SetInService(ctx, true) }
 	}
-	rest, ok := strings.CutPrefix(path, "/control/servers/")
-	name, what, found := strings.Cut(rest, "/")
-	id, err := url.PathUnescape(name)
-	if !ok || !found || err != nil || id == "" || what != "offline" && what != "online" {
+	server, action, ok := parseServerPath(path)
+	if !ok {
 		return "", nil
 	}
-	return http.MethodPost, func(ctx context.Context) error { return s.node.SetServerDisabled(ctx, id, what == "offline") }
-}
-
-type connKey struct{}
-
-// places accepts connections within a bound. When all places are taken the oldest connection that has not brought a
-// whole call gives up its own.
-type places struct {
-	net.Listener
-	free chan struct{} // holds one for each place that is taken
-
-	mu   sync.Mutex
-	open []*conn // without a whole call, the oldest first
-}
-
-type conn struct {
-	net.Conn
-	in   *places
-	once sync.Once
-}
-
-func (p *places) Accept() (net.Conn, error) {
-	nc, err := p.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	c := &conn{Conn: nc, in: p}
-	select {
-	case p.free <- struct{}{}:
-	default:
-		p.makeRoom()
-		p.free <- struct{}{} // calls that are whole end by themselves
+	return http.MethodPost, func(ctx context.Context) error {
+		return s.node.SetServerDisabled(ctx, server, action == actionOffline)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.open = append(p.open, c)
-	return c, nil
 }
 
-// makeRoom closes the oldest connection without a whole call.
-func (p *places) makeRoom() {
-	p.mu.Lock()
-	var oldest *conn
-	if len(p.open) > 0 {
-		oldest = p.open[0]
-	}
-	p.mu.Unlock()
-	if oldest != nil {
-		oldest.Close()
+// parseServerPath reads the path of a call about one server.
+func parseServerPath(path string) (server, action string, ok bool) {
+	name, found := strings.CutPrefix(path, serversPath)
+	if !found {
+		return "", "", false
 	}
-}
-
-// whole notes that a connection has brought a call, or is over.
-func (p *places) whole(c *conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i, o := range p.open {
-		if o == c {
-			p.open = append(p.open[:i], p.open[i+1:]...)
-			return
-		}
+	name, action, found = strings.Cut(name, "/")
+	if !found || action != actionOffline && action != actionOnline {
+		return "", "", false
 	}
-}
-
-func (c *conn) Close() error {
-	err := c.Conn.Close()
-	c.once.Do(func() {
-		c.in.whole(c)
-		<-c.in.free
-	})
-	return err
+	server, err := url.PathUnescape(name)
+	return server, action, err == nil && server != ""
 }
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,39 +19,42 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// fakeNode is a node that notes what is asked of it.
+// fakeNode is a Node that records the calls to it and answers all with err.
 type fakeNode struct {
 	sites any
 	mu    sync.Mutex
-	asked []string
+	calls []string
 	err   error
 }
 
 func (f *fakeNode) Sites() any { return f.sites }
 
-func (f *fakeNode) note(format string, args ...any) error {
+func (f *fakeNode) record(format string, args ...any) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, fmt.Sprintf(format, args...))
+	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 	return f.err
 }
 
-func (f *fakeNode) CheckReady() error { return f.note("ready") }
-func (f *fakeNode) SetServerDisabled(_ context.Context, id string, out bool) error {
-	if id == "nobody" {
+func (f *fakeNode) CheckReady() error { return f.record("ready") }
+func (f *fakeNode) SetServerDisabled(_ context.Context, server string, disabled bool) error {
+	if server == "nobody" {
 		return balancer.ErrUnknownServer
 	}
-	return f.note("%s %v", id, out)
+	return f.record("%s %v", server, disabled)
+}
+func (f *fakeNode) SetInService(_ context.Context, inService bool) error {
+	return f.record("in service %v", inService)
 }
-func (f *fakeNode) SetInService(_ context.Context, in bool) error { return f.note("in service %v", in) }
 
-func serving(t *testing.T, f *fakeNode) (addr string, s *Server) {
+// startServer runs a Server for a node until the test ends, and returns its address.
+func startServer(t *testing.T, node *fakeNode) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = New(ln, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(ln, node, slog.New(slog.DiscardHandler))
 	done := make(chan error)
 	go func() { done <- s.Run() }()
 	t.Cleanup(func() {
@@ -60,11 +63,11 @@
 			t.Error(err)
 		}
 	})
-	return ln.Addr().String(), s
+	return ln.Addr().String()
 }
 
-// call writes a text on a connection of its own and reads the answer, or nil if there is none.
-func call(t *testing.T, addr, text string) *http.Response {
+// send writes a text on a connection of its own and reads the response; nil: there is none.
+func send(t *testing.T, addr, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -79,36 +82,38 @@
 	return resp
 }
 
+// Each row is what a caller sends, and the call to the node that comes of it. Only what is a call of operators, with its method,
+// reaches the node.
 func TestCalls(t *testing.T) {
 	f := &fakeNode{}
-	addr, _ := serving(t, f)
-	get := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
+	addr := startServer(t, f)
+	request := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 	for _, c := range []struct {
 		text   string
 		status int
-		asked  string
+		call   string
 	}{
-		{get("GET", "/control/ready"), 200, "ready"},
-		{get("POST", "/control/out-of-service"), 200, "in service false"},
-		{get("POST", "/control/in-service"), 200, "in service true"},
-		{get("POST", "/control/servers/s-1/offline"), 200, "s-1 true"},
-		{get("POST", "/control/servers/s-1/online"), 200, "s-1 false"},
-		{get("POST", "/control/servers/a%2Fb%20c/offline"), 200, "a/b c true"},
+		{request("GET", "/control/ready"), 200, "ready"},
+		{request("POST", "/control/out-of-service"), 200, "in service false"},
+		{request("POST", "/control/in-service"), 200, "in service true"},
+		{request("POST", "/control/servers/s-1/offline"), 200, "s-1 true"},
+		{request("POST", "/control/servers/s-1/online"), 200, "s-1 false"},
+		{request("POST", "/control/servers/a%2Fb%20c/offline"), 200, "a/b c true"},
 		{"POST /control/servers/s-1/online HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", 200, "s-1 false"},
-		{get("POST", "/control/servers/nobody/offline"), 404, ""},
-		{get("POST", "/control/servers//offline"), 404, ""},
-		{get("POST", "/control/servers/s-1/"), 404, ""},
-		{get("POST", "/control/servers/s-1/online/x"), 404, ""},
-		{get("POST", "/control/servers/%zz/online"), 400, ""},
-		{get("POST", "//control/ready"), 404, ""},
-		{get("POST", "/control/ready"), 405, ""},
-		{get("GET", "/control/in-service"), 405, ""},
-		{get("GET", "/ready"), 404, ""},
-		{get("GET", "/control/ready?"+strings.Repeat("x", 2*maxHead)), 431, ""},
+		{request("POST", "/control/servers/nobody/offline"), 404, ""},
+		{request("POST", "/control/servers//offline"), 404, ""},
+		{request("POST", "/control/servers/s-1/"), 404, ""},
+		{request("POST", "/control/servers/s-1/online/x"), 404, ""},
+		{request("POST", "/control/servers/%zz/online"), 400, ""},
+		{request("POST", "//control/ready"), 404, ""},
+		{request("POST", "/control/ready"), 405, ""},
+		{request("GET", "/control/in-service"), 405, ""},
+		{request("GET", "/ready"), 404, ""},
+		{request("GET", "/control/ready?"+strings.Repeat("x", 2*maxHeaderBytes)), 431, ""},
 		{"what is this\r\n\r\n", 400, ""},
 	} {
-		f.asked = nil
-		resp := call(t, addr, c.text)
+		f.calls = nil
+		resp := send(t, addr, c.text)
 		if resp == nil || resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%.60q: %v, want %d and the end of the connection", c.text, resp, c.status)
 			continue
@@ -117,23 +122,23 @@
 			t.Errorf("%.60q: Allow %q", c.text, allow)
 		}
 		f.mu.Lock()
-		if got := strings.Join(f.asked, ","); got != c.asked {
-			t.Errorf("%.60q: asked %q, want %q", c.text, got, c.asked)
+		if got := strings.Join(f.calls, ","); got != c.call {
+			t.Errorf("%.60q: called %q, want %q", c.text, got, c.call)
 		}
 		f.mu.Unlock()
 	}
 	f.err = errors.New("not now")
-	if resp := call(t, addr, get("POST", "/control/in-service")); resp == nil || resp.StatusCode != 503 {
-		t.Errorf("a call that can't be followed: %v", resp)
+	if resp := send(t, addr, request("POST", "/control/in-service")); resp == nil || resp.StatusCode != 503 {
+		t.Errorf("a call that the node can't carry out: %v", resp)
 	}
 }
 
-// Callers that hold connections without a whole call keep nobody out, however many they are; the oldest of them go,
-// and each by itself at the latest when its time is over.
-func TestHeldConnectionsKeepNobodyOut(t *testing.T) {
-	addr, _ := serving(t, &fakeNode{})
+// Somebody opens many connections and never sends a complete request. Operators must be served all the same: the oldest of
+// these connections are closed for them, and each is closed at the latest when its time is over.
+func TestIncompleteRequestsKeepNobodyOut(t *testing.T) {
+	addr := startServer(t, &fakeNode{})
 	began := time.Now()
-	var held []net.Conn
+	var incomplete []net.Conn
 	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -141,49 +146,49 @@
 		}
 		defer c.Close()
 		io.WriteString(c, "GET /control/ready HTTP/1.1\r\n"[:i%20])
-		held = append(held, c)
+		incomplete = append(incomplete, c)
 		if i%8 == 0 {
-			if resp := call(t, addr, "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp == nil || resp.StatusCode != 200 {
-				t.Fatalf("with %d held: %v", i+1, resp)
+			if resp := send(t, addr, "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp == nil || resp.StatusCode != 200 {
+				t.Fatalf("beside %d incomplete requests: %v", i+1, resp)
 			}
 		}
 	}
-	for _, c := range held {
+	for _, c := range incomplete {
 		c.SetReadDeadline(began.Add(30 * time.Second))
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, context.DeadlineExceeded) {
-			t.Fatal("a connection without a call was never closed")
+			t.Fatal("a connection without a request was never closed")
 		}
 	}
 }
 
-// Whatever comes as a path names one call or none, and a server's id comes back as it was escaped.
+// Any path names one call or none, and none makes more than one call to the node.
 func FuzzRoute(f *testing.F) {
 	for _, p := range []string{"/control/ready", "/control/servers/s-1/offline", "/control/servers/%2F/online", "/", ""} {
 		f.Add(p)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
-		n := &fakeNode{}
-		method, act := (&Server{node: n}).route(path)
-		if (act == nil) != (method == "") {
+		node := &fakeNode{}
+		method, call := (&Server{node: node}).route(path)
+		if (call == nil) != (method == "") {
 			t.Fatalf("%q: method %q", path, method)
 		}
-		if act == nil {
+		if call == nil {
 			return
 		}
-		if act(t.Context()); len(n.asked) > 1 || !slices.Contains([]string{"GET", "POST"}, method) {
-			t.Fatalf("%q asked %v", path, n.asked)
+		if call(t.Context()); len(node.calls) > 1 || !slices.Contains([]string{"GET", "POST"}, method) {
+			t.Fatalf("%q called %v", path, node.calls)
 		}
 	})
 }
 
-// A caller that leaves at once has its wish all the same.
-func TestCallerThatLeft(t *testing.T) {
+// A caller leaves before the answer. What it wanted is done all the same.
+func TestCallerLeaves(t *testing.T) {
 	f := &fakeNode{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	(&Server{node: f, log: slog.New(slog.NewTextHandler(io.Discard, nil))}).ServeHTTP(httptest.NewRecorder(),
+	(&Server{node: f, log: slog.New(slog.DiscardHandler)}).ServeHTTP(httptest.NewRecorder(),
 		httptest.NewRequest("POST", "/control/in-service", nil).WithContext(ctx))
-	if len(f.asked) != 1 {
-		t.Error("nothing was asked of the node")
+	if len(f.calls) != 1 {
+		t.Error("the node was not called")
 	}
 }
--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -11,39 +11,48 @@
 	"testing/iotest"
 )
 
-type dog struct{ blanks, begun, parts int }
+// countingWatchdog counts what it observes.
+type countingWatchdog struct{ blanks, begun, parts int }
 
-func (e *dog) Blank() { e.blanks++ }
-func (e *dog) Begun() { e.begun++ }
-func (e *dog) Part()  { e.parts++ }
+func (w *countingWatchdog) Blank() { w.blanks++ }
+func (w *countingWatchdog) Begun() { w.begun++ }
+func (w *countingWatchdog) Part()  { w.parts++ }
 
-const two = "\n\n" + `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"in_service"}]}` + "\n\r\n" + `{
+// twoLists is a complete list on one line and changes on several, with heartbeats between.
+const twoLists = "\n\n" + `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"in_service"}]}` + "\n\r\n" + `{
   "seq": 2,
   "hosts": [
     { "host": "b\n{", "health": "terminating", "later": [1, {}] }
   ]
 }` + "\n"
 
-// Lists on one line or many, in pieces of any size, are what they are; keep-alive lines are heard as such.
+// Lists on one line or many, in pieces of any size, are read alike; heartbeats are observed as such.
 func TestListsInAnyForm(t *testing.T) {
-	for name, in := range map[string]io.Reader{"whole": strings.NewReader(two), "byte by byte": iotest.OneByteReader(strings.NewReader(two)),
-		"halves": iotest.HalfReader(strings.NewReader(two)), "no last line end": strings.NewReader(strings.TrimSpace(two))} {
-		e := &dog{}
-		r := NewReader(in, e)
-		a, err := r.Next()
-		b, err2 := r.Next()
+	for name, in := range map[string]io.Reader{"in one piece": strings.NewReader(twoLists), "byte by byte": iotest.OneByteReader(strings.NewReader(twoLists)),
+		"halves": iotest.HalfReader(strings.NewReader(twoLists)), "no last line end": strings.NewReader(strings.TrimSpace(twoLists))} {
+		watchdog := &countingWatchdog{}
+		r := NewReader(in, watchdog)
+		first, firstErr := r.Next()
+		second, secondErr := r.Next()
 		_, end := r.Next()
-		if err != nil || err2 != nil || a.Seq != 1 || !a.Complete || b.Seq != 2 || b.Complete || len(b.Endpoints) != 1 || b.Endpoints[0].Host != "b\n{" || end != io.EOF {
-			t.Errorf("%s: %+v %v, %+v %v, %v", name, a, err, b, err2, end)
+		if firstErr != nil || first.Seq != 1 || !first.Complete {
+			t.Errorf("%s: first %+v, %v", name, first, firstErr)
 		}
-		if e.begun != 2 || name == "byte by byte" && e.blanks != 6 {
-			t.Errorf("%s: heard %+v", name, e)
+		if secondErr != nil || second.Seq != 2 || second.Complete || len(second.Endpoints) != 1 || second.Endpoints[0].Host != "b\n{" {
+			t.Errorf("%s: second %+v, %v", name, second, secondErr)
+		}
+		if end != io.EOF {
+			t.Errorf("%s: ended with %v", name, end)
+		}
+		if watchdog.begun != 2 || name == "byte by byte" && watchdog.blanks != 6 {
+			t.Errorf("%s: observed %+v", name, watchdog)
 		}
 	}
 }
 
-// What can't be taken says what it is: each kind is answered in its own way.
-func TestWhatIsNoList(t *testing.T) {
+// What is no list is told apart: after a truncated one the node polls from its version again, after an unreadable one it needs
+// the complete list. Confused, the first would cost discovery too much, and the second would have the node build on a gap.
+func TestTruncatedAndUnreadableLists(t *testing.T) {
 	reset := errors.New("reset")
 	for text, want := range map[string]any{
 		`{"seq":1,"whole":true}`: &UnreadableError{},
@@ -54,50 +63,50 @@
 		`{"seq":1,"hosts":[{"ho`: &TruncatedError{},
 		`{"seq":"` + strings.Repeat("x", MaxListBytes) + `"}`: &UnreadableError{},
 	} {
-		_, err := NewReader(strings.NewReader(text), &dog{}).Next()
-		cut, bad := new(*TruncatedError), new(*UnreadableError)
-		if _, isCut := want.(*TruncatedError); errors.As(err, cut) != isCut || errors.As(err, bad) == isCut {
+		_, err := NewReader(strings.NewReader(text), &countingWatchdog{}).Next()
+		_, truncated := want.(*TruncatedError)
+		if errors.As(err, new(*TruncatedError)) != truncated || errors.As(err, new(*UnreadableError)) == truncated {
 			t.Errorf("%.30q: %v", text, err)
 		}
 	}
-	r := NewReader(io.MultiReader(strings.NewReader(`{"seq":1,`), iotest.ErrReader(reset)), &dog{})
+	r := NewReader(io.MultiReader(strings.NewReader(`{"seq":1,`), iotest.ErrReader(reset)), &countingWatchdog{})
 	if _, err := r.Next(); !errors.As(err, new(*TruncatedError)) || !errors.Is(err, reset) {
 		t.Errorf("a reset within a list: %v", err)
 	}
-	r = NewReader(io.MultiReader(strings.NewReader("\n"), iotest.ErrReader(reset)), &dog{})
+	r = NewReader(io.MultiReader(strings.NewReader("\n"), iotest.ErrReader(reset)), &countingWatchdog{})
 	if _, err := r.Next(); err != reset {
 		t.Errorf("a reset between lists: %v", err)
 	}
 }
 
-// A watch in which nothing changes for days holds no more than at its start.
-func TestSpaceIsNotKept(t *testing.T) {
-	space := bytes.Repeat([]byte("\n"), 2*MaxListBytes)
-	r := NewReader(io.MultiReader(iotest.HalfReader(bytes.NewReader(space)), strings.NewReader(`{"seq":3}`)), &dog{})
-	if n, err := r.Next(); err != nil || n.Seq != 3 {
-		t.Errorf("%+v, %v", n, err)
+// A watch in which nothing changes for days brings heartbeats alone. They must not pile up in the memory.
+func TestHeartbeatsAreNotBuffered(t *testing.T) {
+	heartbeats := bytes.Repeat([]byte("\n"), 2*MaxListBytes)
+	r := NewReader(io.MultiReader(iotest.HalfReader(bytes.NewReader(heartbeats)), strings.NewReader(`{"seq":3}`)), &countingWatchdog{})
+	if list, err := r.Next(); err != nil || list.Seq != 3 {
+		t.Errorf("%+v, %v", list, err)
 	}
 }
 
 // Whatever comes, reading ends, and a list that is taken reads the same again.
 func FuzzReader(f *testing.F) {
-	f.Add([]byte(two), 3)
+	f.Add([]byte(twoLists), 3)
 	f.Add([]byte(`{"seq":1,`), 1)
 	f.Add([]byte("\n\n]"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		r := NewReader(&pieces{text, 1 + (piece&0x7fffffff)%7}, &dog{})
+		r := NewReader(&pieces{text, 1 + (piece&0x7fffffff)%7}, &countingWatchdog{})
 		for n := 0; ; n++ {
-			l, err := r.Next()
+			list, err := r.Next()
 			if err != nil {
 				return
 			}
-			again, err := json.Marshal(l)
+			again, err := json.Marshal(list)
 			if err != nil {
 				t.Fatal(err)
 			}
-			m, err := NewReader(bytes.NewReader(again), &dog{}).Next()
-			if err != nil || fmt.Sprint(m) != fmt.Sprint(l) {
-				t.Fatalf("%+v became %+v, %v", l, m, err)
+			same, err := NewReader(bytes.NewReader(again), &countingWatchdog{}).Next()
+			if err != nil || fmt.Sprint(same) != fmt.Sprint(list) {
+				t.Fatalf("%+v became %+v, %v", list, same, err)
 			}
 			if n > len(text) {
 				t.Fatal("more lists than bytes")
@@ -106,16 +115,17 @@
 	})
 }
 
+// pieces is a stream that comes in pieces of one size.
 type pieces struct {
-	rest []byte
-	size int
+	remaining []byte
+	size      int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.rest) == 0 {
+func (p *pieces) Read(buf []byte) (int, error) {
+	if len(p.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(b, p.rest[:min(p.size, len(p.rest))])
-	p.rest = p.rest[n:]
+	n := copy(buf, p.remaining[:min(p.size, len(p.remaining))])
+	p.remaining = p.remaining[n:]
 	return n, nil
 }
--- a/internal/discoveryapi/golden_test.go
+++ b/internal/discoveryapi/golden_test.go
@@ -9,20 +9,21 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// silent hears nothing.
-type silent struct{}
+// noWatchdog ignores what comes.
+type noWatchdog struct{}
 
-func (silent) Blank() {}
-func (silent) Begun() {}
-func (silent) Part()  {}
+func (noWatchdog) Blank() {}
+func (noWatchdog) Begun() {}
+func (noWatchdog) Part()  {}
 
-// Discovery writes the lists, and no build of a node may read them by other names.
+// Discovery writes the lists, so no build of a node may read them by other names: a field that is not found would be zero,
+// without an error.
 func TestGoldenList(t *testing.T) {
 	path := filepath.Join("testdata", "list.json")
 	want := List{Seq: 5, Complete: true, Endpoints: []Endpoint{{Host: "server-1", Dial: "127.0.0.1:9000", Site: "north-a", Class: "big", Block: 3,
 		Health: "ready", Born: 1.5}}}
 	goldentest.Check(t, path, want)
-	if got, err := NewReader(bytes.NewReader(goldentest.Text(t, path)), silent{}).Next(); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := NewReader(bytes.NewReader(goldentest.Text(t, path)), noWatchdog{}).Next(); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/deadlines.go
@@ -0,0 +1,73 @@
+package lifecycle
+
+import "time"
+
+// The front that deals out connections asks every 100 ms whether a node is ready, and may deal it connections for up to 200
+// ms after a no. Out of service, a node may hold no connection without a request 4 s after the call, nor one with a request
+// of the last 2 s.
+const (
+	// noticedAfter is when the front has seen that the node is not ready, and deals it no more connections: both times above,
+	// and 50 ms for the answer. Responses that close their connections before it would send clients back to this node.
+	noticedAfter = 350 * time.Millisecond
+	// closeIdleAfter is when connections without a request are closed, out of service: responses have closed those in use by
+	// then, and the 4 s above are not over.
+	closeIdleAfter = 1200 * time.Millisecond
+	// minIdle is how long a connection must have been idle for that. A client sends as it connects, and a request that is
+	// under way as its connection is closed is lost.
+	minIdle = 250 * time.Millisecond
+	// acceptAfterSignal is how long the front still deals out connections after SIGTERM: noticedAfter, and some to spare.
+	acceptAfterSignal = 450 * time.Millisecond
+)
+
+// The stages of a shutdown, each by the time that is left until the process may be killed.
+const (
+	responsesCloseLeft = 900 * time.Millisecond // responses close their connections, so that no request comes on them
+	closeIdleLeft      = 750 * time.Millisecond // idle connections are closed
+	lastResponseLeft   = 150 * time.Millisecond // the last response is due: it still has to be written
+)
+
+// EndsConnections says whether responses close the connections that they go on: the clients are to come back elsewhere.
+func (m Machine) EndsConnections(now time.Duration) bool {
+	switch m.state {
+	case outOfService:
+		return m.frontHasNoticed(now)
+	case shuttingDown:
+		return m.isSucceeded || m.isOut && m.frontHasNoticed(now) || now >= max(m.since+acceptAfterSignal, m.forcedEnd-responsesCloseLeft)
+	}
+	return false
+}
+
+// ClosesIdleConnections says whether connections without a request are closed, and how long they must have been idle.
+func (m Machine) ClosesIdleConnections(now time.Duration) (idle time.Duration, closes bool) {
+	switch m.state {
+	case outOfService:
+		return minIdle, now >= m.since+closeIdleAfter
+	case shuttingDown:
+		return minIdle, m.isOut && now >= m.since+closeIdleAfter || now >= m.forcedEnd-closeIdleLeft
+	}
+	return 0, false
+}
+
+// HardDeadline is when the last response is due; 0: the process does not shut down.
+func (m Machine) HardDeadline() time.Duration {
+	if m.state != shuttingDown {
+		return 0
+	}
+	return m.forcedEnd - lastResponseLeft
+}
+
+// StopsAt is for how much longer, from now on, a node that shuts down accepts the connections that the front deals out. One
+// whose successor accepts them needs no time; one that went out of service long ago only that which the front takes after a
+// signal; another one all but what it needs to close idle connections.
+func (m Machine) StopsAt(now time.Duration) time.Duration {
+	switch {
+	case m.isSucceeded:
+		return 0
+	case m.isOut && m.frontHasNoticed(now):
+		return acceptAfterSignal
+	}
+	return max(acceptAfterSignal, m.forcedEnd-closeIdleLeft-now)
+}
+
+// frontHasNoticed says whether the front deals out no more connections because of a no that began at since.
+func (m Machine) frontHasNoticed(now time.Duration) bool { return now >= m.since+noticedAfter }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,133 +1,122 @@
-// Package lifecycle decides what a node owes its clients as a whole: whether the front's question is answered yes,
-// whether answers end their connections, and when connections at rest are closed. It is pure: a Machine is a value,
-// the clock is passed in, and Step gives the next one.
+// Package lifecycle has the states of a node and what it owes its clients in each: whether it is ready for new connections,
+// whether responses close their connections, when idle connections are closed, and by when the last response is due.
+//
+// It is pure: a Machine is a value, the time is passed in, and Step returns the next Machine. The node (internal/node) holds
+// the present one, alone calls Step, and carries out what it says. Times are durations since one moment of the caller's
+// choosing, on a monotonic clock.
+//
+//	state           ready  entered by                              left by
+//	starting        no     (the zero Machine)                      Started, Terminate
+//	serving         yes    Started, InService                      OutOfService, Terminate
+//	out of service  no     OutOfService, or Started after it       InService, Terminate
+//	shutting down   no     Terminate                               never: the process ends
+//
+// An operator's OutOfService and InService are remembered in every state but shutting down: a node that is taken out of
+// service as it starts does not serve once it has started.
 package lifecycle
 
 import "time"
 
-// The front asks whether a node is ready every 100 ms, and deals it connections for up to 200 ms after a no; drained,
-// a node may hold no connection without a request 4 s after the call, nor one with a request of the last 2 s.
-const (
-	noticed  = 350 * time.Millisecond  // after this the front has seen a no and deals nothing more
-	sweep    = 1200 * time.Millisecond // from then on connections at rest are closed
-	atRest   = 250 * time.Millisecond  // how long a connection has to rest for that: a client sends as it connects
-	stopping = 450 * time.Millisecond  // the front still deals out connections so long after SIGTERM
-	last     = 900 * time.Millisecond  // what is left till the end can be forced when answers end their connections,
-	closing  = 750 * time.Millisecond  // when those at rest are closed,
-	answered = 150 * time.Millisecond  // and when the last answer is given
-)
-
 // Event is what happens to a node.
 type Event int
 
-// Events.
 const (
-	Started      Event = iota // it has all that it needs to serve
-	OutOfService              // by an operator's word
+	// Started: the node has all that it needs to serve.
+	Started Event = iota
+	// OutOfService: an operator has taken the node out of service. Its clients are sent away.
+	OutOfService
+	// InService: an operator has put the node back in service.
 	InService
-	Terminate // the process is to end
+	// Terminate: the process is to end.
+	Terminate
 )
 
+// state is where a node stands; the package comment has the transitions. Only Step changes it.
 type state int
 
 const (
-	starting state = iota
-	serving
-	drained
-	leaving
+	starting     state = iota // not ready yet
+	serving                   // ready
+	outOfService              // by an operator: it serves who is still connected
+	shuttingDown              // until HardDeadline
 )
 
-// Machine is where a node stands. The zero Machine is that of one that starts.
+// Machine is the state of a node. The zero Machine is that of one that starts.
 type Machine struct {
-	state state
-	since time.Duration // of drained and leaving
-	out   bool          // an operator has sent clients away
-	kill  time.Duration // leaving: the process may be ended by force from then on
-	heir  bool          // leaving: another process takes the new connections
+	state       state
+	since       time.Duration // when it went out of service or, if it was in service, began to shut down
+	isOut       bool          // what an operator said last
+	forcedEnd   time.Duration // shutting down: from then on the process may be killed
+	isSucceeded bool          // shutting down: another process of the node takes new connections
 }
 
-// Step gives the machine after an event. kill and heir are of Terminate: how long the process has, and whether
-// another process of the node takes the connections that come from now on.
-func (m Machine) Step(now time.Duration, e Event, kill time.Duration, heir bool) Machine {
-	switch {
-	case m.state == leaving:
-	case e == Terminate:
-		if m.state != drained {
-			m.since = now
-		}
-		m.state, m.kill, m.heir = leaving, now+kill, heir
-	case e == OutOfService:
-		if !m.out {
-			m.since = now
-		}
-		m.out = true
-		if m.state == serving {
-			m.state = drained
-		}
-	case e == InService:
-		m.out = false
-		if m.state == drained {
-			m.state = serving
-		}
-	case e == Started && m.state == starting:
-		m.state = serving
-		if m.out {
-			m.state = drained
-		}
+// Step returns the machine after an event. The last two arguments belong to Terminate: how long the process has until it may
+// be killed, and whether another process of the node takes the connections that come from now on.
+func (m Machine) Step(now time.Duration, event Event, remaining time.Duration, succeeded bool) Machine {
+	if m.state == shuttingDown {
+		return m // there is no way back
+	}
+	switch event {
+	case Started:
+		return m.started()
+	case OutOfService:
+		return m.takenOutOfService(now)
+	case InService:
+		return m.putInService()
+	case Terminate:
+		return m.terminated(now, remaining, succeeded)
 	}
 	return m
 }
 
-// Ready says what the front is told.
-func (m Machine) Ready() bool { return m.state == serving }
-
-// Running says that the process serves whoever comes: it has started and is not about to end.
-func (m Machine) Running() bool { return m.state == serving || m.state == drained }
-
-// ShuttingDown says that the process is to end.
-func (m Machine) ShuttingDown() bool { return m.state == leaving }
-
-// IsOutOfService says that an operator has sent clients away.
-func (m Machine) IsOutOfService() bool { return m.out }
-
-// EndsConnections says that answers end the connections that they are given on.
-func (m Machine) EndsConnections(now time.Duration) bool {
-	switch m.state {
-	case drained:
-		return now >= m.since+noticed
-	case leaving:
-		return m.heir || m.out && now >= m.since+noticed || now >= max(m.since+stopping, m.kill-last)
+func (m Machine) started() Machine {
+	if m.state != starting {
+		return m
+	}
+	m.state = serving
+	if m.isOut {
+		m.state = outOfService
 	}
-	return false
+	return m
 }
 
-// ClosesIdleConnections says that connections at rest are closed, and how long they have to have rested.
-func (m Machine) ClosesIdleConnections(now time.Duration) (rest time.Duration, yes bool) {
-	switch m.state {
-	case drained:
-		return atRest, now >= m.since+sweep
-	case leaving:
-		return atRest, m.out && now >= m.since+sweep || now >= m.kill-closing
+// takenOutOfService keeps the time of the first call: a second one must not put off what is owed.
+func (m Machine) takenOutOfService(now time.Duration) Machine {
+	if !m.isOut {
+		m.since = now
+	}
+	m.isOut = true
+	if m.state == serving {
+		m.state = outOfService
 	}
-	return 0, false
+	return m
 }
 
-// HardDeadline is when the last answer has to be given; 0: nothing ends.
-func (m Machine) HardDeadline() time.Duration {
-	if m.state != leaving {
-		return 0
+func (m Machine) putInService() Machine {
+	m.isOut = false
+	if m.state == outOfService {
+		m.state = serving
 	}
-	return m.kill - answered
+	return m
 }
 
-// StopsAt is how long a node that is to end still takes connections that the front deals out. One that has another
-// process beside it takes none, one that sent its clients away long ago has none to wait for.
-func (m Machine) StopsAt(now time.Duration) time.Duration {
-	switch {
-	case m.heir:
-		return 0
-	case m.out && now >= m.since+noticed:
-		return stopping
+// terminated keeps the time at which a node went out of service: its clients have been leaving since then.
+func (m Machine) terminated(now, remaining time.Duration, succeeded bool) Machine {
+	if m.state != outOfService {
+		m.since = now
 	}
-	return max(stopping, m.kill-closing-now)
+	m.state, m.forcedEnd, m.isSucceeded = shuttingDown, now+remaining, succeeded
+	return m
 }
+
+// Ready says whether new clients are to be sent to the node.
+func (m Machine) Ready() bool { return m.state == serving }
+
+// Running says whether the process serves whoever comes: it has started, and does not shut down.
+func (m Machine) Running() bool { return m.state == serving || m.state == outOfService }
+
+// ShuttingDown says whether the process is to end.
+func (m Machine) ShuttingDown() bool { return m.state == shuttingDown }
+
+// IsOutOfService says whether an operator has taken the node out of service.
+func (m Machine) IsOutOfService() bool { return m.isOut }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,70 +7,77 @@
 	"pgregory.net/rapid"
 )
 
-const kill = 3700 * time.Millisecond
+// untilKilled is how long a process has after SIGTERM.
+const untilKilled = 3700 * time.Millisecond
 
+// after is the Machine of a node that has had events at time 0.
 func after(events ...Event) Machine {
 	var m Machine
-	for _, e := range events {
-		m = m.Step(0, e, kill, false)
+	for _, event := range events {
+		m = m.Step(0, event, untilKilled, false)
 	}
 	return m
 }
 
+// Each row is a node some time after events, and what it owes: whether it is ready, whether responses close their
+// connections, and whether idle connections are closed.
 func TestWhatANodeOwes(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		name                string
-		m                   Machine
-		at                  time.Duration
-		ready, ends, sweeps bool
+		name                    string
+		machine                 Machine
+		at                      time.Duration
+		ready, ends, closesIdle bool
 	}{
 		{"starting", after(), 0, false, false, false},
 		{"serving", after(Started), time.Hour, true, false, false},
-		{"just drained", after(Started, OutOfService), 0, false, false, false},
+		{"just out of service", after(Started, OutOfService), 0, false, false, false},
 		{"the front has noticed", after(Started, OutOfService), 400 * ms, false, true, false},
-		{"well before 2 s", after(Started, OutOfService), 1300 * ms, false, true, true},
-		{"drained again later", after(Started, OutOfService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, true, true},
+		{"idle connections are closed", after(Started, OutOfService), 1300 * ms, false, true, true},
+		{"out of service twice", after(Started, OutOfService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, true, true},
 		{"back", after(Started, OutOfService, InService), 1300 * ms, true, false, false},
 		{"back twice", after(Started, OutOfService, InService, InService), 1300 * ms, true, false, false},
-		{"drained anew", after(Started, OutOfService, InService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, false, false},
-		{"drained as it starts", after(OutOfService, Started), 0, false, false, false},
-		{"told to end", after(Started, Terminate), 0, false, false, false},
-		{"in service again as it ends", after(Started, Terminate, InService), 0, false, false, false},
-		{"near its end", after(Started, Terminate), 2900 * ms, false, true, false},
-		{"at its end", after(Started, Terminate), 3000 * ms, false, true, true},
-		{"ends while drained", after(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
-		{"has an heir", after(Started).Step(0, Terminate, kill, true), 0, false, true, false},
+		{"out of service again", after(Started, OutOfService, InService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, false, false},
+		{"out of service as it starts", after(OutOfService, Started), 0, false, false, false},
+		{"terminated", after(Started, Terminate), 0, false, false, false},
+		{"in service again as it shuts down", after(Started, Terminate, InService), 0, false, false, false},
+		{"near its forced end", after(Started, Terminate), 2900 * ms, false, true, false},
+		{"nearer to its forced end", after(Started, Terminate), 3000 * ms, false, true, true},
+		{"terminated while out of service", after(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
+		{"terminated with a successor", after(Started).Step(0, Terminate, untilKilled, true), 0, false, true, false},
 	} {
-		_, sweeps := c.m.ClosesIdleConnections(c.at)
-		if c.m.Ready() != c.ready || c.m.EndsConnections(c.at) != c.ends || sweeps != c.sweeps {
-			t.Errorf("%s: ready %v, ends connections %v, sweeps %v", c.name, c.m.Ready(), c.m.EndsConnections(c.at), sweeps)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			ready, ends := c.machine.Ready(), c.machine.EndsConnections(c.at)
+			_, closesIdle := c.machine.ClosesIdleConnections(c.at)
+			if ready != c.ready || ends != c.ends || closesIdle != c.closesIdle {
+				t.Errorf("ready %v, ends connections %v, closes idle ones %v", ready, ends, closesIdle)
+			}
+		})
 	}
 }
 
-// Whatever is called in whatever order: the last of the two calls counts until the end, and there is no way back
-// from that.
+// Operators call in any order, at any state. Of OutOfService and InService the last one counts, until the shutdown begins;
+// from that there is no way back.
 func TestAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Machine
-		started, out, ended := false, false, false
+		started, out, terminated := false, false, false
 		for now := range time.Duration(30) {
-			e := Event(rapid.IntRange(0, 3).Draw(t, "event"))
-			m = m.Step(now*time.Second/4, e, kill, false)
-			switch e {
+			event := Event(rapid.IntRange(0, 3).Draw(t, "event"))
+			m = m.Step(now*time.Second/4, event, untilKilled, false)
+			switch event {
 			case Started:
 				started = true
 			case Terminate:
-				ended = true
+				terminated = true
 			default:
-				out = e == OutOfService
+				out = event == OutOfService
 			}
-			if m.Ready() != (started && !out && !ended) || m.ShuttingDown() != ended {
-				t.Fatalf("started %v, out %v, ended %v: %+v", started, out, ended, m)
+			if m.Ready() != (started && !out && !terminated) || m.ShuttingDown() != terminated {
+				t.Fatalf("started %v, out %v, terminated %v: %+v", started, out, terminated, m)
 			}
-			if cut := m.HardDeadline(); ended != (cut > 0) {
-				t.Fatalf("cutoff %v", cut)
+			if deadline := m.HardDeadline(); terminated != (deadline > 0) {
+				t.Fatalf("hard deadline %v", deadline)
 			}
 		}
 	})
--- a/internal/watchstream/watchstream.go
+++ b/internal/watchstream/watchstream.go
@@ -1,7 +1,7 @@
 // Package watchstream reads a watch: a stream of JSON objects of one type, each on one line or many, with empty lines
-// between them as heartbeats. It decides nothing: an object is returned whole, or there is an error that says whether it
-// was cut off, too large or not to be read. Internal/endpoints reads discovery's lists with it, internal/configwatch the
-// updates of a controller; each calls it from the goroutine of its watch.
+// between them as heartbeats. It decides nothing: an object is returned complete, or there is an error that says whether it
+// was truncated, too large or unreadable. internal/discoveryapi reads discovery's lists with it, internal/configwatch the
+// updates of a controller, each from the goroutine of its watch.
 package watchstream
 
 import (
@@ -12,11 +12,11 @@
 	"io"
 )
 
-// TruncatedError says that the stream ended within an object. Nothing that came before is in doubt.
+// TruncatedError says that the stream ended within an object. The objects that came before it are good.
 type TruncatedError struct{ Err error }
 
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("an object of a watch was cut short (%v): look at what lies between the two ends if it goes on", e.Err)
+	return fmt.Sprintf("an object of a watch was truncated (%v): look at what lies between the two ends if it goes on", e.Err)
 }
 
 // Unwrap returns how the stream ended.
@@ -32,43 +32,45 @@
 // Unwrap returns what is wrong with the text.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// TooLargeError makes an object unreadable: it has more bytes than the reader takes.
+// TooLargeError makes an object unreadable: it has more than Limit bytes.
 type TooLargeError struct{ Limit int }
 
 func (e TooLargeError) Error() string { return fmt.Sprintf("over %d bytes", e.Limit) }
 
-// Watchdog is told what is heard while objects are read. Its calls come from the goroutine that reads.
+// Watchdog observes what comes while objects are read, so that its owner can time out a stream that is silent, or that stalls
+// within an object. It is called from the goroutine that reads.
 type Watchdog interface {
-	Blank() // nothing but space, between two objects
-	Begun() // of an object, the first bytes
-	Part()  // more of it
+	Blank() // a heartbeat: nothing but space between two objects
+	Begun() // the first bytes of an object
+	Part()  // more bytes of an object
 }
 
-// Reader reads one object of type T after another from a stream.
+// Reader reads one object of type T after another from a stream. It is for one goroutine.
 type Reader[T any] struct {
 	in      *objectStream
 	decoder *json.Decoder
 	limit   int
 }
 
-// NewReader reads from r objects of at most limit bytes each. The Watchdog hears of all that comes.
+// NewReader reads from r objects of at most limit bytes each. The Watchdog observes all that comes.
 func NewReader[T any](r io.Reader, limit int, watchdog Watchdog) *Reader[T] {
 	in := &objectStream{in: r, watchdog: watchdog, limit: limit}
 	return &Reader[T]{in, json.NewDecoder(in), limit}
 }
 
-// Next is the next object, whole. io.EOF: the stream has ended between two.
+// Next returns the next object. The error is io.EOF where the stream has ended between two objects, a *TruncatedError where
+// it ended within one, an *UnreadableError, or the stream's own between two objects.
 func (r *Reader[T]) Next() (T, error) {
 	var object T
-	r.in.between, r.in.left = true, r.limit
-	if r.decoder.More() { // of it, something may be here already
-		r.in.enter()
+	r.in.between, r.in.remaining = true, r.limit
+	if r.decoder.More() { // its first bytes may have come with the object before
+		r.in.enterObject()
 	}
 	err := r.decoder.Decode(&object)
 	var failed *readError
 	switch {
 	case err == nil:
-	case errors.As(err, &failed): // the connection's own end, in the middle or not
+	case errors.As(err, &failed): // the stream's own error
 		if !r.in.between {
 			return object, &TruncatedError{failed.Err}
 		}
@@ -88,24 +90,25 @@
 
 func (e *readError) Error() string { return e.Err.Error() }
 
-// objectStream passes on what is read, but for space between two objects: that would pile up in the decoder while
-// nothing changes for days. Each object has so many bytes left.
+// objectStream passes on what it reads, but for space between two objects: heartbeats would pile up in the decoder while
+// nothing changes for days.
 type objectStream struct {
-	in       io.Reader
-	watchdog Watchdog
-	limit    int
-	between  bool
-	left     int
+	in        io.Reader
+	watchdog  Watchdog
+	limit     int
+	between   bool // no byte of the next object has come
+	remaining int  // bytes that the object may still have
 }
 
-func (s *objectStream) enter() {
+// enterObject notes that an object has begun.
+func (s *objectStream) enterObject() {
 	if s.between {
 		s.between = false
 		s.watchdog.Begun()
 	}
 }
 
-// Read reads for the decoder.
+// Read reads for the decoder. Errors other than io.EOF are of type *readError, to be told from those of the text.
 func (s *objectStream) Read(buf []byte) (int, error) {
 	for {
 		n, err := s.in.Read(buf)
@@ -115,13 +118,13 @@
 		}
 		switch {
 		case len(got) > 0 && s.between:
-			s.enter()
+			s.enterObject()
 		case len(got) > 0:
 			s.watchdog.Part()
 		case n > 0:
 			s.watchdog.Blank()
 		}
-		if s.left -= len(got); s.left < 0 {
+		if s.remaining -= len(got); s.remaining < 0 {
 			return 0, TooLargeError{s.limit}
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/watchstream/watchstream_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -10,34 +10,38 @@
 	"testing/iotest"
 )
 
+// limit is in bytes of an object.
 const limit = 1 << 10
 
+// object is what the streams of these tests are made of.
 type object struct {
 	Number int    `json:"number"`
 	Text   string `json:"text,omitempty"`
 }
 
-type counts struct{ blanks, begun, parts int }
+// countingWatchdog counts what it observes.
+type countingWatchdog struct{ blanks, begun, parts int }
 
-func (c *counts) Blank() { c.blanks++ }
-func (c *counts) Begun() { c.begun++ }
-func (c *counts) Part()  { c.parts++ }
+func (w *countingWatchdog) Blank() { w.blanks++ }
+func (w *countingWatchdog) Begun() { w.begun++ }
+func (w *countingWatchdog) Part()  { w.parts++ }
 
+// twoObjects is an object on one line and one on several, with heartbeats between.
 const twoObjects = "\n\n" + `{"number":1}` + "\n\r\n" + `{
   "number": 2,
   "text": "b\n{", "later": [1, {}]
 }` + "\n"
 
-// Objects on one line or many, in pieces of any size, are what they are; heartbeats are heard as such.
+// Objects on one line or many, in pieces of any size, are read alike; heartbeats are observed as such.
 func TestObjectsInAnyForm(t *testing.T) {
 	for name, in := range map[string]io.Reader{
-		"whole":            strings.NewReader(twoObjects),
+		"in one piece":     strings.NewReader(twoObjects),
 		"byte by byte":     iotest.OneByteReader(strings.NewReader(twoObjects)),
 		"halves":           iotest.HalfReader(strings.NewReader(twoObjects)),
 		"no last line end": strings.NewReader(strings.TrimSpace(twoObjects)),
 	} {
-		heard := &counts{}
-		r := NewReader[object](in, limit, heard)
+		observed := &countingWatchdog{}
+		r := NewReader[object](in, limit, observed)
 		first, firstErr := r.Next()
 		second, secondErr := r.Next()
 		_, end := r.Next()
@@ -50,32 +54,32 @@
 		if end != io.EOF {
 			t.Errorf("%s: ended with %v", name, end)
 		}
-		if heard.begun != 2 || name == "byte by byte" && heard.blanks != 6 {
-			t.Errorf("%s: heard %+v", name, heard)
+		if observed.begun != 2 || name == "byte by byte" && observed.blanks != 6 {
+			t.Errorf("%s: observed %+v", name, observed)
 		}
 	}
 }
 
-// What can't be taken says what it is.
-func TestFaults(t *testing.T) {
+// What is no object is told apart: whether it was truncated, is unreadable, or the stream ended between two objects.
+func TestErrors(t *testing.T) {
 	reset := errors.New("reset")
 	for name, c := range map[string]struct {
-		in              io.Reader
-		cut, unreadable bool
-		is              error
+		in                    io.Reader
+		truncated, unreadable bool
+		is                    error
 	}{
 		"another type":           {in: strings.NewReader(`{"number":"x"}`), unreadable: true},
-		"no object":              {in: strings.NewReader(`[1]`), unreadable: true},
-		"no JSON":                {in: strings.NewReader(`nonsense`), unreadable: true},
-		"a stray end":            {in: strings.NewReader(`]`), unreadable: true},
+		"not an object":          {in: strings.NewReader(`[1]`), unreadable: true},
+		"not JSON":               {in: strings.NewReader(`nonsense`), unreadable: true},
+		"a stray bracket":        {in: strings.NewReader(`]`), unreadable: true},
 		"too large":              {in: strings.NewReader(`{"text":"` + strings.Repeat("x", limit) + `"}`), unreadable: true, is: TooLargeError{limit}},
-		"cut within an object":   {in: strings.NewReader(`{"number":1,"te`), cut: true},
-		"reset within an object": {in: io.MultiReader(strings.NewReader(`{"number":1,`), iotest.ErrReader(reset)), cut: true, is: reset},
+		"end within an object":   {in: strings.NewReader(`{"number":1,"te`), truncated: true},
+		"reset within an object": {in: io.MultiReader(strings.NewReader(`{"number":1,`), iotest.ErrReader(reset)), truncated: true, is: reset},
 		"reset between objects":  {in: io.MultiReader(strings.NewReader("\n"), iotest.ErrReader(reset)), is: reset},
 		"ended between objects":  {in: strings.NewReader("\n"), is: io.EOF},
 	} {
-		_, err := NewReader[object](c.in, limit, &counts{}).Next()
-		if errors.As(err, new(*TruncatedError)) != c.cut || errors.As(err, new(*UnreadableError)) != c.unreadable {
+		_, err := NewReader[object](c.in, limit, &countingWatchdog{}).Next()
+		if errors.As(err, new(*TruncatedError)) != c.truncated || errors.As(err, new(*UnreadableError)) != c.unreadable {
 			t.Errorf("%s: %v", name, err)
 		}
 		if c.is != nil && !errors.Is(err, c.is) {
@@ -87,7 +91,7 @@
 // Objects that follow one another each have the whole limit, and space between them costs nothing of it.
 func TestEachObjectHasItsLimit(t *testing.T) {
 	text := `{"text":"` + strings.Repeat("x", limit/2) + `"}` + strings.Repeat("\n", 4*limit)
-	r := NewReader[object](iotest.HalfReader(strings.NewReader(strings.Repeat(text, 5))), limit, &counts{})
+	r := NewReader[object](iotest.HalfReader(strings.NewReader(strings.Repeat(text, 5))), limit, &countingWatchdog{})
 	for n := range 5 {
 		if _, err := r.Next(); err != nil {
 			t.Fatalf("object %d: %v", n, err)
@@ -101,7 +105,7 @@
 	f.Add([]byte(`{"number":1,`), 1)
 	f.Add([]byte("\n\n]"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		r := NewReader[object](&pieces{text, 1 + (piece&0x7fffffff)%7}, limit, &counts{})
+		r := NewReader[object](&pieces{text, 1 + (piece&0x7fffffff)%7}, limit, &countingWatchdog{})
 		for n := 0; ; n++ {
 			read, err := r.Next()
 			if err != nil {
@@ -111,7 +115,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			same, err := NewReader[object](bytes.NewReader(again), 8*limit, &counts{}).Next()
+			same, err := NewReader[object](bytes.NewReader(again), 8*limit, &countingWatchdog{}).Next()
 			if err != nil || same != read {
 				t.Fatalf("%+v became %+v, %v", read, same, err)
 			}
