--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,5 +1,6 @@
-// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard input, one reply for each
+// on standard output. It exits with 1, and says why on standard error, when the input can't be read or a Balancer's
+// settings are invalid.
 package main
 
 import (
@@ -20,45 +21,74 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written whole or not at all.
+// run serves batches until the input ends. A reply is written complete or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(in)
-	var reply bytes.Buffer
-	enc := simwire.NewEncoder(&reply)
-	hosted := map[int]*balancer.Balancer{}
-	var now time.Duration
+	decoder := simwire.NewDecoder(in)
+	h := newHost(out)
 	for {
-		m, err := dec.Next()
+		message, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
-		case simwire.Sync:
-			now = m.Now
-		case simwire.Hello:
-			b, err := balancer.New(m.Settings, m.Seed)
-			if err != nil {
-				return fmt.Errorf("instance %d: %w", m.Instance, err)
-			}
-			hosted[m.Instance] = b
-		case simwire.Stop:
-			delete(hosted, m.Instance)
-		case simwire.Event:
-			if b := hosted[m.Instance]; b != nil {
-				for _, a := range b.Handle(now, m.Event) {
-					enc.Action(m.Instance, a)
-				}
-			}
-		case simwire.End:
-			if err := enc.Flush(); err != nil {
-				return err
-			}
-			if _, err := reply.WriteTo(out); err != nil {
-				return err
+		if err := h.handle(message); err != nil {
+			return err
+		}
+	}
+}
+
+// host has the Balancers of the simulated instances and gives them their events.
+type host struct {
+	out       io.Writer
+	reply     *bytes.Buffer // of the batch in hand
+	encoder   *simwire.Encoder
+	balancers map[int]*balancer.Balancer // by instance
+	now       time.Duration              // of the batch in hand
+}
+
+func newHost(out io.Writer) *host {
+	reply := &bytes.Buffer{}
+	return &host{
+		out:       out,
+		reply:     reply,
+		encoder:   simwire.NewEncoder(reply),
+		balancers: map[int]*balancer.Balancer{},
+	}
+}
+
+// handle takes one message. Events for an instance that is not there are ignored.
+func (h *host) handle(message simwire.Message) error {
+	switch message.Kind {
+	case simwire.BatchStarted:
+		h.now = message.Now
+	case simwire.InstanceStarted:
+		b, err := balancer.New(message.Settings, message.Seed)
+		if err != nil {
+			return fmt.Errorf("instance %d: %w", message.Instance, err)
+		}
+		h.balancers[message.Instance] = b
+	case simwire.InstanceKilled:
+		delete(h.balancers, message.Instance)
+	case simwire.EventReceived:
+		if b := h.balancers[message.Instance]; b != nil {
+			for _, action := range b.Handle(h.now, message.Event) {
+				h.encoder.Action(message.Instance, action)
 			}
 		}
+	case simwire.Ignored:
+	case simwire.BatchEnded:
+		return h.sendReply()
+	}
+	return nil
+}
+
+// sendReply writes the reply to the batch in hand.
+func (h *host) sendReply() error {
+	if err := h.encoder.Flush(); err != nil {
+		return err
 	}
+	_, err := h.reply.WriteTo(h.out)
+	return err
 }
--- /dev/null
+++ b/internal/simwire/decoder.go
@@ -0,0 +1,277 @@
+package simwire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"hookwalk.example/hookwalk/balancer"
+)
+
+const (
+	readBufferBytes = 1 << 20 // holds most batches, which come at once
+	endpointLists   = 16      // lists that a batch may define, numbered from 0
+	maxQuotedBytes  = 40      // of an unknown name in an error
+	noInstance      = -1      // no message has named an instance yet
+)
+
+// Names of the messages on the wire.
+const (
+	nameBatchStart    = "sync"
+	nameBatchEnd      = "eob"
+	nameInstance      = "about"
+	nameList          = "list"
+	nameListItem      = "item"
+	nameHello         = "hello"
+	nameKilled        = "crash_now"
+	nameEndpoints     = "announce"
+	nameRequest       = "job_in"
+	nameTimer         = "ring"
+	nameAttemptEnded  = "outcome"
+	nameClientGone    = "timed_out_client"
+	nameStreamStarted = "flowing"
+	nameChecked       = "checked"
+	nameMail          = "mail"
+)
+
+// Modes of an announcement of endpoints.
+const (
+	endpointsChanged  = 0
+	endpointsComplete = 1
+	endpointsCached   = 2
+	watchFailed       = 3
+)
+
+// States of an endpoint.
+const (
+	stateDraining = 0
+	stateRemoved  = 1
+	stateReady    = 2
+)
+
+// clientRetryFlag is the bit in the flags of a request that marks it as a retry by its client.
+const clientRetryFlag = 2
+
+// Why a line can't be read where it stands.
+var (
+	errEndsInBatch    = errors.New("input ends inside a batch")
+	errNestedBatch    = errors.New("sync inside a batch")
+	errNoSettings     = errors.New("hello lacks its settings")
+	errListOutOfRange = errors.New("list number or length out of range")
+)
+
+// Decoder reads messages one at a time.
+type Decoder struct {
+	reader   *bufio.Reader
+	line     int // read so far
+	inBatch  bool
+	instance int // that messages are for
+	lists    [endpointLists][]balancer.Server
+}
+
+// NewDecoder returns a Decoder that reads r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), instance: noInstance}
+}
+
+// Next returns the next message. It returns io.EOF when the input ends between two batches, and a *LineError for anything
+// else that ends the input or can't be read.
+func (d *Decoder) Next() (Message, error) {
+	for {
+		text, err := d.readLine()
+		if err == io.EOF && !d.inBatch {
+			return Message{}, io.EOF
+		}
+		if err == io.EOF || err == io.ErrUnexpectedEOF {
+			return Message{}, &LineError{d.line + 1, errEndsInBatch}
+		}
+		if err != nil {
+			return Message{}, &LineError{d.line + 1, err}
+		}
+		if text == "" {
+			continue
+		}
+		message, complete, err := d.decode(text)
+		if err != nil {
+			return Message{}, &LineError{d.line, err}
+		}
+		if complete {
+			return message, nil
+		}
+	}
+}
+
+// readLine reads a line without its end. It returns io.EOF at the end of the input, io.ErrUnexpectedEOF inside a line.
+func (d *Decoder) readLine() (string, error) {
+	text, err := d.reader.ReadString('\n')
+	if err == io.EOF {
+		if text == "" {
+			return "", io.EOF
+		}
+		return "", io.ErrUnexpectedEOF
+	}
+	d.line++
+	return strings.TrimRight(text, "\r\n"), err
+}
+
+// decode reads one line; complete is false for lines that only say something of those that follow.
+func (d *Decoder) decode(text string) (message Message, complete bool, err error) {
+	name, values, _ := strings.Cut(text, "\t")
+	if name == nameBatchStart && d.inBatch {
+		return message, false, errNestedBatch
+	}
+	if name != nameBatchStart && !d.inBatch {
+		return message, false, fmt.Errorf("%s outside a batch", quote(name))
+	}
+	f := newFields(name, values)
+	switch name {
+	case nameBatchStart:
+		d.inBatch, d.instance = true, noInstance
+		return Message{Kind: BatchStarted, Instance: noInstance, Now: f.milliseconds(0)}, true, f.err
+	case nameBatchEnd:
+		d.inBatch = false
+		return Message{Kind: BatchEnded, Instance: d.instance}, true, nil
+	case nameInstance:
+		return message, false, d.readInstance(f)
+	case nameList:
+		return message, false, d.readList(f)
+	}
+	if d.instance < 0 {
+		return message, false, fmt.Errorf("%s before any about", quote(name))
+	}
+	message, err = d.decodeForInstance(f, values)
+	return message, true, err
+}
+
+// decodeForInstance reads a line that is for one instance.
+func (d *Decoder) decodeForInstance(f *fields, values string) (Message, error) {
+	message := Message{Kind: EventReceived, Instance: d.instance}
+	switch f.message {
+	case nameHello:
+		return d.decodeHello(values)
+	case nameKilled:
+		message.Kind = InstanceKilled
+	case nameChecked, nameMail:
+		message.Kind = Ignored
+	case nameEndpoints:
+		message.Event = d.decodeEndpoints(f)
+	case nameRequest:
+		message.Event = balancer.Request{
+			ID:          f.text(0),
+			Deadline:    f.milliseconds(1),
+			Class:       f.text(3),
+			ClientRetry: f.optionalInteger(4)&clientRetryFlag != 0,
+			Key:         f.optionalUint64(2),
+			HasKey:      f.optional(2) != "",
+		}
+	case nameTimer:
+		message.Event = balancer.TimerFired{Token: f.text(0)}
+	case nameAttemptEnded:
+		message.Event = balancer.AttemptEnded{
+			ID:          f.text(0),
+			Server:      f.text(1),
+			Latency:     f.milliseconds(2),
+			RequestDone: f.text(3) == "1",
+			Attempt:     f.integer(4),
+			Outcome:     f.outcome(5),
+		}
+	case nameClientGone:
+		message.Event = balancer.ClientGone{ID: f.text(0)}
+	case nameStreamStarted:
+		message.Event = balancer.ResponseStarted{ID: f.text(0), Attempt: f.integer(3)}
+	default:
+		return message, fmt.Errorf("unknown message %s", quote(f.message))
+	}
+	return message, f.err
+}
+
+// decodeHello reads the start of an instance: a seed, and the settings object, which may have tabs in it.
+func (d *Decoder) decodeHello(values string) (Message, error) {
+	seed, settings, ok := strings.Cut(values, "\t")
+	if !ok {
+		return Message{}, errNoSettings
+	}
+	f := newFields(nameHello, seed)
+	message := Message{Kind: InstanceStarted, Instance: d.instance, Seed: f.uint64(0)}
+	if f.err != nil {
+		return message, f.err
+	}
+	var err error
+	message.Settings, err = ParseSettings([]byte(settings))
+	return message, err
+}
+
+// decodeEndpoints reads an announcement, which refers to one of the batch's lists.
+func (d *Decoder) decodeEndpoints(f *fields) balancer.Event {
+	mode := f.integer(0)
+	switch mode {
+	case watchFailed:
+		return balancer.WatchFailed{}
+	case endpointsChanged, endpointsComplete, endpointsCached:
+		list := f.integer(1)
+		if f.err == nil && (list < 0 || list >= len(d.lists)) {
+			f.fail(1, "is no list number")
+		}
+		if f.err != nil {
+			return nil
+		}
+		return balancer.EndpointUpdate{
+			Complete: mode != endpointsChanged,
+			Cached:   mode == endpointsCached,
+			Servers:  d.lists[list],
+		}
+	default:
+		f.fail(0, "is no mode")
+		return nil
+	}
+}
+
+// readInstance reads which instance the next messages are for.
+func (d *Decoder) readInstance(f *fields) error {
+	instance := f.integer(0)
+	if f.err == nil && instance < 0 {
+		f.fail(0, "is negative")
+	}
+	d.instance = instance
+	return f.err
+}
+
+// readList reads a list of endpoints, whose items are the lines that follow.
+func (d *Decoder) readList(f *fields) error {
+	number, length := f.integer(0), f.integer(1)
+	if f.err != nil {
+		return f.err
+	}
+	if number < 0 || number >= len(d.lists) || length < 0 {
+		return errListOutOfRange
+	}
+	var servers []balancer.Server
+	for i := range length {
+		text, err := d.readLine()
+		if err != nil {
+			return fmt.Errorf("list ends after %d of %d items", i, length)
+		}
+		name, values, _ := strings.Cut(text, "\t")
+		if name != nameListItem {
+			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
+		}
+		item := newFields(name, values)
+		servers = append(servers, item.server())
+		if item.err != nil {
+			return item.err
+		}
+	}
+	d.lists[number] = servers
+	return nil
+}
+
+// quote quotes the beginning of a text of the input.
+func quote(text string) string {
+	if len(text) > maxQuotedBytes {
+		text = text[:maxQuotedBytes] + "..."
+	}
+	return strconv.Quote(text)
+}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -14,7 +14,7 @@
 // names. The golden file has the names of the published form, in the order of the fields.
 func TestGoldenSettings(t *testing.T) {
 	path := filepath.Join("testdata", "settings.json")
-	goldentest.Read[profile](t, path)
+	goldentest.Read[settingsObject](t, path)
 	got, err := ParseSettings(goldentest.Text(t, path))
 	want := balancer.Settings{Replicas: 2, ReplicaIndex: 1, Tier: 4, Zone: "north-a", TotalValueWeight: 0.25, WorstClassWeight: 0.75, ClientsMarkRetries: true,
 		MaxAttempts: 3, PollDiscovery: true, MaxPollInterval: 11 * time.Millisecond, Tick: 5 * time.Millisecond, SlowStartMinShare: 0.5,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,10 +11,10 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
+const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
-func all(t *testing.T, text string) ([]Message, error) {
+func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
 	var l []Message
@@ -31,19 +31,19 @@
 }
 
 func TestDecode(t *testing.T) {
-	l, err := all(t, sample)
+	l, err := decodeAll(t, sampleBatch)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Message{
-		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: balancer.EndpointUpdate{Complete: true, Cached: true,
+		{Kind: BatchStarted, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: EventReceived, Instance: 3, Event: balancer.EndpointUpdate{Complete: true, Cached: true,
 			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, StartTime: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true,
+		{Kind: EventReceived, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: balancer.AttemptEnded{ID: "id", Server: "s:1", RequestDone: true,
+		{Kind: EventReceived, Instance: 3, Event: balancer.AttemptEnded{ID: "id", Server: "s:1", RequestDone: true,
 			Latency: 18500 * time.Microsecond}},
-		{Kind: End, Instance: 3},
+		{Kind: BatchEnded, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
 		t.Fatalf("got %+v\nwant %+v", l, want)
@@ -63,13 +63,13 @@
 		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
 		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
 	} {
-		if _, err := all(t, text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := decodeAll(t, text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
 }
 
-func TestMarkedRepeatsArePassedOn(t *testing.T) {
+func TestClientsMarkRetries(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
 		if s, err := ParseSettings([]byte(text)); err != nil || s.ClientsMarkRetries != want {
 			t.Errorf("%s: MarksRepeats %v, %v", text, s.ClientsMarkRetries, err)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestUnknownEffectIsUnsafe(t *testing.T) {
+func TestUnknownEffectIsNonIdempotent(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
 	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
@@ -99,7 +99,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(sample)
+	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		d := NewDecoder(strings.NewReader(text))
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestPlacementAndOrderSettings(t *testing.T) {
+func TestPlacementOrderAndKeyZero(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},` +
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`))
 	if err != nil || s.KeyQuietPeriod != 40*time.Millisecond {
@@ -124,7 +124,7 @@
 	if b.OrderedByKey || b.AllowedKinds != nil || b.AllowedZones != nil {
 		t.Errorf("an absent list must set no bound: %+v", b)
 	}
-	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
+	l, err := decodeAll(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
 	if r := l[1].Event.(balancer.Request); err != nil || !r.HasKey || r.Key != 0 {
 		t.Errorf("key 0 was lost: %+v, %v", r, err)
 	}
