--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -7,13 +7,8 @@
 	"time"
 )
 
-func prefixes(list ...string) (all []netip.Prefix) {
-	for _, s := range list {
-		all = append(all, netip.MustParsePrefix(s))
-	}
-	return all
-}
-
+// Who is admitted: ranges of both address families, of IPv4 in IPv6, Deny before Allow, and clients whose
+// address is not known.
 func TestAccessListAllows(t *testing.T) {
 	none, some := &AccessList{}, &AccessList{Allow: prefixes("10.4.0.0/16", "fd00:12::/48"), Deny: prefixes("10.4.9.0/24")}
 	denies := &AccessList{Deny: prefixes("10.4.9.0/24", "::1/128")}
@@ -34,11 +29,13 @@
 			client = netip.MustParseAddr(c.client)
 		}
 		if got := c.lists.Allows(client); got != c.want {
-			t.Errorf("%+v lets %s in: %v", c.lists, c.client, got)
+			t.Errorf("%+v allows %s: %v", c.lists, c.client, got)
 		}
 	}
 }
 
+// Only a trusted proxy may name the clients of its connections: else anybody could choose the address by
+// which it is admitted.
 func TestAccessListTrustsProxy(t *testing.T) {
 	fronts := &AccessList{TrustedProxies: prefixes("127.0.0.2/32", "fd00::/64")}
 	for addr, want := range map[string]bool{"127.0.0.2": true, "::ffff:127.0.0.2": true, "127.0.0.1": false, "fd00::9": true, "fd01::9": false} {
@@ -51,18 +48,19 @@
 	}
 }
 
-// A stranger is denied before anything is learned of its request, also with an id that is in use.
+// A client outside the access list is denied before anything is learned of its request, also with an ID
+// that is in use.
 func TestClientsOutsideTheAccessListAreDenied(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: prefixes("10.4.0.0/16")} })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	friend := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
 	if acts := b.Handle(0, friend); len(sends(acts)) != 1 {
-		t.Errorf("a friend: %v", acts)
+		t.Errorf("an allowed client: %v", acts)
 	}
 	for _, id := range []string{"r", "s"} {
 		stranger := Request{ID: id, Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.5.0.1")}
 		if acts := b.Handle(0, stranger); !reflect.DeepEqual(acts, []Action{Deny{ID: id}}) {
-			t.Errorf("a stranger: %v", acts)
+			t.Errorf("a denied client: %v", acts)
 		}
 	}
 	if len(b.requests) != 1 || b.classes["pay"].arrivals != 1 {
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -8,9 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func completeList(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
-
-// What is out by hand stays out whatever discovery says, and comes back by one call however many took it out.
+// An operator disables a server. It stays disabled whatever discovery says, and is enabled by one call
+// however many disabled it.
 func TestOverrideOutlastsDiscovery(t *testing.T) {
 	boot := func(s Server, at time.Duration) Server { s.StartTime = at; return s }
 	gone, moved := servers(1)[0], servers(1)[0]
@@ -38,20 +37,21 @@
 				now := time.Duration(40+i) * time.Second
 				for _, s := range sends(b.Handle(now, newRequest(id, "get", now, time.Second))) {
 					if s.Server == "s00" {
-						t.Fatal("a server that is out got a request")
+						t.Fatal("a disabled server got a request")
 					}
-					endAttempt(b, now+msec, id, s, Success)
+					endAttempt(b, now+millisecond, id, s, Success)
 				}
 			}
 			b.Handle(100*time.Second, AdminOverride{Server: "s00"})
 			if b.IsDisabled("s00") || len(b.pools[0].ready) != 2 {
-				t.Error("one call did not put it back")
+				t.Error("one call did not enable it")
 			}
 		})
 	}
 }
 
-// Only listed servers and those that are out are known; nothing is remembered beyond the bound.
+// Only listed and disabled servers are known, and nothing is remembered beyond the bound: else wrong IDs
+// would fill the memory.
 func TestCheckOverride(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(MaxOverrides+2))
@@ -60,7 +60,7 @@
 	}
 	b.Handle(0, AdminOverride{Server: "nobody", Disabled: true})
 	if b.IsDisabled("nobody") {
-		t.Error("an unknown server was taken out")
+		t.Error("an unknown server was disabled")
 	}
 	for i := range MaxOverrides {
 		b.Handle(0, AdminOverride{Server: fmt.Sprintf("s%02d", i), Disabled: true})
@@ -70,20 +70,21 @@
 		t.Errorf("one more than can be remembered: %v", err)
 	}
 	b.Handle(0, AdminOverride{Server: "s00"})
-	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is cold still, and so remembered
-		t.Errorf("just after one came back: %v", err)
+	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is warming up, and so remembered
+		t.Errorf("just after one was enabled: %v", err)
 	}
 	b.Handle(b.settings.SlowStartDuration, TimerFired{})
 	if err := b.CheckOverride(over); err != nil {
-		t.Errorf("with one long back: %v", err)
+		t.Errorf("with one enabled long ago: %v", err)
 	}
 	b.Handle(b.settings.SlowStartDuration, EndpointUpdate{Complete: true})
 	if err := b.CheckOverride("s01"); err != nil {
-		t.Errorf("a server that is out and not listed any more: %v", err)
+		t.Errorf("a disabled server that is not listed any more: %v", err)
 	}
 }
 
-// Back is cold from the call; a boot before it, told later, changes nothing, one after it begins anew.
+// A server is enabled after repair, often right after its restart. It is warming up from the call on; a
+// start before the call, heard of later, changes nothing, one after it begins anew.
 func TestEnabledServerStartsSlowly(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
@@ -100,7 +101,7 @@
 		n.StartTime = c.boot
 		b.Handle(26*time.Second, EndpointUpdate{Servers: []Server{n}})
 		if s.startedAt() != c.start || s.consecutiveFailures != c.streak {
-			t.Errorf("told of a boot at %v: start %v, streak %d, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
+			t.Errorf("told of a start at %v: start %v, %d failures, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
 		}
 	}
 	b.Handle(27*time.Second, EndpointUpdate{Complete: true})
@@ -110,8 +111,8 @@
 	}
 }
 
-// A server that came back has a request within 5 s, though one comes a second and none may be sent twice; never two
-// at once.
+// Operators who enable a server wait to see it work. It has a request within 5 s, though one comes a second
+// and none may be sent twice; never two at once.
 func TestEnabledServerIsUsedInLightTraffic(t *testing.T) {
 	for seed := range uint64(40) {
 		b, err := New(testSettings(), seed)
@@ -128,7 +129,7 @@
 				if s.Server == "s03" && used == 0 {
 					used = now - 50*time.Second
 				}
-				endAttempt(b, now+10*msec, id, s, Success)
+				endAttempt(b, now+10*millisecond, id, s, Success)
 			}
 		}
 		if used == 0 || used > 3*time.Second {
@@ -137,7 +138,8 @@
 	}
 }
 
-// With every server out a request is refused at once, one that waits too, and told when to come back.
+// All servers are disabled. A request is rejected at once, one that waits too, and told when to come back:
+// nothing it could wait for will happen in time.
 func TestAllServersDisabled(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
@@ -146,17 +148,17 @@
 	if acts := b.Handle(0, newRequest("held", "pay", 0, time.Second)); len(sends(acts)) > 0 {
 		t.Fatal("it does not wait")
 	}
-	acts := b.Handle(msec, AdminOverride{Server: "s01", Disabled: true})
+	acts := b.Handle(millisecond, AdminOverride{Server: "s01", Disabled: true})
 	if len(acts) != 1 || acts[0].(Reject).ID != "held" || acts[0].(Reject).RetryAfter <= 0 {
-		t.Errorf("what waited: %v", acts)
+		t.Errorf("the queued request: %v", acts)
 	}
-	acts = b.Handle(2*msec, newRequest("r", "pay", 2*msec, time.Second))
+	acts = b.Handle(2*millisecond, newRequest("r", "pay", 2*millisecond, time.Second))
 	if len(acts) != 1 || acts[0].(Reject).RetryAfter <= 0 {
-		t.Errorf("what came: %v", acts)
+		t.Errorf("the next request: %v", acts)
 	}
 }
 
-// Whatever is said of servers by hand and by discovery in whatever order, nothing goes to one that is out, and a
+// Whatever operators and discovery say of servers in whatever order, nothing goes to a disabled one, and a
 // checkpoint in between changes nothing.
 func TestOverridesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -167,7 +169,7 @@
 		b.Handle(0, completeList(4))
 		out := map[string]bool{}
 		for i := range 60 {
-			now := time.Duration(i) * 200 * msec
+			now := time.Duration(i) * 200 * millisecond
 			id := fmt.Sprintf("s%02d", rapid.IntRange(0, 3).Draw(t, "server"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
@@ -191,86 +193,10 @@
 			default:
 				for _, s := range sends(b.Handle(now, newRequest(now.String(), "get", now, time.Second))) {
 					if out[s.Server] {
-						t.Fatalf("%s is out", s.Server)
+						t.Fatalf("%s is disabled", s.Server)
 					}
 				}
 			}
 		}
 	})
 }
-
-// What is passed on as it comes fills the window for nobody else: a body never, an answer from its beginning on. Its
-// end gives nothing back twice, and its latency is what the host saw.
-func TestStreamedMessagesLeaveTheWindow(t *testing.T) {
-	b := newBalancer(t, nil)
-	b.Handle(0, completeList(4))
-	p := b.pools[0]
-	up := newRequest("up", "pay", 0, time.Second)
-	up.StreamedBody = true
-	first := sends(b.Handle(0, up))
-	second := sends(b.Handle(0, newRequest("down", "pay", 0, time.Second)))
-	if p.inFlight != 1 {
-		t.Fatalf("%d in flight beside a body that comes", p.inFlight)
-	}
-	b.Handle(10*msec, ResponseStarted{ID: "down"})
-	b = restored(t, b.settings, b)
-	p = b.pools[0]
-	for i, id := range []string{"up", "down"} {
-		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].inFlightCount(); p.inFlight != 0 || calls == 0 {
-			t.Fatalf("%d in flight, %d at its server", p.inFlight, calls)
-		}
-		b.Handle(time.Minute, AttemptEnded{ID: id, Server: "s", Outcome: Success, Latency: 20 * msec, RequestDone: true})
-	}
-	if p.inFlight != 0 || b.classes["pay"].meanLatency > float64(time.Second) {
-		t.Errorf("%d in flight, mean latency %v", p.inFlight, time.Duration(b.classes["pay"].meanLatency))
-	}
-}
-
-// A process and its heir together send a cold server no more than one process would, within chance, each knowing what
-// is out, cold and draining.
-func TestSuccessorKeepsSlowStart(t *testing.T) {
-	cold := completeList(4)
-	cold.Servers[1].StartTime = 100 * time.Second
-	cold.Servers[2].State = Draining
-	begin := func(seed uint64) *Balancer {
-		b, err := New(testSettings(), seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Handle(99*time.Second, cold)
-		b.Handle(99*time.Second, AdminOverride{Server: "s03", Disabled: true})
-		return b
-	}
-	count := func(bs ...*Balancer) (n int) {
-		for i := range 2000 {
-			now, id, b := 100*time.Second+time.Duration(i)*msec, fmt.Sprint(i), bs[i%len(bs)]
-			for _, s := range sends(b.Handle(now, newRequest(id, "pay", now, time.Second))) {
-				switch s.Server {
-				case "s01":
-					n++
-				case "s02", "s03":
-					t.Fatalf("sent to %s", s.Server)
-				}
-				endAttempt(b, now, id, s, Success)
-			}
-		}
-		return n
-	}
-	alone, together := 0, 0
-	for seed := range uint64(10) {
-		alone += count(begin(seed))
-		b := begin(seed)
-		text, err := b.SuccessorState()
-		if err != nil {
-			t.Fatal(err)
-		}
-		heir, err := RestoreSuccessor(testSettings(), text, seed+100)
-		if err != nil {
-			t.Fatal(err)
-		}
-		together += count(b, heir)
-	}
-	if alone == 0 || float64(together) > 1.1*float64(alone) {
-		t.Errorf("sent %d together, %d alone", together, alone)
-	}
-}
--- /dev/null
+++ b/balancer/attempttimeout_test.go
@@ -0,0 +1,36 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A machine that is cut off takes requests and says nothing. What may be sent again must not wait there
+// until its time is up; what must never run twice has nothing else to wait for.
+func TestIdempotentAttemptsLeaveTimeForARetry(t *testing.T) {
+	for class, early := range map[string]bool{"get": true, "pay": false} {
+		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+		now := time.Duration(0)
+		send := func(id string) Send {
+			return sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second}))[0]
+		}
+		if s := send("first"); s.Timeout != time.Second {
+			t.Errorf("%s: waited for %v on an assumption, want to the deadline", class, s.Timeout)
+		}
+		for i := range 20 {
+			s := send(fmt.Sprint(i))
+			now += 20 * millisecond
+			endAttempt(b, now, s.ID, s, Success)
+		}
+		s := send("cut off")
+		if got := s.Timeout < 500*millisecond; got != early {
+			t.Fatalf("%s: waited for %v of a second, answers take 20 ms", class, s.Timeout)
+		}
+		now += s.Timeout
+		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); early && (len(next) != 1 || next[0].Server == s.Server) {
+			t.Errorf("%s: %v after the time-out, want one send to another server", class, next)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/capacity_test.go
@@ -0,0 +1,73 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A rejection tells of a queue at one moment. A server that goes on answering with all the attempts that it
+// then had must be given more again, or those that never rejected take all the load.
+func TestCapacityLimitGrowsWithAnswers(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	b.now = 20 * millisecond
+	s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
+	s.inFlight = callsInFlight(2)
+	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Overloaded})
+	if b.capacityLimit(s) != 2 {
+		t.Fatalf("a limit of %d attempts after a rejection at 2", b.capacityLimit(s))
+	}
+	s.inFlight = nil // both are answered, the second with the server idle but for it
+	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
+	if b.capacityLimit(s) != 2 {
+		t.Errorf("a limit of %d attempts after an answer below the limit, want 2", b.capacityLimit(s))
+	}
+	for n := 1; n < 4; n++ {
+		s.inFlight = callsInFlight(n)
+		b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
+	}
+	if got := b.capacityLimit(s); got != 5 {
+		t.Errorf("a limit of %d attempts after three answers at the limit, want 5", got)
+	}
+}
+
+// Connection tables filled by other replicas reject at once, and so look idle. A server that rejected gets
+// no more own attempts than it had, however many others reject too, and is tried again later.
+func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(10)})
+	drawFromAll(b)
+	b.classes["get"].samples = 1 / sampleWeight // its answers took a quarter of the objective until now
+	now, id := millisecond, 0
+	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
+	refused := func(n int) (count int) {
+		for range n {
+			now += 5 * millisecond
+			id++
+			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			for try := 0; len(todo) > 0; try++ {
+				end := Success
+				if full[todo[0].Server] {
+					end = Unreachable
+					count++
+				}
+				now += 2 * millisecond
+				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
+					Outcome: end, RequestDone: end == Success}))
+			}
+		}
+		return count
+	}
+	first := refused(20)
+	if first < 5 {
+		t.Fatalf("only %d rejections, want the full servers found", first)
+	}
+	if got := refused(20); got > first/2 {
+		t.Errorf("%d rejections after %d: full servers are still drawn", got, first)
+	}
+	now += time.Minute
+	if refused(20) == 0 {
+		t.Error("full servers were never tried again")
+	}
+}
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -9,14 +10,9 @@
 	"time"
 )
 
-// timed is an event with its clock time.
-type timed struct {
-	at time.Duration
-	e  Event
-}
-
-// A Balancer that is made anew from checkpoints, again and again in the middle of random events, does just what one
-// does that runs through.
+// A capture begins with a checkpoint, and its replay with what is restored. A Balancer that is made anew
+// from checkpoints, again and again in the middle of random events, does just what one does that runs
+// through.
 func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		set := ruleSettings()
@@ -25,18 +21,18 @@
 			set.FaultInjections = ruleFaultInjections
 		}
 		c := newChecker(set)
-		c.keep = true
+		c.keepEvents = true
 		want, _ := run(t, set, seed, 3000, c)
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []string
-		for i, s := range c.seen {
+		for i, s := range c.events {
 			if i%37 == 0 {
 				b = restored(t, set, b)
 			}
-			for _, a := range b.Handle(s.at, s.e) {
+			for _, a := range b.Handle(s.at, s.event) {
 				got = append(got, fmt.Sprintf("%v %T%v", s.at, a, a))
 			}
 		}
@@ -69,7 +65,8 @@
 	return n
 }
 
-// Whoever adds a field must say here that the checkpoint has it, or that it need not.
+// A field that a checkpoint lacks is lost without an error. Whoever adds a field must say here that the
+// checkpoint has it, or that it need not.
 func TestCheckpointKnowsEveryField(t *testing.T) {
 	for v, want := range map[any]int{&Balancer{}: 22, &pool{}: 19, &keyQueue{}: 3, &class{}: 8, &server{}: 13,
 		&request{}: 15, &attempt{}: 10, &faultInjector{}: 4} {
@@ -79,6 +76,8 @@
 	}
 }
 
+// A damaged checkpoint, or one of other settings, must be an error by which the caller knows it, never a
+// Balancer in an odd state.
 func TestInvalidCheckpointsAreRejected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
@@ -93,13 +92,13 @@
 		if broken == string(text) {
 			t.Errorf("no %s in %s", change[0], text)
 		}
-		if _, err := Restore(testSettings(), []byte(broken)); err == nil {
-			t.Errorf("with %s for %s it was taken", change[1], change[0])
+		if _, err := Restore(testSettings(), []byte(broken)); !errors.Is(err, ErrInvalidCheckpoint) {
+			t.Errorf("with %s for %s it gave %v", change[1], change[0], err)
 		}
 	}
 	set := testSettings()
 	set.Classes = set.Classes[:1]
-	if _, err := Restore(set, text); err == nil {
-		t.Error("other settings took it")
+	if _, err := Restore(set, text); !errors.Is(err, ErrInvalidCheckpoint) {
+		t.Errorf("with other settings it gave %v", err)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// A Balancer and its host: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, DedupScope: balancer.ScopeAll,
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// payDrill is a drill of class pay named stall, with what d says beside.
+// payFault is a fault injection of class pay named stall, with what f says beside.
 func payFault(d FaultInjection) []FaultInjection {
 	d.Name, d.Duration = "stall", time.Minute
 	if d.Class == "" {
@@ -16,7 +16,7 @@
 	return []FaultInjection{d}
 }
 
-// drilling is a Balancer with servers and the drill running from time 0.
+// withFaultInjection is a Balancer with servers and the fault injection active from time 0.
 func withFaultInjection(t *testing.T, d FaultInjection) *Balancer {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(d) })
@@ -25,16 +25,14 @@
 	return b
 }
 
-func newRequest(id, class string, now, budget time.Duration) Request {
-	return Request{ID: id, Class: class, Deadline: now + budget}
-}
-
+// A fault injection hits its share of its class, and no other class: operators who test one class must not
+// hurt others.
 func TestFaultInjectionTakesItsShareOfItsClass(t *testing.T) {
 	b := withFaultInjection(t, FaultInjection{Percent: 10})
 	marked := map[string]int{}
 	for i := range 1000 {
 		for _, class := range []string{"pay", "get"} {
-			now, id := time.Duration(i)*msec, fmt.Sprint(class, i)
+			now, id := time.Duration(i)*millisecond, fmt.Sprint(class, i)
 			acts := b.Handle(now, newRequest(id, class, now, time.Second))
 			if d, ok := acts[0].(FaultInjected); ok {
 				if d.FaultInjection != "stall" || d.ID != id {
@@ -52,14 +50,15 @@
 	}
 }
 
-// What a drill draws must not shift the draws of the requests around it: with nothing but marks, all else stays.
+// What a fault injection draws must not shift the draws of the requests around it: with nothing but marks,
+// all else stays.
 func TestFaultInjectionLeavesOrdinaryDrawsAlone(t *testing.T) {
 	play := func(drills []FaultInjection) (rest []Action) {
 		b := newBalancer(t, func(s *Settings) { s.FaultInjections = drills })
 		acts := b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 		acts = append(acts, b.Handle(0, StartFaultInjection{Name: "stall"})...)
 		for i := range 300 {
-			now, id := time.Duration(i)*msec, fmt.Sprint("r", i)
+			now, id := time.Duration(i)*millisecond, fmt.Sprint("r", i)
 			acts = append(acts, b.Handle(now, newRequest(id, []string{"pay", "get"}[i%2], now, time.Second))...)
 			for _, s := range sends(acts[len(acts)-1:]) {
 				if i%5 > 0 {
@@ -76,11 +75,11 @@
 	}
 	want := play(nil)
 	if got := play(payFault(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
-		t.Error("a drill without delay changed what was done")
+		t.Error("a fault injection without delay changed what was done")
 	}
 }
 
-// delayed gives a drilled request to a Balancer and returns the timer that ends its delay.
+// delayed gives a request to a Balancer that delays it, and returns the timer that ends its delay.
 func delayed(t *testing.T, b *Balancer, now time.Duration, r Request) SetTimer {
 	t.Helper()
 	acts := b.Handle(now, r)
@@ -90,17 +89,18 @@
 	return acts[1].(SetTimer)
 }
 
+// A delayed request is sent when its timer is due, not when the timer fires early, and once.
 func TestDelayEndsWithItsTimer(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
-	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*msec))
-	if w.At != 300*msec {
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
+	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
+	if w.At != 300*millisecond {
 		t.Errorf("delayed until %v", w.At)
 	}
-	if acts := b.Handle(100*msec, TimerFired{Token: w.Token}); len(acts) != 1 || acts[0] != Action(w) {
+	if acts := b.Handle(100*millisecond, TimerFired{Token: w.Token}); len(acts) != 1 || acts[0] != Action(w) {
 		t.Errorf("a timer that came early led to %v, want another", acts)
 	}
 	acts := b.Handle(w.At, TimerFired{Token: w.Token})
-	if s := sends(acts); len(s) != 1 || s[0].Timeout != 1200*msec {
+	if s := sends(acts); len(s) != 1 || s[0].Timeout != 1200*millisecond {
 		t.Errorf("after the delay: %v", acts)
 	}
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 {
@@ -108,24 +108,26 @@
 	}
 }
 
-// A delay that would use up the client's time ends while an answer can still come.
+// A delay that would use up the client's time ends while an answer can still come: an injected delay must
+// not become a failure.
 func TestDelayIsLimitedByTheDeadline(t *testing.T) {
 	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: time.Hour})
-	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*msec))
-	if left := 1500*msec - w.At; left < b.classes["pay"].latencyBound(2) || w.At < 500*msec {
+	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
+	if left := 1500*millisecond - w.At; left < b.classes["pay"].latencyBound(2) || w.At < 500*millisecond {
 		t.Errorf("delayed until %v of 1500ms", w.At)
 	}
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(sends(acts)) != 1 {
 		t.Errorf("after the delay: %v", acts)
 	}
-	acts := b.Handle(time.Second, newRequest("short", "pay", time.Second, 100*msec))
+	acts := b.Handle(time.Second, newRequest("short", "pay", time.Second, 100*millisecond))
 	if len(acts) != 2 || len(sends(acts)) != 1 {
 		t.Errorf("with no time for a delay: %v, want a mark and a send", acts)
 	}
 }
 
+// An injected error is answered at once, with Retry-After for a 503, and nothing of the request is kept.
 func TestAbortIsAnsweredAtOnce(t *testing.T) {
-	for status, advice := range map[int]time.Duration{503: 50 * msec, 500: 0} {
+	for status, advice := range map[int]time.Duration{503: 50 * millisecond, 500: 0} {
 		b := withFaultInjection(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
 		want := []Action{FaultInjected{ID: "r", FaultInjection: "stall"}, Abort{ID: "r", Status: status, RetryAfter: advice}}
 		if acts := b.Handle(0, newRequest("r", "pay", 0, time.Second)); !reflect.DeepEqual(acts, want) {
@@ -137,6 +139,8 @@
 	}
 }
 
+// A fault injection runs only when it was started by its name, and ends by itself a while after the last
+// start: a forgotten one must not go on.
 func TestFaultInjectionEndsAndRestarts(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Percent: 100, AbortStatus: 500}) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -160,29 +164,31 @@
 	}
 }
 
+// A client leaves while its request is delayed: nothing is sent, and nothing of it is kept.
 func TestClientGoneEndsItsDelay(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	w := delayed(t, b, 0, newRequest("r", "pay", 0, time.Second))
-	b.Handle(10*msec, ClientGone{ID: "r"})
+	b.Handle(10*millisecond, ClientGone{ID: "r"})
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.faults.delayed) != 0 {
 		t.Errorf("it left, and yet: %v", acts)
 	}
 }
 
-// A node that is about to stop sends what a drill delayed at once, in order, and drills nothing more.
+// A node that shuts down sends what is delayed at once, in order, and injects nothing more: its last
+// seconds are for answers.
 func TestShutdownEndsFaultInjection(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * msec})
+	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	delayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
-	delayed(t, b, msec, newRequest("2", "pay", 0, time.Second))
-	if s := sends(b.Handle(2*msec, ShuttingDown{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
+	delayed(t, b, millisecond, newRequest("2", "pay", 0, time.Second))
+	if s := sends(b.Handle(2*millisecond, ShuttingDown{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
 		t.Errorf("sent %v", s)
 	}
-	b.Handle(3*msec, StartFaultInjection{Name: "stall"})
-	if acts := b.Handle(4*msec, newRequest("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
+	b.Handle(3*millisecond, StartFaultInjection{Name: "stall"})
+	if acts := b.Handle(4*millisecond, newRequest("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
 		t.Errorf("after that: %v", acts)
 	}
 	plain := newBalancer(t, nil)
 	if acts := plain.Handle(0, ShuttingDown{}); len(acts) != 0 {
-		t.Errorf("without drills: %v", acts)
+		t.Errorf("without fault injections: %v", acts)
 	}
 }
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// On an expired list nothing is sent, neither first nor again: what waits and what comes is answered at once, as a refusal
-// where it may be said that a retry does no harm. Before there is a list its arrival is waited for.
+// Discovery is away for so long that the lease on the list expires; servers may have left it meanwhile.
+// Nothing is sent, neither first nor again: what waits and what comes is answered at once, as a rejection
+// where a retry does no harm. Before there is a list its arrival is waited for.
 func TestExpiredList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointLease{Expired: true})
@@ -19,7 +20,7 @@
 	b.Handle(0, EndpointLease{})
 	for _, id := range []string{"ran", "unsent"} {
 		if out := b.Handle(0, Request{ID: id, Class: "pay", Deadline: time.Second}); len(sends(out)) != 1 {
-			t.Fatalf("on a list that counts: %v", out)
+			t.Fatalf("on a list with a lease: %v", out)
 		}
 	}
 	b.Handle(0, EndpointLease{Expired: true})
@@ -37,20 +38,6 @@
 	}
 	b.Handle(0, EndpointLease{})
 	if out := b.Handle(0, Request{ID: "again", Class: "pay", Deadline: time.Second}); len(sends(out)) != 1 {
-		t.Errorf("once the list counts again: %v", out)
+		t.Errorf("once the lease is renewed: %v", out)
 	}
 }
-
-// sentTo is the server of a request's one attempt.
-func sentTo(b *Balancer, id string) string { return b.requests[id].attempts[0].server.ID }
-
-// finalAnswer is the first of a list of actions that ends a request, nil if none does.
-func finalAnswer(out []Action) Action {
-	for _, a := range out {
-		switch a.(type) {
-		case Reject, Fail:
-			return a
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,182 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A server that fails at once drains its count, and so would win every draw and fail most requests. It must
+// be ejected, whatever the kind of failure.
+func TestFastErrorsAreEjected(t *testing.T) {
+	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
+		b := newBalancer(t, nil)
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
+		drawFromAll(b)
+		got := traffic(b, 600, "get", func(s string) Outcome {
+			if s == "s03" {
+				return e
+			}
+			return Success
+		})
+		if got["s03"] > 10 {
+			t.Errorf("outcome %d: the bad server got %d of 300 first tries", e, got["s03"])
+		}
+	}
+}
+
+// In a chain of tiers a single error is mostly passed on from below: ejecting the server for it takes the
+// capacity of a sound one away. Several in a row while its peers serve, or a time-out, tell of the server.
+func TestOneErrorDoesNotEject(t *testing.T) {
+	for _, tc := range []struct {
+		endings []Outcome
+		ejected bool
+	}{{[]Outcome{Failure}, false}, {[]Outcome{ConnectionLost}, false}, {[]Outcome{Failure, Success, Failure}, false},
+		{[]Outcome{Failure, Failure, Failure}, true}, {[]Outcome{TimedOut}, true}} {
+		b := newBalancer(t, nil)
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+		b.now = 20 * millisecond // what each attempt takes
+		s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
+		for _, e := range tc.endings {
+			for i := range 9 {
+				b.recordOutcome(&attempt{request: r, server: b.pools[0].ready[1+i%3]}, AttemptEnded{Outcome: Success})
+			}
+			b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: e})
+		}
+		if got := s.ejectedUntil > b.now; got != tc.ejected {
+			t.Errorf("after outcomes %v: ejected %v, want %v", tc.endings, got, tc.ejected)
+		}
+	}
+}
+
+// In a list so short that the share that may be excluded rounds to nothing, one bad server must still be
+// left out.
+func TestOneOfFourIsEjected(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	got := traffic(b, 600, "get", func(s string) Outcome {
+		if s == "s03" {
+			return Failure
+		}
+		return Success
+	})
+	if got["s03"] > 10 {
+		t.Errorf("the bad server got %d of 600 first tries", got["s03"])
+	}
+}
+
+// When every server fails alike the fault is below them. Ejecting them all would leave nobody to serve what
+// still can be.
+func TestFailuresEverywhereEjectFew(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
+	drawFromAll(b)
+	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
+	if len(got) < 8 {
+		t.Errorf("only %d of 10 servers are still used", len(got))
+	}
+}
+
+// A machine that hangs shows nothing but an old unanswered attempt while others answer. Until its time-outs
+// end it must not be sent request after request.
+func TestUnresponsiveServerIsPassedOver(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
+	drawFromAll(b)
+	stuck, now := 0, time.Duration(0)
+	for i := range 600 {
+		id := fmt.Sprint(i)
+		now += 20 * millisecond
+		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
+			if s.Server == "s03" {
+				stuck++
+			} else {
+				endAttempt(b, now+10*millisecond, id, s, Success)
+			}
+		}
+	}
+	if stuck == 0 || stuck > 6 {
+		t.Errorf("the unresponsive server holds %d calls", stuck)
+	}
+}
+
+// After an ejection the server may still be bad. The request that finds out must not be one that can't be
+// repeated, while others come.
+func TestProbationRequestIsIdempotentWherePossible(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
+	drawFromAll(b)
+	s := b.servers["s03"]
+	s.ejectionLevel = 1
+	for range 100 {
+		s.ejectedUntil = b.now // the ejection has just ended
+		traffic(b, 2, "pay", func(string) Outcome { return Success })
+		if s.consecutiveSuccesses > 0 {
+			t.Fatal("a server on probation got a non-idempotent request")
+		}
+	}
+	drawFromAll(b)
+	if got := traffic(b, 400, "get", func(string) Outcome { return Success }); got["s03"] == 0 {
+		t.Error("the server was never tried again")
+	}
+}
+
+// Where only non-idempotent requests come, one of them must be the probation request after an ejection:
+// else the server is out for good.
+func TestNonIdempotentRequestsEndAnEjection(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
+	drawFromAll(b)
+	b.servers["s03"].ejectionLevel, b.servers["s03"].ejectedUntil = 1, time.Second
+	got := map[string]int{}
+	for i := range 400 {
+		now := time.Second + time.Duration(i)*20*millisecond
+		id := fmt.Sprint(i)
+		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))[0]
+		if now < 1100*millisecond && s.Server == "s03" {
+			t.Fatalf("a non-idempotent probation request at %v, when an idempotent one might still come", now)
+		}
+		got[s.Server]++
+		endAttempt(b, now+10*millisecond, id, s, Success)
+	}
+	if got["s03"] < 40 {
+		t.Errorf("requests by server: %v", got)
+	}
+}
+
+// In an overload attempts time out at every server, and all look bad. The more load is shed, the fewer
+// servers may be excluded for their health: excluding them would make the overload worse.
+func TestSheddingLeavesMoreServersIn(t *testing.T) {
+	for _, c := range []struct {
+		shed float64
+		want int
+	}{{0, 4}, {0.5, 2}, {0.9, 1}} {
+		b := newBalancer(t, nil)
+		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(20)})
+		for _, s := range b.pools[0].ready[:10] {
+			s.ejectedUntil = time.Minute
+		}
+		b.pools[0].shedShare = c.shed
+		out := 0
+		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready) {
+			if o {
+				out++
+			}
+		}
+		if out != c.want {
+			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, out, c.want)
+		}
+	}
+}
+
+// A dead server fills a short list's window with attempts that nobody answers, so that load is shed. That
+// must not bring the dead server back into the draw.
+func TestSheddingKeepsADeadServerOut(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
+	b.pools[0].ready[2].ejectedUntil = time.Minute
+	b.pools[0].shedShare = 0.6
+	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready); fmt.Sprint(out) != "[false false true false]" {
+		t.Errorf("excluded %v, want the third alone", out)
+	}
+}
--- a/balancer/retune_test.go
+++ b/balancer/settingschange_test.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// A request keeps the effect and the most attempts that it came with, whatever its class becomes; the next has the
-// new ones. A checkpoint in the middle changes nothing.
+// Settings change while requests are open. A request keeps the effect and the number of attempts that it
+// came with, whatever its class becomes: else one that must not run twice might be sent again. The next has
+// the new ones. A checkpoint in between changes nothing.
 func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	unsafe := func(s *Settings) { s.Classes[0].Effect = NonIdempotent }
 	for name, c := range map[string]struct {
 		change     func(*Settings)
-		rules      int // that the request's front knew
+		rules      int // that the request's ingress had seen
 		before     bool
 		old, fresh bool // whether an attempt that may have run is followed by another
 	}{
-		"another effect":          {unsafe, 1, true, true, false},
-		"front not told yet":      {unsafe, 0, true, true, true},
-		"fewer attempts":          {func(s *Settings) { s.MaxAttempts = 1 }, 1, true, true, false},
-		"dropped":                 {func(s *Settings) { s.Classes = s.Classes[1:] }, 1, true, true, false},
-		"dropped, front not told": {func(s *Settings) { s.Classes = s.Classes[1:] }, 0, true, true, true},
-		"unsound":                 {func(s *Settings) { s.Classes[0].Deadline = 0 }, 0, false, true, true},
-		"the same":                {func(*Settings) {}, 1, true, true, true},
+		"another effect":                {unsafe, 1, true, true, false},
+		"ingress not notified yet":      {unsafe, 0, true, true, true},
+		"fewer attempts":                {func(s *Settings) { s.MaxAttempts = 1 }, 1, true, true, false},
+		"dropped":                       {func(s *Settings) { s.Classes = s.Classes[1:] }, 1, true, true, false},
+		"dropped, ingress not notified": {func(s *Settings) { s.Classes = s.Classes[1:] }, 0, true, true, true},
+		"invalid":                       {func(s *Settings) { s.Classes[0].Deadline = 0 }, 0, false, true, true},
+		"the same":                      {func(*Settings) {}, 1, true, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer(t, nil)
@@ -29,22 +30,24 @@
 			first := sends(b.Handle(0, newRequest("old", "get", 0, time.Second)))
 			set := testSettings()
 			c.change(&set)
-			b.Handle(msec, SettingsChanged{Settings: set})
+			b.Handle(millisecond, SettingsChanged{Settings: set})
 			b = restored(t, b.settings, b)
-			if got := len(sends(endAttempt(b, 2*msec, "old", first[0], Failure))) > 0; got != c.old {
+			if got := len(sends(endAttempt(b, 2*millisecond, "old", first[0], Failure))) > 0; got != c.old {
 				t.Errorf("the open request was sent again: %v", got)
 			}
-			r := newRequest("new", "get", 3*msec, time.Second)
+			r := newRequest("new", "get", 3*millisecond, time.Second)
 			r.SettingsVersion = c.rules
-			second := sends(b.Handle(3*msec, r))
-			if got := len(sends(endAttempt(b, 4*msec, "new", second[0], Failure))) > 0; got != c.fresh {
+			second := sends(b.Handle(3*millisecond, r))
+			if got := len(sends(endAttempt(b, 4*millisecond, "new", second[0], Failure))) > 0; got != c.fresh {
 				t.Errorf("the next request was sent again: %v", got)
 			}
 		})
 	}
 }
 
-// Classes that stay keep what was learned of them; one of other rules keeps how long its work takes.
+// A change of settings must not make the node forget how long work takes: it would time out or shed wrongly
+// until it has learned again. Classes that stay keep what was learned; one with other settings keeps how
+// long its work takes.
 func TestSettingsChangeKeepsWhatWasLearned(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(4))
@@ -68,7 +71,8 @@
 	}
 }
 
-// A request that waits in a pool of which the new settings have nothing is placed when there is room.
+// A request waits in a pool that the new settings no longer have. It must still be sent when the pool's
+// attempt ends.
 func TestQueuedInAPoolThatIsGone(t *testing.T) {
 	bound := func(s *Settings) { s.Classes[0].AllowedZones = []string{"z"} }
 	b := newBalancer(t, bound)
@@ -76,9 +80,9 @@
 	b.pools[0].window = 1
 	first := sends(b.Handle(0, newRequest("first", "get", 0, time.Second)))
 	b.Handle(0, newRequest("held", "get", 0, time.Second))
-	b.Handle(msec, SettingsChanged{Settings: testSettings()})
+	b.Handle(millisecond, SettingsChanged{Settings: testSettings()})
 	b = restored(t, b.settings, b)
-	if got := sends(endAttempt(b, 2*msec, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
+	if got := sends(endAttempt(b, 2*millisecond, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
 		t.Errorf("sent %v", got)
 	}
 }
--- /dev/null
+++ b/balancer/validate_test.go
@@ -0,0 +1,35 @@
+package balancer
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Whoever wrote a wrong setting must find it by the error, and what to do about it.
+func TestSettingsErrorsNameTheField(t *testing.T) {
+	for want, change := range map[string]func(*Settings){
+		"Classes is empty":  func(s *Settings) { s.Classes = nil },
+		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
+		"Classes[1] (post)": func(s *Settings) { s.Classes[1].DedupWindow = -1 },
+		"ColdFrom":          func(s *Settings) { s.SlowStartMinShare = 1.5 },
+		"WarmAfter":         func(s *Settings) { s.SlowStartDuration = -1 },
+		"LateShare":         func(s *Settings) { s.Classes[0].LateCredit = 2 },
+		"Drills[0].Name":    func(s *Settings) { s.FaultInjections = []FaultInjection{{Class: "get", Duration: 1}} },
+		"Drills[1].Name":    func(s *Settings) { s.FaultInjections = slices.Repeat(payFault(FaultInjection{}), 2) },
+		"Class \"gone\"":    func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Class: "gone"}) },
+		"AbortStatus":       func(s *Settings) { s.FaultInjections = payFault(FaultInjection{AbortStatus: 200}) },
+	} {
+		s := testSettings()
+		change(&s)
+		_, err := New(s, 1)
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got %v, want %q", err, want)
+		}
+		var wrong *SettingsError
+		if !errors.As(err, &wrong) || wrong.Path == "" || wrong.Problem == "" || wrong.Remedy == "" {
+			t.Errorf("%v does not say where, what and what to do: %+v", err, wrong)
+		}
+	}
+}
