--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -20,36 +20,36 @@
 
 // Names of the messages on the wire.
 const (
-	nameBatchStart    = "sync"
-	nameBatchEnd      = "eob"
-	nameInstance      = "about"
-	nameList          = "list"
-	nameListItem      = "item"
-	nameHello         = "hello"
-	nameKilled        = "crash_now"
-	nameEndpoints     = "announce"
-	nameRequest       = "job_in"
-	nameTimer         = "ring"
-	nameAttemptEnded  = "outcome"
-	nameClientGone    = "timed_out_client"
-	nameStreamStarted = "flowing"
-	nameChecked       = "checked"
-	nameMail          = "mail"
+	nameBatchStart    = "sync"             // clock time
+	nameBatchEnd      = "eob"              // a reply is due
+	nameInstance      = "about"            // instance of the messages that follow
+	nameList          = "list"             // number and length of an endpoint list
+	nameListItem      = "item"             // an endpoint of the list
+	nameHello         = "hello"            // seed and settings of a new instance
+	nameKilled        = "crash_now"        // the instance is killed
+	nameEndpoints     = "announce"         // mode and number of an endpoint list
+	nameRequest       = "job_in"           // a client's request
+	nameTimer         = "ring"             // token of a timer that fired
+	nameAttemptEnded  = "outcome"          // an attempt has ended
+	nameClientGone    = "timed_out_client" // a client has given up
+	nameStreamStarted = "flowing"          // a response has begun
+	nameChecked       = "checked"          // ignored: result of a health check
+	nameMail          = "mail"             // ignored: message of another instance
 )
 
 // Modes of an announcement of endpoints.
 const (
-	endpointsChanged  = 0
-	endpointsComplete = 1
-	endpointsCached   = 2
-	watchFailed       = 3
+	endpointsChanged  = 0 // only changed entries
+	endpointsComplete = 1 // the whole list
+	endpointsCached   = 2 // the whole list, from before a restart
+	watchFailed       = 3 // no list: the subscription failed
 )
 
 // States of an endpoint.
 const (
-	stateDraining = 0
-	stateRemoved  = 1
-	stateReady    = 2
+	stateDraining = 0 // finishes what it has
+	stateRemoved  = 1 // has left the list
+	stateReady    = 2 // takes requests
 )
 
 // clientRetryFlag is the bit in the flags of a request that marks it as a retry by its client.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -11,9 +12,11 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
+// sampleBatch has a list, its announcement, a request and an outcome.
 const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
+// decodeAll decodes a text to its end or to the first error.
 func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
@@ -30,6 +33,7 @@
 	}
 }
 
+// The words of the wire become the types of the decision module.
 func TestDecode(t *testing.T) {
 	l, err := decodeAll(t, sampleBatch)
 	if err != nil {
@@ -50,6 +54,8 @@
 	}
 }
 
+// The simulator and this program may speak different versions of the protocol. Whoever looks into that must find the line
+// and the value.
 func TestBadInputIsNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
@@ -63,20 +69,26 @@
 		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
 		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
 	} {
-		if _, err := decodeAll(t, text); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := decodeAll(t, text)
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
+		if line := new(LineError); !errors.As(err, &line) || line.Line < 1 {
+			t.Errorf("%q: %v names no line", text, err)
+		}
 	}
 }
 
+// Where clients mark their retries, no others may be taken for retries.
 func TestClientsMarkRetries(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
 		if s, err := ParseSettings([]byte(text)); err != nil || s.ClientsMarkRetries != want {
-			t.Errorf("%s: MarksRepeats %v, %v", text, s.ClientsMarkRetries, err)
+			t.Errorf("%s: ClientsMarkRetries %v, %v", text, s.ClientsMarkRetries, err)
 		}
 	}
 }
 
+// A class with an effect of a later protocol must not be sent twice.
 func TestUnknownEffectIsNonIdempotent(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
 	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
@@ -84,6 +96,7 @@
 	}
 }
 
+// The actions of the decision module become the words of the wire, by instance.
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
@@ -98,6 +111,7 @@
 	}
 }
 
+// No input may stop the program but by an error.
 func FuzzDecode(f *testing.F) {
 	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
@@ -111,6 +125,7 @@
 	})
 }
 
+// A placement that is not given must set no bound, and key 0 is a key.
 func TestPlacementOrderAndKeyZero(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},` +
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`))
