--- a/balancer/checkpointforms.go
+++ b/balancer/checkpointforms.go
@@ -11,7 +11,7 @@
 	Now             time.Duration       `json:"Now"`
 	RNGState        []byte              `json:"Random"`
 	Servers         []savedServer       `json:"Servers"`
-	KnownServers    int                 `json:"Mapped"` // the first of Servers; others stand in ended attempts
+	KnownServers    int                 `json:"Mapped"` // the first of Servers; others: ended attempts
 	Requests        []savedRequest      `json:"Requests"`
 	Classes         []savedClass        `json:"Classes"`
 	Pools           []savedPool         `json:"Pools"`
--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -16,6 +16,7 @@
 	classes  numberTable[*class]
 }
 
+// newCheckpointWriter begins with what stands for itself.
 func newCheckpointWriter(b *Balancer) *checkpointWriter {
 	return &checkpointWriter{balancer: b, saved: &savedBalancer{
 		Now:             b.now,
@@ -61,6 +62,7 @@
 	}
 }
 
+// writeOverrides writes what operators said, in the order of IDs.
 func (w *checkpointWriter) writeOverrides() {
 	for _, id := range slices.Sorted(maps.Keys(w.balancer.overrides)) {
 		o := w.balancer.overrides[id]
@@ -107,6 +109,7 @@
 	return saved
 }
 
+// writeServers writes all servers, also those that only attempts refer to.
 func (w *checkpointWriter) writeServers() {
 	for _, s := range w.servers.list {
 		saved := savedServer{
@@ -130,6 +133,7 @@
 	}
 }
 
+// writeClasses writes what was learned of the classes, and previous classes in full.
 func (w *checkpointWriter) writeClasses() {
 	b := w.balancer
 	for i, c := range w.classes.list {
@@ -174,6 +178,7 @@
 	}
 }
 
+// writeKeyQueues writes the queues, in the order of keys.
 func (w *checkpointWriter) writeKeyQueues() {
 	for _, key := range slices.Sorted(maps.Keys(w.balancer.keyQueues)) {
 		queue := w.balancer.keyQueues[key]
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -38,6 +38,7 @@
 	delayed     []*request      // in the order of their arrival
 }
 
+// newFaultInjector returns nil where there are no fault injections.
 func newFaultInjector(faults []FaultInjection, seed uint64) *faultInjector {
 	if len(faults) == 0 {
 		return nil
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -33,7 +33,7 @@
 
 // keyOrderAllows says that the order of its key lets a request be sent: it is the head of its queue, and
 // the quiet period is over. So the next request goes only when the one before is answered and has no
-// attempt out. The head may be tried again at once, for its attempts don't overtake each other's requests.
+// attempt out. The head may be tried again at once, for it overtakes no other request.
 func (b *Balancer) keyOrderAllows(r *request) bool {
 	queue := r.keyQueue
 	return queue == nil || queue.requests[0] == r && (len(r.attempts) > 0 || b.now >= queue.quietUntil)
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -11,7 +11,7 @@
 //	in service      listed, Ready and not disabled: in the pools that allow it (refreshPools)
 //	ejected         an outlier until ejectedUntil (recordFailure)
 //	on probation    ejected before, with no success since: ejectionLevel > 0 and consecutiveSuccesses is 0
-//	                (isOutlier); each full run of successes takes one level back (recordSuccess)
+//	                (isOutlier); each full run of successes takes one level back (recordHealthy)
 //	warming up      started less than SlowStartDuration ago (slowStartAdmits)
 //	at capacity     has rejected an attempt: takes capacityLimit attempts at once until capacityLimitUntil
 //	                (learnRejection)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -29,12 +29,12 @@
 	Name             string        `json:"Name"`
 	Effect           Effect        `json:"Effect"`
 	DedupScope       Scope         `json:"Scope"`     // for IdempotentWithKey
-	DedupWindow      time.Duration `json:"Window"`    // for IdempotentWithKey: since the first attempt
+	DedupWindow      time.Duration `json:"Window"`    // for IdempotentWithKey: from the first attempt
 	LatencyObjective time.Duration `json:"Aim"`       // answers within it earn the whole PriorityWeight
 	Deadline         time.Duration `json:"Deadline"`  // how long a client waits, over all its tries
-	LateCredit       float64       `json:"LateShare"` // share of it that a later answer earns, 0 to 1
-	PriorityWeight   float64       `json:"Worth"`     // value of an answer; only ratios between classes count
-	Stream           bool          `json:"Stream"`    // responses are streamed
+	LateCredit       float64       `json:"LateShare"` // share of PriorityWeight for a later answer, 0 to 1
+	PriorityWeight   float64       `json:"Worth"`     // value of an answer; only ratios of classes count
+	Stream           bool          `json:"Stream"`    // responses are streamed; no rule depends on it
 	OrderedByKey     bool          `json:"InOrder"`   // requests of one key run one by one, as they came
 	AllowedZones     []string      `json:"OnlyZones"` // zones that may serve the class; nil: all
 	AllowedKinds     []string      `json:"OnlyKinds"` // kinds of server that may serve the class; nil: all
@@ -46,11 +46,11 @@
 	Replicas         int     `json:"Balancers"`   // balancers that send to this tier
 	ReplicaIndex     int     `json:"Self"`        // this one's number among them, from 0
 	Zone             string  `json:"Zone"`        // this replica's zone; "": unknown, none is preferred
-	Tier             int     `json:"Tier"`        // the tier sent to, 0 being the one that clients call
+	Tier             int     `json:"Tier"`        // the tier sent to; 0 is the first behind the clients
 	TotalValueWeight float64 `json:"WholeWeight"` // weight of the value over all classes when shedding load
 	WorstClassWeight float64 `json:"ClassWeight"` // weight of the worst-served class when shedding load
 
-	ClientsMarkRetries bool `json:"MarksRepeats"` // clients mark retries; else short deadlines do
+	ClientsMarkRetries bool `json:"MarksRepeats"` // clients mark retries; else short deadlines show them
 
 	MaxAttempts     int           `json:"MaxAttempts"`   // attempts a request
 	PollDiscovery   bool          `json:"AskDiscovery"`  // the endpoint list comes only after a Subscribe
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -65,14 +65,12 @@
 	return nil
 }
 
+// validateClass checks the class at an index.
 func (s Settings) validateClass(i int) error {
 	c, path := s.Classes[i], fmt.Sprintf("Classes[%d]", i)
-	if c.Name == "" {
-		return &SettingsError{path + ".Name", "is empty", "name the class"}
-	}
-	if slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name }) {
-		path = fmt.Sprintf("%s.Name (%s)", path, c.Name)
-		return &SettingsError{path, "is repeated", "give each class its own name"}
+	repeated := slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name })
+	if err := validateName(path, c.Name, repeated); err != nil {
+		return err
 	}
 	path = fmt.Sprintf("%s (%s)", path, c.Name)
 	switch {
@@ -90,14 +88,13 @@
 	return nil
 }
 
+// validateFaultInjection checks the fault injection at an index.
 func (s Settings) validateFaultInjection(i int) error {
 	f, path := s.FaultInjections[i], fmt.Sprintf("Drills[%d]", i)
-	if f.Name == "" {
-		return &SettingsError{path + ".Name", "is empty", "name the drill"}
-	}
-	if slices.ContainsFunc(s.FaultInjections[:i], func(o FaultInjection) bool { return o.Name == f.Name }) {
-		path = fmt.Sprintf("%s.Name (%s)", path, f.Name)
-		return &SettingsError{path, "is repeated", "give each drill its own name"}
+	earlier := s.FaultInjections[:i]
+	repeated := slices.ContainsFunc(earlier, func(o FaultInjection) bool { return o.Name == f.Name })
+	if err := validateName(path, f.Name, repeated); err != nil {
+		return err
 	}
 	path = fmt.Sprintf("%s (%s)", path, f.Name)
 	if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }) {
@@ -118,5 +115,17 @@
 	return nil
 }
 
+// validateName checks that an entry of a list has a name of its own.
+func validateName(path, name string, repeated bool) error {
+	switch {
+	case name == "":
+		return &SettingsError{path + ".Name", "is empty", "give it a name"}
+	case repeated:
+		path = fmt.Sprintf("%s.Name (%s)", path, name)
+		return &SettingsError{path, "is repeated", "give each its own name"}
+	}
+	return nil
+}
+
 // isShare says that a number is from 0 to 1.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
