--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -1,5 +1,6 @@
 // Administrative override: servers that operators disable stay out of service until they enable them again,
-// whatever discovery says.
+// whatever discovery says. Discovery may list a server as ready while its operators repair it; sending to it
+// would fail requests that others could serve.
 
 package balancer
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -17,9 +17,13 @@
 )
 
 // capacityLimit is the number of own attempts at which a server is passed over because it rejected one
-// more. Its queue or its connections are full, and rejections, being quick, drain its count: without the
-// limit it would win most draws and reject them all. It is not an outlier, and maxExcludedShare does not
-// bind.
+// more. Input: what learnRejection and learnCapacity have learned of the server. Output: attempts at once,
+// math.MaxInt for no limit.
+//
+// The queue or the connections of such a server are full, and rejections, being quick, drain its count:
+// without the limit it would win most draws and reject them all. That shows as a burst of Overloaded or
+// Unreachable outcomes from a few servers while others have capacity. The server is not an outlier, and
+// maxExcludedShare does not bind: all servers may be at their limits.
 func (b *Balancer) capacityLimit(s *server) int {
 	if b.now < s.capacityLimitUntil {
 		return s.capacityLimit
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -33,7 +33,9 @@
 
 // keyOrderAllows says that the order of its key lets a request be sent: it is the head of its queue, and
 // the quiet period is over. So the next request goes only when the one before is answered and has no
-// attempt out. The head may be tried again at once, for it overtakes no other request.
+// attempt out. The head may be tried again at once, for it overtakes no other request. Without the order,
+// two changes of one thing could be applied the wrong way round, at servers that know nothing of each
+// other; that shows only in the data.
 func (b *Balancer) keyOrderAllows(r *request) bool {
 	queue := r.keyQueue
 	return queue == nil || queue.requests[0] == r && (len(r.attempts) > 0 || b.now >= queue.quietUntil)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -36,8 +36,9 @@
 	answeredSinceDivisor = 2
 )
 
-// excludeOutliers marks the servers of a list that are kept out for their health: the outliers with the
-// most failures in a row, up to maxExcludedShare.
+// excludeOutliers marks the servers of a list that are kept out for their health. Input: the servers that a
+// request could go to, and the share of requests shed. Output: true for the outliers with the most failures
+// in a row, up to maxExcludedShare of the list.
 //
 // The share falls as more load is shed, for time-outs in an overload show load rather than ill health. One
 // may always be excluded: a server that fails at once drains its count and would win most draws; one that
@@ -95,7 +96,9 @@
 }
 
 // recordFailure counts a failure of a server and ejects the server when its run of failures is too long for
-// chance.
+// chance. Input: the length of the run and the share of failures at all servers. Output: the clock time
+// until which the server is ejected. A bad server that stays in shows as a steady share of failures, about
+// one over the number of servers, and more if it fails quickly.
 //
 // Errors that strike everywhere come from the tier below, and ejecting on them would leave nobody. So a run
 // counts only if the share of failures at all servers makes it unlikely: by the hundredth request one error
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -17,10 +17,14 @@
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
 func (b *Balancer) deadlineMargin() time.Duration { return marginTicks * b.settings.Tick }
 
-// queueDeadline is the clock time until which it makes sense to queue a request: until its answer may well
-// miss the latency objective, for late answers take the capacity of those in time. Then the client is told
-// when to come back, also where there is no server at all. Waiting to the request's own deadline would fill
-// the queue with requests that nobody waits for any more, which is how an overload feeds itself.
+// queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
+// objective, its deadline and the latencies of its class. Output: the time from which its answer may well
+// miss the objective. Then the client is rejected and told when to come back, also where there is no server
+// at all.
+//
+// Late answers take the capacity of those in time. Waiting to the request's own deadline would fill the
+// queue with requests whose clients are about to give up and ask again, which is how an overload feeds
+// itself: it shows as full queues, busy servers, and answers that all come late.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
 	wait := max(objective/minQueueDivisor, objective-r.class.latencyBound(queueDeviations))
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -8,9 +8,10 @@
 // always come after the deadline.
 const minRetryTimeDivisor = 2
 
-// mayRetry says that the effect of a request's class and the limits allow one more attempt now. A request
-// that may have run must not run again, unless its class is idempotent, or its servers still discard
-// duplicates. Once the client has part of a response there is nothing to retry.
+// mayRetry says that the effect of a request's class and the limits allow one more attempt now. Input: the
+// attempts so far and their outcomes. A request that may have run must not run again, unless its class is
+// idempotent, or its servers still discard duplicates: a payment would be made twice, which shows only in
+// the data. Once the client has part of a response there is nothing to retry.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || len(r.attempts) >= r.maxAttempts {
 		return false
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -19,10 +19,10 @@
 	ringStep = 0.618
 )
 
-// subsetShare is the part of each group that this replica draws from, from 0 to 1. Input: the servers of a
-// list and the recent peak of own attempts. Were it the whole list, each of many replicas would keep
-// connections to each of many servers until connection tables fill up, and own counts, spread thin, would
-// be zero nearly everywhere and tell nothing of the load.
+// subsetShare is the quota of this replica: the part of each group that it draws from, from 0 to 1. Input:
+// the servers of a list and the recent peak of own attempts. Were it the whole list, each of many replicas
+// would keep connections to each of many servers until connection tables fill up, and own counts, spread
+// thin, would be zero nearly everywhere and tell nothing of the load.
 func (p *pool) subsetShare(list []*server) float64 {
 	return min(1, (minSubset+subsetPerCall*p.peakInFlight)/float64(max(1, len(list))))
 }
