--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -143,9 +143,9 @@
 	json.NewEncoder(w).Encode(sites) // an error is of a caller that has left
 }
 
-// The calls about one server: serversPath, its ID escaped, and one of two actions.
+// The calls about one server have the path serversPath SERVER / ACTION, with the ID of the server escaped.
 const (
-	serversPath   = "/control/servers/"
+	serversPath   = "/control/servers/" // before the ID
 	actionOffline = "offline" // disable the server
 	actionOnline  = "online"  // enable it
 )
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -42,7 +42,9 @@
 }
 
 // unreachableErrors are what the system says of a dial that fails at the other end or on the way there.
-var unreachableErrors = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN}
+var unreachableErrors = []syscall.Errno{
+	syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN,
+}
 
 // isUnreachable says whether a poll failed because discovery can't be reached: its machine refuses connections, or answers
 // nothing to those who want one. A dial that fails on this machine, as for want of descriptors, says nothing about
--- /dev/null
+++ b/internal/endpointlease/availability_test.go
@@ -0,0 +1,138 @@
+package endpointlease
+
+import "testing"
+
+// A discovery that is down can notify nobody: each poll that finds it so renews the lease, whether it refuses connections or a
+// proxy before it rejects polls after a wait.
+func TestUnavailableDiscoveryRenewsTheLease(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"an unreachable discovery": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.Unreachable(1)
+				tracker.StreamEnded(1, s)
+			},
+			at: 6 * s, wakeAt: 0, expires: 7 * s, state: Aging,
+		},
+		"unreachable for a minute": {
+			options: polled,
+			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
+			at:      60 * s, wakeAt: 0, expires: 65 * s, state: Aging,
+		},
+		"unreachable, and polls have stopped": {
+			options: polled,
+			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
+			at:      65 * s, wakeAt: 0, expires: 65 * s, state: Expired,
+		},
+		"reachable again": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.Unreachable(1)
+				tracker.StreamEnded(1, 40*s)
+				openWatch(tracker, 50*s, 51*s)
+			},
+			at: 52 * s, wakeAt: 53*s + 300*ms, expires: 57 * s, state: Fresh,
+		},
+		"down behind a proxy: late rejections after the watch ended": {
+			options: polled,
+			events:  func(tracker *Tracker) { watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s) },
+			at:      7 * s, wakeAt: 8100*ms + firstBackoff*4/10, expires: 12 * s, state: Aging,
+		},
+		"an immediate rejection after late ones": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
+				tracker.StreamOpened(9*s, 0)
+				tracker.PollRejected(4, 9*s+ms)
+				tracker.StreamEnded(4, 9*s+ms)
+			},
+			at: 11 * s, wakeAt: 0, expires: 12 * s, state: Aging,
+		},
+	})
+}
+
+// A discovery that is slow or overloaded may have a change that the node does not know: nothing renews the lease but a list or
+// a heartbeat. Renewed, the node would send to endpoints that drain, as in the incident of 2 December 2026.
+func TestSlowDiscoveryRenewsNoLease(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"a poll that is reset": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				watchEndsThenRejectedLate(tracker, 0)
+				tracker.StreamOpened(3*s, 0)
+				tracker.StreamFailed(2)
+				tracker.StreamEnded(2, 5*s)
+			},
+			at: 5 * s, wakeAt: 5*s + firstBackoff*2/10, expires: 7 * s, state: Aging,
+		},
+		"polls that are reset renew no lease": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				watchEndsThenRejectedLate(tracker, 0)
+				tracker.StreamOpened(3*s, 0)
+				tracker.StreamFailed(2)
+				tracker.StreamEnded(2, 5*s)
+				tracker.StreamOpened(5*s, 0)
+				tracker.StreamFailed(3)
+				tracker.StreamEnded(3, 7*s)
+			},
+			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
+		},
+		"immediate rejections are of an overloaded discovery": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
+				rejectAtOnce(tracker, 9*s)
+			},
+			at: 11 * s, wakeAt: 0, expires: 12 * s, state: Aging,
+		},
+		"late rejections beside a silent watch renew no lease": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				for at := 4 * s; at < 7*s; at += s {
+					rejectPoll(tracker, at, at+900*ms+200*ms)
+				}
+			},
+			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
+		},
+		"late rejections after an address change renew no lease": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.DiscoveryChanged(2 * s)
+				tracker.StreamEnded(1, 3*s)
+				rejectPoll(tracker, 3*s, 5*s)
+				rejectPoll(tracker, 5*s, 7*s)
+			},
+			at: 8 * s, wakeAt: 0, expires: 6 * s, state: Expired,
+		},
+		"unreachable only after the lease expired": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.StreamEnded(1, 2*s)
+				rejectAtOnce(tracker, 3*s)
+				tracker.StreamOpened(7500*ms, 0)
+				tracker.Unreachable(3)
+				tracker.StreamEnded(3, 7500*ms)
+			},
+			at: 9 * s, wakeAt: 0, expires: 7 * s, state: Expired,
+		},
+		"slow, then unreachable: the lease keeps its end": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.StreamEnded(1, 2*s)
+				tracker.StreamOpened(2100*ms, 0)
+				tracker.Connected(2)
+				tracker.StreamFailed(2)
+				tracker.StreamEnded(2, 5*s)
+				pollUnreachable(tracker, 5*s, 9*s)
+			},
+			at: 7 * s, wakeAt: 7120 * ms, expires: 7 * s, state: Expired,
+		},
+	})
+}
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -38,8 +38,8 @@
 //   - the configuration named another discovery: NotificationDeadlineAfterChange after the first such SIGHUP.
 //
 // While discovery is unavailable it can notify nobody: each poll that finds it so puts the end off to NotificationDeadline
-// after that poll's begin, unless a change may have come before the outage (frozenExpiry). Without an end at all is the
-// lease while discovery is unresponsive.
+// after that poll's begin. While it is unresponsive the lease has no end. Neither puts the end off where a change may have
+// come before the outage (frozenExpiry).
 //
 // Without this rule a node goes on sending to a drained endpoint while discovery is slow: the incident of 2 December 2026.
 func (t *Tracker) Expires() time.Duration {
@@ -68,7 +68,7 @@
 	return expires
 }
 
-// Unbounded says whether the lease has no end for now: discovery is unresponsive.
+// Unbounded says whether the lease has no end for now, while discovery is unresponsive.
 func (t *Tracker) Unbounded() bool { return t.Expires() == never }
 
 // Lease is what CheckLease finds.
@@ -78,8 +78,8 @@
 	CheckAt time.Duration // when to check again if no event comes before
 }
 
-// CheckLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date, and
-// discovery counts as slow; once it has been slow for too long, it counts as unresponsive.
+// CheckLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date: no poll
+// has confirmed it since. Discovery counts as slow then and, at slowUntil, as unresponsive.
 func (t *Tracker) CheckLease(now time.Duration) Lease {
 	if t.availability != unresponsive && now >= t.Expires() {
 		t.availability = available
--- /dev/null
+++ b/internal/endpointlease/lease_test.go
@@ -0,0 +1,221 @@
+package endpointlease
+
+import "testing"
+
+// Each line of a watch renews the lease. A watch that is silent, a list that is never complete and polls without a list do
+// not.
+func TestLeaseOfWatches(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"a watch with heartbeats": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.Activity(1, 3*s)
+			},
+			at: 5 * s, wakeAt: 5*s + 300*ms, expires: 9 * s, state: Fresh,
+		},
+		"a watch that missed a heartbeat": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(0, 1)
+				tracker.ListComplete(1, s)
+			},
+			at: 3*s + 700*ms, wakeAt: 3*s + 800*ms, expires: 7 * s, state: Aging,
+		},
+		"a watch silent for the notification deadline": {
+			options: polled,
+			events:  func(tracker *Tracker) { openWatch(tracker, 0, s) },
+			at:      7 * s, wakeAt: 0, expires: 7 * s, state: Expired,
+		},
+		"the head of an answer and no list": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(0, 0)
+				tracker.Activity(1, 500*ms)
+			},
+			at: 700 * ms, wakeAt: parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+		},
+		"a list that begins and is never complete": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(0, 1)
+				tracker.ListBegan(1, s)
+				for at := 2 * s; at <= 5*s; at += s {
+					tracker.Activity(1, at)
+				}
+			},
+			at: 5 * s, wakeAt: s + ListTransferTimeout, expires: 6 * s, state: Aging,
+		},
+		"a watch that ended": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, 2*s)
+				tracker.StreamEnded(1, 3*s)
+			},
+			at: 3 * s, wakeAt: 3*s + firstBackoff/10, expires: 8 * s, state: Aging,
+		},
+		"a shorter poll interval": {
+			options: Options{MaxPollInterval: 2 * s},
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, 2*s)
+				tracker.StreamEnded(1, 3*s)
+			},
+			at: 3 * s, wakeAt: 3*s + firstBackoff/10, expires: 3 * s, state: Expired,
+		},
+		"a silent watch that is heard again": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.StreamOpened(4*s, 0)
+				tracker.Activity(1, 5*s)
+				tracker.Step(5 * s)
+			},
+			at: 5 * s, wakeAt: 5*s + heartbeatTimeout, expires: 11 * s, state: Fresh,
+		},
+		"the watch that replaced a silent one": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				openWatch(tracker, 4*s, 5*s)
+				tracker.Step(5 * s)
+			},
+			at: 5 * s, wakeAt: 5*s + heartbeatTimeout, expires: 11 * s, state: Fresh,
+		},
+	})
+}
+
+// The lease is short after an address change: what the new discovery has counts as known soon. A list of the new address ends
+// that; one of an earlier address, or a further change, does not put it off.
+func TestLeaseAfterAddressChange(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"an address change": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.DiscoveryChanged(2 * s)
+			},
+			at: 6 * s, wakeAt: 0, expires: 6 * s, state: Expired,
+		},
+		"an address change, and the list of the new address": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.DiscoveryChanged(2 * s)
+				openWatch(tracker, 2*s, 3*s)
+			},
+			at: 4 * s, wakeAt: 5*s + 300*ms, expires: 9 * s, state: Fresh,
+		},
+		"two address changes": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.Activity(1, 2*s)
+				tracker.DiscoveryChanged(2 * s)
+				tracker.DiscoveryChanged(4 * s)
+			},
+			at: 5 * s, wakeAt: 0, expires: 6 * s, state: Aging,
+		},
+		"a list from the address before the last": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.DiscoveryChanged(2 * s)
+				tracker.StreamOpened(2*s, 0)
+				tracker.DiscoveryChanged(3 * s)
+				tracker.ListComplete(1, 4*s)
+			},
+			at: 5 * s, wakeAt: 0, expires: 7 * s, state: Aging,
+		},
+		"a heartbeat from an earlier address": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.DiscoveryChanged(2 * s)
+				tracker.Activity(1, 5*s)
+			},
+			at: 5 * s, wakeAt: 0, expires: 6 * s, state: Aging,
+		},
+	})
+}
+
+// Where an agent pushes lists, the node counts as notified at once of what the agent has: the lease ends soon after the watch,
+// unless the agent is down.
+func TestLeaseOfPushedLists(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"pushed, no watch yet": {
+			options: pushed,
+			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
+			at:      s, wakeAt: s + parallelDelayAfterEnd, expires: pushedGrace, state: Expired,
+		},
+		"pushed, a watch": {
+			options: pushed,
+			events:  func(tracker *Tracker) { openWatch(tracker, s, s) },
+			at:      2 * s, wakeAt: s + heartbeatTimeout, expires: 7 * s, state: Fresh,
+		},
+		"pushed, the grace after a watch is over": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, s)
+				tracker.StreamEnded(1, 2*s)
+			},
+			at: 2*s + pushedGrace, wakeAt: 0, expires: 2*s + pushedGrace, state: Expired,
+		},
+		"pushed, a watch that ended": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, s)
+				tracker.StreamEnded(1, 2*s)
+			},
+			at: 2 * s, wakeAt: 2*s + firstBackoff/10, expires: 2*s + pushedGrace, state: Aging,
+		},
+		"pushed, an unreachable agent": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.Unreachable(1)
+				tracker.StreamEnded(1, s)
+			},
+			at: s, wakeAt: s + maxBackoffPushedUnavailable/2, expires: 7 * s, state: Aging,
+		},
+		"pushed, an address change": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, s)
+				tracker.Activity(1, 4*s)
+				tracker.DiscoveryChanged(5 * s)
+			},
+			at: 8 * s, wakeAt: 0, expires: 9 * s, state: Aging,
+		},
+		"pushed, unreachable as the watch ends": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.StreamEnded(1, 2*s)
+				tracker.StreamOpened(2150*ms, 0)
+				tracker.Unreachable(2)
+				tracker.StreamEnded(2, 2150*ms)
+			},
+			at: 3 * s, wakeAt: 0, expires: 8150 * ms, state: Aging,
+		},
+	})
+}
+
+// A list that is handed over in a hot restart is as old as it was: a restart renews no lease.
+func TestLeaseOfInheritedList(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"a list inherited 5 s old": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.InheritAge(0, 5*s)
+				tracker.StreamOpened(0, 0)
+			},
+			at: s, wakeAt: parallelDelayAfterEnd, expires: s, state: Expired,
+		},
+		"pushed, an inherited list": {
+			options: pushed,
+			events: func(tracker *Tracker) {
+				tracker.InheritAge(0, 0)
+				tracker.StreamOpened(0, 0)
+			},
+			at: 50 * ms, wakeAt: parallelDelayAfterEnd, expires: pushedGrace, state: Aging,
+		},
+	})
+}
--- /dev/null
+++ b/internal/endpointlease/schedule_test.go
@@ -0,0 +1,192 @@
+package endpointlease
+
+import (
+	"testing"
+	"time"
+)
+
+// A poll that is answered too late, or not at all, must not cost the lease: when the next one is due, and when one is opened
+// beside it.
+func TestPollSchedule(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"a new process has polled nothing": {
+			options: polled,
+			events:  func(tracker *Tracker) {},
+			at:      s, wakeAt: never, expires: 6 * s, state: Aging,
+		},
+		"a poll without an answer": {
+			options: polled,
+			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
+			at:      s + parallelDelayAfterEnd - 1, wakeAt: s + parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+		},
+		"a poll without an answer has another beside it": {
+			options: polled,
+			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
+			at:      s + parallelDelayAfterEnd, wakeAt: 0, expires: 6 * s, state: Aging,
+		},
+		"the parallel poll is later by the jitter": {
+			options: polled,
+			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 1) },
+			at:      s + parallelDelayAfterEnd, wakeAt: s + parallelDelayAfterEnd*9/8, expires: 6 * s, state: Aging,
+		},
+		"the parallel poll is sooner after a silent watch": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, 0, s)
+				tracker.Step(4 * s)
+				tracker.StreamOpened(4*s, 0)
+			},
+			at: 4 * s, wakeAt: 4*s + parallelDelayAfterSilence, expires: 7 * s, state: Aging,
+		},
+		"a poll that failed": {
+			options: rarelyPolled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.StreamEnded(1, 2*s)
+			},
+			at: 2 * s, wakeAt: 2*s + firstBackoff/5, expires: 6 * s, state: Aging,
+		},
+		"a poll that failed after a list": {
+			options: rarelyPolled,
+			events: func(tracker *Tracker) {
+				openWatch(tracker, s, s)
+				tracker.StreamEnded(1, 2*s)
+				tracker.StreamOpened(3*s, 0)
+				tracker.StreamEnded(2, 3*s)
+			},
+			at: 5 * s, wakeAt: 0, expires: 7 * s, state: Aging,
+		},
+		"a poll requested by the module": {
+			options: polled,
+			events:  func(tracker *Tracker) { tracker.RequestPoll() },
+			at:      s, wakeAt: 0, expires: 6 * s, state: Aging,
+		},
+		"a poll requested while one is open": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.RequestPoll()
+			},
+			at: s, wakeAt: s + parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+		},
+		"a complete list without a watch": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				tracker.StreamOpened(s, 0)
+				tracker.PollAnswered(1, 2*s)
+			},
+			at: 2 * s, wakeAt: 0, expires: 8 * s, state: Aging,
+		},
+	})
+}
+
+// A discovery that writes what can't be read is polled for the complete list at once, and then with backoff.
+func TestMalformedListSchedule(t *testing.T) {
+	checkHistories(t, map[string]history{
+		"a second malformed list": {
+			options: polled,
+			events:  func(tracker *Tracker) { bringMalformed(tracker, 2, s) },
+			at:      s, wakeAt: s + 2*firstBackoff, expires: 6 * s, state: Aging,
+		},
+		"a second malformed list, and a poll requested": {
+			options: polled,
+			events: func(tracker *Tracker) {
+				bringMalformed(tracker, 2, s)
+				tracker.RequestPoll()
+			},
+			at: s, wakeAt: s + 2*firstBackoff, expires: 6 * s, state: Aging,
+		},
+	})
+}
+
+// runSchedule carries out what the Tracker decides until a time, and hands each poll that it opens to onPoll.
+func runSchedule(tracker *Tracker, from, until time.Duration, jitter float64, onPoll func(id int, at time.Duration)) {
+	for at := from; at < until; {
+		switch decision := tracker.Step(at); decision.Action {
+		case NoAction:
+			at = decision.WakeAt
+		case OpenStream:
+			onPoll(tracker.StreamOpened(at, jitter), at)
+		case AbortStalledStream:
+			tracker.StreamEnded(decision.StreamID, at)
+		}
+	}
+}
+
+// A watch falls silent, and the next three polls are lost: refused, left without an answer, or with the head of an answer
+// and no list. If the fourth went out too late, the lease would expire at a discovery that is healthy again. So whatever the
+// jitter, it goes out with half a second left before the notification deadline, counted from the last line of the watch.
+func TestFourthPollIsInTimeAfterThreeLostOnes(t *testing.T) {
+	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
+		for jitter := 0.0; jitter <= 1; jitter += 0.1 {
+			for name, fault := range map[string]func(tracker *Tracker, id int, at time.Duration){
+				"refused":   func(tracker *Tracker, id int, at time.Duration) { tracker.StreamEnded(id, at) },
+				"no answer": func(*Tracker, int, time.Duration) {},
+				"a head":    func(tracker *Tracker, id int, at time.Duration) { tracker.Activity(id, at) },
+			} {
+				tracker := &Tracker{Options: options}
+				tracker.StreamOpened(0, jitter)
+				tracker.ListComplete(1, s)
+				var polls []time.Duration
+				runSchedule(tracker, s, 20*s, jitter, func(id int, at time.Duration) {
+					polls = append(polls, at)
+					fault(tracker, id, at)
+				})
+				if len(polls) < 4 || polls[3] > s+NotificationDeadline-500*ms {
+					t.Errorf("%+v, %s, jitter %v: polls at %v", options, name, jitter, polls)
+				}
+			}
+		}
+	}
+}
+
+// A discovery that is slow by nature answers no poll for many seconds. Polls that were given up early would lose the work
+// that it has done for them, and many parallel polls would make it slower still. So an unanswered node polls ever more
+// slowly, up to a limit, few polls are open at once, each stays open for long enough, and one answer ends the slow pace.
+func TestUnansweredPollsSlowDown(t *testing.T) {
+	tracker := &Tracker{Options: Options{Pushed: true}}
+	open, polls, longest, openedAt := 0, []time.Duration(nil), time.Duration(0), map[int]time.Duration{}
+	for at := time.Duration(0); at < 60*s; {
+		switch decision := tracker.Step(at); decision.Action {
+		case NoAction:
+			at = decision.WakeAt
+		case OpenStream:
+			if open++; open > maxOpenPolls {
+				t.Fatalf("%d polls are open at %v", open, at)
+			}
+			polls = append(polls, at)
+			openedAt[tracker.StreamOpened(at, 0)] = at
+		case DropStream:
+			open--
+			longest = max(longest, at-openedAt[decision.StreamID])
+		}
+	}
+	if n := len(polls); polls[1]-polls[0] != parallelDelayAfterEnd || polls[n-1]-polls[n-2] != maxParallelDelay || n > 25 || longest < 10*s {
+		t.Errorf("polls at %v, the longest open for %v", polls, longest)
+	}
+	last := tracker.StreamOpened(60*s, 0)
+	tracker.StreamEnded(last, 60*s) // a rejection is an answer
+	tracker.DiscoveryChanged(61 * s)
+	tracker.StreamOpened(61*s, 0)
+	if at := tracker.parallelPollAt(&tracker.streams[len(tracker.streams)-1]); at != 61*s+parallelDelayAfterEnd {
+		t.Errorf("after an answer a poll has another beside it at %v", at)
+	}
+}
+
+// One poll hangs, and those opened beside it are rejected at once. A node that did not back off between them made 640
+// polls a second. So they wait as they would alone.
+func TestRejectedPollsBesideAHungOneBackOff(t *testing.T) {
+	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
+		tracker, polls := &Tracker{Options: options}, 0
+		tracker.StreamOpened(0, 0.5)
+		runSchedule(tracker, 0, 30*s, 0.5, func(id int, at time.Duration) {
+			if polls++; polls > 100 {
+				t.Fatalf("%d polls by %v", polls, at)
+			}
+			tracker.StreamEnded(id, at)
+		})
+		if polls > 40 {
+			t.Errorf("%+v: %d polls in 30 s", options, polls)
+		}
+	}
+}
--- /dev/null
+++ b/internal/endpointlease/tracker_test.go
@@ -0,0 +1,89 @@
+package endpointlease
+
+import (
+	"testing"
+	"time"
+)
+
+const (
+	s  = time.Second
+	ms = time.Millisecond
+)
+
+// The settings of most tests.
+var (
+	polled       = Options{MaxPollInterval: 10 * s}
+	rarelyPolled = Options{MaxPollInterval: 60 * s}
+	pushed       = Options{Pushed: true, MaxPollInterval: 10 * s}
+)
+
+// history is what has happened to a Tracker, and what it then says.
+type history struct {
+	options Options
+	events  func(tracker *Tracker) // the events; streams have the IDs 1, 2, ... in the order in which they are opened
+	at      time.Duration          // the time of what follows
+	wakeAt  time.Duration          // when Step is due again; 0: there is something to do now
+	expires time.Duration
+	state   State
+}
+
+// checkHistories checks each of the histories by name.
+func checkHistories(t *testing.T, histories map[string]history) {
+	t.Helper()
+	for name, row := range histories {
+		t.Run(name, func(t *testing.T) {
+			tracker := &Tracker{Options: row.options}
+			row.events(tracker)
+			decision := tracker.Step(row.at)
+			if due := row.wakeAt == 0; due != (decision.Action != NoAction) || decision.WakeAt != row.wakeAt {
+				t.Errorf("decides %+v, want to wake at %v", decision, row.wakeAt)
+			}
+			if expires, state := tracker.Expires(), tracker.State(row.at); expires != row.expires || state != row.state {
+				t.Errorf("expires at %v, is %v; want %v, %v", expires, state, row.expires, row.state)
+			}
+		})
+	}
+}
+
+// openWatch opens a stream that has its first list at a time.
+func openWatch(tracker *Tracker, openedAt, listedAt time.Duration) {
+	tracker.ListComplete(tracker.StreamOpened(openedAt, 0), listedAt)
+}
+
+// watchEndsThenRejectedLate opens a watch that ends, and after it polls that are rejected 2.1 s after they began.
+func watchEndsThenRejectedLate(tracker *Tracker, at time.Duration, polls ...time.Duration) {
+	openWatch(tracker, at, s)
+	tracker.StreamEnded(1, 2*s)
+	for _, at := range polls {
+		rejectPoll(tracker, at, at+2100*ms)
+	}
+}
+
+// pollUnreachable polls every 2 s a discovery that refuses connections.
+func pollUnreachable(tracker *Tracker, from, until time.Duration) {
+	for at := from; at < until; at += 2 * s {
+		id := tracker.StreamOpened(at, 0)
+		tracker.Unreachable(id)
+		tracker.StreamEnded(id, at)
+	}
+}
+
+// rejectPoll begins a poll that is rejected at a time.
+func rejectPoll(tracker *Tracker, from, at time.Duration) {
+	id := tracker.StreamOpened(from, 0)
+	tracker.Connected(id)
+	tracker.PollRejected(id, at)
+	tracker.StreamEnded(id, at)
+}
+
+// rejectAtOnce makes a poll that is rejected immediately.
+func rejectAtOnce(tracker *Tracker, at time.Duration) { rejectPoll(tracker, at, at+ms) }
+
+// bringMalformed makes so many polls in a row whose answers can't be read.
+func bringMalformed(tracker *Tracker, n int, at time.Duration) {
+	for range n {
+		id := tracker.StreamOpened(at, 0)
+		tracker.MalformedList(id, at)
+		tracker.StreamEnded(id, at)
+	}
+}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -47,7 +47,7 @@
 	BalancerState json.RawMessage   `json:"Module"`   // as balancer.RestoreSuccessor takes it
 	Endpoints     []engine.Endpoint `json:"Boxes"`    // the endpoint list held
 	ListVersion   int64             `json:"Seq"`      // discovery's version of that list; 0: the next one begins from none
-	ListAge       time.Duration     `json:"ListAge"`  // since the list was last known to be all that discovery had; 0 from builds that do not say
+	ListAge       time.Duration     `json:"ListAge"`  // since the list was last confirmed; 0 from builds that do not say
 	OperatorState
 }
 
