--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -146,8 +146,8 @@
 // The calls about one server have the path serversPath SERVER / ACTION, with the ID of the server escaped.
 const (
 	serversPath   = "/control/servers/" // before the ID
-	actionOffline = "offline" // disable the server
-	actionOnline  = "online"  // enable it
+	actionOffline = "offline"           // disable the server
+	actionOnline  = "online"            // enable it
 )
 
 // route finds the call of an escaped path, and its method. call is nil if there is none.
