--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -154,8 +154,8 @@
 func TestUnchangedBuildShowsNoDifference(t *testing.T) {
 	for seed := range uint64(4) {
 		c := begin(t, settings.Capture{}, seed).run(3000)
-		for _, want := range []string{"balancer.ServerList", "balancer.Timer", "balancer.DrillStart", "balancer.ListFailed", "balancer.ClientGone",
-			"balancer.Send", "balancer.Refuse", "balancer.Fail", "balancer.Deny", "balancer.Drilled", "balancer.Subscribe"} {
+		for _, want := range []string{"balancer.EndpointUpdate", "balancer.TimerFired", "balancer.StartFaultInjection", "balancer.WatchFailed",
+			"balancer.ClientGone", "balancer.Send", "balancer.Reject", "balancer.Fail", "balancer.Deny", "balancer.FaultInjected", "balancer.Subscribe"} {
 			if c.counts[want] == 0 {
 				t.Errorf("seed %d: no %s in %v", seed, want, c.counts)
 			}
