--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -1,158 +1,218 @@
 package engine
 
 import (
+	"context"
+	"errors"
 	"net/netip"
 	"sync/atomic"
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/capture"
 	"hookwalk.example/hookwalk/internal/metrics"
-	"hookwalk.example/hookwalk/invariants"
 )
 
-// Call is one request of a front's client. The front fills the exported fields and hands it in once.
+// ErrClientGone says that a call has no answer because its client has closed or cancelled it. Nothing more is sent for it,
+// and there is nobody to answer.
+var ErrClientGone = errors.New("the client has gone: the call was closed or canceled before its answer")
+
+// Call is one request of a client. The ingress fills the exported fields and hands it in once (Do); it must not change
+// them afterwards.
+//
+// A call is in one of these states. All changes are the event loop's but for the one to "client gone", which Do records
+// first (clientGoneAt) and the loop takes up later:
+//
+//   - arriving: Do waits for the loop to take the call. The balancer does not know it yet.
+//   - queued: the balancer holds it, before its first attempt or between two. No attempt is out.
+//   - attempt out: one attempt is with the Sender (outstanding is 1). It can still end so that a retry follows.
+//   - streaming: the response to its attempt is passed on to the client as it comes (Attempt.streaming). No retry can
+//     follow: the client has seen a part of it.
+//   - answered: closed, and Do returns the one final answer. An attempt may still be out, whose result is owed to the
+//     balancer; the call is forgotten when that has come.
+//   - client gone: closed without an answer; Do returns ErrClientGone. As with answered, an attempt may still be out.
+//
+// Denied calls and those with a duplicate ID go from arriving to answered at once, and are never in Engine.calls.
 type Call struct {
 	Request      balancer.Request
 	Tenant       string
 	Budget       time.Duration // as the client gave it
-	BodyTimeout  time.Duration // of a bulk call: the longest that its body may take
+	BodyTimeout  time.Duration // of a call with a streamed body: the longest that its body may take
 	Tags         metrics.Tags
 	Retryable    bool // its class allows that it runs more than once
-	AccessDenied bool // the lists keep its client out; of its request there is only the id
-	Payload      any  // what the sender needs of it; the engine does not look at it
-	// ClientGone, if it is there, says that the client of a bulk call has left before that can be read off its body.
+	AccessDenied bool // the access list denies its client; Request has only the ID
+	Payload      any  // what the Sender needs of it; the engine does not look at it
+	// ClientGone, if not nil, says that the client of a call with a streamed body has gone, before reading the body shows
+	// it. Senders' goroutines call it; it must not block.
 	ClientGone func() bool
 
-	closed atomic.Bool  // answered or given up by the client: nothing more may be sent for it
-	left   atomic.Int64 // when its client has gone, by the engine's clock; the loop may not know yet; 0: it has not
-	reply  chan Answer  // takes the one final answer without blocking
-
-	attempts   int // the loop's own, as is the rest
-	most       int // of them, by the settings that it came with
-	out        int
-	mayHaveRun bool // one of those that have ended
+	closed atomic.Bool // answered or client gone: nothing more may be sent for it
+	// clientGoneAt is when the client has gone, by the engine's clock; 0: it has not. Do sets it and senders read it, so
+	// that nothing is sent for the call while a busy loop has not heard of it yet.
+	clientGoneAt atomic.Int64
+	answer       chan Answer // buffers the one final answer, so that the loop need not wait for Do
+
+	// The loop's own state.
+	attempts    int  // that have been started
+	maxAttempts int  // by the settings in force when it arrived
+	outstanding int  // attempts that have not ended: 0 or 1
+	mayHaveRun  bool // an attempt that has ended may have run at its server
 }
 
-// Close marks the call as over and says whether it was open.
+// Close marks the call as over and says whether it was open. Of all who close a call only the one who is told true may
+// answer it: so a call has one final answer.
 func (c *Call) Close() bool { return !c.closed.Swap(true) }
 
-// Closed says that the call has its answer or its client left: nothing more may be sent for it.
+// Closed says that the call has its answer or its client has gone: nothing more may be sent for it.
 func (c *Call) Closed() bool { return c.closed.Load() }
 
 // Verdict is what a final answer says.
 type Verdict int
 
+// The verdicts.
 const (
 	// Served: an attempt succeeded, and Reply has what came back.
 	Served Verdict = iota
-	// Rejected: it did not run, or its class allows another run. The client may come back after RetryAfter.
+	// Rejected: it did not run, or its class allows another run. The client may retry after RetryAfter.
 	Rejected
-	// Failed: it may have run and can't be sent again, or its time is over. Its client must not send it again.
+	// Failed: it may have run and can't be retried, or its deadline has passed. Its client must not send it again.
 	Failed
-	// Denied: the address lists keep its client out.
+	// Denied: the access list denies its client.
 	Denied
-	// DuplicateID: another open call has its id.
+	// DuplicateID: another open call has its ID.
 	DuplicateID
-	// Aborted: a drill ended it with Status.
+	// Aborted: a fault injection ended it with Status.
 	Aborted
 )
 
-// unavailable is the status with which a drill refuses; the module has these statuses as HTTP's.
-const unavailable = 503
+// statusUnavailable is the status with which a fault injection rejects a call: the balancer has such statuses as HTTP's.
+const statusUnavailable = 503
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	Status     int // of an aborted call, as its drill has it
-	RetryAfter time.Duration
-	Reply      any // what the sender got
+	Status     int           // of an aborted call: the fault injection's, as an HTTP status
+	RetryAfter time.Duration // of a rejected or aborted call
+	Reply      any           // of a served call: what the Sender got
 }
 
-// Target is a server at one address, from one start of it to the next.
-type Target struct {
-	ID   string
-	Addr string
-	Boot time.Duration
+// rejects says whether an answer tells its client that the request has not run, so that sending it again is harmless.
+func (a Answer) rejects() bool { return a.Verdict == Rejected || a.Status == statusUnavailable }
 
-	stopped atomic.Int64 // when, by the engine's clock; 0: it is not
-	calls   int          // that are out there; the loop's own
+// Do hands in a call and waits for its final answer. If ctx ends first, the client counts as gone: nothing more is sent
+// for the call, and the error is ErrClientGone. It is ErrStopped if the engine stops before it has taken the call.
+func (e *Engine) Do(ctx context.Context, c *Call) (Answer, error) {
+	c.answer = make(chan Answer, 1)
+	if ctx.Err() != nil {
+		return Answer{}, ErrClientGone
+	}
+	select {
+	case e.arrivals <- c:
+	case <-ctx.Done():
+		return Answer{}, ErrClientGone
+	case <-e.stopped:
+		return Answer{}, ErrStopped
+	}
+	select {
+	case a := <-c.answer:
+		return a, nil
+	case <-ctx.Done():
+	}
+	// Senders see this at once. Were it only for the channel below, a busy loop would let an attempt leave meanwhile.
+	c.clientGoneAt.Store(int64(e.Clock.Now()))
+	select {
+	case e.clientsGone <- c:
+	case <-e.stopped:
+	}
+	return Answer{}, ErrClientGone
 }
 
-// StopSending marks a server as one that gets nothing new from a time on.
-func (t *Target) StopSending(now time.Duration) { t.stopped.CompareAndSwap(0, int64(now)) }
-
-// Stopped says that the server drains or is gone: nothing new may go to it.
-func (t *Target) Stopped() bool { return t.stopped.Load() != 0 }
-
-// Attempt is one send of a call.
-type Attempt struct {
-	Call     *Call
-	Number   int
-	Target   *Target
-	Deadline time.Duration // of a bulk call: no more than a bound; its time runs from its body's last byte
-	Timeout  time.Duration // how long the module waits for it
-	Started  time.Duration
-
-	begun bool   // a streamed answer is the client's; the loop's own
-	lease *lease // on the list that the target is from; nil: it has no end
-	guard *invariants.Guard
+// handleArrival gives a call to the balancer. One whose ID another open call has is answered at once: the balancer would
+// take it for the request that it has, and never answer it.
+func (e *Engine) handleArrival(c *Call) {
+	e.arriving = c
+	if c.AccessDenied {
+		e.eventContext = c.eventContext()
+		e.dispatch(c.Request)
+		return
+	}
+	if e.calls[c.Request.ID] != nil {
+		c.Close()
+		c.answer <- Answer{Verdict: DuplicateID}
+		return
+	}
+	c.maxAttempts = e.Balancer.MaxAttempts()
+	e.calls[c.Request.ID] = c
+	e.counters.received++
+	e.eventContext = c.eventContext()
+	e.dispatch(c.Request)
 }
 
-// MaySend says whether the attempt may still leave at a time. A sender asks right before it writes.
-func (a *Attempt) MaySend(now time.Duration) bool {
-	c := a.Call
-	if a.lease.expired(now) || c.Closed() || c.left.Load() != 0 || a.Target.Stopped() || now >= a.Deadline {
-		return false
+// handleClientGone closes a call whose client has gone, and notifies the balancer.
+func (e *Engine) handleClientGone(c *Call) {
+	if !c.Close() {
+		return
 	}
-	return !c.Request.StreamedBody || c.ClientGone == nil || !c.ClientGone()
+	e.counters.clientGone++
+	e.dispatch(balancer.ClientGone{ID: c.Request.ID})
+	e.forget(c)
 }
 
-// Sent notes when the first byte of an attempt was written, and how long its server was told that the node waits; 0:
-// nothing that counts from there. What is wrong with that is counted.
-func (a *Attempt) Sent(began, told time.Duration) {
-	c := a.Call
-	a.guard.Note(invariants.Send{Began: began, Stopped: time.Duration(a.Target.stopped.Load()), ListExpires: a.lease.until(),
-		ClientGone: time.Duration(c.left.Load()), Deadline: c.Request.Deadline, AnnouncedTimeout: told}.Check(),
-		"id", c.Request.ID, "server", a.Target.ID, "attempt", a.Number)
+// deny answers the arriving call, whose client the access list denies. It is not looked up by its ID, which may be that of
+// another client's call.
+func (e *Engine) deny(a balancer.Deny) {
+	c := e.arriving
+	if !c.Close() {
+		return
+	}
+	e.counters.denied++
+	e.Log.Info("denied", append([]any{"id", a.ID, "class", c.Request.Class}, clientAttr(c.Request.Client)...)...)
+	c.answer <- Answer{Verdict: Denied}
+	e.forget(c)
 }
 
-// Result is how an attempt ended.
-type Result struct {
-	Attempt *Attempt
-	Outcome balancer.Outcome
-	Reply   any           // of a success; goes into the answer
-	Latency time.Duration // of a stream, till its first message; 0: till now
-
-	// For the log: why there is no answer, and what the attempt's connection had behind it.
-	Err                           error
-	ConnectionUses                int
-	ConnectionAge, ConnectionIdle time.Duration
+// answer gives a call the final answer that the balancer decided on, any but Served and Denied. It does nothing if the call
+// is closed already.
+func (e *Engine) answer(id string, a Answer) {
+	c := e.calls[id]
+	if c == nil || !c.Close() {
+		return
+	}
+	if a.rejects() {
+		e.counters.rejected[c.attemptStage()]++
+		if e.leaseExpired {
+			e.counters.rejectedLeaseExpired++
+			e.Metrics.Count(c.Tags, metrics.RejectedExpired)
+		}
+	} else {
+		e.counters.failed[c.attemptStage()]++
+	}
+	e.checkAnswer(c, a.rejects())
+	c.answer <- a
+	e.forget(c)
 }
 
-// Sender carries attempts to servers and hands each one's Result to Engine.Ended, once. No method may block.
-type Sender interface {
-	Start(*Attempt)
-	// Retire ends what is kept for a target that gets nothing new.
-	Retire(*Target)
+// serve gives a call that the caller has closed the answer of an attempt that succeeded.
+func (e *Engine) serve(c *Call, reply any) {
+	e.counters.served++
+	c.answer <- Answer{Verdict: Served, Reply: reply}
 }
 
-// Endpoint is a server of a list and where it is reached.
-type Endpoint struct {
-	balancer.Server
-	Addr string `json:"Addr"`
+// forget drops a call that is closed and has no attempt out; from then on its ID is free.
+func (e *Engine) forget(c *Call) {
+	if c.Closed() && c.outstanding == 0 && e.calls[c.Request.ID] == c {
+		delete(e.calls, c.Request.ID)
+	}
 }
 
-// Update is what a source has to tell: a list or its changes, or that it failed.
-type Update struct {
-	Version   int64 // as the source counts; the engine does not look at it
-	Endpoints []Endpoint
-	Complete  bool // the boxes are all that there are
-	Cached    bool // they are from an earlier life of the node
-	Failed    bool // an asked watch failed or ended
+// eventContext is what a capture has of a call beside what the balancer is told.
+func (c *Call) eventContext() capture.EventContext {
+	return capture.EventContext{Tenant: c.Tenant, Budget: c.Budget}
 }
 
-// FaultInjectionStart is a drill to start, and whose wish that is, where that is known.
-type FaultInjectionStart struct {
-	Name   string
-	Client netip.Addr
+// clientAttr is the log attribute of a client's address; nothing where that is not known.
+func clientAttr(client netip.Addr) []any {
+	if !client.IsValid() {
+		return nil
+	}
+	return []any{"client", client}
 }
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Clock is monotonic and reads as Unix time at the start, so a server's boot time is a clock time.
+// Clock is a monotonic clock that reads as Unix time at its start, so that the start time of a server, which discovery
+// gives as Unix time, can be compared with it. Steps of the wall clock after the start do not move it.
 type Clock struct{ start time.Time }
 
 // NewClock starts a clock.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now is the time since 1970 by this clock.
-func (c Clock) Now() time.Duration { return time.Duration(c.start.UnixNano()) + time.Since(c.start) }
+func (c Clock) Now() time.Duration { return c.epoch() + time.Since(c.start) }
 
-// At turns a clock time into one that deadlines of sockets understand.
-func (c Clock) At(t time.Duration) time.Time {
-	return c.start.Add(t - time.Duration(c.start.UnixNano()))
-}
+// At turns a time of this clock into one for the deadlines of sockets and contexts.
+func (c Clock) At(t time.Duration) time.Time { return c.start.Add(t - c.epoch()) }
 
-// Of is the clock time of a moment that was read on this machine while the process ran.
-func (c Clock) Of(t time.Time) time.Duration {
-	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
-}
+// Of is the time of this clock at a moment that was read on this machine while the process ran.
+func (c Clock) Of(t time.Time) time.Duration { return c.epoch() + t.Sub(c.start) }
+
+// epoch is the time since 1970 at the clock's start.
+func (c Clock) epoch() time.Duration { return time.Duration(c.start.UnixNano()) }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -7,58 +7,80 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
+// Bounds on what the engine logs: a node at full load, and one whose servers all fail, must not drown its own log.
 const (
-	tallyEvery = 5 * time.Second // between two log lines of counts
-	breakEvery = time.Second     // between two log lines of unanswered attempts
+	countersInterval = 5 * time.Second // between two log lines of counters
+	failureInterval  = time.Second     // between two log lines of attempts without a response, at least
 )
 
-// tally counts what became of calls and attempts since the last log line: of a bad stretch it tells whether
-// callers were turned away before or after an attempt, and how the attempts ended.
-type tally struct {
-	taken, served, left int
-	drilled, denied     int
-	refused, failed     [2]int // before any attempt; after one
-	expired             int    // of the refused, while the list had expired
-	endings             [balancer.NotSent + 1]int
-	nextBreak           time.Duration // until then no further unanswered attempt is logged
+// attemptStage splits the counts of rejected and failed calls: overload shows before the attempt, faults of servers after.
+type attemptStage int
+
+// The stages.
+const (
+	beforeAttempt attemptStage = iota // the call was never sent
+	afterAttempt                      // it was sent once or more
+	attemptStages                     // how many there are
+)
+
+// attemptStage says whether an attempt has been made for a call.
+func (c *Call) attemptStage() attemptStage {
+	if c.attempts == 0 {
+		return beforeAttempt
+	}
+	return afterAttempt
+}
+
+// counters count what became of calls and attempts since the last log line of counters. They are the loop's own.
+type counters struct {
+	received, served, clientGone int
+	faultInjected, denied        int
+	rejected, failed             [attemptStages]int
+	rejectedLeaseExpired         int                       // of the rejected: while the endpoint list had expired
+	outcomes                     [balancer.NotSent + 1]int // of attempts
+	nextFailureLog               time.Duration             // by the engine's clock; until then no attempt without a response is logged
 }
 
-// tried is the index of a count split by whether an attempt was made.
-func tried(c *Call) int { return min(c.attempts, 1) }
+// logCounters logs the counters, if anything was counted, and starts anew.
+func (e *Engine) logCounters() { e.counters.log(e.Log, len(e.calls)) }
 
-// write logs the counts, if there are any, and starts anew.
-func (t *tally) write(log *slog.Logger, out int) {
-	fresh := tally{nextBreak: t.nextBreak}
-	if *t == fresh {
+// log is logCounters with the number of open calls.
+func (c *counters) log(log *slog.Logger, open int) {
+	zero := counters{nextFailureLog: c.nextFailureLog}
+	if *c == zero {
 		return
 	}
-	e := &t.endings
-	var features []any // only what is on has something to tell
-	if t.drilled > 0 {
-		features = append(features, "hookwalk.drill.applied", t.drilled)
+	var features []any // of features that may be off: only where there is something to tell
+	if c.faultInjected > 0 {
+		features = append(features, "hookwalk.drill.applied", c.faultInjected)
 	}
-	if t.denied > 0 {
-		features = append(features, "denied", t.denied)
+	if c.denied > 0 {
+		features = append(features, "denied", c.denied)
 	}
-	if t.expired > 0 {
-		features = append(features, "refused_list_expired", t.expired)
+	if c.rejectedLeaseExpired > 0 {
+		features = append(features, "rejected_list_expired", c.rejectedLeaseExpired)
 	}
-	log.With(features...).Info("counts", "taken", t.taken, "served", t.served, "left", t.left,
-		"refused_unsent", t.refused[0], "refused_sent", t.refused[1],
-		"failed_unsent", t.failed[0], "failed_sent", t.failed[1], "open", out,
-		"ok", e[balancer.Success], "error", e[balancer.Failure], "full", e[balancer.Overloaded],
-		"timeout", e[balancer.TimedOut], "connect", e[balancer.Unreachable], "reset", e[balancer.ConnectionLost],
-		"void", e[balancer.NotSent])
-	*t = fresh
+	log.With(features...).Info("counts",
+		"received", c.received, "served", c.served, "client_gone", c.clientGone,
+		"rejected_unsent", c.rejected[beforeAttempt], "rejected_sent", c.rejected[afterAttempt],
+		"failed_unsent", c.failed[beforeAttempt], "failed_sent", c.failed[afterAttempt],
+		"open", open,
+		"success", c.outcomes[balancer.Success], "failure", c.outcomes[balancer.Failure],
+		"overloaded", c.outcomes[balancer.Overloaded], "timed_out", c.outcomes[balancer.TimedOut],
+		"unreachable", c.outcomes[balancer.Unreachable], "connection_lost", c.outcomes[balancer.ConnectionLost],
+		"not_sent", c.outcomes[balancer.NotSent])
+	*c = zero
 }
 
-// note counts an ending and logs an attempt that got no answer, though not each of a run of them.
-func (t *tally) note(log *slog.Logger, now time.Duration, r Result) {
-	t.endings[r.Outcome]++
-	if r.Err == nil || now < t.nextBreak {
+// addResult counts the outcome of an attempt, and logs one without a response if none was logged in the failureInterval before.
+func (c *counters) addResult(log *slog.Logger, now time.Duration, r Result) {
+	c.outcomes[r.Outcome]++
+	if r.Err == nil || now < c.nextFailureLog {
 		return
 	}
-	t.nextBreak = now + breakEvery
+	c.nextFailureLog = now + failureInterval
 	log.Warn("attempt without an answer", append([]any{"server", r.Attempt.Target.ID, "err", r.Err,
-		"after", now - r.Attempt.Started, "uses", r.ConnectionUses, "age", r.ConnectionAge, "idle", r.ConnectionIdle}, who(r.Attempt.Call.Request.Client)...)...)
+		"elapsed", now - r.Attempt.Started, "connection_uses", r.ConnectionUses,
+		"connection_age", r.ConnectionAge, "connection_idle", r.ConnectionIdle},
+		clientAttr(r.Attempt.Call.Request.Client)...)...)
 }
--- a/internal/engine/counters_test.go
+++ b/internal/engine/counters_test.go
@@ -11,32 +11,34 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-func TestTallyTellsEndingsAndBoundsItsLines(t *testing.T) {
+// Every attempt fails for a while. The log has one line of a failed attempt for each second with some, with the history of its
+// connection, and all outcomes in the next line of counters; a line of counters without anything counted is left out.
+func TestCountersLogOutcomesAndBoundTheirLines(t *testing.T) {
 	var out bytes.Buffer
-	log, tl := slog.New(slog.NewTextHandler(&out, nil)), &tally{}
-	att := &Attempt{Call: &Call{attempts: 1}, Target: &Target{ID: "s-1"}, Started: breakEvery / 2}
+	log, c := slog.New(slog.NewTextHandler(&out, nil)), &counters{}
+	attempt := &Attempt{Call: &Call{attempts: 1}, Target: &Target{ID: "s-1"}, Started: failureInterval / 2}
 	for i := range 10 { // ten in one interval
-		tl.note(log, breakEvery+breakEvery/10*time.Duration(i), Result{Attempt: att, Outcome: balancer.ConnectionLost, Err: errors.New("reset"), ConnectionUses: 3})
+		c.addResult(log, failureInterval+failureInterval/10*time.Duration(i), Result{Attempt: attempt, Outcome: balancer.ConnectionLost, Err: errors.New("reset"), ConnectionUses: 3})
 	}
-	tl.note(log, 3*breakEvery, Result{Attempt: att, Outcome: balancer.Unreachable, Err: errors.New("refused")})
-	tl.note(log, 9*breakEvery, Result{Attempt: att, Outcome: balancer.Success})
+	c.addResult(log, 3*failureInterval, Result{Attempt: attempt, Outcome: balancer.Unreachable, Err: errors.New("refused")})
+	c.addResult(log, 9*failureInterval, Result{Attempt: attempt, Outcome: balancer.Success})
 	if n := strings.Count(out.String(), "attempt without an answer"); n != 2 {
-		t.Errorf("%d lines of broken attempts, want one for each interval with some, 2:\n%s", n, out.String())
+		t.Errorf("%d lines of failed attempts, want one for each interval with some, 2:\n%s", n, out.String())
 	}
-	if !strings.Contains(out.String(), "server=s-1 err=reset after=500ms uses=3") {
-		t.Errorf("no word of the connection:\n%s", out.String())
+	if !strings.Contains(out.String(), "server=s-1 err=reset elapsed=500ms connection_uses=3") {
+		t.Errorf("the connection is not described:\n%s", out.String())
 	}
 	out.Reset()
-	tl.refused[tried(att.Call)]++
-	tl.refused[tried(&Call{})]++
-	tl.write(log, 4)
-	for _, want := range []string{"refused_unsent=1", "refused_sent=1", "open=4", "ok=1", "connect=1", "reset=10"} {
+	c.rejected[attempt.Call.attemptStage()]++
+	c.rejected[(&Call{}).attemptStage()]++
+	c.log(log, 4)
+	for _, want := range []string{"rejected_unsent=1", "rejected_sent=1", "open=4", "success=1", "unreachable=1", "connection_lost=10"} {
 		if !strings.Contains(out.String(), want+" ") && !strings.Contains(out.String(), want+"\n") {
 			t.Errorf("want %s in %s", want, out.String())
 		}
 	}
 	out.Reset()
-	if tl.write(log, 4); out.Len() > 0 {
-		t.Errorf("nothing happened, and yet: %s", out.String())
+	if c.log(log, 4); out.Len() > 0 {
+		t.Errorf("nothing was counted, but logged: %s", out.String())
 	}
 }
--- /dev/null
+++ b/internal/engine/invariants.go
@@ -0,0 +1,44 @@
+package engine
+
+import (
+	"time"
+
+	"hookwalk.example/hookwalk/invariants"
+)
+
+// checkStart counts and logs the invariants that an attempt breaks as it starts, before it is counted as outstanding.
+func (e *Engine) checkStart(now time.Duration, attempt *Attempt) {
+	c, target := attempt.Call, attempt.Target
+	attrs := attempt.logAttrs()
+	if c.attempts > 0 {
+		retry := invariants.Retry{
+			Attempts:    c.attempts,
+			MaxAttempts: c.maxAttempts,
+			Outstanding: c.outstanding,
+			MayHaveRun:  c.mayHaveRun,
+			Retryable:   c.Retryable,
+		}
+		e.Guard.Note(retry.Check(), attrs...)
+	}
+	slowStart := invariants.SlowStartSend{
+		WarmingUp:   target.Boot > 0 && now < target.Boot+e.Balancer.SlowStartDuration(),
+		Outstanding: target.outstanding,
+	}
+	e.Guard.Note(slowStart.Check(), attrs...)
+}
+
+// checkAnswer counts and logs the invariants that a final answer breaks.
+func (e *Engine) checkAnswer(c *Call, rejected bool) {
+	end := invariants.Close{
+		At:         e.Clock.Now(),
+		Deadline:   c.Request.Deadline,
+		Answered:   true,
+		Rejected:   rejected,
+		MayHaveRun: c.mayHaveRun,
+		Retryable:  c.Retryable,
+	}
+	if c.Request.StreamedBody { // its time runs from its body's last byte, which the engine does not see
+		end.Deadline = end.At
+	}
+	e.Guard.Note(end.Check(), "id", c.Request.ID, "attempts", c.attempts)
+}
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -8,55 +8,62 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Lease says until when the list of servers may be relied on.
+// Lease says until when the endpoint list may be relied on.
 type Lease struct {
 	Until     time.Time // with a reading of the monotonic clock
-	Unbounded bool      // there is no end: the source is away, and has nothing that counts
+	Unbounded bool      // there is no end: discovery is unavailable, and knows of nothing newer that would count
 }
 
-// lease is the one that is in force. Senders ask for it right before they write, whatever the loop is busy with.
-type lease struct {
-	end     *atomic.Int64 // a time of the engine's clock
-	renewed chan struct{} // takes a wish to look again without blocking
+// noEnd is when a lease without an end expires.
+const noEnd = time.Duration(math.MaxInt64)
+
+// endpointLease is the lease in force. It guards against sends that rest on an expired list: discovery may long have
+// announced that a server drains, and this node not have heard of it. Such sends show as broken invariants "drain". The
+// balancer is notified when the lease expires, but attempts that it decided on earlier may still wait for a connection, and
+// the loop may be busy; so senders read the lease themselves, right before they write. Any goroutine may use it.
+type endpointLease struct {
+	end     atomic.Int64  // by the engine's clock
+	changed chan struct{} // wakes the loop; buffers one, so that RenewLease need not block
 }
 
-// newLease makes one without an end: it is in force until a source says otherwise.
-func newLease() lease {
-	l := lease{end: new(atomic.Int64), renewed: make(chan struct{}, 1)}
-	l.end.Store(math.MaxInt64)
+// newEndpointLease makes a lease without an end, in force until a source says otherwise.
+func newEndpointLease() *endpointLease {
+	l := &endpointLease{changed: make(chan struct{}, 1)}
+	l.end.Store(int64(noEnd))
 	return l
 }
 
-// until is when it ends; nil has no end.
-func (l *lease) until() time.Duration {
+// until is when the lease expires, by the engine's clock. A nil lease has no end.
+func (l *endpointLease) until() time.Duration {
 	if l == nil {
-		return math.MaxInt64
+		return noEnd
 	}
 	return time.Duration(l.end.Load())
 }
 
-// expired says that the list may not be relied on at a time.
-func (l *lease) expired(now time.Duration) bool { return now >= l.until() }
+// expired says that the list may not be relied on at a time of the engine's clock.
+func (l *endpointLease) expired(now time.Duration) bool { return now >= l.until() }
 
-// RenewLease says until when the list may be relied on. It does not block, and holds at once for what has not been written.
+// RenewLease says until when the endpoint list may be relied on. It doesn't block, and holds at once for all that has not
+// been written.
 func (e *Engine) RenewLease(l Lease) {
-	until := time.Duration(math.MaxInt64)
+	until := noEnd
 	if !l.Unbounded {
 		until = e.Clock.Of(l.Until)
 	}
 	e.lease.end.Store(int64(until))
 	select {
-	case e.lease.renewed <- struct{}{}:
+	case e.lease.changed <- struct{}{}:
 	default:
 	}
 }
 
-// checkLease tells the module when the list has expired, and when it may be relied on again.
+// checkLease notifies the balancer when the lease has expired, and when it is in force again.
 func (e *Engine) checkLease() {
 	expired := e.lease.expired(e.Clock.Now())
-	if expired == e.expired {
+	if expired == e.leaseExpired {
 		return
 	}
-	e.expired = expired
+	e.leaseExpired = expired
 	e.decide(balancer.EndpointLease{Expired: expired})
 }
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -6,32 +6,34 @@
 	"time"
 )
 
-// What was chosen before the list expired is not written after, whatever the loop is busy with; what can't be sent is
-// answered at once, and the first call after the list is confirmed is sent.
+// Discovery stops answering, so the endpoint list expires while an attempt waits for a connection. The attempt must not be
+// written any more; new calls are rejected at once, with a Retry-After; and once discovery is known to be unavailable, which
+// makes the last list good again, both the old attempt and new calls may be sent. Nodes had sent to draining servers for
+// seconds, because only the log heard of the expiry.
 func TestNothingIsSentOnAnExpiredList(t *testing.T) {
-	inBubble(t, 10, func(t *testing.T, e *Engine, s *scripted) {
-		const left = 300 * time.Millisecond
-		e.RenewLease(Lease{Until: time.Now().Add(left)})
-		got := asked(t.Context(), e, newCall(e, "1", "unsafe"))
-		a := next(t, s.started)
-		if !a.MaySend(e.Clock.Now()) || a.MaySend(e.Clock.Now()+left) {
+	withEngine(t, 10, func(t *testing.T, e *Engine, s *manualSender) {
+		const remaining = 300 * time.Millisecond
+		e.RenewLease(Lease{Until: time.Now().Add(remaining)})
+		got := doAsync(t.Context(), e, newCall(e, "1", "non-idempotent"))
+		a := receive(t, s.started)
+		if !a.MaySend(e.Clock.Now()) || a.MaySend(e.Clock.Now()+remaining) {
 			t.Error("the attempt does not end with the lease")
 		}
-		<-time.After(left)
-		refused := asked(t.Context(), e, newCall(e, "2", "unsafe"))
-		if a := next(t, refused); a.Verdict != Rejected || a.RetryAfter == 0 {
+		<-time.After(remaining)
+		rejected := doAsync(t.Context(), e, newCall(e, "2", "non-idempotent"))
+		if a := receive(t, rejected); a.Verdict != Rejected || a.RetryAfter == 0 {
 			t.Errorf("answered %+v", a)
 		}
 		e.RenewLease(Lease{Unbounded: true})
 		synctest.Wait()
-		served := asked(t.Context(), e, newCall(e, "3", "unsafe"))
-		b := next(t, s.started)
+		served := doAsync(t.Context(), e, newCall(e, "3", "non-idempotent"))
+		b := receive(t, s.started)
 		if !a.MaySend(e.Clock.Now()) || !b.MaySend(e.Clock.Now()) {
-			t.Error("nothing may be sent while discovery is away")
+			t.Error("nothing may be sent while discovery is unavailable")
 		}
 		e.AttemptEnded(Result{Attempt: a, Reply: 1})
 		e.AttemptEnded(Result{Attempt: b, Reply: 2})
-		if a, b := next(t, got), next(t, served); a.Verdict != Served || b.Verdict != Served {
+		if a, b := receive(t, got), receive(t, served); a.Verdict != Served || b.Verdict != Served {
 			t.Errorf("answered %+v and %+v", a, b)
 		}
 	})
