--- a/internal/engine/random_test.go
+++ b/internal/engine/random_test.go
@@ -16,83 +16,26 @@
 // service; and a non-idempotent call that may have run is neither sent again nor rejected.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
-		withEngine(t, 6, func(t *testing.T, e *Engine, s *manualSender) {
-			rng := rand.New(rand.NewPCG(seed, 1))
-			outstanding := map[*Call]*Attempt{}
-			mayHaveRun := map[*Call]bool{}
-			answers := map[*Call]<-chan Answer{}
-			cancels := map[*Call]context.CancelFunc{}
-			outOfService, clientGone := map[string]bool{}, map[*Call]bool{}
-			answered, calls := 0, []*Call{}
-			receiveAttempts := func() {
-				synctest.Wait()
-				for len(s.started) > 0 {
-					a := <-s.started
-					switch {
-					case outstanding[a.Call] != nil || a.Number > 2:
-						t.Fatalf("seed %d: attempt %d while another is out: %v", seed, a.Number, outstanding[a.Call] != nil)
-					case outOfService[a.Target.ID] && a.MaySend(e.Clock.Now()):
-						t.Fatalf("seed %d: sent to %s, which is out of service", seed, a.Target.ID)
-					case mayHaveRun[a.Call] && a.Call.Request.Class == "non-idempotent":
-						t.Fatalf("seed %d: a non-idempotent call is sent again", seed)
-					}
-					outstanding[a.Call] = a
-				}
+		withEngine(t, randomServers, func(t *testing.T, e *Engine, s *manualSender) {
+			r := &randomEvents{
+				T: t, engine: e, sender: s, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)),
+				outstanding:  map[*Call]*Attempt{},
+				mayHaveRun:   map[*Call]bool{},
+				answers:      map[*Call]<-chan Answer{},
+				cancels:      map[*Call]context.CancelFunc{},
+				clientGone:   map[*Call]bool{},
+				outOfService: map[string]bool{},
 			}
-			end := func(c *Call, outcome balancer.Outcome) {
-				a := outstanding[c]
-				delete(outstanding, c)
-				mayHaveRun[c] = mayHaveRun[c] || outcome == balancer.Failure || outcome == balancer.ConnectionLost || outcome == balancer.TimedOut
-				e.AttemptEnded(Result{Attempt: a, Outcome: outcome})
-				receiveAttempts()
-			}
-			checkDeadlines := func() {
-				for _, c := range calls {
-					if a := outstanding[c]; a != nil && e.Clock.Now() >= a.Deadline {
-						end(c, balancer.TimedOut)
-					}
-					if e.Clock.Now() > c.Request.Deadline && outstanding[c] == nil && !clientGone[c] && len(answers[c]) != 1 {
-						t.Fatalf("seed %d: no answer by the deadline", seed)
-					}
-				}
-			}
-			for i := range 200 {
-				switch k := rng.IntN(10); {
-				case k < 5:
-					c := newCall(e, strconv.Itoa(i), []string{"idempotent", "non-idempotent"}[rng.IntN(2)])
-					ctx, cancel := context.WithCancel(t.Context())
-					answers[c], cancels[c] = doAsync(ctx, e, c), cancel
-					calls = append(calls, c)
-				case k < 8 && len(calls) > 0:
-					if c := calls[rng.IntN(len(calls))]; outstanding[c] != nil {
-						end(c, balancer.Outcome(rng.IntN(int(balancer.NotSent)+1)))
-					}
-				case k == 8:
-					endpoint := completeList(6).Endpoints[rng.IntN(6)]
-					endpoint.State, endpoint.StartTime = balancer.ServerState(rng.IntN(3)), time.Duration(rng.IntN(2))
-					e.ApplyUpdate(t.Context(), Update{Endpoints: []Endpoint{endpoint}})
-					outOfService[endpoint.ID] = endpoint.State != balancer.Ready
-				case k == 9 && len(calls) > 0 && rng.IntN(4) == 0:
-					c := calls[rng.IntN(len(calls))]
-					clientGone[c] = true
-					cancels[c]()
-				}
-				receiveAttempts()
-				time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond) // of the bubble's clock
-				checkDeadlines()
+			for n := range 200 {
+				r.event(n)
+				r.startAttempts()
+				time.Sleep(time.Duration(r.rng.IntN(100)) * time.Millisecond) // of the bubble's clock
+				r.checkDeadlines()
 			}
 			time.Sleep(5 * time.Second)
-			receiveAttempts()
-			checkDeadlines()
-			for _, c := range calls {
-				cancels[c]()
-				if a, ok := <-answers[c]; ok {
-					answered++
-					if a.Verdict == Rejected && mayHaveRun[c] && c.Request.Class == "non-idempotent" {
-						t.Fatalf("seed %d: rejected, but may have run", seed)
-					}
-				}
-			}
+			r.startAttempts()
+			r.checkDeadlines()
+			answered := r.checkAnswers()
 			synctest.Wait()
 			if len(e.calls) > 0 || answered < 50 {
 				t.Errorf("seed %d: %d calls kept in the end, %d answered", seed, len(e.calls), answered)
@@ -100,3 +43,110 @@
 		})
 	}
 }
+
+const randomServers = 6
+
+// randomEvents makes random events at an engine, and knows what the engine may do after them.
+type randomEvents struct {
+	*testing.T
+	engine *Engine
+	sender *manualSender
+	seed   uint64
+	rng    *rand.Rand
+
+	calls        []*Call
+	outstanding  map[*Call]*Attempt
+	mayHaveRun   map[*Call]bool
+	answers      map[*Call]<-chan Answer
+	cancels      map[*Call]context.CancelFunc
+	clientGone   map[*Call]bool
+	outOfService map[string]bool
+}
+
+// event makes one event; n tells it from the others. Every second one is a call.
+func (r *randomEvents) event(n int) {
+	switch k := r.rng.IntN(10); {
+	case k < 5:
+		c := newCall(r.engine, strconv.Itoa(n), []string{"idempotent", "non-idempotent"}[r.rng.IntN(2)])
+		ctx, cancel := context.WithCancel(r.Context())
+		r.answers[c], r.cancels[c] = doAsync(ctx, r.engine, c), cancel
+		r.calls = append(r.calls, c)
+	case k < 8 && len(r.calls) > 0:
+		if c := r.anyCall(); r.outstanding[c] != nil {
+			r.endAttempt(c, balancer.Outcome(r.rng.IntN(int(balancer.NotSent)+1)))
+		}
+	case k == 8:
+		endpoint := completeList(randomServers).Endpoints[r.rng.IntN(randomServers)]
+		endpoint.State, endpoint.StartTime = balancer.ServerState(r.rng.IntN(3)), time.Duration(r.rng.IntN(2))
+		r.engine.ApplyUpdate(r.Context(), Update{Endpoints: []Endpoint{endpoint}})
+		r.outOfService[endpoint.ID] = endpoint.State != balancer.Ready
+	case k == 9 && len(r.calls) > 0 && r.rng.IntN(4) == 0:
+		c := r.anyCall()
+		r.clientGone[c] = true
+		r.cancels[c]()
+	}
+}
+
+func (r *randomEvents) anyCall() *Call { return r.calls[r.rng.IntN(len(r.calls))] }
+
+// startAttempts takes the attempts that the engine has started, and checks that each is allowed.
+func (r *randomEvents) startAttempts() {
+	r.Helper()
+	synctest.Wait()
+	for len(r.sender.started) > 0 {
+		a := <-r.sender.started
+		switch {
+		case r.outstanding[a.Call] != nil || a.Number > 2:
+			r.Fatalf("seed %d: attempt %d while another is out: %v", r.seed, a.Number, r.outstanding[a.Call] != nil)
+		case r.outOfService[a.Target.ID] && a.MaySend(r.engine.Clock.Now()):
+			r.Fatalf("seed %d: sent to %s, which is out of service", r.seed, a.Target.ID)
+		case r.mayHaveRun[a.Call] && a.Call.Request.Class == "non-idempotent":
+			r.Fatalf("seed %d: a non-idempotent call is sent again", r.seed)
+		}
+		r.outstanding[a.Call] = a
+	}
+}
+
+// endAttempt hands in the result of the attempt that is out.
+func (r *randomEvents) endAttempt(c *Call, outcome balancer.Outcome) {
+	r.Helper()
+	a := r.outstanding[c]
+	delete(r.outstanding, c)
+	switch outcome {
+	case balancer.Failure, balancer.ConnectionLost, balancer.TimedOut:
+		r.mayHaveRun[c] = true
+	}
+	r.engine.AttemptEnded(Result{Attempt: a, Outcome: outcome})
+	r.startAttempts()
+}
+
+// checkDeadlines ends the attempts that are out at their deadlines, and checks that each call has its answer by its own.
+func (r *randomEvents) checkDeadlines() {
+	r.Helper()
+	for _, c := range r.calls {
+		if a := r.outstanding[c]; a != nil && r.engine.Clock.Now() >= a.Deadline {
+			r.endAttempt(c, balancer.TimedOut)
+		}
+		late := r.engine.Clock.Now() > c.Request.Deadline
+		if late && r.outstanding[c] == nil && !r.clientGone[c] && len(r.answers[c]) != 1 {
+			r.Fatalf("seed %d: no answer by the deadline", r.seed)
+		}
+	}
+}
+
+// checkAnswers checks the answers of all calls and counts them.
+func (r *randomEvents) checkAnswers() (answered int) {
+	r.Helper()
+	for _, c := range r.calls {
+		r.cancels[c]()
+		a, ok := <-r.answers[c]
+		if !ok {
+			continue
+		}
+		answered++
+		if a.Verdict == Rejected && r.mayHaveRun[c] && c.Request.Class == "non-idempotent" {
+			r.Fatalf("seed %d: rejected, but may have run", r.seed)
+		}
+	}
+	return answered
+}
