--- a/invariants/guard.go
+++ b/invariants/guard.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// logEvery is how often a node logs a violation of one rule at most.
-const logEvery = time.Second
+// logInterval is between two log lines of violations of one rule, at least: a fault in service breaks a rule thousands of
+// times a second, and must not drown the log that explains it.
+const logInterval = time.Second
 
-// Guard counts violations by rule and logs them. A nil Guard does neither. Its methods may be called side by side.
+// Guard counts violations by rule and logs them, for one node. A nil Guard does neither. Its methods may be called from any
+// goroutine.
 type Guard struct {
-	// Counted, if it is there, is told of each violation; it is set before any is noted, and must not block.
+	// Counted, if not nil, is called with each violation's rule. It is set before any violation is noted, and must not block.
 	Counted func(Rule)
 
 	log    *slog.Logger
@@ -22,7 +24,8 @@
 // NewGuard makes a Guard that has counted nothing.
 func NewGuard(log *slog.Logger) *Guard { return &Guard{log: log} }
 
-// Note counts a violation and logs it with what names its request. It says whether there was one.
+// Note counts a violation, and logs it with attributes that name its request. It says whether there was one: v is what a
+// check returned, and may be nil.
 func (g *Guard) Note(v *Violation, attrs ...any) bool {
 	if v == nil {
 		return false
@@ -35,7 +38,7 @@
 		g.Counted(v.Rule)
 	}
 	now, last := time.Now().UnixNano(), g.logged[v.Rule].Load()
-	if now-last >= int64(logEvery) && g.logged[v.Rule].CompareAndSwap(last, now) {
+	if now-last >= int64(logInterval) && g.logged[v.Rule].CompareAndSwap(last, now) {
 		g.log.Error("invariant broken", append([]any{"rule", v.Rule, "err", v, "count", count}, attrs...)...)
 	}
 	return true
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -1,10 +1,12 @@
-// Package invariants holds what must never happen at a node, as checks of typed facts: each send, each repeat, each answer
-// or close, and each start of calls to a cold server. A check takes what is known at that moment and gives the Violation,
-// nil if there is none. It is pure; a Guard counts what the checks of one node gave.
+// Package invariants holds what must never happen at a node, as checks of typed facts. There is one for each moment at which
+// a rule can be broken: a request is written to a server (Send), a request is retried (Retry), an attempt starts at a server
+// in slow start (SlowStartSend), a request ends (Close). A check takes what is known at that moment and returns the
+// Violation, nil if there is none. The checks are pure and may be called from any goroutine; a Guard counts and logs what
+// the checks of one node found.
 //
-// The engine and the HTTP front call it where the thing itself is done, whatever was decided before: a decision may rest
-// on a state that has changed since. The figures are those of the operators' rules
-// (docs/incidents/2026-12-02-sends-on-an-expired-list.md).
+// The engine and the HTTP ingress call a check where the thing itself is done, whatever was decided before: a decision may
+// rest on a state that has changed since. A check prevents nothing; it shows that a guard before it has failed, or that one
+// is missing. The rules are the operators' (docs/incidents/2026-12-02-sends-on-an-expired-list.md).
 package invariants
 
 import (
@@ -15,38 +17,57 @@
 // Rule is one of the operators' rules.
 type Rule int
 
-// Rules.
+// The rules. Their names, as String gives them, are in the log.
 const (
-	Drain     Rule = iota // nothing goes to a server that drains or is gone, as far as the node was told or counts as told
-	Duplicate             // what may have run is neither sent again nor refused, unless its class allows that
-	Lost                  // each request read gets one final answer in time, and nothing is sent for a client that has gone
-	Budget                // a server is told at most the time that the client has left
-	SlowStart             // a cold server gets one call of this node at a time
-	rules
+	// Drain: nothing is sent to a server that drains, has left the endpoint list or is disabled by an operator, nor on
+	// an endpoint list that has expired. Broken, it shows as requests that end with a server's shutdown or restart.
+	Drain Rule = iota
+	// Duplicate: a request that may have run is neither retried nor rejected (which invites its client to retry it),
+	// unless its class allows that it runs twice; and no request has two attempts out, or more than the settings allow.
+	// Broken, it shows as work done twice.
+	Duplicate
+	// Lost: each request that was read gets one final answer in time, and nothing is sent for a client that has gone.
+	// Broken, it shows as clients that time out, or as work done for nobody.
+	Lost
+	// Budget: a server is told at most the time that the client has left. Broken, it shows as servers that work on
+	// requests whose clients have given up, most of all in an overload.
+	Budget
+	// SlowStart: a server that is warming up has at most one attempt of this node outstanding. Broken, it shows as a
+	// cold server that is overloaded as soon as it is back.
+	SlowStart
+	rules // how many there are
 )
 
 // Rules are all of them.
 var Rules = [rules]Rule{Drain, Duplicate, Lost, Budget, SlowStart}
 
-func (r Rule) String() string {
-	return [rules]string{"drain", "duplicate", "lost", "budget", "slow-start"}[r]
-}
+var ruleNames = [rules]string{"drain", "duplicate", "lost", "budget", "slow-start"}
+
+// String is the rule's name in the log.
+func (r Rule) String() string { return ruleNames[r] }
 
-// The slack that the operators' rules leave.
+// The slack that the operators' rules leave, for what takes its time on the way.
 const (
-	DrainGrace      = 250 * time.Millisecond // from being told till the last send
-	ClientGoneGrace = 100 * time.Millisecond // from a client's end till the last attempt
-	BudgetSlack     = 150 * time.Millisecond
-	AnswerSlack     = 500 * time.Millisecond // after a request's deadline
+	// DrainGrace is from the moment at which the node is notified that a server may get nothing new, or at which the
+	// endpoint list expires, until the last send: requests that are being written need not be recalled.
+	DrainGrace = 250 * time.Millisecond
+	// ClientGoneGrace is from a client's cancel or close until the last send for it: the node has to notice first.
+	ClientGoneGrace = 100 * time.Millisecond
+	// BudgetSlack is by how much the time-out that a server is told may exceed what the client has left: the request
+	// is composed a little before it is written.
+	BudgetSlack = 150 * time.Millisecond
+	// AnswerSlack is from a request's deadline until its final answer at the latest: a time-out has to be noticed.
+	AnswerSlack = 500 * time.Millisecond
 )
 
 // Violation says which rule was broken, how, and by how much.
 type Violation struct {
 	Rule   Rule
 	What   string
-	Excess time.Duration // 0 where the rule has no time
+	Excess time.Duration // over the rule's limit; 0 where the rule has no limit in time
 }
 
+// Error describes the violation and says what an operator can do.
 func (v *Violation) Error() string {
 	text := fmt.Sprintf("invariant %v broken: %s", v.Rule, v.What)
 	if v.Excess > 0 {
@@ -55,108 +76,10 @@
 	return text + "; keep the node's log and capture, and report it"
 }
 
-// over gives the violation of a limit in time, if it is one.
-func over(rule Rule, what string, by time.Duration) *Violation {
-	if by <= 0 {
+// exceeds is the violation of a limit in time: nil unless excess, the time over the limit, is positive.
+func exceeds(rule Rule, what string, excess time.Duration) *Violation {
+	if excess <= 0 {
 		return nil
 	}
-	return &Violation{Rule: rule, What: what, Excess: by}
-}
-
-// first gives the first of several violations.
-func first(list ...*Violation) *Violation {
-	for _, v := range list {
-		if v != nil {
-			return v
-		}
-	}
-	return nil
-}
-
-// Send is one attempt whose request has been written. Times are of one monotonic clock; 0 where something has not
-// happened.
-type Send struct {
-	Began            time.Duration // right before the first byte was written
-	Stopped          time.Duration // when the node was told to send no more to the server
-	ListExpires      time.Duration // when the list that has the server expires or expired, as known at Began
-	ClientGone       time.Duration
-	Deadline         time.Duration // the client's
-	AnnouncedTimeout time.Duration // how long the server was told that the node waits; 0: that does not count from the first byte
-}
-
-// Check gives what is wrong with a send.
-func (s Send) Check() *Violation {
-	var stopped, left *Violation
-	if s.Stopped > 0 {
-		stopped = over(Drain, "a request was sent to a server that is out of service", s.Began-s.Stopped-DrainGrace)
-	}
-	if s.ClientGone > 0 {
-		left = over(Lost, "a request was sent for a client that had left", s.Began-s.ClientGone-ClientGoneGrace)
-	}
-	var budget *Violation
-	if s.AnnouncedTimeout > 0 {
-		budget = over(Budget, "a server was told more time than its client has", s.AnnouncedTimeout-(s.Deadline-s.Began)-BudgetSlack)
-	}
-	expired := over(Drain, "a request was sent on a list that had expired", s.Began-s.ListExpires-DrainGrace)
-	return first(stopped, expired, left, budget)
-}
-
-// Retry is a further attempt of a request that is about to begin.
-type Retry struct {
-	Attempts    int  // so far
-	MaxAttempts int  // by the settings
-	Outstanding int  // of the earlier ones, those that have not ended
-	MayHaveRun  bool // one of them
-	Retryable   bool // the class allows that it runs again
-}
-
-// Check gives what is wrong with a further attempt.
-func (r Retry) Check() *Violation {
-	switch {
-	case r.Outstanding > 0:
-		return &Violation{Rule: Duplicate, What: "a request was sent again while an attempt was out"}
-	case r.MayHaveRun && !r.Retryable:
-		return &Violation{Rule: Duplicate, What: "a request that may have run and must not run twice was sent again"}
-	case r.Attempts >= r.MaxAttempts:
-		return &Violation{Rule: Duplicate, What: "a request was sent more often than the settings allow"}
-	}
-	return nil
-}
-
-// Close is the end of a request at the node.
-type Close struct {
-	At         time.Duration
-	Deadline   time.Duration // the client's
-	Answered   bool          // with a final answer
-	Rejected   bool          // which says that trying again is harmless
-	ClientGone bool
-	MayHaveRun bool // an attempt
-	Retryable  bool // the class allows that it runs again
-}
-
-// Check gives what is wrong with the end of a request.
-func (c Close) Check() *Violation {
-	switch {
-	case c.Rejected && c.MayHaveRun && !c.Retryable:
-		return &Violation{Rule: Duplicate, What: "a request that may have run and must not run twice was refused"}
-	case !c.Answered && !c.ClientGone:
-		return &Violation{Rule: Lost, What: "a request was closed without an answer"}
-	case c.Answered:
-		return over(Lost, "an answer came after its time", c.At-c.Deadline-AnswerSlack)
-	}
-	return nil
-}
-
-// SlowStartSend is a call that begins at a server.
-type SlowStartSend struct {
-	WarmingUp   bool // it has started so lately that it is in slow start
-	Outstanding int  // own calls at it, without this one
-}
-
-// Check gives what is wrong with the start of a call.
-func (s SlowStartSend) Check() *Violation {
-	if s.WarmingUp && s.Outstanding > 0 {
-		return &Violation{Rule: SlowStart, What: "a server in slow start got a second call of this node at once"}
-	}
-	return nil
+	return &Violation{Rule: rule, What: what, Excess: excess}
 }
