--- a/invariants/guard.go
+++ b/invariants/guard.go
@@ -17,8 +17,8 @@
 	Counted func(Rule)
 
 	log    *slog.Logger
-	counts [rules]atomic.Int64
-	logged [rules]atomic.Int64 // Unix time in ns of the last line; a step of the wall clock costs a line or adds one
+	counts [ruleCount]atomic.Int64
+	logged [ruleCount]atomic.Int64 // Unix time in ns of the last line; a step of the wall clock costs a line or adds one
 }
 
 // NewGuard makes a Guard that has counted nothing.
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -35,13 +35,13 @@
 	// SlowStart: a server that is warming up has at most one attempt of this node outstanding. Broken, it shows as a
 	// cold server that is overloaded as soon as it is back.
 	SlowStart
-	rules // how many there are
+	ruleCount // how many there are
 )
 
 // Rules are all of them.
-var Rules = [rules]Rule{Drain, Duplicate, Lost, Budget, SlowStart}
+var Rules = [ruleCount]Rule{Drain, Duplicate, Lost, Budget, SlowStart}
 
-var ruleNames = [rules]string{"drain", "duplicate", "lost", "budget", "slow-start"}
+var ruleNames = [ruleCount]string{"drain", "duplicate", "lost", "budget", "slow-start"}
 
 // String is the rule's name in the log.
 func (r Rule) String() string { return ruleNames[r] }
