--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -1,119 +1,127 @@
-// Fault injection: a share of one class's requests is delayed or aborted. Who may start that is the host's.
+// Fault injection: delays and errors that operators inject into a share of one class's requests, to see how
+// clients cope. The host decides who may start one. Settings and operators call it a drill.
 
 package balancer
 
 import (
 	"math/rand/v2"
-	"slices"
+	"net/http"
 	"time"
 )
 
-// FaultInjection is a rehearsal that a FaultInjectionStart can start.
+const (
+	// faultRNGStream is the second half of the seed of fault injections.
+	faultRNGStream = 0xd2111
+	// percentPerShare turns a share of a class's requests into percent.
+	percentPerShare = 100
+	// delayDeviations is how many deviations above the mean latency an injected delay leaves for the
+	// answer.
+	delayDeviations = 2
+)
+
+// FaultInjection is a fault that StartFaultInjection can start.
 type FaultInjection struct {
 	Name        string        `json:"Name"`
 	Class       string        `json:"Class"`
 	Percent     float64       `json:"Share"`       // percent of the class's requests
 	Delay       time.Duration `json:"Delay"`       // before the first attempt; none for the aborted
-	AbortStatus int           `json:"AbortStatus"` // answered at once, without an attempt: 503 or 500; 0: not
+	AbortStatus int           `json:"AbortStatus"` // answered at once, not sent: 503 or 500; 0: none
 	Duration    time.Duration `json:"Duration"`    // from the last start
 }
 
-// rehearsal is the state of the drills. A Balancer without drills has none.
-type rehearsal struct {
-	// Its own stream: with the ordinary one, a drill would shift every draw of the requests that it spares.
-	src     *rand.PCG
-	rng     *rand.Rand
-	until   []time.Duration // of each drill: when it ends
-	delayed []*request      // in the order of arrival
+// faultInjector is the state of the fault injections. A Balancer without any has none. It draws from a
+// stream of its own: with the ordinary one, a fault would shift all draws of the requests that it spares.
+type faultInjector struct {
+	rngSource   *rand.PCG // of rng
+	rng         *rand.Rand
+	activeUntil []time.Duration // of each fault injection: when it ends
+	delayed     []*request      // in the order of their arrival
 }
 
-func newRehearsal(drills []FaultInjection, seed uint64) *rehearsal {
-	if len(drills) == 0 {
+func newFaultInjector(faults []FaultInjection, seed uint64) *faultInjector {
+	if len(faults) == 0 {
 		return nil
 	}
-	src := rand.NewPCG(seed, 0xd2111)
-	return &rehearsal{src: src, rng: rand.New(src), until: make([]time.Duration, len(drills))}
-}
-
-// startDrill lets a drill run for its whole duration from now, also one that runs already.
-func (b *Balancer) startDrill(name string) {
-	for i, d := range b.set.FaultInjections {
-		if d.Name == name && !b.leaving {
-			b.drills.until[i] = b.now + d.Duration
-		}
+	source := rand.NewPCG(seed, faultRNGStream)
+	return &faultInjector{
+		rngSource:   source,
+		rng:         rand.New(source),
+		activeUntil: make([]time.Duration, len(faults)),
 	}
 }
 
-// leave ends all drills for good: a node that goes must not spend its last seconds on a rehearsal.
-func (b *Balancer) leave() {
-	b.leaving = true
-	if b.drills == nil {
-		return
-	}
-	clear(b.drills.until)
-	for len(b.drills.delayed) > 0 {
-		b.resume(b.drills.delayed[0])
+// startFaultInjection lets a fault injection run for its whole duration from now, also one that runs
+// already. A node that shuts down starts none.
+func (b *Balancer) startFaultInjection(name string) {
+	for i, fault := range b.settings.FaultInjections {
+		if fault.Name == name && !b.shuttingDown {
+			b.faults.activeUntil[i] = b.now + fault.Duration
+		}
 	}
 }
 
-// drilled draws whether a request is part of a drill: the first running one of its class that hits. A drill
-// that can't start draws nothing.
-func (b *Balancer) drilled(e Request) *FaultInjection {
-	if b.drills == nil {
+// drawFaultInjection draws whether a fault is injected into a request: the first active one of its class
+// that hits, or nil. One that is not active draws nothing.
+func (b *Balancer) drawFaultInjection(e Request) *FaultInjection {
+	if b.faults == nil {
 		return nil
 	}
-	for i := range b.set.FaultInjections {
-		d := &b.set.FaultInjections[i]
-		if d.Class == e.Class && b.now < b.drills.until[i] && b.drills.rng.Float64()*100 < d.Percent {
-			b.do(FaultInjected{ID: e.ID, FaultInjection: d.Name})
-			return d
+	for i := range b.settings.FaultInjections {
+		fault := &b.settings.FaultInjections[i]
+		active := fault.Class == e.Class && b.now < b.faults.activeUntil[i]
+		if active && b.faults.rng.Float64()*percentPerShare < fault.Percent {
+			b.emit(FaultInjected{ID: e.ID, FaultInjection: fault.Name})
+			return fault
 		}
 	}
 	return nil
 }
 
-// abort answers a request that a drill turns away. It leaves no trace in what is learned of the class: those
-// that the drill spares must be served as if there were none.
-func (b *Balancer) abort(e Request, d *FaultInjection) {
-	a := Abort{ID: e.ID, Status: d.AbortStatus}
-	if a.Status == 503 {
-		a.RetryAfter = b.set.RetryAfter(b.classes[d.Class].Class)
+// abortRequest answers a request with an injected error. It leaves no trace in what is learned of the
+// class: the requests that the fault spares must be served as if there were none.
+func (b *Balancer) abortRequest(e Request, fault *FaultInjection) {
+	abort := Abort{ID: e.ID, Status: fault.AbortStatus}
+	if abort.Status == http.StatusServiceUnavailable {
+		abort.RetryAfter = b.settings.RetryAfter(b.classes[fault.Class].Class)
 	}
-	b.do(a)
+	b.emit(abort)
 }
 
-// delay holds a request back for a drill, but leaves time for an answer. False: there is none for a delay.
-func (b *Balancer) delay(r *request, d *FaultInjection) bool {
-	last := r.deadline - max(r.class.longest(2), 2*b.set.Tick)
-	r.resume = min(b.now+d.Delay, last)
-	if r.resume <= b.now {
+// delayRequest keeps a request for an injected delay, but leaves time for an answer. False: there is none
+// for a delay.
+func (b *Balancer) delayRequest(r *request, fault *FaultInjection) bool {
+	latest := r.deadline - max(r.class.latencyBound(delayDeviations), b.deadlineMargin())
+	r.delayedUntil = min(b.now+fault.Delay, latest)
+	if r.delayedUntil <= b.now {
 		return false
 	}
 	r.delayed = true
-	b.drills.delayed = append(b.drills.delayed, r)
-	b.do(SetTimer{At: r.resume, Token: "d:" + r.id})
+	b.faults.delayed = append(b.faults.delayed, r)
+	b.emit(SetTimer{At: r.delayedUntil, Token: timerToken(delayTimer, r)})
 	return true
 }
 
-// delayOver goes on with a delayed request when its timer comes due, or asks for another if it came early.
-func (b *Balancer) delayOver(r *request) {
+// handleDelayTimer goes on with a delayed request when its timer is due, or sets another if it fired early.
+func (b *Balancer) handleDelayTimer(r *request) {
 	switch {
 	case r == nil || !r.delayed:
-	case b.now+b.set.Tick < r.resume:
-		b.do(SetTimer{At: r.resume, Token: "d:" + r.id})
+	case !b.isDue(r.delayedUntil):
+		b.emit(SetTimer{At: r.delayedUntil, Token: timerToken(delayTimer, r)})
 	default:
-		b.resume(r)
+		b.resumeRequest(r)
 	}
 }
 
-func (b *Balancer) resume(r *request) {
-	b.undelay(r)
-	b.place(r)
+// resumeRequest goes on with a delayed request.
+func (b *Balancer) resumeRequest(r *request) {
+	b.removeDelayed(r)
+	b.sendOrQueue(r)
 }
 
-func (b *Balancer) undelay(r *request) {
+// removeDelayed ends the delay of a request, if it has one.
+func (b *Balancer) removeDelayed(r *request) {
 	if r.delayed {
 		r.delayed = false
-		b.drills.delayed = slices.DeleteFunc(b.drills.delayed, func(d *request) bool { return d == r })
+		b.faults.delayed = remove(b.faults.delayed, r)
 	}
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -1,118 +1,109 @@
-// Requests that wait: for a server with room, or for their turn among those of one key.
+// Queue discipline: requests that wait for a server or for their turn.
 
 package balancer
 
-import (
-	"slices"
-	"strconv"
-	"time"
+import "time"
+
+const (
+	// marginTicks is how many ticks before a deadline the Balancer acts: one in which a timer may be late,
+	// and one in which the answer reaches the client.
+	marginTicks = 2
+	// minQueueDivisor: a request may wait for at least a quarter of its latency objective.
+	minQueueDivisor = 4
+	// queueDeviations is how many deviations above the mean latency are left for its answer.
+	queueDeviations = 2
 )
 
-// joinLine puts a request behind the earlier ones of its key. False: the line is so long that its turn
-// would come too late, and waiting there would only keep its client from what else it can do.
-func (b *Balancer) joinLine(r *request, key uint64) bool {
-	l := b.lines[key]
-	if l == nil {
-		l = &line{key: key}
+// deadlineMargin is the time before a deadline that is left for timers and the way to the client.
+func (b *Balancer) deadlineMargin() time.Duration { return marginTicks * b.settings.Tick }
+
+// queueDeadline is the clock time until which it makes sense to queue a request: until its answer may well
+// miss the latency objective, for late answers take the capacity of those in time. Then the client is told
+// when to come back, also where there is no server at all. Waiting to the request's own deadline would fill
+// the queue with requests that nobody waits for any more, which is how an overload feeds itself.
+func (b *Balancer) queueDeadline(r *request) time.Duration {
+	objective := r.class.LatencyObjective
+	wait := max(objective/minQueueDivisor, objective-r.class.latencyBound(queueDeviations))
+	return min(r.deadline-b.deadlineMargin(), r.arrived+wait)
+}
+
+// enqueue keeps a request until a server may take it; its timer makes sure that it is answered. One that
+// waits in vain is answered at once: past its queue deadline, without a list to rely on, or with all
+// servers disabled.
+func (b *Balancer) enqueue(r *request) {
+	p := r.class.pool
+	if b.now >= b.queueDeadline(r) || p.allDisabled || b.listUnreliable() {
+		b.giveUp(r)
+		return
 	}
-	if float64(len(l.queue))*r.class.mean > float64(b.holdUntil(r)-b.now) {
-		return false
+	if !r.queued {
+		r.queued = true
+		p.queued = append(p.queued, r)
 	}
-	r.line, b.lines[key] = l, l
-	l.queue = append(l.queue, r)
-	return true
+	b.setQueueTimer(r, b.queueDeadline(r))
 }
 
-// onTurn says that the order of its key lets a request go. The next one goes only when the one before is
-// over, has no attempt without an outcome, and the key has rested; the head may be sent again at once.
-func (b *Balancer) onTurn(r *request) bool {
-	l := r.line
-	return l == nil || l.queue[0] == r && (len(r.attempts) > 0 || b.now >= l.rest)
+// dequeue takes a request out of the queue, if it is in it.
+func (b *Balancer) dequeue(r *request) {
+	if r.queued {
+		r.queued = false
+		p := r.class.pool
+		p.queued = remove(p.queued, r)
+	}
 }
 
-// settle drops a line that is empty and rested, and asks for a timer while it rests: then the next one goes.
-func (b *Balancer) settle(l *line) {
-	switch {
-	case l == nil:
-	case b.now < l.rest:
-		b.do(SetTimer{At: l.rest, Token: "k:" + strconv.FormatUint(l.key, 10)})
-	case len(l.queue) == 0:
-		delete(b.lines, l.key)
+// setQueueTimer asks for a look at a queued request, unless one is due by then already.
+func (b *Balancer) setQueueTimer(r *request, at time.Duration) {
+	at = max(at, b.now+1)
+	if r.timerAt > b.now && r.timerAt <= at {
+		return
 	}
+	r.timerAt = at
+	b.emit(SetTimer{At: at, Token: timerToken(queueTimer, r)})
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
-func (b *Balancer) hold(r *request) {
-	if b.now >= b.holdUntil(r) || r.class.pool.handed || b.unreliable() {
-		b.answer(r)
+// handleQueueTimer answers a queued request that has waited long enough, or sets its timer anew.
+func (b *Balancer) handleQueueTimer(r *request) {
+	if r == nil {
 		return
 	}
-	if !r.held {
-		r.held = true
-		r.class.pool.held = append(r.class.pool.held, r)
+	if b.isDue(r.timerAt) {
+		r.timerAt = 0
 	}
-	b.wakeAt(r, b.holdUntil(r))
-}
-
-func (b *Balancer) unhold(r *request) {
-	if r.held {
-		r.held = false
-		p := r.class.pool
-		p.held = slices.DeleteFunc(p.held, func(h *request) bool { return h == r })
+	if r.queued {
+		b.enqueue(r)
 	}
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take the
-// room of those in time. Then the client is told when to come back, also where there is no server at all.
-func (b *Balancer) holdUntil(r *request) time.Duration {
-	aim := r.class.LatencyObjective
-	return min(r.deadline-2*b.set.Tick, r.arrived+max(aim/4, aim-r.class.longest(2)))
-}
-
-// release sends held requests while their pools have room, the most valuable first.
-func (b *Balancer) release() {
+// dispatchQueued sends queued requests after every event, while their pools' windows and servers have
+// capacity.
+func (b *Balancer) dispatchQueued() {
 	for _, p := range b.pools {
-		for (p.handed || b.unreliable()) && len(p.held) > 0 {
-			b.answer(p.held[0])
+		for (p.allDisabled || b.listUnreliable()) && len(p.queued) > 0 {
+			b.giveUp(p.queued[0])
 		}
-		for len(p.held) > 0 && !b.full(p) {
-			var best *request
-			for _, r := range p.held {
-				// Of equal value the youngest goes, for it has most time left.
-				if b.onTurn(r) && (best == nil || b.value(r) >= b.value(best)) {
-					best = r
-				}
-			}
-			if best == nil {
+		for len(p.queued) > 0 && !b.windowFull(p) {
+			r := b.mostValuable(p.queued)
+			if r == nil {
 				break
 			}
-			s := b.choose(best)
+			s := b.chooseServer(r)
 			if s == nil {
 				break
 			}
-			b.send(best, s)
+			b.send(r, s)
 		}
 	}
 }
 
-// value is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
-func (b *Balancer) value(r *request) float64 {
-	c := r.class
-	var total float64
-	worst := c
-	for _, k := range b.order {
-		total += k.PriorityWeight * k.arrive
-		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
-			worst = k
+// mostValuable is the queued request to send next: that of the highest shedding value whose turn it is. Of
+// equal value the youngest goes, for it has most time left; nil if no request may go.
+func (b *Balancer) mostValuable(queued []*request) *request {
+	var best *request
+	for _, r := range queued {
+		if b.keyOrderAllows(r) && (best == nil || b.sheddingValue(r) >= b.sheddingValue(best)) {
+			best = r
 		}
 	}
-	v := b.set.TotalValueWeight * c.PriorityWeight / max(total, 1e-9)
-	if worst == c {
-		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
-	}
-	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateCredit
-	}
-	return v / c.mean
+	return best
 }
