--- /dev/null
+++ b/internal/controller/cluster_disk_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"errors"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// A controller loses its disk. It joins as a new raft server, because its old votes are lost, copies the log, and votes
+// again.
+func TestClusterMemberWithAnEmptiedDiskRejoins(t *testing.T) {
+	tc := newTestCluster(t, "c1", "c2", "c3")
+	tc.start("c1", "c2", "c3")
+	tc.publish("dry")
+	tc.waitForVersion(1)
+	cluster := tc.cluster("c2")
+	tc.stop("c2")
+	if err := os.RemoveAll(tc.configOf("c2").Folder); err != nil {
+		t.Fatal(err)
+	}
+	tc.start("c2")
+	tc.waitFor("c2 is a member with a new server ID", func() bool {
+		joined := tc.running["c2"].participation.Load()
+		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
+	})
+	tc.publish("press")
+	tc.waitForVersion(2)
+	if tc.cluster("c2") != cluster {
+		t.Errorf("c2 is of cluster %s, the others are of %s", tc.cluster("c2"), cluster)
+	}
+	tc.stop("c1")
+	if version := tc.publish("mill"); version != 3 { // needs the vote and the disk of c2
+		t.Errorf("with c2 and c3: version %d", version)
+	}
+	tc.waitForVersion(3)
+}
+
+// A controller is started on a copy of another controller's disk. It does not start: two servers with one ID could vote
+// twice.
+func TestClusterMemberRefusesTheDiskOfAnother(t *testing.T) {
+	tc := newTestCluster(t, "c1", "c2", "c3")
+	tc.start("c1", "c2", "c3")
+	tc.publish("dry")
+	tc.waitForVersion(1)
+	tc.stop("c1")
+	tc.stop("c2")
+	replaceFolder(t, tc.configOf("c2").Folder, tc.configOf("c1").Folder)
+	_, err := New(tc.configOf("c2"), slog.New(slog.DiscardHandler))
+	var wrong *FolderError
+	if !errors.As(err, &wrong) || !strings.Contains(err.Error(), "copy of the disk of controller c1") {
+		t.Errorf("started on a copied disk: %v", err)
+	}
+}
+
+// A controller is started on an old copy of its own disk, as from a backup. It must not vote with it: the folder is
+// emptied, and it joins as a new raft server.
+func TestClusterMemberWithAStaleDiskRejoins(t *testing.T) {
+	tc := newTestCluster(t, "c1", "c2", "c3")
+	tc.start("c1", "c2", "c3")
+	tc.publish("dry")
+	tc.waitForVersion(1)
+	tc.stop("c2")
+	old := filepath.Join(t.TempDir(), "old")
+	replaceFolder(t, old, tc.configOf("c2").Folder)
+	tc.start("c2")
+	tc.publish("press")
+	tc.waitForVersion(2)
+	tc.waitFor("the second start of c2 is recorded", func() bool {
+		return tc.running["c1"].views.load().state.Starts["c2"].Start == 2 && tc.running["c3"].views.load().state.Starts["c2"].Start == 2
+	})
+	tc.stop("c2")
+	replaceFolder(t, tc.configOf("c2").Folder, old)
+	tc.start("c2")
+	tc.waitFor("c2 is a member with a new server ID", func() bool {
+		joined := tc.running["c2"].participation.Load()
+		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
+	})
+	tc.publish("mill")
+	tc.waitForVersion(3)
+}
+
+// All controllers stop and start again. No version is lost, and the next one follows.
+func TestClusterRestartsAsAWhole(t *testing.T) {
+	tc := newTestCluster(t, "c1", "c2", "c3")
+	tc.start("c1", "c2", "c3")
+	tc.publish("dry")
+	tc.publish("press")
+	tc.waitForVersion(2)
+	cluster := tc.cluster("c1")
+	for _, name := range []string{"c1", "c2", "c3"} {
+		tc.stop(name)
+	}
+	tc.start("c1", "c2", "c3")
+	tc.waitForVersion(2)
+	if version := tc.publish("mill"); version != 3 || tc.cluster("c1") != cluster {
+		t.Errorf("version %d of cluster %s, before %s", version, tc.cluster("c1"), cluster)
+	}
+}
+
+// A controller starts while all others are down. It serves its nodes the state of its snapshot, and says that it is not
+// current.
+func TestClusterMemberWithoutAQuorumServesItsSnapshot(t *testing.T) {
+	tc := newTestCluster(t, "c1", "c2", "c3")
+	tc.start("c1", "c2", "c3")
+	tc.publish("dry")
+	tc.waitForVersion(1)
+	tc.waitFor("c1 has a snapshot with version 1", func() bool {
+		snapshots, err := tc.running["c1"].disk.snapshots.List()
+		return err == nil && len(snapshots) > 0 && snapshots[0].Index >= tc.running["c1"].consensus.Load().raft.AppliedIndex()
+	})
+	for _, name := range []string{"c1", "c2", "c3"} {
+		tc.stop(name)
+	}
+	tc.start("c1")
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
+	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.Current {
+		t.Errorf("a controller that is alone says %+v", u)
+	}
+}
+
+func replaceFolder(t *testing.T, folder, source string) {
+	t.Helper()
+	if err := os.RemoveAll(folder); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.CopyFS(folder, os.DirFS(source)); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,198 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/net/netutil"
+
+	"hookwalk.example/hookwalk/configversion"
+)
+
+// Bounds of the HTTP server: a client that sends or reads slowly must not hold a connection, nor memory, for long.
+const (
+	headerTimeout  = 5 * time.Second  // to read a request's header
+	bodyTimeout    = 10 * time.Second // to read a request's body
+	replyTimeout   = 10 * time.Second // to write a response that is not a watch
+	idleTimeout    = 60 * time.Second // of a connection without a request
+	writeTimeout   = 3 * time.Second  // of one write to a watch: a node that does not read is disconnected
+	maxHeaderBytes = 16 << 10         // of a request
+
+	// connectionsPerSession is how many connections a node may have: a watch, and one for acknowledgements.
+	connectionsPerSession = 2
+	// extraConnections are those beside the nodes': of operators and of other controllers.
+	extraConnections = 256
+)
+
+const (
+	// migrationsPerSecond is how many sessions a controller migrates at most: enough to fill a controller that has
+	// returned within half a minute, and few enough that the nodes' new connections are no burst.
+	migrationsPerSecond = 20
+	// drainTimeout is how long a controller that shuts down waits for its nodes to migrate, and then for open requests.
+	drainTimeout = 2 * time.Second
+)
+
+// Controller is one controller. New opens it and Run serves; it is used once.
+type Controller struct {
+	config    Config
+	log       *slog.Logger
+	processID string // drawn at random, to tell two processes on copies of one disk apart
+	views     *viewStore
+	nodes     *nodeTable
+	peers     *peerReports
+
+	disk         *disk
+	listener     net.Listener
+	raftListener net.Listener
+	server       *http.Server
+
+	consensus     atomic.Pointer[consensus] // nil: raft does not run
+	participation atomic.Pointer[participation]
+	tasks         sync.WaitGroup
+}
+
+// New opens a controller's folder and its addresses. Its error is a FolderError or a ListenError.
+func New(config Config, log *slog.Logger) (*Controller, error) {
+	maxMigrations := int(migrationsPerSecond * pollInterval / time.Second)
+	placement := configversion.NewPlacement(config.Self.Endpoint(), config.MaxSessions, maxMigrations)
+	c := &Controller{
+		config:    config,
+		log:       log.With("controller", config.Self.Name),
+		processID: randomText(),
+		views:     newViewStore(),
+		nodes:     newNodeTable(placement),
+		peers:     newPeerReports(config),
+	}
+	var err error
+	if c.disk, err = openDisk(config.Folder, config.Self.Name); err != nil {
+		return nil, err
+	}
+	if err := c.listen(); err != nil {
+		_ = c.disk.close()
+		return nil, err
+	}
+	if err := c.initParticipation(); err != nil {
+		c.releaseResources()
+		return nil, err
+	}
+	c.server = &http.Server{
+		Handler:           c.routes(),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
+	}
+	return c, nil
+}
+
+func (c *Controller) listen() error {
+	options := net.ListenConfig{Control: setSocketOptions}
+	listener, err := options.Listen(context.Background(), "tcp", c.config.Self.Listen)
+	if err != nil {
+		return &ListenError{c.config.Self.Listen, err}
+	}
+	raftListener, err := net.Listen("tcp", c.config.Self.Raft)
+	if err != nil {
+		_ = listener.Close()
+		return &ListenError{c.config.Self.Raft, err}
+	}
+	c.listener = netutil.LimitListener(listener, connectionsPerSession*c.config.MaxSessions+extraConnections)
+	c.raftListener = raftListener
+	return nil
+}
+
+// releaseResources closes what New has opened.
+func (c *Controller) releaseResources() {
+	_ = c.listener.Close()
+	_ = c.raftListener.Close()
+	_ = c.disk.close()
+}
+
+// Run serves until ctx ends, and then shuts down. Its error is what made it end before: the HTTP server's, or why raft
+// could not run.
+func (c *Controller) Run(ctx context.Context) error {
+	c.log.Info("serving", "listen", c.config.Self.Listen, "raft", c.config.Self.Raft, "folder", c.config.Folder,
+		"region", c.config.Self.Region, "zone", c.config.Self.Zone, "max_sessions", c.config.MaxSessions)
+	work, stop := context.WithCancel(context.Background())
+	defer stop()
+	failed := make(chan error, 2) // one for each task that may fail
+	c.tasks.Go(func() {
+		if err := c.server.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
+			failed <- err
+		}
+	})
+	c.tasks.Go(func() { c.pollPeers(work) })
+	c.tasks.Go(func() {
+		if err := c.runConsensus(work); err != nil {
+			failed <- err
+		}
+	})
+	var err error
+	select {
+	case <-ctx.Done():
+	case err = <-failed:
+	}
+	c.shutdown(stop)
+	return err
+}
+
+// shutdown ends the controller in stages: it transfers the leadership, asks its nodes to migrate and waits a bounded
+// time for them, closes what is still open, and stops raft last, so that nodes are served until they have left.
+func (c *Controller) shutdown(stop context.CancelFunc) {
+	if running := c.consensus.Load(); running != nil {
+		running.transferLeadership()
+	}
+	c.nodes.drain(time.Now())
+	c.waitForSessions()
+	c.nodes.closeAll()
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
+	defer cancel()
+	if err := c.server.Shutdown(ctx); err != nil {
+		_ = c.server.Close()
+	}
+	stop()
+	c.tasks.Wait()
+	if running := c.consensus.Load(); running != nil {
+		running.close()
+	} else {
+		_ = c.raftListener.Close()
+	}
+	if err := c.disk.close(); err != nil {
+		c.log.Warn("closing the log failed", "err", err)
+	}
+	c.peers.client.CloseIdleConnections()
+	c.log.Info("stopped")
+}
+
+// waitForSessions waits up to drainTimeout for the nodes to migrate.
+func (c *Controller) waitForSessions() {
+	tick := time.NewTicker(monitorInterval)
+	defer tick.Stop()
+	for remaining := drainTimeout; remaining > 0 && c.nodes.sessions() > 0; remaining -= monitorInterval {
+		<-tick.C
+	}
+}
+
+// pollPeers reads the other controllers' reports until ctx ends, and migrates sessions by them.
+func (c *Controller) pollPeers(ctx context.Context) {
+	tick := time.NewTicker(pollInterval)
+	defer tick.Stop()
+	for ctx.Err() == nil {
+		c.peers.poll(ctx, c.participation.Load().serverID)
+		now := time.Now()
+		migrated := c.nodes.setPeers(c.peers.loads(now, c.views.load().current), now)
+		if migrated > 0 {
+			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessions())
+		}
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+		}
+	}
+}
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -17,12 +17,18 @@
 )
 
 const (
+	// identityFile is the name of the file with the identity.
 	identityFile = "identity.json"
-	logFile      = "raft.db"
+	// logFile is the name of the file with raft's log and its stable store.
+	logFile = "raft.db"
+	// snapshotFolder is the name of the folder that raft's snapshot store makes.
+	snapshotFolder = "snapshots"
 
+	// retainedSnapshots is how many snapshots stay on disk: the newest, and the one before in case it is damaged.
 	retainedSnapshots = 2
-	logCacheEntries   = 16
-	// lockTimeout is how long a start waits for another process that has the folder.
+	// logCacheEntries is how many log entries stay in memory for followers; each may have configapi.MaxDocumentBytes.
+	logCacheEntries = 16
+	// lockTimeout is how long a start waits for another process that has the folder locked, as for one that shuts down.
 	lockTimeout = 2 * time.Second
 )
 
@@ -32,7 +38,7 @@
 	// ServerID is the raft server ID. A disk of a new cluster has the controller's name; one that replaces a lost or an
 	// old disk has another, so that it is not taken for the server that voted before. Empty: not decided yet.
 	ServerID string `json:"server"`
-	// Start rises by 1 with each start on the disk.
+	// Start rises by 1 with each start on the disk; see judgeDisk.
 	Start uint64 `json:"start"`
 }
 
@@ -45,10 +51,11 @@
 	snapshots raft.SnapshotStore
 }
 
-// openDisk opens a controller's folder, makes it where there is none, and counts the start.
+// openDisk opens a controller's folder, creates it where there is none, and counts the start. Its errors, and those of
+// disk's methods, are FolderErrors.
 func openDisk(folder, name string) (*disk, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, &FolderError{folder, "name a folder that this process may write", err}
+		return nil, &FolderError{folder, writableFolderAdvice, err}
 	}
 	d := &disk{folder: folder}
 	if err := d.openLog(); err != nil {
@@ -66,7 +73,7 @@
 	return d, nil
 }
 
-// openLog opens the log and takes the folder's lock with it.
+// openLog opens the log, which locks the folder against other processes, and the snapshots.
 func (d *disk) openLog() error {
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(d.folder, logFile),
 		BoltOptions: &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}})
@@ -81,7 +88,7 @@
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.folder, retainedSnapshots, discardLogger())
 	if err != nil {
 		_ = bolt.Close()
-		return &FolderError{d.folder, "name a folder that this process may write", err}
+		return &FolderError{d.folder, writableFolderAdvice, err}
 	}
 	d.bolt, d.logs, d.snapshots = bolt, cached, snapshots
 	return nil
@@ -97,23 +104,23 @@
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if err := decoder.Decode(&d.identity); err != nil {
-		return &FolderError{d.folder, "empty the folder, and the controller copies the state from the others", err}
+		return &FolderError{d.folder, emptyFolderAdvice, err}
 	}
 	if d.identity.Name != name {
 		return &FolderError{d.folder, "it is a copy of the disk of controller " + d.identity.Name + ", and this is " + name +
-			": empty the folder, and the controller copies the state from the others", nil}
+			": " + emptyFolderAdvice, nil}
 	}
 	return nil
 }
 
-// newIdentity is for an empty folder.
+// newIdentity sets the identity of an empty folder.
 func (d *disk) newIdentity(name string) error {
 	used, err := d.hasState()
 	if err != nil {
-		return &FolderError{d.folder, "empty the folder, and the controller copies the state from the others", err}
+		return &FolderError{d.folder, emptyFolderAdvice, err}
 	}
 	if used {
-		return &FolderError{d.folder, "it has a log but no " + identityFile + ": empty the folder, and the controller copies the state from the others", nil}
+		return &FolderError{d.folder, "it has a log but no " + identityFile + ": " + emptyFolderAdvice, nil}
 	}
 	d.identity = identity{Name: name}
 	return nil
@@ -129,31 +136,31 @@
 		err = syncFolder(d.folder)
 	}
 	if err != nil {
-		return &FolderError{d.folder, "look at the disk", err}
+		return &FolderError{d.folder, checkDiskAdvice, err}
 	}
 	return nil
 }
 
-// setServerID decides under which ID the disk takes part, for its whole life.
+// setServerID sets the ID under which the disk takes part, for its whole life.
 func (d *disk) setServerID(server string) error {
 	d.identity.ServerID = server
 	return d.writeIdentity()
 }
 
-// hasState says whether raft has written anything.
+// hasState says whether raft has written to the disk.
 func (d *disk) hasState() (bool, error) { return raft.HasExistingState(d.logs, d.bolt, d.snapshots) }
 
 func (d *disk) close() error { return d.bolt.Close() }
 
-// reset empties the folder and opens it again, for a disk whose content must not be used. The next start is counted from
-// 1, under another server ID.
+// reset empties the folder and opens it again, for a disk whose content must not be used. Starts are counted from 1
+// again, under another server ID.
 func (d *disk) reset() error {
 	if err := d.bolt.Close(); err != nil {
-		return &FolderError{d.folder, "look at the disk", err}
+		return &FolderError{d.folder, checkDiskAdvice, err}
 	}
-	for _, entry := range []string{identityFile, logFile, "snapshots"} {
+	for _, entry := range []string{identityFile, logFile, snapshotFolder} {
 		if err := os.RemoveAll(filepath.Join(d.folder, entry)); err != nil {
-			return &FolderError{d.folder, "look at the disk", err}
+			return &FolderError{d.folder, checkDiskAdvice, err}
 		}
 	}
 	name := d.identity.Name
@@ -173,5 +180,5 @@
 	return f.Sync()
 }
 
-// randomText draws a text that is not drawn twice.
+// randomText draws a text that is not drawn twice, of 26 letters and digits.
 func randomText() string { return rand.Text() }
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxNameBytes is the length of a name of a service, a node, a region or a zone, in bytes.
+	// maxNameBytes is the length of the name of a service, a node, a region or a zone.
 	maxNameBytes = 256
-	// maxPublishIDBytes is the length of a publish request's ID, in bytes.
+	// maxPublishIDBytes is the length of a publish request's ID.
 	maxPublishIDBytes = 128
 )
 
-// readDocument checks the form of a published document. What a service's settings mean is checked by its nodes.
+// readDocument decodes a published document and checks its form. The nodes of a service check what its settings mean.
 func readDocument(text []byte) (configapi.Document, *configapi.Error) {
 	if len(text) > configapi.MaxDocumentBytes {
 		return configapi.Document{}, &configapi.Error{Kind: configapi.ErrorTooLarge,
@@ -71,21 +71,24 @@
 	return nil
 }
 
+// invalidError is an error of kind ErrorInvalid.
 func invalidError(format string, args ...any) *configapi.Error {
 	return &configapi.Error{Kind: configapi.ErrorInvalid, Message: fmt.Sprintf(format, args...)}
 }
 
-// validName says that a text can be a name: visible ASCII characters, and spaces between them, as in nodes' settings.
+// validName says whether a text can be a name: visible ASCII characters, and spaces between them, as in nodes' settings.
 func validName(text string) bool {
 	return text != "" && len(text) <= maxNameBytes && text == strings.TrimSpace(text) &&
 		!strings.ContainsFunc(text, func(c rune) bool { return c < ' ' || c > '~' })
 }
 
-// truncate shortens a text for a message.
+// maxQuotedBytes is how much of a client's text a message quotes: it goes into logs.
+const maxQuotedBytes = 40
+
+// truncate shortens a client's text for a message.
 func truncate(text string) string {
-	const maxLength = 40
-	if len(text) <= maxLength {
+	if len(text) <= maxQuotedBytes {
 		return text
 	}
-	return text[:maxLength] + "..."
+	return text[:maxQuotedBytes] + "..."
 }
--- a/internal/controller/document_test.go
+++ b/internal/controller/document_test.go
@@ -7,6 +7,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
+// The form of a document is checked before it is published: an operator learns of a mistake at once.
 func TestReadDocument(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -37,6 +38,7 @@
 	}
 }
 
+// The ID and the replaced clusters of a publish request are checked.
 func TestCheckPublish(t *testing.T) {
 	for name, c := range map[string]struct {
 		request configapi.PublishRequest
--- a/internal/controller/fsm.go
+++ b/internal/controller/fsm.go
@@ -2,26 +2,32 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
+	"time"
 
 	"github.com/hashicorp/raft"
 
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// maxSnapshotBytes is the size of a snapshot that is read, in bytes: far above 68 services of 1 MB each.
-const maxSnapshotBytes = 1 << 30
+const (
+	// maxSnapshotBytes bounds a snapshot that is read: far above dozens of services of configapi.MaxDocumentBytes.
+	maxSnapshotBytes = 1 << 30
+	// snapshotDelay is the time within which several changes share one snapshot.
+	snapshotDelay = 2 * time.Second
+)
 
-// fsm makes the replicated state a raft.FSM. It hands each new state to the hub.
+// fsm is the raft.FSM: it applies committed entries to the replicated state, and stores each new state as a view.
 type fsm struct {
-	state *state // of the goroutine that raft runs the machine on
+	state *state // of the goroutine that raft runs the FSM on
 	views *viewStore
 }
 
-func newFSM(h *viewStore) *fsm { return &fsm{state: &state{}, views: h} }
+func newFSM(views *viewStore) *fsm { return &fsm{state: &state{}, views: views} }
 
-// Apply carries out a committed entry of the log; raft calls it in the log's order.
+// Apply applies a committed log entry, and returns a commandResult. Raft calls it in the order of the log.
 func (m *fsm) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -63,5 +69,28 @@
 	return sink.Close()
 }
 
-// Release has nothing to give back.
+// Release has nothing to release: the state is immutable.
 func (s snapshot) Release() {}
+
+// snapshotOnChange takes a snapshot snapshotDelay after each change of the state, until done is closed. A controller that
+// starts without a quorum can't tell which entries behind its snapshot are committed: it serves its nodes the snapshot.
+func (c *consensus) snapshotOnChange(done <-chan struct{}) {
+	for {
+		select {
+		case <-c.views.load().superseded:
+		case <-done:
+			return
+		}
+		timer := time.NewTimer(snapshotDelay)
+		select {
+		case <-timer.C:
+		case <-done:
+			timer.Stop()
+			return
+		}
+		err := c.raft.Snapshot().Error()
+		if err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) && !errors.Is(err, raft.ErrRaftShutdown) {
+			c.log.Debug("no snapshot", "err", err)
+		}
+	}
+}
--- a/internal/controller/handlers.go
+++ b/internal/controller/handlers.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	maxAckBytes = 16 << 10 // bytes of an acknowledgement
-	// maxPublishBytes is the size of a publish request in bytes: the document, and room for the rest.
+	// maxAckBytes bounds an acknowledgement.
+	maxAckBytes = 16 << 10
+	// maxPublishBytes bounds a publish request: the document, and the rest of the request around it.
 	maxPublishBytes = configapi.MaxDocumentBytes + 64<<10
 )
 
-// statusCodes are the HTTP status codes of refusals.
+// statusCodes are the HTTP status codes of configapi.Errors.
 var statusCodes = map[configapi.ErrorKind]int{
 	configapi.ErrorInvalid:        http.StatusBadRequest,
 	configapi.ErrorTooLarge:       http.StatusRequestEntityTooLarge,
@@ -28,7 +29,7 @@
 	configapi.ErrorNoCapacity:     http.StatusServiceUnavailable,
 }
 
-// routes are the controller's calls.
+// routes are the controller's HTTP calls; package configapi documents them.
 func (c *Controller) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+configapi.PathWatch, c.serveWatch)
@@ -62,7 +63,7 @@
 	writeReply(w, struct{}{})
 }
 
-// checkAck checks the form of an acknowledgement, and cuts its reason to the length that is kept.
+// checkAck checks the form of an acknowledgement, and truncates its reason.
 func checkAck(ack *configapi.Acknowledgement) *configapi.Error {
 	if ack.Outcome != configapi.Applied && ack.Outcome != configapi.Rejected {
 		return invalidError("outcome must be %s or %s", configapi.Applied, configapi.Rejected)
@@ -85,7 +86,7 @@
 	}
 	reply, err := c.publish(r, request)
 	if err != nil {
-		c.log.Info("publish refused", "id", truncate(request.ID), "kind", err.Kind, "err", err.Message)
+		c.log.Info("publish rejected", "id", truncate(request.ID), "kind", err.Kind, "err", err.Message)
 		writeError(w, err)
 		return
 	}
@@ -112,16 +113,16 @@
 	return running.publish(publishCommand{ID: request.ID, Document: document, Replaces: request.Replaces}, r.Context().Done())
 }
 
-// readBody reads a request's JSON body of a bounded size within a bounded time.
-func readBody(w http.ResponseWriter, r *http.Request, most int64, into any) *configapi.Error {
+// readBody decodes a request's JSON body of at most maxBytes, which has to arrive within bodyTimeout.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64, into any) *configapi.Error {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &configapi.Error{Kind: configapi.ErrorTooLarge, Message: fmt.Sprintf("the request is over %d bytes; a document has %d at most", most, configapi.MaxDocumentBytes)}
+		return &configapi.Error{Kind: configapi.ErrorTooLarge, Message: fmt.Sprintf("the request is over %d bytes; a document has %d at most", maxBytes, configapi.MaxDocumentBytes)}
 	case err != nil:
 		return invalidError("the request can't be read: %v", err)
 	}
@@ -133,7 +134,7 @@
 
 func writeReply(w http.ResponseWriter, reply any) { writeJSON(w, http.StatusOK, reply) }
 
-// writeError writes a refusal. The connection closes behind it, so that refused nodes leave none.
+// writeError writes an error and closes the connection: nodes that are rejected must leave none open.
 func writeError(w http.ResponseWriter, err *configapi.Error) {
 	w.Header().Set("Connection", "close")
 	writeJSON(w, statusCodes[err.Kind], err)
@@ -143,5 +144,5 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(replyTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(body) // whoever asked has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has gone
 }
--- a/internal/controller/nodes.go
+++ b/internal/controller/node_table.go
@@ -6,7 +6,6 @@
 	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"hookwalk.example/hookwalk/configversion"
@@ -14,63 +13,45 @@
 )
 
 const (
-	// minRememberedNodes is the least number of nodes that a controller can remember, with and without a session.
+	// minRememberedNodes is the least number of nodes that a controller remembers, with and without a session.
 	minRememberedNodes = 10000
-	// forgetAfter is how long a node without a session is remembered.
+	// rememberedNodesPerSession is how many nodes it remembers for each session that it may have: after the failure of
+	// others, its own nodes and those that were there before.
+	rememberedNodesPerSession = 2
+	// forgetAfter is how long a node without a session is remembered: long enough for operators to see that it is gone.
 	forgetAfter = time.Hour
-	// migrationRetryInterval is how long a node that was asked to move is left alone if it did not.
+	// migrationRetryInterval is how long a node is not asked to migrate again if it did not: it may have tried in vain.
 	migrationRetryInterval = 10 * time.Second
 )
 
-// session is one node's watch.
-type session struct {
-	id         uint64
-	request    configapi.WatchRequest
-	applied    atomic.Pointer[appliedVersion]
-	migrate    chan configapi.Endpoint // asks the node to move; has room for one
-	done       chan struct{}           // closed when the session must end
-	closeOnce  sync.Once
-	migratedAt time.Time // when it was last asked to move; of nodeTable
-}
-
-// appliedVersion is the version that a node has in force.
-type appliedVersion struct {
-	cluster configapi.Cluster
-	version configapi.Version
-}
-
-// close asks the session's handler to end it.
-func (s *session) close() { s.closeOnce.Do(func() { close(s.done) }) }
-
-// needsConfig says whether an update must have the configuration that a version has set.
-func (s *session) needsConfig(cluster configapi.Cluster, changed configapi.Version) bool {
-	applied := s.applied.Load()
-	return applied.cluster != cluster || applied.version < changed
-}
-
 // nodeEntry is what the controller knows of a node.
 type nodeEntry struct {
 	status  configapi.NodeStatus
 	session *session // nil: none
 }
 
-// nodeTable has the sessions of a controller, and what it last heard of each node. All its methods may be called side by
-// side.
+// nodeTable holds the sessions of a controller, and what was last heard of each node. It may be used by several
+// goroutines.
 type nodeTable struct {
 	lock         sync.Mutex
 	placement    *configversion.Placement
-	nodes        map[string]*nodeEntry
+	nodes        map[string]*nodeEntry // by name
 	maxNodes     int
-	openSessions int // sessions whose handler has not ended yet
+	openSessions int // their handlers have not ended yet
 	nextID       uint64
 	draining     bool
 }
 
 func newNodeTable(placement *configversion.Placement) *nodeTable {
-	return &nodeTable{placement: placement, nodes: map[string]*nodeEntry{}, maxNodes: max(minRememberedNodes, 2*placement.MaxSessions)}
+	return &nodeTable{
+		placement: placement,
+		nodes:     map[string]*nodeEntry{},
+		maxNodes:  max(minRememberedNodes, rememberedNodesPerSession*placement.MaxSessions),
+	}
 }
 
-// openSession lets a node in, or says where else it may go. A node's newer session ends its older one.
+// openSession admits a node, or returns why not and where else it may go. A node's newer session replaces its older one,
+// and needs no admission.
 func (t *nodeTable) openSession(request configapi.WatchRequest, now time.Time) (*session, *configapi.Error) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -85,28 +66,33 @@
 	}
 	t.evictDisconnected(request.Node)
 	t.nextID++
-	s := &session{id: t.nextID, request: request, migrate: make(chan configapi.Endpoint, 1), done: make(chan struct{})}
-	s.applied.Store(&appliedVersion{request.Cluster, request.Applied})
+	s := newSession(t.nextID, request)
 	t.nodes[request.Node] = &nodeEntry{status: statusOf(request, now), session: s}
 	t.openSessions++
 	t.placement.SetSessions(t.openSessions)
 	return s, nil
 }
 
+// admit lets session placement decide about a node; nobody is admitted during a shutdown.
 func (t *nodeTable) admit(request configapi.WatchRequest) *configapi.Error {
-	arrival := configversion.SessionRequest{Region: request.Region, Zone: request.Zone, WatchRejections: request.WatchRejections}
+	sessionRequest := sessionRequestOf(request)
 	if t.draining {
-		return &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller is about to end", Alternatives: t.placement.Alternatives(arrival)}
+		return &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller is about to end", Alternatives: t.placement.Alternatives(sessionRequest)}
 	}
-	admitted, elsewhere := t.placement.Admit(arrival)
+	admitted, alternatives := t.placement.Admit(sessionRequest)
 	if admitted {
 		return nil
 	}
 	return &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: fmt.Sprintf("this controller has %d sessions, which is its share or its limit", t.openSessions),
-		Alternatives: elsewhere}
+		Alternatives: alternatives}
+}
+
+// sessionRequestOf is what session placement needs to know of a node that has no session yet.
+func sessionRequestOf(request configapi.WatchRequest) configversion.SessionRequest {
+	return configversion.SessionRequest{Region: request.Region, Zone: request.Zone, WatchRejections: request.WatchRejections}
 }
 
-// closeSession notes that a session's handler has ended.
+// closeSession records that a session's handler has ended.
 func (t *nodeTable) closeSession(s *session, now time.Time) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -121,7 +107,8 @@
 	entry.status.LastSeenMS = now.UnixMilli()
 }
 
-// acknowledge notes a node's answer to a version.
+// acknowledge records a node's decision about a version. One that comes late changes nothing: of an older session,
+// because the newer one's request has said what is in force, or of a version before the last one.
 func (t *nodeTable) acknowledge(a configapi.Acknowledgement, now time.Time) *configapi.Error {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -131,10 +118,10 @@
 	}
 	status := &entry.status
 	if a.StartedMS != status.StartedMS || a.Session < status.Session {
-		return nil // late, of an older session: the newer one has said what is in force
+		return nil
 	}
 	if a.Cluster == status.Cluster && a.Version < status.LastDecided {
-		return nil // late: a newer version was answered before
+		return nil
 	}
 	status.Cluster, status.LastDecided, status.Applied = a.Cluster, a.Version, a.Applied
 	status.Outcome, status.Rejection = a.Outcome, a.Rejection
@@ -145,8 +132,9 @@
 	return nil
 }
 
-// setPeers takes a new reading of the other controllers' loads, and asks sessions to move where that evens them.
-func (t *nodeTable) setPeers(peers []configversion.PeerLoad, now time.Time) (moved int) {
+// setPeers passes new reports of the other controllers to session placement, and requests the migrations that it plans.
+// Newer sessions come before older ones of the same distance.
+func (t *nodeTable) setPeers(peers []configversion.PeerLoad, now time.Time) (migrated int) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.placement.SetPeers(peers)
@@ -154,23 +142,23 @@
 		return 0
 	}
 	byID := map[uint64]*session{}
-	var placed []configversion.MigrationCandidate
+	var candidates []configversion.MigrationCandidate
 	for _, entry := range t.nodes {
 		if s := entry.session; s != nil && now.Sub(s.migratedAt) >= migrationRetryInterval {
 			byID[s.id] = s
-			placed = append(placed, configversion.MigrationCandidate{ID: s.id, Region: s.request.Region, Zone: s.request.Zone})
+			candidates = append(candidates, configversion.MigrationCandidate{ID: s.id, Region: s.request.Region, Zone: s.request.Zone})
 		}
 	}
-	slices.SortFunc(placed, func(x, y configversion.MigrationCandidate) int { return cmp.Compare(y.ID, x.ID) }) // the newest first
-	for _, move := range t.placement.PlanMigrations(placed) {
-		if byID[move.ID].requestMigration(move.Target, now) {
-			moved++
+	slices.SortFunc(candidates, func(x, y configversion.MigrationCandidate) int { return cmp.Compare(y.ID, x.ID) })
+	for _, migration := range t.placement.PlanMigrations(candidates) {
+		if byID[migration.ID].requestMigration(migration.Target, now) {
+			migrated++
 		}
 	}
-	return moved
+	return migrated
 }
 
-// drain lets nobody in any more and asks all nodes to move.
+// drain admits nobody any more, and asks all nodes to migrate.
 func (t *nodeTable) drain(now time.Time) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -180,14 +168,14 @@
 		if s == nil {
 			continue
 		}
-		elsewhere := t.placement.Redirect(configversion.SessionRequest{Region: s.request.Region, Zone: s.request.Zone})
-		if len(elsewhere) > 0 {
-			s.requestMigration(elsewhere[0], now)
+		alternatives := t.placement.Redirect(configversion.SessionRequest{Region: s.request.Region, Zone: s.request.Zone})
+		if len(alternatives) > 0 {
+			s.requestMigration(alternatives[0], now)
 		}
 	}
 }
 
-// releaseResources ends all sessions.
+// closeAll closes all sessions.
 func (t *nodeTable) closeAll() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -198,17 +186,6 @@
 	}
 }
 
-// requestMigration is called with the table locked.
-func (s *session) requestMigration(to configapi.Endpoint, now time.Time) bool {
-	select {
-	case s.migrate <- to:
-		s.migratedAt = now
-		return true
-	default:
-		return false
-	}
-}
-
 // sessions is the number of open sessions.
 func (t *nodeTable) sessions() int {
 	t.lock.Lock()
@@ -216,14 +193,14 @@
 	return t.openSessions
 }
 
-// alternatives lists the other controllers for a node.
+// alternatives are the other controllers for a node, the best one first.
 func (t *nodeTable) alternatives(request configapi.WatchRequest) []configapi.Endpoint {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.placement.Alternatives(configversion.SessionRequest{Region: request.Region, Zone: request.Zone})
 }
 
-// list returns what is known of all nodes, by name, and forgets those that were away for long.
+// list returns the status of all nodes by name, and forgets those that have been away for forgetAfter.
 func (t *nodeTable) list(now time.Time) []configapi.NodeStatus {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -245,9 +222,10 @@
 	}
 }
 
-// evictDisconnected forgets the node that is away for longest if there is no room for one more.
-func (t *nodeTable) evictDisconnected(name string) {
-	if _, known := t.nodes[name]; known || len(t.nodes) < t.maxNodes {
+// evictDisconnected forgets the node that has been away for longest if the table is full and a node is new to it. Without
+// a bound, nodes that are renamed at each start would fill the memory.
+func (t *nodeTable) evictDisconnected(newNode string) {
+	if _, known := t.nodes[newNode]; known || len(t.nodes) < t.maxNodes {
 		return
 	}
 	oldest := ""
@@ -259,27 +237,33 @@
 	delete(t.nodes, oldest)
 }
 
-// isOlder says whether a watch is of an older process of a node than another one, or an older one of the same process.
-func isOlder(x, y configapi.WatchRequest) bool {
-	return cmp.Or(cmp.Compare(x.StartedMS, y.StartedMS), cmp.Compare(x.Session, y.Session)) < 0
-}
-
-// statusOf is what a watch's request says of its node.
+// statusOf is the status of a node as its watch's request states it.
 func statusOf(r configapi.WatchRequest, now time.Time) configapi.NodeStatus {
-	status := configapi.NodeStatus{Node: r.Node, Service: r.Service, Region: r.Region, Zone: r.Zone, StartedMS: r.StartedMS, Session: r.Session,
-		Connected: true, LastSeenMS: now.UnixMilli(), Cluster: r.Cluster, LastDecided: r.LastDecided, Applied: r.Applied}
+	status := configapi.NodeStatus{
+		Node:        r.Node,
+		Service:     r.Service,
+		Region:      r.Region,
+		Zone:        r.Zone,
+		StartedMS:   r.StartedMS,
+		Session:     r.Session,
+		Connected:   true,
+		LastSeenMS:  now.UnixMilli(),
+		Cluster:     r.Cluster,
+		LastDecided: r.LastDecided,
+		Applied:     r.Applied,
+	}
 	switch {
 	case r.LastRejected:
 		status.Outcome = configapi.Rejected
-		status.Rejection = rejectionOf(r.RejectionReason)
+		status.Rejection = parseRejection(r.RejectionReason)
 	case r.LastDecided > 0:
 		status.Outcome = configapi.Applied
 	}
 	return status
 }
 
-// rejectionOf reads a reason that Rejection.Error wrote ("kind: message").
-func rejectionOf(reason string) *configapi.Rejection {
+// parseRejection parses the text of Rejection.Error, "kind: message".
+func parseRejection(reason string) *configapi.Rejection {
 	kind, message, found := strings.Cut(reason, ": ")
 	if !found {
 		return &configapi.Rejection{Message: truncateReason(reason)}
@@ -287,5 +271,7 @@
 	return &configapi.Rejection{Kind: configapi.RejectionKind(truncate(kind)), Message: truncateReason(message)}
 }
 
-// truncateReason cuts a reason to the length that is kept.
-func truncateReason(reason string) string { return reason[:min(len(reason), configapi.MaxReasonBytes)] }
+// truncateReason cuts a reason to configapi.MaxReasonBytes.
+func truncateReason(reason string) string {
+	return reason[:min(len(reason), configapi.MaxReasonBytes)]
+}
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/node_table_test.go
@@ -25,6 +25,7 @@
 	return s
 }
 
+// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace it.
 func TestSessionsAreBounded(t *testing.T) {
 	table := newTestTable(2)
 	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
@@ -46,7 +47,8 @@
 	}
 }
 
-func TestOlderProcessOfANodeIsRefused(t *testing.T) {
+// Two processes use one node name. The older one must not replace the newer one's session.
+func TestOlderProcessOfANodeIsRejected(t *testing.T) {
 	table := newTestTable(5)
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 2, Session: 1})
 	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 9}, noon)
@@ -55,7 +57,7 @@
 	}
 }
 
-// Acknowledgements that are late, of an older session or for an older version, change nothing.
+// Acknowledgements arrive late, of an older session or of an older version. They change nothing.
 func TestAcknowledgementsInAnyOrder(t *testing.T) {
 	table := newTestTable(5)
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, Session: 2, Cluster: "c", LastDecided: 3, Applied: 3})
@@ -84,7 +86,8 @@
 	}
 }
 
-func TestRejectionIsKept(t *testing.T) {
+// A node that reconnects says why it rejected its version. The reason shows in the status, truncated.
+func TestRejectionIsRecorded(t *testing.T) {
 	table := newTestTable(5)
 	rejection := &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no such class"}
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Cluster: "c", LastDecided: 4, Applied: 3, LastRejected: true, RejectionReason: rejection.Error()})
@@ -99,7 +102,8 @@
 	}
 }
 
-func TestNodesAreForgotten(t *testing.T) {
+// A node that was shut down shows as disconnected for an hour, and is forgotten then.
+func TestDisconnectedNodesAreForgotten(t *testing.T) {
 	table := newTestTable(5)
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry"})
 	mustOpen(t, table, configapi.WatchRequest{Node: "n2", Service: "dry"})
@@ -112,6 +116,7 @@
 	}
 }
 
+// Nodes are renamed at each start. The table forgets those that have been away for longest, and does not grow.
 func TestNodeTableIsBounded(t *testing.T) {
 	table := newTestTable(5)
 	table.maxNodes = 3
@@ -125,7 +130,8 @@
 	}
 }
 
-func TestDrainAsksAllToMove(t *testing.T) {
+// A controller shuts down. Its nodes are spread over the others, and new ones are rejected.
+func TestDrainAsksAllToMigrate(t *testing.T) {
 	table := newTestTable(5)
 	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Available: true}, {Endpoint: configapi.Endpoint{Address: "c:1"}, Available: true}}, noon)
 	var sessions []*session
@@ -139,7 +145,7 @@
 		case to := <-s.migrate:
 			targets[to.Address]++
 		default:
-			t.Error("a session was not asked to move")
+			t.Error("a session was not asked to migrate")
 		}
 	}
 	if targets["b:1"] != 2 || targets["c:1"] != 2 {
--- /dev/null
+++ b/internal/controller/participation.go
@@ -0,0 +1,210 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"time"
+)
+
+// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log, joining
+// when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the disk has
+// a log or begins a new cluster.
+type phase string
+
+const (
+	phaseEmpty   phase = "empty"   // the disk has nothing, and it is not decided yet how the controller starts
+	phaseJoining phase = "joining" // the controller waits for the leader to make it a voter
+	phaseMember  phase = "member"  // the disk has a log
+)
+
+// participation is how a controller takes part, as it reports it.
+type participation struct {
+	phase    phase
+	serverID string // raft server ID; empty: not decided yet
+	start    uint64 // of the disk, see identity
+	founders map[string]string
+}
+
+const (
+	// monitorInterval is how often a controller checks its contact with the leader, and conditions that it waits for.
+	monitorInterval = 50 * time.Millisecond
+	// waitLogInterval is how often a controller that waits says so in its log.
+	waitLogInterval = 10 * time.Second
+)
+
+// initParticipation sets the phase as far as the disk tells.
+func (c *Controller) initParticipation() error {
+	used, err := c.disk.hasState()
+	if err != nil {
+		return &FolderError{c.config.Folder, emptyFolderAdvice, err}
+	}
+	switch server := c.disk.identity.ServerID; {
+	case used:
+		c.setParticipation(phaseMember, nil)
+	case server != "" && server != c.config.Self.Name:
+		c.setParticipation(phaseJoining, nil)
+	default:
+		c.setParticipation(phaseEmpty, nil)
+	}
+	return nil
+}
+
+func (c *Controller) setParticipation(p phase, founders map[string]string) {
+	c.participation.Store(&participation{
+		phase:    p,
+		serverID: c.disk.identity.ServerID,
+		start:    c.disk.identity.Start,
+		founders: founders,
+	})
+}
+
+// runConsensus starts raft and does the work around it until ctx ends.
+func (c *Controller) runConsensus(ctx context.Context) error {
+	running, err := c.startRaft(ctx)
+	if err != nil || running == nil {
+		return err
+	}
+	c.tasks.Go(func() { running.snapshotOnChange(ctx.Done()) })
+	c.tasks.Go(func() { c.runLeader(ctx, running) })
+	c.monitor(ctx, running)
+	return nil
+}
+
+// startRaft starts raft in the way that the disk allows. It returns nil if ctx ends before.
+func (c *Controller) startRaft(ctx context.Context) (*consensus, error) {
+	switch c.participation.Load().phase {
+	case phaseMember:
+		return c.resumeFromDisk(ctx)
+	case phaseJoining:
+		return c.launchJoining()
+	}
+	return c.startWithEmptyDisk(ctx)
+}
+
+// startWithEmptyDisk waits until decideEmptyDiskStart has decided, and starts raft accordingly.
+func (c *Controller) startWithEmptyDisk(ctx context.Context) (*consensus, error) {
+	began := time.Now()
+	decision := startUndecided
+	var reports map[string]memberReport
+	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
+		reports = c.peers.valid(time.Now())
+		waitForAll := time.Since(began) < bootstrapWait
+		decision = decideEmptyDiskStart(c.config, c.processID, reports, waitForAll)
+		return decision != startUndecided
+	})
+	if err != nil {
+		return nil, nil
+	}
+	if decision == startJoin {
+		c.log.Info("the folder is empty, and others have a log: this controller joins with a new server ID and copies it")
+		return c.joinAsReplacement()
+	}
+	founders := foundersOf(c.config, c.processID, reports)
+	c.log.Info("beginning a new cluster", "members", len(c.config.Members), "empty", len(founders))
+	if err := c.disk.setServerID(c.config.Self.Name); err != nil {
+		return nil, err
+	}
+	return c.launchConsensus(phaseMember, bootstrapNew, founders)
+}
+
+// joinAsReplacement gives the disk a new server ID, and starts raft with it.
+func (c *Controller) joinAsReplacement() (*consensus, error) {
+	if err := c.disk.setServerID(replacementServerID(c.config.Self.Name)); err != nil {
+		return nil, err
+	}
+	return c.launchJoining()
+}
+
+func (c *Controller) launchJoining() (*consensus, error) {
+	return c.launchConsensus(phaseJoining, bootstrapNone, nil)
+}
+
+// launchConsensus starts raft, and opens it to the others at once.
+func (c *Controller) launchConsensus(p phase, bootstrap bootstrapMode, founders map[string]string) (*consensus, error) {
+	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrap)
+	if err != nil {
+		return nil, err
+	}
+	running.stream.enabled.Store(true)
+	c.consensus.Store(running)
+	c.setParticipation(p, founders)
+	return running, nil
+}
+
+// resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part in
+// the cluster when judgeDisk has found that the disk is no old copy.
+func (c *Controller) resumeFromDisk(ctx context.Context) (*consensus, error) {
+	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrapNone)
+	if err != nil {
+		return nil, err
+	}
+	c.consensus.Store(running)
+	verdict := diskUndecided
+	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
+		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.peers.valid(time.Now()))
+		return verdict != diskUndecided
+	})
+	switch {
+	case err != nil:
+		return nil, nil
+	case verdict == diskStale:
+		return c.replaceStaleDisk(running)
+	}
+	running.stream.enabled.Store(true)
+	return running, nil
+}
+
+// replaceStaleDisk empties a disk that is an old copy: the votes that this controller has cast since are not on it.
+func (c *Controller) replaceStaleDisk(running *consensus) (*consensus, error) {
+	c.log.Warn("the folder is an old copy of this controller's disk: the others know of a later start; it is emptied, and the log copied from them")
+	c.consensus.Store(nil)
+	running.close()
+	if err := c.disk.reset(); err != nil {
+		return nil, err
+	}
+	raftListener, err := net.Listen("tcp", c.config.Self.Raft)
+	if err != nil {
+		return nil, &ListenError{c.config.Self.Raft, err}
+	}
+	c.raftListener = raftListener
+	return c.joinAsReplacement()
+}
+
+// waitUntil checks a condition until it holds, and logs now and then what it waits for. Its error is that of ctx.
+func (c *Controller) waitUntil(ctx context.Context, what string, holds func() bool) error {
+	tick := time.NewTicker(monitorInterval)
+	defer tick.Stop()
+	for untilLog := time.Duration(0); !holds(); untilLog -= monitorInterval {
+		if untilLog <= 0 {
+			c.log.Info("waiting: " + what)
+			untilLog = waitLogInterval
+		}
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return nil
+}
+
+// monitor follows the contact with the leader, and whether a joining controller has become a voter, until ctx ends.
+func (c *Controller) monitor(ctx context.Context, running *consensus) {
+	tick := time.NewTicker(monitorInterval)
+	defer tick.Stop()
+	for {
+		if c.views.setCurrent(running.isCurrent(time.Now())) {
+			view := c.views.load()
+			c.log.Info("leader contact", "current", view.current, "version", view.state.Version)
+		}
+		if part := c.participation.Load(); part.phase == phaseJoining && running.isVoter() {
+			c.setParticipation(phaseMember, nil)
+			c.log.Info("this controller is a member of the cluster again", "server", part.serverID)
+		}
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/peer_reports.go
@@ -0,0 +1,177 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/configversion"
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+const (
+	// pollInterval is how often controllers read each other's reports.
+	pollInterval = 300 * time.Millisecond
+	// pollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
+	// nodes of a stalled controller leave it 0.7 s after the fact at the earliest, and must not be redirected to it.
+	pollTimeout = 250 * time.Millisecond
+	// reportValidity is how long a report counts in the rules about membership. It is longer than several readings, so
+	// that a single lost one changes nothing.
+	reportValidity = 2 * time.Second
+	// maxReportBytes bounds one report.
+	maxReportBytes = 64 << 10
+
+	// peerIdleConnections is how many idle connections stay open to each other controller.
+	peerIdleConnections = 2
+	// maxPeerConnections is how many connections are open to each: polls may overlap after a time-out.
+	maxPeerConnections = 4
+	// peerIdleConnectionTimeout is how long an idle connection stays open, as after a change of the settings.
+	peerIdleConnectionTimeout = 30 * time.Second
+)
+
+// memberReport is a controller's response to GET /v1/load: what nodes need to know, and what the other controllers need.
+type memberReport struct {
+	configapi.Load
+	Phase        phase  `json:"phase"`
+	ServerID     string `json:"server,omitempty"` // its raft server ID
+	Start        uint64 `json:"start"`            // of its disk, see identity
+	ProcessID    string `json:"process"`          // drawn at random by each process
+	AppliedIndex uint64 `json:"applied"`          // index of the newest log entry in its state
+	// Founders are the processes that this one found empty before it began a new cluster, by the controller's name. Each
+	// of them has never voted in the cluster, and may begin it, too.
+	Founders map[string]string `json:"founders,omitempty"`
+	// RecordedStart is the last recorded start of the server that the request names.
+	RecordedStart *memberStart `json:"known,omitempty"`
+}
+
+// ReportError says that another controller's report is not usable.
+type ReportError struct {
+	Address string
+	Reason  string
+}
+
+func (e *ReportError) Error() string {
+	return fmt.Sprintf("controller: the report of %s: %s", e.Address, e.Reason)
+}
+
+// peerReports reads and holds the other controllers' reports.
+type peerReports struct {
+	config Config
+	client *http.Client
+
+	lock    sync.Mutex
+	reports map[string]timedReport // by the controller's name
+}
+
+// timedReport is the last report that was read from a controller.
+type timedReport struct {
+	memberReport
+	receivedAt      time.Time
+	lastFetchFailed bool // a later reading failed
+}
+
+// isValid says whether the report still counts.
+func (r timedReport) isValid(now time.Time) bool { return now.Sub(r.receivedAt) < reportValidity }
+
+func newPeerReports(config Config) *peerReports {
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: peerIdleConnections,
+		MaxConnsPerHost:     maxPeerConnections,
+		IdleConnTimeout:     peerIdleConnectionTimeout,
+		DisableCompression:  true,
+	}
+	return &peerReports{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
+}
+
+// poll reads the reports of all other controllers in parallel. server is the own raft server ID.
+func (p *peerReports) poll(ctx context.Context, server string) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	var readings sync.WaitGroup
+	for _, member := range p.config.Members {
+		if member.Name == p.config.Self.Name {
+			continue
+		}
+		readings.Go(func() {
+			report, err := p.fetch(ctx, member, server)
+			p.record(member.Name, report, err)
+		})
+	}
+	readings.Wait()
+}
+
+// record notes the result of a reading. After one that failed, the last report stays until it is too old.
+func (p *peerReports) record(name string, report memberReport, err error) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if err == nil {
+		p.reports[name] = timedReport{memberReport: report, receivedAt: time.Now()}
+		return
+	}
+	last := p.reports[name]
+	last.lastFetchFailed = true
+	p.reports[name] = last
+}
+
+func (p *peerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
+	address := "http://" + member.Dial + configapi.PathLoad + "?server=" + url.QueryEscape(server)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+	if err != nil {
+		return memberReport{}, err
+	}
+	response, err := p.client.Do(request)
+	if err != nil {
+		return memberReport{}, err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return memberReport{}, &ReportError{member.Dial, "answered " + response.Status}
+	}
+	var report memberReport
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report); err != nil {
+		return memberReport{}, err
+	}
+	if report.Name != member.Name {
+		return memberReport{}, &ReportError{member.Dial, fmt.Sprintf("it is controller %q, not %s", report.Name, member.Name)}
+	}
+	return report, nil
+}
+
+// valid returns the reports that still count, by the controller's name.
+func (p *peerReports) valid(now time.Time) map[string]memberReport {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	valid := map[string]memberReport{}
+	for name, report := range p.reports {
+		if report.isValid(now) {
+			valid[name] = report.memberReport
+		}
+	}
+	return valid
+}
+
+// loads is what session placement needs to know of the others. A controller is available if its last reading succeeded,
+// it has a state, and it is no worse in contact with a leader than this one (current).
+func (p *peerReports) loads(now time.Time, current bool) []configversion.PeerLoad {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	var loads []configversion.PeerLoad
+	for _, member := range p.config.Members {
+		if member.Name == p.config.Self.Name {
+			continue
+		}
+		report := p.reports[member.Name]
+		answers := !report.lastFetchFailed && report.isValid(now)
+		loads = append(loads, configversion.PeerLoad{
+			Endpoint:  member.Endpoint(),
+			Sessions:  report.Sessions,
+			Available: answers && report.Cluster != "" && (report.Current || !current),
+		})
+	}
+	return loads
+}
--- /dev/null
+++ b/internal/controller/peer_reports_test.go
@@ -0,0 +1,33 @@
+package controller
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// A controller does not answer one poll. No node is sent to it, but it still counts as a member until its report is too old.
+func TestLoadsOfAnUnresponsiveController(t *testing.T) {
+	p := newPeerReports(configOf("c1", "c2", "c3"))
+	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, Current: true}}
+	p.record("c2", report, nil)
+	p.record("c3", report, nil)
+	p.record("c3", memberReport{}, errors.New("no answer"))
+	now := time.Now()
+	loads := p.loads(now, true)
+	if len(loads) != 2 || !loads[0].Available || loads[1].Available {
+		t.Errorf("loads %+v", loads)
+	}
+	if len(p.valid(now)) != 2 {
+		t.Errorf("members that answered lately: %v", p.valid(now))
+	}
+	p.record("c3", report, nil)
+	if loads := p.loads(now, true); !loads[1].Available {
+		t.Errorf("after it answered again: %+v", loads)
+	}
+	if loads := p.loads(now.Add(reportValidity), true); loads[0].Available {
+		t.Errorf("without any reading: %+v", loads)
+	}
+}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/quorum_membership.go
@@ -6,14 +6,21 @@
 	"github.com/hashicorp/raft"
 )
 
-// reconcile brings the cluster's members in line with what the controllers report, at the leader: a controller with a
-// new disk replaces its old server, first as a nonvoter and, once it has the log, as a voter; starts are recorded. It
-// makes the changes that can be made now, and is called again after the next reading.
-func (c *consensus) reconcile(reports map[string]memberReport, process string) {
+// Membership of the quorum: a controller whose disk was lost or is an old copy takes part as a new raft server, because
+// the old server's votes are not on its disk. The leader brings raft's configuration in line with the reports: it removes
+// the old server, adds the new one as a nonvoter, and makes it a voter once it has the log, so that a quorum never counts
+// on a disk that is still empty. At most one change is under way; raft commits each by a quorum.
+
+// membershipChangeTimeout is how long one change of raft's configuration may take before it is tried again.
+const membershipChangeTimeout = 5 * time.Second
+
+// reconcile makes the membership changes that the valid reports ask for, at the leader, and records the controllers'
+// starts. It is called after each reading; what can't be done yet is done by a later call.
+func (c *consensus) reconcile(reports map[string]memberReport, processID string) {
 	if !c.isReady() {
 		return
 	}
-	c.recordStart(c.disk.identity.ServerID, memberStart{c.disk.identity.Start, process})
+	c.recordStart(c.disk.identity.ServerID, memberStart{c.disk.identity.Start, processID})
 	for _, member := range c.config.Members {
 		report, ok := reports[member.Name]
 		if !ok || report.ServerID == "" || report.Phase == phaseEmpty {
@@ -27,7 +34,7 @@
 	}
 }
 
-// reconcileMember takes the next steps for one controller.
+// reconcileMember makes the next changes for one controller.
 func (c *consensus) reconcileMember(member Member, report memberReport) error {
 	server := raft.ServerID(report.ServerID)
 	if controllerOf(server) != member.Name {
@@ -45,7 +52,7 @@
 			return c.promote(member, report)
 		case controllerOf(known.ID) == member.Name && report.Phase == phaseJoining:
 			c.log.Info("a controller has another disk than before: its old server leaves the cluster", "controller", member.Name, "server", known.ID)
-			if err := c.raft.RemoveServer(known.ID, 0, changeTimeout).Error(); err != nil {
+			if err := c.raft.RemoveServer(known.ID, 0, membershipChangeTimeout).Error(); err != nil {
 				return err
 			}
 		}
@@ -54,51 +61,25 @@
 		return nil
 	}
 	c.log.Info("a controller joins", "controller", member.Name, "server", server)
-	return c.raft.AddNonvoter(server, logAddress(member), 0, changeTimeout).Error()
+	return c.raft.AddNonvoter(server, logAddress(member), 0, membershipChangeTimeout).Error()
 }
 
-// promote makes a nonvoter a voter once it has what was committed a moment ago.
+// promote makes a nonvoter a voter once its log is at most one message of entries behind.
 func (c *consensus) promote(member Member, report memberReport) error {
 	if report.AppliedIndex+appendBatch < c.raft.CommitIndex() || report.Cluster != c.views.load().state.Cluster {
 		return nil
 	}
 	c.log.Info("a controller that joined has the log and may vote", "controller", member.Name, "server", report.ServerID)
-	return c.raft.AddVoter(raft.ServerID(report.ServerID), logAddress(member), 0, changeTimeout).Error()
+	return c.raft.AddVoter(raft.ServerID(report.ServerID), logAddress(member), 0, membershipChangeTimeout).Error()
 }
 
-// recordStart has a controller's start written to the log, once for each.
+// recordStart writes a controller's start to the log, once for each. judgeDisk goes by these records.
 func (c *consensus) recordStart(server string, start memberStart) {
-	if known := c.views.load().state.Starts[server]; known.Start >= start.Start {
+	if recorded := c.views.load().state.Starts[server]; recorded.Start >= start.Start {
 		return
 	}
-	what := command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{server, start.Start, start.ProcessID}}
-	if _, err := c.propose(what); err != nil {
+	proposal := command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{server, start.Start, start.ProcessID}}
+	if _, err := c.propose(proposal); err != nil {
 		c.log.Warn("a controller's start was not recorded", "server", server, "err", err)
 	}
 }
-
-// snapshotOnChange takes a snapshot a moment after each change of the state, so that a controller that starts without a
-// quorum serves its nodes what it had.
-func (c *consensus) snapshotOnChange(done <-chan struct{}) {
-	for {
-		changed := c.views.load().superseded
-		select {
-		case <-changed:
-		case <-done:
-			return
-		}
-		timer := time.NewTimer(snapshotDelay)
-		select {
-		case <-timer.C:
-		case <-done:
-			timer.Stop()
-			return
-		}
-		if err := c.raft.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot && err != raft.ErrRaftShutdown {
-			c.log.Debug("no snapshot", "err", err)
-		}
-	}
-}
-
-// snapshotDelay is the time within which several changes share a snapshot.
-const snapshotDelay = 2 * time.Second
--- a/internal/controller/raftlog.go
+++ b/internal/controller/raft_logger.go
@@ -9,41 +9,44 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLogger makes a logger for raft, which writes to slog. Raft's warnings are news, the rest is for debugging.
+// raftLogger makes a logger for raft that writes to slog. Raft's warnings and errors keep their level, the rest becomes
+// debug output.
 func raftLogger(log *slog.Logger) hclog.Logger {
 	logger := hclog.NewInterceptLogger(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Info})
 	logger.RegisterSink(&slogSink{log: log, lastLogged: map[string]*repetition{}})
 	return logger
 }
 
-// repeatLogInterval is how often raft may say the same thing: it does so several times a second while a controller is away.
+// repeatLogInterval is how often the same message of raft is logged: raft logs several a second for each controller that
+// is away.
 const repeatLogInterval = 10 * time.Second
 
-// slogSink passes raft's lines on.
+// slogSink writes raft's messages to slog.
 type slogSink struct {
 	log *slog.Logger
 
 	lock       sync.Mutex
-	lastLogged map[string]*repetition // by the line's text, of which raft has a few dozen
+	lastLogged map[string]*repetition // by the message, of which raft has a few dozen
 }
 
-// repetition counts how often a line was left out since it was last passed on.
+// repetition counts how often a message was suppressed since it was last logged.
 type repetition struct {
 	loggedAt   time.Time
 	suppressed int
 }
 
-// Accept passes one line on, unless raft has said the same a moment ago about whatever it may be.
+// Accept logs a message, unless the same one, with any arguments, was logged within repeatLogInterval. The next one says
+// in said_before how many were suppressed.
 func (s *slogSink) Accept(name string, level hclog.Level, message string, args ...any) {
 	if level < hclog.Info {
 		return
 	}
-	leftOut, again := s.countRepetition(message, time.Now())
-	if again {
+	suppressed, suppress := s.countRepetition(message, time.Now())
+	if suppress {
 		return
 	}
-	if leftOut > 0 {
-		args = append(args[:len(args):len(args)], "said_before", leftOut)
+	if suppressed > 0 {
+		args = append(args[:len(args):len(args)], "said_before", suppressed)
 	}
 	switch level {
 	case hclog.Error:
@@ -55,8 +58,8 @@
 	}
 }
 
-// countRepetition says how many lines of this text were left out before this one, or that this one is to be left out.
-func (s *slogSink) countRepetition(message string, now time.Time) (leftOut int, again bool) {
+// countRepetition says how many messages of this text were suppressed before this one, or that this one is to be.
+func (s *slogSink) countRepetition(message string, now time.Time) (suppressed int, suppress bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	r := s.lastLogged[message]
@@ -68,10 +71,10 @@
 		r.suppressed++
 		return 0, true
 	}
-	leftOut = r.suppressed
+	suppressed = r.suppressed
 	*r = repetition{loggedAt: now}
-	return leftOut, false
+	return suppressed, false
 }
 
-// discardLogger says nothing.
+// discardLogger logs nothing.
 func discardLogger() hclog.Logger { return hclog.NewNullLogger() }
--- a/internal/controller/transport.go
+++ b/internal/controller/raft_stream.go
@@ -16,62 +16,80 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// The replicated log travels over raft's own TCP transport. Raft does not check that a connection reaches the server
-// and the cluster that it means: each connection begins with a line that names both, and the other end closes it where
-// they are not its own. So a controller with an emptied disk, which has another server ID, is not taken for the server
-// that voted before, and two clusters on the same addresses do not mix their logs.
+// The replicated log uses raft's own TCP transport. Raft does not check that a connection reaches the server and the
+// cluster that it means: each connection therefore begins with a greeting that names both, and the other end closes it
+// if they are not its own. It guards against two failures: a controller with an emptied disk, which has another server
+// ID, must not be taken for the server that voted before; and two clusters on the same addresses must not mix their logs.
 
 const (
-	raftMessageTimeout  = 2 * time.Second // for one message between controllers, and for a connection's first line
-	maxRaftConnections  = 128             // accepted at most, at the same time
-	raftIdleConnections = 3               // idle connections to each other controller
-	maxGreetingBytes    = 512             // bytes of a connection's first line
-	greetingProtocol    = "hookwalk-raft/1"
-	noClusterToken      = "-"
+	// raftMessageTimeout is how long one message between controllers, and a greeting, may take.
+	raftMessageTimeout = 2 * time.Second
+	// maxRaftConnections is how many connections of other controllers are accepted at the same time.
+	maxRaftConnections = 128
+	// raftIdleConnections is how many idle connections stay open to each other controller.
+	raftIdleConnections = 3
+
+	// maxGreetingBytes bounds a greeting.
+	maxGreetingBytes = 512
+	// greetingProtocol begins a greeting; another version of the protocol has another text.
+	greetingProtocol = "hookwalk-raft/1"
+	// greetingFields are the fields of a greeting: the protocol, the server ID that the connection is for, the cluster.
+	greetingFields = 3
+	// noClusterToken stands for the cluster where a controller has none yet; it matches any.
+	noClusterToken = "-"
+	// serverIDMark stands between the network address and the server ID in a raft.ServerAddress.
+	serverIDMark = "|"
 )
 
-// GreetingError says that a raft connection reached another server or cluster than the one it meant.
-type GreetingError struct{ Got, Want string }
+// GreetingError says that a raft connection reached another server or cluster than it was for.
+type GreetingError struct {
+	Got  string // the greeting
+	Want string // this server's
+}
 
 func (e *GreetingError) Error() string {
 	return fmt.Sprintf("a raft connection for %q reached %q: do two controllers have one address, or was a cluster built twice?", e.Got, e.Want)
 }
 
-// raftStream is the raft.StreamLayer of a controller.
+// raftStream is the raft.StreamLayer of a controller: it dials and accepts connections between controllers.
 type raftStream struct {
 	listener net.Listener
 	name     raftAddress
-	serverID string // the own raft server ID
+	serverID string // its own raft server ID
 	cluster  func() configapi.Cluster
-	slots    chan struct{}
-	closing  chan struct{}
+	slots    chan struct{} // one for each accepted connection
+	closing  chan struct{} // closed by Close
 	once     sync.Once
-	enabled  atomic.Bool // false: nothing is sent or read, on connections that exist neither
+	// enabled says that this controller takes part in the log. While it is false nothing is sent or read, on connections
+	// that are open neither: it is not clear yet whether the disk may vote.
+	enabled atomic.Bool
 }
 
-// raftAddress is the text of an address.
+// raftAddress is a net.Addr of its text.
 type raftAddress string
 
-// Network is that of net.Addr.
+// Network is always tcp.
 func (a raftAddress) Network() string { return "tcp" }
-func (a raftAddress) String() string  { return string(a) }
+
+// String returns the text.
+func (a raftAddress) String() string { return string(a) }
 
 func newRaftStream(listener net.Listener, name, server string, cluster func() configapi.Cluster) *raftStream {
 	return &raftStream{listener: listener, name: raftAddress(name), serverID: server, cluster: cluster,
 		slots: make(chan struct{}, maxRaftConnections), closing: make(chan struct{})}
 }
 
-// serverAddress writes a server's ID into its address, so that Dial knows whom to ask for.
+// serverAddress appends a server's ID to its network address, so that Dial knows which server it is for.
 func serverAddress(address, id string) raft.ServerAddress {
-	return raft.ServerAddress(address + "|" + id)
+	return raft.ServerAddress(address + serverIDMark + id)
 }
 
-// Dial connects to a server whose address serverAddress wrote.
+// Dial connects to a server whose address serverAddress made, and sends the greeting.
 func (s *raftStream) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	if !s.enabled.Load() {
 		return nil, errStreamDisabled
 	}
-	address, id, _ := strings.Cut(string(target), "|")
+	address, id, _ := strings.Cut(string(target), serverIDMark)
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
@@ -85,7 +103,8 @@
 	return &guardedConn{conn, s}, nil
 }
 
-// Accept returns the next connection. Its first line is read, and checked, by the first Read.
+// Accept returns the next connection. Its greeting is read and checked by the first Read, so that a slow one holds up no
+// other.
 func (s *raftStream) Accept() (net.Conn, error) {
 	select {
 	case s.slots <- struct{}{}:
@@ -109,20 +128,21 @@
 // Addr is the controller's address in the log.
 func (s *raftStream) Addr() net.Addr { return s.name }
 
-// checkGreeting compares a connection's first line with what this server is.
-func (s *raftStream) checkGreeting(line string) error {
-	words := strings.Fields(line)
+// checkGreeting compares a connection's greeting with what this server is. Its error is a GreetingError.
+func (s *raftStream) checkGreeting(greeting string) error {
+	fields := strings.Fields(greeting)
 	own := clusterToken(s.cluster())
 	want := strings.Join([]string{greetingProtocol, s.serverID, own}, " ")
-	if !s.enabled.Load() || len(words) != 3 || words[0] != greetingProtocol || words[1] != s.serverID {
-		return &GreetingError{line, want}
+	if !s.enabled.Load() || len(fields) != greetingFields || fields[0] != greetingProtocol || fields[1] != s.serverID {
+		return &GreetingError{greeting, want}
 	}
-	if words[2] != own && words[2] != noClusterToken && own != noClusterToken {
-		return &GreetingError{line, want}
+	if fields[2] != own && fields[2] != noClusterToken && own != noClusterToken {
+		return &GreetingError{greeting, want}
 	}
 	return nil
 }
 
+// clusterToken is the cluster in a greeting.
 func clusterToken(c configapi.Cluster) string {
 	if c == "" {
 		return noClusterToken
@@ -130,10 +150,10 @@
 	return string(c)
 }
 
-// errStreamDisabled says that this controller does not take part in the replicated log at the moment.
+// errStreamDisabled says that this controller does not take part in the replicated log yet.
 var errStreamDisabled = errors.New("controller: raft is not open to the others")
 
-// guardedConn is a connection that ends when its stream is not open.
+// guardedConn is a connection that fails while its stream is not enabled.
 type guardedConn struct {
 	net.Conn
 	stream *raftStream
@@ -161,7 +181,7 @@
 	releaseSlot sync.Once
 }
 
-// Read reads behind the first line, which it checks.
+// Read reads what follows the greeting, which it checks first.
 func (c *inboundConn) Read(into []byte) (int, error) {
 	if !c.greeted {
 		if err := c.readGreeting(); err != nil {
@@ -172,14 +192,15 @@
 	return c.guardedConn.Read(into)
 }
 
-// readGreeting reads byte by byte, once for each connection, because what follows is raft's.
+// readGreeting reads and checks the greeting. It reads byte by byte, because what follows is raft's. Any fault is io.EOF:
+// raft would log others as errors of its own.
 func (c *inboundConn) readGreeting() error {
 	_ = c.SetReadDeadline(time.Now().Add(raftMessageTimeout))
 	var line bytes.Buffer
 	one := make([]byte, 1)
 	for line.Len() < maxGreetingBytes {
 		if _, err := io.ReadFull(c.Conn, one); err != nil {
-			return io.EOF // nothing was said: no news for raft's log
+			return io.EOF
 		}
 		if one[0] == '\n' {
 			_ = c.SetReadDeadline(time.Time{})
@@ -193,7 +214,7 @@
 	return io.EOF
 }
 
-// Close closes the connection and gives its place to another one.
+// Close closes the connection and releases its slot.
 func (c *inboundConn) Close() error {
 	c.releaseSlot.Do(func() { <-c.stream.slots })
 	return c.Conn.Close()
--- a/internal/controller/transport_test.go
+++ b/internal/controller/raft_stream_test.go
@@ -21,8 +21,8 @@
 	return s
 }
 
-// A connection is served only if it is meant for this server and cluster.
-func TestStreamChecksWhomAConnectionIsFor(t *testing.T) {
+// A connection is meant for another server or cluster, as after a disk was emptied. It is closed.
+func TestStreamChecksTheGreeting(t *testing.T) {
 	for name, c := range map[string]struct {
 		server, asked  string
 		cluster, asker configapi.Cluster
@@ -68,7 +68,8 @@
 	}
 }
 
-func TestStreamThatIsNotOpen(t *testing.T) {
+// It is not clear yet whether the disk is an old copy. Nothing is sent or read, so that the controller can not vote.
+func TestDisabledStreamCarriesNothing(t *testing.T) {
 	s := newTestStream(t, "c1", "")
 	conn, err := s.Dial(serverAddress(s.listener.Addr().String(), "c1"), time.Minute)
 	if err != nil {
@@ -84,7 +85,8 @@
 	}
 }
 
-func TestStreamRefusesLongGreetings(t *testing.T) {
+// A client that is no controller sends a line without end. The connection is closed.
+func TestStreamClosesOnLongGreetings(t *testing.T) {
 	server := newTestStream(t, "c1", "")
 	failed := make(chan error, 1)
 	go func() {
--- a/internal/controller/transport_retry_test.go
+++ b/internal/controller/raft_transport_test.go
@@ -49,8 +49,8 @@
 
 var entries = &raft.AppendEntriesRequest{Term: 7, PrevLogEntry: 3, Entries: []*raft.Log{{Index: 4}}}
 
-// Entries are sent again, 200 ms apart, for as long as they are wanted.
-func TestEntriesAreSentAgainWhileWanted(t *testing.T) {
+// A follower is unreachable during a partition. Log entries are retried at a fixed interval while this server leads.
+func TestEntriesAreRetriedWhileLeading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const minute = int64(time.Minute / appendRetryInterval)
 		asked := int64(0)
@@ -67,7 +67,7 @@
 	})
 }
 
-// A heartbeat is sent once: raft counts its failures.
+// Heartbeats are not retried: raft counts their failures for its lease.
 func TestHeartbeatsAreSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport, layer := newRetryingTransport(t, func(raft.ServerID, uint64) bool { return true })
@@ -79,7 +79,7 @@
 	})
 }
 
-// A transport that closes holds nobody up.
+// A controller shuts down while a follower is unreachable. The retries end at once.
 func TestClosingEndsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport, _ := newRetryingTransport(t, func(raft.ServerID, uint64) bool { return true })
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -12,26 +12,51 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Defaults of the settings, and the bounds of what a file may say.
+// Defaults of the settings.
 const (
-	defaultMaxSessions     = 600 // a node's share is 271 of 1,900 at seven controllers, and 475 with three of them gone
+	// defaultMaxSessions is the limit of sessions at one controller: each costs a connection and its buffers. It leaves
+	// room for the nodes of controllers that have failed.
+	defaultMaxSessions = 600
+	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough for
+	// a slow disk, and short enough that a publish survives the change of the leader.
 	defaultElectionTimeout = 400 * time.Millisecond
-	defaultLeaderLease     = 300 * time.Millisecond
-	defaultFolderName      = "hookwalk-controllers"
+	// defaultLeaderLease is how long a leader that hears nothing from a quorum still leads. It ends before another one
+	// can be elected.
+	defaultLeaderLease = 300 * time.Millisecond
+	// defaultFolderName is the folder in the system's folder for temporary files.
+	defaultFolderName = "hookwalk-controllers"
+)
 
-	maxSettingsFileBytes = 1 << 20 // bytes
-	maxMembers           = 15
+// Bounds of what a settings file may say. Shorter times than these elect a leader at every pause of a process; longer
+// ones leave nodes without versions for too long.
+const (
+	// maxSettingsFileBytes bounds the file that is read.
+	maxSettingsFileBytes = 1 << 20
+	// maxMembers is the number of controllers of a cluster: more than a few make each publish slower and no safer.
+	maxMembers = 15
+	// maxSessionsLimit is the largest max_sessions: each session takes two connections of the process.
+	maxSessionsLimit = 20000
+
+	minHeartbeatInterval = 50 * time.Millisecond  // of heartbeat_ms
+	maxHeartbeatInterval = time.Second            // of heartbeat_ms: below the nodes' silence timeout
+	minElectionTimeout   = 100 * time.Millisecond // of election_ms
+	maxElectionTimeout   = 10 * time.Second       // of election_ms
+	minLeaderLease       = 50 * time.Millisecond  // of lease_ms
+	maxLeaderLease       = 10 * time.Second       // of lease_ms
+
+	// maxMemberNameBytes is the length of a controller's name.
+	maxMemberNameBytes = 64
 )
 
-// Config is what one controller is started with.
+// Config are the settings of one controller.
 type Config struct {
 	Self              Member
 	Members           []Member // all controllers of the cluster, Self among them, in the file's order
 	Folder            string   // of this controller alone
 	MaxSessions       int
-	HeartbeatInterval time.Duration // the longest silence on a watch
-	ElectionTimeout   time.Duration // without a word of the leader for so long, a follower asks for an election
-	LeaderLease       time.Duration // without a word of a quorum for so long, a leader steps down
+	HeartbeatInterval time.Duration // between heartbeats on a watch
+	ElectionTimeout   time.Duration // a follower that hears nothing from the leader for so long asks for an election
+	LeaderLease       time.Duration // a leader that hears nothing from a quorum for so long steps down
 }
 
 // Member is one controller of the cluster.
@@ -49,15 +74,15 @@
 	return configapi.Endpoint{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
-// LoadConfig reads the settings file of a cluster for the controller of a name. All controllers may share one file; the
-// name may be left out where the file has one controller only.
+// LoadConfig reads a cluster's settings file for the controller of a name. All controllers may share one file; the name
+// may be empty where the file has one controller only. Errors name the file and, where there is one, the line.
 func LoadConfig(path, name string) (Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("controller: %w", err)
 	}
 	if info.Size() > maxSettingsFileBytes {
-		return Config{}, fmt.Errorf("controller: %s is over %d bytes", path, maxSettingsFileBytes)
+		return Config{}, fmt.Errorf("controller: %w", &ConfigError{path, fmt.Sprintf("it is over %d bytes", maxSettingsFileBytes)})
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +95,7 @@
 	return config, nil
 }
 
-// ParseConfig reads the text of a settings file; errors begin with its name and the line.
+// ParseConfig parses the text of a settings file, as LoadConfig does; errors begin with the file's name and the line.
 func ParseConfig(file string, text []byte, name string) (Config, error) {
 	blocks, err := settings.ParseBlocks(file, text)
 	if err != nil {
@@ -101,10 +126,10 @@
 // readCommon reads the settings that all controllers have in common.
 func (c *Config) readCommon(r *settings.Reader) {
 	c.Folder = r.Text("folder", c.Folder)
-	c.MaxSessions = r.Integer("max_sessions", defaultMaxSessions, 1, 20000)
-	c.HeartbeatInterval = r.Milliseconds("heartbeat_ms", configapi.HeartbeatInterval, 50*time.Millisecond, time.Second)
-	c.ElectionTimeout = r.Milliseconds("election_ms", defaultElectionTimeout, 100*time.Millisecond, 10*time.Second)
-	c.LeaderLease = r.Milliseconds("lease_ms", min(defaultLeaderLease, c.ElectionTimeout), 50*time.Millisecond, 10*time.Second)
+	c.MaxSessions = r.Integer("max_sessions", defaultMaxSessions, 1, maxSessionsLimit)
+	c.HeartbeatInterval = r.Milliseconds("heartbeat_ms", configapi.HeartbeatInterval, minHeartbeatInterval, maxHeartbeatInterval)
+	c.ElectionTimeout = r.Milliseconds("election_ms", defaultElectionTimeout, minElectionTimeout, maxElectionTimeout)
+	c.LeaderLease = r.Milliseconds("lease_ms", min(defaultLeaderLease, c.ElectionTimeout), minLeaderLease, maxLeaderLease)
 	if line, ok := r.Has("lease_ms"); c.LeaderLease > c.ElectionTimeout {
 		if !ok {
 			line = r.Block.Line
@@ -130,6 +155,15 @@
 	} else {
 		member.Dial = member.Listen
 	}
+	c.checkDistinct(r, member)
+	c.Members = append(c.Members, member)
+	if len(c.Members) > maxMembers {
+		r.AddError(r.Block.Line, "more than %d controllers", maxMembers)
+	}
+}
+
+// checkDistinct checks that a controller has a name and addresses of its own.
+func (c *Config) checkDistinct(r *settings.Reader, member Member) {
 	for _, other := range c.Members {
 		if other.Name == member.Name {
 			r.AddError(r.Block.Line, "controller %s is there already", member.Name)
@@ -143,10 +177,6 @@
 	if member.Listen == member.Raft {
 		r.AddError(r.Block.Line, "listen and raft of controller %s must differ", member.Name)
 	}
-	c.Members = append(c.Members, member)
-	if len(c.Members) > maxMembers {
-		r.AddError(r.Block.Line, "more than %d controllers", maxMembers)
-	}
 }
 
 func checkAddress(r *settings.Reader, name, address string) {
@@ -160,13 +190,13 @@
 	}
 }
 
-// chooseSelf finds the controller that this process is.
+// chooseSelf finds the controller that this process is. Its error is a ConfigError.
 func (c Config) chooseSelf(file, name string) (Config, error) {
 	switch {
 	case len(c.Members) == 0:
-		return Config{}, fmt.Errorf("%s: no block controller", file)
+		return Config{}, &ConfigError{file, "no block controller"}
 	case name == "" && len(c.Members) > 1:
-		return Config{}, fmt.Errorf("%s: it has %d controllers: say with --name which one this is (%s)", file, len(c.Members), c.names())
+		return Config{}, &ConfigError{file, fmt.Sprintf("it has %d controllers: say with --name which one this is (%s)", len(c.Members), c.names())}
 	case name == "":
 		name = c.Members[0].Name
 	}
@@ -176,7 +206,7 @@
 		}
 	}
 	if c.Self.Name == "" {
-		return Config{}, fmt.Errorf("%s: no controller %q: there are %s", file, name, c.names())
+		return Config{}, &ConfigError{file, fmt.Sprintf("no controller %q: there are %s", name, c.names())}
 	}
 	c.Folder = filepath.Join(c.Folder, c.Self.Name)
 	return c, nil
@@ -200,7 +230,9 @@
 	return Member{}, false
 }
 
+// memberNameCharacters are those of a controller's name, which is also the name of its folder.
+const memberNameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+
 func validMemberName(name string) bool {
-	const allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
-	return name != "" && len(name) <= 64 && strings.Trim(name, allowed) == "" && name != "." && name != ".."
+	return name != "" && len(name) <= maxMemberNameBytes && strings.Trim(name, memberNameCharacters) == "" && name != "." && name != ".."
 }
--- a/internal/controller/settings_test.go
+++ b/internal/controller/settings_test.go
@@ -13,6 +13,7 @@
 controller "c3" { listen = "127.0.0.1:5" raft = "127.0.0.1:6" }
 `
 
+// The settings file of a cluster, read by one of its controllers.
 func TestParseConfig(t *testing.T) {
 	config, err := ParseConfig("x.hcl", []byte(threeControllers+`controllers { folder = "/var/lib/hw" max_sessions = 7 heartbeat_ms = 200 election_ms = 900 }`), "c2")
 	if err != nil {
@@ -29,14 +30,16 @@
 	}
 }
 
-func TestParseConfigNeedsNoNameForOneController(t *testing.T) {
+// A file with one controller needs no --name.
+func TestParseConfigOfOneControllerNeedsNoName(t *testing.T) {
 	config, err := ParseConfig("x.hcl", []byte(`controller "only" { listen = "127.0.0.1:1" raft = "127.0.0.1:2" }`), "")
 	if err != nil || config.Self.Name != "only" {
 		t.Errorf("%+v, %v", config.Self, err)
 	}
 }
 
-func TestParseConfigFaults(t *testing.T) {
+// Mistakes in a settings file are reported with the file and the line.
+func TestParseConfigErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, name, says string }{
 		"no controller":     {``, "", "x.hcl: no block controller"},
 		"no name":           {threeControllers, "", "say with --name which one this is (c1, c2, c3)"},
--- a/internal/controller/socket_linux.go
+++ b/internal/controller/socket_options_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpUserTimeoutMS is how long data may stay without the other machine's acknowledgement before a connection is given up, in
-// milliseconds: a machine that is gone does not close its connections.
+// tcpUserTimeoutMS is how long sent data may stay unacknowledged before TCP gives a connection up, in milliseconds. A
+// machine that loses power does not close its connections, and its nodes' sessions would count as open until then.
 const tcpUserTimeoutMS = 3000
 
 // setSocketOptions sets a listener's options, which the connections that it accepts inherit.
--- a/internal/controller/membership_test.go
+++ b/internal/controller/startup_decisions_test.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"errors"
 	"testing"
-	"time"
 
 	"hookwalk.example/hookwalk/internal/configapi"
 )
@@ -17,14 +15,15 @@
 	return config
 }
 
-func TestDecideStart(t *testing.T) {
+// A controller with an empty disk must neither begin a second cluster nor vote under its old server ID.
+func TestDecideEmptyDiskStart(t *testing.T) {
 	empty, member, joining := memberReport{Phase: phaseEmpty}, memberReport{Phase: phaseMember}, memberReport{Phase: phaseJoining}
 	founder := memberReport{Phase: phaseMember, Founders: map[string]string{"c1": "me"}}
 	founderOfEarlier := memberReport{Phase: phaseMember, Founders: map[string]string{"c1": "an earlier process"}}
 	for name, c := range map[string]struct {
-		reports map[string]memberReport
-		patient bool
-		want    emptyDiskStart
+		reports    map[string]memberReport
+		waitForAll bool
+		want       emptyDiskStart
 	}{
 		"nobody answers": {nil, false, startUndecided},
 		"all are empty":  {map[string]memberReport{"c2": empty, "c3": empty}, true, startBootstrap},
@@ -36,7 +35,7 @@
 		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlier}, false, startJoin},
 		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, startUndecided},
 	} {
-		if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.patient); got != c.want {
+		if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.waitForAll); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
@@ -45,6 +44,8 @@
 	}
 }
 
+// A controller's disk may be an old copy: another controller then knows of a later start, or of the same start of another
+// process.
 func TestJudgeDisk(t *testing.T) {
 	self := identity{Name: "c1", ServerID: "c1", Start: 5}
 	known := func(start uint64, process string) memberReport {
@@ -69,34 +70,11 @@
 	}
 }
 
-func TestFounders(t *testing.T) {
-	got := emptyMembers(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
+// The founders of a cluster are the processes that found each other empty, and no others.
+func TestFoundersOf(t *testing.T) {
+	got := foundersOf(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
 		"c2": {Phase: phaseEmpty, ProcessID: "p2"}, "c3": {Phase: phaseJoining, ProcessID: "p3", Load: configapi.Load{}}})
 	if len(got) != 2 || got["c1"] != "me" || got["c2"] != "p2" {
 		t.Errorf("founders %v", got)
 	}
 }
-
-// A controller that does not answer gets no node; it still counts as a member for a moment.
-func TestLoadsOfAControllerThatDoesNotAnswer(t *testing.T) {
-	p := newPeerReports(configOf("c1", "c2", "c3"))
-	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, Current: true}}
-	p.record("c2", report, nil)
-	p.record("c3", report, nil)
-	p.record("c3", memberReport{}, errors.New("no answer"))
-	now := time.Now()
-	loads := p.loads(now, true)
-	if len(loads) != 2 || !loads[0].Available || loads[1].Available {
-		t.Errorf("loads %+v", loads)
-	}
-	if len(p.valid(now)) != 2 {
-		t.Errorf("members that answered lately: %v", p.valid(now))
-	}
-	p.record("c3", report, nil)
-	if loads := p.loads(now, true); !loads[1].Available {
-		t.Errorf("after it answered again: %+v", loads)
-	}
-	if loads := p.loads(now.Add(reportValidity), true); loads[0].Available {
-		t.Errorf("without any reading: %+v", loads)
-	}
-}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -11,22 +11,22 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// maxHistory is how many versions the state remembers. A publish request that is repeated within as many versions is
-// recognised by its ID. 1,000 versions are 31 hours at 760 a day, and about 200 KB.
+// maxHistory is how many versions the state remembers: a publish request that is repeated within as many versions is
+// recognized by its ID. It is more than operators publish in a day, and the history stays small beside the services.
 const maxHistory = 1000
 
-// rateWindowMS is the time within which configapi.MaxPublishRate versions are accepted, in milliseconds.
-const rateWindowMS = 1000
-
-// commandKind says what an entry of the replicated log does.
+// commandKind is the kind of an entry of the replicated log.
 type commandKind string
 
 const (
-	commandCreateCluster commandKind = "create_cluster"
-	commandPublish       commandKind = "publish"
-	commandMemberStarted commandKind = "member_started"
+	commandCreateCluster commandKind = "create_cluster" // a new cluster gets its identity
+	commandPublish       commandKind = "publish"        // an operator publishes a version
+	commandMemberStarted commandKind = "member_started" // a controller has started on its disk
 )
 
+// digestBytes is how many bytes of its SHA-256 hash identify what was published.
+const digestBytes = 16
+
 // command is one entry of the replicated log; the field of its kind is set.
 type command struct {
 	Kind          commandKind           `json:"kind"`
@@ -35,7 +35,7 @@
 	MemberStarted *memberStartedCommand `json:"member_started,omitempty"`
 }
 
-// createClusterCommand gives the cluster its identity. All but the first one change nothing.
+// createClusterCommand gives the cluster its identity. Only the first one has an effect.
 type createClusterCommand struct {
 	Cluster configapi.Cluster `json:"cluster"`
 }
@@ -56,7 +56,7 @@
 	ProcessID string `json:"process"` // drawn at random by each process
 }
 
-// commandResult is what the state machine answers to a command.
+// commandResult is the result of applying a command.
 type commandResult struct {
 	Reply configapi.PublishReply
 	Err   *configapi.Error
@@ -94,7 +94,7 @@
 	Starts   map[string]memberStart  `json:"starts"`  // by raft server ID
 }
 
-// apply carries out one command.
+// apply applies one command.
 func (s *state) apply(c command) (*state, commandResult) {
 	switch {
 	case c.Kind == commandCreateCluster && c.CreateCluster != nil:
@@ -122,7 +122,7 @@
 	if reply, err := s.earlierReply(c); reply.Version != 0 || err != nil {
 		return s, commandResult{Reply: reply, Err: err}
 	}
-	if err := s.checkRate(c.TimeMS); err != nil {
+	if err := s.checkPublishRate(c.TimeMS); err != nil {
 		return s, commandResult{Err: err}
 	}
 	next := *s
@@ -137,12 +137,13 @@
 	next.Replaces = unionClusters(s.Replaces, c.Replaces)
 	entry := historyEntry{Version: next.Version, ID: c.ID, Digest: c.digest(), TimeMS: c.TimeMS,
 		Services: slices.Sorted(maps.Keys(c.Document.Services))}
-	kept := s.History[max(0, len(s.History)+1-maxHistory):]
-	next.History = append(slices.Clone(kept), entry)
+	recent := s.History[max(0, len(s.History)+1-maxHistory):]
+	next.History = append(slices.Clone(recent), entry)
 	return &next, commandResult{Reply: configapi.PublishReply{Cluster: next.Cluster, Version: next.Version}}
 }
 
-// earlierReply finds the reply to a request that has been carried out before.
+// earlierReply is the reply to a publish request that was applied before under the same ID (idempotency key): a repeated
+// request adds no version. Version is 0 if there was none.
 func (s *state) earlierReply(c publishCommand) (configapi.PublishReply, *configapi.Error) {
 	at := slices.IndexFunc(s.History, func(e historyEntry) bool { return e.ID == c.ID })
 	switch {
@@ -155,20 +156,6 @@
 	return configapi.PublishReply{Cluster: s.Cluster, Version: s.History[at].Version}, nil
 }
 
-// checkRate refuses a version that would be one too many within a second. A time before that of an earlier version, as
-// after a change to a leader whose clock is behind, does not count against it.
-func (s *state) checkRate(timeMS int64) *configapi.Error {
-	if len(s.History) < configapi.MaxPublishRate {
-		return nil
-	}
-	earlier := s.History[len(s.History)-configapi.MaxPublishRate].TimeMS
-	if age := timeMS - earlier; age < 0 || age >= rateWindowMS {
-		return nil
-	}
-	return &configapi.Error{Kind: configapi.ErrorRateLimited,
-		Message: fmt.Sprintf("%d versions within the last second, which is the most: publish again in a second", configapi.MaxPublishRate)}
-}
-
 func (s *state) memberStarted(c memberStartedCommand) *state {
 	if known, ok := s.Starts[c.ServerID]; ok && known.Start >= c.Start {
 		return s
@@ -182,7 +169,7 @@
 	return &next
 }
 
-// digest is that of what the command publishes, whoever sends it and when.
+// digest identifies what the command publishes, independent of its ID and time.
 func (c publishCommand) digest() string {
 	text, err := json.Marshal(struct {
 		Document configapi.Document  `json:"Document"`
@@ -192,7 +179,7 @@
 		return ""
 	}
 	sum := sha256.Sum256(text)
-	return hex.EncodeToString(sum[:16])
+	return hex.EncodeToString(sum[:digestBytes])
 }
 
 // unionClusters returns the union of two lists, in the order in which clusters were added.
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -31,7 +31,8 @@
 	return next
 }
 
-func TestStateKeepsWhatAVersionDoesNotName(t *testing.T) {
+// A version that names one service leaves the configuration of the others as it is.
+func TestStateKeepsServicesThatAVersionDoesNotName(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry", "press")})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press")})
 	if s.Version != 2 || s.Services["dry"].ConfigVersion != 1 || s.Services["press"].ConfigVersion != 2 {
@@ -39,6 +40,7 @@
 	}
 }
 
+// Sessions read a state while newer ones are applied: applying a command must not change it.
 func TestStateIsImmutable(t *testing.T) {
 	first := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry")})
 	before, err := json.Marshal(first)
@@ -56,6 +58,8 @@
 	}
 }
 
+// A publish request is repeated with the same ID. It adds no version and gets the same reply; with another content it is
+// an error.
 func TestStateRepeatedPublish(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry"), TimeMS: 10})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press"), TimeMS: 20})
@@ -69,6 +73,7 @@
 	}
 }
 
+// A script publishes in a loop. The rate is limited by the time in the log, also across a leader whose clock is behind.
 func TestStatePublishRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		at      int64 // of the publish behind MaxPublishRate ones at 1000, 1001, ...
@@ -91,16 +96,18 @@
 	}
 }
 
+// The history of versions does not grow without bound.
 func TestStateHistoryIsBounded(t *testing.T) {
 	s := &state{Cluster: "c"}
 	for i := range maxHistory + 5 {
-		s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: int64(i) * rateWindowMS})
+		s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: int64(i) * publishRateWindowMS})
 	}
 	if len(s.History) != maxHistory || s.History[0].Version != 6 || s.Version != maxHistory+5 {
 		t.Errorf("%d entries from version %d at version %d", len(s.History), s.History[0].Version, s.Version)
 	}
 }
 
+// Two leaders in a row propose an identity for a new cluster. The first one stands.
 func TestStateIdentityIsDrawnOnce(t *testing.T) {
 	s, _ := (&state{}).apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"first"}})
 	s, _ = s.apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"second"}})
@@ -109,6 +116,7 @@
 	}
 }
 
+// Starts are recorded out of order. The last one counts, for judgeDisk goes by it.
 func TestStateKeepsTheLastStart(t *testing.T) {
 	s := &state{}
 	for _, start := range []memberStartedCommand{{"c1", 2, "b"}, {"c1", 1, "a"}, {"c1", 2, "other"}, {"c2", 7, "x"}} {
@@ -120,7 +128,8 @@
 	}
 }
 
-func TestStateRefusesUnknownCommands(t *testing.T) {
+// A leader of a newer build proposes a command that this one does not know. It changes nothing, and the error says so.
+func TestStateRejectsUnknownCommands(t *testing.T) {
 	s := &state{}
 	next, result := s.apply(command{Kind: "of a later build"})
 	if next != s || result.Err == nil {
@@ -152,9 +161,9 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// A controller that replays the log, and one that gets a snapshot taken anywhere and the log behind it, have the same
+// A controller that replays the log, and one that restores a snapshot taken anywhere and replays the rest, must have the same
 // state and give the same replies; versions only rise.
-func TestMachineIsDeterministic(t *testing.T) {
+func TestFSMIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []*raft.Log
 		for i, c := range rapid.SliceOfN(rapid.Custom(drawCommand), 1, 40).Draw(t, "log") {
@@ -213,7 +222,8 @@
 	return string(text)
 }
 
-func TestMachineAnswersUnreadableEntries(t *testing.T) {
+// An entry of the log is damaged. It changes nothing, and the result says which one it is.
+func TestFSMRejectsUnreadableEntries(t *testing.T) {
 	m := newFSM(newViewStore())
 	result, ok := m.Apply(&raft.Log{Index: 3, Data: []byte("{")}).(commandResult)
 	if !ok || result.Err == nil {
--- a/internal/controller/hub.go
+++ b/internal/controller/views.go
@@ -7,21 +7,21 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// load is what a controller serves at one moment. It is immutable but for its cache of encoded updates.
+// view is what a controller serves at one moment. It is immutable except for its cache of encoded updates.
 type view struct {
 	state      *state
-	current    bool          // in touch with the leader of a quorum
+	current    bool          // in contact with the leader of a quorum
 	superseded chan struct{} // closed when there is a newer view
 
 	lock    sync.Mutex
 	encoded map[updateKey][]byte
 }
 
-// updateKey names an update that many sessions share.
+// updateKey identifies an update that many sessions share.
 type updateKey struct {
 	service    string
-	withConfig bool
-	first      bool
+	withConfig bool // with the service's configuration
+	first      bool // the first of a watch, with the addresses of all controllers
 }
 
 // configVersion is the newest version that names a service.
@@ -29,8 +29,8 @@
 	return v.state.Services[service].ConfigVersion
 }
 
-// equalForNodes says whether nodes are told the same by another view: the start of a controller, for one, is no news to
-// them.
+// equalForNodes says whether another view has the same updates. The start of a controller, for one, changes the state but
+// no update: nodes would be woken for nothing.
 func (v *view) equalForNodes(other *view) bool {
 	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.current == other.current &&
 		len(v.state.Replaces) == len(other.state.Replaces)
@@ -64,16 +64,17 @@
 	return line
 }
 
-// encodeLine encodes an update with the line's end behind it.
+// encodeLine encodes an update as one line. It can't fail: settings are JSON that was decoded before.
 func encodeLine(u configapi.Update) []byte {
 	text, err := json.Marshal(u)
-	if err != nil { // settings are JSON that was decoded before
+	if err != nil {
 		panic(err)
 	}
 	return append(text, '\n')
 }
 
-// views hands the newest view to the sessions. A session that is slow misses the views in between.
+// viewStore holds the newest view. The fsm and the monitor replace it; sessions wait for its superseded channel, and a
+// session that is slow skips the views in between.
 type viewStore struct {
 	lock   sync.Mutex
 	latest *view
@@ -86,35 +87,36 @@
 }
 
 // load returns the newest view.
-func (h *viewStore) load() *view {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	return h.latest
+func (vs *viewStore) load() *view {
+	vs.lock.Lock()
+	defer vs.lock.Unlock()
+	return vs.latest
 }
 
-// setState puts a newer state in force.
-func (h *viewStore) setState(s *state) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	if s == h.latest.state {
+// setState replaces the state.
+func (vs *viewStore) setState(s *state) {
+	vs.lock.Lock()
+	defer vs.lock.Unlock()
+	if s == vs.latest.state {
 		return
 	}
-	h.publish(newView(s, h.latest.current))
+	vs.publish(newView(s, vs.latest.current))
 }
 
-// setCurrent notes whether the controller is in touch with the leader of a quorum.
-func (h *viewStore) setCurrent(current bool) (changed bool) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	if current == h.latest.current {
+// setCurrent sets whether the controller is in contact with the leader of a quorum.
+func (vs *viewStore) setCurrent(current bool) (changed bool) {
+	vs.lock.Lock()
+	defer vs.lock.Unlock()
+	if current == vs.latest.current {
 		return false
 	}
-	h.publish(newView(h.latest.state, current))
+	vs.publish(newView(vs.latest.state, current))
 	return true
 }
 
-func (h *viewStore) publish(next *view) {
-	before := h.latest
-	h.latest = next
+// publish replaces the view, and wakes all sessions. It is called with the store locked.
+func (vs *viewStore) publish(next *view) {
+	before := vs.latest
+	vs.latest = next
 	close(before.superseded)
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -7,7 +7,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// heartbeatLine is what a watch says when there is no update: an empty line.
+// heartbeatLine is what a watch sends when there is no update: an empty line.
 var heartbeatLine = []byte("\n")
 
 // serveWatch is a node's session: the first update at once, then one with each change, heartbeats in between.
@@ -53,30 +53,28 @@
 	return request, nil
 }
 
-// watch writes updates until the node goes, the session ends, or a write fails. A slow node misses the versions between
-// the one it was written and the newest.
+// watch writes updates until the node disconnects, the session is closed, or a write fails. A slow node skips the
+// versions between the last one that it was sent and the newest: it needs no other, and the controller queues none.
 func (c *Controller) watch(r *http.Request, s *session, writer *watchWriter) error {
 	heartbeat := time.NewTicker(c.config.HeartbeatInterval)
 	defer heartbeat.Stop()
-	now := c.views.load()
-	if err := writer.write(c.line(now, s, true)); err != nil {
+	current := c.views.load()
+	if err := writer.write(c.updateLine(current, s, true)); err != nil {
 		return err
 	}
 	for {
 		line := heartbeatLine
 		select {
-		case <-now.superseded:
-			before := now
-			now = c.views.load()
-			if now.equalForNodes(before) {
+		case <-current.superseded:
+			previous := current
+			current = c.views.load()
+			if current.equalForNodes(previous) {
 				continue
 			}
-			line = c.line(now, s, false)
+			line = c.updateLine(current, s, false)
 			heartbeat.Reset(c.config.HeartbeatInterval)
-		case to := <-s.migrate:
-			u := now.update(updateKey{service: s.request.Service}, nil)
-			u.MigrateTo = to.Address
-			line = encodeLine(u)
+		case target := <-s.migrate:
+			line = migrationLine(current, s, target)
 		case <-heartbeat.C:
 		case <-s.done:
 			return nil
@@ -89,13 +87,25 @@
 	}
 }
 
-// line is a session's update.
-func (c *Controller) line(v *view, s *session, first bool) []byte {
-	key := updateKey{service: s.request.Service, withConfig: s.needsConfig(v.state.Cluster, v.configVersion(s.request.Service)), first: first}
+// updateLine is a view's update for a session, encoded.
+func (c *Controller) updateLine(v *view, s *session, first bool) []byte {
+	service := s.request.Service
+	key := updateKey{
+		service:    service,
+		withConfig: s.needsConfig(v.state.Cluster, v.configVersion(service)),
+		first:      first,
+	}
 	return v.encodedUpdate(key, c.endpoints())
 }
 
-// watchWriter writes the lines of a watch, each within a bounded time.
+// migrationLine is an update, without a configuration, that asks a session's node to migrate.
+func migrationLine(v *view, s *session, target configapi.Endpoint) []byte {
+	u := v.update(updateKey{service: s.request.Service}, nil)
+	u.MigrateTo = target.Address
+	return encodeLine(u)
+}
+
+// watchWriter writes the lines of a watch, each within writeTimeout.
 type watchWriter struct {
 	response http.ResponseWriter
 	control  *http.ResponseController
