--- /dev/null
+++ b/internal/configapi/status.go
@@ -0,0 +1,39 @@
+package configapi
+
+// Load is how many sessions a controller has, and whether it is current (see Update).
+type Load struct {
+	Name     string  `json:"name"`
+	Cluster  Cluster `json:"cluster"`
+	Sessions int     `json:"sessions"`
+	Current  bool    `json:"current"`
+}
+
+// ControllerStatus is what one controller knows.
+type ControllerStatus struct {
+	Name     string       `json:"name"`
+	Cluster  Cluster      `json:"cluster"`
+	Version  Version      `json:"version"`
+	Leader   string       `json:"leader,omitempty"` // HOST:PORT; empty: none is known
+	Current  bool         `json:"current"`          // see Update
+	Sessions int          `json:"sessions"`
+	Nodes    []NodeStatus `json:"nodes"` // by name
+	// Controllers are all controllers of the cluster, this one among them.
+	Controllers []Endpoint `json:"controllers,omitempty"`
+}
+
+// NodeStatus is what a controller last heard of a node.
+type NodeStatus struct {
+	Node        string     `json:"node"`
+	Service     string     `json:"service"`
+	Region      string     `json:"region,omitempty"`
+	Zone        string     `json:"zone,omitempty"`
+	StartedMS   int64      `json:"started"`   // start of the node's process, Unix milliseconds
+	Session     uint64     `json:"session"`   // of the last watch
+	Connected   bool       `json:"connected"` // the watch is open
+	LastSeenMS  int64      `json:"seen_ms"`   // last request, acknowledgement or end of the watch, Unix milliseconds
+	Cluster     Cluster    `json:"cluster,omitempty"`
+	LastDecided Version    `json:"held"`
+	Outcome     Outcome    `json:"outcome,omitempty"` // of LastDecided
+	Applied     Version    `json:"applied"`           // in force
+	Rejection   *Rejection `json:"rejection,omitempty"`
+}
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -14,22 +14,22 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// answer is what a stand-in for a controller says to a publish request.
+// answer is the response of a fake controller to a publish request.
 type answer struct {
-	version configapi.Version // 0: err
-	err     *configapi.Error
-	cut     bool // the connection ends without an answer
+	version        configapi.Version // 0: err
+	err            *configapi.Error
+	dropConnection bool // the connection closes without a response
 }
 
-// newStandIn plays a controller that gives its answers one after another, the last one again and again.
-func newStandIn(t *testing.T, asked *atomic.Int32, answers ...answer) string {
+// startFakeController starts a controller that gives its answers one after another, and repeats the last one.
+func startFakeController(t *testing.T, requests *atomic.Int32, answers ...answer) string {
 	t.Helper()
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		a := answers[min(int(calls.Add(1)), len(answers))-1]
 		switch {
-		case a.cut:
+		case a.dropConnection:
 			panic(http.ErrAbortHandler)
 		case a.err != nil:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -42,7 +42,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func publishAt(t *testing.T, limit time.Duration, addresses ...string) (configapi.PublishReply, error) {
+func publishTo(t *testing.T, limit time.Duration, addresses ...string) (configapi.PublishReply, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
@@ -51,78 +51,84 @@
 	return client.Publish(ctx, configapi.PublishRequest{ID: NewID(), Document: json.RawMessage(`{}`)})
 }
 
-const longEnough = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-func refusal(kind configapi.ErrorKind) answer { return answer{err: &configapi.Error{Kind: kind}} }
+func errorAnswer(kind configapi.ErrorKind) answer { return answer{err: &configapi.Error{Kind: kind}} }
 
+// A follower names the leader. The request goes there at once.
 func TestPublishFollowsTheLeader(t *testing.T) {
-	var asked atomic.Int32
-	leader := newStandIn(t, &asked, answer{version: 5})
-	follower := newStandIn(t, &asked, answer{err: &configapi.Error{Kind: configapi.ErrorNotLeader, Leader: leader}})
-	if reply, err := publishAt(t, longEnough, follower); err != nil || reply.Version != 5 {
+	var requests atomic.Int32
+	leader := startFakeController(t, &requests, answer{version: 5})
+	follower := startFakeController(t, &requests, answer{err: &configapi.Error{Kind: configapi.ErrorNotLeader, Leader: leader}})
+	if reply, err := publishTo(t, testTimeout, follower); err != nil || reply.Version != 5 {
 		t.Errorf("%+v, %v", reply, err)
 	}
 }
 
-func TestPublishRepeats(t *testing.T) {
+// There is no quorum for a moment, or the connection breaks. The request is retried with the same ID.
+func TestPublishRetries(t *testing.T) {
 	for name, first := range map[string]answer{
-		"there is no quorum for a moment": refusal(configapi.ErrorNoQuorum),
-		"the result is unknown":           refusal(configapi.ErrorOutcomeUnknown),
-		"the controller ends meanwhile":   {cut: true},
+		"there is no quorum for a moment": errorAnswer(configapi.ErrorNoQuorum),
+		"the result is unknown":           errorAnswer(configapi.ErrorOutcomeUnknown),
+		"the controller ends meanwhile":   {dropConnection: true},
 	} {
-		var asked atomic.Int32
-		address := newStandIn(t, &asked, first, answer{version: 2})
-		if reply, err := publishAt(t, longEnough, address); err != nil || reply.Version != 2 || asked.Load() != 2 {
-			t.Errorf("%s: %+v, %v after %d requests", name, reply, err, asked.Load())
+		var requests atomic.Int32
+		address := startFakeController(t, &requests, first, answer{version: 2})
+		if reply, err := publishTo(t, testTimeout, address); err != nil || reply.Version != 2 || requests.Load() != 2 {
+			t.Errorf("%s: %+v, %v after %d requests", name, reply, err, requests.Load())
 		}
 	}
 }
 
+// The first controller is down. The next one is tried.
 func TestPublishTriesTheNextController(t *testing.T) {
-	var asked atomic.Int32
-	address := newStandIn(t, &asked, answer{version: 3})
-	if reply, err := publishAt(t, longEnough, "127.0.0.1:1", address); err != nil || reply.Version != 3 {
+	var requests atomic.Int32
+	address := startFakeController(t, &requests, answer{version: 3})
+	if reply, err := publishTo(t, testTimeout, "127.0.0.1:1", address); err != nil || reply.Version != 3 {
 		t.Errorf("%+v, %v", reply, err)
 	}
 }
 
-func TestPublishRefusedForGood(t *testing.T) {
+// The document is wrong, or the rate limit is reached. Another attempt would not help, and there is none.
+func TestPublishDoesNotRetryFinalErrors(t *testing.T) {
 	for _, kind := range []configapi.ErrorKind{configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited} {
-		var asked atomic.Int32
-		_, err := publishAt(t, longEnough, newStandIn(t, &asked, refusal(kind)))
+		var requests atomic.Int32
+		_, err := publishTo(t, testTimeout, startFakeController(t, &requests, errorAnswer(kind)))
 		var got *configapi.Error
-		if !errors.As(err, &got) || got.Kind != kind || asked.Load() != 1 {
-			t.Errorf("%s: %v after %d requests", kind, err, asked.Load())
+		if !errors.As(err, &got) || got.Kind != kind || requests.Load() != 1 {
+			t.Errorf("%s: %v after %d requests", kind, err, requests.Load())
 		}
 	}
 }
 
-// A publish that ends without an answer is unknown if any try may have arrived, and refused otherwise.
-func TestPublishTellsUnknownFromRefused(t *testing.T) {
+// No attempt gets a reply before the time is up. The outcome is unknown if any of them may have been written; otherwise
+// nothing was published, and the operator is told so.
+func TestPublishTellsUnknownFromFailed(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers []answer
 		want    configapi.ErrorKind
 	}{
-		"no quorum all the time":   {[]answer{refusal(configapi.ErrorNoQuorum)}, configapi.ErrorNoQuorum},
-		"no quorum behind a cut":   {[]answer{{cut: true}, refusal(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
-		"no quorum behind unknown": {[]answer{refusal(configapi.ErrorOutcomeUnknown), refusal(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
-		"too many behind unknown":  {[]answer{refusal(configapi.ErrorOutcomeUnknown), refusal(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
+		"no quorum all the time":   {[]answer{errorAnswer(configapi.ErrorNoQuorum)}, configapi.ErrorNoQuorum},
+		"no quorum behind a cut":   {[]answer{{dropConnection: true}, errorAnswer(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"no quorum behind unknown": {[]answer{errorAnswer(configapi.ErrorOutcomeUnknown), errorAnswer(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"too many behind unknown":  {[]answer{errorAnswer(configapi.ErrorOutcomeUnknown), errorAnswer(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
 	} {
-		var asked atomic.Int32
-		_, err := publishAt(t, time.Second, newStandIn(t, &asked, c.answers...))
+		var requests atomic.Int32
+		_, err := publishTo(t, time.Second, startFakeController(t, &requests, c.answers...))
 		var got *configapi.Error
 		if !errors.As(err, &got) || got.Kind != c.want {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	_, err := publishAt(t, time.Second, "127.0.0.1:1")
+	_, err := publishTo(t, time.Second, "127.0.0.1:1")
 	var unreachable *UnreachableError
 	if !errors.As(err, &unreachable) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
 
-func TestStatusAsksThoseThatAnswersName(t *testing.T) {
+// An operator knows the address of one controller. The status of all is collected, and those that are down are listed.
+func TestStatusQueriesControllersThatAnswersName(t *testing.T) {
 	serve := func(status configapi.ControllerStatus) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(status) }))
 		t.Cleanup(server.Close)
--- /dev/null
+++ b/internal/configclient/status.go
@@ -0,0 +1,77 @@
+package configclient
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// statusTimeout is how long one controller may take to send its status.
+const statusTimeout = 2 * time.Second
+
+// Statuses are the status of the controllers that responded, and those that did not.
+type Statuses struct {
+	Answers     []configapi.ControllerStatus
+	Unreachable []*UnreachableError
+}
+
+// Status queries all controllers, including those that the first ones name.
+func (c *Client) Status(ctx context.Context) Statuses {
+	var all Statuses
+	queried := map[string]bool{}
+	for next := slices.Clone(c.addresses); len(next) > 0; {
+		round := c.queryAll(ctx, next)
+		for _, address := range next {
+			queried[address] = true
+		}
+		all.Answers = append(all.Answers, round.Answers...)
+		all.Unreachable = append(all.Unreachable, round.Unreachable...)
+		next = newAddresses(round.Answers, queried)
+	}
+	return all
+}
+
+// newAddresses are the controllers that answers name and that were not queried, each once.
+func newAddresses(answers []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
+	for _, answer := range answers {
+		for _, controller := range answer.Controllers {
+			if !queried[controller.Address] && !slices.Contains(addresses, controller.Address) {
+				addresses = append(addresses, controller.Address)
+			}
+		}
+	}
+	return addresses
+}
+
+// queryAll queries some controllers in parallel.
+func (c *Client) queryAll(ctx context.Context, addresses []string) Statuses {
+	answers := make([]configapi.ControllerStatus, len(addresses))
+	failures := make([]error, len(addresses))
+	var calls sync.WaitGroup
+	for i, address := range addresses {
+		calls.Go(func() {
+			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+			defer cancel()
+			failures[i] = c.call(ctx, http.MethodGet, address, configapi.PathStatus, nil, &answers[i])
+		})
+	}
+	calls.Wait()
+	var all Statuses
+	for i, address := range addresses {
+		var unreachable *UnreachableError
+		switch err := failures[i]; {
+		case err == nil:
+			all.Answers = append(all.Answers, answers[i])
+		case errors.As(err, &unreachable):
+			all.Unreachable = append(all.Unreachable, unreachable)
+		default:
+			all.Unreachable = append(all.Unreachable, &UnreachableError{Address: address, Err: err})
+		}
+	}
+	return all
+}
