--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -330,7 +330,7 @@
 		t.Errorf("it acknowledges %+v, %v", ack, ack.Rejection)
 	}
 	s.serves(t, "v1", true)
-	poll(t, "a line about the disk", func() bool { return strings.Contains(said.String(), `msg="configuration version not kept"`) })
+	poll(t, "a line about the disk", func() bool { return strings.Contains(said.String(), `msg="configuration version not stored"`) })
 }
 
 // A file that is torn, or of a version that the node's own file does not go with, leaves the node with its own file.
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -37,7 +37,7 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	keep(store, want)
+	saveAndFlush(store, want)
 	if found := state.Read(file, "n/0"); !bytes.Equal(found.Body, body) {
 		t.Errorf("written as %s, %v", found.Body, found.Errors)
 	}
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/session.go
@@ -1,8 +1,3 @@
-// Package configwatch carries a node's session for configuration versions: it opens the watches that the rules of package
-// configversion want, reads updates, has an Applier bring configurations into force, sends acknowledgements and keeps the
-// last known good version on disk. It decides nothing itself. All events meet in one goroutine, which never waits for
-// I/O; each watch has a goroutine while it is open, and so have an apply, an acknowledgement and a write to disk while
-// they are under way. Cmd/hookwalk starts one session for its node, the scale rigs hundreds in one process.
 package configwatch
 
 import (
@@ -20,64 +15,65 @@
 
 // Applier brings configurations into force.
 type Applier interface {
-	// Apply checks a configuration and brings it into force, whole or not at all. A *configapi.Rejection says why it is
-	// not in force; any other error that it could not be tried, then nothing is acknowledged. Calls come one at a time.
+	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why it
+	// is not in force; any other error says that it could not be checked, and nothing is acknowledged. Calls come one at
+	// a time.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
-// Options say whose session it is.
+// Options identify the node of a session, and what it works with.
 type Options struct {
 	Node          string
 	Service       string
 	Region        string
 	Zone          string
-	Controllers   []string // HOST:PORT, one at least
-	Seed          uint64
+	Controllers   []string  // HOST:PORT, at least one
+	Seed          uint64    // of the random numbers that spread nodes over time and controllers
 	Started       time.Time // of the process
 	LastKnownGood configversion.LastKnownGood
 	Applier       Applier
-	Store         *Store // nil: the version in force is not kept
+	Store         *Store // nil: the version in force is not stored
 	Log           *slog.Logger
 	// Dial connects to a controller; nil: by TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Counters, if there are any, count what the session sends and gets. Sessions may share them.
+	// Counters count what the session sends and receives; nil: nothing does. Sessions may share them.
 	Counters *Counters
-	// Observe, if there is one, is told of each answer to a version, from the session's goroutine. It must not wait.
+	// Observe is called with each decision about a version, from the session's goroutine; it must not block. nil: none.
 	Observe func(configversion.VersionDecided)
 }
 
-// Counters count what sessions send and get.
+// Counters count what sessions send and receive.
 type Counters struct {
 	BytesRead    atomic.Int64 // from connections, without the headers of TCP and IP
 	BytesWritten atomic.Int64
 	Watches      atomic.Int64 // opened
 	Heartbeats   atomic.Int64
 	Updates      atomic.Int64
-	Acks         atomic.Int64 // sent, answered or not
+	Acks         atomic.Int64 // sent, accepted or not
 }
 
-// State is where a session stands.
+// State is the state of a session.
 type State struct {
 	Cluster     configapi.Cluster
-	LastDecided configapi.Version // the newest answered
+	LastDecided configapi.Version // the newest applied or rejected; 0: none
 	Applied     configapi.Version // in force; 0: the configuration that the process was started with
-	Controller  string            // HOST:PORT of the controller that the node goes by; "": none
+	Controller  string            // HOST:PORT of the main watch's controller; "": none
 }
 
 // Session is a node's session, from Start to Close.
 type Session struct {
 	options   Options
-	decisions *configversion.Session
-	startedAt time.Time
+	decisions *configversion.Session // of the session's goroutine
+	startedAt time.Time              // the origin of the decisions' times
 	events    chan configversion.SessionEvent
-	watches   map[uint64]context.CancelFunc
-	acks      ackClient
+	watches   map[uint64]context.CancelFunc // the open ones, by number; of the session's goroutine
+	acks      ackClient                     // of the one acknowledgement in flight
 	state     atomic.Pointer[State]
 	stop      context.CancelFunc
-	tasks     sync.WaitGroup
+	tasks     sync.WaitGroup // all goroutines
 }
 
-// Start begins a session. It waits for nothing.
+// Start starts a session. It does not block; the caller must call Close.
 func Start(options Options) *Session {
 	if options.Counters == nil {
 		options.Counters = &Counters{}
@@ -86,17 +82,30 @@
 		options.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Session{options: options, startedAt: time.Now(), events: make(chan configversion.SessionEvent), stop: stop,
-		watches: map[uint64]context.CancelFunc{}, acks: ackClient{options: &options}}
-	s.decisions = configversion.NewSession(configversion.SessionOptions{Node: options.Node, Service: options.Service,
-		Region: options.Region, Zone: options.Zone, StartedMS: options.Started.UnixMilli(), Controllers: options.Controllers,
-		LastKnownGood: options.LastKnownGood, Seed: options.Seed}, 0)
+	s := &Session{
+		options:   options,
+		startedAt: time.Now(),
+		events:    make(chan configversion.SessionEvent),
+		watches:   map[uint64]context.CancelFunc{},
+		acks:      ackClient{options: &options},
+		stop:      stop,
+	}
+	s.decisions = configversion.NewSession(configversion.SessionOptions{
+		Node:          options.Node,
+		Service:       options.Service,
+		Region:        options.Region,
+		Zone:          options.Zone,
+		StartedMS:     options.Started.UnixMilli(),
+		Controllers:   options.Controllers,
+		LastKnownGood: options.LastKnownGood,
+		Seed:          options.Seed,
+	}, 0)
 	s.publishState()
 	s.tasks.Go(func() { s.run(ctx) })
 	return s
 }
 
-// Close ends the session: its watches, and what is under way. A write to disk is given a short time.
+// Close ends the session, its watches and all that is in progress. A write to disk is given storeCloseTimeout.
 func (s *Session) Close() {
 	s.stop()
 	s.tasks.Wait()
@@ -106,7 +115,7 @@
 	}
 }
 
-// State says where the session stands.
+// State returns the session's state.
 func (s *Session) State() State { return *s.state.Load() }
 
 func (s *Session) publishState() {
@@ -115,7 +124,7 @@
 
 func (s *Session) now() time.Duration { return time.Since(s.startedAt) }
 
-// run hands events to the rules and carries out what they want, until ctx ends.
+// run passes events to the decisions and executes the actions that they return, until ctx ends.
 func (s *Session) run(ctx context.Context) {
 	timer := time.NewTimer(s.decisions.Next() - s.now())
 	defer timer.Stop()
@@ -136,7 +145,7 @@
 	}
 }
 
-// removeEnded drops what is held for a watch that has ended by itself.
+// removeEnded forgets a watch that has ended by itself.
 func (s *Session) removeEnded(event configversion.SessionEvent) {
 	switch e := event.(type) {
 	case configversion.WatchEnded:
@@ -146,7 +155,7 @@
 	}
 }
 
-// post hands an event to the session's goroutine, unless ctx ends first.
+// post passes an event to the session's goroutine, unless ctx ends first.
 func (s *Session) post(ctx context.Context, event configversion.SessionEvent) {
 	select {
 	case s.events <- event:
@@ -154,6 +163,7 @@
 	}
 }
 
+// execute carries out an action, in a goroutine if it takes time.
 func (s *Session) execute(ctx context.Context, action configversion.SessionAction) {
 	switch a := action.(type) {
 	case configversion.OpenWatch:
@@ -197,7 +207,7 @@
 	case errors.As(err, &rejection):
 		return configversion.ApplyFinished{Rejection: rejection}
 	}
-	s.options.Log.Warn("configuration version not tried", "version", a.Version, "cluster", a.Cluster, "err", err)
+	s.options.Log.Warn("configuration version interrupted", "version", a.Version, "cluster", a.Cluster, "err", err)
 	return configversion.ApplyFinished{Interrupted: true}
 }
 
@@ -205,7 +215,7 @@
 	s.options.Counters.Acks.Add(1)
 	err := s.acks.send(ctx, a.Address, a.Ack)
 	if err != nil && ctx.Err() == nil {
-		s.options.Log.Debug("acknowledgement not taken", "controller", a.Address, "version", a.Ack.Version, "err", err)
+		s.options.Log.Debug("acknowledgement not accepted", "controller", a.Address, "version", a.Ack.Version, "err", err)
 	}
 	return configversion.AckFinished{Accepted: err == nil}
 }
--- /dev/null
+++ b/internal/configwatch/session_test.go
@@ -0,0 +1,244 @@
+package configwatch
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"hookwalk.example/hookwalk/configversion"
+	"hookwalk.example/hookwalk/internal/configapi"
+)
+
+// A version is applied, acknowledged and reported; the controller learns who opens the watch.
+func TestVersionIsAppliedAndAcknowledged(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		c := startFakeController(t, n, "a:1")
+		applied := make(chan string, 10)
+		observed := make(chan configversion.VersionDecided, 10)
+		s := startSession(t, n, acceptAll(applied), func(o *Options) { o.Observe = func(a configversion.VersionDecided) { observed <- a } })
+		request := receiveWithin(t, c.watches, configversion.InitialConnectJitter, "watch")
+		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", StartedMS: request.StartedMS, Session: 1}); request != want {
+			t.Errorf("asked with %+v", request)
+		}
+		c.updates <- versionUpdate(1)
+		if got := receiveWithin(t, applied, time.Second, "applied"); got != "1" {
+			t.Errorf("applied %s", got)
+		}
+		ack := receiveWithin(t, c.acks, time.Second, "acknowledgement")
+		want := configapi.Acknowledgement{Node: "n", StartedMS: request.StartedMS, Session: 1, Cluster: "x", Version: 1,
+			Outcome: configapi.Applied, Applied: 1}
+		if ack != want {
+			t.Errorf("acknowledged %+v", ack)
+		}
+		if a := receiveWithin(t, observed, time.Second, "observed"); a.Version != 1 || a.Controller != "a:1" {
+			t.Errorf("observed %+v", a)
+		}
+		if got, want := s.State(), (State{Cluster: "x", LastDecided: 1, Applied: 1, Controller: "a:1"}); got != want {
+			t.Errorf("state %+v", got)
+		}
+	})
+}
+
+// A node rejects a configuration: that is acknowledged with the reason. Another one can not be checked, because the node
+// shuts down: that is not acknowledged.
+func TestRejectionIsAcknowledgedInterruptionIsNot(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		c := startFakeController(t, n, "a:1")
+		rejection := &configapi.Rejection{Kind: configapi.RejectNoServer, Message: "none"}
+		s := startSession(t, n, fakeApplier{func(_ context.Context, settings string) error {
+			if settings == "1" {
+				return fmt.Errorf("node: %w", rejection)
+			}
+			return errors.New("the node ends")
+		}})
+		c.updates <- versionUpdate(1)
+		ack := receiveWithin(t, c.acks, 2*time.Second, "acknowledgement")
+		if ack.Outcome != configapi.Rejected || *ack.Rejection != *rejection || ack.Applied != 0 {
+			t.Errorf("acknowledged %+v", ack)
+		}
+		c.updates <- versionUpdate(2)
+		advance(10 * time.Second)
+		if got := s.State(); got.LastDecided != 1 || len(c.acks) != 0 {
+			t.Errorf("state %+v, %d acknowledgements", got, len(c.acks))
+		}
+	})
+}
+
+// An apply takes a minute. The watch stays open meanwhile, and only the newest of the versions that come is applied next.
+func TestSlowApplyDelaysNothingElse(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		c := startFakeController(t, n, "a:1")
+		goOn := make(chan struct{})
+		var tried []string
+		s := startSession(t, n, fakeApplier{func(ctx context.Context, settings string) error {
+			tried = append(tried, settings)
+			select {
+			case <-goOn:
+				return nil
+			case <-ctx.Done():
+				return ctx.Err()
+			}
+		}})
+		for i := range 5 {
+			c.updates <- versionUpdate(i + 1)
+		}
+		advance(time.Minute)
+		if len(c.watches) != 1 || s.State().LastDecided != 0 {
+			t.Errorf("%d watches, state %+v", len(c.watches), s.State())
+		}
+		goOn <- struct{}{}
+		goOn <- struct{}{}
+		if a, b := receiveWithin(t, c.acks, time.Second, "first"), receiveWithin(t, c.acks, time.Second, "second"); a.Version != 1 || b.Version != 5 {
+			t.Errorf("acknowledged %d and %d", a.Version, b.Version)
+		}
+		if !slices.Equal(tried, []string{"1", "5"}) {
+			t.Errorf("tried %v", tried)
+		}
+		c.updates <- versionUpdate(6)
+		synctest.Wait()
+		s.Close() // while it is tried
+	})
+}
+
+// A controller stalls just as a version is published. The version is in force within 3 s by way of another controller.
+func TestStalledController(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		a, b := startFakeController(t, n, "a:1"), startFakeController(t, n, "b:1")
+		applied := make(chan string, 10)
+		startSession(t, n, acceptAll(applied), func(o *Options) { o.Controllers = []string{"a:1", "b:1"} })
+		advance(configversion.InitialConnectJitter)
+		first, other := a, b
+		if len(b.watches) > 0 {
+			first, other = b, a
+		}
+		first.updates <- configapi.Update{Cluster: "x", Current: true}
+		advance(time.Second)
+		first.noHeartbeats.Store(true) // it stalls: neither heartbeats nor updates come any more
+		began := time.Now()
+		other.updates <- versionUpdate(1)
+		if got := receiveWithin(t, applied, 3*time.Second, "applied"); got != "1" {
+			t.Errorf("applied %s", got)
+		}
+		t.Logf("in force after %v", time.Since(began))
+		receiveWithin(t, other.acks, time.Second, "acknowledgement")
+	})
+}
+
+// Acknowledgements share a connection. A controller closes it after each; the next one is sent on a new connection.
+func TestAckConnectionIsReused(t *testing.T) {
+	for _, hangUp := range []bool{false, true} {
+		synctest.Test(t, func(t *testing.T) {
+			n := newPipeNetwork()
+			c := startFakeController(t, n, "a:1", func(c *fakeController) { c.closeAfterAck = hangUp })
+			startSession(t, n, acceptAll(make(chan string, 100)))
+			const versions = 10
+			for i := range versions {
+				c.updates <- versionUpdate(i + 1)
+				if ack := receiveWithin(t, c.acks, 3*time.Second, "acknowledgement"); int(ack.Version) != i+1 {
+					t.Fatalf("version %d is acknowledged, want %d", ack.Version, i+1)
+				}
+				synctest.Wait()
+			}
+			if !hangUp && n.dials != 2 {
+				t.Errorf("%d connections", n.dials)
+			}
+		})
+	}
+}
+
+// What answers at a controller's address is no controller, or a broken one. The node retries at a bounded rate, applies
+// nothing and leaks no watch.
+func TestMalformedResponses(t *testing.T) {
+	for name, text := range map[string]string{
+		"nothing":             "",
+		"no HTTP":             "hello\r\n\r\n",
+		"a head without end":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes),
+		"a refusal, garbled":  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\n???",
+		"an update, garbled":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":7}",
+		"an update, cut":      "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"x\",\"version\":1,\"changed\":1,\"config\":{\"settings\":",
+		"an update too large": "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"" + strings.Repeat("x", maxUpdateBytes) + "\"}",
+		"chunks, garbled":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				n := newPipeNetwork()
+				l := n.listen("a:1")
+				defer l.Close()
+				calls := 0
+				go func() {
+					for {
+						conn, err := l.Accept()
+						if err != nil {
+							return
+						}
+						calls++
+						go func() {
+							defer conn.Close()
+							conn.SetDeadline(time.Now().Add(time.Second))
+							if _, err := conn.Read(make([]byte, 4096)); err != nil {
+								return
+							}
+							io.WriteString(conn, text)
+						}()
+					}
+				}()
+				applied := make(chan string, 10)
+				s := startSession(t, n, acceptAll(applied))
+				advance(time.Minute)
+				synctest.Wait()
+				s.Close()
+				if held := len(s.watches); held > 3 {
+					t.Errorf("%d watches are held after a minute", held)
+				}
+				if calls < 20 || calls > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
+					t.Errorf("%d calls in a minute, %d applied, %+v", calls, len(applied), s.State())
+				}
+			})
+		})
+	}
+}
+
+// A controller has no capacity, and redirects the node to another one.
+func TestRejectedWatchFollowsRedirects(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		startFakeController(t, n, "a:1", func(c *fakeController) {
+			c.rejectWith = &configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "b:1"}}}
+		})
+		b := startFakeController(t, n, "b:1")
+		startSession(t, n, acceptAll(make(chan string, 10)))
+		if request := receiveWithin(t, b.watches, 2*time.Second, "watch elsewhere"); request.WatchRejections != 1 {
+			t.Errorf("refused %d times", request.WatchRejections)
+		}
+	})
+}
+
+// Nothing is published for a minute. A watch costs two heartbeats a second, and the node sends nothing.
+func TestTrafficOfAnIdleWatch(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := newPipeNetwork()
+		c := startFakeController(t, n, "a:1")
+		counters := &Counters{}
+		startSession(t, n, acceptAll(make(chan string, 10)), func(o *Options) { o.Counters = counters })
+		c.updates <- versionUpdate(1)
+		receiveWithin(t, c.acks, 3*time.Second, "acknowledgement")
+		synctest.Wait()
+		read, written, beats := counters.BytesRead.Load(), counters.BytesWritten.Load(), counters.Heartbeats.Load()
+		advance(time.Minute)
+		synctest.Wait()
+		read, written, beats = counters.BytesRead.Load()-read, counters.BytesWritten.Load()-written, counters.Heartbeats.Load()-beats
+		if read > 60*20 || written != 0 || beats < 118 || beats > 121 {
+			t.Errorf("in a minute %d bytes read, %d written, %d heartbeats", read, written, beats)
+		}
+	})
+}
--- a/internal/configwatch/store.go
+++ b/internal/configwatch/store.go
@@ -14,21 +14,22 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// storeCloseTimeout is how long a session that ends waits for a write to disk.
+// storeCloseTimeout is how long a session that closes waits for a write to disk: a disk that hangs must not hold up the
+// node's shutdown.
 const storeCloseTimeout = time.Second
 
-// Store keeps a node's last known good version in a file. Writes go on by themselves: nobody waits for the disk, and of
-// the versions that come while it writes only the newest is written.
+// Store stores a node's last known good version in a file. Writes are in the background: nobody waits for the disk, and of
+// the versions that come during a write only the newest is written.
 type Store struct {
 	path, node string
 	log        *slog.Logger
 
 	lock    sync.Mutex
-	newest  *configversion.LastKnownGood // not written yet; nil: none
-	writing chan struct{}                // closed when the write under way has ended; nil: none is
+	pending *configversion.LastKnownGood // the newest that is not written yet; nil: none
+	writing chan struct{}                // closed when the writes in progress have ended; nil: there are none
 }
 
-// StoreError says that the last known good version could not be kept or read.
+// StoreError says that the last known good version could not be stored or read.
 type StoreError struct {
 	Path string
 	Err  error
@@ -38,15 +39,15 @@
 	return fmt.Sprintf("the last known good configuration (%s): %v: the node goes on; look at the folder's disk", e.Path, e.Err)
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the error of the file or of its content.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// NewStore is the store of a node in a folder.
+// NewStore makes the store of a node in a folder.
 func NewStore(folder, node string, log *slog.Logger) *Store {
 	return &Store{path: filepath.Join(folder, "hookwalk-config."+url.PathEscape(node)), node: node, log: log}
 }
 
-// Read reads what was kept last. Without a file there is nothing kept, and no error.
+// Read reads what was stored last. Without a file it returns the zero value and no error; its errors are *StoreErrors.
 func (s *Store) Read() (configversion.LastKnownGood, error) {
 	var saved configversion.LastKnownGood
 	found := state.Read(s.path, s.node)
@@ -62,38 +63,44 @@
 	return saved, nil
 }
 
-// Save has a version written, unless a newer one comes first. It does not wait.
+// Save writes a version in the background, unless a newer one comes first.
 func (s *Store) Save(lastKnownGood configversion.LastKnownGood) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.newest = &lastKnownGood
+	s.pending = &lastKnownGood
 	if s.writing == nil {
 		s.writing = make(chan struct{})
 		go s.writeAll(s.writing)
 	}
 }
 
-// writeAll writes until nothing newer has come.
+// writeAll writes the pending versions until there is none.
 func (s *Store) writeAll(done chan struct{}) {
 	defer close(done)
 	for {
-		s.lock.Lock()
-		lastKnownGood := s.newest
-		s.newest = nil
-		if lastKnownGood == nil {
-			s.writing = nil
-		}
-		s.lock.Unlock()
-		if lastKnownGood == nil {
+		version := s.takePending()
+		if version == nil {
 			return
 		}
-		if err := s.write(*lastKnownGood); err != nil {
-			s.log.Warn("configuration version not kept", "version", lastKnownGood.Version, "err", &StoreError{s.path, err})
+		if err := s.write(*version); err != nil {
+			s.log.Warn("configuration version not stored", "version", version.Version, "err", &StoreError{s.path, err})
 		}
 	}
 }
 
-// write replaces the file, unless another process of the node has kept a newer version there.
+// takePending takes the pending version. If there is none, it returns nil, and the next Save starts to write again.
+func (s *Store) takePending() *configversion.LastKnownGood {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	version := s.pending
+	s.pending = nil
+	if version == nil {
+		s.writing = nil
+	}
+	return version
+}
+
+// write replaces the file, unless another process of the node has stored a newer version there.
 func (s *Store) write(lastKnownGood configversion.LastKnownGood) error {
 	release, err := state.Lock(context.Background(), s.path)
 	if err != nil {
@@ -110,7 +117,7 @@
 	return state.Write(s.path, s.node, body)
 }
 
-// flush waits until all is written, but not for longer than most.
+// flush waits until all is written, at most for a time.
 func (s *Store) flush(timeout time.Duration) {
 	s.lock.Lock()
 	writing := s.writing
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -16,7 +16,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-func keptVersion(n int) configversion.LastKnownGood {
+func storedVersion(n int) configversion.LastKnownGood {
 	return configversion.LastKnownGood{Cluster: "x", Version: configapi.Version(n), Config: &configapi.ServiceConfig{Settings: json.RawMessage(`{"a":1}`)},
 		Controllers: []configapi.Endpoint{{Address: "a:1", Region: "r", Zone: "z"}}}
 }
@@ -25,24 +25,26 @@
 	return NewStore(folder, "n/0", slog.New(slog.DiscardHandler))
 }
 
-// keep writes a version and waits until it is on disk.
-func keep(s *Store, k configversion.LastKnownGood) {
+// saveAndFlush saves a version and waits until it is on disk.
+func saveAndFlush(s *Store, k configversion.LastKnownGood) {
 	s.Save(k)
 	s.flush(time.Minute)
 }
 
-func TestStoreKeeps(t *testing.T) {
+// A process stores a version and the next one reads it. A process that is about to end must not overwrite a newer version,
+// and each node has a file of its own.
+func TestStoreSavesAndReads(t *testing.T) {
 	folder := t.TempDir()
 	s := newTestStore(folder)
 	if kept, err := s.Read(); err != nil || kept.Version != 0 {
 		t.Errorf("of nothing: %+v, %v", kept, err)
 	}
-	keep(s, keptVersion(3))
+	saveAndFlush(s, storedVersion(3))
 	kept, err := newTestStore(folder).Read()
-	if err != nil || !reflect.DeepEqual(kept, keptVersion(3)) {
+	if err != nil || !reflect.DeepEqual(kept, storedVersion(3)) {
 		t.Errorf("kept %+v, %v", kept, err)
 	}
-	keep(newTestStore(folder), keptVersion(2)) // of the process before
+	saveAndFlush(newTestStore(folder), storedVersion(2)) // of the process before
 	if kept, _ := s.Read(); kept.Version != 3 {
 		t.Errorf("an older version took the place of a newer: %d", kept.Version)
 	}
@@ -51,11 +53,11 @@
 	}
 }
 
-// Many versions at once are written one at a time, and the newest is there in the end.
-func TestStoreKeepsTheNewest(t *testing.T) {
+// Many versions are saved in a row. They are written one at a time, and the newest is in the file in the end.
+func TestStoreWritesTheNewest(t *testing.T) {
 	s := newTestStore(t.TempDir())
 	for n := range 200 {
-		s.Save(keptVersion(n + 1))
+		s.Save(storedVersion(n + 1))
 	}
 	s.flush(time.Minute)
 	if kept, err := s.Read(); err != nil || kept.Version != 200 {
@@ -63,8 +65,8 @@
 	}
 }
 
-// What a disk that lies makes of what was kept: the one before, or nothing, and the error says where to look.
-func TestStoreOnDisksThatLie(t *testing.T) {
+// A crash or a disk damages the file. The version before is read, or nothing, and the error says where to look.
+func TestStoreReadsDamagedFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		befall func(path string)
 		want   configapi.Version
@@ -80,8 +82,8 @@
 	} {
 		folder := t.TempDir()
 		s := newTestStore(folder)
-		keep(s, keptVersion(1))
-		keep(s, keptVersion(2))
+		saveAndFlush(s, storedVersion(1))
+		saveAndFlush(s, storedVersion(2))
 		c.befall(s.path)
 		kept, err := newTestStore(folder).Read()
 		if kept.Version != c.want || (err != nil) != c.wrong {
@@ -94,29 +96,29 @@
 	}
 }
 
-// A folder that can't be written is said so, and holds up nobody.
+// The folder can't be written. That is logged, and blocks nobody.
 func TestStoreWithoutAFolder(t *testing.T) {
-	var said safeBuilder
+	var said lockedBuilder
 	s := NewStore(filepath.Join(t.TempDir(), "not", "there"), "n", slog.New(slog.NewTextHandler(&said, nil)))
-	keep(s, keptVersion(1))
-	if !strings.Contains(said.String(), "configuration version not kept") {
+	saveAndFlush(s, storedVersion(1))
+	if !strings.Contains(said.String(), "configuration version not stored") {
 		t.Errorf("said %q", said.String())
 	}
 }
 
-// safeBuilder is a strings.Builder for writers and readers side by side.
-type safeBuilder struct {
+// lockedBuilder is a strings.Builder for concurrent use.
+type lockedBuilder struct {
 	lock sync.Mutex
 	text strings.Builder
 }
 
-func (b *safeBuilder) Write(p []byte) (int, error) {
+func (b *lockedBuilder) Write(p []byte) (int, error) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *safeBuilder) String() string {
+func (b *lockedBuilder) String() string {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.text.String()
