--- /dev/null
+++ b/internal/capture/action.go
@@ -0,0 +1,66 @@
+package capture
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"hookwalk.example/hookwalk/balancer"
+)
+
+// actionKind says what an action does. The values are stored in captures and must not change.
+type actionKind string
+
+// The kinds of actions, one for each type of the balancer's.
+const (
+	actionSend          actionKind = "send"      // balancer.Send
+	actionReject        actionKind = "refuse"    // balancer.Reject
+	actionFail          actionKind = "fail"      // balancer.Fail
+	actionDeny          actionKind = "deny"      // balancer.Deny
+	actionAbort         actionKind = "abort"     // balancer.Abort
+	actionFaultInjected actionKind = "drill"     // balancer.FaultInjected
+	actionSetTimer      actionKind = "wake"      // balancer.SetTimer
+	actionSubscribe     actionKind = "subscribe" // balancer.Subscribe
+)
+
+// action is one action of the balancer, as a record has it. Actions can be compared with ==.
+type action struct {
+	Kind     actionKind    `json:"do"`
+	ID       string        `json:"id,omitempty"` // of a request
+	Server   string        `json:"server,omitempty"`
+	Duration time.Duration `json:"for,omitempty"`    // the time-out of an attempt, or the Retry-After of an answer
+	At       time.Duration `json:"at,omitempty"`     // of a timer, by the record's clock
+	Name     string        `json:"name,omitempty"`   // of a timer or a fault injection
+	Status   int           `json:"status,omitempty"` // HTTP status of an answer
+}
+
+// newAction describes an action of the balancer.
+func newAction(taken balancer.Action) action {
+	switch a := taken.(type) {
+	case balancer.Send:
+		return action{Kind: actionSend, ID: escapeText(a.ID), Server: a.Server, Duration: a.Timeout}
+	case balancer.Reject:
+		return action{Kind: actionReject, ID: escapeText(a.ID), Duration: a.RetryAfter, Status: http.StatusServiceUnavailable}
+	case balancer.Fail:
+		return action{Kind: actionFail, ID: escapeText(a.ID), Status: http.StatusBadGateway}
+	case balancer.Deny:
+		return action{Kind: actionDeny, ID: escapeText(a.ID), Status: http.StatusForbidden}
+	case balancer.Abort:
+		return action{Kind: actionAbort, ID: escapeText(a.ID), Duration: a.RetryAfter, Status: a.Status}
+	case balancer.FaultInjected:
+		return action{Kind: actionFaultInjected, ID: escapeText(a.ID), Name: a.FaultInjection}
+	case balancer.SetTimer:
+		return action{Kind: actionSetTimer, At: a.At, Name: escapeText(a.Token)}
+	case balancer.Subscribe:
+		return action{Kind: actionSubscribe}
+	}
+	return action{Kind: actionKind(fmt.Sprintf("%T", taken))} // of an unknown type: differs from all that this build records
+}
+
+// newActions describes actions, in their order.
+func newActions(taken []balancer.Action) (list []action) {
+	for _, a := range taken {
+		list = append(list, newAction(a))
+	}
+	return list
+}
--- a/internal/capture/folder.go
+++ b/internal/capture/folder.go
@@ -11,54 +11,62 @@
 )
 
 const (
-	files      = 8
-	fileMode   = 0o600 // ids and tenants are nobody else's business
-	spareRoom  = 8     // a file is full when less than this part of it is free
-	retryAfter = 5 * time.Second
+	// folderFiles is how many files a folder has; with the settings' size of a file it bounds what a capture takes of the
+	// disk.
+	folderFiles = 8
+	// fileMode keeps files from other users: request IDs and tenants are nobody else's business.
+	fileMode = 0o600
+	// fullDivisor: a file counts as full when less than this part of it is free. What is left would rarely hold a
+	// record, and a head goes into the next file in good time.
+	fullDivisor = 8
+	// folderRetryDelay is how long a folder that failed is left alone: a full disk is not tried with each record.
+	folderRetryDelay = 5 * time.Second
 )
 
-var errRoom = errors.New("the record does not fit into a file")
+// errRecordTooLarge says that a record is larger than the settings allow for a file. An operator can raise the size.
+var errRecordTooLarge = errors.New("the record does not fit into a file: its size in the settings is too small")
 
-// folder appends records to files in turn, the oldest overwritten first. After a failure it rests and goes on with
-// the next file, which begins with a head: nothing follows a record that may be half there.
+// folder appends frames to files in turn, the oldest overwritten first. After a failure it waits for a while and goes on with
+// the next file, which begins with a head: nothing follows a record that may be half written. It belongs to one goroutine.
 type folder struct {
-	path string
-	most int // bytes of a file
-	next int // the file to open, from 0
-	f    *os.File
-	size int
-	rest time.Time // nothing is tried before
+	path         string
+	maxFileBytes int
+	nextFile     int      // to open, from 0
+	file         *os.File // nil: none is open
+	size         int      // of file
+	retryAt      time.Time
 }
 
 func fileName(dir string, i int) string {
-	return filepath.Join(dir, fmt.Sprintf("capture-%04d.hwc", i+1))
+	return filepath.Join(dir, fmt.Sprintf("capture-%04d%s", i+1, fileExtension))
 }
 
-// openFolder goes on after the newest file that is there.
-func openFolder(path string, most int) *folder {
-	d := &folder{path: path, most: most}
+// openFolder goes on after the newest file that is there. It opens none.
+func openFolder(path string, maxFileBytes int) *folder {
+	d := &folder{path: path, maxFileBytes: maxFileBytes}
 	newest := int64(-1)
-	for i := range files {
-		if at, ok := began(fileName(path, i)); ok && at > newest {
-			newest, d.next = at, (i+1)%files
+	for i := range folderFiles {
+		if start, ok := fileStart(fileName(path, i)); ok && start > newest {
+			newest, d.nextFile = start, (i+1)%folderFiles
 		}
 	}
 	return d
 }
 
-// began tells when a file was begun: its head says so, else the time it was last written must do.
-func began(name string) (at int64, ok bool) {
+// fileStart is the Unix time in ns at which a file was begun, by its head; of a file without a readable one, the time at
+// which it was last written. It returns false for a file that can't be read.
+func fileStart(name string) (start int64, ok bool) {
 	f, err := os.Open(name)
 	if err != nil {
 		return 0, false
 	}
 	defer f.Close()
-	if frame, err := readFrame(bufio.NewReader(f)); err == nil {
+	if text, err := readFrame(bufio.NewReader(f)); err == nil {
 		var r struct {
-			At   int64  `json:"at"`
-			Kind string `json:"kind"`
+			At   int64      `json:"at"`
+			Kind recordKind `json:"kind"`
 		}
-		if json.Unmarshal(frame, &r) == nil && r.Kind == kindHead {
+		if json.Unmarshal(text, &r) == nil && r.Kind == kindHead {
 			return r.At, true
 		}
 	}
@@ -69,50 +77,61 @@
 	return info.ModTime().UnixNano(), true
 }
 
-// wants says that the next record must be a head, for it begins a file.
-func (d *folder) wants(now time.Time) bool {
-	return d.f == nil && now.After(d.rest)
+// needsHead says that the next record must be a head, for it begins a file.
+func (d *folder) needsHead(now time.Time) bool {
+	return d.file == nil && now.After(d.retryAt)
 }
 
-// append writes a record to the file, and a head to the next file if there is none. False: the file is full, and
-// the record belongs behind the next head.
+// append writes a frame to the open file; a head opens the next file if none is open, and without one other records are
+// dropped. It returns false if the file is full: it is closed then, and the record belongs behind the next head.
 func (d *folder) append(frame []byte, isHead bool, now time.Time) (fits bool, err error) {
-	if d.f == nil {
-		if !isHead || !d.wants(now) {
+	if d.file == nil {
+		if !isHead || !d.needsHead(now) {
 			return true, nil
 		}
-		if len(frame) > d.most { // nothing is overwritten for it
-			return true, d.failed(errRoom, now)
+		if err := d.openNext(len(frame)); err != nil {
+			return true, d.suspend(err, now)
 		}
-		f, err := os.OpenFile(fileName(d.path, d.next), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
-		if err != nil {
-			return true, d.failed(err, now)
-		}
-		d.f, d.size, d.next = f, 0, (d.next+1)%files
 	}
-	if d.size+len(frame) > d.most {
-		d.end()
+	if d.size+len(frame) > d.maxFileBytes {
+		d.close()
 		return false, nil
 	}
-	if _, err := d.f.Write(frame); err != nil {
-		d.f.Truncate(int64(d.size))
-		return true, d.failed(err, now)
+	if _, err := d.file.Write(frame); err != nil {
+		d.file.Truncate(int64(d.size)) // if that fails too, the file ends with a truncated record, which a replay skips
+		return true, d.suspend(err, now)
 	}
-	if d.size += len(frame); d.most-d.size < d.most/spareRoom {
-		d.end()
+	d.size += len(frame)
+	if free := d.maxFileBytes - d.size; free < d.maxFileBytes/fullDivisor {
+		d.close()
 	}
 	return true, nil
 }
 
-func (d *folder) failed(err error, now time.Time) error {
-	d.end()
-	d.rest = now.Add(retryAfter)
+// openNext opens the next file for a head of a size. A file is not overwritten for a head that does not fit into it.
+func (d *folder) openNext(headBytes int) error {
+	if headBytes > d.maxFileBytes {
+		return errRecordTooLarge
+	}
+	f, err := os.OpenFile(fileName(d.path, d.nextFile), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
+	if err != nil {
+		return err
+	}
+	d.file, d.size, d.nextFile = f, 0, (d.nextFile+1)%folderFiles
+	return nil
+}
+
+// suspend leaves the folder alone for folderRetryDelay after an error, which it returns.
+func (d *folder) suspend(err error, now time.Time) error {
+	d.close()
+	d.retryAt = now.Add(folderRetryDelay)
 	return err
 }
 
-func (d *folder) end() {
-	if d.f != nil {
-		d.f.Close()
-		d.f = nil
+// close closes the open file, if there is one.
+func (d *folder) close() {
+	if d.file != nil {
+		d.file.Close()
+		d.file = nil
 	}
 }
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/base64"
-	"flag"
 	"io"
 	"net/netip"
 	"os"
@@ -14,6 +13,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
 // Captures are kept, and replayed by builds that come after the one that wrote them. A key that is not known is passed
@@ -21,83 +21,62 @@
 // files in testdata must not change while Version is the same. Whoever changes the form on purpose raises Version and
 // writes them anew with -update.
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile(filepath.Join("testdata", name), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	wantBytes(t, name, got)
-}
-
-func wantBytes(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if want := goldenFile(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s has another form:\n got %s\nwant %s", name, got, want)
-	}
-}
-
-func goldenFile(t *testing.T, name string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
+// The golden files: the same capture as a log has it, whose lines are base64 of the frames, and its records to be read by
+// people.
+var (
+	goldenLog     = filepath.Join("testdata", "capture.log")
+	goldenRecords = filepath.Join("testdata", "records.jsonl")
+)
 
 const goldenStart = 1_700_000_000 * time.Second // of the capture, by the module's clock
 
-// goldenEvent is an event with what is recorded beside it. The module did not decide so; a record does not care.
+// goldenEvent is an event with what is recorded beside it. The balancer need not have decided so: a record does not care.
 type goldenEvent struct {
-	event balancer.Event
-	did   []balancer.Action
-	aside EventContext
+	event   balancer.Event
+	actions []balancer.Action
+	context EventContext
 }
 
-// goldenEvents are events and actions of each kind, with each ending and each state of a server.
+// goldenEvents are events and actions of each kind, with each outcome of an attempt and each state of a server.
 func goldenEvents() []goldenEvent {
 	id := "id-1\xff"
 	second := time.Second
-	retuned := module()
-	retuned.MaxAttempts = 4
+	changed := testSettings()
+	changed.MaxAttempts = 4
 	events := []goldenEvent{
 		{event: balancer.EndpointUpdate{Complete: true, Cached: true, Servers: []balancer.Server{
 			{ID: "s-0", Zone: "z", Kind: "large", Cell: 2, StartTime: second},
 			{ID: "s-1", State: balancer.Draining}, {ID: "s-2", State: balancer.Removed}}},
-			did:   []balancer.Action{balancer.SetTimer{At: goldenStart + second, Token: "list"}},
-			aside: EventContext{Addresses: map[string]string{"s-0": "127.0.0.1:5"}}},
-		{event: balancer.TimerFired{Token: "list"}, did: []balancer.Action{balancer.Subscribe{}}},
+			actions: []balancer.Action{balancer.SetTimer{At: goldenStart + second, Token: "list"}},
+			context: EventContext{Addresses: map[string]string{"s-0": "127.0.0.1:5"}}},
+		{event: balancer.TimerFired{Token: "list"}, actions: []balancer.Action{balancer.Subscribe{}}},
 		{event: balancer.WatchFailed{}},
 		{event: balancer.EndpointLease{Expired: true}},
 		{event: balancer.EndpointLease{}},
 		{event: balancer.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, ClientRetry: true, Key: 1<<64 - 1, HasKey: true,
 			Client: netip.MustParseAddr("10.1.2.3"), SettingsVersion: 3, StreamedBody: true},
-			did: []balancer.Action{balancer.FaultInjected{ID: id, FaultInjection: "stall"}, balancer.SetTimer{At: goldenStart + second, Token: "d:" + id},
+			actions: []balancer.Action{balancer.FaultInjected{ID: id, FaultInjection: "stall"}, balancer.SetTimer{At: goldenStart + second, Token: "d:" + id},
 				balancer.Send{ID: id, Server: "s-0", Timeout: second}},
-			aside: EventContext{Tenant: "okanagan-ridge<&>\xfe", Budget: 2 * second}},
+			context: EventContext{Tenant: "okanagan-ridge<&>\xfe", Budget: 2 * second}},
 		{event: balancer.Request{ID: "refused", Class: "unknown", HasKey: true, Client: netip.MustParseAddr("2001:db8::1")},
-			did: []balancer.Action{balancer.Reject{ID: "refused", RetryAfter: second}}},
+			actions: []balancer.Action{balancer.Reject{ID: "refused", RetryAfter: second}}},
 		{event: balancer.Request{ID: "denied", Client: netip.MustParseAddr("10.9.0.1")},
-			did: []balancer.Action{balancer.Deny{ID: "denied"}}},
+			actions: []balancer.Action{balancer.Deny{ID: "denied"}}},
 		{event: balancer.Request{ID: "aborted", Class: "bin-weighin"},
-			did: []balancer.Action{balancer.Abort{ID: "aborted", Status: 503, RetryAfter: second}}},
+			actions: []balancer.Action{balancer.Abort{ID: "aborted", Status: 503, RetryAfter: second}}},
 		{event: balancer.ResponseStarted{ID: id, Attempt: 1}},
 		{event: balancer.ClientGone{ID: id}},
 		{event: balancer.StartFaultInjection{Name: "stall"}},
 		{event: balancer.AdminOverride{Server: "s-1", Disabled: true}},
 		{event: balancer.AdminOverride{Server: "s-1"}},
-		{event: balancer.SettingsChanged{Settings: retuned}},
+		{event: balancer.SettingsChanged{Settings: changed}},
 		{event: balancer.ShuttingDown{}},
 	}
-	for how := balancer.Success; how <= balancer.NotSent; how++ {
-		o := goldenEvent{event: balancer.AttemptEnded{ID: id, Attempt: int(how), Server: "s-0", Outcome: how, Latency: second,
-			RequestDone: how == balancer.Success}, aside: EventContext{Served: how == balancer.Success}}
-		if how == balancer.Failure {
-			o.did = []balancer.Action{balancer.Fail{ID: id}}
+	for outcome := balancer.Success; outcome <= balancer.NotSent; outcome++ {
+		o := goldenEvent{event: balancer.AttemptEnded{ID: id, Attempt: int(outcome), Server: "s-0", Outcome: outcome, Latency: second,
+			RequestDone: outcome == balancer.Success}, context: EventContext{Served: outcome == balancer.Success}}
+		if outcome == balancer.Failure {
+			o.actions = []balancer.Action{balancer.Fail{ID: id}}
 		}
 		events = append(events, o)
 	}
@@ -107,16 +86,16 @@
 // goldenCapture is a capture as it stands in a log.
 func goldenCapture(t *testing.T) []byte {
 	t.Helper()
-	bal, err := balancer.New(module(), 5)
+	bal, err := balancer.New(testSettings(), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	w := &Writer{bal: bal, stderr: &log, log: quiet(), ring: newRing(ringSize),
-		head: head{Version: Version, Node: "n0", Began: int64(goldenStart), Seed: 5, Settings: module()}}
+	w := &Writer{bal: bal, stderr: &log, log: discardLog(), ring: newRing(ringBytes),
+		head: head{Version: Version, Node: "n0", Began: int64(goldenStart), Seed: 5, Settings: testSettings()}}
 	w.writeHead(goldenStart)
 	for i, e := range goldenEvents() {
-		w.Event(goldenStart+time.Duration(i+1), e.event, e.did, e.aside)
+		w.Event(goldenStart+time.Duration(i+1), e.event, e.actions, e.context)
 	}
 	return log.Bytes()
 }
@@ -124,7 +103,7 @@
 // framesOf reads the records of a capture, each without its length.
 func framesOf(t *testing.T, name string, text []byte) (frames [][]byte) {
 	t.Helper()
-	for in := open(name, bytes.NewReader(text)); ; {
+	for in := openSource(name, bytes.NewReader(text)); ; {
 		frame, where, err := in.next()
 		if err == io.EOF {
 			return frames
@@ -136,25 +115,25 @@
 	}
 }
 
-// The log's lines are base64 of the records, with their length; records.jsonl has the same records to be read by people.
+// A capture with a record of each kind is written as the golden files have it.
 func TestGoldenCaptureIsWritten(t *testing.T) {
 	log := goldenCapture(t)
-	golden(t, "capture.log", log)
-	golden(t, "records.jsonl", append(bytes.Join(framesOf(t, "capture.log", log), []byte("\n")), '\n'))
+	goldentest.CheckBytes(t, goldenLog, log)
+	goldentest.CheckBytes(t, goldenRecords, append(bytes.Join(framesOf(t, "capture.log", log), []byte("\n")), '\n'))
 }
 
 // The records of an earlier build are read whole, from a log as from a file: written again they have the same bytes, and
-// the module is told the same events.
+// the balancer gets the same events.
 func TestGoldenCaptureIsRead(t *testing.T) {
 	var inFile bytes.Buffer
-	for line := range strings.Lines(string(goldenFile(t, "capture.log"))) {
+	for line := range strings.Lines(string(goldentest.Text(t, goldenLog))) {
 		framed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(strings.TrimPrefix(line, linePrefix)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		inFile.Write(framed)
 	}
-	for name, text := range map[string][]byte{"capture.log": goldenFile(t, "capture.log"), "capture-0001.hwc": inFile.Bytes()} {
+	for name, text := range map[string][]byte{"capture.log": goldentest.Text(t, goldenLog), "capture-0001.hwc": inFile.Bytes()} {
 		var again, file bytes.Buffer
 		var events []balancer.Event
 		for _, frame := range framesOf(t, name, text) {
@@ -167,7 +146,7 @@
 				t.Fatal(err)
 			}
 			file.Write(buf.Bytes())
-			again.Write(append(buf.Bytes()[prefixLen:], '\n'))
+			again.Write(append(buf.Bytes()[prefixBytes:], '\n'))
 			if r.Kind == kindHead {
 				if _, err := balancer.Restore(r.Head.Settings, r.Head.Checkpoint); err != nil {
 					t.Errorf("%s: the head's checkpoint: %v", name, err)
@@ -180,7 +159,7 @@
 			}
 			events = append(events, e)
 		}
-		wantBytes(t, "records.jsonl", again.Bytes())
+		goldentest.CompareBytes(t, goldenRecords, again.Bytes())
 		if !bytes.Equal(file.Bytes(), inFile.Bytes()) {
 			t.Errorf("%s: the records are framed otherwise", name)
 		}
@@ -193,7 +172,7 @@
 				t.Errorf("%s: event %d is %+v, want %+v", name, i, e, want[i].event)
 			}
 		}
-		res, _, warned, err := played(t, name, text)
+		res, _, warned, err := replayText(t, name, text)
 		if err != nil || warned != "" || res.Compared != len(want) {
 			t.Errorf("%s: %+v, %v, warned %q", name, res, err, warned)
 		}
@@ -202,7 +181,7 @@
 
 // A node that starts finds the newest file of its folder by the heads.
 func TestGoldenHeadTellsWhenItsFileBegan(t *testing.T) {
-	line, _, _ := strings.Cut(string(goldenFile(t, "capture.log")), "\n")
+	line, _, _ := strings.Cut(string(goldentest.Text(t, goldenLog)), "\n")
 	head, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(line, linePrefix))
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +190,7 @@
 	if err := os.WriteFile(name, head, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	if at, ok := began(name); !ok || at != int64(goldenStart) {
+	if at, ok := fileStart(name); !ok || at != int64(goldenStart) {
 		t.Errorf("began at %d, %v; want %d", at, ok, goldenStart)
 	}
 }
@@ -225,8 +204,8 @@
 			set[name] = set[name] || !value.Field(i).IsZero()
 		}
 	}
-	kinds, does := map[string]bool{}, map[string]bool{}
-	for _, frame := range framesOf(t, "capture.log", goldenFile(t, "capture.log")) {
+	kinds, actionKinds := map[recordKind]bool{}, map[actionKind]bool{}
+	for _, frame := range framesOf(t, "capture.log", goldentest.Text(t, goldenLog)) {
 		r, err := decode(frame)
 		if err != nil {
 			t.Fatal(err)
@@ -235,12 +214,12 @@
 		if r.Head != nil {
 			note(*r.Head)
 		}
-		for _, h := range r.Hosts {
+		for _, h := range r.Endpoints {
 			note(h)
 		}
-		for _, d := range r.Decision {
-			note(d)
-			does[d.Do] = true
+		for _, a := range r.Actions {
+			note(a)
+			actionKinds[a.Kind] = true
 		}
 		kinds[r.Kind] = true
 	}
@@ -249,7 +228,7 @@
 			t.Errorf("%s is zero in all records", field)
 		}
 	}
-	if len(set) < 40 || len(kinds) != 13 || len(does) != 8 {
-		t.Errorf("%d fields, %d kinds, %d actions; want 40 or more, 13, 8", len(set), len(kinds), len(does))
+	if len(set) < 40 || len(kinds) != 13 || len(actionKinds) != 8 {
+		t.Errorf("%d fields, %d kinds, %d actions; want 40 or more, 13, 8", len(set), len(kinds), len(actionKinds))
 	}
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -6,13 +6,47 @@
 	"fmt"
 	"io"
 	"slices"
-	"strconv"
-	"strings"
-	"time"
 
 	"hookwalk.example/hookwalk/balancer"
 )
 
+// Why a capture can't be replayed, wrapped in a ReplayError.
+var (
+	// ErrCorrupt says that a record is damaged. The rest of the capture is not believed; another file of the same folder
+	// may be whole.
+	ErrCorrupt = errors.New("corrupt")
+	// ErrNoRecords says that there are none: the file is empty, or a log of a node whose capture was off.
+	ErrNoRecords = errors.New("no records")
+)
+
+// VersionError says that a capture was written by a build whose records have another form; a build of that version can
+// replay it.
+type VersionError struct{ Version string }
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("a capture of version %q; this hookwalk replays version %q", e.Version, Version)
+}
+
+// ReplayError says where in a capture a replay ended and why.
+type ReplayError struct {
+	Capture  string // its name
+	Position string // of the record or line; "": the whole capture
+	Err      error
+}
+
+func (e *ReplayError) Error() string {
+	if e.Position == "" {
+		return fmt.Sprintf("%s: %v", e.Capture, e.Err)
+	}
+	return fmt.Sprintf("%s, %s: %v", e.Capture, e.Position, e.Err)
+}
+
+// Unwrap is the reason.
+func (e *ReplayError) Unwrap() error { return e.Err }
+
+// corrupt wraps the reason why a record is damaged.
+func corrupt(reason error) error { return fmt.Errorf("%w: %w", ErrCorrupt, reason) }
+
 // Result counts what a replay did.
 type Result struct {
 	Compared    int // events
@@ -20,227 +54,159 @@
 	Skipped     int // events that could not be compared
 }
 
-// Replay plays a capture into the module and writes a line for each request that is decided otherwise now. Warnings
-// tell of what could not be compared. An error says why the capture can't be used.
+// Replay gives the events of a capture to a balancer of this build and writes a line to out for each request that is decided
+// otherwise now. warn is called with what could not be compared. A *ReplayError says why the capture can't be used;
+// the Result counts what came before.
 func Replay(name string, in io.Reader, out io.Writer, warn func(format string, args ...any)) (Result, error) {
-	p := &player{out: out, warn: func(format string, args ...any) { warn(name+": "+format, args...) }}
-	records := open(name, in)
-	cut, seen := "", false // where a record is cut short, of which nothing else was found wrong yet
+	p := &replayer{out: out, warn: func(format string, args ...any) { warn(name+": "+format, args...) }}
+	records := openSource(name, in)
+	fail := func(position string, err error) (Result, error) {
+		return p.result, &ReplayError{Capture: name, Position: position, Err: err}
+	}
+	// A record may be cut short where a process was killed, or at the end of a file: a head of another run follows, or
+	// nothing. truncatedAt is the position of such a record until that is known.
+	truncatedAt, found := "", false
 	for {
-		frame, where, err := records.next()
+		r, position, err := nextRecord(records)
 		if err == io.EOF {
 			break
 		}
-		var r record
-		if err == nil {
-			r, err = decode(frame)
-		}
-		if cut != "" && (err != nil || r.Kind != kindHead || !p.begins(r.Head)) {
-			return p.result, fmt.Errorf("%s, %s: corrupt: a truncated record is not the last of its run", name, cut)
-		}
-		if cut != "" {
-			p.warn("%s: truncated record skipped", cut)
-			cut = ""
+		if truncatedAt != "" {
+			if err != nil || !p.startsRun(&r) {
+				return fail(truncatedAt, corrupt(errors.New("a truncated record is not the last of its run")))
+			}
+			p.warn("%s: truncated record skipped", truncatedAt)
+			truncatedAt = ""
 		}
-		switch {
-		case errors.Is(err, errTruncated):
-			cut = where
+		if errors.Is(err, errTruncated) {
+			truncatedAt = position
 			continue
-		case err != nil:
-			return p.result, fmt.Errorf("%s, %s: %w", name, where, err)
 		}
-		seen = true
+		if err != nil {
+			return fail(position, err)
+		}
+		found = true
 		if err := p.play(&r); err != nil {
-			return p.result, fmt.Errorf("%s, %s: %w", name, where, err)
+			return fail(position, err)
 		}
 	}
-	if cut != "" {
-		p.warn("%s: truncated record skipped", cut)
+	if truncatedAt != "" {
+		p.warn("%s: truncated record skipped", truncatedAt)
 	}
-	if !seen {
-		return p.result, fmt.Errorf("%s: no records", name)
+	if !found {
+		return fail("", ErrNoRecords)
 	}
-	p.tellSkipped()
+	p.warnSkipped()
 	return p.result, nil
 }
 
-// decode reads a record. Of another version no more than that is read.
-func decode(frame []byte) (r record, err error) {
-	var v struct {
+// nextRecord reads the next record of a source, with the errors of source.next and decode.
+func nextRecord(records source) (r record, position string, err error) {
+	text, position, err := records.next()
+	if err == nil {
+		r, err = decode(text)
+	}
+	return r, position, err
+}
+
+// decode reads a record's JSON. The error is ErrCorrupt or a *VersionError: of another version no more than that is read.
+func decode(text []byte) (r record, err error) {
+	var versioned struct {
 		Head *struct {
 			Version string `json:"version"`
 		} `json:"head"`
 	}
-	if err := json.Unmarshal(frame, &v); err != nil {
-		return r, fmt.Errorf("corrupt: %w", err)
+	if err := json.Unmarshal(text, &versioned); err != nil {
+		return r, corrupt(err)
 	}
-	if v.Head != nil && v.Head.Version != Version {
-		return r, fmt.Errorf("a capture of version %q; this hookwalk replays version %q", v.Head.Version, Version)
+	if versioned.Head != nil && versioned.Head.Version != Version {
+		return r, &VersionError{Version: versioned.Head.Version}
 	}
-	if err := json.Unmarshal(frame, &r); err != nil {
-		return r, fmt.Errorf("corrupt: %w", err)
+	if err := json.Unmarshal(text, &r); err != nil {
+		return r, corrupt(err)
 	}
 	if (r.Kind == kindHead) != (r.Head != nil) {
-		return r, errors.New("corrupt: a head without its content, or content without a head")
+		return r, corrupt(errors.New("a head without its content, or content without a head"))
 	}
 	return r, nil
 }
 
-// player holds a module at one point of a capture.
-type player struct {
-	bal    *balancer.Balancer // nil: nothing to compare with before the next head
-	node   string
-	began  int64
-	seq    uint64
-	out    io.Writer
-	warn   func(format string, args ...any)
-	missed int // events skipped and not yet told
-	result Result
+// replayer holds a balancer at one point of a capture.
+type replayer struct {
+	bal     *balancer.Balancer // nil: nothing to compare with before the next head
+	node    string             // of the run that is played
+	began   int64              // the same
+	seq     uint64             // of the last event
+	out     io.Writer
+	warn    func(format string, args ...any)
+	skipped int // events since the last warning of such
+	result  Result
 }
 
-// begins says that a head is of another run than the one that is played.
-func (p *player) begins(h *head) bool { return h != nil && (h.Node != p.node || h.Began != p.began) }
+// otherRun says that a head is of another run of a node than the one that is played.
+func (p *replayer) otherRun(h *head) bool { return h.Node != p.node || h.Began != p.began }
 
-func (p *player) play(r *record) (err error) {
-	defer func() { // what no module would record, or a fault of this one
+// startsRun says that a record is the head of another run than the one that is played.
+func (p *replayer) startsRun(r *record) bool { return r.Kind == kindHead && p.otherRun(r.Head) }
+
+// play plays one record. A panic of the balancer is an error: a damaged capture can hold what no balancer would record.
+func (p *replayer) play(r *record) (err error) {
+	defer func() {
 		if failure := recover(); failure != nil {
-			err = fmt.Errorf("the module failed: %v", failure)
+			err = fmt.Errorf("the balancer failed: %v", failure)
 		}
 	}()
 	if r.Kind == kindHead {
-		return p.takeHead(r)
+		return p.playHead(r)
 	}
-	e, err := r.event()
+	event, err := r.event()
 	if err != nil {
-		return fmt.Errorf("corrupt: %w", err)
+		return corrupt(err)
+	}
+	if p.began != 0 && r.Seq <= p.seq {
+		return nil // known: the ring was dumped, or the head that was played holds it
 	}
-	switch {
-	case p.began != 0 && r.Seq <= p.seq:
-		return nil // seen: the ring was written out, or the head that was taken holds it
-	case p.bal != nil && r.Seq != p.seq+1:
+	if p.bal != nil && r.Seq != p.seq+1 {
 		p.warn("%d records are missing before record %d", r.Seq-p.seq-1, r.Seq)
 		p.bal = nil
 	}
 	p.seq = r.Seq
 	if p.bal == nil {
-		p.missed++
+		p.skipped++
 		p.result.Skipped++
 		return nil
 	}
 	p.result.Compared++
-	if now := decisions(p.bal.Handle(r.At, e)); !slices.Equal(now, r.Decision) {
+	if now := newActions(p.bal.Handle(r.At, event)); !slices.Equal(now, r.Actions) {
 		p.result.Differences++
-		p.tell(r, now)
+		writeDifference(p.out, r, now)
 	}
 	return nil
 }
 
-// takeHead goes on from a checkpoint where the module played so far does not lead there by itself.
-func (p *player) takeHead(r *record) error {
-	if !p.begins(r.Head) && (r.Seq < p.seq || r.Seq == p.seq && p.bal != nil) {
+// playHead goes on from a head's checkpoint, unless the balancer that is played has come to it, or beyond, by itself: then
+// its differences would be lost.
+func (p *replayer) playHead(r *record) error {
+	sameRun := !p.otherRun(r.Head)
+	if sameRun && (r.Seq < p.seq || r.Seq == p.seq && p.bal != nil) {
 		return nil
 	}
 	bal, err := balancer.Restore(r.Head.Settings, r.Head.Checkpoint)
 	if err != nil {
-		return fmt.Errorf("corrupt: %w", err)
+		return corrupt(err)
 	}
-	p.tellSkipped()
-	if !p.begins(r.Head) && p.bal != nil {
+	p.warnSkipped()
+	if sameRun && p.bal != nil {
 		p.warn("%d records are missing before the head of record %d", r.Seq-p.seq, r.Seq)
 	}
 	p.bal, p.node, p.began, p.seq = bal, r.Head.Node, r.Head.Began, r.Seq
 	return nil
 }
 
-func (p *player) tellSkipped() {
-	if p.missed > 0 {
-		p.warn("%d records could not be compared: no head stands before them", p.missed)
-		p.missed = 0
-	}
-}
-
-// tell writes a line for each request of an event that is decided otherwise now.
-func (p *player) tell(r *record, now []decision) {
-	told := false
-	for _, id := range subjects(r.Decision, now) {
-		was, is := about(r.Decision, id), about(now, id)
-		if slices.Equal(was, is) {
-			continue
-		}
-		told = true
-		a, b := words(was, false), words(is, false)
-		if a == b {
-			a, b = words(was, true), words(is, true)
-		}
-		fmt.Fprintf(p.out, "%s was %s now %s\n", id, a, b)
-	}
-	if !told {
-		fmt.Fprintf(p.out, "record %d was %s now in another order\n", r.Seq, words(r.Decision, true))
-	}
-}
-
-// subject is the request that a decision is about; what is about none stands under its timer or what it does.
-func (d decision) subject() string {
-	if d.Do != doWake {
-		if d.ID == "" {
-			return d.Do
-		}
-		return d.ID
-	}
-	if kind, id, ok := strings.Cut(d.Name, ":"); ok && (kind == "r" || kind == "d") {
-		return id
-	}
-	return d.Name
-}
-
-func subjects(lists ...[]decision) (ids []string) {
-	for _, list := range lists {
-		for _, d := range list {
-			if id := d.subject(); !slices.Contains(ids, id) {
-				ids = append(ids, id)
-			}
-		}
-	}
-	return ids
-}
-
-func about(list []decision, id string) (found []decision) {
-	for _, d := range list {
-		if d.subject() == id {
-			found = append(found, d)
-		}
-	}
-	return found
-}
-
-// words tells what became of a request: the server that it was sent to, or the status of its answer.
-func words(list []decision, whole bool) string {
-	var parts []string
-	for _, d := range list {
-		text := ""
-		switch {
-		case d.Do == doSend:
-			text = d.Server
-		case d.Status != 0:
-			text = strconv.Itoa(d.Status)
-		case d.Do == doDrill:
-			text = "drill " + d.Name
-		case d.Do == doWake && !whole && len(list) > 1:
-			continue
-		case d.Do == doWake && whole:
-			text = "held to " + strconv.FormatInt(int64(d.At), 10)
-		case d.Do == doWake:
-			text = "held"
-		default:
-			text = d.Do
-		}
-		if whole && d.For != 0 {
-			text += " for " + d.For.Round(time.Nanosecond).String()
-		}
-		parts = append(parts, text)
-	}
-	if len(parts) == 0 {
-		return "nothing"
+// warnSkipped warns of events that could not be compared since it was last called.
+func (p *replayer) warnSkipped() {
+	if p.skipped > 0 {
+		p.warn("%d records could not be compared: no head stands before them", p.skipped)
+		p.skipped = 0
 	}
-	return strings.Join(parts, " then ")
 }
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -2,44 +2,45 @@
 
 import "encoding/binary"
 
-// ring keeps the newest records, as many as fit.
+// ring keeps the newest frames in memory, as many as fit.
 type ring struct {
-	buf         []byte
-	start, used int
+	buf   []byte
+	start int // of the oldest frame
+	used  int // bytes from start on; they wrap around the end of buf
 }
 
 func newRing(size int) *ring { return &ring{buf: make([]byte, size)} }
 
-// push adds a record; the oldest make room. One that can't fit is left out.
+// push adds a frame and drops the oldest ones as far as needed. A frame larger than the ring is left out.
 func (r *ring) push(frame []byte) {
 	if len(frame) > len(r.buf) {
 		return
 	}
 	for r.used+len(frame) > len(r.buf) {
-		n := r.size(r.start)
+		n := r.frameBytes(r.start)
 		r.start = (r.start + n) % len(r.buf)
 		r.used -= n
 	}
-	at := (r.start + r.used) % len(r.buf)
-	copy(r.buf, frame[copy(r.buf[at:], frame):])
+	end := (r.start + r.used) % len(r.buf)
+	copy(r.buf, frame[copy(r.buf[end:], frame):])
 	r.used += len(frame)
 }
 
-// size is that of the record at a place.
-func (r *ring) size(at int) int {
-	var length [prefixLen]byte
-	copy(length[copy(length[:], r.buf[at:]):], r.buf)
-	return prefixLen + int(binary.BigEndian.Uint32(length[:]))
+// frameBytes is the size of the frame at an offset, with its length prefix.
+func (r *ring) frameBytes(offset int) int {
+	var length [prefixBytes]byte
+	copy(length[copy(length[:], r.buf[offset:]):], r.buf)
+	return prefixBytes + int(binary.BigEndian.Uint32(length[:]))
 }
 
-// each hands out the records, the oldest first. A record is good until the next.
-func (r *ring) each(f func(frame []byte)) {
-	var whole []byte
-	for at, left := r.start, r.used; left > 0; {
-		n := r.size(at)
-		whole = append(whole[:0], r.buf[at:min(at+n, len(r.buf))]...)
-		whole = append(whole, r.buf[:n-len(whole)]...)
-		f(whole)
-		at, left = (at+n)%len(r.buf), left-n
+// each calls visit with each frame, the oldest first. A frame is valid until visit returns.
+func (r *ring) each(visit func(frame []byte)) {
+	var frame []byte
+	for offset, remaining := r.start, r.used; remaining > 0; {
+		n := r.frameBytes(offset)
+		frame = append(frame[:0], r.buf[offset:min(offset+n, len(r.buf))]...)
+		frame = append(frame, r.buf[:n-len(frame)]...)
+		visit(frame)
+		offset, remaining = (offset+n)%len(r.buf), remaining-n
 	}
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -12,12 +12,17 @@
 )
 
 const (
-	ringSize  = 768 << 10
-	headEvery = 128 << 10 // bytes of records between two heads: the ring always holds several
-	warnEvery = 10 * time.Second
+	// ringBytes is what a Writer keeps in memory for Dump. asyncwriter.Stderr takes it at once, as base64.
+	ringBytes = 768 << 10
+	// headInterval is between two heads, in bytes of records: the ring always holds several, so that a dump can be
+	// replayed. A head costs a checkpoint of the balancer.
+	headInterval = 128 << 10
+	// warnInterval is between two log lines of records that could not be written, at least.
+	warnInterval = 10 * time.Second
 )
 
-// Writer records the events of one Balancer. It belongs to the goroutine that feeds it.
+// Writer records the events of one Balancer. Its methods belong to the goroutine that feeds the Balancer: they block no
+// longer than writes to standard error and to the folder do.
 type Writer struct {
 	bal    *balancer.Balancer
 	head   head
@@ -26,17 +31,18 @@
 	ring   *ring
 	folder *folder // nil: none
 
-	seq      uint64
-	since    int // bytes since the last head
-	buf      bytes.Buffer
-	headBuf  bytes.Buffer
-	line     []byte
-	nextWarn time.Time
+	seq         uint64 // of the last event
+	sinceHead   int    // bytes of records
+	buf         bytes.Buffer
+	headBuf     bytes.Buffer
+	line        []byte
+	nextWarning time.Time
 }
 
-// New begins a capture of a Balancer that has seen no event yet.
+// New begins a capture of a Balancer that has seen no event yet. module are the settings and seed the seed that it was made
+// with. Errors are logged, at most one every ten seconds, and stop nothing.
 func New(set settings.Capture, node string, bal *balancer.Balancer, module balancer.Settings, seed uint64, stderr io.Writer, log *slog.Logger) *Writer {
-	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringSize),
+	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringBytes),
 		head: head{Version: Version, Node: node, Began: time.Now().UnixNano(), Seed: seed, Settings: module}}
 	if set.Folder != "" {
 		w.folder = openFolder(set.Folder, set.FileBytes)
@@ -45,21 +51,22 @@
 	return w
 }
 
-// Event records what the module was told and what it decided, before anything else is told to it.
-func (w *Writer) Event(at time.Duration, e balancer.Event, did []balancer.Action, aside EventContext) {
-	r, err := newRecord(e, aside)
+// Event records an event and the actions that answered it. It must be called before the Balancer handles the next event: a
+// head that follows has the Balancer's state as it is now.
+func (w *Writer) Event(at time.Duration, event balancer.Event, actions []balancer.Action, context EventContext) {
+	r, err := newRecord(event, context)
 	if err != nil {
 		w.warn(err)
 		return
 	}
-	if n, ok := e.(balancer.SettingsChanged); ok {
-		w.head.Settings = n.Settings // of the checkpoints from here on
+	if changed, ok := event.(balancer.SettingsChanged); ok {
+		w.head.Settings = changed.Settings // of the checkpoints from here on
 	}
 	w.seq++
-	r.Seq, r.At, r.Decision = w.seq, at, decisions(did)
-	for _, d := range r.Decision {
-		if d.Status != 0 {
-			r.Answer = d.Status
+	r.Seq, r.At, r.Actions = w.seq, at, newActions(actions)
+	for _, a := range r.Actions {
+		if a.Status != 0 {
+			r.Answer = a.Status
 		}
 	}
 	w.buf.Reset()
@@ -68,15 +75,15 @@
 		return
 	}
 	fits := w.write(w.buf.Bytes(), false)
-	if w.since >= headEvery || w.folder != nil && w.folder.wants(time.Now()) {
+	if w.sinceHead >= headInterval || w.folder != nil && w.folder.needsHead(time.Now()) {
 		w.writeHead(at)
 	}
 	if !fits {
-		w.append(w.buf.Bytes(), false)
+		w.appendToFolder(w.buf.Bytes(), false)
 	}
 }
 
-// writeHead lets a replay begin here: what comes after can be played without what came before.
+// writeHead lets a replay begin here: the records that follow can be played without those before.
 func (w *Writer) writeHead(at time.Duration) {
 	var err error
 	if w.head.Checkpoint, err = w.bal.Checkpoint(); err != nil {
@@ -89,28 +96,29 @@
 		return
 	}
 	w.write(w.headBuf.Bytes(), true)
-	w.since = 0
+	w.sinceHead = 0
 }
 
-// write hands a record to standard error, the ring and the folder.
+// write hands a frame to standard error, the ring and the folder. It returns false if the folder's file is full.
 func (w *Writer) write(frame []byte, isHead bool) (fits bool) {
-	w.since += len(frame)
-	w.say(frame)
+	w.sinceHead += len(frame)
+	w.writeLine(frame)
 	w.ring.push(frame)
-	return w.append(frame, isHead)
+	return w.appendToFolder(frame, isHead)
 }
 
-// say writes a record to standard error, as one line with one Write.
-func (w *Writer) say(frame []byte) {
+// writeLine writes a frame to standard error, as one line with one Write.
+func (w *Writer) writeLine(frame []byte) {
 	w.line = append(w.line[:0], linePrefix...)
 	w.line = base64.StdEncoding.AppendEncode(w.line, frame)
 	w.line = append(w.line, '\n')
 	if _, err := w.stderr.Write(w.line); err != nil {
-		w.warn(err) // there may be another place for the log
+		w.warn(err) // the log may go elsewhere
 	}
 }
 
-func (w *Writer) append(frame []byte, isHead bool) (fits bool) {
+// appendToFolder hands a frame to the folder, if there is one. It returns false if its file is full.
+func (w *Writer) appendToFolder(frame []byte, isHead bool) (fits bool) {
 	if w.folder == nil {
 		return true
 	}
@@ -123,19 +131,20 @@
 
 // Dump writes the records that the ring holds to standard error once more.
 func (w *Writer) Dump() {
-	w.ring.each(w.say)
+	w.ring.each(w.writeLine)
 }
 
-// Close ends the capture. A Writer that is nil has nothing to end.
+// Close ends the capture. A nil Writer has nothing to end.
 func (w *Writer) Close() {
 	if w != nil && w.folder != nil {
-		w.folder.end()
+		w.folder.close()
 	}
 }
 
+// warn logs why a record is not everywhere where it should be, at most once in a warnInterval.
 func (w *Writer) warn(err error) {
-	if now := time.Now(); now.After(w.nextWarn) {
-		w.nextWarn = now.Add(warnEvery)
+	if now := time.Now(); now.After(w.nextWarning) {
+		w.nextWarning = now.Add(warnInterval)
 		w.log.Warn("capture incomplete", "err", err)
 	}
 }
