--- a/internal/metrics/exporters.go
+++ b/internal/metrics/exporters.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -12,107 +11,119 @@
 )
 
 const (
-	sendTime = 100 * time.Millisecond // for a datagram to go, or a pipe to take a batch
+	// exportTimeout bounds one write: of a datagram, or of a batch into a pipe that nobody reads.
+	exportTimeout = 100 * time.Millisecond
+	// fileMode lets other users' collectors read the file.
 	fileMode = 0o644
 )
 
-var errLong = errors.New("a line is longer than max_batch_bytes")
-
-// out is where batches go. Each ends with a line end.
-type out interface {
-	write(batch []byte) error
-	flushed() // no more comes for a while
+// exporter is a destination of batches. Run alone uses it.
+type exporter interface {
+	// export writes a batch of whole lines, the last with its line end too. It may block for exportTimeout.
+	export(batch []byte) error
+	// endFlush says that no more comes before the next flush.
+	endFlush()
 	close()
 }
 
-// lineOut writes every line with a Write of its own, for others write there too.
-type lineOut struct{ w io.Writer }
+// lineExporter writes every line with a Write of its own, for others write there too, and their lines must not mix.
+type lineExporter struct{ w io.Writer }
 
-func (o lineOut) write(batch []byte) error {
+func (e lineExporter) export(batch []byte) error {
 	for line := range bytes.Lines(batch) {
-		if _, err := o.w.Write(line); err != nil {
+		if _, err := e.w.Write(line); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (lineOut) flushed() {}
-func (lineOut) close()   {}
+func (lineExporter) endFlush() {}
+func (lineExporter) close()    {}
 
-// fileOut appends to a file, which it opens anew for each flush: it may have been moved away.
-type fileOut struct {
-	path string
-	f    *os.File
-	torn bool // the last line is not whole
+// fileExporter appends to a file. It opens the file anew for each flush: the file may have been rotated.
+type fileExporter struct {
+	path         string
+	file         *os.File // nil: not open
+	partialWrite bool     // the file's last line is incomplete
 }
 
-func (o *fileOut) write(batch []byte) error {
-	if o.f == nil {
-		// A pipe that nobody reads must not hold the writer up.
-		f, err := os.OpenFile(o.path, os.O_WRONLY|os.O_APPEND|os.O_CREATE|syscall.O_NONBLOCK, fileMode)
-		if err != nil {
-			return err
-		}
-		o.f = f
+func (e *fileExporter) export(batch []byte) error {
+	if err := e.open(); err != nil {
+		return err
 	}
-	o.f.SetWriteDeadline(time.Now().Add(sendTime)) // only pipes have one, and need it
-	if o.torn {
-		if _, err := o.f.Write([]byte("\n")); err != nil {
+	e.file.SetWriteDeadline(time.Now().Add(exportTimeout)) // only pipes have one, and need it
+	if e.partialWrite {
+		if _, err := e.file.Write([]byte("\n")); err != nil {
 			return err
 		}
-		o.torn = false
+		e.partialWrite = false
 	}
-	n, err := o.f.Write(batch)
-	if err != nil && n > 0 {
-		o.torn = !o.cut(n)
+	n, err := e.file.Write(batch)
+	if err == nil {
+		return nil
 	}
-	if err != nil {
-		o.flushed()
+	if n > 0 { // a full disk, or a pipe: what comes next must not go on in the middle of a line
+		e.partialWrite = !e.removeLast(n)
 	}
+	e.endFlush()
 	return err
 }
 
-// cut takes back the end of a file: what comes next must not go on in the middle of a line.
-func (o *fileOut) cut(n int) bool {
-	end, err := o.f.Seek(0, io.SeekEnd)
-	return err == nil && o.f.Truncate(end-int64(n)) == nil
+// open opens the file if it is not open.
+func (e *fileExporter) open() error {
+	if e.file != nil {
+		return nil
+	}
+	// Without O_NONBLOCK the open of a pipe that nobody reads would block for ever.
+	f, err := os.OpenFile(e.path, os.O_WRONLY|os.O_APPEND|os.O_CREATE|syscall.O_NONBLOCK, fileMode)
+	if err != nil {
+		return err
+	}
+	e.file = f
+	return nil
+}
+
+// removeLast removes the last n bytes of the file, and says whether it could.
+func (e *fileExporter) removeLast(n int) bool {
+	end, err := e.file.Seek(0, io.SeekEnd)
+	return err == nil && e.file.Truncate(end-int64(n)) == nil
 }
 
-func (o *fileOut) flushed() {
-	if o.f != nil {
-		o.f.Close()
-		o.f = nil
+func (e *fileExporter) endFlush() {
+	if e.file != nil {
+		e.file.Close()
+		e.file = nil
 	}
 }
 
-func (o *fileOut) close() { o.flushed() }
+func (e *fileExporter) close() { e.endFlush() }
 
-// udpOut sends each batch as one datagram.
-type udpOut struct {
+// udpExporter sends each batch as one datagram.
+type udpExporter struct {
 	addr string
-	conn net.Conn
+	conn net.Conn // nil: not yet dialed
 }
 
-func (o *udpOut) write(batch []byte) error {
-	if o.conn == nil {
-		c, err := net.DialTimeout("udp", o.addr, sendTime)
+func (e *udpExporter) export(batch []byte) error {
+	if e.conn == nil {
+		conn, err := net.DialTimeout("udp", e.addr, exportTimeout)
 		if err != nil {
 			return err
 		}
-		o.conn = c
+		e.conn = conn
 	}
-	o.conn.SetWriteDeadline(time.Now().Add(sendTime))
-	if _, err := o.conn.Write(bytes.TrimSuffix(batch, []byte("\n"))); err != nil {
+	e.conn.SetWriteDeadline(time.Now().Add(exportTimeout))
+	if _, err := e.conn.Write(bytes.TrimSuffix(batch, []byte("\n"))); err != nil {
 		return fmt.Errorf("send: %w", err)
 	}
 	return nil
 }
 
-func (*udpOut) flushed() {}
+func (*udpExporter) endFlush() {}
 
-func (o *udpOut) close() {
-	if o.conn != nil {
-		o.conn.Close()
+func (e *udpExporter) close() {
+	if e.conn != nil {
+		e.conn.Close()
 	}
 }
--- a/internal/metrics/format.go
+++ b/internal/metrics/format.go
@@ -8,7 +8,8 @@
 	"unicode/utf8"
 )
 
-// format renders figures, each as one line without its end.
+// format renders metrics, each as one line without its end, which it appends to b. name has no namePrefix, tags are what
+// the method tags made, at is Unix time in ns.
 type format interface {
 	tags(class, tenant string) string
 	count(b []byte, name, tags string, v, at int64) []byte
@@ -16,40 +17,45 @@
 	timer(b []byte, name, tags string, us uint32, at int64) []byte
 }
 
+// formats are by their names in the settings.
 var formats = map[string]format{"statsd": statsd{}, "influx": influx{}}
 
-// encode writes the bytes of a tag that its format takes for its own, and control characters, as % and two
-// hexadecimal digits.
-func encode(s, own string) string {
-	var b strings.Builder
-	for n := 0; s != ""; s = s[n:] {
-		var c rune
-		c, n = utf8.DecodeRuneInString(s)
-		if unicode.IsControl(c) || c == '%' || c == '\\' || strings.ContainsRune(own, c) || c == utf8.RuneError {
-			for _, o := range []byte(s[:n]) {
-				fmt.Fprintf(&b, "%%%02X", o)
-			}
-		} else {
-			b.WriteRune(c)
+// percentEncode writes characters of a tag that its format reserves, control characters, the backslash, the percent sign
+// and bytes that are not UTF-8 as % and two hexadecimal digits for each byte.
+func percentEncode(s, reserved string) string {
+	var encoded strings.Builder
+	for size := 0; s != ""; s = s[size:] {
+		var char rune
+		char, size = utf8.DecodeRuneInString(s)
+		if !unicode.IsControl(char) && char != '%' && char != '\\' && char != utf8.RuneError && !strings.ContainsRune(reserved, char) {
+			encoded.WriteRune(char)
+			continue
+		}
+		for _, octet := range []byte(s[:size]) {
+			fmt.Fprintf(&encoded, "%%%02X", octet)
 		}
 	}
-	return b.String()
+	return encoded.String()
 }
 
-func milliseconds(b []byte, us uint32) []byte {
-	return strconv.AppendFloat(b, float64(us)/1000, 'f', -1, 64)
+// appendMilliseconds appends microseconds as milliseconds, with as many digits as needed.
+func appendMilliseconds(b []byte, us uint32) []byte {
+	const microsecondsPerMillisecond = 1000
+	return strconv.AppendFloat(b, float64(us)/microsecondsPerMillisecond, 'f', -1, 64)
 }
 
-// statsd is StatsD with the tags of DogStatsD.
+// statsd is the StatsD line with the tags of DogStatsD. It has no times.
 type statsd struct{}
 
+// statsdReserved are the separators of a StatsD line with tags, which has no escape for them.
+const statsdReserved = "|,:#@"
+
 func (statsd) tags(class, tenant string) string {
-	const own = "|,:#@"
-	return "|#class:" + encode(class, own) + ",tenant:" + encode(tenant, own)
+	return "|#class:" + percentEncode(class, statsdReserved) + ",tenant:" + percentEncode(tenant, statsdReserved)
 }
 
 func (statsd) start(b []byte, name string) []byte {
-	return append(append(append(b, prefix...), name...), ':')
+	return append(append(append(b, namePrefix...), name...), ':')
 }
 
 func (f statsd) count(b []byte, name, tags string, v, _ int64) []byte {
@@ -61,7 +67,7 @@
 }
 
 func (f statsd) timer(b []byte, name, tags string, us uint32, _ int64) []byte {
-	return append(append(milliseconds(f.start(b, name), us), "|ms"...), tags...)
+	return append(append(appendMilliseconds(f.start(b, name), us), "|ms"...), tags...)
 }
 
 // influx is InfluxDB's line protocol.
@@ -69,11 +75,11 @@
 
 func (influx) tags(class, tenant string) string {
 	escape := strings.NewReplacer(",", `\,`, "=", `\=`, " ", `\ `)
-	return ",class=" + escape.Replace(encode(class, "")) + ",tenant=" + escape.Replace(encode(tenant, ""))
+	return ",class=" + escape.Replace(percentEncode(class, "")) + ",tenant=" + escape.Replace(percentEncode(tenant, ""))
 }
 
 func (influx) start(b []byte, name, tags string) []byte {
-	return append(append(append(append(b, prefix...), name...), tags...), " value="...)
+	return append(append(append(append(b, namePrefix...), name...), tags...), " value="...)
 }
 
 func (f influx) count(b []byte, name, tags string, v, at int64) []byte {
@@ -86,6 +92,6 @@
 }
 
 func (f influx) timer(b []byte, name, tags string, us uint32, at int64) []byte {
-	b = append(milliseconds(f.start(b, name, tags), us), ' ')
+	b = append(appendMilliseconds(f.start(b, name, tags), us), ' ')
 	return strconv.AppendInt(b, at, 10)
 }
