--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// While nobody reads, writing does not wait, memory stays bounded and what is dropped is told; once somebody does, all
-// that was taken comes out whole and in order, and nothing runs on.
-func TestNobodyReads(t *testing.T) {
+// Nobody reads the pipe for a while. Writes do not block, memory stays bounded, and who wrote a line that was dropped is told so
+// by an error. When somebody reads, all accepted lines come out whole and in order, and no goroutine is left.
+func TestPipeThatIsNotRead(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	s := New(w)
-	var taken []string
+	writer := New(w)
+	var accepted []string
 	dropped := 0
 	for i := range 2000 {
 		line := fmt.Sprintf("%04d %s\n", i, strings.Repeat("x", 10+i*7%6000))
-		if _, err := s.Write([]byte(line)); errors.Is(err, ErrFull) {
+		if _, err := writer.Write([]byte(line)); errors.Is(err, ErrFull) {
 			dropped++
 		} else {
-			taken = append(taken, line)
+			accepted = append(accepted, line)
 		}
 	}
-	s.mu.Lock()
-	if dropped == 0 || s.size > most {
-		t.Errorf("%d lines dropped, %d bytes wait", dropped, s.size)
+	writer.mu.Lock()
+	if dropped == 0 || writer.queuedBytes > maxQueuedBytes {
+		t.Errorf("%d lines dropped, %d bytes queued", dropped, writer.queuedBytes)
 	}
-	s.mu.Unlock()
+	writer.mu.Unlock()
 	read := make(chan []string)
 	go func() {
 		var got []string
@@ -47,33 +47,33 @@
 			got = append(got, line)
 		}
 	}()
-	s.Flush(time.Minute)
-	if _, err := s.Write([]byte("last\n")); err != nil {
+	writer.Flush(time.Minute)
+	if _, err := writer.Write([]byte("last\n")); err != nil {
 		t.Error(err)
 	}
-	s.Flush(time.Minute)
-	s.mu.Lock()
-	if s.idle != nil || s.size != 0 {
-		t.Errorf("%d bytes wait in the end", s.size)
+	writer.Flush(time.Minute)
+	writer.mu.Lock()
+	if writer.drained != nil || writer.queuedBytes != 0 {
+		t.Errorf("%d bytes queued in the end", writer.queuedBytes)
 	}
-	s.mu.Unlock()
+	writer.mu.Unlock()
 	w.Close()
-	if got := <-read; strings.Join(got, "") != strings.Join(taken, "")+"last\n" {
-		t.Errorf("%d lines came of %d", len(got), len(taken)+1)
+	if got := <-read; strings.Join(got, "") != strings.Join(accepted, "")+"last\n" {
+		t.Errorf("%d lines came of %d", len(got), len(accepted)+1)
 	}
 }
 
-// Flush gives up on a reader that does not come.
-func TestFlushEnds(t *testing.T) {
+// A program ends while nobody reads its standard error: Flush waits no longer than it was told.
+func TestFlushTimesOut(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(w)
+	writer := New(w)
 	for range 100 {
-		s.Write(make([]byte, 8<<10))
+		writer.Write(make([]byte, 8<<10))
 	}
-	s.Flush(time.Millisecond)
-	r.Close() // what is under way ends with an error
-	s.Flush(time.Minute)
+	writer.Flush(time.Millisecond)
+	r.Close() // the write that blocks ends with an error
+	writer.Flush(time.Minute)
 }
--- a/internal/capture/text.go
+++ b/internal/capture/text.go
@@ -30,7 +30,7 @@
 
 // unescapeText is the text of which escapeText made s.
 func unescapeText(s string) string {
-	const escape = string(utf8.RuneError)
+	const escape = string(utf8.RuneError) // before two hexadecimal digits
 	if !strings.Contains(s, escape) {
 		return s
 	}
--- a/internal/metrics/format.go
+++ b/internal/metrics/format.go
@@ -40,7 +40,7 @@
 
 // appendMilliseconds appends microseconds as milliseconds, with as many digits as needed.
 func appendMilliseconds(b []byte, us uint32) []byte {
-	const microsecondsPerMillisecond = 1000
+	const microsecondsPerMillisecond = 1000 // so that the metric is in ms, as StatsD timers are
 	return strconv.AppendFloat(b, float64(us)/microsecondsPerMillisecond, 'f', -1, 64)
 }
 
