--- a/internal/capture/action.go
+++ b/internal/capture/action.go
@@ -35,8 +35,8 @@
 }
 
 // newAction describes an action of the balancer.
-func newAction(taken balancer.Action) action {
-	switch a := taken.(type) {
+func newAction(decided balancer.Action) action {
+	switch a := decided.(type) {
 	case balancer.Send:
 		return action{Kind: actionSend, ID: escapeText(a.ID), Server: a.Server, Duration: a.Timeout}
 	case balancer.Reject:
@@ -54,12 +54,12 @@
 	case balancer.Subscribe:
 		return action{Kind: actionSubscribe}
 	}
-	return action{Kind: actionKind(fmt.Sprintf("%T", taken))} // of an unknown type: differs from all that this build records
+	return action{Kind: actionKind(fmt.Sprintf("%T", decided))} // of an unknown type: differs from all that this build records
 }
 
 // newActions describes actions, in their order.
-func newActions(taken []balancer.Action) (list []action) {
-	for _, a := range taken {
+func newActions(decided []balancer.Action) (list []action) {
+	for _, a := range decided {
 		list = append(list, newAction(a))
 	}
 	return list
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -54,10 +54,10 @@
 	Retire(*Target)
 }
 
-// MaySend says whether the attempt may still leave at a time of the engine's clock. A Sender asks right before it writes
-// the first byte, from the attempt's own goroutine. What was true when the balancer chose the server need not hold any
-// more: in the time of a connect the server may have begun to drain, the endpoint list may have expired, the client may
-// have gone. Without this check such requests show as broken invariants "drain" and "lost".
+// MaySend says whether the attempt may still be written at a time of the engine's clock. A Sender calls it right before it
+// writes the first byte, from the attempt's own goroutine. What was true when the balancer chose the server may have changed
+// during a connect: the server has begun to drain, the endpoint list has expired, the client has gone. Without this check
+// such requests show as broken invariants "drain" and "lost".
 func (a *Attempt) MaySend(now time.Duration) bool {
 	c := a.Call
 	if a.lease.expired(now) || c.Closed() || c.clientGoneAt.Load() != 0 || a.Target.Stopped() || now >= a.Deadline {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -26,7 +26,8 @@
 //   - queued: the balancer holds it, before its first attempt or between two. No attempt is out.
 //   - attempt out: one attempt is with the Sender (outstanding is 1). It can still end so that a retry follows.
 //   - streaming: the response to its attempt is passed on to the client as it comes (Attempt.streaming). No retry can
-//     follow: the client has seen a part of it.
+//     follow: the client has seen a part of it. With PassResponse the start of the response is the final answer, so the
+//     call is answered as well; with ResponseStarted it is answered when the attempt ends.
 //   - answered: closed, and Do returns the one final answer. An attempt may still be out, whose result is owed to the
 //     balancer; the call is forgotten when that has come.
 //   - client gone: closed without an answer; Do returns ErrClientGone. As with answered, an attempt may still be out.
@@ -58,8 +59,8 @@
 	mayHaveRun  bool // an attempt that has ended may have run at its server
 }
 
-// Close marks the call as over and says whether it was open. Of all who close a call only the one who is told true may
-// answer it: so a call has one final answer.
+// Close marks the call as over, and says whether it was open. Who gets true owes the call its one final answer, unless its
+// client has gone; who gets false must not answer it.
 func (c *Call) Close() bool { return !c.closed.Swap(true) }
 
 // Closed says that the call has its answer or its client has gone: nothing more may be sent for it.
@@ -204,7 +205,7 @@
 	}
 }
 
-// eventContext is what a capture has of a call beside what the balancer is told.
+// eventContext is what a capture records of a call beside the event that the balancer gets.
 func (c *Call) eventContext() capture.EventContext {
 	return capture.EventContext{Tenant: c.Tenant, Budget: c.Budget}
 }
--- a/internal/engine/commands.go
+++ b/internal/engine/commands.go
@@ -82,7 +82,9 @@
 // listed as ready, and the IDs of disabled servers. commit is called in the loop, with no event between it and the state
 // that is returned; it must not block. Errors: that of Balancer.SuccessorState, ErrStopped, or that of ctx; commit was not
 // called then.
-func (e *Engine) SuccessorState(ctx context.Context, commit func()) (state []byte, endpoints []Endpoint, disabled []string, err error) {
+func (e *Engine) SuccessorState(ctx context.Context, commit func()) (
+	state []byte, endpoints []Endpoint, disabled []string, err error,
+) {
 	err = e.runCommand(ctx, func() error {
 		if state, err = e.Balancer.SuccessorState(); err != nil {
 			return err
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -38,7 +38,7 @@
 	rejected, failed             [attemptStages]int
 	rejectedLeaseExpired         int                       // of the rejected: while the endpoint list had expired
 	outcomes                     [balancer.NotSent + 1]int // of attempts
-	nextFailureLog               time.Duration             // by the engine's clock; until then no attempt without a response is logged
+	nextFailureLog               time.Duration             // by the engine's clock; until then no failed attempt is logged
 }
 
 // logCounters logs the counters, if anything was counted, and starts anew.
