--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,182 +7,251 @@
 	"time"
 )
 
-const comeBack = 10 // part of the aim after which a refused client should ask again
+// request is an accepted request. Its states, and who changes them:
+//
+//	delayed      by an injected fault, until delayedUntil (delayRequest, removeDelayed)
+//	queued       waits for a server, the window or its turn among those of its key (enqueue, dequeue)
+//	attempt out  an attempt has no outcome yet: hasAttemptOut (send, handleAttemptEnded)
+//	streaming    the client has part of the response: no other answer is possible (handleResponseStarted)
+//	answered     it has its final answer, or its client has gone (closeRequest); attempts may still be out
+//	forgotten    answered and without attempts out (forgetIfDone)
+//
+// From queued it goes to attempt out; from there to answered, or back to attempt out or queued by a retry.
+// An answered request is never sent again.
+type request struct {
+	id           string
+	class        *class
+	arrived      time.Duration // of a client's retry: when the client asked first
+	deadline     time.Duration
+	attempts     []*attempt
+	clientRetry  bool      // the client has asked before
+	keyQueue     *keyQueue // nil: it keeps no order
+	queued       bool
+	answered     bool
+	streaming    bool
+	timerAt      time.Duration // when its queue timer fires
+	streamedBody bool
+	maxAttempts  int // by the settings that it came with
+	delayed      bool
+	delayedUntil time.Duration
+}
+
+// attempt is one send of a request. It is out until it has ended.
+type attempt struct {
+	request       *request
+	server        *server
+	number        int // from 0
+	sentAt        time.Duration
+	zone          string // of the server, when it was sent
+	cell          int
+	serverStart   time.Duration
+	ended         bool
+	neverRan      bool // proven by its outcome
+	outsideWindow bool // it no longer counts in the admission window
+}
+
+// hasAttemptOut says that an attempt of a request has no outcome yet.
+func (r *request) hasAttemptOut() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
+}
+
+// mayHaveRun says that an attempt of a request may have run, or may run yet.
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
+}
 
-func (b *Balancer) accept(e Request) {
-	if !b.set.AccessList.Allows(e.Client) {
-		b.do(Deny{ID: e.ID})
+// findAttempt returns the attempt of a number of a request, nil if either is unknown.
+func (b *Balancer) findAttempt(id string, number int) *attempt {
+	r := b.requests[id]
+	if r == nil || number < 0 || number >= len(r.attempts) {
+		return nil
+	}
+	return r.attempts[number]
+}
+
+// acceptRequest takes a request in. It is denied by the access list, aborted or delayed by a fault
+// injection, rejected for the length of its key's queue, sent or queued. A request whose ID is known is
+// ignored.
+func (b *Balancer) acceptRequest(e Request) {
+	if !b.settings.AccessList.Allows(e.Client) {
+		b.emit(Deny{ID: e.ID})
 		return
 	}
 	if b.requests[e.ID] != nil {
 		return
 	}
-	drill := b.drilled(e)
-	if drill != nil && drill.AbortStatus != 0 {
-		b.abort(e, drill)
+	fault := b.drawFaultInjection(e)
+	if fault != nil && fault.AbortStatus != 0 {
+		b.abortRequest(e, fault)
 		return
 	}
-	c := b.classes[e.Class]
-	if e.SettingsVersion < b.rules && b.before[e.Class] != nil { // what it came with
-		c = b.before[e.Class]
-	}
-	if c == nil {
-		c = b.order[len(b.order)-1] // unknown: unsafe
-	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: min(e.Deadline, b.now+c.Deadline),
-		repeat: e.ClientRetry, bulk: e.StreamedBody, most: b.MaxAttempts()}
-	b.requests[e.ID] = r
-	b.backdate(r)
-	for _, k := range b.order {
-		k.arrive *= 0.99
-		k.serve *= 0.99
-	}
-	c.arrive++
-	if c.OrderedByKey && e.HasKey && !b.joinLine(r, e.Key) {
-		b.answer(r)
+	r := b.addRequest(e)
+	if r.class.OrderedByKey && e.HasKey && !b.joinKeyQueue(r, e.Key) {
+		b.giveUp(r)
 		return
 	}
-	if drill != nil && b.delay(r, drill) {
+	if fault != nil && b.delayRequest(r, fault) {
 		return
 	}
-	b.place(r)
+	b.sendOrQueue(r)
 }
 
-// backdate finds when the client first asked. Tries are all given the same time unless the class's
-// deadline, which runs over all of them, ends sooner: a shorter one tells how much is over already. Where
-// clients mark repeats only the mark counts, for a last try may be given more time than the first. What is
-// usual is the middle of what comes: one client's long budgets would make everybody else's tries look short.
-func (b *Balancer) backdate(r *request) {
-	left, c := r.deadline-b.now, r.class
-	switch {
-	case c.usualTry == 0:
-		c.usualTry = left
-	case left > c.usualTry:
-		c.usualTry += c.usualTry / 100
-	default:
-		c.usualTry -= c.usualTry / 100
-	}
-	short := float64(left) < 0.95*float64(c.usualTry)
-	if b.set.Tier == 0 && (r.repeat || short && !b.set.ClientsMarkRetries) {
-		r.arrived = min(b.now, r.deadline-r.class.Deadline)
-		r.repeat = true
+// addRequest makes a request known and counts it. It has the time that its client gives, but no more than
+// its class has: one that claimed an hour would hold its place in the window for as long, and outlive a
+// node that shuts down.
+func (b *Balancer) addRequest(e Request) *request {
+	c := b.classOf(e)
+	r := &request{
+		id:           e.ID,
+		class:        c,
+		arrived:      b.now,
+		deadline:     min(e.Deadline, b.now+c.Deadline),
+		clientRetry:  e.ClientRetry,
+		streamedBody: e.StreamedBody,
+		maxAttempts:  b.MaxAttempts(),
+	}
+	b.requests[e.ID] = r
+	b.detectClientRetry(r)
+	for _, other := range b.classList {
+		other.arrivals *= countDecay
+		other.served *= countDecay
 	}
+	c.arrivals++
+	return r
 }
 
-// place sends a request, or holds it while no server may take it.
-func (b *Balancer) place(r *request) {
-	if b.onTurn(r) && !b.full(r.class.pool) {
-		if s := b.choose(r); s != nil {
+// sendOrQueue sends a request, or queues it while no server may take it.
+func (b *Balancer) sendOrQueue(r *request) {
+	if b.keyOrderAllows(r) && !b.windowFull(r.class.pool) {
+		if s := b.chooseServer(r); s != nil {
 			b.send(r, s)
 			return
 		}
 	}
-	b.hold(r)
+	b.enqueue(r)
 }
 
+// send starts an attempt of a request at a server.
 func (b *Balancer) send(r *request, s *server) {
-	a := &attempt{req: r, srv: s, n: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
-	a.boot = s.start()
+	a := &attempt{
+		request:     r,
+		server:      s,
+		number:      len(r.attempts),
+		sentAt:      b.now,
+		zone:        s.Zone,
+		cell:        s.Cell,
+		serverStart: s.startedAt(),
+	}
 	p := r.class.pool
-	if a.n == 0 {
-		p.shed -= memory / 4 * p.shed
+	if a.number == 0 {
+		p.countAdmitted()
 	}
 	r.attempts = append(r.attempts, a)
-	b.unhold(r)
-	s.open = append(s.open, a)
-	if s.hungry > 0 {
-		s.hungry = b.now + feedAfter
+	b.dequeue(r)
+	s.inFlight = append(s.inFlight, a)
+	if s.firstRequestDue > 0 {
+		s.firstRequestDue = b.now + firstRequestAfter
 	}
 	p.inFlight++
-	if r.bulk {
-		a.leave()
+	if r.streamedBody {
+		a.leaveWindow()
+	}
+	inFlight := float64(p.inFlight)
+	moveTowards(&p.peakInFlight, inFlight, slowSampleWeight)
+	p.peakInFlight = max(inFlight, p.peakInFlight)
+	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(b.attemptTimeout(r), b.settings.Tick)})
+}
+
+// handleResponseStarted notes that a response is streamed to the client.
+func (b *Balancer) handleResponseStarted(e ResponseStarted) {
+	if a := b.findAttempt(e.ID, e.Attempt); a != nil {
+		a.request.streaming = true
+		a.leaveWindow()
 	}
-	p.peak = max(float64(p.inFlight), p.peak-memory/4*(p.peak-float64(p.inFlight)))
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(b.patience(r), b.set.Tick)})
 }
 
-func (b *Balancer) takeOutcome(e AttemptEnded) {
-	r := b.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+// handleAttemptEnded takes in the end of an attempt: what it teaches, and what becomes of its request. A
+// client that gave less time than answers take has timed out by its own choice: that says nothing of the
+// server or its load.
+func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
+	a := b.findAttempt(e.ID, e.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	a := r.attempts[e.Attempt]
+	r := a.request
 	a.ended = true
-	a.unsent = e.Outcome.NeverRan()
-	a.leave()
-	if l := r.line; l != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionLost || e.Outcome == Canceled) {
-		l.rest = b.now + b.set.KeyQuietPeriod // it may still run
-	}
-	// A client that gave less time than answers take tells of itself: neither of the server nor of a crowd.
-	brief := e.Outcome == TimedOut && b.now-a.sent < time.Duration(r.class.mean)
-	if !brief && !b.silent(a.srv) { // a hung server's waits tell nothing of how crowded the others are
-		b.steer(r, e)
+	a.neverRan = e.Outcome.NeverRan()
+	a.leaveWindow()
+	b.startQuietPeriod(r, e.Outcome)
+	tooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
+	if !tooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
+		b.adjustWindow(r, e)
 	}
-	a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
-	if !brief {
-		b.judge(a, e)
+	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
+	if !tooShort {
+		b.recordOutcome(a, e)
 	}
-	if !a.srv.listed && a.srv.calls() == 0 && b.servers[a.srv.ID] == a.srv {
-		delete(b.servers, a.srv.ID)
+	if !a.server.listed && a.server.inFlightCount() == 0 && b.servers[a.server.ID] == a.server {
+		delete(b.servers, a.server.ID)
 	}
 	switch {
 	case e.RequestDone:
-		late := r.arrived + r.class.LatencyObjective
-		if e.Outcome == Success && !r.answered && (b.now <= late || a.sent+b.latency(r, a, e) <= late) {
-			r.class.serve++
+		if e.Outcome == Success && !r.answered && b.inTime(a, e) {
+			r.class.served++
 		}
-		b.close(r)
-	case !r.answered && !r.pending():
-		b.further(r)
+		b.closeRequest(r)
+	case !r.answered && !r.hasAttemptOut():
+		b.retryOrGiveUp(r)
 	}
-	b.forget(r)
+	b.forgetIfDone(r)
+}
+
+// inTime says that an answer met the latency objective. Of a stream that is its first message.
+func (b *Balancer) inTime(a *attempt, e AttemptEnded) bool {
+	objective := a.request.arrived + a.request.class.LatencyObjective
+	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
 }
 
-// answer gives the final answer: a refusal where a retry is surely harmless, else a failure.
-func (b *Balancer) answer(r *request) {
+// giveUp gives the final answer to a request that gets none from a server: a rejection where a retry by the
+// client is surely harmless, else a failure. A request of which the client has part of a response gets no
+// other answer.
+func (b *Balancer) giveUp(r *request) {
 	if r.answered || r.streaming {
 		return
 	}
-	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll ||
-		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
 	if len(r.attempts) == 0 {
-		r.class.pool.shed += memory / 4 * (1 - r.class.pool.shed)
+		r.class.pool.countShed()
 	}
-	if harmless {
-		b.do(Reject{ID: r.id, RetryAfter: b.set.RetryAfter(r.class.Class)})
+	anyServerDeduplicates := r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
+	if r.class.Effect == Idempotent || anyServerDeduplicates || !r.mayHaveRun() {
+		b.emit(Reject{ID: r.id, RetryAfter: b.settings.RetryAfter(r.class.Class)})
 	} else {
-		b.do(Fail{ID: r.id})
+		b.emit(Fail{ID: r.id})
 	}
-	b.close(r)
-}
-
-// RetryAfter advises a client that is sent away; a host asks for a stream that a server refused. One sent away
-// for long comes back when its aim is mostly over, and its late answer takes the room of one in time. One
-// that comes back at once finds the same crowd and burns its few tries.
-func (s Settings) RetryAfter(c Class) time.Duration {
-	return min(s.MaxRetryAfter, c.LatencyObjective/comeBack)
+	b.closeRequest(r)
 }
 
-// close ends a request. What is still out for it is not called off and counts until its own ending: servers
-// may work on regardless, and the room that it takes is not there for clients that leave early and ask again.
-func (b *Balancer) close(r *request) {
+// closeRequest ends a request. Attempts that are still out are not called off and count until they end:
+// servers may work on regardless, and their capacity is not there for clients that leave early and ask
+// again.
+func (b *Balancer) closeRequest(r *request) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	b.unhold(r)
-	b.undelay(r)
-	b.forget(r)
+	b.dequeue(r)
+	b.removeDelayed(r)
+	b.forgetIfDone(r)
 }
 
-// forget drops a request once nothing of it is left.
-func (b *Balancer) forget(r *request) {
-	if !r.answered || r.pending() || b.requests[r.id] != r {
+// forgetIfDone drops a request once nothing of it is left.
+func (b *Balancer) forgetIfDone(r *request) {
+	if !r.answered || r.hasAttemptOut() || b.requests[r.id] != r {
 		return
 	}
 	delete(b.requests, r.id)
-	if l := r.line; l != nil {
-		l.queue = slices.DeleteFunc(l.queue, func(q *request) bool { return q == r })
-		b.settle(l)
+	if queue := r.keyQueue; queue != nil {
+		queue.requests = remove(queue.requests, r)
+		b.settleKeyQueue(queue)
 	}
 }
