--- a/internal/node/accesslist_test.go
+++ b/internal/node/accesscontrol_test.go
@@ -33,7 +33,7 @@
 }
 
 // from connects to a node from an address of this machine.
-func from(t *testing.T, n *running, addr string) net.Conn {
+func from(t *testing.T, n *testNode, addr string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}}
 	c, err := d.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -78,7 +78,7 @@
 
 // The operators' check: headers of both versions, from trusted and untrusted addresses.
 func TestHeadersFromTrustedAndUntrusted(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n, out := startLogged(t, lists(func(a *settings.AccessList) {
 		a.Allow, a.Deny = prefixes("10.4.0.0/16", "fd00:12::/48", "127.0.0.1/32"), prefixes("10.4.9.0/24")
 	}), b)
@@ -132,7 +132,7 @@
 
 // The request that came last in a connection from a front is judged by the front's header, also piece by piece.
 func TestHeaderInPieces(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, ok))
+	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, respondOK))
 	for _, header := range []string{"PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", header2("10.4.1.1")} {
 		c := from(t, n, front)
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -151,7 +151,7 @@
 
 // A front that is slow with its header is closed, and holds up nobody meanwhile.
 func TestLateHeader(t *testing.T) {
-	n, out := startLogged(t, lists(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, ok))
+	n, out := startLogged(t, lists(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, respondOK))
 	var slow []net.Conn
 	for i := range 50 {
 		c := from(t, n, front)
@@ -177,7 +177,7 @@
 
 // WithOverride a header that comes late but in time, the peer still gets its answer or close within 3 s of connecting.
 func TestLateHeaderAndNoRequest(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.AccessList) {}), newBackend(t, ok))
+	n, _ := startLogged(t, lists(func(a *settings.AccessList) {}), newBackend(t, respondOK))
 	begin := time.Now()
 	c := from(t, n, front)
 	if got := answers(t, c, "PROXY UNKNOWN\r\nPOST /api HTTP/1.1\r\n"); got[0] != 0 && got[0] < 400 {
@@ -191,7 +191,7 @@
 func TestDeniedEverywhereButReady(t *testing.T) {
 	features := lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
 	features.FaultInjections = stall(func(*settings.FaultInjection) {}).FaultInjections
-	n, out := startLogged(t, features, newBackend(t, ok))
+	n, out := startLogged(t, features, newBackend(t, respondOK))
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n" }
 	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
 	for text, want := range map[string]int{get("/ready"): 200, get("/api"): 403, start: 403,
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -10,24 +10,24 @@
 )
 
 // adminService is a node as its operators can call it.
-type adminService struct{ n *Node }
+type adminService struct{ node *Node }
 
 // CheckReady says why the process does not take clients, if it does not. One that has sent its clients away takes
 // whoever comes all the same: that it is out of service is the front's to know, from /ready.
 func (o adminService) CheckReady() error {
-	if synced := o.n.kin.synced; synced != nil {
+	if synced := o.node.peer.synced; synced != nil {
 		select {
 		case <-synced:
 		default:
 			return errors.New("it has not all that the process before it knows")
 		}
 	}
-	switch life := o.n.life.Load(); {
+	switch life := o.node.lifecycle.Load(); {
 	case life.ShuttingDown():
 		return errors.New("the process is about to end")
-	case !o.n.heard.Load():
+	case !o.node.hasEndpointList.Load():
 		return errors.New("it has no list of servers yet")
-	case !life.Running() || !o.n.engine.HasListedServer():
+	case !life.Running() || !o.node.engine.HasListedServer():
 		return errors.New("it knows no server in service")
 	}
 	return nil
@@ -35,51 +35,51 @@
 
 // PeersView is what the node knows of its peers, to be read as JSON; nil: it has none.
 func (o adminService) Sites() any {
-	if o.n.PeersView == nil {
+	if o.node.PeersView == nil {
 		return nil
 	}
-	return o.n.PeersView()
+	return o.node.PeersView()
 }
 
 // SetServerDisabled takes a server out of use, or puts it back.
 func (o adminService) SetServerDisabled(ctx context.Context, id string, out bool) error {
-	if err := o.n.engine.SetServerDisabled(ctx, id, out); err != nil {
+	if err := o.node.engine.SetServerDisabled(ctx, id, out); err != nil {
 		return err
 	}
-	o.n.pass(ctx, hotrestart.Message{Server: id, Disabled: out})
+	o.node.replicate(ctx, hotrestart.Message{Server: id, Disabled: out})
 	return nil
 }
 
 // SetInService sends clients away, or takes them again.
 func (o adminService) SetInService(ctx context.Context, in bool) error {
-	o.n.setService(in)
+	o.node.setInService(in)
 	out := !in
-	o.n.pass(ctx, hotrestart.Message{OutOfService: &out})
+	o.node.replicate(ctx, hotrestart.Message{OutOfService: &out})
 	return nil
 }
 
 // setService puts the node in service, or out of it.
-func (n *Node) setService(in bool) {
+func (n *Node) setInService(in bool) {
 	if in {
-		n.step(lifecycle.InService)
+		n.transition(lifecycle.InService)
 		return
 	}
-	n.sweepAfter(n.step(lifecycle.OutOfService))
+	n.closeIdleConnections(n.transition(lifecycle.OutOfService))
 }
 
 // sweepAfter closes connections at rest for as long as the node stays as it is.
-func (n *Node) sweepAfter(m lifecycle.Machine) {
-	n.sweeps.Go(func() {
-		tick := time.NewTicker(sweepEvery)
+func (n *Node) closeIdleConnections(m lifecycle.Machine) {
+	n.idleClosers.Go(func() {
+		tick := time.NewTicker(idleCloseInterval)
 		defer tick.Stop()
-		for *n.life.Load() == m {
+		for *n.lifecycle.Load() == m {
 			select {
 			case <-tick.C:
-			case <-n.ended:
+			case <-n.stopped:
 				return
 			}
 			if rest, yes := m.ClosesIdleConnections(n.clock.Now()); yes {
-				n.in.sweep(rest)
+				n.clients.closeIdle(rest)
 			}
 		}
 	})
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -19,10 +19,10 @@
 
 // A server that is taken out gets nothing more, on kept connections neither, until it is put back.
 func TestHandOnSockets(t *testing.T) {
-	a, b := newBackend(t, ok), newBackend(t, ok)
+	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	n := startWith(t, a, b)
 	ask := func(id string) int {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", id, "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", id, "x"))
 		return status
 	}
 	for i := 0; a.requests() == 0 || b.requests() == 0; i++ {
@@ -67,7 +67,7 @@
 // Sent away, clients get answers that end their connections, and connections at rest are closed; the second call
 // undoes all of it, twice in a row, and no listener closes.
 func TestDrainAndReturn(t *testing.T) {
-	n := startWith(t, newBackend(t, ok))
+	n := startWith(t, newBackend(t, respondOK))
 	o := adminService{n.Node}
 	for round := range 2 {
 		idle, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -124,9 +124,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newInbound(ln, 4, nil)
+	in := newClientListener(ln, 4, nil)
 	defer in.Close()
-	pair := func() (client net.Conn, server *inConn) {
+	pair := func() (client net.Conn, server *clientConn) {
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return client, c.(*inConn)
+		return client, c.(*clientConn)
 	}
 	crossing, c := pair()
 	begun, d := pair()
@@ -144,7 +144,7 @@
 	if _, err := d.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	in.sweep(0)
+	in.closeIdle(0)
 	io.WriteString(crossing, "POST")
 	if n, err := c.Read(make([]byte, 9)); n != 0 || err != io.EOF {
 		t.Errorf("read %d bytes, %v, of a connection that is shut", n, err)
@@ -171,7 +171,7 @@
 
 func textOf(t *testing.T, c Config, change ...string) string {
 	t.Helper()
-	text, err := json.Marshal(c.keys)
+	text, err := json.Marshal(c.parsedText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 // New settings hold for the requests that come after them; what is unsound changes nothing, discovery's address
 // neither.
 func TestReload(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	cfg := configWith(t, b)
 	n := start(t, cfg)
 	moved := silentDiscovery(t)
@@ -210,26 +210,26 @@
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: said %v", name, err)
 		}
-		if n.disc.Addr() != cfg.Discovery || n.rules.Load().generation != 0 {
+		if n.discovery.Addr() != cfg.Discovery || n.classes.Load().settingsVersion != 0 {
 			t.Fatalf("%s: something of it was taken over", name)
 		}
 	}
 	ask := func(class, id string) int {
-		s, _, _ := do(t, newRequest(t, n.url, class, id, "x"))
+		s, _, _ := sendRequest(t, newRequest(t, n.url, class, id, "x"))
 		return s
 	}
 	if err := n.Reload(fileOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`, "127.0.0.1:1\"", moved+`"`)); err != nil {
 		t.Fatal(err)
 	}
-	if n.disc.Addr() != moved {
+	if n.discovery.Addr() != moved {
 		t.Error("discovery's address was not taken over")
 	}
 	if a, b := ask("fresh", "1"), ask("unsafe", "2"); a != http.StatusOK || b != http.StatusOK {
 		t.Errorf("a new class is answered %d, one dropped just now %d", a, b)
 	}
-	late := *n.rules.Load()
-	late.until = 0
-	n.rules.Store(&late)
+	late := *n.classes.Load()
+	late.previousUntil = 0
+	n.classes.Store(&late)
 	if got := ask("unsafe", "3"); got != http.StatusBadRequest {
 		t.Errorf("a class dropped long ago is answered %d", got)
 	}
@@ -242,7 +242,7 @@
 	follows := func(s string) error {
 		c, err := parseConfig([]byte(s))
 		if err == nil {
-			err = c.follows(cfg)
+			err = c.checkCompatible(cfg)
 		}
 		return err
 	}
@@ -263,7 +263,7 @@
 					continue
 				}
 				delete(v, key)
-				short, _ := json.Marshal(cfg.keys)
+				short, _ := json.Marshal(cfg.parsedText)
 				v[key] = was
 				if follows(string(short)) == nil {
 					t.Errorf("without %s%s it was taken", path, key)
@@ -276,7 +276,7 @@
 			}
 		}
 	}
-	without(cfg.keys, "")
+	without(cfg.parsedText, "")
 }
 
 func FuzzReload(f *testing.F) {
@@ -286,14 +286,14 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole, _ := json.Marshal(cfg.keys)
+	whole, _ := json.Marshal(cfg.parsedText)
 	f.Add(string(whole))
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := parseConfig([]byte(text))
-		if err != nil || c.follows(cfg) != nil {
+		if err != nil || c.checkCompatible(cfg) != nil {
 			return
 		}
-		if set, err := c.moduleSettings(); err == nil && set.Validate() == nil && set.MaxAttempts <= 0 {
+		if set, err := c.balancerSettings(); err == nil && set.Validate() == nil && set.MaxAttempts <= 0 {
 			t.Error("no attempts")
 		}
 	})
@@ -310,17 +310,17 @@
 	with := cfg
 	with.AdminAddress = taken.Addr().String()
 	for _, c := range []Config{cfg, with} {
-		n, err := New(c, quiet())
+		n, err := New(c, discardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := n.pool.most + n.inbound; (got == cfg.Sockets-reserved) != (c.AdminAddress == "") {
+		if got := n.pool.maxConns + n.maxClientConns; (got == cfg.Sockets-reservedDescriptors) != (c.AdminAddress == "") {
 			t.Errorf("control %q: %d places", c.AdminAddress, got)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	n, _ := New(with, quiet())
+	n, _ := New(with, discardLogger())
 	if err := n.Run(ctx); err == nil || !strings.HasPrefix(err.Error(), "control: ") {
 		t.Errorf("an address that can't be had: %v", err)
 	}
@@ -329,16 +329,16 @@
 // SIGHUP may come while the node is about to serve: it is taken over once the engine runs, and neither waits for the
 // other.
 func TestReloadBeforeTheNodeServes(t *testing.T) {
-	cfg := configWith(t, newBackend(t, ok))
+	cfg := configWith(t, newBackend(t, respondOK))
 	cfg.Features.Capture = &settings.Capture{FileBytes: 64 << 10}
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	reloaded := make(chan error, 1)
 	go func() { reloaded <- n.Reload(fileOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)) }()
-	for n.reloads.TryLock() { // until the reload has begun
-		n.reloads.Unlock()
+	for n.reloadMu.TryLock() { // until the reload has begun
+		n.reloadMu.Unlock()
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ran := make(chan error, 1)
--- /dev/null
+++ b/internal/node/attempt.go
@@ -0,0 +1,251 @@
+package node
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/engine"
+)
+
+// earlyResponseWait is how long a server that stopped reading a request is given for its response to come. One that
+// rejected the request early has sent it by then.
+const earlyResponseWait = 50 * time.Millisecond
+
+// Why an attempt has no response, for the log. The outcome beside them says what may have run.
+var (
+	errClosedBeforeRequest = errors.New("closed by the server before it was asked")
+	errResponseTimeout     = errors.New("no answer in time")
+)
+
+// attemptRun is one attempt under way, in the goroutine that Start made for it.
+//
+// Its outcome decides whether the request may be sent again, so it must never claim less than what may have happened: once
+// the last byte is written the request may have run.
+//
+//	NotSent          nothing was written, for reasons of the node's own or of the client
+//	Unreachable      the request was not completely written: it can't have run
+//	Overloaded       the server says that it did not run the request
+//	ConnectionLost   completely written, and no complete response came
+//	TimedOut         the same, at the deadline
+//	Failure          a response other than 200 or a rejection: it may have run
+//	Canceled         the response could not be passed to the client
+type attemptRun struct {
+	pool *connPool
+	att  *engine.Attempt
+	req  *clientRequest
+	conn *upstreamConn // nil: none yet
+}
+
+// runAttempt sends an attempt's request, once, and waits for what comes back.
+func (p *connPool) runAttempt(att *engine.Attempt) engine.Result {
+	run := &attemptRun{pool: p, att: att, req: att.Call.Payload.(*clientRequest)}
+	if run.req.remaining != nil && (run.req.remaining.remainderUsed.Load() || run.req.remaining.incomplete()) {
+		return run.ended(balancer.NotSent) // a part of its body is gone
+	}
+	if !att.MaySend(p.clock.Now()) {
+		return run.ended(balancer.NotSent)
+	}
+	if failure := run.connect(); failure != nil {
+		return *failure
+	}
+	began, failure := run.send()
+	if failure != nil {
+		return *failure
+	}
+	return run.receive(began)
+}
+
+// ended is the result of an attempt that ended without an error worth logging.
+func (a *attemptRun) ended(outcome balancer.Outcome) engine.Result {
+	return engine.Result{Attempt: a.att, Outcome: outcome}
+}
+
+// failed is the result of an attempt without a response, with what is logged of its connection.
+func (a *attemptRun) failed(outcome balancer.Outcome, err error) engine.Result {
+	result := engine.Result{Attempt: a.att, Outcome: outcome, Err: err}
+	if c := a.conn; c != nil {
+		result.ConnectionUses, result.ConnectionAge, result.ConnectionIdle = c.uses, a.pool.clock.Now()-c.connectedAt, c.idleBefore
+	}
+	return result
+}
+
+// connect acquires a connection that can be written to. A reused one that proves broken is replaced; a new one that does
+// is the server's fault. It returns the attempt's result if there is none.
+func (a *attemptRun) connect() (failure *engine.Result) {
+	end := func(result engine.Result) *engine.Result { return &result }
+	for {
+		c, fresh, err := a.pool.acquire(a.att)
+		if errors.Is(err, errNoDescriptor) {
+			return end(a.ended(balancer.NotSent))
+		}
+		if a.conn = c; err != nil {
+			return end(a.failed(balancer.Unreachable, err))
+		}
+		// Connecting takes time: the request may be over by now, or the server may have been told to drain.
+		if !a.att.MaySend(a.pool.clock.Now()) {
+			a.pool.release(c)
+			return end(a.ended(balancer.NotSent))
+		}
+		if a.pool.markRequestSent(c) {
+			return nil
+		}
+		if fresh {
+			return end(a.failed(balancer.Unreachable, errClosedBeforeRequest))
+		}
+	}
+}
+
+// send writes the request. It returns the clock time from which the server's time counts, or the attempt's result if the
+// last byte was not written.
+func (a *attemptRun) send() (began time.Duration, failure *engine.Result) {
+	if a.req.remaining != nil {
+		return a.sendStreamed()
+	}
+	writeBegan := a.pool.clock.Now()
+	left := a.att.Deadline - writeBegan
+	_, err := a.conn.Write(encodeRequest(a.req, left))
+	a.att.Sent(writeBegan, left)
+	if err != nil {
+		a.pool.close(a.conn)
+		result := a.failed(balancer.Unreachable, err)
+		return 0, &result
+	}
+	return a.att.Started, nil
+}
+
+// sendStreamed writes a request whose body is streamed. The server's time counts from the last byte.
+func (a *attemptRun) sendStreamed() (began time.Duration, failure *engine.Result) {
+	err := a.writeStreamed()
+	if err == nil {
+		return a.pool.clock.Now(), nil
+	}
+	outcome := a.conn.incompleteSendOutcome()
+	a.pool.close(a.conn)
+	result := a.failed(outcome, err)
+	if a.req.remaining.incomplete() {
+		result = a.ended(balancer.NotSent) // the client's fault: it says nothing of the server
+	}
+	return 0, &result
+}
+
+func (a *attemptRun) writeStreamed() error {
+	began := a.pool.clock.Now()
+	defer a.att.Sent(began, 0)
+	out := upstreamRequest(a.req, a.att.Timeout)
+	out.ContentLength = a.req.contentLength
+	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.req.body), remainingBody{a.req.remaining}))
+	w := &errWriter{w: a.conn, beforeWrite: func() { a.conn.SetWriteDeadline(time.Now().Add(stallTimeout)) }}
+	if err := out.Write(w); err != nil {
+		return err
+	}
+	if a.req.remaining.incomplete() { // what came of it would pass as the whole body
+		return errRequestBody
+	}
+	a.pool.mu.Lock()
+	defer a.pool.mu.Unlock()
+	a.conn.deadline = time.Now().Add(a.att.Timeout)
+	return a.conn.SetDeadline(a.conn.deadline)
+}
+
+// incompleteSendOutcome is the outcome of an attempt whose last byte was not written: the server may have rejected it
+// before it read all.
+func (c *upstreamConn) incompleteSendOutcome() balancer.Outcome {
+	c.pool.mu.Lock()
+	c.deadline = time.Now().Add(earlyResponseWait)
+	c.SetReadDeadline(c.deadline)
+	c.pool.mu.Unlock()
+	if response := <-c.responses; response.err == nil {
+		if response.stream != nil {
+			close(response.stream.released)
+		}
+		if outcome := outcomeOf(response.head); outcome == balancer.Overloaded {
+			return outcome
+		}
+	}
+	return balancer.Unreachable
+}
+
+// receive waits for the response and makes the connection idle, or closes it. Latency counts from began.
+func (a *attemptRun) receive(began time.Duration) engine.Result {
+	response := <-a.conn.responses
+	switch {
+	case errors.Is(response.err, os.ErrDeadlineExceeded):
+		return a.failed(balancer.TimedOut, errResponseTimeout) // readLoop has closed the connection
+	case response.err != nil:
+		return a.failed(balancer.ConnectionLost, response.err)
+	}
+	result := engine.Result{Attempt: a.att, Outcome: outcomeOf(response.head), Reply: response}
+	if a.req.remaining != nil || response.stream != nil {
+		result.Latency = max(a.pool.clock.Now()-began, 1)
+	}
+	if response.stream != nil && !a.passStream(response, &result) {
+		return result
+	}
+	if response.head.Close {
+		a.pool.close(a.conn)
+	} else {
+		a.pool.release(a.conn)
+	}
+	return result
+}
+
+// passStream has a streamed response passed to its client and waits for the end. It returns false if the response was not
+// passed: the connection is closed then. Only a success is passed on; of other responses the status is enough.
+func (a *attemptRun) passStream(response *upstreamResponse, result *engine.Result) (passed bool) {
+	stream := response.stream
+	if result.Outcome != balancer.Success || !a.pool.passResponse(a.att, response) {
+		a.pool.close(a.conn)
+		close(stream.released)
+		result.Reply = nil
+		if result.Outcome == balancer.Success {
+			result.Outcome = balancer.Canceled // nobody waits for it
+		}
+		return false
+	}
+	end := <-stream.result
+	if end.outcome != balancer.Success {
+		a.pool.close(a.conn)
+	}
+	close(stream.released)
+	result.Outcome, result.Err = end.outcome, end.err
+	return true
+}
+
+// outcomeOf returns the outcome that a response means. A 503 or 504 without the mark of a rejection may come from a
+// request that ran.
+func outcomeOf(head *http.Response) balancer.Outcome {
+	unavailable := head.StatusCode == http.StatusServiceUnavailable || head.StatusCode == http.StatusGatewayTimeout
+	switch {
+	case head.StatusCode == http.StatusOK:
+		return balancer.Success
+	case unavailable && head.Header.Get(headerRejected) == flagSet:
+		return balancer.Overloaded
+	}
+	return balancer.Failure
+}
+
+// encodeRequest is a buffered request as it goes to a server, which is told how long the node waits for it.
+func encodeRequest(req *clientRequest, timeout time.Duration) []byte {
+	out := upstreamRequest(req, timeout)
+	if out.ContentLength = int64(len(req.body)); len(req.body) > 0 {
+		out.Body = io.NopCloser(bytes.NewReader(req.body))
+	}
+	var b bytes.Buffer
+	out.Write(&b) // neither the buffer nor the body can fail
+	return b.Bytes()
+}
+
+// upstreamRequest is a request as it came, but for its body and its budget.
+func upstreamRequest(req *clientRequest, timeout time.Duration) *http.Request {
+	header := req.header.Clone()
+	header.Set(headerBudget, formatBudget(timeout))
+	if _, ok := header["User-Agent"]; !ok {
+		header["User-Agent"] = nil // else Request.Write adds its own
+	}
+	return &http.Request{Method: req.method, URL: req.url, Host: req.host, Header: header}
+}
--- a/internal/node/upstream_test.go
+++ b/internal/node/attempt_test.go
@@ -16,17 +16,17 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-func testPool(t *testing.T) *pool {
-	p := newPool(engine.NewClock(), testConfig(t, "pushed"), 8, nil, func(_ *engine.Attempt, got any) bool {
-		go pass(httptest.NewRecorder(), got.(*reply))
+func testPool(t *testing.T) *connPool {
+	p := newConnPool(engine.NewClock(), testConfig(t, "pushed"), 8, nil, func(_ *engine.Attempt, got any) bool {
+		go forwardStream(httptest.NewRecorder(), got.(*upstreamResponse))
 		return true
 	})
-	t.Cleanup(p.shut)
+	t.Cleanup(p.closeAll)
 	return p
 }
 
-func testAttempt(p *pool, addr string, wait time.Duration) *engine.Attempt {
-	c := &call{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
+func testAttempt(p *connPool, addr string, wait time.Duration) *engine.Attempt {
+	c := &clientRequest{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
 		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload")}
 	c.Payload = c
 	return &engine.Attempt{Call: &c.Call, Target: &engine.Target{ID: "s", Addr: addr}, Deadline: p.clock.Now() + wait}
@@ -59,7 +59,7 @@
 		serve func(int, net.Conn, *http.Request) bool
 		want  balancer.Outcome
 	}{
-		"served":            {ok, balancer.Success},
+		"served":            {respondOK, balancer.Success},
 		"error":             {status("500 Internal Server Error"), balancer.Failure},
 		"not found":         {status("404 Not Found"), balancer.Failure},
 		"accepted":          {status("202 Accepted"), balancer.Failure},
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
-			if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).Outcome; got != tc.want {
+			if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).Outcome; got != tc.want {
 				t.Errorf("ending %v, want %v", got, tc.want)
 			}
 			if n := b.requests(); n != 1 {
@@ -124,7 +124,7 @@
 		}
 		ln.Close()
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).Outcome; got != balancer.Unreachable {
+		if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).Outcome; got != balancer.Unreachable {
 			t.Errorf("ending %v, want Unreachable", got)
 		}
 	})
@@ -136,7 +136,7 @@
 			return false
 		})
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).Outcome; got != balancer.TimedOut {
+		if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).Outcome; got != balancer.TimedOut {
 			t.Errorf("ending %v, want TimedOut", got)
 		}
 		<-left // an attempt is given up by closing its connection
@@ -151,16 +151,16 @@
 		"answered": func(a *engine.Attempt) { a.Call.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t), newBackend(t, ok)
+			p, b := testPool(t), newBackend(t, respondOK)
 			att := testAttempt(p, b.addr(), time.Minute)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				stop(att) // the dial is under way
 				return nil
 			}
-			if got := p.attempt(att).Outcome; got != balancer.NotSent {
+			if got := p.runAttempt(att).Outcome; got != balancer.NotSent {
 				t.Errorf("ending %v, want Void", got)
 			}
-			p.shut()
+			p.closeAll()
 			if n := b.requests(); n != 0 {
 				t.Errorf("the server saw %d requests", n)
 			}
@@ -181,7 +181,7 @@
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []string{"one", "two"} {
 		att := &engine.Attempt{Call: first.Call, Target: first.Target, Deadline: first.Deadline}
-		if r := p.attempt(att); r.Outcome != balancer.Success || bodyOf(r) != want {
+		if r := p.runAttempt(att); r.Outcome != balancer.Success || bodyOf(r) != want {
 			t.Errorf("got %v %q, want %q", r.Outcome, bodyOf(r), want)
 		}
 	}
@@ -200,10 +200,10 @@
 	})
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if got := p.attempt(att).Outcome; got != balancer.Success {
+	if got := p.runAttempt(att).Outcome; got != balancer.Success {
 		t.Fatalf("ended %v", got)
 	}
-	c, fresh, err := p.take(att)
+	c, fresh, err := p.acquire(att)
 	if err != nil || fresh {
 		t.Fatalf("fresh %v, %v", fresh, err)
 	}
@@ -211,13 +211,13 @@
 	eventually(t, "the bytes are seen", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return c.dead
+		return c.closed
 	})
-	if p.ask(c) {
+	if p.markRequestSent(c) {
 		t.Error("the connection would be used")
 	}
 	again := &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
-	if r := p.attempt(again); r.Outcome != balancer.Success || bodyOf(r) != "done" {
+	if r := p.runAttempt(again); r.Outcome != balancer.Success || bodyOf(r) != "done" {
 		t.Errorf("got %v %q", r.Outcome, bodyOf(r))
 	}
 }
@@ -231,13 +231,13 @@
 	})
 	p := testPool(t)
 	for i := range 3 {
-		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).Outcome; got != balancer.Success {
+		if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).Outcome; got != balancer.Success {
 			t.Fatalf("attempt %d ended %v", i, got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.open) == 0
+			return len(p.conns) == 0
 		})
 	}
 }
@@ -250,7 +250,7 @@
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []balancer.Outcome{balancer.Success, balancer.ConnectionLost} {
 		att := &engine.Attempt{Call: first.Call, Target: first.Target, Deadline: first.Deadline}
-		if got := p.attempt(att).Outcome; got != want {
+		if got := p.runAttempt(att).Outcome; got != want {
 			t.Fatalf("ended %v, want %v", got, want)
 		}
 	}
@@ -260,12 +260,12 @@
 }
 
 func TestConnectionIsKept(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
 		att = &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
-		if got := p.attempt(att).Outcome; got != balancer.Success {
+		if got := p.runAttempt(att).Outcome; got != balancer.Success {
 			t.Fatalf("ended %v", got)
 		}
 	}
@@ -273,33 +273,33 @@
 		t.Errorf("%d connections for 5 requests in a row", n)
 	}
 	p.Retire(att.Target)
-	if len(p.open) != 0 {
-		t.Errorf("%d connections stay open to a server that gets nothing new", len(p.open))
+	if len(p.conns) != 0 {
+		t.Errorf("%d connections stay open to a server that gets nothing new", len(p.conns))
 	}
 }
 
 // The limit on sockets holds: an idle connection elsewhere makes room, else there is none.
 func TestNoMoreConnectionsThanAllowed(t *testing.T) {
-	a, b := newBackend(t, ok), newBackend(t, ok)
+	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	p := testPool(t)
-	p.most = 1
+	p.maxConns = 1
 	for range 2 {
 		for _, s := range []*backend{a, b} {
-			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).Outcome; got != balancer.Success {
+			if got := p.runAttempt(testAttempt(p, s.addr(), time.Minute)).Outcome; got != balancer.Success {
 				t.Fatalf("ended %v", got)
 			}
-			if len(p.open) != 1 {
-				t.Fatalf("%d connections, at most 1", len(p.open))
+			if len(p.conns) != 1 {
+				t.Fatalf("%d connections, at most 1", len(p.conns))
 			}
 		}
 	}
 	p.idle.Init() // as if it were in use
-	for c := range p.open {
-		c.place = nil
-		delete(p.kept, c.target)
+	for c := range p.conns {
+		c.idleElement = nil
+		delete(p.idleByTarget, c.target)
 	}
 	// No server is to blame for the node's own lack.
-	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).Outcome; got != balancer.NotSent {
+	if got := p.runAttempt(testAttempt(p, a.addr(), time.Minute)).Outcome; got != balancer.NotSent {
 		t.Errorf("ended %v, want Void", got)
 	}
 }
@@ -307,8 +307,8 @@
 func TestMessageIsUnchanged(t *testing.T) {
 	p := testPool(t)
 	att := testAttempt(p, "127.0.0.1:1", 400*time.Millisecond)
-	att.Call.Payload.(*call).url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
-	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(p.message(att, att.Deadline-p.clock.Now())))))
+	att.Call.Payload.(*clientRequest).url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
+	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(p.encodeRequest(att, att.Deadline-p.clock.Now())))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,4 +322,4 @@
 	}
 }
 
-func bodyOf(r engine.Result) string { return string(r.Reply.(*reply).body) }
+func bodyOf(r engine.Result) string { return string(r.Reply.(*upstreamResponse).body) }
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -120,12 +120,12 @@
 	if _, err := w.Write(make([]byte, 64<<10)); err != nil {
 		t.Fatal(err)
 	}
-	cfg := configWith(t, newBackend(t, ok))
+	cfg := configWith(t, newBackend(t, respondOK))
 	cfg.Features.Capture = &settings.Capture{}
 	full := asyncwriter.New(w)
 	n := start(t, cfg, withLog(full), func(n *Node) { n.stderr = full })
 	for i := range 20 {
-		if status, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
+		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
 			t.Fatalf("answered %d", status)
 		}
 	}
--- /dev/null
+++ b/internal/node/clientconn.go
@@ -0,0 +1,110 @@
+package node
+
+import (
+	"container/list"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/metrics"
+)
+
+// clientConn is a connection from a client. Its states are those of clientListener.
+//
+// Reads pass through three layers: readAhead (the socket, and what was read beyond the open request), head (framing; no
+// read goes beyond a request), and Read (the state of the connection).
+type clientConn struct {
+	net.Conn
+	listener     *clientListener
+	idleElement  *list.Element // in listener.idleConns; nil: a request is open
+	idleSince    time.Time
+	readClosedAt time.Time    // nothing more is read since then; zero: it is read
+	hasRequested bool         // a request has come on it
+	tags         metrics.Tags // of its last request
+	closed       bool
+
+	// Used by the reading goroutine only; readAhead has a lock of its own.
+	acceptedAt time.Time
+	head       requestHeadReader
+	readAhead  *readAheadBuffer
+}
+
+// Read marks the connection as active with the first byte of a request: net/http reports the state only after the whole
+// head, and a connection closed in between would lose a request that was begun.
+func (c *clientConn) Read(b []byte) (int, error) {
+	c.readAhead.stopReader()
+	n, err := c.head.read(c.readAhead.Read, b)
+	for n == 0 && len(b) == 1 && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.outlivesDeadline() {
+		n, err = c.head.read(c.readAhead.Read, b)
+	}
+	if n > 0 && !c.listener.markActive(c) {
+		return 0, io.EOF
+	}
+	if n == 1 && len(b) == 1 { // net/http's background read while a request is open
+		c.readAhead.serverReadByte()
+	}
+	return n, err
+}
+
+// SetReadDeadline sets the HTTP server's deadline.
+func (c *clientConn) SetReadDeadline(t time.Time) error { return c.readAhead.setReadDeadline(t) }
+
+// CloseWrite closes the sending side. The HTTP server also calls it where it leaves something unread.
+func (c *clientConn) CloseWrite() error {
+	nc := c.Conn
+	if identified, ok := nc.(*identifiedConn); ok {
+		nc = identified.Conn
+	}
+	if half, ok := nc.(interface{ CloseWrite() error }); ok {
+		return half.CloseWrite()
+	}
+	return nil
+}
+
+// Close closes the connection and gives its slot back, once.
+func (c *clientConn) Close() error {
+	err := c.Conn.Close()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.listener.removeIdle(c)
+	if !c.closed {
+		c.closed = true
+		c.listener.metrics.Add(c.tags, metrics.OpenConnections, -1)
+		c.listener.openConns--
+		c.listener.signalSlot()
+	}
+	return err
+}
+
+// setTags counts the connection under the tags of its last request.
+func (c *clientConn) setTags(tags metrics.Tags) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.closed || c.tags == tags {
+		return
+	}
+	c.listener.metrics.Add(c.tags, metrics.OpenConnections, -1)
+	c.listener.metrics.Add(tags, metrics.OpenConnections, 1)
+	c.tags = tags
+}
+
+// connKey is the context key of the connection that a request came on.
+type connKey struct{}
+
+// withConn lets requests find their connection. The context ends for all requests on it when the client has gone.
+func withConn(ctx context.Context, nc net.Conn) context.Context {
+	if c, ok := nc.(*clientConn); ok {
+		ctx, c.readAhead.clientGone = context.WithCancel(ctx)
+	}
+	return context.WithValue(ctx, connKey{}, nc)
+}
+
+// connOf returns the connection of a request, or nil in tests that use none.
+func connOf(r *http.Request) *clientConn {
+	c, _ := r.Context().Value(connKey{}).(*clientConn)
+	return c
+}
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -69,18 +69,18 @@
 
 // The moments at which a client leaves. Each brings its request to where it waits and returns the function that lets it
 // go on, after the node has had all the time that it wanted to see the client leave.
-var goneMoments = map[string]func(t *testing.T, n *running, b *backend, ids int) (arrive func(), goOn func()){
-	"held": func(t *testing.T, n *running, b *backend, ids int) (func(), func()) {
+var goneMoments = map[string]func(t *testing.T, n *testNode, b *backend, ids int) (arrive func(), goOn func()){
+	"held": func(t *testing.T, n *testNode, b *backend, ids int) (func(), func()) {
 		h := inService("s-0", b.addr())
 		h.Health = "terminating"
-		n.tell(t, h)
+		n.applyEndpoint(t, h)
 		return func() {
-				eventually(t, "held", func() bool { return n.arrived() == ids })
+				eventually(t, "held", func() bool { return n.requestsSeen() == ids })
 			}, func() {
-				n.tell(t, inService("s-0", b.addr()))
+				n.applyEndpoint(t, inService("s-0", b.addr()))
 			}
 	},
-	"connecting": func(t *testing.T, n *running, b *backend, ids int) (func(), func()) {
+	"connecting": func(t *testing.T, n *testNode, b *backend, ids int) (func(), func()) {
 		g := gate{make(chan struct{}, 2*ids), make(chan struct{})}
 		n.pool.mu.Lock()
 		n.pool.dialer.ControlContext = g.control
@@ -94,7 +94,7 @@
 }
 
 // tell tells the node of a server, and returns when the engine has it.
-func (r *running) tell(t *testing.T, h discoveryapi.Endpoint) {
+func (r *testNode) applyEndpoint(t *testing.T, h discoveryapi.Endpoint) {
 	t.Helper()
 	if err := r.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 }
 
 // arrived counts the open requests, by the module's own account.
-func (r *running) arrived() int {
+func (r *testNode) requestsSeen() int {
 	var saved struct{ Requests []any }
 	r.engine.SuccessorState(context.Background(), func() {
 		if text, err := r.engine.Balancer.Checkpoint(); err == nil {
@@ -144,7 +144,7 @@
 	for moment, bring := range goneMoments {
 		for how, l := range leavers {
 			t.Run(moment+"/"+how, func(t *testing.T) {
-				b := newBackend(t, ok)
+				b := newBackend(t, respondOK)
 				ln := newShown(t)
 				close(ln.goOn)
 				n := serveOn(t, configWith(t, b), ln)
@@ -172,7 +172,7 @@
 func TestLeftBeforeItWasRead(t *testing.T) {
 	for how, l := range leavers {
 		t.Run(how, func(t *testing.T) {
-			b := newBackend(t, ok)
+			b := newBackend(t, respondOK)
 			ln := newShown(t)
 			n := serveOn(t, configWith(t, b), ln)
 			l.leave(l.connect(t, ln.Addr().String(), "1"))
@@ -204,13 +204,13 @@
 // A client that ends its connection in the middle of a body that is passed on as it comes: what it has sent lies unread,
 // and the server hears nothing of it.
 func TestGoneInTheMiddleOfABody(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	ln := newShown(t)
 	close(ln.goOn)
 	n := serveOn(t, configWith(t, b), ln)
 	h := inService("s-0", b.addr())
 	h.Health = "terminating"
-	n.tell(t, h)
+	n.applyEndpoint(t, h)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -220,10 +220,10 @@
 		t.Fatal(err)
 	}
 	there := <-ln.accepted
-	eventually(t, "held", func() bool { return n.arrived() == 1 })
+	eventually(t, "held", func() bool { return n.requestsSeen() == 1 })
 	c.Close()
 	eventually(t, "its end is there", func() bool { return ended(there) })
-	n.tell(t, inService("s-0", b.addr()))
+	n.applyEndpoint(t, inService("s-0", b.addr()))
 	quietAfter(t, n)
 	if b.requests() != 0 || b.accepted() > 0 {
 		t.Errorf("the server got %d requests on %d connections", b.requests(), b.accepted())
--- /dev/null
+++ b/internal/node/clientlistener.go
@@ -0,0 +1,251 @@
+package node
+
+import (
+	"container/list"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/metrics"
+)
+
+const (
+	// minIdleBeforeEviction is how long a connection without an open request is left alone when slots run short. A client
+	// sends right after it has connected, so what it sent has come by then.
+	minIdleBeforeEviction = 50 * time.Millisecond
+
+	// newConnectionGrace is how long net/http's Shutdown leaves a connection alone on which nothing was requested yet.
+	newConnectionGrace = 5 * time.Second
+
+	// halfCloseTimeout is how long a connection whose sending side was closed waits for its client to close it too. A
+	// client that does not within that time is closed on.
+	halfCloseTimeout = 200 * time.Millisecond
+
+	// waitForSignal is the wait for a slot when no connection is idle: only the signal that one is free ends it.
+	waitForSignal = time.Hour
+)
+
+// clientListener accepts client connections within a number of slots, each of which costs one descriptor.
+//
+// It guards against descriptor exhaustion: clients may keep connections for good, and some never send a request. When
+// all slots are taken, the connection that has been idle longest is closed for the next one. A request that crosses that
+// close is not read, so its client may safely send it again. Connections with an open request are never evicted: with
+// all slots in use new clients wait in the kernel's queue.
+//
+// States of a client connection. clientListener.mu guards them:
+//
+//	idle         no open request; in idleConns. New connections begin here (markIdle).
+//	active       from the first byte of a request until its response is written (markActive).
+//	read-closed  idle, and nothing more is read from it: readClosedAt is set. There is no way back.
+//	closed       clientConn.Close has given its slot back.
+//
+// net/http owns each connection and closes it, but for those that closeIdle and acquireSlot close.
+type clientListener struct {
+	net.Listener
+	maxConns     int               // slots
+	metrics      *metrics.Reporter // nil: off
+	access       *accessControl    // nil: every client is admitted
+	slotFreed    chan struct{}     // signals that a slot may be free, or a connection may be evicted
+	closed       chan struct{}
+	signalClosed func()
+	handedOver   atomic.Bool // the listener is closed, and connections go on: a successor accepts
+
+	mu           sync.Mutex
+	openConns    int        // slots that are taken, also by an Accept under way
+	idleConns    *list.List // of *clientConn, the one that has been idle longest first
+	shuttingDown bool       // connections that become idle are read-closed
+}
+
+func newClientListener(ln net.Listener, maxConns int, reporter *metrics.Reporter) *clientListener {
+	closed := make(chan struct{})
+	return &clientListener{Listener: ln, maxConns: maxConns, metrics: reporter, slotFreed: make(chan struct{}, 1), closed: closed,
+		signalClosed: sync.OnceFunc(func() { close(closed) }), idleConns: list.New()}
+}
+
+// Accept waits for a slot and then for a connection. It returns net.ErrClosed after Close.
+func (l *clientListener) Accept() (net.Conn, error) {
+	if err := l.waitForSlot(); err != nil {
+		return nil, err
+	}
+	nc, err := l.Listener.Accept()
+	if err != nil {
+		l.mu.Lock()
+		l.openConns--
+		l.mu.Unlock()
+		if l.handedOver.Load() {
+			<-l.closed
+		}
+		return nil, err
+	}
+	if l.access != nil {
+		nc = l.access.identify(nc)
+	}
+	c := &clientConn{Conn: nc, listener: l, acceptedAt: time.Now(), readAhead: newReadAheadBuffer(nc)}
+	l.metrics.Add(c.tags, metrics.OpenConnections, 1)
+	l.markIdle(c)
+	return c, nil
+}
+
+// waitForSlot returns when a slot is taken for the next connection, or net.ErrClosed after Close.
+func (l *clientListener) waitForSlot() error {
+	for {
+		wait, ok := l.acquireSlot()
+		if ok {
+			return nil
+		}
+		retry := time.NewTimer(wait)
+		select {
+		case <-l.slotFreed:
+		case <-retry.C:
+		case <-l.closed:
+		}
+		retry.Stop()
+		select {
+		case <-l.closed:
+			return net.ErrClosed
+		default:
+		}
+	}
+}
+
+// acquireSlot takes a free slot. If there is none it closes the connection that has been idle longest, provided that it
+// has been so for minIdleBeforeEviction, and returns how long to wait before the next try.
+func (l *clientListener) acquireSlot() (wait time.Duration, ok bool) {
+	l.mu.Lock()
+	if l.openConns < l.maxConns {
+		l.openConns++
+		l.mu.Unlock()
+		return 0, true
+	}
+	longestIdle := l.idleConns.Front()
+	if longestIdle == nil {
+		l.mu.Unlock()
+		return waitForSignal, false
+	}
+	c := longestIdle.Value.(*clientConn)
+	if wait = minIdleBeforeEviction - time.Since(c.idleSince); wait <= 0 && c.readClosedAt.IsZero() {
+		c.readClosedAt = time.Now() // a request that crosses the close stays unread
+	}
+	l.mu.Unlock()
+	if wait <= 0 {
+		c.Close()
+	}
+	return max(wait, 0), false
+}
+
+// Close ends Accept, also while it waits for a slot.
+func (l *clientListener) Close() error {
+	l.signalClosed()
+	return l.Listener.Close()
+}
+
+// stopAccepting closes the listener, of which the successor has a copy. Accept returns only after Close: an error from
+// it would end the HTTP server and with it the connections that are still served.
+func (l *clientListener) stopAccepting() {
+	l.handedOver.Store(true)
+	l.Listener.Close()
+}
+
+// connCount is how many connections are open.
+func (l *clientListener) connCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.openConns
+}
+
+// connStateChanged is told by the HTTP server which state a connection has come to.
+func (l *clientListener) connStateChanged(nc net.Conn, state http.ConnState) {
+	switch c := nc.(*clientConn); state {
+	case http.StateIdle:
+		l.markIdle(c)
+	case http.StateActive:
+		l.markActive(c)
+	}
+}
+
+// markIdle notes that no request is open on a connection.
+func (l *clientListener) markIdle(c *clientConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.idleElement == nil && !c.closed {
+		c.idleSince, c.idleElement = time.Now(), l.idleConns.PushBack(c)
+		if l.shuttingDown && c.hasRequested {
+			c.readClosedAt = c.idleSince
+		}
+		l.signalSlot()
+	}
+}
+
+// markActive notes that a request has begun to come. It returns false for a connection that is read-closed: the request
+// counts as unread.
+func (l *clientListener) markActive(c *clientConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !c.readClosedAt.IsZero() {
+		return false
+	}
+	c.hasRequested = true
+	l.removeIdle(c)
+	return true
+}
+
+// removeIdle takes a connection out of idleConns. The caller holds l.mu.
+func (l *clientListener) removeIdle(c *clientConn) {
+	if c.idleElement != nil {
+		l.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
+	}
+}
+
+// signalSlot wakes an Accept that waits for a slot.
+func (l *clientListener) signalSlot() {
+	select {
+	case l.slotFreed <- struct{}{}:
+	default:
+	}
+}
+
+// stopReadingIdle makes idle connections, and each that becomes idle from now on, read nothing more: net/http is about
+// to close them, and a request that crosses the close is its client's to send again. Were it read, it could be forwarded
+// and its response lost. net/http does not close a connection that has just come up; such a one may still send its
+// request.
+func (l *clientListener) stopReadingIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.shuttingDown = true
+	for e := l.idleConns.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		closedByServer := c.hasRequested || time.Since(c.acceptedAt) >= newConnectionGrace
+		if c.readClosedAt.IsZero() && closedByServer {
+			c.readClosedAt = time.Now()
+		}
+	}
+}
+
+// closeIdle closes connections that have been idle for a time, in two steps over two calls: first the sending side, then,
+// after halfCloseTimeout, the rest. The client sees the first step before it sends again. What it sent before was either
+// read, and is answered, or was not, and the end without a response tells it so. A close in one step could send a reset
+// that destroys the response before it.
+func (l *clientListener) closeIdle(minIdle time.Duration) {
+	now := time.Now()
+	var halfClose, fullClose []*clientConn
+	l.mu.Lock()
+	for e := l.idleConns.Front(); e != nil; e = e.Next() {
+		switch c := e.Value.(*clientConn); {
+		case !c.readClosedAt.IsZero() && now.Sub(c.readClosedAt) >= halfCloseTimeout:
+			fullClose = append(fullClose, c)
+		case c.readClosedAt.IsZero() && now.Sub(c.idleSince) >= minIdle:
+			c.readClosedAt = now
+			halfClose = append(halfClose, c)
+		}
+	}
+	l.mu.Unlock()
+	for _, c := range halfClose {
+		c.CloseWrite()
+	}
+	for _, c := range fullClose {
+		c.Close()
+	}
+}
--- a/internal/node/inbound_test.go
+++ b/internal/node/clientlistener_test.go
@@ -15,11 +15,11 @@
 // Callers that ask once and keep their connection, and callers that never ask, must not take all places
 // for good: a request on a connection that comes later is served.
 func TestPlacesAreForThoseThatAsk(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b, b)
 	for name, first := range map[string]string{"asked once": "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", "never asked": ""} {
 		t.Run(name, func(t *testing.T) {
-			for range n.inbound + 10 {
+			for range n.maxClientConns + 10 {
 				c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 				if err != nil {
 					t.Fatal(err)
@@ -49,8 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newInbound(ln, 2, nil)
-	accepted := make(chan *inConn)
+	in := newClientListener(ln, 2, nil)
+	accepted := make(chan *clientConn)
 	go func() {
 		defer close(accepted)
 		for {
@@ -58,7 +58,7 @@
 			if err != nil {
 				return
 			}
-			accepted <- c.(*inConn)
+			accepted <- c.(*clientConn)
 		}
 	}()
 	var clients, conns []net.Conn
@@ -84,7 +84,7 @@
 	if _, err := conns[1].Read(make([]byte, 1)); err == nil {
 		t.Error("the second was left open")
 	}
-	in.watch(conns[2], http.StateActive)
+	in.connStateChanged(conns[2], http.StateActive)
 	connect()
 	select {
 	case <-accepted:
@@ -94,10 +94,10 @@
 	conns[0].Close()
 	conns[0].Close() // twice gives back one place only
 	conns = append(conns, <-accepted)
-	in.watch(conns[3], http.StateActive)
+	in.connStateChanged(conns[3], http.StateActive)
 	in.mu.Lock()
-	if in.open > in.most || in.rests.Len() != 0 {
-		t.Errorf("%d places of %d taken, %d connections rest", in.open, in.most, in.rests.Len())
+	if in.openConns > in.maxConns || in.idleConns.Len() != 0 {
+		t.Errorf("%d places of %d taken, %d connections rest", in.openConns, in.maxConns, in.idleConns.Len())
 	}
 	in.mu.Unlock()
 	in.Close() // ends Accept, which waits for a place
@@ -111,7 +111,7 @@
 
 // Half a request, or none, gets a close and holds no place for good.
 func TestSilenceIsClosed(t *testing.T) {
-	n := startWith(t, newBackend(t, ok))
+	n := startWith(t, newBackend(t, respondOK))
 	for name, text := range map[string]string{
 		"nothing":   "",
 		"half head": "POST /api HTTP/1.1\r\nHost:",
@@ -142,24 +142,28 @@
 // A connection at rest that is closed has not read the request that crosses its close: its client sends that again, and
 // if it were forwarded too it would run twice, or have no answer.
 func TestWhatCrossesACloseIsUnread(t *testing.T) {
-	for name, closes := range map[string]func(in *inbound, c *inConn){
-		"for its place":   func(in *inbound, _ *inConn) { in.takePlace() },
-		"as clients go":   func(in *inbound, _ *inConn) { in.sweep(0); <-time.After(shutTime); in.sweep(0) },
-		"as the node end": func(in *inbound, c *inConn) { in.shutRests(); c.Close() },
+	for name, closes := range map[string]func(in *clientListener, c *clientConn){
+		"for its place": func(in *clientListener, _ *clientConn) { in.acquireSlot() },
+		"as clients go": func(in *clientListener, _ *clientConn) {
+			in.closeIdle(0)
+			<-time.After(halfCloseTimeout)
+			in.closeIdle(0)
+		},
+		"as the node end": func(in *clientListener, c *clientConn) { in.stopReadingIdle(); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				in := newInbound(nil, 1, nil)
+				in := newClientListener(nil, 1, nil)
 				conn := &crossing{}
-				c := &inConn{Conn: conn, in: in, ahead: newLookahead(conn)}
+				c := &clientConn{Conn: conn, listener: in, readAhead: newReadAheadBuffer(conn)}
 				read := make(chan error, 1)
 				conn.close = func() {
 					_, err := c.Read(make([]byte, 1))
 					read <- err
 				}
-				in.open = 1
-				in.rest(c)
-				<-time.After(restMin)
+				in.openConns = 1
+				in.markIdle(c)
+				<-time.After(minIdleBeforeEviction)
 				closes(in, c)
 				if err := <-read; err != io.EOF {
 					t.Errorf("what crossed the close was read: %v", err)
@@ -177,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newInbound(ln, 1, nil)
+	in := newClientListener(ln, 1, nil)
 	defer in.Close()
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -33,12 +33,12 @@
 	Settings      balancer.Settings
 	Features      settings.File // what the project's own settings file switches on
 
-	text           []byte        // the file as it was read, without an override
-	override       *Override     // what stands over the file; nil: nothing
-	keys           any           // the file as it was read, the override in it, for what it has
-	tenants        []string      // by name
-	connectTimeout time.Duration // a connection not up by then is given up
-	connIdle       time.Duration // a server closes a connection idle for this long
+	text                []byte        // the file as it was read, without an override
+	override            *Override     // what stands over the file; nil: nothing
+	parsedText          any           // the file as it was read, the override in it, for what it has
+	tenants             []string      // by name
+	connectTimeout      time.Duration // a connection not up by then is given up
+	upstreamIdleTimeout time.Duration // a server closes a connection idle for this long
 }
 
 // LoadConfig reads the configuration file. The error says in one line what is wrong with it.
@@ -90,14 +90,14 @@
 			return Config{}, fmt.Errorf("control: %w", err)
 		}
 	}
-	err := json.Unmarshal(text, &c.keys)
+	err := json.Unmarshal(text, &c.parsedText)
 	if err != nil {
 		return Config{}, err
 	}
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 4*reserved {
+	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 4*reservedDescriptors {
 		return Config{}, errors.New("limits: out of range")
 	}
 	if len(raw.Settings) == 0 {
@@ -107,9 +107,9 @@
 	if err != nil {
 		return Config{}, err
 	}
-	c.Settings, c.tenants = settings.module, settings.tenants
-	c.connectTimeout, c.connIdle = settings.connectTimeout, settings.connIdle
-	if c.connectTimeout <= 0 || c.connIdle <= 0 {
+	c.Settings, c.tenants = settings.balancer, settings.tenants
+	c.connectTimeout, c.upstreamIdleTimeout = settings.connectTimeout, settings.upstreamIdleTimeout
+	if c.connectTimeout <= 0 || c.upstreamIdleTimeout <= 0 {
 		return Config{}, errors.New("settings: limits.connect-timeout-ms and limits.conn-idle-ms must be above 0")
 	}
 	return c, nil
@@ -117,10 +117,10 @@
 
 // parsedSettings are the module's settings, and those that the module has no use for: they are the node's.
 type parsedSettings struct {
-	module         balancer.Settings
-	tenants        []string
-	connectTimeout time.Duration
-	connIdle       time.Duration
+	balancer            balancer.Settings
+	tenants             []string
+	connectTimeout      time.Duration
+	upstreamIdleTimeout time.Duration
 }
 
 // parseSettings reads settings and says whether they are of the form of settings, not whether they are sound.
@@ -141,7 +141,7 @@
 	if err := json.Unmarshal(text, &own); err != nil {
 		return parsedSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	parsed := parsedSettings{module: module, connectTimeout: millis(own.Limits.ConnectTimeout), connIdle: millis(own.Limits.ConnIdle)}
+	parsed := parsedSettings{balancer: module, connectTimeout: milliseconds(own.Limits.ConnectTimeout), upstreamIdleTimeout: milliseconds(own.Limits.ConnIdle)}
 	for _, t := range own.Tenants {
 		parsed.tenants = append(parsed.tenants, t.Name)
 	}
@@ -156,7 +156,7 @@
 }
 
 // moduleSettings are the platform's settings with what the features have the module decide.
-func (c Config) moduleSettings() (balancer.Settings, error) {
+func (c Config) balancerSettings() (balancer.Settings, error) {
 	set := c.Settings
 	for _, d := range c.Features.FaultInjections {
 		if !slices.ContainsFunc(set.Classes, func(k balancer.Class) bool { return k.Name == d.Class }) {
@@ -171,14 +171,14 @@
 	return set, nil
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // optional are keys that the platform may leave out of one file and not of the next.
-var optional = map[string]bool{"aim-stretch": true, "by-arrival": true, "bound-to": true, "confined-to": true}
+var optionalKeys = map[string]bool{"aim-stretch": true, "by-arrival": true, "bound-to": true, "confined-to": true}
 
 // lacks names what of one JSON text another has not: a key, or a value of the same kind. Of a list of objects, each
 // must have the keys that all of the other's have. "": nothing.
-func lacks(old, now any, at string) string {
+func missingKey(old, now any, at string) string {
 	switch old := old.(type) {
 	case map[string]any:
 		have, ok := now.(map[string]any)
@@ -187,10 +187,10 @@
 		}
 		for _, key := range slices.Sorted(maps.Keys(old)) {
 			path := strings.TrimPrefix(at+"."+key, ".")
-			if path == "known" || path == "settings.family-info" || optional[key] {
+			if path == "known" || path == "settings.family-info" || optionalKeys[key] {
 				continue
 			}
-			if missing := lacks(old[key], have[key], path); missing != "" {
+			if missing := missingKey(old[key], have[key], path); missing != "" {
 				return missing
 			}
 		}
@@ -200,7 +200,7 @@
 			return at
 		}
 		for i, v := range list {
-			if missing := lacks(shared(old), v, fmt.Sprintf("%s[%d]", at, i)); missing != "" {
+			if missing := missingKey(commonKeys(old), v, fmt.Sprintf("%s[%d]", at, i)); missing != "" {
 				return missing
 			}
 		}
@@ -214,7 +214,7 @@
 }
 
 // shared is an object with the keys that all objects of a list have, nil if they are no objects.
-func shared(list []any) any {
+func commonKeys(list []any) any {
 	var common map[string]any
 	for i, v := range list {
 		object, ok := v.(map[string]any)
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -18,7 +18,7 @@
 )
 
 // quietAfter ends a node and wants every count of calls in flight to be zero then, by the module's own account.
-func quietAfter(t *testing.T, n *running) {
+func quietAfter(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
 	if err := <-n.done; err != nil {
@@ -46,8 +46,8 @@
 			t.Errorf("%d calls of a pool in flight", p.InFlight)
 		}
 	}
-	if len(c.Requests) > 0 || len(n.pool.open) > 0 || n.pool.dial != 0 || len(n.pool.kept) > 1 {
-		t.Errorf("kept: %d requests, %d connections, %d coming up, %d targets", len(c.Requests), len(n.pool.open), n.pool.dial, len(n.pool.kept))
+	if len(c.Requests) > 0 || len(n.pool.conns) > 0 || n.pool.dialing != 0 || len(n.pool.idleByTarget) > 1 {
+		t.Errorf("kept: %d requests, %d connections, %d coming up, %d targets", len(c.Requests), len(n.pool.conns), n.pool.dialing, len(n.pool.idleByTarget))
 	}
 }
 
@@ -121,7 +121,7 @@
 			if tc.want[0] == balancer.TimedOut {
 				wait = 100 * time.Millisecond
 			}
-			if got := p.attempt(testAttempt(p, addr, wait)).Outcome; !slices.Contains(tc.want, got) {
+			if got := p.runAttempt(testAttempt(p, addr, wait)).Outcome; !slices.Contains(tc.want, got) {
 				t.Errorf("ended %v, want one of %v", got, tc.want)
 			}
 			cfg := testConfig(t, "pushed", inService("s-0", addr))
@@ -130,7 +130,7 @@
 			for i := range 3 {
 				r := newRequest(t, n.url, "unsafe", fmt.Sprint(name, i), "x")
 				r.Header.Set("X-Budget", "300m")
-				status, header, _ := do(t, r)
+				status, header, _ := sendRequest(t, r)
 				switch {
 				case tc.want[0] == balancer.Success && status != 200, tc.want[0] != balancer.Success && status == 200:
 					t.Errorf("answered %d", status)
@@ -156,11 +156,11 @@
 		}
 		return respond(c, "200 OK", "done")
 	})
-	other := newBackend(t, ok)
+	other := newBackend(t, respondOK)
 	n := start(t, configWith(t, b))
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "held", "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
 	<-came
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 	}
-	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "next", "x")); status != 200 || other.requests() != 1 {
+	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "next", "x")); status != 200 || other.requests() != 1 {
 		t.Errorf("the new process: answered %d after %d requests", status, other.requests())
 	}
 	close(end)
@@ -214,12 +214,12 @@
 // Expected to fail: one client that trickles heads holds every place, and others wait until the first of them is closed,
 // 2.7 s later. Each is closed in time; sharing the places out among clients is what the fair queues are for.
 func TestOneClientHoldsAllPlaces(t *testing.T) {
-	cfg := configWith(t, newBackend(t, ok))
-	cfg.Sockets = 4 * reserved
+	cfg := configWith(t, newBackend(t, respondOK))
+	cfg.Sockets = 4 * reservedDescriptors
 	n := start(t, cfg)
 	http.DefaultClient.CloseIdleConnections()
 	addr := strings.TrimPrefix(n.url, "http://")
-	for range n.inbound {
+	for range n.maxClientConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -228,12 +228,12 @@
 		io.WriteString(c, "G")
 	}
 	begin := time.Now()
-	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != 200 {
+	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x")); status != 200 {
 		t.Errorf("answered %d", status)
 	}
-	if took := time.Since(begin); took < headTime/3 {
+	if took := time.Since(begin); took < requestHeadTimeout/3 {
 		t.Errorf("served after %v: the fault is gone, and this test should say so", took)
-	} else if took > 2*headTime+time.Second {
+	} else if took > 2*requestHeadTimeout+time.Second {
 		t.Errorf("served after %v: the places are not given back", took)
 	}
 }
@@ -320,7 +320,7 @@
 			var took []time.Duration
 			for i := range 2000 {
 				begin := time.Now()
-				if status, _, body := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != 200 || body != "done" {
+				if status, _, body := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != 200 || body != "done" {
 					t.Fatalf("request %d: answered %d", i, status)
 				}
 				took = append(took, time.Since(begin))
--- /dev/null
+++ b/internal/node/connpool.go
@@ -0,0 +1,246 @@
+package node
+
+import (
+	"bufio"
+	"container/list"
+	"errors"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/engine"
+)
+
+const (
+	// idleTimeoutDivisor sets the idle time of a connection to a server as a part of the time after which servers close
+	// idle connections: the node is to close first, else a request could cross the server's close.
+	idleTimeoutDivisor = 2
+
+	// peerShareDivisor leaves each of two processes of the node this part of the connections, while both run.
+	peerShareDivisor = 2
+
+	// upstreamReadBuffer is the read buffer of a connection to a server, in bytes.
+	upstreamReadBuffer = 4 << 10
+)
+
+// errNoDescriptor says that the node has all the connections that it may have, and none of them is idle. It is the node's
+// own lack and says nothing of the server.
+var errNoDescriptor = errors.New("no socket left for another connection")
+
+// connPool keeps the connections to servers and sends one request at a time on each. It implements engine.Sender.
+//
+// It stands in place of http.Transport, which sends a request again by itself when a reused connection breaks: that could
+// run a non-idempotent request twice.
+//
+// States of a connection. connPool.mu guards them:
+//
+//	connecting   counted in dialing; no upstreamConn yet
+//	in use       of one attempt, from acquire until release or close; requestSent tells whether a request is on its way
+//	idle         in idle and idleByTarget, from release until acquire
+//	closed       no longer in conns. The pool closes it: when it breaks, when it has been idle for idleTimeout, when
+//	             another target needs its descriptor, when its server gets nothing new, or at closeAll.
+//
+// Each connection has one goroutine that reads, also while it is idle: readLoop. The attempt's goroutine writes.
+type connPool struct {
+	clock        engine.Clock
+	bufferLimit  int                             // of a response, in bytes
+	fullMaxConns int                             // connections at once while this process is alone
+	attemptEnded func(engine.Result)             // takes how an attempt ended
+	passResponse func(*engine.Attempt, any) bool // takes a response that is streamed; false: nobody waits for it
+	goroutines   sync.WaitGroup                  // attempts and readLoops
+
+	mu           sync.Mutex
+	dialer       net.Dialer
+	idleTimeout  time.Duration
+	maxConns     int // connections at once
+	conns        map[*upstreamConn]bool
+	dialing      int                                // connections that are coming up
+	idle         *list.List                         // of *upstreamConn, the one that has been idle longest first
+	idleByTarget map[*engine.Target][]*upstreamConn // the one that has been idle longest first
+}
+
+func newConnPool(clock engine.Clock, cfg Config, maxConns int, attemptEnded func(engine.Result),
+	passResponse func(*engine.Attempt, any) bool) *connPool {
+	p := &connPool{clock: clock, dialer: net.Dialer{KeepAlive: -1},
+		bufferLimit: bufferLimit(cfg.MemoryMB, responseMemoryShare, maxConns), maxConns: maxConns, fullMaxConns: maxConns,
+		attemptEnded: attemptEnded, passResponse: passResponse,
+		conns: map[*upstreamConn]bool{}, idle: list.New(), idleByTarget: map[*engine.Target][]*upstreamConn{}}
+	p.applyConfig(cfg)
+	return p
+}
+
+// applyConfig replaces the settings of connections. Those that are open keep theirs until their next use.
+func (p *connPool) applyConfig(cfg Config) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dialer.Timeout, p.idleTimeout = cfg.connectTimeout, cfg.upstreamIdleTimeout/idleTimeoutDivisor
+}
+
+// shareWithPeer leaves a part of the connections to another process of the node, or takes them back: the two share the
+// platform's limit.
+func (p *connPool) shareWithPeer(sharing bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.maxConns = p.fullMaxConns; sharing {
+		p.maxConns = p.fullMaxConns / peerShareDivisor
+	}
+}
+
+// Start runs an attempt in a goroutine of its own, which ends with the attempt's result.
+func (p *connPool) Start(att *engine.Attempt) {
+	p.goroutines.Add(1)
+	go func() {
+		defer p.goroutines.Done()
+		p.attemptEnded(p.runAttempt(att))
+	}()
+}
+
+// Retire closes the idle connections to a server that gets nothing new.
+func (p *connPool) Retire(target *engine.Target) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(p.idleByTarget[target]) > 0 {
+		p.closeLocked(newest(p.idleByTarget[target]))
+	}
+	delete(p.idleByTarget, target)
+}
+
+// closeAll closes all connections and waits until every attempt has ended. Those that are still out belong to clients
+// that have their response or are gone.
+func (p *connPool) closeAll() {
+	p.mu.Lock()
+	for c := range p.conns {
+		p.closeLocked(c)
+	}
+	p.mu.Unlock()
+	p.goroutines.Wait()
+}
+
+// acquire returns the target's idle connection that was used last, else a new one. It returns errNoDescriptor if there
+// may be no further connection, else the error of connecting.
+func (p *connPool) acquire(att *engine.Attempt) (c *upstreamConn, fresh bool, err error) {
+	deadline := p.clock.At(att.Deadline)
+	p.mu.Lock()
+	if c := p.acquireIdle(att.Target, deadline); c != nil {
+		p.mu.Unlock()
+		return c, false, nil
+	}
+	dialer, err := p.reserveDial()
+	p.mu.Unlock()
+	if err != nil {
+		return nil, false, err
+	}
+	dialer.Deadline = deadline
+	nc, err := dialer.Dial("tcp", att.Target.Addr)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dialing--
+	if err != nil {
+		return nil, false, err
+	}
+	return p.addConn(nc, att.Target, deadline), true, nil
+}
+
+// acquireIdle takes the idle connection to a target that was used last: the least likely to be closed by its server just
+// now. nil: there is none. One that breaks from here on is noticed by markRequestSent. The caller holds p.mu.
+func (p *connPool) acquireIdle(target *engine.Target, deadline time.Time) *upstreamConn {
+	idle := p.idleByTarget[target]
+	if len(idle) == 0 {
+		return nil
+	}
+	c := newest(idle)
+	p.removeIdle(c)
+	c.deadline = deadline
+	c.SetDeadline(deadline)
+	return c
+}
+
+// reserveDial reserves a place for a connection that is to come up, and returns the dialer for it. If there is none, the
+// connections that have been idle longest make room, whatever their target. The caller holds p.mu.
+func (p *connPool) reserveDial() (net.Dialer, error) {
+	for len(p.conns)+p.dialing >= p.maxConns && p.idle.Len() > 0 {
+		p.closeLocked(p.idle.Front().Value.(*upstreamConn))
+	}
+	if len(p.conns)+p.dialing >= p.maxConns {
+		return net.Dialer{}, errNoDescriptor
+	}
+	p.dialing++
+	return p.dialer, nil
+}
+
+// addConn adds a connection that has come up, in use, and starts its readLoop. The caller holds p.mu.
+func (p *connPool) addConn(nc net.Conn, target *engine.Target, deadline time.Time) *upstreamConn {
+	now := p.clock.Now()
+	c := &upstreamConn{Conn: nc, pool: p, target: target, responses: make(chan *upstreamResponse, 1), deadline: deadline,
+		connectedAt: now, releasedAt: now}
+	c.reader = bufio.NewReaderSize(c, upstreamReadBuffer)
+	p.conns[c] = true
+	nc.SetDeadline(deadline)
+	p.goroutines.Add(1)
+	go func() {
+		defer p.goroutines.Done()
+		c.readLoop()
+	}()
+	return c
+}
+
+// markRequestSent notes that a request is about to be written. It returns false if the connection has broken, or brought
+// bytes that nobody asked for, since it was acquired: then nothing must be written.
+func (p *connPool) markRequestSent(c *upstreamConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c.requestSent = !c.closed
+	c.uses++
+	c.idleBefore = p.clock.Now() - c.releasedAt
+	return c.requestSent
+}
+
+// release makes a connection idle, for the next attempt to the same target.
+func (p *connPool) release(c *upstreamConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.closed {
+		return
+	}
+	if c.target.Stopped() {
+		p.closeLocked(c)
+		return
+	}
+	c.requestSent = false
+	c.releasedAt = p.clock.Now()
+	c.deadline = time.Now().Add(p.idleTimeout)
+	c.SetDeadline(c.deadline)
+	c.idleElement = p.idle.PushBack(c)
+	p.idleByTarget[c.target] = append(p.idleByTarget[c.target], c)
+}
+
+// removeIdle takes a connection out of the idle ones. The caller holds p.mu.
+func (p *connPool) removeIdle(c *upstreamConn) {
+	p.idle.Remove(c.idleElement)
+	c.idleElement = nil
+	idle := p.idleByTarget[c.target]
+	i := slices.Index(idle, c)
+	p.idleByTarget[c.target] = slices.Delete(idle, i, i+1)
+}
+
+func (p *connPool) close(c *upstreamConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closeLocked(c)
+}
+
+// closeLocked closes a connection, once. The caller holds p.mu.
+func (p *connPool) closeLocked(c *upstreamConn) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	if c.idleElement != nil {
+		p.removeIdle(c)
+	}
+	c.Close()
+	delete(p.conns, c)
+}
+
+func newest(conns []*upstreamConn) *upstreamConn { return conns[len(conns)-1] }
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -56,7 +56,7 @@
 }
 
 // startLogged runs a node with features switched on, before the backends.
-func startLogged(t *testing.T, features settings.File, backends ...*backend) (*running, *logText) {
+func startLogged(t *testing.T, features settings.File, backends ...*backend) (*testNode, *logText) {
 	t.Helper()
 	cfg, out := configWith(t, backends...), &logText{}
 	cfg.Features = features
@@ -81,13 +81,13 @@
 	for _, k := range keys {
 		r.Header.Add(faultinjection.Header, k)
 	}
-	status, _, _ := do(t, r)
+	status, _, _ := sendRequest(t, r)
 	return status
 }
 
 // The operators' check: of 1,000 requests about 10% carry the mark, and each of them is answered.
 func TestATenthIsDrilled(t *testing.T) {
-	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, ok))
+	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, respondOK))
 	if status := startDrill(t, n.url, secret); status != http.StatusOK {
 		t.Fatalf("started with %d", status)
 	}
@@ -135,7 +135,7 @@
 }
 
 func TestWhoMayStartADrill(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	none := startWith(t, b)
 	if status := startDrill(t, none.url, secret); status != http.StatusNotFound {
 		t.Errorf("without drills: %d", status)
@@ -173,17 +173,17 @@
 
 func TestAbortedRequestsReachNoServer(t *testing.T) {
 	for status, advice := range map[int]string{503: "1.2", 500: ""} {
-		b := newBackend(t, ok)
+		b := newBackend(t, respondOK)
 		n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.AbortStatus, d.Delay = status, time.Hour }), b)
 		startDrill(t, n.url, secret)
-		got, header, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
+		got, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		if got != status || header.Get("Retry-After") != advice || b.requests() != 0 {
 			t.Errorf("answered %d, Retry-After %q, %d attempts", got, header.Get("Retry-After"), b.requests())
 		}
 		if len(out.lines("id=1 class=unsafe drill=stall")) != 1 {
 			t.Errorf("said %s", out)
 		}
-		if got, _, _ := do(t, newRequest(t, n.url, "keyed", "2", "x")); got != http.StatusOK {
+		if got, _, _ := sendRequest(t, newRequest(t, n.url, "keyed", "2", "x")); got != http.StatusOK {
 			t.Errorf("another class was answered %d", got)
 		}
 	}
@@ -192,7 +192,7 @@
 // Clients and the end of the node find a delayed request like any other: the one that left is forgotten, the
 // others are served at once.
 func TestDelayedRequestsOnTheWayOut(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
 	startDrill(t, n.url, secret)
 	ctx, leave := context.WithCancel(context.Background())
@@ -212,7 +212,7 @@
 	})
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "held", "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
 	eventually(t, "it is delayed", func() bool { return len(out.lines("id=held")) == 1 })
@@ -229,21 +229,21 @@
 }
 
 func TestDrillKeyGoesToNoServer(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
 	r.Header.Set(faultinjection.Header, secret)
-	if status, _, _ := do(t, r); status != http.StatusOK || b.seen[0].Header.Get(faultinjection.Header) != "" {
+	if status, _, _ := sendRequest(t, r); status != http.StatusOK || b.seen[0].Header.Get(faultinjection.Header) != "" {
 		t.Errorf("answered %d, the server got %v", status, b.seen[0].Header)
 	}
 }
 
 func TestNoStartAtANodeThatLeaves(t *testing.T) {
-	h := &callers{drills: faultinjection.NewKeys(stall(func(*settings.FaultInjection) {}).FaultInjections), closing: func() bool { return false },
-		cutoff: func() time.Duration { return 1 }}
+	h := &ingressHandler{faultKeys: faultinjection.NewKeys(stall(func(*settings.FaultInjection) {}).FaultInjections), endsConnections: func() bool { return false },
+		hardDeadline: func() time.Duration { return 1 }}
 	r, w := httptest.NewRequest(http.MethodPost, faultinjection.Path, nil), httptest.NewRecorder()
 	r.Header.Set(faultinjection.Header, secret)
-	if h.startDrill(w, r, netip.Addr{}); w.Code != http.StatusServiceUnavailable {
+	if h.startFaultInjection(w, r, netip.Addr{}); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", w.Code)
 	}
 }
@@ -251,14 +251,14 @@
 func TestDrillOfAnUnknownClass(t *testing.T) {
 	cfg := testConfig(t, "pushed")
 	cfg.Features = stall(func(d *settings.FaultInjection) { d.Class, d.Pos = "new", "a.hcl:3" })
-	if _, err := New(cfg, quiet()); err == nil || !strings.Contains(err.Error(), `a.hcl:3: drill stall: class "new"`) {
+	if _, err := New(cfg, discardLogger()); err == nil || !strings.Contains(err.Error(), `a.hcl:3: drill stall: class "new"`) {
 		t.Errorf("said %v", err)
 	}
 }
 
 // A start that brings a body, or half of one, is answered and holds nothing up.
 func TestStartWithABody(t *testing.T) {
-	n, _ := startLogged(t, stall(func(*settings.FaultInjection) {}), newBackend(t, ok))
+	n, _ := startLogged(t, stall(func(*settings.FaultInjection) {}), newBackend(t, respondOK))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/fakes_test.go
+++ b/internal/node/helpers_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func inService(id, addr string) discoveryapi.Endpoint {
 	return discoveryapi.Endpoint{Host: id, Dial: addr, Site: "z", Health: "in_service"}
@@ -137,7 +137,7 @@
 	return err == nil
 }
 
-func ok(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
+func respondOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
 // silentDiscovery is an agent that keeps its watches open and has nothing new.
 func silentDiscovery(t *testing.T) string {
@@ -152,14 +152,14 @@
 func newDiscoveryServer(t *testing.T, f http.HandlerFunc) string { return discoverytest.Serve(t, f) }
 
 // running is a node that serves on loopback.
-type running struct {
+type testNode struct {
 	*Node
 	url  string
 	stop context.CancelFunc
 	done chan error
 }
 
-func start(t *testing.T, cfg Config, adjust ...func(*Node)) *running {
+func start(t *testing.T, cfg Config, adjust ...func(*Node)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,18 +178,18 @@
 }
 
 // serveOn runs a node on a listener of the test's.
-func serveOn(t *testing.T, cfg Config, ln net.Listener, adjust ...func(*Node)) *running {
+func serveOn(t *testing.T, cfg Config, ln net.Listener, adjust ...func(*Node)) *testNode {
 	t.Helper()
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.most = 0 // no test waits for a late SIGKILL, but for those that say so
+	n.maxCountedDeadline = 0 // no test waits for a late SIGKILL, but for those that say so
 	for _, f := range adjust {
 		f(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &testNode{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, done: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -204,7 +204,7 @@
 }
 
 // startWith runs a node that knows the backends and hears nothing else.
-func startWith(t *testing.T, backends ...*backend) *running {
+func startWith(t *testing.T, backends ...*backend) *testNode {
 	t.Helper()
 	return start(t, configWith(t, backends...))
 }
@@ -236,7 +236,7 @@
 }
 
 // do sends a request and returns the status, the answer's headers and its body.
-func do(t *testing.T, r *http.Request) (int, http.Header, string) {
+func sendRequest(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/internal/node/ingress_test.go
+++ b/internal/node/ingress_test.go
@@ -14,12 +14,12 @@
 )
 
 func TestServedThroughTheNode(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "keyed", "id-1", "payload")
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
-	if status, _, body := do(t, r); status != http.StatusOK || body != "done" {
+	if status, _, body := sendRequest(t, r); status != http.StatusOK || body != "done" {
 		t.Fatalf("got %d %q", status, body)
 	}
 	got := b.seen[0]
@@ -34,7 +34,7 @@
 
 // What is malformed gets a 4xx and reaches no server.
 func TestMalformedRequests(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	for name, spoil := range map[string]func(*http.Request){
 		"no id":         func(r *http.Request) { r.Header.Del("X-Call-Id") },
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRequest(t, n.url, "keyed", "id-"+name, "payload")
 			spoil(r)
-			if status, _, _ := do(t, r); status < 400 || status > 499 {
+			if status, _, _ := sendRequest(t, r); status < 400 || status > 499 {
 				t.Errorf("answered %d", status)
 			}
 		})
@@ -73,7 +73,7 @@
 }
 
 // exchange writes raw bytes and returns all that comes back until the node closes the connection.
-func exchange(t *testing.T, n *running, text string) string {
+func exchange(t *testing.T, n *testNode, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
@@ -92,7 +92,7 @@
 // What does not say clearly where it ends gets one 4xx or 5xx and a close: with two lengths, a server could
 // get as a request what a caller wrote as a body. What follows on the connection is never read.
 func TestFramingIsNotGuessed(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	request := func(id, version, framing string) string {
 		return "POST /api HTTP/" + version + "\r\nHost: h\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\n" +
@@ -143,11 +143,11 @@
 		return respond(c, "500 Internal Server Error", "")
 	})
 	begin := time.Now()
-	status, header, _ := do(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
+	status, header, _ := sendRequest(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.2" {
 		t.Errorf("refused with %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	status, header, _ = do(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
+	status, header, _ = sendRequest(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
 	if status != http.StatusBadGateway || header.Get("Retry-After") != "" {
 		t.Errorf("failed with %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
@@ -166,11 +166,11 @@
 	n := startWith(t, b)
 	first := make(chan int, 1)
 	go func() {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		first <- status
 	}()
 	eventually(t, "the first is out", func() bool { return b.requests() == 1 })
-	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusConflict {
+	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusConflict {
 		t.Errorf("answered %d, want 409", status)
 	}
 	close(release)
@@ -206,7 +206,7 @@
 	close(release)
 	// Its id is free again only when the loop has let go of the call and of its attempt.
 	eventually(t, "its id is free", func() bool {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		return status == http.StatusOK
 	})
 }
@@ -224,12 +224,12 @@
 	n := startWith(t, b)
 	held := make(chan int, 1)
 	go func() {
-		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "held", "x"))
+		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.life.Load().ShuttingDown() })
+	eventually(t, "leaving", func() bool { return n.lifecycle.Load().ShuttingDown() })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
@@ -265,10 +265,10 @@
 		}
 		return respond(c, "200 OK", "done")
 	})
-	n := start(t, configWith(t, b), func(n *Node) { n.most = killMost })
+	n := start(t, configWith(t, b), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	begin := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.life.Load().ShuttingDown() })
+	eventually(t, "leaving", func() bool { return n.lifecycle.Load().ShuttingDown() })
 	late := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", "late", "x")) // has 30 s
@@ -293,7 +293,7 @@
 			last = time.Since(begin)
 		}
 	}
-	if last < killMost/2 {
+	if last < maxCountedDeadline/2 {
 		t.Errorf("served no longer than %v", last)
 	}
 	select {
--- a/internal/node/list_test.go
+++ b/internal/node/initiallist_test.go
@@ -17,7 +17,7 @@
 
 // WithOverride an asked discovery that fails at first, the module asks again and the node gets its list.
 func TestModuleAsksAgain(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	calls := make(chan struct{}, 100)
 	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
 		calls <- struct{}{}
@@ -32,7 +32,7 @@
 	cfg := testConfig(t, "on_request")
 	cfg.Discovery = addr
 	n := start(t, cfg) // becomes ready only with the list
-	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
+	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
 }
@@ -42,13 +42,13 @@
 func TestListChangesAreKept(t *testing.T) {
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
-	first, second := newBackend(t, ok), newBackend(t, ok)
+	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
 	heard := make(chan struct{}, 10)
 	n := start(t, cfg, func(n *Node) {
-		tell := n.disc.ApplyUpdate
-		n.disc.ApplyUpdate = func(ctx context.Context, w engine.Update) error {
+		tell := n.discovery.ApplyUpdate
+		n.discovery.ApplyUpdate = func(ctx context.Context, w engine.Update) error {
 			err := tell(ctx, w)
 			heard <- struct{}{}
 			return err
@@ -59,7 +59,7 @@
 		t.Helper()
 		for range 10 {
 			id++
-			if status, _, _ := do(t, newRequest(t, n.url, "keyed", fmt.Sprint(id), "x")); status != http.StatusOK {
+			if status, _, _ := sendRequest(t, newRequest(t, n.url, "keyed", fmt.Sprint(id), "x")); status != http.StatusOK {
 				t.Fatalf("request %d was answered %d", id, status)
 			}
 		}
@@ -85,14 +85,14 @@
 	if got := second.requests(); got != before {
 		t.Errorf("a draining server got %d new requests", got-before)
 	}
-	moved := newBackend(t, ok)
+	moved := newBackend(t, respondOK)
 	told(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
 	before = first.requests()
 	send()
 	if first.requests() != before || moved.requests() != 10 {
 		t.Errorf("after the move the old address got %d, the new one %d", first.requests()-before, moved.requests())
 	}
-	third := newBackend(t, ok)
+	third := newBackend(t, respondOK)
 	told(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
 	send()
 	if moved.requests() != 10 || third.requests() != 10 {
@@ -105,10 +105,10 @@
 func TestNewProcessWaitsForTheAgentsWord(t *testing.T) {
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
-	old, sound := newBackend(t, ok), newBackend(t, ok)
+	old, sound := newBackend(t, respondOK), newBackend(t, respondOK)
 	cfg := testConfig(t, "pushed", inService("s-1", old.addr()), inService("s-2", sound.addr()))
 	cfg.Discovery = addr
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 		req.Header.Set("Expect", "100-continue")
 		req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got100Continue: func() { read <- struct{}{} }}))
 		go func() {
-			status, _, _ := do(t, req)
+			status, _, _ := sendRequest(t, req)
 			statuses <- status
 		}()
 	}
@@ -167,19 +167,19 @@
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}, false, 1900 * time.Millisecond, 2 * time.Second},
-		"silent": {func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false, firstMost, firstMost + 100*time.Millisecond},
-		"away":   {nil, true, firstList, firstList + 100*time.Millisecond},
+		"silent": {func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false, maxInitialListWait, maxInitialListWait + 100*time.Millisecond},
+		"away":   {nil, true, initialListWait, initialListWait + 100*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cfg := testConfig(t, "pushed", inService("s-1", "127.0.0.1:1"))
-				n, err := New(cfg, quiet())
+				n, err := New(cfg, discardLogger())
 				if err != nil {
 					t.Fatal(err)
 				}
-				n.disc.Client.Transport.(*http.Transport).DialContext = discoverytest.Pipe(t, http.HandlerFunc(c.agent))
+				n.discovery.Client.Transport.(*http.Transport).DialContext = discoverytest.Pipe(t, http.HandlerFunc(c.agent))
 				if c.refused {
-					n.disc.Client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
+					n.discovery.Client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 						return nil, syscall.ECONNREFUSED
 					}
 				}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,52 +31,52 @@
 )
 
 const (
-	reserved   = 32                      // descriptors for the listener, discovery, logs and the runtime
-	anyLimit   = 1024                    // sockets where no limit is set
-	killSpare  = 700 * time.Millisecond  // SIGKILL comes so long after the longest deadline at the earliest,
-	killMost   = 3 * time.Second         // of which no more than this counts
-	firstList  = time.Second             // how long to wait for discovery's word before the known list must do,
-	firstMost  = 2500 * time.Millisecond // or where what it has counts at once, unless it is away
-	sweepEvery = 50 * time.Millisecond   // while clients are sent away
+	reservedDescriptors    = 32                      // descriptors for the listener, discovery, logs and the runtime
+	defaultDescriptorLimit = 1024                    // sockets where no limit is set
+	killMargin             = 700 * time.Millisecond  // SIGKILL comes so long after the longest deadline at the earliest,
+	maxCountedDeadline     = 3 * time.Second         // of which no more than this counts
+	initialListWait        = time.Second             // how long to wait for discovery's word before the known list must do,
+	maxInitialListWait     = 2500 * time.Millisecond // or where what it has counts at once, unless it is away
+	idleCloseInterval      = 50 * time.Millisecond   // while clients are sent away
 )
 
 // Node is one balancer on real sockets.
 type Node struct {
-	cfg     Config
-	log     *slog.Logger
-	clock   engine.Clock
-	engine  *engine.Engine
-	pool    *pool
-	disc    *discovery.Source
-	lists   *balancer.AccessList // nil: everybody is let in
-	stderr  io.Writer            // of figures and capture
-	inbound int                  // connections from callers at once
-	heard   atomic.Bool          // discovery has spoken, or had its time
-	first   first                // the list that the node begins with
-	life    atomic.Pointer[lifecycle.Machine]
-	rules   atomic.Pointer[rules] // what the front knows of the classes
-	in      *inbound
-	most    time.Duration // killMost, less in tests
-	sweeps  sync.WaitGroup
-	ended   chan struct{}
+	cfg                Config
+	log                *slog.Logger
+	clock              engine.Clock
+	engine             *engine.Engine
+	pool               *connPool
+	discovery          *discovery.Source
+	accessList         *balancer.AccessList // nil: everybody is let in
+	stderr             io.Writer            // of figures and capture
+	maxClientConns     int                  // connections from callers at once
+	hasEndpointList    atomic.Bool          // discovery has spoken, or had its time
+	initialList        initialList          // the list that the node begins with
+	lifecycle          atomic.Pointer[lifecycle.Machine]
+	classes            atomic.Pointer[classTable] // what the front knows of the classes
+	clients            *clientListener
+	maxCountedDeadline time.Duration // killMost, less in tests
+	idleClosers        sync.WaitGroup
+	stopped            chan struct{}
 
-	kin       kin
-	inherited []engine.Endpoint // the servers, where another process handed them over
+	peer               peerProcess
+	inheritedEndpoints []engine.Endpoint // the servers, where another process handed them over
 
 	// PeersView, if it is there, is asked by operators for what this node knows of its peers, and Reread at SIGHUP; both are
 	// set before Run.
 	PeersView  func() any
 	ReloadKeys func() error
 
-	reloads sync.Mutex // over what follows
-	now     Config     // as it was read last; cfg is that of the start
+	reloadMu sync.Mutex // over what follows
+	current  Config     // as it was read last; cfg is that of the start
 
-	set atomic.Pointer[balancer.Settings] // the module's; written with reloads held
+	balancerSettings atomic.Pointer[balancer.Settings] // the module's; written with reloads held
 }
 
 // New wires a node. It opens nothing yet.
 func New(cfg Config, logger *slog.Logger) (*Node, error) {
-	set, err := cfg.moduleSettings()
+	set, err := cfg.balancerSettings()
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -85,25 +85,25 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Sockets == 0 {
-		cfg.Sockets = anyLimit
+		cfg.Sockets = defaultDescriptorLimit
 	}
-	n := &Node{cfg: cfg, now: cfg, lists: set.AccessList, log: logger, clock: engine.NewClock(), most: killMost, stderr: asyncwriter.Stderr,
-		ended: make(chan struct{})}
-	n.life.Store(&lifecycle.Machine{})
-	n.set.Store(&set)
-	n.rules.Store(newRules(set, nil, 0))
-	spare := reserved
+	n := &Node{cfg: cfg, current: cfg, accessList: set.AccessList, log: logger, clock: engine.NewClock(), maxCountedDeadline: maxCountedDeadline, stderr: asyncwriter.Stderr,
+		stopped: make(chan struct{})}
+	n.lifecycle.Store(&lifecycle.Machine{})
+	n.balancerSettings.Store(&set)
+	n.classes.Store(newClassTable(set, nil, 0))
+	spare := reservedDescriptors
 	if cfg.AdminAddress != "" {
 		spare += adminapi.MaxConnections + 1
 	}
 	n.engine = engine.New(engine.Options{Clock: n.clock, Log: logger, Balancer: bal, Guard: invariants.NewGuard(logger)})
 	n.engine.Guard.Counted = func(invariants.Rule) { n.engine.Metrics.Count(metrics.Tags(0), metrics.Violations) }
-	n.inbound = (cfg.Sockets - spare) * 5 / 8
-	n.pool = newPool(n.clock, cfg, cfg.Sockets-spare-n.inbound, n.engine.AttemptEnded, n.engine.PassResponse)
-	n.disc = discovery.New(discovery.Config{Addr: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, MaxPollInterval: cfg.Settings.MaxPollInterval,
-		Pollers: cfg.Settings.Replicas, Version: cfg.BootstrapList.Seq}, logger, n.hear)
-	n.disc.RenewLease = n.engine.RenewLease
-	n.engine.Sender, n.engine.Subscribe = n.pool, n.disc.Subscribe
+	n.maxClientConns = (cfg.Sockets - spare) * 5 / 8
+	n.pool = newConnPool(n.clock, cfg, cfg.Sockets-spare-n.maxClientConns, n.engine.AttemptEnded, n.engine.PassResponse)
+	n.discovery = discovery.New(discovery.Config{Addr: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, MaxPollInterval: cfg.Settings.MaxPollInterval,
+		Pollers: cfg.Settings.Replicas, Version: cfg.BootstrapList.Seq}, logger, n.applyDiscoveryUpdate)
+	n.discovery.RenewLease = n.engine.RenewLease
+	n.engine.Sender, n.engine.Subscribe = n.pool, n.discovery.Subscribe
 	return n, nil
 }
 
@@ -134,52 +134,52 @@
 			f()
 		}()
 	}
-	n.switchOn()
+	n.startFeatures()
 	own(n.engine.Run)
 	watching, stopWatching := context.WithCancel(context.Background())
-	if n.cfg.Settings.PollDiscovery || n.inherited != nil {
-		n.first.tell(watching, n, nil) // neither has ended
+	if n.cfg.Settings.PollDiscovery || n.inheritedEndpoints != nil {
+		n.initialList.apply(watching, n, nil) // neither has ended
 	}
-	own(func() { n.disc.Run(watching) })
+	own(func() { n.discovery.Run(watching) })
 	begin := func() {
-		n.first.tell(watching, n, nil)
-		n.heard.Store(true)
+		n.initialList.apply(watching, n, nil)
+		n.hasEndpointList.Store(true)
 	}
-	defer time.AfterFunc(firstList, func() {
-		if n.cfg.Settings.PollDiscovery || n.disc.Unavailable() {
+	defer time.AfterFunc(initialListWait, func() {
+		if n.cfg.Settings.PollDiscovery || n.discovery.Unavailable() {
 			begin()
 		}
 	}).Stop()
-	defer time.AfterFunc(firstMost, begin).Stop()
+	defer time.AfterFunc(maxInitialListWait, begin).Stop()
 
-	in := newInbound(ln, n.inbound, n.engine.Metrics)
-	n.in = in
+	in := newClientListener(ln, n.maxClientConns, n.engine.Metrics)
+	n.clients = in
 	if a := n.cfg.Features.AccessList; a != nil {
-		in.doors = &doors{lists: n.lists, timeout: a.ProxyTimeout, log: n.log}
+		in.access = &accessControl{accessList: n.accessList, proxyHeaderTimeout: a.ProxyTimeout, log: n.log}
 	}
-	lastFigures := n.report()
+	lastFigures := n.startMetrics()
 	server := &http.Server{
-		Handler: &callers{engine: n.engine, clock: n.clock, rules: n.rules.Load, ready: n.ready,
-			held:    held(n.cfg.MemoryMB, bodyPart, n.inbound),
-			drills:  faultinjection.NewKeys(n.cfg.Features.FaultInjections),
-			figures: n.engine.Metrics,
-			lists:   n.lists,
-			guard:   n.engine.Guard,
-			closing: func() bool { return n.life.Load().EndsConnections(n.clock.Now()) },
-			cutoff:  func() time.Duration { return n.life.Load().HardDeadline() }},
-		ReadHeaderTimeout: headTime,
-		ConnState:         in.watch,
+		Handler: &ingressHandler{engine: n.engine, clock: n.clock, classes: n.classes.Load, ready: n.ready,
+			bufferLimit:     bufferLimit(n.cfg.MemoryMB, requestBodyMemoryShare, n.maxClientConns),
+			faultKeys:       faultinjection.NewKeys(n.cfg.Features.FaultInjections),
+			metrics:         n.engine.Metrics,
+			accessList:      n.accessList,
+			guard:           n.engine.Guard,
+			endsConnections: func() bool { return n.lifecycle.Load().EndsConnections(n.clock.Now()) },
+			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() }},
+		ReadHeaderTimeout: requestHeadTimeout,
+		ConnState:         in.connStateChanged,
 		ConnContext:       withConn,
-		IdleTimeout:       idleTime,
+		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    16 << 10,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(in) }()
-	if life := n.step(lifecycle.Started); life.IsOutOfService() {
-		n.sweepAfter(life)
+	if life := n.transition(lifecycle.Started); life.IsOutOfService() {
+		n.closeIdleConnections(life)
 	}
-	parted := n.meet(ln, own)
+	parted := n.connectPeers(ln, own)
 	var operators *adminapi.Server
 	if ctl != nil {
 		operators = adminapi.New(ctl, adminService{n}, n.log)
@@ -196,7 +196,7 @@
 	case err = <-failed:
 		err = fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
-		n.drain(server)
+		n.shutDown(server)
 		if serveErr := <-failed; !errors.Is(serveErr, http.ErrServerClosed) {
 			err = fmt.Errorf("serve: %w", serveErr)
 		}
@@ -205,10 +205,10 @@
 		operators.Close()
 	}
 	parted()
-	close(n.ended)
-	n.sweeps.Wait()
+	close(n.stopped)
+	n.idleClosers.Wait()
 	stopWatching()
-	n.pool.shut()
+	n.pool.closeAll()
 	n.engine.Stop()
 	owned.Wait()
 	lastFigures()
@@ -218,12 +218,12 @@
 }
 
 // switchOn begins what the settings file has on and the engine takes part in.
-func (n *Node) switchOn() {
+func (n *Node) startFeatures() {
 	if f := n.cfg.Features.Metrics; f != nil {
 		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
 	}
 	if c := n.cfg.Features.Capture; c != nil {
-		n.engine.Capture = capture.New(*c, n.cfg.Name, n.engine.Balancer, n.settings(), n.cfg.Seed, n.stderr, n.log)
+		n.engine.Capture = capture.New(*c, n.cfg.Name, n.engine.Balancer, n.currentSettings(), n.cfg.Seed, n.stderr, n.log)
 	}
 }
 
@@ -233,7 +233,7 @@
 
 // report writes figures, where they are on, until the function that it returns is called; that one sees to it
 // that the last are written.
-func (n *Node) report() (end func()) {
+func (n *Node) startMetrics() (end func()) {
 	r := n.engine.Metrics
 	if r == nil {
 		return func() {}
@@ -250,24 +250,24 @@
 // Where they are pushed, what the agent has counts as told from the first moment on, and the given list may have servers
 // that drain or were replaced: what comes waits for the agent's word, which then changes the given list in one step, or
 // until discovery has had its time.
-type first struct {
-	mu   sync.Mutex
-	told bool
+type initialList struct {
+	mu      sync.Mutex
+	applied bool
 }
 
 // tell tells the module the list that the node begins with, unless it was told, and what has come from discovery.
-func (f *first) tell(ctx context.Context, n *Node, more *engine.Update) error {
+func (f *initialList) apply(ctx context.Context, n *Node, more *engine.Update) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.told {
-		begin := n.known()
+	if !f.applied {
+		begin := n.bootstrapUpdate()
 		if more != nil {
-			begin, more = merged(begin, *more), nil
+			begin, more = mergeUpdate(begin, *more), nil
 		}
 		if err := n.engine.ApplyUpdate(ctx, begin); err != nil {
 			return err
 		}
-		f.told = true
+		f.applied = true
 	}
 	if more == nil {
 		return nil
@@ -276,7 +276,7 @@
 }
 
 // merged is a list with changes made to it.
-func merged(list, changes engine.Update) engine.Update {
+func mergeUpdate(list, changes engine.Update) engine.Update {
 	if changes.Complete || changes.Failed {
 		return changes
 	}
@@ -290,25 +290,25 @@
 }
 
 // hear takes what discovery writes.
-func (n *Node) hear(ctx context.Context, w engine.Update) error {
-	if err := n.first.tell(ctx, n, &w); err != nil {
+func (n *Node) applyDiscoveryUpdate(ctx context.Context, w engine.Update) error {
+	if err := n.initialList.apply(ctx, n, &w); err != nil {
 		return err
 	}
-	n.heard.Store(true)
+	n.hasEndpointList.Store(true)
 	return nil
 }
 
 // ready says that the node can serve: it knows a server in service, from discovery itself if that answers.
 func (n *Node) ready() bool {
-	return n.heard.Load() && n.engine.HasUsableServer() && n.life.Load().Ready()
+	return n.hasEndpointList.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().Ready()
 }
 
 // step tells the lifecycle of an event.
-func (n *Node) step(e lifecycle.Event) lifecycle.Machine {
+func (n *Node) transition(e lifecycle.Event) lifecycle.Machine {
 	for {
-		old := n.life.Load()
-		next := old.Step(n.clock.Now(), e, min(n.rules.Load().longest, n.most)+killSpare, n.followed())
-		if n.life.CompareAndSwap(old, &next) {
+		old := n.lifecycle.Load()
+		next := old.Step(n.clock.Now(), e, min(n.classes.Load().maxDeadline, n.maxCountedDeadline)+killMargin, n.successorServing())
+		if n.lifecycle.CompareAndSwap(old, &next) {
 			return next
 		}
 	}
@@ -318,18 +318,18 @@
 // connections that the front still deals out, and idle ones closed at once would cross requests. Callers
 // use the connections they have while these stay open, and may have no other node to go to: they are served
 // for as long as each answer comes before SIGKILL can.
-func (n *Node) drain(server *http.Server) {
+func (n *Node) shutDown(server *http.Server) {
 	n.log.Info("leaving")
-	life := n.step(lifecycle.Terminate)
+	life := n.transition(lifecycle.Terminate)
 	if len(n.cfg.Features.FaultInjections) > 0 { // an event that changes nothing would still be one more than before
 		n.engine.BeginShutdown()
 	}
-	if n.followed() {
-		n.handOff(life)
+	if n.successorServing() {
+		n.drainToSuccessor(life)
 	}
 	time.Sleep(life.StopsAt(n.clock.Now()))
-	n.in.shutRests()
-	ctx, cancel := context.WithTimeout(context.Background(), n.rules.Load().longest+20*time.Millisecond)
+	n.clients.stopReadingIdle()
+	ctx, cancel := context.WithTimeout(context.Background(), n.classes.Load().maxDeadline+20*time.Millisecond)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
 		n.log.Warn("connections left open", "err", err) // none of them is owed an answer any more
@@ -339,16 +339,16 @@
 
 // handOff leaves new clients to the heir and waits until those of this process have left. Kept connections end with
 // their next answer, those at rest as late as may be: none crosses a request of its client's that way but the last.
-func (n *Node) handOff(life lifecycle.Machine) {
-	n.in.retire()
-	n.sweepAfter(life)
-	for n.in.count() > 0 && n.clock.Now() < life.HardDeadline() {
-		time.Sleep(goneTime)
+func (n *Node) drainToSuccessor(life lifecycle.Machine) {
+	n.clients.stopAccepting()
+	n.closeIdleConnections(life)
+	for n.clients.connCount() > 0 && n.clock.Now() < life.HardDeadline() {
+		time.Sleep(clientDrainPoll)
 	}
 }
 
 // whole marks the list that a node starts with as complete.
-func whole(l discoveryapi.List) discoveryapi.List {
+func asComplete(l discoveryapi.List) discoveryapi.List {
 	l.Complete = true
 	return l
 }
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -32,7 +32,7 @@
 // its address of discovery. The override before, if there is one, has no part in it. The error says why no node can start
 // with that.
 func (c Config) WithOverride(override Override) (Config, error) {
-	text, err := compose(c.text, override)
+	text, err := composeConfig(c.text, override)
 	if err != nil {
 		return Config{}, err
 	}
@@ -42,7 +42,7 @@
 	}
 	composed.AdminAddress, composed.Features = c.AdminAddress, c.Features
 	composed.text, composed.override = c.text, &override
-	_, err = composed.checkedSettings()
+	_, err = composed.validatedSettings()
 	return composed, err
 }
 
@@ -60,7 +60,7 @@
 }
 
 // compose puts an override into the text of a configuration file.
-func compose(file []byte, override Override) ([]byte, error) {
+func composeConfig(file []byte, override Override) ([]byte, error) {
 	var whole map[string]json.RawMessage
 	if err := json.Unmarshal(file, &whole); err != nil {
 		return nil, err
@@ -118,19 +118,19 @@
 	if err != nil {
 		return err
 	}
-	n.reloads.Lock()
-	defer n.reloads.Unlock()
-	cfg, err := n.now.WithOverride(override)
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
+	cfg, err := n.current.WithOverride(override)
 	if err != nil {
 		return err
 	}
-	if err := cfg.follows(n.now); err != nil {
+	if err := cfg.checkCompatible(n.current); err != nil {
 		return err
 	}
 	if check != nil {
-		if err := check(n.now.Classes(), cfg.Classes(), servers); err != nil {
+		if err := check(n.current.Classes(), cfg.Classes(), servers); err != nil {
 			return err
 		}
 	}
-	return n.reload(cfg)
+	return n.applyConfig(cfg)
 }
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -30,15 +30,15 @@
 	return fileOf(t, configWith(t, backends...), `127.0.0.1:1"`, silentDiscovery(t)+`"`)
 }
 
-func answered(t *testing.T, n *running, class, id string) int {
+func answered(t *testing.T, n *testNode, class, id string) int {
 	t.Helper()
-	s, _, _ := do(t, newRequest(t, n.url, class, id, "x"))
+	s, _, _ := sendRequest(t, newRequest(t, n.url, class, id, "x"))
 	return s
 }
 
 // An override holds for the requests that come after it, a later one replaces it, and the node's own settings stay.
 func TestOverride(t *testing.T) {
-	cfg := watched(t, newBackend(t, ok))
+	cfg := watched(t, newBackend(t, respondOK))
 	n := start(t, cfg)
 	first := Override{Settings: settingsOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`, `"zone":"z"`, `"zone":"elsewhere"`, `"me":0`, `"me":7`)}
 	if err := n.Override(t.Context(), first, nil); err != nil {
@@ -47,7 +47,7 @@
 	if got := answered(t, n, "fresh", "1"); got != http.StatusOK {
 		t.Errorf("a new class is answered %d", got)
 	}
-	if set := n.settings(); set.Zone != "z" || set.ReplicaIndex != 0 {
+	if set := n.currentSettings(); set.Zone != "z" || set.ReplicaIndex != 0 {
 		t.Errorf("it is number %d of zone %q now", set.ReplicaIndex, set.Zone)
 	}
 	moved := silentDiscovery(t)
@@ -55,20 +55,20 @@
 	if err := n.Override(t.Context(), second, nil); err != nil {
 		t.Fatal(err)
 	}
-	if got := answered(t, n, "later", "2"); got != http.StatusOK || n.disc.Addr() != moved {
-		t.Errorf("the next one: answered %d, discovery %s", got, n.disc.Addr())
+	if got := answered(t, n, "later", "2"); got != http.StatusOK || n.discovery.Addr() != moved {
+		t.Errorf("the next one: answered %d, discovery %s", got, n.discovery.Addr())
 	}
 	if err := n.Override(t.Context(), first, nil); err != nil {
 		t.Fatal(err)
 	}
-	if n.disc.Addr() != cfg.Discovery {
-		t.Errorf("without an address discovery is %s, want the file's %s", n.disc.Addr(), cfg.Discovery)
+	if n.discovery.Addr() != cfg.Discovery {
+		t.Errorf("without an address discovery is %s, want the file's %s", n.discovery.Addr(), cfg.Discovery)
 	}
 }
 
 // An override that is refused changes nothing, and the error says of what kind it is.
 func TestOverrideRefused(t *testing.T) {
-	cfg := watched(t, newBackend(t, ok))
+	cfg := watched(t, newBackend(t, respondOK))
 	n := start(t, cfg)
 	stays := errors.New("not this one")
 	for name, c := range map[string]struct {
@@ -93,7 +93,7 @@
 		if err == nil || errors.As(err, new(*UnreadableOverrideError)) != c.unreadable || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: said %v", name, err)
 		}
-		if n.disc.Addr() != cfg.Discovery || n.rules.Load().generation != 0 || n.now.override != nil {
+		if n.discovery.Addr() != cfg.Discovery || n.classes.Load().settingsVersion != 0 || n.current.override != nil {
 			t.Fatalf("%s: something of it was taken over", name)
 		}
 	}
@@ -101,7 +101,7 @@
 
 // The check sees the classes before and after, and the servers in service.
 func TestOverrideCheckSeesClassesAndServers(t *testing.T) {
-	cfg := watched(t, newBackend(t, ok), newBackend(t, ok))
+	cfg := watched(t, newBackend(t, respondOK), newBackend(t, respondOK))
 	n := start(t, cfg)
 	override := Override{Settings: settingsOf(t, cfg, `"name":"unsafe"`, `"name":"fresh","bound-to":["k"]`)}
 	seen := ""
@@ -117,7 +117,7 @@
 // SIGHUP reads the file again under an override: what the override says stays, the rest is the file's, and a file that
 // is not whole changes nothing.
 func TestReloadUnderAnOverride(t *testing.T) {
-	cfg := watched(t, newBackend(t, ok))
+	cfg := watched(t, newBackend(t, respondOK))
 	n := start(t, cfg)
 	override := Override{Settings: settingsOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)}
 	if err := n.Override(t.Context(), override, nil); err != nil {
@@ -131,8 +131,8 @@
 	if err := n.Reload(file); err != nil {
 		t.Fatal(err)
 	}
-	if got := answered(t, n, "fresh", "1"); got != http.StatusOK || n.disc.Addr() != moved {
-		t.Errorf("the override's class is answered %d, discovery is %s", got, n.disc.Addr())
+	if got := answered(t, n, "fresh", "1"); got != http.StatusOK || n.discovery.Addr() != moved {
+		t.Errorf("the override's class is answered %d, discovery is %s", got, n.discovery.Addr())
 	}
 	if got := answered(t, n, "filed", "2"); got != http.StatusBadRequest {
 		t.Errorf("the file's class is answered %d", got)
@@ -141,7 +141,7 @@
 
 // A node can start with an override, whatever the file has come to have since, and keeps it at SIGHUP.
 func TestStartWithAnOverride(t *testing.T) {
-	cfg := watched(t, newBackend(t, ok))
+	cfg := watched(t, newBackend(t, respondOK))
 	override := Override{Settings: settingsOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)}
 	with, err := fileOf(t, cfg, `"lanes":`, `"added":1,"lanes":`).WithOverride(override)
 	if err != nil {
@@ -171,7 +171,7 @@
 // Before the node runs an override waits, as long as its caller does; after its end it is refused.
 func TestOverrideOfANodeThatDoesNotRun(t *testing.T) {
 	cfg := testConfig(t, "pushed")
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/requesthead.go
+++ b/internal/node/requesthead.go
@@ -7,164 +7,191 @@
 	"strings"
 )
 
-// heads follows the bytes of a client's connection from one request's head to the next. It is own code since net/http
-// takes what callers could use to have a node and something before it see different requests, and does not tell: it
-// drops a Content-Length beside a Transfer-Encoding, and takes lines that end in LF alone. It never lets a read go
-// beyond a request, so that at its head's end what it saw is of that request. A chunked body's end it does not know:
-// such a request is the last of its connection.
-type heads struct {
-	rest  []byte // read from the connection, of later requests
-	part  part
-	left  int64  // of the body
-	line  []byte // the head's line so far, or its beginning
-	size  int    // of the line
-	cr    bool   // it ended in CR so far
-	next  sight  // of the head that comes
-	seen  sight  // of the last whole head
-	count int    // whole heads
-	last  string // name of the header before, in lower case
-}
+// maxInspectedLine is how many bytes of a header line are looked at: enough for the name of a length header and its
+// number. A longer Content-Length line is a fault; of other headers only the name matters.
+const maxInspectedLine = 64
 
-type part int
+// headReaderState is what the next byte from the client belongs to. Only requestHeadReader.consume changes it:
+//
+//	readingHead -> readingBody   the head announced a Content-Length above 0
+//	readingHead -> readingHead   the request has no body: the next head follows
+//	readingHead -> readingToEnd  a chunked or faulty request: it is the last of its connection
+//	readingBody -> readingHead   all of the body has come
+type headReaderState int
 
+// States of a requestHeadReader.
 const (
-	inHead part = iota
-	inBody
-	toTheEnd // everything that comes is of this request
+	readingHead  headReaderState = iota // the head of a request, or empty lines before it
+	readingBody                         // a body of known length
+	readingToEnd                        // everything that still comes belongs to this request
 )
 
-// sight is what a head holds that net/http does not show.
-type sight struct {
-	lines   int
-	lengths int
-	length  int64
-	coded   bool
-	fault   string // "": none
+// requestHeadReader validates the framing of the requests on one client connection, below net/http.
+//
+// It guards against request smuggling: net/http silently drops a Content-Length beside a Transfer-Encoding and accepts
+// lines that end in LF alone, so a proxy before the node and the node could disagree about where a request ends, and
+// what one takes for a body the other would run as a request. The reader reports such a head as a fault, which is
+// answered with 400, and lets nothing that follows on the connection start a request.
+//
+// It never lets one read go beyond the request that it began in. So when net/http has parsed a head, complete holds the
+// findings of that same head. It does not parse chunks: the end of a chunked body is unknown here, which is why a
+// chunked request is the last of its connection.
+//
+// It belongs to the goroutine that reads the connection and has no lock.
+type requestHeadReader struct {
+	pending    []byte // read from the connection, of later requests
+	state      headReaderState
+	bodyLeft   int64  // bytes of the body that have not come
+	line       []byte // the header line that is coming, up to maxInspectedLine bytes
+	lineSize   int    // length of that line in bytes, without CR
+	afterCR    bool   // the last byte was a CR
+	headerName string // of the header line before, in lower case, for its continuation lines
+	current    headFindings
+	complete   headFindings // of the last complete head
+	headCount  int          // complete heads
+}
+
+// headFindings is what a request head contains that net/http does not report.
+type headFindings struct {
+	lines            int
+	contentLengths   int // Content-Length headers
+	contentLength    int64
+	transferEncoding bool
+	fault            string // why the framing can't be trusted; "": it can
+}
+
+// setFault records a fault. The first one of a head is kept.
+func (f *headFindings) setFault(reason string) {
+	if f.fault == "" {
+		f.fault = reason
+	}
 }
 
-const lineKept = 64 // bytes of a header line that are looked at: a name and a number
+// read fills b from the connection, no further than the end of the current request. It reads by readConn.
+func (h *requestHeadReader) read(readConn func([]byte) (int, error), b []byte) (n int, err error) {
+	for {
+		if len(h.pending) == 0 {
+			n, err = readConn(b)
+		} else {
+			n = copy(b, h.pending)
+			h.pending = h.pending[n:]
+		}
+		skipped := h.skipEmptyLines(b[:n])
+		consumed := h.consume(b[skipped:n])
+		if beyond := b[skipped+consumed : n]; len(beyond) > 0 {
+			h.pending = append(append([]byte(nil), beyond...), h.pending...)
+		}
+		copy(b, b[skipped:skipped+consumed])
+		if consumed > 0 || err != nil || n == 0 {
+			return consumed, err
+		}
+	}
+}
+
+// skipEmptyLines returns how many bytes at the start of b are empty lines between two requests. They belong to neither;
+// net/http would take them for the start of a request.
+func (h *requestHeadReader) skipEmptyLines(b []byte) (skipped int) {
+	betweenRequests := h.state == readingHead && h.current.lines == 0 && h.lineSize == 0
+	for betweenRequests && skipped < len(b) && (b[skipped] == '\r' || b[skipped] == '\n') {
+		if b[skipped] == '\n' && !h.afterCR {
+			break
+		}
+		h.afterCR = b[skipped] == '\r'
+		skipped++
+	}
+	return skipped
+}
 
-// take notes the bytes that were read and says how many of them are of the current request.
-func (h *heads) take(b []byte) int {
+// consume inspects bytes that were read and returns how many of them belong to the current request.
+func (h *requestHeadReader) consume(b []byte) int {
 	for i, c := range b {
-		switch h.part {
-		case toTheEnd:
+		switch h.state {
+		case readingToEnd:
 			return len(b)
-		case inBody:
-			n := int(min(h.left, int64(len(b)-i)))
-			if h.left -= int64(n); h.left == 0 {
-				h.part = inHead
+		case readingBody:
+			n := int(min(h.bodyLeft, int64(len(b)-i)))
+			if h.bodyLeft -= int64(n); h.bodyLeft == 0 {
+				h.state = readingHead
 			}
 			return i + n
 		}
-		if !h.add(c) {
+		if !h.addByte(c) {
 			continue
 		}
-		h.seen, h.next = h.next, sight{}
-		h.last = ""
-		h.count++
+		h.complete, h.current = h.current, headFindings{}
+		h.headerName = ""
+		h.headCount++
 		switch {
-		case h.seen.coded || h.seen.fault != "":
-			h.part = toTheEnd
+		case h.complete.transferEncoding || h.complete.fault != "":
+			h.state = readingToEnd
 			return len(b)
-		case h.seen.length == 0:
+		case h.complete.contentLength == 0:
 			return i + 1
 		}
-		h.part, h.left = inBody, h.seen.length
+		h.state, h.bodyLeft = readingBody, h.complete.contentLength
 	}
 	return len(b)
 }
 
-// add takes one byte of a head and says whether it ends there.
-func (h *heads) add(c byte) (end bool) {
+// addByte adds one byte to the head and reports whether the head ends with it.
+func (h *requestHeadReader) addByte(c byte) (end bool) {
 	if c != '\n' {
-		if h.cr {
-			h.next.fail("a CR within a line")
+		if h.afterCR {
+			h.current.setFault("a CR within a line")
 		}
-		if h.cr = c == '\r'; !h.cr {
-			h.size++
-			if len(h.line) < lineKept {
+		if h.afterCR = c == '\r'; !h.afterCR {
+			h.lineSize++
+			if len(h.line) < maxInspectedLine {
 				h.line = append(h.line, c)
 			}
 		}
 		return false
 	}
-	if !h.cr {
-		h.next.fail("a line that ends in LF alone")
+	if !h.afterCR {
+		h.current.setFault("a line that ends in LF alone")
 	}
-	h.cr = false
-	empty := h.size == 0
+	h.afterCR = false
+	empty := h.lineSize == 0
 	if !empty {
-		if h.next.lines++; h.next.lines > 1 {
-			h.header()
+		if h.current.lines++; h.current.lines > 1 {
+			h.checkHeader()
 		}
 	}
-	h.line, h.size = h.line[:0], 0
-	return empty && h.next.lines > 0 // an empty line before the first is passed over
-}
-
-func (s *sight) fail(why string) {
-	if s.fault == "" {
-		s.fault = why
-	}
+	h.line, h.lineSize = h.line[:0], 0
+	return empty && h.current.lines > 0 // an empty line before the request line is skipped
 }
 
-// header looks at one whole header line.
-func (h *heads) header() {
+// checkHeader inspects one complete header line.
+func (h *requestHeadReader) checkHeader() {
 	if h.line[0] == ' ' || h.line[0] == '\t' {
-		if h.last == "content-length" || h.last == "transfer-encoding" {
-			h.next.fail("a length on two lines")
+		if h.headerName == "content-length" || h.headerName == "transfer-encoding" {
+			h.current.setFault("a length on two lines")
 		}
 		return
 	}
 	name, value, _ := bytes.Cut(h.line, []byte(":"))
-	h.last = strings.ToLower(strings.TrimSpace(string(name)))
-	switch h.last {
+	h.headerName = strings.ToLower(strings.TrimSpace(string(name)))
+	switch h.headerName {
 	case "transfer-encoding":
-		h.next.coded = true
+		h.current.transferEncoding = true
 	case "content-length":
-		text := strings.Trim(string(value), " \t")
-		n, err := strconv.ParseUint(text, 10, 63)
-		if err != nil || h.size > lineKept {
-			n = math.MaxInt64
-			h.next.fail("a Content-Length that is no number")
-		}
-		h.next.length = int64(n)
-		if h.next.lengths++; h.next.lengths > 1 {
-			h.next.fail("Content-Length comes twice")
-		}
+		h.checkContentLength(strings.Trim(string(value), " \t"))
 	}
-	if h.next.lengths > 0 && h.next.coded {
-		h.next.fail("Content-Length beside Transfer-Encoding")
+	if h.current.contentLengths > 0 && h.current.transferEncoding {
+		h.current.setFault("Content-Length beside Transfer-Encoding")
 	}
 }
 
-// read reads from a connection no further than the current request goes.
-func (h *heads) read(from func([]byte) (int, error), b []byte) (n int, err error) {
-	for {
-		fresh := len(h.rest) == 0
-		if fresh {
-			n, err = from(b)
-		} else {
-			n = copy(b, h.rest)
-			h.rest = h.rest[n:]
-		}
-		// Empty lines between two requests are nobody's. (net/http would take them for a request.)
-		skip := 0
-		for h.part == inHead && h.next.lines == 0 && h.size == 0 && skip < n && (b[skip] == '\r' || b[skip] == '\n') {
-			if b[skip] == '\n' && !h.cr {
-				break
-			}
-			h.cr = b[skip] == '\r'
-			skip++
-		}
-		kept := h.take(b[skip:n])
-		if over := b[skip+kept : n]; len(over) > 0 {
-			h.rest = append(append([]byte(nil), over...), h.rest...)
-		}
-		copy(b, b[skip:skip+kept])
-		if kept > 0 || err != nil || n == 0 {
-			return kept, err
-		}
+// checkContentLength records the value of a Content-Length header. One that is no number counts as endless, so that
+// nothing behind it passes as a request.
+func (h *requestHeadReader) checkContentLength(value string) {
+	length, err := strconv.ParseUint(value, 10, 63)
+	if err != nil || h.lineSize > maxInspectedLine {
+		length = math.MaxInt64
+		h.current.setFault("a Content-Length that is no number")
+	}
+	h.current.contentLength = int64(length)
+	if h.current.contentLengths++; h.current.contentLengths > 1 {
+		h.current.setFault("Content-Length comes twice")
 	}
 }
--- a/internal/node/requesthead_test.go
+++ b/internal/node/requesthead_test.go
@@ -22,7 +22,7 @@
 	b := "GET /b HTTP/1.1\r\nHost: h\r\n\r\n"
 	c := "POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for n := 1; n < len(a)+len(b)+len(c); n++ {
-		h, from := &heads{}, pieces(a+"\r\n"+b+b+c, n)
+		h, from := &requestHeadReader{}, pieces(a+"\r\n"+b+b+c, n)
 		for _, want := range []string{a, b, b, c} {
 			var one []byte
 			for len(one) < len(want) {
@@ -33,12 +33,12 @@
 				}
 				one = append(one, buf[:k]...)
 			}
-			if string(one) != want || h.seen.fault != "" {
-				t.Fatalf("pieces of %d: read %q, want %q; fault %q", n, one, want, h.seen.fault)
+			if string(one) != want || h.complete.fault != "" {
+				t.Fatalf("pieces of %d: read %q, want %q; fault %q", n, one, want, h.complete.fault)
 			}
 		}
-		if h.count != 4 || !h.seen.coded {
-			t.Fatalf("pieces of %d: %d heads, %+v", n, h.count, h.seen)
+		if h.headCount != 4 || !h.complete.transferEncoding {
+			t.Fatalf("pieces of %d: %d heads, %+v", n, h.headCount, h.complete)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 		f.Add(s, 3)
 	}
 	f.Fuzz(func(t *testing.T, text string, n int) {
-		h := &heads{}
+		h := &requestHeadReader{}
 		from := pieces(text, max(n, 1))
 		var got bytes.Buffer
 		r := readFunc(func(b []byte) (int, error) { return h.read(from, b) })
@@ -64,15 +64,15 @@
 		if left.Replace(got.String()) != left.Replace(text) {
 			t.Fatalf("read %q of %q", got.String(), text)
 		}
-		first := &heads{}
+		first := &requestHeadReader{}
 		in := pieces(text, 1)
 		br := bufio.NewReaderSize(iotest.OneByteReader(readFunc(func(b []byte) (int, error) { return first.read(in, b) })), 16)
 		req, err := http.ReadRequest(br)
-		if err != nil || first.count != 1 || first.seen.fault != "" {
+		if err != nil || first.headCount != 1 || first.complete.fault != "" {
 			return
 		}
-		if req.ContentLength > 0 && req.ContentLength != first.seen.length || (req.ContentLength < 0) != first.seen.coded {
-			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, first.seen)
+		if req.ContentLength > 0 && req.ContentLength != first.complete.contentLength || (req.ContentLength < 0) != first.complete.transferEncoding {
+			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, first.complete)
 		}
 	})
 }
--- /dev/null
+++ b/internal/node/requestmetrics.go
@@ -0,0 +1,50 @@
+package node
+
+import (
+	"net/http"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/metrics"
+)
+
+// serveMeasured serves a request, counts it and returns its status.
+func (h *ingressHandler) serveMeasured(w http.ResponseWriter, r *http.Request) (status int) {
+	reporter, begin := h.metrics, h.clock.Now()
+	tags := reporter.Tags(r.Header.Get(headerClass), r.Header.Get(headerClientName))
+	reporter.Count(tags, metrics.Requests)
+	reporter.Add(tags, metrics.OpenRequests, 1)
+	if c := connOf(r); c != nil {
+		c.setTags(tags)
+	}
+	status = h.serveRequest(w, r, tags)
+	reporter.Add(tags, metrics.OpenRequests, -1)
+	reporter.Count(tags, counterOf(status))
+	h.recordLatency(tags, status, h.clock.Now()-begin)
+	return status
+}
+
+// recordLatency records how long a final answer took. Requests that are not accepted are left out: they take no time and
+// would hide the others' latency.
+func (h *ingressHandler) recordLatency(tags metrics.Tags, status int, latency time.Duration) {
+	switch counterOf(status) {
+	case metrics.Served, metrics.Rejected, metrics.Failed:
+		h.metrics.Latency(tags, latency)
+	}
+}
+
+// counterOf returns the counter of requests that ended with a status.
+func counterOf(status int) metrics.Counter {
+	switch {
+	case status == statusClientGone:
+		return metrics.ClientGone
+	case status == http.StatusOK:
+		return metrics.Served
+	case status == statusTruncated:
+		return metrics.Failed
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		return metrics.Rejected
+	case status < http.StatusInternalServerError || status == http.StatusHTTPVersionNotSupported:
+		return metrics.NotAccepted
+	}
+	return metrics.Failed
+}
--- a/internal/node/metrics_test.go
+++ b/internal/node/requestmetrics_test.go
@@ -14,7 +14,7 @@
 )
 
 // figuresTo runs a node that reports to a UDP peer, and returns what waits for a line to come there.
-func figuresTo(t *testing.T, backends ...*backend) (n *running, comes func(line string)) {
+func figuresTo(t *testing.T, backends ...*backend) (n *testNode, comes func(line string)) {
 	t.Helper()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -83,9 +83,9 @@
 // What a node counts when nobody takes its figures costs callers nothing: all are answered.
 func TestServesThoughFiguresFail(t *testing.T) {
 	n, _ := startLogged(t, settings.File{Metrics: &settings.Metrics{Format: "statsd", File: "/nowhere/figures",
-		UDP: "127.0.0.1:1", Flush: 10 * time.Millisecond, MaxBatch: 64}}, newBackend(t, ok))
+		UDP: "127.0.0.1:1", Flush: 10 * time.Millisecond, MaxBatch: 64}}, newBackend(t, respondOK))
 	for i := range 200 {
-		if status, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
+		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
 			t.Fatalf("answered %d", status)
 		}
 	}
@@ -98,7 +98,7 @@
 func TestCounterOfAStatus(t *testing.T) {
 	for status, want := range map[int]metrics.Counter{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		400: metrics.NotAccepted, 409: metrics.NotAccepted, 505: metrics.NotAccepted, 403: metrics.NotAccepted, 500: metrics.Failed,
-		502: metrics.Failed, gaveUp: metrics.ClientGone} {
+		502: metrics.Failed, statusClientGone: metrics.ClientGone} {
 		if got := counterOf(status); got != want {
 			t.Errorf("%d counts as %v, want %v", status, got, want)
 		}
--- a/internal/node/streamedbody_test.go
+++ b/internal/node/streamedbody_test.go
@@ -29,9 +29,9 @@
 
 // Bodies of any size and framing reach a server unchanged, once.
 func TestBodiesOfAnySize(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
-	for i, size := range []int{1, maxHeld - 1, maxHeld, maxHeld + 1, 3 << 20} {
+	for i, size := range []int{1, maxBuffered - 1, maxBuffered, maxBuffered + 1, 3 << 20} {
 		for _, chunked := range []bool{false, true} {
 			want := pattern(size)
 			r := newRequest(t, n.url, "unsafe", fmt.Sprint(i, chunked), want)
@@ -39,7 +39,7 @@
 				r.ContentLength = -1
 			}
 			r.Header.Set("Expect", "100-continue")
-			if got, _, _ := do(t, r); got != http.StatusOK {
+			if got, _, _ := sendRequest(t, r); got != http.StatusOK {
 				t.Errorf("%d bytes, chunked %v: answered %d", size, chunked, got)
 				continue
 			}
@@ -57,7 +57,7 @@
 
 // A chunked body's connection ends with the answer: what follows it is never read.
 func TestNothingFollowsAChunkedBody(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	request := func(id, framing string) string {
 		return "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n" +
@@ -97,11 +97,11 @@
 // come.
 func TestAnswersOfAnySize(t *testing.T) {
 	for _, framing := range []string{"length", "chunked", "end"} {
-		for _, size := range []int{2, maxHeld, maxHeld + 1, 4 << 20} {
+		for _, size := range []int{2, maxBuffered, maxBuffered + 1, 4 << 20} {
 			t.Run(fmt.Sprint(framing, size), func(t *testing.T) {
 				want := pattern(size)
 				var hold chan struct{}
-				if size > 4*maxHeld {
+				if size > 4*maxBuffered {
 					hold = make(chan struct{})
 				}
 				n := startWith(t, newBackend(t, large(framing, want, hold)))
@@ -134,7 +134,7 @@
 		t.Run(framing, func(t *testing.T) {
 			b := newBackend(t, func(n int, c net.Conn, r *http.Request) bool {
 				if n > 1 {
-					return ok(n, c, r)
+					return respondOK(n, c, r)
 				}
 				want := pattern(1 << 20)
 				if framing == "length" {
@@ -153,7 +153,7 @@
 				t.Error("the client can't tell")
 			}
 			resp.Body.Close()
-			if got, _, _ := do(t, newRequest(t, n.url, "unsafe", "2", "x")); got != http.StatusOK || b.requests() != 2 {
+			if got, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "2", "x")); got != http.StatusOK || b.requests() != 2 {
 				t.Errorf("the next is answered %d, %d requests ran", got, b.requests())
 			}
 		})
@@ -192,20 +192,20 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	start2 := func(hosts ...discoveryapi.Endpoint) *running {
+	start2 := func(hosts ...discoveryapi.Endpoint) *testNode {
 		cfg := testConfig(t, "pushed", hosts...)
 		cfg.Discovery = silentDiscovery(t)
 		return start(t, cfg)
 	}
 	n := start2(inService("s-0", early.Addr().String()), inService("s-1", early.Addr().String()))
-	status, header, _ := do(t, newRequest(t, n.url, "unsafe", "1", pattern(8<<20)))
+	status, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", pattern(8<<20)))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || tries.Load() != 1 {
 		t.Errorf("answered %d, %v; %d servers were asked", status, header, tries.Load())
 	}
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n = start2(inService("s-0", gone.Addr().String()), inService("s-1", b.addr()))
 	for i := range 4 {
-		if status, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), pattern(1<<20))); status != http.StatusOK {
+		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), pattern(1<<20))); status != http.StatusOK {
 			t.Errorf("with a server gone it is answered %d", status)
 		}
 	}
@@ -213,7 +213,7 @@
 
 // A client that holds back the rest of its body gets an error and a close, and no server gets its request whole.
 func TestBodyThatStalls(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	for name, framing := range map[string]string{"length": "Content-Length: 300000\r\n\r\n" + pattern(200_000),
 		"chunked": "Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + pattern(200_000)} {
@@ -233,29 +233,29 @@
 // Only time in which the client is waited for counts against the rate of its body.
 func TestRateOfABody(t *testing.T) {
 	var deadline time.Time
-	p := &bodyReader{body: strings.NewReader(pattern(10 * chunk)), left: bodyBase,
-		deadline: func(at time.Time) error { deadline = at; return nil }}
+	p := &bodyReader{body: strings.NewReader(pattern(10 * streamChunk)), timeLeft: bodyTimeAllowance,
+		setReadDeadline: func(at time.Time) error { deadline = at; return nil }}
 	for range 10 {
-		if n, err := p.Read(make([]byte, chunk)); n != chunk || err != nil {
+		if n, err := p.Read(make([]byte, streamChunk)); n != streamChunk || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if p.left < stallTime-time.Second || p.left > stallTime {
-		t.Errorf("after ten pieces at once there are %v left", p.left)
+	if p.timeLeft < stallTimeout-time.Second || p.timeLeft > stallTimeout {
+		t.Errorf("after ten pieces at once there are %v left", p.timeLeft)
 	}
 	begin := time.Now()
-	p.left = time.Second
+	p.timeLeft = time.Second
 	p.body = io.MultiReader(strings.NewReader("x"), strings.NewReader("yz"))
 	if p.Read(make([]byte, 9)); deadline.Sub(begin) < time.Second || deadline.Sub(begin) > 2*time.Second {
 		t.Errorf("a read with 1 s left ends %v on", deadline.Sub(begin))
 	}
-	p.got = maxBulk
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBody) || !p.lost() {
+	p.bytesRead = maxStreamedBody
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !p.incomplete() {
 		t.Errorf("beyond the bound it ends with %v", err)
 	}
 	p.err = nil
 	p.close()
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBody) || !deadline.Before(time.Now().Add(time.Millisecond)) {
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !deadline.Before(time.Now().Add(time.Millisecond)) {
 		t.Errorf("closed, a read ends with %v", err)
 	}
 }
@@ -268,7 +268,7 @@
 		if strings.HasPrefix(r.Header.Get("X-Call-Id"), "big") {
 			return large("length", want, nil)(i, c, r)
 		}
-		return ok(i, c, r)
+		return respondOK(i, c, r)
 	})
 	n := startWith(t, b, b)
 	var held []*http.Response
@@ -289,7 +289,7 @@
 		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: up%d\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\nContent-Length: 2000000\r\n\r\n%s", i, want[:400_000])
 	}
 	for i := range 20 {
-		if got, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint("small", i), "x")); got != http.StatusOK {
+		if got, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint("small", i), "x")); got != http.StatusOK {
 			t.Errorf("beside them one is answered %d", got)
 		}
 	}
@@ -303,11 +303,11 @@
 // All that is held at once stays within its part of the memory, on the smallest nodes that there are too.
 func TestHeldTogether(t *testing.T) {
 	for _, c := range []struct{ memory, places, part, want int }{
-		{0, 1000, 4, maxHeld}, {64, 209, bodyPart, maxHeld}, {32, 129, bodyPart, 65027}, {32, 609, bodyPart, 13774},
-		{192, 365, answerPart, maxHeld}, {32, 365, answerPart, 15321}, {32, 1 << 20, 4, minHeld},
+		{0, 1000, 4, maxBuffered}, {64, 209, requestBodyMemoryShare, maxBuffered}, {32, 129, requestBodyMemoryShare, 65027}, {32, 609, requestBodyMemoryShare, 13774},
+		{192, 365, responseMemoryShare, maxBuffered}, {32, 365, responseMemoryShare, 15321}, {32, 1 << 20, 4, minBuffered},
 	} {
-		got := held(c.memory, c.part, c.places)
-		if got != c.want || c.memory > 0 && got > minHeld && got*c.places > c.memory<<20/c.part {
+		got := bufferLimit(c.memory, c.part, c.places)
+		if got != c.want || c.memory > 0 && got > minBuffered && got*c.places > c.memory<<20/c.part {
 			t.Errorf("%d MB, %d places: %d, want %d", c.memory, c.places, got, c.want)
 		}
 	}
--- /dev/null
+++ b/internal/node/upstreamconn.go
@@ -0,0 +1,162 @@
+package node
+
+import (
+	"bufio"
+	"container/list"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/engine"
+)
+
+// Bounds of one response, in bytes. They guard against servers that send without end.
+const (
+	// responseHeadAllowance is for a response's head, what chunks add, and any 1xx responses ahead.
+	responseHeadAllowance = 16 << 10
+
+	maxBufferedResponse = 2*maxBuffered + responseHeadAllowance // read of a response before it is streamed
+	maxStreamedResponse = 4 * maxStreamedBody                   // of a response that is streamed
+)
+
+// errMalformedResponse says that a server sent a response that is too long, or whose end can't be trusted, or bytes that
+// nobody asked for.
+var errMalformedResponse = errors.New("answer too long or unsound")
+
+// upstreamConn is a connection to a server. Its states are those of connPool.
+//
+// Its readLoop always reads, also while it is idle, so that a close by the server is seen before the next use.
+type upstreamConn struct {
+	net.Conn
+	pool         *connPool
+	target       *engine.Target
+	bytesAllowed int // that may still come before the response is too long; readLoop's own
+	reader       *bufio.Reader
+	responses    chan *upstreamResponse // one for each request
+
+	// For the log; used by the attempt that has the connection.
+	connectedAt, releasedAt time.Duration // clock times
+	uses                    int           // requests sent on it
+	idleBefore              time.Duration // how long it was idle before the last of them
+
+	// Guarded by pool.mu.
+	idleElement *list.Element // in pool.idle; nil: in use
+	requestSent bool          // a request is on its way
+	deadline    time.Time     // of what it now waits for
+	closed      bool
+}
+
+// upstreamResponse is what came back on a connection: a response, or the reason that there is none.
+type upstreamResponse struct {
+	head   *http.Response  // status and headers; its Body must not be used
+	body   []byte          // all of the body, or its beginning
+	stream *responseStream // the rest of a body that is not buffered; nil: body is all of it
+	err    error
+}
+
+// readLoop reads responses, hands each to the attempt that waits for it, and ends with the connection. It closes a
+// connection that the server closed while it was idle, that brings bytes nobody asked for, or that was idle for long.
+func (c *upstreamConn) readLoop() {
+	for {
+		c.bytesAllowed = maxBufferedResponse
+		idle, err := c.awaitResponse()
+		if idle {
+			return
+		}
+		response := &upstreamResponse{err: err}
+		if err == nil {
+			response = c.readResponse()
+			if response.err != nil {
+				c.pool.close(c)
+			}
+		}
+		c.responses <- response
+		if response.stream != nil {
+			<-response.stream.released
+		}
+		if response.err != nil || response.head.Close {
+			return
+		}
+	}
+}
+
+// awaitResponse waits for the first byte of a response, or for the end of the connection. It closes the connection if
+// there is no response to read, and reports whether it was idle then: no attempt waits for a result.
+func (c *upstreamConn) awaitResponse() (idle bool, err error) {
+	for {
+		_, err = c.reader.Peek(1)
+		c.pool.mu.Lock()
+		idle = c.idleElement != nil
+		if err == nil && !c.requestSent {
+			err = errMalformedResponse
+		}
+		idleTimeoutWasOver := !idle && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.deadline)
+		if !idleTimeoutWasOver && (idle || err != nil) {
+			c.pool.closeLocked(c)
+		}
+		c.pool.mu.Unlock()
+		if !idleTimeoutWasOver {
+			return idle, err
+		}
+		// The idle timeout ran out just as an attempt took the connection, which has set a later deadline.
+	}
+}
+
+// Read bounds what one response may bring: some servers send without end.
+func (c *upstreamConn) Read(b []byte) (int, error) {
+	if c.bytesAllowed <= 0 {
+		return 0, errMalformedResponse
+	}
+	n, err := c.Conn.Read(b[:min(len(b), c.bytesAllowed)])
+	c.bytesAllowed -= n
+	return n, err
+}
+
+// readResponse reads one response, as far as it is buffered. Informational (1xx) responses ahead of it are skipped. A
+// response whose end can't be trusted could be anybody's: its attempt has lost its connection.
+func (c *upstreamConn) readResponse() *upstreamResponse {
+	for {
+		head, err := http.ReadResponse(c.reader, nil)
+		switch {
+		case err != nil:
+			return &upstreamResponse{err: err}
+		case isInformational(head):
+			continue
+		case head.StatusCode < 100 || head.ContentLength > maxStreamedResponse:
+			return &upstreamResponse{err: errMalformedResponse}
+		case head.ContentLength > int64(c.pool.bufferLimit):
+			return c.beginLargeResponse(head, make([]byte, streamChunk))
+		}
+		return c.readBufferedResponse(head)
+	}
+}
+
+func isInformational(head *http.Response) bool {
+	return head.StatusCode >= 100 && head.StatusCode < 200 && head.StatusCode != http.StatusSwitchingProtocols
+}
+
+// readBufferedResponse reads a response into memory. One of unknown length that proves too large is streamed from there.
+func (c *upstreamConn) readBufferedResponse(head *http.Response) *upstreamResponse {
+	limit := c.pool.bufferLimit
+	body, err := io.ReadAll(io.LimitReader(head.Body, int64(limit)+1))
+	if err == nil && len(body) > limit {
+		c.bytesAllowed = maxStreamedResponse
+		return &upstreamResponse{head: head, body: body, stream: newResponseStream(c, head.Body)}
+	}
+	// Bytes that nobody asked for would pass as the response to the next request.
+	head.Close = head.Close || c.reader.Buffered() > 0
+	return &upstreamResponse{head: head, body: body, err: err}
+}
+
+// beginLargeResponse is a response that is streamed from its first bytes, which are read into buf.
+func (c *upstreamConn) beginLargeResponse(head *http.Response, buf []byte) *upstreamResponse {
+	n, err := head.Body.Read(buf)
+	if err != nil && n == 0 {
+		return &upstreamResponse{err: err}
+	}
+	c.bytesAllowed = maxStreamedResponse
+	return &upstreamResponse{head: head, body: buf[:n], stream: newResponseStream(c, head.Body)}
+}
--- a/internal/node/rules_test.go
+++ b/internal/node/upstreamfaults_test.go
@@ -102,7 +102,7 @@
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
 	r.Header.Set("X-Budget", "2000m")
-	if status, _, _ := do(t, r); status != http.StatusBadGateway {
+	if status, _, _ := sendRequest(t, r); status != http.StatusBadGateway {
 		t.Errorf("answered %d, want 502: it may have run", status)
 	}
 	<-left
@@ -113,7 +113,7 @@
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
 	})
-	status, _, _ := do(t, newRequest(t, startWith(t, b).url, "unsafe", "1", strings.Repeat("x", maxHeld)))
+	status, _, _ := sendRequest(t, newRequest(t, startWith(t, b).url, "unsafe", "1", strings.Repeat("x", maxBuffered)))
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", status)
 	}
--- a/internal/proxyproto/proxyproto_test.go
+++ b/internal/proxyproto/proxyproto_test.go
@@ -11,46 +11,49 @@
 	"testing/iotest"
 )
 
-// binaryHeader is a header of version 2.
-func binaryHeader(command, family byte, payload string) string {
-	b := append([]byte(signature2), command, family)
+// headerV2 is a header of version 2 with a payload.
+func headerV2(command, family byte, payload string) string {
+	b := append([]byte(signatureV2), command, family)
 	return string(binary.BigEndian.AppendUint16(b, uint16(len(payload)))) + payload
 }
 
+// Payloads of version 2: source and destination addresses with their ports.
 var (
 	ip4 = string([]byte{10, 4, 0, 9, 10, 0, 0, 1, 1, 2, 3, 4})
 	ip6 = string(append(append(netip.MustParseAddr("fd00:12::9").AsSlice(), netip.MustParseAddr("fd00::1").AsSlice()...), 1, 2, 3, 4))
 )
 
-var sound = map[string]struct{ header, source string }{
+// validHeaders are headers by name, with the source that each names; "": none.
+var validHeaders = map[string]struct{ header, source string }{
 	"TCP4":           {"PROXY TCP4 10.4.0.9 10.0.0.1 5000 80\r\n", "10.4.0.9"},
 	"TCP6":           {"PROXY TCP6 fd00:12::9 fd00::1 5000 65535\r\n", "fd00:12::9"},
 	"TCP6, mapped":   {"PROXY TCP6 ::ffff:10.4.0.9 ::1 0 80\r\n", "10.4.0.9"},
 	"UNKNOWN":        {"PROXY UNKNOWN\r\n", ""},
-	"UNKNOWN, more":  {"PROXY UNKNOWN " + strings.Repeat("f", maxLine-16) + "\r\n", ""},
-	"2, TCP4":        {binaryHeader(0x21, 0x11, ip4), "10.4.0.9"},
-	"2, TCP6":        {binaryHeader(0x21, 0x21, ip6), "fd00:12::9"},
-	"2, with TLVs":   {binaryHeader(0x21, 0x11, ip4+"\x04\x00\x03abc"), "10.4.0.9"},
-	"2, many TLVs":   {binaryHeader(0x21, 0x21, ip6+strings.Repeat("x", maxPayload-36)), "fd00:12::9"},
-	"2, local":       {binaryHeader(0x20, 0x00, ""), ""},
-	"2, local, more": {binaryHeader(0x20, 0x11, ip4), ""},
-	"2, unspecified": {binaryHeader(0x21, 0x00, "\x04\x00\x01a"), ""},
+	"UNKNOWN, more":  {"PROXY UNKNOWN " + strings.Repeat("f", maxLineV1-16) + "\r\n", ""},
+	"2, TCP4":        {headerV2(0x21, 0x11, ip4), "10.4.0.9"},
+	"2, TCP6":        {headerV2(0x21, 0x21, ip6), "fd00:12::9"},
+	"2, with TLVs":   {headerV2(0x21, 0x11, ip4+"\x04\x00\x03abc"), "10.4.0.9"},
+	"2, many TLVs":   {headerV2(0x21, 0x21, ip6+strings.Repeat("x", maxPayloadV2-36)), "fd00:12::9"},
+	"2, local":       {headerV2(0x20, 0x00, ""), ""},
+	"2, local, more": {headerV2(0x20, 0x11, ip4), ""},
+	"2, unspecified": {headerV2(0x21, 0x00, "\x04\x00\x01a"), ""},
 }
 
-// A header may come byte by byte, and nothing after it is taken.
-func TestSoundHeaders(t *testing.T) {
-	for name, c := range sound {
-		for _, rest := range []string{"GET / HTTP/1.1\r\n", "PROXY ", ""} {
-			r := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.header+rest)), 16)
+// A header may come byte by byte, and nothing behind it may be read: it is the first request. A header that is cut at any
+// byte is truncated, not malformed.
+func TestValidHeaders(t *testing.T) {
+	for name, c := range validHeaders {
+		for _, behind := range []string{"GET / HTTP/1.1\r\n", "PROXY ", ""} {
+			r := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.header+behind)), 16)
 			source, err := Read(r)
 			if err != nil || c.source == "" && source.IsValid() || c.source != "" && source.String() != c.source {
 				t.Errorf("%s: got %v, %v", name, source, err)
 			}
-			if left, err := io.ReadAll(r); err != nil || string(left) != rest {
-				t.Errorf("%s: %q is left, want %q", name, left, rest)
+			if left, err := io.ReadAll(r); err != nil || string(left) != behind {
+				t.Errorf("%s: %q is left, want %q", name, left, behind)
 			}
 		}
-		if is, may := Starts([]byte(c.header)); !is || may {
+		if isHeader, mayBecome := Starts([]byte(c.header)); !isHeader || mayBecome {
 			t.Errorf("%s does not begin with a header", name)
 		}
 		for n := range len(c.header) {
@@ -62,6 +65,8 @@
 	}
 }
 
+// A header that breaks the protocol in any way is rejected: what one program takes for an address another could take for
+// something else.
 func TestMalformedHeaders(t *testing.T) {
 	for name, header := range map[string]string{
 		"none":             "GET / HTTP/1.1\r\n",
@@ -69,7 +74,7 @@
 		"lower case":       "proxy TCP4 10.4.0.9 10.0.0.1 5000 80\r\n",
 		"no CR":            "PROXY TCP4 10.4.0.9 10.0.0.1 5000 80\n",
 		"no end":           "PROXY TCP4 " + strings.Repeat("1", 200),
-		"one byte over":    "PROXY UNKNOWN " + strings.Repeat("f", maxLine-15) + "\r\n",
+		"one byte over":    "PROXY UNKNOWN " + strings.Repeat("f", maxLineV1-15) + "\r\n",
 		"no protocol":      "PROXY \r\n",
 		"UDP":              "PROXY UDP4 10.4.0.9 10.0.0.1 5000 80\r\n",
 		"few words":        "PROXY TCP4 10.4.0.9 10.0.0.1 5000\r\n",
@@ -82,13 +87,13 @@
 		"port":             "PROXY TCP4 10.4.0.9 10.0.0.1 65536 80\r\n",
 		"port, signed":     "PROXY TCP4 10.4.0.9 10.0.0.1 +500 80\r\n",
 		"port, zeros":      "PROXY TCP4 10.4.0.9 10.0.0.1 5000 080\r\n",
-		"2, version":       binaryHeader(0x11, 0x11, ip4),
-		"2, command":       binaryHeader(0x22, 0x11, ip4),
-		"2, family":        binaryHeader(0x21, 0x12, ip4),
-		"2, Unix":          binaryHeader(0x21, 0x31, strings.Repeat("x", 216)),
-		"2, short":         binaryHeader(0x21, 0x21, ip4),
-		"2, long":          binaryHeader(0x21, 0x11, ip4+strings.Repeat("x", maxPayload)),
-		"2, half a prefix": signature2[:8] + "GET /",
+		"2, version":       headerV2(0x11, 0x11, ip4),
+		"2, command":       headerV2(0x22, 0x11, ip4),
+		"2, family":        headerV2(0x21, 0x12, ip4),
+		"2, Unix":          headerV2(0x21, 0x31, strings.Repeat("x", 216)),
+		"2, short":         headerV2(0x21, 0x21, ip4),
+		"2, long":          headerV2(0x21, 0x11, ip4+strings.Repeat("x", maxPayloadV2)),
+		"2, half a prefix": signatureV2[:8] + "GET /",
 	} {
 		if source, err := Read(bufio.NewReader(strings.NewReader(header))); !errors.Is(err, ErrMalformed) || source.IsValid() {
 			t.Errorf("%s: got %v, %v", name, source, err)
@@ -96,18 +101,19 @@
 	}
 }
 
+// A few bytes may already exclude a header, or not yet.
 func TestStarts(t *testing.T) {
 	for head, want := range map[string][2]bool{"": {false, true}, "PROX": {false, true}, "PROXY": {false, true},
-		"PROXY ": {true, false}, "PROPF": {false, false}, "\r\n\r": {false, true}, "GET": {false, false}, signature2: {true, false}} {
-		if is, may := Starts([]byte(head)); is != want[0] || may != want[1] {
-			t.Errorf("%q: %v, %v", head, is, may)
+		"PROXY ": {true, false}, "PROPF": {false, false}, "\r\n\r": {false, true}, "GET": {false, false}, signatureV2: {true, false}} {
+		if isHeader, mayBecome := Starts([]byte(head)); isHeader != want[0] || mayBecome != want[1] {
+			t.Errorf("%q: %v, %v", head, isHeader, mayBecome)
 		}
 	}
 }
 
-// Whatever comes, a header is taken whole, refused as malformed or found cut short.
+// Whatever comes, a header is read completely, rejected as malformed or found truncated.
 func FuzzRead(f *testing.F) {
-	for _, c := range sound {
+	for _, c := range validHeaders {
 		f.Add([]byte(c.header + "rest"))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -115,7 +121,7 @@
 		if err != nil && (source.IsValid() || !errors.Is(err, ErrMalformed) && !errors.Is(err, io.ErrUnexpectedEOF)) {
 			t.Errorf("%q: %v, %v", text, source, err)
 		}
-		if is, _ := Starts(text); err == nil && !is {
+		if isHeader, _ := Starts(text); err == nil && !isHeader {
 			t.Errorf("%q was taken for a header", text)
 		}
 	})
