--- a/internal/node/accesscontrol_test.go
+++ b/internal/node/accesscontrol_test.go
@@ -16,11 +16,11 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// front is an address that the tests' nodes trust.
-const front = "127.0.0.2"
+// trustedProxy is an address that the tests' nodes trust.
+const trustedProxy = "127.0.0.2"
 
-func lists(change func(*settings.AccessList)) settings.File {
-	a := settings.AccessList{TrustedProxies: []netip.Prefix{netip.MustParsePrefix(front + "/32")}, ProxyTimeout: 20 * time.Second}
+func accessListFeatures(change func(*settings.AccessList)) settings.File {
+	a := settings.AccessList{TrustedProxies: []netip.Prefix{netip.MustParsePrefix(trustedProxy + "/32")}, ProxyTimeout: 20 * time.Second}
 	change(&a)
 	return settings.File{AccessList: &a}
 }
@@ -32,8 +32,8 @@
 	return all
 }
 
-// from connects to a node from an address of this machine.
-func from(t *testing.T, n *testNode, addr string) net.Conn {
+// dialFrom connects to a node from an address of this machine.
+func dialFrom(t *testing.T, n *testNode, addr string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}}
 	c, err := d.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -49,8 +49,8 @@
 	return "POST /api HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\nContent-Length: 1\r\n\r\nx"
 }
 
-// answers sends texts one by one and returns the status of each answer; 0 is a close without one.
-func answers(t *testing.T, c net.Conn, texts ...string) (statuses []int) {
+// exchangeStatuses sends texts one by one and returns the status of each response; 0 is a close without one.
+func exchangeStatuses(t *testing.T, c net.Conn, texts ...string) (statuses []int) {
 	t.Helper()
 	br := bufio.NewReader(c)
 	for _, text := range texts {
@@ -68,18 +68,19 @@
 	return statuses
 }
 
-// header2 is a PROXY header of version 2 for an IPv4 client, with a TLV.
-func header2(client string) string {
+// proxyHeaderV2 is a PROXY header of version 2 for an IPv4 client, with a TLV.
+func proxyHeaderV2(client string) string {
 	b := append([]byte("\r\n\r\n\x00\r\nQUIT\n"), 0x21, 0x11)
 	b = binary.BigEndian.AppendUint16(b, 12+4)
 	b = append(b, netip.MustParseAddr(client).AsSlice()...)
 	return string(append(b, 127, 0, 0, 1, 0, 80, 0, 80, 4, 0, 1, 'x'))
 }
 
-// The operators' check: headers of both versions, from trusted and untrusted addresses.
-func TestHeadersFromTrustedAndUntrusted(t *testing.T) {
+// A client must not choose the address that it is judged by. Headers of both versions count from trusted proxies only;
+// from any other address they end the connection, and so does a missing or malformed header from a proxy.
+func TestProxyHeadersOfTrustedAndUntrusted(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n, out := startLogged(t, lists(func(a *settings.AccessList) {
+	n, out := startLogged(t, accessListFeatures(func(a *settings.AccessList) {
 		a.Allow, a.Deny = prefixes("10.4.0.0/16", "fd00:12::/48", "127.0.0.1/32"), prefixes("10.4.9.0/24")
 	}), b)
 	for i, c := range []struct {
@@ -87,22 +88,22 @@
 		status         int
 		client         string
 	}{
-		{front, "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", 200, "10.4.1.1"},
-		{front, "PROXY TCP6 fd00:12::1 ::1 5000 80\r\n", 200, "fd00:12::1"},
-		{front, "PROXY TCP6 ::ffff:10.4.1.1 ::1 5000 80\r\n", 200, "10.4.1.1"},
-		{front, header2("10.4.1.1"), 200, "10.4.1.1"},
-		{front, "PROXY TCP4 10.4.9.1 127.0.0.1 5000 80\r\n", 403, "10.4.9.1"},
-		{front, header2("10.5.0.1"), 403, "10.5.0.1"},
-		{front, "PROXY UNKNOWN\r\n", 403, front}, // its own address stands
-		{front, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00", 403, front},
-		{front, "", 0, front},
-		{front, "PROXY TCP4 10.4.1.1\r\n", 0, front},
-		{front, "PROXY TCP4 " + strings.Repeat("1", 200), 0, front},
+		{trustedProxy, "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", 200, "10.4.1.1"},
+		{trustedProxy, "PROXY TCP6 fd00:12::1 ::1 5000 80\r\n", 200, "fd00:12::1"},
+		{trustedProxy, "PROXY TCP6 ::ffff:10.4.1.1 ::1 5000 80\r\n", 200, "10.4.1.1"},
+		{trustedProxy, proxyHeaderV2("10.4.1.1"), 200, "10.4.1.1"},
+		{trustedProxy, "PROXY TCP4 10.4.9.1 127.0.0.1 5000 80\r\n", 403, "10.4.9.1"},
+		{trustedProxy, proxyHeaderV2("10.5.0.1"), 403, "10.5.0.1"},
+		{trustedProxy, "PROXY UNKNOWN\r\n", 403, trustedProxy}, // its own address stands
+		{trustedProxy, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00", 403, trustedProxy},
+		{trustedProxy, "", 0, trustedProxy},
+		{trustedProxy, "PROXY TCP4 10.4.1.1\r\n", 0, trustedProxy},
+		{trustedProxy, "PROXY TCP4 " + strings.Repeat("1", 200), 0, trustedProxy},
 		{"127.0.0.1", "", 200, "127.0.0.1"},
 		{"127.0.0.1", "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", 0, "127.0.0.1"},
-		{"127.0.0.1", header2("10.4.1.1"), 0, "127.0.0.1"},
+		{"127.0.0.1", proxyHeaderV2("10.4.1.1"), 0, "127.0.0.1"},
 		{"127.0.0.3", "", 403, "127.0.0.3"},
-		{"127.0.0.3", header2("10.4.1.1"), 0, "127.0.0.3"},
+		{"127.0.0.3", proxyHeaderV2("10.4.1.1"), 0, "127.0.0.3"},
 	} {
 		before, id := b.requests(), fmt.Sprint("id-", i)
 		// What follows the header at once must not be lost, and the connection is kept.
@@ -111,7 +112,7 @@
 		if c.status == 200 {
 			texts, want = append(texts, requestText(id+"-2")), append(want, 200)
 		}
-		if got := answers(t, from(t, n, c.source), texts...); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got := exchangeStatuses(t, dialFrom(t, n, c.source), texts...); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s, %q: answered %v, want %v", c.source, c.header, got, want)
 		}
 		if sent := b.requests() - before; c.status != 200 && sent != 0 || c.status == 200 && sent != 2 {
@@ -130,11 +131,11 @@
 	}
 }
 
-// The request that came last in a connection from a front is judged by the front's header, also piece by piece.
-func TestHeaderInPieces(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, respondOK))
-	for _, header := range []string{"PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", header2("10.4.1.1")} {
-		c := from(t, n, front)
+// A proxy's header may come byte by byte. The request behind it is judged by that header all the same.
+func TestProxyHeaderInPieces(t *testing.T) {
+	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, respondOK))
+	for _, header := range []string{"PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", proxyHeaderV2("10.4.1.1")} {
+		c := dialFrom(t, n, trustedProxy)
 		if tc, ok := c.(*net.TCPConn); ok {
 			tc.SetNoDelay(true)
 		}
@@ -143,44 +144,46 @@
 				t.Fatal(err)
 			}
 		}
-		if got := answers(t, c, requestText("1")); got[0] != 200 {
+		if got := exchangeStatuses(t, c, requestText("1")); got[0] != 200 {
 			t.Errorf("%q: answered %v", header, got)
 		}
 	}
 }
 
-// A front that is slow with its header is closed, and holds up nobody meanwhile.
-func TestLateHeader(t *testing.T) {
-	n, out := startLogged(t, lists(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, respondOK))
+// A proxy that is slow with its header must not delay others: were the header read where connections are accepted, 50 such
+// connections would stop the node. Each is closed at the timeout.
+func TestLateProxyHeader(t *testing.T) {
+	n, out := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, respondOK))
 	var slow []net.Conn
 	for i := range 50 {
-		c := from(t, n, front)
+		c := dialFrom(t, n, trustedProxy)
 		io.WriteString(c, "PROXY TCP4 10.4.1.1 127"[:i%20])
 		slow = append(slow, c)
 	}
 	begin := time.Now()
-	if got := answers(t, from(t, n, "127.0.0.1"), requestText("1")); got[0] != 200 {
-		t.Errorf("beside slow fronts: answered %v", got)
+	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), requestText("1")); got[0] != 200 {
+		t.Errorf("beside slow proxies: answered %v", got)
 	}
 	for _, c := range slow {
-		if got := answers(t, c, ""); got[0] != 0 {
+		if got := exchangeStatuses(t, c, ""); got[0] != 0 {
 			t.Errorf("answered %v", got)
 		}
 	}
 	if took := time.Since(begin); took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
-	if got := out.lines(`msg="connection closed" client=` + front + " "); len(got) != 50 {
+	if got := out.lines(`msg="connection closed" client=` + trustedProxy + " "); len(got) != 50 {
 		t.Errorf("%d closes are logged", len(got))
 	}
 }
 
-// WithOverride a header that comes late but in time, the peer still gets its answer or close within 3 s of connecting.
-func TestLateHeaderAndNoRequest(t *testing.T) {
-	n, _ := startLogged(t, lists(func(a *settings.AccessList) {}), newBackend(t, respondOK))
+// With a header that comes late but in time, the peer still gets its response or close within 3 s of connecting: a silent
+// client must not get both timeouts.
+func TestLateProxyHeaderWithoutRequest(t *testing.T) {
+	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) {}), newBackend(t, respondOK))
 	begin := time.Now()
-	c := from(t, n, front)
-	if got := answers(t, c, "PROXY UNKNOWN\r\nPOST /api HTTP/1.1\r\n"); got[0] != 0 && got[0] < 400 {
+	c := dialFrom(t, n, trustedProxy)
+	if got := exchangeStatuses(t, c, "PROXY UNKNOWN\r\nPOST /api HTTP/1.1\r\n"); got[0] != 0 && got[0] < 400 {
 		t.Errorf("answered %v", got)
 	}
 	if took := time.Since(begin); took > 3*time.Second {
@@ -188,16 +191,18 @@
 	}
 }
 
-func TestDeniedEverywhereButReady(t *testing.T) {
-	features := lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
-	features.FaultInjections = stall(func(*settings.FaultInjection) {}).FaultInjections
+// A denied client gets 403 whatever it sends, but for the readiness check; it starts no fault injection. Other clients are
+// served, and the log names the client in each case.
+func TestDeniedClientMayOnlyCheckReady(t *testing.T) {
+	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+	features.FaultInjections = faultInjectionFeatures(func(*settings.FaultInjection) {}).FaultInjections
 	n, out := startLogged(t, features, newBackend(t, respondOK))
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n" }
 	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
 	for text, want := range map[string]int{get("/ready"): 200, get("/api"): 403, start: 403,
 		strings.Replace(requestText("1"), "unsafe", "new", 1):        403,
 		"POST /api HTTP/1.1\r\nHost: n\r\nContent-Length: 9\r\n\r\n": 403} {
-		if got := answers(t, from(t, n, "127.0.0.3"), text); got[0] != want {
+		if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), text); got[0] != want {
 			t.Errorf("%q: answered %v, want %d", text, got, want)
 		}
 	}
@@ -205,9 +210,9 @@
 		t.Errorf("%d are logged as denied: %s", len(got), out)
 	}
 	if len(out.lines("drill started")) != 0 {
-		t.Error("a stranger started a drill")
+		t.Error("a denied client started a fault injection")
 	}
-	if got := answers(t, from(t, n, "127.0.0.1"), start, requestText("2")); got[0] != 200 || got[1] != 200 {
+	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), start, requestText("2")); got[0] != 200 || got[1] != 200 {
 		t.Errorf("others were answered %v", got)
 	}
 	if len(out.lines(`msg="drill started" drill=stall client=127.0.0.1`)) != 1 {
@@ -218,20 +223,21 @@
 	}
 }
 
-// A stranger that uses another request's id gets its own answer, and the other one is left alone.
-func TestStrangerWithAnothersID(t *testing.T) {
+// A denied client that uses the ID of another client's open request gets its own response, and the other request is left
+// alone.
+func TestDeniedClientWithAnothersID(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n, _ := startLogged(t, lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") }), b)
+	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") }), b)
 	got := make(chan []int, 1)
-	c := from(t, n, "127.0.0.1")
-	go func() { got <- answers(t, c, requestText("1")) }()
+	c := dialFrom(t, n, "127.0.0.1")
+	go func() { got <- exchangeStatuses(t, c, requestText("1")) }()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
-	if got := answers(t, from(t, n, "127.0.0.3"), requestText("1")); got[0] != 403 {
-		t.Errorf("the stranger was answered %v", got)
+	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), requestText("1")); got[0] != 403 {
+		t.Errorf("the denied client was answered %v", got)
 	}
 	close(release)
 	if got := <-got; got[0] != 200 {
@@ -239,11 +245,11 @@
 	}
 }
 
-// Log lines about attempts name the client too.
-func TestBrokenAttemptNamesItsClient(t *testing.T) {
+// An operator who looks for a client finds it in the log lines about attempts too.
+func TestLostAttemptNamesItsClient(t *testing.T) {
 	b := newBackend(t, func(int, net.Conn, *http.Request) bool { return false })
-	n, out := startLogged(t, lists(func(*settings.AccessList) {}), b)
-	if got := answers(t, from(t, n, front), "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n"+requestText("1")); got[0] != 502 {
+	n, out := startLogged(t, accessListFeatures(func(*settings.AccessList) {}), b)
+	if got := exchangeStatuses(t, dialFrom(t, n, trustedProxy), "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n"+requestText("1")); got[0] != 502 {
 		t.Errorf("answered %v", got)
 	}
 	if got := out.lines("attempt without an answer"); len(got) != 1 || !strings.HasSuffix(got[0], " client=10.4.1.1\n") {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -17,8 +17,9 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A server that is taken out gets nothing more, on kept connections neither, until it is put back.
-func TestHandOnSockets(t *testing.T) {
+// An operator disables a server before its restart: it must get nothing more, on idle connections neither, until it is
+// enabled again. With all servers disabled requests are rejected at once.
+func TestDisabledServerGetsNothing(t *testing.T) {
 	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	n := startWith(t, a, b)
 	ask := func(id string) int {
@@ -44,7 +45,7 @@
 		}
 	}
 	if a.requests() != had {
-		t.Error("a server that is out got a request")
+		t.Error("a disabled server got a request")
 	}
 	if err := o.SetServerDisabled(t.Context(), "s-1", true); err != nil {
 		t.Fatal(err)
@@ -54,7 +55,7 @@
 		t.Errorf("with all out: %d after %v", got, time.Since(begin))
 	}
 	if o.CheckReady() != nil {
-		t.Error("a process with all servers out by hand is not one that can't serve")
+		t.Error("a process is not ready though all servers are disabled by an operator, not missing")
 	}
 	for _, id := range []string{"s-0", "s-1"} {
 		if err := o.SetServerDisabled(t.Context(), id, false); err != nil {
@@ -64,9 +65,9 @@
 	eventually(t, "it is used again", func() bool { ask(time.Now().String()); return a.requests() > had })
 }
 
-// Sent away, clients get answers that end their connections, and connections at rest are closed; the second call
-// undoes all of it, twice in a row, and no listener closes.
-func TestDrainAndReturn(t *testing.T) {
+// Out of service, responses end their connections and idle connections are closed; the second call undoes all of it, twice
+// in a row, and no listener closes.
+func TestOutOfServiceAndBack(t *testing.T) {
 	n := startWith(t, newBackend(t, respondOK))
 	o := adminService{n.Node}
 	for round := range 2 {
@@ -78,8 +79,8 @@
 		if err := o.SetInService(t.Context(), false); err != nil {
 			t.Fatal(err)
 		}
-		if status(t, n.url) != http.StatusServiceUnavailable {
-			t.Error("ready though drained")
+		if readyStatus(t, n.url) != http.StatusServiceUnavailable {
+			t.Error("ready though out of service")
 		}
 		eventually(t, "answers end their connections", func() bool {
 			resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", time.Now().String(), "x"))
@@ -101,13 +102,13 @@
 				t.Fatal(err)
 			}
 		}
-		if status(t, n.url) != http.StatusOK {
+		if readyStatus(t, n.url) != http.StatusOK {
 			t.Error("not ready though in service")
 		}
 	}
 }
 
-func status(t *testing.T, url string) int {
+func readyStatus(t *testing.T, url string) int {
 	t.Helper()
 	resp, err := http.Get(url + "/ready")
 	if err != nil {
@@ -117,9 +118,9 @@
 	return resp.StatusCode
 }
 
-// A connection that is shut reads nothing more: a request that crosses is never run. One whose request has begun is
-// not shut.
-func TestSweepSparesWhatHasBegun(t *testing.T) {
+// A request that crosses the close of its connection would run though its client sends it again. So a connection that is
+// half closed reads nothing more, and one whose request has begun is not closed.
+func TestCloseIdleSparesOpenRequests(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +148,7 @@
 	in.closeIdle(0)
 	io.WriteString(crossing, "POST")
 	if n, err := c.Read(make([]byte, 9)); n != 0 || err != io.EOF {
-		t.Errorf("read %d bytes, %v, of a connection that is shut", n, err)
+		t.Errorf("read %d bytes, %v, of a connection that is half closed", n, err)
 	}
 	crossing.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := bufio.NewReader(crossing).ReadByte(); err != io.EOF {
@@ -159,17 +160,18 @@
 	}
 }
 
-// fileOf is a configuration that a platform could write, with some of it replaced.
-func fileOf(t *testing.T, c Config, change ...string) Config {
+// changedConfig is a configuration that a platform could write, with some of its text replaced.
+func changedConfig(t *testing.T, c Config, change ...string) Config {
 	t.Helper()
-	got, err := parseConfig([]byte(textOf(t, c, change...)))
+	got, err := parseConfig([]byte(configText(t, c, change...)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got
 }
 
-func textOf(t *testing.T, c Config, change ...string) string {
+// configText is the text of a configuration with pairs of strings replaced: each first by the second.
+func configText(t *testing.T, c Config, change ...string) string {
 	t.Helper()
 	text, err := json.Marshal(c.parsedText)
 	if err != nil {
@@ -185,8 +187,8 @@
 	return s
 }
 
-// New settings hold for the requests that come after them; what is unsound changes nothing, discovery's address
-// neither.
+// New settings hold for the requests that come after them. A file that is not sound changes nothing: not even discovery's
+// address, which is sound.
 func TestReload(t *testing.T) {
 	b := newBackend(t, respondOK)
 	cfg := configWith(t, b)
@@ -203,7 +205,7 @@
 		"another kind of value":   {`"rules":{`, `"rules":7,"other":{`},
 		"a name out":              {`"name":"n0",`, ``},
 	} {
-		c, err := parseConfig([]byte(textOf(t, cfg, append(change, "127.0.0.1:1\"", moved+`"`)...)))
+		c, err := parseConfig([]byte(configText(t, cfg, append(change, "127.0.0.1:1\"", moved+`"`)...)))
 		if err == nil {
 			err = n.Reload(c)
 		}
@@ -218,7 +220,7 @@
 		s, _, _ := sendRequest(t, newRequest(t, n.url, class, id, "x"))
 		return s
 	}
-	if err := n.Reload(fileOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`, "127.0.0.1:1\"", moved+`"`)); err != nil {
+	if err := n.Reload(changedConfig(t, cfg, `"name":"unsafe"`, `"name":"fresh"`, "127.0.0.1:1\"", moved+`"`)); err != nil {
 		t.Fatal(err)
 	}
 	if n.discovery.Addr() != moved {
@@ -235,10 +237,11 @@
 	}
 }
 
-// A file cut at any byte is refused, and so is one that lacks any one key.
-func TestFilesThatAreNotWhole(t *testing.T) {
+// A file may be read while the platform writes it. One that is cut at any byte is rejected, and so is one that lacks any
+// one key.
+func TestTruncatedFilesAreRejected(t *testing.T) {
 	cfg := testConfig(t, "pushed", inService("s-1", "127.0.0.1:1"))
-	text := textOf(t, cfg)
+	text := configText(t, cfg)
 	follows := func(s string) error {
 		c, err := parseConfig([]byte(s))
 		if err == nil {
@@ -279,6 +282,7 @@
 	without(cfg.parsedText, "")
 }
 
+// Whatever the text, a configuration that may replace another one has a limit of attempts.
 func FuzzReload(f *testing.F) {
 	f.Add(`{"settings":{"lanes":[{}]}}`)
 	cfg, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
@@ -299,8 +303,8 @@
 	})
 }
 
-// Without a control address there is nobody to call.
-func TestNoControl(t *testing.T) {
+// Without an admin address no descriptors are reserved for operators; one that can't be had ends the node at its start.
+func TestWithoutAdminAddress(t *testing.T) {
 	cfg := testConfig(t, "pushed")
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -315,7 +319,7 @@
 			t.Fatal(err)
 		}
 		if got := n.pool.maxConns + n.maxClientConns; (got == cfg.Sockets-reservedDescriptors) != (c.AdminAddress == "") {
-			t.Errorf("control %q: %d places", c.AdminAddress, got)
+			t.Errorf("admin address %q: %d descriptors", c.AdminAddress, got)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -326,9 +330,9 @@
 	}
 }
 
-// SIGHUP may come while the node is about to serve: it is taken over once the engine runs, and neither waits for the
-// other.
-func TestReloadBeforeTheNodeServes(t *testing.T) {
+// SIGHUP may come while the node is about to serve. The reload waits for the engine, and the node must not wait for the
+// reload: with the capture on both once hung for good. The settings are applied once the engine runs.
+func TestReloadBeforeServing(t *testing.T) {
 	cfg := configWith(t, newBackend(t, respondOK))
 	cfg.Features.Capture = &settings.Capture{FileBytes: 64 << 10}
 	n, err := New(cfg, discardLogger())
@@ -336,7 +340,7 @@
 		t.Fatal(err)
 	}
 	reloaded := make(chan error, 1)
-	go func() { reloaded <- n.Reload(fileOf(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)) }()
+	go func() { reloaded <- n.Reload(changedConfig(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)) }()
 	for n.reloadMu.TryLock() { // until the reload has begun
 		n.reloadMu.Unlock()
 	}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -16,6 +16,7 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
+// testPool is a pool of up to 8 connections whose streamed responses are read to their end.
 func testPool(t *testing.T) *connPool {
 	p := newConnPool(engine.NewClock(), testConfig(t, "pushed"), 8, nil, func(_ *engine.Attempt, got any) bool {
 		go forwardStream(httptest.NewRecorder(), got.(*upstreamResponse))
@@ -32,7 +33,9 @@
 	return &engine.Attempt{Call: &c.Call, Target: &engine.Target{ID: "s", Addr: addr}, Deadline: p.clock.Now() + wait}
 }
 
-func TestEndings(t *testing.T) {
+// What a server may send, or fail to send, and the outcome that each is. The outcome decides whether the request may be
+// sent again: a ConnectionLost taken for a rejection would run a non-idempotent request twice.
+func TestAttemptOutcomes(t *testing.T) {
 	partly := func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
@@ -64,8 +67,8 @@
 		"not found":         {status("404 Not Found"), balancer.Failure},
 		"accepted":          {status("202 Accepted"), balancer.Failure},
 		"unmarked 503":      {status("503 Service Unavailable"), balancer.Failure},
-		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), balancer.Overloaded},
-		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), balancer.Overloaded},
+		"rejected, 503":     {status("503 Service Unavailable", "X-Rejected: 1"), balancer.Overloaded},
+		"rejected, 504":     {status("504 Gateway Timeout", "X-Rejected: 1"), balancer.Overloaded},
 		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), balancer.Failure},
 		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, balancer.ConnectionLost},
 		"half an answer":    {partly, balancer.ConnectionLost},
@@ -110,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
 			if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).Outcome; got != tc.want {
-				t.Errorf("ending %v, want %v", got, tc.want)
+				t.Errorf("outcome %v, want %v", got, tc.want)
 			}
 			if n := b.requests(); n != 1 {
 				t.Errorf("the server saw %d requests, want 1", n)
@@ -125,7 +128,7 @@
 		ln.Close()
 		p := testPool(t)
 		if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).Outcome; got != balancer.Unreachable {
-			t.Errorf("ending %v, want Unreachable", got)
+			t.Errorf("outcome %v, want Unreachable", got)
 		}
 	})
 	t.Run("silence", func(t *testing.T) {
@@ -137,14 +140,14 @@
 		})
 		p := testPool(t)
 		if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).Outcome; got != balancer.TimedOut {
-			t.Errorf("ending %v, want TimedOut", got)
+			t.Errorf("outcome %v, want TimedOut", got)
 		}
 		<-left // an attempt is given up by closing its connection
 	})
 }
 
-// An attempt whose connection comes up after the server was told to drain, or after its request is
-// over, must not send a byte.
+// Connecting may take long. An attempt whose connection comes up after its server began to drain, or after its request was
+// answered, must not send a byte.
 func TestNothingSentAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*engine.Attempt){
 		"drained":  func(a *engine.Attempt) { a.Target.StopSending(1) },
@@ -158,7 +161,7 @@
 				return nil
 			}
 			if got := p.runAttempt(att).Outcome; got != balancer.NotSent {
-				t.Errorf("ending %v, want Void", got)
+				t.Errorf("outcome %v, want NotSent", got)
 			}
 			p.closeAll()
 			if n := b.requests(); n != 0 {
@@ -168,8 +171,8 @@
 	}
 }
 
-// What follows an answer unasked must not pass as the answer to the next request.
-func TestBytesOutOfStep(t *testing.T) {
+// A server sends bytes behind its response. They must not pass as the response to the next request.
+func TestUnsolicitedBytesAfterResponse(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
@@ -181,15 +184,15 @@
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []string{"one", "two"} {
 		att := &engine.Attempt{Call: first.Call, Target: first.Target, Deadline: first.Deadline}
-		if r := p.runAttempt(att); r.Outcome != balancer.Success || bodyOf(r) != want {
-			t.Errorf("got %v %q, want %q", r.Outcome, bodyOf(r), want)
+		if r := p.runAttempt(att); r.Outcome != balancer.Success || responseBody(r) != want {
+			t.Errorf("got %v %q, want %q", r.Outcome, responseBody(r), want)
 		}
 	}
 }
 
-// Bytes that nobody asked for may also come between the taking of a connection and the writing on it. On a
-// fresh one they prove the server unreachable, for nothing was sent.
-func TestUnaskedBytesBeforeAWrite(t *testing.T) {
+// Unsolicited bytes may also come after a connection was acquired and before the request is written. Then nothing is
+// written, and the attempt uses another connection.
+func TestUnsolicitedBytesBeforeRequest(t *testing.T) {
 	stray := make(chan net.Conn, 1)
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		respond(c, "200 OK", "done")
@@ -217,13 +220,13 @@
 		t.Error("the connection would be used")
 	}
 	again := &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
-	if r := p.runAttempt(again); r.Outcome != balancer.Success || bodyOf(r) != "done" {
-		t.Errorf("got %v %q", r.Outcome, bodyOf(r))
+	if r := p.runAttempt(again); r.Outcome != balancer.Success || responseBody(r) != "done" {
+		t.Errorf("got %v %q", r.Outcome, responseBody(r))
 	}
 }
 
-// A server closes connections that idle. The node must see that before it uses one: else the
-// request ends as a reset and an unsafe one may not be tried again.
+// A server closes idle connections. The node must see that before it uses one: else the request ends with a reset, and a
+// non-idempotent one may not be retried.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		respond(c, "200 OK", "done")
@@ -242,8 +245,8 @@
 	}
 }
 
-// An attempt whose kept connection breaks may have run: http.Transport would send it again by itself, since
-// its key invites that.
+// A request whose reused connection breaks may have run. http.Transport would send it again by itself, for its idempotency
+// key invites that; the pool must leave retries to the balancer.
 func TestNoHiddenResend(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool { return n == 1 && respond(c, "200 OK", "done") })
 	p := testPool(t)
@@ -259,7 +262,8 @@
 	}
 }
 
-func TestConnectionIsKept(t *testing.T) {
+// Requests in a row share one connection, which is closed when its server gets nothing new.
+func TestConnectionIsReused(t *testing.T) {
 	b := newBackend(t, respondOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
@@ -278,7 +282,7 @@
 	}
 }
 
-// The limit on sockets holds: an idle connection elsewhere makes room, else there is none.
+// The limit of connections holds: an idle one to another server makes room, else the attempt is not sent.
 func TestNoMoreConnectionsThanAllowed(t *testing.T) {
 	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	p := testPool(t)
@@ -298,17 +302,18 @@
 		c.idleElement = nil
 		delete(p.idleByTarget, c.target)
 	}
-	// No server is to blame for the node's own lack.
+	// The server is not to blame for the node's own lack of descriptors.
 	if got := p.runAttempt(testAttempt(p, a.addr(), time.Minute)).Outcome; got != balancer.NotSent {
-		t.Errorf("ended %v, want Void", got)
+		t.Errorf("outcome %v, want NotSent", got)
 	}
 }
 
-func TestMessageIsUnchanged(t *testing.T) {
+// Path, query, host, headers and body reach the server as they came; the budget is what is left of it.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	p := testPool(t)
 	att := testAttempt(p, "127.0.0.1:1", 400*time.Millisecond)
 	att.Call.Payload.(*clientRequest).url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
-	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(p.encodeRequest(att, att.Deadline-p.clock.Now())))))
+	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(encodeRequest(att.Call.Payload.(*clientRequest), att.Deadline-p.clock.Now())))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,4 +327,4 @@
 	}
 }
 
-func bodyOf(r engine.Result) string { return string(r.Reply.(*upstreamResponse).body) }
+func responseBody(r engine.Result) string { return string(r.Reply.(*upstreamResponse).body) }
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -20,9 +20,10 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// What a node on real sockets records replays without a difference: servers that fail, a list that changes, a drill,
-// strangers, callers that leave and a drain are all in it, and no body, key or secret is.
-func TestCaptureOfANodeReplays(t *testing.T) {
+// A capture must show how a decision came about, and give nothing away. What a node on real sockets records replays
+// without a difference: servers that fail, a list that changes, a fault injection, denied clients and the shutdown are all
+// in it, and no body, key or secret is.
+func TestCaptureReplays(t *testing.T) {
 	faulty := func(n int, c net.Conn, r *http.Request) bool {
 		switch {
 		case n%5 == 1:
@@ -34,13 +35,13 @@
 		}
 		return respond(c, "200 OK", "done")
 	}
-	features := lists(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
-	features.FaultInjections = stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 30, 5*time.Millisecond }).FaultInjections
+	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+	features.FaultInjections = faultInjectionFeatures(func(d *settings.FaultInjection) { d.Percent, d.Delay = 30, 5*time.Millisecond }).FaultInjections
 	features.Capture = &settings.Capture{FileBytes: 512 << 10}
-	cfg, out := configWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty)), &logText{}
+	cfg, out := configWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty)), &logBuffer{}
 	cfg.Features = features
 	n := start(t, cfg, withLog(out), func(n *Node) { n.stderr = out })
-	startDrill(t, n.url, secret)
+	postFaultInjection(t, n.url, secret)
 	hosts := cfg.BootstrapList.Endpoints
 	var wg sync.WaitGroup
 	for caller := range 8 {
@@ -63,11 +64,11 @@
 		}()
 	}
 	wg.Wait()
-	if got := answers(t, from(t, n, "127.0.0.3"), requestText("stranger")); got[0] != 403 {
-		t.Errorf("a stranger was answered %v", got)
+	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), requestText("stranger")); got[0] != 403 {
+		t.Errorf("a denied client was answered %v", got)
 	}
 	n.stop()
-	if err := <-n.done; err != nil {
+	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	var said strings.Builder
@@ -77,7 +78,7 @@
 	if err != nil || said.Len() > 0 || result.Compared < 400 || result.Differences+result.Skipped != 0 {
 		t.Errorf("%+v, %v, said %.500s", result, err, &said)
 	}
-	text := records(t, out.String())
+	text := captureRecords(t, out.String())
 	for _, never := range []string{"the body", "k-0-0", secret, faultinjection.Header} {
 		if strings.Contains(text, never) || strings.Contains(out.String(), never) {
 			t.Errorf("%q is in it", never)
@@ -91,8 +92,8 @@
 	}
 }
 
-// records is the text of all records in a log.
-func records(t *testing.T, log string) string {
+// captureRecords is the text of all capture records in a log.
+func captureRecords(t *testing.T, log string) string {
 	t.Helper()
 	var all strings.Builder
 	for line := range strings.Lines(log) {
@@ -109,8 +110,9 @@
 	return all.String()
 }
 
-// Nobody reads standard error, and the pipe is full: requests are served all the same.
-func TestServesThoughNobodyReadsTheCapture(t *testing.T) {
+// Nobody reads standard error, and the pipe is full: a blocked write must not stop the node. Requests are served all the
+// same.
+func TestServesThoughCaptureIsNotRead(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Callers that ask once and keep their connection, and callers that never ask, must not take all places
-// for good: a request on a connection that comes later is served.
-func TestPlacesAreForThoseThatAsk(t *testing.T) {
+// Clients that send one request and keep their connection, and clients that never send any, must not hold all slots for
+// good: a request on a connection that comes later is served.
+func TestIdleConnectionsMakeRoom(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b, b)
 	for name, first := range map[string]string{"asked once": "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", "never asked": ""} {
@@ -42,9 +42,9 @@
 	}
 }
 
-// A place is given up only by a connection without an open request, the one that rests longest first, and
-// given back once.
-func TestWhoGivesUpItsPlace(t *testing.T) {
+// Only a connection without an open request is evicted, the one that has been idle longest first, and its slot is given
+// back once.
+func TestEvictionOfIdleConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,35 +82,35 @@
 	connect()
 	conns = append(conns, <-accepted) // in place of the second: the first has a request open
 	if _, err := conns[1].Read(make([]byte, 1)); err == nil {
-		t.Error("the second was left open")
+		t.Error("the second was not closed")
 	}
 	in.connStateChanged(conns[2], http.StateActive)
 	connect()
 	select {
 	case <-accepted:
-		t.Fatal("a connection was taken though all places have open requests")
+		t.Fatal("a connection was accepted though all slots have open requests")
 	default:
 	}
 	conns[0].Close()
-	conns[0].Close() // twice gives back one place only
+	conns[0].Close() // twice gives back one slot only
 	conns = append(conns, <-accepted)
 	in.connStateChanged(conns[3], http.StateActive)
 	in.mu.Lock()
 	if in.openConns > in.maxConns || in.idleConns.Len() != 0 {
-		t.Errorf("%d places of %d taken, %d connections rest", in.openConns, in.maxConns, in.idleConns.Len())
+		t.Errorf("%d slots of %d taken, %d connections idle", in.openConns, in.maxConns, in.idleConns.Len())
 	}
 	in.mu.Unlock()
-	in.Close() // ends Accept, which waits for a place
+	in.Close() // ends Accept, which waits for a slot
 	if _, more := <-accepted; more {
-		t.Error("another one was taken")
+		t.Error("another one was accepted")
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// Half a request, or none, gets a close and holds no place for good.
-func TestSilenceIsClosed(t *testing.T) {
+// A client that sends half a request, or none, must not hold its slot for good: its connection is closed.
+func TestSilentClientsAreClosed(t *testing.T) {
 	n := startWith(t, newBackend(t, respondOK))
 	for name, text := range map[string]string{
 		"nothing":   "",
@@ -124,37 +124,37 @@
 	}
 }
 
-// crossing is a client's connection on which a request comes in the very moment of its close.
-type crossing struct {
+// crossingConn is a client's connection on which a request comes in the very moment of its close.
+type crossingConn struct {
 	net.Conn
 	close func()
 }
 
-func (c *crossing) Read(b []byte) (int, error) { return copy(b, "G"), nil }
+func (c *crossingConn) Read(b []byte) (int, error) { return copy(b, "G"), nil }
 
-func (c *crossing) Close() error {
+func (c *crossingConn) Close() error {
 	c.close()
 	return nil
 }
 
-func (c *crossing) SetReadDeadline(time.Time) error { return nil }
+func (c *crossingConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection at rest that is closed has not read the request that crosses its close: its client sends that again, and
-// if it were forwarded too it would run twice, or have no answer.
-func TestWhatCrossesACloseIsUnread(t *testing.T) {
+// A request crosses the close of its idle connection: its client sends it again. If the first were read and forwarded it
+// would run twice, or have no response. So whatever closes an idle connection, the request stays unread.
+func TestRequestCrossingCloseIsUnread(t *testing.T) {
 	for name, closes := range map[string]func(in *clientListener, c *clientConn){
-		"for its place": func(in *clientListener, _ *clientConn) { in.acquireSlot() },
-		"as clients go": func(in *clientListener, _ *clientConn) {
+		"for its slot": func(in *clientListener, _ *clientConn) { in.acquireSlot() },
+		"out of service": func(in *clientListener, _ *clientConn) {
 			in.closeIdle(0)
 			<-time.After(halfCloseTimeout)
 			in.closeIdle(0)
 		},
-		"as the node end": func(in *clientListener, c *clientConn) { in.stopReadingIdle(); c.Close() },
+		"in shutdown": func(in *clientListener, c *clientConn) { in.stopReadingIdle(); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				in := newClientListener(nil, 1, nil)
-				conn := &crossing{}
+				conn := &crossingConn{}
 				c := &clientConn{Conn: conn, listener: in, readAhead: newReadAheadBuffer(conn)}
 				read := make(chan error, 1)
 				conn.close = func() {
@@ -173,10 +173,10 @@
 	}
 }
 
-// The time that a body has to come in is over with the body. A look for the client's leaving that begins just before it is
-// taken back, on a node that is held up there, must not end the request: its client has not gone, would see its connection
-// close, and send the request again while it is out.
-func TestABodysDeadlineIsNoLeaving(t *testing.T) {
+// The deadline of a request's body is over with the body. net/http's background read, which watches for the client's
+// leaving, may begin just before that deadline is taken back, on a node that is busy. Meeting the deadline must not end
+// the request: its client has not gone, would see its connection close, and send the request again while it runs.
+func TestBodyDeadlineIsNotClientGone(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 		n   int
 		err error
 	}
-	look := func() <-chan result {
+	backgroundRead := func() <-chan result {
 		read := make(chan result, 1)
 		go func() {
 			n, err := c.Read(make([]byte, 1))
@@ -206,7 +206,7 @@
 		return read
 	}
 	c.SetReadDeadline(time.Now().Add(-time.Millisecond)) // the body's
-	read := look()
+	read := backgroundRead()
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
@@ -214,9 +214,9 @@
 		t.Errorf("read %d, %v", got.n, got.err)
 	}
 	c.SetReadDeadline(time.Time{})
-	read = look()
-	c.SetReadDeadline(time.Unix(1, 0)) // as the HTTP server ends its look
+	read = backgroundRead()
+	c.SetReadDeadline(time.Unix(1, 0)) // as net/http ends its background read
 	if got := <-read; !errors.Is(got.err, os.ErrDeadlineExceeded) {
-		t.Errorf("a look that is ended gives %d, %v", got.n, got.err)
+		t.Errorf("a background read that is ended gives %d, %v", got.n, got.err)
 	}
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// quietAfter ends a node and wants every count of calls in flight to be zero then, by the module's own account.
-func quietAfter(t *testing.T, n *testNode) {
+// stopAndCheckIdle ends a node and checks that nothing is in flight then, by the balancer's own account.
+func stopAndCheckIdle(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
-	if err := <-n.done; err != nil {
+	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
 	text, err := n.engine.Balancer.Checkpoint()
@@ -38,12 +38,12 @@
 	}
 	for _, s := range c.Servers {
 		if len(s.Open) > 0 {
-			t.Errorf("calls in flight at a server: %v", s.Open)
+			t.Errorf("attempts in flight at a server: %v", s.Open)
 		}
 	}
 	for _, p := range c.Pools {
 		if p.InFlight != 0 {
-			t.Errorf("%d calls of a pool in flight", p.InFlight)
+			t.Errorf("%d attempts of a pool in flight", p.InFlight)
 		}
 	}
 	if len(c.Requests) > 0 || len(n.pool.conns) > 0 || n.pool.dialing != 0 || len(n.pool.idleByTarget) > 1 {
@@ -74,14 +74,14 @@
 	return ln.Addr().String()
 }
 
-// reset ends a connection the hard way, whatever has come on it.
-func reset(c *net.TCPConn) {
+// resetConn ends a connection with a reset, whatever has come on it.
+func resetConn(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// asked reads one request whole.
-func asked(c net.Conn) bool {
+// readWholeRequest reads one complete request.
+func readWholeRequest(c net.Conn) bool {
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err == nil {
 		_, err = io.Copy(io.Discard, r.Body)
@@ -89,25 +89,29 @@
 	return err == nil
 }
 
-// A server that ends its connection at each worst moment: what may have run is answered as failed and not sent again,
-// what can't have is, nothing stays in flight, and the next request finds the server as free as any.
-func TestConnectionsEndAtEachWorstMoment(t *testing.T) {
+// A server closes or resets its connection at each moment of a request. What may have run is answered as failed and not
+// retried, what can't have run is rejected with a Retry-After, and nothing stays in flight: a count that leaked would keep
+// the server from getting its share for good.
+func TestServerClosesAtEachMoment(t *testing.T) {
 	may, never := []balancer.Outcome{balancer.ConnectionLost}, []balancer.Outcome{balancer.ConnectionLost, balancer.Unreachable}
 	for name, tc := range map[string]struct {
 		serve func(c *net.TCPConn)
 		want  []balancer.Outcome
 	}{
 		// What the node has written by then is up to the kernel: it may know of the end, or learn of it after its last byte.
-		"reset before the first byte":  {reset, never},
+		"reset before the first byte":  {resetConn, never},
 		"closed before the first byte": {func(*net.TCPConn) {}, never},
-		"reset between request bytes":  {func(c *net.TCPConn) { io.ReadFull(c, make([]byte, 40)); reset(c) }, never},
+		"reset between request bytes":  {func(c *net.TCPConn) { io.ReadFull(c, make([]byte, 40)); resetConn(c) }, never},
 		"half closed, and silent":      {func(c *net.TCPConn) { c.CloseWrite(); io.Copy(io.Discard, c) }, never},
-		"reset after the last byte":    {func(c *net.TCPConn) { asked(c); reset(c) }, may},
-		"closed after the last byte":   {func(c *net.TCPConn) { asked(c) }, may},
-		"closed mid-header":            {func(c *net.TCPConn) { asked(c); io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le") }, may},
-		"closed mid-body":              {func(c *net.TCPConn) { asked(c); io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf") }, may},
-		"reset as the answer is parked": {func(c *net.TCPConn) {
-			asked(c)
+		"reset after the last byte":    {func(c *net.TCPConn) { readWholeRequest(c); resetConn(c) }, may},
+		"closed after the last byte":   {func(c *net.TCPConn) { readWholeRequest(c) }, may},
+		"closed mid-header":            {func(c *net.TCPConn) { readWholeRequest(c); io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le") }, may},
+		"closed mid-body": {func(c *net.TCPConn) {
+			readWholeRequest(c)
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+		}, may},
+		"closed behind its response": {func(c *net.TCPConn) {
+			readWholeRequest(c)
 			respond(c, "200 OK", "done")
 			c.CloseWrite()
 			io.Copy(io.Discard, c)
@@ -135,18 +139,19 @@
 				case tc.want[0] == balancer.Success && status != 200, tc.want[0] != balancer.Success && status == 200:
 					t.Errorf("answered %d", status)
 				case status == 503 && header.Get("Retry-After") == "":
-					t.Error("refused, and not told when to come back")
+					t.Error("rejected without a Retry-After")
 				case status == 503 && len(tc.want) == 1:
-					t.Error("refused, but may have run")
+					t.Error("rejected, but may have run")
 				}
 			}
-			quietAfter(t, n)
+			stopAndCheckIdle(t, n)
 		})
 	}
 }
 
-// A call is out while its server drains, moves and starts anew: it stays in flight until it ends, and no longer.
-func TestServerChangesUnderACall(t *testing.T) {
+// A server drains, moves and starts anew while a request is out at it. The attempt stays in flight until it ends, and no
+// longer, and the new process gets requests meanwhile.
+func TestServerChangesDuringRequest(t *testing.T) {
 	came, end := make(chan struct{}), make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Call-Id") == "held" {
@@ -178,13 +183,14 @@
 	if status := <-held; status != http.StatusBadGateway {
 		t.Errorf("the call to the old one was answered %d", status)
 	}
-	quietAfter(t, n)
+	stopAndCheckIdle(t, n)
 }
 
-// A client that says that it waits for an hour is answered before the node that is told to stop ends its connection.
+// A client gives its request an hour, and the node is told to stop. The request must be answered before SIGKILL comes: else
+// its client would not know that it may have run.
 func TestLongBudgetOnSIGTERM(t *testing.T) {
 	came := make(chan struct{})
-	addr := rawServer(t, func(c *net.TCPConn) { asked(c); close(came); io.Copy(io.Discard, c) })
+	addr := rawServer(t, func(c *net.TCPConn) { readWholeRequest(c); close(came); io.Copy(io.Discard, c) })
 	cfg := testConfig(t, "pushed", inService("s-0", addr))
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
@@ -208,12 +214,13 @@
 	if status := <-got; status != "502 Bad Gateway" {
 		t.Errorf("it got %q", status)
 	}
-	quietAfter(t, n)
+	stopAndCheckIdle(t, n)
 }
 
-// Expected to fail: one client that trickles heads holds every place, and others wait until the first of them is closed,
-// 2.7 s later. Each is closed in time; sharing the places out among clients is what the fair queues are for.
-func TestOneClientHoldsAllPlaces(t *testing.T) {
+// A known fault: one client that sends its request heads slowly holds every slot, and others wait until the first of its
+// connections is closed, 2.7 s later. Each is closed in time; slots are not shared fairly among clients. The test fails if
+// that gets worse, and also when it is mended, so that it gets rewritten.
+func TestOneClientHoldsAllSlots(t *testing.T) {
 	cfg := configWith(t, newBackend(t, respondOK))
 	cfg.Sockets = 4 * reservedDescriptors
 	n := start(t, cfg)
@@ -232,15 +239,15 @@
 		t.Errorf("answered %d", status)
 	}
 	if took := time.Since(begin); took < requestHeadTimeout/3 {
-		t.Errorf("served after %v: the fault is gone, and this test should say so", took)
+		t.Errorf("served after %v: the fault is mended, and this test should say so", took)
 	} else if took > 2*requestHeadTimeout+time.Second {
-		t.Errorf("served after %v: the places are not given back", took)
+		t.Errorf("served after %v: the slots are not given back", took)
 	}
 }
 
-// What others notice of a client that trickles its bodies, takes its answers a byte at a time, or comes on a new connection
-// with a new id each time: all are served, beside it as without it.
-func TestOthersBesideSlowConnections(t *testing.T) {
+// One client sends its bodies slowly, takes its responses a byte at a time, or comes on a new connection with a new ID each
+// time. All other requests are served, beside it as without it.
+func TestSlowClientsDelayNobodyElse(t *testing.T) {
 	large := strings.Repeat("x", 200_000) // more than the kernel takes of an answer that nobody reads
 	serve := func(_ int, c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.Header.Get("X-Call-Id"), "slow") {
@@ -251,10 +258,10 @@
 	const head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Class: unsafe\r\nX-Budget: 3000m\r\n"
 	for _, odd := range []struct {
 		name string
-		do   func(i int, c net.Conn, stop <-chan struct{})
+		act  func(i int, c net.Conn, stop <-chan struct{})
 	}{
 		{"nobody", nil},
-		{"trickles its bodies", func(i int, c net.Conn, stop <-chan struct{}) {
+		{"slow bodies", func(i int, c net.Conn, stop <-chan struct{}) {
 			fmt.Fprintf(c, "%sX-Call-Id: t%d\r\nContent-Length: 60000\r\n\r\n", head, i)
 			for {
 				select {
@@ -267,7 +274,7 @@
 				}
 			}
 		}},
-		{"reads a byte at a time", func(i int, c net.Conn, stop <-chan struct{}) {
+		{"slow reads", func(i int, c net.Conn, stop <-chan struct{}) {
 			c.(*net.TCPConn).SetReadBuffer(2048)
 			fmt.Fprintf(c, "%sX-Call-Id: slow%d\r\nContent-Length: 0\r\n\r\n", head, i)
 			for {
@@ -300,7 +307,7 @@
 			stop, over := make(chan struct{}), make(chan struct{}, 60)
 			addr := strings.TrimPrefix(n.url, "http://")
 			for i := range 60 {
-				if odd.do == nil {
+				if odd.act == nil {
 					over <- struct{}{}
 					continue
 				}
@@ -310,11 +317,11 @@
 				}
 				defer c.Close()
 				go func() {
-					odd.do(i, c, stop)
+					odd.act(i, c, stop)
 					over <- struct{}{}
 				}()
 			}
-			if odd.name == "reads a byte at a time" {
+			if odd.name == "slow reads" {
 				eventually(t, "all of them have an answer to take", func() bool { return b.requests() == 60 })
 			}
 			var took []time.Duration
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -19,26 +19,26 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// logText is what a node logs.
-type logText struct {
+// logBuffer takes what a node logs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 // lines are the lines that contain a text.
-func (l *logText) lines(with string) (found []string) {
+func (l *logBuffer) lines(with string) (found []string) {
 	for line := range strings.Lines(l.String()) {
 		if strings.Contains(line, with) {
 			found = append(found, line)
@@ -47,7 +47,7 @@
 	return found
 }
 
-// withLog has a node log to out.
+// withLog makes a node log to out.
 func withLog(out io.Writer) func(*Node) {
 	return func(n *Node) {
 		n.log = slog.New(slog.NewTextHandler(out, nil))
@@ -56,23 +56,24 @@
 }
 
 // startLogged runs a node with features switched on, before the backends.
-func startLogged(t *testing.T, features settings.File, backends ...*backend) (*testNode, *logText) {
+func startLogged(t *testing.T, features settings.File, backends ...*backend) (*testNode, *logBuffer) {
 	t.Helper()
-	cfg, out := configWith(t, backends...), &logText{}
+	cfg, out := configWith(t, backends...), &logBuffer{}
 	cfg.Features = features
 	return start(t, cfg, withLog(out)), out
 }
 
 const secret = "crush-pad-7"
 
-func stall(change func(*settings.FaultInjection)) settings.File {
+// faultInjectionFeatures are features with one fault injection, which affects all requests of its class, after a change.
+func faultInjectionFeatures(change func(*settings.FaultInjection)) settings.File {
 	d := settings.FaultInjection{Name: "stall", Secret: secret, Class: "unsafe", Percent: 100, Duration: 10 * time.Minute}
 	change(&d)
 	return settings.File{FaultInjections: []settings.FaultInjection{d}}
 }
 
-// startDrill posts to /drills with some keys.
-func startDrill(t *testing.T, url string, keys ...string) int {
+// postFaultInjection asks for the start of a fault injection with some keys and returns the status.
+func postFaultInjection(t *testing.T, url string, keys ...string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+faultinjection.Path, nil)
 	if err != nil {
@@ -85,10 +86,11 @@
 	return status
 }
 
-// The operators' check: of 1,000 requests about 10% carry the mark, and each of them is answered.
-func TestATenthIsDrilled(t *testing.T) {
-	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, respondOK))
-	if status := startDrill(t, n.url, secret); status != http.StatusOK {
+// Operators rehearse a fault on a tenth of the requests: of 1,000 about 100 are affected and logged, and each of the 1,000
+// is answered.
+func TestFaultInjectionPercent(t *testing.T) {
+	n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, respondOK))
+	if status := postFaultInjection(t, n.url, secret); status != http.StatusOK {
 		t.Fatalf("started with %d", status)
 	}
 	var wg sync.WaitGroup
@@ -114,7 +116,7 @@
 	wg.Wait()
 	marked := out.lines("msg=drilled")
 	if len(marked) < 70 || len(marked) > 130 {
-		t.Errorf("%d of 1000 were drilled, want about 100", len(marked))
+		t.Errorf("%d of 1000 were affected, want about 100", len(marked))
 	}
 	for _, line := range marked {
 		if !strings.HasSuffix(line, " drill=stall\n") || !strings.Contains(line, " class=unsafe ") {
@@ -122,7 +124,7 @@
 		}
 	}
 	n.stop()
-	<-n.done
+	<-n.ended
 	if want := fmt.Sprintf("hookwalk.drill.applied=%d ", len(marked)); len(out.lines(want)) == 0 {
 		// the counts of a slow run may lie in two lines
 		if len(out.lines("hookwalk.drill.applied=")) < 2 {
@@ -134,24 +136,25 @@
 	}
 }
 
-func TestWhoMayStartADrill(t *testing.T) {
+// Only the key in the settings file starts a fault injection: without it a client could take the node out of service.
+func TestWhoMayStartFaultInjection(t *testing.T) {
 	b := newBackend(t, respondOK)
 	none := startWith(t, b)
-	if status := startDrill(t, none.url, secret); status != http.StatusNotFound {
-		t.Errorf("without drills: %d", status)
+	if status := postFaultInjection(t, none.url, secret); status != http.StatusNotFound {
+		t.Errorf("without fault injections: %d", status)
 	}
-	if status := startDrill(t, none.url); status != http.StatusBadRequest {
-		t.Errorf("without drills and a key it is any request without an id, and got %d", status)
+	if status := postFaultInjection(t, none.url); status != http.StatusBadRequest {
+		t.Errorf("without fault injections and a key it is any request without an ID, and got %d", status)
 	}
-	locked, _ := startLogged(t, stall(func(d *settings.FaultInjection) { d.Secret = "" }), b)
+	locked, _ := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Secret = "" }), b)
 	for _, keys := range [][]string{nil, {""}, {secret}} {
-		if status := startDrill(t, locked.url, keys...); status != http.StatusNotFound {
+		if status := postFaultInjection(t, locked.url, keys...); status != http.StatusNotFound {
 			t.Errorf("without a secret, keys %q: %d", keys, status)
 		}
 	}
-	n, out := startLogged(t, stall(func(*settings.FaultInjection) {}), b)
+	n, out := startLogged(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), b)
 	for _, keys := range [][]string{nil, {""}, {"crush-pad-"}, {secret + "7"}, {secret, secret}} {
-		if status := startDrill(t, n.url, keys...); status != http.StatusForbidden {
+		if status := postFaultInjection(t, n.url, keys...); status != http.StatusForbidden {
 			t.Errorf("keys %q: %d", keys, status)
 		}
 	}
@@ -159,7 +162,7 @@
 		t.Error("a wrong key started it")
 	}
 	for range 2 {
-		if status := startDrill(t, n.url, secret); status != http.StatusOK {
+		if status := postFaultInjection(t, n.url, secret); status != http.StatusOK {
 			t.Errorf("the key: %d", status)
 		}
 	}
@@ -171,11 +174,12 @@
 	}
 }
 
+// An aborted request is answered with the status that is configured, at once, and reaches no server.
 func TestAbortedRequestsReachNoServer(t *testing.T) {
 	for status, advice := range map[int]string{503: "1.2", 500: ""} {
 		b := newBackend(t, respondOK)
-		n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.AbortStatus, d.Delay = status, time.Hour }), b)
-		startDrill(t, n.url, secret)
+		n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.AbortStatus, d.Delay = status, time.Hour }), b)
+		postFaultInjection(t, n.url, secret)
 		got, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		if got != status || header.Get("Retry-After") != advice || b.requests() != 0 {
 			t.Errorf("answered %d, Retry-After %q, %d attempts", got, header.Get("Retry-After"), b.requests())
@@ -189,12 +193,12 @@
 	}
 }
 
-// Clients and the end of the node find a delayed request like any other: the one that left is forgotten, the
-// others are served at once.
-func TestDelayedRequestsOnTheWayOut(t *testing.T) {
+// A delayed request ends like any other: it is forgotten when its client leaves, and served at once when the node shuts
+// down.
+func TestDelayedRequestsAtTheirEnd(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n, out := startLogged(t, stall(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
-	startDrill(t, n.url, secret)
+	n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
+	postFaultInjection(t, n.url, secret)
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
 	go func() {
@@ -223,12 +227,13 @@
 	if status := <-held; status != http.StatusOK {
 		t.Errorf("when the node left it was answered %d", status)
 	}
-	if err := <-n.done; err != nil {
+	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-func TestDrillKeyGoesToNoServer(t *testing.T) {
+// The key is a secret: servers must not get it.
+func TestFaultInjectionKeyIsNotForwarded(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
@@ -238,8 +243,9 @@
 	}
 }
 
-func TestNoStartAtANodeThatLeaves(t *testing.T) {
-	h := &ingressHandler{faultKeys: faultinjection.NewKeys(stall(func(*settings.FaultInjection) {}).FaultInjections), endsConnections: func() bool { return false },
+// A node that shuts down starts no fault injection.
+func TestNoFaultInjectionDuringShutdown(t *testing.T) {
+	h := &ingressHandler{faultKeys: faultinjection.NewKeys(faultInjectionFeatures(func(*settings.FaultInjection) {}).FaultInjections), endsConnections: func() bool { return false },
 		hardDeadline: func() time.Duration { return 1 }}
 	r, w := httptest.NewRequest(http.MethodPost, faultinjection.Path, nil), httptest.NewRecorder()
 	r.Header.Set(faultinjection.Header, secret)
@@ -248,17 +254,18 @@
 	}
 }
 
-func TestDrillOfAnUnknownClass(t *testing.T) {
+// A misspelt class ends the node at its start, with the position in the file, not when an operator needs the fault.
+func TestFaultInjectionOfUnknownClass(t *testing.T) {
 	cfg := testConfig(t, "pushed")
-	cfg.Features = stall(func(d *settings.FaultInjection) { d.Class, d.Pos = "new", "a.hcl:3" })
+	cfg.Features = faultInjectionFeatures(func(d *settings.FaultInjection) { d.Class, d.Pos = "new", "a.hcl:3" })
 	if _, err := New(cfg, discardLogger()); err == nil || !strings.Contains(err.Error(), `a.hcl:3: drill stall: class "new"`) {
 		t.Errorf("said %v", err)
 	}
 }
 
-// A start that brings a body, or half of one, is answered and holds nothing up.
-func TestStartWithABody(t *testing.T) {
-	n, _ := startLogged(t, stall(func(*settings.FaultInjection) {}), newBackend(t, respondOK))
+// A start whose body does not come is answered all the same, and its connection closed.
+func TestFaultInjectionStartWithBody(t *testing.T) {
+	n, _ := startLogged(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), newBackend(t, respondOK))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -25,6 +25,7 @@
  "lanes":[{"name":"keyed","effect":"idempotency_key","key-scope":"cell","window-ms":60000,"target-ms":20000,"deadline-ms":60000,"worth":2},
   {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,"target-ms":20000,"deadline-ms":60000,"worth":3}]}`
 
+// testConfig is a configuration whose discovery works in a mode, with a bootstrap list.
 func testConfig(t *testing.T, mode string, known ...discoveryapi.Endpoint) Config {
 	t.Helper()
 	k, err := json.Marshal(discoveryapi.List{Seq: 1, Complete: true, Endpoints: known})
@@ -42,6 +43,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
+// inService is a server on the list that takes requests.
 func inService(id, addr string) discoveryapi.Endpoint {
 	return discoveryapi.Endpoint{Host: id, Dial: addr, Site: "z", Health: "in_service"}
 }
@@ -56,7 +58,7 @@
 	}
 }
 
-// backend is a server whose every request is handled by a function, one connection at a time each.
+// backend is a server whose every request is handled by a function.
 type backend struct {
 	ln    net.Listener
 	mu    sync.Mutex
@@ -131,15 +133,17 @@
 	return len(b.conns)
 }
 
+// respond writes a response and reports whether the connection took it.
 func respond(c net.Conn, status, body string, headers ...string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
 		strings.Join(append(headers, ""), "\r\n"), body)
 	return err == nil
 }
 
+// respondOK serves a request.
 func respondOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
-// silentDiscovery is an agent that keeps its watches open and has nothing new.
+// silentDiscovery is a discovery that keeps its watches open and has nothing new.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -151,14 +155,15 @@
 
 func newDiscoveryServer(t *testing.T, f http.HandlerFunc) string { return discoverytest.Serve(t, f) }
 
-// running is a node that serves on loopback.
+// testNode is a node that serves on loopback.
 type testNode struct {
 	*Node
-	url  string
-	stop context.CancelFunc
-	done chan error
+	url   string
+	stop  context.CancelFunc
+	ended chan error
 }
 
+// start runs a node on a listener of its own and waits until it is ready. adjust changes it before.
 func start(t *testing.T, cfg Config, adjust ...func(*Node)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -184,16 +189,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.maxCountedDeadline = 0 // no test waits for a late SIGKILL, but for those that say so
+	n.maxCountedDeadline = 0 // no test waits for a late SIGKILL, but those that set it again
 	for _, f := range adjust {
 		f(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testNode{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &testNode{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, ended: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.done <- n.serve(ctx, ln, nil)
+		r.ended <- n.serve(ctx, ln, nil)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -203,12 +208,13 @@
 	return r
 }
 
-// startWith runs a node that knows the backends and hears nothing else.
+// startWith runs a node that knows the backends and gets no further list.
 func startWith(t *testing.T, backends ...*backend) *testNode {
 	t.Helper()
 	return start(t, configWith(t, backends...))
 }
 
+// configWith is a configuration with the backends in its bootstrap list.
 func configWith(t *testing.T, backends ...*backend) Config {
 	t.Helper()
 	var hosts []discoveryapi.Endpoint
@@ -220,6 +226,7 @@
 	return cfg
 }
 
+// newRequest is a request of a class, with 30 s to answer it.
 func newRequest(t *testing.T, url, class, id, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/api/x%2Fy?q=1&r=%20", strings.NewReader(body))
@@ -235,7 +242,7 @@
 	return r
 }
 
-// do sends a request and returns the status, the answer's headers and its body.
+// sendRequest sends a request and returns the response's status, headers and body.
 func sendRequest(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
--- a/internal/node/ingress_test.go
+++ b/internal/node/ingress_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-func TestServedThroughTheNode(t *testing.T) {
+// A request reaches a server as it came, but for hop-by-hop headers, and its response the client.
+func TestRequestIsServed(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "keyed", "id-1", "payload")
@@ -32,7 +33,7 @@
 	}
 }
 
-// What is malformed gets a 4xx and reaches no server.
+// A malformed request gets a 4xx and reaches no server.
 func TestMalformedRequests(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
@@ -89,9 +90,10 @@
 	return string(got)
 }
 
-// What does not say clearly where it ends gets one 4xx or 5xx and a close: with two lengths, a server could
-// get as a request what a caller wrote as a body. What follows on the connection is never read.
-func TestFramingIsNotGuessed(t *testing.T) {
+// Request smuggling: with two lengths, or lines that end in LF alone, a proxy and the node could see different requests in
+// the same bytes, and a server could get as a request what a client wrote as a body. Any request whose end is ambiguous
+// gets one 4xx or 5xx and a close, and what follows on its connection is never read.
+func TestAmbiguousFramingIsRejected(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	request := func(id, version, framing string) string {
@@ -134,7 +136,8 @@
 	}
 }
 
-// What the module gives up on is answered at once, and a refusal says when to come back.
+// A request that the balancer gives up on is answered at once, long before its deadline: a rejection with a Retry-After, a
+// failure, which may have run, without.
 func TestFinalAnswers(t *testing.T) {
 	full := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
@@ -156,8 +159,8 @@
 	}
 }
 
-// The module knows one request by an id: a second one with it would never be answered.
-func TestIDInUseIsTurnedDown(t *testing.T) {
+// The balancer knows a request by its ID: a second one with the same ID would never be answered. It is rejected with 409.
+func TestDuplicateIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
@@ -184,7 +187,8 @@
 	}
 }
 
-func TestClientThatLeavesIsForgotten(t *testing.T) {
+// A client leaves while its request is at a server. Its ID must become free again.
+func TestGoneClientIsForgotten(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
@@ -211,9 +215,9 @@
 	})
 }
 
-// Told to stop, a node takes what still comes while the front notices, finishes what it holds and
-// ends without an error.
-func TestDrainLosesNothing(t *testing.T) {
+// Told to stop, a node accepts what still comes while the platform's front notices, answers what is open and ends without
+// an error. A listener closed at once would reset connections of clients.
+func TestShutdownLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
@@ -229,7 +233,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.lifecycle.Load().ShuttingDown() })
+	eventually(t, "shutting down", func() bool { return n.lifecycle.Load().ShuttingDown() })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
@@ -250,14 +254,14 @@
 	if status := <-held; status != http.StatusOK {
 		t.Errorf("what it held was answered %d", status)
 	}
-	if err := <-n.done; err != nil {
+	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// Told to stop, a node that may be its callers' only one serves them until answers could meet SIGKILL; what
-// can't be answered by then is answered early.
-func TestServesOnWhileItLeaves(t *testing.T) {
+// A node that is told to stop may be its clients' only one. It serves them until responses could meet SIGKILL; what can't be
+// answered by then is answered early.
+func TestServesDuringShutdown(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Call-Id") == "late" {
 			io.Copy(io.Discard, c) // until the node gives up
@@ -268,7 +272,7 @@
 	n := start(t, configWith(t, b), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	begin := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.lifecycle.Load().ShuttingDown() })
+	eventually(t, "shutting down", func() bool { return n.lifecycle.Load().ShuttingDown() })
 	late := make(chan int, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", "late", "x")) // has 30 s
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -15,8 +15,8 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// WithOverride an asked discovery that fails at first, the module asks again and the node gets its list.
-func TestModuleAsksAgain(t *testing.T) {
+// Discovery is polled and fails at first: it is polled again, and the node gets its list.
+func TestDiscoveryIsPolledAgain(t *testing.T) {
 	b := newBackend(t, respondOK)
 	calls := make(chan struct{}, 100)
 	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -37,9 +37,9 @@
 	}
 }
 
-// A drained server gets nothing new, a moved one is found at its new address, and one that left a
-// whole list is gone.
-func TestListChangesAreKept(t *testing.T) {
+// A draining server gets nothing new, a moved one gets requests at its new address, and one that is missing from a complete
+// list is gone.
+func TestEndpointChangesAreApplied(t *testing.T) {
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
 	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
@@ -47,9 +47,9 @@
 	cfg.Discovery = addr
 	heard := make(chan struct{}, 10)
 	n := start(t, cfg, func(n *Node) {
-		tell := n.discovery.ApplyUpdate
+		applyUpdate := n.discovery.ApplyUpdate
 		n.discovery.ApplyUpdate = func(ctx context.Context, w engine.Update) error {
-			err := tell(ctx, w)
+			err := applyUpdate(ctx, w)
 			heard <- struct{}{}
 			return err
 		}
@@ -64,8 +64,8 @@
 			}
 		}
 	}
-	// told writes a line and waits until the engine has taken it in.
-	told := func(line string) {
+	// apply sends an update and waits until the engine has applied it.
+	apply := func(line string) {
 		t.Helper()
 		a.Lines <- line
 		<-heard
@@ -74,35 +74,36 @@
 	entry := func(host, dial, health string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q,"born_ms":0}`, host, dial, health)
 	}
-	told(`{"seq":1,"hosts":[]}`) // a watch begins with what has changed; until then the given list may not be relied on
+	apply(`{"seq":1,"hosts":[]}`) // a watch begins with what has changed; until then the bootstrap list may not be relied on
 	send()
 	if first.requests() == 0 || second.requests() == 0 {
 		t.Fatalf("not both servers were used: %d and %d", first.requests(), second.requests())
 	}
-	told(`{"seq":2,"hosts":[` + entry("s-2", second.addr(), "terminating") + `]}`)
+	apply(`{"seq":2,"hosts":[` + entry("s-2", second.addr(), "terminating") + `]}`)
 	before := second.requests()
 	send()
 	if got := second.requests(); got != before {
 		t.Errorf("a draining server got %d new requests", got-before)
 	}
 	moved := newBackend(t, respondOK)
-	told(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
+	apply(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
 	before = first.requests()
 	send()
 	if first.requests() != before || moved.requests() != 10 {
 		t.Errorf("after the move the old address got %d, the new one %d", first.requests()-before, moved.requests())
 	}
 	third := newBackend(t, respondOK)
-	told(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
+	apply(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
 	send()
 	if moved.requests() != 10 || third.requests() != 10 {
-		t.Errorf("after the whole list the absent server got %d, the listed one %d", moved.requests()-10, third.requests())
+		t.Errorf("after the complete list the absent server got %d, the listed one %d", moved.requests()-10, third.requests())
 	}
 }
 
-// Where lists are pushed, a new process is held to what its agent has from its first moment on: what comes before the
-// agent's word waits for it, and none goes to a server that the given list still has in service.
-func TestNewProcessWaitsForTheAgentsWord(t *testing.T) {
+// Where discovery pushes, a new process may not send to a server that discovery has announced as draining, from its first
+// moment on. Its bootstrap list is out of date there: requests wait for the first update, and none goes to the server that
+// the bootstrap list still has in service.
+func TestNewProcessWaitsForDiscovery(t *testing.T) {
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
 	old, sound := newBackend(t, respondOK), newBackend(t, respondOK)
@@ -130,7 +131,7 @@
 			statuses <- status
 		}()
 	}
-	for range cap(read) { // they are at the node before the agent's word is
+	for range cap(read) { // they are at the node before the update is
 		<-read
 	}
 	<-time.After(300 * time.Millisecond) // longer than a list may be relied on that nobody confirms
@@ -149,9 +150,9 @@
 	}
 }
 
-// Where lists are pushed a new process does not begin on the list that it was given while its agent is slow: what the
-// agent has counts. One whose agent is away begins after a second, one whose agent never answers a little later.
-func TestNewProcessBeginsLate(t *testing.T) {
+// Where discovery pushes, a new process does not begin with its bootstrap list while discovery is slow. If discovery is
+// unavailable it does after initialListWait, if it never answers after maxInitialListWait.
+func TestInitialListWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		agent    func(w http.ResponseWriter, r *http.Request)
 		refused  bool
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -10,14 +10,15 @@
 	"hookwalk.example/hookwalk/internal/discovery"
 )
 
-// Override is what takes the place of a part of the node's configuration file, by a configuration version that was
-// published for the node's service.
+// Override replaces a part of the node's configuration file. It is from a configuration version that was published for the
+// node's service.
 type Override struct {
 	Settings  json.RawMessage // as `settings` in the file
 	Discovery string          // HOST:PORT; "": that of the file
 }
 
-// UnreadableOverrideError says that an override's settings are not JSON, or not of the form of settings.
+// UnreadableOverrideError says that an override's settings are not JSON, or not of the form of settings. Whoever published
+// them has to publish others.
 type UnreadableOverrideError struct{ Err error }
 
 func (e *UnreadableOverrideError) Error() string { return fmt.Sprintf("settings: %v", e.Err) }
@@ -25,12 +26,15 @@
 // Unwrap returns what is wrong with the text.
 func (e *UnreadableOverrideError) Unwrap() error { return e.Err }
 
+// errNullSettings says that an override's settings are JSON's null.
+var errNullSettings = errors.New("want an object, found null")
+
 // ownSettings are the settings that say which node of its service this one is: no override changes them.
 var ownSettings = []string{"me", "zone"}
 
-// WithOverride is the configuration of c's file with an override in place of its settings and, where the override names one, of
-// its address of discovery. The override before, if there is one, has no part in it. The error says why no node can start
-// with that.
+// WithOverride returns the configuration of c's file with an override in place of its settings and, if the override names
+// one, of its address of discovery. A previous override has no part in it. The error says why no node can start with that:
+// an UnreadableOverrideError, a ConfigKeyError or that of the balancer's settings.
 func (c Config) WithOverride(override Override) (Config, error) {
 	text, err := composeConfig(c.text, override)
 	if err != nil {
@@ -46,14 +50,14 @@
 	return composed, err
 }
 
-// Classes are the classes of the settings, with the servers that are open to each.
+// Classes are the request classes of the settings, with the servers that are open to each.
 func (c Config) Classes() []balancer.Class { return c.Settings.Classes }
 
-// BootstrapServers are the servers in service of the list that the configuration names.
+// BootstrapServers are the servers in service on the bootstrap list.
 func (c Config) BootstrapServers() (servers []balancer.Server) {
-	for _, h := range c.BootstrapList.Endpoints {
-		if s := discovery.ToServer(h); s.State == balancer.Ready {
-			servers = append(servers, s)
+	for _, endpoint := range c.BootstrapList.Endpoints {
+		if server := discovery.ToServer(endpoint); server.State == balancer.Ready {
+			servers = append(servers, server)
 		}
 	}
 	return servers
@@ -61,38 +65,38 @@
 
 // compose puts an override into the text of a configuration file.
 func composeConfig(file []byte, override Override) ([]byte, error) {
-	var whole map[string]json.RawMessage
-	if err := json.Unmarshal(file, &whole); err != nil {
+	var document map[string]json.RawMessage
+	if err := json.Unmarshal(file, &document); err != nil {
 		return nil, err
 	}
-	settings, err := composeSettings(whole["settings"], override.Settings)
+	settings, err := composeSettings(document["settings"], override.Settings)
 	if err != nil {
 		return nil, err
 	}
-	whole["settings"] = settings
+	document["settings"] = settings
 	if override.Discovery != "" {
-		if whole["discovery"], err = json.Marshal(override.Discovery); err != nil {
+		if document["discovery"], err = json.Marshal(override.Discovery); err != nil {
 			return nil, err
 		}
 	}
-	return json.Marshal(whole)
+	return json.Marshal(document)
 }
 
-// composeSettings are the settings of an override with those of the file that are the node's own.
+// composeSettings are the settings of an override, with the node's own ones from the file.
 func composeSettings(file, override json.RawMessage) (json.RawMessage, error) {
-	var old, settings map[string]json.RawMessage
-	if err := json.Unmarshal(file, &old); err != nil {
+	var fileSettings, settings map[string]json.RawMessage
+	if err := json.Unmarshal(file, &fileSettings); err != nil {
 		return nil, err
 	}
 	if err := json.Unmarshal(override, &settings); err != nil {
 		return nil, &UnreadableOverrideError{err}
 	}
 	if settings == nil {
-		return nil, &UnreadableOverrideError{errors.New("want an object, found null")}
+		return nil, &UnreadableOverrideError{errNullSettings}
 	}
 	for _, key := range ownSettings {
 		delete(settings, key)
-		if value, has := old[key]; has {
+		if value, has := fileSettings[key]; has {
 			settings[key] = value
 		}
 	}
@@ -106,15 +110,15 @@
 	return composed, nil
 }
 
-// OverrideCheck says why an override is not to come into force: of the classes that there are now, of those that there
-// would be, and of the servers in service as the node knows them.
-type OverrideCheck func(now, next []balancer.Class, servers []balancer.Server) error
+// OverrideCheck returns why an override is not to come into force. It gets the classes in force, those of the override, and
+// the servers in service as the node knows them.
+type OverrideCheck func(current, next []balancer.Class, servers []balancer.Server) error
 
-// Override has an override take the place of the one before, whole or not at all, and says why not. What changes, and
-// what is refused, is as with Reload; check, unless it is nil, refuses what only those who published can have meant
-// otherwise. It waits for the node to run.
+// Override puts an override into force in place of the previous one, all of it or nothing, and returns why nothing. What can
+// change, and what is rejected, is as with Reload. check (nil: none) rejects what is valid but can't have been meant by
+// those who published it. Override waits until the node runs; it returns the context's error, or engine.ErrStopped.
 func (n *Node) Override(ctx context.Context, override Override, check OverrideCheck) error {
-	servers, err := n.engine.Servers(ctx) // the lock is not held while the node may not run yet
+	servers, err := n.engine.Servers(ctx) // before the lock is held: the node may not run yet
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/node/peerprocess.go
@@ -0,0 +1,176 @@
+package node
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/hotrestart"
+)
+
+const (
+	// peerAckTimeout is how long the other process may take to confirm what an operator did. The operator's call is owed
+	// an answer within 1 s.
+	peerAckTimeout = 400 * time.Millisecond
+
+	// servingAckTimeout is how long the process before may take to confirm that this one serves. Nobody waits for that
+	// but its own shutdown.
+	servingAckTimeout = 2 * time.Second
+)
+
+// peerProcess is the other process of the node, while two run for a hot restart. Only a node with an admin address has
+// one. Of two processes the newer is the successor.
+type peerProcess struct {
+	socketPath string            // where the processes meet; "": they can't
+	store      *hotrestart.Store // of operators' state on disk; nil: none
+
+	mu          sync.Mutex
+	conn        *hotrestart.Conn // nil: this process is alone
+	isSuccessor bool             // the other process is the newer one
+	serving     bool             // the other process serves clients
+	closed      bool             // this process has ended: nobody takes over any more
+	synced      chan struct{}    // closed when all that the older process had to tell has come; nil: this one took over from none
+}
+
+// isSynced reports whether this process has everything that the one before it had to tell.
+func (p *peerProcess) isSynced() bool {
+	if p.synced == nil {
+		return true
+	}
+	select {
+	case <-p.synced:
+		return true
+	default:
+		return false
+	}
+}
+
+// current is the connection to the other process; nil: there is none.
+func (p *peerProcess) current() *hotrestart.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.conn
+}
+
+// replace makes a process that has just taken over the successor. The newest one counts; the one before is dropped. The
+// caller holds p.mu.
+func (p *peerProcess) replace(conn *hotrestart.Conn) {
+	if p.conn != nil {
+		p.conn.Close()
+	}
+	p.conn, p.isSuccessor, p.serving = conn, true, false
+}
+
+// markServing notes that the process at a connection serves clients, if it is still the current one.
+func (p *peerProcess) markServing(conn *hotrestart.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.serving = p.conn == conn
+}
+
+// close ends the connection, and lets nobody take over from here on.
+func (p *peerProcess) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	if p.conn != nil {
+		p.conn.Close()
+	}
+}
+
+// successorServing reports whether another process of the node takes the clients that come from now on.
+func (n *Node) successorServing() bool {
+	n.peer.mu.Lock()
+	defer n.peer.mu.Unlock()
+	return n.peer.isSuccessor && n.peer.serving
+}
+
+// connectPeers receives from the process that this one took over from, and lets others take over from this one, until
+// the function that it returns is called. start starts goroutines that serve waits for.
+func (n *Node) connectPeers(ln net.Listener, start func(func())) (disconnect func()) {
+	if n.peer.socketPath == "" {
+		return func() {}
+	}
+	if conn := n.peer.conn; conn != nil {
+		start(func() { n.receiveFromPeer(conn) })
+		start(func() { n.announceServing(conn) })
+	}
+	listener, err := hotrestart.Listen(n.peer.socketPath)
+	if err != nil {
+		n.log.Warn("no process can take over from this one", "err", err)
+		return n.peer.close
+	}
+	start(func() { n.acceptSuccessors(listener, ln, start) })
+	return func() {
+		listener.Close()
+		n.peer.close()
+	}
+}
+
+// announceServing tells the process before that this one serves, so that it may shut down. Whatever that process told
+// before its confirmation has come by then.
+func (n *Node) announceServing(conn *hotrestart.Conn) {
+	if conn.Send(hotrestart.Message{Serving: true}, servingAckTimeout) != nil {
+		n.log.Warn("the process before this one has gone")
+	}
+	close(n.peer.synced)
+}
+
+// acceptSuccessors hands over to each process that asks, until the listener is closed.
+func (n *Node) acceptSuccessors(listener *hotrestart.Listener, ln net.Listener, start func(func())) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		if err := n.handOver(conn, ln); err != nil {
+			n.log.Warn("could not hand over", "err", err)
+			conn.Close()
+			continue
+		}
+		start(func() { n.receiveFromPeer(conn) })
+	}
+}
+
+// receiveFromPeer applies what the other process sends, until one of the two ends.
+func (n *Node) receiveFromPeer(conn *hotrestart.Conn) {
+	conn.Run(func(message hotrestart.Message) {
+		switch {
+		case message.Serving:
+			n.peer.markServing(conn)
+		case message.OutOfService != nil:
+			n.setInService(!*message.OutOfService)
+		case message.Server != "":
+			if err := n.engine.SetServerDisabled(context.Background(), message.Server, message.Disabled); err != nil {
+				n.log.Warn("an override from the other process is not applied", "server", message.Server, "out", message.Disabled, "err", err)
+			}
+		}
+	})
+	n.peer.mu.Lock()
+	defer n.peer.mu.Unlock()
+	if n.peer.conn == conn {
+		n.peer.conn, n.peer.serving = nil, false
+		n.pool.shareWithPeer(false)
+	}
+}
+
+// replicate sends what an operator did to the other process, if there is one, and saves it on disk. Neither failure undoes
+// it here: the operator reads it in the log.
+func (n *Node) replicate(ctx context.Context, message hotrestart.Message) {
+	if n.peer.store == nil {
+		return
+	}
+	if conn := n.peer.current(); conn != nil {
+		if err := conn.Send(message, peerAckTimeout); err != nil {
+			n.log.Warn("the other process was not told", "err", err)
+		}
+	}
+	err := n.peer.store.Save(ctx, func() (hotrestart.OperatorState, error) {
+		_, _, disabled, err := n.engine.SuccessorState(ctx, func() {})
+		return hotrestart.OperatorState{DisabledServers: disabled, OutOfService: n.lifecycle.Load().IsOutOfService()}, err
+	})
+	if err != nil {
+		n.log.Warn("operator state is not saved on disk", "err", err)
+	}
+}
--- a/internal/node/requesthead_test.go
+++ b/internal/node/requesthead_test.go
@@ -10,8 +10,8 @@
 	"testing/iotest"
 )
 
-// pieces reads a text in pieces of n bytes at most.
-func pieces(text string, n int) func([]byte) (int, error) {
+// readInPieces returns a reading function that gives a text in pieces of n bytes at most.
+func readInPieces(text string, n int) func([]byte) (int, error) {
 	r := strings.NewReader(text)
 	return func(b []byte) (int, error) { return r.Read(b[:min(n, len(b))]) }
 }
@@ -22,7 +22,7 @@
 	b := "GET /b HTTP/1.1\r\nHost: h\r\n\r\n"
 	c := "POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for n := 1; n < len(a)+len(b)+len(c); n++ {
-		h, from := &requestHeadReader{}, pieces(a+"\r\n"+b+b+c, n)
+		h, from := &requestHeadReader{}, readInPieces(a+"\r\n"+b+b+c, n)
 		for _, want := range []string{a, b, b, c} {
 			var one []byte
 			for len(one) < len(want) {
@@ -43,8 +43,9 @@
 	}
 }
 
-// Whatever comes, all of it is read, and where net/http sees a request whose length is doubtful, so do the heads.
-func FuzzHeads(f *testing.F) {
+// Whatever comes, all of it is read, and net/http and the head reader agree on the length of each request that has no
+// fault: where they differed, a request could be smuggled.
+func FuzzRequestHead(f *testing.F) {
 	for _, s := range []string{
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -54,7 +55,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string, n int) {
 		h := &requestHeadReader{}
-		from := pieces(text, max(n, 1))
+		from := readInPieces(text, max(n, 1))
 		var got bytes.Buffer
 		r := readFunc(func(b []byte) (int, error) { return h.read(from, b) })
 		if _, err := io.Copy(&got, r); err != nil {
@@ -65,7 +66,7 @@
 			t.Fatalf("read %q of %q", got.String(), text)
 		}
 		first := &requestHeadReader{}
-		in := pieces(text, 1)
+		in := readInPieces(text, 1)
 		br := bufio.NewReaderSize(iotest.OneByteReader(readFunc(func(b []byte) (int, error) { return first.read(in, b) })), 16)
 		req, err := http.ReadRequest(br)
 		if err != nil || first.headCount != 1 || first.complete.fault != "" {
--- a/internal/node/requestmetrics_test.go
+++ b/internal/node/requestmetrics_test.go
@@ -13,8 +13,8 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// figuresTo runs a node that reports to a UDP peer, and returns what waits for a line to come there.
-func figuresTo(t *testing.T, backends ...*backend) (n *testNode, comes func(line string)) {
+// startWithMetrics runs a node that reports to a UDP peer, and returns a function that waits for a line to come there.
+func startWithMetrics(t *testing.T, backends ...*backend) (n *testNode, comes func(line string)) {
 	t.Helper()
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +45,7 @@
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n, comes := figuresTo(t, b)
+	n, comes := startWithMetrics(t, b)
 	http.DefaultClient.CloseIdleConnections()
 	client := &http.Client{Transport: &http.Transport{}}
 	status := make(chan int, 1)
@@ -80,8 +80,8 @@
 	comes("hookwalk.open_connections:0|g|#class:none,tenant:none")
 }
 
-// What a node counts when nobody takes its figures costs callers nothing: all are answered.
-func TestServesThoughFiguresFail(t *testing.T) {
+// Metrics that can't be written cost clients nothing: all requests are answered.
+func TestServesThoughMetricsFail(t *testing.T) {
 	n, _ := startLogged(t, settings.File{Metrics: &settings.Metrics{Format: "statsd", File: "/nowhere/figures",
 		UDP: "127.0.0.1:1", Flush: 10 * time.Millisecond, MaxBatch: 64}}, newBackend(t, respondOK))
 	for i := range 200 {
@@ -90,12 +90,13 @@
 		}
 	}
 	n.stop()
-	if err := <-n.done; err != nil {
+	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-func TestCounterOfAStatus(t *testing.T) {
+// Each status has its counter.
+func TestCounterOfStatus(t *testing.T) {
 	for status, want := range map[int]metrics.Counter{200: metrics.Served, 429: metrics.Rejected, 503: metrics.Rejected,
 		400: metrics.NotAccepted, 409: metrics.NotAccepted, 505: metrics.NotAccepted, 403: metrics.NotAccepted, 500: metrics.Failed,
 		502: metrics.Failed, statusClientGone: metrics.ClientGone} {
--- a/internal/node/responsestream.go
+++ b/internal/node/responsestream.go
@@ -39,4 +39,6 @@
 }
 
 // finish reports how the stream ended to the attempt that waits for it.
-func (s *responseStream) finish(outcome balancer.Outcome, err error) { s.result <- streamResult{outcome, err} }
+func (s *responseStream) finish(outcome balancer.Outcome, err error) {
+	s.result <- streamResult{outcome, err}
+}
--- /dev/null
+++ b/internal/node/serve.go
@@ -0,0 +1,167 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/adminapi"
+	"hookwalk.example/hookwalk/internal/capture"
+	"hookwalk.example/hookwalk/internal/faultinjection"
+	"hookwalk.example/hookwalk/internal/lifecycle"
+	"hookwalk.example/hookwalk/internal/metrics"
+)
+
+// Run serves until ctx ends, then shuts down: it accepts what still comes while the platform's front notices, answers
+// what is open and returns nil. Any error is why it could not begin, or not go on.
+func (n *Node) Run(ctx context.Context) error {
+	clientListener, err := n.listen(ctx)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	var adminListener net.Listener
+	if n.cfg.AdminAddress != "" {
+		if adminListener, err = net.Listen("tcp", n.cfg.AdminAddress); err != nil {
+			clientListener.Close()
+			return fmt.Errorf("control: %w", err)
+		}
+	}
+	return n.serve(ctx, clientListener, adminListener)
+}
+
+// ownedGoroutines are the goroutines that serve starts and waits for.
+type ownedGoroutines struct{ sync.WaitGroup }
+
+func (g *ownedGoroutines) start(f func()) {
+	g.Add(1)
+	go func() {
+		defer g.Done()
+		f()
+	}()
+}
+
+// serve serves clients on one listener and operators on the other (nil: none), until ctx ends or serving clients fails.
+//
+// It ends in an order that loses nothing: clients first, then operators, whose calls must reach the peer process; then
+// the peer process, discovery and the connections to servers; the engine, which may still report results of attempts;
+// at last metrics and the capture, which record all that.
+func (n *Node) serve(ctx context.Context, clients, admin net.Listener) error {
+	var owned ownedGoroutines
+	n.startFeatures()
+	owned.start(n.engine.Run)
+	watching, stopWatching := context.WithCancel(context.Background())
+	stopWaiting := n.startDiscovery(watching, &owned)
+	defer stopWaiting()
+
+	n.clients = newClientListener(clients, n.maxClientConns, n.engine.Metrics)
+	if a := n.cfg.Features.AccessList; a != nil {
+		n.clients.access = &accessControl{accessList: n.accessList, proxyHeaderTimeout: a.ProxyTimeout, log: n.log}
+	}
+	stopMetrics := n.startMetrics()
+	server := n.newHTTPServer()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(n.clients) }()
+	if machine := n.transition(lifecycle.Started); machine.IsOutOfService() {
+		n.closeIdleConnections(machine)
+	}
+	disconnectPeers := n.connectPeers(clients, owned.start)
+	stopAdmin := n.startAdmin(admin, &owned)
+	n.log.Info("serving", "name", n.cfg.Name, "listen", clients.Addr().String(), "tier", n.cfg.Settings.Tier)
+
+	err := n.waitForEnd(ctx, server, serveErr)
+	stopAdmin()
+	disconnectPeers()
+	close(n.stopped)
+	n.idleClosers.Wait()
+	stopWatching()
+	n.pool.closeAll()
+	n.engine.Stop()
+	owned.Wait()
+	stopMetrics()
+	n.engine.Capture.Close()
+	n.log.Info("stopped")
+	return err
+}
+
+// waitForEnd returns when clients are no longer served: after a shutdown with nil, else with the error.
+func (n *Node) waitForEnd(ctx context.Context, server *http.Server, serveErr <-chan error) error {
+	select {
+	case err := <-serveErr:
+		return fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+	}
+	n.shutDown(server)
+	if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve: %w", err)
+	}
+	return nil
+}
+
+// newHTTPServer is the server of clients.
+func (n *Node) newHTTPServer() *http.Server {
+	return &http.Server{
+		Handler: &ingressHandler{
+			engine:          n.engine,
+			clock:           n.clock,
+			classes:         n.classes.Load,
+			ready:           n.ready,
+			bufferLimit:     bufferLimit(n.cfg.MemoryMB, requestBodyMemoryShare, n.maxClientConns),
+			faultKeys:       faultinjection.NewKeys(n.cfg.Features.FaultInjections),
+			metrics:         n.engine.Metrics,
+			accessList:      n.accessList,
+			guard:           n.engine.Guard,
+			endsConnections: func() bool { return n.lifecycle.Load().EndsConnections(n.clock.Now()) },
+			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() },
+		},
+		ReadHeaderTimeout: requestHeadTimeout,
+		ConnState:         n.clients.connStateChanged,
+		ConnContext:       withConn,
+		IdleTimeout:       clientIdleTimeout,
+		MaxHeaderBytes:    maxRequestHead,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
+	}
+}
+
+// startFeatures starts what the settings file has switched on and the engine takes part in.
+func (n *Node) startFeatures() {
+	if f := n.cfg.Features.Metrics; f != nil {
+		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
+	}
+	if c := n.cfg.Features.Capture; c != nil {
+		n.engine.Capture = capture.New(*c, n.cfg.Name, n.engine.Balancer, n.currentSettings(), n.cfg.Seed, n.stderr, n.log)
+	}
+}
+
+// startMetrics writes metrics, if they are on, until the function that it returns is called; that one writes the last.
+func (n *Node) startMetrics() (stop func()) {
+	reporter := n.engine.Metrics
+	if reporter == nil {
+		return func() {}
+	}
+	done := make(chan struct{})
+	go reporter.Run(done)
+	return func() {
+		close(done)
+		reporter.Wait()
+	}
+}
+
+// startAdmin answers operators' calls on a listener (nil: there are none) until the function that it returns is called.
+// A failure there does not end the node: it serves clients on.
+func (n *Node) startAdmin(ln net.Listener, owned *ownedGoroutines) (stop func()) {
+	if ln == nil {
+		return func() {}
+	}
+	server := adminapi.New(ln, adminService{n}, n.log)
+	owned.start(func() {
+		if err := server.Run(); err != nil {
+			n.log.Error("the admin API has failed", "err", err)
+		}
+	})
+	return server.Close
+}
--- a/internal/node/streamedbody_test.go
+++ b/internal/node/streamedbody_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// pattern is a text whose every part differs.
+// pattern is a text whose every part differs, so that lost or swapped bytes show.
 func pattern(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -27,7 +27,7 @@
 
 func hash(s string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(s))) }
 
-// Bodies of any size and framing reach a server unchanged, once.
+// Bodies of any size and framing reach a server unchanged, once, whether they are buffered or streamed.
 func TestBodiesOfAnySize(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
@@ -55,7 +55,8 @@
 	}
 }
 
-// A chunked body's connection ends with the answer: what follows it is never read.
+// The end of a chunked body is not known to the head reader. Its connection ends with the response, and what follows the
+// body is never read: it could be a smuggled request.
 func TestNothingFollowsAChunkedBody(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
@@ -69,8 +70,8 @@
 	}
 }
 
-// large answers with a pattern, framed one way or another; hold keeps the second half back.
-func large(framing, want string, hold <-chan struct{}) func(int, net.Conn, *http.Request) bool {
+// largeResponse responds with a text, framed one way or another; the second half waits for hold.
+func largeResponse(framing, want string, hold <-chan struct{}) func(int, net.Conn, *http.Request) bool {
 	return func(_ int, c net.Conn, _ *http.Request) bool {
 		halves := []string{want[:len(want)/2], want[len(want)/2:]}
 		head := "HTTP/1.1 200 OK\r\n"
@@ -93,9 +94,9 @@
 	}
 }
 
-// Answers of any size and framing reach the client unchanged, and the first bytes of a large one before the last have
-// come.
-func TestAnswersOfAnySize(t *testing.T) {
+// Responses of any size and framing reach the client unchanged, and the first bytes of a large one before the server has
+// sent the last.
+func TestResponsesOfAnySize(t *testing.T) {
 	for _, framing := range []string{"length", "chunked", "end"} {
 		for _, size := range []int{2, maxBuffered, maxBuffered + 1, 4 << 20} {
 			t.Run(fmt.Sprint(framing, size), func(t *testing.T) {
@@ -104,7 +105,7 @@
 				if size > 4*maxBuffered {
 					hold = make(chan struct{})
 				}
-				n := startWith(t, newBackend(t, large(framing, want, hold)))
+				n := startWith(t, newBackend(t, largeResponse(framing, want, hold)))
 				for i := range 2 {
 					resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x"))
 					if err != nil {
@@ -128,8 +129,9 @@
 	}
 }
 
-// A large answer that its server cuts is cut for the client too, is not sent again, and its connection not used again.
-func TestCutAnswers(t *testing.T) {
+// A server truncates a large response. The client must be able to tell: its connection ends before the message does. The
+// request is not retried, and the connection not used again.
+func TestTruncatedResponses(t *testing.T) {
 	for _, framing := range []string{"length", "chunked"} {
 		t.Run(framing, func(t *testing.T) {
 			b := newBackend(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -160,8 +162,8 @@
 	}
 }
 
-// What of a large body was taken can't be sent again. Before that it can; after it the client is refused, for nothing
-// ran, and told when to come back.
+// A streamed body is not kept, so it can't be sent again once a part was read from the client. Before that the request can
+// be retried; after it the client is rejected, for nothing ran, and gets a Retry-After.
 func TestLargeBodiesAreSentOnce(t *testing.T) {
 	var tries atomic.Int64
 	early, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,18 +194,18 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	start2 := func(hosts ...discoveryapi.Endpoint) *testNode {
+	startKnowing := func(hosts ...discoveryapi.Endpoint) *testNode {
 		cfg := testConfig(t, "pushed", hosts...)
 		cfg.Discovery = silentDiscovery(t)
 		return start(t, cfg)
 	}
-	n := start2(inService("s-0", early.Addr().String()), inService("s-1", early.Addr().String()))
+	n := startKnowing(inService("s-0", early.Addr().String()), inService("s-1", early.Addr().String()))
 	status, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", pattern(8<<20)))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || tries.Load() != 1 {
 		t.Errorf("answered %d, %v; %d servers were asked", status, header, tries.Load())
 	}
 	b := newBackend(t, respondOK)
-	n = start2(inService("s-0", gone.Addr().String()), inService("s-1", b.addr()))
+	n = startKnowing(inService("s-0", gone.Addr().String()), inService("s-1", b.addr()))
 	for i := range 4 {
 		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), pattern(1<<20))); status != http.StatusOK {
 			t.Errorf("with a server gone it is answered %d", status)
@@ -211,8 +213,9 @@
 	}
 }
 
-// A client that holds back the rest of its body gets an error and a close, and no server gets its request whole.
-func TestBodyThatStalls(t *testing.T) {
+// A client holds back the rest of its body. It gets an error and a close, and no server gets its request complete: one that
+// got the announced length would run a part of it.
+func TestStalledBody(t *testing.T) {
 	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	for name, framing := range map[string]string{"length": "Content-Length: 300000\r\n\r\n" + pattern(200_000),
@@ -230,8 +233,9 @@
 	}
 }
 
-// Only time in which the client is waited for counts against the rate of its body.
-func TestRateOfABody(t *testing.T) {
+// A body that comes too slowly is given up, but only the time spent waiting for the client counts: a slow server must not
+// make a client's body late.
+func TestBodyRate(t *testing.T) {
 	var deadline time.Time
 	p := &bodyReader{body: strings.NewReader(pattern(10 * streamChunk)), timeLeft: bodyTimeAllowance,
 		setReadDeadline: func(at time.Time) error { deadline = at; return nil }}
@@ -260,13 +264,13 @@
 	}
 }
 
-// Clients that don't read their large answers, or bring large bodies slowly, hold up nobody else, more of them than the
-// window admits.
-func TestSlowReadersCostOnlyThemselves(t *testing.T) {
+// Clients that don't read their large responses, or send large bodies slowly, delay nobody else, even if there are more of
+// them than the admission window admits.
+func TestSlowStreamsDelayNobodyElse(t *testing.T) {
 	want := pattern(8 << 20)
 	b := newBackend(t, func(i int, c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.Header.Get("X-Call-Id"), "big") {
-			return large("length", want, nil)(i, c, r)
+			return largeResponse("length", want, nil)(i, c, r)
 		}
 		return respondOK(i, c, r)
 	})
@@ -300,8 +304,8 @@
 	}
 }
 
-// All that is held at once stays within its part of the memory, on the smallest nodes that there are too.
-func TestHeldTogether(t *testing.T) {
+// All that is buffered at once stays within its share of the memory, also on the smallest nodes.
+func TestBufferLimit(t *testing.T) {
 	for _, c := range []struct{ memory, places, part, want int }{
 		{0, 1000, 4, maxBuffered}, {64, 209, requestBodyMemoryShare, maxBuffered}, {32, 129, requestBodyMemoryShare, 65027}, {32, 609, requestBodyMemoryShare, 13774},
 		{192, 365, responseMemoryShare, maxBuffered}, {32, 365, responseMemoryShare, 15321}, {32, 1 << 20, 4, minBuffered},
--- a/internal/node/upstreamfaults_test.go
+++ b/internal/node/upstreamfaults_test.go
@@ -16,9 +16,9 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// WithOverride servers that fail in every way a socket shows, each request gets one final answer, an unsafe one
-// runs once at most, and only what never ran is refused.
-func TestRulesUnderFaults(t *testing.T) {
+// Servers fail in every way that a socket shows. Each request gets one final answer, a non-idempotent one runs at most once,
+// and only what never ran is rejected: a client sends a rejected request again.
+func TestOneAnswerEachUnderFaults(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{} // by id: how often a server may have run it
 	faulty := func(n int, c net.Conn, r *http.Request) bool {
@@ -68,11 +68,11 @@
 				mu.Unlock()
 				switch {
 				case err != nil:
-					t.Errorf("%s: answer not whole: %v", id, err)
+					t.Errorf("%s: response truncated: %v", id, err)
 				case resp.StatusCode == http.StatusOK && string(body) != "done":
 					t.Errorf("%s: served with %q", id, body)
 				case resp.StatusCode == http.StatusServiceUnavailable && ran > 0:
-					t.Errorf("%s was refused, but may have run %d times", id, ran)
+					t.Errorf("%s was rejected, but may have run %d times", id, ran)
 				case class == "unsafe" && ran > 1:
 					t.Errorf("%s may have run %d times", id, ran)
 				}
@@ -90,8 +90,7 @@
 	}
 }
 
-// A server that answers nothing costs its requests their time, not their answer: that comes at the
-// deadline and the attempt ends with it.
+// A server is silent. Its requests are answered at their deadline all the same, and their connections closed.
 func TestSilentServerEndsAtTheDeadline(t *testing.T) {
 	left := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -108,7 +107,7 @@
 	<-left
 }
 
-// A large body on its way to a server that rejects it unread must not be taken for one that ran.
+// A server rejects a large body before it has read it. The request did not run, and must not be taken for one that did.
 func TestEarlyRejection(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
@@ -119,8 +118,8 @@
 	}
 }
 
-// Boot times are clock times of the node; none stays none.
-func TestBootIsClockTime(t *testing.T) {
+// The start times of servers are converted to the node's clock; a missing one stays missing.
+func TestStartTimeIsClockTime(t *testing.T) {
 	ck := engine.NewClock()
 	born := time.Now().Add(-5 * time.Second)
 	s := discovery.ToServer(discoveryapi.Endpoint{Host: "s", Health: "in_service", Born: float64(born.UnixMicro()) / 1000})
