--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -12,174 +12,181 @@
 )
 
 const (
-	scheme       = "hookwalk"
-	balancerName = "hookwalk_engine"
+	scheme       = "hookwalk"        // of the targets of channels
+	balancerName = "hookwalk_engine" // in service configurations
 )
 
-func init() { balancer.Register(balancers{}) }
+func init() { balancer.Register(balancerBuilder{}) }
 
-// place is a box at one address, from one start of it to the next: what a connection belongs to.
-type place struct {
-	id, addr string
-	boot     int64
+// endpointKey is a server at one address, from one start of it to the next: what a connection belongs to.
+type endpointKey struct {
+	id, addr  string
+	startTime int64
 }
 
-// listKey is the attribute under which the resolver hands the list to the balancer.
-type listKey struct{}
+// endpointsKey is the attribute under which the resolver hands the endpoint list to the balancer.
+type endpointsKey struct{}
 
-// placed is a list as an attribute.
-type placed struct{ boxes []Endpoint }
+// endpointsAttribute is an endpoint list as an attribute.
+type endpointsAttribute struct{ endpoints []Endpoint }
 
-// Equal says that no two lists are the same: each is told.
-func (placed) Equal(any) bool { return false }
+// Equal reports false, so that the library passes on every list.
+func (endpointsAttribute) Equal(any) bool { return false }
 
-// builder makes the resolvers of one plug-in's channels.
-type builder struct{ p *plugin }
+// resolverBuilder builds the resolvers of one plug-in's channels.
+type resolverBuilder struct{ plugin *plugin }
 
-func (b *builder) Scheme() string { return scheme }
+// Scheme is that of the targets.
+func (b *resolverBuilder) Scheme() string { return scheme }
 
-// Build starts or joins the tier.
-func (b *builder) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
-	t, err := use(b.p.cfg)
+// Build starts the tier or joins it.
+func (b *resolverBuilder) Build(_ resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
+	t, err := acquireTier(b.plugin.config)
 	if err != nil {
-		b.p.joined(nil, err)
+		b.plugin.channelOpened(nil, err)
 		return nil, err
 	}
-	w := &listWatch{p: b.p, tier: t, cc: cc, lists: make(chan []Endpoint, 1), done: make(chan struct{})}
-	go w.run()
+	w := &channelResolver{plugin: b.plugin, tier: t, clientConn: cc, pending: make(chan []Endpoint, 1), done: make(chan struct{})}
+	go w.deliver()
 	t.mu.Lock()
 	t.watchers[w] = true
-	w.update(t.list())
+	w.update(t.readyEndpoints())
 	t.mu.Unlock()
-	b.p.joined(t, nil)
+	b.plugin.channelOpened(t, nil)
 	return w, nil
 }
 
-// listWatch is a channel's resolver: it hands it the list of its tier.
-type listWatch struct {
-	p     *plugin
-	tier  *tier
-	cc    resolver.ClientConn
-	lists chan []Endpoint // the newest that the channel has not been told
-	done  chan struct{}
+// channelResolver is a channel's resolver: it delivers the endpoint lists of the tier. The tier leaves the newest list in
+// pending and never waits for a channel.
+type channelResolver struct {
+	plugin     *plugin
+	tier       *tier
+	clientConn resolver.ClientConn
+	pending    chan []Endpoint // holds the newest list that is not delivered yet
+	done       chan struct{}
 }
 
-// update leaves a list for the channel, in place of one that it was not told yet. The caller holds the tier's lock.
-func (w *listWatch) update(l []Endpoint) {
+// update leaves a list for the channel, in place of one that is not delivered yet. The caller holds the tier's lock.
+func (w *channelResolver) update(l []Endpoint) {
 	select {
-	case <-w.lists:
+	case <-w.pending:
 	default:
 	}
-	w.lists <- l
+	w.pending <- l
 }
 
-func (w *listWatch) run() {
+// deliver hands lists to the channel until the resolver is closed.
+func (w *channelResolver) deliver() {
 	for {
 		select {
-		case l := <-w.lists:
-			// The channel wants an address even where there is none; the balancer takes the attribute.
-			_ = w.cc.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: "hookwalk"}},
-				Attributes: attributes.New(listKey{}, placed{l})})
+		case l := <-w.pending:
+			// The library requires an address; the balancer uses the attribute in its place.
+			_ = w.clientConn.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: "hookwalk"}},
+				Attributes: attributes.New(endpointsKey{}, endpointsAttribute{l})})
 		case <-w.done:
 			return
 		}
 	}
 }
 
-// ResolveNow has nothing to do: the source tells by itself.
-func (w *listWatch) ResolveNow(resolver.ResolveNowOptions) {}
+// ResolveNow does nothing: the source reports changes by itself.
+func (w *channelResolver) ResolveNow(resolver.ResolveNowOptions) {}
 
-// Close leaves the tier.
-func (w *listWatch) Close() {
+// Close releases the tier.
+func (w *channelResolver) Close() {
 	close(w.done)
-	w.p.left()
+	w.plugin.channelClosed()
 	w.tier.mu.Lock()
 	delete(w.tier.watchers, w)
 	w.tier.mu.Unlock()
-	w.tier.leave()
+	w.tier.release()
 }
 
-type balancers struct{}
+// balancerBuilder builds the balancer of each channel.
+type balancerBuilder struct{}
 
-func (balancers) Name() string { return balancerName }
+// Name is that in service configurations.
+func (balancerBuilder) Name() string { return balancerName }
 
-func (balancers) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
-	return &channel{cc: cc, conns: map[place]*boxConn{}}
+// Build returns the balancer of a channel.
+func (balancerBuilder) Build(cc balancer.ClientConn, _ balancer.BuildOptions) balancer.Balancer {
+	return &channelBalancer{clientConn: cc, connections: map[endpointKey]*endpointConn{}}
 }
 
-// channel is a channel's balancer: it keeps a connection for each box that was asked for. The library calls it from
-// one goroutine.
-type channel struct {
-	cc balancer.ClientConn
+// channelBalancer is a channel's balancer: it keeps a connection for each listed server. The library calls it from one
+// goroutine, its pickers from many.
+type channelBalancer struct {
+	clientConn balancer.ClientConn
 
-	mu    sync.RWMutex
-	conns map[place]*boxConn
+	mu          sync.RWMutex
+	connections map[endpointKey]*endpointConn
 }
 
-// boxConn is the connection to a box.
-type boxConn struct {
-	sub   balancer.SubConn
-	state atomic.Int32 // a connectivity.State
+// endpointConn is the connection to a server.
+type endpointConn struct {
+	subConn balancer.SubConn
+	state   atomic.Int32 // a connectivity.State
 }
 
-// UpdateClientConnState takes over a list: boxes that stay keep their connections.
-func (c *channel) UpdateClientConnState(s balancer.ClientConnState) error {
+// UpdateClientConnState applies an endpoint list: servers that stay keep their connections.
+func (c *channelBalancer) UpdateClientConnState(s balancer.ClientConnState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list, _ := s.ResolverState.Attributes.Value(listKey{}).(placed)
-	listed := map[place]bool{}
-	for _, b := range list.boxes {
-		at := place{b.ID, b.Addr, int64(b.StartTime)}
+	list, _ := s.ResolverState.Attributes.Value(endpointsKey{}).(endpointsAttribute)
+	listed := map[endpointKey]bool{}
+	for _, b := range list.endpoints {
+		at := endpointKey{b.ID, b.Addr, int64(b.StartTime)}
 		listed[at] = true
-		if c.conns[at] != nil {
+		if c.connections[at] != nil {
 			continue
 		}
-		k := &boxConn{}
+		k := &endpointConn{}
 		k.state.Store(int32(connectivity.Idle))
 		//lint:ignore SA1019 There is no other way to open one; the note only warns of several addresses.
-		sub, err := c.cc.NewSubConn([]resolver.Address{{Addr: b.Addr}}, balancer.NewSubConnOptions{
+		sub, err := c.clientConn.NewSubConn([]resolver.Address{{Addr: b.Addr}}, balancer.NewSubConnOptions{
 			StateListener: func(s balancer.SubConnState) {
 				k.state.Store(int32(s.ConnectivityState))
-				c.publish()
+				c.updatePicker()
 			}})
 		if err != nil {
-			return fmt.Errorf("grpcbalancer: box %s: %w", b.ID, err)
+			return fmt.Errorf("grpcbalancer: server %s: %w", b.ID, err)
 		}
-		k.sub = sub
-		c.conns[at] = k
+		k.subConn = sub
+		c.connections[at] = k
 	}
-	for at, k := range c.conns {
+	for at, k := range c.connections {
 		if !listed[at] {
-			k.sub.Shutdown() // what is under way on it ends in peace
-			delete(c.conns, at)
+			k.subConn.Shutdown() // calls in progress on it run to their end
+			delete(c.connections, at)
 		}
 	}
-	c.publish()
+	c.updatePicker()
 	return nil
 }
 
-// publish has waiting picks look again.
-func (c *channel) publish() {
-	// Endpoints are connected to as the engine chooses them, so the channel as a whole is always ready.
-	c.cc.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: &picker{c}})
+// updatePicker makes waiting picks run again.
+func (c *channelBalancer) updatePicker() {
+	// Servers are connected to when the engine chooses them, so the channel as a whole is always ready.
+	c.clientConn.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: &picker{c}})
 }
 
-// ResolverError has nothing to do: our resolver reports none.
-func (c *channel) ResolverError(error) {}
+// ResolverError does nothing: this package's resolver reports no errors.
+func (c *channelBalancer) ResolverError(error) {}
 
 // UpdateSubConnState is not called: each connection has a listener.
-func (c *channel) UpdateSubConnState(balancer.SubConn, balancer.SubConnState) {}
+func (c *channelBalancer) UpdateSubConnState(balancer.SubConn, balancer.SubConnState) {}
 
-// ExitIdle has nothing to do: connections are made as they are asked for.
-func (c *channel) ExitIdle() {}
+// ExitIdle does nothing: connections are opened when they are needed.
+func (c *channelBalancer) ExitIdle() {}
 
-// Close has nothing to do: the library ends the connections.
-func (c *channel) Close() {}
+// Close does nothing: the library closes the connections.
+func (c *channelBalancer) Close() {}
 
-// picker puts an attempt on the connection of the box that the engine chose.
-type picker struct{ channel *channel }
+// picker puts an attempt on the connection of the server that the engine chose.
+type picker struct{ balancer *channelBalancer }
 
-// Pick gives an attempt its connection, once. What the library would send a second time it does not get.
+// Pick gives an attempt its connection, once. A second pick for the same attempt is the library's transparent retry, which
+// is rejected: whether to retry is the engine's decision.
 func (p *picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a, ok := info.Ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
@@ -189,37 +196,37 @@
 	defer a.mu.Unlock()
 	if a.picks > 0 {
 		a.picks++
-		return balancer.PickResult{}, errAgain
+		return balancer.PickResult{}, errStreamRefused
 	}
 	if !a.MaySend(a.tier.engine.Clock.Now()) {
 		a.stopped = true
 		return balancer.PickResult{}, errStopped
 	}
-	p.channel.mu.RLock()
-	k := p.channel.conns[place{a.Target.ID, a.Target.Addr, int64(a.Target.Boot)}]
-	p.channel.mu.RUnlock()
-	if k == nil { // the engine was told of the box, the channel will be
+	p.balancer.mu.RLock()
+	k := p.balancer.connections[endpointKey{a.Target.ID, a.Target.Addr, int64(a.Target.Boot)}]
+	p.balancer.mu.RUnlock()
+	if k == nil { // the engine has the server on its list, the channel will have it soon
 		return balancer.PickResult{}, balancer.ErrNoSubConnAvailable
 	}
 	switch connectivity.State(k.state.Load()) {
 	case connectivity.Ready:
 		a.picks++
-		return balancer.PickResult{SubConn: k.sub, Done: a.done}, nil
+		return balancer.PickResult{SubConn: k.subConn, Done: a.handleDone}, nil
 	case connectivity.Idle:
-		k.sub.Connect()
+		k.subConn.Connect()
 	case connectivity.TransientFailure:
 		return balancer.PickResult{}, errUnreachable
 	}
 	return balancer.PickResult{}, balancer.ErrNoSubConnAvailable
 }
 
-// done is told by the library how the attempt ended on its connection.
-func (a *attempt) done(info balancer.DoneInfo) {
+// handleDone is called by the library when the attempt has ended on its connection.
+func (a *attempt) handleDone(info balancer.DoneInfo) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if info.Err == nil && !info.BytesSent && !a.sent { // the connection was no longer ready: the library picks once more
 		a.picks--
 		return
 	}
-	a.sent, a.got = a.sent || info.BytesSent, a.got || info.BytesReceived
+	a.sent, a.received = a.sent || info.BytesSent, a.received || info.BytesReceived
 }
--- a/grpcbalancer/bench_test.go
+++ b/grpcbalancer/bench_test.go
@@ -18,7 +18,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// BenchmarkUnary is what a call costs its client, box included, with so many boxes in the list: all are one server.
+// BenchmarkUnary is what a call costs its client, server included, with so many servers in the list: all are one server.
 func BenchmarkUnary(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 				b.Fatal(err)
 			}
 		}
-		for range 3000 { // every box that is used has its connection by then
+		for range 3000 { // every server that is used has its connection by then
 			one()
 		}
 		b.ReportAllocs()
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, n := range []int{10, 1000} {
-		var list Static
+		var list StaticSource
 		var addrs []resolver.Address
 		for i := range n {
 			addr := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
@@ -82,7 +82,7 @@
 		b.Run(fmt.Sprintf("hookwalk/%d", n), func(b *testing.B) {
 			cfg := Config{Tier: b.Name(), Source: list, Seed: 7, Deadline: time.Second, Methods: map[string]string{weighIn: "bin-weighin"},
 				Settings: settings}
-			opts, err := Dial(cfg)
+			opts, err := DialOptions(cfg)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -45,28 +45,28 @@
 	return b
 }()
 
-// fleet is some boxes with one script; its calls are numbered over all of them.
-type fleet struct {
-	boxes []*grpcserver.Box
-	calls atomic.Int64
+// testFleet is some servers with one script; its calls are numbered over all of them.
+type testFleet struct {
+	servers []*grpcserver.Server
+	calls   atomic.Int64
 }
 
-func newFleet(t *testing.T, n int, maxStreams uint32, script func(n int, k *grpcserver.Call)) *fleet {
+func newFleet(t *testing.T, n int, maxStreams uint32, script func(n int, k *grpcserver.Call)) *testFleet {
 	t.Helper()
-	f := &fleet{}
+	f := &testFleet{}
 	for range n {
 		b, err := grpcserver.New(maxStreams, func(k *grpcserver.Call) { script(int(f.calls.Add(1))-1, k) })
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(b.Close)
-		f.boxes = append(f.boxes, b)
+		f.servers = append(f.servers, b)
 	}
 	return f
 }
 
-func (f *fleet) list() (l []Endpoint) {
-	for i, b := range f.boxes {
+func (f *testFleet) list() (l []Endpoint) {
+	for i, b := range f.servers {
 		l = append(l, Endpoint{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
 	}
 	return l
@@ -85,7 +85,7 @@
 
 func dial(t *testing.T, cfg Config, more ...grpc.DialOption) *grpc.ClientConn {
 	t.Helper()
-	opts, err := Dial(cfg)
+	opts, err := DialOptions(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,13 +98,13 @@
 	return cc
 }
 
-func ask(ctx context.Context, cc *grpc.ClientConn, method string) (string, error) {
+func invoke(ctx context.Context, cc *grpc.ClientConn, method string) (string, error) {
 	var reply wrapperspb.StringValue
 	err := cc.Invoke(ctx, method, wrapperspb.String("grapes"), &reply)
 	return reply.GetValue(), err
 }
 
-// What proves that an attempt never ran lets an unsafe call go to another box.
+// What proves that an attempt never ran lets an non-idempotent call go to another server.
 func TestNeverRan(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
@@ -122,31 +122,31 @@
 				}
 				k.Answer(served)
 			})
-			cc := dial(t, config(t, Static(f.list())))
-			if got, err := ask(t.Context(), cc, weighIn); err != nil || got != "done" {
+			cc := dial(t, config(t, StaticSource(f.list())))
+			if got, err := invoke(t.Context(), cc, weighIn); err != nil || got != "done" {
 				t.Errorf("got %q, %v", got, err)
 			}
 			if n := f.calls.Load(); n != 2 {
-				t.Errorf("the boxes have seen %d calls, want 2", n)
+				t.Errorf("the servers saw %d calls, want 2", n)
 			}
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
-		f.boxes[0].Close()
-		cc := dial(t, config(t, Static(f.list())))
+		f.servers[0].Close()
+		cc := dial(t, config(t, StaticSource(f.list())))
 		for range 20 {
-			if _, err := ask(t.Context(), cc, weighIn); err != nil {
+			if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if n := f.calls.Load(); n != 20 {
-			t.Errorf("the boxes have seen %d calls, want 20", n)
+			t.Errorf("the servers saw %d calls, want 20", n)
 		}
 	})
 }
 
-// What may have run ends an unsafe call, with a code that nobody retries; a safe one goes to another box.
+// What may have run ends an non-idempotent call, with a code that nobody retries; a safe one goes to another server.
 func TestMayHaveRun(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"unavailable":               func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) },
@@ -176,44 +176,44 @@
 					}
 					k.Answer(served)
 				})
-				cfg := config(t, Static(f.list()))
+				cfg := config(t, StaticSource(f.list()))
 				cfg.Tier += method
-				got, err := ask(t.Context(), dial(t, cfg), method)
+				got, err := invoke(t.Context(), dial(t, cfg), method)
 				if status.Code(err) != want.code || err == nil && got != "done" {
 					t.Errorf("%s: got %q, %v", method, got, err)
 				}
 				if n := f.calls.Load(); n != want.calls {
-					t.Errorf("%s: the boxes have seen %d calls, want %d", method, n, want.calls)
+					t.Errorf("%s: the servers saw %d calls, want %d", method, n, want.calls)
 				}
 			}
 		})
 	}
 }
 
-// A box that says nothing costs a call its time; a weigh-in is not sent again.
-func TestSilence(t *testing.T) {
+// A server that says nothing costs a call its time; a weigh-in is not sent again.
+func TestSilentServer(t *testing.T) {
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := ask(ctx, dial(t, config(t, Static(f.list()))), weighIn); status.Code(err) != codes.DeadlineExceeded {
+	if _, err := invoke(ctx, dial(t, config(t, StaticSource(f.list()))), weighIn); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("got %v", err)
 	}
 	if n := f.calls.Load(); n != 1 {
-		t.Errorf("the boxes have seen %d calls", n)
+		t.Errorf("the servers saw %d calls", n)
 	}
 }
 
-// What a box has found out is its client's, as it is.
-func TestAnswersPass(t *testing.T) {
+// What a server has found out is its client's, as it is.
+func TestApplicationErrorsPass(t *testing.T) {
 	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.NotFound), "grpc-message", "no such bin") })
-	_, err := ask(t.Context(), dial(t, config(t, Static(f.list()))), view)
+	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), view)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
 		t.Errorf("got %v after %d calls", err, f.calls.Load())
 	}
 }
 
 // advice is what a refusal says of when to come back; 0: nothing.
-func advice(err error) time.Duration {
+func retryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if info, ok := d.(*errdetails.RetryInfo); ok {
 			return info.GetRetryDelay().AsDuration()
@@ -224,7 +224,7 @@
 
 // A refusal says that nothing ran, and when to come back. Three attempts are all: the library, which sends again by
 // itself what a server refused unprocessed, adds none.
-func TestRefusal(t *testing.T) {
+func TestRejectionHasRetryDelay(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"turned away":     func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") },
 		"refused streams": func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
@@ -232,12 +232,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 5, 0, func(_ int, k *grpcserver.Call) { fault(k) })
-			_, err := ask(t.Context(), dial(t, config(t, Static(f.list()))), weighIn)
-			if status.Code(err) != codes.Unavailable || advice(err) <= 0 {
-				t.Errorf("got %v, advice %v", err, advice(err))
+			_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), weighIn)
+			if status.Code(err) != codes.Unavailable || retryDelay(err) <= 0 {
+				t.Errorf("got %v, advice %v", err, retryDelay(err))
 			}
 			if n := f.calls.Load(); n != 3 {
-				t.Errorf("the boxes have seen %d calls, want 3", n)
+				t.Errorf("the servers saw %d calls, want 3", n)
 			}
 		})
 	}
@@ -247,41 +247,41 @@
 func TestLibraryDoesNotRetry(t *testing.T) {
 	for _, method := range []string{weighIn, "/harvest.Log/Other"} {
 		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) })
-		cfg := config(t, Static(f.list()))
+		cfg := config(t, StaticSource(f.list()))
 		cfg.Tier += method
 		cc := dial(t, cfg, grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"hookwalk_engine":{}}],"methodConfig":[{"name":[{}],
 			"retryPolicy":{"maxAttempts":5,"initialBackoff":"0.001s","maxBackoff":"0.001s","backoffMultiplier":1,"retryableStatusCodes":["UNAVAILABLE"]}}]}`))
-		if _, err := ask(t.Context(), cc, method); status.Code(err) != codes.Internal {
+		if _, err := invoke(t.Context(), cc, method); status.Code(err) != codes.Internal {
 			t.Errorf("%s: got %v", method, err)
 		}
 		if n := f.calls.Load(); n != 1 {
-			t.Errorf("%s: the boxes have seen %d calls", method, n)
+			t.Errorf("%s: the servers saw %d calls", method, n)
 		}
 	}
 }
 
-// told is a source that a test speaks through.
-type told chan EndpointList
+// scriptedSource is a Source whose lists a test sends.
+type scriptedSource chan EndpointList
 
-func (c told) Watch(ctx context.Context, tell func(EndpointList)) {
+func (c scriptedSource) Watch(ctx context.Context, report func(EndpointList)) {
 	for {
 		select {
 		case l := <-c:
-			tell(l)
+			report(l)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// A box that drains gets nothing new, though its connection is up; one that returns with a new boot time gets a new
+// A server that drains gets nothing new, though its connection is up; one that returns with a new boot time gets a new
 // connection.
 func TestDrainAndReturn(t *testing.T) {
 	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
-	source, list := make(told), f.list()
+	source, list := make(scriptedSource), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
-	if _, err := ask(t.Context(), cc, weighIn); err != nil {
+	if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 		t.Fatal(err)
 	}
 	list[0].State = balancer.Draining
@@ -289,16 +289,16 @@
 	source <- EndpointList{} // is taken only when the one before has been dealt with
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if _, err := ask(ctx, cc, weighIn); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
-		t.Errorf("with the only box draining: %v after %d calls", err, f.calls.Load())
+	if _, err := invoke(ctx, cc, weighIn); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
+		t.Errorf("with the only server draining: %v after %d calls", err, f.calls.Load())
 	}
 	list[0].State, list[0].StartTime = balancer.Ready, time.Second
 	source <- EndpointList{Endpoints: list}
 	source <- EndpointList{}
-	if _, err := ask(t.Context(), cc, weighIn); err != nil {
+	if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 		t.Error(err)
 	}
-	if conns, calls := f.boxes[0].Seen(); conns != 2 || calls != 2 {
+	if conns, calls := f.servers[0].Seen(); conns != 2 || calls != 2 {
 		t.Errorf("%d connections, %d calls", conns, calls)
 	}
 }
@@ -307,17 +307,17 @@
 // ends at once.
 func TestChannelsShareATier(t *testing.T) {
 	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
-	cfg := config(t, Static(f.list()))
+	cfg := config(t, StaticSource(f.list()))
 	a, b := dial(t, cfg), dial(t, cfg)
 	cfg.Tier = "other"
 	c := dial(t, cfg)
 	for _, cc := range []*grpc.ClientConn{a, b, c} {
-		if _, err := ask(t.Context(), cc, weighIn); err != nil {
+		if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 			t.Fatal(err)
 		}
 	}
 	cfg.Settings.MaxAttempts = 2
-	if _, err := ask(t.Context(), dial(t, cfg), weighIn); status.Code(err) != codes.FailedPrecondition {
+	if _, err := invoke(t.Context(), dial(t, cfg), weighIn); status.Code(err) != codes.FailedPrecondition {
 		t.Errorf("with other settings than those in use: %v", err)
 	}
 	inUse := func() (n int) {
@@ -329,10 +329,10 @@
 		t.Errorf("%d tiers, want 2", n)
 	}
 	a.Close()
-	if _, err := ask(t.Context(), b, weighIn); err != nil {
+	if _, err := invoke(t.Context(), b, weighIn); err != nil {
 		t.Errorf("with the other channel closed: %v", err)
 	}
-	if _, err := ask(t.Context(), a, weighIn); status.Code(err) != codes.Canceled {
+	if _, err := invoke(t.Context(), a, weighIn); status.Code(err) != codes.Canceled {
 		t.Errorf("on a closed channel: %v", err)
 	}
 	b.Close()
@@ -343,17 +343,17 @@
 }
 
 // Calls that are given up, or whose channel closes under them, end at once and leave nothing out.
-func TestGivenUp(t *testing.T) {
+func TestCanceledCalls(t *testing.T) {
 	came := make(chan struct{}, 20)
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) { came <- struct{}{} })
-	cfg := config(t, Static(f.list()))
+	cfg := config(t, StaticSource(f.list()))
 	cc := dial(t, cfg)
 	ctx, leave := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if _, err := ask(ctx, cc, view); status.Code(err) != codes.Canceled {
+		if _, err := invoke(ctx, cc, view); status.Code(err) != codes.Canceled {
 			t.Errorf("given up: %v", err)
 		}
 	}()
@@ -363,7 +363,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if _, err := ask(t.Context(), cc, weighIn); err == nil || status.Code(err) == codes.Unavailable {
+		if _, err := invoke(t.Context(), cc, weighIn); err == nil || status.Code(err) == codes.Unavailable {
 			t.Errorf("closed under it: %v", err)
 		}
 	}()
@@ -411,7 +411,7 @@
 			k.Answer(served)
 		}
 	})
-	cc := dial(t, config(t, Static(f.list())))
+	cc := dial(t, config(t, StaticSource(f.list())))
 	got := map[codes.Code]int{}
 	var wg sync.WaitGroup
 	for caller := range 8 {
@@ -420,7 +420,7 @@
 			defer wg.Done()
 			for i := range 150 {
 				bin := fmt.Sprintf("%d-%d", caller, i)
-				_, err := ask(metadata.AppendToOutgoingContext(t.Context(), "bin", bin), cc, weighIn)
+				_, err := invoke(metadata.AppendToOutgoingContext(t.Context(), "bin", bin), cc, weighIn)
 				mu.Lock()
 				got[status.Code(err)]++
 				n := runs[bin]
@@ -483,27 +483,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { tc.script(k) })
-			messages, err := watch(t.Context(), dial(t, config(t, Static(f.list()))))
+			messages, err := watch(t.Context(), dial(t, config(t, StaticSource(f.list()))))
 			if errors.Is(err, io.EOF) {
 				err = nil
 			}
 			if messages != tc.messages || status.Code(err) != tc.want {
 				t.Errorf("%d messages, then %v", messages, err)
 			}
-			if tc.want == codes.Unavailable && advice(err) != settings.MaxRetryAfter/2 {
-				t.Errorf("refused with the advice %v", advice(err))
+			if tc.want == codes.Unavailable && retryDelay(err) != settings.MaxRetryAfter/2 {
+				t.Errorf("refused with the advice %v", retryDelay(err))
 			}
 			if n := f.calls.Load(); n != 1 {
-				t.Errorf("the boxes have seen %d calls", n)
+				t.Errorf("the servers saw %d calls", n)
 			}
 		})
 	}
 	t.Run("nobody there", func(t *testing.T) {
 		f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
-		for _, b := range f.boxes {
+		for _, b := range f.servers {
 			b.Close()
 		}
-		if _, err := watch(t.Context(), dial(t, config(t, Static(f.list())))); status.Code(err) != codes.Unavailable {
+		if _, err := watch(t.Context(), dial(t, config(t, StaticSource(f.list())))); status.Code(err) != codes.Unavailable {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -521,7 +521,7 @@
 			k.Status(0)
 		}
 	})
-	source, list := make(told), f.list()
+	source, list := make(scriptedSource), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
 	s, err := cc.NewStream(t.Context(), watching, view)
@@ -539,7 +539,7 @@
 		}
 		left <- struct{}{}
 	}()
-	for _, calls := f.boxes[0].Seen(); calls < 2; _, calls = f.boxes[0].Seen() {
+	for _, calls := f.servers[0].Seen(); calls < 2; _, calls = f.servers[0].Seen() {
 		runtime.Gosched()
 	}
 	draining := slices.Clone(list)
@@ -558,43 +558,43 @@
 	leave()
 	<-left
 	cc.Close()
-	if _, calls := f.boxes[0].Seen(); calls != 2 {
+	if _, calls := f.servers[0].Seen(); calls != 2 {
 		t.Errorf("%d streams came", calls)
 	}
 }
 
-// A call that waits for one of the streams that a box allows has not been sent: it is refused, not failed.
+// A call that waits for one of the streams that a server allows has not been sent: it is refused, not failed.
 func TestNoFreeStream(t *testing.T) {
 	came := make(chan struct{}, 2)
 	f := newFleet(t, 1, 1, func(int, *grpcserver.Call) { came <- struct{}{} })
-	cc := dial(t, config(t, Static(f.list())))
+	cc := dial(t, config(t, StaticSource(f.list())))
 	first, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		_, _ = ask(first, cc, weighIn) // takes the one stream and is never answered
+		_, _ = invoke(first, cc, weighIn) // takes the one stream and is never answered
 	}()
 	<-came
 	ctx, cancelSecond := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancelSecond()
-	if _, err := ask(ctx, cc, weighIn); status.Code(err) != codes.Unavailable {
+	if _, err := invoke(ctx, cc, weighIn); status.Code(err) != codes.Unavailable {
 		t.Errorf("got %v", err)
 	}
 	cancel()
 	wg.Wait()
 	if n := f.calls.Load(); n != 1 {
-		t.Errorf("the box has seen %d calls", n)
+		t.Errorf("the server saw %d calls", n)
 	}
 }
 
 // WaitForReady does not make the library wait where the engine has decided.
 func TestWaitForReady(t *testing.T) {
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
-	for _, b := range f.boxes {
+	for _, b := range f.servers {
 		b.Close()
 	}
-	cc := dial(t, config(t, Static(f.list())))
+	cc := dial(t, config(t, StaticSource(f.list())))
 	begin := time.Now()
 	err := cc.Invoke(t.Context(), weighIn, wrapperspb.String("grapes"), new(wrapperspb.StringValue), grpc.WaitForReady(true))
 	if took := time.Since(begin); status.Code(err) != codes.Unavailable || took > 5*time.Second { // of the 10 that the call has
@@ -602,13 +602,13 @@
 	}
 }
 
-// All of 10,000 boxes start anew in one update while calls go on: none fails, and only those are connected to that were
+// All of 10,000 servers start anew in one update while calls go on: none fails, and only those are connected to that were
 // chosen.
-func TestManyBoxesChangeAtOnce(t *testing.T) {
+func TestManyServersRestartAtOnce(t *testing.T) {
 	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
-	source := make(told)
+	source := make(scriptedSource)
 	cc := dial(t, config(t, source), grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "tcp", f.boxes[0].Addr())
+		return new(net.Dialer).DialContext(ctx, "tcp", f.servers[0].Addr())
 	}))
 	list := make([]Endpoint, 10000)
 	const asked = 40
@@ -622,13 +622,13 @@
 			source <- EndpointList{Endpoints: slices.Clone(list), Complete: true}
 		}()
 		for range asked {
-			if _, err := ask(t.Context(), cc, weighIn); err != nil {
+			if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 				t.Fatal(err)
 			}
 		}
 		<-taken
 	}
-	if conns, calls := f.boxes[0].Seen(); calls != 2*asked || conns > calls {
+	if conns, calls := f.servers[0].Seen(); calls != 2*asked || conns > calls {
 		t.Errorf("%d connections, %d calls", conns, calls)
 	}
 }
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -17,28 +17,28 @@
 )
 
 // looks is a log that looks at the module whenever the engine's loop writes its counts, as it does when it ends.
-type looks struct {
-	at   *atomic.Pointer[engine.Engine]
-	seen chan []byte
+type checkpointLog struct {
+	engine      *atomic.Pointer[engine.Engine]
+	checkpoints chan []byte
 }
 
-func (looks) Enabled(context.Context, slog.Level) bool { return true }
-func (l looks) WithAttrs([]slog.Attr) slog.Handler     { return l }
-func (l looks) WithGroup(string) slog.Handler          { return l }
-func (l looks) Handle(_ context.Context, r slog.Record) error {
-	e := l.at.Load()
+func (checkpointLog) Enabled(context.Context, slog.Level) bool { return true }
+func (l checkpointLog) WithAttrs([]slog.Attr) slog.Handler     { return l }
+func (l checkpointLog) WithGroup(string) slog.Handler          { return l }
+func (l checkpointLog) Handle(_ context.Context, r slog.Record) error {
+	e := l.engine.Load()
 	if r.Message != "counts" || e == nil {
 		return nil
 	}
 	text, err := e.Balancer.Checkpoint()
 	if err == nil {
-		l.seen <- text
+		l.checkpoints <- text
 	}
 	return err
 }
 
 // quiet says that a module has nothing in flight and holds no request.
-func quiet(t *testing.T, checkpoint []byte) bool {
+func nothingInFlight(t *testing.T, checkpoint []byte) bool {
 	t.Helper()
 	var c struct {
 		Servers  []struct{ Open [][2]int }
@@ -82,8 +82,8 @@
 			k.Status(0)
 		}
 	})
-	cfg := config(t, Static(f.list()))
-	log := looks{new(atomic.Pointer[engine.Engine]), make(chan []byte, 100)}
+	cfg := config(t, StaticSource(f.list()))
+	log := checkpointLog{new(atomic.Pointer[engine.Engine]), make(chan []byte, 100)}
 	cfg.Log = slog.New(log)
 	cc := dial(t, cfg)
 	var all sync.WaitGroup
@@ -96,9 +96,9 @@
 			for k := range 4 {
 				switch (i + k) % 3 {
 				case 0:
-					ask(ctx, cc, weighIn)
+					invoke(ctx, cc, weighIn)
 				case 1:
-					ask(ctx, cc, view)
+					invoke(ctx, cc, view)
 				default:
 					watch(ctx, cc)
 				}
@@ -107,15 +107,15 @@
 	}
 	all.Wait()
 	tiers.mu.Lock()
-	log.at.Store(tiers.byName[cfg.Tier].engine)
+	log.engine.Store(tiers.byName[cfg.Tier].engine)
 	tiers.mu.Unlock()
-	ask(t.Context(), cc, view) // so that there is something to say in the end
+	invoke(t.Context(), cc, view) // so that there is something to say in the end
 	cc.Close()
 	late := time.After(30 * time.Second)
 	for {
 		select {
-		case c := <-log.seen: // one that came in the middle of the last call is followed by another
-			if quiet(t, c) {
+		case c := <-log.checkpoints: // one that came in the middle of the last call is followed by another
+			if nothingInFlight(t, c) {
 				return
 			}
 		case <-late:
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -1,10 +1,13 @@
-// Package grpcbalancer puts the decisions of hookwalk under a grpc-go channel: which box a call goes to, whether it goes
-// again, and what is refused. It has the same engine and the same decision module as the daemon.
+// Package grpcbalancer puts the decisions of hookwalk under a grpc-go channel: which server a call goes to, whether it is
+// retried, and what is rejected. It has the same engine and the same decision module as the daemon.
 //
-//	opts, err := grpcbalancer.Dial(grpcbalancer.Config{Tier: "log-logic", Settings: settings, Source: boxes, ...})
+//	opts, err := grpcbalancer.DialOptions(grpcbalancer.Config{Tier: "log-logic", Settings: settings, Source: servers, ...})
 //	conn, err := grpc.NewClient("hookwalk:///log-logic", append(opts, credentials)...)
 //
-// A stream is one attempt: placed, counted and refused like any other call, and never moved once it is open.
+// A stream is one attempt: admitted, placed and counted like any other call, and never moved once it is open.
+//
+// plugin.go has the interceptors, tier.go the engine that channels share, balancer.go the resolver, balancer and picker of
+// grpc-go, stream.go streams, outcomes.go how the library's errors map to outcomes of attempts.
 package grpcbalancer
 
 import (
@@ -28,48 +31,53 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// RetryKey is the metadata key, with the value 1, by which a client says that it has sent a call before.
+// RetryKey is the metadata key by which a client marks, with the value 1, a call that it has sent before.
 const RetryKey = "hookwalk-repeat"
 
 // TenantKey is the metadata key of the tenant that a call is for.
 const TenantKey = "hookwalk-tenant"
 
-// answerTime is the most that a final answer is given ahead of a call's deadline.
-const answerTime = 20 * time.Millisecond
+// answerMargin is the most that a final answer is given ahead of a call's deadline. A rejection must come before the
+// client stops listening: only the rejection says that nothing ran.
+const answerMargin = 20 * time.Millisecond
+
+// answerMarginShare: of a short budget, the margin is the 50th part.
+const answerMarginShare = 50
 
-// plugin is what one channel's options share.
+// plugin is the state that the channels of one DialOptions share.
 type plugin struct {
-	cfg Config
+	config Config
 
-	mu      sync.Mutex
-	tier    *tier         // while one of its channels lives
-	uses    int           // such channels
-	err     error         // why the last one to be built has none
-	changed chan struct{} // closed when the tier has
+	mu       sync.Mutex
+	tier     *tier         // nil while no channel is open
+	channels int           // open channels
+	err      error         // why the last channel could not be opened
+	changed  chan struct{} // closed, and replaced, when tier or err changes
 }
 
-// Dial gives the options of a channel to a tier; its target is "hookwalk:///" and any name. A service config
-// that the application sets must name the balancer hookwalk_engine; its retry and hedging policies have no effect.
-func Dial(cfg Config) ([]grpc.DialOption, error) {
-	if err := cfg.check(); err != nil {
+// DialOptions returns the options of a channel to a tier; its target is "hookwalk:///" and any name. A service config
+// that the application sets must name the balancer hookwalk_engine; its retry and hedging policies have no effect. Errors
+// are *ConfigError.
+func DialOptions(cfg Config) ([]grpc.DialOption, error) {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	if _, err := balancer.New(cfg.Settings, cfg.Seed); err != nil {
-		return nil, err
+	if err := cfg.Settings.Validate(); err != nil {
+		return nil, &ConfigError{cfg.Tier, "Settings", err}
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	p := &plugin{cfg: cfg, changed: make(chan struct{})}
+	p := &plugin{config: cfg, changed: make(chan struct{})}
 	return []grpc.DialOption{
-		grpc.WithResolvers(&builder{p}),
+		grpc.WithResolvers(&resolverBuilder{p}),
 		grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"` + balancerName + `":{}}]}`),
-		// The library's own retries by policy and hedging: what may have run would be sent again. Its transparent retry
-		// can't be switched off; the picker ends it.
+		// Without the library's own retries and hedging, which would send again what may have run. Its transparent retry
+		// can't be switched off; the picker rejects it.
 		grpc.WithDisableRetry(),
-		// An idle channel would drop its list, and the tier might end under its calls.
+		// An idle channel would close its resolver, and the tier might stop under its calls.
 		grpc.WithIdleTimeout(0),
-		// A box that comes back is found soon: while the library waits, all that the engine sends there fails.
+		// A short backoff: while the library waits to reconnect, all that the engine sends to the server fails.
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}),
 		grpc.WithChainUnaryInterceptor(p.unary),
@@ -77,57 +85,56 @@
 	}, nil
 }
 
-// unary has the engine admit, place and repeat a call, and gives its one final answer.
+// unary is the interceptor of unary calls: the engine admits, places and retries a call and gives its one final answer.
 func (p *plugin) unary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	t, err := p.enter(ctx, cc)
+	t, err := p.acquireTier(ctx, cc)
 	if err != nil {
 		return err
 	}
-	defer t.leave()
-	r := p.call(ctx, t, method)
+	defer t.release()
+	r := p.newCall(ctx, t, method)
 	r.invoke = func(ctx context.Context, trailer *metadata.MD) error {
 		return invoker(ctx, method, req, reply, cc, append(opts[:len(opts):len(opts)], grpc.Trailer(trailer))...)
 	}
-	a, err := t.do(ctx, r)
+	a, err := t.decide(ctx, r)
 	if err != nil {
 		return status.FromContextError(err).Err()
 	}
-	return final(a, r.err)
+	return statusOf(a, r.lastErr)
 }
 
-// call is what the engine is told of a call.
-func (p *plugin) call(ctx context.Context, t *tier, method string) *rpc {
+// newCall describes a call to the engine.
+func (p *plugin) newCall(ctx context.Context, t *tier, method string) *rpc {
 	now := t.engine.Clock.Now()
 	r := &rpc{}
-	r.Budget = p.cfg.Deadline
+	r.Budget = p.config.Deadline
 	if end, ok := ctx.Deadline(); ok {
 		r.Budget = time.Until(end)
 	}
-	// A refusal must come before the caller stops listening: only it says that nothing ran.
-	r.Budget -= min(r.Budget/50, answerTime)
+	r.Budget -= min(r.Budget/answerMarginShare, answerMargin)
 	md, _ := metadata.FromOutgoingContext(ctx)
-	r.Tenant = first(md, TenantKey)
-	r.Request = balancer.Request{ID: strconv.FormatUint(t.seq.Add(1), 10), Class: p.cfg.Methods[method],
-		Deadline: now + r.Budget, ClientRetry: first(md, RetryKey) == "1"}
+	r.Tenant = firstValue(md, TenantKey)
+	r.Request = balancer.Request{ID: strconv.FormatUint(t.lastCallID.Add(1), 10), Class: p.config.Methods[method],
+		Deadline: now + r.Budget, ClientRetry: firstValue(md, RetryKey) == "1"}
 	return r
 }
 
-// enter makes a call a user of its channel's tier. A new channel has none before its resolver is built, and a new tier
-// waits a little for its first list. The library builds no second resolver for a channel whose first failed.
-func (p *plugin) enter(ctx context.Context, cc *grpc.ClientConn) (*tier, error) {
+// acquireTier makes a call a user of its channel's tier. A new channel has none before its resolver is built, and a new
+// tier waits for its first list. The library builds no second resolver for a channel whose first failed.
+func (p *plugin) acquireTier(ctx context.Context, cc *grpc.ClientConn) (*tier, error) {
 	for {
 		p.mu.Lock()
 		t, changed, err := p.tier, p.changed, p.err
 		if t != nil {
-			t.again()
+			t.acquire()
 		}
 		p.mu.Unlock()
 		if t != nil {
 			select {
-			case <-t.told:
+			case <-t.ready:
 				return t, nil
 			case <-ctx.Done():
-				t.leave()
+				t.release()
 				return nil, status.FromContextError(ctx.Err()).Err()
 			}
 		}
@@ -146,41 +153,43 @@
 	}
 }
 
-// joined and left count the channels that live. One that could not be built has calls that wait for it.
-func (p *plugin) joined(t *tier, err error) {
+// channelOpened counts a channel whose resolver was built, or notes why it could not be. Calls wait for either.
+func (p *plugin) channelOpened(t *tier, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.err = err; err == nil {
 		p.tier = t
-		p.uses++
+		p.channels++
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *plugin) left() {
+// channelClosed counts a channel that was closed.
+func (p *plugin) channelClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.uses--; p.uses == 0 {
+	if p.channels--; p.channels == 0 {
 		p.tier = nil
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func first(md metadata.MD, key string) string {
+// firstValue is the first value of a metadata key, or "".
+func firstValue(md metadata.MD, key string) string {
 	if v := md.Get(key); len(v) > 0 {
 		return v[0]
 	}
 	return ""
 }
 
-// final turns a final answer into an error of the library. What may have run gets a code that no well-behaved client
-// retries.
-func final(a engine.Answer, last error) error {
+// statusOf turns a final answer into a status error of the library. A call that may have run gets a code that clients do
+// not retry.
+func statusOf(a engine.Answer, last error) error {
 	switch a.Verdict {
 	case engine.Served:
-		return last // nil, or what the box has found out
+		return last // nil, or the application's error
 	case engine.Rejected, engine.Aborted:
 		if a.Verdict == engine.Aborted && a.Status != 503 {
 			return status.Error(codes.Internal, "hookwalk: ended by a drill")
--- a/grpcbalancer/source.go
+++ b/grpcbalancer/source.go
@@ -6,29 +6,29 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Endpoint is a server and where it is reached.
+// Endpoint is a server and the address where it is reached.
 type Endpoint struct {
 	balancer.Server
 	Addr string // host:port
 }
 
-// EndpointList is what a source tells.
+// EndpointList is an update from a Source: the complete list, or what has changed.
 type EndpointList struct {
 	Endpoints []Endpoint
-	Complete  bool // the boxes are all that there are; else only these have changed
+	Complete  bool // servers that are not listed are removed; else only the listed ones have changed
 }
 
-// Source brings the boxes of a tier.
+// Source provides the servers of a tier. Watch is called once for an engine, from a goroutine of its own.
 type Source interface {
-	// Watch tells the whole list and then its changes until ctx ends.
-	Watch(ctx context.Context, tell func(EndpointList))
+	// Watch reports the complete list and then its changes until ctx ends. report blocks until the engine has the update.
+	Watch(ctx context.Context, report func(EndpointList))
 }
 
-// Static is a list that never changes.
-type Static []Endpoint
+// StaticSource is a Source whose list never changes.
+type StaticSource []Endpoint
 
-// Watch tells the list.
-func (s Static) Watch(ctx context.Context, tell func(EndpointList)) {
-	tell(EndpointList{Endpoints: s, Complete: true})
+// Watch reports the list once.
+func (s StaticSource) Watch(ctx context.Context, report func(EndpointList)) {
+	report(EndpointList{Endpoints: s, Complete: true})
 	<-ctx.Done()
 }
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -18,186 +18,190 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// tiers are those in use, by name. All channels of a process to one tier share one engine, so that they don't stack
-// their load on a box.
+// tiers are those in use, by name. All channels of a process to one tier share one engine: engines that know nothing of
+// each other's calls would overload a server together.
 var tiers = struct {
 	mu     sync.Mutex
 	byName map[string]*tier
 }{byName: map[string]*tier{}}
 
-// firstList is how long calls wait for a new source to speak before the engine decides without a list.
-const firstList = time.Second
+// firstListTimeout is how long the first calls wait for a new source before the engine decides without a list: then
+// they are rejected instead of running into their deadlines.
+const firstListTimeout = time.Second
 
-// tier is one engine and those who use it.
+// tier is one engine and the channels and calls that use it. It starts with its first user and stops with its last.
 type tier struct {
-	cfg    Config
-	engine *engine.Engine
-	seq    atomic.Uint64 // of ids
-	told   chan struct{} // closed when the source has spoken, or had its time
+	config     Config
+	engine     *engine.Engine
+	lastCallID atomic.Uint64 // counts up; the IDs of calls are made of it
+	ready      chan struct{} // closed when the first list has come, or firstListTimeout is over
 
-	stop context.CancelFunc // of the source; the last user calls it
-	uses int                // channels and calls in progress; guarded by tiers.mu
+	stopSource context.CancelFunc // ends the source; called by the last user
+	users      int                // channels and calls in progress; guarded by tiers.mu
 
-	mu       sync.Mutex
-	boxes    map[string]Endpoint
-	watchers map[*listWatch]bool
+	mu        sync.Mutex
+	endpoints map[string]Endpoint
+	watchers  map[*channelResolver]bool
 }
 
-// use gives the tier of a configuration, and starts it for its first user, with that one's source and seed.
-func use(cfg Config) (*tier, error) {
+// acquireTier returns the tier of a configuration, and starts it for its first user, with that user's source and seed.
+// Each acquireTier or acquire is paired with one release.
+func acquireTier(cfg Config) (*tier, error) {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
 	if t := tiers.byName[cfg.Tier]; t != nil {
-		if !reflect.DeepEqual(t.cfg.Settings, cfg.Settings) {
-			return nil, fmt.Errorf("grpcbalancer: tier %s is in use with other settings", cfg.Tier)
+		if !reflect.DeepEqual(t.config.Settings, cfg.Settings) {
+			return nil, &ConfigError{cfg.Tier, "Settings", errors.New("differ from those of the channels that use the tier already")}
 		}
-		t.uses++
+		t.users++
 		return t, nil
 	}
 	bal, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("grpcbalancer: tier %s: %w", cfg.Tier, err)
+		return nil, &ConfigError{cfg.Tier, "Settings", err}
 	}
-	t := &tier{cfg: cfg, uses: 1, told: make(chan struct{}), boxes: map[string]Endpoint{}, watchers: map[*listWatch]bool{}}
+	t := &tier{config: cfg, users: 1, ready: make(chan struct{}), endpoints: map[string]Endpoint{}, watchers: map[*channelResolver]bool{}}
 	t.engine = engine.New(engine.Options{Clock: engine.NewClock(), Log: cfg.Log, Balancer: bal, Sender: t, Subscribe: func() {}})
 	ctx, stop := context.WithCancel(context.Background())
-	t.stop = stop
+	t.stopSource = stop
 	tiers.byName[cfg.Tier] = t
-	heard := sync.OnceFunc(func() { close(t.told) })
-	patience := time.AfterFunc(firstList, heard)
+	markReady := sync.OnceFunc(func() { close(t.ready) })
+	timeout := time.AfterFunc(firstListTimeout, markReady)
 	go t.engine.Run()
 	go func() {
-		defer patience.Stop()
+		defer timeout.Stop()
 		cfg.Source.Watch(ctx, func(l EndpointList) {
-			t.tell(ctx, l)
-			heard()
+			t.applyList(ctx, l)
+			markReady()
 		})
 	}()
 	return t, nil
 }
 
-// again counts one more user of a tier that is in use.
-func (t *tier) again() {
+// acquire adds a user to a tier that is in use.
+func (t *tier) acquire() {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
-	t.uses++
+	t.users++
 }
 
-// leave ends the tier with its last user. No attempt is out then: each call waits for its own.
-func (t *tier) leave() {
+// release removes a user, and stops the tier with the last one. No attempt is in flight then, since each call waits for
+// its own attempts.
+func (t *tier) release() {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
-	if t.uses--; t.uses > 0 {
+	if t.users--; t.users > 0 {
 		return
 	}
-	delete(tiers.byName, t.cfg.Tier)
-	t.stop()
+	delete(tiers.byName, t.config.Tier)
+	t.stopSource()
 	t.engine.Stop()
 }
 
-// tell hands a list to the engine, which stops what must get nothing new, and then to the channels.
-func (t *tier) tell(ctx context.Context, l EndpointList) {
-	news := engine.Update{Complete: l.Complete}
+// applyList hands a list to the engine first, so that nothing new goes to a draining server, and then to the channels.
+func (t *tier) applyList(ctx context.Context, l EndpointList) {
+	update := engine.Update{Complete: l.Complete}
 	for _, b := range l.Endpoints {
-		news.Endpoints = append(news.Endpoints, engine.Endpoint{Server: b.Server, Addr: b.Addr})
+		update.Endpoints = append(update.Endpoints, engine.Endpoint{Server: b.Server, Addr: b.Addr})
 	}
-	if t.engine.ApplyUpdate(ctx, news) != nil {
+	if t.engine.ApplyUpdate(ctx, update) != nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if l.Complete {
-		clear(t.boxes)
+		clear(t.endpoints)
 	}
 	for _, b := range l.Endpoints {
 		if b.State == balancer.Ready {
-			t.boxes[b.ID] = b
+			t.endpoints[b.ID] = b
 		} else {
-			delete(t.boxes, b.ID)
+			delete(t.endpoints, b.ID)
 		}
 	}
-	list := t.list()
+	list := t.readyEndpoints()
 	for w := range t.watchers {
 		w.update(list)
 	}
 }
 
-// list is what a channel may connect to. The caller holds the lock.
-func (t *tier) list() []Endpoint { return slices.Collect(maps.Values(t.boxes)) }
+// readyEndpoints are the servers that a channel may connect to. The caller holds t.mu.
+func (t *tier) readyEndpoints() []Endpoint { return slices.Collect(maps.Values(t.endpoints)) }
 
-// rpc is a call with what its attempts need.
+// rpc is a call with what its attempts need. Its states: queued or in flight in the engine, streaming (opened), done.
 type rpc struct {
 	engine.Call
-	ctx    context.Context
-	invoke func(ctx context.Context, trailer *metadata.MD) error
-	open   func(ctx context.Context) (*stream, error) // of a stream, in place of invoke
-	opened chan *stream                               // takes it once without blocking
-	out    sync.WaitGroup
-	err    error // of its last attempt; the loop's happens-before chain orders its writers
+	ctx      context.Context
+	invoke   func(ctx context.Context, trailer *metadata.MD) error
+	open     func(ctx context.Context) (*stream, error) // for a stream, in place of invoke
+	opened   chan *stream                               // takes the open stream, once, without blocking
+	attempts sync.WaitGroup
+	lastErr  error // of the last attempt; attempts are sequential, so writes are ordered by the engine's loop
 }
 
-// attempt is one send; the picker of its channel finds it in the context.
+// attempt is one attempt of a call; the channel's picker finds it in the context.
 type attempt struct {
 	*engine.Attempt
 	call *rpc
 	tier *tier
 
-	mu      sync.Mutex
-	picks   int  // how often the library has asked for a connection after it had none
-	stopped bool // it came too late to be sent
-	sent    bool // it has a stream: bytes may have left
-	got     bool // something came back from the box
+	mu       sync.Mutex
+	picks    int  // how often the library was given a connection, or asked for one again
+	stopped  bool // the engine no longer allows it to be sent
+	sent     bool // it has a stream: bytes may have been sent
+	received bool // something came back from the server
 }
 
 type attemptKey struct{}
 
-// Start makes an attempt in a goroutine that ends with its result.
+// Start implements engine.Sender: it makes an attempt in a goroutine that ends with its result.
 func (t *tier) Start(att *engine.Attempt) {
 	call := att.Call.Payload.(*rpc)
-	call.out.Add(1)
+	call.attempts.Add(1)
 	go func() {
-		defer call.out.Done()
+		defer call.attempts.Done()
 		a := &attempt{Attempt: att, call: call, tier: t}
 		r := engine.Result{Attempt: att}
 		if call.open != nil {
-			r.Outcome, r.Latency, call.err = t.streamed(a)
+			r.Outcome, r.Latency, call.lastErr = t.streamAttempt(a)
 		} else {
-			r.Outcome, call.err = t.invoked(a)
+			r.Outcome, call.lastErr = t.unaryAttempt(a)
 		}
 		if r.Outcome != balancer.Success && r.Outcome != balancer.NotSent {
-			r.Err = call.err
+			r.Err = call.lastErr
 		}
 		t.engine.AttemptEnded(r)
 	}()
 }
 
-// invoked makes an attempt of a unary call.
-func (t *tier) invoked(a *attempt) (balancer.Outcome, error) {
+// unaryAttempt makes an attempt of a unary call.
+func (t *tier) unaryAttempt(a *attempt) (balancer.Outcome, error) {
 	ctx, cancel := context.WithDeadline(a.call.ctx, t.engine.Clock.At(a.Deadline))
 	defer cancel()
 	var trailer metadata.MD
 	err := a.call.invoke(context.WithValue(ctx, attemptKey{}, a), &trailer)
-	return ending(a, err, trailer), err
+	return outcomeOf(a, err, trailer), err
 }
 
-// streamed makes an attempt of a stream.
-func (t *tier) streamed(a *attempt) (how balancer.Outcome, latency time.Duration, err error) {
-	s, err := t.stream(a)
+// streamAttempt makes an attempt of a stream.
+func (t *tier) streamAttempt(a *attempt) (how balancer.Outcome, latency time.Duration, err error) {
+	s, err := t.openStream(a)
 	if s == nil {
-		return ending(a, err, nil), 0, err
+		return outcomeOf(a, err, nil), 0, err
 	}
-	how, latency = s.outcome(err)
+	how, latency = s.result(err)
 	return how, latency, err
 }
 
-// Retire has nothing to do: channels drop the connections of boxes that their list has no more.
+// Retire implements engine.Sender. Channels close the connections of servers that have left their list themselves.
 func (t *tier) Retire(*engine.Target) {}
 
-// do has the engine decide about a call and waits until nothing of it is out. The caller is a user of the tier.
-func (t *tier) do(ctx context.Context, r *rpc) (engine.Answer, error) {
+// decide hands a call to the engine and waits until it has its answer and no attempt of it is in flight. The caller is a
+// user of the tier.
+func (t *tier) decide(ctx context.Context, r *rpc) (engine.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.ctx, r.Payload = ctx, r
-	defer r.out.Wait()
+	defer r.attempts.Wait()
 	defer cancel()
 	a, err := t.engine.Do(ctx, &r.Call)
 	if errors.Is(err, engine.ErrClientGone) && ctx.Err() != nil {
@@ -206,38 +210,54 @@
 	return a, err
 }
 
-// comeBack advises the client of a stream that a box refused. The module is no longer asked once a stream has begun.
-func (t *tier) comeBack(class string) time.Duration {
-	all := t.cfg.Settings.Classes
+// retryAfter is the advice to the client of a stream that a server rejected. Once a stream has begun, the decision module
+// no longer decides about it.
+func (t *tier) retryAfter(class string) time.Duration {
+	all := t.config.Settings.Classes
 	if i := slices.IndexFunc(all, func(c balancer.Class) bool { return c.Name == class }); i >= 0 {
-		return t.cfg.Settings.RetryAfter(all[i])
+		return t.config.Settings.RetryAfter(all[i])
 	}
-	return t.cfg.Settings.RetryAfter(slices.MaxFunc(all, func(a, b balancer.Class) int { return int(a.Deadline - b.Deadline) }))
+	return t.config.Settings.RetryAfter(slices.MaxFunc(all, func(a, b balancer.Class) int { return int(a.Deadline - b.Deadline) }))
 }
 
-// Config says which tier a channel goes to and how.
+// Config is the configuration of the channels to one tier.
 type Config struct {
-	Tier     string            // channels of one process with the same name share an engine
+	Tier     string            // name; channels of one process with the same name share an engine
 	Settings balancer.Settings // the decision module's
-	Seed     uint64
-	Source   Source
-	Methods  map[string]string // class by full method, "/package.Service/Method"; one that is missing is unsafe
-	Deadline time.Duration     // of calls without one
+	Seed     uint64            // of the random choices; differs between processes
+	Source   Source            // of the servers
+	Methods  map[string]string // class by full method, "/package.Service/Method"; others are non-idempotent
+	Deadline time.Duration     // of calls whose context has none
 	Log      *slog.Logger      // nil: none
 }
 
-func (c Config) check() error {
+// ConfigError says which field of a Config can't be used, and why. The caller of DialOptions has to correct it.
+type ConfigError struct {
+	Tier  string // "": the Config names none
+	Field string
+	Err   error
+}
+
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("grpcbalancer: tier %q: %s: %v", e.Tier, e.Field, e.Err)
+}
+
+// Unwrap returns what is wrong with the field.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// validate returns a *ConfigError for the first field that can't be used.
+func (c Config) validate() error {
 	switch {
 	case c.Tier == "":
-		return errors.New("grpcbalancer: Tier is empty")
+		return &ConfigError{c.Tier, "Tier", errors.New("is empty")}
 	case c.Source == nil:
-		return fmt.Errorf("grpcbalancer: tier %s: Source is missing", c.Tier)
+		return &ConfigError{c.Tier, "Source", errors.New("is missing")}
 	case c.Deadline <= 0:
-		return fmt.Errorf("grpcbalancer: tier %s: Deadline must be above 0", c.Tier)
+		return &ConfigError{c.Tier, "Deadline", errors.New("must be above 0")}
 	}
 	for method, class := range c.Methods {
 		if !slices.ContainsFunc(c.Settings.Classes, func(k balancer.Class) bool { return k.Name == class }) {
-			return fmt.Errorf("grpcbalancer: tier %s: method %q has the class %q, which is none of the settings", c.Tier, method, class)
+			return &ConfigError{c.Tier, "Methods", fmt.Errorf("method %q has the class %q, which is none of the settings", method, class)}
 		}
 	}
 	return nil
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -14,6 +14,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
+// maxMessage bounds a message of a call, in bytes.
 const maxMessage = 1 << 20
 
 // Call is one call that has come whole.
@@ -21,14 +22,14 @@
 	Method   string
 	Metadata map[string]string
 	Message  []byte // without its prefix
-	N        int    // of the box's calls, from 0
+	N        int    // of the server's calls, from 0
 
 	conn   *conn
 	stream uint32
 }
 
-// Box serves on loopback until Close.
-type Box struct {
+// Server serves on loopback until Close.
+type Server struct {
 	ln      net.Listener
 	script  func(*Call)
 	streams uint32 // at once on a connection; 0: no limit told
@@ -44,9 +45,9 @@
 // conn is a connection from a client.
 type conn struct {
 	net.Conn
-	box *Box
+	server *Server
 
-	taken uint32 // the highest stream that the script was given, guarded by box.mu
+	taken uint32 // the highest stream that the script was given, guarded by server.mu
 	away  bool   // GOAWAY was sent: streams after last are not taken; likewise
 	last  uint32
 
@@ -56,30 +57,30 @@
 	block  bytes.Buffer
 }
 
-// New starts a box. The script is called for each call, in a goroutine of its own; maxStreams of 0 tells no limit.
-func New(maxStreams uint32, script func(*Call)) (*Box, error) {
+// New starts a server. The script is called for each call, in a goroutine of its own; maxStreams of 0 tells no limit.
+func New(maxStreams uint32, script func(*Call)) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{ln: ln, script: script, streams: maxStreams, conns: map[*conn]bool{}}
+	b := &Server{ln: ln, script: script, streams: maxStreams, conns: map[*conn]bool{}}
 	b.wg.Add(1)
 	go b.accept()
 	return b, nil
 }
 
-// Addr is where the box listens.
-func (b *Box) Addr() string { return b.ln.Addr().String() }
+// Addr is where the server listens.
+func (b *Server) Addr() string { return b.ln.Addr().String() }
 
 // Seen counts the connections and the whole calls that have come.
-func (b *Box) Seen() (conns, calls int) {
+func (b *Server) Seen() (conns, calls int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.seen, b.calls
 }
 
-// Close ends the box with all its connections.
-func (b *Box) Close() {
+// Close ends the server with all its connections.
+func (b *Server) Close() {
 	b.mu.Lock()
 	b.done = true
 	b.ln.Close()
@@ -90,14 +91,14 @@
 	b.wg.Wait()
 }
 
-func (b *Box) accept() {
+func (b *Server) accept() {
 	defer b.wg.Done()
 	for {
 		nc, err := b.ln.Accept()
 		if err != nil {
 			return
 		}
-		c := &conn{Conn: nc, box: b, framer: http2.NewFramer(nc, nc)}
+		c := &conn{Conn: nc, server: b, framer: http2.NewFramer(nc, nc)}
 		c.enc = hpack.NewEncoder(&c.block)
 		c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 		b.mu.Lock()
@@ -128,8 +129,8 @@
 		return
 	}
 	var settings []http2.Setting
-	if c.box.streams > 0 {
-		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.box.streams})
+	if c.server.streams > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.server.streams})
 	}
 	c.write(func() error { return c.framer.WriteSettings(settings...) })
 	open := map[uint32]*Call{}
@@ -174,7 +175,7 @@
 }
 
 func (c *conn) run(call *Call) {
-	b := c.box
+	b := c.server
 	b.mu.Lock()
 	if c.away && call.stream > c.last {
 		b.mu.Unlock()
@@ -254,7 +255,7 @@
 // GoAway sends GOAWAY and takes no later stream of the connection. With before, the call itself counts as not taken; that
 // can be told, and is done, only while no later one of the connection has been taken.
 func (k *Call) GoAway(before bool) (done bool) {
-	c, b := k.conn, k.conn.box
+	c, b := k.conn, k.conn.server
 	b.mu.Lock()
 	last := c.taken
 	if before && k.stream < last || c.away {
