--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -73,62 +73,87 @@
 // many attempts out and with many that have hardly any.
 func TestSlowStartKeepsServersBelowOverload(t *testing.T) {
 	for _, tc := range []struct {
-		copies, servers int
-		burst           float64 // times the usual rate, for the first two seconds
-		keyed           bool
+		replicas, servers int
+		burst             float64 // times the usual rate, for the first two seconds
+		keyed             bool
 	}{{12, 6, 1, false}, {3, 12, 2, false}, {12, 6, 2, false}, {120, 40, 2, false}, {40, 6, 2, true}} {
-		set := testSettings()
-		set.Tier, set.Replicas = 1, tc.copies
+		const capacity, start = 50.0, time.Second // a warm server's requests a second
+		settings := testSettings()
+		settings.Tier, settings.Replicas = 1, tc.replicas
 		class := "get"
 		if tc.keyed {
 			class = "post"
 		}
-		const capacity, boot = 50.0, time.Second // a warm server's calls a second
-		list := servers(tc.servers)
-		list[2].StartTime = boot
-		type call struct {
-			b   *Balancer
-			at  time.Duration
-			out AttemptEnded
-		}
-		var bs []*Balancer
-		var calls []call
-		var cold []time.Duration
-		for i := range tc.copies {
-			set.ReplicaIndex = i
-			b, err := New(set, uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
-			bs = append(bs, b)
-		}
-		rng := rand.New(rand.NewPCG(3, 3))
-		now := boot
-		for i := 0; now < boot+12*time.Second; i++ {
+		f := newStartingFleet(t, settings, tc.servers, start)
+		for i := 0; f.now < start+12*time.Second; i++ {
 			rate := 0.75 * float64(tc.servers) * capacity
-			if now < boot+2*time.Second {
+			if f.now < start+2*time.Second {
 				rate *= tc.burst
 			}
-			now += time.Duration(float64(time.Second) / rate)
-			for len(calls) > 0 && calls[0].at <= now {
-				calls[0].b.Handle(calls[0].at, calls[0].out)
-				calls = calls[1:]
-			}
-			b, id := bs[rng.IntN(tc.copies)], fmt.Sprint(i)
-			for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
-				if s.Server == list[2].ID {
-					cold = append(cold, now)
-				}
-				calls = append(calls, call{b, now + 100*millisecond,
-					AttemptEnded{ID: id, Server: s.Server, Outcome: Success, RequestDone: true}})
-			}
+			f.pass(time.Duration(float64(time.Second) / rate))
+			f.send(fmt.Sprint(i), class)
 		}
-		if len(cold) < 20 {
-			t.Errorf("%+v: the server in slow start got only %d calls", tc, len(cold))
+		if len(f.sentToStarting) < 20 {
+			t.Errorf("%+v: the server in slow start got only %d requests", tc, len(f.sentToStarting))
 		}
-		if fault := overBudget(set, boot, capacity, cold); fault != "" {
+		if fault := overBudget(settings, start, capacity, f.sentToStarting); fault != "" {
 			t.Errorf("%+v: %s", tc, fault)
 		}
 	}
 }
+
+// startingFleet is many replicas that send to the same servers, of which one has just started.
+type startingFleet struct {
+	balancers      []*Balancer
+	rng            *rand.Rand
+	now            time.Duration
+	starting       string // ID of the server that has just started
+	pending        []fleetAttempt
+	sentToStarting []time.Duration
+}
+
+// fleetAttempt is an attempt of one of the replicas that is out.
+type fleetAttempt struct {
+	balancer *Balancer
+	at       time.Duration
+	event    AttemptEnded
+}
+
+func newStartingFleet(t *testing.T, settings Settings, serverCount int, start time.Duration) *startingFleet {
+	t.Helper()
+	list := servers(serverCount)
+	list[2].StartTime = start
+	f := &startingFleet{rng: rand.New(rand.NewPCG(3, 3)), now: start, starting: list[2].ID}
+	for i := range settings.Replicas {
+		settings.ReplicaIndex = i
+		b, err := New(settings, uint64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
+		f.balancers = append(f.balancers, b)
+	}
+	return f
+}
+
+// pass lets time go by, in which attempts end.
+func (f *startingFleet) pass(step time.Duration) {
+	f.now += step
+	for len(f.pending) > 0 && f.pending[0].at <= f.now {
+		p := f.pending[0]
+		p.balancer.Handle(p.at, p.event)
+		f.pending = f.pending[1:]
+	}
+}
+
+// send gives a request to one of the replicas. Each attempt takes 100 ms.
+func (f *startingFleet) send(id, class string) {
+	b := f.balancers[f.rng.IntN(len(f.balancers))]
+	for _, s := range sends(b.Handle(f.now, newRequest(id, class, f.now, time.Second))) {
+		if s.Server == f.starting {
+			f.sentToStarting = append(f.sentToStarting, f.now)
+		}
+		f.pending = append(f.pending, fleetAttempt{b, f.now + 100*millisecond,
+			AttemptEnded{ID: id, Server: s.Server, Outcome: Success, RequestDone: true}})
+	}
+}
