--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -53,17 +53,17 @@
 func TestClientsOutsideTheAccessListAreDenied(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: prefixes("10.4.0.0/16")} })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-	friend := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
-	if acts := b.Handle(0, friend); len(sends(acts)) != 1 {
+	allowed := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
+	if acts := b.Handle(0, allowed); len(sends(acts)) != 1 {
 		t.Errorf("an allowed client: %v", acts)
 	}
 	for _, id := range []string{"r", "s"} {
-		stranger := Request{ID: id, Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.5.0.1")}
-		if acts := b.Handle(0, stranger); !reflect.DeepEqual(acts, []Action{Deny{ID: id}}) {
+		denied := Request{ID: id, Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.5.0.1")}
+		if acts := b.Handle(0, denied); !reflect.DeepEqual(acts, []Action{Deny{ID: id}}) {
 			t.Errorf("a denied client: %v", acts)
 		}
 	}
 	if len(b.requests) != 1 || b.classes["pay"].arrivals != 1 {
-		t.Errorf("%d requests are held, %g counted", len(b.requests), b.classes["pay"].arrivals)
+		t.Errorf("%d requests are kept, %g counted", len(b.requests), b.classes["pay"].arrivals)
 	}
 }
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -101,7 +101,7 @@
 		n.StartTime = c.boot
 		b.Handle(26*time.Second, EndpointUpdate{Servers: []Server{n}})
 		if s.startedAt() != c.start || s.consecutiveFailures != c.streak {
-			t.Errorf("told of a start at %v: start %v, %d failures, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
+			t.Errorf("notified of a start at %v: start %v, %d failures, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
 		}
 	}
 	b.Handle(27*time.Second, EndpointUpdate{Complete: true})
@@ -145,11 +145,11 @@
 	b.Handle(0, completeList(2))
 	b.Handle(0, AdminOverride{Server: "s00", Disabled: true})
 	b.pools[0].window, b.pools[0].inFlight = 1, 5 // so that a request waits
-	if acts := b.Handle(0, newRequest("held", "pay", 0, time.Second)); len(sends(acts)) > 0 {
+	if acts := b.Handle(0, newRequest("queued", "pay", 0, time.Second)); len(sends(acts)) > 0 {
 		t.Fatal("it does not wait")
 	}
 	acts := b.Handle(millisecond, AdminOverride{Server: "s01", Disabled: true})
-	if len(acts) != 1 || acts[0].(Reject).ID != "held" || acts[0].(Reject).RetryAfter <= 0 {
+	if len(acts) != 1 || acts[0].(Reject).ID != "queued" || acts[0].(Reject).RetryAfter <= 0 {
 		t.Errorf("the queued request: %v", acts)
 	}
 	acts = b.Handle(2*millisecond, newRequest("r", "pay", 2*millisecond, time.Second))
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -114,11 +114,11 @@
 	}{{"long from the start", 0.55, 0.55, false}, {"long by an overload", 0.2, 0.55, true}, {"near the objective", 0.8, 0.8, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
-		p, aim := b.pools[0], float64(b.settings.Classes[0].LatencyObjective)
+		p, objective := b.pools[0], float64(b.settings.Classes[0].LatencyObjective)
 		p.window = 60
 		answers := func(over float64) {
 			r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: 0}}}
-			b.now = time.Duration(over * aim)
+			b.now = time.Duration(over * objective)
 			for range 200 {
 				b.adjustWindow(r, AttemptEnded{Outcome: Success})
 			}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -25,8 +25,8 @@
 	settings  Settings
 	rngSource *rand.PCG // of rng
 	rng       *rand.Rand
-	now       time.Duration // clock time of the event in hand
-	actions   []Action      // what the event in hand has led to
+	now       time.Duration // clock time of the current event
+	actions   []Action      // what the current event has led to
 	servers   map[string]*server
 	requests  map[string]*request
 	classes   map[string]*class
@@ -114,7 +114,7 @@
 	return b.actions
 }
 
-// emit adds an action to what the event in hand leads to.
+// emit adds an action to what the current event leads to.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // moveTowards moves an exponentially weighted moving average towards a sample.
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -10,7 +10,7 @@
 // eligibleServers gives those of each group that may be drawn for a request: neither excluded as outliers
 // nor tried before, within the deduplication scope, admitted by slow start, and with capacity. While any
 // are, only those under the concurrency cap; as a last resort, also those at their capacity limit: a server
-// that has rejected an attempt may have room again, and the request has nowhere else to go.
+// that has rejected an attempt may have capacity again, and the request has nowhere else to go.
 func (b *Balancer) eligibleServers(r *request, left, right []*server, lastResort bool) (
 	okLeft, okRight []*server) {
 	list := slices.Concat(left, right)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,7 @@
 }
 
 // refreshPools finds the servers in service of every pool: listed as ready, and not disabled. A window
-// shrinks with its pool, for the attempts that a lost server took must not crowd those that stay; it does
+// shrinks with its pool, for the attempts that a lost server took must not overload those that stay; it does
 // not grow with the pool.
 func (b *Balancer) refreshPools() {
 	ready, disabled := b.serversInService()
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -53,8 +53,8 @@
 // What a fault injection draws must not shift the draws of the requests around it: with nothing but marks,
 // all else stays.
 func TestFaultInjectionLeavesOrdinaryDrawsAlone(t *testing.T) {
-	play := func(drills []FaultInjection) (rest []Action) {
-		b := newBalancer(t, func(s *Settings) { s.FaultInjections = drills })
+	play := func(faults []FaultInjection) (rest []Action) {
+		b := newBalancer(t, func(s *Settings) { s.FaultInjections = faults })
 		acts := b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 		acts = append(acts, b.Handle(0, StartFaultInjection{Name: "stall"})...)
 		for i := range 300 {
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -2,7 +2,7 @@
 
 package balancer
 
-// listUnreliable says that an endpoint list is held and its lease has expired.
+// listUnreliable says that there is an endpoint list and its lease has expired.
 //
 // While discovery can't be reached, a server may have left the list, drained or been replaced without this
 // node being notified; sending on would reach a server that must get no new work. So nothing is sent until
--- a/balancer/outcome_test.go
+++ b/balancer/outcome_test.go
@@ -72,7 +72,7 @@
 		b.Handle(960*millisecond, AttemptEnded{ID: o.ID, Server: o.Server, Outcome: []Outcome{ConnectionLost, TimedOut, Unreachable, ConnectionLost}[i]})
 	}
 	if s.inFlightCount() != 0 || s.consecutiveFailures != 0 || s.ejectedUntil != 0 || s.capacityLimitUntil != 0 {
-		t.Errorf("held against the new process: %+v", s)
+		t.Errorf("counted against the new process: %+v", s)
 	}
 }
 
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("%s: %+v at %v", class, a, at)
 		}
 		if len(b.requests) > 0 {
-			t.Errorf("%s: it is still held", class)
+			t.Errorf("%s: it is still kept", class)
 		}
 	}
 }
--- a/balancer/settingschange_test.go
+++ b/balancer/settingschange_test.go
@@ -79,10 +79,10 @@
 	b.Handle(0, completeList(2))
 	b.pools[0].window = 1
 	first := sends(b.Handle(0, newRequest("first", "get", 0, time.Second)))
-	b.Handle(0, newRequest("held", "get", 0, time.Second))
+	b.Handle(0, newRequest("queued", "get", 0, time.Second))
 	b.Handle(millisecond, SettingsChanged{Settings: testSettings()})
 	b = restored(t, b.settings, b)
-	if got := sends(endAttempt(b, 2*millisecond, "first", first[0], Success)); len(got) != 1 || got[0].ID != "held" {
+	if got := sends(endAttempt(b, 2*millisecond, "first", first[0], Success)); len(got) != 1 || got[0].ID != "queued" {
 		t.Errorf("sent %v", got)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -15,9 +15,9 @@
 	for _, multiple := range []float64{0, 1, 2, 3} {
 		b := newBalancer(t, func(s *Settings) { s.SlowStartMinShare, s.OverloadMultiple = 0.5, multiple })
 		b.now = 2 * time.Second
-		cold := &server{Server: Server{StartTime: 2 * time.Second}}
+		starting := &server{Server: Server{StartTime: 2 * time.Second}}
 		for range 2000 {
-			if b.slowStartAdmits(cold, 0) {
+			if b.slowStartAdmits(starting, 0) {
 				drawn[multiple]++
 			}
 		}
--- a/balancer/successor_test.go
+++ b/balancer/successor_test.go
@@ -9,15 +9,15 @@
 // In an upgrade two processes of a node serve side by side. Together they send a server that is warming up
 // no more than one process would, within chance, each knowing what is disabled, warming up and draining.
 func TestSuccessorKeepsSlowStart(t *testing.T) {
-	cold := completeList(4)
-	cold.Servers[1].StartTime = 100 * time.Second
-	cold.Servers[2].State = Draining
+	list := completeList(4)
+	list.Servers[1].StartTime = 100 * time.Second
+	list.Servers[2].State = Draining
 	begin := func(seed uint64) *Balancer {
 		b, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(99*time.Second, cold)
+		b.Handle(99*time.Second, list)
 		b.Handle(99*time.Second, AdminOverride{Server: "s03", Disabled: true})
 		return b
 	}
@@ -44,11 +44,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		heir, err := RestoreSuccessor(testSettings(), text, seed+100)
+		successor, err := RestoreSuccessor(testSettings(), text, seed+100)
 		if err != nil {
 			t.Fatal(err)
 		}
-		together += count(b, heir)
+		together += count(b, successor)
 	}
 	if alone == 0 || float64(together) > 1.1*float64(alone) {
 		t.Errorf("sent %d together, %d alone", together, alone)
--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -42,10 +42,10 @@
 // host has the Balancers of the simulated instances and gives them their events.
 type host struct {
 	out       io.Writer
-	reply     *bytes.Buffer // of the batch in hand
+	reply     *bytes.Buffer // of the current batch
 	encoder   *simwire.Encoder
 	balancers map[int]*balancer.Balancer // by instance
-	now       time.Duration              // of the batch in hand
+	now       time.Duration              // of the current batch
 }
 
 func newHost(out io.Writer) *host {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// sendReply writes the reply to the batch in hand.
+// sendReply writes the reply to the current batch.
 func (h *host) sendReply() error {
 	if err := h.encoder.Flush(); err != nil {
 		return err
