--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -107,6 +107,11 @@
 			r.ended = true
 		}
 	}
+	c.checkDeadlines(now)
+}
+
+// checkDeadlines wants an answer for each request whose deadline is over.
+func (c *checker) checkDeadlines(now time.Duration) {
 	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+c.slack {
 			c.violation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -6,16 +6,17 @@
 	"testing"
 )
 
+// serversWithCalls are servers with so many own attempts in flight.
+func serversWithCalls(calls ...int) (list []*server) {
+	for i, n := range calls {
+		list = append(list, &server{Server: Server{ID: fmt.Sprint(i, n)}, inFlight: callsInFlight(n)})
+	}
+	return list
+}
+
 // The draw from two groups decides where all load goes. The fewer own attempts win, equal counts above zero
 // go left, and at zero the side is drawn by the sizes of the groups.
 func TestPickFromGroups(t *testing.T) {
-	mk := func(calls ...int) []*server {
-		var l []*server
-		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, inFlight: callsInFlight(c)})
-		}
-		return l
-	}
 	b := newBalancer(t, nil)
 	const n = 20000
 	shareLeft := func(left, right []*server) float64 {
@@ -35,13 +36,13 @@
 		left, right []*server
 		want        float64
 	}{
-		{"fewer left", mk(1), mk(2), 1},
-		{"fewer right", mk(2), mk(1), 0},
-		{"zero beats one", mk(1), mk(0), 0},
-		{"nonzero tie goes left", mk(3), mk(3), 1},
-		{"zero tie by shares", mk(0, 0, 0), mk(0), 0.75},
-		{"left empty", nil, mk(1), 0},
-		{"right empty", mk(5), nil, 1},
+		{"fewer left", serversWithCalls(1), serversWithCalls(2), 1},
+		{"fewer right", serversWithCalls(2), serversWithCalls(1), 0},
+		{"zero beats one", serversWithCalls(1), serversWithCalls(0), 0},
+		{"nonzero tie goes left", serversWithCalls(3), serversWithCalls(3), 1},
+		{"zero tie by shares", serversWithCalls(0, 0, 0), serversWithCalls(0), 0.75},
+		{"left empty", nil, serversWithCalls(1), 0},
+		{"right empty", serversWithCalls(5), nil, 1},
 	} {
 		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
 			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
@@ -50,7 +51,7 @@
 	if b.pickFromGroups(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	left, count := serversWithCalls(0, 0, 0, 0), map[*server]int{}
 	for range n {
 		count[b.pickFromGroups(left, nil)]++
 	}
