--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -13,7 +13,7 @@
 // A version of the node's cluster passes through these states; only the Session changes them:
 //
 //	pending       newer than all others known; waits for the one being applied (considerUpdate)
-//	applying      an ApplyConfig is under way, one at a time (applyPending)
+//	applying      an ApplyConfig is in progress, one at a time (applyPending)
 //	applied       in force, or without a change for this service (recordApplied)
 //	rejected      the node's checks failed, the version before stays in force (applyFinished)
 //	acknowledged  a controller has the node's decision (ackFinished)
@@ -183,7 +183,7 @@
 		return
 	}
 	if v.received.cluster != c.cluster || v.received.version != c.configVersion {
-		// The controller left the configuration out because it took it for applied. The next watch's request says
+		// The controller left the configuration out because it assumed that it was applied. The next watch's request says
 		// what is.
 		s.reopenForConfig(c.watchID)
 		return
--- a/configversion/class_check_test.go
+++ b/configversion/class_check_test.go
@@ -36,13 +36,15 @@
 		"no server is known":                   {all, class(nil, none), nil, ""},
 		"the second of two classes is at none": {all, append(class(nil, big), Class{Name: "d", Kinds: none}), servers, configapi.RejectNoServer},
 	} {
-		got := CheckClasses(c.now, c.next, c.servers)
-		kind := configapi.RejectionKind("")
-		if got != nil {
-			kind = got.Kind
-		}
-		if kind != c.want {
-			t.Errorf("%s: %v, want %q", name, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			got := CheckClasses(c.now, c.next, c.servers)
+			kind := configapi.RejectionKind("")
+			if got != nil {
+				kind = got.Kind
+			}
+			if kind != c.want {
+				t.Errorf("%v, want %q", got, c.want)
+			}
+		})
 	}
 }
--- a/configversion/controller_choice.go
+++ b/configversion/controller_choice.go
@@ -62,8 +62,8 @@
 	return w.bringsNewest()
 }
 
-// watchRejected handles a controller's refusal to admit a watch. One without capacity names alternatives, which are
-// tried next; any other refusal counts as a failure.
+// watchRejected handles a watch that a controller did not admit. One without capacity names alternatives, which are
+// tried next; any other error counts as a failure.
 func (s *Session) watchRejected(e WatchRejected) {
 	w := s.watches.find(e.Watch)
 	if w == nil {
--- a/configversion/controller_choice_test.go
+++ b/configversion/controller_choice_test.go
@@ -25,8 +25,8 @@
 func TestRejectedWatchFollowsRedirects(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}})
 	first := d.nextWatch(InitialConnectJitter)
-	refusal := configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "d:1"}, {Address: "e:1"}}}
-	d.step(WatchRejected{first.Watch, refusal})
+	noCapacity := configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "d:1"}, {Address: "e:1"}}}
+	d.step(WatchRejected{first.Watch, noCapacity})
 	second := d.nextWatch(redirectJitter)
 	d.step(WatchRejected{second.Watch, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "a:1"}, {Address: "e:1"}}}})
 	third := d.nextWatch(redirectJitter)
--- a/configversion/lastknowngood_test.go
+++ b/configversion/lastknowngood_test.go
@@ -34,15 +34,17 @@
 		"same":                    {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "x", Version: 2}, false},
 		"older":                   {LastKnownGood{Cluster: "x", Version: 1}, LastKnownGood{Cluster: "x", Version: 2}, false},
 		"of another cluster":      {LastKnownGood{Cluster: "y", Version: 9}, LastKnownGood{Cluster: "x", Version: 2}, false},
-		"of one that took over":   {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, LastKnownGood{Cluster: "x", Version: 2}, true},
+		"of one that replaced it": {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, LastKnownGood{Cluster: "x", Version: 2}, true},
 		"of the one that is left": {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, false},
-		"taken over and back": {LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)},
+		"replaced and back": {LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)},
 			LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, true},
 		"before it came back": {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)},
 			LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)}, false},
 	} {
-		if got := c.k.Supersedes(c.other); got != c.want {
-			t.Errorf("%s: %v", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := c.k.Supersedes(c.other); got != c.want {
+				t.Errorf("%v", got)
+			}
+		})
 	}
 }
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -314,7 +314,7 @@
 	for have := range 3 {
 		p.SetSessions(have)
 		if admitted, _ := p.Admit(SessionRequest{}); !admitted {
-			t.Errorf("refused with %d sessions of at most 3 and nobody else there", have)
+			t.Errorf("rejected with %d sessions of at most 3 and no other controller", have)
 		}
 	}
 	p.SetSessions(3)
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -38,13 +38,15 @@
 		"has another cluster, says nothing":   {otherCluster, RolloutLagging},
 		"without a session, whatever it held": {away, RolloutDisconnected},
 	} {
-		r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{c.node}}})
-		if got := r.Nodes[0].State; got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
-		}
-		if want := c.want == RolloutCurrent || c.want == RolloutDisconnected; r.Complete() != want {
-			t.Errorf("%s: complete %v, want %v", name, r.Complete(), want)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{c.node}}})
+			if got := r.Nodes[0].State; got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+			if want := c.want == RolloutCurrent || c.want == RolloutDisconnected; r.Complete() != want {
+				t.Errorf("complete %v, want %v", r.Complete(), want)
+			}
+		})
 	}
 }
 
@@ -143,7 +145,7 @@
 	})
 }
 
-// A node opens a second watch while its first one is silent, and closes it when the first one speaks again.
+// A node opens a second watch while its first one is silent, and closes it when the first one sends heartbeats again.
 func TestMergeStatusesOfASecondWatchThatWasClosed(t *testing.T) {
 	first := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
 	second := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
--- a/configversion/session_driver_test.go
+++ b/configversion/session_driver_test.go
@@ -138,13 +138,13 @@
 }
 
 // finishAck finishes the acknowledgement in flight.
-func (d *driver) finishAck(taken bool) {
+func (d *driver) finishAck(accepted bool) {
 	d.t.Helper()
 	if d.ack == nil {
 		d.t.Fatal("nothing is acknowledged")
 	}
 	d.ack = nil
-	d.step(AckFinished{taken})
+	d.step(AckFinished{accepted})
 }
 
 var invalidRejection = &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no"}
--- a/configversion/session_property_test.go
+++ b/configversion/session_property_test.go
@@ -188,15 +188,15 @@
 				m.update(anyWatch(), p.update(n, rapid.IntRange(0, 9).Draw(t, "config") > 0))
 			},
 			"end": func(*rapid.T) { m.step(WatchEnded{anyWatch()}) },
-			"refuse": func(*rapid.T) {
+			"reject": func(*rapid.T) {
 				m.step(WatchRejected{anyWatch(), configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: threeControllers}})
 			},
-			"beat":    func(t *rapid.T) { m.step(WatchActivity{anyWatch(), rapid.Bool().Draw(t, "part")}) },
-			"time":    func(t *rapid.T) { m.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms) },
-			"applied": func(*rapid.T) { m.finishIfAny() },
+			"activity": func(t *rapid.T) { m.step(WatchActivity{anyWatch(), rapid.Bool().Draw(t, "part")}) },
+			"time":     func(t *rapid.T) { m.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms) },
+			"applied":  func(*rapid.T) { m.finishIfAny() },
 			"acked": func(t *rapid.T) {
 				if m.ack != nil {
-					m.finishAck(rapid.Bool().Draw(t, "taken"))
+					m.finishAck(rapid.Bool().Draw(t, "accepted"))
 				}
 			},
 			"": func(*rapid.T) { m.check() },
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -67,7 +67,7 @@
 
 	migrateTo           string // address that the main watch's controller asks to migrate to; "": none
 	migrationsAllowedAt time.Duration
-	nextSearchAt        time.Duration // 0: no search is under way
+	nextSearchAt        time.Duration // 0: no search is in progress
 	searchedAddresses   []string      // in this round
 }
 
--- a/configversion/watch_migration_test.go
+++ b/configversion/watch_migration_test.go
@@ -27,22 +27,24 @@
 func TestFailedMigrationIsNotRetriedAtOnce(t *testing.T) {
 	for name, fails := range map[string]func(d *driver, w uint64){
 		"ended":     func(d *driver, w uint64) { d.step(WatchEnded{w}) },
-		"refused":   func(d *driver, w uint64) { d.step(WatchRejected{w, configapi.Error{Kind: configapi.ErrorNoCapacity}}) },
+		"rejected":  func(d *driver, w uint64) { d.step(WatchRejected{w, configapi.Error{Kind: configapi.ErrorNoCapacity}}) },
 		"no answer": func(d *driver, _ uint64) { d.advance(openTimeout) },
 	} {
-		d, first := newConnectedDriver(t, SessionOptions{})
-		move := emptyUpdate("x")
-		move.MigrateTo = "m:1"
-		d.update(first.Watch, move)
-		fails(d, d.opened[1].Watch)
-		d.update(first.Watch, move)
-		if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
-			t.Errorf("%s: %d open, %d opened, at %s", name, len(d.open), len(d.opened), d.session.Controller())
-		}
-		d.advanceWithHeartbeats(first.Watch, migrationRetryDelay)
-		d.update(first.Watch, move)
-		if len(d.opened) != 3 {
-			t.Errorf("%s: a later request is ignored", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			d, first := newConnectedDriver(t, SessionOptions{})
+			move := emptyUpdate("x")
+			move.MigrateTo = "m:1"
+			d.update(first.Watch, move)
+			fails(d, d.opened[1].Watch)
+			d.update(first.Watch, move)
+			if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
+				t.Errorf("%d open, %d opened, at %s", len(d.open), len(d.opened), d.session.Controller())
+			}
+			d.advanceWithHeartbeats(first.Watch, migrationRetryDelay)
+			d.update(first.Watch, move)
+			if len(d.opened) != 3 {
+				t.Error("a later request is ignored")
+			}
+		})
 	}
 }
--- a/configversion/watch_opening_test.go
+++ b/configversion/watch_opening_test.go
@@ -35,29 +35,31 @@
 // moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
 func TestOpenBackoffIsBounded(t *testing.T) {
 	for name, ends := range map[string]func(d *driver){
-		"refused at once": func(d *driver) {
+		"ended at once": func(d *driver) {
 			for id := range d.open {
 				d.step(WatchEnded{id})
 			}
 		},
 		"no answer at all": func(*driver) {},
-		"all are full": func(d *driver) {
+		"no capacity": func(d *driver) {
 			for id := range d.open {
 				d.step(WatchRejected{id, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: threeControllers}})
 			}
 		},
 	} {
-		d := newDriver(t, SessionOptions{Controllers: addressesOf(threeControllers)})
-		for d.now < time.Minute {
-			d.nextWatch(openMaxBackoff + InitialConnectJitter)
-			ends(d)
-			if len(d.open) > maxOpening {
-				t.Fatalf("%s: %d watches are open", name, len(d.open))
+		t.Run(name, func(t *testing.T) {
+			d := newDriver(t, SessionOptions{Controllers: addressesOf(threeControllers)})
+			for d.now < time.Minute {
+				d.nextWatch(openMaxBackoff + InitialConnectJitter)
+				ends(d)
+				if len(d.open) > maxOpening {
+					t.Fatalf("%d watches are open", len(d.open))
+				}
 			}
-		}
-		if n := len(d.opened); n < 40 || n > 100 {
-			t.Errorf("%s: %d watches in a minute", name, n)
-		}
+			if n := len(d.opened); n < 40 || n > 100 {
+				t.Errorf("%d watches in a minute", n)
+			}
+		})
 	}
 }
 
@@ -70,7 +72,7 @@
 	}
 }
 
-// A controller leaves out a configuration because it takes it for applied, but the node does not have it. The node
+// A controller leaves out a configuration because it assumes that it is applied, but the node does not have it. The node
 // reopens the watch, which says what it has, and backs off if that does not help.
 func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -21,7 +21,7 @@
 	Controllers []Endpoint `json:"controllers,omitempty"`
 }
 
-// NodeStatus is what a controller last heard of a node.
+// NodeStatus is the last report of a node to a controller.
 type NodeStatus struct {
 	Node        string     `json:"node"`
 	Service     string     `json:"service"`
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -72,11 +72,13 @@
 		"the result is unknown":           errorAnswer(configapi.ErrorOutcomeUnknown),
 		"the controller ends meanwhile":   {dropConnection: true},
 	} {
-		var requests atomic.Int32
-		address := startFakeController(t, &requests, first, answer{version: 2})
-		if reply, err := publishTo(t, testTimeout, address); err != nil || reply.Version != 2 || requests.Load() != 2 {
-			t.Errorf("%s: %+v, %v after %d requests", name, reply, err, requests.Load())
-		}
+		t.Run(name, func(t *testing.T) {
+			var requests atomic.Int32
+			address := startFakeController(t, &requests, first, answer{version: 2})
+			if reply, err := publishTo(t, testTimeout, address); err != nil || reply.Version != 2 || requests.Load() != 2 {
+				t.Errorf("%+v, %v after %d requests", reply, err, requests.Load())
+			}
+		})
 	}
 }
 
@@ -113,12 +115,14 @@
 		"no quorum behind unknown": {[]answer{errorAnswer(configapi.ErrorOutcomeUnknown), errorAnswer(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
 		"too many behind unknown":  {[]answer{errorAnswer(configapi.ErrorOutcomeUnknown), errorAnswer(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
 	} {
-		var requests atomic.Int32
-		_, err := publishTo(t, time.Second, startFakeController(t, &requests, c.answers...))
-		var got *configapi.Error
-		if !errors.As(err, &got) || got.Kind != c.want {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			var requests atomic.Int32
+			_, err := publishTo(t, time.Second, startFakeController(t, &requests, c.answers...))
+			var got *configapi.Error
+			if !errors.As(err, &got) || got.Kind != c.want {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 	_, err := publishTo(t, time.Second, "127.0.0.1:1")
 	var unreachable *UnreachableError
--- a/internal/configwatch/ack.go
+++ b/internal/configwatch/ack.go
@@ -18,7 +18,8 @@
 	connection *controllerConn // nil: none
 }
 
-// send sends an acknowledgement and waits for its response. A controller's refusal is a *configapi.Error.
+// send sends an acknowledgement and waits for its response. If the controller does not accept it, the error is a
+// *configapi.Error.
 //
 // If the open connection fails, it is sent again on a new one: the controller has closed the old one meanwhile, as a rule,
 // and an acknowledgement is idempotent.
--- a/internal/configwatch/fakecontroller_test.go
+++ b/internal/configwatch/fakecontroller_test.go
@@ -63,14 +63,14 @@
 	n.dials++
 	n.lock.Unlock()
 	if l == nil {
-		return nil, errors.New("refused")
+		return nil, errors.New("connection refused")
 	}
-	here, there := net.Pipe()
+	nodeEnd, controllerEnd := net.Pipe()
 	select {
-	case l.conns <- there:
-		return here, nil
+	case l.conns <- controllerEnd:
+		return nodeEnd, nil
 	case <-l.closed:
-		return nil, errors.New("refused")
+		return nil, errors.New("connection refused")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -115,8 +115,8 @@
 		json.NewEncoder(w).Encode(c.rejectWith)
 		return
 	}
-	beats := time.NewTicker(configapi.HeartbeatInterval)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(configapi.HeartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		w.(http.Flusher).Flush()
 		select {
@@ -126,7 +126,7 @@
 				continue
 			}
 			json.NewEncoder(w).Encode(u)
-		case <-beats.C:
+		case <-heartbeats.C:
 			if !c.noHeartbeats.Load() {
 				io.WriteString(w, "\n")
 			}
@@ -174,10 +174,10 @@
 		Config: &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}}
 }
 
-func startSession(t *testing.T, n *pipeNetwork, with fakeApplier, adjust ...func(*Options)) *Session {
+func startSession(t *testing.T, n *pipeNetwork, applier fakeApplier, adjust ...func(*Options)) *Session {
 	t.Helper()
 	options := Options{Node: "n", Service: "s", Region: "r", Zone: "z", Controllers: []string{"a:1"}, Started: time.Now(),
-		Applier: with, Log: slog.New(slog.DiscardHandler), Dial: n.dial, Counters: &Counters{}}
+		Applier: applier, Log: slog.New(slog.DiscardHandler), Dial: n.dial, Counters: &Counters{}}
 	for _, f := range adjust {
 		f(&options)
 	}
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -14,7 +14,7 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// A node that starts without a controller in reach serves by the version that it kept, which may be of the build before:
+// A node that starts without a controller in reach serves by the version that it stored, which may be of the build before:
 // neither the name of the file nor the form of its body may change.
 func TestGoldenKeptVersion(t *testing.T) {
 	path := filepath.Join("testdata", "kept.json")
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	store := newTestStore(folder)
-	if kept, err := store.Read(); err != nil || !reflect.DeepEqual(kept, want) {
-		t.Errorf("read as %+v, %v", kept, err)
+	if read, err := store.Read(); err != nil || !reflect.DeepEqual(read, want) {
+		t.Errorf("read as %+v, %v", read, err)
 	}
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -77,12 +77,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
 		c := startFakeController(t, n, "a:1")
-		goOn := make(chan struct{})
-		var tried []string
+		finish := make(chan struct{})
+		var applied []string
 		s := startSession(t, n, fakeApplier{func(ctx context.Context, settings string) error {
-			tried = append(tried, settings)
+			applied = append(applied, settings)
 			select {
-			case <-goOn:
+			case <-finish:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
@@ -95,13 +95,13 @@
 		if len(c.watches) != 1 || s.State().LastDecided != 0 {
 			t.Errorf("%d watches, state %+v", len(c.watches), s.State())
 		}
-		goOn <- struct{}{}
-		goOn <- struct{}{}
+		finish <- struct{}{}
+		finish <- struct{}{}
 		if a, b := receiveWithin(t, c.acks, time.Second, "first"), receiveWithin(t, c.acks, time.Second, "second"); a.Version != 1 || b.Version != 5 {
 			t.Errorf("acknowledged %d and %d", a.Version, b.Version)
 		}
-		if !slices.Equal(tried, []string{"1", "5"}) {
-			t.Errorf("tried %v", tried)
+		if !slices.Equal(applied, []string{"1", "5"}) {
+			t.Errorf("tried %v", applied)
 		}
 		c.updates <- versionUpdate(6)
 		synctest.Wait()
@@ -163,25 +163,25 @@
 		"nothing":             "",
 		"no HTTP":             "hello\r\n\r\n",
 		"a head without end":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes),
-		"a refusal, garbled":  "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\n???",
-		"an update, garbled":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":7}",
-		"an update, cut":      "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"x\",\"version\":1,\"changed\":1,\"config\":{\"settings\":",
+		"a malformed error":   "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\n???",
+		"a malformed update":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":7}",
+		"a truncated update":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"x\",\"version\":1,\"changed\":1,\"config\":{\"settings\":",
 		"an update too large": "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"" + strings.Repeat("x", maxUpdateBytes) + "\"}",
-		"chunks, garbled":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+		"malformed chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := newPipeNetwork()
 				l := n.listen("a:1")
 				defer l.Close()
-				calls := 0
+				connections := 0
 				go func() {
 					for {
 						conn, err := l.Accept()
 						if err != nil {
 							return
 						}
-						calls++
+						connections++
 						go func() {
 							defer conn.Close()
 							conn.SetDeadline(time.Now().Add(time.Second))
@@ -197,11 +197,11 @@
 				advance(time.Minute)
 				synctest.Wait()
 				s.Close()
-				if held := len(s.watches); held > 3 {
-					t.Errorf("%d watches are held after a minute", held)
+				if open := len(s.watches); open > 3 {
+					t.Errorf("%d watches are open after a minute", open)
 				}
-				if calls < 20 || calls > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
-					t.Errorf("%d calls in a minute, %d applied, %+v", calls, len(applied), s.State())
+				if connections < 20 || connections > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
+					t.Errorf("%d calls in a minute, %d applied, %+v", connections, len(applied), s.State())
 				}
 			})
 		})
@@ -218,7 +218,7 @@
 		b := startFakeController(t, n, "b:1")
 		startSession(t, n, acceptAll(make(chan string, 10)))
 		if request := receiveWithin(t, b.watches, 2*time.Second, "watch elsewhere"); request.WatchRejections != 1 {
-			t.Errorf("refused %d times", request.WatchRejections)
+			t.Errorf("rejected %d times", request.WatchRejections)
 		}
 	})
 }
@@ -233,12 +233,12 @@
 		c.updates <- versionUpdate(1)
 		receiveWithin(t, c.acks, 3*time.Second, "acknowledgement")
 		synctest.Wait()
-		read, written, beats := counters.BytesRead.Load(), counters.BytesWritten.Load(), counters.Heartbeats.Load()
+		read, written, heartbeats := counters.BytesRead.Load(), counters.BytesWritten.Load(), counters.Heartbeats.Load()
 		advance(time.Minute)
 		synctest.Wait()
-		read, written, beats = counters.BytesRead.Load()-read, counters.BytesWritten.Load()-written, counters.Heartbeats.Load()-beats
-		if read > 60*20 || written != 0 || beats < 118 || beats > 121 {
-			t.Errorf("in a minute %d bytes read, %d written, %d heartbeats", read, written, beats)
+		read, written, heartbeats = counters.BytesRead.Load()-read, counters.BytesWritten.Load()-written, counters.Heartbeats.Load()-heartbeats
+		if read > 60*20 || written != 0 || heartbeats < 118 || heartbeats > 121 {
+			t.Errorf("in a minute %d bytes read, %d written, %d heartbeats", read, written, heartbeats)
 		}
 	})
 }
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -36,17 +36,17 @@
 func TestStoreSavesAndReads(t *testing.T) {
 	folder := t.TempDir()
 	s := newTestStore(folder)
-	if kept, err := s.Read(); err != nil || kept.Version != 0 {
-		t.Errorf("of nothing: %+v, %v", kept, err)
+	if saved, err := s.Read(); err != nil || saved.Version != 0 {
+		t.Errorf("without a file: %+v, %v", saved, err)
 	}
 	saveAndFlush(s, storedVersion(3))
-	kept, err := newTestStore(folder).Read()
-	if err != nil || !reflect.DeepEqual(kept, storedVersion(3)) {
-		t.Errorf("kept %+v, %v", kept, err)
+	saved, err := newTestStore(folder).Read()
+	if err != nil || !reflect.DeepEqual(saved, storedVersion(3)) {
+		t.Errorf("read %+v, %v", saved, err)
 	}
 	saveAndFlush(newTestStore(folder), storedVersion(2)) // of the process before
-	if kept, _ := s.Read(); kept.Version != 3 {
-		t.Errorf("an older version took the place of a newer: %d", kept.Version)
+	if saved, _ := s.Read(); saved.Version != 3 {
+		t.Errorf("an older version took the place of a newer: %d", saved.Version)
 	}
 	if _, err := NewStore(folder, "n/1", slog.New(slog.DiscardHandler)).Read(); err != nil {
 		t.Errorf("another node's: %v", err)
@@ -60,49 +60,51 @@
 		s.Save(storedVersion(n + 1))
 	}
 	s.flush(time.Minute)
-	if kept, err := s.Read(); err != nil || kept.Version != 200 {
-		t.Errorf("kept %d, %v", kept.Version, err)
+	if saved, err := s.Read(); err != nil || saved.Version != 200 {
+		t.Errorf("read %d, %v", saved.Version, err)
 	}
 }
 
 // A crash or a disk damages the file. The version before is read, or nothing, and the error says where to look.
 func TestStoreReadsDamagedFiles(t *testing.T) {
 	for name, c := range map[string]struct {
-		befall func(path string)
-		want   configapi.Version
-		wrong  bool
+		damage    func(path string)
+		want      configapi.Version
+		wantError bool
 	}{
-		"torn":  {func(path string) { os.Truncate(path, 10) }, 1, false},
-		"empty": {func(path string) { os.Truncate(path, 0) }, 1, false},
-		"gone":  {func(path string) { os.Remove(path) }, 1, false},
-		"both torn": {func(path string) {
+		"truncated": {func(path string) { os.Truncate(path, 10) }, 1, false},
+		"empty":     {func(path string) { os.Truncate(path, 0) }, 1, false},
+		"gone":      {func(path string) { os.Remove(path) }, 1, false},
+		"both truncated": {func(path string) {
 			os.Truncate(path, 10)
 			os.Truncate(path+".before", 10)
 		}, 0, true},
 	} {
-		folder := t.TempDir()
-		s := newTestStore(folder)
-		saveAndFlush(s, storedVersion(1))
-		saveAndFlush(s, storedVersion(2))
-		c.befall(s.path)
-		kept, err := newTestStore(folder).Read()
-		if kept.Version != c.want || (err != nil) != c.wrong {
-			t.Errorf("%s: kept %d, %v", name, kept.Version, err)
-		}
-		var wrong *StoreError
-		if c.wrong && (!errors.As(err, &wrong) || !strings.Contains(err.Error(), "look at the folder's disk")) {
-			t.Errorf("%s: said %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			folder := t.TempDir()
+			s := newTestStore(folder)
+			saveAndFlush(s, storedVersion(1))
+			saveAndFlush(s, storedVersion(2))
+			c.damage(s.path)
+			saved, err := newTestStore(folder).Read()
+			if saved.Version != c.want || (err != nil) != c.wantError {
+				t.Errorf("read %d, %v", saved.Version, err)
+			}
+			var storeError *StoreError
+			if c.wantError && (!errors.As(err, &storeError) || !strings.Contains(err.Error(), "look at the folder's disk")) {
+				t.Errorf("the error is %v", err)
+			}
+		})
 	}
 }
 
 // The folder can't be written. That is logged, and blocks nobody.
 func TestStoreWithoutAFolder(t *testing.T) {
-	var said lockedBuilder
-	s := NewStore(filepath.Join(t.TempDir(), "not", "there"), "n", slog.New(slog.NewTextHandler(&said, nil)))
+	var logged lockedBuilder
+	s := NewStore(filepath.Join(t.TempDir(), "not", "there"), "n", slog.New(slog.NewTextHandler(&logged, nil)))
 	saveAndFlush(s, storedVersion(1))
-	if !strings.Contains(said.String(), "configuration version not stored") {
-		t.Errorf("said %q", said.String())
+	if !strings.Contains(logged.String(), "configuration version not stored") {
+		t.Errorf("logged %q", logged.String())
 	}
 }
 
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := alone.Publish(ctx, publishRequest("press"))
-	var refusal *configapi.Error
-	if !errors.As(err, &refusal) || refusal.Kind != configapi.ErrorNoQuorum {
+	var apiError *configapi.Error
+	if !errors.As(err, &apiError) || apiError.Kind != configapi.ErrorNoQuorum {
 		t.Errorf("a publish at a controller without a quorum: %v", err)
 	}
 	tc.waitFor("another controller leads", func() bool { return tc.leader() != "" && tc.leader() != leader })
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -36,7 +36,7 @@
 type identity struct {
 	Name string `json:"name"` // the controller's
 	// ServerID is the raft server ID. A disk of a new cluster has the controller's name; one that replaces a lost or an
-	// old disk has another, so that it is not taken for the server that voted before. Empty: not decided yet.
+	// old disk has another, so that it is not mistaken for the server that voted before. Empty: not decided yet.
 	ServerID string `json:"server"`
 	// Start rises by 1 with each start on the disk; see judgeDisk.
 	Start uint64 `json:"start"`
@@ -51,8 +51,8 @@
 	snapshots raft.SnapshotStore
 }
 
-// openDisk opens a controller's folder, creates it where there is none, and counts the start. Its errors, and those of
-// disk's methods, are FolderErrors.
+// openDisk opens a controller's folder, creates it where there is none, and counts the start. Its error is a
+// FolderError.
 func openDisk(folder, name string) (*disk, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &FolderError{folder, writableFolderAdvice, err}
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -21,7 +21,7 @@
 //	leadership.go             when this controller leads, and when it is in contact with a leader
 //	peer_reports.go           what the other controllers report
 //	views.go, watch.go        what nodes are sent
-//	node_table.go             the nodes' sessions and what was last heard of each node
+//	node_table.go             the nodes' sessions and the last report of each node
 //	raft_stream.go            connections between controllers, and who may use them
 //
 // Package configversion decides about the placement of sessions. cmd/hookwalk runs a controller; builds for service (tag
--- a/internal/controller/document_test.go
+++ b/internal/controller/document_test.go
@@ -11,7 +11,7 @@
 func TestReadDocument(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		kind configapi.ErrorKind // "": taken
+		kind configapi.ErrorKind // "": accepted
 		says string
 	}{
 		"two services":                {`{"services":{"dry":{"settings":{"a":1}},"press":{"settings":{},"discovery":"10.0.0.1:80"}}}`, "", ""},
@@ -28,21 +28,23 @@
 		"a bad discovery":             {`{"services":{"dry":{"settings":{},"discovery":"there"}}}`, configapi.ErrorInvalid, "HOST:PORT"},
 		"too large":                   {`{"services":{"dry":{"settings":"` + strings.Repeat("x", configapi.MaxDocumentBytes) + `"}}}`, configapi.ErrorTooLarge, "several documents"},
 	} {
-		_, err := readDocument([]byte(c.text))
-		switch {
-		case err == nil && c.kind != "":
-			t.Errorf("%s: taken", name)
-		case err != nil && (err.Kind != c.kind || !strings.Contains(err.Message, c.says)):
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := readDocument([]byte(c.text))
+			switch {
+			case err == nil && c.kind != "":
+				t.Error("accepted")
+			case err != nil && (err.Kind != c.kind || !strings.Contains(err.Message, c.says)):
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
 
 // The ID and the replaced clusters of a publish request are checked.
 func TestCheckPublish(t *testing.T) {
 	for name, c := range map[string]struct {
-		request configapi.PublishRequest
-		refused bool
+		request   configapi.PublishRequest
+		wantError bool
 	}{
 		"an ID":                   {configapi.PublishRequest{ID: "ABC"}, false},
 		"no ID":                   {configapi.PublishRequest{}, true},
@@ -51,8 +53,10 @@
 		"replaces a cluster":      {configapi.PublishRequest{ID: "ABC", Replaces: []configapi.Cluster{"XYZ"}}, false},
 		"replaces nothing":        {configapi.PublishRequest{ID: "ABC", Replaces: []configapi.Cluster{""}}, true},
 	} {
-		if err := checkPublish(c.request); (err != nil) != c.refused {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if err := checkPublish(c.request); (err != nil) != c.wantError {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
--- a/internal/controller/node_table.go
+++ b/internal/controller/node_table.go
@@ -30,7 +30,7 @@
 	session *session // nil: none
 }
 
-// nodeTable holds the sessions of a controller, and what was last heard of each node. It may be used by several
+// nodeTable holds the sessions of a controller, and the last report of each node. It may be used by several
 // goroutines.
 type nodeTable struct {
 	lock         sync.Mutex
--- a/internal/controller/node_table_test.go
+++ b/internal/controller/node_table_test.go
@@ -98,7 +98,7 @@
 	long := configapi.WatchRequest{Node: "n2", Service: "dry", LastDecided: 4, LastRejected: true, RejectionReason: strings.Repeat("x", 2*configapi.MaxReasonBytes)}
 	mustOpen(t, table, long)
 	if got := table.list(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
-		t.Errorf("a reason of %d bytes is kept", len(got))
+		t.Errorf("a reason of %d bytes is recorded", len(got))
 	}
 }
 
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -18,7 +18,7 @@
 	commitTimeout = 5 * time.Second
 )
 
-// publish proposes a version, and returns the reply once a quorum has it on disk, or why it was refused. With an error of
+// publish proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error of
 // kind ErrorOutcomeUnknown the version may still come into force; with any other, nothing was written. canceled is
 // closed when the requester has gone.
 //
--- a/internal/controller/publish_rate.go
+++ b/internal/controller/publish_rate.go
@@ -10,7 +10,7 @@
 // are accepted within it.
 const publishRateWindowMS = 1000
 
-// checkPublishRate refuses a version at timeMS (the leader's clock, Unix milliseconds) if configapi.MaxPublishRate
+// checkPublishRate rejects a version at timeMS (the leader's clock, Unix milliseconds) if configapi.MaxPublishRate
 // versions were accepted within the window before it. It guards against a script that publishes in a loop: each version
 // goes to all nodes, and the controllers' disks have to write it. It shows as errors of kind "too_many".
 //
--- a/internal/controller/quorum_membership.go
+++ b/internal/controller/quorum_membership.go
@@ -9,7 +9,7 @@
 // Membership of the quorum: a controller whose disk was lost or is an old copy takes part as a new raft server, because
 // the old server's votes are not on its disk. The leader brings raft's configuration in line with the reports: it removes
 // the old server, adds the new one as a nonvoter, and makes it a voter once it has the log, so that a quorum never counts
-// on a disk that is still empty. At most one change is under way; raft commits each by a quorum.
+// on a disk that is still empty. At most one change is in progress; raft commits each by a quorum.
 
 // membershipChangeTimeout is how long one change of raft's configuration may take before it is tried again.
 const membershipChangeTimeout = 5 * time.Second
@@ -73,7 +73,7 @@
 	return c.raft.AddVoter(raft.ServerID(report.ServerID), logAddress(member), 0, membershipChangeTimeout).Error()
 }
 
-// recordStart writes a controller's start to the log, once for each. judgeDisk goes by these records.
+// recordStart writes a controller's start to the log, once for each. judgeDisk compares with these records.
 func (c *consensus) recordStart(server string, start memberStart) {
 	if recorded := c.views.load().state.Starts[server]; recorded.Start >= start.Start {
 		return
--- a/internal/controller/raft_stream.go
+++ b/internal/controller/raft_stream.go
@@ -19,7 +19,7 @@
 // The replicated log uses raft's own TCP transport. Raft does not check that a connection reaches the server and the
 // cluster that it means: each connection therefore begins with a greeting that names both, and the other end closes it
 // if they are not its own. It guards against two failures: a controller with an emptied disk, which has another server
-// ID, must not be taken for the server that voted before; and two clusters on the same addresses must not mix their logs.
+// ID, must not be mistaken for the server that voted before; and two clusters on the same addresses must not mix their logs.
 
 const (
 	// raftMessageTimeout is how long one message between controllers, and a greeting, may take.
--- a/internal/controller/raft_stream_test.go
+++ b/internal/controller/raft_stream_test.go
@@ -36,35 +36,37 @@
 		"another cluster":                {"c1", "c1", "x", "y", false, false},
 		"not open yet":                   {"c1", "c1", "x", "x", true, false},
 	} {
-		server, dialer := newTestStream(t, c.server, c.cluster), newTestStream(t, "c2", c.asker)
-		server.enabled.Store(!c.closed)
-		read := make(chan string, 1)
-		go func() {
-			conn, err := server.Accept()
+		t.Run(name, func(t *testing.T) {
+			server, dialer := newTestStream(t, c.server, c.cluster), newTestStream(t, "c2", c.asker)
+			server.enabled.Store(!c.closed)
+			read := make(chan string, 1)
+			go func() {
+				conn, err := server.Accept()
+				if err != nil {
+					read <- err.Error()
+					return
+				}
+				defer conn.Close()
+				buffer := make([]byte, 4)
+				n, err := conn.Read(buffer)
+				if err != nil {
+					read <- err.Error()
+					return
+				}
+				read <- string(buffer[:n])
+			}()
+			conn, err := dialer.Dial(serverAddress(server.listener.Addr().String(), c.asked), time.Minute)
 			if err != nil {
-				read <- err.Error()
-				return
+				t.Fatal(err)
 			}
-			defer conn.Close()
-			buffer := make([]byte, 4)
-			n, err := conn.Read(buffer)
-			if err != nil {
-				read <- err.Error()
-				return
+			if _, err := conn.Write([]byte("word")); err != nil {
+				t.Fatal(err)
 			}
-			read <- string(buffer[:n])
-		}()
-		conn, err := dialer.Dial(serverAddress(server.listener.Addr().String(), c.asked), time.Minute)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := conn.Write([]byte("word")); err != nil {
-			t.Fatal(err)
-		}
-		if got := <-read; (got == "word") != c.served {
-			t.Errorf("%s: the server read %q", name, got)
-		}
-		_ = conn.Close()
+			if got := <-read; (got == "word") != c.served {
+				t.Errorf("the server read %q", got)
+			}
+			_ = conn.Close()
+		})
 	}
 }
 
--- a/internal/controller/settings_test.go
+++ b/internal/controller/settings_test.go
@@ -58,10 +58,12 @@
 		"two common blocks": {threeControllers + "controllers {}\ncontrollers {}", "c1", "x.hcl:5: block controllers is there already"},
 		"no sessions":       {threeControllers + `controllers { max_sessions = 0 }`, "c1", "x.hcl:4: max_sessions must be from 1"},
 	} {
-		_, err := ParseConfig("x.hcl", []byte(c.text), c.name)
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := ParseConfig("x.hcl", []byte(c.text), c.name)
+			if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
 
--- a/internal/controller/startup_decisions_test.go
+++ b/internal/controller/startup_decisions_test.go
@@ -35,9 +35,11 @@
 		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlier}, false, startJoin},
 		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, startUndecided},
 	} {
-		if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.waitForAll); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.waitForAll); got != c.want {
+				t.Errorf("%d, want %d", got, c.want)
+			}
+		})
 	}
 	if got := decideEmptyDiskStart(configOf("c1"), "me", nil, true); got != startBootstrap {
 		t.Errorf("a single controller: %d", got)
@@ -64,9 +66,11 @@
 		"nothing is known":                  {map[string]memberReport{"c2": unknown}, diskValid},
 		"one of two knows of a later start": {map[string]memberReport{"c2": unknown, "c3": known(6, "other")}, diskStale},
 	} {
-		if got := judgeDisk(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := judgeDisk(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
+				t.Errorf("%d, want %d", got, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -77,22 +77,24 @@
 func TestStatePublishRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		at      int64 // of the publish behind MaxPublishRate ones at 1000, 1001, ...
-		refused bool
+		limited bool
 	}{
 		"at once":                   {1010, true},
 		"just before a second":      {1999, true},
 		"a second behind the first": {2000, false},
 		"a clock that went back":    {900, false},
 	} {
-		s := &state{Cluster: "c"}
-		for i := range configapi.MaxPublishRate {
-			s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: 1000 + int64(i)})
-		}
-		next, result := s.apply(command{Kind: commandPublish, Publish: &publishCommand{ID: "late", Document: documentOf("dry"), TimeMS: c.at}})
-		refused := result.Err != nil && result.Err.Kind == configapi.ErrorRateLimited
-		if refused != c.refused || (next == s) != c.refused {
-			t.Errorf("%s: %+v, version %d", name, result, next.Version)
-		}
+		t.Run(name, func(t *testing.T) {
+			s := &state{Cluster: "c"}
+			for i := range configapi.MaxPublishRate {
+				s = mustPublish(t, s, publishCommand{ID: fmt.Sprint(i), Document: documentOf("dry"), TimeMS: 1000 + int64(i)})
+			}
+			next, result := s.apply(command{Kind: commandPublish, Publish: &publishCommand{ID: "late", Document: documentOf("dry"), TimeMS: c.at}})
+			limited := result.Err != nil && result.Err.Kind == configapi.ErrorRateLimited
+			if limited != c.limited || (next == s) != c.limited {
+				t.Errorf("%+v, version %d", result, next.Version)
+			}
+		})
 	}
 }
 
@@ -116,7 +118,7 @@
 	}
 }
 
-// Starts are recorded out of order. The last one counts, for judgeDisk goes by it.
+// Starts are recorded out of order. The last one counts, for judgeDisk compares with it.
 func TestStateKeepsTheLastStart(t *testing.T) {
 	s := &state{}
 	for _, start := range []memberStartedCommand{{"c1", 2, "b"}, {"c1", 1, "a"}, {"c1", 2, "other"}, {"c2", 7, "x"}} {
@@ -174,20 +176,20 @@
 			log = append(log, &raft.Log{Index: uint64(i + 1), Data: text})
 		}
 		cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot behind")
-		whole, restored := newFSM(newViewStore()), newFSM(newViewStore())
+		replayed, restored := newFSM(newViewStore()), newFSM(newViewStore())
 		var sink memorySink
 		for i, entry := range log {
 			if i == cut {
-				takeSnapshot(t, whole, &sink)
+				takeSnapshot(t, replayed, &sink)
 			}
-			before := whole.state.Version
-			whole.Apply(entry)
-			if whole.state.Version < before || whole.state.Version > before+1 {
-				t.Fatalf("version %d follows %d", whole.state.Version, before)
+			before := replayed.state.Version
+			replayed.Apply(entry)
+			if replayed.state.Version < before || replayed.state.Version > before+1 {
+				t.Fatalf("version %d follows %d", replayed.state.Version, before)
 			}
 		}
 		if cut == len(log) {
-			takeSnapshot(t, whole, &sink)
+			takeSnapshot(t, replayed, &sink)
 		}
 		if err := restored.Restore(io.NopCloser(&sink.Buffer)); err != nil {
 			t.Fatal(err)
@@ -195,7 +197,7 @@
 		for _, entry := range log[cut:] {
 			restored.Apply(entry)
 		}
-		if got, want := encoded(t, restored.state), encoded(t, whole.state); got != want {
+		if got, want := encoded(t, restored.state), encoded(t, replayed.state); got != want {
 			t.Fatalf("restored:\n%s\nreplayed:\n%s", got, want)
 		}
 		if restored.views.load().state != restored.state {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,18 +12,18 @@
 
 // serveWatch is a node's session: the first update at once, then one with each change, heartbeats in between.
 func (c *Controller) serveWatch(w http.ResponseWriter, r *http.Request) {
-	request, refusal := c.readWatch(r)
-	if refusal != nil {
-		writeError(w, refusal)
+	request, apiError := c.readWatch(r)
+	if apiError != nil {
+		writeError(w, apiError)
 		return
 	}
 	if c.views.load().state.Cluster == "" {
 		writeError(w, &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller has no state yet", Alternatives: c.nodes.alternatives(request)})
 		return
 	}
-	s, refusal := c.nodes.openSession(request, time.Now())
-	if refusal != nil {
-		writeError(w, refusal)
+	s, apiError := c.nodes.openSession(request, time.Now())
+	if apiError != nil {
+		writeError(w, apiError)
 		return
 	}
 	defer func() { c.nodes.closeSession(s, time.Now()) }()
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -124,16 +124,18 @@
 		"a service without any":  {configapi.WatchRequest{Service: "mill"}, false},
 		"another service's turn": {configapi.WatchRequest{Service: "press", Cluster: cluster, LastDecided: 1, Applied: 1}, true},
 	} {
-		request := c.request
-		request.Node, request.StartedMS, request.Session = strings.ReplaceAll(name, " ", "-"), 1, 1
-		if request.Service == "" {
-			request.Service = "dry"
-		}
-		watch := openWatch(t, tc.configOf("c1").Self.Listen, request)
-		if u := watch.update(t); u.Version != 2 || (u.Config != nil) != c.config {
-			t.Errorf("%s: %+v", name, u)
-		}
-		watch.cancel()
+		t.Run(name, func(t *testing.T) {
+			request := c.request
+			request.Node, request.StartedMS, request.Session = strings.ReplaceAll(name, " ", "-"), 1, 1
+			if request.Service == "" {
+				request.Service = "dry"
+			}
+			watch := openWatch(t, tc.configOf("c1").Self.Listen, request)
+			if u := watch.update(t); u.Version != 2 || (u.Config != nil) != c.config {
+				t.Errorf("%+v", u)
+			}
+			watch.cancel()
+		})
 	}
 }
 
