--- a/internal/controller/cluster_disk_test.go
+++ b/internal/controller/cluster_disk_test.go
@@ -24,10 +24,7 @@
 		t.Fatal(err)
 	}
 	tc.start("c2")
-	tc.waitFor("c2 is a member with a new server ID", func() bool {
-		joined := tc.running["c2"].participation.Load()
-		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
-	})
+	tc.waitForReplacement("c2")
 	tc.publish("press")
 	tc.waitForVersion(2)
 	if tc.cluster("c2") != cluster {
@@ -76,10 +73,7 @@
 	tc.stop("c2")
 	replaceFolder(t, tc.configOf("c2").Folder, old)
 	tc.start("c2")
-	tc.waitFor("c2 is a member with a new server ID", func() bool {
-		joined := tc.running["c2"].participation.Load()
-		return joined.phase == phaseMember && strings.HasPrefix(joined.serverID, "c2/")
-	})
+	tc.waitForReplacement("c2")
 	tc.publish("mill")
 	tc.waitForVersion(3)
 }
@@ -123,6 +117,15 @@
 	}
 }
 
+// waitForReplacement waits until a controller is a member again under a new server ID.
+func (tc *testCluster) waitForReplacement(name string) {
+	tc.t.Helper()
+	tc.waitFor(name+" is a member with a new server ID", func() bool {
+		part := tc.running[name].participation.Load()
+		return part.phase == phaseMember && strings.HasPrefix(part.serverID, name+serverIDSeparator)
+	})
+}
+
 func replaceFolder(t *testing.T, folder, source string) {
 	t.Helper()
 	if err := os.RemoveAll(folder); err != nil {
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -144,11 +144,20 @@
 	if running == nil || running.State() != raft.Leader || running.CurrentTerm() != term {
 		return false
 	}
-	configuration := running.GetConfiguration()
-	if configuration.Error() != nil {
+	servers, err := serversOf(running)
+	if err != nil {
 		return false
 	}
-	return slices.ContainsFunc(configuration.Configuration().Servers, func(member raft.Server) bool { return member.ID == server })
+	return slices.ContainsFunc(servers, func(member raft.Server) bool { return member.ID == server })
+}
+
+// serversOf are the servers of raft's newest configuration.
+func serversOf(running *raft.Raft) ([]raft.Server, error) {
+	future := running.GetConfiguration()
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	return future.Configuration().Servers, nil
 }
 
 // ServerAddr finds the address of a raft server in the settings. Its error is an UnknownControllerError.
@@ -163,16 +172,14 @@
 
 // isVoter says whether this server is a voter, as far as it knows.
 func (c *consensus) isVoter() bool {
-	configuration := c.raft.GetConfiguration()
-	if configuration.Error() != nil {
+	servers, err := serversOf(c.raft)
+	if err != nil {
 		return false
 	}
-	for _, server := range configuration.Configuration().Servers {
-		if server.ID == raft.ServerID(c.disk.identity.ServerID) {
-			return server.Suffrage == raft.Voter
-		}
-	}
-	return false
+	self := raft.ServerID(c.disk.identity.ServerID)
+	return slices.ContainsFunc(servers, func(server raft.Server) bool {
+		return server.ID == self && server.Suffrage == raft.Voter
+	})
 }
 
 // close stops raft and closes its listener.
--- a/internal/controller/quorum_membership.go
+++ b/internal/controller/quorum_membership.go
@@ -40,11 +40,11 @@
 	if controllerOf(server) != member.Name {
 		return nil
 	}
-	configuration := c.raft.GetConfiguration()
-	if err := configuration.Error(); err != nil {
+	servers, err := serversOf(c.raft)
+	if err != nil {
 		return err
 	}
-	for _, known := range configuration.Configuration().Servers {
+	for _, known := range servers {
 		switch {
 		case known.ID == server && known.Suffrage == raft.Voter:
 			return nil
