--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -95,7 +95,7 @@
 	return newest
 }
 
-// follows says whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
+// follows reports whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
 // replaces its own on an operator's confirmation. A cluster that the node has left before needs a newer version than
 // the node knew then, or two clusters that replace each other would pass the node back and forth.
 func (v *versionState) follows(u configapi.Update) bool {
@@ -105,7 +105,7 @@
 	return slices.Contains(u.Replaces, v.cluster) && u.Version > v.formerClusters[u.Cluster]
 }
 
-// behind says whether the controller of an update lacks versions that the node has decided.
+// behind reports whether the controller of an update lacks versions that the node has decided.
 func (v *versionState) behind(u configapi.Update) bool {
 	return u.Cluster == v.cluster && u.Version < v.lastDecided
 }
@@ -183,8 +183,8 @@
 		return
 	}
 	if v.received.cluster != c.cluster || v.received.version != c.configVersion {
-		// The controller left the configuration out because it assumed that it was applied. The next watch's request says
-		// what is.
+		// The controller left the configuration out because it assumed that it was applied. The next watch's request
+		// says what is.
 		s.reopenForConfig(c.watchID)
 		return
 	}
--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -87,8 +87,9 @@
 	}
 }
 
-// A second cluster serves the same addresses, because one was rebuilt from nothing. Its versions are rejected, each once,
-// until an operator confirms that it replaces the first; then they are applied, and those of the first are rejected.
+// A second cluster serves the same addresses, because one was rebuilt from nothing. Its versions are rejected, each
+// once, until an operator confirms that it replaces the first; then they are applied, and those of the first are
+// rejected.
 func TestForeignClusterNeedsConfirmation(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 5))
--- a/configversion/acknowledgement_test.go
+++ b/configversion/acknowledgement_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A controller does not accept an acknowledgement. It is retried with backoff until one does, also at the next controller.
+// A controller does not accept an acknowledgement. It is retried with backoff until one does, also at the next
+// controller.
 func TestAcknowledgementsAreRetried(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 1))
--- a/configversion/class_check.go
+++ b/configversion/class_check.go
@@ -21,8 +21,8 @@
 }
 
 // CheckClasses says why a configuration with the proposed classes must not come into force at a node that knows some
-// servers; nil: it may. It must not if it would leave a class without servers, or with a single one where it has several
-// now. It guards against a misspelt zone or kind that takes a class out of service at all nodes at once.
+// servers; nil: it may. It must not if it would leave a class without servers, or with a single one where it has
+// several now. It guards against a misspelt zone or kind that takes a class out of service at all nodes at once.
 //
 // A class whose servers do not change is never a reason, and without servers there is none either: then the endpoint
 // list is at fault and not the configuration.
@@ -74,7 +74,7 @@
 	return n
 }
 
-// sameServers says whether two classes may be served by the same zones and kinds.
+// sameServers reports whether two classes may be served by the same zones and kinds.
 func (c Class) sameServers(other Class) bool {
 	return (c.Zones == nil) == (other.Zones == nil) && (c.Kinds == nil) == (other.Kinds == nil) &&
 		slices.Equal(c.Zones, other.Zones) && slices.Equal(c.Kinds, other.Kinds)
--- a/configversion/controller_choice.go
+++ b/configversion/controller_choice.go
@@ -14,15 +14,15 @@
 // lately are avoided, so that a node finds one that works within the time budget (see watch_silence.go).
 
 const (
-	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others: as
-	// long as a version may take to be in force everywhere.
+	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others:
+	// as long as a version may take to be in force everywhere.
 	avoidAfterFailure = 3 * time.Second
 	// avoidAfterRejection is the same for a controller without capacity: sessions that migrate free some soon.
 	avoidAfterRejection = 2 * time.Second
 	// maxAvoided bounds the memory of avoided addresses; beyond it all are forgotten.
 	maxAvoided = 64
-	// redirectJitter is the span within which nodes that were rejected together follow their redirects. It is short: the
-	// controller that redirected them has spread them over the others already.
+	// redirectJitter is the span within which nodes that were rejected together follow their redirects. It is short:
+	// the controller that redirected them has spread them over the others already.
 	redirectJitter = 50 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 	s.emit(ControllerChanged{w.address, w.current})
 }
 
-// isBetter says whether a watch replaces a live main watch.
+// isBetter reports whether a watch replaces a live main watch.
 func isBetter(w, main *watch, isMigrationTarget bool) bool {
 	if w.bringsNewest() == main.bringsNewest() {
 		return isMigrationTarget
--- a/configversion/controller_choice_test.go
+++ b/configversion/controller_choice_test.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A node that knows the locations of controllers tries its own zone, then its own region, then the others, and last those
-// that only its settings name.
+// A node that knows the locations of controllers tries its own zone, then its own region, then the others, and last
+// those that only its settings name.
 func TestNearestControllerComesFirst(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"old:1"}, Region: "east", Zone: "b", LastKnownGood: LastKnownGood{Cluster: "x", Controllers: threeControllers}})
 	for _, want := range []string{"b:1", "a:1", "c:1", "old:1"} {
@@ -20,8 +20,8 @@
 	}
 }
 
-// A controller has no capacity and names alternatives. The node follows them at once, and each request says how often it
-// was rejected, so that it is not passed around for ever.
+// A controller has no capacity and names alternatives. The node follows them at once, and each request says how often
+// it was rejected, so that it is not passed around for ever.
 func TestRejectedWatchFollowsRedirects(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}})
 	first := d.nextWatch(InitialConnectJitter)
--- a/configversion/controller_search.go
+++ b/configversion/controller_search.go
@@ -13,15 +13,15 @@
 // watch.
 
 const (
-	// searchDelay is how long a search waits before its first probe: most elections are over by then, and nothing has to
-	// move.
+	// searchDelay is how long a search waits before its first probe: most elections are over by then, and nothing has
+	// to move.
 	searchDelay = 500 * time.Millisecond
 	// searchJitter is the span within which nodes of one controller begin to search: they all lose the leader at once.
 	searchJitter = 700 * time.Millisecond
 	// searchInterval is the mean pause between two probes of a node; see searchPause.
 	searchInterval = 200 * time.Millisecond
-	// searchRoundInterval is the pause after all controllers were probed, and as much again is drawn. If none of them has
-	// a leader, nodes must not load them with watches while they elect one.
+	// searchRoundInterval is the pause after all controllers were probed, and as much again is drawn. If none of them
+	// has a leader, nodes must not load them with watches while they elect one.
 	searchRoundInterval = 5 * time.Second
 )
 
--- a/configversion/controller_search_test.go
+++ b/configversion/controller_search_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller after
-// a delay and with a bounded number of probes, stay while there is none, and change when there is one.
+// A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller
+// after a delay and with a bounded number of probes, stay while there is none, and change when there is one.
 func TestSearchForACurrentController(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
--- a/configversion/lastknowngood.go
+++ b/configversion/lastknowngood.go
@@ -18,7 +18,7 @@
 	Controllers []configapi.Endpoint `json:"controllers,omitempty"`
 }
 
-// Supersedes says whether k is newer than other: a later version of the same cluster, or a version of a cluster that
+// Supersedes reports whether k is newer than other: a later version of the same cluster, or a version of a cluster that
 // has replaced other's. It guards against the outgoing process of a node that restarts: it must not overwrite what its
 // successor has stored already.
 func (k LastKnownGood) Supersedes(other LastKnownGood) bool {
--- a/configversion/lastknowngood_test.go
+++ b/configversion/lastknowngood_test.go
@@ -6,7 +6,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A node restarts with a stored version. It says so in its first request, and ignores older versions and other clusters.
+// A node restarts with a stored version. It says so in its first request, and ignores older versions and other
+// clusters.
 func TestStartFromLastKnownGood(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}, LastKnownGood: LastKnownGood{Cluster: "x", Version: 8, Config: config(8)}})
 	w := d.nextWatch(InitialConnectJitter)
--- a/configversion/migration.go
+++ b/configversion/migration.go
@@ -58,7 +58,7 @@
 	return migrations
 }
 
-// isUnbalanced says whether a controller is outside the tolerance.
+// isUnbalanced reports whether a controller is outside the tolerance.
 func (p *Placement) isUnbalanced() bool {
 	share := p.evenShare(0)
 	if p.sessions > share+shareTolerance(share) {
@@ -83,8 +83,8 @@
 	return p.totalSessions() / p.controllerCount()
 }
 
-// capacityByPeer is how many sessions this controller may migrate to each of those below the goal. All controllers above
-// the goal (the donors) divide the capacity of each target evenly; the remainder goes to the first of them.
+// capacityByPeer is how many sessions this controller may migrate to each of those below the goal. All controllers
+// above the goal (the donors) divide the capacity of each target evenly; the remainder goes to the first of them.
 func (p *Placement) capacityByPeer(goal int) map[string]int {
 	rank, donors := p.donorRank(goal)
 	capacity := map[string]int{}
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -41,7 +41,7 @@
 type PeerLoad struct {
 	Endpoint configapi.Endpoint
 	Sessions int
-	// Available says that the controller answers and serves nodes. One that does not is left out of all decisions.
+	// Available is set if the controller answers and serves nodes. One that does not is left out of all decisions.
 	Available bool
 }
 
@@ -62,11 +62,11 @@
 	// admissionToleranceDivisor is the part of the even share, one in so many, by which a controller may exceed it with
 	// nodes that were not rejected before. Without it, nodes would be redirected for a difference of a few sessions.
 	admissionToleranceDivisor = 4
-	// freeAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others have.
-	// Nodes that all start at the same time find controllers that do not know each other's load yet.
+	// freeAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others
+	// have. Nodes that all start at the same time find controllers that do not know each other's load yet.
 	freeAdmissionDivisor = 4
-	// shareToleranceDivisor is the part of the even share, one in so many, by which a controller may be above or below it
-	// before sessions are migrated: each migration costs a new connection.
+	// shareToleranceDivisor is the part of the even share, one in so many, by which a controller may be above or below
+	// it before sessions are migrated: each migration costs a new connection.
 	shareToleranceDivisor = 10
 	// minShareTolerance is the least tolerance in sessions, for clusters with few nodes.
 	minShareTolerance = 2
@@ -168,7 +168,7 @@
 	return peerOtherRegion
 }
 
-// peersHaveCapacity says whether another controller could admit a node that this one rejects.
+// peersHaveCapacity reports whether another controller could admit a node that this one rejects.
 func (p *Placement) peersHaveCapacity() bool {
 	return slices.ContainsFunc(p.available(), func(peer peerLoad) bool { return peer.estimate() < p.MaxSessions })
 }
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -72,7 +72,8 @@
 	return slices.IndexFunc(m.endpoints, func(e configapi.Endpoint) bool { return e.Address == address })
 }
 
-// requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next round.
+// requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next
+// round.
 func (m *placementModel) requestSession(n *modelNode, first int) {
 	target := first
 	for range 3 {
@@ -95,7 +96,8 @@
 	}
 }
 
-// preferredController is the controller that a node asks first: one of its region if there is one, else any; spread picks.
+// preferredController is the controller that a node asks first: one of its region if there is one, else any; spread
+// picks.
 func (m *placementModel) preferredController(n *modelNode, spread int) int {
 	var own []int
 	for i, endpoint := range m.endpoints {
@@ -345,8 +347,8 @@
 	}
 }
 
-// For any sizes, also when a controller fails and returns: all nodes get a session if there is capacity, no controller is
-// above the limit, the shares get even, and then no session migrates any more.
+// For any sizes, also when a controller fails and returns: all nodes get a session if there is capacity, no controller
+// is above the limit, the shares get even, and then no session migrates any more.
 func TestPlacementSettles(t *testing.T) {
 	const limit = 40
 	rapid.Check(t, func(t *rapid.T) {
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -8,8 +8,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from reports; nothing
-// else changes it.
+// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from reports;
+// nothing else changes it.
 type RolloutState string
 
 // Rollout states.
@@ -42,14 +42,14 @@
 	ForeignControllers []string `json:"foreign,omitempty"`
 }
 
-// Complete says whether the newest version is in force at all connected nodes, and all controllers have it. Disconnected
-// nodes do not count: nobody knows whether they still exist.
+// Complete reports whether the newest version is in force at all connected nodes, and all controllers have it.
+// Disconnected nodes do not count: nobody knows whether they still exist.
 func (r Rollout) Complete() bool {
 	return r.Lagging == 0 && r.Rejected == 0 && len(r.BehindControllers) == 0 && len(r.ForeignControllers) == 0
 }
 
-// MergeStatuses merges the reports of several controllers. Of a node that more than one of them reports, the report that
-// supersedes the others counts. The result does not depend on the order of the reports.
+// MergeStatuses merges the reports of several controllers. Of a node that more than one of them reports, the report
+// that supersedes the others counts. The result does not depend on the order of the reports.
 func MergeStatuses(statuses []configapi.ControllerStatus) Rollout {
 	var r Rollout
 	r.Cluster, r.Version = newestVersion(statuses)
@@ -96,7 +96,7 @@
 	return best, versions[best]
 }
 
-// supersedes says whether report x counts before report y of the same node. In this order:
+// supersedes reports whether report x counts before report y of the same node. In this order:
 //   - the report about the node's newer process;
 //   - of one process, the greater version decided, whatever its session: the version of one cluster never falls, and a
 //     node may open a second watch and close it again because the first one came back to life;
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A node that has opened a second watch and closed it acknowledges by the first one; the controller of the second one may
-// not know yet that it was closed.
+// A node that has opened a second watch and closed it acknowledges by the first one; the controller of the second one
+// may not know yet that it was closed.
 func TestRolloutCountsTheGreaterVersionOfAProcess(t *testing.T) {
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
 	second.LastSeenMS = 9000
--- a/configversion/session_driver_test.go
+++ b/configversion/session_driver_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// advanceUntil advances the time, with ticks where the session wants them, until a condition holds or the end is reached.
+// advanceUntil advances the time, with ticks where the session wants them, until a condition holds or the end is
+// reached.
 func (d *driver) advanceUntil(end time.Duration, holds func() bool) bool {
 	d.t.Helper()
 	for !holds() {
--- a/configversion/session_events.go
+++ b/configversion/session_events.go
@@ -29,7 +29,7 @@
 	// ApplyFinished is the result of an ApplyConfig.
 	ApplyFinished struct {
 		Rejection *configapi.Rejection // nil: the configuration is in force
-		// Interrupted says that the configuration could not be checked: it is not in force, and the version is neither
+		// Interrupted is set if the configuration could not be checked: it is not in force, and the version is neither
 		// applied nor rejected.
 		Interrupted bool
 	}
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -8,8 +8,8 @@
 )
 
 // watchState is the state of a watch. The Session changes it: a watch is opening from openWatch on, live from its first
-// update on, and silent or live again by the time of its last byte. A watch that is closed, rejected or ended is removed
-// from the set and has no state.
+// update on, and silent or live again by the time of its last byte. A watch that is closed, rejected or ended is
+// removed from the set and has no state.
 type watchState int
 
 const (
@@ -43,7 +43,7 @@
 	return watchLive
 }
 
-// bringsNewest says that a watch brings the newest versions of the node's cluster as soon as they are committed.
+// bringsNewest reports that a watch brings the newest versions of the node's cluster as soon as they are committed.
 func (w *watch) bringsNewest() bool { return w.current && !w.foreign && !w.behind }
 
 // watchSet holds the open watches of a session. The main watch is the one whose controller the node takes versions from
@@ -104,7 +104,7 @@
 	return opening
 }
 
-// mainIsLive says whether there is a main watch and it is not silent.
+// mainIsLive reports whether there is a main watch and it is not silent.
 func (s *watchSet) mainIsLive(now time.Duration) bool {
 	return s.main != nil && s.main.state(now) == watchLive
 }
--- a/configversion/watch_opening_test.go
+++ b/configversion/watch_opening_test.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A whole fleet is restarted at once. If all nodes connected in the same moment, to the same controller, it would reject
-// most of them: their first watches are spread over a second and over the controllers.
+// A whole fleet is restarted at once. If all nodes connected in the same moment, to the same controller, it would
+// reject most of them: their first watches are spread over a second and over the controllers.
 func TestFirstWatchesAreJittered(t *testing.T) {
 	const nodes = 700
 	perController := map[string]int{}
@@ -31,8 +31,8 @@
 	}
 }
 
-// No controller can be reached for a minute. A node must neither hammer them nor back off for so long that it misses the
-// moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
+// No controller can be reached for a minute. A node must neither hammer them nor back off for so long that it misses
+// the moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
 func TestOpenBackoffIsBounded(t *testing.T) {
 	for name, ends := range map[string]func(d *driver){
 		"ended at once": func(d *driver) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A controller leaves out a configuration because it assumes that it is applied, but the node does not have it. The node
-// reopens the watch, which says what it has, and backs off if that does not help.
+// A controller leaves out a configuration because it assumes that it is applied, but the node does not have it. The
+// node reopens the watch, which says what it has, and backs off if that does not help.
 func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	for range 100 {
--- a/configversion/watch_silence_test.go
+++ b/configversion/watch_silence_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A version is published just as the controller stalls, and the next controller that the node tries has stalled with it.
-// The version still has to be in force within 3 s: the node starts to apply it within 2.5 s.
+// A version is published just as the controller stalls, and the next controller that the node tries has stalled with
+// it. The version still has to be in force within 3 s: the node starts to apply it within 2.5 s.
 func TestTwoStalledControllers(t *testing.T) {
 	const most = 2500 * ms
 	for seed := range uint64(200) {
--- a/internal/configapi/doc.go
+++ b/internal/configapi/doc.go
@@ -1,6 +1,6 @@
-// Package configapi defines the messages of configuration versions: between nodes and controllers, among controllers, and
-// between controllers and operators' commands. It has types, paths and limits only. All calls are HTTP/1.1 with JSON
-// bodies, on loopback or a private network, without TLS and without authentication.
+// Package configapi defines the messages of configuration versions: between nodes and controllers, among controllers,
+// and between controllers and operators' commands. It has types, paths and limits only. All calls are HTTP/1.1 with
+// JSON bodies, on loopback or a private network, without TLS and without authentication.
 //
 //	GET  /v1/config   a node's watch: chunked, one Update per JSON object, an empty line per heartbeat
 //	POST /v1/ack      a node's Acknowledgement of a version
@@ -40,8 +40,8 @@
 	DefaultAddress = "127.0.0.1:7400"
 )
 
-// Cluster is the identity of a replicated log: drawn at random when a cluster is created, and constant for its whole life.
-// A cluster that is rebuilt from nothing has another one. The empty Cluster is none.
+// Cluster is the identity of a replicated log: drawn at random when a cluster is created, and constant for its whole
+// life. A cluster that is rebuilt from nothing has another one. The empty Cluster is none.
 type Cluster string
 
 // Version is the number of a configuration version. The first one is 1, and each publish adds 1; 0 is none.
--- a/internal/configapi/publish.go
+++ b/internal/configapi/publish.go
@@ -25,7 +25,7 @@
 	Replaces []Cluster `json:"replaces,omitempty"`
 }
 
-// PublishReply says that a quorum has the version on disk.
+// PublishReply reports that a quorum has the version on disk.
 type PublishReply struct {
 	Cluster Cluster `json:"cluster"`
 	Version Version `json:"version"`
--- a/internal/configapi/watch.go
+++ b/internal/configapi/watch.go
@@ -119,11 +119,11 @@
 	Cluster  Cluster   `json:"cluster"`
 	Replaces []Cluster `json:"replaces,omitempty"` // clusters that this one replaces, on an operator's confirmation
 	Version  Version   `json:"version"`            // the newest that this controller has applied
-	// ConfigVersion is the newest version, at most Version, that names the node's service; 0: none does. A node that has
-	// applied ConfigVersion or a later one has the configuration of Version already, and Config is absent.
+	// ConfigVersion is the newest version, at most Version, that names the node's service; 0: none does. A node that
+	// has applied ConfigVersion or a later one has the configuration of Version already, and Config is absent.
 	ConfigVersion Version        `json:"changed"`
 	Config        *ServiceConfig `json:"config,omitempty"`
-	// Current says that the controller was in contact with the leader of a quorum within the last second. A controller
+	// Current is set if the controller was in contact with the leader of a quorum within the last second. A controller
 	// that was not serves the state that it has; a node prefers one that was.
 	Current bool `json:"current"`
 	// MigrateTo asks the node to open a watch at another controller (HOST:PORT) and then to close this one.
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -49,7 +49,7 @@
 // NewID draws the ID (idempotency key) of a publish request.
 func NewID() string { return rand.Text() }
 
-// UnreachableError says that a controller did not respond, or that what is at its address is no controller.
+// UnreachableError reports that a controller did not respond, or that what is at its address is no controller.
 type UnreachableError struct {
 	Address   string // HOST:PORT
 	Err       error
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// isDialError says whether a request failed before there was a connection to send it on.
+// isDialError reports whether a request failed before there was a connection to send it on.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/configclient/publish.go
+++ b/internal/configclient/publish.go
@@ -24,7 +24,7 @@
 // that another attempt can't change, or the end of ctx.
 //
 // Its error is a *configapi.Error, or an *UnreachableError if no controller could be reached. An error of kind
-// ErrorOutcomeUnknown says that the version may still come into force; with any other, it does not.
+// ErrorOutcomeUnknown reports that the version may still come into force; with any other, it does not.
 func (c *Client) Publish(ctx context.Context, request configapi.PublishRequest) (configapi.PublishReply, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/internal/configwatch/ack.go
+++ b/internal/configwatch/ack.go
@@ -21,8 +21,8 @@
 // send sends an acknowledgement and waits for its response. If the controller does not accept it, the error is a
 // *configapi.Error.
 //
-// If the open connection fails, it is sent again on a new one: the controller has closed the old one meanwhile, as a rule,
-// and an acknowledgement is idempotent.
+// If the open connection fails, it is sent again on a new one: the controller has closed the old one meanwhile, as a
+// rule, and an acknowledgement is idempotent.
 func (a *ackClient) send(ctx context.Context, address string, ack configapi.Acknowledgement) error {
 	body, err := json.Marshal(ack)
 	if err != nil {
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -31,8 +31,8 @@
 	maxErrorBytes = 64 << 10
 	// maxUpdateBytes bounds an update: a document, and the other fields.
 	maxUpdateBytes = configapi.MaxDocumentBytes + 64<<10
-	// readerBufferBytes is the read buffer of a connection. It is small, because a process may have hundreds of sessions;
-	// larger updates go through the decoder's own buffer.
+	// readerBufferBytes is the read buffer of a connection. It is small, because a process may have hundreds of
+	// sessions; larger updates go through the decoder's own buffer.
 	readerBufferBytes = 1 << 10
 )
 
@@ -48,7 +48,7 @@
 	headBytesLeft int // bytes that may still be read; unlimited: any number
 }
 
-// HeadTooLargeError says that the head of a controller's response is over a number of bytes.
+// HeadTooLargeError reports that the head of a controller's response is over a number of bytes.
 type HeadTooLargeError struct{ MaxBytes int }
 
 func (e *HeadTooLargeError) Error() string {
@@ -106,7 +106,7 @@
 	return response, err
 }
 
-// ResponseError says that a controller's response is none that controllers give.
+// ResponseError reports that a controller's response is none that controllers give.
 type ResponseError struct{ Status string }
 
 func (e *ResponseError) Error() string { return "answered " + e.Status }
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -15,9 +15,9 @@
 
 // Applier brings configurations into force.
 type Applier interface {
-	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why it
-	// is not in force; any other error says that it could not be checked, and nothing is acknowledged. Calls come one at
-	// a time.
+	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why
+	// it is not in force; any other error says that it could not be checked, and nothing is acknowledged. Calls come
+	// one at a time.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// A node rejects a configuration: that is acknowledged with the reason. Another one can not be checked, because the node
-// shuts down: that is not acknowledged.
+// A node rejects a configuration: that is acknowledged with the reason. Another one can not be checked, because the
+// node shuts down: that is not acknowledged.
 func TestRejectionIsAcknowledgedInterruptionIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -72,7 +72,8 @@
 	})
 }
 
-// An apply takes a minute. The watch stays open meanwhile, and only the newest of the versions that come is applied next.
+// An apply takes a minute. The watch stays open meanwhile, and only the newest of the versions that come is applied
+// next.
 func TestSlowApplyDelaysNothingElse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
--- a/internal/configwatch/store.go
+++ b/internal/configwatch/store.go
@@ -18,8 +18,8 @@
 // node's shutdown.
 const storeCloseTimeout = time.Second
 
-// Store stores a node's last known good version in a file. Writes are in the background: nobody waits for the disk, and of
-// the versions that come during a write only the newest is written.
+// Store stores a node's last known good version in a file. Writes are in the background: nobody waits for the disk, and
+// of the versions that come during a write only the newest is written.
 type Store struct {
 	path, node string
 	log        *slog.Logger
@@ -29,7 +29,7 @@
 	writing chan struct{}                // closed when the writes in progress have ended; nil: there are none
 }
 
-// StoreError says that the last known good version could not be stored or read.
+// StoreError reports that the last known good version could not be stored or read.
 type StoreError struct {
 	Path string
 	Err  error
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -31,8 +31,8 @@
 	s.flush(time.Minute)
 }
 
-// A process stores a version and the next one reads it. A process that is about to end must not overwrite a newer version,
-// and each node has a file of its own.
+// A process stores a version and the next one reads it. A process that is about to end must not overwrite a newer
+// version, and each node has a file of its own.
 func TestStoreSavesAndReads(t *testing.T) {
 	folder := t.TempDir()
 	s := newTestStore(folder)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// An operator repeats a publish request after the leader that took it has gone. The new leader replies as the old one did,
-// and adds no version.
+// An operator repeats a publish request after the leader that took it has gone. The new leader replies as the old one
+// did, and adds no version.
 func TestClusterPublishIsIdempotent(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -20,8 +20,8 @@
 	commitInterval = 50 * time.Millisecond
 	// appendBatch is the number of log entries in one message; each may have configapi.MaxDocumentBytes.
 	appendBatch = 8
-	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag: copying them
-	// is cheaper than a snapshot of all services.
+	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag: copying
+	// them is cheaper than a snapshot of all services.
 	trailingLogs = 256
 	// snapshotEntries is the number of entries after which raft takes a snapshot by itself. It bounds the log that a
 	// restart has to replay.
@@ -48,7 +48,7 @@
 	publishSlot chan struct{} // held by the publish request that is being proposed
 }
 
-// bootstrapMode says whether a disk begins a new cluster.
+// bootstrapMode is whether a disk begins a new cluster.
 type bootstrapMode bool
 
 const (
@@ -116,8 +116,8 @@
 	return raft.Configuration{Servers: servers}
 }
 
-// logAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings, which
-// may differ, as where a proxy stands between two of them; what is in the log must not.
+// logAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings,
+// which may differ, as where a proxy stands between two of them; what is in the log must not.
 func logAddress(member Member) raft.ServerAddress { return raft.ServerAddress(member.Name) }
 
 // serverIDSeparator stands between the controller's name and a random text in the server ID of a replaced disk.
@@ -137,7 +137,7 @@
 	return name + serverIDSeparator + randomText()[:serverIDRandomLength]
 }
 
-// replicatesTo says whether this server leads in a term and a server is a member of its cluster: only then are log
+// replicatesTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
 // entries worth another attempt.
 func (c *consensus) replicatesTo(server raft.ServerID, term uint64) bool {
 	running := c.started.Load()
@@ -170,7 +170,7 @@
 	return serverAddress(member.Raft, string(id)), nil
 }
 
-// isVoter says whether this server is a voter, as far as it knows.
+// isVoter reports whether this server is a voter, as far as it knows.
 func (c *consensus) isVoter() bool {
 	servers, err := serversOf(c.raft)
 	if err != nil {
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -147,7 +147,7 @@
 	return d.writeIdentity()
 }
 
-// hasState says whether raft has written to the disk.
+// hasState reports whether raft has written to the disk.
 func (d *disk) hasState() (bool, error) { return raft.HasExistingState(d.logs, d.bolt, d.snapshots) }
 
 func (d *disk) close() error { return d.bolt.Close() }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,13 +1,13 @@
-// Package controller is the control service: a small cluster of controllers that keeps a replicated log of configuration
-// versions and sends the newest one to the nodes.
+// Package controller is the control service: a small cluster of controllers that keeps a replicated log of
+// configuration versions and sends the newest one to the nodes.
 //
 // Input are operators' publish requests, nodes' watches and acknowledgements (HTTP, package configapi) and the other
 // controllers' log entries (hashicorp/raft over TCP). Output are updates to nodes, replies, and the status of each
 // controller.
 //
-// A publish succeeds once a quorum of controllers has it on disk. Every controller serves its nodes from its own copy of
-// the state, also one that is cut off from the quorum, which says so (configapi.Update.Current). What a node did with a
-// version is held in memory only, by the controller that has its session.
+// A publish succeeds once a quorum of controllers has it on disk. Every controller serves its nodes from its own copy
+// of the state, also one that is cut off from the quorum, which says so (configapi.Update.Current). What a node did
+// with a version is held in memory only, by the controller that has its session.
 //
 // Who owns which state, and where its rules are:
 //
@@ -24,6 +24,6 @@
 //	node_table.go             the nodes' sessions and the last report of each node
 //	raft_stream.go            connections between controllers, and who may use them
 //
-// Package configversion decides about the placement of sessions. cmd/hookwalk runs a controller; builds for service (tag
-// nolab) have none.
+// Package configversion decides about the placement of sessions. cmd/hookwalk runs a controller; builds for service
+// (tag nolab) have none.
 package controller
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -76,7 +76,8 @@
 	return &configapi.Error{Kind: configapi.ErrorInvalid, Message: fmt.Sprintf(format, args...)}
 }
 
-// validName says whether a text can be a name: visible ASCII characters, and spaces between them, as in nodes' settings.
+// validName reports whether a text can be a name: visible ASCII characters, and spaces between them, as in nodes'
+// settings.
 func validName(text string) bool {
 	return text != "" && len(text) <= maxNameBytes && text == strings.TrimSpace(text) &&
 		!strings.ContainsFunc(text, func(c rune) bool { return c < ' ' || c > '~' })
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FolderError says that a controller's folder can't be used.
+// FolderError reports that a controller's folder can't be used.
 type FolderError struct {
 	Folder string
 	Reason string // with what an operator can do
@@ -29,7 +29,7 @@
 	checkDiskAdvice = "look at the disk"
 )
 
-// ListenError says that a controller can't listen at one of its addresses.
+// ListenError reports that a controller can't listen at one of its addresses.
 type ListenError struct {
 	Address string // HOST:PORT
 	Err     error
@@ -42,7 +42,7 @@
 // Unwrap returns the error of the system.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// ConsensusError says that raft could not run on the controller's folder.
+// ConsensusError reports that raft could not run on the controller's folder.
 type ConsensusError struct {
 	Problem string
 	Err     error // raft's
@@ -53,8 +53,8 @@
 // Unwrap returns raft's error.
 func (e *ConsensusError) Unwrap() error { return e.Err }
 
-// UnknownControllerError says that the log has a controller that the settings file does not name: all controllers need
-// the same file.
+// UnknownControllerError reports that the log has a controller that the settings file does not name: all controllers
+// need the same file.
 type UnknownControllerError struct{ Name string }
 
 func (e *UnknownControllerError) Error() string {
--- a/internal/controller/fsm.go
+++ b/internal/controller/fsm.go
@@ -72,8 +72,9 @@
 // Release has nothing to release: the state is immutable.
 func (s snapshot) Release() {}
 
-// snapshotOnChange takes a snapshot snapshotDelay after each change of the state, until done is closed. A controller that
-// starts without a quorum can't tell which entries behind its snapshot are committed: it serves its nodes the snapshot.
+// snapshotOnChange takes a snapshot snapshotDelay after each change of the state, until done is closed. A controller
+// that starts without a quorum can't tell which entries behind its snapshot are committed: it serves its nodes the
+// snapshot.
 func (c *consensus) snapshotOnChange(done <-chan struct{}) {
 	for {
 		select {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// prepareLeadership readies a leader that was just elected: it applies what was committed before, and gives a new cluster
-// its identity. Until then the leader must not answer publish requests: it might not know one that it has committed.
+// prepareLeadership readies a leader that was just elected: it applies what was committed before, and gives a new
+// cluster its identity. Until then the leader must not answer publish requests: it might not know one that it has
+// committed.
 func (c *consensus) prepareLeadership() {
 	term := c.raft.CurrentTerm()
 	if err := c.raft.Barrier(commitTimeout).Error(); err != nil {
@@ -53,10 +54,10 @@
 	}
 }
 
-// isLeader says whether this controller is the leader, as far as it knows.
+// isLeader reports whether this controller is the leader, as far as it knows.
 func (c *consensus) isLeader() bool { return c.raft.State() == raft.Leader }
 
-// isReady says whether this controller is the leader and has applied all that was committed before its term.
+// isReady reports whether this controller is the leader and has applied all that was committed before its term.
 func (c *consensus) isReady() bool {
 	term := c.readyTerm.Load()
 	return term != 0 && c.isLeader() && c.raft.CurrentTerm() == term
@@ -71,8 +72,8 @@
 	return c.config.member(controllerOf(id))
 }
 
-// isCurrent says whether the controller is in contact with the leader of a quorum. A leader that loses its quorum steps
-// down by itself when its lease ends.
+// isCurrent reports whether the controller is in contact with the leader of a quorum. A leader that loses its quorum
+// steps down by itself when its lease ends.
 func (c *consensus) isCurrent(now time.Time) bool {
 	if c.views.load().state.Cluster == "" {
 		return false
@@ -84,8 +85,8 @@
 	return known && now.Sub(c.raft.LastContact()) < leaderContactTimeout
 }
 
-// transferLeadership hands the leadership to another controller, if this one leads and there is another: publish requests
-// then need not wait for an election.
+// transferLeadership hands the leadership to another controller, if this one leads and there is another: publish
+// requests then need not wait for an election.
 func (c *consensus) transferLeadership() {
 	if !c.isLeader() || len(c.config.Members) < 2 {
 		return
--- a/internal/controller/node_table.go
+++ b/internal/controller/node_table.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// openSession admits a node, or returns why not and where else it may go. A node's newer session replaces its older one,
-// and needs no admission.
+// openSession admits a node, or returns why not and where else it may go. A node's newer session replaces its older
+// one, and needs no admission.
 func (t *nodeTable) openSession(request configapi.WatchRequest, now time.Time) (*session, *configapi.Error) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -222,8 +222,8 @@
 	}
 }
 
-// evictDisconnected forgets the node that has been away for longest if the table is full and a node is new to it. Without
-// a bound, nodes that are renamed at each start would fill the memory.
+// evictDisconnected forgets the node that has been away for longest if the table is full and a node is new to it.
+// Without a bound, nodes that are renamed at each start would fill the memory.
 func (t *nodeTable) evictDisconnected(newNode string) {
 	if _, known := t.nodes[newNode]; known || len(t.nodes) < t.maxNodes {
 		return
--- a/internal/controller/node_table_test.go
+++ b/internal/controller/node_table_test.go
@@ -25,7 +25,8 @@
 	return s
 }
 
-// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace it.
+// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace
+// it.
 func TestSessionsAreBounded(t *testing.T) {
 	table := newTestTable(2)
 	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log, joining
-// when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the disk has
-// a log or begins a new cluster.
+// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log,
+// joining when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the
+// disk has a log or begins a new cluster.
 type phase string
 
 const (
@@ -131,8 +131,8 @@
 	return running, nil
 }
 
-// resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part in
-// the cluster when judgeDisk has found that the disk is no old copy.
+// resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part
+// in the cluster when judgeDisk has found that the disk is no old copy.
 func (c *Controller) resumeFromDisk(ctx context.Context) (*consensus, error) {
 	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrapNone)
 	if err != nil {
--- a/internal/controller/peer_reports.go
+++ b/internal/controller/peer_reports.go
@@ -34,7 +34,8 @@
 	peerIdleConnectionTimeout = 30 * time.Second
 )
 
-// memberReport is a controller's response to GET /v1/load: what nodes need to know, and what the other controllers need.
+// memberReport is a controller's response to GET /v1/load: what nodes need to know, and what the other controllers
+// need.
 type memberReport struct {
 	configapi.Load
 	Phase        phase  `json:"phase"`
@@ -42,14 +43,14 @@
 	Start        uint64 `json:"start"`            // of its disk, see identity
 	ProcessID    string `json:"process"`          // drawn at random by each process
 	AppliedIndex uint64 `json:"applied"`          // index of the newest log entry in its state
-	// Founders are the processes that this one found empty before it began a new cluster, by the controller's name. Each
-	// of them has never voted in the cluster, and may begin it, too.
+	// Founders are the processes that this one found empty before it began a new cluster, by the controller's name.
+	// Each of them has never voted in the cluster, and may begin it, too.
 	Founders map[string]string `json:"founders,omitempty"`
 	// RecordedStart is the last recorded start of the server that the request names.
 	RecordedStart *memberStart `json:"known,omitempty"`
 }
 
-// ReportError says that another controller's report is not usable.
+// ReportError reports that another controller's report is not usable.
 type ReportError struct {
 	Address string
 	Reason  string
@@ -75,7 +76,7 @@
 	lastFetchFailed bool // a later reading failed
 }
 
-// isValid says whether the report still counts.
+// isValid reports whether the report still counts.
 func (r timedReport) isValid(now time.Time) bool { return now.Sub(r.receivedAt) < reportValidity }
 
 func newPeerReports(config Config) *peerReports {
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -18,8 +18,8 @@
 	commitTimeout = 5 * time.Second
 )
 
-// publish proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error of
-// kind ErrorOutcomeUnknown the version may still come into force; with any other, nothing was written. canceled is
+// publish proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error
+// of kind ErrorOutcomeUnknown the version may still come into force; with any other, nothing was written. canceled is
 // closed when the requester has gone.
 //
 // One publish is proposed at a time: each sees the versions and the rate of those before it.
@@ -62,8 +62,8 @@
 		Message: "no leader is known here: a majority of the controllers must run and reach each other; nothing was taken"}
 }
 
-// publishError tells a proposal that certainly was not written from one that may have been. Leadership that is lost after
-// the entry was written leaves the outcome open: the next leader may or may not have it.
+// publishError tells a proposal that certainly was not written from one that may have been. Leadership that is lost
+// after the entry was written leaves the outcome open: the next leader may or may not have it.
 func publishError(err error, id string) *configapi.Error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
@@ -73,11 +73,11 @@
 		Message: fmt.Sprintf("%v: the version may or may not come into force: repeat the request with the same ID, %s", err, id)}
 }
 
-// errCommitTimeout says that no quorum has answered within commitTimeout.
+// errCommitTimeout reports that no quorum has answered within commitTimeout.
 var errCommitTimeout = errors.New("no quorum has written it yet")
 
-// propose writes a command to the log, and returns its result once a quorum has it and it is applied here. Its errors are
-// those of raft, and errCommitTimeout.
+// propose writes a command to the log, and returns its result once a quorum has it and it is applied here. Its errors
+// are those of raft, and errCommitTimeout.
 func (c *consensus) propose(proposal command) (commandResult, error) {
 	text, err := json.Marshal(proposal)
 	if err != nil {
--- a/internal/controller/publish_rate.go
+++ b/internal/controller/publish_rate.go
@@ -6,8 +6,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// publishRateWindowMS is the window of the publish rate limit, in milliseconds: at most configapi.MaxPublishRate versions
-// are accepted within it.
+// publishRateWindowMS is the window of the publish rate limit, in milliseconds: at most configapi.MaxPublishRate
+// versions are accepted within it.
 const publishRateWindowMS = 1000
 
 // checkPublishRate rejects a version at timeMS (the leader's clock, Unix milliseconds) if configapi.MaxPublishRate
@@ -15,7 +15,8 @@
 // goes to all nodes, and the controllers' disks have to write it. It shows as errors of kind "too_many".
 //
 // The limit is part of the replicated state, so that all controllers decide alike and a change of the leader does not
-// reset it. A time before that of an earlier version, as after a change to a leader whose clock is behind, is not limited.
+// reset it. A time before that of an earlier version, as after a change to a leader whose clock is behind, is not
+// limited.
 func (s *state) checkPublishRate(timeMS int64) *configapi.Error {
 	if len(s.History) < configapi.MaxPublishRate {
 		return nil
--- a/internal/controller/quorum_membership.go
+++ b/internal/controller/quorum_membership.go
@@ -7,9 +7,9 @@
 )
 
 // Membership of the quorum: a controller whose disk was lost or is an old copy takes part as a new raft server, because
-// the old server's votes are not on its disk. The leader brings raft's configuration in line with the reports: it removes
-// the old server, adds the new one as a nonvoter, and makes it a voter once it has the log, so that a quorum never counts
-// on a disk that is still empty. At most one change is in progress; raft commits each by a quorum.
+// the old server's votes are not on its disk. The leader brings raft's configuration in line with the reports: it
+// removes the old server, adds the new one as a nonvoter, and makes it a voter once it has the log, so that a quorum
+// never counts on a disk that is still empty. At most one change is in progress; raft commits each by a quorum.
 
 // membershipChangeTimeout is how long one change of raft's configuration may take before it is tried again.
 const membershipChangeTimeout = 5 * time.Second
--- a/internal/controller/raft_logger.go
+++ b/internal/controller/raft_logger.go
@@ -17,8 +17,8 @@
 	return logger
 }
 
-// repeatLogInterval is how often the same message of raft is logged: raft logs several a second for each controller that
-// is away.
+// repeatLogInterval is how often the same message of raft is logged: raft logs several a second for each controller
+// that is away.
 const repeatLogInterval = 10 * time.Second
 
 // slogSink writes raft's messages to slog.
@@ -35,8 +35,8 @@
 	suppressed int
 }
 
-// Accept logs a message, unless the same one, with any arguments, was logged within repeatLogInterval. The next one says
-// in said_before how many were suppressed.
+// Accept logs a message, unless the same one, with any arguments, was logged within repeatLogInterval. The next one
+// says in said_before how many were suppressed.
 func (s *slogSink) Accept(name string, level hclog.Level, message string, args ...any) {
 	if level < hclog.Info {
 		return
--- a/internal/controller/raft_logger_test.go
+++ b/internal/controller/raft_logger_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A controller is away, and raft logs the same message several times a second. One in ten seconds is passed on, with the
-// number of those that were suppressed.
+// A controller is away, and raft logs the same message several times a second. One in ten seconds is passed on, with
+// the number of those that were suppressed.
 func TestRaftLoggerSuppressesRepetitions(t *testing.T) {
 	s := &slogSink{lastLogged: map[string]*repetition{}}
 	for _, c := range []struct {
--- a/internal/controller/raft_stream.go
+++ b/internal/controller/raft_stream.go
@@ -19,7 +19,8 @@
 // The replicated log uses raft's own TCP transport. Raft does not check that a connection reaches the server and the
 // cluster that it means: each connection therefore begins with a greeting that names both, and the other end closes it
 // if they are not its own. It guards against two failures: a controller with an emptied disk, which has another server
-// ID, must not be mistaken for the server that voted before; and two clusters on the same addresses must not mix their logs.
+// ID, must not be mistaken for the server that voted before; and two clusters on the same addresses must not mix their
+// logs.
 
 const (
 	// raftMessageTimeout is how long one message between controllers, and a greeting, may take.
@@ -41,7 +42,7 @@
 	serverIDMark = "|"
 )
 
-// GreetingError says that a raft connection reached another server or cluster than it was for.
+// GreetingError reports that a raft connection reached another server or cluster than it was for.
 type GreetingError struct {
 	Got  string // the greeting
 	Want string // this server's
@@ -60,8 +61,8 @@
 	slots    chan struct{} // one for each accepted connection
 	closing  chan struct{} // closed by Close
 	once     sync.Once
-	// enabled says that this controller takes part in the log. While it is false nothing is sent or read, on connections
-	// that are open neither: it is not clear yet whether the disk may vote.
+	// enabled is set while this controller takes part in the log. While it is false nothing is sent or read, on
+	// connections that are open neither: it is not clear yet whether the disk may vote.
 	enabled atomic.Bool
 }
 
@@ -103,8 +104,8 @@
 	return &guardedConn{conn, s}, nil
 }
 
-// Accept returns the next connection. Its greeting is read and checked by the first Read, so that a slow one holds up no
-// other.
+// Accept returns the next connection. Its greeting is read and checked by the first Read, so that a slow one holds up
+// no other.
 func (s *raftStream) Accept() (net.Conn, error) {
 	select {
 	case s.slots <- struct{}{}:
@@ -150,7 +151,7 @@
 	return string(c)
 }
 
-// errStreamDisabled says that this controller does not take part in the replicated log yet.
+// errStreamDisabled reports that this controller does not take part in the replicated log yet.
 var errStreamDisabled = errors.New("controller: raft is not open to the others")
 
 // guardedConn is a connection that fails while its stream is not enabled.
@@ -192,8 +193,8 @@
 	return c.guardedConn.Read(into)
 }
 
-// readGreeting reads and checks the greeting. It reads byte by byte, because what follows is raft's. Any fault is io.EOF:
-// raft would log others as errors of its own.
+// readGreeting reads and checks the greeting. It reads byte by byte, because what follows is raft's. Any fault is
+// io.EOF: raft would log others as errors of its own.
 func (c *inboundConn) readGreeting() error {
 	_ = c.SetReadDeadline(time.Now().Add(raftMessageTimeout))
 	var line bytes.Buffer
--- a/internal/controller/raft_transport.go
+++ b/internal/controller/raft_transport.go
@@ -6,17 +6,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// appendRetryInterval is the pause between two attempts to send log entries to a server that can't be reached. A version
-// has to be in force everywhere within 3 s, also right after a partition has ended.
+// appendRetryInterval is the pause between two attempts to send log entries to a server that can't be reached. A
+// version has to be in force everywhere within 3 s, also right after a partition has ended.
 const appendRetryInterval = 200 * time.Millisecond
 
-// retryingTransport is raft's TCP transport with a fixed pause between attempts to send log entries. Raft itself backs off
-// exponentially, up to 10 s, before it tries a follower again: after a partition has ended, a region would get its
+// retryingTransport is raft's TCP transport with a fixed pause between attempts to send log entries. Raft itself backs
+// off exponentially, up to 10 s, before it tries a follower again: after a partition has ended, a region would get its
 // versions that much later. It shows as a follower that stays behind although it answers.
 type retryingTransport struct {
 	*raft.NetworkTransport
-	// shouldRetry says whether another attempt makes sense: whether this server still leads in a term, and the other one
-	// is a member.
+	// shouldRetry reports whether another attempt makes sense: whether this server still leads in a term, and the other
+	// one is a member.
 	shouldRetry func(server raft.ServerID, term uint64) bool
 	closing     <-chan struct{}
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -41,14 +41,14 @@
 // close makes the session's handler end it.
 func (s *session) close() { s.closeOnce.Do(func() { close(s.done) }) }
 
-// needsConfig says whether an update must contain the configuration that a version has set.
+// needsConfig reports whether an update must contain the configuration that a version has set.
 func (s *session) needsConfig(cluster configapi.Cluster, configVersion configapi.Version) bool {
 	applied := s.applied.Load()
 	return applied.cluster != cluster || applied.version < configVersion
 }
 
-// requestMigration makes the handler ask the node to migrate. It is called with the table locked, and returns false if an
-// earlier request was not sent yet.
+// requestMigration makes the handler ask the node to migrate. It is called with the table locked, and returns false if
+// an earlier request was not sent yet.
 func (s *session) requestMigration(target configapi.Endpoint, now time.Time) bool {
 	select {
 	case s.migrate <- target:
@@ -59,7 +59,7 @@
 	}
 }
 
-// isOlder says whether watch x is of an older process of a node than watch y, or an older one of the same process.
+// isOlder reports whether watch x is of an older process of a node than watch y, or an older one of the same process.
 func isOlder(x, y configapi.WatchRequest) bool {
 	return cmp.Or(cmp.Compare(x.StartedMS, y.StartedMS), cmp.Compare(x.Session, y.Session)) < 0
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -17,8 +17,8 @@
 	// defaultMaxSessions is the limit of sessions at one controller: each costs a connection and its buffers. It leaves
 	// room for the nodes of controllers that have failed.
 	defaultMaxSessions = 600
-	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough for
-	// a slow disk, and short enough that a publish survives the change of the leader.
+	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough
+	// for a slow disk, and short enough that a publish survives the change of the leader.
 	defaultElectionTimeout = 400 * time.Millisecond
 	// defaultLeaderLease is how long a leader that hears nothing from a quorum still leads. It ends before another one
 	// can be elected.
--- a/internal/controller/startup_decisions.go
+++ b/internal/controller/startup_decisions.go
@@ -15,8 +15,8 @@
 	startJoin                            // join the existing cluster as a new raft server
 )
 
-// decideEmptyDiskStart decides how a controller with an empty disk starts. Input are the other controllers' valid reports
-// by name; waitForAll says that the controller still waits for all of them to answer.
+// decideEmptyDiskStart decides how a controller with an empty disk starts. Input are the other controllers' valid
+// reports by name; waitForAll says that the controller still waits for all of them to answer.
 //
 // It begins a cluster only where a majority is empty, and joins where another controller has a log. It guards against
 // two clusters on the same addresses, and against a vote cast twice: the disk may have been emptied after it voted, so
@@ -60,7 +60,7 @@
 	return founders
 }
 
-// diskVerdict says whether a controller may take part with the log on its disk.
+// diskVerdict is whether a controller may take part with the log on its disk.
 type diskVerdict int
 
 const (
@@ -69,8 +69,8 @@
 	diskStale                        // another one knows of a later start: the disk is an old copy
 )
 
-// judgeDisk compares the start that a disk counts with the starts that the other controllers have recorded for its server
-// ID. It waits for a majority, which includes one that has the newest start: it was committed by a quorum.
+// judgeDisk compares the start that a disk counts with the starts that the other controllers have recorded for its
+// server ID. It waits for a majority, which includes one that has the newest start: it was committed by a quorum.
 //
 // It guards against a disk that was restored from a backup or a snapshot of its volume: votes and log entries that were
 // acknowledged since are missing, and a second leader of one term, or a lost version, could follow. It shows in the log
@@ -92,5 +92,5 @@
 	return diskValid
 }
 
-// isMajority says whether a number of controllers is more than half of the cluster's.
+// isMajority reports whether a number of controllers is more than half of the cluster's.
 func isMajority(controllers int, config Config) bool { return controllers > len(config.Members)/2 }
--- a/internal/controller/startup_decisions_test.go
+++ b/internal/controller/startup_decisions_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// A controller's disk may be an old copy: another controller then knows of a later start, or of the same start of another
-// process.
+// A controller's disk may be an old copy: another controller then knows of a later start, or of the same start of
+// another process.
 func TestJudgeDisk(t *testing.T) {
 	self := identity{Name: "c1", ServerID: "c1", Start: 5}
 	known := func(start uint64, process string) memberReport {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -90,7 +90,7 @@
 	Replaces []configapi.Cluster     `json:"replaces,omitempty"`
 	Version  configapi.Version       `json:"version"`
 	Services map[string]serviceState `json:"services"`
-	History  []historyEntry          `json:"history"` // the last historyLength versions, in order
+	History  []historyEntry          `json:"history"` // the last maxHistory versions, in order
 	Starts   map[string]memberStart  `json:"starts"`  // by raft server ID
 }
 
@@ -142,8 +142,8 @@
 	return &next, commandResult{Reply: configapi.PublishReply{Cluster: next.Cluster, Version: next.Version}}
 }
 
-// earlierReply is the reply to a publish request that was applied before under the same ID (idempotency key): a repeated
-// request adds no version. Version is 0 if there was none.
+// earlierReply is the reply to a publish request that was applied before under the same ID (idempotency key): a
+// repeated request adds no version. Version is 0 if there was none.
 func (s *state) earlierReply(c publishCommand) (configapi.PublishReply, *configapi.Error) {
 	at := slices.IndexFunc(s.History, func(e historyEntry) bool { return e.ID == c.ID })
 	switch {
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// A publish request is repeated with the same ID. It adds no version and gets the same reply; with another content it is
-// an error.
+// A publish request is repeated with the same ID. It adds no version and gets the same reply; with another content it
+// is an error.
 func TestStateRepeatedPublish(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry"), TimeMS: 10})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press"), TimeMS: 20})
@@ -163,8 +163,8 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// A controller that replays the log, and one that restores a snapshot taken anywhere and replays the rest, must have the same
-// state and give the same replies; versions only rise.
+// A controller that replays the log, and one that restores a snapshot taken anywhere and replays the rest, must have
+// the same state and give the same replies; versions only rise.
 func TestFSMIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []*raft.Log
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,7 +6,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// report is what this controller reports to another one; server is the raft server ID whose recorded start is asked for.
+// report is what this controller reports to another one; server is the raft server ID whose recorded start is asked
+// for.
 func (c *Controller) report(server string) memberReport {
 	part, view := c.participation.Load(), c.views.load()
 	r := memberReport{
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -29,8 +29,8 @@
 	return v.state.Services[service].ConfigVersion
 }
 
-// equalForNodes says whether another view has the same updates. The start of a controller, for one, changes the state but
-// no update: nodes would be woken for nothing.
+// equalForNodes reports whether another view has the same updates. The start of a controller, for one, changes the
+// state but no update: nodes would be woken for nothing.
 func (v *view) equalForNodes(other *view) bool {
 	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.current == other.current &&
 		len(v.state.Replaces) == len(other.state.Replaces)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A node's watch gets an update for each version, with a configuration only if its service's has changed, and heartbeats in
-// between. Its acknowledgement shows in the status.
+// A node's watch gets an update for each version, with a configuration only if its service's has changed, and
+// heartbeats in between. Its acknowledgement shows in the status.
 func TestWatchFollowsVersions(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
@@ -103,8 +103,8 @@
 	}
 }
 
-// A node reconnects with a version in force. It is sent the configuration only if that changed since, or if the version is
-// of another cluster: after a restart of a controller, all nodes reconnect.
+// A node reconnects with a version in force. It is sent the configuration only if that changed since, or if the version
+// is of another cluster: after a restart of a controller, all nodes reconnect.
 func TestWatchSendsConfigOnlyIfItChanged(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
