--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// The tokens of the balancer's timers of a request are one of these, a colon and the request's ID.
+// The token of a balancer's timer for a request is one of these, a colon and the request's ID.
 const (
-	requestTimer        = "r" // of a queued request
-	faultInjectionTimer = "d" // of a request that a fault injection delays
+	queueTimer = "r" // of a queued request
+	delayTimer = "d" // of a request that a fault injection delays
 )
 
 // subject is the request that an action is about; of one that is about none, its timer or its kind.
@@ -43,7 +43,7 @@
 		}
 		return a.ID
 	}
-	if timer, id, ok := strings.Cut(a.Name, ":"); ok && (timer == requestTimer || timer == faultInjectionTimer) {
+	if timer, id, ok := strings.Cut(a.Name, ":"); ok && (timer == queueTimer || timer == delayTimer) {
 		return id
 	}
 	return a.Name
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -104,8 +104,8 @@
 // The loop goes on until Stop.
 func (e *Engine) BeginShutdown() { close(e.shutdown) }
 
-// DumpCapture has the records that the capture holds in memory written to its log, if there is a capture. It doesn't
-// block; a request while another one waits is merged with it.
+// DumpCapture has the records that the capture holds in memory written to standard error. It must not be called without a
+// capture. It doesn't block; a request while another one waits is merged with it.
 func (e *Engine) DumpCapture() {
 	select {
 	case e.dumps <- struct{}{}:
--- /dev/null
+++ b/internal/goldentest/bytes_test.go
@@ -0,0 +1,28 @@
+package goldentest
+
+import (
+	"path/filepath"
+	"testing"
+)
+
+// failures counts the errors of a check that has to fail.
+type failures struct {
+	testing.TB
+	count int
+}
+
+func (f *failures) Helper()               {}
+func (f *failures) Errorf(string, ...any) { f.count++ }
+
+// A form that differs in one byte, or ends early, is noticed.
+func TestCompareBytes(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "golden")
+	Write(t, path, []byte("abc"))
+	for got, want := range map[string]int{"abc": 0, "abd": 1, "ab": 1, "": 1} {
+		f := &failures{TB: t}
+		CompareBytes(f, path, []byte(got))
+		if f.count != want {
+			t.Errorf("%q beside a golden file with abc: %d errors, want %d", got, f.count, want)
+		}
+	}
+}
