--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -19,7 +19,7 @@
 type adminService struct{ node *Node }
 
 // CheckReady returns why the process does not take clients, or nil. A process that is out of service takes whoever comes
-// all the same: that it is out of service is for the platform's front to know, from /ready.
+// all the same: that it is out of service is for the load balancer in front of the nodes to know, from /ready.
 func (s adminService) CheckReady() error {
 	if !s.node.peer.isSynced() {
 		return errNotSynced
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/internal/metrics"
+	"hookwalk.example/hookwalk/internal/requesthead"
 )
 
 // clientConn is a connection from a client. Its states are those of clientListener.
@@ -29,7 +30,7 @@
 
 	// Used by the reading goroutine only; readAhead has a lock of its own.
 	acceptedAt time.Time
-	head       requestHeadReader
+	head       *requesthead.Reader // reads from readAhead
 	readAhead  *readAheadBuffer
 }
 
@@ -37,9 +38,9 @@
 // head, and a connection closed in between would lose a request that was begun.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.readAhead.stopReader()
-	n, err := c.head.read(c.readAhead.Read, b)
+	n, err := c.head.Read(b)
 	for n == 0 && len(b) == 1 && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.outlivesDeadline() {
-		n, err = c.head.read(c.readAhead.Read, b)
+		n, err = c.head.Read(b)
 	}
 	if n > 0 && !c.listener.markActive(c) {
 		return 0, io.EOF
@@ -92,6 +93,12 @@
 	c.tags = tags
 }
 
+// newClientConn wraps a connection that was just accepted.
+func newClientConn(nc net.Conn, listener *clientListener) *clientConn {
+	readAhead := newReadAheadBuffer(nc)
+	return &clientConn{Conn: nc, listener: listener, acceptedAt: time.Now(), readAhead: readAhead, head: requesthead.NewReader(readAhead)}
+}
+
 // connKey is the context key of the connection that a request came on.
 type connKey struct{}
 
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -82,7 +82,7 @@
 	if l.access != nil {
 		nc = l.access.identify(nc)
 	}
-	c := &clientConn{Conn: nc, listener: l, acceptedAt: time.Now(), readAhead: newReadAheadBuffer(nc)}
+	c := newClientConn(nc, l)
 	l.metrics.Add(c.tags, metrics.OpenConnections, 1)
 	l.markIdle(c)
 	return c, nil
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -155,7 +155,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				in := newClientListener(nil, 1, nil)
 				conn := &crossingConn{}
-				c := &clientConn{Conn: conn, listener: in, readAhead: newReadAheadBuffer(conn)}
+				c := newClientConn(conn, in)
+				c.acceptedAt = time.Time{} // long ago: net/http closes only such a connection in its shutdown
 				read := make(chan error, 1)
 				conn.close = func() {
 					_, err := c.Read(make([]byte, 1))
--- a/internal/node/ingress_test.go
+++ b/internal/node/ingress_test.go
@@ -105,6 +105,8 @@
 	for name, text := range map[string]string{
 		"both":               request("1", "1.1", both) + "0\r\n\r\n" + inner,
 		"both, 1.0":          request("2", "1.0", "Connection: keep-alive\r\n"+both) + "0\r\n\r\n" + inner,
+		"coding, 1.0":        request("2", "1.0", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
+		"coding, 0.1":        request("2", "0.1", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
 		"both, other way":    request("3", "1.1", "Transfer-Encoding: chunked\r\nContent-Length: 0") + "0\r\n\r\n" + inner,
 		"both, spaced":       request("3", "1.1", "Transfer-Encoding:  chunked\r\ncontent-LENGTH:\t 5 ") + "0\r\n\r\n" + inner,
 		"bare LF":            strings.Replace(request("3", "1.1", "Content-Length: 0"), "h\r\n", "h\n", 1) + inner,
@@ -215,7 +217,7 @@
 	})
 }
 
-// Told to stop, a node accepts what still comes while the platform's front notices, answers what is open and ends without
+// Told to stop, a node accepts what still comes while the load balancer in front of it notices, answers what is open and ends without
 // an error. A listener closed at once would reset connections of clients.
 func TestShutdownLosesNothing(t *testing.T) {
 	release := make(chan struct{})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,7 +7,7 @@
 //   - initiallist.go: the endpoint list that the node begins with
 //   - config.go, configcompat.go, override.go, reload.go, classtable.go: the configuration, and its changes while it runs
 //   - ingress.go, request.go, headers.go, response.go, requestmetrics.go: requests from clients and their responses
-//   - clientlistener.go, clientconn.go, accesscontrol.go, requesthead.go, readahead.go: client connections
+//   - clientlistener.go, clientconn.go, accesscontrol.go, readahead.go: client connections
 //   - requestbody.go, responsestream.go: bodies that are too large to be buffered
 //   - connpool.go, upstreamconn.go, attempt.go: connections to servers and attempts on them
 //   - admin.go: operators' calls
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -70,15 +70,15 @@
 	return rule, validateMethod(r, rule.effect)
 }
 
-// validateFraming checks that it is certain where the request ends. See requestHeadReader.
+// validateFraming checks that it is certain where the request ends. See package requesthead.
 func validateFraming(r *http.Request) *requestError {
 	if !r.ProtoAtLeast(1, 1) { // net/http ignores a Transfer-Encoding there
 		return &requestError{http.StatusHTTPVersionNotSupported, "the version is HTTP/1.1"}
 	}
 	// With two lengths net/http believes one, and what a client wrote as the end of its body would run as a request of
 	// its own.
-	if c := connOf(r); c != nil && c.head.complete.fault != "" {
-		return badRequest("%s", c.head.complete.fault)
+	if c := connOf(r); c != nil && c.head.Findings().Fault != "" {
+		return badRequest("%s", c.head.Findings().Fault)
 	}
 	if r.ContentLength > maxStreamedBody {
 		return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxStreamedBody)}
--- a/internal/node/requestbody.go
+++ b/internal/node/requestbody.go
@@ -76,7 +76,7 @@
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
 	p := &bodyReader{body: r.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline, timeLeft: bodyTimeAllowance}
-	if c := connOf(r); c != nil && c.head.headCount <= 1 {
+	if c := connOf(r); c != nil && c.head.Count() <= 1 {
 		p.timeLeft = min(p.timeLeft, time.Until(c.acceptedAt.Add(firstBodyDeadline)))
 	}
 	return p
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -17,8 +17,8 @@
 	"hookwalk.example/hookwalk/internal/metrics"
 )
 
-// Run serves until ctx ends, then shuts down: it accepts what still comes while the platform's front notices, answers
-// what is open and returns nil. Any error is why it could not begin, or not go on.
+// Run serves until ctx ends, then shuts down: it accepts what still comes while the load balancer in front of it
+// notices, answers what is open and returns nil. Any error is why it could not begin, or not go on.
 func (n *Node) Run(ctx context.Context) error {
 	clientListener, err := n.listen(ctx)
 	if err != nil {
--- a/internal/proxyproto/proxyproto.go
+++ b/internal/proxyproto/proxyproto.go
@@ -19,8 +19,8 @@
 
 // What a header begins with. Neither can begin an HTTP request.
 const (
-	signatureV1 = "PROXY "
-	signatureV2 = "\r\n\r\n\x00\r\nQUIT\n"
+	signatureV1 = "PROXY "                 // of version 1, a line of text
+	signatureV2 = "\r\n\r\n\x00\r\nQUIT\n" // of version 2, which is binary
 )
 
 // Sizes in bytes. They bound what a peer can make the node read before it is known whose connection it is.
@@ -49,8 +49,8 @@
 // Values of the address family and protocol in a header of version 2.
 const (
 	familyUnspecified = 0x00 // the header names no client
-	familyTCPv4       = 0x11
-	familyTCPv6       = 0x21
+	familyTCPv4       = 0x11 // TCP over IPv4
+	familyTCPv6       = 0x21 // TCP over IPv6
 )
 
 // fieldsV1 is how many words a header of version 1 with addresses has: PROXY, family, two addresses, two ports.
--- a/internal/node/requesthead_test.go
+++ b/internal/requesthead/requesthead_test.go
@@ -1,4 +1,4 @@
-package node
+package requesthead
 
 import (
 	"bufio"
@@ -10,10 +10,10 @@
 	"testing/iotest"
 )
 
-// readInPieces returns a reading function that gives a text in pieces of n bytes at most.
-func readInPieces(text string, n int) func([]byte) (int, error) {
+// readInPieces returns a reader that gives a text in pieces of n bytes at most.
+func readInPieces(text string, n int) io.Reader {
 	r := strings.NewReader(text)
-	return func(b []byte) (int, error) { return r.Read(b[:min(n, len(b))]) }
+	return readFunc(func(b []byte) (int, error) { return r.Read(b[:min(n, len(b))]) })
 }
 
 // A read never goes beyond the request that it began in, however the bytes are cut, and nothing of them is lost.
@@ -22,23 +22,23 @@
 	b := "GET /b HTTP/1.1\r\nHost: h\r\n\r\n"
 	c := "POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for n := 1; n < len(a)+len(b)+len(c); n++ {
-		h, from := &requestHeadReader{}, readInPieces(a+"\r\n"+b+b+c, n)
+		h := NewReader(readInPieces(a+"\r\n"+b+b+c, n))
 		for _, want := range []string{a, b, b, c} {
 			var one []byte
 			for len(one) < len(want) {
 				buf := make([]byte, 4096)
-				k, err := h.read(from, buf)
+				k, err := h.Read(buf)
 				if err != nil {
 					t.Fatalf("pieces of %d: %v after %q", n, err, one)
 				}
 				one = append(one, buf[:k]...)
 			}
-			if string(one) != want || h.complete.fault != "" {
-				t.Fatalf("pieces of %d: read %q, want %q; fault %q", n, one, want, h.complete.fault)
+			if string(one) != want || h.Findings().Fault != "" {
+				t.Fatalf("pieces of %d: read %q, want %q; fault %q", n, one, want, h.Findings().Fault)
 			}
 		}
-		if h.headCount != 4 || !h.complete.transferEncoding {
-			t.Fatalf("pieces of %d: %d heads, %+v", n, h.headCount, h.complete)
+		if h.Count() != 4 || !h.Findings().TransferEncoding {
+			t.Fatalf("pieces of %d: %d heads, %+v", n, h.Count(), h.Findings())
 		}
 	}
 }
@@ -54,26 +54,22 @@
 		f.Add(s, 3)
 	}
 	f.Fuzz(func(t *testing.T, text string, n int) {
-		h := &requestHeadReader{}
-		from := readInPieces(text, max(n, 1))
 		var got bytes.Buffer
-		r := readFunc(func(b []byte) (int, error) { return h.read(from, b) })
-		if _, err := io.Copy(&got, r); err != nil {
+		if _, err := io.Copy(&got, NewReader(readInPieces(text, max(n, 1)))); err != nil {
 			t.Fatal(err)
 		}
 		left := strings.NewReplacer("\r", "", "\n", "")
 		if left.Replace(got.String()) != left.Replace(text) {
 			t.Fatalf("read %q of %q", got.String(), text)
 		}
-		first := &requestHeadReader{}
-		in := readInPieces(text, 1)
-		br := bufio.NewReaderSize(iotest.OneByteReader(readFunc(func(b []byte) (int, error) { return first.read(in, b) })), 16)
+		first := NewReader(readInPieces(text, 1))
+		br := bufio.NewReaderSize(iotest.OneByteReader(first), 16)
 		req, err := http.ReadRequest(br)
-		if err != nil || first.headCount != 1 || first.complete.fault != "" {
+		if err != nil || first.Count() != 1 || first.Findings().Fault != "" {
 			return
 		}
-		if req.ContentLength > 0 && req.ContentLength != first.complete.contentLength || (req.ContentLength < 0) != first.complete.transferEncoding {
-			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, first.complete)
+		if req.ContentLength > 0 && req.ContentLength != first.Findings().ContentLength || (req.ContentLength < 0) != first.Findings().TransferEncoding {
+			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, first.Findings())
 		}
 	})
 }
