--- a/internal/node/accesscontrol.go
+++ b/internal/node/accesscontrol.go
@@ -65,7 +65,7 @@
 
 // RemoteAddr is the client's address. The HTTP server asks for it first of all, in the connection's goroutine.
 func (c *identifiedConn) RemoteAddr() net.Addr {
-	c.resolve()
+	c.resolveClient()
 	if c.clientAddr == c.peerAddr || !c.clientAddr.IsValid() {
 		return c.Conn.RemoteAddr()
 	}
@@ -74,7 +74,7 @@
 
 // resolve finds the client's address, once. On a connection from a trusted proxy it waits for the PROXY header, for no
 // longer than the proxy header timeout.
-func (c *identifiedConn) resolve() {
+func (c *identifiedConn) resolveClient() {
 	c.once.Do(func() {
 		c.clientAddr = c.peerAddr
 		if !c.fromProxy {
@@ -102,7 +102,7 @@
 }
 
 func (c *identifiedConn) Read(b []byte) (int, error) {
-	c.resolve()
+	c.resolveClient()
 	if c.closeErr != nil {
 		return 0, c.closeErr
 	}
@@ -159,7 +159,7 @@
 // clientAddr is the address that the access list judges; without an access list it is unknown.
 func (c *clientConn) clientAddr() netip.Addr {
 	if identified, ok := c.Conn.(*identifiedConn); ok {
-		identified.resolve()
+		identified.resolveClient()
 		return identified.clientAddr
 	}
 	return netip.Addr{}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -21,7 +21,7 @@
 // CheckReady returns why the process does not take clients, or nil. A process that is out of service takes whoever comes
 // all the same: that it is out of service is for the load balancer in front of the nodes to know, from /ready.
 func (s adminService) CheckReady() error {
-	if !s.node.peer.isSynced() {
+	if !s.node.peerProcess.isSynced() {
 		return errNotSynced
 	}
 	switch machine := s.node.lifecycle.Load(); {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -163,7 +163,7 @@
 		if response.stream != nil {
 			close(response.stream.released)
 		}
-		if outcome := outcomeOf(response.head); outcome == balancer.Overloaded {
+		if outcome := responseOutcome(response.head); outcome == balancer.Overloaded {
 			return outcome
 		}
 	}
@@ -179,7 +179,7 @@
 	case response.err != nil:
 		return a.failed(balancer.ConnectionLost, response.err)
 	}
-	result := engine.Result{Attempt: a.att, Outcome: outcomeOf(response.head), Reply: response}
+	result := engine.Result{Attempt: a.att, Outcome: responseOutcome(response.head), Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
 		result.Latency = max(a.pool.clock.Now()-began, 1)
 	}
@@ -218,7 +218,7 @@
 
 // outcomeOf returns the outcome that a response means. A 503 or 504 without the mark of a rejection may come from a
 // request that ran.
-func outcomeOf(head *http.Response) balancer.Outcome {
+func responseOutcome(head *http.Response) balancer.Outcome {
 	unavailable := head.StatusCode == http.StatusServiceUnavailable || head.StatusCode == http.StatusGatewayTimeout
 	switch {
 	case head.StatusCode == http.StatusOK:
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -89,11 +89,7 @@
 
 // Start runs an attempt in a goroutine of its own, which ends with the attempt's result.
 func (p *connPool) Start(att *engine.Attempt) {
-	p.goroutines.Add(1)
-	go func() {
-		defer p.goroutines.Done()
-		p.attemptEnded(p.runAttempt(att))
-	}()
+	p.goroutines.Go(func() { p.attemptEnded(p.runAttempt(att)) })
 }
 
 // Retire closes the idle connections to a server that gets nothing new.
@@ -177,11 +173,7 @@
 	c.reader = bufio.NewReaderSize(c, upstreamReadBuffer)
 	p.conns[c] = true
 	nc.SetDeadline(deadline)
-	p.goroutines.Add(1)
-	go func() {
-		defer p.goroutines.Done()
-		c.readLoop()
-	}()
+	p.goroutines.Go(c.readLoop)
 	return c
 }
 
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -46,10 +46,10 @@
 }
 
 // takeOver takes over from another process of the node and returns its listener, or nil if there is no such process or it
-// hands nothing over. Then at least the operator state restored from disk.
+// hands nothing over. Then at least the operators' state is restored from disk.
 func (n *Node) takeOver() net.Listener {
 	path, err := hotrestart.SocketPath(os.TempDir(), n.cfg.Name, n.cfg.Listen)
-	n.peer.store = hotrestart.NewStore(path, n.cfg.Name, n.cfg.Listen, func() {
+	n.peerProcess.store = hotrestart.NewStore(path, n.cfg.Name, n.cfg.Listen, func() {
 		n.log.Warn("another process of the node holds the lock of the operator state")
 	})
 	if err != nil {
@@ -57,7 +57,7 @@
 		n.restoreOperatorState()
 		return nil
 	}
-	n.peer.socketPath = path
+	n.peerProcess.socketPath = path
 	handover, ln, conn, err := hotrestart.TakeOver(path, n.cfg.Name, n.cfg.Listen)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
@@ -67,23 +67,23 @@
 		return nil
 	}
 	n.applyHandover(handover)
-	n.peer.conn, n.peer.synced = conn, make(chan struct{})
+	n.peerProcess.conn, n.peerProcess.synced = conn, make(chan struct{})
 	n.pool.shareWithPeer(true)
-	n.log.Info("took over", "servers", len(handover.Endpoints), "out", handover.DisabledServers, "drained", handover.OutOfService)
+	n.log.Info("took over", "servers", len(handover.Endpoints), "disabled", handover.DisabledServers, "out_of_service", handover.OutOfService)
 	return ln
 }
 
 // restoreOperatorState restores from disk which servers operators have disabled, and whether the node is out of service.
 func (n *Node) restoreOperatorState() {
-	saved, snapshot := n.peer.store.Read()
+	saved, snapshot := n.peerProcess.store.Read()
 	for _, err := range snapshot.Errors {
 		n.log.Warn("a file with operator state can't be used", "err", err)
 	}
 	if snapshot.Body == nil {
 		return
 	}
-	n.log.Info("operator state restored from disk", "servers", len(saved.DisabledServers), "drained", saved.OutOfService,
-		"age", formatAge(snapshot.Age), "before", snapshot.Previous)
+	n.log.Info("operator state restored from disk", "disabled", len(saved.DisabledServers), "out_of_service", saved.OutOfService,
+		"age", formatAge(snapshot.Age), "previous_file", snapshot.Previous)
 	n.engine.Balancer.RestoreDisabled(saved.DisabledServers)
 	if saved.OutOfService {
 		n.transition(lifecycle.OutOfService)
@@ -139,9 +139,9 @@
 	if err != nil {
 		return err
 	}
-	n.peer.mu.Lock()
-	defer n.peer.mu.Unlock()
-	if n.peer.closed {
+	n.peerProcess.mu.Lock()
+	defer n.peerProcess.mu.Unlock()
+	if n.peerProcess.closed {
 		return hotrestart.ErrPeerGone
 	}
 	handover := hotrestart.HandoverState{Node: n.cfg.Name, Listen: n.cfg.Listen, Settings: settings,
@@ -155,7 +155,7 @@
 	if err := conn.HandOver(handover, tcp); err != nil {
 		return err
 	}
-	n.peer.replace(conn)
+	n.peerProcess.replace(conn)
 	n.pool.shareWithPeer(true)
 	n.log.Info("handed over")
 	return nil
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -120,12 +120,12 @@
 
 // finishBody ends the reading of a streamed body and reports whether the body is to blame that the request has no
 // answer. answerErr is what the engine gave in place of one.
-func (c *clientRequest) finishBody(w http.ResponseWriter, answerErr error) (failed bool) {
+func (req *clientRequest) finishBody(w http.ResponseWriter, answerErr error) (failed bool) {
 	complete, broken := true, false
-	if c.remaining != nil {
-		complete, broken = c.remaining.close()
+	if req.remaining != nil {
+		complete, broken = req.remaining.close()
 	}
-	if c.contentLength < 0 || !complete {
+	if req.contentLength < 0 || !complete {
 		endConnection(w) // where the body ends is not known here, or there is more of it
 	}
 	// net/http reports a body that stalls as a client that has gone, at times before the reader does.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,16 +59,16 @@
 	accessList     *balancer.AccessList // nil: every client is admitted
 	stderr         io.Writer            // takes metrics and captures
 	maxClientConns int                  // at once
-	clients        *clientListener      // set by serve
+	clientListener *clientListener      // set by serve
 
 	lifecycle          atomic.Pointer[lifecycle.Machine] // replaced by transition only
 	maxCountedDeadline time.Duration                     // as the constant; less in tests
 	idleClosers        sync.WaitGroup                    // goroutines of closeIdleConnections
 	stopped            chan struct{}                     // closed when clients are no longer served
 
-	hasEndpointList    atomic.Bool // discovery has spoken, or had its time
+	hasEndpointList    atomic.Bool // from discovery or the process before, or discovery had its time
 	initialList        initialList
-	peer               peerProcess
+	peerProcess        peerProcess
 	inheritedEndpoints []engine.Endpoint // handed over by the process before; nil: none
 
 	// PeersView returns what this node knows of its peers, for operators; nil: nothing. To be set before Run.
@@ -123,8 +123,8 @@
 	return reservedDescriptors + adminapi.MaxConnections + 1 // and the admin listener
 }
 
-// DumpCapture has what the capture holds in memory written to standard error, if capturing is on. While one such wish
-// waits, further ones are dropped.
+// DumpCapture has what the capture holds in memory written to standard error, if capturing is on. Calls while one
+// waits to be carried out are dropped.
 func (n *Node) DumpCapture() { n.engine.DumpCapture() }
 
 // ready reports whether clients are to be sent here: the node knows a usable server, from discovery itself if that
--- a/internal/node/peerprocess.go
+++ b/internal/node/peerprocess.go
@@ -81,30 +81,30 @@
 
 // successorServing reports whether another process of the node takes the clients that come from now on.
 func (n *Node) successorServing() bool {
-	n.peer.mu.Lock()
-	defer n.peer.mu.Unlock()
-	return n.peer.isSuccessor && n.peer.serving
+	n.peerProcess.mu.Lock()
+	defer n.peerProcess.mu.Unlock()
+	return n.peerProcess.isSuccessor && n.peerProcess.serving
 }
 
 // connectPeers receives from the process that this one took over from, and lets others take over from this one, until
 // the function that it returns is called. start starts goroutines that serve waits for.
 func (n *Node) connectPeers(ln net.Listener, start func(func())) (disconnect func()) {
-	if n.peer.socketPath == "" {
+	if n.peerProcess.socketPath == "" {
 		return func() {}
 	}
-	if conn := n.peer.conn; conn != nil {
+	if conn := n.peerProcess.conn; conn != nil {
 		start(func() { n.receiveFromPeer(conn) })
 		start(func() { n.announceServing(conn) })
 	}
-	listener, err := hotrestart.Listen(n.peer.socketPath)
+	listener, err := hotrestart.Listen(n.peerProcess.socketPath)
 	if err != nil {
 		n.log.Warn("no process can take over from this one", "err", err)
-		return n.peer.close
+		return n.peerProcess.close
 	}
 	start(func() { n.acceptSuccessors(listener, ln, start) })
 	return func() {
 		listener.Close()
-		n.peer.close()
+		n.peerProcess.close()
 	}
 }
 
@@ -114,7 +114,7 @@
 	if conn.Send(hotrestart.Message{Serving: true}, servingAckTimeout) != nil {
 		n.log.Warn("the process before this one has gone")
 	}
-	close(n.peer.synced)
+	close(n.peerProcess.synced)
 }
 
 // acceptSuccessors hands over to each process that asks, until the listener is closed.
@@ -138,19 +138,19 @@
 	conn.Run(func(message hotrestart.Message) {
 		switch {
 		case message.Serving:
-			n.peer.markServing(conn)
+			n.peerProcess.markServing(conn)
 		case message.OutOfService != nil:
 			n.setInService(!*message.OutOfService)
 		case message.Server != "":
 			if err := n.engine.SetServerDisabled(context.Background(), message.Server, message.Disabled); err != nil {
-				n.log.Warn("an override from the other process is not applied", "server", message.Server, "out", message.Disabled, "err", err)
+				n.log.Warn("an override from the other process is not applied", "server", message.Server, "disabled", message.Disabled, "err", err)
 			}
 		}
 	})
-	n.peer.mu.Lock()
-	defer n.peer.mu.Unlock()
-	if n.peer.conn == conn {
-		n.peer.conn, n.peer.serving = nil, false
+	n.peerProcess.mu.Lock()
+	defer n.peerProcess.mu.Unlock()
+	if n.peerProcess.conn == conn {
+		n.peerProcess.conn, n.peerProcess.serving = nil, false
 		n.pool.shareWithPeer(false)
 	}
 }
@@ -158,15 +158,15 @@
 // replicate sends what an operator did to the other process, if there is one, and saves it on disk. Neither failure undoes
 // it here: the operator reads it in the log.
 func (n *Node) replicate(ctx context.Context, message hotrestart.Message) {
-	if n.peer.store == nil {
+	if n.peerProcess.store == nil {
 		return
 	}
-	if conn := n.peer.current(); conn != nil {
+	if conn := n.peerProcess.current(); conn != nil {
 		if err := conn.Send(message, peerAckTimeout); err != nil {
-			n.log.Warn("the other process was not told", "err", err)
+			n.log.Warn("an operator's call did not reach the other process", "err", err)
 		}
 	}
-	err := n.peer.store.Save(ctx, func() (hotrestart.OperatorState, error) {
+	err := n.peerProcess.store.Save(ctx, func() (hotrestart.OperatorState, error) {
 		_, _, disabled, err := n.engine.SuccessorState(ctx, func() {})
 		return hotrestart.OperatorState{DisabledServers: disabled, OutOfService: n.lifecycle.Load().IsOutOfService()}, err
 	})
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -62,183 +62,183 @@
 }
 
 func newReadAheadBuffer(nc net.Conn) *readAheadBuffer {
-	l := &readAheadBuffer{conn: nc, clientGone: func() {}}
+	a := &readAheadBuffer{conn: nc, clientGone: func() {}}
 	if identified, ok := nc.(*identifiedConn); ok {
 		nc = identified.Conn
 	}
 	if s, ok := nc.(syscall.Conn); ok {
-		l.raw, _ = s.SyscallConn()
+		a.raw, _ = s.SyscallConn()
 	}
-	l.peekSocket = l.readSocketOnce
-	return l
+	a.peekSocket = a.readSocketOnce
+	return a
 }
 
 // readSocketOnce reads what the socket has, without waiting. It always reports true: the read is not to be repeated.
-func (l *readAheadBuffer) readSocketOnce(fd uintptr) bool {
-	n, err := syscall.Read(int(fd), l.scratch[:])
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (a *readAheadBuffer) readSocketOnce(fd uintptr) bool {
+	n, err := syscall.Read(int(fd), a.scratch[:])
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
 	case n > 0:
-		l.buf = append(l.buf, l.scratch[:n]...)
+		a.buf = append(a.buf, a.scratch[:n]...)
 	case err == nil:
-		l.err = io.EOF
+		a.err = io.EOF
 	case err == syscall.EAGAIN:
-		l.drained = true
+		a.drained = true
 	case err != syscall.EINTR:
-		l.err = err
+		a.err = err
 	}
 	return true
 }
 
 // Read reads for the server: first what was read ahead, then from the connection.
-func (l *readAheadBuffer) Read(b []byte) (n int, err error) {
-	l.mu.Lock()
-	if n = copy(b, l.buf); n > 0 {
-		l.buf = l.buf[n:]
-	} else if l.err != nil {
-		err = l.err
-	}
-	more := len(l.buf) == 0 && l.err == nil
-	l.drained = false
-	l.mu.Unlock()
+func (a *readAheadBuffer) Read(b []byte) (n int, err error) {
+	a.mu.Lock()
+	if n = copy(b, a.buf); n > 0 {
+		a.buf = a.buf[n:]
+	} else if a.err != nil {
+		err = a.err
+	}
+	more := len(a.buf) == 0 && a.err == nil
+	a.drained = false
+	a.mu.Unlock()
 	if n == 0 && err == nil {
-		n, err = l.conn.Read(b)
+		n, err = a.conn.Read(b)
 		more = n < len(b) && err == nil
 	}
 	if more && len(b) > 1 {
-		l.peek()
+		a.peek()
 	}
 	return n, err
 }
 
 // peek looks, without waiting, whether more data or the end of the connection has come. A connection that lay unread
 // for a while may have both.
-func (l *readAheadBuffer) peek() {
-	if l.raw == nil {
+func (a *readAheadBuffer) peek() {
+	if a.raw == nil {
 		return
 	}
-	if identified, ok := l.conn.(*identifiedConn); ok && identified.buffered != nil {
+	if identified, ok := a.conn.(*identifiedConn); ok && identified.buffered != nil {
 		return // what it has buffered comes first
 	}
-	l.raw.Read(l.peekSocket)
+	a.raw.Read(a.peekSocket)
 }
 
 // serverReadByte notes that net/http holds a byte of what comes behind the open request.
-func (l *readAheadBuffer) serverReadByte() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.serverHasByte = true
-	l.startReader()
+func (a *readAheadBuffer) serverReadByte() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.serverHasByte = true
+	a.startReader()
 }
 
 // beginRequest notes that a request is open of which everything has been read, and reports whether its client has
 // already gone.
-func (l *readAheadBuffer) beginRequest() (gone bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.requestOpen = true
-	l.startReader()
-	return l.err != nil || !l.drained && l.peerClosed() // the end may lie behind more than was looked at
+func (a *readAheadBuffer) beginRequest() (gone bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.requestOpen = true
+	a.startReader()
+	return a.err != nil || !a.drained && a.peerClosed() // the end may lie behind more than was looked at
 }
 
 // endRequest notes that the request is answered, and reports whether the connection has to end with the response
 // because bytes behind the request were dropped.
-func (l *readAheadBuffer) endRequest() (last bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.requestOpen = false
-	return l.discarded > 0
+func (a *readAheadBuffer) endRequest() (last bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.requestOpen = false
+	return a.discarded > 0
 }
 
-// startReader starts the goroutine that reads on, if a request is open and nobody else reads. The caller holds l.mu.
+// startReader starts the goroutine that reads on, if a request is open and nobody else reads. The caller holds a.mu.
 // The goroutine ends by stopReader, by the end of the connection, or when it has dropped maxDiscardedReadAhead bytes.
-func (l *readAheadBuffer) startReader() {
-	if l.requestOpen && l.serverHasByte && l.readerDone == nil && l.err == nil {
-		l.readerDone = make(chan struct{})
-		go l.readOn(l.readerDone)
+func (a *readAheadBuffer) startReader() {
+	if a.requestOpen && a.serverHasByte && a.readerDone == nil && a.err == nil {
+		a.readerDone = make(chan struct{})
+		go a.readOn(a.readerDone)
 	}
 }
 
-func (l *readAheadBuffer) readOn(done chan struct{}) {
+func (a *readAheadBuffer) readOn(done chan struct{}) {
 	defer close(done)
 	b := make([]byte, readAheadChunk)
 	for {
-		n, err := l.conn.Read(b)
-		if l.store(b[:n], err) {
+		n, err := a.conn.Read(b)
+		if a.store(b[:n], err) {
 			return
 		}
 	}
 }
 
 // store takes what one read of the goroutine gave, and reports whether it has to stop reading.
-func (l *readAheadBuffer) store(b []byte, err error) (stop bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.buf)+len(b) <= maxReadAhead && l.discarded == 0 {
-		l.buf = append(l.buf, b...)
+func (a *readAheadBuffer) store(b []byte, err error) (stop bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.buf)+len(b) <= maxReadAhead && a.discarded == 0 {
+		a.buf = append(a.buf, b...)
 	} else {
-		l.discarded += len(b)
+		a.discarded += len(b)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		l.err = err
-		l.clientGone()
+		a.err = err
+		a.clientGone()
 	}
-	return err != nil || l.stopping || l.discarded > maxDiscardedReadAhead
+	return err != nil || a.stopping || a.discarded > maxDiscardedReadAhead
 }
 
 // stopReader ends the goroutine that reads on, if there is one, and leaves the connection to the server.
-func (l *readAheadBuffer) stopReader() {
-	l.mu.Lock()
-	l.serverHasByte = false
-	done := l.readerDone
+func (a *readAheadBuffer) stopReader() {
+	a.mu.Lock()
+	a.serverHasByte = false
+	done := a.readerDone
 	if done != nil {
-		l.stopping = true
-		l.conn.SetReadDeadline(time.Unix(pastDeadlineUnix, 0))
+		a.stopping = true
+		a.conn.SetReadDeadline(time.Unix(pastDeadlineUnix, 0))
 	}
-	l.mu.Unlock()
+	a.mu.Unlock()
 	if done == nil {
 		return
 	}
 	<-done
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.readerDone, l.stopping = nil, false
-	l.conn.SetReadDeadline(l.deadline)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.readerDone, a.stopping = nil, false
+	a.conn.SetReadDeadline(a.deadline)
 }
 
 // setReadDeadline sets the server's deadline. While the goroutine reads on it is only noted: it is not meant for that.
-func (l *readAheadBuffer) setReadDeadline(t time.Time) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.deadline = t
-	if l.readerDone != nil {
+func (a *readAheadBuffer) setReadDeadline(t time.Time) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.deadline = t
+	if a.readerDone != nil {
 		return nil
 	}
-	return l.conn.SetReadDeadline(t)
+	return a.conn.SetReadDeadline(t)
 }
 
 // outlivesDeadline reports whether net/http's background read goes on past the deadline that it met, and clears that
 // deadline. The deadline may be that of the request body, which is over: taken for the client's leaving it would cancel
 // a request whose client waits, and who would send it again while it runs. A deadline at pastDeadlineUnix is net/http's
 // own, by which it ends the read.
-func (l *readAheadBuffer) outlivesDeadline() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.deadline.IsZero() && l.deadline.Unix() <= pastDeadlineUnix {
+func (a *readAheadBuffer) outlivesDeadline() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.deadline.IsZero() && a.deadline.Unix() <= pastDeadlineUnix {
 		return false
 	}
-	l.deadline = time.Time{}
-	return l.conn.SetReadDeadline(time.Time{}) == nil
+	a.deadline = time.Time{}
+	return a.conn.SetReadDeadline(time.Time{}) == nil
 }
 
 // peerClosed asks the kernel whether the client has closed its side, whatever is still unread. It is needed where the
 // rest of a body waits to be read: the end lies behind it. It reports false where that can't be known.
-func (l *readAheadBuffer) peerClosed() (closed bool) {
-	if l.raw == nil {
+func (a *readAheadBuffer) peerClosed() (closed bool) {
+	if a.raw == nil {
 		return false
 	}
-	l.raw.Control(func(fd uintptr) {
+	a.raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		closed = err == nil && (info.State == tcpCloseWait || info.State == tcpClose)
 	})
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -145,29 +145,29 @@
 }
 
 // readBody reads a body, or its first bufferLimit bytes if it is larger: the rest is then streamed.
-func (c *clientRequest) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int) error {
-	c.contentLength = r.ContentLength
-	if c.contentLength == 0 {
+func (req *clientRequest) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int) error {
+	req.contentLength = r.ContentLength
+	if req.contentLength == 0 {
 		return nil
 	}
 	in := newBodyReader(w, r)
 	size := int64(bufferLimit)
-	if c.contentLength > 0 {
-		size = min(size, c.contentLength)
+	if req.contentLength > 0 {
+		size = min(size, req.contentLength)
 	}
-	c.body = make([]byte, size)
-	n, err := io.ReadFull(in, c.body)
-	c.body = c.body[:n]
+	req.body = make([]byte, size)
+	n, err := io.ReadFull(in, req.body)
+	req.body = req.body[:n]
 	switch {
-	case c.contentLength > 0 && int64(n) == c.contentLength:
+	case req.contentLength > 0 && int64(n) == req.contentLength:
 		in.Read(make([]byte, 1)) // its end
 		return nil
-	case c.contentLength < 0 && in.err == io.EOF:
+	case req.contentLength < 0 && in.err == io.EOF:
 		return nil
 	case err != nil:
 		return errRequestBody
 	}
-	c.remaining = in
+	req.remaining = in
 	return nil
 }
 
--- a/internal/node/requestbody.go
+++ b/internal/node/requestbody.go
@@ -75,75 +75,75 @@
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
-	p := &bodyReader{body: r.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline, timeLeft: bodyTimeAllowance}
+	reader := &bodyReader{body: r.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline, timeLeft: bodyTimeAllowance}
 	if c := connOf(r); c != nil && c.head.Count() <= 1 {
-		p.timeLeft = min(p.timeLeft, time.Until(c.acceptedAt.Add(firstBodyDeadline)))
+		reader.timeLeft = min(reader.timeLeft, time.Until(c.acceptedAt.Add(firstBodyDeadline)))
 	}
-	return p
+	return reader
 }
 
 // Read reads the next bytes of the body. It returns io.EOF at its end, errRequestBody when it is too long or the reader
 // was closed, else the error of the connection.
-func (p *bodyReader) Read(b []byte) (int, error) {
+func (r *bodyReader) Read(b []byte) (int, error) {
 	begin := time.Now()
-	if err := p.setDeadline(begin); err != nil {
+	if err := r.setDeadline(begin); err != nil {
 		return 0, err
 	}
-	n, err := p.body.Read(b[:min(len(b), streamChunk)])
-	p.timeLeft = min(p.timeLeft+time.Duration(n)*time.Second/minBodyRate-time.Since(begin), maxBodyTimeLeft)
-	if p.bytesRead += int64(n); p.bytesRead > maxStreamedBody { // chunked: its length was not announced
+	n, err := r.body.Read(b[:min(len(b), streamChunk)])
+	r.timeLeft = min(r.timeLeft+time.Duration(n)*time.Second/minBodyRate-time.Since(begin), maxBodyTimeLeft)
+	if r.bytesRead += int64(n); r.bytesRead > maxStreamedBody { // chunked: its length was not announced
 		err = errRequestBody
 	}
 	if err != nil {
-		p.finish(err)
+		r.finish(err)
 	}
 	return n, err
 }
 
 // setDeadline sets the deadline of the next read, or returns why there is none.
-func (p *bodyReader) setDeadline(now time.Time) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (r *bodyReader) setDeadline(now time.Time) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
-	case p.err != nil:
-		return p.err
-	case p.closed:
+	case r.err != nil:
+		return r.err
+	case r.closed:
 		return errRequestBody
 	}
-	p.setReadDeadline(now.Add(p.timeLeft))
+	r.setReadDeadline(now.Add(r.timeLeft))
 	return nil
 }
 
 // finish records how the body ended.
-func (p *bodyReader) finish(err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (r *bodyReader) finish(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return
 	}
-	if p.err = err; err == io.EOF {
-		p.setReadDeadline(time.Time{}) // from here on reads only watch for the client's leaving
+	if r.err = err; err == io.EOF {
+		r.setReadDeadline(time.Time{}) // from here on reads only watch for the client's leaving
 	}
 }
 
 // close ends reading, also a read that waits. It reports whether the body came completely, and whether it broke. The
 // connection's deadline is the HTTP server's again.
-func (p *bodyReader) close() (complete, broken bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	if p.err == nil {
-		p.setReadDeadline(time.Now())
+func (r *bodyReader) close() (complete, broken bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.closed = true
+	if r.err == nil {
+		r.setReadDeadline(time.Now())
 	}
-	return p.err == io.EOF, p.err != nil && p.err != io.EOF
+	return r.err == io.EOF, r.err != nil && r.err != io.EOF
 }
 
 // incomplete reports whether the body can't be sent to its end any more: the client ended it or held it back, or the
 // request is over.
-func (p *bodyReader) incomplete() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.closed || p.err != nil && p.err != io.EOF
+func (r *bodyReader) incomplete() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.closed || r.err != nil && r.err != io.EOF
 }
 
 // remainingBody is the part of a body that is not buffered, for the one attempt that sends it.
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -20,29 +20,18 @@
 // Run serves until ctx ends, then shuts down: it accepts what still comes while the load balancer in front of it
 // notices, answers what is open and returns nil. Any error is why it could not begin, or not go on.
 func (n *Node) Run(ctx context.Context) error {
-	clientListener, err := n.listen(ctx)
+	clients, err := n.listen(ctx)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	var adminListener net.Listener
+	var admin net.Listener
 	if n.cfg.AdminAddress != "" {
-		if adminListener, err = net.Listen("tcp", n.cfg.AdminAddress); err != nil {
-			clientListener.Close()
+		if admin, err = net.Listen("tcp", n.cfg.AdminAddress); err != nil {
+			clients.Close()
 			return fmt.Errorf("control: %w", err)
 		}
 	}
-	return n.serve(ctx, clientListener, adminListener)
-}
-
-// ownedGoroutines are the goroutines that serve starts and waits for.
-type ownedGoroutines struct{ sync.WaitGroup }
-
-func (g *ownedGoroutines) start(f func()) {
-	g.Add(1)
-	go func() {
-		defer g.Done()
-		f()
-	}()
+	return n.serve(ctx, clients, admin)
 }
 
 // serve serves clients on one listener and operators on the other (nil: none), until ctx ends or serving clients fails.
@@ -51,25 +40,25 @@
 // the peer process, discovery and the connections to servers; the engine, which may still report results of attempts;
 // at last metrics and the capture, which record all that.
 func (n *Node) serve(ctx context.Context, clients, admin net.Listener) error {
-	var owned ownedGoroutines
+	var owned sync.WaitGroup // of all goroutines that serve the node
 	n.startFeatures()
-	owned.start(n.engine.Run)
+	owned.Go(n.engine.Run)
 	watching, stopWatching := context.WithCancel(context.Background())
 	stopWaiting := n.startDiscovery(watching, &owned)
 	defer stopWaiting()
 
-	n.clients = newClientListener(clients, n.maxClientConns, n.engine.Metrics)
+	n.clientListener = newClientListener(clients, n.maxClientConns, n.engine.Metrics)
 	if a := n.cfg.Features.AccessList; a != nil {
-		n.clients.access = &accessControl{accessList: n.accessList, proxyHeaderTimeout: a.ProxyTimeout, log: n.log}
+		n.clientListener.access = &accessControl{accessList: n.accessList, proxyHeaderTimeout: a.ProxyTimeout, log: n.log}
 	}
 	stopMetrics := n.startMetrics()
 	server := n.newHTTPServer()
 	serveErr := make(chan error, 1)
-	go func() { serveErr <- server.Serve(n.clients) }()
+	go func() { serveErr <- server.Serve(n.clientListener) }()
 	if machine := n.transition(lifecycle.Started); machine.IsOutOfService() {
 		n.closeIdleConnections(machine)
 	}
-	disconnectPeers := n.connectPeers(clients, owned.start)
+	disconnectPeers := n.connectPeers(clients, owned.Go)
 	stopAdmin := n.startAdmin(admin, &owned)
 	n.log.Info("serving", "name", n.cfg.Name, "listen", clients.Addr().String(), "tier", n.cfg.Settings.Tier)
 
@@ -119,7 +108,7 @@
 			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() },
 		},
 		ReadHeaderTimeout: requestHeadTimeout,
-		ConnState:         n.clients.connStateChanged,
+		ConnState:         n.clientListener.connStateChanged,
 		ConnContext:       withConn,
 		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    maxRequestHead,
@@ -153,12 +142,12 @@
 
 // startAdmin answers operators' calls on a listener (nil: there are none) until the function that it returns is called.
 // A failure there does not end the node: it serves clients on.
-func (n *Node) startAdmin(ln net.Listener, owned *ownedGoroutines) (stop func()) {
+func (n *Node) startAdmin(ln net.Listener, owned *sync.WaitGroup) (stop func()) {
 	if ln == nil {
 		return func() {}
 	}
 	server := adminapi.New(ln, adminService{n}, n.log)
-	owned.start(func() {
+	owned.Go(func() {
 		if err := server.Run(); err != nil {
 			n.log.Error("the admin API has failed", "err", err)
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -55,7 +55,7 @@
 		n.drainToSuccessor(machine)
 	}
 	time.Sleep(machine.StopsAt(n.clock.Now()))
-	n.clients.stopReadingIdle()
+	n.clientListener.stopReadingIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), n.classes.Load().maxDeadline+shutdownMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -68,9 +68,9 @@
 // to the hard deadline. Connections in use end with their next response, idle ones as late as may be: so no close but
 // the last crosses a request.
 func (n *Node) drainToSuccessor(machine lifecycle.Machine) {
-	n.clients.stopAccepting()
+	n.clientListener.stopAccepting()
 	n.closeIdleConnections(machine)
-	for n.clients.connCount() > 0 && n.clock.Now() < machine.HardDeadline() {
+	for n.clientListener.connCount() > 0 && n.clock.Now() < machine.HardDeadline() {
 		time.Sleep(clientDrainPoll)
 	}
 }
@@ -97,7 +97,7 @@
 				return
 			}
 			if minIdle, closes := machine.ClosesIdleConnections(n.clock.Now()); closes {
-				n.clients.closeIdle(minIdle)
+				n.clientListener.closeIdle(minIdle)
 			}
 		}
 	})
