--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -70,15 +70,15 @@
 	return rule, validateMethod(r, rule.effect)
 }
 
-// validateFraming checks that it is certain where the request ends. See requestHeadReader.
+// validateFraming checks that it is certain where the request ends. See package requesthead.
 func validateFraming(r *http.Request) *requestError {
 	if !r.ProtoAtLeast(1, 1) { // net/http ignores a Transfer-Encoding there
 		return &requestError{http.StatusHTTPVersionNotSupported, "the version is HTTP/1.1"}
 	}
 	// With two lengths net/http believes one, and what a client wrote as the end of its body would run as a request of
 	// its own.
-	if c := connOf(r); c != nil && c.head.complete.fault != "" {
-		return badRequest("%s", c.head.complete.fault)
+	if c := connOf(r); c != nil && c.head.Findings().Fault != "" {
+		return badRequest("%s", c.head.Findings().Fault)
 	}
 	if r.ContentLength > maxStreamedBody {
 		return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxStreamedBody)}
@@ -145,29 +145,29 @@
 }
 
 // readBody reads a body, or its first bufferLimit bytes if it is larger: the rest is then streamed.
-func (c *clientRequest) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int) error {
-	c.contentLength = r.ContentLength
-	if c.contentLength == 0 {
+func (req *clientRequest) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int) error {
+	req.contentLength = r.ContentLength
+	if req.contentLength == 0 {
 		return nil
 	}
 	in := newBodyReader(w, r)
 	size := int64(bufferLimit)
-	if c.contentLength > 0 {
-		size = min(size, c.contentLength)
+	if req.contentLength > 0 {
+		size = min(size, req.contentLength)
 	}
-	c.body = make([]byte, size)
-	n, err := io.ReadFull(in, c.body)
-	c.body = c.body[:n]
+	req.body = make([]byte, size)
+	n, err := io.ReadFull(in, req.body)
+	req.body = req.body[:n]
 	switch {
-	case c.contentLength > 0 && int64(n) == c.contentLength:
+	case req.contentLength > 0 && int64(n) == req.contentLength:
 		in.Read(make([]byte, 1)) // its end
 		return nil
-	case c.contentLength < 0 && in.err == io.EOF:
+	case req.contentLength < 0 && in.err == io.EOF:
 		return nil
 	case err != nil:
 		return errRequestBody
 	}
-	c.remaining = in
+	req.remaining = in
 	return nil
 }
 
