--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -51,33 +51,34 @@
 
 // Kind is a kind of machine in a tier.
 type Kind struct {
-	Name      string
-	Count     int
-	Cores     float64
-	Speed     float64 // work done a core and second, in seconds
-	Slots     int     // requests in work at once, those that wait for calls among them
-	Queue     int     // waiting room beyond the slots
-	Thrash    float64 // efficiency lost, as a share, at twice ThrashAt
-	ThrashAt  int     // requests held above which a box gets slower
-	ColdFrom  float64 // share of its capacity that a fresh box has
-	Cold      time.Duration
-	Conns     int           // connections at once
-	Handshake time.Duration // work of a new connection
-	ErrorRate float64       // share of requests answered with an error
-	Cancels   bool          // a request that waits and is given up leaves the waiting room
+	Name      string        `json:"Name"`
+	Count     int           `json:"Count"`
+	Cores     float64       `json:"Cores"`
+	Speed     float64       `json:"Speed"`    // work done a core and second, in seconds
+	Slots     int           `json:"Slots"`    // requests in work at once, those that wait for calls among them
+	Queue     int           `json:"Queue"`    // waiting room beyond the slots
+	Thrash    float64       `json:"Thrash"`   // efficiency lost, as a share, at twice ThrashAt
+	ThrashAt  int           `json:"ThrashAt"` // requests held above which a box gets slower
+	ColdFrom  float64       `json:"ColdFrom"` // share of its capacity that a fresh box has
+	Cold      time.Duration `json:"Cold"`
+	Conns     int           `json:"Conns"`     // connections at once
+	Handshake time.Duration `json:"Handshake"` // work of a new connection
+	ErrorRate float64       `json:"ErrorRate"` // share of requests answered with an error
+	Cancels   bool          `json:"Cancels"`   // a request that waits and is given up leaves the waiting room
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name          string
-	Share         float64 // of the arrivals, over the sum of all
-	Effect        balancer.Effect
-	Worth         float64
-	LateShare     float64
-	Work          time.Duration // mean, at speed 1, over all tiers' shares
-	CV            float64       // of the work, lognormal
-	Aim, Deadline time.Duration
-	Window        time.Duration // for keyed classes: how long repeats are discarded
+	Name      string          `json:"Name"`
+	Share     float64         `json:"Share"` // of the arrivals, over the sum of all
+	Effect    balancer.Effect `json:"Effect"`
+	Worth     float64         `json:"Worth"`
+	LateShare float64         `json:"LateShare"`
+	Work      time.Duration   `json:"Work"` // mean, at speed 1, over all tiers' shares
+	CV        float64         `json:"CV"`   // of the work, lognormal
+	Aim       time.Duration   `json:"Aim"`
+	Deadline  time.Duration   `json:"Deadline"`
+	Window    time.Duration   `json:"Window"` // for keyed classes: how long repeats are discarded
 }
 
 // Tenant is one winery.
@@ -132,12 +133,12 @@
 
 // Rules are what the auditor holds nodes to, and what nodes are told.
 type Rules struct {
-	MaxAttempts   int
-	DrainGrace    time.Duration
-	FallMultiple  float64
-	Fall          time.Duration
-	MaxRetryAfter time.Duration
-	Slack         time.Duration // on every limit of time
+	MaxAttempts   int           `json:"MaxAttempts"`
+	DrainGrace    time.Duration `json:"DrainGrace"`
+	FallMultiple  float64       `json:"FallMultiple"`
+	Fall          time.Duration `json:"Fall"`
+	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
+	Slack         time.Duration `json:"Slack"` // on every limit of time
 }
 
 // Fleet says how a world is split into processes, and what its nodes are given at their start.
