--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -29,8 +29,8 @@
 }
 
 const (
-	publishTimeout = 10 * time.Second // until a publish must be answered
-	statusTimeout  = 5 * time.Second
+	publishTimeout = 10 * time.Second // for an answer; an election of a leader may happen in between
+	statusTimeout  = 5 * time.Second  // for all controllers; those that are down must not hold up the report
 	// maxDocumentFile is how much of a document's file is read: one byte more than any controller takes.
 	maxDocumentFile = configapi.MaxDocumentBytes + 1
 )
@@ -129,6 +129,7 @@
 	return nil
 }
 
+// newStatusReport merges what the controllers answered.
 func newStatusReport(statuses configclient.Statuses) statusReport {
 	report := statusReport{Rollout: configversion.MergeStatuses(statuses.Answers)}
 	for _, answer := range statuses.Answers {
@@ -142,6 +143,7 @@
 	return report
 }
 
+// print writes the report as tables, or as JSON.
 func (r statusReport) print(to io.Writer, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(to)
@@ -162,6 +164,7 @@
 	return nil
 }
 
+// printNodes writes a row for each node.
 func (r statusReport) printNodes(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tSERVICE\tREGION/ZONE\tSTATE\tHELD\tOUTCOME\tIN FORCE\tCONTROLLER\tREASON")
@@ -176,6 +179,7 @@
 	return w.Flush()
 }
 
+// printControllers writes a row for each controller that answered.
 func (r statusReport) printControllers(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nCONTROLLER\tVERSION\tIN TOUCH WITH A QUORUM\tLEADER\tSESSIONS")
@@ -185,6 +189,7 @@
 	return w.Flush()
 }
 
+// dashIfEmpty keeps the columns of a table apart.
 func dashIfEmpty(text string) string {
 	if text == "" {
 		return "-"
--- a/cmd/hookwalk/configwatch.go
+++ b/cmd/hookwalk/configwatch.go
@@ -18,18 +18,19 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// configSession is the node's session for configuration versions, before it starts. The zero one is off.
+// configSession is the node's session for configuration versions, before it starts. The zero value is off.
 type configSession struct {
-	watch *settings.ConfigWatch // nil: off
-	name  string
-	seed  uint64
-	kept  configversion.LastKnownGood
-	store *configwatch.Store // nil: nothing is kept
-	log   *slog.Logger
+	watch         *settings.ConfigWatch // nil: off
+	name          string                // the node's
+	seed          uint64
+	lastKnownGood configversion.LastKnownGood
+	store         *configwatch.Store // nil: nothing is persisted
+	log           *slog.Logger
 }
 
-// prepareConfigWatch has a node start with its last known good version, where its settings have it follow versions and it
-// has kept one that a node can start with; else with its own file. It waits for no controller.
+// prepareConfigWatch returns the configuration to start with: that of the last known good version, where the node follows
+// versions and has persisted one that it can start with; else that of its own file. It waits for no controller, so that a
+// node starts while the control service is down.
 func prepareConfigWatch(cfg node.Config, log *slog.Logger) (node.Config, configSession, error) {
 	watch := cfg.Features.ConfigWatch
 	if watch == nil {
@@ -40,24 +41,24 @@
 		return cfg, s, nil
 	}
 	s.store = configwatch.NewStore(watch.Folder, cfg.Name, log)
-	kept, err := s.store.Read()
+	lastKnownGood, err := s.store.Read()
 	if err != nil {
 		log.Warn("the node starts with its own configuration file", "err", err)
 		return cfg, s, nil
 	}
-	if kept.Config == nil {
-		s.kept = kept
+	if lastKnownGood.Config == nil {
+		s.lastKnownGood = lastKnownGood
 		return cfg, s, nil
 	}
-	composed, err := cfg.WithOverride(overrideOf(*kept.Config))
+	composed, err := cfg.WithOverride(overrideOf(*lastKnownGood.Config))
 	if err != nil {
 		log.Warn("the node starts with its own configuration file: the last known good version can't be used with it",
-			"version", kept.Version, "err", err)
-		s.kept = configversion.LastKnownGood{Cluster: kept.Cluster, Former: kept.Former, Controllers: kept.Controllers}
+			"version", lastKnownGood.Version, "err", err)
+		s.lastKnownGood = configversion.LastKnownGood{Cluster: lastKnownGood.Cluster, Former: lastKnownGood.Former, Controllers: lastKnownGood.Controllers}
 		return cfg, s, nil
 	}
-	log.Info("the node starts with its last known good version", "version", kept.Version, "cluster", kept.Cluster)
-	s.kept = kept
+	log.Info("the node starts with its last known good version", "version", lastKnownGood.Version, "cluster", lastKnownGood.Cluster)
+	s.lastKnownGood = lastKnownGood
 	return composed, s, nil
 }
 
@@ -66,11 +67,23 @@
 	if s.watch == nil {
 		return func() {}
 	}
-	session := configwatch.Start(configwatch.Options{Node: s.name, Service: s.watch.Service, Region: s.watch.Region, Zone: s.watch.Zone,
-		Controllers: s.watch.Controllers, Seed: s.seed, Started: time.Now(), LastKnownGood: s.kept, Applier: nodeApplier{n}, Store: s.store, Log: s.log})
+	session := configwatch.Start(configwatch.Options{
+		Node:          s.name,
+		Service:       s.watch.Service,
+		Region:        s.watch.Region,
+		Zone:          s.watch.Zone,
+		Controllers:   s.watch.Controllers,
+		Seed:          s.seed,
+		Started:       time.Now(),
+		LastKnownGood: s.lastKnownGood,
+		Applier:       nodeApplier{n},
+		Store:         s.store,
+		Log:           s.log,
+	})
 	return session.Close
 }
 
+// overrideOf is a published configuration as an override of the node's own.
 func overrideOf(config configapi.ServiceConfig) node.Override {
 	return node.Override{Settings: config.Settings, Discovery: config.Discovery}
 }
@@ -83,8 +96,8 @@
 	return rejectionOf(a.node.Override(ctx, overrideOf(config), checkClasses))
 }
 
-// rejectionOf turns an error of an override into the rejection that operators see. One that is no verdict on the
-// override stays as it is.
+// rejectionOf turns an error of an override into the rejection that operators see. An error that says nothing of the
+// configuration, because the node ends, stays as it is.
 func rejectionOf(err error) error {
 	var rejection *configapi.Rejection
 	var unreadable *node.UnreadableOverrideError
@@ -100,18 +113,19 @@
 		Message: fmt.Sprintf("%v: correct it and publish again; SIGHUP refuses a file with it too", err)}
 }
 
-// checkClasses refuses classes that the servers in service can't carry.
+// checkClasses rejects classes that the servers in service can't serve.
 func checkClasses(now, next []balancer.Class, servers []balancer.Server) error {
-	in := make([]configversion.Server, len(servers))
+	placements := make([]configversion.Server, len(servers))
 	for i, s := range servers {
-		in[i] = configversion.Server{Zone: s.Zone, Kind: s.Kind}
+		placements[i] = configversion.Server{Zone: s.Zone, Kind: s.Kind}
 	}
-	if rejection := configversion.CheckClasses(classesOf(now), classesOf(next), in); rejection != nil {
+	if rejection := configversion.CheckClasses(classesOf(now), classesOf(next), placements); rejection != nil {
 		return rejection
 	}
 	return nil
 }
 
+// classesOf is the part of classes that configversion judges.
 func classesOf(classes []balancer.Class) []configversion.Class {
 	out := make([]configversion.Class, len(classes))
 	for i, c := range classes {
--- a/cmd/hookwalk/faultinjection.go
+++ b/cmd/hookwalk/faultinjection.go
@@ -10,7 +10,8 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-const startTime = 5 * time.Second // for a node to answer
+// drillTimeout is how long a node may take to answer.
+const drillTimeout = 5 * time.Second
 
 type drillStart struct {
 	File string `required:"" placeholder:"FILE" help:"The settings file that describes the drill."`
@@ -36,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drillTimeout)
 	defer cancel()
 	said, err := faultinjection.Start(ctx, c.Addr, d.Secret)
 	if err != nil {
--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -17,7 +17,7 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// exitLate is the status of a play that the machine was too slow for: it says nothing of the program.
+// exitLate is the exit code of a play that the machine was too slow for: it says nothing of the program.
 const exitLate = 3
 
 type labFleet struct {
@@ -84,29 +84,17 @@
 	return nil
 }
 
-// Run plays fleets. The report goes to standard output.
+// Run plays fleets. The report goes to standard output. A play that the machine was too slow for is no verdict on the
+// program: it has an exit code of its own.
 func (c labFleetPlay) Run(io streams) error {
-	var over []scenario.Override
-	for _, text := range c.Set {
-		path, value, ok := strings.Cut(text, "=")
-		if !ok {
-			return fmt.Errorf("--set %s: want PATH=VALUE", text)
-		}
-		over = append(over, scenario.Override{Path: path, Value: value})
-	}
-	self, err := os.Executable()
+	overrides, err := scenarioOverrides(c.Set)
 	if err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return err
 	}
-	opt := fleet.Options{Program: []string{self}}
-	if c.Old != "" {
-		opt.Old = []string{c.Old}
+	options, err := c.options()
+	if err != nil {
+		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	broken, late := 0, false
-	var calm fleet.Calm
-	var cells []sweep.Cell
 	if c.Output != "" {
 		if err := os.MkdirAll(c.Output, 0o755); err != nil {
 			return fmt.Errorf("lab: %w", err)
@@ -115,77 +103,134 @@
 	if c.Table {
 		fleet.WriteHead(io.stdout)
 	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	run := fleetRun{command: c, io: io, options: options}
 	for _, file := range c.Files {
-		s, err := scenario.Load(file, over...)
+		s, err := scenario.Load(file, overrides...)
 		if err != nil {
 			return err
 		}
 		if c.Seed != nil {
 			s.Seed = *c.Seed
 		}
-		var quiet *fleet.Played
-		if c.Calm && len(s.Troubles) > 0 {
-			if quiet, err = calm.Of(ctx, s, opt); err != nil {
-				return fmt.Errorf("lab: without troubles: %w", err)
-			}
-			late = late || quiet.TooLate()
+		if err := run.play(ctx, s); err != nil {
+			return err
 		}
-		var plays []*fleet.Played
-		for range c.Plays {
-			played, err := fleet.Play(ctx, s, opt)
-			if err != nil {
-				return fmt.Errorf("lab: %w", err)
-			}
-			plays = append(plays, played)
-			broken += len(played.Broken)
-			late = late || played.TooLate()
-			if !c.Table {
-				played.Write(io.stdout, s, quiet)
-			}
-			c.tell(io, played)
+	}
+	return run.finish()
+}
+
+// options are those of all plays of the command.
+func (c labFleetPlay) options() (fleet.Options, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return fleet.Options{}, fmt.Errorf("lab: %w", err)
+	}
+	options := fleet.Options{Program: []string{self}}
+	if c.Old != "" {
+		options.Old = []string{c.Old}
+	}
+	return options, nil
+}
+
+// scenarioOverrides reads PATH=VALUE arguments.
+func scenarioOverrides(arguments []string) (overrides []scenario.Override, err error) {
+	for _, argument := range arguments {
+		path, value, ok := strings.Cut(argument, "=")
+		if !ok {
+			return nil, fmt.Errorf("--set %s: want PATH=VALUE", argument)
 		}
-		if c.Table {
-			fleet.WriteRow(io.stdout, s, plays, quiet)
+		overrides = append(overrides, scenario.Override{Path: path, Value: value})
+	}
+	return overrides, nil
+}
+
+// fleetRun is the progress of one lab fleet command over its scenarios.
+type fleetRun struct {
+	command labFleetPlay
+	io      streams
+	options fleet.Options
+
+	baselines fleet.Calm // plays without faults, by scenario and seed
+	cells     []sweep.Cell
+	broken    int  // rules broken in all plays
+	late      bool // some play was slowed down by the machine
+}
+
+// play plays one scenario as often as the command says, and prints the result.
+func (r *fleetRun) play(ctx context.Context, s *scenario.Scenario) error {
+	var baseline *fleet.Played
+	if r.command.Calm && len(s.Troubles) > 0 {
+		var err error
+		if baseline, err = r.baselines.Of(ctx, s, r.options); err != nil {
+			return fmt.Errorf("lab: without faults: %w", err)
 		}
-		cells = append(cells, fleet.Cells(s, plays, quiet)...)
+		r.late = r.late || baseline.TooLate()
 	}
-	if c.Output != "" {
-		if err := sweep.Write(c.Output, cells); err != nil {
+	var plays []*fleet.Played
+	for range r.command.Plays {
+		played, err := fleet.Play(ctx, s, r.options)
+		if err != nil {
+			return fmt.Errorf("lab: %w", err)
+		}
+		plays = append(plays, played)
+		r.broken += len(played.Broken)
+		r.late = r.late || played.TooLate()
+		if !r.command.Table {
+			played.Write(r.io.stdout, s, baseline)
+		}
+		r.printViolations(played)
+	}
+	if r.command.Table {
+		fleet.WriteRow(r.io.stdout, s, plays, baseline)
+	}
+	r.cells = append(r.cells, fleet.Cells(s, plays, baseline)...)
+	return nil
+}
+
+// finish writes the results where the command says and returns its exit status.
+func (r *fleetRun) finish() error {
+	if r.command.Output != "" {
+		if err := sweep.Write(r.command.Output, r.cells); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
 	switch {
-	case late:
+	case r.late:
 		return exitStatus(exitLate)
-	case broken > 0:
+	case r.broken > 0:
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// tell says what a play has broken.
-func (c labFleetPlay) tell(io streams, p *fleet.Played) {
-	const shown = 20
-	out := io.stdout
-	if c.Table { // which has the numbers
-		out = io.stderr
-	}
-	for _, v := range p.Broken[:min(len(p.Broken), shown)] {
+// maxPrintedViolations is how many violations of a play are printed; the histories have all.
+const maxPrintedViolations = 20
+
+// printViolations prints which rules a play has broken. With a table, whose rows have the numbers, they go to standard
+// error.
+func (r *fleetRun) printViolations(p *fleet.Played) {
+	out := r.io.stdout
+	if r.command.Table {
+		out = r.io.stderr
+	}
+	for _, v := range p.Broken[:min(len(p.Broken), maxPrintedViolations)] {
 		fmt.Fprintf(out, "violation: %v\n", v)
 	}
 	if p.TooLate() {
 		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.TooLate)
-	} else if !c.Table {
+	} else if !r.command.Table {
 		fmt.Fprintf(out, "rules broken   %d\n", len(p.Broken))
 	}
 	if len(p.Broken) > 0 {
-		fmt.Fprintf(io.stderr, "histories, configurations and logs are in %s\n", p.Folder)
+		fmt.Fprintf(r.io.stderr, "histories, configurations and logs are in %s\n", p.Folder)
 	}
 }
 
 type labPart struct{}
 
-// Run plays a part of a fleet's world, as its parent says on standard input, until that ends.
+// Run plays a part of a fleet's world, as its parent process says on standard input, until that ends.
 func (labPart) Run(io streams) error {
 	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
 	return loopback.ServePart(context.Background(), os.Stdin, io.stdout)
--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -47,7 +47,7 @@
 	text := goldentest.Text(t, filepath.Join("..", "..", "internal", "peers", "testdata", "view.json"))
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
 	defer server.Close()
-	var read shown
+	var read peersView
 	if err := json.Unmarshal(text, &read); err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 
 // What the commands print and read as JSON is named by tags, so that a field's new name is not another form.
 func TestGoldenNamesAreTags(t *testing.T) {
-	for _, form := range []reflect.Type{reflect.TypeFor[statusReport](), reflect.TypeFor[shown]()} {
+	for _, form := range []reflect.Type{reflect.TypeFor[statusReport](), reflect.TypeFor[peersView]()} {
 		if untagged := goldentest.UntaggedFields(form); untagged != nil {
 			t.Errorf("%s: without a tag: %v", form, untagged)
 		}
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -87,9 +87,8 @@
 
 // verdict names the rules that were broken.
 func verdict(io streams, auditor *checker.Auditor) error {
-	const shown = 20
 	for i, v := range auditor.Violations() {
-		if i == shown {
+		if i == maxPrintedViolations {
 			break
 		}
 		fmt.Fprintf(io.stdout, "violation: %v\n", v)
--- a/cmd/hookwalk/main.go
+++ b/cmd/hookwalk/main.go
@@ -1,37 +1,32 @@
-// Command hookwalk is one load-balancer node: it takes requests, lets package deckrelay decide where
-// they go, and answers them. ROUTER_CONFIG names its configuration file. Subcommands start a drill at a
-// running node and replay what one has captured.
+// Command hookwalk is one load-balancer node: it takes requests, lets package balancer decide where they go, and answers
+// them. ROUTER_CONFIG names its configuration file. Subcommands are the operators' tools: they start a drill at a running
+// node, replay a capture, run a controller, publish configuration versions, and run the lab.
+//
+// A command has a file of its own (run.go is the node); main.go parses the command line and sets the exit code.
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
-	"math"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"sync"
 	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
 
-	"hookwalk.example/hookwalk/internal/asyncwriter"
-	"hookwalk.example/hookwalk/internal/node"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Exit codes.
+// Exit codes. Scripts of operators rely on them.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailed = 1 // the command could not do its work, or found a difference
+	exitUsage  = 2 // it was called wrongly, or its input can't be used
 )
 
-// commandLine is all that the program can be told; kong reads it.
+// commandLine is the command line's grammar, parsed by kong.
 type commandLine struct {
 	Run        runCommand         `cmd:"" default:"withargs" help:"Run a node (the default). ROUTER_CONFIG names its configuration."`
 	Drill      drillCommands      `cmd:"" help:"Rehearsals of trouble."`
@@ -59,76 +54,76 @@
 
 type versionCommand struct{}
 
-// streams are where a command reads and writes, and the signals that were caught before anything took time.
+// streams are the outputs of a command, and the channel of SIGHUPs that was opened before anything else ran.
 type streams struct {
 	stdout, stderr io.Writer
 	hangups        <-chan os.Signal
 }
 
-// exitStatus is how a command ended, where there is nothing left to say.
+// exitStatus is the error of a command that has reported everything itself and ends with this exit code.
 type exitStatus int
 
 func (s exitStatus) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
 func main() {
-	// Uncaught, SIGHUP ends a process: a node's is caught before anything that takes time.
+	// SIGHUP ends a process that does not catch it. A node may get one right after its start.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	os.Exit(command(os.Args[1:], streams{os.Stdout, os.Stderr, hangups}))
 }
 
-// command carries out one command line and returns the exit code.
+// command runs one command line and returns the exit code.
 func command(args []string, io streams) (code int) {
 	var line commandLine
-	var ended *int
+	var helpExit *int // set when kong has printed help
 	p, err := kong.New(&line, kong.Name("hookwalk"), kong.Writers(io.stdout, io.stderr),
 		kong.Description("One load-balancer node, and the tools round it. Status 0: done, 1: failed, 2: called wrongly."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Exit(func(code int) {
-			if ended == nil {
-				ended = &code
+			if helpExit == nil {
+				helpExit = &code
 			}
 		}))
 	if err != nil {
 		return failed(io.stderr, err)
 	}
 	ctx, err := p.Parse(args)
-	if ended != nil { // help was asked for
-		return *ended
+	if helpExit != nil {
+		return *helpExit
 	}
 	if err != nil {
 		fmt.Fprintf(io.stderr, "hookwalk: %v\n", err)
-		var wrong *kong.ParseError
-		if errors.As(err, &wrong) && wrong.Context != nil {
+		var parseErr *kong.ParseError
+		if errors.As(err, &parseErr) && parseErr.Context != nil {
 			p.Stdout = io.stderr
-			_ = wrong.Context.PrintUsage(true)
+			_ = parseErr.Context.PrintUsage(true)
 		}
 		return exitUsage
 	}
 	if ctx.Command() != "run" {
 		signal.Reset(syscall.SIGHUP)
 	}
-	var told exitStatus
+	var status exitStatus
 	switch err := ctx.Run(io); {
 	case err == nil:
 		return 0
-	case errors.As(err, &told):
-		return int(told)
+	case errors.As(err, &status):
+		return int(status)
 	default:
 		return failed(io.stderr, err)
 	}
 }
 
-// failed says in one line why a command could not do its work.
+// failed prints in one line why a command could not do its work.
 func failed(stderr io.Writer, err error) (code int) {
 	fmt.Fprintf(stderr, "hookwalk: %v\n", err)
 	return exitFailed
 }
 
-// Run is the node.
-func (c runCommand) Run(io streams) error { return run(io.hangups, c.Settings) }
+// Run runs a node until it is told to end.
+func (c runCommand) Run(io streams) error { return runNode(io.hangups, c.Settings) }
 
-// Run says whether a settings file can be used. What only a node knows, such as its classes, it can't check.
+// Run reports whether a settings file can be used. What only a node knows, such as its classes, it can't check.
 func (c checkCommand) Run(io streams) error {
 	if _, err := settings.Load(c.File); err != nil {
 		return err
@@ -137,7 +132,7 @@
 	return nil
 }
 
-// Run says what the build is made of, as Go recorded it.
+// Run prints the revision and the Go version of the build, as Go recorded them.
 func (versionCommand) Run(io streams) error {
 	revision, changed := "unknown", ""
 	info, ok := debug.ReadBuildInfo()
@@ -154,83 +149,3 @@
 	fmt.Fprintf(io.stdout, "hookwalk, revision %s%s, %s\n", revision, changed, runtime.Version())
 	return nil
 }
-
-// lastWords is how long a node that has stopped waits for those who read its standard error.
-const lastWords = time.Second
-
-func run(hangups <-chan os.Signal, file string) error {
-	path := os.Getenv("ROUTER_CONFIG")
-	cfg, err := node.LoadConfig(path)
-	if err != nil {
-		return err
-	}
-	if file != "" {
-		if cfg.Features, err = settings.Load(file); err != nil {
-			return err
-		}
-	}
-	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4) // the rest is for stacks of the kernel and sockets
-	}
-	if cfg.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	}
-	signal.Ignore(syscall.SIGXFSZ) // a disk without room fails a write, not the node
-	defer asyncwriter.Stderr.Flush(lastWords)
-	log := slog.New(slog.NewTextHandler(asyncwriter.Stderr, nil))
-	cfg, versions, err := prepareConfigWatch(cfg, log)
-	if err != nil {
-		return err
-	}
-	n, err := node.New(cfg, log)
-	if err != nil {
-		return err
-	}
-	leave, err := joinPeers(cfg, log, n)
-	if err != nil {
-		return err
-	}
-	defer leave()
-	var dumps chan os.Signal // without a capture the signal does what it does to any program
-	if cfg.Features.Capture != nil {
-		dumps = make(chan os.Signal, 1)
-		signal.Notify(dumps, syscall.SIGUSR1)
-	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	ended, reloader := make(chan struct{}), sync.WaitGroup{}
-	reloader.Add(1)
-	go func() {
-		defer reloader.Done()
-		listen(n, log, path, hangups, dumps, ended)
-	}()
-	defer reloader.Wait()
-	defer close(ended)
-	defer versions.start(n)()
-	return n.Run(ctx)
-}
-
-// listen reads the configuration again at each SIGHUP until ended is closed, and has what was captured written
-// out at each SIGUSR1. With a configuration that can't be used, the node goes on with what it has.
-func listen(n *node.Node, log *slog.Logger, path string, hangups, dumps <-chan os.Signal, ended <-chan struct{}) {
-	for {
-		select {
-		case <-hangups:
-		case <-dumps:
-			n.DumpCapture()
-			continue
-		case <-ended:
-			return
-		}
-		cfg, err := node.LoadConfig(path)
-		if err == nil {
-			err = n.Reload(cfg)
-		}
-		if err == nil && n.ReloadKeys != nil {
-			err = n.ReloadKeys()
-		}
-		if err != nil {
-			log.Error("configuration not read again", "err", err)
-		}
-	}
-}
--- a/cmd/hookwalk/noconfigwatch.go
+++ b/cmd/hookwalk/noconfigwatch.go
@@ -12,7 +12,7 @@
 // configSession is the node's session for configuration versions, which the build for service does not have.
 type configSession struct{}
 
-// prepareConfigWatch: the build for service has no configuration versions. The platform writes each node's file, and
+// prepareConfigWatch returns an error where the settings have config_watch: the build for service has none of it. The platform writes each node's file, and
 // the session would cost every node its memory.
 func prepareConfigWatch(cfg node.Config, _ *slog.Logger) (node.Config, configSession, error) {
 	if w := cfg.Features.ConfigWatch; w != nil {
--- a/cmd/hookwalk/nopeers.go
+++ b/cmd/hookwalk/nopeers.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/internal/node"
 )
 
-// joinPeers: the build for service has no peers. The platform does not let nodes talk, and the library that finds them
+// joinPeers returns an error where the settings have peers: the build for service has none. The platform does not let nodes talk, and the library that finds them
 // would cost every node its memory.
 func joinPeers(cfg node.Config, _ *slog.Logger, _ *node.Node) (leave func(), err error) {
 	if p := cfg.Features.Peers; p != nil {
--- a/cmd/hookwalk/peers.go
+++ b/cmd/hookwalk/peers.go
@@ -4,9 +4,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -18,148 +16,131 @@
 	"hookwalk.example/hookwalk/internal/node"
 	"hookwalk.example/hookwalk/internal/peers"
 	"hookwalk.example/hookwalk/internal/settings"
-	"hookwalk.example/hookwalk/internal/state"
 	"hookwalk.example/hookwalk/membership"
 )
 
-// leaveTimeout is how long a node that ends waits for its peers to hear of it.
-const leaveTimeout = time.Second
+const (
+	// leaveTimeout is how long a node that ends waits until its peers have its farewell. Without it they take the node for
+	// failed, which is only slower; a shutdown must not wait longer.
+	leaveTimeout = time.Second
 
-// joinPeers has a node meet others, where its settings say so. What it returns is called when the node has ended.
+	// rejoinInterval is how often a node tries the address that the process before it still has: after an upgrade it is
+	// free within a second or two.
+	rejoinInterval = 200 * time.Millisecond
+)
+
+// peerSession is a node's membership in its installation. Its cluster is nil until the node has its address.
+type peerSession struct {
+	config  peers.Config
+	log     *slog.Logger
+	cluster atomic.Pointer[peers.Cluster]
+	rejoin  sync.WaitGroup // the goroutine that waits for the address
+	cancel  context.CancelFunc
+}
+
+// joinPeers lets a node meet others, where its settings say so. leave is called when the node has ended.
 func joinPeers(cfg node.Config, log *slog.Logger, n *node.Node) (leave func(), err error) {
-	p := cfg.Features.Peers
-	if p == nil {
+	peerSettings := cfg.Features.Peers
+	if peerSettings == nil {
 		return func() {}, nil
 	}
-	with := peersConfig(cfg.Name, p, cfg.Features.Sites)
-	with.StartStore.(*startFile).log = log
-	var cluster atomic.Pointer[peers.Cluster]
-	joined, err := peers.Join(with, log)
-	switch {
-	case err == nil:
-		cluster.Store(joined)
-	case !errors.Is(err, syscall.EADDRINUSE):
+	config, start := peersConfig(cfg.Name, peerSettings, cfg.Features.Sites)
+	start.log = log
+	session := &peerSession{config: config, log: log}
+	if err := session.join(); err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	var waits sync.WaitGroup
-	if err != nil { // the process that this one replaces has it yet: this one meets the others when that one has left
-		log.Info("peers: the address is taken, by the process before this one if all is well", "err", err)
-		waits.Go(func() {
-			tick := time.NewTicker(rejoinInterval)
-			defer tick.Stop()
-			for {
-				select {
-				case <-tick.C:
-				case <-ctx.Done():
-					return
-				}
-				if joined, err := peers.Join(with, log); err == nil {
-					cluster.Store(joined)
-					return
-				}
-			}
-		})
-	}
-	n.PeersView = func() any {
-		if c := cluster.Load(); c != nil {
-			return c.View()
-		}
-		return peers.View{Self: membership.Joining.String(), Site: p.Site}
-	}
-	n.ReloadKeys = func() error {
-		if c := cluster.Load(); c != nil {
-			return c.ReloadKeys()
-		}
-		return nil
-	}
-	return func() {
-		stop()
-		waits.Wait()
-		c := cluster.Load()
-		if c == nil {
-			return
-		}
-		if err := c.Leave(leaveTimeout); err != nil {
-			log.Warn("peers", "err", err)
-		}
-		c.Close()
-	}, nil
+	n.PeersView = session.view
+	n.ReloadKeys = session.reloadKeys
+	return session.leave, nil
 }
 
-// rejoinInterval is how often a node tries the address that the process before it still has.
-const rejoinInterval = 200 * time.Millisecond
-
-func peersConfig(name string, p *settings.Peers, sites []settings.Site) peers.Config {
-	tree := membership.Tree{}
-	for _, s := range sites {
-		tree[s.Name] = s.Parent
-	}
-	folder := p.Folder
-	if folder == "" {
-		folder = os.TempDir()
+// join begins to listen for peers. During an upgrade the process before this one still has the address: then this one
+// tries again until that one has left.
+func (s *peerSession) join() error {
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
+	cluster, err := peers.Join(s.config, s.log)
+	switch {
+	case err == nil:
+		s.cluster.Store(cluster)
+	case errors.Is(err, syscall.EADDRINUSE):
+		s.log.Info("peers: address in use, by the previous process if this is an upgrade", "err", err)
+		s.rejoin.Go(func() { s.joinWhenFree(ctx) })
+	default:
+		cancel()
+		return err
 	}
-	return peers.Config{Name: name, Site: p.Site, Tree: tree, Listen: p.Listen, Seeds: p.Seeds, KeyFile: p.KeyFile, Label: p.Label,
-		AddressOverrides: p.AddressOverrides, StartStore: &startFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}}
+	return nil
 }
 
-// startFile keeps the number of a node's start in a file.
-type startFile struct {
-	path, owner string
-	log         *slog.Logger
-	writes      sync.WaitGroup // that are under way
+// joinWhenFree tries to join until it succeeds or ctx ends.
+func (s *peerSession) joinWhenFree(ctx context.Context) {
+	tick := time.NewTicker(rejoinInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return
+		}
+		if cluster, err := peers.Join(s.config, s.log); err == nil {
+			s.cluster.Store(cluster)
+			return
+		}
+	}
 }
 
-// StartError says that the number of a start could not be read or kept.
-type StartError struct {
-	Path string
-	Err  error
+// view is what the node knows of its peers, for the admin API.
+func (s *peerSession) view() any {
+	if cluster := s.cluster.Load(); cluster != nil {
+		return cluster.View()
+	}
+	return peers.View{Self: membership.Joining.String(), Site: s.config.Site}
 }
 
-func (e *StartError) Error() string {
-	return fmt.Sprintf("the number of this start (%s): %v: the peers settle it; look at the folder's disk", e.Path, e.Err)
+// reloadKeys reads the file of encryption keys again.
+func (s *peerSession) reloadKeys() error {
+	if cluster := s.cluster.Load(); cluster != nil {
+		return cluster.ReloadKeys()
+	}
+	return nil
 }
-func (e *StartError) Unwrap() error { return e.Err }
 
-// Next returns the stored number plus one, and stores it in the background.
-func (s *startFile) Next() (uint64, error) {
-	var last uint64
-	var wrong error
-	found := state.Read(s.path, s.owner)
-	switch {
-	case found.Body != nil:
-		wrong = json.Unmarshal(found.Body, &last)
-	case len(found.Errors) > 0:
-		wrong = found.Errors[0]
+// leave tells the peers that the node ends.
+func (s *peerSession) leave() {
+	s.cancel()
+	s.rejoin.Wait()
+	cluster := s.cluster.Load()
+	if cluster == nil {
+		return
 	}
-	s.writes.Go(func() { // a node that is killed before it is on disk claims the number again, and its peers settle it
-		if err := s.write(last + 1); err != nil {
-			s.log.Warn("peers", "err", err)
-		}
-	})
-	if wrong != nil {
-		return last + 1, &StartError{s.path, wrong}
+	if err := cluster.Leave(leaveTimeout); err != nil {
+		s.log.Warn("peers", "err", err)
 	}
-	return last + 1, nil
+	cluster.Close()
 }
 
-// Save stores a number that a refutation raised.
-func (s *startFile) Save(start uint64) error { return s.write(start) }
-
-func (s *startFile) write(start uint64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
-	defer cancel()
-	release, err := state.Lock(ctx, s.path)
-	if err != nil {
-		return &StartError{s.path, err}
-	}
-	defer release()
-	body, err := json.Marshal(start)
-	if err == nil {
-		err = state.Write(s.path, s.owner, body)
+// peersConfig maps the settings of a node to those of its peers. The start file is that of the configuration.
+func peersConfig(name string, p *settings.Peers, sites []settings.Site) (peers.Config, *startFile) {
+	tree := membership.Tree{}
+	for _, s := range sites {
+		tree[s.Name] = s.Parent
 	}
-	if err != nil {
-		return &StartError{s.path, err}
+	folder := p.Folder
+	if folder == "" {
+		folder = os.TempDir()
 	}
-	return nil
+	start := &startFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}
+	return peers.Config{
+		Name:             name,
+		Site:             p.Site,
+		Tree:             tree,
+		Listen:           p.Listen,
+		Seeds:            p.Seeds,
+		KeyFile:          p.KeyFile,
+		Label:            p.Label,
+		AddressOverrides: p.AddressOverrides,
+		StartStore:       start,
+	}, start
 }
--- a/cmd/hookwalk/sites.go
+++ b/cmd/hookwalk/sites.go
@@ -20,8 +20,8 @@
 	JSON bool   `help:"As the node answers it."`
 }
 
-// shown is what of a view is printed; the node's answer may have more.
-type shown struct {
+// peersView is what of a view is printed; the node's answer may have more.
+type peersView struct {
 	Self   string `json:"Self"`
 	Site   string `json:"Site"`
 	Digest string `json:"Digest"`
@@ -46,8 +46,8 @@
 }
 
 const (
-	showTime = 3 * time.Second
-	showMost = 4 << 20
+	showTimeout = 3 * time.Second // for the whole answer; a node that hangs must not hold up the operator
+	maxViewSize = 4 << 20         // bytes, some ten thousand members
 )
 
 // ShowError says that a node's view could not be read.
@@ -63,7 +63,7 @@
 
 // Run asks the node and prints its answer.
 func (c sitesShow) Run(s streams) error {
-	ctx, cancel := context.WithTimeout(context.Background(), showTime)
+	ctx, cancel := context.WithTimeout(context.Background(), showTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Addr+"/control/sites", nil)
 	if err != nil {
@@ -74,11 +74,11 @@
 		return &ShowError{c.Addr, err}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, showMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxViewSize))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("answered %s: %.200s", resp.Status, text)
 	}
-	var v shown
+	var v peersView
 	if err == nil {
 		err = json.Unmarshal(text, &v)
 	}
--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -24,14 +24,14 @@
 
 // Bounds of what a soak may ask of a machine.
 const (
-	mostSoakNodes   = 200
-	leastSoakLength = 16 * time.Second
+	maxSoakNodes  = 200              // each is a process of some 15 MB
+	minSoakLength = 16 * time.Second // the time for faults, for recovery and for the judgement
 )
 
 // Run plays one seed after another and prints what was seen and what was broken.
 func (c labSoak) Run(io streams) error {
-	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > mostSoakNodes || c.Length < leastSoakLength {
-		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", mostSoakNodes, leastSoakLength)
+	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > maxSoakNodes || c.Length < minSoakLength {
+		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", maxSoakNodes, minSoakLength)
 	}
 	program := c.Program
 	if program == "" {
--- a/cmd/hookwalk/state.go
+++ b/cmd/hookwalk/state.go
@@ -16,7 +16,7 @@
 	File string `arg:"" help:"A .kept file of a node's $TMPDIR, or a .before one."`
 }
 
-// Run prints a file.
+// Run prints what a state file holds.
 func (c stateShow) Run(io streams) error {
 	info, err := state.Inspect(c.File)
 	if err != nil {
@@ -34,7 +34,7 @@
 	File string `arg:"" help:"The file."`
 }
 
-// Run says whether a file is whole.
+// Run reports whether a state file can be used.
 func (c stateCheck) Run(io streams) error {
 	if _, err := state.Inspect(c.File); err != nil {
 		return err
--- a/cmd/hookwalk/sweep.go
+++ b/cmd/hookwalk/sweep.go
@@ -20,8 +20,11 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// mainFigures are shown where none are named.
-var mainFigures = []string{"worth", "worst_10s", "p95_ms", "refusals", "attempts", "wasted", "violations"}
+// progressInterval is the shortest time between two lines of progress, where standard error is not a terminal.
+const progressInterval = 3 * time.Second
+
+// defaultColumns are shown where none are named.
+var defaultColumns = []string{"worth", "worst_10s", "p95_ms", "refusals", "attempts", "wasted", "violations"}
 
 type labSweep struct {
 	File   string   `arg:"" help:"The scenario."`
@@ -55,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	return sweep.Table(io.stdout, cells, mainFigures)
+	return sweep.Table(io.stdout, cells, defaultColumns)
 }
 
 // progress is a bar on a terminal, else a line every few seconds.
@@ -72,10 +75,9 @@
 			}
 		}
 	}
-	const every = 3 * time.Second
 	last := time.Now()
 	return func(done, of int) {
-		if now := time.Now(); done == of || now.Sub(last) >= every {
+		if now := time.Now(); done == of || now.Sub(last) >= progressInterval {
 			last = now
 			fmt.Fprintf(io.stderr, "%d of %d experiments\n", done, of)
 		}
@@ -98,8 +100,8 @@
 		path = filepath.Join(c.Folder, "report.html")
 	}
 	names := sweep.Names(cells)
-	figures := slices.DeleteFunc(slices.Clone(mainFigures), func(name string) bool { return !slices.Contains(names, name) })
-	if len(figures) < len(mainFigures) { // not of a sweep
+	figures := slices.DeleteFunc(slices.Clone(defaultColumns), func(name string) bool { return !slices.Contains(names, name) })
+	if len(figures) < len(defaultColumns) { // not of a sweep
 		figures = names
 	}
 	f, err := os.Create(path)
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -13,9 +13,9 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Bounds of what is sent and received.
+// Form and bounds of messages.
 const (
-	messageVersion = 1
+	messageVersion = 1    // of the form; messages of another version are dropped
 	maxMessage     = 1200 // bytes, of a packet of 1400
 	maxName        = 128  // bytes
 	maxMeta        = 512  // bytes
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -44,22 +44,23 @@
 	Save(start uint64) error
 }
 
-// The pace of detection: a death is noticed within 2 s at 24 nodes and 4 s at 100.
+// Settings of memberlist's failure detector (SWIM). With them a death is noticed within 2 s at 24 nodes and 4 s at 100.
 const (
-	probeInterval       = 250 * time.Millisecond
-	probeTimeout        = 150 * time.Millisecond
-	gossipInterval      = 100 * time.Millisecond
-	suspicionMultiplier = 3 // a suspicion lasts at least this times log10 of the nodes times probeInterval
-	pushPullInterval    = 5 * time.Second
-	gossipToDead        = 10 * time.Second
-	joinTimeout         = 2 * time.Second
+	probeInterval       = 250 * time.Millisecond // between two probes of a node
+	probeTimeout        = 150 * time.Millisecond // for an answer, before others are asked to probe
+	gossipInterval      = 100 * time.Millisecond // between two rounds of messages
+	suspicionMultiplier = 3                      // a suspicion lasts at least this times log10 of the nodes times probeInterval
+	pushPullInterval    = 5 * time.Second        // between two exchanges of the whole state, which mend lost messages
+	gossipToDead        = 10 * time.Second       // how long a failed node is still sent messages, so that it can refute
+	joinTimeout         = 2 * time.Second        // of one exchange over TCP
 )
 
+// Pace and bounds of this package's own work.
 const (
-	reconcileInterval    = 100 * time.Millisecond
-	retransmitMultiplier = 3    // a message is sent on this often, times log10 of the nodes
-	maxQueued            = 2048 // messages that wait to be sent
-	maxReconnects        = 64   // that wait for their turn
+	reconcileInterval    = 100 * time.Millisecond // between two steps of the membership without an event
+	retransmitMultiplier = 3                      // a message is sent on this often, times log10 of the nodes
+	maxQueued            = 2048                   // messages that wait to be sent
+	maxReconnects        = 64                     // that wait for their turn
 )
 
 // JoinError says that a node could not begin to listen for its peers.
