--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,5 +1,6 @@
-// Package faultinjection says who may start a drill, and starts one at a node. What a drill does to requests is decided
-// by the module.
+// Package faultinjection checks who may start a drill at a node, and starts one at a running node for an operator. A drill
+// injects a fault into a share of one class's requests; what it does to a request is decided by package balancer. Drill is
+// the operators' word, which stays in settings, paths and messages.
 package faultinjection
 
 import (
@@ -15,26 +16,39 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Where a drill is started: a POST with the drill's secret in a header.
+// A drill is started by a POST with its secret in a header.
 const (
-	Path   = "/drills"
-	Header = "X-Drill-Key"
+	Path   = "/drills"     // of the request, at the node's listener
+	Header = "X-Drill-Key" // has the secret
 )
 
-// Why a drill can't be started.
+// maxAnswer is how much of a node's answer is read, in bytes. It is one line.
+const maxAnswer = 1 << 10
+
+// Why a node starts no drill. Its answer is 404 for the first, 403 for the second.
 var (
 	ErrNotConfigured = errors.New("no drill can be started here")
 	ErrWrongKey      = errors.New("the key is not that of a drill")
 )
 
-// Keys knows the secrets of the drills that can be started.
+// StatusError says that a node has answered that it starts no drill.
+type StatusError struct {
+	Status  string // of the HTTP answer
+	Message string // the node's reason
+}
+
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("the node answered %s: %s", e.Status, e.Message)
+}
+
+// Keys has the secrets of the drills that can be started. It is immutable.
 type Keys struct {
-	configured bool
-	names      []string
-	sums       [][sha256.Size]byte // alike in length, so comparing them tells nothing of a secret's
+	configured bool                // there are drills, be it without secrets
+	names      []string            // of the drills with a secret
+	sums       [][sha256.Size]byte // of their secrets: of one length, so that comparing reveals nothing of a secret's
 }
 
-// NewKeys takes the drills of the settings, of which some may have no secret.
+// NewKeys returns the keys of the drills of the settings. Those without a secret can't be started.
 func NewKeys(list []settings.FaultInjection) *Keys {
 	k := &Keys{configured: len(list) > 0}
 	for _, d := range list {
@@ -46,13 +60,14 @@
 	return k
 }
 
-// Requested says that a request asks for a drill. Where no drill is configured only the header tells: one without
-// it is any other request.
+// Requested reports whether a request asks for a drill. Where no drill is configured, only the header distinguishes it
+// from any other request to the path.
 func (k *Keys) Requested(r *http.Request) bool {
 	return r.URL.Path == Path && r.Method == http.MethodPost && (k.configured || len(r.Header[Header]) > 0)
 }
 
-// Match finds the drill that a request's key starts, in a time that tells nothing of the secrets.
+// Match returns the drill that a request's key starts, or ErrNotConfigured or ErrWrongKey. It compares in constant time, so
+// that answers reveal nothing of the secrets.
 func (k *Keys) Match(h http.Header) (name string, err error) {
 	if len(k.names) == 0 {
 		return "", ErrNotConfigured
@@ -73,8 +88,8 @@
 	return name, nil
 }
 
-// Start asks the node at an address to start a drill and returns what it said.
-func Start(ctx context.Context, addr, secret string) (said string, err error) {
+// Start asks the node at an address (HOST:PORT) to start a drill, and returns its answer. A refusal is a *StatusError.
+func Start(ctx context.Context, addr, secret string) (answer string, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+Path, nil)
 	if err != nil {
 		return "", fmt.Errorf("address: %w", err)
@@ -88,13 +103,13 @@
 		return "", err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
 		return "", fmt.Errorf("answer: %w", err)
 	}
-	said = strings.TrimSpace(string(body))
+	answer = strings.TrimSpace(string(body))
 	if resp.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("the node answered %s: %s", resp.Status, said)
+		return "", &StatusError{resp.Status, answer}
 	}
-	return said, nil
+	return answer, nil
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -17,10 +17,10 @@
 
 // States of a member.
 const (
-	Alive   State = iota
-	Suspect       // the detector had no answer and waits for a refutation
-	Failed        // the detector has given it up
-	Left          // it announced that it leaves
+	Alive   State = iota // the detector gets answers
+	Suspect              // the detector had no answer and waits for a refutation
+	Failed               // the detector has given it up
+	Left                 // it announced that it leaves
 )
 
 // String is the word that commands print, in which an alive member is "here".
