--- a/cmd/hookwalk/sites_test.go
+++ b/cmd/hookwalk/sites_test.go
@@ -17,7 +17,7 @@
 // installed is an installation of the test's binary.
 func installed(t testing.TB, per int, ways bool) *sites.Installation {
 	t.Helper()
-	in, err := sites.Up(t.Context(), sites.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"}, Dir: t.TempDir(),
+	in, err := sites.Start(t.Context(), sites.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"}, Dir: t.TempDir(),
 		NodesPerSite: per, Links: ways, Config: func(name, control string) string {
 			return strings.Replace(fmt.Sprintf(config, "127.0.0.1:1"), `"name":"n0",`, fmt.Sprintf(`"name":%q,"control":%q,`, name, control), 1)
 		}})
@@ -59,7 +59,7 @@
 	must(t, n.Signal(syscall.SIGCONT))
 }
 
-var rough = link.Loss{Lost: 0.05, Doubled: 0.05, Jitter: 20 * time.Millisecond}
+var rough = link.PacketFault{LossRatio: 0.05, DuplicateRatio: 0.05, Jitter: 20 * time.Millisecond}
 
 // Twelve nodes of three sites, with every kind of fault between them: what each concludes, from outside. The times are
 // logged; docs/sites.md has them.
@@ -75,7 +75,7 @@
 		t.Errorf("one death of seven and %s is %s", in.Nodes[4].Name, v.Self)
 	}
 	must(t, victim.WipeFolder())
-	must(t, in.Start(victim))
+	must(t, in.StartNode(victim))
 	t.Logf("agreed %v after its return with an empty folder", until(t, in, "agreed", in.Nodes, whole(n)))
 	if v, _ := victim.View(); v.Me.Start != 2 {
 		t.Errorf("it goes on as start %d, its peers knew 1", v.Me.Start)
@@ -85,11 +85,11 @@
 	// another: nobody is called failed.
 	still, watcher := in.Nodes[2], in.Nodes[3]
 	before, _ := watcher.View()
-	in.SetLoss(rough)
+	in.SetPacketFault(rough)
 	for _, i := range []int{2, 6, 8, 10} { // by the last one, the first would be called failed
 		stalled(t, in.Nodes[i], 700*time.Millisecond)
 	}
-	in.SetLoss(link.Loss{})
+	in.SetPacketFault(link.PacketFault{})
 	until(t, in, "agreed", in.Nodes, whole(n))
 	if after, ok := watcher.View(); !ok || after.Failed != before.Failed {
 		t.Errorf("%s calls %d failed who are not", watcher.Name, after.Failed-before.Failed)
@@ -106,22 +106,22 @@
 
 	// A site is cut off from all others, both ways: half of whom it concerns is no majority. The others go on.
 	lone := in.InSite("okanagan")
-	must(t, in.Cut(true, lone, in.Others(lone...)))
-	must(t, in.Cut(true, in.Others(lone...), lone))
+	must(t, in.SetPartitioned(true, lone, in.Others(lone...)))
+	must(t, in.SetPartitioned(true, in.Others(lone...), lone))
 	until(t, in, "cut off", lone, is("cut off"))
 	until(t, in, "agreed", in.Others(lone...), is("agreed"))
-	must(t, in.Cut(false, lone, in.Others(lone...)))
-	must(t, in.Cut(false, in.Others(lone...), lone))
+	must(t, in.SetPartitioned(false, lone, in.Others(lone...)))
+	must(t, in.SetPartitioned(false, in.Others(lone...), lone))
 	t.Logf("agreed %v after a cut of a site", until(t, in, "agreed", in.Nodes, whole(n)))
 
 	// One way: what a node says arrives nowhere, also where it answers on another's stream, and it hears all packets.
 	dumb := in.Nodes[7]
-	must(t, in.Cut(true, []*sites.Node{dumb}, in.Nodes))
-	must(t, in.SilenceAnswers(true, in.Nodes, dumb))
+	must(t, in.SetPartitioned(true, []*sites.Node{dumb}, in.Nodes))
+	must(t, in.SetAnswersStalled(true, in.Nodes, dumb))
 	until(t, in, "told of it", in.Others(dumb), has(dumb.Name, "failed"))
 	t.Logf("it doubts itself %v later", until(t, in, "in doubt", []*sites.Node{dumb}, func(v sites.View) bool { return v.Self != "agreed" }))
-	must(t, in.Cut(false, []*sites.Node{dumb}, in.Nodes))
-	must(t, in.SilenceAnswers(false, in.Nodes, dumb))
+	must(t, in.SetPartitioned(false, []*sites.Node{dumb}, in.Nodes))
+	must(t, in.SetAnswersStalled(false, in.Nodes, dumb))
 	t.Logf("agreed %v after a cut one way", until(t, in, "agreed", in.Nodes, whole(n)))
 
 	// All are killed and come back with empty folders: they find together from the seeds.
@@ -130,7 +130,7 @@
 		must(t, m.WipeFolder())
 	}
 	for _, m := range in.Nodes {
-		must(t, in.Start(m))
+		must(t, in.StartNode(m))
 	}
 	t.Logf("agreed %v after all came back with nothing", until(t, in, "agreed", in.Nodes, whole(n)))
 
@@ -207,7 +207,7 @@
 	for b.Loop() {
 		in := installed(b, 4, true)
 		until(b, in, "agreed", in.Nodes, whole(len(in.Nodes)))
-		in.SetLoss(rough)
+		in.SetPacketFault(rough)
 		for i := range 50 {
 			stalled(b, in.Nodes[i%len(in.Nodes)], time.Duration(300+100*(i%7))*time.Millisecond)
 			<-time.After(700 * time.Millisecond)
--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -44,8 +44,8 @@
 	defer stop()
 	found := 0
 	for i := range c.Seeds {
-		plan := soak.Draw(c.First+uint64(i), c.Nodes, c.Length)
-		played, err := soak.Play(ctx, plan, func(config string) *exec.Cmd {
+		plan := soak.DrawPlan(c.First+uint64(i), c.Nodes, c.Length)
+		played, err := soak.Run(ctx, plan, func(config string) *exec.Cmd {
 			node := exec.Command(program, "run")
 			node.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 			return node
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		broken := played.Judge()
+		broken := played.Violations()
 		fmt.Fprintf(io.stdout, "seed %d: %v; %d broken\n", plan.Seed, played, len(broken))
 		if len(broken) == 0 {
 			continue
--- a/cmd/hookwalk/soak_test.go
+++ b/cmd/hookwalk/soak_test.go
@@ -33,12 +33,12 @@
 //	go test ./cmd/hookwalk -run TestSoak -soak.seeds 50 -soak.nodes 24 -timeout 1h
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
-		plan := soak.Draw(*soakSeed+uint64(i), *soakNodes, *soakLength)
-		played, err := soak.Play(t.Context(), plan, asProgram)
+		plan := soak.DrawPlan(*soakSeed+uint64(i), *soakNodes, *soakLength)
+		played, err := soak.Run(t.Context(), plan, asProgram)
 		if err != nil {
 			t.Fatal(err)
 		}
-		broken := played.Judge()
+		broken := played.Violations()
 		t.Logf("seed %d: %v", plan.Seed, played)
 		if len(broken) == 0 {
 			continue
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -109,10 +109,10 @@
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway before the stream":      func(k *grpcserver.Call) { k.GoAway(true) },
-		"turned away, unavailable":      func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") },
+		"turned away, unavailable":      func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
 		"turned away, after a header":   func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), RejectedKey, "1") },
-		"turned away, no resources":     func(k *grpcserver.Call) { k.Fail(int(codes.ResourceExhausted), RejectedKey, "1") },
-		"goaway before, then cut short": func(k *grpcserver.Call) { k.GoAway(true); k.Cut() },
+		"turned away, no resources":     func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.ResourceExhausted), RejectedKey, "1") },
+		"goaway before, then cut short": func(k *grpcserver.Call) { k.GoAway(true); k.ResetConnection() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(n int, k *grpcserver.Call) {
@@ -149,19 +149,19 @@
 // What may have run ends an non-idempotent call, with a code that nobody retries; a safe one goes to another server.
 func TestMayHaveRun(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
-		"unavailable":               func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) },
-		"internal":                  func(k *grpcserver.Call) { k.Fail(int(codes.Internal)) },
-		"unknown":                   func(k *grpcserver.Call) { k.Fail(int(codes.Unknown)) },
-		"aborted":                   func(k *grpcserver.Call) { k.Fail(int(codes.Aborted)) },
-		"turned away, but ran":      func(k *grpcserver.Call) { k.Fail(int(codes.Internal), RejectedKey, "1") },
-		"turned away, oddly":        func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "yes") },
+		"unavailable":               func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) },
+		"internal":                  func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal)) },
+		"unknown":                   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unknown)) },
+		"aborted":                   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Aborted)) },
+		"turned away, but ran":      func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal), RejectedKey, "1") },
+		"turned away, oddly":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "yes") },
 		"reset, cancelled":          func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
 		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
-		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Cut() },
+		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.ResetConnection() },
 		"half a message, then over": func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Status(0) },
 		"no message":                func(k *grpcserver.Call) { k.Header(); k.Status(0) },
-		"cut":                       func(k *grpcserver.Call) { k.Cut() },
-		"goaway after, then cut":    func(k *grpcserver.Call) { k.GoAway(false); k.Cut() },
+		"cut":                       func(k *grpcserver.Call) { k.ResetConnection() },
+		"goaway after, then cut":    func(k *grpcserver.Call) { k.GoAway(false); k.ResetConnection() },
 		"a message that is none":    func(k *grpcserver.Call) { k.Answer([]byte{0xff, 0xff}) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -205,7 +205,7 @@
 
 // What a server has found out is its client's, as it is.
 func TestApplicationErrorsPass(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.NotFound), "grpc-message", "no such bin") })
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound), "grpc-message", "no such bin") })
 	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), view)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
 		t.Errorf("got %v after %d calls", err, f.calls.Load())
@@ -226,7 +226,7 @@
 // itself what a server refused unprocessed, adds none.
 func TestRejectionHasRetryDelay(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
-		"turned away":     func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") },
+		"turned away":     func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
 		"refused streams": func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway":          func(k *grpcserver.Call) { k.GoAway(true) },
 	} {
@@ -246,7 +246,7 @@
 // A retry policy of the application's service config sends nothing again; a method that no table has is unsafe.
 func TestLibraryDoesNotRetry(t *testing.T) {
 	for _, method := range []string{weighIn, "/harvest.Log/Other"} {
-		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) })
+		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) })
 		cfg := config(t, StaticSource(f.list()))
 		cfg.Tier += method
 		cc := dial(t, cfg, grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"hookwalk_engine":{}}],"methodConfig":[{"name":[{}],
@@ -298,7 +298,7 @@
 	if _, err := invoke(t.Context(), cc, weighIn); err != nil {
 		t.Error(err)
 	}
-	if conns, calls := f.servers[0].Seen(); conns != 2 || calls != 2 {
+	if conns, calls := f.servers[0].Counts(); conns != 2 || calls != 2 {
 		t.Errorf("%d connections, %d calls", conns, calls)
 	}
 }
@@ -386,26 +386,26 @@
 		case 3:
 			k.Reset(http2.ErrCodeRefusedStream)
 		case 7:
-			k.Fail(int(codes.Unavailable), RejectedKey, "1")
+			k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1")
 		case 11:
 			if !k.GoAway(true) { // a later call of the connection has run
 				k.Reset(http2.ErrCodeRefusedStream)
 			}
 		case 13:
 			ran()
-			k.Fail(int(codes.Unavailable))
+			k.FailWithoutHeader(int(codes.Unavailable))
 		case 17:
 			ran()
 			k.Header()
 			k.Data(served, 6)
-			k.Cut()
+			k.ResetConnection()
 		case 19:
 			ran()
 			k.GoAway(false)
 			k.Answer(served)
 		case 23:
 			ran()
-			k.Cut()
+			k.ResetConnection()
 		default:
 			ran()
 			k.Answer(served)
@@ -469,16 +469,16 @@
 		want     codes.Code
 	}{
 		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, -1); k.Status(0) }, 2, codes.OK},
-		"not found":      {func(k *grpcserver.Call) { k.Fail(int(codes.NotFound)) }, 0, codes.NotFound},
-		"turned away":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
+		"not found":      {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound)) }, 0, codes.NotFound},
+		"turned away":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
-		"unavailable":    {func(k *grpcserver.Call) { k.Fail(int(codes.Unavailable)) }, 0, codes.Internal},
+		"unavailable":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) }, 0, codes.Internal},
 		"turned away late": {func(k *grpcserver.Call) {
 			k.Header()
 			k.Data(served, -1)
 			k.Status(int(codes.Unavailable), RejectedKey, "1")
 		}, 1, codes.Internal},
-		"cut half-way":        {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.Cut() }, 1, codes.Internal},
+		"cut half-way":        {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.ResetConnection() }, 1, codes.Internal},
 		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(served, -1); k.Status(0) }, 1, codes.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -539,7 +539,7 @@
 		}
 		left <- struct{}{}
 	}()
-	for _, calls := f.servers[0].Seen(); calls < 2; _, calls = f.servers[0].Seen() {
+	for _, calls := f.servers[0].Counts(); calls < 2; _, calls = f.servers[0].Counts() {
 		runtime.Gosched()
 	}
 	draining := slices.Clone(list)
@@ -558,7 +558,7 @@
 	leave()
 	<-left
 	cc.Close()
-	if _, calls := f.servers[0].Seen(); calls != 2 {
+	if _, calls := f.servers[0].Counts(); calls != 2 {
 		t.Errorf("%d streams came", calls)
 	}
 }
@@ -628,7 +628,7 @@
 		}
 		<-taken
 	}
-	if conns, calls := f.servers[0].Seen(); calls != 2*asked || conns > calls {
+	if conns, calls := f.servers[0].Counts(); calls != 2*asked || conns > calls {
 		t.Errorf("%d connections, %d calls", conns, calls)
 	}
 }
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -65,17 +65,17 @@
 		case 0:
 			k.Reset(http2.ErrCodeRefusedStream)
 		case 1:
-			k.Cut()
+			k.ResetConnection()
 		case 2:
 			k.Header()
 			k.Data(served, 3)
-			k.Cut()
+			k.ResetConnection()
 		case 3:
 			k.GoAway(true)
 		case 4:
-			k.Fail(int(codes.Unavailable), RejectedKey, "1")
+			k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1")
 		case 5:
-			k.Fail(int(codes.Internal))
+			k.FailWithoutHeader(int(codes.Internal))
 		default:
 			k.Header()
 			k.Data(served, -1)
--- a/internal/lab/eventq/eventq.go
+++ b/internal/lab/eventq/eventq.go
@@ -7,54 +7,54 @@
 
 // Queue is a heap. The zero Queue is empty.
 type Queue[T any] struct {
-	list []event[T]
-	seq  uint64
+	events []event[T]
+	pushed  uint64
 }
 
 type event[T any] struct {
 	at  time.Duration
-	seq uint64
-	v   T
+	sequence uint64
+	value   T
 }
 
-func (e event[T]) before(o event[T]) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e event[T]) before(o event[T]) bool { return e.at < o.at || e.at == o.at && e.sequence < o.sequence }
 
 // Len counts what is to happen.
-func (q *Queue[T]) Len() int { return len(q.list) }
+func (q *Queue[T]) Len() int { return len(q.events) }
 
 // Push adds something.
 func (q *Queue[T]) Push(at time.Duration, v T) {
-	q.seq++
-	q.list = append(q.list, event[T]{at, q.seq, v})
-	i := len(q.list) - 1
+	q.pushed++
+	q.events = append(q.events, event[T]{at, q.pushed, v})
+	i := len(q.events) - 1
 	for i > 0 {
 		up := (i - 1) / 2
-		if !q.list[i].before(q.list[up]) {
+		if !q.events[i].before(q.events[up]) {
 			break
 		}
-		q.list[i], q.list[up] = q.list[up], q.list[i]
+		q.events[i], q.events[up] = q.events[up], q.events[i]
 		i = up
 	}
 }
 
 // Pop takes what is next; the queue must not be empty.
 func (q *Queue[T]) Pop() (at time.Duration, v T) {
-	first := q.list[0]
-	last := len(q.list) - 1
-	q.list[0] = q.list[last]
-	q.list[last] = event[T]{}
-	q.list = q.list[:last]
+	first := q.events[0]
+	last := len(q.events) - 1
+	q.events[0] = q.events[last]
+	q.events[last] = event[T]{}
+	q.events = q.events[:last]
 	for i := 0; ; {
 		least := i
 		for k := 2*i + 1; k <= 2*i+2 && k < last; k++ {
-			if q.list[k].before(q.list[least]) {
+			if q.events[k].before(q.events[least]) {
 				least = k
 			}
 		}
 		if least == i {
-			return first.at, first.v
+			return first.at, first.value
 		}
-		q.list[i], q.list[least] = q.list[least], q.list[i]
+		q.events[i], q.events[least] = q.events[least], q.events[i]
 		i = least
 	}
 }
--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -68,7 +68,7 @@
 		deaf := r.deafened(list, faults)
 		for name, l := range deaf {
 			deaf[name] = nil
-			if u.Heal != "reset" && l.Held() {
+			if u.Heal != "reset" && l.HasLiveClient() {
 				deaf[name] = l
 			}
 		}
@@ -85,7 +85,7 @@
 // silence notes where links are silent, or are no more: to boxes, and to nodes.
 func (r *rig) silence(list []*wire, faults []link.Fault, box, node string) {
 	for i, l := range list {
-		if s := faults[i].Silent; s[link.Out] || s[link.Back] {
+		if s := faults[i].Stall; s[link.Upstream] || s[link.Downstream] {
 			r.note(box, l, aBox, aNode)
 			r.note(node, l, aNode, theClient)
 			r.note(node, l, aNode, aBox)
@@ -115,7 +115,7 @@
 func (r *rig) deafened(list []*wire, faults []link.Fault) map[string]*wire {
 	names := map[string]*wire{}
 	for i, l := range list {
-		if l.to.kind != theList || !faults[i].Silent[link.Back] {
+		if l.to.kind != theList || !faults[i].Stall[link.Downstream] {
 			continue
 		}
 		for n, info := range r.infos {
@@ -162,9 +162,9 @@
 	for _, e := range ends {
 		links, far := r.wires.between(e, other)
 		for i, l := range links {
-			out, back := link.Out, link.Back
+			out, back := link.Upstream, link.Downstream
 			if far[i] { // the one that is met is the one that is called
-				out, back = link.Back, link.Out
+				out, back = link.Downstream, link.Upstream
 			}
 			var f link.Fault
 			set := func(flags *[2]bool) {
@@ -173,15 +173,15 @@
 			}
 			switch u.Kind {
 			case "cut":
-				set(&f.Silent)
+				set(&f.Stall)
 			case "half_open":
-				set(&f.Deaf)
+				set(&f.HoldFIN)
 			case "slow_link":
-				f.Delay, f.Jitter, f.Rate = u.Delay, u.Delay/4, u.Rate
+				f.Delay, f.Jitter, f.BytesPerSecond = u.Delay, u.Delay/4, u.Rate
 			case "refuse_link":
 				f.Refuse = true
 			case "break_link":
-				f.Break = int64(max(u.Bytes, 1))
+				f.ResetAfter = int64(max(u.Bytes, 1))
 			}
 			list, faults = append(list, l), append(faults, f)
 		}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -96,7 +96,7 @@
 		}
 	}()
 	if links(s) <= mostLinks { // more find room in the whole range only, beside no other rig
-		if r.ports, r.release, err = link.Claim(ctx); err != nil {
+		if r.ports, r.release, err = link.ClaimPorts(ctx); err != nil {
 			return r, err
 		}
 	}
--- a/internal/lab/fleet/wires.go
+++ b/internal/lab/fleet/wires.go
@@ -96,18 +96,18 @@
 	w.mu.Lock()
 	sum := link.Fault{Refuse: l.down}
 	for _, f := range l.causes {
-		for way := range f.Silent {
-			sum.Silent[way] = sum.Silent[way] || f.Silent[way]
-			sum.Deaf[way] = sum.Deaf[way] || f.Deaf[way]
+		for way := range f.Stall {
+			sum.Stall[way] = sum.Stall[way] || f.Stall[way]
+			sum.HoldFIN[way] = sum.HoldFIN[way] || f.HoldFIN[way]
 		}
 		sum.Refuse = sum.Refuse || f.Refuse
 		sum.Delay += f.Delay
 		sum.Jitter += f.Jitter
-		if f.Rate > 0 && (sum.Rate == 0 || f.Rate < sum.Rate) {
-			sum.Rate = f.Rate
+		if f.BytesPerSecond > 0 && (sum.BytesPerSecond == 0 || f.BytesPerSecond < sum.BytesPerSecond) {
+			sum.BytesPerSecond = f.BytesPerSecond
 		}
-		if f.Break > 0 {
-			sum.Break = f.Break
+		if f.ResetAfter > 0 {
+			sum.ResetAfter = f.ResetAfter
 		}
 	}
 	w.mu.Unlock()
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -22,7 +22,7 @@
 	Method   string
 	Metadata map[string]string
 	Message  []byte // without its prefix
-	N        int    // of the server's calls, from 0
+	Number        int    // of the server's calls, from 0
 
 	conn   *conn
 	stream uint32
@@ -30,16 +30,16 @@
 
 // Server serves on loopback until Close.
 type Server struct {
-	ln      net.Listener
+	listener      net.Listener
 	script  func(*Call)
-	streams uint32 // at once on a connection; 0: no limit told
-	wg      sync.WaitGroup
+	maxStreams uint32 // at once on a connection; 0: no limit told
+	running      sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*conn]bool
 	calls int
-	seen  int // connections that have come
-	done  bool
+	accepted  int // connections that have come
+	closed  bool
 }
 
 // conn is a connection from a client.
@@ -47,13 +47,13 @@
 	net.Conn
 	server *Server
 
-	taken uint32 // the highest stream that the script was given, guarded by server.mu
-	away  bool   // GOAWAY was sent: streams after last are not taken; likewise
-	last  uint32
+	highestStream uint32 // the highest stream that the script was given, guarded by server.mu
+	goAwaySent  bool   // GOAWAY was sent: streams after last are not taken; likewise
+	lastStream  uint32
 
 	mu     sync.Mutex // of the writes
 	framer *http2.Framer
-	enc    *hpack.Encoder
+	encoder    *hpack.Encoder
 	block  bytes.Buffer
 }
 
@@ -63,56 +63,56 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Server{ln: ln, script: script, streams: maxStreams, conns: map[*conn]bool{}}
-	b.wg.Add(1)
+	b := &Server{listener: ln, script: script, maxStreams: maxStreams, conns: map[*conn]bool{}}
+	b.running.Add(1)
 	go b.accept()
 	return b, nil
 }
 
 // Addr is where the server listens.
-func (b *Server) Addr() string { return b.ln.Addr().String() }
+func (b *Server) Addr() string { return b.listener.Addr().String() }
 
 // Seen counts the connections and the whole calls that have come.
-func (b *Server) Seen() (conns, calls int) {
+func (b *Server) Counts() (conns, calls int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen, b.calls
+	return b.accepted, b.calls
 }
 
 // Close ends the server with all its connections.
 func (b *Server) Close() {
 	b.mu.Lock()
-	b.done = true
-	b.ln.Close()
+	b.closed = true
+	b.listener.Close()
 	for c := range b.conns {
 		c.Close()
 	}
 	b.mu.Unlock()
-	b.wg.Wait()
+	b.running.Wait()
 }
 
 func (b *Server) accept() {
-	defer b.wg.Done()
+	defer b.running.Done()
 	for {
-		nc, err := b.ln.Accept()
+		nc, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
 		c := &conn{Conn: nc, server: b, framer: http2.NewFramer(nc, nc)}
-		c.enc = hpack.NewEncoder(&c.block)
+		c.encoder = hpack.NewEncoder(&c.block)
 		c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 		b.mu.Lock()
-		if b.done {
+		if b.closed {
 			b.mu.Unlock()
 			nc.Close()
 			return
 		}
 		b.conns[c] = true
-		b.seen++
-		b.wg.Add(1)
+		b.accepted++
+		b.running.Add(1)
 		b.mu.Unlock()
 		go func() {
-			defer b.wg.Done()
+			defer b.running.Done()
 			c.serve()
 			nc.Close()
 			b.mu.Lock()
@@ -129,8 +129,8 @@
 		return
 	}
 	var settings []http2.Setting
-	if c.server.streams > 0 {
-		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.server.streams})
+	if c.server.maxStreams > 0 {
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.server.maxStreams})
 	}
 	c.write(func() error { return c.framer.WriteSettings(settings...) })
 	open := map[uint32]*Call{}
@@ -177,17 +177,17 @@
 func (c *conn) run(call *Call) {
 	b := c.server
 	b.mu.Lock()
-	if c.away && call.stream > c.last {
+	if c.goAwaySent && call.stream > c.lastStream {
 		b.mu.Unlock()
 		return
 	}
-	c.taken = max(c.taken, call.stream)
-	call.N = b.calls
+	c.highestStream = max(c.highestStream, call.stream)
+	call.Number = b.calls
 	b.calls++
-	b.wg.Add(1)
+	b.running.Add(1)
 	b.mu.Unlock()
 	go func() {
-		defer b.wg.Done()
+		defer b.running.Done()
 		b.script(call)
 	}()
 }
@@ -201,7 +201,7 @@
 func (c *conn) headers(stream uint32, end bool, pairs ...string) error {
 	c.block.Reset()
 	for i := 0; i+1 < len(pairs); i += 2 {
-		if err := c.enc.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}); err != nil {
+		if err := c.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}); err != nil {
 			return err
 		}
 	}
@@ -240,7 +240,7 @@
 }
 
 // Fail ends a call by a status alone, without a header before; pairs are further trailers.
-func (k *Call) Fail(code int, pairs ...string) {
+func (k *Call) FailWithoutHeader(code int, pairs ...string) {
 	k.conn.write(func() error {
 		return k.conn.headers(k.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
 			"grpc-status", strconv.Itoa(code)}, pairs...)...)
@@ -257,22 +257,22 @@
 func (k *Call) GoAway(before bool) (done bool) {
 	c, b := k.conn, k.conn.server
 	b.mu.Lock()
-	last := c.taken
-	if before && k.stream < last || c.away {
+	last := c.highestStream
+	if before && k.stream < last || c.goAwaySent {
 		b.mu.Unlock()
 		return false
 	}
 	if before {
 		last = max(last, 2) - 2 // clients number their streams by odd numbers
 	}
-	c.away, c.last = true, last
+	c.goAwaySent, c.lastStream = true, last
 	b.mu.Unlock()
 	c.write(func() error { return c.framer.WriteGoAway(last, http2.ErrCodeNo, nil) })
 	return true
 }
 
 // Cut ends the connection; with a reset, as a process that is killed.
-func (k *Call) Cut() {
+func (k *Call) ResetConnection() {
 	if tcp, ok := k.conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/lab/link/backlog.go
+++ b/internal/lab/link/backlog.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func release(fill []net.Conn) []net.Conn {
+func resetAll(fill []net.Conn) []net.Conn {
 	for _, c := range fill {
 		reset(c)
 	}
@@ -21,9 +21,9 @@
 // Hush has no new connection come up at a listener, as if its machine were off the network: its queue is made short and
 // kept full by the connections returned. Accept ends with a deadline; whoever accepts must wait. Reset them, and set
 // backlog and deadline anew, to end it.
-func Hush(ln *net.TCPListener) (fill []net.Conn, err error) {
+func StopConnects(ln *net.TCPListener) (fill []net.Conn, err error) {
 	ln.SetDeadline(time.Now())
-	if err := Backlog(ln, 0); err != nil {
+	if err := SetBacklog(ln, 0); err != nil {
 		return nil, err
 	}
 	for range 16 { // one would do, but on a busy machine the queue's count lags behind
@@ -33,7 +33,7 @@
 		switch {
 		case err == nil:
 			fill = append(fill, c)
-		case full(ln): // else it was the machine that was slow
+		case queueFull(ln): // else it was the machine that was slow
 			return fill, nil
 		}
 	}
@@ -42,7 +42,7 @@
 
 // full says that a listener's queue takes no more: of one that listens the system tells here how many wait, and how many
 // may.
-func full(ln *net.TCPListener) (yes bool) {
+func queueFull(ln *net.TCPListener) (yes bool) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return true
@@ -55,7 +55,7 @@
 }
 
 // Backlog sets how many connections wait at a listener to be accepted.
-func Backlog(ln *net.TCPListener, n int) error {
+func SetBacklog(ln *net.TCPListener, n int) error {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return err
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -15,47 +15,47 @@
 )
 
 // Way is a direction, seen from the side that calls.
-type Way int
+type Direction int
 
 // Ways.
 const (
-	Out  Way = iota // from the caller
-	Back            // to the caller
+	Upstream  Direction = iota // from the caller
+	Downstream            // to the caller
 )
 
 // Fault is what is wrong with a link. The zero Fault is none.
 type Fault struct {
-	Silent [2]bool       // by Way: bytes stay where they are; no new connection comes up while either is set
+	Stall [2]bool       // by Way: bytes stay where they are; no new connection comes up while either is set
 	Refuse bool          // new connections are refused
 	Delay  time.Duration // one way, for every piece
 	Jitter time.Duration // added to it, up to so much
-	Rate   float64       // bytes a second each way; 0: as fast as loopback is
-	Deaf   [2]bool       // by Way: the end of one side never reaches the other
-	Break  int64         // connections are reset once so many bytes came back; 0: never
+	BytesPerSecond   float64       // bytes a second each way; 0: as fast as loopback is
+	HoldFIN   [2]bool       // by Way: the end of one side never reaches the other
+	ResetAfter  int64         // connections are reset once so many bytes came back; 0: never
 }
 
 // silent says that nothing may come up.
-func (f Fault) silent() bool { return f.Silent[Out] || f.Silent[Back] }
+func (f Fault) stalled() bool { return f.Stall[Upstream] || f.Stall[Downstream] }
 
 // Link is one relay. Its methods may be called from any goroutine.
 type Link struct {
 	addr string
-	to   func() string
+	target   func() string
 
 	mu      sync.Mutex
-	ln      *net.TCPListener
-	fill    []net.Conn // while silent they keep the listener's queue full
+	listener      *net.TCPListener
+	queueFillers    []net.Conn // while silent they keep the listener's queue full
 	fault   Fault
 	changed chan struct{} // closed at a change of fault
-	pairs   map[*pair]bool
+	sessions   map[*session]bool
 	opened  int
 	closed  bool
-	wg      sync.WaitGroup
+	running      sync.WaitGroup
 }
 
 // Open listens for callers, in a rig's block of ports; to says where a new connection leads, "": nowhere.
 func Open(ports int, to func() string) (*Link, error) {
-	l := &Link{to: to, changed: make(chan struct{}), pairs: map[*pair]bool{}}
+	l := &Link{target: to, changed: make(chan struct{}), sessions: map[*session]bool{}}
 	ln, err := Listen(ports, ForLink)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
@@ -68,14 +68,14 @@
 func (l *Link) Addr() string { return l.addr }
 
 // Opened counts the connections that came up so far.
-func (l *Link) Opened() int {
+func (l *Link) SessionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
 }
 
 // listen opens the caller's side. The caller holds mu, or nobody else has the link yet.
-func (l *Link) listen(addr string) error {
+func (l *Link) reopen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
@@ -85,8 +85,8 @@
 }
 
 func (l *Link) serve(ln *net.TCPListener) {
-	l.ln, l.addr = ln, ln.Addr().String()
-	l.wg.Go(func() { l.accept(ln) })
+	l.listener, l.addr = ln, ln.Addr().String()
+	l.running.Go(func() { l.accept(ln) })
 }
 
 // Set changes what is wrong with the link. Connections that are up feel it at once. What was held in silence arrives
@@ -102,28 +102,28 @@
 	close(l.changed)
 	l.changed = make(chan struct{})
 	switch {
-	case f.Refuse && l.ln != nil:
-		l.fill = release(l.fill)
-		l.ln.Close()
-		l.ln = nil
-	case !f.Refuse && l.ln == nil:
-		if err := l.listen(l.addr); err != nil {
+	case f.Refuse && l.listener != nil:
+		l.queueFillers = resetAll(l.queueFillers)
+		l.listener.Close()
+		l.listener = nil
+	case !f.Refuse && l.listener == nil:
+		if err := l.reopen(l.addr); err != nil {
 			return err
 		}
 		old = Fault{}
 	}
-	if l.ln == nil || f.silent() == old.silent() {
+	if l.listener == nil || f.stalled() == old.stalled() {
 		return nil
 	}
-	if !f.silent() {
-		l.fill = release(l.fill)
-		if err := Backlog(l.ln, backlog); err != nil {
+	if !f.stalled() {
+		l.queueFillers = resetAll(l.queueFillers)
+		if err := SetBacklog(l.listener, defaultBacklog); err != nil {
 			return err
 		}
-		return l.ln.SetDeadline(time.Time{})
+		return l.listener.SetDeadline(time.Time{})
 	}
 	var err error
-	l.fill, err = Hush(l.ln)
+	l.queueFillers, err = StopConnects(l.listener)
 	return err
 }
 
@@ -136,11 +136,11 @@
 
 // Held says that the caller still has a connection on which something has come back, whatever has become of the link
 // meanwhile. One that waits in the listener's queue, or that keeps this queue full, is none.
-func (l *Link) Held() bool {
+func (l *Link) HasLiveClient() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		if p.answered.Load() && !p.left.Load() {
+	for p := range l.sessions {
+		if p.answered.Load() && !p.clientClosed.Load() {
 			return true
 		}
 	}
@@ -151,7 +151,7 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
+	for p := range l.sessions {
 		p.reset()
 	}
 }
@@ -164,20 +164,20 @@
 		l.fault = Fault{}
 		close(l.changed)
 		l.changed = make(chan struct{})
-		l.fill = release(l.fill)
-		if l.ln != nil {
-			l.ln.Close()
+		l.queueFillers = resetAll(l.queueFillers)
+		if l.listener != nil {
+			l.listener.Close()
 		}
-		for p := range l.pairs {
+		for p := range l.sessions {
 			p.reset()
 		}
 	}
 	l.mu.Unlock()
-	l.wg.Wait()
+	l.running.Wait()
 }
 
 // now gives the fault of a moment and what is closed when it changes.
-func (l *Link) now() (Fault, <-chan struct{}, bool) {
+func (l *Link) state() (Fault, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.changed, l.closed
@@ -187,11 +187,11 @@
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // silent: what waits in the queue waits
-			f, changed, closed := l.now()
+			f, changed, closed := l.state()
 			if closed {
 				return
 			}
-			if f.silent() {
+			if f.stalled() {
 				<-changed
 			}
 			continue
@@ -199,6 +199,6 @@
 		if err != nil {
 			return
 		}
-		l.wg.Go(func() { l.relay(c) })
+		l.running.Go(func() { l.relayStream(c) })
 	}
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-const soon = 10 * time.Second // an upper bound that only a broken link meets
+const testTimeout = 10 * time.Second // an upper bound that only a broken link meets
 
 // opened is a link to a listener whose connections come out of a channel.
-func opened(t *testing.T) (l *Link, far <-chan net.Conn) {
+func openTestLink(t *testing.T) (l *Link, far <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,29 +45,29 @@
 
 func dial(t *testing.T, l *Link) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", l.Addr(), soon)
+	c, err := net.DialTimeout("tcp", l.Addr(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(soon))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { c.Close() })
 	return c
 }
 
-func next(t *testing.T, far <-chan net.Conn) net.Conn {
+func nextConnection(t *testing.T, far <-chan net.Conn) net.Conn {
 	t.Helper()
 	select {
 	case c := <-far:
-		c.SetDeadline(time.Now().Add(soon))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		t.Cleanup(func() { c.Close() })
 		return c
-	case <-time.After(soon):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came up at the far side")
 		return nil
 	}
 }
 
-func line(t *testing.T, c net.Conn, want string) {
+func expectLine(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || got != want+"\n" {
@@ -75,12 +75,12 @@
 	}
 }
 
-func TestBothWaysAndTheEnd(t *testing.T) {
-	l, far := opened(t)
+func TestForwardsBothDirectionsAndHalfClose(t *testing.T) {
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	f := next(t, far)
+	f := nextConnection(t, far)
 	io.WriteString(near, "there\n")
-	line(t, f, "there")
+	expectLine(t, f, "there")
 	big := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	go func() {
 		f.Write(big)
@@ -91,28 +91,28 @@
 		t.Fatalf("%d bytes came back of %d, %v", len(got), len(big), err)
 	}
 	io.WriteString(near, "still\n") // only the far side's sending has ended
-	line(t, f, "still")
-	if l.Opened() != 1 {
-		t.Errorf("%d opened", l.Opened())
+	expectLine(t, f, "still")
+	if l.SessionsOpened() != 1 {
+		t.Errorf("%d opened", l.SessionsOpened())
 	}
 }
 
 // What is sent into silence arrives after it, the other direction goes on, and nothing new comes up.
-func TestSilenceInOneDirection(t *testing.T) {
+func TestStallInOneDirection(t *testing.T) {
 	for way, name := range []string{"out", "back"} {
 		t.Run(name, func(t *testing.T) {
-			l, far := opened(t)
+			l, far := openTestLink(t)
 			near := dial(t, l)
-			f := next(t, far)
+			f := nextConnection(t, far)
 			var fault Fault
-			fault.Silent[way] = true
+			fault.Stall[way] = true
 			if err := l.Set(fault); err != nil {
 				t.Fatal(err)
 			}
 			ends := [2]net.Conn{near, f} // the writers, by way
 			io.WriteString(ends[way], "held\n")
 			io.WriteString(ends[1-way], "passes\n")
-			line(t, ends[way], "passes")
+			expectLine(t, ends[way], "passes")
 			reader := ends[1-way]
 			reader.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			if n, err := reader.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -125,11 +125,11 @@
 			if err := l.Set(Fault{}); err != nil {
 				t.Fatal(err)
 			}
-			reader.SetReadDeadline(time.Now().Add(soon))
-			line(t, reader, "held")
+			reader.SetReadDeadline(time.Now().Add(testTimeout))
+			expectLine(t, reader, "held")
 			io.WriteString(dial(t, l), "anew\n")
 			for { // connections that the queue held come first, and say nothing
-				c := next(t, far)
+				c := nextConnection(t, far)
 				if got, err := bufio.NewReader(c).ReadString('\n'); err == nil && got == "anew\n" {
 					break
 				}
@@ -138,8 +138,8 @@
 	}
 }
 
-func TestRefusedAndAgainNot(t *testing.T) {
-	l, far := opened(t)
+func TestRefusedConnectionsRecover(t *testing.T) {
+	l, far := openTestLink(t)
 	for range 2 {
 		if err := l.Set(Fault{Refuse: true}); err != nil {
 			t.Fatal(err)
@@ -151,16 +151,16 @@
 			t.Fatal(err)
 		}
 		dial(t, l)
-		next(t, far)
+		nextConnection(t, far)
 	}
 }
 
 func TestResetReachesBothSides(t *testing.T) {
-	l, far := opened(t)
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	f := next(t, far)
+	f := nextConnection(t, far)
 	io.WriteString(near, "up\n")
-	line(t, f, "up")
+	expectLine(t, f, "up")
 	l.Reset()
 	for _, c := range []net.Conn{near, f} {
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
@@ -169,15 +169,15 @@
 	}
 }
 
-func TestBreaksInTheMiddleOfAnAnswer(t *testing.T) {
-	l, far := opened(t)
+func TestResetInTheMiddleOfAnAnswer(t *testing.T) {
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	f := next(t, far)
-	if err := l.Set(Fault{Break: 7}); err != nil {
+	f := nextConnection(t, far)
+	if err := l.Set(Fault{ResetAfter: 7}); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(near, "a question that is longer\n")
-	line(t, f, "a question that is longer")
+	expectLine(t, f, "a question that is longer")
 	io.WriteString(f, "an answer")
 	got, err := io.ReadAll(near)
 	if string(got) != "an answ"[:len(got)] || !errors.Is(err, syscall.ECONNRESET) {
@@ -186,12 +186,12 @@
 }
 
 // A far side that ends is not noticed while its end does not arrive.
-func TestHalfOpen(t *testing.T) {
-	l, far := opened(t)
+func TestHeldFIN(t *testing.T) {
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	f := next(t, far)
+	f := nextConnection(t, far)
 	fault := Fault{}
-	fault.Deaf[Back] = true
+	fault.HoldFIN[Downstream] = true
 	if err := l.Set(fault); err != nil {
 		t.Fatal(err)
 	}
@@ -203,16 +203,16 @@
 	if err := l.Set(Fault{}); err != nil {
 		t.Fatal(err)
 	}
-	near.SetReadDeadline(time.Now().Add(soon))
+	near.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := near.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("after it: %v", err)
 	}
 }
 
 func TestDelayAndRate(t *testing.T) {
-	l, far := opened(t)
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	f := next(t, far)
+	f := nextConnection(t, far)
 	const delay = 60 * time.Millisecond
 	if err := l.Set(Fault{Delay: delay}); err != nil {
 		t.Fatal(err)
@@ -222,11 +222,11 @@
 		io.WriteString(near, "x")
 	}
 	io.WriteString(near, "\n")
-	line(t, f, "xxxxx")
+	expectLine(t, f, "xxxxx")
 	if took := time.Since(began); took < delay {
 		t.Errorf("it took %v", took)
 	}
-	if err := l.Set(Fault{Rate: 100e3}); err != nil {
+	if err := l.Set(Fault{BytesPerSecond: 100e3}); err != nil {
 		t.Fatal(err)
 	}
 	began = time.Now()
@@ -240,14 +240,14 @@
 }
 
 // A far side that nobody listens at resets the caller, and Close ends whatever runs, also in silence.
-func TestNobodyThereAndClose(t *testing.T) {
+func TestUnreachableTargetAndClose(t *testing.T) {
 	l, err := Open(0, func() string { return "127.0.0.1:1" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := net.DialTimeout("tcp", l.Addr(), soon)
+	near, err := net.DialTimeout("tcp", l.Addr(), testTimeout)
 	if err == nil { // the reset may be there already
-		near.SetDeadline(time.Now().Add(soon))
+		near.SetDeadline(time.Now().Add(testTimeout))
 		_, err = near.Read(make([]byte, 1))
 		near.Close()
 	}
@@ -255,10 +255,10 @@
 		t.Errorf("nobody there: %v", err)
 	}
 	l.Close()
-	silent, far := opened(t)
+	silent, far := openTestLink(t)
 	near = dial(t, silent)
-	next(t, far)
-	if err := silent.Set(Fault{Silent: [2]bool{true, true}}); err != nil {
+	nextConnection(t, far)
+	if err := silent.Set(Fault{Stall: [2]bool{true, true}}); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(near, "x")
@@ -269,7 +269,7 @@
 }
 
 // Each rig has a block of its own; one that finds all of them taken waits until one is free, or its time is over.
-func TestClaimWaitsForABlock(t *testing.T) {
+func TestClaimPortsWaitsForABlock(t *testing.T) {
 	var firsts []int
 	for range 2 { // of this test alone: rigs may run meanwhile
 		ln, err := Listen(0, ForNode)
@@ -279,19 +279,19 @@
 		firsts = append(firsts, ln.Addr().(*net.TCPAddr).Port)
 		ln.Close()
 	}
-	one, release, err := claim(t.Context(), sharedHost, firsts)
-	two, keep, err2 := claim(t.Context(), sharedHost, firsts)
+	one, release, err := claimPorts(t.Context(), sharedHost, firsts)
+	two, keep, err2 := claimPorts(t.Context(), sharedHost, firsts)
 	if err != nil || err2 != nil || one == two {
 		t.Fatalf("two rigs have %d and %d, %v, %v", one, two, err, err2)
 	}
 	defer keep()
 	over, end := context.WithCancel(t.Context())
 	end()
-	if _, _, err := claim(over, sharedHost, firsts); err == nil {
+	if _, _, err := claimPorts(over, sharedHost, firsts); err == nil {
 		t.Error("a block that is taken is given away")
 	}
 	release()
-	if again, free, err := claim(t.Context(), sharedHost, firsts); err != nil || again != one {
+	if again, free, err := claimPorts(t.Context(), sharedHost, firsts); err != nil || again != one {
 		t.Errorf("%d, %v, want %d, which has come free", again, err, one)
 	} else {
 		free()
@@ -300,7 +300,7 @@
 
 // Who has no block takes no address of one: its rig may have given the address up for a fault.
 func TestListenWithoutABlock(t *testing.T) {
-	ln, err := Listen(0, ForBox)
+	ln, err := Listen(0, ForServer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,17 +311,17 @@
 }
 
 // A queue is full when it takes no more, not when a caller's patience is over.
-func TestFullIsToldByTheSystem(t *testing.T) {
+func TestQueueFullAsTheKernelReports(t *testing.T) {
 	l, err := Listen(0, ForNode)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := Backlog(l, 2); err != nil {
+	if err := SetBacklog(l, 2); err != nil {
 		t.Fatal(err)
 	}
 	for n := range 3 { // the system takes one more than it was told
-		if full(l) {
+		if queueFull(l) {
 			t.Errorf("full with %d", n)
 		}
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -330,30 +330,30 @@
 		}
 		defer c.Close()
 	}
-	for !full(l) { // its count lags behind
+	for !queueFull(l) { // its count lags behind
 		runtime.Gosched()
 	}
 }
 
 // Whether the caller still has its connection is seen in silence too.
-func TestHeldInSilence(t *testing.T) {
-	l, far := opened(t)
+func TestLiveClientDuringAStall(t *testing.T) {
+	l, far := openTestLink(t)
 	near := dial(t, l)
-	other := next(t, far)
+	other := nextConnection(t, far)
 	if _, err := other.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := near.Read(make([]byte, 1)); err != nil || !l.Held() {
-		t.Fatalf("%v, held %v", err, l.Held())
+	if _, err := near.Read(make([]byte, 1)); err != nil || !l.HasLiveClient() {
+		t.Fatalf("%v, held %v", err, l.HasLiveClient())
 	}
-	if err := l.Set(Fault{Silent: [2]bool{Back: true}}); err != nil {
+	if err := l.Set(Fault{Stall: [2]bool{Downstream: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if !l.Held() {
+	if !l.HasLiveClient() {
 		t.Error("not held though nobody has ended it")
 	}
 	near.Close()
-	for end := time.Now().Add(5 * time.Second); l.Held(); runtime.Gosched() {
+	for end := time.Now().Add(5 * time.Second); l.HasLiveClient(); runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatal("held though its caller has ended it")
 		}
--- a/internal/lab/link/packets.go
+++ b/internal/lab/link/packets.go
@@ -10,28 +10,28 @@
 )
 
 // Loss is what is wrong with packets on their way. The zero Loss is nothing.
-type Loss struct {
-	Silent  bool          // none arrives
-	Lost    float64       // the share that does not
-	Doubled float64       // the share that arrives twice
+type PacketFault struct {
+	DropAll  bool          // none arrives
+	LossRatio    float64       // the share that does not
+	DuplicateRatio float64       // the share that arrives twice
 	Delay   time.Duration // of each
 	Jitter  time.Duration // added to it, up to so much: packets overtake each other
 }
 
 // Peers is the way of one node to another: streams and packets at one address, in one direction. What the other answers
 // in packets has a way of its own.
-type Peers struct {
+type PeerLink struct {
 	*Link
 	in  *net.UDPConn
 	out *net.UDPConn
 
 	mu   sync.Mutex
-	loss Loss
-	wg   sync.WaitGroup
+	packetFault PacketFault
+	forwarding   sync.WaitGroup
 }
 
 // OpenPeers opens a way to an address, in a rig's block of ports.
-func OpenPeers(ports int, to string) (*Peers, error) {
+func OpenPeerLink(ports int, to string) (*PeerLink, error) {
 	far, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
@@ -47,8 +47,8 @@
 			var in, out *net.UDPConn
 			if in, err = net.ListenUDP("udp", at); err == nil {
 				if out, err = net.DialUDP("udp", nil, far); err == nil {
-					p := &Peers{Link: l, in: in, out: out}
-					p.wg.Go(p.carry)
+					p := &PeerLink{Link: l, in: in, out: out}
+					p.forwarding.Go(p.forwardPackets)
 					return p, nil
 				}
 				in.Close()
@@ -61,15 +61,15 @@
 }
 
 // SetLoss changes what is wrong with packets.
-func (p *Peers) SetLoss(l Loss) {
+func (p *PeerLink) SetPacketFault(l PacketFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loss = l
+	p.packetFault = l
 }
 
 // Cut has nothing arrive, or all again: neither packets nor streams.
-func (p *Peers) Cut(off bool) error {
-	p.SetLoss(Loss{Silent: off})
+func (p *PeerLink) SetPartitioned(off bool) error {
+	p.SetPacketFault(PacketFault{DropAll: off})
 	if err := p.Link.Set(Fault{Refuse: off}); err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 }
 
 // carry takes packets on.
-func (p *Peers) carry() {
+func (p *PeerLink) forwardPackets() {
 	b := make([]byte, 64<<10)
 	for {
 		n, _, err := p.in.ReadFromUDP(b)
@@ -91,13 +91,13 @@
 			continue // nobody listened at the far side for a moment
 		}
 		p.mu.Lock()
-		l := p.loss
+		l := p.packetFault
 		p.mu.Unlock()
-		if l.Silent || rand.Float64() < l.Lost {
+		if l.DropAll || rand.Float64() < l.LossRatio {
 			continue
 		}
 		times := 1
-		if rand.Float64() < l.Doubled {
+		if rand.Float64() < l.DuplicateRatio {
 			times = 2
 		}
 		packet := append([]byte(nil), b[:n]...)
@@ -110,7 +110,7 @@
 				p.out.Write(packet) // one that nobody takes is lost
 				continue
 			}
-			p.wg.Go(func() {
+			p.forwarding.Go(func() {
 				time.Sleep(wait)
 				p.out.Write(packet)
 			})
@@ -119,9 +119,9 @@
 }
 
 // Close ends the way.
-func (p *Peers) Close() {
+func (p *PeerLink) Close() {
 	p.in.Close()
-	p.wg.Wait()
+	p.forwarding.Wait()
 	p.out.Close()
 	p.Link.Close()
 }
--- a/internal/lab/link/ports.go
+++ b/internal/lab/link/ports.go
@@ -14,9 +14,9 @@
 // is given up for a while and opened again must not be taken meanwhile, so it is below; and each rig has a block of its
 // own, for what was meant for one must not reach another.
 const (
-	firstPort = 12000
-	blocks    = 5
-	block     = 4000
+	firstBlockPort = 12000
+	blockCount    = 5
+	portsPerBlock     = 4000
 )
 
 // Blocks are of one loopback address; those who have none share the ports of another one. With the same address they would
@@ -28,15 +28,15 @@
 
 // Claim takes a block of ports for a rig, until release, and gives its first. Where all are taken it waits for one: two
 // rigs in one block would take each other's addresses while these are given up for a fault.
-func Claim(ctx context.Context) (ports int, release func(), err error) {
+func ClaimPorts(ctx context.Context) (ports int, release func(), err error) {
 	var firsts []int
-	for n := range blocks {
-		firsts = append(firsts, firstPort+n*block)
+	for n := range blockCount {
+		firsts = append(firsts, firstBlockPort+n*portsPerBlock)
 	}
-	return claim(ctx, blockHost, firsts)
+	return claimPorts(ctx, blockHost, firsts)
 }
 
-func claim(ctx context.Context, host string, firsts []int) (ports int, release func(), err error) {
+func claimPorts(ctx context.Context, host string, firsts []int) (ports int, release func(), err error) {
 	look := time.NewTicker(50 * time.Millisecond)
 	defer look.Stop()
 	for {
@@ -55,24 +55,24 @@
 }
 
 // Use is what an address is for: one that is closed for a while must not be taken for another use meanwhile.
-type Use int
+type PortUse int
 
 // Uses. A box that starts again gets another address.
 const (
-	ForLink Use = iota
-	ForDoor
+	ForLink PortUse = iota
+	ForDiscovery
 	ForNode // and the operators' address beside it
-	ForBox
+	ForServer
 )
 
-var uses = [...]struct{ from, to int }{ForLink: {1, 2500}, ForDoor: {2500, 3000}, ForNode: {3000, 3500}, ForBox: {3500, block}}
+var portRanges = [...]struct{ from, to int }{ForLink: {1, 2500}, ForDiscovery: {2500, 3000}, ForNode: {3000, 3500}, ForServer: {3500, portsPerBlock}}
 
 // Listen opens a listener on loopback, at an address of a rig's block of ports that is nobody's for another use; where
 // ports is 0, at one that is in no block.
-func Listen(ports int, use Use) (*net.TCPListener, error) {
-	host, first, many := sharedHost, firstPort, blocks*block
+func Listen(ports int, use PortUse) (*net.TCPListener, error) {
+	host, first, many := sharedHost, firstBlockPort, blockCount*portsPerBlock
 	if ports > 0 {
-		host, first, many = blockHost, ports+uses[use].from, uses[use].to-uses[use].from
+		host, first, many = blockHost, ports+portRanges[use].from, portRanges[use].to-portRanges[use].from
 	}
 	var last error
 	for range 1000 {
--- a/internal/lab/link/pump.go
+++ b/internal/lab/link/pump.go
@@ -12,87 +12,87 @@
 )
 
 // dialTime is how long the far side's machine may take to accept; its processes may be stopped, its kernel is not.
-const dialTime = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 // relay joins a caller's connection to one to the far side until both have ended.
-func (l *Link) relay(near net.Conn) {
-	to := l.to()
+func (l *Link) relayStream(near net.Conn) {
+	to := l.target()
 	if to == "" { // nobody is there: the address of before may be another's by now
 		reset(near)
 		return
 	}
-	far, err := net.DialTimeout("tcp", to, dialTime)
+	far, err := net.DialTimeout("tcp", to, dialTimeout)
 	if err != nil {
 		reset(near)
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &session{client: near, server: far}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		p.reset()
 		return
 	}
-	l.pairs[p] = true
+	l.sessions[p] = true
 	l.opened++
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.pairs, p)
+		delete(l.sessions, p)
 		l.mu.Unlock()
 		near.Close()
 		far.Close()
 	}()
 	ended := make(chan struct{}, 2)
-	l.wg.Go(func() { l.pump(p, Out, near, far); ended <- struct{}{} })
-	l.wg.Go(func() { l.pump(p, Back, far, near); ended <- struct{}{} })
+	l.running.Go(func() { l.pipe(p, Upstream, near, far); ended <- struct{}{} })
+	l.running.Go(func() { l.pipe(p, Downstream, far, near); ended <- struct{}{} })
 	<-ended
 	<-ended
 }
 
 // pair is one connection and its continuation.
-type pair struct {
-	near, far net.Conn
-	left      atomic.Bool // the caller has ended it
+type session struct {
+	client, server net.Conn
+	clientClosed      atomic.Bool // the caller has ended it
 	answered  atomic.Bool // something has come back to it
 }
 
-func (p *pair) reset() {
-	reset(p.near)
-	reset(p.far)
+func (p *session) reset() {
+	reset(p.client)
+	reset(p.server)
 }
 
 // piece is what was read at once, and when it may arrive.
-type piece struct {
-	b   []byte
+type chunk struct {
+	data   []byte
 	due time.Time
 }
 
 const (
-	pieceMost  = 16 << 10
-	pieceQueue = 32 // on their way at once: half a MiB, like a socket's buffer
-	backlog    = 1024
+	maxChunkBytes  = 16 << 10
+	chunkQueueLength = 32 // on their way at once: half a MiB, like a socket's buffer
+	defaultBacklog    = 1024
 )
 
 // pump carries one direction. Reading and writing are apart, for a delay must not make the line narrow.
-func (l *Link) pump(p *pair, way Way, from, to net.Conn) {
-	pieces := make(chan piece, pieceQueue)
+func (l *Link) pipe(p *session, way Direction, from, to net.Conn) {
+	pieces := make(chan chunk, chunkQueueLength)
 	gone := make(chan struct{})
 	var end error
-	l.wg.Go(func() {
+	l.running.Go(func() {
 		defer close(pieces)
 		var free time.Time
 		for {
-			b := make([]byte, pieceMost)
+			b := make([]byte, maxChunkBytes)
 			n, err := from.Read(b)
 			if n > 0 {
-				f, _, _ := l.now()
+				f, _, _ := l.state()
 				due := time.Now()
-				if f.Rate > 0 {
+				if f.BytesPerSecond > 0 {
 					if free.Before(due) {
 						free = due
 					}
-					free = free.Add(time.Duration(float64(n) / f.Rate * float64(time.Second)))
+					free = free.Add(time.Duration(float64(n) / f.BytesPerSecond * float64(time.Second)))
 					due = free
 				}
 				due = due.Add(f.Delay)
@@ -100,15 +100,15 @@
 					due = due.Add(rand.N(f.Jitter))
 				}
 				select {
-				case pieces <- piece{b[:n], due}:
+				case pieces <- chunk{b[:n], due}:
 				case <-gone:
 					return
 				}
 			}
 			if err != nil {
 				end = err
-				if way == Out {
-					p.left.Store(true)
+				if way == Upstream {
+					p.clientClosed.Store(true)
 				}
 				return
 			}
@@ -120,38 +120,38 @@
 		if wait := time.Until(c.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		f, open := l.heard(way)
+		f, open := l.awaitFlow(way)
 		if !open {
 			p.reset()
 			return
 		}
-		if way == Back && f.Break > 0 && passed+int64(len(c.b)) > f.Break {
-			to.Write(c.b[:max(f.Break-passed, 0)]) // one that has gone away reads nothing
+		if way == Downstream && f.ResetAfter > 0 && passed+int64(len(c.data)) > f.ResetAfter {
+			to.Write(c.data[:max(f.ResetAfter-passed, 0)]) // one that has gone away reads nothing
 			p.reset()
 			return
 		}
-		if way == Back {
+		if way == Downstream {
 			p.answered.Store(true)
 		}
-		if _, err := to.Write(c.b); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			p.reset()
 			return
 		}
-		passed += int64(len(c.b))
+		passed += int64(len(c.data))
 	}
-	f, open := l.heard(way)
+	f, open := l.awaitFlow(way)
 	switch {
 	case !open:
-	case f.Deaf[way]: // the other side believes that all is well, until the fault is over or it ends itself
-		l.untilHeard(way)
-		finish(p, to, end)
+	case f.HoldFIN[way]: // the other side believes that all is well, until the fault is over or it ends itself
+		l.awaitFIN(way)
+		passEnd(p, to, end)
 	default:
-		finish(p, to, end)
+		passEnd(p, to, end)
 	}
 }
 
 // finish tells the other side how this one ended.
-func finish(p *pair, to net.Conn, end error) {
+func passEnd(p *session, to net.Conn, end error) {
 	if end != nil && !errors.Is(end, io.EOF) {
 		p.reset()
 		return
@@ -162,10 +162,10 @@
 }
 
 // heard waits while a way is silent. False: the link is closed.
-func (l *Link) heard(way Way) (Fault, bool) {
+func (l *Link) awaitFlow(way Direction) (Fault, bool) {
 	for {
-		f, changed, closed := l.now()
-		if closed || !f.Silent[way] {
+		f, changed, closed := l.state()
+		if closed || !f.Stall[way] {
 			return f, !closed
 		}
 		<-changed
@@ -173,10 +173,10 @@
 }
 
 // untilHeard waits while ends do not arrive.
-func (l *Link) untilHeard(way Way) {
+func (l *Link) awaitFIN(way Direction) {
 	for {
-		f, changed, closed := l.now()
-		if closed || !f.Deaf[way] {
+		f, changed, closed := l.state()
+		if closed || !f.HoldFIN[way] {
 			return
 		}
 		<-changed
--- a/internal/lab/loopback/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -115,7 +115,7 @@
 
 // listen begins to serve a node's list, at its old address if it had one.
 func (d *discovery) listen(p *process) error {
-	ln, err := d.w.listenAt(d.addr(p), link.ForDoor)
+	ln, err := d.w.listenAt(d.addr(p), link.ForDiscovery)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
--- a/internal/lab/loopback/server.go
+++ b/internal/lab/loopback/server.go
@@ -51,7 +51,7 @@
 	if b.w.away != nil { // its links know where it is: nobody keeps the address of one that is down
 		addr = ""
 	}
-	ln, err := b.w.listenAt(addr, link.ForBox)
+	ln, err := b.w.listenAt(addr, link.ForServer)
 	if err != nil {
 		return fmt.Errorf("box %s: %w", b.model.ID, err)
 	}
@@ -64,7 +64,7 @@
 }
 
 // listenAt listens where something did before, if it did.
-func (w *World) listenAt(addr string, use link.Use) (*net.TCPListener, error) {
+func (w *World) listenAt(addr string, use link.PortUse) (*net.TCPListener, error) {
 	if addr == "" {
 		return link.Listen(w.opt.Ports, use)
 	}
@@ -467,7 +467,7 @@
 		return nil
 	}
 	b.back, b.model.Cut = make(chan struct{}), true
-	fill, err := link.Hush(b.ln)
+	fill, err := link.StopConnects(b.ln)
 	if err != nil {
 		return fmt.Errorf("box %s: cut off: %w", b.model.ID, err)
 	}
@@ -484,7 +484,7 @@
 		reset(c)
 	}
 	b.fill, b.model.Cut = nil, false
-	link.Backlog(b.ln, 1024)
+	link.SetBacklog(b.ln, 1024)
 	b.ln.SetDeadline(time.Time{})
 	close(b.back)
 	b.back = nil
--- a/internal/lab/scale/datapath_servers.go
+++ b/internal/lab/scale/datapath_servers.go
@@ -49,7 +49,7 @@
 
 // listen opens the address of one server.
 func (s *Service) listen(index int) error {
-	ln, err := link.Listen(0, link.ForBox)
+	ln, err := link.Listen(0, link.ForServer)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -44,7 +44,7 @@
 
 // NewWatchServer serves a list of servers, all as they are given, as version 1. Close must follow.
 func NewWatchServer(hosts []loopback.Entry) (*WatchServer, error) {
-	ln, err := link.Listen(0, link.ForDoor)
+	ln, err := link.Listen(0, link.ForDiscovery)
 	if err != nil {
 		return nil, fmt.Errorf("scale: stand-in for discovery: %w", err)
 	}
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -70,7 +70,7 @@
 func NewControlCluster(ctx context.Context, options ClusterOptions) (*ControlCluster, error) {
 	cluster := &ControlCluster{options: options, release: func() {}, relays: map[relayKey][]*link.Link{},
 		client: &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
-	ports, release, err := link.Claim(ctx)
+	ports, release, err := link.ClaimPorts(ctx)
 	if err != nil {
 		return cluster, err
 	}
@@ -156,7 +156,7 @@
 			continue
 		}
 		for _, relay := range relays {
-			if err := relay.Set(link.Fault{Silent: [2]bool{off, off}}); err != nil {
+			if err := relay.Set(link.Fault{Stall: [2]bool{off, off}}); err != nil {
 				return fmt.Errorf("scale: cut of %s: %w", region, err)
 			}
 		}
--- a/internal/lab/sites/sites.go
+++ b/internal/lab/sites/sites.go
@@ -43,7 +43,7 @@
 	options Options
 	ports   int // a block that no other rig, and no outgoing connection, has
 	release func()
-	links   map[[2]string]*link.Peers // by the names of who calls and who is called
+	links   map[[2]string]*link.PeerLink // by the names of who calls and who is called
 }
 
 // Node is one of its nodes, over all of its incarnations.
@@ -112,20 +112,20 @@
 	return s.b.String()
 }
 
-const nodePorts = 3000 // of the block: no link has one from there on
+const nodePortOffset = 3000 // of the block: no link has one from there on
 
 // Up makes an installation whose processes all run. Close must follow, also after an error.
-func Up(ctx context.Context, o Options) (in *Installation, err error) {
-	in = &Installation{options: o, links: map[[2]string]*link.Peers{}}
-	if in.ports, in.release, err = link.Claim(ctx); err != nil {
+func Start(ctx context.Context, o Options) (in *Installation, err error) {
+	in = &Installation{options: o, links: map[[2]string]*link.PeerLink{}}
+	if in.ports, in.release, err = link.ClaimPorts(ctx); err != nil {
 		return in, err
 	}
-	addr := func() string { return fmt.Sprintf("127.0.0.1:%d", in.ports+nodePorts+2*len(in.Nodes)) }
+	addr := func() string { return fmt.Sprintf("127.0.0.1:%d", in.ports+nodePortOffset+2*len(in.Nodes)) }
 	for _, site := range Names {
 		for i := range o.NodesPerSite {
 			n := &Node{Name: fmt.Sprintf("%s-%d", site, i), Site: site, listen: addr()}
 			n.Folder = filepath.Join(o.Dir, n.Name)
-			n.Control = fmt.Sprintf("127.0.0.1:%d", in.ports+nodePorts+2*len(in.Nodes)+1)
+			n.Control = fmt.Sprintf("127.0.0.1:%d", in.ports+nodePortOffset+2*len(in.Nodes)+1)
 			in.Nodes = append(in.Nodes, n)
 		}
 	}
@@ -138,7 +138,7 @@
 		return in, err
 	}
 	for _, n := range in.Nodes {
-		if err := in.Start(n); err != nil {
+		if err := in.StartNode(n); err != nil {
 			return in, err
 		}
 	}
@@ -151,7 +151,7 @@
 			if a == b {
 				continue
 			}
-			w, err := link.OpenPeers(in.ports, b.listen)
+			w, err := link.OpenPeerLink(in.ports, b.listen)
 			if err != nil {
 				return err
 			}
@@ -193,7 +193,7 @@
 }
 
 // Start starts a node's process.
-func (in *Installation) Start(n *Node) error {
+func (in *Installation) StartNode(n *Node) error {
 	n.cmd = exec.Command(in.options.Program[0], append(slices.Clone(in.options.Program[1:]), "run", "--settings", n.settings)...)
 	n.cmd.Env = append(os.Environ(), append(slices.Clone(in.options.Env), "ROUTER_CONFIG="+n.config, "TMPDIR="+n.Folder)...)
 	n.log, n.ended = &logBuffer{}, make(chan struct{})
@@ -288,23 +288,23 @@
 }
 
 // Cut cuts the links from some nodes to others, or mends them.
-func (in *Installation) Cut(off bool, from, to []*Node) error {
-	return in.each(from, to, func(w *link.Peers) error { return w.Cut(off) })
+func (in *Installation) SetPartitioned(off bool, from, to []*Node) error {
+	return in.forEachLink(from, to, func(w *link.PeerLink) error { return w.SetPartitioned(off) })
 }
 
 // SilenceAnswers has what is answered on the streams from some nodes to another stay where it is, or arrive again.
-func (in *Installation) SilenceAnswers(off bool, from []*Node, to *Node) error {
-	return in.each(from, []*Node{to}, func(w *link.Peers) error { return w.Set(link.Fault{Silent: [2]bool{link.Back: off}}) })
+func (in *Installation) SetAnswersStalled(off bool, from []*Node, to *Node) error {
+	return in.forEachLink(from, []*Node{to}, func(w *link.PeerLink) error { return w.Set(link.Fault{Stall: [2]bool{link.Downstream: off}}) })
 }
 
 // SetLoss changes what is wrong with all packets.
-func (in *Installation) SetLoss(l link.Loss) {
+func (in *Installation) SetPacketFault(l link.PacketFault) {
 	for _, w := range in.links {
-		w.SetLoss(l)
+		w.SetPacketFault(l)
 	}
 }
 
-func (in *Installation) each(from, to []*Node, do func(*link.Peers) error) error {
+func (in *Installation) forEachLink(from, to []*Node, do func(*link.PeerLink) error) error {
 	for _, a := range from {
 		for _, b := range to {
 			if w := in.links[[2]string{a.Name, b.Name}]; w != nil {
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	longestTurn = 2 * time.Second         // a call that would wait for longer is turned down
-	oldAddress  = 1500 * time.Millisecond // an address that is no longer named closes its connections after so long
+	maxQueueTime = 2 * time.Second         // a call that would wait for longer is turned down
+	oldAddressTime  = 1500 * time.Millisecond // an address that is no longer named closes its connections after so long
 )
 
 // discovery is the stand-in for the service that all nodes share. Each node calls it at addresses of its own, which is how
 // it knows whom it tells.
 type discovery struct {
-	rec    *record
-	faults faults
+	recorder    *recorder
+	faults activeFaults
 
 	mu      sync.Mutex
 	version int64
-	hosts   []host
+	hosts   []listedServer
 	changed []int64       // by server: the version that changed it last
-	news    chan struct{} // closed at a change
-	silent  chan struct{} // closed: open watches bring nothing any more
-	ended   chan struct{} // closed: open watches are reset
-	free    time.Time     // when a crowded discovery is done with the calls so far
-	down    bool          // connections are refused
-	hollow  bool          // connections come up, and calls are turned down after a wait
-	doors   map[int]*door // by node
+	updated    chan struct{} // closed at a change
+	stalled  chan struct{} // closed: open watches bring nothing any more
+	watchesReset   chan struct{} // closed: open watches are reset
+	queueFree    time.Time     // when a crowded discovery is done with the calls so far
+	refusing    bool          // connections are refused
+	holding  bool          // connections come up, and calls are turned down after a wait
+	endpoints   map[int]*endpoint // by node
 }
 
 // host is a server as discovery lists it.
-type host struct {
+type listedServer struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
 	Site   string `json:"site"`
@@ -46,52 +46,52 @@
 }
 
 // list is a list, or the changes of one.
-type list struct {
+type endpointList struct {
 	Version int64  `json:"seq"`
-	Whole   bool   `json:"whole"`
-	Hosts   []host `json:"hosts"`
+	Complete   bool   `json:"whole"`
+	Hosts   []listedServer `json:"hosts"`
 }
 
 // door is where one node calls.
-type door struct {
+type endpoint struct {
 	addr   string
 	server *http.Server
 }
 
-func newDiscovery(rec *record, servers []*server) *discovery {
-	d := &discovery{rec: rec, version: 1, news: make(chan struct{}), silent: make(chan struct{}), ended: make(chan struct{}), doors: map[int]*door{}}
+func newDiscovery(rec *recorder, servers []*server) *discovery {
+	d := &discovery{recorder: rec, version: 1, updated: make(chan struct{}), stalled: make(chan struct{}), watchesReset: make(chan struct{}), endpoints: map[int]*endpoint{}}
 	for _, s := range servers {
-		d.hosts = append(d.hosts, host{Host: "s-" + strconv.Itoa(s.index), Dial: s.addr, Site: "a", Class: "m", Health: "in_service"})
+		d.hosts = append(d.hosts, listedServer{Host: "s-" + strconv.Itoa(s.index), Dial: s.addr, Site: "a", Class: "m", Health: "in_service"})
 		d.changed = append(d.changed, d.version)
 	}
 	return d
 }
 
 // open gives a node a new address. The one before takes no new connections, and closes those that it has after a while.
-func (d *discovery) open(node int) (addr string, err error) {
+func (d *discovery) openAddress(node int) (addr string, err error) {
 	ln, err := net.Listen("tcp", standInAddress()+":0")
 	if err != nil {
 		return "", err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.doors[node]
-	d.doors[node] = &door{addr: ln.Addr().String()}
-	if d.down {
+	old := d.endpoints[node]
+	d.endpoints[node] = &endpoint{addr: ln.Addr().String()}
+	if d.refusing {
 		err = ln.Close()
 	} else {
-		d.attend(node, ln)
+		d.serveNode(node, ln)
 	}
 	if old != nil && old.server != nil {
-		time.AfterFunc(oldAddress, func() { old.server.Close() })
+		time.AfterFunc(oldAddressTime, func() { old.server.Close() })
 	}
 	return ln.Addr().String(), err
 }
 
 // attend serves a node's calls. The caller holds the lock.
-func (d *discovery) attend(node int, ln net.Listener) {
+func (d *discovery) serveNode(node int, ln net.Listener) {
 	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node) })}
-	d.doors[node].server = server
+	d.endpoints[node].server = server
 	go server.Serve(ln) // ends with Close
 }
 
@@ -99,7 +99,7 @@
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, o := range d.doors {
+	for _, o := range d.endpoints {
 		if o.server != nil {
 			o.server.Close()
 		}
@@ -107,10 +107,10 @@
 }
 
 // known is the list as it is.
-func (d *discovery) known() list {
+func (d *discovery) currentList() endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return list{Version: d.version, Whole: true, Hosts: append([]host(nil), d.hosts...)}
+	return endpointList{Version: d.version, Complete: true, Hosts: append([]listedServer(nil), d.hosts...)}
 }
 
 // drain lists a server as draining.
@@ -122,18 +122,18 @@
 	}
 	d.version++
 	d.hosts[index].Health, d.changed[index] = "terminating", d.version
-	drained := Drained{At: d.rec.now(), Server: index, Version: d.version}
-	d.rec.note(func(f *Facts) { f.Drains = append(f.Drains, drained) })
-	close(d.news)
-	d.news = make(chan struct{})
+	drained := DrainStart{At: d.recorder.now(), Server: index, Version: d.version}
+	d.recorder.record(func(f *Observations) { f.Drains = append(f.Drains, drained) })
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
 // hush has open watches fall silent, and reset ends them.
-func (d *discovery) hush() { d.renew(&d.silent) }
+func (d *discovery) stallWatches() { d.closeAndRenew(&d.stalled) }
 
-func (d *discovery) reset() { d.renew(&d.ended) }
+func (d *discovery) resetWatches() { d.closeAndRenew(&d.watchesReset) }
 
-func (d *discovery) renew(signal *chan struct{}) {
+func (d *discovery) closeAndRenew(signal *chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(*signal)
@@ -142,10 +142,10 @@
 
 // serve answers a call for the whole list, or keeps a watch.
 func (d *discovery) serve(w http.ResponseWriter, r *http.Request, node int) {
-	if !d.turn(w, r) {
+	if !d.awaitTurn(w, r) {
 		return
 	}
-	if _, lost := d.faults.meets(Lose); lost {
+	if _, lost := d.faults.hits(DiscoveryNoAnswer); lost {
 		<-r.Context().Done()
 		return
 	}
@@ -153,34 +153,34 @@
 	if r.URL.Query().Get("watch") == "" || err != nil {
 		from = 0
 	}
-	d.follow(w, r, node, from)
+	d.watch(w, r, node, from)
 }
 
 // turn makes a call wait as the faults have it. False: it has its answer, or nobody waits for one.
-func (d *discovery) turn(w http.ResponseWriter, r *http.Request) bool {
+func (d *discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
 	var wait time.Duration
 	refused := false
-	if f, slow := d.faults.is(Slow); slow {
+	if f, slow := d.faults.find(DiscoverySlow); slow {
 		wait = f.Wait
 	}
-	if f, crowded := d.faults.is(Crowded); crowded {
+	if f, crowded := d.faults.find(DiscoveryOverload); crowded {
 		d.mu.Lock()
 		now := time.Now()
-		if d.free.Before(now) {
-			d.free = now
+		if d.queueFree.Before(now) {
+			d.queueFree = now
 		}
-		if refused = d.free.Sub(now) > longestTurn; !refused {
-			d.free = d.free.Add(f.Wait)
+		if refused = d.queueFree.Sub(now) > maxQueueTime; !refused {
+			d.queueFree = d.queueFree.Add(f.Wait)
 		}
-		wait += min(d.free.Sub(now), longestTurn)
+		wait += min(d.queueFree.Sub(now), maxQueueTime)
 		d.mu.Unlock()
 		if refused {
 			wait = 0
 		}
 	}
 	d.mu.Lock()
-	if d.hollow {
-		wait, refused = longestTurn, true
+	if d.holding {
+		wait, refused = maxQueueTime, true
 	}
 	d.mu.Unlock()
 	select {
@@ -195,21 +195,21 @@
 }
 
 // follow writes what has changed since a version and, on a watch, each change and heartbeat after.
-func (d *discovery) follow(w http.ResponseWriter, r *http.Request, node int, from int64) {
+func (d *discovery) watch(w http.ResponseWriter, r *http.Request, node int, from int64) {
 	beat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer beat.Stop()
 	d.mu.Lock()
-	silent, ended := d.silent, d.ended
+	silent, ended := d.stalled, d.watchesReset
 	d.mu.Unlock()
 	for first := true; ; first = false {
-		text, version, news := d.since(from)
+		text, version, news := d.changesSince(from)
 		if first || version > from {
-			if _, cut := d.faults.meets(Cut); cut {
+			if _, cut := d.faults.hits(DiscoveryTruncated); cut {
 				w.Write(text[:len(text)/2])
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			}
-			d.rec.note(func(f *Facts) { f.Written = append(f.Written, Written{At: d.rec.now(), Node: node, Version: version}) })
+			d.recorder.record(func(f *Observations) { f.Deliveries = append(f.Deliveries, Delivery{At: d.recorder.now(), Node: node, Version: version}) })
 			w.Write(text)
 			w.(http.Flusher).Flush()
 			from = version
@@ -234,10 +234,10 @@
 }
 
 // since is what has changed since a version, as a line, and what is closed at the next change.
-func (d *discovery) since(from int64) (text []byte, version int64, news <-chan struct{}) {
+func (d *discovery) changesSince(from int64) (text []byte, version int64, news <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := list{Version: d.version, Whole: from == 0, Hosts: []host{}}
+	l := endpointList{Version: d.version, Complete: from == 0, Hosts: []listedServer{}}
 	for i, h := range d.hosts {
 		if from == 0 || d.changed[i] > from {
 			l.Hosts = append(l.Hosts, h)
@@ -247,27 +247,27 @@
 	if err != nil {
 		panic(err) // only if the types of this file can't be written
 	}
-	return append(text, '\n'), d.version, d.news
+	return append(text, '\n'), d.version, d.updated
 }
 
 // setDown takes discovery away, so that watches are reset, or brings it back.
-func (d *discovery) setDown(down, waits bool) error {
+func (d *discovery) setOutage(down, waits bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if (d.down || d.hollow) == down || !down && d.hollow != waits {
+	if (d.refusing || d.holding) == down || !down && d.holding != waits {
 		return nil // another outage is on, or has ended this one
 	}
-	now := d.rec.now()
+	now := d.recorder.now()
 	if waits {
-		if d.hollow = down; down {
-			close(d.ended)
-			d.ended = make(chan struct{})
+		if d.holding = down; down {
+			close(d.watchesReset)
+			d.watchesReset = make(chan struct{})
 		}
-		d.noteDown(down, now)
+		d.recordOutage(down, now)
 		return nil
 	}
-	d.down = down
-	for node, o := range d.doors {
+	d.refusing = down
+	for node, o := range d.endpoints {
 		if down {
 			o.server.Close()
 			continue
@@ -276,20 +276,20 @@
 		if err != nil {
 			return err
 		}
-		d.attend(node, ln)
+		d.serveNode(node, ln)
 	}
-	d.noteDown(down, now)
+	d.recordOutage(down, now)
 	return nil
 }
 
 // noteDown notes the begin or the end of an outage.
-func (d *discovery) noteDown(down bool, now time.Duration) {
-	d.rec.note(func(f *Facts) {
+func (d *discovery) recordOutage(down bool, now time.Duration) {
+	d.recorder.record(func(f *Observations) {
 		if down {
-			f.Downs = append(f.Downs, Span{From: now, Open: true})
+			f.Outages = append(f.Outages, Span{From: now, Open: true})
 			return
 		}
-		last := &f.Downs[len(f.Downs)-1]
-		last.To, last.Open = d.rec.now(), false
+		last := &f.Outages[len(f.Outages)-1]
+		last.To, last.Open = d.recorder.now(), false
 	})
 }
--- a/internal/lab/soak/facts.go
+++ b/internal/lab/soak/facts.go
@@ -6,15 +6,15 @@
 )
 
 // Facts are all that was seen, by the one clock of a play.
-type Facts struct {
-	Drains    []Drained
-	Written   []Written
-	Lives     []Life
-	Moves     []Moved
-	Downs     []Span // of discovery
-	Arrivals  []*Arrival
-	Asked     []*Asked
-	Complaint []string // of nodes: broken invariants, panics, unexpected ends
+type Observations struct {
+	Drains    []DrainStart
+	Deliveries   []Delivery
+	Incarnations     []Incarnation
+	AddressChanges     []AddressChange
+	Outages     []Span // of discovery
+	Attempts  []*Attempt
+	Requests     []*Request
+	Complaints []string // of nodes: broken invariants, panics, unexpected ends
 }
 
 // Span is from a time till another; an open one has no end yet.
@@ -24,75 +24,75 @@
 }
 
 // Drained is a server that began to drain, with the version of the list that has it.
-type Drained struct {
+type DrainStart struct {
 	At      time.Duration
 	Server  int
 	Version int64
 }
 
 // Written is a list that discovery wrote to a node whole. One that is cut is a call that failed.
-type Written struct {
+type Delivery struct {
 	At      time.Duration
 	Node    int
 	Version int64
 }
 
 // Life is one process of a node.
-type Life struct {
+type Incarnation struct {
 	Node   int
-	From   time.Duration // its start
-	Told   time.Duration // to end; 0: never
+	Started   time.Duration // its start
+	Terminated   time.Duration // to end; 0: never
 	Killed time.Duration // 0: never
 }
 
 // Moved is a SIGHUP that names another address of discovery.
-type Moved struct {
+type AddressChange struct {
 	At   time.Duration
 	Node int
 }
 
 // Arrival is a request at a server.
-type Arrival struct {
+type Attempt struct {
 	ID      string
 	Node    int
 	Server  int
 	At      time.Duration
-	Left    time.Duration // as the request says
-	Ran     bool          // it was not turned down
-	Over    time.Duration // when the server was done, or its connection had ended; 0: never
-	Dropped bool          // its connection had ended before
+	Budget    time.Duration // as the request says
+	Executed     bool          // it was not turned down
+	Finished    time.Duration // when the server was done, or its connection had ended; 0: never
+	ConnectionLost bool          // its connection had ended before
 }
 
 // Asked is a request of a client.
-type Asked struct {
+type Request struct {
 	ID       string
 	Node     int
-	Unsafe   bool
+	NonIdempotent   bool
 	At       time.Duration
 	Deadline time.Duration
-	Left     time.Duration // when its client left; 0: it stayed
-	Over     time.Duration // when it had its answer, or knew that there is none
+	ClientGone     time.Duration // when its client left; 0: it stayed
+	Finished     time.Duration // when it had its answer, or knew that there is none
 	Status   int           // 0: none
-	Advice   bool          // the answer says when to come back
+	RetryAfter   bool          // the answer says when to come back
 	Err      string
-	Fresh    bool // it was on a connection of its own
-	Refused  bool // no connection came up
+	NewConnection    bool // it was on a connection of its own
+	ConnectionRefused  bool // no connection came up
 }
 
 // record collects facts. Its methods may be called side by side.
-type record struct {
-	began time.Time
+type recorder struct {
+	started time.Time
 
 	mu    sync.Mutex
-	facts Facts
+	observations Observations
 }
 
 // now is the play's clock.
-func (r *record) now() time.Duration { return time.Since(r.began) }
+func (r *recorder) now() time.Duration { return time.Since(r.started) }
 
 // note adds facts.
-func (r *record) note(add func(f *Facts)) {
+func (r *recorder) record(add func(f *Observations)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	add(&r.facts)
+	add(&r.observations)
 }
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -17,9 +17,9 @@
 )
 
 // nodeReady is how long a node may take until it says that it is ready.
-const nodeReady = 30 * time.Second
+const nodeReadyTimeout = 30 * time.Second
 
-const nodeConfig = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be9%02x",
+const nodeConfigFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be9%02x",
  "limits":{"cores":1,"memory_mb":128,"sockets":512},"known":%s,
  "settings":{"registry-mode":"on_request","balancers":%d,"me":%d,"rules":{"ask-within-ms":10000,"warm-after-ms":1000,"cold-from":0.2},
   "limits":{"conn-idle-ms":1000,"connect-timeout-ms":500,"max-attempts":3,"retry-after":true,"max-retry-after-ms":2000},
@@ -32,31 +32,31 @@
 // node is one real node, over its lives.
 type node struct {
 	index   int
-	of      int // nodes
-	rec     *record
+	nodeCount      int // nodes
+	recorder     *recorder
 	program Program
-	disc    *discovery
+	discovery    *discovery
 	config  string // its file
 	listen  string
 
 	mu      sync.Mutex // over what follows; a life begins and ends under it
-	address string     // of discovery
-	process *exec.Cmd  // nil: it does not run
+	discoveryAddress string     // of discovery
+	command *exec.Cmd  // nil: it does not run
 	ending  bool       // it was told to end, or killed
 	ended   chan struct{}
 }
 
-func newNode(index, of int, rec *record, d *discovery, program Program, folder string) (*node, error) {
-	n := &node{index: index, of: of, rec: rec, disc: d, program: program, config: filepath.Join(folder, fmt.Sprintf("n%d.json", index))}
-	n.listen = fmt.Sprintf("%s:%d", nodeAddress(), firstPort+index)
+func newNode(index, of int, rec *recorder, d *discovery, program Program, folder string) (*node, error) {
+	n := &node{index: index, nodeCount: of, recorder: rec, discovery: d, program: program, config: filepath.Join(folder, fmt.Sprintf("n%d.json", index))}
+	n.listen = fmt.Sprintf("%s:%d", nodeAddress(), firstNodePort+index)
 	var err error
-	n.address, err = d.open(index)
+	n.discoveryAddress, err = d.openAddress(index)
 	return n, err
 }
 
 // firstPort is that of the first node. Nodes have addresses of their own on loopback, so that no port of theirs is
 // another's while they do not run, nor another soak's beside this one.
-const firstPort = 20000
+const firstNodePort = 20000
 
 func standInAddress() string { return ownAddress(1) }
 
@@ -71,12 +71,12 @@
 func (n *node) url() string { return "http://" + n.listen }
 
 // write writes the configuration file. The caller holds the lock.
-func (n *node) write() error {
-	known, err := json.Marshal(n.disc.known())
+func (n *node) writeConfig() error {
+	known, err := json.Marshal(n.discovery.currentList())
 	if err != nil {
 		return err
 	}
-	text := fmt.Sprintf(nodeConfig, n.index, n.listen, n.address, n.index, known, n.of, n.index)
+	text := fmt.Sprintf(nodeConfigFormat, n.index, n.listen, n.discoveryAddress, n.index, known, n.nodeCount, n.index)
 	return os.WriteFile(n.config, []byte(text), 0o600)
 }
 
@@ -85,7 +85,7 @@
 	if err := n.launch(); err != nil {
 		return err
 	}
-	for end := time.Now().Add(nodeReady); time.Now().Before(end); {
+	for end := time.Now().Add(nodeReadyTimeout); time.Now().Before(end); {
 		resp, err := http.Get(n.url() + "/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -95,13 +95,13 @@
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	return fmt.Errorf("node n%d is not ready after %v: look at its log", n.index, nodeReady)
+	return fmt.Errorf("node n%d is not ready after %v: look at its log", n.index, nodeReadyTimeout)
 }
 
 func (n *node) launch() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.write(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	c := n.program(n.config)
@@ -109,20 +109,20 @@
 	if err != nil {
 		return err
 	}
-	n.rec.note(func(f *Facts) { f.Lives = append(f.Lives, Life{Node: n.index, From: n.rec.now()}) })
+	n.recorder.record(func(f *Observations) { f.Incarnations = append(f.Incarnations, Incarnation{Node: n.index, Started: n.recorder.now()}) })
 	if err := c.Start(); err != nil {
 		return err
 	}
-	n.process, n.ending, n.ended = c, false, make(chan struct{})
-	go n.attend(c, stderr, n.ended)
+	n.command, n.ending, n.ended = c, false, make(chan struct{})
+	go n.readLog(c, stderr, n.ended)
 	return nil
 }
 
 // attend reads a life's log to its end.
-func (n *node) attend(c *exec.Cmd, stderr io.Reader, ended chan struct{}) {
+func (n *node) readLog(c *exec.Cmd, stderr io.Reader, ended chan struct{}) {
 	defer close(ended)
 	complain := func(text string) {
-		n.rec.note(func(f *Facts) { f.Complaint = append(f.Complaint, fmt.Sprintf("n%d: %s", n.index, text)) })
+		n.recorder.record(func(f *Observations) { f.Complaints = append(f.Complaints, fmt.Sprintf("n%d: %s", n.index, text)) })
 	}
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, 8<<20)
@@ -143,22 +143,22 @@
 }
 
 // move names another address of discovery by SIGHUP.
-func (n *node) move() error {
-	address, err := n.disc.open(n.index)
+func (n *node) changeDiscovery() error {
+	address, err := n.discovery.openAddress(n.index)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.address = address
-	if n.process == nil || n.ending {
+	n.discoveryAddress = address
+	if n.command == nil || n.ending {
 		return nil
 	}
-	if err := n.write(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	n.rec.note(func(f *Facts) { f.Moves = append(f.Moves, Moved{At: n.rec.now(), Node: n.index}) })
-	if err := n.process.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // its end is a complaint
+	n.recorder.record(func(f *Observations) { f.AddressChanges = append(f.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index}) })
+	if err := n.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // its end is a complaint
 		return err
 	}
 	return nil
@@ -168,30 +168,30 @@
 func (n *node) pause(wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.process == nil || n.ending {
+	if n.command == nil || n.ending {
 		return
 	}
-	n.process.Process.Signal(syscall.SIGSTOP)
+	n.command.Process.Signal(syscall.SIGSTOP)
 	<-time.After(wait)
-	n.process.Process.Signal(syscall.SIGCONT)
+	n.command.Process.Signal(syscall.SIGCONT)
 }
 
 // stop ends a life, by SIGTERM or at once, and waits for its end. False: there was none to end.
 func (n *node) stop(kill bool) bool {
 	n.mu.Lock()
-	if n.process == nil || n.ending {
+	if n.command == nil || n.ending {
 		n.mu.Unlock()
 		return false
 	}
 	n.ending = true
-	process, ended := n.process, n.ended
-	n.rec.note(func(f *Facts) {
-		for i := range f.Lives {
-			if l := &f.Lives[i]; l.Node == n.index && l.Told == 0 && l.Killed == 0 {
-				if now := n.rec.now(); kill {
+	process, ended := n.command, n.ended
+	n.recorder.record(func(f *Observations) {
+		for i := range f.Incarnations {
+			if l := &f.Incarnations[i]; l.Node == n.index && l.Terminated == 0 && l.Killed == 0 {
+				if now := n.recorder.now(); kill {
 					l.Killed = now
 				} else {
-					l.Told = now
+					l.Terminated = now
 				}
 			}
 		}
@@ -205,6 +205,6 @@
 	<-ended
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.process = nil
+	n.command = nil
 	return true
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,43 +13,43 @@
 
 // Kinds of faults.
 const (
-	Silent    Kind = "silent"    // open watches bring nothing any more
-	EndWatch  Kind = "end-watch" // open watches are reset
-	Slow      Kind = "slow"      // each call to discovery takes Wait
-	Crowded   Kind = "crowded"   // discovery handles calls in turn, Wait each, and turns down at once what would wait for long
-	Lose      Kind = "lose"      // a Share of the calls to discovery is never answered
-	Cut       Kind = "cut"       // a Share of the answers to calls is reset in the middle
-	Down      Kind = "down"      // watches are reset, and connections refused or, if Waits, calls turned down after a wait
-	Move      Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
-	Drain     Kind = "drain"     // a server drains
-	Hang      Kind = "hang"      // a server answers nothing
-	Reset     Kind = "reset"     // a server resets a Share of the requests that it has begun
-	Reject    Kind = "reject"    // a server turns a Share of the requests down
-	Fail      Kind = "fail"      // a server answers a Share of the requests with an error
-	Pause     Kind = "pause"     // nodes are held up for Wait
-	Restart   Kind = "restart"   // a node is told to end, and started again
-	Kill      Kind = "kill"      // a node is killed, and started again
-	LeaveSoon Kind = "leave"     // a Share of the clients leaves early
+	WatchStall    Kind = "silent"    // open watches bring nothing any more
+	WatchReset  Kind = "end-watch" // open watches are reset
+	DiscoverySlow      Kind = "slow"      // each call to discovery takes Wait
+	DiscoveryOverload   Kind = "crowded"   // discovery handles calls in turn, Wait each, and turns down at once what would wait for long
+	DiscoveryNoAnswer      Kind = "lose"      // a Share of the calls to discovery is never answered
+	DiscoveryTruncated       Kind = "cut"       // a Share of the answers to calls is reset in the middle
+	DiscoveryOutage      Kind = "down"      // watches are reset, and connections refused or, if Waits, calls turned down after a wait
+	DiscoveryMove      Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
+	ServerDrain     Kind = "drain"     // a server drains
+	ServerHang      Kind = "hang"      // a server answers nothing
+	ServerReset     Kind = "reset"     // a server resets a Share of the requests that it has begun
+	ServerReject    Kind = "reject"    // a server turns a Share of the requests down
+	ServerError      Kind = "fail"      // a server answers a Share of the requests with an error
+	NodePause     Kind = "pause"     // nodes are held up for Wait
+	NodeRestart   Kind = "restart"   // a node is told to end, and started again
+	NodeKill      Kind = "kill"      // a node is killed, and started again
+	ClientCancel Kind = "leave"     // a Share of the clients leaves early
 )
 
 // kinds in the order in which they are drawn. Drains and what befalls discovery come more often: a rule is broken where
 // they meet.
-var kinds = []Kind{Drain, Drain, Drain, Silent, Silent, EndWatch, EndWatch, Slow, Slow, Crowded, Crowded, Lose, Cut, Down, Move, Move,
-	Hang, Reset, Reject, Fail, Pause, Restart, Kill, LeaveSoon}
+var weightedKinds = []Kind{ServerDrain, ServerDrain, ServerDrain, WatchStall, WatchStall, WatchReset, WatchReset, DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated, DiscoveryOutage, DiscoveryMove, DiscoveryMove,
+	ServerHang, ServerReset, ServerReject, ServerError, NodePause, NodeRestart, NodeKill, ClientCancel}
 
 // Fault is one thing that goes wrong.
 type Fault struct {
 	Kind     Kind
 	From, To time.Duration // To is when it is over, where it lasts
-	Which    int           // the server or the node, where it is one
+	Target    int           // the server or the node, where it is one
 	Wait     time.Duration
 	Share    float64
 	Count    int
-	Waits    bool
+	HoldCalls    bool
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s %v to %v which=%d wait=%v share=%.2f count=%d waits=%v", f.Kind, f.From, f.To, f.Which, f.Wait, f.Share, f.Count, f.Waits)
+	return fmt.Sprintf("%s %v to %v which=%d wait=%v share=%.2f count=%d waits=%v", f.Kind, f.From, f.To, f.Target, f.Wait, f.Share, f.Count, f.HoldCalls)
 }
 
 // Plan is what is played.
@@ -64,15 +64,15 @@
 
 // The last fault is over so long before the end, and service is judged in the last part of that.
 const (
-	healTime   = 5 * time.Second
-	judgedTime = 2 * time.Second
+	recoveryTime   = 5 * time.Second
+	serviceCheckTime = 2 * time.Second
 
-	leastFaults, moreFaults = 4, 8
-	longestFault            = 8 * time.Second
+	minFaults, extraFaults = 4, 8
+	maxFaultTime            = 8 * time.Second
 )
 
 // after is the plan with its times counted from an earlier moment.
-func (p Plan) after(begin time.Duration) Plan {
+func (p Plan) shifted(begin time.Duration) Plan {
 	p.Faults = slices.Clone(p.Faults)
 	for i := range p.Faults {
 		p.Faults[i].From += begin
@@ -83,58 +83,58 @@
 }
 
 // Draw gives the plan of a seed.
-func Draw(seed uint64, nodes int, length time.Duration) Plan {
+func DrawPlan(seed uint64, nodes int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
 	p := Plan{Seed: seed, Nodes: nodes, Servers: 8, Rate: 8 * nodes, Length: length}
-	for range leastFaults + rng.IntN(moreFaults) {
+	for range minFaults + rng.IntN(extraFaults) {
 		p.Faults = append(p.Faults, drawFault(rng, p))
 	}
-	p.Faults = append(p.Faults, drawBlindness(rng, p)...)
+	p.Faults = append(p.Faults, drawStaleListFaults(rng, p)...)
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.From, b.From) })
 	return p
 }
 
 // drawBlindness draws faults that meet by chance too seldom: a server drains just after the nodes have lost their watches,
 // and discovery is hard to hear for longer than a list may be relied on.
-func drawBlindness(rng *rand.Rand, p Plan) []Fault {
+func drawStaleListFaults(rng *rand.Rand, p Plan) []Fault {
 	pick := func(list ...Kind) Kind { return list[rng.IntN(len(list))] }
-	deaf := drawKind(rng, p, pick(Slow, Slow, Crowded, Lose, Down))
-	deaf.From = min(deaf.From, p.Length-healTime-longestFault)
-	deaf.To = deaf.From + longestFault
-	deaf.Share = 0.6 + 0.4*rng.Float64()
-	lost := drawKind(rng, p, pick(Silent, EndWatch, Move))
-	lost.From = deaf.From + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
-	lost.Wait = min(lost.Wait, 500*time.Millisecond)
-	drain := drawKind(rng, p, Drain)
-	drain.From = lost.From + time.Duration(rng.Int64N(int64(time.Second)))
-	return []Fault{deaf, lost, drain}
+	outage := drawFaultOf(rng, p, pick(DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryOutage))
+	outage.From = min(outage.From, p.Length-recoveryTime-maxFaultTime)
+	outage.To = outage.From + maxFaultTime
+	outage.Share = 0.6 + 0.4*rng.Float64()
+	watchLoss := drawFaultOf(rng, p, pick(WatchStall, WatchReset, DiscoveryMove))
+	watchLoss.From = outage.From + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
+	watchLoss.Wait = min(watchLoss.Wait, 500*time.Millisecond)
+	drain := drawFaultOf(rng, p, ServerDrain)
+	drain.From = watchLoss.From + time.Duration(rng.Int64N(int64(time.Second)))
+	return []Fault{outage, watchLoss, drain}
 }
 
 // drawFault draws one that is over in time.
-func drawFault(rng *rand.Rand, p Plan) Fault { return drawKind(rng, p, kinds[rng.IntN(len(kinds))]) }
+func drawFault(rng *rand.Rand, p Plan) Fault { return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))]) }
 
 // drawKind draws a fault of a kind that is over in time.
-func drawKind(rng *rand.Rand, p Plan, kind Kind) Fault {
+func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
 	}
-	last := p.Length - healTime
-	f := Fault{Kind: kind, Share: 0.1 + 0.5*rng.Float64(), Count: 1 + rng.IntN(4), Waits: rng.IntN(2) == 0}
+	last := p.Length - recoveryTime
+	f := Fault{Kind: kind, Share: 0.1 + 0.5*rng.Float64(), Count: 1 + rng.IntN(4), HoldCalls: rng.IntN(2) == 0}
 	f.From = between(500*time.Millisecond, last)
-	f.To = min(f.From+between(500*time.Millisecond, longestFault), last)
-	f.Which = rng.IntN(p.Servers)
+	f.To = min(f.From+between(500*time.Millisecond, maxFaultTime), last)
+	f.Target = rng.IntN(p.Servers)
 	switch f.Kind {
-	case Slow:
+	case DiscoverySlow:
 		f.Wait = between(500*time.Millisecond, 7*time.Second)
-	case Crowded:
+	case DiscoveryOverload:
 		f.Wait = between(20*time.Millisecond, 300*time.Millisecond)
-	case Move:
+	case DiscoveryMove:
 		f.Wait = between(100*time.Millisecond, 900*time.Millisecond)
-	case Pause:
+	case NodePause:
 		f.Wait = between(20*time.Millisecond, 150*time.Millisecond)
-		f.Which = rng.IntN(p.Nodes)
-	case Restart, Kill:
-		f.Which = rng.IntN(p.Nodes)
+		f.Target = rng.IntN(p.Nodes)
+	case NodeRestart, NodeKill:
+		f.Target = rng.IntN(p.Nodes)
 	}
 	return f
 }
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -10,60 +10,60 @@
 )
 
 // Played is a plan that was played and what was seen, by one clock.
-type Played struct {
+type Result struct {
 	Plan  Plan
-	Facts *Facts
+	Observations *Observations
 }
 
 // Play plays a plan with real nodes. The error says why it could not be played.
-func Play(ctx context.Context, p Plan, program Program) (*Played, error) {
+func Run(ctx context.Context, p Plan, program Program) (*Result, error) {
 	folder, err := os.MkdirTemp("", "hookwalk-soak")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	r := &rig{plan: p, rec: &record{began: time.Now()}}
+	r := &run{plan: p, recorder: &recorder{started: time.Now()}}
 	defer r.close()
-	if err := r.open(program, folder); err != nil {
+	if err := r.start(program, folder); err != nil {
 		return nil, fmt.Errorf("soak: seed %d could not be played: %w", p.Seed, err)
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.playFaults(ctx); err != nil {
 		return nil, fmt.Errorf("soak: seed %d could not be played to its end: %w", p.Seed, err)
 	}
-	return &Played{Plan: r.plan, Facts: &r.rec.facts}, nil
+	return &Result{Plan: r.plan, Observations: &r.recorder.observations}, nil
 }
 
 // rig is all that is played.
-type rig struct {
+type run struct {
 	plan    Plan
-	rec     *record
+	recorder     *recorder
 	servers []*server
-	disc    *discovery
+	discovery    *discovery
 	nodes   []*node
 	clients *clients
 
 	mu  sync.Mutex
-	err error // the first of an action
+	firstErr error // the first of an action
 }
 
 // open starts everything and waits until all nodes are ready.
-func (r *rig) open(program Program, folder string) error {
+func (r *run) start(program Program, folder string) error {
 	for i := range r.plan.Servers {
-		s, err := newServer(i, r.rec)
+		s, err := newServer(i, r.recorder)
 		if err != nil {
 			return err
 		}
 		r.servers = append(r.servers, s)
 	}
-	r.disc = newDiscovery(r.rec, r.servers)
+	r.discovery = newDiscovery(r.recorder, r.servers)
 	for i := range r.plan.Nodes {
-		n, err := newNode(i, r.plan.Nodes, r.rec, r.disc, program, folder)
+		n, err := newNode(i, r.plan.Nodes, r.recorder, r.discovery, program, folder)
 		if err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	r.clients = newClients(r.rec, r.nodes)
+	r.clients = newClients(r.recorder, r.nodes)
 	errs := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
 		go func() { errs <- n.start() }()
@@ -78,14 +78,14 @@
 }
 
 // close ends everything.
-func (r *rig) close() {
+func (r *run) close() {
 	var all sync.WaitGroup
 	for _, n := range r.nodes {
 		all.Go(func() { n.stop(true) })
 	}
 	all.Wait()
-	if r.disc != nil {
-		r.disc.close()
+	if r.discovery != nil {
+		r.discovery.close()
 	}
 	for _, s := range r.servers {
 		s.http.Close()
@@ -93,15 +93,15 @@
 }
 
 // play lets the clients come and the faults begin and end. The plan's times are counted from here.
-func (r *rig) play(ctx context.Context) error {
-	r.plan = r.plan.after(r.rec.now())
-	ctx, end := context.WithTimeout(ctx, r.plan.Length-r.rec.now())
+func (r *run) playFaults(ctx context.Context) error {
+	r.plan = r.plan.shifted(r.recorder.now())
+	ctx, end := context.WithTimeout(ctx, r.plan.Length-r.recorder.now())
 	defer end()
 	var acting sync.WaitGroup
 	for _, f := range r.plan.Faults {
 		acting.Go(func() {
-			if r.wait(ctx, f.From) {
-				r.do(ctx, f)
+			if r.waitUntil(ctx, f.From) {
+				r.inject(ctx, f)
 			}
 		})
 	}
@@ -109,13 +109,13 @@
 	acting.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.err
+	return r.firstErr
 }
 
 // wait waits for a time of the play's clock, unless ctx ends before.
-func (r *rig) wait(ctx context.Context, at time.Duration) bool {
+func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
-	case <-time.After(at - r.rec.now()):
+	case <-time.After(at - r.recorder.now()):
 		return true
 	case <-ctx.Done():
 		return false
@@ -123,60 +123,60 @@
 }
 
 // failed keeps the first error of what the rig does.
-func (r *rig) failed(err error) {
+func (r *run) keepError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err != nil && r.err == nil {
-		r.err = err
+	if err != nil && r.firstErr == nil {
+		r.firstErr = err
 	}
 }
 
 // do makes one fault, from its begin to its end.
-func (r *rig) do(ctx context.Context, f Fault) {
-	lasting := func(on *faults) {
+func (r *run) inject(ctx context.Context, f Fault) {
+	lasting := func(on *activeFaults) {
 		on.begin(f)
-		r.wait(ctx, f.To)
+		r.waitUntil(ctx, f.To)
 		on.end(f)
 	}
 	switch f.Kind {
-	case Silent:
-		r.disc.hush()
-	case EndWatch:
-		r.disc.reset()
-	case Slow, Crowded, Lose, Cut:
-		lasting(&r.disc.faults)
-	case Down:
-		r.failed(r.disc.setDown(true, f.Waits))
-		r.wait(ctx, f.To)
-		r.failed(r.disc.setDown(false, f.Waits))
-	case Move:
+	case WatchStall:
+		r.discovery.stallWatches()
+	case WatchReset:
+		r.discovery.resetWatches()
+	case DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated:
+		lasting(&r.discovery.faults)
+	case DiscoveryOutage:
+		r.keepError(r.discovery.setOutage(true, f.HoldCalls))
+		r.waitUntil(ctx, f.To)
+		r.keepError(r.discovery.setOutage(false, f.HoldCalls))
+	case DiscoveryMove:
 		for range f.Count {
 			for _, n := range r.nodes {
-				r.failed(n.move())
+				r.keepError(n.changeDiscovery())
 			}
-			r.wait(ctx, r.rec.now()+f.Wait)
+			r.waitUntil(ctx, r.recorder.now()+f.Wait)
 		}
-	case Drain:
-		r.disc.drain(f.Which)
-	case Hang, Reset, Reject, Fail:
-		lasting(&r.servers[f.Which].faults)
-	case Pause:
-		r.nodes[f.Which].pause(f.Wait)
-	case Restart, Kill:
-		if r.nodes[f.Which].stop(f.Kind == Kill) {
-			r.failed(r.nodes[f.Which].start())
+	case ServerDrain:
+		r.discovery.drain(f.Target)
+	case ServerHang, ServerReset, ServerReject, ServerError:
+		lasting(&r.servers[f.Target].faults)
+	case NodePause:
+		r.nodes[f.Target].pause(f.Wait)
+	case NodeRestart, NodeKill:
+		if r.nodes[f.Target].stop(f.Kind == NodeKill) {
+			r.keepError(r.nodes[f.Target].start())
 		}
-	case LeaveSoon:
+	case ClientCancel:
 		lasting(&r.clients.faults)
 	}
 }
 
 // String says how much was seen.
-func (p *Played) String() string {
+func (p *Result) String() string {
 	served, refused, failed, none := 0, 0, 0, 0
-	for _, a := range p.Facts.Asked {
+	for _, a := range p.Observations.Requests {
 		switch {
-		case a.Left > 0:
+		case a.ClientGone > 0:
 		case a.Status == http.StatusOK:
 			served++
 		case a.Status == http.StatusServiceUnavailable:
@@ -188,5 +188,5 @@
 		}
 	}
 	return fmt.Sprintf("%d faults, %d requests: %d served, %d refused, %d failed, %d without an answer; %d attempts, %d drains, %d lists, %d moves",
-		len(p.Plan.Faults), len(p.Facts.Asked), served, refused, failed, none, len(p.Facts.Arrivals), len(p.Facts.Drains), len(p.Facts.Written), len(p.Facts.Moves))
+		len(p.Plan.Faults), len(p.Observations.Requests), served, refused, failed, none, len(p.Observations.Attempts), len(p.Observations.Drains), len(p.Observations.Deliveries), len(p.Observations.AddressChanges))
 }
