--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -24,14 +24,14 @@
 
 // Bounds of what a soak may ask of a machine.
 const (
-	mostSoakNodes   = 200
-	leastSoakLength = 16 * time.Second
+	maxSoakNodes  = 200              // each is a process of some 15 MB
+	minSoakLength = 16 * time.Second // the time for faults, for recovery and for the judgement
 )
 
 // Run plays one seed after another and prints what was seen and what was broken.
 func (c labSoak) Run(io streams) error {
-	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > mostSoakNodes || c.Length < leastSoakLength {
-		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", mostSoakNodes, leastSoakLength)
+	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > maxSoakNodes || c.Length < minSoakLength {
+		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", maxSoakNodes, minSoakLength)
 	}
 	program := c.Program
 	if program == "" {
@@ -44,8 +44,8 @@
 	defer stop()
 	found := 0
 	for i := range c.Seeds {
-		plan := soak.Draw(c.First+uint64(i), c.Nodes, c.Length)
-		played, err := soak.Play(ctx, plan, func(config string) *exec.Cmd {
+		plan := soak.DrawPlan(c.First+uint64(i), c.Nodes, c.Length)
+		played, err := soak.Run(ctx, plan, func(config string) *exec.Cmd {
 			node := exec.Command(program, "run")
 			node.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 			return node
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		broken := played.Judge()
+		broken := played.Violations()
 		fmt.Fprintf(io.stdout, "seed %d: %v; %d broken\n", plan.Seed, played, len(broken))
 		if len(broken) == 0 {
 			continue
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -20,8 +20,8 @@
 	commitInterval = 50 * time.Millisecond
 	// appendBatch is the number of log entries in one message; each may have configapi.MaxDocumentBytes.
 	appendBatch = 8
-	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag: copying them
-	// is cheaper than a snapshot of all services.
+	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag: copying
+	// them is cheaper than a snapshot of all services.
 	trailingLogs = 256
 	// snapshotEntries is the number of entries after which raft takes a snapshot by itself. It bounds the log that a
 	// restart has to replay.
@@ -48,7 +48,7 @@
 	publishSlot chan struct{} // held by the publish request that is being proposed
 }
 
-// bootstrapMode says whether a disk begins a new cluster.
+// bootstrapMode is whether a disk begins a new cluster.
 type bootstrapMode bool
 
 const (
@@ -116,8 +116,8 @@
 	return raft.Configuration{Servers: servers}
 }
 
-// logAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings, which
-// may differ, as where a proxy stands between two of them; what is in the log must not.
+// logAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings,
+// which may differ, as where a proxy stands between two of them; what is in the log must not.
 func logAddress(member Member) raft.ServerAddress { return raft.ServerAddress(member.Name) }
 
 // serverIDSeparator stands between the controller's name and a random text in the server ID of a replaced disk.
@@ -137,18 +137,27 @@
 	return name + serverIDSeparator + randomText()[:serverIDRandomLength]
 }
 
-// replicatesTo says whether this server leads in a term and a server is a member of its cluster: only then are log
+// replicatesTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
 // entries worth another attempt.
 func (c *consensus) replicatesTo(server raft.ServerID, term uint64) bool {
 	running := c.started.Load()
 	if running == nil || running.State() != raft.Leader || running.CurrentTerm() != term {
 		return false
 	}
-	configuration := running.GetConfiguration()
-	if configuration.Error() != nil {
+	servers, err := serversOf(running)
+	if err != nil {
 		return false
 	}
-	return slices.ContainsFunc(configuration.Configuration().Servers, func(member raft.Server) bool { return member.ID == server })
+	return slices.ContainsFunc(servers, func(member raft.Server) bool { return member.ID == server })
+}
+
+// serversOf are the servers of raft's newest configuration.
+func serversOf(running *raft.Raft) ([]raft.Server, error) {
+	future := running.GetConfiguration()
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	return future.Configuration().Servers, nil
 }
 
 // ServerAddr finds the address of a raft server in the settings. Its error is an UnknownControllerError.
@@ -161,18 +170,16 @@
 	return serverAddress(member.Raft, string(id)), nil
 }
 
-// isVoter says whether this server is a voter, as far as it knows.
+// isVoter reports whether this server is a voter, as far as it knows.
 func (c *consensus) isVoter() bool {
-	configuration := c.raft.GetConfiguration()
-	if configuration.Error() != nil {
+	servers, err := serversOf(c.raft)
+	if err != nil {
 		return false
 	}
-	for _, server := range configuration.Configuration().Servers {
-		if server.ID == raft.ServerID(c.disk.identity.ServerID) {
-			return server.Suffrage == raft.Voter
-		}
-	}
-	return false
+	self := raft.ServerID(c.disk.identity.ServerID)
+	return slices.ContainsFunc(servers, func(server raft.Server) bool {
+		return server.ID == self && server.Suffrage == raft.Voter
+	})
 }
 
 // close stops raft and closes its listener.
--- a/internal/controller/node_table_test.go
+++ b/internal/controller/node_table_test.go
@@ -25,7 +25,8 @@
 	return s
 }
 
-// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace it.
+// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace
+// it.
 func TestSessionsAreBounded(t *testing.T) {
 	table := newTestTable(2)
 	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
@@ -98,7 +99,7 @@
 	long := configapi.WatchRequest{Node: "n2", Service: "dry", LastDecided: 4, LastRejected: true, RejectionReason: strings.Repeat("x", 2*configapi.MaxReasonBytes)}
 	mustOpen(t, table, long)
 	if got := table.list(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
-		t.Errorf("a reason of %d bytes is kept", len(got))
+		t.Errorf("a reason of %d bytes is recorded", len(got))
 	}
 }
 
