--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -205,7 +205,9 @@
 
 // What a server has found out is its client's, as it is.
 func TestApplicationErrorsPass(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound), "grpc-message", "no such bin") })
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) {
+		k.FailWithoutHeader(int(codes.NotFound), "grpc-message", "no such bin")
+	})
 	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), view)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
 		t.Errorf("got %v after %d calls", err, f.calls.Load())
--- a/internal/lab/eventq/eventq.go
+++ b/internal/lab/eventq/eventq.go
@@ -8,16 +8,18 @@
 // Queue is a heap. The zero Queue is empty.
 type Queue[T any] struct {
 	events []event[T]
-	pushed  uint64
+	pushed uint64
 }
 
 type event[T any] struct {
-	at  time.Duration
+	at       time.Duration
 	sequence uint64
-	value   T
+	value    T
 }
 
-func (e event[T]) before(o event[T]) bool { return e.at < o.at || e.at == o.at && e.sequence < o.sequence }
+func (e event[T]) before(o event[T]) bool {
+	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
+}
 
 // Len counts what is to happen.
 func (q *Queue[T]) Len() int { return len(q.events) }
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -22,7 +22,7 @@
 	Method   string
 	Metadata map[string]string
 	Message  []byte // without its prefix
-	Number        int    // of the server's calls, from 0
+	Number   int    // of the server's calls, from 0
 
 	conn   *conn
 	stream uint32
@@ -30,16 +30,16 @@
 
 // Server serves on loopback until Close.
 type Server struct {
-	listener      net.Listener
-	script  func(*Call)
+	listener   net.Listener
+	script     func(*Call)
 	maxStreams uint32 // at once on a connection; 0: no limit told
-	running      sync.WaitGroup
+	running    sync.WaitGroup
 
-	mu    sync.Mutex
-	conns map[*conn]bool
-	calls int
-	accepted  int // connections that have come
-	closed  bool
+	mu       sync.Mutex
+	conns    map[*conn]bool
+	calls    int
+	accepted int // connections that have come
+	closed   bool
 }
 
 // conn is a connection from a client.
@@ -48,13 +48,13 @@
 	server *Server
 
 	highestStream uint32 // the highest stream that the script was given, guarded by server.mu
-	goAwaySent  bool   // GOAWAY was sent: streams after last are not taken; likewise
-	lastStream  uint32
+	goAwaySent    bool   // GOAWAY was sent: streams after last are not taken; likewise
+	lastStream    uint32
 
-	mu     sync.Mutex // of the writes
-	framer *http2.Framer
-	encoder    *hpack.Encoder
-	block  bytes.Buffer
+	mu      sync.Mutex // of the writes
+	framer  *http2.Framer
+	encoder *hpack.Encoder
+	block   bytes.Buffer
 }
 
 // New starts a server. The script is called for each call, in a goroutine of its own; maxStreams of 0 tells no limit.
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -19,19 +19,19 @@
 
 // Ways.
 const (
-	Upstream  Direction = iota // from the caller
-	Downstream            // to the caller
+	Upstream   Direction = iota // from the caller
+	Downstream                  // to the caller
 )
 
 // Fault is what is wrong with a link. The zero Fault is none.
 type Fault struct {
-	Stall [2]bool       // by Way: bytes stay where they are; no new connection comes up while either is set
-	Refuse bool          // new connections are refused
-	Delay  time.Duration // one way, for every piece
-	Jitter time.Duration // added to it, up to so much
-	BytesPerSecond   float64       // bytes a second each way; 0: as fast as loopback is
-	HoldFIN   [2]bool       // by Way: the end of one side never reaches the other
-	ResetAfter  int64         // connections are reset once so many bytes came back; 0: never
+	Stall          [2]bool       // by Way: bytes stay where they are; no new connection comes up while either is set
+	Refuse         bool          // new connections are refused
+	Delay          time.Duration // one way, for every piece
+	Jitter         time.Duration // added to it, up to so much
+	BytesPerSecond float64       // bytes a second each way; 0: as fast as loopback is
+	HoldFIN        [2]bool       // by Way: the end of one side never reaches the other
+	ResetAfter     int64         // connections are reset once so many bytes came back; 0: never
 }
 
 // silent says that nothing may come up.
@@ -39,17 +39,17 @@
 
 // Link is one relay. Its methods may be called from any goroutine.
 type Link struct {
-	addr string
-	target   func() string
-
-	mu      sync.Mutex
-	listener      *net.TCPListener
-	queueFillers    []net.Conn // while silent they keep the listener's queue full
-	fault   Fault
-	changed chan struct{} // closed at a change of fault
-	sessions   map[*session]bool
-	opened  int
-	closed  bool
+	addr   string
+	target func() string
+
+	mu           sync.Mutex
+	listener     *net.TCPListener
+	queueFillers []net.Conn // while silent they keep the listener's queue full
+	fault        Fault
+	changed      chan struct{} // closed at a change of fault
+	sessions     map[*session]bool
+	opened       int
+	closed       bool
 	running      sync.WaitGroup
 }
 
--- a/internal/lab/link/packets.go
+++ b/internal/lab/link/packets.go
@@ -11,11 +11,11 @@
 
 // Loss is what is wrong with packets on their way. The zero Loss is nothing.
 type PacketFault struct {
-	DropAll  bool          // none arrives
-	LossRatio    float64       // the share that does not
+	DropAll        bool          // none arrives
+	LossRatio      float64       // the share that does not
 	DuplicateRatio float64       // the share that arrives twice
-	Delay   time.Duration // of each
-	Jitter  time.Duration // added to it, up to so much: packets overtake each other
+	Delay          time.Duration // of each
+	Jitter         time.Duration // added to it, up to so much: packets overtake each other
 }
 
 // Peers is the way of one node to another: streams and packets at one address, in one direction. What the other answers
@@ -25,9 +25,9 @@
 	in  *net.UDPConn
 	out *net.UDPConn
 
-	mu   sync.Mutex
+	mu          sync.Mutex
 	packetFault PacketFault
-	forwarding   sync.WaitGroup
+	forwarding  sync.WaitGroup
 }
 
 // OpenPeers opens a way to an address, in a rig's block of ports.
--- a/internal/lab/link/ports.go
+++ b/internal/lab/link/ports.go
@@ -15,8 +15,8 @@
 // own, for what was meant for one must not reach another.
 const (
 	firstBlockPort = 12000
-	blockCount    = 5
-	portsPerBlock     = 4000
+	blockCount     = 5
+	portsPerBlock  = 4000
 )
 
 // Blocks are of one loopback address; those who have none share the ports of another one. With the same address they would
--- a/internal/lab/link/pump.go
+++ b/internal/lab/link/pump.go
@@ -53,8 +53,8 @@
 // pair is one connection and its continuation.
 type session struct {
 	client, server net.Conn
-	clientClosed      atomic.Bool // the caller has ended it
-	answered  atomic.Bool // something has come back to it
+	clientClosed   atomic.Bool // the caller has ended it
+	answered       atomic.Bool // something has come back to it
 }
 
 func (p *session) reset() {
@@ -64,14 +64,14 @@
 
 // piece is what was read at once, and when it may arrive.
 type chunk struct {
-	data   []byte
-	due time.Time
+	data []byte
+	due  time.Time
 }
 
 const (
-	maxChunkBytes  = 16 << 10
+	maxChunkBytes    = 16 << 10
 	chunkQueueLength = 32 // on their way at once: half a MiB, like a socket's buffer
-	defaultBacklog    = 1024
+	defaultBacklog   = 1024
 )
 
 // pump carries one direction. Reading and writing are apart, for a delay must not make the line narrow.
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	nodeHeader   = "X-Soak-Node" // which node a request was handed to
-	requestBudget  = 2 * time.Second
-	nonIdempotentRatio  = 0.4
-	newConnectionRatio   = 0.3 // of the requests, on connections of their own
-	answerGrace = 2 * time.Second
+	nodeHeader         = "X-Soak-Node" // which node a request was handed to
+	requestBudget      = 2 * time.Second
+	nonIdempotentRatio = 0.4
+	newConnectionRatio = 0.3 // of the requests, on connections of their own
+	answerGrace        = 2 * time.Second
 )
 
 // clients ask the nodes at a steady rate, each request of one drawn node.
 type clients struct {
-	recorder    *recorder
-	nodes  []*node
-	faults activeFaults
+	recorder *recorder
+	nodes    []*node
+	faults   activeFaults
 	pooled   *http.Client
-	unpooled  *http.Client
+	unpooled *http.Client
 	inFlight sync.WaitGroup
 }
 
 func newClients(rec *recorder, nodes []*node) *clients {
 	return &clients{recorder: rec, nodes: nodes,
-		pooled:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}},
+		pooled:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}},
 		unpooled: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	maxQueueTime = 2 * time.Second         // a call that would wait for longer is turned down
-	oldAddressTime  = 1500 * time.Millisecond // an address that is no longer named closes its connections after so long
+	maxQueueTime   = 2 * time.Second         // a call that would wait for longer is turned down
+	oldAddressTime = 1500 * time.Millisecond // an address that is no longer named closes its connections after so long
 )
 
 // discovery is the stand-in for the service that all nodes share. Each node calls it at addresses of its own, which is how
 // it knows whom it tells.
 type discovery struct {
-	recorder    *recorder
-	faults activeFaults
+	recorder *recorder
+	faults   activeFaults
 
-	mu      sync.Mutex
-	version int64
-	hosts   []listedServer
-	changed []int64       // by server: the version that changed it last
-	updated    chan struct{} // closed at a change
-	stalled  chan struct{} // closed: open watches bring nothing any more
-	watchesReset   chan struct{} // closed: open watches are reset
-	queueFree    time.Time     // when a crowded discovery is done with the calls so far
-	refusing    bool          // connections are refused
-	holding  bool          // connections come up, and calls are turned down after a wait
-	endpoints   map[int]*endpoint // by node
+	mu           sync.Mutex
+	version      int64
+	hosts        []listedServer
+	changed      []int64           // by server: the version that changed it last
+	updated      chan struct{}     // closed at a change
+	stalled      chan struct{}     // closed: open watches bring nothing any more
+	watchesReset chan struct{}     // closed: open watches are reset
+	queueFree    time.Time         // when a crowded discovery is done with the calls so far
+	refusing     bool              // connections are refused
+	holding      bool              // connections come up, and calls are turned down after a wait
+	endpoints    map[int]*endpoint // by node
 }
 
 // host is a server as discovery lists it.
@@ -47,9 +47,9 @@
 
 // list is a list, or the changes of one.
 type endpointList struct {
-	Version int64  `json:"seq"`
-	Complete   bool   `json:"whole"`
-	Hosts   []listedServer `json:"hosts"`
+	Version  int64          `json:"seq"`
+	Complete bool           `json:"whole"`
+	Hosts    []listedServer `json:"hosts"`
 }
 
 // door is where one node calls.
@@ -209,7 +209,9 @@
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			}
-			d.recorder.record(func(f *Observations) { f.Deliveries = append(f.Deliveries, Delivery{At: d.recorder.now(), Node: node, Version: version}) })
+			d.recorder.record(func(f *Observations) {
+				f.Deliveries = append(f.Deliveries, Delivery{At: d.recorder.now(), Node: node, Version: version})
+			})
 			w.Write(text)
 			w.(http.Flusher).Flush()
 			from = version
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -31,19 +31,19 @@
 
 // node is one real node, over its lives.
 type node struct {
-	index   int
-	nodeCount      int // nodes
-	recorder     *recorder
-	program Program
-	discovery    *discovery
-	config  string // its file
-	listen  string
-
-	mu      sync.Mutex // over what follows; a life begins and ends under it
+	index     int
+	nodeCount int // nodes
+	recorder  *recorder
+	program   Program
+	discovery *discovery
+	config    string // its file
+	listen    string
+
+	mu               sync.Mutex // over what follows; a life begins and ends under it
 	discoveryAddress string     // of discovery
-	command *exec.Cmd  // nil: it does not run
-	ending  bool       // it was told to end, or killed
-	ended   chan struct{}
+	command          *exec.Cmd  // nil: it does not run
+	ending           bool       // it was told to end, or killed
+	ended            chan struct{}
 }
 
 func newNode(index, of int, rec *recorder, d *discovery, program Program, folder string) (*node, error) {
@@ -109,7 +109,9 @@
 	if err != nil {
 		return err
 	}
-	n.recorder.record(func(f *Observations) { f.Incarnations = append(f.Incarnations, Incarnation{Node: n.index, Started: n.recorder.now()}) })
+	n.recorder.record(func(f *Observations) {
+		f.Incarnations = append(f.Incarnations, Incarnation{Node: n.index, Started: n.recorder.now()})
+	})
 	if err := c.Start(); err != nil {
 		return err
 	}
@@ -157,7 +159,9 @@
 	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	n.recorder.record(func(f *Observations) { f.AddressChanges = append(f.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index}) })
+	n.recorder.record(func(f *Observations) {
+		f.AddressChanges = append(f.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index})
+	})
 	if err := n.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // its end is a complaint
 		return err
 	}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,23 +13,23 @@
 
 // Kinds of faults.
 const (
-	WatchStall    Kind = "silent"    // open watches bring nothing any more
-	WatchReset  Kind = "end-watch" // open watches are reset
+	WatchStall         Kind = "silent"    // open watches bring nothing any more
+	WatchReset         Kind = "end-watch" // open watches are reset
 	DiscoverySlow      Kind = "slow"      // each call to discovery takes Wait
-	DiscoveryOverload   Kind = "crowded"   // discovery handles calls in turn, Wait each, and turns down at once what would wait for long
-	DiscoveryNoAnswer      Kind = "lose"      // a Share of the calls to discovery is never answered
-	DiscoveryTruncated       Kind = "cut"       // a Share of the answers to calls is reset in the middle
-	DiscoveryOutage      Kind = "down"      // watches are reset, and connections refused or, if Waits, calls turned down after a wait
+	DiscoveryOverload  Kind = "crowded"   // discovery handles calls in turn, Wait each, and turns down at once what would wait for long
+	DiscoveryNoAnswer  Kind = "lose"      // a Share of the calls to discovery is never answered
+	DiscoveryTruncated Kind = "cut"       // a Share of the answers to calls is reset in the middle
+	DiscoveryOutage    Kind = "down"      // watches are reset, and connections refused or, if Waits, calls turned down after a wait
 	DiscoveryMove      Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
-	ServerDrain     Kind = "drain"     // a server drains
-	ServerHang      Kind = "hang"      // a server answers nothing
-	ServerReset     Kind = "reset"     // a server resets a Share of the requests that it has begun
-	ServerReject    Kind = "reject"    // a server turns a Share of the requests down
-	ServerError      Kind = "fail"      // a server answers a Share of the requests with an error
-	NodePause     Kind = "pause"     // nodes are held up for Wait
-	NodeRestart   Kind = "restart"   // a node is told to end, and started again
-	NodeKill      Kind = "kill"      // a node is killed, and started again
-	ClientCancel Kind = "leave"     // a Share of the clients leaves early
+	ServerDrain        Kind = "drain"     // a server drains
+	ServerHang         Kind = "hang"      // a server answers nothing
+	ServerReset        Kind = "reset"     // a server resets a Share of the requests that it has begun
+	ServerReject       Kind = "reject"    // a server turns a Share of the requests down
+	ServerError        Kind = "fail"      // a server answers a Share of the requests with an error
+	NodePause          Kind = "pause"     // nodes are held up for Wait
+	NodeRestart        Kind = "restart"   // a node is told to end, and started again
+	NodeKill           Kind = "kill"      // a node is killed, and started again
+	ClientCancel       Kind = "leave"     // a Share of the clients leaves early
 )
 
 // kinds in the order in which they are drawn. Drains and what befalls discovery come more often: a rule is broken where
@@ -39,13 +39,13 @@
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	Kind     Kind
-	From, To time.Duration // To is when it is over, where it lasts
+	Kind      Kind
+	From, To  time.Duration // To is when it is over, where it lasts
 	Target    int           // the server or the node, where it is one
-	Wait     time.Duration
-	Share    float64
-	Count    int
-	HoldCalls    bool
+	Wait      time.Duration
+	Share     float64
+	Count     int
+	HoldCalls bool
 }
 
 func (f Fault) String() string {
@@ -64,11 +64,11 @@
 
 // The last fault is over so long before the end, and service is judged in the last part of that.
 const (
-	recoveryTime   = 5 * time.Second
+	recoveryTime     = 5 * time.Second
 	serviceCheckTime = 2 * time.Second
 
 	minFaults, extraFaults = 4, 8
-	maxFaultTime            = 8 * time.Second
+	maxFaultTime           = 8 * time.Second
 )
 
 // after is the plan with its times counted from an earlier moment.
@@ -111,7 +111,9 @@
 }
 
 // drawFault draws one that is over in time.
-func drawFault(rng *rand.Rand, p Plan) Fault { return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))]) }
+func drawFault(rng *rand.Rand, p Plan) Fault {
+	return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))])
+}
 
 // drawKind draws a fault of a kind that is over in time.
 func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -11,7 +11,7 @@
 
 // Played is a plan that was played and what was seen, by one clock.
 type Result struct {
-	Plan  Plan
+	Plan         Plan
 	Observations *Observations
 }
 
@@ -35,14 +35,14 @@
 
 // rig is all that is played.
 type run struct {
-	plan    Plan
-	recorder     *recorder
-	servers []*server
-	discovery    *discovery
-	nodes   []*node
-	clients *clients
+	plan      Plan
+	recorder  *recorder
+	servers   []*server
+	discovery *discovery
+	nodes     []*node
+	clients   *clients
 
-	mu  sync.Mutex
+	mu       sync.Mutex
 	firstErr error // the first of an action
 }
 
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -14,22 +14,22 @@
 
 const (
 	maxServiceTime    = 20 * time.Millisecond // of a request at a server, at most
-	serverIdleTimeout  = time.Second           // a server closes a connection that rests for so long
-	hangTime = time.Minute           // what a server that hangs takes
+	serverIdleTimeout = time.Second           // a server closes a connection that rests for so long
+	hangTime          = time.Minute           // what a server that hangs takes
 )
 
 // server is a stand-in for a server of the tier behind the nodes.
 type server struct {
-	index  int
-	recorder    *recorder
-	http   *http.Server
-	addr   string
-	faults activeFaults
+	index    int
+	recorder *recorder
+	http     *http.Server
+	addr     string
+	faults   activeFaults
 }
 
 // faults are those that are on at present.
 type activeFaults struct {
-	mu sync.Mutex
+	mu     sync.Mutex
 	active []Fault
 }
 
