--- a/internal/lab/link/backlog.go
+++ b/internal/lab/link/backlog.go
@@ -11,58 +11,68 @@
 	"golang.org/x/sys/unix"
 )
 
-func resetAll(fill []net.Conn) []net.Conn {
-	for _, c := range fill {
-		reset(c)
+// defaultBacklog is how many connections wait at a listener that works.
+const defaultBacklog = 1024
+
+// Filling of a listener's queue: one connection would do, but on a busy machine the kernel's count lags behind.
+const (
+	queueFillAttempts = 16                    // connections that are tried at most
+	queueFillTimeout  = 50 * time.Millisecond // for each of them
+)
+
+// resetAll resets connections and returns nil, the empty list.
+func resetAll(conns []net.Conn) []net.Conn {
+	for _, conn := range conns {
+		reset(conn)
 	}
 	return nil
 }
 
-// Hush has no new connection come up at a listener, as if its machine were off the network: its queue is made short and
-// kept full by the connections returned. Accept ends with a deadline; whoever accepts must wait. Reset them, and set
-// backlog and deadline anew, to end it.
-func StopConnects(ln *net.TCPListener) (fill []net.Conn, err error) {
-	ln.SetDeadline(time.Now())
-	if err := SetBacklog(ln, 0); err != nil {
+// StopConnects has no new connection come up at a listener, as if its machine were off the network: its queue is made
+// short and kept full by the connections returned. Accept ends with os.ErrDeadlineExceeded; whoever accepts must wait.
+// To undo it, reset the connections, and set backlog and deadline anew.
+func StopConnects(listener *net.TCPListener) (fillers []net.Conn, err error) {
+	listener.SetDeadline(time.Now())
+	if err := SetBacklog(listener, 0); err != nil {
 		return nil, err
 	}
-	for range 16 { // one would do, but on a busy machine the queue's count lags behind
-		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", ln.Addr().String())
+	for range queueFillAttempts {
+		ctx, cancel := context.WithTimeout(context.Background(), queueFillTimeout)
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", listener.Addr().String())
 		cancel()
 		switch {
 		case err == nil:
-			fill = append(fill, c)
-		case queueFull(ln): // else it was the machine that was slow
-			return fill, nil
+			fillers = append(fillers, conn)
+		case queueFull(listener): // otherwise the machine was slow: try again
+			return fillers, nil
 		}
 	}
-	return fill, nil
+	return fillers, nil
 }
 
-// full says that a listener's queue takes no more: of one that listens the system tells here how many wait, and how many
-// may.
-func queueFull(ln *net.TCPListener) (yes bool) {
-	raw, err := ln.SyscallConn()
+// queueFull reports whether a listener's queue takes no more connections. For a listening socket the kernel's TCP_INFO
+// has the queue's length in Unacked and its limit in Sacked.
+func queueFull(listener *net.TCPListener) (full bool) {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return true
 	}
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		yes = err != nil || info.Unacked > info.Sacked
+		full = err != nil || info.Unacked > info.Sacked
 	})
-	return yes
+	return full
 }
 
-// Backlog sets how many connections wait at a listener to be accepted.
-func SetBacklog(ln *net.TCPListener, n int) error {
-	raw, err := ln.SyscallConn()
+// SetBacklog sets how many connections wait at a listener to be accepted. The error is the system's.
+func SetBacklog(listener *net.TCPListener, length int) error {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), length) }); err != nil {
 		return err
 	}
-	return failed
+	return listenErr
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,8 +1,8 @@
 // Package link is the network between two processes of a rig: a TCP relay on loopback with an address of its own for
-// each pair, so that the rig knows who calls whom, and with the faults of a network: silence in one direction or both,
-// delay, a narrow line, resets, refusals, an end that never arrives, a break after so many bytes.
+// each pair, so that the rig knows who calls whom, and with the faults of a network: a stall in one direction or both,
+// latency, limited bandwidth, resets, refused connections, a FIN that never arrives, a reset after so many bytes.
 //
-// A rig opens a Link for a pair, gives its Addr to the calling side, and changes its Fault while connections run.
+// A rig opens a Link for a pair, gives its Addr to the client's side, and changes its Fault while connections run.
 package link
 
 import (
@@ -14,27 +14,27 @@
 	"time"
 )
 
-// Way is a direction, seen from the side that calls.
+// Direction is that of a stream's bytes; it indexes the per-direction fields of Fault.
 type Direction int
 
-// Ways.
+// Directions, as a proxy names them.
 const (
-	Upstream   Direction = iota // from the caller
-	Downstream                  // to the caller
+	Upstream   Direction = iota // from the client to the server
+	Downstream                  // from the server to the client
 )
 
 // Fault is what is wrong with a link. The zero Fault is none.
 type Fault struct {
-	Stall          [2]bool       // by Way: bytes stay where they are; no new connection comes up while either is set
+	Stall          [2]bool       // by Direction: bytes are held; no new connection comes up while either is set
 	Refuse         bool          // new connections are refused
-	Delay          time.Duration // one way, for every piece
-	Jitter         time.Duration // added to it, up to so much
-	BytesPerSecond float64       // bytes a second each way; 0: as fast as loopback is
-	HoldFIN        [2]bool       // by Way: the end of one side never reaches the other
-	ResetAfter     int64         // connections are reset once so many bytes came back; 0: never
+	Delay          time.Duration // one way, for every chunk that is read
+	Jitter         time.Duration // added to Delay, uniformly drawn up to this
+	BytesPerSecond float64       // in each direction; 0: no limit
+	HoldFIN        [2]bool       // by Direction: the end of one side's sending does not reach the other side
+	ResetAfter     int64         // connections are reset once so many bytes went downstream; 0: never
 }
 
-// silent says that nothing may come up.
+// stalled reports whether a direction is stalled, so that nothing new may come up.
 func (f Fault) stalled() bool { return f.Stall[Upstream] || f.Stall[Downstream] }
 
 // Link is one relay. Its methods may be called from any goroutine.
@@ -42,89 +42,96 @@
 	addr   string
 	target func() string
 
-	mu           sync.Mutex
-	listener     *net.TCPListener
-	queueFillers []net.Conn // while silent they keep the listener's queue full
-	fault        Fault
-	changed      chan struct{} // closed at a change of fault
-	sessions     map[*session]bool
-	opened       int
-	closed       bool
-	running      sync.WaitGroup
+	mu             sync.Mutex
+	listener       *net.TCPListener // nil while connections are refused
+	queueFillers   []net.Conn       // while stalled they keep the listener's queue full
+	fault          Fault
+	changed        chan struct{} // closed at a change of fault
+	sessions       map[*session]bool
+	sessionsOpened int
+	closed         bool
+	running        sync.WaitGroup
 }
 
-// Open listens for callers, in a rig's block of ports; to says where a new connection leads, "": nowhere.
-func Open(ports int, to func() string) (*Link, error) {
-	l := &Link{target: to, changed: make(chan struct{}), sessions: map[*session]bool{}}
-	ln, err := Listen(ports, ForLink)
+// Open listens for clients in a rig's block of ports (see ClaimPorts); ports of 0 means none. target returns the address
+// that a new connection is relayed to, "" if there is none. Close must follow.
+func Open(ports int, target func() string) (*Link, error) {
+	l := &Link{target: target, changed: make(chan struct{}), sessions: map[*session]bool{}}
+	listener, err := Listen(ports, ForLink)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	l.serve(ln)
+	l.serve(listener)
 	return l, nil
 }
 
-// Addr is where the caller's side connects.
+// Addr is where the client's side connects.
 func (l *Link) Addr() string { return l.addr }
 
-// Opened counts the connections that came up so far.
+// SessionsOpened counts the connections that were relayed so far.
 func (l *Link) SessionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened
+	return l.sessionsOpened
 }
 
-// listen opens the caller's side. The caller holds mu, or nobody else has the link yet.
+// reopen opens the client's side at an address again. The caller holds mu.
 func (l *Link) reopen(addr string) error {
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	l.serve(ln.(*net.TCPListener))
+	l.serve(listener.(*net.TCPListener))
 	return nil
 }
 
-func (l *Link) serve(ln *net.TCPListener) {
-	l.listener, l.addr = ln, ln.Addr().String()
-	l.running.Go(func() { l.accept(ln) })
+// serve accepts clients at a listener. The caller holds mu, or nobody else has the link yet.
+func (l *Link) serve(listener *net.TCPListener) {
+	l.listener, l.addr = listener, listener.Addr().String()
+	l.running.Go(func() { l.accept(listener) })
 }
 
-// Set changes what is wrong with the link. Connections that are up feel it at once. What was held in silence arrives
-// after it; Reset throws it away.
-func (l *Link) Set(f Fault) error {
+// Set changes what is wrong with the link. Connections that are up are affected at once. What a stall held back arrives
+// after it; Reset discards it. It returns net.ErrClosed after Close, and an error of the system if the listener can't be
+// opened again or its queue can't be changed.
+func (l *Link) Set(fault Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return net.ErrClosed
 	}
-	old := l.fault
-	l.fault = f
+	wasStalled := l.fault.stalled()
+	l.fault = fault
 	close(l.changed)
 	l.changed = make(chan struct{})
 	switch {
-	case f.Refuse && l.listener != nil:
+	case fault.Refuse && l.listener != nil:
 		l.queueFillers = resetAll(l.queueFillers)
 		l.listener.Close()
 		l.listener = nil
-	case !f.Refuse && l.listener == nil:
+	case !fault.Refuse && l.listener == nil:
 		if err := l.reopen(l.addr); err != nil {
 			return err
 		}
-		old = Fault{}
+		wasStalled = false // the new listener's queue is open
 	}
-	if l.listener == nil || f.stalled() == old.stalled() {
+	if l.listener == nil || fault.stalled() == wasStalled {
 		return nil
 	}
-	if !f.stalled() {
-		l.queueFillers = resetAll(l.queueFillers)
-		if err := SetBacklog(l.listener, defaultBacklog); err != nil {
-			return err
-		}
-		return l.listener.SetDeadline(time.Time{})
+	return l.setQueueStalled(fault.stalled())
+}
+
+// setQueueStalled has no new connection come up at the listener, or ends that. The caller holds mu.
+func (l *Link) setQueueStalled(stalled bool) (err error) {
+	if stalled {
+		l.queueFillers, err = StopConnects(l.listener)
+		return err
+	}
+	l.queueFillers = resetAll(l.queueFillers)
+	if err := SetBacklog(l.listener, defaultBacklog); err != nil {
+		return err
 	}
-	var err error
-	l.queueFillers, err = StopConnects(l.listener)
-	return err
+	return l.listener.SetDeadline(time.Time{})
 }
 
 // Fault is what is wrong now.
@@ -134,13 +141,13 @@
 	return l.fault
 }
 
-// Held says that the caller still has a connection on which something has come back, whatever has become of the link
-// meanwhile. One that waits in the listener's queue, or that keeps this queue full, is none.
+// HasLiveClient reports whether a client still has a connection on which an answer has come, whatever has become of the
+// link meanwhile. One that waits in the listener's queue, or that keeps this queue full, does not count.
 func (l *Link) HasLiveClient() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.sessions {
-		if p.answered.Load() && !p.clientClosed.Load() {
+	for s := range l.sessions {
+		if s.answered.Load() && !s.clientClosed.Load() {
 			return true
 		}
 	}
@@ -151,8 +158,8 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.sessions {
-		p.reset()
+	for s := range l.sessions {
+		s.reset()
 	}
 }
 
@@ -168,30 +175,31 @@
 		if l.listener != nil {
 			l.listener.Close()
 		}
-		for p := range l.sessions {
-			p.reset()
+		for s := range l.sessions {
+			s.reset()
 		}
 	}
 	l.mu.Unlock()
 	l.running.Wait()
 }
 
-// now gives the fault of a moment and what is closed when it changes.
-func (l *Link) state() (Fault, <-chan struct{}, bool) {
+// state returns the present fault, the channel that is closed when it changes, and whether the link is closed.
+func (l *Link) state() (fault Fault, changed <-chan struct{}, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.changed, l.closed
 }
 
-func (l *Link) accept(ln *net.TCPListener) {
+// accept relays clients until the listener is closed.
+func (l *Link) accept(listener *net.TCPListener) {
 	for {
-		c, err := ln.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) { // silent: what waits in the queue waits
-			f, changed, closed := l.state()
+		client, err := listener.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) { // stalled: clients stay in the listener's queue
+			fault, changed, closed := l.state()
 			if closed {
 				return
 			}
-			if f.stalled() {
+			if fault.stalled() {
 				<-changed
 			}
 			continue
@@ -199,6 +207,6 @@
 		if err != nil {
 			return
 		}
-		l.running.Go(func() { l.relayStream(c) })
+		l.running.Go(func() { l.relayStream(client) })
 	}
 }
--- a/internal/lab/link/packets.go
+++ b/internal/lab/link/packets.go
@@ -9,17 +9,23 @@
 	"time"
 )
 
-// Loss is what is wrong with packets on their way. The zero Loss is nothing.
+// PacketFault is what is wrong with packets on their way. The zero PacketFault is none.
 type PacketFault struct {
 	DropAll        bool          // none arrives
-	LossRatio      float64       // the share that does not
-	DuplicateRatio float64       // the share that arrives twice
+	LossRatio      float64       // the share that is lost, 0 to 1
+	DuplicateRatio float64       // the share that arrives twice, 0 to 1
 	Delay          time.Duration // of each
-	Jitter         time.Duration // added to it, up to so much: packets overtake each other
+	Jitter         time.Duration // added to Delay, uniformly drawn up to this: packets overtake each other
 }
 
-// Peers is the way of one node to another: streams and packets at one address, in one direction. What the other answers
-// in packets has a way of its own.
+// maxPacketBytes holds the largest UDP packet.
+const maxPacketBytes = 64 << 10
+
+// openAttempts is how often OpenPeerLink looks for a port that is free for both streams and packets.
+const openAttempts = 20
+
+// PeerLink is the way from one node to another: streams and packets at one address, in one direction. The packets that
+// the other node sends have a link of their own.
 type PeerLink struct {
 	*Link
 	in  *net.UDPConn
@@ -30,95 +36,113 @@
 	forwarding  sync.WaitGroup
 }
 
-// OpenPeers opens a way to an address, in a rig's block of ports.
-func OpenPeerLink(ports int, to string) (*PeerLink, error) {
-	far, err := net.ResolveUDPAddr("udp", to)
+// OpenPeerLink opens a link to an address, in a rig's block of ports. Close must follow unless there is an error.
+func OpenPeerLink(ports int, target string) (*PeerLink, error) {
+	server, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	var last error
-	for range 20 { // the port of the one may be taken for the other
-		l, err := Open(ports, func() string { return to })
+	for range openAttempts { // a port that is free for streams may be taken for packets
+		stream, err := Open(ports, func() string { return target })
 		if err != nil {
 			return nil, err
 		}
-		at, err := net.ResolveUDPAddr("udp", l.Addr())
+		peer, err := addPackets(stream, server)
 		if err == nil {
-			var in, out *net.UDPConn
-			if in, err = net.ListenUDP("udp", at); err == nil {
-				if out, err = net.DialUDP("udp", nil, far); err == nil {
-					p := &PeerLink{Link: l, in: in, out: out}
-					p.forwarding.Go(p.forwardPackets)
-					return p, nil
-				}
-				in.Close()
-			}
+			return peer, nil
 		}
-		l.Close()
+		stream.Close()
 		last = err
 	}
 	return nil, fmt.Errorf("link: %w", last)
 }
 
-// SetLoss changes what is wrong with packets.
-func (p *PeerLink) SetPacketFault(l PacketFault) {
+// addPackets forwards packets at a link's address as well.
+func addPackets(stream *Link, server *net.UDPAddr) (*PeerLink, error) {
+	addr, err := net.ResolveUDPAddr("udp", stream.Addr())
+	if err != nil {
+		return nil, err
+	}
+	in, err := net.ListenUDP("udp", addr)
+	if err != nil {
+		return nil, err
+	}
+	out, err := net.DialUDP("udp", nil, server)
+	if err != nil {
+		in.Close()
+		return nil, err
+	}
+	p := &PeerLink{Link: stream, in: in, out: out}
+	p.forwarding.Go(p.forwardPackets)
+	return p, nil
+}
+
+// SetPacketFault changes what is wrong with packets. Streams are not affected.
+func (p *PeerLink) SetPacketFault(fault PacketFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.packetFault = l
+	p.packetFault = fault
 }
 
-// Cut has nothing arrive, or all again: neither packets nor streams.
-func (p *PeerLink) SetPartitioned(off bool) error {
-	p.SetPacketFault(PacketFault{DropAll: off})
-	if err := p.Link.Set(Fault{Refuse: off}); err != nil {
+// SetPartitioned has nothing arrive, neither packets nor streams, or all again. Streams that are up are reset, new ones
+// refused. The error is that of Set.
+func (p *PeerLink) SetPartitioned(partitioned bool) error {
+	p.SetPacketFault(PacketFault{DropAll: partitioned})
+	if err := p.Link.Set(Fault{Refuse: partitioned}); err != nil {
 		return err
 	}
-	if off {
+	if partitioned {
 		p.Link.Reset()
 	}
 	return nil
 }
 
-// carry takes packets on.
+// forwardPackets forwards packets until the link is closed.
 func (p *PeerLink) forwardPackets() {
-	b := make([]byte, 64<<10)
+	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := p.in.ReadFromUDP(b)
+		n, _, err := p.in.ReadFromUDP(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // nobody listened at the far side for a moment
+			continue // an ICMP error: nobody listened at the target for a moment
 		}
 		p.mu.Lock()
-		l := p.packetFault
+		fault := p.packetFault
 		p.mu.Unlock()
-		if l.DropAll || rand.Float64() < l.LossRatio {
+		if fault.DropAll || rand.Float64() < fault.LossRatio {
 			continue
 		}
-		times := 1
-		if rand.Float64() < l.DuplicateRatio {
-			times = 2
+		copies := 1
+		if rand.Float64() < fault.DuplicateRatio {
+			copies = 2
 		}
-		packet := append([]byte(nil), b[:n]...)
-		for range times {
-			wait := l.Delay
-			if l.Jitter > 0 {
-				wait += rand.N(l.Jitter)
-			}
-			if wait == 0 {
-				p.out.Write(packet) // one that nobody takes is lost
-				continue
-			}
-			p.forwarding.Go(func() {
-				time.Sleep(wait)
-				p.out.Write(packet)
-			})
+		packet := append([]byte(nil), buffer[:n]...)
+		for range copies {
+			p.send(packet, fault)
 		}
 	}
 }
 
-// Close ends the way.
+// send forwards one packet with the delay of a fault. A packet that nobody takes is lost.
+func (p *PeerLink) send(packet []byte, fault PacketFault) {
+	wait := fault.Delay
+	if fault.Jitter > 0 {
+		wait += rand.N(fault.Jitter)
+	}
+	if wait == 0 {
+		p.out.Write(packet)
+		return
+	}
+	p.forwarding.Go(func() {
+		time.Sleep(wait)
+		p.out.Write(packet)
+	})
+}
+
+// Close ends the link and waits for all that it has started.
 func (p *PeerLink) Close() {
 	p.in.Close()
 	p.forwarding.Wait()
