--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -48,12 +48,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	h := &fleet.Hunt{World: s, Seeds: c.Seeds, First: c.First, AtOnce: c.AtOnce, Folder: c.Output, Base: c.World,
-		Opt:  fleet.Options{Program: []string{self}},
-		Tell: func(format string, args ...any) { fmt.Fprintf(io.stderr, format, args...) }}
+	h := &fleet.Hunt{World: s, Seeds: c.Seeds, FirstSeed: c.First, Parallel: c.AtOnce, Folder: c.Output, WorldFile: c.World,
+		Options: fleet.Options{Program: []string{self}},
+		Logf:    func(format string, args ...any) { fmt.Fprintf(io.stderr, format, args...) }}
 	found, err := h.Run(ctx)
 	for _, f := range found {
-		fmt.Fprintf(io.stdout, "%s: %s, %d troubles\n", f.File, f.Why, len(f.Troubles))
+		fmt.Fprintf(io.stdout, "%s: %s, %d troubles\n", f.File, f.Reason, len(f.Faults))
 	}
 	fmt.Fprintf(io.stdout, "%d schedules, %d found\n", h.Played, len(found))
 	switch {
@@ -100,12 +100,12 @@
 	}
 	opt := fleet.Options{Program: []string{self}}
 	if c.Old != "" {
-		opt.Old = []string{c.Old}
+		opt.OldProgram = []string{c.Old}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	broken, late := 0, false
-	var calm fleet.Calm
+	var calm fleet.Baseline
 	var cells []sweep.Cell
 	if c.Output != "" {
 		if err := os.MkdirAll(c.Output, 0o755); err != nil {
@@ -113,7 +113,7 @@
 		}
 	}
 	if c.Table {
-		fleet.WriteHead(io.stdout)
+		fleet.WriteTableHeader(io.stdout)
 	}
 	for _, file := range c.Files {
 		s, err := scenario.Load(file, over...)
@@ -123,29 +123,29 @@
 		if c.Seed != nil {
 			s.Seed = *c.Seed
 		}
-		var quiet *fleet.Played
-		if c.Calm && len(s.Troubles) > 0 {
-			if quiet, err = calm.Of(ctx, s, opt); err != nil {
+		var quiet *fleet.Result
+		if c.Calm && len(s.Faults) > 0 {
+			if quiet, err = calm.Play(ctx, s, opt); err != nil {
 				return fmt.Errorf("lab: without troubles: %w", err)
 			}
-			late = late || quiet.TooLate()
+			late = late || quiet.Unreliable()
 		}
-		var plays []*fleet.Played
+		var plays []*fleet.Result
 		for range c.Plays {
 			played, err := fleet.Play(ctx, s, opt)
 			if err != nil {
 				return fmt.Errorf("lab: %w", err)
 			}
 			plays = append(plays, played)
-			broken += len(played.Broken)
-			late = late || played.TooLate()
+			broken += len(played.Violations)
+			late = late || played.Unreliable()
 			if !c.Table {
 				played.Write(io.stdout, s, quiet)
 			}
 			c.tell(io, played)
 		}
 		if c.Table {
-			fleet.WriteRow(io.stdout, s, plays, quiet)
+			fleet.WriteTableRow(io.stdout, s, plays, quiet)
 		}
 		cells = append(cells, fleet.Cells(s, plays, quiet)...)
 	}
@@ -164,21 +164,21 @@
 }
 
 // tell says what a play has broken.
-func (c labFleetPlay) tell(io streams, p *fleet.Played) {
+func (c labFleetPlay) tell(io streams, p *fleet.Result) {
 	const shown = 20
 	out := io.stdout
 	if c.Table { // which has the numbers
 		out = io.stderr
 	}
-	for _, v := range p.Broken[:min(len(p.Broken), shown)] {
+	for _, v := range p.Violations[:min(len(p.Violations), shown)] {
 		fmt.Fprintf(out, "violation: %v\n", v)
 	}
-	if p.TooLate() {
-		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.TooLate)
+	if p.Unreliable() {
+		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.MaxLateness)
 	} else if !c.Table {
-		fmt.Fprintf(out, "rules broken   %d\n", len(p.Broken))
+		fmt.Fprintf(out, "rules broken   %d\n", len(p.Violations))
 	}
-	if len(p.Broken) > 0 {
+	if len(p.Violations) > 0 {
 		fmt.Fprintf(io.stderr, "histories, configurations and logs are in %s\n", p.Folder)
 	}
 }
@@ -188,5 +188,5 @@
 // Run plays a part of a fleet's world, as its parent says on standard input, until that ends.
 func (labPart) Run(io streams) error {
 	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
-	return loopback.ServePart(context.Background(), os.Stdin, io.stdout)
+	return loopback.ServeWorker(context.Background(), os.Stdin, io.stdout)
 }
--- a/cmd/hookwalk/fleet_test.go
+++ b/cmd/hookwalk/fleet_test.go
@@ -66,10 +66,10 @@
 		t.Fatal(err)
 	}
 	met := map[string]bool{}
-	for _, trouble := range s.Troubles {
+	for _, trouble := range s.Faults {
 		met[trouble.Kind] = true
 	}
-	for _, kind := range scenario.FleetKinds {
+	for _, kind := range scenario.ProcessFaultKinds {
 		if !met[kind] {
 			t.Errorf("no %s is played", kind)
 		}
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -86,7 +86,7 @@
 }
 
 // verdict names the rules that were broken.
-func verdict(io streams, auditor *checker.Auditor) error {
+func verdict(io streams, auditor *checker.Checker) error {
 	const shown = 20
 	for i, v := range auditor.Violations() {
 		if i == shown {
--- a/cmd/hookwalk/outside_test.go
+++ b/cmd/hookwalk/outside_test.go
@@ -22,7 +22,7 @@
 	}
 	var text bytes.Buffer
 	w, err := loopback.Up(t.Context(), s, loopback.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"},
-		Record: blackbox.NewRecorder(&text, loopback.Head(s))})
+		Recorder: blackbox.NewRecorder(&text, loopback.Head(s))})
 	defer w.Down(false)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hookwalk/sweep.go
+++ b/cmd/hookwalk/sweep.go
@@ -43,11 +43,11 @@
 func (c labSweep) Run(io streams) error {
 	g := sweep.Grid{File: c.File, Policies: c.Policy, Seeds: c.Seeds}
 	for _, text := range c.Set {
-		s, err := sweep.ParseSet(text)
+		s, err := sweep.ParseSetting(text)
 		if err != nil {
 			return err
 		}
-		g.Sets = append(g.Sets, s)
+		g.Settings = append(g.Settings, s)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -97,7 +97,7 @@
 	if path == "" {
 		path = filepath.Join(c.Folder, "report.html")
 	}
-	names := sweep.Names(cells)
+	names := sweep.MetricNames(cells)
 	figures := slices.DeleteFunc(slices.Clone(mainFigures), func(name string) bool { return !slices.Contains(names, name) })
 	if len(figures) < len(mainFigures) { // not of a sweep
 		figures = names
@@ -131,7 +131,7 @@
 		return err
 	}
 	for _, f := range c.Figure {
-		if known := sweep.Names(after); !slices.Contains(known, f) {
+		if known := sweep.MetricNames(after); !slices.Contains(known, f) {
 			return fmt.Errorf("unknown figure %q: there are %s", f, strings.Join(known, ", "))
 		}
 	}
@@ -142,14 +142,14 @@
 	fell := 0
 	for _, d := range changes {
 		mark := " "
-		if slices.Contains(c.Figure, d.Figure) && d.By < -c.By {
+		if slices.Contains(c.Figure, d.Metric) && d.MeanChange < -c.By {
 			mark = "!"
 			fell++
-		} else if d.Sure() {
+		} else if d.Significant() {
 			mark = "*"
 		}
-		if mark != " " || slices.Contains(c.Figure, d.Figure) {
-			fmt.Fprintf(io.stdout, "%s %s %s: %.4g to %.4g, by %+.3g ± %.2g (%d seeds)\n", mark, d.Group, d.Figure, d.Before, d.After, d.By, d.Half, d.Pairs)
+		if mark != " " || slices.Contains(c.Figure, d.Metric) {
+			fmt.Fprintf(io.stdout, "%s %s %s: %.4g to %.4g, by %+.3g ± %.2g (%d seeds)\n", mark, d.Group, d.Metric, d.Before, d.After, d.MeanChange, d.HalfInterval, d.Pairs)
 		}
 	}
 	if left > 0 {
--- a/internal/lab/blackbox/blackbox.go
+++ b/internal/lab/blackbox/blackbox.go
@@ -23,75 +23,75 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// What happened.
+// Kinds of events, as histories have them.
 const (
-	Start = "start" // a node's process begins, knowing nothing but what is told from here on
-	Kill  = "kill"  // it is ended from outside, at once
-	Term  = "term"  // it is asked to end
-	Exit  = "exit"  // it has ended by itself
-	Told  = "told"  // discovery has written to the node, or the node counts as told, whether a server is ready
-	Ask   = "ask"   // a client has written the last byte of a request
-	Got   = "got"   // a client has the last byte of an answer
-	Cut   = "cut"   // a client's connection ended without a whole answer
-	Left  = "left"  // a client has closed its connection
-	Reach = "reach" // a server has the last byte of a request
-	Reply = "reply" // it has answered it
-	Broke = "broke" // it has ended the connection without an answer, or its process died
-	Given = "given" // it saw the node close the connection: the attempt was given up
-	Boot  = "boot"  // its process has started, cold
-	Heir  = "heir"  // another process of the node has said yes beside it, and goes on when this one exits
-	Hand  = "hand"  // the node has said yes to an operator who takes a server out, or back if it is ready
-	End   = "end"   // nothing is recorded after
+	NodeStarted        = "start" // a node's process begins, knowing nothing but what is told from here on
+	NodeKilled         = "kill"  // it is ended from outside, at once
+	NodeTerminating    = "term"  // it is asked to end
+	NodeExited         = "exit"  // it has ended by itself
+	EndpointNotified   = "told"  // discovery has written to the node, or the node counts as told, whether a server is ready
+	RequestSent        = "ask"   // a client has written the last byte of a request
+	AnswerReceived     = "got"   // a client has the last byte of an answer
+	ConnectionCut      = "cut"   // a client's connection ended without a whole answer
+	ClientLeft         = "left"  // a client has closed its connection
+	AttemptArrived     = "reach" // a server has the last byte of a request
+	AttemptAnswered    = "reply" // it has answered it
+	AttemptBroken      = "broke" // it has ended the connection without an answer, or its process died
+	AttemptCanceled    = "given" // it saw the node close the connection: the attempt was given up
+	ServerStarted      = "boot"  // its process has started, cold
+	SuccessorReady     = "heir"  // another process of the node has said yes beside it, and goes on when this one exits
+	EndpointOverridden = "hand"  // the node has said yes to an operator who takes a server out, or back if it is ready
+	HistoryEnded       = "end"   // nothing is recorded after
 
 	// Where the world's parts are processes of their own:
-	Down   = "down"   // a server's process has died, with all that was out at it
-	Stall  = "stall"  // a node's or a server's process is stopped, and its machine goes on
-	Resume = "resume" // and runs again
-	Deaf   = "deaf"   // what discovery writes to the node, on one watch of its or on all, does not arrive from now on; ready: its end will be seen
-	Hears  = "hears"  // and from now on it does; ready: on the connection that it has had all along; else it gave that one up Budget ago
-	Hold   = "hold"   // what goes between the node and the server is held up
-	Free   = "free"   // and arrives, what was held at first
-	Mute   = "mute"   // what goes between clients and the node is held up
-	Speak  = "speak"  // and arrives
-	Sever  = "sever"  // connections between clients and the node are reset, by neither
+	ServerDied     = "down"   // a server's process has died, with all that was out at it
+	ProcessStopped = "stall"  // a node's or a server's process is stopped, and its machine goes on
+	ProcessResumed = "resume" // and runs again
+	WatchMuted     = "deaf"   // what discovery writes to the node, on one watch of its or on all, does not arrive from now on; ready: its end will be seen
+	WatchUnmuted   = "hears"  // and from now on it does; ready: on the connection that it has had all along; else it gave that one up Budget ago
+	LinkHeld       = "hold"   // what goes between the node and the server is held up
+	LinkReleased   = "free"   // and arrives, what was held at first
+	ClientsMuted   = "mute"   // what goes between clients and the node is held up
+	ClientsUnmuted = "speak"  // and arrives
+	ClientsReset   = "sever"  // connections between clients and the node are reset, by neither
 
 	// For reports; no rule is about them.
-	Conn = "conn" // a connection has come up at a server
-	Call = "call" // a node has called discovery
-	Away = "away" // a client's try was turned away
-	Wish = "wish" // a client's first try
-	Late = "late" // a process of the rig was late by Budget: the machine is too slow, or the process was stopped
-	Over = "over" // its end: Budget after the first try, Ready if it was served
+	ConnectionOpened = "conn" // a connection has come up at a server
+	DiscoveryCalled  = "call" // a node has called discovery
+	TryRejected      = "away" // a client's try was turned away
+	RequestBegun     = "wish" // a client's first try
+	ProcessLate      = "late" // a process of the rig was late by Budget: the machine is too slow, or the process was stopped
+	RequestEnded     = "over" // its end: Budget after the first try, Ready if it was served
 )
 
 // Event is something that was seen.
 type Event struct {
-	At     time.Duration `json:"at"`
-	What   string        `json:"what"`
-	Node   string        `json:"node,omitempty"`
-	ID     string        `json:"id,omitempty"`
-	Server string        `json:"server,omitempty"`
-	Ready  bool          `json:"ready,omitempty"`  // told; cut: the connection had carried a request before
-	Class  int           `json:"class,omitempty"`  // ask
-	Budget time.Duration `json:"budget,omitempty"` // ask
-	Work   time.Duration `json:"work,omitempty"`   // reach
-	Status int           `json:"status,omitempty"` // got, reply
-	Never  bool          `json:"never,omitempty"`  // reply: turned away
-	Body   string        `json:"body,omitempty"`   // got, reply: tells one answer from another; "": not recorded
+	At       time.Duration `json:"at"`
+	Kind     string        `json:"what"`
+	Node     string        `json:"node,omitempty"`
+	ID       string        `json:"id,omitempty"`
+	Server   string        `json:"server,omitempty"`
+	Ready    bool          `json:"ready,omitempty"`  // told; cut: the connection had carried a request before
+	Class    int           `json:"class,omitempty"`  // ask
+	Duration time.Duration `json:"budget,omitempty"` // ask
+	Work     time.Duration `json:"work,omitempty"`   // reach
+	Status   int           `json:"status,omitempty"` // got, reply
+	NeverRan bool          `json:"never,omitempty"`  // reply: turned away
+	Body     string        `json:"body,omitempty"`   // got, reply: tells one answer from another; "": not recorded
 }
 
-// Head is the first line of a history: the rules and the world that they are about.
-type Head struct {
-	Rules   scenario.Rules           `json:"rules"`
-	Classes []scenario.Class         `json:"classes"`
-	Kinds   map[string]scenario.Kind `json:"kinds"`   // of servers, by id
-	Means   map[string]time.Duration `json:"means"`   // work of a request there
-	Overlap time.Duration            `json:"overlap"` // how late a server may notice what a node does
+// Header is the first line of a history: the rules and the world that they are about.
+type Header struct {
+	Rules   scenario.Rules                 `json:"rules"`
+	Classes []scenario.Class               `json:"classes"`
+	Kinds   map[string]scenario.ServerKind `json:"kinds"`   // of servers, by id
+	Means   map[string]time.Duration       `json:"means"`   // work of a request there
+	Overlap time.Duration                  `json:"overlap"` // how late a server may notice what a node does
 }
 
-// HeadOf is the head of a history of a scenario, without servers.
-func HeadOf(s *scenario.Scenario, overlap time.Duration) Head {
-	return Head{Rules: s.Rules, Classes: s.Classes, Kinds: map[string]scenario.Kind{}, Means: map[string]time.Duration{}, Overlap: overlap}
+// NewHeader is the head of a history of a scenario, without servers.
+func NewHeader(s *scenario.Scenario, overlap time.Duration) Header {
+	return Header{Rules: s.Rules, Classes: s.Classes, Kinds: map[string]scenario.ServerKind{}, Means: map[string]time.Duration{}, Overlap: overlap}
 }
 
 // Recorder writes a history, from any goroutine. A nil Recorder writes nothing.
@@ -102,14 +102,14 @@
 }
 
 // NewRecorder begins a history.
-func NewRecorder(w io.Writer, h Head) *Recorder {
+func NewRecorder(w io.Writer, h Header) *Recorder {
 	r := &Recorder{out: json.NewEncoder(w)}
 	r.err = r.out.Encode(h)
 	return r
 }
 
-// Note adds an event.
-func (r *Recorder) Note(e Event) {
+// Record adds an event.
+func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 const longestLine = 1 << 20
 
 // Read reads a history.
-func Read(in io.Reader) (h Head, events []Event, err error) {
+func Read(in io.Reader) (h Header, events []Event, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, longestLine)
 	for n := 1; lines.Scan(); n++ {
@@ -138,7 +138,7 @@
 			err = json.Unmarshal(lines.Bytes(), &h)
 		} else {
 			var e Event
-			if err = json.Unmarshal(lines.Bytes(), &e); err == nil && e.What == Ask && (e.Class < 0 || e.Class >= len(h.Classes)) {
+			if err = json.Unmarshal(lines.Bytes(), &e); err == nil && e.Kind == RequestSent && (e.Class < 0 || e.Class >= len(h.Classes)) {
 				err = errors.New("no such class")
 			}
 			events = append(events, e)
@@ -150,89 +150,89 @@
 	return h, events, lines.Err()
 }
 
-// call is a request of one node.
-type call struct{ node, id string }
+// requestKey is a request of one node.
+type requestKey struct{ node, id string }
 
-// seen is what servers did with a call.
-type seen struct {
-	out    []string // the server of each attempt; "": it has ended
-	bodies map[string]bool
+// endVisible is what servers did with a call.
+type requestState struct {
+	attemptServers []string // the server of each attempt; "": it has ended
+	bodies         map[string]bool
 }
 
 // evaluator turns events into the auditor's facts.
 type evaluator struct {
-	head    Head
-	audit   *checker.Auditor
-	servers map[string]*model.Box
-	news    map[string]*start // of servers that have started
-	calls   map[call]*seen
-	heirs   map[string]int
-	stalled map[string]time.Duration    // servers, until when what is seen of them says nothing of its time
-	held    map[[2]string]time.Duration // the same of a node and a server
-	mine    []checker.Violation
+	header       Header
+	checker      *checker.Checker
+	servers      map[string]*model.Server
+	starts       map[string]*serverStart // of servers that have started
+	calls        map[requestKey]*requestState
+	successors   map[string]int
+	stoppedUntil map[string]time.Duration    // servers, until when what is seen of them says nothing of its time
+	heldUntil    map[[2]string]time.Duration // the same of a node and a server
+	violations   []checker.Violation
 }
 
-// lateNews is how long a server that was stopped may take to have noted all that came meanwhile.
-const lateNews = 300 * time.Millisecond
+// resumeAllowance is how long a server that was stopped may take to have noted all that came meanwhile.
+const resumeAllowance = 300 * time.Millisecond
 
 // Check names the rules that a history breaks. Events are in the order of their times.
-func Check(h Head, events []Event) []checker.Violation {
-	c := &evaluator{head: h, audit: checker.New(&scenario.Scenario{Rules: h.Rules, Classes: h.Classes}),
-		servers: map[string]*model.Box{}, news: map[string]*start{}, calls: map[call]*seen{}, heirs: map[string]int{},
-		stalled: map[string]time.Duration{}, held: map[[2]string]time.Duration{}}
-	c.audit.Overlap = h.Overlap
+func Check(h Header, events []Event) []checker.Violation {
+	c := &evaluator{header: h, checker: checker.New(&scenario.Scenario{Rules: h.Rules, Classes: h.Classes}),
+		servers: map[string]*model.Server{}, starts: map[string]*serverStart{}, calls: map[requestKey]*requestState{}, successors: map[string]int{},
+		stoppedUntil: map[string]time.Duration{}, heldUntil: map[[2]string]time.Duration{}}
+	c.checker.ObservationLag = h.Overlap
 	last := time.Duration(0)
 	if len(events) > 0 {
 		last = events[len(events)-1].At
 	}
-	for _, e := range clocked(events) {
+	for _, e := range countNotifications(events) {
 		if e.At <= last {
-			c.take(e)
+			c.apply(e)
 		}
 	}
-	c.audit.Finish(last)
-	return append(c.audit.Violations(), c.mine...)
+	c.checker.Finish(last)
+	return append(c.checker.Violations(), c.violations...)
 }
 
-func (c *evaluator) take(e Event) {
-	switch key := (call{e.Node, e.ID}); e.What {
-	case Start:
-		c.audit.NodeStarted(e.Node)
-	case Stall, Resume, Down, Hold, Free, Mute, Speak, Sever:
-		c.upset(e)
-	case Kill:
-		c.audit.NodeKilled(e.Node)
-	case Heir:
-		c.heirs[e.Node]++
-	case Exit:
-		if c.heirs[e.Node] > 0 { // what the process owed shows by itself; the node goes on
-			c.heirs[e.Node]--
+func (c *evaluator) apply(e Event) {
+	switch key := (requestKey{e.Node, e.ID}); e.Kind {
+	case NodeStarted:
+		c.checker.NodeStarted(e.Node)
+	case ProcessStopped, ProcessResumed, ServerDied, LinkHeld, LinkReleased, ClientsMuted, ClientsUnmuted, ClientsReset:
+		c.applyProcessFault(e)
+	case NodeKilled:
+		c.checker.NodeKilled(e.Node)
+	case SuccessorReady:
+		c.successors[e.Node]++
+	case NodeExited:
+		if c.successors[e.Node] > 0 { // what the process owed shows by itself; the node goes on
+			c.successors[e.Node]--
 			return
 		}
-		c.audit.NodeStopped(e.At, e.Node)
-	case Hand:
-		c.audit.Handed(e.At, e.Node, e.Server, !e.Ready)
-	case Told:
-		c.audit.Told(e.At, e.Node, e.Server, e.Ready)
-		if s := c.news[e.Server]; s != nil && e.Ready {
-			s.told[e.Node] = true
+		c.checker.NodeStopped(e.At, e.Node)
+	case EndpointOverridden:
+		c.checker.EndpointOverridden(e.At, e.Node, e.Server, !e.Ready)
+	case EndpointNotified:
+		c.checker.EndpointNotified(e.At, e.Node, e.Server, e.Ready)
+		if s := c.starts[e.Server]; s != nil && e.Ready {
+			s.notifiedNodes[e.Node] = true
 		}
-	case Ask:
-		c.audit.Taken(e.At, e.Node, e.ID, e.Class, e.At+e.Budget)
-		c.calls[key] = &seen{bodies: map[string]bool{}}
-	case Got:
-		c.got(e, key)
-	case Cut:
-		if s := c.calls[key]; e.Ready && s != nil && len(s.out) == 0 {
-			c.audit.Gone(e.At, e.Node, e.ID) // the end of a kept connection crossed a request that was not read
+	case RequestSent:
+		c.checker.RequestAccepted(e.At, e.Node, e.ID, e.Class, e.At+e.Duration)
+		c.calls[key] = &requestState{bodies: map[string]bool{}}
+	case AnswerReceived:
+		c.answerReceived(e, key)
+	case ConnectionCut:
+		if s := c.calls[key]; e.Ready && s != nil && len(s.attemptServers) == 0 {
+			c.checker.ClientGone(e.At, e.Node, e.ID) // the end of a kept connection crossed a request that was not read
 			return
 		}
-		c.audit.Dropped(e.At, e.Node, e.ID)
-	case Left:
-		c.audit.Gone(e.At, e.Node, e.ID)
-	case Reach:
-		c.reach(e, key)
-	case Reply:
+		c.checker.ConnectionDropped(e.At, e.Node, e.ID)
+	case ClientLeft:
+		c.checker.ClientGone(e.At, e.Node, e.ID)
+	case AttemptArrived:
+		c.attemptArrived(e, key)
+	case AttemptAnswered:
 		how := balancer.Failure
 		switch {
 		case e.Status == 200:
@@ -240,141 +240,141 @@
 			if s := c.calls[key]; s != nil {
 				s.bodies[e.Body] = true
 			}
-		case e.Never:
+		case e.NeverRan:
 			how = balancer.Overloaded
 		}
-		c.ended(e, key, how)
-	case Broke:
-		c.ended(e, key, balancer.ConnectionLost)
-	case Given:
-		c.ended(e, key, balancer.TimedOut)
-	case Boot:
-		c.boot(e)
+		c.attemptEnded(e, key, how)
+	case AttemptBroken:
+		c.attemptEnded(e, key, balancer.ConnectionLost)
+	case AttemptCanceled:
+		c.attemptEnded(e, key, balancer.TimedOut)
+	case ServerStarted:
+		c.serverStarted(e)
 	}
 }
 
-// upset is what happens to a process, or between two.
-func (c *evaluator) upset(e Event) {
+// applyProcessFault is what happens to a process, or between two.
+func (c *evaluator) applyProcessFault(e Event) {
 	switch {
-	case e.What == Down:
+	case e.Kind == ServerDied:
 		for key, s := range c.calls {
-			for n, server := range s.out {
+			for n, server := range s.attemptServers {
 				if server == e.Server {
-					s.out[n] = ""
-					c.audit.Ended(e.At, key.node, key.id, n, balancer.ConnectionLost)
+					s.attemptServers[n] = ""
+					c.checker.AttemptEnded(e.At, key.node, key.id, n, balancer.ConnectionLost)
 				}
 			}
 		}
-		delete(c.stalled, e.Server)
-	case e.What == Hold:
-		c.held[[2]string{e.Node, e.Server}] = forEver
-		c.unseen(e, e.Node)
-	case e.What == Free:
-		c.held[[2]string{e.Node, e.Server}] = e.At + lateNews
-	case e.What == Sever:
-		c.audit.Severed(e.Node)
-	case e.Node != "" && (e.What == Mute || e.What == Stall):
-		c.audit.NodeAway(e.At, e.Node)
-	case e.What == Speak:
+		delete(c.stoppedUntil, e.Server)
+	case e.Kind == LinkHeld:
+		c.heldUntil[[2]string{e.Node, e.Server}] = forever
+		c.attemptsUnobserved(e, e.Node)
+	case e.Kind == LinkReleased:
+		c.heldUntil[[2]string{e.Node, e.Server}] = e.At + resumeAllowance
+	case e.Kind == ClientsReset:
+		c.checker.ConnectionsReset(e.Node)
+	case e.Node != "" && (e.Kind == ClientsMuted || e.Kind == ProcessStopped):
+		c.checker.NodeUnresponsive(e.At, e.Node)
+	case e.Kind == ClientsUnmuted:
 		more := time.Duration(0) // a node's time for what arrives now may begin now
-		for _, k := range c.head.Classes {
+		for _, k := range c.header.Classes {
 			more = max(more, k.Deadline)
 		}
-		c.audit.NodeBack(e.At, e.Node, more)
+		c.checker.NodeResponsive(e.At, e.Node, more)
 	case e.Node != "":
-		c.audit.NodeBack(e.At, e.Node, 0)
-	case e.What == Stall:
-		c.stalled[e.Server] = forEver
-		c.unseen(e, "")
+		c.checker.NodeResponsive(e.At, e.Node, 0)
+	case e.Kind == ProcessStopped:
+		c.stoppedUntil[e.Server] = forever
+		c.attemptsUnobserved(e, "")
 	default:
-		c.stalled[e.Server] = e.At + lateNews
+		c.stoppedUntil[e.Server] = e.At + resumeAllowance
 	}
 }
 
-// unseen says of the attempts that are out at a server, of one node or of all, that their end is not to be seen.
-func (c *evaluator) unseen(e Event, node string) {
+// attemptsUnobserved says of the attempts that are out at a server, of one node or of all, that their end is not to be seen.
+func (c *evaluator) attemptsUnobserved(e Event, node string) {
 	for key, s := range c.calls {
-		for n, server := range s.out {
+		for n, server := range s.attemptServers {
 			if server == e.Server && (node == "" || node == key.node) {
-				c.audit.Unseen(e.At, key.node, key.id, n)
+				c.checker.AttemptUnobserved(e.At, key.node, key.id, n)
 			}
 		}
 	}
 }
 
-const forEver = time.Duration(1<<63 - 1)
+const forever = time.Duration(1<<63 - 1)
 
-// got is an answer. One that says served must be what a server has said.
-func (c *evaluator) got(e Event, key call) {
+// answerReceived is an answer. One that says served must be what a server has said.
+func (c *evaluator) answerReceived(e Event, key requestKey) {
 	how := checker.Failed
 	switch e.Status {
 	case 200:
 		how = checker.Served
 	case 429, 503:
-		how = checker.Refused
+		how = checker.Rejected
 	}
-	if s := c.calls[key]; how == checker.Served && s != nil && len(s.out) > 0 && !s.bodies[e.Body] {
-		c.mine = append(c.mine, checker.Violation{Rule: checker.MadeUp, At: e.At, Node: e.Node, Request: e.ID,
-			What: "served with what no server has answered"})
+	if s := c.calls[key]; how == checker.Served && s != nil && len(s.attemptServers) > 0 && !s.bodies[e.Body] {
+		c.violations = append(c.violations, checker.Violation{Rule: checker.GenuineAnswer, At: e.At, Node: e.Node, Request: e.ID,
+			Detail: "served with what no server has answered"})
 	}
-	c.audit.Answered(e.At, e.Node, e.ID, how)
+	c.checker.RequestAnswered(e.At, e.Node, e.ID, how)
 }
 
-// reach is an attempt. Whatever becomes of it, it loads the server.
-func (c *evaluator) reach(e Event, key call) {
-	if e.At < max(c.stalled[e.Server], c.held[[2]string{e.Node, e.Server}]) { // it was sent at some time of the stop, or given up meanwhile
+// attemptArrived is an attempt. Whatever becomes of it, it loads the server.
+func (c *evaluator) attemptArrived(e Event, key requestKey) {
+	if e.At < max(c.stoppedUntil[e.Server], c.heldUntil[[2]string{e.Node, e.Server}]) { // it was sent at some time of the stop, or given up meanwhile
 		if s := c.calls[key]; s != nil {
-			s.out = append(s.out, e.Server)
-			c.audit.SentUnseen(e.At, e.Node, e.ID, e.Server)
+			s.attemptServers = append(s.attemptServers, e.Server)
+			c.checker.SentUnobserved(e.At, e.Node, e.ID, e.Server)
 		}
 		return
 	}
-	c.audit.Sent(e.At, e.Node, e.ID, e.Server)
+	c.checker.AttemptSent(e.At, e.Node, e.ID, e.Server)
 	if s := c.calls[key]; s != nil {
-		s.out = append(s.out, e.Server)
+		s.attemptServers = append(s.attemptServers, e.Server)
 	}
 	if b := c.servers[e.Server]; b != nil {
-		s := c.news[e.Server]
-		s.note(e, c.head.Rules.Fall)
-		if b.Sent(e.At, e.Work) && s.known() {
-			c.audit.Fell(e.At, e.Node, e.ID, e.Server)
+		s := c.starts[e.Server]
+		s.recordArrival(e, c.header.Rules.OverloadWindow)
+		if b.RecordArrival(e.At, e.Work) && s.mostlyFromNotified() {
+			c.checker.ServerOverloaded(e.At, e.Node, e.ID, e.Server)
 		}
 	}
 }
 
-// ended is the end of the latest attempt of a call that is out at a server.
-func (c *evaluator) ended(e Event, key call, how balancer.Outcome) {
+// attemptEnded is the end of the latest attempt of a call that is out at a server.
+func (c *evaluator) attemptEnded(e Event, key requestKey, how balancer.Outcome) {
 	s := c.calls[key]
 	if s == nil {
 		return
 	}
-	for n := len(s.out) - 1; n >= 0; n-- {
-		if s.out[n] == e.Server {
-			s.out[n] = ""
+	for n := len(s.attemptServers) - 1; n >= 0; n-- {
+		if s.attemptServers[n] == e.Server {
+			s.attemptServers[n] = ""
 			if how != balancer.Overloaded {
-				c.audit.Ran(e.At, e.Node, e.ID, e.Server)
+				c.checker.AttemptExecuted(e.At, e.Node, e.ID, e.Server)
 			}
-			c.audit.Ended(e.At, e.Node, e.ID, n, how)
+			c.checker.AttemptEnded(e.At, e.Node, e.ID, n, how)
 			return
 		}
 	}
 }
 
-// boot starts a server cold.
-func (c *evaluator) boot(e Event) {
-	kind, ok := c.head.Kinds[e.Server]
+// serverStarted starts a server cold.
+func (c *evaluator) serverStarted(e Event) {
+	kind, ok := c.header.Kinds[e.Server]
 	if !ok {
 		return
 	}
-	b := model.NewBox(e.Server, 0, 0, &kind, c.head.Rules)
-	b.Mean = c.head.Means[e.Server]
+	b := model.NewServer(e.Server, 0, 0, &kind, c.header.Rules)
+	b.MeanWork = c.header.Means[e.Server]
 	b.Start(e.At)
 	c.servers[e.Server] = b
-	c.news[e.Server] = &start{at: e.At, told: map[string]bool{}}
+	c.starts[e.Server] = &serverStart{startedAt: e.At, notifiedNodes: map[string]bool{}}
 }
 
-// Continue records without a head: one of several histories of a world, which Merge brings together.
-func Continue(w io.Writer) *Recorder { return &Recorder{out: json.NewEncoder(w)} }
+// NewHeadlessRecorder records without a head: one of several histories of a world, which Merge brings together.
+func NewHeadlessRecorder(w io.Writer) *Recorder { return &Recorder{out: json.NewEncoder(w)} }
 
 // Merge reads histories without heads and gives their events in the order of their times; of equal times those of the
 // earlier history come first. A process that is killed ends in the middle of a line: such a last line is left out.
--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -22,70 +22,70 @@
 	unsafe
 )
 
-func head() Head {
-	return Head{Overlap: 100 * ms,
-		Rules:   scenario.Rules{MaxAttempts: 3, DrainGrace: 250 * ms, FallMultiple: 3, Fall: time.Second, Slack: 50 * ms},
+func testHeader() Header {
+	return Header{Overlap: 100 * ms,
+		Rules:   scenario.Rules{MaxAttempts: 3, DrainGrace: 250 * ms, OverloadMultiple: 3, OverloadWindow: time.Second, Slack: 50 * ms},
 		Classes: []scenario.Class{{Name: "block-view", Effect: balancer.Idempotent}, {Name: "bin-weighin", Effect: balancer.NonIdempotent}},
-		Kinds:   map[string]scenario.Kind{"s1": {Cores: 1, Speed: 1, ColdFrom: 0.3, Cold: 10 * time.Second}},
+		Kinds:   map[string]scenario.ServerKind{"s1": {Cores: 1, Speed: 1, WarmupStartShare: 0.3, WarmupDuration: 10 * time.Second}},
 		Means:   map[string]time.Duration{"s1": 20 * ms}}
 }
 
-// told is how every small history begins: node n knows two servers.
-var told = []Event{{What: Start, Node: "n"}, {What: Told, Node: "n", Server: "s1", Ready: true}, {What: Told, Node: "n", Server: "s2", Ready: true}}
+// initialEvents is how every small history begins: node n knows two servers.
+var initialEvents = []Event{{Kind: NodeStarted, Node: "n"}, {Kind: EndpointNotified, Node: "n", Server: "s1", Ready: true}, {Kind: EndpointNotified, Node: "n", Server: "s2", Ready: true}}
 
-func story(events ...Event) []Event {
-	all := append(told[:len(told):len(told)], events...)
+func history(events ...Event) []Event {
+	all := append(initialEvents[:len(initialEvents):len(initialEvents)], events...)
 	for i := range all {
 		if all[i].Node == "" {
 			all[i].Node = "n"
 		}
 	}
-	return append(all, Event{At: time.Minute, What: End})
+	return append(all, Event{At: time.Minute, Kind: HistoryEnded})
 }
 
-func ask(at time.Duration, class int) Event {
-	return Event{At: at, What: Ask, ID: "1", Class: class, Budget: time.Second}
+func requestSent(at time.Duration, class int) Event {
+	return Event{At: at, Kind: RequestSent, ID: "1", Class: class, Duration: time.Second}
 }
-func reach(at time.Duration, server string) Event {
-	return Event{At: at, What: Reach, ID: "1", Server: server}
+func attemptArrived(at time.Duration, server string) Event {
+	return Event{At: at, Kind: AttemptArrived, ID: "1", Server: server}
 }
-func broke(at time.Duration, server string) Event {
-	return Event{At: at, What: Broke, ID: "1", Server: server}
+func attemptBroken(at time.Duration, server string) Event {
+	return Event{At: at, Kind: AttemptBroken, ID: "1", Server: server}
 }
-func given(at time.Duration, server string) Event {
-	return Event{At: at, What: Given, ID: "1", Server: server}
+func attemptCanceled(at time.Duration, server string) Event {
+	return Event{At: at, Kind: AttemptCanceled, ID: "1", Server: server}
 }
-func reply(at time.Duration, server string, status int) Event {
-	return Event{At: at, What: Reply, ID: "1", Server: server, Status: status, Never: status == 503, Body: body(status)}
+func attemptAnswered(at time.Duration, server string, status int) Event {
+	return Event{At: at, Kind: AttemptAnswered, ID: "1", Server: server, Status: status, NeverRan: status == 503, Body: body(status)}
 }
-func got(at time.Duration, status int) Event {
-	return Event{At: at, What: Got, ID: "1", Status: status, Body: body(status)}
+func answerReceived(at time.Duration, status int) Event {
+	return Event{At: at, Kind: AnswerReceived, ID: "1", Status: status, Body: body(status)}
 }
-func hand(at time.Duration, ready bool) Event {
-	return Event{At: at, What: Hand, Server: "s1", Ready: ready}
+func overridden(at time.Duration, ready bool) Event {
+	return Event{At: at, Kind: EndpointOverridden, Server: "s1", Ready: ready}
 }
 func body(status int) string { return map[int]string{200: "picked"}[status] }
 
 // attempts are n of them that the servers answered 500, one after another, and the answer to the client.
 func attempts(n int) (list []Event) {
-	list = append(list, ask(1000*ms, safe))
+	list = append(list, requestSent(1000*ms, safe))
 	for i := range n {
 		at := time.Duration(1010+20*i) * ms
 		s := []string{"s1", "s2"}[i%2]
-		list = append(list, reach(at, s), reply(at+10*ms, s, 500))
+		list = append(list, attemptArrived(at, s), attemptAnswered(at+10*ms, s, 500))
 	}
-	return append(list, got(1200*ms, 502))
+	return append(list, answerReceived(1200*ms, 502))
 }
 
-// cold is n requests of 20 ms, the mean, for a server that may get 45 of them in the second after its start, of which so
+// warmupArrivals is n requests of 20 ms, the mean, for a server that may get 45 of them in the second after its start, of which so
 // many come from a node that was not told of it.
-func cold(n, untold int) (list []Event) {
-	list = append(list, Event{At: 4000 * ms, What: Start, Node: "m"}, Event{At: 4000 * ms, What: Told, Node: "m", Server: "s1", Ready: true},
-		Event{At: 5000 * ms, What: Boot, Server: "s1"}, Event{At: 5005 * ms, What: Told, Server: "s1", Ready: true})
+func warmupArrivals(n, untold int) (list []Event) {
+	list = append(list, Event{At: 4000 * ms, Kind: NodeStarted, Node: "m"}, Event{At: 4000 * ms, Kind: EndpointNotified, Node: "m", Server: "s1", Ready: true},
+		Event{At: 5000 * ms, Kind: ServerStarted, Server: "s1"}, Event{At: 5005 * ms, Kind: EndpointNotified, Server: "s1", Ready: true})
 	for i := range n {
 		id, at := fmt.Sprint(i), 5010*ms
-		for _, e := range []Event{ask(at, safe), reach(at, "s1"), reply(at, "s1", 200), got(at, 200)} {
-			if e.ID = id; e.What == Reach {
+		for _, e := range []Event{requestSent(at, safe), attemptArrived(at, "s1"), attemptAnswered(at, "s1", 200), answerReceived(at, 200)} {
+			if e.ID = id; e.Kind == AttemptArrived {
 				e.Work = 20 * ms
 			}
 			if i < untold {
@@ -104,64 +104,64 @@
 		wrong, inside []Event
 	}{
 		"late": {checker.InTime,
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(2000*ms, "s1", 200), got(2051*ms, 200)},
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(2000*ms, "s1", 200), got(2050*ms, 200)}},
-		"never": {checker.InTime, []Event{ask(1000*ms, safe)}, []Event{ask(1000*ms, safe), {At: 1100 * ms, What: Left, ID: "1"}}},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2051*ms, 200)},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2050*ms, 200)}},
+		"never": {checker.InTime, []Event{requestSent(1000*ms, safe)}, []Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: ClientLeft, ID: "1"}}},
 		"never, asked as the node starts again": {checker.InTime,
-			[]Event{{At: 500 * ms, What: Kill}, {At: 1000 * ms, What: Start}, ask(1000*ms, unsafe)},
-			[]Event{ask(499*ms, unsafe), {At: 500 * ms, What: Kill}, {At: 1000 * ms, What: Start}}},
+			[]Event{{At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}, requestSent(1000*ms, unsafe)},
+			[]Event{requestSent(499*ms, unsafe), {At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}}},
 		"twice": {checker.OneAnswer,
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1200*ms, "s1", 200), got(1200*ms, 200), got(1250*ms, 200)},
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1200*ms, "s1", 200), got(1200*ms, 200)}},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200), answerReceived(1250*ms, 200)},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200)}},
 		"sent after the answer": {checker.OneAnswer,
-			[]Event{ask(1000*ms, safe), got(1100*ms, 503), reach(1201*ms, "s1"), given(1210*ms, "s1")},
-			[]Event{ask(1000*ms, safe), got(1100*ms, 503), reach(1200*ms, "s1"), given(1210*ms, "s1")}},
+			[]Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503), attemptArrived(1201*ms, "s1"), attemptCanceled(1210*ms, "s1")},
+			[]Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503), attemptArrived(1200*ms, "s1"), attemptCanceled(1210*ms, "s1")}},
 		"run twice": {checker.NoSecondRun,
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), broke(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 200), got(1200*ms, 200)},
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 503), reach(1120*ms, "s2"), reply(1200*ms, "s2", 200), got(1200*ms, 200)}},
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)},
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)}},
 		"sent again after a time-out": {checker.NoSecondRun,
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), given(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 503), got(1200*ms, 502)},
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), given(1110*ms, "s1"), reach(1120*ms, "s2"), reply(1200*ms, "s2", 503), got(1200*ms, 503)}},
-		"refused after a run": {checker.Harmless,
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), broke(1110*ms, "s1"), got(1120*ms, 503)},
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 503), got(1120*ms, 429)}},
-		"refused while out": {checker.Harmless,
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), got(1120*ms, 429), given(1130*ms, "s1")},
-			[]Event{ask(1000*ms, unsafe), reach(1100*ms, "s1"), got(1120*ms, 502), given(1130*ms, "s1")}},
-		"two out": {checker.OneOut,
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reach(1200*ms, "s2"), given(1300*ms, "s1"), reply(1310*ms, "s2", 200), got(1310*ms, 200)},
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reach(1200*ms, "s2"), given(1299*ms, "s1"), reply(1310*ms, "s2", 200), got(1310*ms, 200)}},
-		"four attempts": {checker.MostSends, attempts(4), attempts(3)},
-		"after a drain": {checker.Drain,
-			[]Event{{At: 2000 * ms, What: Told, Server: "s1"}, ask(2200*ms, safe), reach(2301*ms, "s1"), reply(2310*ms, "s1", 200), got(2310*ms, 200)},
-			[]Event{{At: 2000 * ms, What: Told, Server: "s1"}, ask(2200*ms, safe), reach(2300*ms, "s1"), reply(2310*ms, "s1", 200), got(2310*ms, 200)}},
-		"after a word by hand": {checker.ByHand,
-			[]Event{hand(1000*ms, false), {At: 1900 * ms, What: Told, Server: "s1", Ready: true}, ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)},
-			[]Event{hand(1000*ms, false), hand(1100*ms, false), hand(1900*ms, true), ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)}},
-		"by hand, over an upgrade": {checker.ByHand,
-			[]Event{hand(1000*ms, false), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, ask(2000*ms, safe), reach(2100*ms, "s1"), reply(2110*ms, "s1", 200), got(2110*ms, 200)},
-			[]Event{hand(1000*ms, false), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, ask(2000*ms, safe), reach(2100*ms, "s2"), reply(2110*ms, "s2", 200), got(2110*ms, 200)}},
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 502)},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 503)}},
+		"refused after a run": {checker.SafeRejection,
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), answerReceived(1120*ms, 503)},
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), answerReceived(1120*ms, 429)}},
+		"refused while out": {checker.SafeRejection,
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 429), attemptCanceled(1130*ms, "s1")},
+			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 502), attemptCanceled(1130*ms, "s1")}},
+		"two out": {checker.OneAttempt,
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1300*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1299*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)}},
+		"four attempts": {checker.AttemptLimit, attempts(4), attempts(3)},
+		"after a drain": {checker.DrainGrace,
+			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2301*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)},
+			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2300*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)}},
+		"after a word by hand": {checker.AdminOverride,
+			[]Event{overridden(1000*ms, false), {At: 1900 * ms, Kind: EndpointNotified, Server: "s1", Ready: true}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
+			[]Event{overridden(1000*ms, false), overridden(1100*ms, false), overridden(1900*ms, true), requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)}},
+		"by hand, over an upgrade": {checker.AdminOverride,
+			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
+			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s2"), attemptAnswered(2110*ms, "s2", 200), answerReceived(2110*ms, 200)}},
 		"lost in an upgrade": {checker.InTime,
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}},
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Heir}, {At: 1200 * ms, What: Exit}, got(1300*ms, 503)}},
-		"pushed over":                   {checker.Cold, cold(69, 0), cold(68, 0)}, // 45 + 3 x root of 45 + 3
-		"pushed over by those who knew": {checker.Cold, cold(69, 22), cold(69, 23)},
-		"lost on SIGTERM": {checker.Lost,
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Term}, {At: 1200 * ms, What: Exit}},
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Term}, got(1150*ms, 502), {At: 1200 * ms, What: Exit}}},
-		"cut": {checker.Lost,
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Cut, ID: "1"}},
-			[]Event{ask(1000*ms, safe), {At: 1100 * ms, What: Kill}}},
-		"served with nothing": {checker.MadeUp, []Event{ask(1000*ms, safe), got(1100*ms, 200)}, []Event{ask(1000*ms, safe), got(1100*ms, 503)}},
-		"served with another's": {checker.MadeUp,
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 500), got(1120*ms, 200)},
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s1"), reply(1110*ms, "s1", 200), got(1120*ms, 200)}},
-		"unknown server": {checker.KnownBox,
-			[]Event{ask(1000*ms, safe), reach(1100*ms, "s9"), reply(1110*ms, "s9", 200), got(1120*ms, 200)},
-			[]Event{{At: 900 * ms, What: Told, Server: "s9", Ready: true}, ask(1000*ms, safe), reach(1100*ms, "s9"), reply(1110*ms, "s9", 200), got(1120*ms, 200)}},
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}},
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, answerReceived(1300*ms, 503)}},
+		"pushed over":                   {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
+		"pushed over by those who knew": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
+		"lost on SIGTERM": {checker.NothingLost,
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, {At: 1200 * ms, Kind: NodeExited}},
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, answerReceived(1150*ms, 502), {At: 1200 * ms, Kind: NodeExited}}},
+		"cut": {checker.NothingLost,
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: ConnectionCut, ID: "1"}},
+			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeKilled}}},
+		"served with nothing": {checker.GenuineAnswer, []Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 200)}, []Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503)}},
+		"served with another's": {checker.GenuineAnswer,
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 500), answerReceived(1120*ms, 200)},
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 200), answerReceived(1120*ms, 200)}},
+		"unknown server": {checker.KnownServer,
+			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)},
+			[]Event{{At: 900 * ms, Kind: EndpointNotified, Server: "s9", Ready: true}, requestSent(1000*ms, safe), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := Check(head(), story(tc.wrong...))
+			found := Check(testHeader(), history(tc.wrong...))
 			for _, v := range found {
 				if v.Rule != tc.rule {
 					t.Errorf("also rejected by %v", v)
@@ -170,7 +170,7 @@
 			if len(found) == 0 {
 				t.Error("not rejected")
 			}
-			for _, v := range Check(head(), story(tc.inside...)) {
+			for _, v := range Check(testHeader(), history(tc.inside...)) {
 				t.Errorf("a step inside: %v", v)
 			}
 		})
@@ -197,13 +197,13 @@
 			t.Errorf("%s: %v", name, v)
 		}
 		for i, e := range events {
-			if e.What == Got && e.Status == 200 {
+			if e.Kind == AnswerReceived && e.Status == 200 {
 				events[i].Status = 503
 			}
 		}
 		refused := false
 		for _, v := range Check(h, events) {
-			refused = refused || v.Rule == checker.Harmless
+			refused = refused || v.Rule == checker.SafeRejection
 		}
 		if !refused {
 			t.Errorf("%s: every answer turned into a refusal, and accepted", name)
--- a/internal/lab/blackbox/cold.go
+++ b/internal/lab/blackbox/cold.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// start is the last start of a server: who was told of it, and what came lately.
-type start struct {
-	at   time.Duration
-	told map[string]bool
-	came []Event
+// serverStart is the last start of a server: who was told of it, and what came lately.
+type serverStart struct {
+	startedAt     time.Duration
+	notifiedNodes map[string]bool
+	arrivals      []Event
 }
 
-// note adds what reached the server, and forgets what came longer ago than the rule looks back.
-func (s *start) note(e Event, span time.Duration) {
-	s.came = append(s.came, e)
-	for len(s.came) > 0 && s.came[0].At <= e.At-span {
-		s.came = s.came[1:]
+// recordArrival adds what reached the server, and forgets what came longer ago than the rule looks back.
+func (s *serverStart) recordArrival(e Event, span time.Duration) {
+	s.arrivals = append(s.arrivals, e)
+	for len(s.arrivals) > 0 && s.arrivals[0].At <= e.At-span {
+		s.arrivals = s.arrivals[1:]
 	}
 }
 
-// known says that over two thirds of the work that came lately is of nodes that had been told of the start: only then does
+// mostlyFromNotified says that over two thirds of the work that came lately is of nodes that had been told of the start: only then does
 // a fall break the rule.
-func (s *start) known() bool {
+func (s *serverStart) mostlyFromNotified() bool {
 	var all, told time.Duration
-	for _, e := range s.came {
+	for _, e := range s.arrivals {
 		all += e.Work
-		if s.told[e.Node] {
+		if s.notifiedNodes[e.Node] {
 			told += e.Work
 		}
 	}
--- a/internal/lab/blackbox/golden_test.go
+++ b/internal/lab/blackbox/golden_test.go
@@ -38,7 +38,7 @@
 	if !bytes.Equal(bytes.Replace(written.Bytes(), []byte(later), nil, 1), text) {
 		t.Error("the history is written in another form than it was read")
 	}
-	for _, form := range []reflect.Type{reflect.TypeFor[Head](), reflect.TypeFor[Event]()} {
+	for _, form := range []reflect.Type{reflect.TypeFor[Header](), reflect.TypeFor[Event]()} {
 		for _, field := range goldentest.UntaggedFields(form) {
 			t.Errorf("%s has no json tag", field)
 		}
--- a/internal/lab/fleet/admin.go
+++ b/internal/lab/fleet/admin.go
@@ -12,26 +12,26 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// hands are the servers that operators have out at nodes: what a node has said yes to outlives its process, as far as
+// overrides are the servers that operators have out at nodes: what a node has said yes to outlives its process, as far as
 // its folder does.
-type hands struct {
-	r *rig
+type overrides struct {
+	rig *rig
 
-	mu  sync.Mutex
-	out map[int][]string // by node
+	mu     sync.Mutex
+	byNode map[int][]string // by node
 }
 
-// callTime is how long an operator waits for an answer.
-const callTime = 2 * time.Second
+// adminCallTimeout is how long an operator waits for an answer.
+const adminCallTimeout = 2 * time.Second
 
-// hand has operators take the boxes of a trouble out, at each node that sends to them, and put them back.
-func (r *rig) hand(u model.Upset) (begin, over func() error) {
-	ids, _ := r.nodes.BoxNames(u.Who[1])
-	id := ids[u.Who[0]]
+// overrideFault has operators take the boxes of a trouble out, at each node that sends to them, and put them back.
+func (r *rig) overrideFault(u model.ProcessFault) (begin, over func() error) {
+	ids, _ := r.nodes.ServerIDs(u.Targets[1])
+	id := ids[u.Targets[0]]
 	all := func(out bool) error {
 		for i, info := range r.infos {
-			if info.Tier == u.Who[1] {
-				r.own(func() { r.hands.say(i, id, out) })
+			if info.Tier == u.Targets[1] {
+				r.goOwned(func() { r.overrides.call(i, id, out) })
 			}
 		}
 		return nil
@@ -39,19 +39,19 @@
 	return func() error { return all(true) }, func() error { return all(false) }
 }
 
-// say makes an operator's call at a node. No answer is no yes, and changes nothing that is promised, but for a server
+// call makes an operator's call at a node. No answer is no yes, and changes nothing that is promised, but for a server
 // that is to come back: it may be back.
-func (h *hands) say(i int, id string, out bool) {
-	life, control := h.r.nodes.Control(i)
+func (h *overrides) call(i int, id string, out bool) {
+	life, control := h.rig.nodes.AdminAddr(i)
 	if control == "" {
 		return
 	}
 	what := "/offline"
 	if !out {
 		what = "/online"
-		h.forget(i, id)
+		h.enabled(i, id)
 	}
-	client := http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: adminCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Post("http://"+control+"/control/servers/"+url.PathEscape(id)+what, "", nil)
 	if err != nil {
 		return
@@ -59,7 +59,7 @@
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		if out && resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusNotFound {
-			h.r.end(errors.New("an operator is answered " + resp.Status))
+			h.rig.cancel(errors.New("an operator is answered " + resp.Status))
 		}
 		return
 	}
@@ -68,39 +68,39 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now, _ := h.r.nodes.Control(i); now != life { // it has been killed since
+	if now, _ := h.rig.nodes.AdminAddr(i); now != life { // it has been killed since
 		return
 	}
-	if !h.r.folders.fails(i) && !slices.Contains(h.out[i], id) { // else it is over with this life
-		h.out[i] = append(h.out[i], id)
+	if !h.rig.folders.cannotWrite(i) && !slices.Contains(h.byNode[i], id) { // else it is over with this life
+		h.byNode[i] = append(h.byNode[i], id)
 	}
-	h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id})
+	h.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: life, Server: id})
 }
 
-// forget notes that a node may use a server again, before it is told.
-func (h *hands) forget(i int, id string) {
+// enabled notes that a node may use a server again, before it is told.
+func (h *overrides) enabled(i int, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n := slices.Index(h.out[i], id); n >= 0 {
-		h.out[i] = slices.Delete(h.out[i], n, n+1)
+	if n := slices.Index(h.byNode[i], id); n >= 0 {
+		h.byNode[i] = slices.Delete(h.byNode[i], n, n+1)
 	}
-	life, _ := h.r.nodes.Life(i)
-	h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id, Ready: true})
+	life, _ := h.rig.nodes.Incarnation(i)
+	h.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: life, Server: id, Ready: true})
 }
 
-// reborn notes what a node's next life owes of what operators said to the one before.
-func (h *hands) reborn(i int) {
+// nodeStarts notes what a node's next life owes of what operators said to the one before.
+func (h *overrides) nodeStarts(i int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	life, _ := h.r.nodes.Life(i)
-	for _, id := range h.out[i] {
-		h.r.nodes.Note(blackbox.Event{What: blackbox.Hand, Node: life, Server: id})
+	life, _ := h.rig.nodes.Incarnation(i)
+	for _, id := range h.byNode[i] {
+		h.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: life, Server: id})
 	}
 }
 
-// lost forgets what was in a node's folder.
-func (h *hands) lost(i int) {
+// folderLost forgets what was in a node's folder.
+func (h *overrides) folderLost(i int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.out, i)
+	delete(h.byNode, i)
 }
--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -12,28 +12,31 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// upset turns one into its beginning and its end; end may be nil.
-func (r *rig) upset(u model.Upset) (begin, over func() error, err error) {
+// processFault turns one into its beginning and its end; end may be nil.
+func (r *rig) processFault(u model.ProcessFault) (begin, over func() error, err error) {
 	switch u.Kind {
 	case "stall":
-		return r.stall(u)
+		return r.stopFault(u)
 	case "hand":
-		begin, over = r.hand(u)
+		begin, over = r.overrideFault(u)
 		return begin, over, nil
 	case "hush":
-		place := r.infos[u.Who[0]].Place
-		return func() error { r.discovery.tell(loopback.Message{Do: loopback.DoHush, Place: place}); return nil },
+		place := r.infos[u.Targets[0]].Base
+		return func() error {
+				r.discovery.send(loopback.Message{Operation: loopback.OpMuteWatches, Node: place})
+				return nil
+			},
 			func() error {
-				r.discovery.tell(loopback.Message{Do: loopback.DoHush, Place: place, Hears: true})
+				r.discovery.send(loopback.Message{Operation: loopback.OpMuteWatches, Node: place, Serving: true})
 				return nil
 			}, nil
 	case "upgrade":
-		return func() error { r.upgrade(u.Who[0]); return nil }, nil, nil
+		return func() error { r.replaceNode(u.Targets[0]); return nil }, nil, nil
 	case "box_kill":
-		p := r.partsOf(u.Tier)[u.Who[0]]
-		return func() error { r.boxKill(p, u.Folder); return nil }, func() error { return r.boxBack(p) }, nil
+		p := r.workersOfTier(u.Tier)[u.Targets[0]]
+		return func() error { r.killServers(p, u.Folder); return nil }, func() error { return r.restartServers(p) }, nil
 	}
-	list, faults, err := r.faults(u)
+	list, faults, err := r.linkFaults(u)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -41,86 +44,86 @@
 	begin = func() error {
 		if u.Kind == "reset_link" {
 			for _, l := range list {
-				r.note(blackbox.Sever, l, aNode, theClient)
-				r.note(blackbox.Sever, l, aNode, aBox)
+				r.recordLink(blackbox.ClientsReset, l, nodeEnd, clientEnd)
+				r.recordLink(blackbox.ClientsReset, l, nodeEnd, serverEnd)
 				l.Reset()
 			}
 			return nil
 		}
-		r.silence(list, faults, blackbox.Hold, blackbox.Mute)
+		r.recordHeld(list, faults, blackbox.LinkHeld, blackbox.ClientsMuted)
 		// Nodes that hear nothing of discovery are told nothing from before the silence until after its end.
-		for name := range r.deafened(list, faults) {
-			r.nodes.Note(blackbox.Event{What: blackbox.Deaf, Node: name})
+		for name := range r.mutedNodes(list, faults) {
+			r.nodes.Record(blackbox.Event{Kind: blackbox.WatchMuted, Node: name})
 		}
-		heal = r.wires.fault(list, faults)
+		heal = r.network.fault(list, faults)
 		return nil
 	}
 	over = func() error {
 		if heal == nil {
 			return nil
 		}
-		if u.Heal == "reset" {
+		if u.Recovery == "reset" {
 			for _, l := range list {
-				r.note(blackbox.Sever, l, aNode, theClient)
-				r.note(blackbox.Sever, l, aNode, aBox)
+				r.recordLink(blackbox.ClientsReset, l, nodeEnd, clientEnd)
+				r.recordLink(blackbox.ClientsReset, l, nodeEnd, serverEnd)
 			}
 		}
-		deaf := r.deafened(list, faults)
+		deaf := r.mutedNodes(list, faults)
 		for name, l := range deaf {
 			deaf[name] = nil
-			if u.Heal != "reset" && l.Held() {
+			if u.Recovery != "reset" && l.Held() {
 				deaf[name] = l
 			}
 		}
-		heal(u.Heal == "reset")
-		r.silence(list, faults, blackbox.Free, blackbox.Speak)
+		heal(u.Recovery == "reset")
+		r.recordHeld(list, faults, blackbox.LinkReleased, blackbox.ClientsUnmuted)
 		for name, l := range deaf {
-			r.nodes.Note(blackbox.Event{What: blackbox.Hears, Node: name, Ready: l != nil})
+			r.nodes.Record(blackbox.Event{Kind: blackbox.WatchUnmuted, Node: name, Ready: l != nil})
 		}
 		return nil
 	}
 	return begin, over, nil
 }
 
-// silence notes where links are silent, or are no more: to boxes, and to nodes.
-func (r *rig) silence(list []*wire, faults []link.Fault, box, node string) {
+// closeOutgoing notes where links are silent, or are no more: to boxes, and to nodes.
+func (r *rig) recordHeld(list []*networkLink, faults []link.Fault, box, node string) {
 	for i, l := range list {
 		if s := faults[i].Silent; s[link.Out] || s[link.Back] {
-			r.note(box, l, aBox, aNode)
-			r.note(node, l, aNode, theClient)
-			r.note(node, l, aNode, aBox)
+			r.recordLink(box, l, serverEnd, nodeEnd)
+			r.recordLink(node, l, nodeEnd, clientEnd)
+			r.recordLink(node, l, nodeEnd, serverEnd)
 		}
 	}
 }
 
-// note adds an event of a link, if it goes from one kind of end to another: of a node in its present life, and of the
+// recordLink adds an event of a link, if it goes from one kind of end to another: of a node in its present life, and of the
 // box where that is the callee.
-func (r *rig) note(what string, l *wire, to, from kind) {
+func (r *rig) recordLink(what string, l *networkLink, to, from endKind) {
 	if l.to.kind != to || l.from.kind != from {
 		return
 	}
-	e, place := blackbox.Event{What: what}, l.to.name
-	if to == aBox {
+	e, place := blackbox.Event{Kind: what}, l.to.name
+	if to == serverEnd {
 		e.Server, place = l.to.name, l.from.name
 	}
 	for n, info := range r.infos {
-		if info.Place == place {
-			e.Node, _ = r.nodes.Life(n)
+		if info.Base == place {
+			e.Node, _ = r.nodes.Incarnation(n)
 		}
 	}
-	r.nodes.Note(e)
+	r.nodes.Record(e)
 }
 
-// deafened are the present lives of nodes that a fault keeps from hearing discovery, and the links in question.
-func (r *rig) deafened(list []*wire, faults []link.Fault) map[string]*wire {
-	names := map[string]*wire{}
+// mutedNodes are the present lives of nodes that a fault keeps from hearing discovery, and the links in question.
+func (r *rig) mutedNodes(list []*networkLink, faults []link.Fault) map[string]*networkLink {
+	names := map[string]*networkLink{}
 	for i, l := range list {
-		if l.to.kind != theList || !faults[i].Silent[link.Back] {
+		if l.to.kind != discoveryEnd || !faults[i].Silent[link.Back] {
 			continue
 		}
 		for n, info := range r.infos {
-			if info.Place == l.from.name {
-				name, _ := r.nodes.Life(n)
+			if info.Base == l.from.name {
+				name, _ := r.nodes.Incarnation(n)
 				names[name] = l
 			}
 		}
@@ -128,39 +131,39 @@
 	return names
 }
 
-// partsOf are the processes that have a tier's boxes.
-func (r *rig) partsOf(tier string) (list []*part) {
-	for _, p := range r.boxes {
-		if r.s.Tiers[p.boxes[0][0]].Name == tier {
+// workersOfTier are the processes that have a tier's boxes.
+func (r *rig) workersOfTier(tier string) (list []*worker) {
+	for _, p := range r.serverWorkers {
+		if r.scenario.Tiers[p.servers[0][0]].Name == tier {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// faults are the links that an upset meets, and what is wrong with each.
-func (r *rig) faults(u model.Upset) (list []*wire, faults []link.Fault, err error) {
+// linkFaults are the links that an upset meets, and what is wrong with each.
+func (r *rig) linkFaults(u model.ProcessFault) (list []*networkLink, faults []link.Fault, err error) {
 	var ends []end
-	switch u.Trouble.Who {
+	switch u.Fault.Target {
 	case "nodes":
-		ends = append(ends, toNode(r.infos[u.Who[0]].Place))
+		ends = append(ends, nodeAt(r.infos[u.Targets[0]].Base))
 	case "discovery":
-		ends = append(ends, end{theList, ""})
+		ends = append(ends, end{discoveryEnd, ""})
 	case "boxes":
-		for _, at := range r.partsOf(u.Tier)[u.Who[0]].boxes {
-			ids, _ := r.nodes.BoxNames(at[0])
-			ends = append(ends, toBox(ids[at[1]]))
+		for _, at := range r.workersOfTier(u.Tier)[u.Targets[0]].servers {
+			ids, _ := r.nodes.ServerIDs(at[0])
+			ends = append(ends, serverAt(ids[at[1]]))
 		}
 	}
-	if u.Kind == "break_link" && u.Whom != "boxes" && u.Whom != "discovery" {
-		return nil, nil, fmt.Errorf("%s: a break_link meets links to boxes or discovery, for only their callers can tell it from an answer", u.Pos)
+	if u.Kind == "break_link" && u.Peer != "boxes" && u.Peer != "discovery" {
+		return nil, nil, fmt.Errorf("%s: a break_link meets links to boxes or discovery, for only their callers can tell it from an answer", u.Position)
 	}
-	other := kind(u.Whom)
-	if u.Whom == "all" {
+	other := endKind(u.Peer)
+	if u.Peer == "all" {
 		other = ""
 	}
 	for _, e := range ends {
-		links, far := r.wires.between(e, other)
+		links, far := r.network.linksOf(e, other)
 		for i, l := range links {
 			out, back := link.Out, link.Back
 			if far[i] { // the one that is met is the one that is called
@@ -168,8 +171,8 @@
 			}
 			var f link.Fault
 			set := func(flags *[2]bool) {
-				flags[out] = u.Way != "back"
-				flags[back] = u.Way != "out"
+				flags[out] = u.Direction != "back"
+				flags[back] = u.Direction != "out"
 			}
 			switch u.Kind {
 			case "cut":
@@ -177,7 +180,7 @@
 			case "half_open":
 				set(&f.Deaf)
 			case "slow_link":
-				f.Delay, f.Jitter, f.Rate = u.Delay, u.Delay/4, u.Rate
+				f.Delay, f.Jitter, f.Rate = u.Delay, u.Delay/4, u.BytesPerSecond
 			case "refuse_link":
 				f.Refuse = true
 			case "break_link":
@@ -187,28 +190,28 @@
 		}
 	}
 	if len(list) == 0 {
-		return nil, nil, fmt.Errorf("%s: %s and %s have no link", u.Pos, u.Trouble.Who, u.Whom)
+		return nil, nil, fmt.Errorf("%s: %s and %s have no link", u.Position, u.Fault.Target, u.Peer)
 	}
 	return list, faults, nil
 }
 
-// stall stops a process where it is, and lets it go on.
-func (r *rig) stall(u model.Upset) (begin, over func() error, err error) {
-	switch u.Trouble.Who {
+// stopFault stops a process where it is, and lets it go on.
+func (r *rig) stopFault(u model.ProcessFault) (begin, over func() error, err error) {
+	switch u.Fault.Target {
 	case "nodes":
-		i := u.Who[0]
+		i := u.Targets[0]
 		return func() error {
-				if r.nodes.Freeze(i, true) {
-					r.own(func() {
-						if r.nodes.Sleep(min(r.s.Front.Notice, u.Length)) && r.nodes.Now() < u.To {
-							r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: i})
+				if r.nodes.SetStopped(i, true) {
+					r.goOwned(func() {
+						if r.nodes.Sleep(min(r.scenario.Ingress.FailureDetection, u.Duration)) && r.nodes.Now() < u.To {
+							r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i})
 						}
 					})
 				}
 				return nil
 			}, func() error {
-				if r.nodes.Freeze(i, false) && !r.leaves[i].Load() { // one that is about to end says no
-					r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: i, Hears: true})
+				if r.nodes.SetStopped(i, false) && !r.terminating[i].Load() { // one that is about to end says no
+					r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i, Serving: true})
 				}
 				return nil
 			}, nil
@@ -216,40 +219,48 @@
 		return func() error { r.discovery.signal(syscall.SIGSTOP); return nil },
 			func() error { r.discovery.signal(syscall.SIGCONT); return nil }, nil
 	}
-	p := r.partsOf(u.Tier)[u.Who[0]]
+	p := r.workersOfTier(u.Tier)[u.Targets[0]]
 	// A box that is stopped is a client that does not read, too: to the node beside it.
 	note := func(what, beside string) {
-		for _, at := range p.boxes {
-			ids, _ := r.nodes.BoxNames(at[0])
+		for _, at := range p.servers {
+			ids, _ := r.nodes.ServerIDs(at[0])
 			id := ids[at[1]]
-			r.nodes.Note(blackbox.Event{What: what, Server: id})
+			r.nodes.Record(blackbox.Event{Kind: what, Server: id})
 			for n, info := range r.infos {
-				if info.HostName == id {
-					name, _ := r.nodes.Life(n)
-					r.nodes.Note(blackbox.Event{What: beside, Node: name})
+				if info.HostID == id {
+					name, _ := r.nodes.Incarnation(n)
+					r.nodes.Record(blackbox.Event{Kind: beside, Node: name})
 				}
 			}
 		}
 	}
-	return func() error { p.signal(syscall.SIGSTOP); note(blackbox.Stall, blackbox.Mute); return nil },
-		func() error { note(blackbox.Resume, blackbox.Speak); p.signal(syscall.SIGCONT); return nil }, nil
+	return func() error {
+			p.signal(syscall.SIGSTOP)
+			note(blackbox.ProcessStopped, blackbox.ClientsMuted)
+			return nil
+		},
+		func() error {
+			note(blackbox.ProcessResumed, blackbox.ClientsUnmuted)
+			p.signal(syscall.SIGCONT)
+			return nil
+		}, nil
 }
 
-// upgrade has a node's process replaced, both side by side for a while.
-func (r *rig) upgrade(i int) {
-	if r.leaves[i].Load() { // nobody replaces a process that was told to end: it would end twice
+// replaceNode has a node's process replaced, both side by side for a while.
+func (r *rig) replaceNode(i int) {
+	if r.terminating[i].Load() { // nobody replaces a process that was told to end: it would end twice
 		return
 	}
-	kills := r.kills[i].Load()
-	if r.folders.apart(i) { // then a successor can't know what operators said
-		ids, _ := r.nodes.BoxNames(r.infos[i].Tier)
+	kills := r.endings[i].Load()
+	if r.folders.separated(i) { // then a successor can't know what operators said
+		ids, _ := r.nodes.ServerIDs(r.infos[i].Tier)
 		for _, id := range ids {
-			r.hands.forget(i, id)
+			r.overrides.enabled(i, id)
 		}
 	}
-	r.own(func() {
-		if err := r.nodes.Replace(r.ctx, i); err != nil && r.kills[i].Load() == kills && !r.leaves[i].Load() {
-			r.end(fmt.Errorf("upgrade: %w", err))
+	r.goOwned(func() {
+		if err := r.nodes.Replace(r.ctx, i); err != nil && r.endings[i].Load() == kills && !r.terminating[i].Load() {
+			r.cancel(fmt.Errorf("upgrade: %w", err))
 		}
 	})
 }
--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -17,52 +17,52 @@
 )
 
 // folders are the nodes' own $TMPDIR, in which they find again what they knew, and what becomes of them between two
-// lives. Nil folders are none.
+// incarnation. Nil folders are none.
 type folders struct {
-	r   *rig
+	rig *rig
 	dir string
 
-	mu    sync.Mutex
-	next  map[int]string // by node: what its next life finds; none: all as it was
-	full  map[int]bool   // nodes whose present life may write nothing
-	gone  map[int]bool   // and those without a folder, where not even two processes of a node meet
-	draws *rand.Rand
+	mu         sync.Mutex
+	next       map[int]string // by node: what its next life finds; none: all as it was
+	unwritable map[int]bool   // nodes whose present life may write nothing
+	missing    map[int]bool   // and those without a folder, where not even two processes of a node meet
+	rng        *rand.Rand
 }
 
-// anHour is the age of an old folder's files.
-const anHour = time.Hour
+// oldFolderAge is the age of an old folder's files.
+const oldFolderAge = time.Hour
 
 // newFolders makes one for each node. Their paths are short, for a socket is in them.
 func newFolders(r *rig) (*folders, error) {
-	f := &folders{r: r, dir: filepath.Join(r.dir, "t"), next: map[int]string{}, full: map[int]bool{}, gone: map[int]bool{},
-		draws: model.Stream(r.s.Seed, "folders", 0)}
+	f := &folders{rig: r, dir: filepath.Join(r.dir, "t"), next: map[int]string{}, unwritable: map[int]bool{}, missing: map[int]bool{},
+		rng: model.Stream(r.scenario.Seed, "folders", 0)}
 	for i := range r.infos {
-		if err := os.MkdirAll(f.of(i), 0o700); err != nil {
+		if err := os.MkdirAll(f.path(i), 0o700); err != nil {
 			return nil, err
 		}
-		r.nodes.SetFolder(i, f.of(i), func(cmd *exec.Cmd) { f.begun(i, cmd) })
+		r.nodes.SetFolder(i, f.path(i), func(cmd *exec.Cmd) { f.processStarts(i, cmd) })
 	}
 	return f, nil
 }
 
-func (f *folders) of(i int) string   { return filepath.Join(f.dir, strconv.Itoa(i)) }
-func (f *folders) past(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
+func (f *folders) path(i int) string     { return filepath.Join(f.dir, strconv.Itoa(i)) }
+func (f *folders) pastPath(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
 
-// remember keeps each folder as it is now, for a node that finds an old one.
-func (f *folders) remember() error {
+// snapshot keeps each folder as it is now, for a node that finds an old one.
+func (f *folders) snapshot() error {
 	if f == nil {
 		return nil
 	}
-	for i := range f.r.infos {
-		if err := replaceFiles(f.past(i), f.of(i)); err != nil {
+	for i := range f.rig.infos {
+		if err := replaceFiles(f.pastPath(i), f.path(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// met says what a node finds when it starts again.
-func (f *folders) met(i int, how string) {
+// setNext says what a node finds when it starts again.
+func (f *folders) setNext(i int, how string) {
 	if f == nil {
 		return
 	}
@@ -71,8 +71,8 @@
 	f.next[i] = how
 }
 
-// meanwhile is what happens to a node's folder between two lives.
-func (f *folders) meanwhile(i int) func() error {
+// betweenIncarnations is what happens to a node's folder between two lives.
+func (f *folders) betweenIncarnations(i int) func() error {
 	if f == nil {
 		return nil
 	}
@@ -81,42 +81,42 @@
 		defer f.mu.Unlock()
 		how := f.next[i]
 		delete(f.next, i)
-		f.full[i], f.gone[i] = how == "full" || how == "unwritable", how == "unwritable"
+		f.unwritable[i], f.missing[i] = how == "full" || how == "unwritable", how == "unwritable"
 		if how != "" && how != "kept" && how != "full" {
-			f.r.hands.lost(i)
+			f.rig.overrides.folderLost(i)
 		}
-		return change(how, f.of(i), f.past(i), f.of((i+1)%len(f.r.infos)), f.draws)
+		return changeFolder(how, f.path(i), f.pastPath(i), f.path((i+1)%len(f.rig.infos)), f.rng)
 	}
 }
 
-// begun takes the room on its disk from a process whose disk is full: no file may grow. What it has written meanwhile
+// processStarts takes the room on its disk from a process whose disk is full: no file may grow. What it has written meanwhile
 // stands.
-func (f *folders) begun(i int, cmd *exec.Cmd) {
-	f.r.hands.reborn(i)
-	if f.fails(i) {
+func (f *folders) processStarts(i int, cmd *exec.Cmd) {
+	f.rig.overrides.nodeStarts(i)
+	if f.cannotWrite(i) {
 		err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 0, Max: 0}, nil)
 		if err != nil {
-			f.r.end(fmt.Errorf("a full disk: %w", err))
+			f.rig.cancel(fmt.Errorf("a full disk: %w", err))
 		}
 	}
 }
 
-// fails says that a node's present life can write nothing.
-func (f *folders) fails(i int) bool {
+// cannotWrite says that a node's present life can write nothing.
+func (f *folders) cannotWrite(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.full[i]
+	return f.unwritable[i]
 }
 
-// apart says that a node's processes can't meet.
-func (f *folders) apart(i int) bool {
+// separated says that a node's processes can't meet.
+func (f *folders) separated(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gone[i]
+	return f.missing[i]
 }
 
-// change does to a node's folder what becomes of it: past is what it was at the beginning, other is another node's.
-func change(how, dir, past, other string, draws *rand.Rand) error {
+// changeFolder does to a node's folder what becomes of it: past is what it was at the beginning, other is another node's.
+func changeFolder(how, dir, past, other string, draws *rand.Rand) error {
 	if info, err := os.Lstat(dir); err != nil || !info.IsDir() { // as it was left unwritable
 		os.Remove(dir)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -125,9 +125,9 @@
 	}
 	switch how {
 	case "emptied":
-		return empty(dir)
+		return emptyFolder(dir)
 	case "cut":
-		return files(dir, func(path string, size int64) error {
+		return eachFile(dir, func(path string, size int64) error {
 			if size == 0 {
 				return nil
 			}
@@ -137,10 +137,10 @@
 		if err := replaceFiles(dir, past); err != nil {
 			return err
 		}
-		then := time.Now().Add(-anHour)
-		return files(dir, func(path string, _ int64) error { return os.Chtimes(path, then, then) })
+		then := time.Now().Add(-oldFolderAge)
+		return eachFile(dir, func(path string, _ int64) error { return os.Chtimes(path, then, then) })
 	case "other":
-		return swap(dir, other)
+		return swapFiles(dir, other)
 	case "unwritable": // whoever the rig runs as: a file stands where the folder was
 		if err := os.RemoveAll(dir); err != nil {
 			return err
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// files does something with every plain file of a folder. Sockets are none, and one that goes meanwhile is nothing.
-func files(dir string, do func(path string, size int64) error) error {
+// eachFile does something with every plain file of a folder. Sockets are none, and one that goes meanwhile is nothing.
+func eachFile(dir string, do func(path string, size int64) error) error {
 	list, err := os.ReadDir(dir)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func empty(dir string) error {
+func emptyFolder(dir string) error {
 	list, err := os.ReadDir(dir)
 	for _, e := range list {
 		if err := os.RemoveAll(filepath.Join(dir, e.Name())); err != nil {
@@ -183,16 +183,16 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	if err := empty(dir); err != nil {
+	if err := emptyFolder(dir); err != nil {
 		return err
 	}
-	return files(from, func(path string, _ int64) error { return copyFile(filepath.Join(dir, filepath.Base(path)), path) })
+	return eachFile(from, func(path string, _ int64) error { return copyFile(filepath.Join(dir, filepath.Base(path)), path) })
 }
 
-// swap puts another node's files under the names of this one's, of the same kind by their ending.
-func swap(dir, other string) error {
+// swapFiles puts another node's files under the names of this one's, of the same kind by their ending.
+func swapFiles(dir, other string) error {
 	mine := map[string][]string{}
-	if err := files(dir, func(path string, _ int64) error {
+	if err := eachFile(dir, func(path string, _ int64) error {
 		mine[filepath.Ext(path)] = append(mine[filepath.Ext(path)], path)
 		return nil
 	}); err != nil {
@@ -201,7 +201,7 @@
 	if info, err := os.Lstat(other); err != nil || !info.IsDir() {
 		return nil // it has none now
 	}
-	return files(other, func(path string, _ int64) error {
+	return eachFile(other, func(path string, _ int64) error {
 		to := mine[filepath.Ext(path)]
 		if len(to) == 0 {
 			to = []string{filepath.Join(dir, filepath.Base(path))}
--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -14,7 +14,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// What has become of a folder is what the scenario says, after whatever became of it before.
+// Name has become of a folder is what the scenario says, after whatever became of it before.
 func TestWhatBecomesOfAFolder(t *testing.T) {
 	type texts map[string]string
 	put := func(dir string, files texts) {
@@ -35,13 +35,13 @@
 		put(before, past)
 		put(beside, texts{"its.kept": "its own", "its.more": "more"})
 		draws := model.Stream(1, "folders", 0)
-		err := errors.Join(os.WriteFile(dir, nil, 0o600), change("kept", dir, before, beside, draws)) // as "unwritable" leaves it
+		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, before, beside, draws)) // as "unwritable" leaves it
 		put(dir, mine)
-		if err = errors.Join(err, change(how, dir, before, beside, draws)); err != nil {
+		if err = errors.Join(err, changeFolder(how, dir, before, beside, draws)); err != nil {
 			t.Fatalf("%s: %v", how, err)
 		}
 		got := texts{}
-		if err := files(dir, func(path string, _ int64) error {
+		if err := eachFile(dir, func(path string, _ int64) error {
 			text, err := os.ReadFile(path)
 			got[filepath.Base(path)] = string(text)
 			return err
@@ -52,12 +52,12 @@
 		if how == "cut" && (len(text) >= 10 || text != mine["mine.kept"][:len(text)]) || want != nil && !maps.Equal(got, want) {
 			t.Errorf("%s: got %v, want %v", how, got, want)
 		}
-		if info, err := os.Stat(filepath.Join(dir, "mine.kept")); how == "old" && (err != nil || time.Since(info.ModTime()) < anHour) {
+		if info, err := os.Stat(filepath.Join(dir, "mine.kept")); how == "old" && (err != nil || time.Since(info.ModTime()) < oldFolderAge) {
 			t.Errorf("old: %v", err)
 		}
 	}
-	if len(scenario.Folders) != 7 {
-		t.Errorf("not all of %v are tried", scenario.Folders)
+	if len(scenario.FolderStates) != 7 {
+		t.Errorf("not all of %v are tried", scenario.FolderStates)
 	}
 }
 
@@ -69,20 +69,20 @@
 	}
 	defer read.Close()
 	var ended error
-	r := &rig{end: func(err error) { ended = err }}
-	p := &part{r: r, name: "boxes", words: make(chan []byte, mostWords)}
-	words, over := p.words, make(chan struct{})
+	r := &rig{cancel: func(err error) { ended = err }}
+	p := &worker{rig: r, name: "boxes", outgoing: make(chan []byte, maxUnread)}
+	words, over := p.outgoing, make(chan struct{})
 	go func() {
-		speak(write, words)
+		writeMessages(write, words)
 		close(over)
 	}()
 	for n := 0; ended == nil; n++ {
-		if p.tell(loopback.Message{Place: strconv.Itoa(n)}); n > 10*mostWords {
+		if p.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
 			t.Fatal("it takes more words than it may")
 		}
 	}
 	p.stop()
 	read.Close() // as its process ends
 	<-over
-	p.tell(loopback.Message{}) // one that is gone needs none
+	p.send(loopback.Message{}) // one that is gone needs none
 }
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -45,41 +45,41 @@
 		text := world
 		for _, d := range list {
 			kinds[d.Kind] = true
-			text += Text(d)
-			if d.At < time.Second || d.Length <= 0 || d.At+d.Length > s.Length-heals {
-				t.Errorf("seed %d: %s from %v for %v", seed, d.Kind, d.At, d.Length)
+			text += FaultText(d)
+			if d.At < time.Second || d.Duration <= 0 || d.At+d.Duration > s.Length-faultFreeTail {
+				t.Errorf("seed %d: %s from %v for %v", seed, d.Kind, d.At, d.Duration)
 			}
 		}
 		again := load(t, "again.hcl", text)
-		if len(again.Troubles) != len(list) {
-			t.Fatalf("seed %d: %d troubles of %d", seed, len(again.Troubles), len(list))
+		if len(again.Faults) != len(list) {
+			t.Fatalf("seed %d: %d troubles of %d", seed, len(again.Faults), len(list))
 		}
 		again.Seed = seed
 		drawn := *again
-		drawn.Troubles = list
-		want, err := model.Upsets(&drawn)
+		drawn.Faults = list
+		want, err := model.ProcessFaults(&drawn)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		got, err := model.Upsets(again)
+		got, err := model.ProcessFaults(again)
 		if err != nil || len(got) != len(want) {
 			t.Fatalf("seed %d: %d upsets of %d, %v", seed, len(got), len(want), err)
 		}
 		for i := range got {
-			got[i].Pos, want[i].Pos = "", ""
+			got[i].Position, want[i].Position = "", ""
 			if !reflect.DeepEqual(got[i], want[i]) {
 				t.Errorf("seed %d: %+v is played as %+v", seed, want[i], got[i])
 			}
 		}
 	}
-	for _, kind := range scenario.FleetKinds {
+	for _, kind := range scenario.ProcessFaultKinds {
 		if !kinds[kind] {
 			t.Errorf("%s is never drawn", kind)
 		}
 	}
 }
 
-// What a hunt finds holds no trouble that can go, and is a file that plays again.
+// Name a hunt finds holds no trouble that can go, and is a file that plays again.
 func TestHuntMakesFindsSmaller(t *testing.T) {
 	dir := t.TempDir()
 	base := filepath.Join(dir, "w.hcl")
@@ -89,21 +89,21 @@
 	var mu sync.Mutex
 	plays := 0
 	has := func(s *scenario.Scenario, kind string) bool {
-		return slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool { return t.Kind == kind })
+		return slices.ContainsFunc(s.Faults, func(t scenario.Fault) bool { return t.Kind == kind })
 	}
-	h := &Hunt{World: load(t, base, world), Seeds: 200, First: 1, AtOnce: 4, Folder: filepath.Join(dir, "found"), Base: base, Tell: t.Logf,
-		play: func(_ context.Context, s *scenario.Scenario) (*Played, error) {
+	h := &Hunt{World: load(t, base, world), Seeds: 200, FirstSeed: 1, Parallel: 4, Folder: filepath.Join(dir, "found"), WorldFile: base, Logf: t.Logf,
+		play: func(_ context.Context, s *scenario.Scenario) (*Result, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			plays++
-			p := &Played{}
+			p := &Result{}
 			if s.Seed == 5 || plays%31 == 0 { // a port is taken: the hunt goes on
 				return nil, &StageError{errors.New("address already in use"), dir}
 			}
 			if plays%7 == 0 {
-				p.Late = time.Second // the machine was slow: nothing is told
+				p.Lateness = time.Second // the machine was slow: nothing is told
 			} else if has(s, "kill") && has(s, "cut") {
-				p.Broken = []checker.Violation{{Rule: checker.Lost}}
+				p.Violations = []checker.Violation{{Rule: checker.NothingLost}}
 			}
 			return p, nil
 		}}
@@ -123,11 +123,11 @@
 			t.Fatal(err)
 		}
 		kinds := map[string]int{}
-		for _, d := range again.Troubles {
+		for _, d := range again.Faults {
 			kinds[d.Kind]++
 		}
-		if !reflect.DeepEqual(kinds, map[string]int{"kill": 1, "cut": 1}) || again.Seed != f.Seed || f.Why != "breaks lost" {
-			t.Errorf("seed %d: %s, %v", f.Seed, f.Why, kinds)
+		if !reflect.DeepEqual(kinds, map[string]int{"kill": 1, "cut": 1}) || again.Seed != f.Seed || f.Reason != "breaks lost" {
+			t.Errorf("seed %d: %s, %v", f.Seed, f.Reason, kinds)
 		}
 	}
 }
--- a/internal/lab/fleet/part.go
+++ b/internal/lab/fleet/part.go
@@ -19,78 +19,78 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// part is a process of the rig that is no node.
-type part struct {
-	r     *rig
-	name  string
-	has   string
-	boxes [][2]int
-	lives int
-	downs int // troubles that have it down at present
+// worker is a process of the rig that is no node.
+type worker struct {
+	rig          *rig
+	name         string
+	role         string
+	servers      [][2]int
+	incarnation  int
+	activeFaults int // troubles that have it down at present
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	words  chan []byte // to it, until nil
-	ready  chan loopback.Message
-	exited chan struct{}
-	killed bool
+	mu       sync.Mutex
+	cmd      *exec.Cmd
+	outgoing chan []byte // to it, until nil
+	ready    chan loopback.Message
+	exited   chan struct{}
+	killed   bool
 }
 
-// begin starts a process that does not outlive the parent, whatever ends that.
-func (r *rig) begin(cmd *exec.Cmd) error {
+// startCommand starts a process that does not outlive the parent, whatever ends that.
+func (r *rig) startCommand(cmd *exec.Cmd) error {
 	// The system's signal comes when the thread that started a process ends: one thread starts all, and stays.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	err := make(chan error, 1)
-	r.starts <- func() { err <- cmd.Start() }
+	r.commands <- func() { err <- cmd.Start() }
 	return <-err
 }
 
-// mostWords is how many lines a part that is stopped may leave unread beside what its pipe takes.
-const mostWords = 4096
+// maxUnread is how many lines a part that is stopped may leave unread beside what its pipe takes.
+const maxUnread = 4096
 
-// tell sends a line to a part. One that is gone needs none; one that is stopped holds up nobody.
-func (p *part) tell(m loopback.Message) {
+// send sends a line to a part. One that is gone needs none; one that is stopped holds up nobody.
+func (p *worker) send(m loopback.Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
-		p.r.end(fmt.Errorf("%s: %w", p.name, err))
+		p.rig.cancel(fmt.Errorf("%s: %w", p.name, err))
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.words == nil {
+	if p.outgoing == nil {
 		return
 	}
 	select {
-	case p.words <- append(text, '\n'):
+	case p.outgoing <- append(text, '\n'):
 	default:
-		p.r.end(fmt.Errorf("%s reads nothing", p.name))
+		p.rig.cancel(fmt.Errorf("%s reads nothing", p.name))
 	}
 }
 
-// speak writes what a part is told until that is over, and closes its pipe.
-func speak(in io.WriteCloser, words <-chan []byte) {
+// writeMessages writes what a part is told until that is over, and closes its pipe.
+func writeMessages(in io.WriteCloser, words <-chan []byte) {
 	defer in.Close()
 	for text := range words {
 		in.Write(text) // one that is gone needs none
 	}
 }
 
-// silence ends what a part is told. The caller holds mu.
-func (p *part) silence() {
-	if p.words != nil {
-		close(p.words)
-		p.words = nil
+// closeOutgoing ends what a part is told. The caller holds mu.
+func (p *worker) closeOutgoing() {
+	if p.outgoing != nil {
+		close(p.outgoing)
+		p.outgoing = nil
 	}
 }
 
 // start begins a life of a part and returns what it says once it is ready.
-func (p *part) start(m loopback.Message) (loopback.Message, error) {
-	r := p.r
-	p.lives++
-	m.Do, m.Scenario, m.Has, m.Boxes, m.Ports = loopback.DoInit, r.s, p.has, p.boxes, r.ports
-	m.History = filepath.Join(r.dir, fmt.Sprintf("%s.%d.jsonl", p.name, p.lives))
-	cmd := exec.Command(r.opt.Program[0], append(append([]string(nil), r.opt.Program[1:]...), "lab", "part")...)
-	cmd.Env = append(os.Environ(), append(slices.Clone(r.opt.Env), "TMPDIR="+r.dir)...)
+func (p *worker) start(m loopback.Message) (loopback.Message, error) {
+	r := p.rig
+	p.incarnation++
+	m.Operation, m.Scenario, m.Role, m.Servers, m.Ports = loopback.OpInit, r.scenario, p.role, p.servers, r.portBlock
+	m.History = filepath.Join(r.dir, fmt.Sprintf("%s.%d.jsonl", p.name, p.incarnation))
+	cmd := exec.Command(r.options.Program[0], append(append([]string(nil), r.options.Program[1:]...), "lab", "part")...)
+	cmd.Env = append(os.Environ(), append(slices.Clone(r.options.Env), "TMPDIR="+r.dir)...)
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return m, err
@@ -104,20 +104,20 @@
 		return m, err
 	}
 	cmd.Stderr = log
-	err = r.begin(cmd)
+	err = r.startCommand(cmd)
 	log.Close()
 	if err != nil {
 		return m, fmt.Errorf("%s: %w", p.name, err)
 	}
 	ready, exited := make(chan loopback.Message, 1), make(chan struct{})
 	p.mu.Lock()
-	words := make(chan []byte, mostWords)
-	p.cmd, p.words, p.ready, p.exited, p.killed = cmd, words, ready, exited, false
+	words := make(chan []byte, maxUnread)
+	p.cmd, p.outgoing, p.ready, p.exited, p.killed = cmd, words, ready, exited, false
 	p.mu.Unlock()
-	r.wg.Go(func() { speak(in, words) })
+	r.wg.Go(func() { writeMessages(in, words) })
 	over := context.AfterFunc(r.ctx, func() { cmd.Process.Kill() }) // also one that begins as the fleet ends
 	r.mu.Lock()
-	r.files = append(r.files, m.History)
+	r.histories = append(r.histories, m.History)
 	r.mu.Unlock()
 	r.wg.Go(func() {
 		defer over()
@@ -129,26 +129,26 @@
 			}
 			var got loopback.Message
 			if err := json.Unmarshal(text, &got); err != nil {
-				r.end(fmt.Errorf("%s: %w", p.name, err))
+				r.cancel(fmt.Errorf("%s: %w", p.name, err))
 				continue
 			}
-			if got.Do == loopback.DoReady {
+			if got.Operation == loopback.OpReady {
 				ready <- got
 				continue
 			}
-			r.heard(p, got)
+			r.handleMessage(p, got)
 		}
 		err := cmd.Wait()
 		p.mu.Lock()
 		killed := p.killed
-		p.silence()
+		p.closeOutgoing()
 		p.mu.Unlock()
 		close(exited)
 		if !killed {
-			r.end(fmt.Errorf("%s ended by itself: %v; see %s", p.name, err, filepath.Join(r.dir, p.name+".log")))
+			r.cancel(fmt.Errorf("%s ended by itself: %v; see %s", p.name, err, filepath.Join(r.dir, p.name+".log")))
 		}
 	})
-	p.tell(m)
+	p.send(m)
 	select {
 	case got := <-ready:
 		if got.Err != "" {
@@ -157,20 +157,20 @@
 		return got, nil
 	case <-exited:
 		return m, fmt.Errorf("%s ended before it was ready", p.name)
-	case <-time.After(partReady):
+	case <-time.After(workerTimeout):
 		return m, fmt.Errorf("%s is not ready", p.name)
 	case <-r.ctx.Done():
 		return m, context.Cause(r.ctx)
 	}
 }
 
-const partReady = 20 * time.Second
+const workerTimeout = 20 * time.Second
 
 // signal sends a signal to a part that runs.
-func (p *part) signal(s syscall.Signal) {
+func (p *worker) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.words == nil {
+	if p.cmd == nil || p.outgoing == nil {
 		return
 	}
 	p.killed = p.killed || s == syscall.SIGKILL
@@ -178,11 +178,11 @@
 }
 
 // stop ends a part as it is meant to, by closing its pipe.
-func (p *part) stop() {
+func (p *worker) stop() {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
 	p.killed = true
-	p.silence()
+	p.closeOutgoing()
 	p.mu.Unlock()
 	if cmd == nil {
 		return
@@ -190,7 +190,7 @@
 	cmd.Process.Signal(syscall.SIGCONT)
 	select {
 	case <-exited:
-	case <-time.After(partReady):
+	case <-time.After(workerTimeout):
 		cmd.Process.Kill()
 		<-exited
 	}
--- a/internal/lab/fleet/result.go
+++ b/internal/lab/fleet/result.go
@@ -13,49 +13,49 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// Course is what clients asked for and were served in time, in pieces of a tenth of a second of their first tries.
-type Course struct{ Asked, Got []float64 }
+// Timeline is what clients asked for and were served in time, in pieces of a tenth of a second of their first tries.
+type Timeline struct{ Offered, Earned []float64 }
 
-const piece10 = 100 * time.Millisecond
+const sliceLength = 100 * time.Millisecond
 
-// CourseOf reads it off a history: a first try that was served within the aim counts whole, later its part.
-func CourseOf(s *scenario.Scenario, events []blackbox.Event) (c Course) {
-	n := int(s.Length/piece10) + 1
-	c.Asked, c.Got = make([]float64, n), make([]float64, n)
+// TimelineOf reads it off a history: a first try that was served within the aim counts whole, later its part.
+func TimelineOf(s *scenario.Scenario, events []blackbox.Event) (c Timeline) {
+	n := int(s.Length/sliceLength) + 1
+	c.Offered, c.Earned = make([]float64, n), make([]float64, n)
 	for _, e := range events {
 		if e.Class < 0 || e.Class >= len(s.Classes) {
 			continue
 		}
 		k := s.Classes[e.Class]
-		switch e.What {
-		case blackbox.Wish:
-			c.Asked[min(max(int(e.At/piece10), 0), n-1)] += k.Worth
-		case blackbox.Over:
+		switch e.Kind {
+		case blackbox.RequestBegun:
+			c.Offered[min(max(int(e.At/sliceLength), 0), n-1)] += k.PriorityWeight
+		case blackbox.RequestEnded:
 			v := 0.0
 			switch {
-			case !e.Ready || e.Budget > k.Deadline:
-			case e.Budget <= k.Aim:
-				v = k.Worth
+			case !e.Ready || e.Duration > k.Deadline:
+			case e.Duration <= k.LatencyObjective:
+				v = k.PriorityWeight
 			default:
-				v = k.Worth * k.LateShare
+				v = k.PriorityWeight * k.LateCredit
 			}
-			c.Got[min(max(int((e.At-e.Budget)/piece10), 0), n-1)] += v
+			c.Earned[min(max(int((e.At-e.Duration)/sliceLength), 0), n-1)] += v
 		}
 	}
 	return c
 }
 
 // Between is the share of the worth asked for in a time that was served.
-func (c Course) Between(from, to time.Duration) (asked, got float64) {
-	for i := max(int(from/piece10), 0); i < min(int(to/piece10), len(c.Asked)); i++ {
-		asked, got = asked+c.Asked[i], got+c.Got[i]
+func (c Timeline) Between(from, to time.Duration) (asked, got float64) {
+	for i := max(int(from/sliceLength), 0); i < min(int(to/sliceLength), len(c.Offered)); i++ {
+		asked, got = asked+c.Offered[i], got+c.Earned[i]
 	}
 	return asked, got
 }
 
 // Share is that of the whole play.
-func (c Course) Share() float64 {
-	asked, got := c.Between(0, time.Duration(len(c.Asked))*piece10)
+func (c Timeline) Share() float64 {
+	asked, got := c.Between(0, time.Duration(len(c.Offered))*sliceLength)
 	return share(got, asked)
 }
 
@@ -68,27 +68,27 @@
 
 // Full service: each second of the next five serves so much of what the same seed serves without the faults.
 const (
-	fullShare = 0.99
-	fullFor   = 5
+	fullServiceShare   = 0.99
+	fullServiceSeconds = 5
 )
 
-// Whole is the time from a fault to full service, and the worth lost until then, as a share of a second's worth without
+// FullService is the time from a fault to full service, and the worth lost until then, as a share of a second's worth without
 // the faults. False: not within the play.
-func Whole(with, calm Course, fault time.Duration) (took time.Duration, lost float64, ok bool) {
-	end := time.Duration(len(with.Asked)-1) * piece10
+func FullService(with, calm Timeline, fault time.Duration) (took time.Duration, lost float64, ok bool) {
+	end := time.Duration(len(with.Offered)-1) * sliceLength
 	asked, _ := calm.Between(0, end)
 	second := asked / end.Seconds()
-	for at := fault.Truncate(piece10); at+fullFor*time.Second <= end; at += piece10 {
+	for at := fault.Truncate(sliceLength); at+fullServiceSeconds*time.Second <= end; at += sliceLength {
 		full := true
-		for k := range time.Duration(fullFor) {
+		for k := range time.Duration(fullServiceSeconds) {
 			wa, wg := with.Between(at+k*time.Second, at+(k+1)*time.Second)
 			ca, cg := calm.Between(at+k*time.Second, at+(k+1)*time.Second)
-			full = full && share(wg, wa) >= fullShare*share(cg, ca)
+			full = full && share(wg, wa) >= fullServiceShare*share(cg, ca)
 		}
 		if full {
 			wa, wg := with.Between(fault, at)
 			ca, cg := calm.Between(fault, at)
-			return at - fault.Truncate(piece10), max(0, share(cg, ca)*wa-wg) / second, true
+			return at - fault.Truncate(sliceLength), max(0, share(cg, ca)*wa-wg) / second, true
 		}
 	}
 	return 0, 0, false
@@ -96,116 +96,116 @@
 
 // Peak is the most of something in a tenth of a second after a fault, in multiples of its mean a tenth before.
 type Peak struct {
-	What  string
-	Most  int
+	Name  string
+	Max   int
 	Mean  float64 // a tenth of a second, before
-	Times float64 // Most over Mean; 0: there was none before
+	Ratio float64 // Most over Mean; 0: there was none before
 }
 
 // Peaks counts what boxes and discovery got, each box by itself and all together.
 func Peaks(events []blackbox.Event, fault, length time.Duration) (list []Peak) {
 	count := func(name string, of func(blackbox.Event) (string, bool)) {
 		counts := map[string][]int{}
-		n := int(length/piece10) + 1
+		n := int(length/sliceLength) + 1
 		for _, e := range events {
 			who, ok := of(e)
-			if i := int(e.At / piece10); ok && i >= 0 && i < n {
+			if i := int(e.At / sliceLength); ok && i >= 0 && i < n {
 				if counts[who] == nil {
 					counts[who] = make([]int, n)
 				}
 				counts[who][i]++
 			}
 		}
-		cut := max(1, int(fault/piece10))
+		cut := max(1, int(fault/sliceLength))
 		var worst Peak
 		for _, c := range counts {
 			sum := 0
 			for _, v := range c[:min(cut, n)] {
 				sum += v
 			}
-			p := Peak{What: name, Mean: float64(sum) / float64(cut)}
+			p := Peak{Name: name, Mean: float64(sum) / float64(cut)}
 			for _, v := range c[min(cut, n):] {
-				p.Most = max(p.Most, v)
+				p.Max = max(p.Max, v)
 			}
 			if p.Mean > 0 {
-				p.Times = float64(p.Most) / p.Mean
+				p.Ratio = float64(p.Max) / p.Mean
 			}
-			if p.Most > worst.Most {
+			if p.Max > worst.Max {
 				worst = p
 			}
 		}
-		worst.What = name
+		worst.Name = name
 		list = append(list, worst)
 	}
-	count("requests at one box", func(e blackbox.Event) (string, bool) { return e.Server, e.What == blackbox.Reach })
-	count("requests at all boxes", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Reach })
-	count("handshakes at all boxes", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Conn })
-	count("calls to discovery", func(e blackbox.Event) (string, bool) { return "", e.What == blackbox.Call })
+	count("requests at one box", func(e blackbox.Event) (string, bool) { return e.Server, e.Kind == blackbox.AttemptArrived })
+	count("requests at all boxes", func(e blackbox.Event) (string, bool) { return "", e.Kind == blackbox.AttemptArrived })
+	count("handshakes at all boxes", func(e blackbox.Event) (string, bool) { return "", e.Kind == blackbox.ConnectionOpened })
+	count("calls to discovery", func(e blackbox.Event) (string, bool) { return "", e.Kind == blackbox.DiscoveryCalled })
 	return list
 }
 
 // Write prints what came of a play, beside one without its faults if there is one.
-func (p *Played) Write(w io.Writer, s *scenario.Scenario, calm *Played) {
-	c := CourseOf(s, p.Events)
+func (p *Result) Write(w io.Writer, s *scenario.Scenario, calm *Result) {
+	c := TimelineOf(s, p.Events)
 	counts := map[string]int{}
 	for _, e := range p.Events {
-		counts[e.What]++
+		counts[e.Kind]++
 	}
-	fmt.Fprintf(w, "scenario %s, seed %d, %.0f s: %d nodes, %d other processes\n", s.Name, s.Seed, s.Length.Seconds(), p.Nodes, p.Parts)
+	fmt.Fprintf(w, "scenario %s, seed %d, %.0f s: %d nodes, %d other processes\n", s.Name, s.Seed, s.Length.Seconds(), p.Nodes, p.Workers)
 	fmt.Fprintf(w, "worth served   %.4f\n", c.Share())
 	fmt.Fprintf(w, "requests       %d first tries, %d refusals, %d attempts, %d handshakes, %d calls to discovery\n",
-		counts[blackbox.Wish], counts[blackbox.Away], counts[blackbox.Reach], counts[blackbox.Conn], counts[blackbox.Call])
-	if len(p.Restart) > 0 {
-		slices.Sort(p.Restart)
+		counts[blackbox.RequestBegun], counts[blackbox.TryRejected], counts[blackbox.AttemptArrived], counts[blackbox.ConnectionOpened], counts[blackbox.DiscoveryCalled])
+	if len(p.StartTimes) > 0 {
+		slices.Sort(p.StartTimes)
 		fmt.Fprintf(w, "nodes ready    after %.2f s, median; %.2f s at most; %d starts\n",
-			p.Restart[len(p.Restart)/2].Seconds(), p.Restart[len(p.Restart)-1].Seconds(), len(p.Restart))
+			p.StartTimes[len(p.StartTimes)/2].Seconds(), p.StartTimes[len(p.StartTimes)-1].Seconds(), len(p.StartTimes))
 	}
 	if len(p.Faults) > 0 {
 		first := p.Faults[0].At
 		if calm != nil {
-			quiet := CourseOf(s, calm.Events)
+			quiet := TimelineOf(s, calm.Events)
 			fmt.Fprintf(w, "without faults %.4f\n", quiet.Share())
-			if took, lost, ok := Whole(c, quiet, first); ok {
+			if took, lost, ok := FullService(c, quiet, first); ok {
 				fmt.Fprintf(w, "full service   %.1f s after the first fault; until then %.2f s of worth lost\n", took.Seconds(), lost)
 			} else {
 				fmt.Fprintf(w, "full service   not within the play\n")
 			}
 		}
 		for _, k := range Peaks(p.Events, first, s.Length) {
-			fmt.Fprintf(w, "peak           %s: %d in 0.1 s, %.1f times the mean before\n", k.What, k.Most, k.Times)
+			fmt.Fprintf(w, "peak           %s: %d in 0.1 s, %.1f times the mean before\n", k.Name, k.Max, k.Ratio)
 		}
 	}
-	fmt.Fprintf(w, "rig            %.0f ms late at most\n", float64(p.Late)/float64(time.Millisecond))
+	fmt.Fprintf(w, "rig            %.0f ms late at most\n", float64(p.Lateness)/float64(time.Millisecond))
 }
 
-// Calm plays worlds without their troubles, each world once: scenarios that differ in what goes wrong share it.
-type Calm struct {
+// Baseline plays worlds without their troubles, each world once: scenarios that differ in what goes wrong share it.
+type Baseline struct {
 	world  scenario.Scenario
-	played *Played
+	result *Result
 }
 
-// Of is a scenario's play without its troubles.
-func (c *Calm) Of(ctx context.Context, s *scenario.Scenario, opt Options) (*Played, error) {
+// Play is a scenario's play without its troubles.
+func (c *Baseline) Play(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	quiet := *s
-	quiet.Name, quiet.Troubles, quiet.Fleet.Old, quiet.Discovery.Capacity = "", nil, 0, 0
-	if c.played != nil && reflect.DeepEqual(c.world, quiet) {
-		return c.played, nil
+	quiet.Name, quiet.Faults, quiet.Fleet.OldBuildShare, quiet.Discovery.CallsPerSecond = "", nil, 0, 0
+	if c.result != nil && reflect.DeepEqual(c.world, quiet) {
+		return c.result, nil
 	}
 	c.world = quiet
-	quiet.Name, quiet.Discovery.Capacity = s.Name, s.Discovery.Capacity
+	quiet.Name, quiet.Discovery.CallsPerSecond = s.Name, s.Discovery.CallsPerSecond
 	var err error
-	c.played, err = Play(ctx, &quiet, opt)
-	return c.played, err
+	c.result, err = Play(ctx, &quiet, opt)
+	return c.result, err
 }
 
-// WriteHead begins a table.
-func WriteHead(w io.Writer) {
+// WriteTableHeader begins a table.
+func WriteTableHeader(w io.Writer) {
 	fmt.Fprintln(w, "| scenario | worth | without | full service, s | worth lost, s | refusals a try | peak at boxes | handshakes | discovery | nodes ready, s | rules broken | rig late, ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// spreadOf is the median of some figures, with the least and the most.
-func spreadOf(format string, list []float64) string {
+// formatSpread is the median of some figures, with the least and the most.
+func formatSpread(format string, list []float64) string {
 	if len(list) == 0 {
 		return "-"
 	}
@@ -216,80 +216,80 @@
 	return fmt.Sprintf(format+" ("+format+" to "+format+")", list[len(list)/2], list[0], list[len(list)-1])
 }
 
-// WriteRow writes the figures of a scenario's plays: medians, with the least and the most. Peaks are the most in a tenth
-// of a second after the first fault, in multiples of the mean before.
-func WriteRow(w io.Writer, s *scenario.Scenario, plays []*Played, calm *Played) {
+// WriteTableRow writes the figures of a scenario's plays: medians, with the least and the most. Peaks are the most in a tenth
+// path a second after the first fault, in multiples of the mean before.
+func WriteTableRow(w io.Writer, s *scenario.Scenario, plays []*Result, calm *Result) {
 	var worth, full, lost, refused, boxes, shakes, calls, ready, late []float64
 	broken, never, quiet := 0, 0, "-"
-	var without Course
+	var without Timeline
 	if calm != nil {
-		without = CourseOf(s, calm.Events)
+		without = TimelineOf(s, calm.Events)
 		quiet = fmt.Sprintf("%.4f", without.Share())
 	}
 	for _, p := range plays {
-		c := CourseOf(s, p.Events)
+		c := TimelineOf(s, p.Events)
 		worth = append(worth, c.Share())
 		wishes, away := 0, 0
 		for _, e := range p.Events {
-			switch e.What {
-			case blackbox.Wish:
+			switch e.Kind {
+			case blackbox.RequestBegun:
 				wishes++
-			case blackbox.Away:
+			case blackbox.TryRejected:
 				away++
 			}
 		}
 		refused = append(refused, float64(away)/float64(max(wishes, 1)))
-		for _, d := range p.Restart {
+		for _, d := range p.StartTimes {
 			ready = append(ready, d.Seconds())
 		}
-		late = append(late, float64(p.Late)/float64(time.Millisecond))
-		broken += len(p.Broken)
+		late = append(late, float64(p.Lateness)/float64(time.Millisecond))
+		broken += len(p.Violations)
 		if len(p.Faults) == 0 {
 			continue
 		}
 		first := p.Faults[0].At
 		peaks := Peaks(p.Events, first, s.Length)
-		boxes, shakes = append(boxes, peaks[1].Times), append(shakes, peaks[2].Times)
-		calls = append(calls, float64(peaks[3].Most))
-		if took, gone, ok := Whole(c, without, first); ok && calm != nil {
+		boxes, shakes = append(boxes, peaks[1].Ratio), append(shakes, peaks[2].Ratio)
+		calls = append(calls, float64(peaks[3].Max))
+		if took, gone, ok := FullService(c, without, first); ok && calm != nil {
 			full, lost = append(full, took.Seconds()), append(lost, gone)
 		} else {
 			never++
 		}
 	}
-	when := spreadOf("%.1f", full)
+	when := formatSpread("%.1f", full)
 	if never > 0 && calm != nil {
 		when += fmt.Sprintf("; %d of %d not within the play", never, len(plays))
 	}
-	fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s | %d | %s |\n", s.Name, spreadOf("%.4f", worth), quiet, when,
-		spreadOf("%.2f", lost), spreadOf("%.3f", refused), spreadOf("%.1f", boxes), spreadOf("%.1f", shakes), spreadOf("%.0f", calls),
-		spreadOf("%.2f", ready), broken, spreadOf("%.0f", late))
+	fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s | %d | %s |\n", s.Name, formatSpread("%.4f", worth), quiet, when,
+		formatSpread("%.2f", lost), formatSpread("%.3f", refused), formatSpread("%.1f", boxes), formatSpread("%.1f", shakes), formatSpread("%.0f", calls),
+		formatSpread("%.2f", ready), broken, formatSpread("%.0f", late))
 }
 
 // Cells are plays and, as a group of their own, the one without the troubles, for `lab report`: worth second by second
 // with the troubles marked, and how long it took until service was whole. Where it was not within the play, that is the
 // rest of the play, and never_whole is 1.
-func Cells(s *scenario.Scenario, plays []*Played, calm *Played) (list []sweep.Cell) {
-	var without Course
+func Cells(s *scenario.Scenario, plays []*Result, calm *Result) (list []sweep.Cell) {
+	var without Timeline
 	if calm != nil {
-		without = CourseOf(s, calm.Events)
+		without = TimelineOf(s, calm.Events)
 	}
-	add := func(p *Played, which string) {
-		c := CourseOf(s, p.Events)
+	add := func(p *Result, which string) {
+		c := TimelineOf(s, p.Events)
 		cell := sweep.Cell{Scenario: s.Name, Policy: which, Seed: s.Seed,
-			Figures: map[string]float64{"worth": c.Share(), "violations": float64(len(p.Broken)), "full_service_s": 0, "worth_lost_s": 0, "never_whole": 0}}
+			Metrics: map[string]float64{"worth": c.Share(), "violations": float64(len(p.Violations)), "full_service_s": 0, "worth_lost_s": 0, "never_whole": 0}}
 		for at := time.Duration(0); at < s.Length; at += time.Second {
 			asked, got := c.Between(at, at+time.Second)
-			cell.Worth = append(cell.Worth, share(got, asked))
+			cell.ValueShares = append(cell.ValueShares, share(got, asked))
 		}
-		for _, t := range s.Troubles {
-			cell.Troubles = append(cell.Troubles, sweep.Mark{Kind: t.Kind, From: t.At.Seconds(), To: (t.At + t.Spread + t.Length).Seconds()})
+		for _, t := range s.Faults {
+			cell.Faults = append(cell.Faults, sweep.FaultInterval{Kind: t.Kind, From: t.At.Seconds(), To: (t.At + t.Spread + t.Duration).Seconds()})
 		}
 		if calm != nil && len(p.Faults) > 0 {
-			if took, lost, ok := Whole(c, without, p.Faults[0].At); ok {
-				cell.Figures["full_service_s"], cell.Figures["worth_lost_s"] = took.Seconds(), lost
+			if took, lost, ok := FullService(c, without, p.Faults[0].At); ok {
+				cell.Metrics["full_service_s"], cell.Metrics["worth_lost_s"] = took.Seconds(), lost
 			} else {
-				cell.Figures["full_service_s"], cell.Figures["never_whole"] = (s.Length - p.Faults[0].At).Seconds(), 1
+				cell.Metrics["full_service_s"], cell.Metrics["never_whole"] = (s.Length - p.Faults[0].At).Seconds(), 1
 			}
 		}
 		list = append(list, cell)
--- a/internal/lab/fleet/result_test.go
+++ b/internal/lab/fleet/result_test.go
@@ -10,16 +10,16 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// even is a course of 20 s in which each second asks for 10 and is served so much.
-func even(got func(second int) float64) (c Course) {
+// timelineServing is a course of 20 s in which each second asks for 10 and is served so much.
+func timelineServing(got func(second int) float64) (c Timeline) {
 	for i := range 201 {
-		c.Asked, c.Got = append(c.Asked, 1), append(c.Got, got(i/10))
+		c.Offered, c.Earned = append(c.Offered, 1), append(c.Earned, got(i/10))
 	}
 	return c
 }
 
 func TestTimeToFullService(t *testing.T) {
-	calm := even(func(int) float64 { return 1 })
+	calm := timelineServing(func(int) float64 { return 1 })
 	for name, tc := range map[string]struct {
 		got  func(int) float64
 		took time.Duration
@@ -35,7 +35,7 @@
 		"never whole again": {func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s >= 5] }, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			took, lost, ok := Whole(even(tc.got), calm, 5*time.Second)
+			took, lost, ok := FullService(timelineServing(tc.got), calm, 5*time.Second)
 			if ok != tc.ok || ok && (took != tc.took || lost < tc.lost-0.03 || lost > tc.lost+0.03) {
 				t.Errorf("%v, %.2f lost, %v", took, lost, ok)
 			}
@@ -43,18 +43,18 @@
 	}
 	// A calm play that serves half of a second asks no more than that.
 	half := func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s == 5] }
-	if took, _, ok := Whole(even(half), even(half), 5*time.Second); !ok || took != 0 {
+	if took, _, ok := FullService(timelineServing(half), timelineServing(half), 5*time.Second); !ok || took != 0 {
 		t.Errorf("as without the fault: %v, %v", took, ok)
 	}
 }
 
 func TestCourseAndPeaks(t *testing.T) {
-	s := &scenario.Scenario{Length: 10 * time.Second, Classes: []scenario.Class{{Worth: 4, LateShare: 0.5, Aim: time.Second, Deadline: 2 * time.Second}}}
-	wish := func(at time.Duration) blackbox.Event { return blackbox.Event{At: at, What: blackbox.Wish} }
+	s := &scenario.Scenario{Length: 10 * time.Second, Classes: []scenario.Class{{PriorityWeight: 4, LateCredit: 0.5, LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
+	wish := func(at time.Duration) blackbox.Event { return blackbox.Event{At: at, Kind: blackbox.RequestBegun} }
 	over := func(at, took time.Duration, served bool) blackbox.Event {
-		return blackbox.Event{At: at + took, What: blackbox.Over, Budget: took, Ready: served}
+		return blackbox.Event{At: at + took, Kind: blackbox.RequestEnded, Duration: took, Ready: served}
 	}
-	c := CourseOf(s, []blackbox.Event{wish(time.Second), over(time.Second, 900*time.Millisecond, true),
+	c := TimelineOf(s, []blackbox.Event{wish(time.Second), over(time.Second, 900*time.Millisecond, true),
 		wish(time.Second), over(time.Second, 1500*time.Millisecond, true),
 		wish(2 * time.Second), over(2*time.Second, 100*time.Millisecond, false), wish(3 * time.Second)})
 	asked, got := c.Between(time.Second, 2*time.Second)
@@ -63,46 +63,46 @@
 	}
 	var events []blackbox.Event
 	for i := range 100 { // one a tenth of a second, and after 5 s seven at once
-		events = append(events, blackbox.Event{At: time.Duration(i) * piece10, What: blackbox.Reach, Server: "s"})
+		events = append(events, blackbox.Event{At: time.Duration(i) * sliceLength, Kind: blackbox.AttemptArrived, Server: "s"})
 	}
 	for range 6 {
-		events = append(events, blackbox.Event{At: 7 * time.Second, What: blackbox.Reach, Server: "s"})
+		events = append(events, blackbox.Event{At: 7 * time.Second, Kind: blackbox.AttemptArrived, Server: "s"})
 	}
 	for _, p := range Peaks(events, 5*time.Second, s.Length) {
-		switch p.What {
+		switch p.Name {
 		case "requests at one box", "requests at all boxes":
-			if p.Most != 7 || p.Times != 7 {
+			if p.Max != 7 || p.Ratio != 7 {
 				t.Errorf("%+v", p)
 			}
 		default:
-			if p.Most != 0 {
+			if p.Max != 0 {
 				t.Errorf("%+v", p)
 			}
 		}
 	}
 }
 
-// What a report gets of a play is its worth second by second, its troubles, and when service was whole again; of one in
+// Name a report gets of a play is its worth second by second, its troubles, and when service was whole again; of one in
 // which it never was, that it never was.
 func TestCellsForReports(t *testing.T) {
-	s := &scenario.Scenario{Length: 20 * time.Second, Classes: []scenario.Class{{Worth: 1, Aim: time.Second, Deadline: time.Second}},
-		Troubles: []scenario.Trouble{{Kind: "kill", At: 4 * time.Second, Length: 2 * time.Second, Spread: time.Second}}}
-	played := func(from, to int) *Played { // bad from a tenth of a second to another
-		p := &Played{Faults: []Fault{{At: 4 * time.Second}}}
+	s := &scenario.Scenario{Length: 20 * time.Second, Classes: []scenario.Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second}},
+		Faults: []scenario.Fault{{Kind: "kill", At: 4 * time.Second, Duration: 2 * time.Second, Spread: time.Second}}}
+	played := func(from, to int) *Result { // bad from a tenth of a second to another
+		p := &Result{Faults: []FaultRecord{{At: 4 * time.Second}}}
 		for i := range 200 {
-			at := time.Duration(i) * piece10
-			p.Events = append(p.Events, blackbox.Event{At: at, What: blackbox.Wish}, blackbox.Event{At: at, What: blackbox.Over, Ready: i < from || i >= to})
+			at := time.Duration(i) * sliceLength
+			p.Events = append(p.Events, blackbox.Event{At: at, Kind: blackbox.RequestBegun}, blackbox.Event{At: at, Kind: blackbox.RequestEnded, Ready: i < from || i >= to})
 		}
 		return p
 	}
 	calm := played(0, 0)
-	cells := Cells(s, []*Played{played(40, 60), played(40, 200)}, calm)
+	cells := Cells(s, []*Result{played(40, 60), played(40, 200)}, calm)
 	for i, want := range [][4]float64{{2, 0, 0.9, 0}, {16, 1, 0.2, 0}, {0, 0, 1, 1}} {
 		c := cells[i]
-		if got := [4]float64{c.Figures["full_service_s"], c.Figures["never_whole"], math.Round(c.Figures["worth"]*10) / 10, c.Worth[5]}; got != want {
+		if got := [4]float64{c.Metrics["full_service_s"], c.Metrics["never_whole"], math.Round(c.Metrics["worth"]*10) / 10, c.ValueShares[5]}; got != want {
 			t.Errorf("cell %d: full service, never whole, worth, that of a second: %v, want %v", i, got, want)
 		}
-		if c.Troubles[0] != (sweep.Mark{Kind: "kill", From: 4, To: 7}) || (c.Policy == cells[0].Policy) != (i < 2) {
+		if c.Faults[0] != (sweep.FaultInterval{Kind: "kill", From: 4, To: 7}) || (c.Policy == cells[0].Policy) != (i < 2) {
 			t.Errorf("cell %d: %+v", i, c)
 		}
 	}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -26,77 +26,77 @@
 
 // Options say how processes are started.
 type Options struct {
-	Program []string // `run` and `lab part` are added to it
-	Old     []string // another build, for a part of the nodes
-	Env     []string // added to the environment
+	Program    []string // `run` and `lab part` are added to it
+	OldProgram []string // another build, for a part of the nodes
+	Env        []string // added to the environment
 }
 
-// MostNodes is how many node processes a rig starts.
-const MostNodes = 400
+// MaxNodes is how many node processes a rig starts.
+const MaxNodes = 400
 
-// mostLinks is how many links have room in a rig's own block of ports.
-const mostLinks = 2000
+// maxClaimedLinks is how many links have room in a rig's own block of ports.
+const maxClaimedLinks = 2000
 
-// links counts those of a scenario: from each node to the boxes of its tier, to discovery, and from its callers.
-func links(s *scenario.Scenario) (n int) {
-	nodes := s.Front.Nodes
+// linkCount counts those of a scenario: from each node to the boxes of its tier, to discovery, and from its callers.
+func linkCount(s *scenario.Scenario) (n int) {
+	nodes := s.Ingress.Nodes
 	for _, t := range s.Tiers {
-		n += nodes * (t.Boxes() + 2)
-		nodes = t.Boxes()
+		n += nodes * (t.ServerCount() + 2)
+		nodes = t.ServerCount()
 	}
 	return n
 }
 
 // rig is a fleet that runs.
 type rig struct {
-	s      *scenario.Scenario
-	opt    Options
-	dir    string
-	nodes  *loopback.Nodes
-	infos  []loopback.NodeInfo
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	starts chan func()
-	wires  *wires
-	lists  *lists
-	rec    *blackbox.Recorder
-	files  []string // of histories; the parent's own is the first
+	scenario  *scenario.Scenario
+	options   Options
+	dir       string
+	nodes     *loopback.Nodes
+	infos     []loopback.NodeInfo
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	commands  chan func()
+	network   *network
+	lists     *endpointLists
+	recorder  *blackbox.Recorder
+	histories []string // of histories; the parent's own is the first
 
-	mu        sync.Mutex
-	boxes     []*part          // that run, or are to run again
-	at        map[string]*part // by box
-	addrs     map[string]string
-	discovery *part
-	clients   *part
-	doors     map[string]string
-	done      chan struct{}
-	kills     []atomic.Int64 // of each node, so far, and words to end
-	folders   *folders       // of nodes that operators may call; nil: there is one for all
-	hands     *hands         // what operators told them
-	leaves    []atomic.Bool  // nodes that were told to end
-	began     time.Duration
-	wall      time.Time
-	ports     int // the block of this rig
-	release   func()
-	late      atomic.Int64 // the longest that the parent itself was late
-	wg        sync.WaitGroup
+	mu             sync.Mutex
+	serverWorkers  []*worker          // that run, or are to run again
+	workerByServer map[string]*worker // by box
+	serverAddrs    map[string]string
+	discovery      *worker
+	clients        *worker
+	discoveryAddrs map[string]string
+	clientsDone    chan struct{}
+	endings        []atomic.Int64 // of each node, so far, and words to end
+	folders        *folders       // of nodes that operators may call; nil: there is one for all
+	overrides      *overrides     // what operators told them
+	terminating    []atomic.Bool  // nodes that were told to end
+	startTick      time.Duration
+	startWall      time.Time
+	portBlock      int // the block of this rig
+	releasePorts   func()
+	late           atomic.Int64 // the longest that the parent itself was late
+	wg             sync.WaitGroup
 }
 
-// own runs something that the rig waits for at its end.
-func (r *rig) own(f func()) { r.nodes.Own(f) }
+// goOwned runs something that the rig waits for at its end.
+func (r *rig) goOwned(f func()) { r.nodes.Go(f) }
 
-// up brings a fleet up: all processes run, all nodes are ready, no client has come yet.
-func up(ctx context.Context, s *scenario.Scenario, opt Options) (r *rig, err error) {
-	r = &rig{s: s, opt: opt, starts: make(chan func()), at: map[string]*part{}, addrs: map[string]string{}, done: make(chan struct{})}
-	r.ctx, r.end = context.WithCancelCause(ctx)
+// startRig brings a fleet up: all processes run, all nodes are ready, no client has come yet.
+func startRig(ctx context.Context, s *scenario.Scenario, opt Options) (r *rig, err error) {
+	r = &rig{scenario: s, options: opt, commands: make(chan func()), workerByServer: map[string]*worker{}, serverAddrs: map[string]string{}, clientsDone: make(chan struct{})}
+	r.ctx, r.cancel = context.WithCancelCause(ctx)
 	go func() {
 		runtime.LockOSThread() // and never unlocked: the thread ends with this function, after the last process
-		for f := range r.starts {
+		for f := range r.commands {
 			f()
 		}
 	}()
-	if links(s) <= mostLinks { // more find room in the whole range only, beside no other rig
-		if r.ports, r.release, err = link.Claim(ctx); err != nil {
+	if linkCount(s) <= maxClaimedLinks { // more find room in the whole range only, beside no other rig
+		if r.portBlock, r.releasePorts, err = link.Claim(ctx); err != nil {
 			return r, err
 		}
 	}
@@ -107,68 +107,68 @@
 	if err != nil {
 		return r, err
 	}
-	r.files, r.rec = append(r.files, own.Name()), blackbox.Continue(own)
-	r.wires, r.lists = &wires{ports: r.ports}, newLists(r)
-	r.nodes, err = loopback.NewNodes(r.ctx, s, loopback.Options{Program: opt.Program, Env: append(slices.Clone(opt.Env), "TMPDIR="+r.dir), Record: r.rec, Ports: r.ports, Begin: r.begin, Dir: r.dir, Born: r.born}, r.lists)
+	r.histories, r.recorder = append(r.histories, own.Name()), blackbox.NewHeadlessRecorder(own)
+	r.network, r.lists = &network{ports: r.portBlock}, newLists(r)
+	r.nodes, err = loopback.NewNodes(r.ctx, s, loopback.Options{Program: opt.Program, Env: append(slices.Clone(opt.Env), "TMPDIR="+r.dir), Recorder: r.recorder, Ports: r.portBlock, StartCommand: r.startCommand, Dir: r.dir, OnIncarnation: r.nodeBegins}, r.lists)
 	if err != nil {
 		return r, err
 	}
-	if r.infos = r.nodes.Infos(); len(r.infos) > MostNodes {
-		return r, fmt.Errorf("%s needs %d node processes, at most %d are started", s.Name, len(r.infos), MostNodes)
+	if r.infos = r.nodes.Infos(); len(r.infos) > MaxNodes {
+		return r, fmt.Errorf("%s needs %d node processes, at most %d are started", s.Name, len(r.infos), MaxNodes)
 	}
-	r.kills, r.leaves = make([]atomic.Int64, len(r.infos)), make([]atomic.Bool, len(r.infos))
+	r.endings, r.terminating = make([]atomic.Int64, len(r.infos)), make([]atomic.Bool, len(r.infos))
 	for i := range r.infos {
 		// Spread over the numbers, so that each part of the fleet has both.
-		if float64(i+1)*s.Fleet.Old-float64(int(float64(i)*s.Fleet.Old)) >= 1 && opt.Old != nil {
-			r.nodes.SetProgram(i, opt.Old)
+		if float64(i+1)*s.Fleet.OldBuildShare-float64(int(float64(i)*s.Fleet.OldBuildShare)) >= 1 && opt.OldProgram != nil {
+			r.nodes.SetProgram(i, opt.OldProgram)
 		}
 	}
-	if s.Fleet.Control {
-		r.hands = &hands{r: r, out: map[int][]string{}}
+	if s.Fleet.AdminCalls {
+		r.overrides = &overrides{rig: r, byNode: map[int][]string{}}
 		if r.folders, err = newFolders(r); err != nil {
 			return r, err
 		}
 	}
-	if err := r.startBoxes(); err != nil {
+	if err := r.startServers(); err != nil {
 		return r, err
 	}
-	if err := r.wire(); err != nil {
+	if err := r.connectAll(); err != nil {
 		return r, err
 	}
-	r.discovery = &part{r: r, name: "discovery", has: "discovery"}
-	got, err := r.discovery.start(loopback.Message{Dials: r.lists.dials})
+	r.discovery = &worker{rig: r, name: "discovery", role: "discovery"}
+	got, err := r.discovery.start(loopback.Message{DialAddresses: r.lists.dialAddresses})
 	if err != nil {
 		return r, err
 	}
 	r.mu.Lock()
-	r.doors = got.Addrs
+	r.discoveryAddrs = got.Addresses
 	r.mu.Unlock()
-	r.clients = &part{r: r, name: "clients", has: "clients"}
+	r.clients = &worker{rig: r, name: "clients", role: "clients"}
 	if _, err := r.clients.start(loopback.Message{}); err != nil {
 		return r, err
 	}
 	return r, r.startNodes()
 }
 
-// startBoxes starts the processes of the boxes, each with those of one machine.
-func (r *rig) startBoxes() error {
-	for t, tier := range r.s.Tiers {
-		for first := 0; first < tier.Boxes(); first += r.s.Fleet.BoxesPer {
-			p := &part{r: r, name: fmt.Sprintf("boxes-%s-%d", tier.Name, first/r.s.Fleet.BoxesPer), has: "boxes"}
-			ids, _ := r.nodes.BoxNames(t)
-			for i := first; i < min(first+r.s.Fleet.BoxesPer, tier.Boxes()); i++ {
-				p.boxes = append(p.boxes, [2]int{t, i})
-				r.at[ids[i]] = p
+// startServers starts the processes of the boxes, each with those of one machine.
+func (r *rig) startServers() error {
+	for t, tier := range r.scenario.Tiers {
+		for first := 0; first < tier.ServerCount(); first += r.scenario.Fleet.ServersPerProcess {
+			p := &worker{rig: r, name: fmt.Sprintf("boxes-%s-%d", tier.Name, first/r.scenario.Fleet.ServersPerProcess), role: "boxes"}
+			ids, _ := r.nodes.ServerIDs(t)
+			for i := first; i < min(first+r.scenario.Fleet.ServersPerProcess, tier.ServerCount()); i++ {
+				p.servers = append(p.servers, [2]int{t, i})
+				r.workerByServer[ids[i]] = p
 			}
-			r.boxes = append(r.boxes, p)
+			r.serverWorkers = append(r.serverWorkers, p)
 		}
 	}
-	return each(len(r.boxes), func(i int) error {
-		got, err := r.boxes[i].start(loopback.Message{})
+	return each(len(r.serverWorkers), func(i int) error {
+		got, err := r.serverWorkers[i].start(loopback.Message{})
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for id, addr := range got.Addrs {
-			r.addrs[id] = addr
+		for id, addr := range got.Addresses {
+			r.serverAddrs[id] = addr
 		}
 		return err
 	})
@@ -199,9 +199,9 @@
 	})
 }
 
-// born tells discovery whom it will speak to: a node calls before it is ready.
-func (r *rig) born(place, name string) {
-	r.discovery.tell(loopback.Message{Do: loopback.DoLife, Place: place, Name: name})
+// nodeBegins tells discovery whom it will speak to: a node calls before it is ready.
+func (r *rig) nodeBegins(place, name string) {
+	r.discovery.send(loopback.Message{Operation: loopback.OpNodeIncarnation, Node: place, Name: name})
 }
 
 // errKilled says that a node was ended while it started, as the schedule has it.
@@ -209,99 +209,99 @@
 
 // startNode begins a node's next life and tells all who ought to know.
 func (r *rig) startNode(i int) error {
-	kills := r.kills[i].Load()
-	if err := r.nodes.Start(r.ctx, i, r.folders.meanwhile(i)); err != nil {
-		if r.kills[i].Load() != kills {
+	kills := r.endings[i].Load()
+	if err := r.nodes.Start(r.ctx, i, r.folders.betweenIncarnations(i)); err != nil {
+		if r.endings[i].Load() != kills {
 			return errKilled
 		}
 		return err
 	}
-	r.leaves[i].Store(false)
+	r.terminating[i].Store(false)
 	info := r.infos[i]
-	name, _ := r.nodes.Life(i)
-	r.wires.refuse(toNode(info.Place), false)
-	m := loopback.Message{Do: loopback.DoLife, Place: info.Place, Name: name, Addr: r.wires.addr(info.Place)}
-	if info.Front < 0 {
-		r.at[info.HostName].tell(m)
+	name, _ := r.nodes.Incarnation(i)
+	r.network.refuse(nodeAt(info.Base), false)
+	m := loopback.Message{Operation: loopback.OpNodeIncarnation, Node: info.Base, Name: name, Addr: r.network.addr(info.Base)}
+	if info.IngressIndex < 0 {
+		r.workerByServer[info.HostID].send(m)
 		return nil
 	}
-	r.clients.tell(m)
-	r.clients.tell(loopback.Message{Do: loopback.DoHear, Index: info.Front, Hears: true})
+	r.clients.send(m)
+	r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: info.IngressIndex, Serving: true})
 	return nil
 }
 
-// heard is what a part says while it runs.
-func (r *rig) heard(p *part, m loopback.Message) {
+// handleMessage is what a part says while it runs.
+func (r *rig) handleMessage(p *worker, m loopback.Message) {
 	ids := []string{}
-	if m.Tier >= 0 && m.Tier < len(r.s.Tiers) {
-		ids, _ = r.nodes.BoxNames(m.Tier)
+	if m.Tier >= 0 && m.Tier < len(r.scenario.Tiers) {
+		ids, _ = r.nodes.ServerIDs(m.Tier)
 	}
 	id := ""
 	if m.Index >= 0 && m.Index < len(ids) {
 		id = ids[m.Index]
 	}
-	switch m.Do {
-	case loopback.DoLearn:
-		r.lists.learn(m)
-		r.discovery.tell(m)
-	case loopback.DoDown:
-		r.gone(id)
+	switch m.Operation {
+	case loopback.OpEndpointState:
+		r.lists.update(m)
+		r.discovery.send(m)
+	case loopback.OpServerDied:
+		r.serverGone(id)
 		r.killHosted(id)
-	case loopback.DoUp:
+	case loopback.OpServerStart:
 		r.mu.Lock()
-		r.addrs[id] = m.Addr
+		r.serverAddrs[id] = m.Addr
 		r.mu.Unlock()
-		r.wires.refuse(toBox(id), false)
-	case loopback.DoWant:
-		r.own(func() {
+		r.network.refuse(serverAt(id), false)
+	case loopback.OpStartNode:
+		r.goOwned(func() {
 			for i, info := range r.infos {
-				if info.HostName != id {
+				if info.HostID != id {
 					continue
 				}
 				switch err := r.startNode(i); {
 				case err == nil:
-					p.tell(loopback.Message{Do: loopback.DoUp, Tier: m.Tier, Index: m.Index})
+					p.send(loopback.Message{Operation: loopback.OpServerStart, Tier: m.Tier, Index: m.Index})
 				case !errors.Is(err, errKilled):
-					r.end(err)
+					r.cancel(err)
 				}
 			}
 		})
-	case loopback.DoDone:
-		close(r.done)
+	case loopback.OpClientsDone:
+		close(r.clientsDone)
 	default:
-		r.end(fmt.Errorf("%s says %q", p.name, m.Do))
+		r.cancel(fmt.Errorf("%s says %q", p.name, m.Operation))
 	}
 }
 
-// gone notes that nobody listens for a box any more.
-func (r *rig) gone(id string) {
-	r.wires.refuse(toBox(id), true)
+// missing notes that nobody listens for a box any more.
+func (r *rig) serverGone(id string) {
+	r.network.refuse(serverAt(id), true)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.addrs, id)
+	delete(r.serverAddrs, id)
 }
 
 // killHosted ends the node beside a box, as it dies with it.
 func (r *rig) killHosted(id string) {
 	for i, info := range r.infos {
-		if info.HostName == id && info.Front < 0 {
-			r.kills[i].Add(1)
-			r.wires.refuse(toNode(info.Place), true)
-			r.own(func() { r.nodes.Kill(i) })
+		if info.HostID == id && info.IngressIndex < 0 {
+			r.endings[i].Add(1)
+			r.network.refuse(nodeAt(info.Base), true)
+			r.goOwned(func() { r.nodes.Kill(i) })
 		}
 	}
 }
 
-var errOver = errors.New("the fleet has ended")
+var errRigEnded = errors.New("the fleet has ended")
 
-// down ends all processes. The folder is removed unless it is to be kept.
-func (r *rig) down(keep bool) {
-	r.end(errOver)
+// noListener ends all processes. The folder is removed unless it is to be kept.
+func (r *rig) shutDown(keep bool) {
+	r.cancel(errRigEnded)
 	if r.nodes != nil {
 		r.nodes.Down(keep) // its folder is in the rig's
 	}
-	parts := r.boxes
-	for _, p := range []*part{r.clients, r.discovery} {
+	parts := r.serverWorkers
+	for _, p := range []*worker{r.clients, r.discovery} {
 		if p != nil {
 			parts = append(parts, p)
 		}
@@ -310,13 +310,13 @@
 		parts[i].stop()
 		return nil
 	})
-	if r.wires != nil {
-		r.wires.close()
+	if r.network != nil {
+		r.network.close()
 	}
 	r.wg.Wait()
-	close(r.starts)
-	if r.release != nil {
-		r.release()
+	close(r.commands)
+	if r.releasePorts != nil {
+		r.releasePorts()
 	}
 	if !keep && r.dir != "" {
 		os.RemoveAll(r.dir) // a folder of ours that stays behind is no reason to fail
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -10,44 +10,44 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// boxKill ends a process of boxes as a machine dies, with the nodes beside them.
-func (r *rig) boxKill(p *part, folder string) {
-	if p.downs++; p.downs > 1 { // it is down already
+// killServers ends a process of boxes as a machine dies, with the nodes beside them.
+func (r *rig) killServers(p *worker, folder string) {
+	if p.activeFaults++; p.activeFaults > 1 { // it is down already
 		return
 	}
 	p.signal(syscall.SIGKILL)
-	for _, at := range p.boxes {
-		ids, _ := r.nodes.BoxNames(at[0])
+	for _, at := range p.servers {
+		ids, _ := r.nodes.ServerIDs(at[0])
 		id := ids[at[1]]
-		r.gone(id)
-		r.nodes.Note(blackbox.Event{What: blackbox.Down, Server: id})
+		r.serverGone(id)
+		r.nodes.Record(blackbox.Event{Kind: blackbox.ServerDied, Server: id})
 		for n, info := range r.infos {
-			if info.HostName == id {
-				r.folders.met(n, folder)
+			if info.HostID == id {
+				r.folders.setNext(n, folder)
 			}
 		}
 		r.killHosted(id)
-		r.tellList(loopback.Message{Do: loopback.DoLearn, Tier: at[0], Index: at[1], Health: "terminated", Wait: r.s.Discovery.Notice})
+		r.publishState(loopback.Message{Operation: loopback.OpEndpointState, Tier: at[0], Index: at[1], Health: "terminated", Delay: r.scenario.Discovery.CrashDelay})
 	}
 }
 
-func (r *rig) tellList(m loopback.Message) {
-	r.lists.learn(m)
-	r.discovery.tell(m)
+func (r *rig) publishState(m loopback.Message) {
+	r.lists.update(m)
+	r.discovery.send(m)
 }
 
-// boxBack starts them again, cold, each once its node is ready; where several troubles have them down, after the last.
-func (r *rig) boxBack(p *part) error {
-	if p.downs--; p.downs > 0 {
+// restartServers starts them again, cold, each once its node is ready; where several troubles have them down, after the last.
+func (r *rig) restartServers(p *worker) error {
+	if p.activeFaults--; p.activeFaults > 0 {
 		return nil
 	}
-	r.own(func() {
-		if _, err := p.start(loopback.Message{Cold: true, Began: r.began, Wall: r.wall.UnixNano()}); err != nil {
-			r.end(err)
+	r.goOwned(func() {
+		if _, err := p.start(loopback.Message{Down: true, StartTick: r.startTick, StartWall: r.startWall.UnixNano()}); err != nil {
+			r.cancel(err)
 			return
 		}
-		for _, at := range p.boxes {
-			p.tell(loopback.Message{Do: loopback.DoChange, Change: &model.Change{What: model.Boot, Tier: at[0], Index: at[1], Class: -1}})
+		for _, at := range p.servers {
+			p.send(loopback.Message{Operation: loopback.OpChange, Change: &model.Change{Kind: model.Start, Tier: at[0], Index: at[1], Class: -1}})
 		}
 	})
 	return nil
--- a/internal/lab/fleet/violator_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -18,13 +18,13 @@
 
 // TestMain lets the test binary stand in for the rig's parts, and for nodes that break a rule.
 func TestMain(m *testing.M) {
-	fault := os.Getenv(violator.Variable)
+	fault := os.Getenv(violator.FaultVariable)
 	if fault == "" {
 		os.Exit(m.Run())
 	}
 	var err error
 	if slices.Equal(os.Args[1:], []string{"lab", "part"}) {
-		err = loopback.ServePart(context.Background(), os.Stdin, os.Stdout)
+		err = loopback.ServeWorker(context.Background(), os.Stdin, os.Stdout)
 	} else {
 		err = violator.Serve(fault)
 	}
@@ -35,16 +35,16 @@
 	os.Exit(0)
 }
 
-// judged plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: then again.
-func judged(t *testing.T, fault string, s *scenario.Scenario) *Played {
+// playJudged plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: then again.
+func playJudged(t *testing.T, fault string, s *scenario.Scenario) *Result {
 	t.Helper()
 	for range 3 {
-		p, err := Play(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + fault}})
+		p, err := Play(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + fault}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		os.RemoveAll(p.Folder)
-		if !p.TooLate() {
+		if !p.Unreliable() {
 			return p
 		}
 	}
@@ -60,21 +60,21 @@
 		fault string
 		want  checker.Rule
 	}{
-		`"kill" { at_s = 0.6 length_s = 0.3 part = 0.5 folder = "emptied" }`: {violator.NoAnswer, checker.Lost},
+		`"kill" { at_s = 0.6 length_s = 0.3 part = 0.5 folder = "emptied" }`: {violator.NoAnswer, checker.NothingLost},
 		`"stall" { at_s = 0.6 length_s = 0.4 part = 0.5 }`:                   {violator.Late, checker.InTime},
-		`"cut" { ` + nodesToBoxes + ` way = "back" }`:                        {violator.AgainAndAgain, checker.MostSends},
-		`"slow_link" { ` + nodesToBoxes + ` delay_ms = 5 }`:                  {violator.TwoAtOnce, checker.OneOut},
-		`"reset_link" { ` + nodesToBoxes + ` }`:                              {violator.AgainAndAgain, checker.NoSecondRun},
-		`"refuse_link" { ` + nodesToBoxes + ` }`:                             {violator.RefusedRun, checker.Harmless},
-		`"half_open" { ` + nodesToBoxes + ` }`:                               {violator.MadeUp, checker.MadeUp},
-		`"break_link" { ` + nodesToBoxes + ` bytes = 40 }`:                   {violator.MadeUp, checker.MadeUp},
-		`"box_kill" { at_s = 0.5 length_s = 0.1 part = 1 }`:                  {violator.Flood, checker.Cold},
-		`"upgrade" { at_s = 1 part = 1 }`:                                    {violator.Hasty, checker.Lost},
-		`"hand" { at_s = 0.5 length_s = 1 part = 1 }`:                        {violator.Hasty, checker.ByHand},
-		`"release" { at_s = 0.5 length_s = 1 part = 1 }`:                     {violator.DeafToNews, checker.Drain},
-		// what a silent watch missed counts as told 6 s later to a node that keeps it
+		`"cut" { ` + nodesToBoxes + ` way = "back" }`:                        {violator.TooManyAttempts, checker.AttemptLimit},
+		`"slow_link" { ` + nodesToBoxes + ` delay_ms = 5 }`:                  {violator.ParallelAttempts, checker.OneAttempt},
+		`"reset_link" { ` + nodesToBoxes + ` }`:                              {violator.TooManyAttempts, checker.NoSecondRun},
+		`"refuse_link" { ` + nodesToBoxes + ` }`:                             {violator.RejectAfterRun, checker.SafeRejection},
+		`"half_open" { ` + nodesToBoxes + ` }`:                               {violator.FabricatedAnswer, checker.GenuineAnswer},
+		`"break_link" { ` + nodesToBoxes + ` bytes = 40 }`:                   {violator.FabricatedAnswer, checker.GenuineAnswer},
+		`"box_kill" { at_s = 0.5 length_s = 0.1 part = 1 }`:                  {violator.OverloadServer, checker.WarmupOverload},
+		`"upgrade" { at_s = 1 part = 1 }`:                                    {violator.EarlyExit, checker.NothingLost},
+		`"hand" { at_s = 0.5 length_s = 1 part = 1 }`:                        {violator.EarlyExit, checker.AdminOverride},
+		`"release" { at_s = 0.5 length_s = 1 part = 1 }`:                     {violator.IgnoreUpdates, checker.DrainGrace},
+		// description a silent watch missed counts as told 6 s later to a node that keeps it
 		`"hush" { at_s = 0.2 length_s = 7.5 part = 1 }
-trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {violator.DeafToNews, checker.Drain},
+trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {violator.IgnoreUpdates, checker.DrainGrace},
 	} {
 		length := "2"
 		if strings.Contains(trouble, "hush") {
@@ -92,23 +92,23 @@
 discovery { drain_ms = 10 spread_ms = 10 add_ms = `+add+` }
 fleet { boxes_per_process = 2 control = "on" }
 trouble `+trouble)
-		met[s.Troubles[0].Kind] = true
-		t.Run(s.Troubles[0].Kind, func(t *testing.T) {
+		met[s.Faults[0].Kind] = true
+		t.Run(s.Faults[0].Kind, func(t *testing.T) {
 			t.Parallel()
-			broken := judged(t, tc.fault, s).Broken
+			broken := playJudged(t, tc.fault, s).Violations
 			if !slices.ContainsFunc(broken, func(v checker.Violation) bool { return v.Rule == tc.want }) {
 				t.Errorf("%q is not among the %d rules broken: %v", tc.want, len(broken), broken[:min(3, len(broken))])
 			}
 		})
 	}
-	for _, kind := range scenario.FleetKinds {
+	for _, kind := range scenario.ProcessFaultKinds {
 		if !met[kind] {
 			t.Errorf("no rogue is played beside %s", kind)
 		}
 	}
 }
 
-// What operators said to a node is owed by its next life as far as its folder was kept, and no further.
+// Name operators said to a node is owed by its next life as far as its folder was kept, and no further.
 func TestWhatOperatorsSaidOutlivesAProcess(t *testing.T) {
 	for folder, owed := range map[string]bool{"kept": true, "full": true, "emptied": false, "old": false} {
 		s := load(t, "hand.hcl", `scenario "hand" { length_s = 3 }
@@ -122,8 +122,8 @@
 `)
 		t.Run(folder, func(t *testing.T) {
 			t.Parallel()
-			broken := judged(t, violator.Forgetful, s).Broken
-			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.ByHand || v.At < time.Second }); other >= 0 {
+			broken := playJudged(t, violator.ForgetOverrides, s).Violations
+			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.AdminOverride || v.At < time.Second }); other >= 0 {
 				t.Errorf("also broken: %v", broken[other])
 			}
 			if len(broken) > 0 != owed {
@@ -136,7 +136,7 @@
 // Two troubles that have one process of boxes down at a time start it once, after the later; a trouble whose end is
 // that of the play leaves no process behind. Play waits for all of them.
 func TestTroublesThatOverlap(t *testing.T) {
-	p := judged(t, violator.Hasty, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
+	p := playJudged(t, violator.EarlyExit, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
 tier "t" { kind "k" { count = 2 } }
 class "c" { effect = "safe" }
 clients { rate = 10 retries = 0 }
@@ -148,7 +148,7 @@
 `))
 	boots := 0
 	for _, e := range p.Events {
-		if e.What == blackbox.Boot && e.At > 0 {
+		if e.Kind == blackbox.ServerStarted && e.At > 0 {
 			boots++
 		}
 	}
--- a/internal/lab/fleet/wires.go
+++ b/internal/lab/fleet/wires.go
@@ -9,63 +9,63 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// kind is what stands at the end of a wire.
-type kind string
+// endKind is what stands at the end of a wire.
+type endKind string
 
 // Kinds, as scenarios name them.
 const (
-	aNode     kind = "nodes"
-	aBox      kind = "boxes"
-	theList   kind = "discovery"
-	theClient kind = "clients"
+	nodeEnd      endKind = "nodes"
+	serverEnd    endKind = "boxes"
+	discoveryEnd endKind = "discovery"
+	clientEnd    endKind = "clients"
 )
 
-// end is one end of a wire.
+// cancel is one end of a wire.
 type end struct {
-	kind kind
+	kind endKind
 	name string
 }
 
-func toNode(place string) end { return end{aNode, place} }
-func toBox(id string) end     { return end{aBox, id} }
+func nodeAt(place string) end { return end{nodeEnd, place} }
+func serverAt(id string) end  { return end{serverEnd, id} }
 
-// wire is a link and all that is wrong with it, by cause: causes come and go by themselves.
-type wire struct {
+// networkLink is a link and all that is wrong with it, by cause: causes come and go by themselves.
+type networkLink struct {
 	*link.Link
-	from, to end
-	down     bool // nobody listens at its far end
-	causes   map[int]link.Fault
+	from, to   end
+	noListener bool // nobody listens at its far end
+	causes     map[int]link.Fault
 
 	setting sync.Mutex // one at a time, and each with the causes of then
 }
 
-// wires are all links of a fleet.
-type wires struct {
-	mu   sync.Mutex
-	list []*wire
-	next int
+// network are all links of a fleet.
+type network struct {
+	mu        sync.Mutex
+	links     []*networkLink
+	lastCause int
 
 	ports int // the rig's block
 }
 
 // open adds a link.
-func (w *wires) open(from, to end, where func() string) (addr string, err error) {
+func (w *network) open(from, to end, where func() string) (addr string, err error) {
 	l, err := link.Open(w.ports, where)
 	if err != nil {
 		return "", fmt.Errorf("%s %s to %s %s: %w", from.kind, from.name, to.kind, to.name, err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.list = append(w.list, &wire{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
+	w.links = append(w.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
 	return l.Addr(), nil
 }
 
 // addr is where a node is reached by whoever calls it.
-func (w *wires) addr(place string) string {
+func (w *network) addr(place string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range w.list {
-		if l.to == toNode(place) {
+	for _, l := range w.links {
+		if l.to == nodeAt(place) {
 			return l.Addr()
 		}
 	}
@@ -73,12 +73,12 @@
 }
 
 // refuse has new connections to an end refused, as where nobody listens, or ends that.
-func (w *wires) refuse(to end, down bool) {
-	var met []*wire
+func (w *network) refuse(to end, down bool) {
+	var met []*networkLink
 	w.mu.Lock()
-	for _, l := range w.list {
-		if l.to == to && l.down != down {
-			l.down = down
+	for _, l := range w.links {
+		if l.to == to && l.noListener != down {
+			l.noListener = down
 			met = append(met, l)
 		}
 	}
@@ -90,11 +90,11 @@
 
 // apply brings a link's causes together. A link that has just been closed needs none. Silence takes a moment to make:
 // the lock over all links is not held meanwhile.
-func (w *wires) apply(l *wire) {
+func (w *network) apply(l *networkLink) {
 	l.setting.Lock()
 	defer l.setting.Unlock()
 	w.mu.Lock()
-	sum := link.Fault{Refuse: l.down}
+	sum := link.Fault{Refuse: l.noListener}
 	for _, f := range l.causes {
 		for way := range f.Silent {
 			sum.Silent[way] = sum.Silent[way] || f.Silent[way]
@@ -114,12 +114,12 @@
 	l.Set(sum)
 }
 
-// between are the links that have an end of one kind and name at one side and one of a kind at the other, and whether
+// linksOf are the links that have an end of one kind and name at one side and one of a kind at the other, and whether
 // the first is the far side. other "": any.
-func (w *wires) between(who end, other kind) (list []*wire, far []bool) {
+func (w *network) linksOf(who end, other endKind) (list []*networkLink, far []bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range w.list {
+	for _, l := range w.links {
 		switch {
 		case l.from == who && (other == "" || l.to.kind == other):
 			list, far = append(list, l), append(far, false)
@@ -131,12 +131,12 @@
 }
 
 // fault adds a cause to links and returns what takes it away again.
-func (w *wires) fault(list []*wire, faults []link.Fault) (heal func(reset bool)) {
+func (w *network) fault(list []*networkLink, faults []link.Fault) (heal func(reset bool)) {
 	w.mu.Lock()
-	w.next++
-	n := w.next
+	w.lastCause++
+	n := w.lastCause
 	w.mu.Unlock()
-	change := func(f func(i int, l *wire)) {
+	change := func(f func(i int, l *networkLink)) {
 		each(len(list), func(i int) error {
 			w.mu.Lock()
 			f(i, list[i])
@@ -145,20 +145,20 @@
 			return nil
 		})
 	}
-	change(func(i int, l *wire) { l.causes[n] = faults[i] })
+	change(func(i int, l *networkLink) { l.causes[n] = faults[i] })
 	return func(reset bool) {
 		if reset {
 			for _, l := range list {
 				l.Reset()
 			}
 		}
-		change(func(_ int, l *wire) { delete(l.causes, n) })
+		change(func(_ int, l *networkLink) { delete(l.causes, n) })
 	}
 }
 
-func (w *wires) close() {
+func (w *network) close() {
 	w.mu.Lock()
-	list := w.list
+	list := w.links
 	w.mu.Unlock()
 	each(len(list), func(i int) error {
 		list[i].Close()
@@ -166,147 +166,147 @@
 	})
 }
 
-// wire joins every pair that talks.
-func (r *rig) wire() error {
+// networkLink joins every pair that talks.
+func (r *rig) connectAll() error {
 	for i, info := range r.infos {
-		me := toNode(info.Place)
-		caller := end{theClient, ""}
-		if info.Front < 0 {
-			caller = toBox(info.HostName)
+		me := nodeAt(info.Base)
+		caller := end{clientEnd, ""}
+		if info.IngressIndex < 0 {
+			caller = serverAt(info.HostID)
 		}
-		if _, err := r.wires.open(caller, me, func() string { return r.nodes.Addr(i) }); err != nil {
+		if _, err := r.network.open(caller, me, func() string { return r.nodes.Addr(i) }); err != nil {
 			return err
 		}
-		door, err := r.wires.open(me, end{theList, ""}, func() string {
+		door, err := r.network.open(me, end{discoveryEnd, ""}, func() string {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return r.doors[info.Place]
+			return r.discoveryAddrs[info.Base]
 		})
 		if err != nil {
 			return err
 		}
-		r.lists.doors[info.Place] = door
+		r.lists.discoveryAddrs[info.Base] = door
 		dials := map[string]string{}
-		ids, _ := r.nodes.BoxNames(info.Tier)
+		ids, _ := r.nodes.ServerIDs(info.Tier)
 		for _, id := range ids {
-			if dials[id], err = r.wires.open(me, toBox(id), func() string {
+			if dials[id], err = r.network.open(me, serverAt(id), func() string {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				return r.addrs[id]
+				return r.serverAddrs[id]
 			}); err != nil {
 				return err
 			}
 		}
-		r.lists.dials[info.Place] = dials
+		r.lists.dialAddresses[info.Base] = dials
 	}
 	return nil
 }
 
-// lists is what nodes are given at their start, kept beside discovery: a copy of what it lists, now and earlier.
-type lists struct {
-	r     *rig
-	doors map[string]string
-	dials map[string]map[string]string
+// endpointLists is what nodes are given at their start, kept beside discovery: a copy of what it lists, now and earlier.
+type endpointLists struct {
+	rig            *rig
+	discoveryAddrs map[string]string
+	dialAddresses  map[string]map[string]string
 
-	mu     sync.Mutex
-	tiers  []loopback.Roster
-	orders map[[2]int]int
-	past   []snapshot
+	mu        sync.Mutex
+	tiers     []loopback.EndpointList
+	revisions map[[2]int]int
+	snapshots []snapshot
 }
 
 // snapshot is the lists of all tiers from a time on.
 type snapshot struct {
 	at    time.Duration
-	tiers []loopback.Roster
+	tiers []loopback.EndpointList
 }
 
-func newLists(r *rig) *lists {
-	return &lists{r: r, doors: map[string]string{}, dials: map[string]map[string]string{}, orders: map[[2]int]int{}}
+func newLists(r *rig) *endpointLists {
+	return &endpointLists{rig: r, discoveryAddrs: map[string]string{}, dialAddresses: map[string]map[string]string{}, revisions: map[[2]int]int{}}
 }
 
-// fill lists all boxes as they are at the start. The caller holds mu.
-func (l *lists) fill() {
+// initialize lists all boxes as they are at the start. The caller holds mu.
+func (l *endpointLists) initialize() {
 	if l.tiers != nil {
 		return
 	}
-	for t := range l.r.s.Tiers {
-		list := loopback.Roster{Seq: 1, Whole: true}
-		ids, kinds := l.r.nodes.BoxNames(t)
+	for t := range l.rig.scenario.Tiers {
+		list := loopback.EndpointList{Seq: 1, Complete: true}
+		ids, kinds := l.rig.nodes.ServerIDs(t)
 		for i, id := range ids {
-			list.Hosts = append(list.Hosts, loopback.NewEntry(id, kinds[i], "", i))
+			list.Endpoints = append(list.Endpoints, loopback.NewEndpoint(id, kinds[i], "", i))
 		}
 		l.tiers = append(l.tiers, list)
 	}
-	l.keep()
+	l.saveSnapshot()
 }
 
-// keep remembers the lists as they are now. The caller holds mu.
-func (l *lists) keep() {
-	now := snapshot{at: l.r.nodes.Now()}
+// saveSnapshot remembers the lists as they are now. The caller holds mu.
+func (l *endpointLists) saveSnapshot() {
+	now := snapshot{at: l.rig.nodes.Now()}
 	for _, t := range l.tiers {
-		t.Hosts = append([]loopback.Entry(nil), t.Hosts...)
+		t.Endpoints = append([]loopback.Endpoint(nil), t.Endpoints...)
 		now.tiers = append(now.tiers, t)
 	}
-	l.past = append(l.past, now)
+	l.snapshots = append(l.snapshots, now)
 }
 
-// learn notes what discovery will list.
-func (l *lists) learn(m loopback.Message) {
+// update notes what discovery will list.
+func (l *endpointLists) update(m loopback.Message) {
 	key := [2]int{m.Tier, m.Index}
 	l.mu.Lock()
-	l.fill()
-	l.orders[key]++
-	order := l.orders[key]
+	l.initialize()
+	l.revisions[key]++
+	order := l.revisions[key]
 	l.mu.Unlock()
-	l.r.own(func() {
-		if !l.r.nodes.Sleep(m.Wait) {
+	l.rig.goOwned(func() {
+		if !l.rig.nodes.Sleep(m.Delay) {
 			return
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.orders[key] != order {
+		if l.revisions[key] != order {
 			return
 		}
 		t := &l.tiers[m.Tier]
 		t.Seq++
-		h := &t.Hosts[m.Index]
+		h := &t.Endpoints[m.Index]
 		h.Health = m.Health
-		if m.Boot > 0 {
-			h.Born = float64(l.r.wall.UnixNano()+int64(m.Boot)) / 1e6
+		if m.StartTime > 0 {
+			h.Born = float64(l.rig.startWall.UnixNano()+int64(m.StartTime)) / 1e6
 		}
-		l.keep()
+		l.saveSnapshot()
 	})
 }
 
-func (l *lists) Discovery(place string) string { return l.doors[place] }
+func (l *endpointLists) DiscoveryAddr(place string) string { return l.discoveryAddrs[place] }
 
-// seqBack is by how much a list that a node is given lags behind discovery's own count: of changes at one moment the
+// versionLag is by how much a list that a node is given lags behind discovery's own count: of changes at one moment the
 // two may note another first, and a node is to be told each.
-const seqBack = 4
+const versionLag = 4
 
-// Known is the list that a node starts with, as the scenario says.
-func (l *lists) Known(place string, tier int) loopback.Roster {
+// BootstrapList is the list that a node starts with, as the scenario says.
+func (l *endpointLists) BootstrapList(place string, tier int) loopback.EndpointList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fill()
-	f := l.r.s.Fleet
+	l.initialize()
+	f := l.rig.scenario.Fleet
 	list := l.tiers[tier]
-	if f.Known == "old" {
-		list = l.past[0].tiers[tier]
-		for _, s := range l.past {
-			if s.at <= l.r.nodes.Now()-f.Age {
+	if f.BootstrapList == "old" {
+		list = l.snapshots[0].tiers[tier]
+		for _, s := range l.snapshots {
+			if s.at <= l.rig.nodes.Now()-f.BootstrapAge {
 				list = s.tiers[tier]
 			}
 		}
 	}
-	given := loopback.Roster{Seq: max(1, list.Seq-seqBack), Whole: true, Hosts: []loopback.Entry{}}
-	if f.Known == "none" {
+	given := loopback.EndpointList{Seq: max(1, list.Seq-versionLag), Complete: true, Endpoints: []loopback.Endpoint{}}
+	if f.BootstrapList == "none" {
 		given.Seq = 0
 		return given
 	}
-	for _, h := range list.Hosts {
-		h.Dial = l.dials[place][h.Host]
-		given.Hosts = append(given.Hosts, h)
+	for _, h := range list.Endpoints {
+		h.Dial = l.dialAddresses[place][h.Host]
+		given.Endpoints = append(given.Endpoints, h)
 	}
 	return given
 }
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -11,52 +11,52 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// root is what a client wants: its first try and all that follow.
-type root struct {
+// request is what a client wants: its first try and all that follow.
+type clientRequest struct {
 	model.Arrival
 	number int
 }
 
-// front deals clients out over the nodes that it believes to serve.
-type front struct {
-	mu    sync.Mutex
-	nodes []*process
-	knows []bool
-	next  int
+// ingress deals clients out over the nodes that it believes to serve.
+type ingress struct {
+	mu              sync.Mutex
+	nodes           []*process
+	believedServing []bool
+	lastPicked      int
 }
 
-func (f *front) deal() *process {
+func (f *ingress) pickNode() *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.nodes {
-		f.next = (f.next + 1) % len(f.nodes)
-		if f.knows[f.next] {
-			return f.nodes[f.next]
+		f.lastPicked = (f.lastPicked + 1) % len(f.nodes)
+		if f.believedServing[f.lastPicked] {
+			return f.nodes[f.lastPicked]
 		}
 	}
 	return nil
 }
 
-func (f *front) hear(i int, serves bool) {
+func (f *ingress) setServing(i int, serves bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.knows[i] = serves
+	f.believedServing[i] = serves
 }
 
-// clients sends first tries as they come, each on a goroutine of its own, and returns when all are over.
-func (w *World) clients() {
+// playClients sends first tries as they come, each on a goroutine of its own, and returns when all are over.
+func (w *World) playClients() {
 	var all sync.WaitGroup
 	defer all.Wait()
 	n := 0
-	if loops := w.s.Clients.ClosedLoop; loops > 0 {
+	if loops := w.scenario.Clients.ClosedLoop; loops > 0 {
 		for range loops {
-			spawn(&all, func() {
-				for w.now() < w.s.Length && w.ctx.Err() == nil {
+			goTracked(&all, func() {
+				for w.now() < w.scenario.Length && w.ctx.Err() == nil {
 					w.mu.Lock()
 					n++
-					r := &root{Arrival: w.arrivals.Draw(w.now()), number: n}
+					r := &clientRequest{Arrival: w.arrivals.Draw(w.now()), number: n}
 					w.mu.Unlock()
-					w.ask(r)
+					w.playRequest(r)
 				}
 			})
 		}
@@ -70,8 +70,8 @@
 			return
 		}
 		n++
-		r := &root{Arrival: a, number: n}
-		spawn(&all, func() { w.ask(r) })
+		r := &clientRequest{Arrival: a, number: n}
+		goTracked(&all, func() { w.playRequest(r) })
 	}
 }
 
@@ -90,47 +90,47 @@
 	}
 }
 
-// ask is a client from its first try to the end: it tries again as the scenario says, where that is safe.
-func (w *World) ask(r *root) {
+// playRequest is a client from its first try to the end: it tries again as the scenario says, where that is safe.
+func (w *World) playRequest(r *clientRequest) {
 	r.At = w.now()
-	w.facts.asked(r.At, r.Class, r.Tenant)
-	class := w.s.Classes[r.Class]
+	w.observations.requestBegun(r.At, r.Class, r.Tenant)
+	class := w.scenario.Classes[r.Class]
 	last := r.At + class.Deadline
 	for try := 0; ; try++ {
-		retries := w.retries()
+		retries := w.maxRetries()
 		left := last - w.now()
 		if left <= 0 || try > retries || w.ctx.Err() != nil {
-			w.facts.over(r, w.now()-r.At, score.Failed)
+			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
 			return
 		}
-		budget := model.Budget(w.s, r.Class, try, retries, left)
-		w.facts.try()
-		var a reply
-		if n := w.front.deal(); n != nil {
+		budget := model.TryTimeout(w.scenario, r.Class, try, retries, left)
+		w.observations.tryBegun()
+		var a answer
+		if n := w.ingress.pickNode(); n != nil {
 			a = n.send(w.ctx, r.Class, fmt.Sprintf("%d.%d", r.number, try), strconv.Itoa(r.number),
-				w.s.Tenants[r.Tenant].Name, r.Work, w.now()+budget, try > 0 && w.s.Clients.Marks)
+				w.scenario.Tenants[r.Tenant].Name, r.Work, w.now()+budget, try > 0 && w.scenario.Clients.MarkRetries)
 		} else {
-			a = reply{refused: true}
+			a = answer{connectionRefused: true}
 		}
-		wait := w.s.Clients.Backoff
+		wait := w.scenario.Clients.Backoff
 		switch {
 		case a.status == 200:
-			w.facts.over(r, w.now()-r.At, score.Served)
+			w.observations.requestEnded(r, w.now()-r.At, score.Served)
 			return
 		case a.status == 429 || a.status == 503:
-			w.facts.refused(w.now())
-			if r.Honour && a.retryAfter > 0 {
+			w.observations.tryRejected(w.now())
+			if r.HonoursRetryAfter && a.retryAfter > 0 {
 				wait = a.retryAfter
 			}
-			if w.stormy() {
+			if w.inRetryStorm() {
 				wait = 0
 			}
-		case !a.refused && class.Effect != balancer.Idempotent:
-			w.facts.over(r, w.now()-r.At, score.Failed)
+		case !a.connectionRefused && class.Effect != balancer.Idempotent:
+			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
 			return
 		}
 		if !w.sleep(wait) {
-			w.facts.over(r, w.now()-r.At, score.Failed)
+			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
 			return
 		}
 	}
--- a/internal/lab/loopback/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -15,14 +15,14 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// roster is a list, or its changes, in discovery's published form.
-type roster struct {
-	Seq   int64   `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+// endpointList is a list, or its changes, in discovery's published form.
+type endpointList struct {
+	Seq       int64      `json:"seq"`
+	Complete  bool       `json:"whole"`
+	Endpoints []endpoint `json:"hosts"`
 }
 
-type entry struct {
+type endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -36,76 +36,76 @@
 // discovery is the stand-in service: a list for each tier, watches, one queue of calls, and faults. Each node asks
 // at an address of its own, which is how the service knows whom it tells.
 type discovery struct {
-	w *World
+	world *World
 
-	mu      sync.Mutex
-	tiers   []*tierList
-	doors   map[*process]*door
-	down    bool
-	watches atomic.Int64 // so far
-	free    time.Time    // when the calls so far are worked off
+	mu          sync.Mutex
+	tiers       []*tierList
+	listeners   map[*process]*nodeListener
+	down        bool
+	watchCount  atomic.Int64 // so far
+	queueFreeAt time.Time    // when the calls so far are worked off
 }
 
-// door is the address of one node.
-type door struct {
-	addr   string
-	server *http.Server
-	quiet  chan struct{}    // closed: what is open there brings nothing any more
-	mute   bool             // a call is taken, and never answered
-	given  []blackbox.Event // watches that the node gave up meanwhile
+// nodeListener is the address of one node.
+type nodeListener struct {
+	addr         string
+	server       *http.Server
+	muted        chan struct{}    // closed: what is open there brings nothing any more
+	unresponsive bool             // a call is taken, and never answered
+	abandoned    []blackbox.Event // watches that the node gave up meanwhile
 }
 
-// hush has nothing more come on the watches that a node has open. While it is on, the node's calls are taken and not
-// answered either.
-func (d *discovery) hush(p *process, on bool) {
+// setMuted has nothing more come on the watches that a node has open. While it is on, the node's calls are taken and not
+// answerReceived either.
+func (d *discovery) setMuted(p *process, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	door := d.doors[p]
-	if door.mute = on; on {
-		close(door.quiet)
-		door.quiet = make(chan struct{})
+	door := d.listeners[p]
+	if door.unresponsive = on; on {
+		close(door.muted)
+		door.muted = make(chan struct{})
 		return
 	}
-	for _, e := range door.given { // from now on it can ask anew
-		now := d.w.now()
-		e.At, e.Budget = now, now-e.At
-		d.w.facts.seen(e)
+	for _, e := range door.abandoned { // from now on it can ask anew
+		now := d.world.now()
+		e.At, e.Duration = now, now-e.At
+		d.world.observations.record(e)
 	}
-	door.given = nil
+	door.abandoned = nil
 }
 
-// given notes that a node has given up a watch that had fallen silent.
-func (d *discovery) given(p *process, e blackbox.Event) {
+// addresses notes that a node has given up a watch that had fallen silent.
+func (d *discovery) watchAbandoned(p *process, e blackbox.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if door := d.doors[p]; door.mute {
-		door.given = append(door.given, e)
+	if door := d.listeners[p]; door.unresponsive {
+		door.abandoned = append(door.abandoned, e)
 		return
 	}
-	d.w.facts.seen(e)
+	d.world.observations.record(e)
 }
 
 type tierList struct {
-	seq     int64
-	hosts   []entry
-	changed []int64       // the version that changed an entry last
-	news    chan struct{} // closed at a change
-	orders  map[string]int
+	version   int64
+	hosts     []endpoint
+	changedAt []int64       // the version that changed an entry last
+	updated   chan struct{} // closed at a change
+	revisions map[string]int
 }
 
 // open lists all boxes as they are and listens.
 func (d *discovery) open() error {
-	for _, row := range d.w.boxes {
-		l := &tierList{seq: 1, news: make(chan struct{}), orders: map[string]int{}}
+	for _, row := range d.world.servers {
+		l := &tierList{version: 1, updated: make(chan struct{}), revisions: map[string]int{}}
 		for i, b := range row {
-			l.hosts = append(l.hosts, entry{Host: b.model.ID, Dial: b.addr, Site: "benchland", Class: b.model.Kind.Name,
+			l.hosts = append(l.hosts, endpoint{Host: b.model.ID, Dial: b.addr, Site: "benchland", Class: b.model.Kind.Name,
 				Block: i / 6, Health: "in_service", Share: 1})
-			l.changed = append(l.changed, 1)
+			l.changedAt = append(l.changedAt, 1)
 		}
 		d.tiers = append(d.tiers, l)
 	}
-	for _, p := range d.w.processes {
-		d.doors[p] = &door{}
+	for _, p := range d.world.processes {
+		d.listeners[p] = &nodeListener{}
 		if err := d.listen(p); err != nil {
 			return err
 		}
@@ -115,85 +115,85 @@
 
 // listen begins to serve a node's list, at its old address if it had one.
 func (d *discovery) listen(p *process) error {
-	ln, err := d.w.listenAt(d.addr(p), link.ForDoor)
+	ln, err := d.world.listenAt(d.discoveryAddr(p), link.ForDoor)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { d.serve(rw, r, p) }),
 		ReadHeaderTimeout: 5 * time.Second}
 	d.mu.Lock()
-	*d.doors[p] = door{addr: ln.Addr().String(), server: server, quiet: make(chan struct{}), mute: d.doors[p].mute, given: d.doors[p].given}
+	*d.listeners[p] = nodeListener{addr: ln.Addr().String(), server: server, muted: make(chan struct{}), unresponsive: d.listeners[p].unresponsive, abandoned: d.listeners[p].abandoned}
 	d.mu.Unlock()
-	d.w.own(func() { server.Serve(ln) })
+	d.world.goOwned(func() { server.Serve(ln) })
 	return nil
 }
 
-func (d *discovery) addr(p *process) string {
+func (d *discovery) discoveryAddr(p *process) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.doors[p].addr
+	return d.listeners[p].addr
 }
 
-// known is the whole list of a node's tier.
-func (d *discovery) known(p *process) roster {
+// bootstrapList is the whole list of a node's tier.
+func (d *discovery) bootstrapList(p *process) endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := d.tiers[p.tier]
-	return roster{Seq: l.seq, Whole: true, Hosts: p.dialed(slices.Clone(l.hosts))}
+	return endpointList{Seq: l.version, Complete: true, Endpoints: p.withDialAddresses(slices.Clone(l.hosts))}
 }
 
-// dialed are boxes with the addresses at which a node reaches them.
-func (p *process) dialed(hosts []entry) []entry {
+// withDialAddresses are boxes with the addresses at which a node reaches them.
+func (p *process) withDialAddresses(hosts []endpoint) []endpoint {
 	for i, h := range hosts {
-		if addr := p.dials[h.Host]; addr != "" {
+		if addr := p.dialAddresses[h.Host]; addr != "" {
 			hosts[i].Dial = addr
 		}
 	}
 	return hosts
 }
 
-// learn lists a box's state after a while; what is older and comes later is stale.
-func (d *discovery) learn(b *box, health string, boot time.Duration, wait time.Duration) {
+// updateEndpoint lists a box's state after a while; what is older and comes later is stale.
+func (d *discovery) updateEndpoint(b *server, health string, boot time.Duration, wait time.Duration) {
 	t := b.model.Tier
 	d.mu.Lock()
-	d.tiers[t].orders[b.model.ID]++
-	order := d.tiers[t].orders[b.model.ID]
+	d.tiers[t].revisions[b.model.ID]++
+	order := d.tiers[t].revisions[b.model.ID]
 	d.mu.Unlock()
-	d.w.afterwards(wait, func() {
+	d.world.afterDelay(wait, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		l := d.tiers[t]
-		if l.orders[b.model.ID] != order {
+		if l.revisions[b.model.ID] != order {
 			return
 		}
 		i := b.model.Index
-		l.seq++
-		l.hosts[i].Health, l.changed[i] = health, l.seq
+		l.version++
+		l.hosts[i].Health, l.changedAt[i] = health, l.version
 		if boot > 0 {
-			l.hosts[i].Born = millis(time.Duration(d.w.wall.Load()) + boot)
+			l.hosts[i].Born = milliseconds(time.Duration(d.world.startWall.Load()) + boot)
 		}
-		close(l.news)
-		l.news = make(chan struct{})
+		close(l.updated)
+		l.updated = make(chan struct{})
 	})
 }
 
-// turn waits for the one queue that all calls stand in. False: it took too long, or discovery is down.
-func (d *discovery) turn(r *http.Request) bool {
+// waitForTurn waits for the one queue that all calls stand in. False: it took too long, or discovery is down.
+func (d *discovery) waitForTurn(r *http.Request) bool {
 	d.mu.Lock()
 	if d.down {
 		d.mu.Unlock()
 		return false
 	}
-	one := time.Duration(float64(time.Second) / d.w.s.Discovery.Capacity)
+	one := time.Duration(float64(time.Second) / d.world.scenario.Discovery.CallsPerSecond)
 	now := time.Now()
-	if d.free.Before(now) {
-		d.free = now
+	if d.queueFreeAt.Before(now) {
+		d.queueFreeAt = now
 	}
-	at, late := d.free.Add(one), d.free.Add(one).Sub(now) > d.w.s.Discovery.Timeout
+	at, late := d.queueFreeAt.Add(one), d.queueFreeAt.Add(one).Sub(now) > d.world.scenario.Discovery.CallTimeout
 	if late {
-		at = now.Add(d.w.s.Discovery.Timeout)
+		at = now.Add(d.world.scenario.Discovery.CallTimeout)
 	} else {
-		d.free = at
+		d.queueFreeAt = at
 	}
 	d.mu.Unlock()
 	select {
@@ -209,17 +209,17 @@
 		http.NotFound(rw, r)
 		return
 	}
-	life := p.lifeName() // a call is of one life, whatever becomes of the node while it waits or watches
-	d.w.facts.called(d.w.now(), life)
+	life := p.incarnationName() // a call is of one life, whatever becomes of the node while it waits or watches
+	d.world.observations.discoveryCalled(d.world.now(), life)
 	d.mu.Lock()
-	quiet, mute := d.doors[p].quiet, d.doors[p].mute
+	quiet, mute := d.listeners[p].muted, d.listeners[p].unresponsive
 	d.mu.Unlock()
-	if !mute && !d.turn(r) {
+	if !mute && !d.waitForTurn(r) {
 		http.Error(rw, "too busy", http.StatusServiceUnavailable)
 		return
 	}
 	enc := json.NewEncoder(rw)
-	if d.w.s.Discovery.Indented {
+	if d.world.scenario.Discovery.Indented {
 		enc.SetIndent("", "  ")
 	}
 	if r.URL.Query().Get("watch") == "" {
@@ -227,7 +227,7 @@
 			<-r.Context().Done()
 			return
 		}
-		enc.Encode(d.known(p)) // one that has gone away reads nothing
+		enc.Encode(d.bootstrapList(p)) // one that has gone away reads nothing
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -235,56 +235,56 @@
 		http.Error(rw, "from is no number", http.StatusBadRequest)
 		return
 	}
-	w := &watch{rw: rw, r: r, enc: enc, p: p, life: life, id: strconv.FormatInt(d.watches.Add(1), 10), quiet: quiet}
+	w := &watch{rw: rw, r: r, enc: enc, process: p, incarnation: life, id: strconv.FormatInt(d.watchCount.Add(1), 10), muted: quiet}
 	if mute {
-		w.hushed(d)
+		w.mute(d)
 	}
-	d.follow(w, from)
-	if w.silent {
-		d.given(p, blackbox.Event{At: d.w.now(), What: blackbox.Hears, Node: life, ID: w.id})
+	d.serveWatch(w, from)
+	if w.isMuted {
+		d.watchAbandoned(p, blackbox.Event{At: d.world.now(), Kind: blackbox.WatchUnmuted, Node: life, ID: w.id})
 	}
 }
 
 // watch is one that is open.
 type watch struct {
-	rw       http.ResponseWriter
-	r        *http.Request
-	enc      *json.Encoder
-	p        *process
-	life, id string
-	quiet    <-chan struct{}
-	silent   bool // nothing is written; what would have been is noted all the same
+	rw              http.ResponseWriter
+	r               *http.Request
+	enc             *json.Encoder
+	process         *process
+	incarnation, id string
+	muted           <-chan struct{}
+	isMuted         bool // nothing is written; what would have been is noted all the same
 }
 
-func (w *watch) hushed(d *discovery) {
-	w.silent, w.quiet = true, nil
-	d.w.facts.seen(blackbox.Event{At: d.w.now(), What: blackbox.Deaf, Node: w.life, ID: w.id, Ready: true})
+func (w *watch) mute(d *discovery) {
+	w.isMuted, w.muted = true, nil
+	d.world.observations.record(blackbox.Event{At: d.world.now(), Kind: blackbox.WatchMuted, Node: w.incarnation, ID: w.id, Ready: true})
 }
 
-// follow writes the changes since a version, and then every change, until the connection ends.
-func (d *discovery) follow(w *watch, from int64) {
-	rw, r, p := w.rw, w.r, w.p
+// serveWatch writes the changes since a version, and then every change, until the connection ends.
+func (d *discovery) serveWatch(w *watch, from int64) {
+	rw, r, p := w.rw, w.r, w.process
 	beat := time.NewTicker(2 * time.Second)
 	defer beat.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
 		l := d.tiers[p.tier]
-		n := roster{Seq: l.seq, Hosts: []entry{}}
-		if from > l.seq {
+		n := endpointList{Seq: l.version, Endpoints: []endpoint{}}
+		if from > l.version {
 			from = 0
 		}
 		for i, h := range l.hosts {
-			if l.changed[i] > from {
-				n.Hosts = append(n.Hosts, h)
+			if l.changedAt[i] > from {
+				n.Endpoints = append(n.Endpoints, h)
 			}
 		}
-		n.Whole = from == 0
-		p.dialed(n.Hosts)
-		news := l.news
+		n.Complete = from == 0
+		p.withDialAddresses(n.Endpoints)
+		news := l.updated
 		d.mu.Unlock()
 		if first || n.Seq > from {
 			if !first {
-				spread := time.Duration(d.w.chance() * float64(d.w.s.Discovery.Spread))
+				spread := time.Duration(d.world.randomFloat() * float64(d.world.scenario.Discovery.NotifySpread))
 				select {
 				case <-time.After(spread):
 				case <-r.Context().Done():
@@ -292,26 +292,26 @@
 				}
 			}
 			select {
-			case <-w.quiet:
-				w.hushed(d)
+			case <-w.muted:
+				w.mute(d)
 			default:
 			}
-			before := d.w.now()
-			if !w.silent {
+			before := d.world.now()
+			if !w.isMuted {
 				if w.enc.Encode(n) != nil {
 					return
 				}
 				rw.(http.Flusher).Flush()
 			}
-			d.w.facts.told(before, d.w.now(), w.life, w.id, n)
+			d.world.observations.endpointsNotified(before, d.world.now(), w.incarnation, w.id, n)
 			from = n.Seq
 		}
 		select {
 		case <-news:
-		case <-w.quiet:
-			w.hushed(d)
+		case <-w.muted:
+			w.mute(d)
 		case <-beat.C:
-			if w.silent {
+			if w.isMuted {
 				continue
 			}
 			if _, err := rw.Write([]byte("\n")); err != nil {
@@ -324,8 +324,8 @@
 	}
 }
 
-// change takes discovery down, up, or to other addresses.
-func (d *discovery) change(what model.What) error {
+// applyChange takes discovery down, up, or to other addresses.
+func (d *discovery) applyChange(what model.ChangeKind) error {
 	switch what {
 	case model.DiscoveryDown:
 		d.mu.Lock()
@@ -336,17 +336,17 @@
 		d.mu.Lock()
 		d.down = false
 		d.mu.Unlock()
-		for _, p := range d.w.processes {
+		for _, p := range d.world.processes {
 			if err := d.listen(p); err != nil {
 				return err
 			}
 		}
 	case model.DiscoveryMove:
 		var old []*http.Server
-		for _, p := range d.w.processes {
+		for _, p := range d.world.processes {
 			d.mu.Lock()
-			old = append(old, d.doors[p].server)
-			d.doors[p].addr = ""
+			old = append(old, d.listeners[p].server)
+			d.listeners[p].addr = ""
 			d.mu.Unlock()
 			if err := d.listen(p); err != nil {
 				return err
@@ -355,7 +355,7 @@
 				return err
 			}
 		}
-		d.w.afterwards(1500*time.Millisecond, func() { // as the platform does with the old address
+		d.world.afterDelay(1500*time.Millisecond, func() { // as the platform does with the old address
 			for _, s := range old {
 				s.Close()
 			}
@@ -367,7 +367,7 @@
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range d.doors {
+	for _, l := range d.listeners {
 		if l.server != nil {
 			l.server.Close()
 		}
--- a/internal/lab/loopback/facts.go
+++ b/internal/lab/loopback/facts.go
@@ -15,166 +15,166 @@
 // What sockets add to limits of time: a box sees the end of a connection, and a client its answer, a moment after
 // they were made, the more so where all of the world shares a few cores.
 const (
-	socketSlack = 100 * time.Millisecond
-	noticing    = 100 * time.Millisecond
+	socketSlack    = 100 * time.Millisecond
+	observationLag = 100 * time.Millisecond
 )
 
-// facts brings what many goroutines see to one auditor and one score.
-type facts struct {
-	mu    sync.Mutex
-	audit *checker.Auditor
-	score *score.Score
-	sends map[string]int // attempts by root
-	tries map[attemptKey]int
-	rec   *blackbox.Recorder // what is seen from outside; nil: not kept
+// observations brings what many goroutines see to one auditor and one score.
+type observations struct {
+	mu                sync.Mutex
+	checker           *checker.Checker
+	score             *score.Score
+	attemptsByRequest map[string]int // attempts by root
+	attemptsByCall    map[callKey]int
+	recorder          *blackbox.Recorder // what is seen from outside; nil: not kept
 }
 
-type attemptKey struct{ node, id string }
+type callKey struct{ node, id string }
 
-func newFacts(s *scenario.Scenario) *facts {
+func newObservations(s *scenario.Scenario) *observations {
 	wide := *s
 	wide.Rules.Slack += socketSlack
-	f := &facts{audit: checker.New(&wide), score: score.New(s), sends: map[string]int{}, tries: map[attemptKey]int{}}
-	f.audit.Overlap = noticing
+	f := &observations{checker: checker.New(&wide), score: score.New(s), attemptsByRequest: map[string]int{}, attemptsByCall: map[callKey]int{}}
+	f.checker.ObservationLag = observationLag
 	return f
 }
 
-func (f *facts) do(what func()) {
+func (f *observations) locked(what func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	what()
 }
 
-// seen records an event, under the lock that keeps the order.
-func (f *facts) seen(e blackbox.Event) { f.do(func() { f.rec.Note(e) }) }
+// record records an event, under the lock that keeps the order.
+func (f *observations) record(e blackbox.Event) { f.locked(func() { f.recorder.Record(e) }) }
 
-func (f *facts) handshake(now time.Duration, box string) {
-	f.do(func() {
+func (f *observations) connectionOpened(now time.Duration, box string) {
+	f.locked(func() {
 		f.score.Handshakes++
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Conn, Server: box})
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.ConnectionOpened, Server: box})
 	})
 }
 
-// called is a call to discovery.
-func (f *facts) called(now time.Duration, node string) {
-	f.seen(blackbox.Event{At: now, What: blackbox.Call, Node: node})
+// discoveryCalled is a call to discovery.
+func (f *observations) discoveryCalled(now time.Duration, node string) {
+	f.record(blackbox.Event{At: now, Kind: blackbox.DiscoveryCalled, Node: node})
 }
 
-func (f *facts) started(now time.Duration, name string, known roster) {
-	f.do(func() {
-		f.audit.NodeStarted(name)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Start, Node: name})
-		for _, h := range known.Hosts {
-			f.rec.Note(blackbox.Event{At: now, What: blackbox.Told, Node: name, Server: h.Host, Ready: h.Health == "in_service"})
-			f.audit.Told(now, name, h.Host, h.Health == "in_service")
+func (f *observations) nodeStarted(now time.Duration, name string, known endpointList) {
+	f.locked(func() {
+		f.checker.NodeStarted(name)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.NodeStarted, Node: name})
+		for _, h := range known.Endpoints {
+			f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.EndpointNotified, Node: name, Server: h.Host, Ready: h.Health == "in_service"})
+			f.checker.EndpointNotified(now, name, h.Host, h.Health == "in_service")
 		}
 	})
 }
 
-func (f *facts) killed(now time.Duration, name string) {
-	f.do(func() {
-		f.audit.NodeKilled(name)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Kill, Node: name})
+func (f *observations) nodeKilled(now time.Duration, name string) {
+	f.locked(func() {
+		f.checker.NodeKilled(name)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.NodeKilled, Node: name})
 	})
 }
 
-func (f *facts) stopped(now time.Duration, name string) {
-	f.do(func() {
-		f.audit.NodeStopped(now, name)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Exit, Node: name})
+func (f *observations) nodeStopped(now time.Duration, name string) {
+	f.locked(func() {
+		f.checker.NodeStopped(now, name)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.NodeExited, Node: name})
 	})
 }
 
-// told is a list, or changes, that discovery has written. A node may use what it is told before the writer knows that
+// endpointsNotified is a list, or changes, that discovery has written. A node may use what it is told before the writer knows that
 // it is written, so a server in service counts as told from before; that one is not counts from after.
-// told notes what discovery has written to a life of a node, on one of its watches.
-func (f *facts) told(before, now time.Duration, name, watch string, n roster) {
-	f.do(func() {
-		for _, h := range n.Hosts {
+// endpointsNotified notes what discovery has written to a life of a node, on one of its watches.
+func (f *observations) endpointsNotified(before, now time.Duration, name, watch string, n endpointList) {
+	f.locked(func() {
+		for _, h := range n.Endpoints {
 			at := now
 			if h.Health == "in_service" {
 				at = before
 			}
-			f.rec.Note(blackbox.Event{At: at, What: blackbox.Told, Node: name, ID: watch, Server: h.Host, Ready: h.Health == "in_service"})
-			f.audit.Told(now, name, h.Host, h.Health == "in_service")
+			f.recorder.Record(blackbox.Event{At: at, Kind: blackbox.EndpointNotified, Node: name, ID: watch, Server: h.Host, Ready: h.Health == "in_service"})
+			f.checker.EndpointNotified(now, name, h.Host, h.Health == "in_service")
 		}
 	})
 }
 
-func (f *facts) taken(now time.Duration, node, id string, class int, deadline time.Duration) {
-	f.do(func() {
-		f.audit.Taken(now, node, id, class, deadline)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Ask, Node: node, ID: id, Class: class, Budget: deadline - now})
+func (f *observations) requestSent(now time.Duration, node, id string, class int, deadline time.Duration) {
+	f.locked(func() {
+		f.checker.RequestAccepted(now, node, id, class, deadline)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.RequestSent, Node: node, ID: id, Class: class, Duration: deadline - now})
 	})
 }
 
-// noAnswer is a call whose connection never came up: it was not taken, and nothing is owed.
-func (f *facts) noAnswer(now time.Duration, node, id string) {
-	f.do(func() {
-		f.audit.Gone(now, node, id)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Left, Node: node, ID: id})
+// connectionRefused is a call whose connection never came up: it was not taken, and nothing is owed.
+func (f *observations) connectionRefused(now time.Duration, node, id string) {
+	f.locked(func() {
+		f.checker.ClientGone(now, node, id)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.ClientLeft, Node: node, ID: id})
 	})
 }
 
-func (f *facts) dropped(now time.Duration, node, id string, kept bool) {
-	f.do(func() {
-		f.audit.Dropped(now, node, id)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Cut, Node: node, ID: id, Ready: kept})
+func (f *observations) connectionDropped(now time.Duration, node, id string, kept bool) {
+	f.locked(func() {
+		f.checker.ConnectionDropped(now, node, id)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.ConnectionCut, Node: node, ID: id, Ready: kept})
 	})
 }
 
-// unread says that no attempt of a call has reached a box.
-func (f *facts) unread(node, id string) (yes bool) {
-	f.do(func() { yes = f.tries[attemptKey{node, id}] == 0 })
+// noAttemptArrived says that no attempt of a call has reached a box.
+func (f *observations) noAttemptArrived(node, id string) (yes bool) {
+	f.locked(func() { yes = f.attemptsByCall[callKey{node, id}] == 0 })
 	return yes
 }
 
-func (f *facts) answered(now time.Duration, node, id string, status int, body string) {
+func (f *observations) answerReceived(now time.Duration, node, id string, status int, body string) {
 	how := checker.Failed
 	switch status {
 	case 200:
 		how = checker.Served
 	case 429, 503:
-		how = checker.Refused
+		how = checker.Rejected
 	}
-	f.do(func() {
-		f.audit.Answered(now, node, id, how)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Got, Node: node, ID: id, Status: status, Body: body})
-		delete(f.tries, attemptKey{node, id})
+	f.locked(func() {
+		f.checker.RequestAnswered(now, node, id, how)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.AnswerReceived, Node: node, ID: id, Status: status, Body: body})
+		delete(f.attemptsByCall, callKey{node, id})
 	})
 }
 
-// sent is an attempt that has reached a box; its number is returned.
-func (f *facts) sent(now time.Duration, node, id, box, root string, work time.Duration) (number int) {
-	f.do(func() {
-		f.audit.Sent(now, node, id, box)
-		f.rec.Note(blackbox.Event{At: now, What: blackbox.Reach, Node: node, ID: id, Server: box, Work: work})
+// attemptArrived is an attempt that has reached a box; its number is returned.
+func (f *observations) attemptArrived(now time.Duration, node, id, box, root string, work time.Duration) (number int) {
+	f.locked(func() {
+		f.checker.AttemptSent(now, node, id, box)
+		f.recorder.Record(blackbox.Event{At: now, Kind: blackbox.AttemptArrived, Node: node, ID: id, Server: box, Work: work})
 		f.score.Attempts++
-		f.sends[root]++
-		key := attemptKey{node, id}
-		number = f.tries[key]
-		f.tries[key]++
+		f.attemptsByRequest[root]++
+		key := callKey{node, id}
+		number = f.attemptsByCall[key]
+		f.attemptsByCall[key]++
 	})
 	return number
 }
 
-func (f *facts) ran(now time.Duration, node, id, box string) {
-	f.do(func() { f.audit.Ran(now, node, id, box) })
+func (f *observations) attemptExecuted(now time.Duration, node, id, box string) {
+	f.locked(func() { f.checker.AttemptExecuted(now, node, id, box) })
 }
 
-func (f *facts) ended(now time.Duration, node, id string, number int, e balancer.Outcome) {
-	f.do(func() { f.audit.Ended(now, node, id, number, e) })
+func (f *observations) attemptEnded(now time.Duration, node, id string, number int, e balancer.Outcome) {
+	f.locked(func() { f.checker.AttemptEnded(now, node, id, number, e) })
 }
 
-func (f *facts) fell(now time.Duration, node, id, box string) {
-	f.do(func() {
-		f.audit.Fell(now, node, id, box)
-		f.score.Fell++
+func (f *observations) serverOverloaded(now time.Duration, node, id, box string) {
+	f.locked(func() {
+		f.checker.ServerOverloaded(now, node, id, box)
+		f.score.Overloads++
 	})
 }
 
-func (f *facts) visited(work time.Duration, wasted bool) {
-	f.do(func() {
+func (f *observations) workDone(work time.Duration, wasted bool) {
+	f.locked(func() {
 		f.score.Work += work
 		if wasted {
 			f.score.Wasted += work
@@ -182,27 +182,27 @@
 	})
 }
 
-func (f *facts) asked(at time.Duration, class, tenant int) {
-	f.do(func() {
-		f.score.Asked(at, class, tenant)
-		f.rec.Note(blackbox.Event{At: at, What: blackbox.Wish, Class: class})
+func (f *observations) requestBegun(at time.Duration, class, tenant int) {
+	f.locked(func() {
+		f.score.RequestBegun(at, class, tenant)
+		f.recorder.Record(blackbox.Event{At: at, Kind: blackbox.RequestBegun, Class: class})
 	})
 }
 
-func (f *facts) try() { f.do(func() { f.score.Tries++ }) }
+func (f *observations) tryBegun() { f.locked(func() { f.score.Tries++ }) }
 
-func (f *facts) refused(at time.Duration) {
-	f.do(func() {
-		f.score.Refused(at)
-		f.rec.Note(blackbox.Event{At: at, What: blackbox.Away})
+func (f *observations) tryRejected(at time.Duration) {
+	f.locked(func() {
+		f.score.TryRejected(at)
+		f.recorder.Record(blackbox.Event{At: at, Kind: blackbox.TryRejected})
 	})
 }
 
-func (f *facts) over(r *root, took time.Duration, how score.End) {
-	f.do(func() {
+func (f *observations) requestEnded(r *clientRequest, took time.Duration, how score.Outcome) {
+	f.locked(func() {
 		id := strconv.Itoa(r.number)
-		f.rec.Note(blackbox.Event{At: r.At + took, What: blackbox.Over, ID: id, Class: r.Class, Budget: took, Ready: how == score.Served})
-		f.score.Over(r.At, took, r.Class, r.Tenant, f.sends[id], how)
-		delete(f.sends, id)
+		f.recorder.Record(blackbox.Event{At: r.At + took, Kind: blackbox.RequestEnded, ID: id, Class: r.Class, Duration: took, Ready: how == score.Served})
+		f.score.RequestEnded(r.At, took, r.Class, r.Tenant, f.attemptsByRequest[id], how)
+		delete(f.attemptsByRequest, id)
 	})
 }
--- a/internal/lab/loopback/operated.go
+++ b/internal/lab/loopback/operated.go
@@ -14,16 +14,16 @@
 	"hookwalk.example/hookwalk/internal/lab/link"
 )
 
-// operated gives a node that operators may call an address of their own, a new one for each process, and one for
-// clients that stays over its lives, as the platform's nodes have them.
-func (p *process) operated() error {
-	if !p.w.s.Fleet.Control {
+// assignAddresses gives a node that operators may call an address of their own, a new one for each process, and one for
+// playClients that stays over its lives, as the platform's nodes have them.
+func (p *process) assignAddresses() error {
+	if !p.world.scenario.Fleet.AdminCalls {
 		return nil
 	}
 	addr := func() (string, error) {
-		addr, err := p.w.given.next(func() (*net.TCPListener, error) { return link.Listen(p.w.opt.Ports, link.ForNode) })
+		addr, err := p.world.addresses.next(func() (*net.TCPListener, error) { return link.Listen(p.world.options.Ports, link.ForNode) })
 		if err != nil {
-			return "", fmt.Errorf("node %s: %w", p.place, err)
+			return "", fmt.Errorf("node %s: %w", p.base, err)
 		}
 		return addr, nil
 	}
@@ -33,27 +33,27 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.control = control
+	p.adminAddr = control
 	if p.addr == "" {
 		if p.addr, err = addr(); err == nil {
-			p.w.given.keep(p.addr)
+			p.world.addresses.reserve(p.addr)
 		}
 	}
 	return err
 }
 
-// given are addresses that processes were told to listen at: nobody listens there yet, or for a while, and nobody else may
+// addresses are addresses that processes were told to listen at: nobody listens there yet, or for a while, and nobody else may
 // be told the same.
-type given struct {
-	mu   sync.Mutex
-	kept map[string]bool // as long as the world
-	last []string        // told last; the older ones listen by now, or have ended
+type addressPool struct {
+	mu       sync.Mutex
+	reserved map[string]bool // as long as the world
+	recent   []string        // told last; the older ones listen by now, or have ended
 }
 
-const lastGiven = 100
+const maxRecent = 100
 
-// next is a free address that was not given lately.
-func (g *given) next(listen func() (*net.TCPListener, error)) (string, error) {
+// lastPicked is a free address that was not given lately.
+func (g *addressPool) next(listen func() (*net.TCPListener, error)) (string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for {
@@ -63,22 +63,22 @@
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if g.kept[addr] || slices.Contains(g.last, addr) {
+		if g.reserved[addr] || slices.Contains(g.recent, addr) {
 			continue
 		}
-		g.last = append(g.last, addr)
-		g.last = g.last[max(0, len(g.last)-lastGiven):]
+		g.recent = append(g.recent, addr)
+		g.recent = g.recent[max(0, len(g.recent)-maxRecent):]
 		return addr, nil
 	}
 }
 
-func (g *given) keep(addr string) {
+func (g *addressPool) reserve(addr string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.kept == nil {
-		g.kept = map[string]bool{}
+	if g.reserved == nil {
+		g.reserved = map[string]bool{}
 	}
-	g.kept[addr] = true
+	g.reserved[addr] = true
 }
 
 // replace has a node's process replaced as operators do it: another one beside it, SIGTERM to the older once the newer
@@ -91,18 +91,18 @@
 	if before == nil || busy {
 		return nil
 	}
-	defer p.replaced()
-	if err := p.operated(); err != nil {
+	defer p.forgetPrevious()
+	if err := p.assignAddresses(); err != nil {
 		return err
 	}
-	cmd, exited, _, err := p.launch(p.w.lists.known(p))
+	cmd, exited, _, err := p.launch(p.world.lists.bootstrapList(p))
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	alive, control := p.cmd == before, p.control
+	alive, control := p.cmd == before, p.adminAddr
 	if alive {
-		p.cmd, p.exited, p.before, p.ended = cmd, exited, before, ended
+		p.cmd, p.exited, p.previous, p.previousExited = cmd, exited, before, ended
 	}
 	p.mu.Unlock()
 	if !alive { // killed meanwhile: the newer one with it
@@ -110,12 +110,12 @@
 		<-exited
 		return nil
 	}
-	late := time.NewTimer(readyWithin)
+	late := time.NewTimer(startTimeout)
 	defer late.Stop()
-	if err := p.ready(ctx, "http://"+control+"/control/ready", exited, late.C); err != nil {
+	if err := p.waitReady(ctx, "http://"+control+"/control/ready", exited, late.C); err != nil {
 		return err
 	}
-	p.w.facts.seen(blackbox.Event{At: p.w.now(), What: blackbox.Heir, Node: name})
+	p.world.observations.record(blackbox.Event{At: p.world.now(), Kind: blackbox.SuccessorReady, Node: name})
 	before.Process.Signal(syscall.SIGTERM) // one that has ended meanwhile needs none
 	select {
 	case <-ended:
@@ -126,37 +126,37 @@
 	alive = p.cmd == cmd && p.name == name
 	p.mu.Unlock()
 	if alive {
-		p.w.sleep(socketSlack) // its last answers are still being read
-		p.w.facts.seen(blackbox.Event{At: p.w.now(), What: blackbox.Exit, Node: name})
+		p.world.sleep(socketSlack) // its last answers are still being read
+		p.world.observations.record(blackbox.Event{At: p.world.now(), Kind: blackbox.NodeExited, Node: name})
 	}
 	return nil
 }
 
-// replaced forgets the older process.
-func (p *process) replaced() {
+// forgetPrevious forgets the older process.
+func (p *process) forgetPrevious() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.before, p.ended, p.replacing = nil, nil, false
+	p.previous, p.previousExited, p.replacing = nil, nil, false
 }
 
 // Replace has a node's process replaced, beside it, by one of the program that all but old builds have.
 func (n *Nodes) Replace(ctx context.Context, i int) error {
 	n.SetProgram(i, nil)
-	return n.w.processes[i].replace(ctx)
+	return n.world.processes[i].replace(ctx)
 }
 
-// Control is a node's name in its present life, and where operators call it; "": it does not run, or takes no calls.
-func (n *Nodes) Control(i int) (life, addr string) {
-	p := n.w.processes[i]
+// AdminAddr is a node's name in its present life, and where operators call it; "": it does not run, or takes no calls.
+func (n *Nodes) AdminAddr(i int) (life, addr string) {
+	p := n.world.processes[i]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return p.name, ""
 	}
-	return p.name, p.control
+	return p.name, p.adminAddr
 }
 
 // SetFolder gives a node a $TMPDIR of its own, from its next process on; starts is told of each process that begins.
 func (n *Nodes) SetFolder(i int, dir string, starts func(*exec.Cmd)) {
-	n.w.processes[i].tmp, n.w.processes[i].starts = dir, starts
+	n.world.processes[i].tempDir, n.world.processes[i].onStart = dir, starts
 }
