--- a/internal/lab/loopback/part.go
+++ b/internal/lab/loopback/part.go
@@ -17,9 +17,9 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Part is what one process has of a world whose boxes, discovery and clients are processes of their own. It plays its
+// Worker is what one process has of a world whose boxes, discovery and clients are processes of their own. It plays its
 // part with the code that plays a whole world; what concerns the others goes over two pipes, a line of JSON each.
-type Part struct {
+type Worker struct {
 	world *World
 	mu    sync.Mutex
 	out   *json.Encoder
@@ -27,62 +27,62 @@
 
 // Message is one line between a part and its parent.
 type Message struct {
-	Do string `json:"do"`
+	Operation string `json:"do"`
 
 	Scenario *scenario.Scenario `json:"scenario,omitempty"` // init
-	Has      string             `json:"has,omitempty"`      // init: boxes, discovery or clients
+	Role     string             `json:"has,omitempty"`      // init: boxes, discovery or clients
 	History  string             `json:"history,omitempty"`  // init: the file
-	Boxes    [][2]int           `json:"boxes,omitempty"`    // init: tier and index of each
+	Servers  [][2]int           `json:"boxes,omitempty"`    // init: tier and index of each
 	Ports    int                `json:"ports,omitempty"`    // init: the rig's block
-	Cold     bool               `json:"cold,omitempty"`     // init: they are down until DoUp
+	Down     bool               `json:"cold,omitempty"`     // init: they are down until DoUp
 
-	Addrs map[string]string            `json:"addrs,omitempty"` // ready: of boxes by id, or of discovery by node
-	Dials map[string]map[string]string `json:"dials,omitempty"` // init of discovery: by node, where it reaches boxes
+	Addresses     map[string]string            `json:"addrs,omitempty"` // ready: of boxes by id, or of discovery by node
+	DialAddresses map[string]map[string]string `json:"dials,omitempty"` // init of discovery: by node, where it reaches boxes
 
-	Place string `json:"place,omitempty"` // life: the node
-	Name  string `json:"name,omitempty"`  // in this life
-	Addr  string `json:"addr,omitempty"`
+	Node string `json:"place,omitempty"` // life: the node
+	Name string `json:"name,omitempty"`  // in this life
+	Addr string `json:"addr,omitempty"`
 
-	Tier   int           `json:"tier,omitempty"` // learn, want, up, down
-	Index  int           `json:"index,omitempty"`
-	Health string        `json:"health,omitempty"`
-	Boot   time.Duration `json:"boot,omitempty"`
-	Wait   time.Duration `json:"wait,omitempty"`
-	Hears  bool          `json:"hears,omitempty"` // hear: the front takes the node for one that serves
+	Tier      int           `json:"tier,omitempty"` // learn, want, up, down
+	Index     int           `json:"index,omitempty"`
+	Health    string        `json:"health,omitempty"`
+	StartTime time.Duration `json:"boot,omitempty"`
+	Delay     time.Duration `json:"wait,omitempty"`
+	Serving   bool          `json:"hears,omitempty"` // hear: the front takes the node for one that serves
 
 	Change *model.Change `json:"change,omitempty"`
 
-	Began time.Duration `json:"began,omitempty"` // play: on the monotonic clock
-	Wall  int64         `json:"wall,omitempty"`
-	Err   string        `json:"err,omitempty"`
+	StartTick time.Duration `json:"began,omitempty"` // play: on the monotonic clock
+	StartWall int64         `json:"wall,omitempty"`
+	Err       string        `json:"err,omitempty"`
 }
 
 // What a Message says. The first lines are the parent's, the last ones a part's.
 const (
-	DoInit   = "init"
-	DoLife   = "life" // a node has begun a life
-	DoHear   = "hear"
-	DoHush   = "hush" // discovery says nothing more on a node's watches, or answers it again
-	DoChange = "change"
-	DoPlay   = "play"
+	OpInit            = "init"
+	OpNodeIncarnation = "life" // a node has begun a life
+	OpNodeServing     = "hear"
+	OpMuteWatches     = "hush" // discovery says nothing more on a node's watches, or answers it again
+	OpChange          = "change"
+	OpPlay            = "play"
 
-	DoReady = "ready" // all that was asked for at the start is there
-	DoLearn = "learn" // both: discovery is to list a box's state after a while
-	DoDown  = "down"  // a box's process has died
-	DoWant  = "want"  // a box starts as soon as its node is ready: the parent answers with DoUp
-	DoUp    = "up"    // both: a box starts, or has started
-	DoDone  = "done"  // the clients have all their answers
+	OpReady         = "ready" // all that was asked for at the start is there
+	OpEndpointState = "learn" // both: discovery is to list a box's state after a while
+	OpServerDied    = "down"  // a box's process has died
+	OpStartNode     = "want"  // a box starts as soon as its node is ready: the parent answers with DoUp
+	OpServerStart   = "up"    // both: a box starts, or has started
+	OpClientsDone   = "done"  // the clients have all their answers
 )
 
-func (p *Part) tell(m Message) {
+func (p *Worker) send(m Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.out.Encode(m) // a parent that is gone has closed the other pipe too
 }
 
-// Lateness tells, until stop, by how much a process of the rig is late, each time that it is worse than before: what is
+// WatchLateness tells, until stop, by how much a process of the rig is late, each time that it is worse than before: what is
 // late then may be the machine's doing.
-func Lateness(stop <-chan struct{}, tell func(late time.Duration)) {
+func WatchLateness(stop <-chan struct{}, tell func(late time.Duration)) {
 	const every, least = 10 * time.Millisecond, 20 * time.Millisecond
 	tick := time.NewTimer(every)
 	defer tick.Stop()
@@ -100,18 +100,18 @@
 	}
 }
 
-// beforePlay is the clock of a part until the play begins: all that it notes so far is noted at 0.
-const beforePlay = time.Duration(1) << 60
+// beforeStart is the clock of a part until the play begins: all that it notes so far is noted at 0.
+const beforeStart = time.Duration(1) << 60
 
-// ServePart plays a part of a world as its parent says, until that closes the pipe or ctx ends.
-func ServePart(ctx context.Context, in io.Reader, out io.Writer) error {
-	p := &Part{out: json.NewEncoder(out)}
+// ServeWorker plays a part of a world as its parent says, until that closes the pipe or ctx ends.
+func ServeWorker(ctx context.Context, in io.Reader, out io.Writer) error {
+	p := &Worker{out: json.NewEncoder(out)}
 	lines := bufio.NewReader(in)
-	first, err := read(lines)
+	first, err := readMessage(lines)
 	if err != nil {
 		return fmt.Errorf("part: %w", err)
 	}
-	if first.Do != DoInit || first.Scenario == nil {
+	if first.Operation != OpInit || first.Scenario == nil {
 		return errors.New("part: the first line is no init")
 	}
 	file, err := os.OpenFile(first.History, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -119,7 +119,7 @@
 		return fmt.Errorf("part: %w", err)
 	}
 	defer file.Close()
-	w, err := newWorld(ctx, first.Scenario, Options{Record: blackbox.Continue(file), Ports: first.Ports})
+	w, err := newWorld(ctx, first.Scenario, Options{Recorder: blackbox.NewHeadlessRecorder(file), Ports: first.Ports})
 	if w.dir != "" {
 		defer os.RemoveAll(w.dir)
 	}
@@ -127,30 +127,30 @@
 	if err != nil {
 		return err
 	}
-	p.world, w.away = w, p
-	w.setClock(beforePlay, time.Now())
-	if first.Began > 0 { // the play has begun without it
-		w.setClock(first.Began, time.Unix(0, first.Wall))
+	p.world, w.worker = w, p
+	w.setClock(beforeStart, time.Now())
+	if first.StartTick > 0 { // the play has begun without it
+		w.setClock(first.StartTick, time.Unix(0, first.StartWall))
 	}
 	if err := p.begin(first); err != nil {
-		p.tell(Message{Do: DoReady, Err: err.Error()})
+		p.send(Message{Operation: OpReady, Err: err.Error()})
 		return err
 	}
 	for {
-		m, err := read(lines)
+		m, err := readMessage(lines)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
 			return fmt.Errorf("part: %w", err)
 		}
-		if err := p.take(m); err != nil {
-			return fmt.Errorf("part: %s: %w", m.Do, err)
+		if err := p.apply(m); err != nil {
+			return fmt.Errorf("part: %s: %w", m.Operation, err)
 		}
 	}
 }
 
-func read(lines *bufio.Reader) (m Message, err error) {
+func readMessage(lines *bufio.Reader) (m Message, err error) {
 	text, err := lines.ReadBytes('\n')
 	if err != nil {
 		return m, err
@@ -158,101 +158,103 @@
 	return m, json.Unmarshal(text, &m)
 }
 
-// begin opens what a part has.
-func (p *Part) begin(m Message) error {
+// startCommand opens what a part has.
+func (p *Worker) begin(m Message) error {
 	w := p.world
-	ready := Message{Do: DoReady, Addrs: map[string]string{}}
-	switch m.Has {
+	ready := Message{Operation: OpReady, Addresses: map[string]string{}}
+	switch m.Role {
 	case "boxes":
-		for _, at := range m.Boxes {
-			b, err := w.box(at[0], at[1])
+		for _, at := range m.Servers {
+			b, err := w.serverAt(at[0], at[1])
 			if err != nil {
 				return err
 			}
-			if m.Cold {
+			if m.Down {
 				b.model.Stop()
 				continue
 			}
 			if err := b.start(); err != nil {
 				return err
 			}
-			ready.Addrs[b.model.ID] = b.addr
+			ready.Addresses[b.model.ID] = b.addr
 		}
 	case "discovery":
 		for _, n := range w.processes {
-			n.dials = m.Dials[n.place]
+			n.dialAddresses = m.DialAddresses[n.base]
 		}
-		w.disc = &discovery{w: w, doors: map[*process]*door{}}
-		if err := w.disc.open(); err != nil {
+		w.discovery = &discovery{world: w, listeners: map[*process]*nodeListener{}}
+		if err := w.discovery.open(); err != nil {
 			return err
 		}
 		for _, n := range w.processes {
-			ready.Addrs[n.place] = w.disc.addr(n)
+			ready.Addresses[n.base] = w.discovery.discoveryAddr(n)
 		}
 	case "clients":
 	default:
-		return fmt.Errorf("there is no part %q", m.Has)
+		return fmt.Errorf("there is no part %q", m.Role)
 	}
-	p.tell(ready)
+	p.send(ready)
 	return nil
 }
 
-// box finds one that exists.
-func (w *World) box(tier, index int) (*box, error) {
-	if tier < 0 || tier >= len(w.boxes) || index < 0 || index >= len(w.boxes[tier]) {
+// server finds one that exists.
+func (w *World) serverAt(tier, index int) (*server, error) {
+	if tier < 0 || tier >= len(w.servers) || index < 0 || index >= len(w.servers[tier]) {
 		return nil, fmt.Errorf("there is no box %d in tier %d", index, tier)
 	}
-	return w.boxes[tier][index], nil
+	return w.servers[tier][index], nil
 }
 
-// take does what the parent says.
-func (p *Part) take(m Message) error {
+// apply does what the parent says.
+func (p *Worker) apply(m Message) error {
 	w := p.world
-	switch m.Do {
-	case DoLife:
+	switch m.Operation {
+	case OpNodeIncarnation:
 		for _, n := range w.processes {
-			if n.place == m.Place {
+			if n.base == m.Node {
 				n.mu.Lock()
 				n.name, n.addr = m.Name, m.Addr
 				n.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second, DisableCompression: true}}
 				n.mu.Unlock()
 			}
 		}
-	case DoHear:
-		if m.Index < 0 || m.Index >= len(w.front.knows) {
+	case OpNodeServing:
+		if m.Index < 0 || m.Index >= len(w.ingress.believedServing) {
 			return errors.New("there is no such node")
 		}
-		w.front.hear(m.Index, m.Hears)
-	case DoHush:
+		w.ingress.setServing(m.Index, m.Serving)
+	case OpMuteWatches:
 		for _, n := range w.processes {
-			if n.place == m.Place {
-				w.disc.hush(n, !m.Hears)
+			if n.base == m.Node {
+				w.discovery.setMuted(n, !m.Serving)
 			}
 		}
-	case DoLearn:
-		b, err := w.box(m.Tier, m.Index)
+	case OpEndpointState:
+		b, err := w.serverAt(m.Tier, m.Index)
 		if err != nil {
 			return err
 		}
-		w.disc.learn(b, m.Health, m.Boot, m.Wait)
-	case DoUp:
-		b, err := w.box(m.Tier, m.Index)
+		w.discovery.updateEndpoint(b, m.Health, m.StartTime, m.Delay)
+	case OpServerStart:
+		b, err := w.serverAt(m.Tier, m.Index)
 		if err != nil {
 			return err
 		}
-		return w.bootNow(b)
-	case DoChange:
-		return w.change(*m.Change)
-	case DoPlay:
-		w.setClock(m.Began, time.Unix(0, m.Wall))
-		w.own(func() {
-			Lateness(w.ctx.Done(), func(late time.Duration) { w.facts.seen(blackbox.Event{At: w.now(), What: blackbox.Late, Budget: late}) })
+		return w.startServer(b)
+	case OpChange:
+		return w.applyChange(*m.Change)
+	case OpPlay:
+		w.setClock(m.StartTick, time.Unix(0, m.StartWall))
+		w.goOwned(func() {
+			WatchLateness(w.ctx.Done(), func(late time.Duration) {
+				w.observations.record(blackbox.Event{At: w.now(), Kind: blackbox.ProcessLate, Duration: late})
+			})
 		})
-		if m.Has == "clients" {
-			w.own(func() {
+		if m.Role == "clients" {
+			w.goOwned(func() {
 				w.sleep(-w.now())
-				w.clients()
-				p.tell(Message{Do: DoDone})
+				w.playClients()
+				p.send(Message{Operation: OpClientsDone})
 			})
 		}
 	default:
--- a/internal/lab/loopback/server.go
+++ b/internal/lab/loopback/server.go
@@ -19,54 +19,54 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// box is a stand-in server: the model's box behind a listener, with faults made on its real connections.
-type box struct {
-	w    *World
-	addr string
-	tier scenario.Tier
-	node *process // through which it calls the next tier; nil: the last tier
+// server is a stand-in server: the model's box behind a listener, with faults made on its real connections.
+type server struct {
+	world *World
+	addr  string
+	tier  scenario.Tier
+	node  *process // through which it calls the next tier; nil: the last tier
 
-	mu     sync.Mutex
-	model  *model.Box
-	ln     *net.TCPListener
-	conns  map[*conn]bool
-	died   chan struct{} // closed when the process ends
-	back   chan struct{} // closed when the machine is on the network again; nil: it is
-	fill   []net.Conn    // of a machine that is cut off: they keep the queue of its listener full
-	timer  *time.Timer
-	broken float64
+	mu          sync.Mutex
+	model       *model.Server
+	listener    *net.TCPListener
+	connections map[*connection]bool
+	died        chan struct{} // closed when the process ends
+	reconnected chan struct{} // closed when the machine is on the network again; nil: it is
+	backlogFill []net.Conn    // of a machine that is cut off: they keep the queue of its listener full
+	timer       *time.Timer
+	brokenShare float64
 }
 
-// conn is one connection from a node.
-type conn struct {
+// connection is one connection from a node.
+type connection struct {
 	net.Conn
 	resetNext bool // under the box's mu
 }
 
-const bodyMost = 64 << 10
+const maxBody = 64 << 10
 
 // start listens; at is where it did before, if it did.
-func (b *box) start() error {
+func (b *server) start() error {
 	addr := b.addr
-	if b.w.away != nil { // its links know where it is: nobody keeps the address of one that is down
+	if b.world.worker != nil { // its links know where it is: nobody keeps the address of one that is down
 		addr = ""
 	}
-	ln, err := b.w.listenAt(addr, link.ForBox)
+	ln, err := b.world.listenAt(addr, link.ForBox)
 	if err != nil {
 		return fmt.Errorf("box %s: %w", b.model.ID, err)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ln, b.addr = ln, ln.Addr().String()
-	b.conns, b.died = map[*conn]bool{}, make(chan struct{})
-	b.w.own(func() { b.accept(b.ln, b.died) })
+	b.listener, b.addr = ln, ln.Addr().String()
+	b.connections, b.died = map[*connection]bool{}, make(chan struct{})
+	b.world.goOwned(func() { b.accept(b.listener, b.died) })
 	return nil
 }
 
 // listenAt listens where something did before, if it did.
 func (w *World) listenAt(addr string, use link.Use) (*net.TCPListener, error) {
 	if addr == "" {
-		return link.Listen(w.opt.Ports, use)
+		return link.Listen(w.options.Ports, use)
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -75,12 +75,12 @@
 	return ln.(*net.TCPListener), nil
 }
 
-func (b *box) accept(ln *net.TCPListener, died chan struct{}) {
+func (b *server) accept(ln *net.TCPListener, died chan struct{}) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) { // cut off: it accepts again when it is back
 			b.mu.Lock()
-			back := b.back
+			back := b.reconnected
 			b.mu.Unlock()
 			if back != nil {
 				select {
@@ -94,20 +94,20 @@
 		if err != nil {
 			return
 		}
-		k := &conn{Conn: c}
+		k := &connection{Conn: c}
 		b.mu.Lock()
-		full := b.model.Conns >= b.model.Kind.Conns
+		full := b.model.Connections >= b.model.Kind.MaxConnections
 		if !full {
-			b.conns[k] = true
-			b.model.Conns++
+			b.connections[k] = true
+			b.model.Connections++
 		}
 		b.mu.Unlock()
 		if full {
 			reset(c)
 			continue
 		}
-		b.w.facts.handshake(b.w.now(), b.model.ID)
-		b.w.own(func() { b.serve(k, died) })
+		b.world.observations.connectionOpened(b.world.now(), b.model.ID)
+		b.world.goOwned(func() { b.serve(k, died) })
 	}
 }
 
@@ -120,19 +120,19 @@
 }
 
 // serve answers a connection's requests, one at a time.
-func (b *box) serve(k *conn, died chan struct{}) {
+func (b *server) serve(k *connection, died chan struct{}) {
 	defer func() {
 		k.Close()
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.conns[k] {
-			delete(b.conns, k)
-			b.model.Conns--
+		if b.connections[k] {
+			delete(b.connections, k)
+			b.model.Connections--
 		}
 	}()
 	br := bufio.NewReader(k)
 	for first := true; ; first = false {
-		k.SetReadDeadline(time.Now().Add(b.w.s.Net.Idle))
+		k.SetReadDeadline(time.Now().Add(b.world.scenario.Network.IdleTimeout))
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
@@ -148,7 +148,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, bodyMost)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
 			return
 		}
 		k.SetReadDeadline(time.Time{})
@@ -160,7 +160,7 @@
 				close(left)
 			}
 		}()
-		goOn := b.answer(k, r, first, left, died)
+		goOn := b.serveRequest(k, r, first, left, died)
 		if !goOn {
 			k.Close()
 			<-read
@@ -168,7 +168,7 @@
 		}
 		select {
 		case <-read: // the next request, or the end
-		case <-time.After(b.w.s.Net.Idle):
+		case <-time.After(b.world.scenario.Network.IdleTimeout):
 			k.Close()
 			<-read
 			return
@@ -180,15 +180,15 @@
 	}
 }
 
-// quiet says that the machine is off the network, and when it will be back.
-func (b *box) quiet() (back chan struct{}) {
+// disconnected says that the machine is off the network, and when it will be back.
+func (b *server) disconnected() (back chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.back
+	return b.reconnected
 }
 
-// silent keeps a connection open without a word while the machine is off the network; then it is reset.
-func silent(k *conn, back, died chan struct{}) {
+// holdUntilReconnected keeps a connection open without a word while the machine is off the network; then it is reset.
+func holdUntilReconnected(k *connection, back, died chan struct{}) {
 	select {
 	case <-back:
 	case <-died:
@@ -196,32 +196,32 @@
 	reset(k.Conn)
 }
 
-// answer serves one request. False: the connection is over.
-func (b *box) answer(k *conn, r *http.Request, first bool, left, died chan struct{}) bool {
-	if back := b.quiet(); back != nil {
-		silent(k, back, died)
+// serveRequest serves one request. False: the connection is over.
+func (b *server) serveRequest(k *connection, r *http.Request, first bool, left, died chan struct{}) bool {
+	if back := b.disconnected(); back != nil {
+		holdUntilReconnected(k, back, died)
 		return false
 	}
 	if r.Header.Get("X-Call-Id") == "" {
-		return respond(k, 404, nil, "no X-Call-Id\n")
+		return writeResponse(k, 404, nil, "no X-Call-Id\n")
 	}
 	v := b.newVisit(r, first)
-	now := b.w.now()
-	v.number = b.w.facts.sent(now, v.from, v.id, b.model.ID, v.root, v.own)
+	now := b.world.now()
+	v.attempt = b.world.observations.attemptArrived(now, v.node, v.id, b.model.ID, v.request, v.ownWork)
 	over := make(chan struct{})
-	b.w.own(func() { // the box may work on for long after the node has given up
+	b.world.goOwned(func() { // the box may work on for long after the node has given up
 		select {
 		case <-left:
-			b.w.facts.ended(b.w.now(), v.from, v.id, v.number, balancer.TimedOut)
-			b.seen(v, blackbox.Event{What: blackbox.Given})
+			b.world.observations.attemptEnded(b.world.now(), v.node, v.id, v.attempt, balancer.TimedOut)
+			b.record(v, blackbox.Event{Kind: blackbox.AttemptCanceled})
 		case <-over:
 		}
 	})
-	status, fell := b.run(v, left, died)
+	status, fell := b.runVisit(v, left, died)
 	close(over)
-	gone := ended(left)
-	if back := b.quiet(); back != nil && status != 0 {
-		silent(k, back, died)
+	gone := isClosed(left)
+	if back := b.disconnected(); back != nil && status != 0 {
+		holdUntilReconnected(k, back, died)
 		return false
 	}
 	ending := balancer.Success
@@ -233,40 +233,40 @@
 	case status != 200:
 		ending = balancer.Failure
 	}
-	b.w.facts.visited(v.job.Given, gone || status == 0)
-	b.w.facts.ended(b.w.now(), v.from, v.id, v.number, ending)
+	b.world.observations.workDone(v.job.WorkDone, gone || status == 0)
+	b.world.observations.attemptEnded(b.world.now(), v.node, v.id, v.attempt, ending)
 	if fell {
-		b.w.crash(b, false)
-		b.w.afterwards(model.FallenFor, func() { b.w.boot(b) })
+		b.world.crashServer(b, false)
+		b.world.afterDelay(model.OverloadDowntime, func() { b.world.bootServer(b) })
 	}
 	b.mu.Lock()
-	broken := b.broken
+	broken := b.brokenShare
 	b.mu.Unlock()
 	switch {
 	case status == 0:
-		b.seen(v, blackbox.Event{What: blackbox.Broke})
+		b.record(v, blackbox.Event{Kind: blackbox.AttemptBroken})
 		reset(k.Conn)
 		return false
-	case status == 200 && broken > 0 && b.w.chance() < broken: // half an answer
-		b.seen(v, blackbox.Event{What: blackbox.Broke})
+	case status == 200 && broken > 0 && b.world.randomFloat() < broken: // half an answer
+		b.record(v, blackbox.Event{Kind: blackbox.AttemptBroken})
 		fmt.Fprintf(k, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"box\":")
 		return false
 	case status == 503:
-		b.seen(v, blackbox.Event{What: blackbox.Reply, Status: 503, Never: true})
-		return respond(k, 503, []string{"X-Rejected: 1"}, "full\n")
+		b.record(v, blackbox.Event{Kind: blackbox.AttemptAnswered, Status: 503, NeverRan: true})
+		return writeResponse(k, 503, []string{"X-Rejected: 1"}, "full\n")
 	}
-	text := fmt.Sprintf("{\"box\":%q,\"class\":%q}\n", b.model.ID, b.w.s.Classes[v.class].Name)
-	b.seen(v, blackbox.Event{What: blackbox.Reply, Status: status, Body: text})
-	return respond(k, status, nil, text)
+	text := fmt.Sprintf("{\"box\":%q,\"class\":%q}\n", b.model.ID, b.world.scenario.Classes[v.class].Name)
+	b.record(v, blackbox.Event{Kind: blackbox.AttemptAnswered, Status: status, Body: text})
+	return writeResponse(k, status, nil, text)
 }
 
-// seen records what a box does with a request.
-func (b *box) seen(v *visit, e blackbox.Event) {
-	e.At, e.Node, e.ID, e.Server = b.w.now(), v.from, v.id, b.model.ID
-	b.w.facts.seen(e)
+// record records what a box does with a request.
+func (b *server) record(v *visit, e blackbox.Event) {
+	e.At, e.Node, e.ID, e.Server = b.world.now(), v.node, v.id, b.model.ID
+	b.world.observations.record(e)
 }
 
-func respond(c net.Conn, status int, headers []string, body string) bool {
+func writeResponse(c net.Conn, status int, headers []string, body string) bool {
 	c.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	for _, h := range headers {
@@ -278,40 +278,40 @@
 
 // visit is one request in the box.
 type visit struct {
-	id, root, from string
-	class          int
-	number         int
-	deadline       time.Duration
-	work           float64
-	own            time.Duration
-	calls          int
-	job            model.Job
-	done           chan struct{}
+	id, request, node string
+	class             int
+	attempt           int
+	deadline          time.Duration
+	workFactor        float64
+	ownWork           time.Duration
+	calls             int
+	job               model.Job
+	done              chan struct{}
 }
 
 // newVisit reads what a request says of itself. A person's own may lack most of it.
-func (b *box) newVisit(r *http.Request, first bool) *visit {
+func (b *server) newVisit(r *http.Request, first bool) *visit {
 	q := r.URL.Query()
-	v := &visit{id: r.Header.Get("X-Call-Id"), root: q.Get("root"), from: q.Get("node"), work: 1, done: make(chan struct{}, 1)}
-	for i, c := range b.w.s.Classes {
+	v := &visit{id: r.Header.Get("X-Call-Id"), request: q.Get("root"), node: q.Get("node"), workFactor: 1, done: make(chan struct{}, 1)}
+	for i, c := range b.world.scenario.Classes {
 		if c.Name == r.Header.Get("X-Call-Class") {
 			v.class = i
 		}
 	}
 	if f, err := strconv.ParseFloat(q.Get("work"), 64); err == nil && f > 0 && f < 1e6 {
-		v.work = f
+		v.workFactor = f
 	}
-	left := b.w.s.Classes[v.class].Deadline
+	left := b.world.scenario.Classes[v.class].Deadline
 	if us, err := strconv.ParseInt(trimUnit(r.Header.Get("X-Budget")), 10, 64); err == nil {
 		left = time.Duration(us) * time.Microsecond
 	}
-	v.deadline = b.w.now() + left
-	f := v.work * b.w.tail(v.class)
-	v.own = time.Duration(f * b.tier.Work * float64(b.w.s.Classes[v.class].Work))
-	v.job.Work = v.own
+	v.deadline = b.world.now() + left
+	f := v.workFactor * b.world.workFactor(v.class)
+	v.ownWork = time.Duration(f * b.tier.Work * float64(b.world.scenario.Classes[v.class].Work))
+	v.job.Work = v.ownWork
 	if b.node != nil {
 		v.calls = int(b.tier.Calls)
-		if b.w.chance() < b.tier.Calls-float64(v.calls) {
+		if b.world.randomFloat() < b.tier.Calls-float64(v.calls) {
 			v.calls++
 		}
 	}
@@ -319,7 +319,7 @@
 		v.job.Work /= 2
 	}
 	if first {
-		v.job.Work += b.model.Kind.Handshake
+		v.job.Work += b.model.Kind.HandshakeWork
 	}
 	v.job.Owner = v
 	return v
@@ -333,60 +333,60 @@
 	return s
 }
 
-// run takes a visit through the box. Status 0: the process died under it.
-func (b *box) run(v *visit, left, died chan struct{}) (status int, fell bool) {
+// runVisit takes a visit through the box. Status 0: the process died under it.
+func (b *server) runVisit(v *visit, left, died chan struct{}) (status int, fell bool) {
 	b.mu.Lock()
-	now := b.w.now()
-	if ended(died) { // read by a process that is gone: it must not take a slot of the next one
+	now := b.world.now()
+	if isClosed(died) { // read by a process that is gone: it must not take a slot of the next one
 		b.mu.Unlock()
 		return 0, false
 	}
-	if b.model.Sent(now, v.own) {
+	if b.model.RecordArrival(now, v.ownWork) {
 		b.mu.Unlock()
-		b.w.facts.fell(now, v.from, v.id, b.model.ID)
+		b.world.observations.serverOverloaded(now, v.node, v.id, b.model.ID)
 		return 0, true
 	}
-	if !b.model.Offer(now, &v.job) {
+	if !b.model.Admit(now, &v.job) {
 		b.mu.Unlock()
 		return 503, false
 	}
-	b.w.facts.ran(now, v.from, v.id, b.model.ID)
-	b.look()
+	b.world.observations.attemptExecuted(now, v.node, v.id, b.model.ID)
+	b.scheduleCompletion()
 	b.mu.Unlock()
-	if !b.stretch(v, left, died) {
+	if !b.waitForStage(v, left, died) {
 		return 0, false
 	}
 	status = 200
 	for range v.calls {
-		if !b.node.ask(v) {
+		if !b.node.callNextTier(v) {
 			status = 500
 			break
 		}
 	}
 	if v.calls > 0 && status == 200 {
 		b.mu.Lock()
-		b.model.Resume(b.w.now(), &v.job, v.own/2)
-		b.look()
+		b.model.Resume(b.world.now(), &v.job, v.ownWork/2)
+		b.scheduleCompletion()
 		b.mu.Unlock()
-		if !b.stretch(v, nil, died) {
+		if !b.waitForStage(v, nil, died) {
 			return 0, false
 		}
 	}
 	b.mu.Lock()
-	b.model.Leave(b.w.now(), &v.job)
-	b.look()
+	b.model.Release(b.world.now(), &v.job)
+	b.scheduleCompletion()
 	b.mu.Unlock()
-	if ended(died) { // the calls failed because the node died with its box
+	if isClosed(died) { // the calls failed because the node died with its box
 		return 0, false
 	}
-	if status == 200 && b.model.Kind.ErrorRate > 0 && b.w.chance() < b.model.Kind.ErrorRate {
+	if status == 200 && b.model.Kind.ErrorRate > 0 && b.world.randomFloat() < b.model.Kind.ErrorRate {
 		status = 500
 	}
 	return status, false
 }
 
-// ended says that a channel is closed.
-func ended(c chan struct{}) bool {
+// isClosed says that a channel is closed.
+func isClosed(c chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -395,9 +395,9 @@
 	}
 }
 
-// stretch waits until the present stretch of work is done. False: the process died, or the visit was given up
+// waitForStage waits until the present stretch of work is done. False: the process died, or the visit was given up
 // while it waited.
-func (b *box) stretch(v *visit, left, died chan struct{}) bool {
+func (b *server) waitForStage(v *visit, left, died chan struct{}) bool {
 	for {
 		select {
 		case <-v.done:
@@ -407,8 +407,8 @@
 		case <-left:
 			left = nil
 			b.mu.Lock()
-			given := b.model.GiveUp(b.w.now(), &v.job)
-			b.look()
+			given := b.model.CancelQueued(b.world.now(), &v.job)
+			b.scheduleCompletion()
 			b.mu.Unlock()
 			if given {
 				return false
@@ -417,13 +417,13 @@
 	}
 }
 
-// look plans the next completion. The caller holds mu.
-func (b *box) look() {
-	at, ok := b.model.Next(b.w.now())
+// scheduleCompletion plans the next completion. The caller holds mu.
+func (b *server) scheduleCompletion() {
+	at, ok := b.model.NextCompletion(b.world.now())
 	if !ok {
 		return
 	}
-	wait := at - b.w.now()
+	wait := at - b.world.now()
 	if b.timer != nil {
 		b.timer.Reset(wait)
 		return
@@ -431,71 +431,71 @@
 	b.timer = time.AfterFunc(wait, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for _, j := range b.model.Done(b.w.now()) {
+		for _, j := range b.model.Completed(b.world.now()) {
 			j.Owner.(*visit).done <- struct{}{}
 		}
-		b.look()
+		b.scheduleCompletion()
 	})
 }
 
 // stop ends the process: its connections are reset and new ones refused.
-func (b *box) stop() {
+func (b *server) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.model.State == model.Down || b.ln == nil { // or it is another process's
+	if b.model.State == model.Down || b.listener == nil { // or it is another process's
 		return
 	}
-	b.rejoin()
+	b.reconnect()
 	b.model.Stop()
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	b.ln.Close()
+	b.listener.Close()
 	close(b.died)
-	for k := range b.conns {
+	for k := range b.connections {
 		reset(k.Conn)
 	}
-	b.conns = map[*conn]bool{}
+	b.connections = map[*connection]bool{}
 }
 
-// cut takes the machine off the network. What is sent to it stays unanswered; to have new connections never come
+// disconnect takes the machine off the network. What is sent to it stays unanswered; to have new connections never come
 // up, the listener's queue is made short and kept full.
-func (b *box) cut() error {
+func (b *server) disconnect() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.model.State == model.Down || b.back != nil {
+	if b.model.State == model.Down || b.reconnected != nil {
 		return nil
 	}
-	b.back, b.model.Cut = make(chan struct{}), true
-	fill, err := link.Hush(b.ln)
+	b.reconnected, b.model.Unreachable = make(chan struct{}), true
+	fill, err := link.Hush(b.listener)
 	if err != nil {
 		return fmt.Errorf("box %s: cut off: %w", b.model.ID, err)
 	}
-	b.fill = fill
+	b.backlogFill = fill
 	return nil
 }
 
-// rejoin puts it back: connections of the time before are reset. The caller holds mu.
-func (b *box) rejoin() {
-	if b.back == nil {
+// reconnect puts it back: connections of the time before are reset. The caller holds mu.
+func (b *server) reconnect() {
+	if b.reconnected == nil {
 		return
 	}
-	for _, c := range b.fill {
+	for _, c := range b.backlogFill {
 		reset(c)
 	}
-	b.fill, b.model.Cut = nil, false
-	link.Backlog(b.ln, 1024)
-	b.ln.SetDeadline(time.Time{})
-	close(b.back)
-	b.back = nil
+	b.backlogFill, b.model.Unreachable = nil, false
+	link.Backlog(b.listener, 1024)
+	b.listener.SetDeadline(time.Time{})
+	close(b.reconnected)
+	b.reconnected = nil
 }
 
-// resetKept marks connections to be reset when they are next used.
-func (b *box) resetKept(share float64) {
+// resetIdle marks connections to be reset when they are next used.
+func (b *server) resetIdle(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for k := range b.conns {
-		if b.w.chance() < share {
+	for k := range b.connections {
+		if b.world.randomFloat() < share {
 			k.resetNext = true
 		}
 	}
--- a/internal/lab/loopback/server_test.go
+++ b/internal/lab/loopback/server_test.go
@@ -18,8 +18,8 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// boxOf is a lone box that listens, and its world.
-func boxOf(t *testing.T) *box {
+// newTestServer is a lone box that listens, and its world.
+func newTestServer(t *testing.T) *server {
 	t.Helper()
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
 tier "t" { kind "k" { slots = 1 queue = 0 conns = 5 handshake_us = 0 } }
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &World{s: s, facts: newFacts(s), rng: model.Stream(1, "test", 0), tails: make([]tail, 2)}
+	w := &World{scenario: s, observations: newObservations(s), rng: model.Stream(1, "test", 0), heavyTails: make([]heavyTail, 2)}
 	w.restartClock()
-	w.ctx, w.end = context.WithCancelCause(context.Background())
-	b := &box{w: w, tier: s.Tiers[0], model: model.NewBox("s-1", 0, 0, &s.Tiers[0].Kinds[0], s.Rules)}
-	w.boxes = [][]*box{{b}}
+	w.ctx, w.cancel = context.WithCancelCause(context.Background())
+	b := &server{world: w, tier: s.Tiers[0], model: model.NewServer("s-1", 0, 0, &s.Tiers[0].Kinds[0], s.Rules)}
+	w.servers = [][]*server{{b}}
 	if err := b.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -40,28 +40,28 @@
 	return b
 }
 
-// peer is a connection to the box, as a node has it.
-type peer struct {
+// testClient is a connection to the box, as a node has it.
+type testClient struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-func dial(t *testing.T, b *box) *peer {
+func dial(t *testing.T, b *server) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-func (p *peer) send(class string) {
+func (p *testClient) send(class string) {
 	fmt.Fprintf(p, "GET /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Call-Class: %s\r\nX-Budget: 900000u\r\n\r\n", class)
 }
 
-// answer is the status of the next answer and what ended it early.
-func (p *peer) answer() (int, error) {
+// serveRequest is the status of the next answer and what ended it early.
+func (p *testClient) answer() (int, error) {
 	r, err := http.ReadResponse(p.br, nil)
 	if err != nil {
 		return 0, err
@@ -70,7 +70,7 @@
 	return r.StatusCode, err
 }
 
-func (p *peer) wants(t *testing.T, class string, status int) {
+func (p *testClient) expect(t *testing.T, class string, status int) {
 	t.Helper()
 	p.send(class)
 	if got, err := p.answer(); got != status || err != nil {
@@ -79,24 +79,24 @@
 }
 
 func TestBoxAnswersAndTurnsAway(t *testing.T) {
-	b := boxOf(t)
+	b := newTestServer(t)
 	p := dial(t, b)
-	p.wants(t, "c", 200)
-	p.wants(t, "c", 200)
-	b.set(func() { // its one slot is taken
-		if !b.model.Offer(b.w.now(), &model.Job{Work: time.Hour}) {
+	p.expect(t, "c", 200)
+	p.expect(t, "c", 200)
+	b.locked(func() { // its one slot is taken
+		if !b.model.Admit(b.world.now(), &model.Job{Work: time.Hour}) {
 			t.Error("no room")
 		}
 	})
-	p.wants(t, "c", 503)
-	b.set(func() { b.model.State = model.Draining })
-	p.wants(t, "c", 503)
+	p.expect(t, "c", 503)
+	b.locked(func() { b.model.State = model.Draining })
+	p.expect(t, "c", 503)
 }
 
 func TestBoxDies(t *testing.T) {
-	b := boxOf(t)
+	b := newTestServer(t)
 	p := dial(t, b)
-	p.wants(t, "c", 200)
+	p.expect(t, "c", 200)
 	p.send("long") // it may be in the box by then, or still on its way: either ends in a reset
 	b.stop()
 	if _, err := p.answer(); !errors.Is(err, syscall.ECONNRESET) {
@@ -105,19 +105,19 @@
 	if _, err := net.Dial("tcp", b.addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new one: %v, want it refused", err)
 	}
-	b.model.Start(b.w.now())
+	b.model.Start(b.world.now())
 	if err := b.start(); err != nil {
 		t.Fatal(err)
 	}
-	dial(t, b).wants(t, "c", 200)
+	dial(t, b).expect(t, "c", 200)
 }
 
 // A machine that is cut off says nothing on old connections and lets no new one come up; back, it resets the old.
 func TestBoxIsCutOff(t *testing.T) {
-	b := boxOf(t)
+	b := newTestServer(t)
 	p := dial(t, b)
-	p.wants(t, "c", 200)
-	if err := b.cut(); err != nil {
+	p.expect(t, "c", 200)
+	if err := b.disconnect(); err != nil {
 		t.Fatal(err)
 	}
 	p.send("c")
@@ -129,36 +129,36 @@
 		c.Close()
 		t.Error("a new connection came up")
 	}
-	b.set(b.rejoin)
+	b.locked(b.reconnect)
 	p.SetReadDeadline(time.Time{})
 	if _, err := p.br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("back again: %v, want a reset", err)
 	}
-	dial(t, b).wants(t, "c", 200)
+	dial(t, b).expect(t, "c", 200)
 }
 
 func TestBoxResetsAndBreaks(t *testing.T) {
-	b := boxOf(t)
+	b := newTestServer(t)
 	p := dial(t, b)
-	p.wants(t, "c", 200)
-	b.resetKept(1)
+	p.expect(t, "c", 200)
+	b.resetIdle(1)
 	p.send("c")
 	if _, err := p.answer(); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
 		t.Errorf("a kept connection: %v, want a reset", err)
 	}
-	b.set(func() { b.broken = 1 })
+	b.locked(func() { b.brokenShare = 1 })
 	q := dial(t, b)
 	q.send("c")
 	if status, err := q.answer(); status != 200 || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a broken answer: %d, %v, want half of it", status, err)
 	}
-	b.set(func() { b.broken = 0 })
+	b.locked(func() { b.brokenShare = 0 })
 	for range 20 { // more than it may hold at once
 		c := dial(t, b)
-		c.wants(t, "c", 200)
+		c.expect(t, "c", 200)
 		c.Close()
 		for open := 1; open > 0; { // the box notices by itself
-			b.set(func() { open = len(b.conns) })
+			b.locked(func() { open = len(b.connections) })
 		}
 	}
 }
@@ -174,11 +174,11 @@
 			return
 		}
 		s := &scenario.Scenario{Classes: []scenario.Class{{Name: "c", Work: time.Millisecond, Deadline: time.Second}}}
-		w := &World{s: s, rng: model.Stream(1, "test", 0), tails: make([]tail, 1)}
+		w := &World{scenario: s, rng: model.Stream(1, "test", 0), heavyTails: make([]heavyTail, 1)}
 		w.restartClock()
-		kind := &scenario.Kind{}
-		v := (&box{w: w, tier: scenario.Tier{Work: 1}, model: model.NewBox("s-1", 0, 0, kind, s.Rules)}).newVisit(r, true)
-		if v.own < 0 || v.own > 1e6*time.Millisecond || v.class != 0 {
+		kind := &scenario.ServerKind{}
+		v := (&server{world: w, tier: scenario.Tier{Work: 1}, model: model.NewServer("s-1", 0, 0, kind, s.Rules)}).newVisit(r, true)
+		if v.ownWork < 0 || v.ownWork > 1e6*time.Millisecond || v.class != 0 {
 			t.Errorf("%q: took %+v", text, v)
 		}
 	})
--- a/internal/lab/loopback/violator_test.go
+++ b/internal/lab/loopback/violator_test.go
@@ -15,7 +15,7 @@
 
 // TestMain lets the test binary stand in for a node that breaks a rule.
 func TestMain(m *testing.M) {
-	if fault := os.Getenv(violator.Variable); fault != "" {
+	if fault := os.Getenv(violator.FaultVariable); fault != "" {
 		if err := violator.Serve(fault); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
@@ -27,11 +27,11 @@
 // On sockets too each fault of a node is named for what it is.
 func TestAuditorSeesRoguesOnSockets(t *testing.T) {
 	for fault, want := range map[string][]checker.Rule{
-		violator.MadeUp:        {checker.MadeUp},
-		violator.NoAnswer:      {checker.Lost},
-		violator.TwoAtOnce:     {checker.OneOut, checker.NoSecondRun},
-		violator.AgainAndAgain: {checker.MostSends, checker.NoSecondRun},
-		violator.RefusedRun:    {checker.Harmless},
+		violator.FabricatedAnswer: {checker.GenuineAnswer},
+		violator.NoAnswer:         {checker.NothingLost},
+		violator.ParallelAttempts: {checker.OneAttempt, checker.NoSecondRun},
+		violator.TooManyAttempts:  {checker.AttemptLimit, checker.NoSecondRun},
+		violator.RejectAfterRun:   {checker.SafeRejection},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, err := Up(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + fault}})
+			w, err := Up(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + fault}})
 			defer w.Down(false)
 			if err != nil {
 				t.Fatal(err)
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := Up(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.Variable + "=" + violator.MadeUp}})
+	w, err := Up(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + violator.FabricatedAnswer}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/model/arrivals.go
+++ b/internal/lab/model/arrivals.go
@@ -23,12 +23,12 @@
 
 // Arrival is a client's first try.
 type Arrival struct {
-	At     time.Duration
-	Class  int
-	Tenant int
-	Work   float64 // factor on the class's mean work
-	Honour bool    // its client waits as long as it is told
-	Leaves float64 // part of its time after which an impatient client leaves; 0: it stays
+	At                time.Duration
+	Class             int
+	Tenant            int
+	Work              float64 // factor on the class's mean work
+	HonoursRetryAfter bool    // its client waits as long as it is told
+	LeavesAfter       float64 // part of its time after which an impatient client leaves; 0: it stays
 }
 
 // Arrivals draws first tries, one after another. They don't wait for answers.
@@ -63,18 +63,18 @@
 
 // Draw is an arrival at a time, whatever the process: closed loops take theirs from here.
 func (a *Arrivals) Draw(at time.Duration) Arrival {
-	c := pick(a.rng, a.classes)
-	cv := a.s.Classes[c].CV
+	c := pickByShare(a.rng, a.classes)
+	cv := a.s.Classes[c].WorkVariation
 	sigma := math.Sqrt(math.Log1p(cv * cv))
-	v := Arrival{At: at, Class: c, Tenant: pick(a.rng, a.tenants),
-		Work: math.Exp(sigma*a.rng.NormFloat64() - sigma*sigma/2), Honour: a.rng.Float64() < a.s.Clients.Honour}
-	if a.rng.Float64() < a.s.Clients.Impatient {
-		v.Leaves = 0.05 + 0.9*a.rng.Float64()
+	v := Arrival{At: at, Class: c, Tenant: pickByShare(a.rng, a.tenants),
+		Work: math.Exp(sigma*a.rng.NormFloat64() - sigma*sigma/2), HonoursRetryAfter: a.rng.Float64() < a.s.Clients.HonourRetryAfter}
+	if a.rng.Float64() < a.s.Clients.ImpatientShare {
+		v.LeavesAfter = 0.05 + 0.9*a.rng.Float64()
 	}
 	return v
 }
 
-// Next is the next arrival after the one before. False: there are no more.
+// NextCompletion is the next arrival after the one before. False: there are no more.
 func (a *Arrivals) Next() (Arrival, bool) {
 	if a.s.Clients.Arrivals == "recorded" {
 		if len(a.recorded) == 0 {
@@ -95,7 +95,7 @@
 	return a.Draw(a.now), true
 }
 
-func pick(rng *rand.Rand, shares []float64) int {
+func pickByShare(rng *rand.Rand, shares []float64) int {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s
@@ -111,7 +111,7 @@
 
 // readRecorded reads a line of JSON for each arrival, in the order of their times.
 func readRecorded(s *scenario.Scenario) (list []Arrival, err error) {
-	f, err := os.Open(s.Clients.File)
+	f, err := os.Open(s.Clients.ArrivalsFile)
 	if err != nil {
 		return nil, fmt.Errorf("recorded arrivals: %w", err)
 	}
@@ -126,9 +126,9 @@
 			Honour bool    `json:"honour"`
 		}
 		if err := json.Unmarshal(lines.Bytes(), &v); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", s.Clients.File, n, err)
+			return nil, fmt.Errorf("%s:%d: %w", s.Clients.ArrivalsFile, n, err)
 		}
-		a := Arrival{At: time.Duration(v.AtMS * float64(time.Millisecond)), Work: v.Work, Honour: v.Honour,
+		a := Arrival{At: time.Duration(v.AtMS * float64(time.Millisecond)), Work: v.Work, HonoursRetryAfter: v.Honour,
 			Class:  slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == v.Class }),
 			Tenant: slices.IndexFunc(s.Tenants, func(t scenario.Tenant) bool { return t.Name == v.Tenant })}
 		last := time.Duration(0)
@@ -136,12 +136,12 @@
 			last = list[len(list)-1].At
 		}
 		if a.Class < 0 || a.Tenant < 0 || a.At < last || !(a.Work > 0 && a.Work < 1e6) {
-			return nil, fmt.Errorf("%s:%d: class, tenant, work or the order of times is wrong", s.Clients.File, n)
+			return nil, fmt.Errorf("%s:%d: class, tenant, work or the order of times is wrong", s.Clients.ArrivalsFile, n)
 		}
 		list = append(list, a)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Clients.File, err)
+		return nil, fmt.Errorf("%s: %w", s.Clients.ArrivalsFile, err)
 	}
 	return list, nil
 }
--- a/internal/lab/model/faultschedule.go
+++ b/internal/lab/model/faultschedule.go
@@ -8,21 +8,21 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Upset is a trouble between processes, which only a fleet of them can have.
-type Upset struct {
-	scenario.Trouble
+// ProcessFault is a trouble between processes, which only a fleet of them can have.
+type ProcessFault struct {
+	scenario.Fault
 	From, To time.Duration
-	Who      []int // a number of the front's nodes, or of the processes that have a tier's boxes; of discovery: 0; by hand: box and tier
+	Targets  []int // a number of the front's nodes, or of the processes that have a tier's boxes; of discovery: 0; by hand: box and tier
 }
 
-// Upsets are those of a scenario's troubles, in the order of the file. Whom they meet is drawn from the seed.
-func Upsets(s *scenario.Scenario) (list []Upset, err error) {
-	for n, t := range s.Troubles {
-		if !slices.Contains(scenario.FleetKinds, t.Kind) {
+// ProcessFaults are those of a scenario's troubles, in the order of the file. Whom they meet is drawn from the seed.
+func ProcessFaults(s *scenario.Scenario) (list []ProcessFault, err error) {
+	for n, t := range s.Faults {
+		if !slices.Contains(scenario.ProcessFaultKinds, t.Kind) {
 			continue
 		}
 		rng := Stream(s.Seed, "upset", n)
-		who := t.Who
+		who := t.Target
 		if t.Kind == "box_kill" {
 			who = "boxes"
 		}
@@ -30,26 +30,26 @@
 		tier := slices.IndexFunc(s.Tiers, func(k scenario.Tier) bool { return k.Name == t.Tier })
 		switch {
 		case t.Kind == "hand":
-			who, count = "boxes", s.Tiers[tier].Boxes()
+			who, count = "boxes", s.Tiers[tier].ServerCount()
 		case t.Kind == "upgrade", t.Kind == "hush": // those beside boxes too
-			who, count = "nodes", s.Front.Nodes
+			who, count = "nodes", s.Ingress.Nodes
 			for _, tier := range s.Tiers[:len(s.Tiers)-1] {
-				count += tier.Boxes()
+				count += tier.ServerCount()
 			}
 		case who == "nodes":
-			count = s.Front.Nodes
+			count = s.Ingress.Nodes
 		case who == "boxes":
-			count = (s.Tiers[tier].Boxes() + s.Fleet.BoxesPer - 1) / s.Fleet.BoxesPer
+			count = (s.Tiers[tier].ServerCount() + s.Fleet.ServersPerProcess - 1) / s.Fleet.ServersPerProcess
 		}
-		if t.Whom == who && !slices.Contains([]string{"stall", "box_kill", "upgrade", "hand", "hush"}, t.Kind) {
-			return nil, fmt.Errorf("%s: %s and %s have no link", t.Pos, t.Who, t.Whom)
+		if t.Peer == who && !slices.Contains([]string{"stall", "box_kill", "upgrade", "hand", "hush"}, t.Kind) {
+			return nil, fmt.Errorf("%s: %s and %s have no link", t.Position, t.Target, t.Peer)
 		}
-		t.Who = who
-		for _, i := range part(rng, count, t.Part) {
+		t.Target = who
+		for _, i := range drawShare(rng, count, t.TargetShare) {
 			at := t.At + time.Duration(rng.Float64()*float64(t.Spread))
-			u := Upset{Trouble: t, From: at, To: at + t.Length, Who: []int{i}}
+			u := ProcessFault{Fault: t, From: at, To: at + t.Duration, Targets: []int{i}}
 			if t.Kind == "hand" {
-				u.Who = append(u.Who, tier)
+				u.Targets = append(u.Targets, tier)
 			}
 			list = append(list, u)
 		}
@@ -57,11 +57,11 @@
 	return list, nil
 }
 
-// WithoutUpsets is a scenario with the troubles that every way of playing knows.
-func WithoutUpsets(s *scenario.Scenario) *scenario.Scenario {
+// WithoutProcessFaults is a scenario with the troubles that every way of playing knows.
+func WithoutProcessFaults(s *scenario.Scenario) *scenario.Scenario {
 	c := *s
-	c.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t scenario.Trouble) bool {
-		return slices.Contains(scenario.FleetKinds, t.Kind)
+	c.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(t scenario.Fault) bool {
+		return slices.Contains(scenario.ProcessFaultKinds, t.Kind)
 	})
 	return &c
 }
--- a/internal/lab/model/faultschedule_test.go
+++ b/internal/lab/model/faultschedule_test.go
@@ -33,35 +33,35 @@
 trouble "cut" { who = "discovery" whom = "nodes" part = 1 }
 trouble "kill" { at_s = 1 length_s = 2 part = 0.7 spread_s = 0.4 }`
 	s := parsed(t, text)
-	first, err := Upsets(s)
+	first, err := ProcessFaults(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := Upsets(parsed(t, text))
+	again, _ := ProcessFaults(parsed(t, text))
 	if !reflect.DeepEqual(first, again) {
 		t.Error("two draws of one seed differ")
 	}
 	s.Seed = 4
-	if other, _ := Upsets(s); reflect.DeepEqual(first, other) {
+	if other, _ := ProcessFaults(s); reflect.DeepEqual(first, other) {
 		t.Error("another seed draws the same")
 	}
 	counts := map[string]int{}
 	for _, u := range first {
 		counts[u.Kind]++
-		if u.From < u.At || u.From > u.At+u.Spread || u.To-u.From != u.Length {
+		if u.From < u.At || u.From > u.At+u.Spread || u.To-u.From != u.Duration {
 			t.Errorf("%s from %v to %v", u.Kind, u.From, u.To)
 		}
 	}
 	if !reflect.DeepEqual(counts, map[string]int{"stall": 5, "box_kill": 2, "cut": 1}) {
 		t.Errorf("met: %v", counts)
 	}
-	changes, err := Troubles(WithoutUpsets(s))
+	changes, err := WorldChanges(WithoutProcessFaults(s))
 	if err != nil {
 		t.Fatal(err)
 	}
 	kills := map[int]time.Duration{}
 	for _, c := range changes {
-		switch c.What {
+		switch c.Kind {
 		case NodeKill:
 			kills[c.Index] = c.At
 		case NodeStart:
@@ -90,13 +90,13 @@
 trouble "discovery_down" { at_s = 4 length_s = 3 }
 trouble "discovery_down" { at_s = 8 length_s = 1 }`: "discovery down 1s, discovery up 7s, discovery down 8s, discovery up 9s",
 	} {
-		changes, err := Troubles(parsed(t, text))
+		changes, err := WorldChanges(parsed(t, text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []string
 		for _, c := range changes {
-			got = append(got, c.What.String()+" "+c.At.String())
+			got = append(got, c.Kind.String()+" "+c.At.String())
 		}
 		if strings.Join(got, ", ") != want {
 			t.Errorf("%s: %v", text, got)
@@ -106,19 +106,19 @@
 
 // An upgrade meets all nodes, those beside boxes included.
 func TestUpgradeMeetsAllNodes(t *testing.T) {
-	if list, err := Upsets(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
+	if list, err := ProcessFaults(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
 		t.Errorf("%d nodes are replaced, %v", len(list), err)
 	}
 }
 
-// What needs processes is no trouble of virtual time, and a link that is not there can't be cut.
+// Kind needs processes is no trouble of virtual time, and a link that is not there can't be cut.
 func TestUpsetsElsewhere(t *testing.T) {
-	for _, kind := range scenario.FleetKinds {
-		if _, err := Troubles(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
+	for _, kind := range scenario.ProcessFaultKinds {
+		if _, err := WorldChanges(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
 			t.Errorf("%s in virtual time: %v", kind, err)
 		}
 	}
-	if _, err := Upsets(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
+	if _, err := ProcessFaults(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
 		t.Error("boxes are cut from boxes")
 	}
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -13,42 +13,42 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-func kind() *scenario.Kind {
-	return &scenario.Kind{Cores: 2, Speed: 2, Slots: 4, Queue: 2, ThrashAt: 4, Thrash: 1, ColdFrom: 0.5, Cold: 10 * time.Second, Cancels: true}
+func kind() *scenario.ServerKind {
+	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, CrowdedAbove: 4, CrowdingLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
 }
 
-// drain plays a box until nothing runs and returns when each job was done.
-func drain(b *Box, now time.Duration, jobs []*Job) map[*Job]time.Duration {
+// playToEnd plays a box until nothing runs and returns when each job was done.
+func playToEnd(b *Server, now time.Duration, jobs []*Job) map[*Job]time.Duration {
 	done := map[*Job]time.Duration{}
 	for {
-		at, ok := b.Next(now)
+		at, ok := b.NextCompletion(now)
 		if !ok {
 			return done
 		}
 		now = at
-		for _, j := range b.Done(now) {
+		for _, j := range b.Completed(now) {
 			done[j] = now
-			b.Leave(now, j)
+			b.Release(now, j)
 		}
 	}
 }
 
-func near(a, b time.Duration) bool { return (a - b).Abs() <= time.Microsecond }
+func almostEqual(a, b time.Duration) bool { return (a - b).Abs() <= time.Microsecond }
 
 // Two cores of speed 2: one or two jobs of 100 ms take 50 ms, three take 75, each alike.
 func TestCoresAreShared(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 50 * time.Millisecond, 2: 50 * time.Millisecond, 3: 75 * time.Millisecond} {
-		b := NewBox("b", 0, 0, kind(), scenario.Rules{})
+		b := NewServer("b", 0, 0, kind(), scenario.Rules{})
 		var jobs []*Job
 		for range n {
 			j := &Job{Work: 100 * time.Millisecond}
-			if !b.Offer(0, j) {
+			if !b.Admit(0, j) {
 				t.Fatal("no room")
 			}
 			jobs = append(jobs, j)
 		}
-		for _, at := range drain(b, 0, jobs) {
-			if !near(at, want) {
+		for _, at := range playToEnd(b, 0, jobs) {
+			if !almostEqual(at, want) {
 				t.Errorf("%d jobs: done at %v, want %v", n, at, want)
 			}
 		}
@@ -56,46 +56,46 @@
 }
 
 func TestRoomAndThrashing(t *testing.T) {
-	b := NewBox("b", 0, 0, kind(), scenario.Rules{})
+	b := NewServer("b", 0, 0, kind(), scenario.Rules{})
 	var jobs []*Job
 	for range 7 {
 		j := &Job{Work: 100 * time.Millisecond}
-		if b.Offer(0, j) {
+		if b.Admit(0, j) {
 			jobs = append(jobs, j)
 		}
 	}
-	if len(jobs) != 6 || b.Held() != 6 {
+	if len(jobs) != 6 || b.InFlight() != 6 {
 		t.Fatalf("took %d, want its slots and its waiting room: 6", len(jobs))
 	}
 	// Four run on two cores at half speed, and six held where four are no crowd cost a factor of 1.5.
-	at, _ := b.Next(0)
-	if want := 150 * time.Millisecond; !near(at, want) {
+	at, _ := b.NextCompletion(0)
+	if want := 150 * time.Millisecond; !almostEqual(at, want) {
 		t.Errorf("the first is done at %v, want %v", at, want)
 	}
-	if !b.GiveUp(0, jobs[5]) || b.GiveUp(0, jobs[0]) || b.Held() != 5 {
+	if !b.CancelQueued(0, jobs[5]) || b.CancelQueued(0, jobs[0]) || b.InFlight() != 5 {
 		t.Error("one that waits can be given up, one that runs can't")
 	}
 	b.State = Draining
-	if b.Offer(0, &Job{Work: 1}) {
+	if b.Admit(0, &Job{Work: 1}) {
 		t.Error("a draining box took a request")
 	}
-	done, _ := b.Next(0)
-	calling := b.Done(done) // its stretch is over, and it waits for calls
+	done, _ := b.NextCompletion(0)
+	calling := b.Completed(done) // its stretch is over, and it waits for calls
 	lost := b.Stop()
-	if len(calling) == 0 || len(lost) != 5 || lost[0] != jobs[0] || b.Held() != 0 {
+	if len(calling) == 0 || len(lost) != 5 || lost[0] != jobs[0] || b.InFlight() != 0 {
 		t.Errorf("%d jobs died, %d of them in calls", len(lost), len(calling))
 	}
-	// What a call brings to a job that has died frees no slot of the next life, and runs nothing there.
+	// Kind a call brings to a job that has died frees no slot of the next life, and runs nothing there.
 	b.Start(time.Hour)
-	b.Leave(time.Hour, calling[0])
+	b.Release(time.Hour, calling[0])
 	b.Resume(time.Hour, calling[0], time.Second)
-	if _, runs := b.Next(time.Hour); runs || b.held != 0 {
-		t.Errorf("the dead live on: %d slots taken, runs %v", b.held, runs)
+	if _, runs := b.NextCompletion(time.Hour); runs || b.slotsTaken != 0 {
+		t.Errorf("the dead live on: %d slots taken, runs %v", b.slotsTaken, runs)
 	}
 }
 
 func TestColdBoxWarmsUpAndFalls(t *testing.T) {
-	b := NewBox("b", 0, 0, kind(), scenario.Rules{FallMultiple: 3, Fall: time.Second})
+	b := NewServer("b", 0, 0, kind(), scenario.Rules{OverloadMultiple: 3, OverloadWindow: time.Second})
 	b.Stop()
 	b.Start(time.Hour)
 	for age, want := range map[time.Duration]float64{0: 2, 5 * time.Second: 3, 10 * time.Second: 4} {
@@ -104,17 +104,17 @@
 		}
 	}
 	j := &Job{Work: 100 * time.Millisecond}
-	b.Offer(time.Hour, j)
-	if at := drain(b, time.Hour, []*Job{j})[j] - time.Hour; at < 99*time.Millisecond || at > 100*time.Millisecond {
+	b.Admit(time.Hour, j)
+	if at := playToEnd(b, time.Hour, []*Job{j})[j] - time.Hour; at < 99*time.Millisecond || at > 100*time.Millisecond {
 		t.Errorf("cold, 100 ms take %v, want a little under 100 ms", at)
 	}
 	// 3 times 2 a second, and one largest request for chance: the eighth second of work is too much.
 	for n := 1; n <= 8; n++ {
-		if fell := b.Sent(time.Hour, time.Second); fell != (n == 8) {
+		if fell := b.RecordArrival(time.Hour, time.Second); fell != (n == 8) {
 			t.Errorf("after %d s of work: fell %v", n, fell)
 		}
 	}
-	if b.Sent(time.Hour+2*time.Second, time.Second) {
+	if b.RecordArrival(time.Hour+2*time.Second, time.Second) {
 		t.Error("what was sent before the window counts")
 	}
 }
@@ -122,28 +122,28 @@
 // Whatever comes and goes, no work is lost or made, and nothing is done sooner than the cores allow.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBox("b", 0, 0, kind(), scenario.Rules{})
+		b := NewServer("b", 0, 0, kind(), scenario.Rules{})
 		now, given, took := time.Duration(0), time.Duration(0), time.Duration(0)
 		var jobs []*Job
 		for range rapid.IntRange(1, 30).Draw(t, "n") {
 			now += time.Duration(rapid.IntRange(0, int(100*time.Millisecond)).Draw(t, "gap"))
-			for _, j := range b.Done(now) {
-				took += j.Given
-				b.Leave(now, j)
+			for _, j := range b.Completed(now) {
+				took += j.WorkDone
+				b.Release(now, j)
 			}
 			j := &Job{Work: time.Duration(rapid.IntRange(1, int(200*time.Millisecond)).Draw(t, "work"))}
-			if b.Offer(now, j) {
+			if b.Admit(now, j) {
 				given += j.Work
 				jobs = append(jobs, j)
 			}
 		}
 		end := now
-		for j, at := range drain(b, now, jobs) {
-			took += j.Given
+		for j, at := range playToEnd(b, now, jobs) {
+			took += j.WorkDone
 			end = max(end, at)
 		}
-		if given != took || b.Held() != 0 {
-			t.Fatalf("given %v, done %v, %d held", given, took, b.Held())
+		if given != took || b.InFlight() != 0 {
+			t.Fatalf("given %v, done %v, %d held", given, took, b.InFlight())
 		}
 		if float64(end) < float64(given)/4-1e3 {
 			t.Fatalf("%v of work done in %v by two cores of speed 2", given, end)
@@ -152,7 +152,7 @@
 }
 
 func TestArrivals(t *testing.T) {
-	s := &scenario.Scenario{Length: 100 * time.Second, Classes: []scenario.Class{{Name: "a", Share: 3, CV: 0.5}, {Name: "b", Share: 1}},
+	s := &scenario.Scenario{Length: 100 * time.Second, Classes: []scenario.Class{{Name: "a", Share: 3, WorkVariation: 0.5}, {Name: "b", Share: 1}},
 		Tenants: []scenario.Tenant{{Name: "x", Share: 1}}, Clients: scenario.Clients{Rate: 100, Arrivals: "ramp"}}
 	a, err := NewArrivals(s)
 	if err != nil {
@@ -171,14 +171,14 @@
 	if n < 9600 || n > 10400 || early < 3500 || early > 4000 || second < 2300 || second > 2700 || math.Abs(work/float64(n)-1) > 0.02 {
 		t.Errorf("%d arrivals, %d in the first half, %d of the second class, mean work %.3f", n, early, second, work/float64(n))
 	}
-	s.Clients = scenario.Clients{Arrivals: "recorded", File: filepath.Join(t.TempDir(), "r.jsonl")}
+	s.Clients = scenario.Clients{Arrivals: "recorded", ArrivalsFile: filepath.Join(t.TempDir(), "r.jsonl")}
 	for text, want := range map[string]string{
 		`{"at_ms":5,"class":"b","tenant":"x","work":2}`: "",
 		`{"at_ms":5,"class":"c","tenant":"x","work":2}`: ":1: class",
 		"{\"at_ms\":5,\"class\":\"b\",\"tenant\":\"x\",\"work\":2}\n{\"at_ms\":4,\"class\":\"b\",\"tenant\":\"x\",\"work\":2}": ":2: class",
 		"half": ":1: invalid",
 	} {
-		if err := os.WriteFile(s.Clients.File, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(s.Clients.ArrivalsFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		a, err := NewArrivals(s)
@@ -199,38 +199,38 @@
 }
 
 func TestTroublesAreInOrderAndComeInPairs(t *testing.T) {
-	s := &scenario.Scenario{Tiers: []scenario.Tier{{Name: "t", Kinds: []scenario.Kind{{Count: 10}}}}, Front: scenario.Front{Nodes: 4}}
-	for _, k := range scenario.TroubleKinds {
-		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: k, At: time.Second, Length: 4 * time.Second, Tier: "t", Part: 0.5, Size: 0.5, Period: time.Second})
+	s := &scenario.Scenario{Tiers: []scenario.Tier{{Name: "t", Kinds: []scenario.ServerKind{{Count: 10}}}}, Ingress: scenario.Ingress{Nodes: 4}}
+	for _, k := range scenario.WorldFaultKinds {
+		s.Faults = append(s.Faults, scenario.Fault{Kind: k, At: time.Second, Duration: 4 * time.Second, Tier: "t", TargetShare: 0.5, Magnitude: 0.5, Period: time.Second})
 	}
-	list, err := Troubles(s)
+	list, err := WorldChanges(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	down, slow, last := map[What]map[int]int{}, map[int]float64{}, time.Duration(0)
+	down, slow, last := map[ChangeKind]map[int]int{}, map[int]float64{}, time.Duration(0)
 	for _, c := range list {
-		if c.At < last || c.At > 5*time.Second || c.What.String() == "" {
-			t.Errorf("%v at %v after %v", c.What, c.At, last)
+		if c.At < last || c.At > 5*time.Second || c.Kind.String() == "" {
+			t.Errorf("%v at %v after %v", c.Kind, c.At, last)
 		}
 		last = c.At
-		if down[c.What] == nil {
-			down[c.What] = map[int]int{}
+		if down[c.Kind] == nil {
+			down[c.Kind] = map[int]int{}
 		}
-		down[c.What][c.Index]++
-		if c.What == Slow {
+		down[c.Kind][c.Index]++
+		if c.Kind == ScaleSpeed {
 			if slow[c.Index] == 0 {
 				slow[c.Index] = 1
 			}
-			slow[c.Index] *= c.Size
+			slow[c.Index] *= c.Magnitude
 		}
 	}
 	for i := range 10 {
-		if down[Crash][i] != down[Boot][i] || down[CutOff][i] != down[Rejoin][i] || math.Abs(slow[i]-1) > 1e-9 {
+		if down[Crash][i] != down[Start][i] || down[Disconnect][i] != down[Reconnect][i] || math.Abs(slow[i]-1) > 1e-9 {
 			t.Errorf("box %d does not come back as it was: %v, %v", i, down, slow[i])
 		}
 	}
-	s.Troubles = []scenario.Trouble{{Kind: "neighbour", Tier: "t", Size: 2, Pos: "f:3"}}
-	if _, err := Troubles(s); err == nil || !strings.HasPrefix(err.Error(), "f:3: ") {
+	s.Faults = []scenario.Fault{{Kind: "neighbour", Tier: "t", Magnitude: 2, Position: "f:3"}}
+	if _, err := WorldChanges(s); err == nil || !strings.HasPrefix(err.Error(), "f:3: ") {
 		t.Errorf("a neighbour that takes it all: %v", err)
 	}
 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -14,12 +14,12 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// State is whether a box takes work.
-type State int
+// ServerState is whether a box takes work.
+type ServerState int
 
 // States of a box.
 const (
-	Up State = iota
+	Up ServerState = iota
 	Draining
 	Down
 )
@@ -29,214 +29,216 @@
 	Owner any
 	Work  time.Duration // left of the present stretch of work, at speed 1
 
-	Given  time.Duration // all the work that a box has done for it
-	target float64       // attained service at which the stretch is done
-	place  int           // in the heap
-	order  uint64
-	state  jobState
+	WorkDone  time.Duration // all the work that a box has done for it
+	finishAt  float64       // attained service at which the stretch is done
+	heapIndex int           // in the heap
+	sequence  uint64
+	state     jobState
 }
 
 type jobState int
 
 const (
-	jobOutside jobState = iota
-	jobWaiting
+	jobAbsent jobState = iota
+	jobQueued
 	jobRunning
 	jobCalling // holds its slot without using a core
 )
 
-// Box is a server: cores shared evenly among the requests that run, a number of slots, a waiting room, and
+// Server is a server: cores shared evenly among the requests that run, a number of slots, a waiting room, and
 // less efficiency when crowded. A fresh one has a part of its capacity.
-type Box struct {
-	ID    string
-	Tier  int
-	Index int
-	Kind  *scenario.Kind
-	State State
-	Cut   bool          // off the network, and silent
-	Boot  time.Duration // of the last start; 0: long ago
-	Epoch int           // starts so far
-	Conns int           // open connections
-
-	Slow float64       // factor on its speed, of troubles
-	Mean time.Duration // work of a request of its tier
-	guard
-
-	running jobHeap
-	waiting []*Job
-	calling map[*Job]bool // in a slot, waiting for the next tier
-	held    int           // slots taken
-	now     time.Duration
-	served  float64 // attained service of a job that has run since the start, in ns at speed 1
-	orders  uint64
+type Server struct {
+	ID          string
+	Tier        int
+	Index       int
+	Kind        *scenario.ServerKind
+	State       ServerState
+	Unreachable bool          // off the network, and silent
+	StartTime   time.Duration // of the last start; 0: long ago
+	Incarnation int           // starts so far
+	Connections int           // open connections
+
+	SpeedFactor float64       // factor on its speed, of troubles
+	MeanWork    time.Duration // work of a request of its tier
+	overloadGuard
+
+	running         jobHeap
+	queued          []*Job
+	calling         map[*Job]bool // in a slot, waiting for the next tier
+	slotsTaken      int           // slots taken
+	advancedTo      time.Duration
+	attainedService float64 // attained service of a job that has run since the start, in ns at speed 1
+	lastSequence    uint64
 }
 
-// NewBox returns a warm box.
-func NewBox(id string, tier, index int, kind *scenario.Kind, rules scenario.Rules) *Box {
-	return &Box{ID: id, Tier: tier, Index: index, Kind: kind, Slow: 1, calling: map[*Job]bool{},
-		guard: guard{multiple: rules.FallMultiple, window: rules.Fall}}
+// NewServer returns a warm box.
+func NewServer(id string, tier, index int, kind *scenario.ServerKind, rules scenario.Rules) *Server {
+	return &Server{ID: id, Tier: tier, Index: index, Kind: kind, SpeedFactor: 1, calling: map[*Job]bool{},
+		overloadGuard: overloadGuard{multiple: rules.OverloadMultiple, window: rules.OverloadWindow}}
 }
 
 // Start boots a box that is down.
-func (b *Box) Start(now time.Duration) {
-	b.State, b.Boot, b.now, b.Cut = Up, now, now, false
-	b.Epoch++
-	b.guard.sent, b.guard.largest = nil, 0
+func (b *Server) Start(now time.Duration) {
+	b.State, b.StartTime, b.advancedTo, b.Unreachable = Up, now, now, false
+	b.Incarnation++
+	b.overloadGuard.arrivals, b.overloadGuard.largestWork = nil, 0
 }
 
 // Stop ends the process at once and returns the jobs that died with it, in the order of their coming: those that
 // wait for calls too. What is told of them later concerns nobody.
-func (b *Box) Stop() (lost []*Job) {
-	lost = slices.Concat(b.running, b.waiting, slices.Collect(maps.Keys(b.calling)))
-	slices.SortFunc(lost, func(a, c *Job) int { return cmp.Compare(a.order, c.order) })
+func (b *Server) Stop() (lost []*Job) {
+	lost = slices.Concat(b.running, b.queued, slices.Collect(maps.Keys(b.calling)))
+	slices.SortFunc(lost, func(a, c *Job) int { return cmp.Compare(a.sequence, c.sequence) })
 	for _, j := range lost {
-		j.state = jobOutside
+		j.state = jobAbsent
 	}
-	b.State, b.Conns, b.held = Down, 0, 0
-	b.running, b.waiting = nil, nil
+	b.State, b.Connections, b.slotsTaken = Down, 0, 0
+	b.running, b.queued = nil, nil
 	clear(b.calling)
 	return lost
 }
 
-// Cold is the part of its capacity that a box has at a time.
-func (b *Box) Cold(now time.Duration) float64 {
-	age := now - b.Boot
-	if b.Boot == 0 || age >= b.Kind.Cold || b.Kind.Cold == 0 {
+// WarmShare is the part of its capacity that a box has at a time.
+func (b *Server) WarmShare(now time.Duration) float64 {
+	age := now - b.StartTime
+	if b.StartTime == 0 || age >= b.Kind.WarmupDuration || b.Kind.WarmupDuration == 0 {
 		return 1
 	}
-	return b.Kind.ColdFrom + (1-b.Kind.ColdFrom)*float64(age)/float64(b.Kind.Cold)
+	return b.Kind.WarmupStartShare + (1-b.Kind.WarmupStartShare)*float64(age)/float64(b.Kind.WarmupDuration)
 }
 
 // Capacity is the work a second that a box could do if nothing else slowed it.
-func (b *Box) Capacity(now time.Duration) float64 { return b.Kind.Cores * b.Kind.Speed * b.Cold(now) }
+func (b *Server) Capacity(now time.Duration) float64 {
+	return b.Kind.Cores * b.Kind.Speed * b.WarmShare(now)
+}
 
-// Held counts the requests that a box has in its slots and its waiting room.
-func (b *Box) Held() int { return b.held + len(b.waiting) }
+// InFlight counts the requests that a box has in its slots and its waiting room.
+func (b *Server) InFlight() int { return b.slotsTaken + len(b.queued) }
 
-// rate is the service that each running job attains a second of clock time.
-func (b *Box) rate(now time.Duration) float64 {
+// serviceRate is the service that each running job attains a second of clock time.
+func (b *Server) serviceRate(now time.Duration) float64 {
 	n := len(b.running)
 	if n == 0 {
 		return 0
 	}
-	r := b.Kind.Speed * b.Slow * b.Cold(now) * math.Min(1, b.Kind.Cores/float64(n))
-	if over := b.Held() - b.Kind.ThrashAt; over > 0 {
-		r /= 1 + b.Kind.Thrash*float64(over)/float64(b.Kind.ThrashAt)
+	r := b.Kind.Speed * b.SpeedFactor * b.WarmShare(now) * math.Min(1, b.Kind.Cores/float64(n))
+	if over := b.InFlight() - b.Kind.CrowdedAbove; over > 0 {
+		r /= 1 + b.Kind.CrowdingLoss*float64(over)/float64(b.Kind.CrowdedAbove)
 	}
 	return r
 }
 
-// coldStep is how often the rate of a box that warms up is taken anew.
-const coldStep = 100 * time.Millisecond
+// warmupStep is how often the rate of a box that warms up is taken anew.
+const warmupStep = 100 * time.Millisecond
 
 // advance lets the running jobs attain what the time since the last look gave them.
-func (b *Box) advance(now time.Duration) {
-	if now > b.now {
+func (b *Server) advance(now time.Duration) {
+	if now > b.advancedTo {
 		// The rate at the middle is exact for a share that grows evenly.
-		b.served += float64(now-b.now) * b.rate(b.now+(now-b.now)/2)
-		b.now = now
+		b.attainedService += float64(now-b.advancedTo) * b.serviceRate(b.advancedTo+(now-b.advancedTo)/2)
+		b.advancedTo = now
 	}
 }
 
-// Offer gives a box one more request. False: it has no room, or takes nothing new.
-func (b *Box) Offer(now time.Duration, j *Job) bool {
+// Admit gives a box one more request. False: it has no room, or takes nothing new.
+func (b *Server) Admit(now time.Duration, j *Job) bool {
 	b.advance(now)
-	if b.State != Up || b.held >= b.Kind.Slots && len(b.waiting) >= b.Kind.Queue {
+	if b.State != Up || b.slotsTaken >= b.Kind.Concurrency && len(b.queued) >= b.Kind.QueueLength {
 		return false
 	}
-	b.orders++
-	j.order = b.orders
-	if b.held >= b.Kind.Slots {
-		j.state = jobWaiting
-		b.waiting = append(b.waiting, j)
+	b.lastSequence++
+	j.sequence = b.lastSequence
+	if b.slotsTaken >= b.Kind.Concurrency {
+		j.state = jobQueued
+		b.queued = append(b.queued, j)
 		return true
 	}
-	b.held++
-	b.run(j)
+	b.slotsTaken++
+	b.startWork(j)
 	return true
 }
 
-func (b *Box) run(j *Job) {
+func (b *Server) startWork(j *Job) {
 	j.state = jobRunning
-	j.target = b.served + float64(j.Work)
+	j.finishAt = b.attainedService + float64(j.Work)
 	heap.Push(&b.running, j)
 }
 
 // Resume lets a job that waited for calls go on with its next stretch of work.
-func (b *Box) Resume(now time.Duration, j *Job, work time.Duration) {
+func (b *Server) Resume(now time.Duration, j *Job, work time.Duration) {
 	if j.state != jobCalling {
 		return
 	}
 	b.advance(now)
 	delete(b.calling, j)
 	j.Work = work
-	b.run(j)
+	b.startWork(j)
 }
 
-// Leave frees the slot of a job that is done, or that has failed while it waited for a call.
-func (b *Box) Leave(now time.Duration, j *Job) {
+// Release frees the slot of a job that is done, or that has failed while it waited for a call.
+func (b *Server) Release(now time.Duration, j *Job) {
 	if j.state != jobCalling {
 		return
 	}
 	b.advance(now)
 	delete(b.calling, j)
-	j.state = jobOutside
-	b.held--
-	b.admit()
+	j.state = jobAbsent
+	b.slotsTaken--
+	b.startQueued()
 }
 
-// GiveUp takes a job out of the waiting room, where the kind of box does that.
-func (b *Box) GiveUp(now time.Duration, j *Job) bool {
-	if j.state != jobWaiting || !b.Kind.Cancels {
+// CancelQueued takes a job out of the waiting room, where the kind of box does that.
+func (b *Server) CancelQueued(now time.Duration, j *Job) bool {
+	if j.state != jobQueued || !b.Kind.CancelsQueued {
 		return false
 	}
 	b.advance(now)
-	b.waiting = slices.DeleteFunc(b.waiting, func(o *Job) bool { return o == j })
-	j.state = jobOutside
+	b.queued = slices.DeleteFunc(b.queued, func(o *Job) bool { return o == j })
+	j.state = jobAbsent
 	return true
 }
 
-func (b *Box) admit() {
-	for b.held < b.Kind.Slots && len(b.waiting) > 0 {
-		j := b.waiting[0]
-		b.waiting = b.waiting[1:]
-		b.held++
-		b.run(j)
+func (b *Server) startQueued() {
+	for b.slotsTaken < b.Kind.Concurrency && len(b.queued) > 0 {
+		j := b.queued[0]
+		b.queued = b.queued[1:]
+		b.slotsTaken++
+		b.startWork(j)
 	}
 }
 
-// Done returns the jobs whose stretch of work is over by now. They keep their slots until Leave.
-func (b *Box) Done(now time.Duration) (done []*Job) {
+// Completed returns the jobs whose stretch of work is over by now. They keep their slots until Leave.
+func (b *Server) Completed(now time.Duration) (done []*Job) {
 	b.advance(now)
 	const crumb = 1 // ns: what rounding leaves
-	for len(b.running) > 0 && b.running[0].target <= b.served+crumb {
+	for len(b.running) > 0 && b.running[0].finishAt <= b.attainedService+crumb {
 		j := heap.Pop(&b.running).(*Job)
 		j.state = jobCalling
 		b.calling[j] = true
-		j.Given += j.Work
+		j.WorkDone += j.Work
 		done = append(done, j)
 	}
 	return done
 }
 
-// Next is when Done should be asked again. False: nothing runs.
-func (b *Box) Next(now time.Duration) (at time.Duration, ok bool) {
+// NextCompletion is when Done should be asked again. False: nothing runs.
+func (b *Server) NextCompletion(now time.Duration) (at time.Duration, ok bool) {
 	if len(b.running) == 0 {
 		return 0, false
 	}
 	b.advance(now)
-	r := b.rate(now)
-	wait := time.Duration(math.Ceil(math.Max(0, b.running[0].target-b.served) / math.Max(r, 1e-9)))
-	if b.Cold(now) < 1 {
-		wait = min(wait, coldStep)
+	r := b.serviceRate(now)
+	wait := time.Duration(math.Ceil(math.Max(0, b.running[0].finishAt-b.attainedService) / math.Max(r, 1e-9)))
+	if b.WarmShare(now) < 1 {
+		wait = min(wait, warmupStep)
 	}
 	return now + max(1, min(wait, time.Hour)), true
 }
 
-// SetSlow changes the factor on a box's speed.
-func (b *Box) SetSlow(now time.Duration, f float64) {
+// SetSpeedFactor changes the factor on a box's speed.
+func (b *Server) SetSpeedFactor(now time.Duration, f float64) {
 	b.advance(now)
-	b.Slow = f
+	b.SpeedFactor = f
 }
 
 // jobHeap has the job first that is done first; of equal ones the older.
@@ -244,18 +246,18 @@
 
 func (h jobHeap) Len() int { return len(h) }
 func (h jobHeap) Less(i, j int) bool {
-	if h[i].target != h[j].target {
-		return h[i].target < h[j].target
+	if h[i].finishAt != h[j].finishAt {
+		return h[i].finishAt < h[j].finishAt
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *jobHeap) Push(x any) {
 	j := x.(*Job)
-	j.place = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 func (h *jobHeap) Pop() any {
@@ -266,44 +268,44 @@
 	return j
 }
 
-// guard watches what a cold box is sent: more than a multiple of what it can do within the window pushes it over.
-type guard struct {
-	multiple float64
-	window   time.Duration
-	sent     []sentWork
-	largest  float64
+// overloadGuard watches what a cold box is sent: more than a multiple of what it can do within the window pushes it over.
+type overloadGuard struct {
+	multiple    float64
+	window      time.Duration
+	arrivals    []arrivedWork
+	largestWork float64
 }
 
-type sentWork struct {
+type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// Sent notes work sent to a box and says whether that pushes it over: with N requests of mean work allowed in the time
+// RecordArrival notes work sent to a box and says whether that pushes it over: with N requests of mean work allowed in the time
 // that the rules name, more than N + 3 x root of N + 3 of them, as the operators count. Where the mean is not known one
-// largest request is granted for chance: an idle box that gets a single long one has not been overrun.
-func (b *Box) Sent(now, work time.Duration) (fell bool) {
-	if b.multiple <= 0 || b.Cold(now) >= 1 {
-		b.sent = nil
+// largestWork request is granted for chance: an idle box that gets a single long one has not been overrun.
+func (b *Server) RecordArrival(now, work time.Duration) (fell bool) {
+	if b.multiple <= 0 || b.WarmShare(now) >= 1 {
+		b.arrivals = nil
 		return false
 	}
-	b.sent = append(b.sent, sentWork{now, work.Seconds()})
-	b.largest = math.Max(b.largest, work.Seconds())
+	b.arrivals = append(b.arrivals, arrivedWork{now, work.Seconds()})
+	b.largestWork = math.Max(b.largestWork, work.Seconds())
 	sum := 0.0
-	keep := b.sent[:0]
-	for _, s := range b.sent {
+	keep := b.arrivals[:0]
+	for _, s := range b.arrivals {
 		if s.at > now-b.window {
 			keep = append(keep, s)
 			sum += s.work
 		}
 	}
-	b.sent = keep
+	b.arrivals = keep
 	may := b.multiple * b.Capacity(now) * b.window.Seconds()
-	if mean := b.Mean.Seconds(); mean > 0 {
+	if mean := b.MeanWork.Seconds(); mean > 0 {
 		n := may / mean
 		return sum/mean > n+3*math.Sqrt(n)+3
 	}
-	return sum > may+b.largest
+	return sum > may+b.largestWork
 }
 
 // MeanWork is that of a request at a tier's boxes.
--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -7,7 +7,7 @@
 
 // step advances x by h under f, by the classical Runge-Kutta method of fourth order.
 type stepper struct {
-	f                  func(x, dx []float64)
+	derivative         func(x, dx []float64)
 	k1, k2, k3, k4, at []float64
 }
 
@@ -25,28 +25,28 @@
 			s.at[i] = x[i] + by*k[i]
 		}
 	}
-	s.f(x, s.k1)
+	s.derivative(x, s.k1)
 	shift(s.k1, h/2)
-	s.f(s.at, s.k2)
+	s.derivative(s.at, s.k2)
 	shift(s.k2, h/2)
-	s.f(s.at, s.k3)
+	s.derivative(s.at, s.k3)
 	shift(s.k3, h)
-	s.f(s.at, s.k4)
+	s.derivative(s.at, s.k4)
 	for i := range x {
 		x[i] += h / 6 * (s.k1[i] + 2*s.k2[i] + 2*s.k3[i] + s.k4[i])
 	}
 }
 
-const loads = 24 // loads that are followed; beyond, all shares are under the least number there is
+const maxLoad = 24 // loads that are followed; beyond, all shares are under the least number there is
 
 // BallsRandom gives, after n balls into n bins by the lesser of d random ones, the share of bins with at least i
 // balls.
 func BallsRandom(d int) []float64 {
-	w := make([]float64, loads)
+	w := make([]float64, maxLoad)
 	w[0] = 1
-	s := newStepper(loads, func(x, dx []float64) {
+	s := newStepper(maxLoad, func(x, dx []float64) {
 		dx[0] = 0
-		for i := 1; i < loads; i++ {
+		for i := 1; i < maxLoad; i++ {
 			dx[i] = math.Pow(x[i-1], float64(d)) - math.Pow(x[i], float64(d))
 		}
 	})
@@ -60,7 +60,7 @@
 // BallsLeft gives the same by two groups, the left one a share alpha of the bins, ties going left: the paper's
 // equation 5.
 func BallsLeft(alpha float64) []float64 {
-	x := make([]float64, 2*loads)
+	x := make([]float64, 2*maxLoad)
 	x[0], x[1] = alpha, 1-alpha
 	s := newStepper(len(x), func(x, dx []float64) {
 		dx[0], dx[1] = 0, 0
@@ -72,11 +72,11 @@
 	for range steps {
 		s.step(x, 1.0/steps)
 	}
-	return groups(x, 2)
+	return sumGroups(x, 2)
 }
 
-// groups adds up the shares of all groups by load.
-func groups(x []float64, d int) []float64 {
+// sumGroups adds up the shares of all groups by load.
+func sumGroups(x []float64, d int) []float64 {
 	u := make([]float64, len(x)/d)
 	for i, v := range x {
 		u[i/d] += v
@@ -87,7 +87,7 @@
 // QueuesRandom is the fixed point of servers that each customer picks the shorter of d random queues of: the share
 // of servers with at least i customers, at a rate lambda a server.
 func QueuesRandom(d int, lambda float64) []float64 {
-	w := make([]float64, loads)
+	w := make([]float64, maxLoad)
 	for i := range w {
 		w[i] = math.Pow(lambda, (math.Pow(float64(d), float64(i))-1)/float64(d-1))
 	}
@@ -98,7 +98,7 @@
 // integrated until nothing moves.
 func QueuesLeft(lambda float64, shares ...float64) []float64 {
 	d := len(shares)
-	x := make([]float64, d*loads)
+	x := make([]float64, d*maxLoad)
 	copy(x, shares)
 	rate := lambda
 	for _, a := range shares {
@@ -143,11 +143,11 @@
 			break
 		}
 	}
-	return groups(x, d)
+	return sumGroups(x, d)
 }
 
-// Time is the expected time in the system of a fixed point, by Little's law.
-func Time(u []float64, lambda float64) float64 {
+// ExpectedTime is the expected time in the system of a fixed point, by Little's law.
+func ExpectedTime(u []float64, lambda float64) float64 {
 	sum := 0.0
 	for _, v := range u[1:] {
 		sum += v
@@ -155,14 +155,14 @@
 	return sum / lambda
 }
 
-// Best is the share of the left group, to the thousandth, at which the expected time is least. The time falls and
+// BestLeftShare is the share of the left group, to the thousandth, at which the expected time is least. The time falls and
 // then rises with the share, so thirds of the range are dropped.
-func Best(lambda float64) (alpha, least float64) {
+func BestLeftShare(lambda float64) (alpha, least float64) {
 	at := map[int]float64{}
 	time := func(k int) float64 {
 		if _, ok := at[k]; !ok {
 			a := float64(k) / 1000
-			at[k] = Time(QueuesLeft(lambda, a, 1-a), lambda)
+			at[k] = ExpectedTime(QueuesLeft(lambda, a, 1-a), lambda)
 		}
 		return at[k]
 	}
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -20,11 +20,11 @@
 
 // Table 4, by runs so short that their interval is wide; the command plays it at its length.
 func TestSimulationMeetsTable4(t *testing.T) {
-	w := World{Servers: 100, Lambda: 0.9, Units: 4000, Warm: 400}
+	w := World{Servers: 100, Lambda: 0.9, Units: 4000, WarmUp: 400}
 	for _, row := range table4 {
 		e := Repeat(4, 1, func(seed uint64) float64 { return w.Run(seed, row.pick) })
-		if math.Abs(e.Mean-row.mean) > e.Half+row.half || e.Half > 0.2 {
-			t.Errorf("%s: %.4f ± %.4f, published %.4f", row.name, e.Mean, e.Half, row.mean)
+		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half || e.HalfInterval > 0.2 {
+			t.Errorf("%s: %.4f ± %.4f, published %.4f", row.name, e.Mean, e.HalfInterval, row.mean)
 		}
 	}
 	m, err := w.RunModule(1)
@@ -37,22 +37,22 @@
 func TestADifferentFigureIsMarked(t *testing.T) {
 	p := &printer{w: &bytes.Buffer{}}
 	for published, v := range map[string]float64{"0.7616": 0.76175, "6.0e-6": 5.85e-6, "1.26569": 1.265671} {
-		if s := p.beside(v, published); !strings.HasSuffix(s, "!") {
+		if s := p.compare(v, published); !strings.HasSuffix(s, "!") {
 			t.Errorf("%g beside %s is not marked: %q", v, published, s)
 		}
 	}
-	if p.off != 3 || p.seen != 3 {
-		t.Errorf("%d of %d", p.off, p.seen)
+	if p.differing != 3 || p.compared != 3 {
+		t.Errorf("%d of %d", p.differing, p.compared)
 	}
 }
 
 // At a random server each one is an M/M/1 queue, whose mean time is known.
 func TestSimulationOfOneChoice(t *testing.T) {
-	w := World{Servers: 50, Lambda: 0.5, Units: 4000, Warm: 400}
+	w := World{Servers: 50, Lambda: 0.5, Units: 4000, WarmUp: 400}
 	e := Repeat(8, 1, func(seed uint64) float64 {
 		return w.Run(seed, func(rng *rand.Rand, held []int) int { return rng.IntN(len(held)) })
 	})
-	if want := 2.0; math.Abs(e.Mean-want) > 4*e.Half || e.Half > 0.05 {
-		t.Errorf("mean time %.4f ± %.4f, want %.1f", e.Mean, e.Half, want)
+	if want := 2.0; math.Abs(e.Mean-want) > 4*e.HalfInterval || e.HalfInterval > 0.05 {
+		t.Errorf("mean time %.4f ± %.4f, want %.1f", e.Mean, e.HalfInterval, want)
 	}
 }
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -45,9 +45,9 @@
 // World is the paper's: servers with exponential service of mean 1, one Poisson stream of lambda a server, exact
 // counts. A unit of time is a second.
 type World struct {
-	Servers     int
-	Lambda      float64
-	Units, Warm float64 // played, and discarded of them
+	Servers       int
+	Lambda        float64
+	Units, WarmUp float64 // played, and discarded of them
 }
 
 const unit = float64(time.Second)
@@ -75,7 +75,7 @@
 	gap := func(rate float64) time.Duration { return time.Duration(rng.ExpFloat64() / rate * unit) }
 	q.Push(gap(w.Lambda*float64(w.Servers)), arrival)
 	sum, served, n := 0.0, 0, 0
-	end, warm := time.Duration(w.Units*unit), time.Duration(w.Warm*unit)
+	end, warm := time.Duration(w.Units*unit), time.Duration(w.WarmUp*unit)
 	for {
 		now, i := q.Pop()
 		if now >= end {
@@ -138,7 +138,7 @@
 }
 
 // Estimate is a mean over runs, with half its 95% interval and the runs' standard deviation.
-type Estimate struct{ Mean, Half, Dev float64 }
+type Estimate struct{ Mean, HalfInterval, StandardDeviation float64 }
 
 // Repeat plays runs of seeds of their own on all cores. The same seed gives the same estimate on any number of them.
 func Repeat(runs int, seed uint64, run func(seed uint64) float64) Estimate {
@@ -164,10 +164,10 @@
 		e.Mean += v / float64(runs)
 	}
 	for _, v := range got {
-		e.Dev += (v - e.Mean) * (v - e.Mean) / float64(max(1, runs-1))
+		e.StandardDeviation += (v - e.Mean) * (v - e.Mean) / float64(max(1, runs-1))
 	}
-	e.Dev = math.Sqrt(e.Dev)
+	e.StandardDeviation = math.Sqrt(e.StandardDeviation)
 	t := distuv.StudentsT{Sigma: 1, Nu: float64(max(1, runs-1))}
-	e.Half = t.Quantile(0.975) * e.Dev / math.Sqrt(float64(runs))
+	e.HalfInterval = t.Quantile(0.975) * e.StandardDeviation / math.Sqrt(float64(runs))
 	return e
 }
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -35,8 +35,8 @@
 	"3.8e-8":  "equation 5 gives 3.944e-8, with this step and with half of it",
 }
 
-// as prints a figure the way a published one is printed: as many decimals, or the same form of exponent.
-func as(v float64, like string) string {
+// formatLike prints a figure the way a published one is printed: as many decimals, or the same form of exponent.
+func formatLike(v float64, like string) string {
 	if mantissa, _, ok := cutByte(like, 'e'); ok {
 		s := strconv.FormatFloat(v, 'e', decimals(mantissa), 64)
 		m, e, _ := cutByte(s, 'e')
@@ -60,9 +60,9 @@
 	return len(after)
 }
 
-// within says that a figure is less than a unit of the last printed digit away from the published one: the paper
+// withinLastDigit says that a figure is less than a unit of the last printed digit away from the published one: the paper
 // cuts some off where it rounds others, and has the best share from times that differ by two in ten million.
-func within(v float64, published string) bool {
+func withinLastDigit(v float64, published string) bool {
 	p, err := strconv.ParseFloat(published, 64)
 	mantissa, exponent, _ := cutByte(published, 'e')
 	e, _ := strconv.Atoi(exponent)
@@ -72,62 +72,62 @@
 
 // printer writes lines and counts the figures that are not as published.
 type printer struct {
-	w     io.Writer
-	off   int
-	seen  int
-	wrong []string // errata met
-	err   error
+	w         io.Writer
+	differing int
+	compared  int
+	errataMet []string // errata met
+	err       error
 }
 
-func (p *printer) say(format string, args ...any) {
+func (p *printer) printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.w, format, args...)
 	}
 }
 
-// beside is a figure and the published one.
-func (p *printer) beside(v float64, published string) string {
+// compare is a figure and the published one.
+func (p *printer) compare(v float64, published string) string {
 	if published == "" {
 		return fmt.Sprintf("%9s %9s ", "", "")
 	}
-	p.seen++
-	got, mark := as(v, published), " "
+	p.compared++
+	got, mark := formatLike(v, published), " "
 	switch {
 	case got == published:
-	case within(v, published):
+	case withinLastDigit(v, published):
 		mark = "~"
 	case errata[published] != "":
 		mark = "e"
-		p.wrong = append(p.wrong, published)
+		p.errataMet = append(p.errataMet, published)
 	default:
-		p.off++
+		p.differing++
 		mark = "!"
 	}
 	return fmt.Sprintf("%9s %9s%s", got, published, mark)
 }
 
 // Write prints all tables beside the published ones and says how many figures are not as published. Table 4 takes
-// as many runs as are asked for, the published one 100; without any it is left out.
+// formatLike many runs as are asked for, the published one 100; without any it is left out.
 func Write(w io.Writer, runs int, seed uint64) (off int, err error) {
 	p := &printer{w: w}
-	p.say("each figure beside the published one: ~ within a unit of its last digit, e one that the paper's own\n" +
+	p.printf("each figure beside the published one: ~ within a unit of its last digit, e one that the paper's own\n" +
 		"equations contradict, ! one that differs\n")
-	p.say("\ntable 2: share of bins with at least i balls, n balls into n bins\n  i  2-random             2-left, 0.5          2-left, 0.585\n")
+	p.printf("\ntable 2: share of bins with at least i balls, n balls into n bins\n  i  2-random             2-left, 0.5          2-left, 0.585\n")
 	columns := [][]float64{BallsRandom(2), BallsLeft(0.5), BallsLeft(0.585)}
 	for i, row := range table2 {
-		p.say("  %d ", i+1)
+		p.printf("  %d ", i+1)
 		for k, want := range row {
-			p.say(" %s", p.beside(columns[k][i+1], want))
+			p.printf(" %s", p.compare(columns[k][i+1], want))
 		}
-		p.say("\n")
+		p.printf("\n")
 	}
-	p.say("\ntable 3: expected time in the system, fluid limit\n  rate  2-random            2-left, 0.5          2-left, best         best share\n")
+	p.printf("\ntable 3: expected time in the system, fluid limit\n  rate  2-random            2-left, 0.5          2-left, best         best share\n")
 	for _, row := range table3 {
-		best, least := Best(row.lambda)
-		p.say("  %.1f  %s %s %s %s\n", row.lambda, p.beside(Time(QueuesRandom(2, row.lambda), row.lambda), row.random),
-			p.beside(Time(QueuesLeft(row.lambda, 0.5, 0.5), row.lambda), row.left), p.beside(least, row.best), p.beside(best, row.bestAt))
+		best, least := BestLeftShare(row.lambda)
+		p.printf("  %.1f  %s %s %s %s\n", row.lambda, p.compare(ExpectedTime(QueuesRandom(2, row.lambda), row.lambda), row.random),
+			p.compare(ExpectedTime(QueuesLeft(row.lambda, 0.5, 0.5), row.lambda), row.left), p.compare(least, row.best), p.compare(best, row.bestAt))
 	}
-	p.say("\ntable 5: share of servers with at least i customers, rate 0.9\n  i  d=2 random           d=2 left             d=3 random           d=3 left             d=4 random           d=4 left\n")
+	p.printf("\ntable 5: share of servers with at least i customers, rate 0.9\n  i  d=2 random           d=2 left             d=3 random           d=3 left             d=4 random           d=4 left\n")
 	columns = nil
 	for d := 2; d <= 4; d++ {
 		shares := make([]float64, d)
@@ -137,45 +137,45 @@
 		columns = append(columns, QueuesRandom(d, 0.9), QueuesLeft(0.9, shares...))
 	}
 	for i, row := range table5 {
-		p.say("  %d ", i+1)
+		p.printf("  %d ", i+1)
 		for k, want := range row {
-			p.say(" %s", p.beside(columns[k][i+1], want))
+			p.printf(" %s", p.compare(columns[k][i+1], want))
 		}
-		p.say("\n")
+		p.printf("\n")
 	}
 	if runs > 0 {
-		p.simulated(runs, seed)
+		p.writeTable4(runs, seed)
 	}
-	p.say("\n")
-	for _, f := range p.wrong {
-		p.say("e: published %s: %s\n", f, errata[f])
+	p.printf("\n")
+	for _, f := range p.errataMet {
+		p.printf("e: published %s: %s\n", f, errata[f])
 	}
-	p.say("%d figures compared, %d differ\n", p.seen, p.off)
-	return p.off, p.err
+	p.printf("%d figures compared, %d differ\n", p.compared, p.differing)
+	return p.differing, p.err
 }
 
-// simulated is table 4, and what the module makes of the same world.
-func (p *printer) simulated(runs int, seed uint64) {
-	world := World{Servers: 100, Lambda: 0.9, Units: 50000, Warm: 5000}
-	p.say("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, world.Units)
+// writeTable4 is table 4, and what the module makes of the same world.
+func (p *printer) writeTable4(runs int, seed uint64) {
+	world := World{Servers: 100, Lambda: 0.9, Units: 50000, WarmUp: 5000}
+	p.printf("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, world.Units)
 	var left Estimate
 	for i, row := range table4 {
 		e := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, row.pick) })
 		mark := " "
-		p.seen++
-		if math.Abs(e.Mean-row.mean) > e.Half+row.half {
-			p.off++
+		p.compared++
+		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half {
+			p.differing++
 			mark = "!"
 		}
 		if i == 1 {
 			left = e
 		}
-		p.say("  %-24s %.5f ± %.5f  published %.5f ± %.5f%s\n", row.name, e.Mean, e.Half, row.mean, row.half, mark)
+		p.printf("  %-24s %.5f ± %.5f  published %.5f ± %.5f%s\n", row.name, e.Mean, e.HalfInterval, row.mean, row.half, mark)
 	}
 	shares := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, Left2(0.5, true)) })
-	p.say("  %-24s %.5f ± %.5f\n", "zero ties by shares", shares.Mean, shares.Half)
+	p.printf("  %-24s %.5f ± %.5f\n", "zero ties by shares", shares.Mean, shares.HalfInterval)
 	short := world
-	short.Units, short.Warm = 5000, 500
+	short.Units, short.WarmUp = 5000, 500
 	var failed error
 	module := Repeat(max(2, runs/10), seed, func(seed uint64) float64 {
 		v, err := short.RunModule(seed)
@@ -187,8 +187,8 @@
 	if failed != nil && p.err == nil {
 		p.err = failed
 	}
-	p.say("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.Half, max(2, runs/10), short.Units)
-	p.say("  zero ties by shares change 2-left's time by %+.2f%%: ties of empty queues no longer fill the left group first.\n"+
+	p.printf("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.HalfInterval, max(2, runs/10), short.Units)
+	p.printf("  zero ties by shares change 2-left's time by %+.2f%%: ties of empty queues no longer fill the left group first.\n"+
 		"  The module also passes over servers with more calls than one above the mean, so it chooses among fewer, shorter queues.\n",
 		100*(shares.Mean/left.Mean-1))
 }
--- a/internal/lab/policies/policies.go
+++ b/internal/lab/policies/policies.go
@@ -19,48 +19,48 @@
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// Truth is the number of requests that a box truly holds: an oracle's.
-type Truth func(box string) int
+// InFlight is the number of requests that a box truly holds: an oracle's.
+type InFlight func(box string) int
 
 // New returns the policy of a name. Truth is for the oracle alone.
-func New(name string, set balancer.Settings, seed uint64, truth Truth) (Decider, error) {
+func New(name string, set balancer.Settings, seed uint64, truth InFlight) (Decider, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x9e3779b9))
-	p := &plain{set: set, rng: rng, boxes: map[string]*box{}, open: map[string]*request{}}
+	p := &reference{set: set, rng: rng, endpoints: map[string]*endpoint{}, open: map[string]*request{}}
 	switch name {
 	case "deckrelay":
 		return balancer.New(set, seed)
 	case "random":
-		p.choose = func(list []*box) *box { return list[rng.IntN(len(list))] }
+		p.choose = func(list []*endpoint) *endpoint { return list[rng.IntN(len(list))] }
 	case "round-robin":
 		next := rng.IntN(1 << 20)
-		p.choose = func(list []*box) *box {
+		p.choose = func(list []*endpoint) *endpoint {
 			next++
 			return list[next%len(list)]
 		}
 	case "least-of-two":
-		p.choose = func(list []*box) *box {
+		p.choose = func(list []*endpoint) *endpoint {
 			i := rng.IntN(len(list))
 			j := (i + 1 + rng.IntN(max(1, len(list)-1))) % len(list)
-			if list[j].calls < list[i].calls {
+			if list[j].inFlight < list[i].inFlight {
 				return list[j]
 			}
 			return list[i]
 		}
 	case "two-random":
-		p.choose = func(list []*box) *box {
+		p.choose = func(list []*endpoint) *endpoint {
 			v, w := list[rng.IntN(len(list))], list[rng.IntN(len(list))]
-			if w.calls < v.calls || w.calls == v.calls && rng.IntN(2) == 0 {
+			if w.inFlight < v.inFlight || w.inFlight == v.inFlight && rng.IntN(2) == 0 {
 				return w
 			}
 			return v
 		}
 	case "two-left":
-		p.choose = func(list []*box) *box { return twoLeft(rng, list, 0.5) }
+		p.choose = func(list []*endpoint) *endpoint { return twoLeft(rng, list, 0.5) }
 	case "oracle":
 		if truth == nil {
 			return nil, fmt.Errorf("policy oracle needs to see the boxes")
 		}
-		p.choose = func(list []*box) *box { return shortest(rng, list, truth) }
+		p.choose = func(list []*endpoint) *endpoint { return shortestQueue(rng, list, truth) }
 	default:
 		return nil, fmt.Errorf("unknown policy %q", name)
 	}
@@ -68,20 +68,20 @@
 }
 
 // twoLeft is the paper's: one draw from the left share of the list and one from the rest, ties go left.
-func twoLeft(rng *rand.Rand, list []*box, alpha float64) *box {
+func twoLeft(rng *rand.Rand, list []*endpoint, alpha float64) *endpoint {
 	cut := int(math.Round(alpha * float64(len(list))))
 	if cut == 0 || cut == len(list) {
 		return list[rng.IntN(len(list))]
 	}
 	l, r := list[rng.IntN(cut)], list[cut+rng.IntN(len(list)-cut)]
-	if r.calls < l.calls {
+	if r.inFlight < l.inFlight {
 		return r
 	}
 	return l
 }
 
-// shortest joins the shortest true queue, any of several.
-func shortest(rng *rand.Rand, list []*box, truth Truth) (best *box) {
+// shortestQueue joins the shortest true queue, any of several.
+func shortestQueue(rng *rand.Rand, list []*endpoint, truth InFlight) (best *endpoint) {
 	least, ties := math.MaxInt, 0
 	for _, b := range list {
 		held := truth(b.ID)
@@ -97,93 +97,93 @@
 	return best
 }
 
-// plain is a policy that differs from others in its choice alone.
-type plain struct {
-	set    balancer.Settings
-	rng    *rand.Rand
-	choose func([]*box) *box
-	boxes  map[string]*box
-	ready  []*box // by id
-	open   map[string]*request
-	fails  int
-	out    []balancer.Action
+// reference is a policy that differs from others in its choice alone.
+type reference struct {
+	set          balancer.Settings
+	rng          *rand.Rand
+	choose       func([]*endpoint) *endpoint
+	endpoints    map[string]*endpoint
+	ready        []*endpoint // by id
+	open         map[string]*request
+	pollFailures int
+	actions      []balancer.Action
 }
 
-type box struct {
+type endpoint struct {
 	balancer.Server
-	calls int
+	inFlight int
 }
 
 type request struct {
-	class    balancer.Class
-	deadline time.Duration
-	tried    []*box
-	mayRun   bool
-	out      int
-	answered bool
+	class       balancer.Class
+	deadline    time.Duration
+	attempts    []*endpoint
+	mayHaveRun  bool
+	attemptsOut int
+	answered    bool
 }
 
-func (p *plain) do(a balancer.Action) { p.out = append(p.out, a) }
+func (p *reference) emit(a balancer.Action) { p.actions = append(p.actions, a) }
 
 // Handle takes one event.
-func (p *plain) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	p.out = nil
+func (p *reference) Handle(now time.Duration, e balancer.Event) []balancer.Action {
+	p.actions = nil
 	switch e := e.(type) {
 	case balancer.EndpointUpdate:
-		p.takeList(e)
+		p.applyUpdate(e)
 	case balancer.WatchFailed:
-		p.fails = min(p.fails+1, 4)
-		wait := float64(p.set.MaxPollInterval) / 64 * float64(int(1)<<p.fails) * (0.5 + p.rng.Float64()/2)
-		p.do(balancer.SetTimer{At: now + time.Duration(wait) + 1, Token: "list"})
+		p.pollFailures = min(p.pollFailures+1, 4)
+		wait := float64(p.set.MaxPollInterval) / 64 * float64(int(1)<<p.pollFailures) * (0.5 + p.rng.Float64()/2)
+		p.emit(balancer.SetTimer{At: now + time.Duration(wait) + 1, Token: "list"})
 	case balancer.TimerFired:
-		p.do(balancer.Subscribe{})
+		p.emit(balancer.Subscribe{})
 	case balancer.Request:
-		p.accept(now, e)
+		p.admit(now, e)
 	case balancer.AttemptEnded:
-		p.outcome(now, e)
+		p.attemptEnded(now, e)
 	case balancer.ClientGone:
 		if r := p.open[e.ID]; r != nil {
 			r.answered = true
-			p.forget(e.ID, r)
+			p.forgetIfOver(e.ID, r)
 		}
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *plain) takeList(e balancer.EndpointUpdate) {
+func (p *reference) applyUpdate(e balancer.EndpointUpdate) {
 	if e.Complete {
-		clear(p.boxes) // calls that are out keep the box that they went to
+		clear(p.endpoints) // calls that are out keep the box that they went to
 		old := p.ready
 		for _, b := range old {
-			p.boxes[b.ID] = b
+			p.endpoints[b.ID] = b
 			b.State = balancer.Removed
 		}
 	}
 	for _, s := range e.Servers {
-		if b := p.boxes[s.ID]; b != nil && b.StartTime == s.StartTime {
+		if b := p.endpoints[s.ID]; b != nil && b.StartTime == s.StartTime {
 			b.Server = s
 		} else {
-			p.boxes[s.ID] = &box{Server: s}
+			p.endpoints[s.ID] = &endpoint{Server: s}
 		}
 	}
 	p.ready = nil
-	for id, b := range p.boxes {
+	for id, b := range p.endpoints {
 		switch b.State {
 		case balancer.Ready:
 			p.ready = append(p.ready, b)
 		case balancer.Removed:
-			delete(p.boxes, id)
+			delete(p.endpoints, id)
 		}
 	}
-	slices.SortFunc(p.ready, func(a, b *box) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(p.ready, func(a, b *endpoint) int { return strings.Compare(a.ID, b.ID) })
 	if e.Cached && p.set.PollDiscovery {
-		p.do(balancer.Subscribe{})
+		p.emit(balancer.Subscribe{})
 	} else {
-		p.fails = 0
+		p.pollFailures = 0
 	}
 }
 
-func (p *plain) accept(now time.Duration, e balancer.Request) {
+func (p *reference) admit(now time.Duration, e balancer.Request) {
 	if p.open[e.ID] != nil {
 		return
 	}
@@ -194,51 +194,51 @@
 		}
 	}
 	p.open[e.ID] = r
-	p.next(now, e.ID, r)
+	p.dispatch(now, e.ID, r)
 }
 
-// next sends a request, or gives its final answer.
-func (p *plain) next(now time.Duration, id string, r *request) {
-	free := slices.DeleteFunc(slices.Clone(p.ready), func(b *box) bool { return slices.Contains(r.tried, b) })
-	if len(free) == 0 || len(r.tried) >= max(1, p.set.MaxAttempts) || r.mayRun && r.class.Effect != balancer.Idempotent || now >= r.deadline {
+// dispatch sends a request, or gives its final answer.
+func (p *reference) dispatch(now time.Duration, id string, r *request) {
+	free := slices.DeleteFunc(slices.Clone(p.ready), func(b *endpoint) bool { return slices.Contains(r.attempts, b) })
+	if len(free) == 0 || len(r.attempts) >= max(1, p.set.MaxAttempts) || r.mayHaveRun && r.class.Effect != balancer.Idempotent || now >= r.deadline {
 		r.answered = true
-		if r.mayRun && r.class.Effect != balancer.Idempotent {
-			p.do(balancer.Fail{ID: id})
+		if r.mayHaveRun && r.class.Effect != balancer.Idempotent {
+			p.emit(balancer.Fail{ID: id})
 		} else {
-			p.do(balancer.Reject{ID: id})
+			p.emit(balancer.Reject{ID: id})
 		}
-		p.forget(id, r)
+		p.forgetIfOver(id, r)
 		return
 	}
 	b := p.choose(free)
-	b.calls++
-	r.tried = append(r.tried, b)
-	r.out++
-	p.do(balancer.Send{ID: id, Server: b.ID, Timeout: r.deadline - now})
+	b.inFlight++
+	r.attempts = append(r.attempts, b)
+	r.attemptsOut++
+	p.emit(balancer.Send{ID: id, Server: b.ID, Timeout: r.deadline - now})
 }
 
-func (p *plain) outcome(now time.Duration, e balancer.AttemptEnded) {
+func (p *reference) attemptEnded(now time.Duration, e balancer.AttemptEnded) {
 	r := p.open[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tried) {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
 		return
 	}
-	r.tried[e.Attempt].calls--
-	r.out--
+	r.attempts[e.Attempt].inFlight--
+	r.attemptsOut--
 	if e.Outcome != balancer.Overloaded && e.Outcome != balancer.Unreachable && e.Outcome != balancer.NotSent {
-		r.mayRun = true
+		r.mayHaveRun = true
 	}
 	if e.RequestDone {
 		r.answered = true
 	}
-	if !r.answered && r.out == 0 {
-		p.next(now, e.ID, r)
+	if !r.answered && r.attemptsOut == 0 {
+		p.dispatch(now, e.ID, r)
 		return
 	}
-	p.forget(e.ID, r)
+	p.forgetIfOver(e.ID, r)
 }
 
-func (p *plain) forget(id string, r *request) {
-	if r.answered && r.out == 0 {
+func (p *reference) forgetIfOver(id string, r *request) {
+	if r.answered && r.attemptsOut == 0 {
 		delete(p.open, id)
 	}
 }
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -15,7 +15,7 @@
 			{Name: "unsafe", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-func listOf(n int) balancer.EndpointUpdate {
+func endpointList(n int) balancer.EndpointUpdate {
 	list := balancer.EndpointUpdate{Complete: true}
 	for i := range n {
 		list.Servers = append(list.Servers, balancer.Server{ID: "s-" + strconv.Itoa(100000+i)})
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Handle(0, listOf(5))
+		p.Handle(0, endpointList(5))
 		for n, c := range []struct {
 			class   string
 			ending  balancer.Outcome
@@ -69,9 +69,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Handle(0, listOf(2))
+	p.Handle(0, endpointList(2))
 	p.Handle(0, balancer.Request{ID: "a", Class: "safe", Deadline: time.Second})
-	one := listOf(2)
+	one := endpointList(2)
 	one.Complete, one.Servers[0].State, one.Servers[1].State = false, balancer.Draining, balancer.Removed
 	p.Handle(0, one)
 	if out := p.Handle(0, balancer.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (balancer.Reject{ID: "b"}) {
@@ -80,7 +80,7 @@
 	if out := p.Handle(0, balancer.AttemptEnded{ID: "a", Outcome: balancer.Success, RequestDone: true}); len(out) != 0 {
 		t.Errorf("a call that was out: %v", out)
 	}
-	back := listOf(2)
+	back := endpointList(2)
 	back.Servers[0].StartTime = time.Second
 	p.Handle(0, back)
 	for i := range 20 {
@@ -94,7 +94,7 @@
 }
 
 // BenchmarkRequest is what a request with its one outcome costs an instance that knows so many boxes and has 32
-// calls out; BenchmarkChange what a change of one box does.
+// inFlight out; BenchmarkChange what a change of one box does.
 func BenchmarkRequest(b *testing.B) {
 	for _, name := range []string{"deckrelay", "two-random"} {
 		for _, boxes := range []int{10, 100, 1000, 10000} {
@@ -103,7 +103,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				p.Handle(0, listOf(boxes))
+				p.Handle(0, endpointList(boxes))
 				const out = 32
 				servers := make([]string, out)
 				now := time.Second
@@ -131,7 +131,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := listOf(boxes)
+			list := endpointList(boxes)
 			p.Handle(0, list)
 			one := balancer.EndpointUpdate{Servers: list.Servers[:1]}
 			now := time.Second
--- a/internal/lab/scale/datapath_servers.go
+++ b/internal/lab/scale/datapath_servers.go
@@ -25,7 +25,7 @@
 // service has answered. One handler serves all addresses, so that many servers cost no more than one.
 type Service struct {
 	name     string
-	hosts    []loopback.Entry
+	hosts    []loopback.Endpoint
 	servers  []*http.Server
 	serving  sync.WaitGroup
 	client   *http.Client
@@ -59,13 +59,13 @@
 	}
 	server := &http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: headerTimeout}
 	s.servers = append(s.servers, server)
-	s.hosts = append(s.hosts, loopback.NewEntry(fmt.Sprintf("%s-%d", s.name, index), "plain", ln.Addr().String(), index))
+	s.hosts = append(s.hosts, loopback.NewEndpoint(fmt.Sprintf("%s-%d", s.name, index), "plain", ln.Addr().String(), index))
 	s.serving.Go(func() { _ = server.Serve(ln) }) // ends with Close, which is no error
 	return nil
 }
 
 // Hosts is the list of the service's servers.
-func (s *Service) Hosts() []loopback.Entry { return s.hosts }
+func (s *Service) Hosts() []loopback.Endpoint { return s.hosts }
 
 // Received counts the calls that have reached one of the servers.
 func (s *Service) Received(server int) int64 { return s.received[server].Load() }
--- a/internal/lab/scale/nodeload.go
+++ b/internal/lab/scale/nodeload.go
@@ -41,10 +41,10 @@
 func (r NodeLoadResult) PerSecond(count int64) float64 { return float64(count) / r.Elapsed.Seconds() }
 
 // ListedServers is a list of servers that exist in the list alone.
-func ListedServers(count int) []loopback.Entry {
-	hosts := make([]loopback.Entry, count)
+func ListedServers(count int) []loopback.Endpoint {
+	hosts := make([]loopback.Endpoint, count)
 	for i := range hosts {
-		hosts[i] = loopback.NewEntry(fmt.Sprintf("server-%04d", i), "plain", fmt.Sprintf("127.0.0.1:%d", placeholderPort+i), i)
+		hosts[i] = loopback.NewEndpoint(fmt.Sprintf("server-%04d", i), "plain", fmt.Sprintf("127.0.0.1:%d", placeholderPort+i), i)
 	}
 	return hosts
 }
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -37,13 +37,13 @@
 
 	mu      sync.Mutex
 	version int64
-	hosts   []loopback.Entry
+	hosts   []loopback.Endpoint
 	changed []int64       // by host: the version that changed it last
 	news    chan struct{} // closed at the next change
 }
 
 // NewWatchServer serves a list of servers, all as they are given, as version 1. Close must follow.
-func NewWatchServer(hosts []loopback.Entry) (*WatchServer, error) {
+func NewWatchServer(hosts []loopback.Endpoint) (*WatchServer, error) {
 	ln, err := link.Listen(0, link.ForDoor)
 	if err != nil {
 		return nil, fmt.Errorf("scale: stand-in for discovery: %w", err)
@@ -74,10 +74,10 @@
 }
 
 // Whole is the whole list.
-func (s *WatchServer) Whole() loopback.Roster {
+func (s *WatchServer) Whole() loopback.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return loopback.Roster{Seq: s.version, Whole: true, Hosts: slices.Clone(s.hosts)}
+	return loopback.EndpointList{Seq: s.version, Complete: true, Endpoints: slices.Clone(s.hosts)}
 }
 
 // SetHealth changes one server's state, which is one new version.
@@ -101,16 +101,16 @@
 }
 
 // since gives the changes after a version, and what is closed at the next change.
-func (s *WatchServer) since(version int64) (loopback.Roster, <-chan struct{}) {
+func (s *WatchServer) since(version int64) (loopback.EndpointList, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.version {
 		version = 0
 	}
-	list := loopback.Roster{Seq: s.version, Whole: version == 0, Hosts: []loopback.Entry{}}
+	list := loopback.EndpointList{Seq: s.version, Complete: version == 0, Endpoints: []loopback.Endpoint{}}
 	for i, host := range s.hosts {
 		if s.changed[i] > version {
-			list.Hosts = append(list.Hosts, host)
+			list.Endpoints = append(list.Endpoints, host)
 		}
 	}
 	return list, s.news
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -60,7 +60,7 @@
 	Program      string // the node, from BuildForService
 	SettingsFile string
 	Folder       string // where its configuration and log are kept
-	Servers      []loopback.Entry
+	Servers      []loopback.Endpoint
 }
 
 // NodeProcess is a real node process with a stand-in for discovery of its own.
@@ -89,7 +89,7 @@
 		node.process = command.Process
 		return err
 	}
-	how := loopback.Options{Program: []string{options.Program}, Begin: begin, Dir: options.Folder}
+	how := loopback.Options{Program: []string{options.Program}, StartCommand: begin, Dir: options.Folder}
 	node.nodes, err = loopback.NewNodes(ctx, world, how, nodeLists{node.Discovery})
 	if err == nil {
 		err = node.nodes.Start(ctx, 0, nil)
@@ -167,7 +167,7 @@
 type nodeLists struct{ discovery *WatchServer }
 
 // Discovery is the address of the list.
-func (l nodeLists) Discovery(string) string { return l.discovery.Addr() }
+func (l nodeLists) DiscoveryAddr(string) string { return l.discovery.Addr() }
 
 // Known is the list that a node starts with.
-func (l nodeLists) Known(string, int) loopback.Roster { return l.discovery.Whole() }
+func (l nodeLists) BootstrapList(string, int) loopback.EndpointList { return l.discovery.Whole() }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -25,12 +25,12 @@
 	Classes   []Class
 	Tenants   []Tenant
 	Clients   Clients
-	Front     Front
+	Ingress   Ingress
 	Discovery Discovery
-	Net       Net
+	Network   Network
 	Rules     Rules
 	Fleet     Fleet
-	Troubles  []Trouble
+	Faults    []Fault
 }
 
 // Tier is one row of boxes.
@@ -38,47 +38,47 @@
 	Name  string
 	Work  float64 // part of a request's work that one visit takes
 	Calls float64 // mean of the calls, one after another, that a visit makes to the next tier
-	Kinds []Kind
+	Kinds []ServerKind
 }
 
-// Boxes counts the boxes of all kinds.
-func (t Tier) Boxes() (n int) {
+// ServerCount counts the boxes of all kinds.
+func (t Tier) ServerCount() (n int) {
 	for _, k := range t.Kinds {
 		n += k.Count
 	}
 	return n
 }
 
-// Kind is a kind of machine in a tier.
-type Kind struct {
-	Name      string        `json:"Name"`
-	Count     int           `json:"Count"`
-	Cores     float64       `json:"Cores"`
-	Speed     float64       `json:"Speed"`    // work done a core and second, in seconds
-	Slots     int           `json:"Slots"`    // requests in work at once, those that wait for calls among them
-	Queue     int           `json:"Queue"`    // waiting room beyond the slots
-	Thrash    float64       `json:"Thrash"`   // efficiency lost, as a share, at twice ThrashAt
-	ThrashAt  int           `json:"ThrashAt"` // requests held above which a box gets slower
-	ColdFrom  float64       `json:"ColdFrom"` // share of its capacity that a fresh box has
-	Cold      time.Duration `json:"Cold"`
-	Conns     int           `json:"Conns"`     // connections at once
-	Handshake time.Duration `json:"Handshake"` // work of a new connection
-	ErrorRate float64       `json:"ErrorRate"` // share of requests answered with an error
-	Cancels   bool          `json:"Cancels"`   // a request that waits and is given up leaves the waiting room
+// ServerKind is a kind of machine in a tier.
+type ServerKind struct {
+	Name             string        `json:"Name"`
+	Count            int           `json:"Count"`
+	Cores            float64       `json:"Cores"`
+	Speed            float64       `json:"Speed"`    // work done a core and second, in seconds
+	Concurrency      int           `json:"Slots"`    // requests in work at once, those that wait for calls among them
+	QueueLength      int           `json:"Queue"`    // waiting room beyond the slots
+	CrowdingLoss     float64       `json:"Thrash"`   // efficiency lost, as a share, at twice ThrashAt
+	CrowdedAbove     int           `json:"ThrashAt"` // requests held above which a box gets slower
+	WarmupStartShare float64       `json:"ColdFrom"` // share of its capacity that a fresh box has
+	WarmupDuration   time.Duration `json:"Cold"`
+	MaxConnections   int           `json:"Conns"`     // connections at once
+	HandshakeWork    time.Duration `json:"Handshake"` // work of a new connection
+	ErrorRate        float64       `json:"ErrorRate"` // share of requests answered with an error
+	CancelsQueued    bool          `json:"Cancels"`   // a request that waits and is given up leaves the waiting room
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name      string          `json:"Name"`
-	Share     float64         `json:"Share"` // of the arrivals, over the sum of all
-	Effect    balancer.Effect `json:"Effect"`
-	Worth     float64         `json:"Worth"`
-	LateShare float64         `json:"LateShare"`
-	Work      time.Duration   `json:"Work"` // mean, at speed 1, over all tiers' shares
-	CV        float64         `json:"CV"`   // of the work, lognormal
-	Aim       time.Duration   `json:"Aim"`
-	Deadline  time.Duration   `json:"Deadline"`
-	Window    time.Duration   `json:"Window"` // for keyed classes: how long repeats are discarded
+	Name             string          `json:"Name"`
+	Share            float64         `json:"Share"` // of the arrivals, over the sum of all
+	Effect           balancer.Effect `json:"Effect"`
+	PriorityWeight   float64         `json:"Worth"`
+	LateCredit       float64         `json:"LateShare"`
+	Work             time.Duration   `json:"Work"` // mean, at speed 1, over all tiers' shares
+	WorkVariation    float64         `json:"CV"`   // of the work, lognormal
+	LatencyObjective time.Duration   `json:"Aim"`
+	Deadline         time.Duration   `json:"Deadline"`
+	DedupWindow      time.Duration   `json:"Window"` // for keyed classes: how long repeats are discarded
 }
 
 // Tenant is one winery.
@@ -89,105 +89,105 @@
 
 // Clients say how requests come.
 type Clients struct {
-	Rate       float64 // first tries a second
-	Arrivals   string  // poisson, ramp (from half the rate to one and a half) or recorded
-	File       string  // of recorded arrivals
-	Retries    int
-	TryShare   float64 // part of the deadline that a try is given, but for the last
-	Backoff    time.Duration
-	Honour     float64 // share of refused clients that wait as long as they were told
-	Marks      bool    // repeats are marked
-	Impatient  float64 // share of clients that leave before their time is up
-	ClosedLoop int     // above 0: so many clients, each with one request at a time, instead of a rate
+	Rate             float64 // first tries a second
+	Arrivals         string  // poisson, ramp (from half the rate to one and a half) or recorded
+	ArrivalsFile     string  // of recorded arrivals
+	Retries          int
+	TryTimeoutShare  float64 // part of the deadline that a try is given, but for the last
+	Backoff          time.Duration
+	HonourRetryAfter float64 // share of refused clients that wait as long as they were told
+	MarkRetries      bool    // repeats are marked
+	ImpatientShare   float64 // share of clients that leave before their time is up
+	ClosedLoop       int     // above 0: so many clients, each with one request at a time, instead of a rate
 }
 
-// Front spreads clients over the first tier's nodes.
-type Front struct {
-	Nodes  int
-	Notice time.Duration // after which it has seen that a node died
+// Ingress spreads clients over the first tier's nodes.
+type Ingress struct {
+	Nodes            int
+	FailureDetection time.Duration // after which it has seen that a node died
 }
 
 // Discovery is the service that lists boxes.
 type Discovery struct {
-	Asked    bool          // the list follows only a Subscribe
-	Drain    time.Duration // from a drain to its being listed
-	Add      time.Duration // the same for a start
-	Notice   time.Duration // the same for a crash
-	Silent   time.Duration // the same for a machine that has gone quiet
-	Spread   time.Duration // from listed to told, up to so much
-	Capacity float64       // calls a second
-	Timeout  time.Duration // of a call that waits
-	Within   time.Duration // a node without a watch must ask so often
-	Indented bool          // lists span lines
+	Polled           bool          // the list follows only a Subscribe
+	DrainDelay       time.Duration // from a drain to its being listed
+	AddDelay         time.Duration // the same for a start
+	CrashDelay       time.Duration // the same for a crash
+	UnreachableDelay time.Duration // the same for a machine that has gone quiet
+	NotifySpread     time.Duration // from listed to told, up to so much
+	CallsPerSecond   float64       // calls a second
+	CallTimeout      time.Duration // of a call that waits
+	MaxPollInterval  time.Duration // a node without a watch must ask so often
+	Indented         bool          // lists span lines
 }
 
-// Net is the network.
-type Net struct {
-	Hop            time.Duration // one way between node and box
-	Client         time.Duration // one way between client and node
-	Jitter         float64       // spread of both, as a share
-	HandshakeTrips int
-	ConnectTimeout time.Duration
-	Idle           time.Duration // a kept connection is closed after so long without use
+// Network is the network.
+type Network struct {
+	ServerLatency       time.Duration // one way between node and box
+	ClientLatency       time.Duration // one way between client and node
+	Jitter              float64       // spread of both, as a share
+	HandshakeRoundTrips int
+	ConnectTimeout      time.Duration
+	IdleTimeout         time.Duration // a kept connection is closed after so long without use
 }
 
 // Rules are what the auditor holds nodes to, and what nodes are told.
 type Rules struct {
-	MaxAttempts   int           `json:"MaxAttempts"`
-	DrainGrace    time.Duration `json:"DrainGrace"`
-	FallMultiple  float64       `json:"FallMultiple"`
-	Fall          time.Duration `json:"Fall"`
-	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
-	Slack         time.Duration `json:"Slack"` // on every limit of time
+	MaxAttempts      int           `json:"MaxAttempts"`
+	DrainGrace       time.Duration `json:"DrainGrace"`
+	OverloadMultiple float64       `json:"FallMultiple"`
+	OverloadWindow   time.Duration `json:"Fall"`
+	MaxRetryAfter    time.Duration `json:"MaxRetryAfter"`
+	Slack            time.Duration `json:"Slack"` // on every limit of time
 }
 
 // Fleet says how a world is split into processes, and what its nodes are given at their start.
 type Fleet struct {
-	BoxesPer int           // boxes of one process, as on one machine
-	Known    string        // the list that a node starts with: fresh, old or none
-	Age      time.Duration // of an old one
-	Old      float64       // share of the nodes that run another build
-	Control  bool          // nodes take operators' calls and keep their address and name over their lives
+	ServersPerProcess int           // boxes of one process, as on one machine
+	BootstrapList     string        // the list that a node starts with: fresh, old or none
+	BootstrapAge      time.Duration // of an old one
+	OldBuildShare     float64       // share of the nodes that run another build
+	AdminCalls        bool          // nodes take operators' calls and keep their address and name over their lives
 }
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Kind   string
-	Pos    string
-	At     time.Duration
-	Length time.Duration
-	Tier   string  // "": the first that fits
-	Part   float64 // of the tier's boxes, or of the nodes
-	Size   float64
-	Share  float64       // of requests
-	Period time.Duration // on and off for so long each; 0: on throughout
-	Class  string
+// Fault is something that goes wrong for a while.
+type Fault struct {
+	Kind        string
+	Position    string
+	At          time.Duration
+	Duration    time.Duration
+	Tier        string  // "": the first that fits
+	TargetShare float64 // of the tier's boxes, or of the nodes
+	Magnitude   float64
+	Share       float64       // of requests
+	Period      time.Duration // on and off for so long each; 0: on throughout
+	Class       string
 
 	// Of troubles between processes:
-	Who, Whom string        // nodes, boxes or discovery; whom also clients or all
-	Spread    time.Duration // it meets each within so long after At
-	Way       string        // both, out (from who to whom) or back
-	Heal      string        // held (what was sent meanwhile arrives) or reset
-	Delay     time.Duration
-	Rate      float64 // bytes a second
-	Bytes     int
-	Folder    string // what a node that is ended finds of its folder when it starts again
+	Target, Peer   string        // nodes, boxes or discovery; whom also clients or all
+	Spread         time.Duration // it meets each within so long after At
+	Direction      string        // both, out (from who to whom) or back
+	Recovery       string        // held (what was sent meanwhile arrives) or reset
+	Delay          time.Duration
+	BytesPerSecond float64 // bytes a second
+	Bytes          int
+	Folder         string // what a node that is ended finds of its folder when it starts again
 }
 
-// FleetKinds are the troubles that need processes with links between them. A kill is also played in virtual time.
-var FleetKinds = []string{"stall", "cut", "slow_link", "reset_link", "refuse_link", "half_open", "break_link", "box_kill", "upgrade", "hand", "hush"}
+// ProcessFaultKinds are the troubles that need processes with links between them. A kill is also played in virtual time.
+var ProcessFaultKinds = []string{"stall", "cut", "slow_link", "reset_link", "refuse_link", "half_open", "break_link", "box_kill", "upgrade", "hand", "hush"}
 
-// Folders are what can have become of a node's folder ($TMPDIR) between two of its lives.
-var Folders = []string{"kept", "emptied", "cut", "old", "other", "unwritable", "full"}
+// FolderStates are what can have become of a node's folder ($TMPDIR) between two of its lives.
+var FolderStates = []string{"kept", "emptied", "cut", "old", "other", "unwritable", "full"}
 
-// TroubleKinds are all that a scenario can name.
-var TroubleKinds = []string{"crash", "cut_off", "neighbour", "heavy_tail", "shared_slow", "broken_answers",
+// WorldFaultKinds are all that a scenario can name.
+var WorldFaultKinds = []string{"crash", "cut_off", "neighbour", "heavy_tail", "shared_slow", "broken_answers",
 	"kept_resets", "release", "node_restart", "node_kill", "discovery_down", "discovery_moved", "overload", "retry_storm", "kill"}
 
 // Policies are the names that a scenario may choose from.
 var Policies = []string{"deckrelay", "random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"}
 
-const maxFile = 1 << 20
+const maxFileSize = 1 << 20
 
 // Override gives a setting another value than the file does: "clients.rate", or "class.bin-weighin.share" where
 // several blocks of a kind have labels.
@@ -199,8 +199,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	if len(text) > maxFile {
-		return nil, fmt.Errorf("scenario: %s is over %d bytes", path, maxFile)
+	if len(text) > maxFileSize {
+		return nil, fmt.Errorf("scenario: %s is over %d bytes", path, maxFileSize)
 	}
 	s, err := Parse(path, text, func(base string) ([]byte, error) {
 		return os.ReadFile(base)
@@ -211,20 +211,20 @@
 	return s, nil
 }
 
-// order is that in which blocks are read: troubles name tiers and classes, so they come last.
-var order = []string{"scenario", "tier", "class", "tenant", "clients", "front", "discovery", "net", "rules", "fleet", "trouble"}
+// blockOrder is that in which blocks are read: troubles name tiers and classes, so they come last.
+var blockOrder = []string{"scenario", "tier", "class", "tenant", "clients", "front", "discovery", "net", "rules", "fleet", "trouble"}
 
 // Parse reads the text of a scenario file. Errors begin with its name and the line. Where the file names a base,
 // read gives that file's text: blocks of the kinds that the file has none of are the base's, but for troubles.
 func Parse(name string, text []byte, read func(path string) ([]byte, error), overrides ...Override) (*Scenario, error) {
-	byKind, err := group(name, text)
+	byKind, err := groupBlocks(name, text)
 	if err != nil {
 		return nil, err
 	}
 	if head := byKind["scenario"]; len(head) > 0 {
 		base := head[0].Text("base", "")
 		if _, ok := head[0].Has("base"); ok {
-			if err := under(byKind, name, base, head[0], read); err != nil {
+			if err := applyBase(byKind, name, base, head[0], read); err != nil {
 				return nil, err
 			}
 		}
@@ -240,10 +240,10 @@
 			byKind[kind] = []*settings.Reader{settings.NewReader(name, settings.Block{Kind: kind, Line: 1})}
 		}
 	}
-	take := map[string]func(*settings.Reader, bool){"scenario": s.takeHead, "tier": s.takeTier, "class": s.takeClass,
-		"tenant": s.takeTenant, "clients": s.takeClients, "front": s.takeFront, "discovery": s.takeDiscovery,
-		"net": s.takeNet, "rules": s.takeRules, "fleet": s.takeFleet, "trouble": s.takeTrouble}
-	for _, kind := range order {
+	take := map[string]func(*settings.Reader, bool){"scenario": s.readHeader, "tier": s.readTier, "class": s.readClass,
+		"tenant": s.readTenant, "clients": s.readClients, "front": s.readIngress, "discovery": s.readDiscovery,
+		"net": s.readNetwork, "rules": s.readRules, "fleet": s.readFleet, "trouble": s.readFault}
+	for _, kind := range blockOrder {
 		for i, r := range byKind[kind] {
 			take[kind](r, i > 0)
 			if err := r.End(); err != nil {
@@ -294,15 +294,15 @@
 	return nil
 }
 
-// group reads a file's blocks by their kinds.
-func group(name string, text []byte) (map[string][]*settings.Reader, error) {
+// groupBlocks reads a file's blocks by their kinds.
+func groupBlocks(name string, text []byte) (map[string][]*settings.Reader, error) {
 	blocks, err := settings.ParseBlocks(name, text)
 	if err != nil {
 		return nil, err
 	}
 	byKind := map[string][]*settings.Reader{}
 	for _, b := range blocks {
-		if !slices.Contains(order, b.Kind) {
+		if !slices.Contains(blockOrder, b.Kind) {
 			return nil, settings.ErrorAt(name, b.Line, "unknown block %s", b.Kind)
 		}
 		byKind[b.Kind] = append(byKind[b.Kind], settings.NewReader(name, b))
@@ -310,8 +310,8 @@
 	return byKind, nil
 }
 
-// under puts the blocks of a base file where the file itself has none of the kind.
-func under(byKind map[string][]*settings.Reader, name, base string, head *settings.Reader, read func(string) ([]byte, error)) error {
+// applyBase puts the blocks of a base file where the file itself has none of the kind.
+func applyBase(byKind map[string][]*settings.Reader, name, base string, head *settings.Reader, read func(string) ([]byte, error)) error {
 	line, _ := head.Has("base")
 	if base != filepath.Base(base) {
 		return settings.ErrorAt(name, line, "base must name a file in the same folder")
@@ -321,7 +321,7 @@
 	if err != nil {
 		return settings.ErrorAt(name, line, "base: %w", err)
 	}
-	below, err := group(path, text)
+	below, err := groupBlocks(path, text)
 	if err != nil {
 		return err
 	}
@@ -330,7 +330,7 @@
 			return settings.ErrorAt(path, at, "a base has no base of its own")
 		}
 	}
-	for _, kind := range order {
+	for _, kind := range blockOrder {
 		if kind != "scenario" && kind != "trouble" && len(byKind[kind]) == 0 {
 			byKind[kind] = below[kind]
 		}
@@ -344,7 +344,7 @@
 	ms     = time.Millisecond
 )
 
-func (s *Scenario) takeHead(r *settings.Reader, again bool) {
+func (s *Scenario) readHeader(r *settings.Reader, again bool) {
 	if again {
 		r.AddError(r.Block.Line, "block scenario is there already")
 	}
@@ -355,26 +355,26 @@
 	s.Policy = r.OneOf("policy", Policies...)
 }
 
-func (s *Scenario) takeTier(r *settings.Reader, _ bool) {
+func (s *Scenario) readTier(r *settings.Reader, _ bool) {
 	t := Tier{Name: r.Label(), Work: r.Number("work", 1, 0.0001, 100), Calls: r.Number("calls", 1, 0, 20)}
 	if slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Name }) {
 		r.AddError(r.Block.Line, "tier %s is there already", t.Name)
 	}
 	for _, k := range r.Blocks("kind") {
-		kind := Kind{Name: k.Label(), Count: k.Integer("count", 1, 1, 100000), Cores: k.Number("cores", 2, 0.01, 1024),
-			Speed: k.Number("speed", 1, 0.0001, 1000), Slots: k.Integer("slots", 64, 1, 1<<20),
-			Queue: k.Integer("queue", 32, 0, 1<<20), Thrash: k.Number("thrash", 0.1, 0, 100),
-			ThrashAt: k.Integer("thrash_at", 48, 1, 1<<20), ColdFrom: k.Number("cold_from", 0.35, 0.001, 1),
-			Cold: k.Seconds("cold_s", 6*time.Second, 0, time.Hour), Conns: k.Integer("conns", 1200, 1, 1<<20),
-			Handshake: time.Duration(k.Number("handshake_us", 800, 0, 1e6) * float64(time.Microsecond)),
-			ErrorRate: k.Number("error_rate", 0, 0, 1), Cancels: k.OneOf("cancel", "none", "queued") == "queued"}
+		kind := ServerKind{Name: k.Label(), Count: k.Integer("count", 1, 1, 100000), Cores: k.Number("cores", 2, 0.01, 1024),
+			Speed: k.Number("speed", 1, 0.0001, 1000), Concurrency: k.Integer("slots", 64, 1, 1<<20),
+			QueueLength: k.Integer("queue", 32, 0, 1<<20), CrowdingLoss: k.Number("thrash", 0.1, 0, 100),
+			CrowdedAbove: k.Integer("thrash_at", 48, 1, 1<<20), WarmupStartShare: k.Number("cold_from", 0.35, 0.001, 1),
+			WarmupDuration: k.Seconds("cold_s", 6*time.Second, 0, time.Hour), MaxConnections: k.Integer("conns", 1200, 1, 1<<20),
+			HandshakeWork: time.Duration(k.Number("handshake_us", 800, 0, 1e6) * float64(time.Microsecond)),
+			ErrorRate:     k.Number("error_rate", 0, 0, 1), CancelsQueued: k.OneOf("cancel", "none", "queued") == "queued"}
 		r.AddErr(k.End())
 		t.Kinds = append(t.Kinds, kind)
 	}
 	if len(t.Kinds) == 0 {
 		r.AddError(r.Block.Line, "tier %s has no kind", t.Name)
 	}
-	if t.Boxes() > 100000 {
+	if t.ServerCount() > 100000 {
 		r.AddError(r.Block.Line, "tier %s has over 100000 boxes", t.Name)
 	}
 	s.Tiers = append(s.Tiers, t)
@@ -383,18 +383,18 @@
 	}
 }
 
-func (s *Scenario) takeClass(r *settings.Reader, _ bool) {
-	c := Class{Name: r.Label(), Share: r.Number("share", 1, 0, 1e6), Worth: r.Number("worth", 1, 0, 1e6),
-		LateShare: r.Number("late_worth", 0.5, 0, 1), Work: r.Milliseconds("work_ms", 10*ms, time.Microsecond, time.Hour),
-		CV: r.Number("cv", 0.4, 0, 10), Aim: r.Milliseconds("aim_ms", 500*ms, ms, time.Hour),
+func (s *Scenario) readClass(r *settings.Reader, _ bool) {
+	c := Class{Name: r.Label(), Share: r.Number("share", 1, 0, 1e6), PriorityWeight: r.Number("worth", 1, 0, 1e6),
+		LateCredit: r.Number("late_worth", 0.5, 0, 1), Work: r.Milliseconds("work_ms", 10*ms, time.Microsecond, time.Hour),
+		WorkVariation: r.Number("cv", 0.4, 0, 10), LatencyObjective: r.Milliseconds("aim_ms", 500*ms, ms, time.Hour),
 		Deadline: r.Milliseconds("deadline_ms", 2*time.Second, ms, time.Hour)}
 	switch r.OneOf("effect", "unsafe", "keyed", "safe") {
 	case "keyed":
-		c.Effect, c.Window = balancer.IdempotentWithKey, r.Seconds("window_s", 30*time.Second, ms, day)
+		c.Effect, c.DedupWindow = balancer.IdempotentWithKey, r.Seconds("window_s", 30*time.Second, ms, day)
 	case "safe":
 		c.Effect = balancer.Idempotent
 	}
-	if c.Deadline < c.Aim {
+	if c.Deadline < c.LatencyObjective {
 		r.AddError(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
 	}
 	if c.Name == "" || slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == c.Name }) {
@@ -403,7 +403,7 @@
 	s.Classes = append(s.Classes, c)
 }
 
-func (s *Scenario) takeTenant(r *settings.Reader, _ bool) {
+func (s *Scenario) readTenant(r *settings.Reader, _ bool) {
 	t := Tenant{Name: r.Label(), Share: r.Number("share", 1, 0, 1e6)}
 	if t.Name == "" || slices.ContainsFunc(s.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
 		r.AddError(r.Block.Line, "tenant %q is empty or there already", t.Name)
@@ -411,66 +411,66 @@
 	s.Tenants = append(s.Tenants, t)
 }
 
-func (s *Scenario) takeClients(r *settings.Reader, again bool) {
+func (s *Scenario) readClients(r *settings.Reader, again bool) {
 	r.Once(again)
 	s.Clients = Clients{Rate: r.Number("rate", 100, 0.001, 1e6), Arrivals: r.OneOf("arrivals", "poisson", "ramp", "recorded"),
-		File: r.Text("file", ""), Retries: r.Integer("retries", 2, 0, 20), TryShare: r.Number("try_share", 0.55, 0.01, 1),
-		Backoff: r.Milliseconds("backoff_ms", 200*ms, 0, minute), Honour: r.Number("honour", 0.25, 0, 1),
-		Marks: r.OneOf("marks", "on", "off") == "on", Impatient: r.Number("impatient", 0, 0, 1),
+		ArrivalsFile: r.Text("file", ""), Retries: r.Integer("retries", 2, 0, 20), TryTimeoutShare: r.Number("try_share", 0.55, 0.01, 1),
+		Backoff: r.Milliseconds("backoff_ms", 200*ms, 0, minute), HonourRetryAfter: r.Number("honour", 0.25, 0, 1),
+		MarkRetries: r.OneOf("marks", "on", "off") == "on", ImpatientShare: r.Number("impatient", 0, 0, 1),
 		ClosedLoop: r.Integer("closed_loop", 0, 0, 100000)}
-	if (s.Clients.Arrivals == "recorded") != (s.Clients.File != "") {
+	if (s.Clients.Arrivals == "recorded") != (s.Clients.ArrivalsFile != "") {
 		r.AddError(r.Block.Line, "arrivals = \"recorded\" and file go together")
 	}
 }
 
-func (s *Scenario) takeFront(r *settings.Reader, again bool) {
+func (s *Scenario) readIngress(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Front = Front{Nodes: r.Integer("nodes", 2, 1, 10000), Notice: r.Seconds("notice_s", 3*time.Second, 0, minute)}
+	s.Ingress = Ingress{Nodes: r.Integer("nodes", 2, 1, 10000), FailureDetection: r.Seconds("notice_s", 3*time.Second, 0, minute)}
 }
 
-func (s *Scenario) takeDiscovery(r *settings.Reader, again bool) {
+func (s *Scenario) readDiscovery(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Discovery = Discovery{Asked: r.OneOf("mode", "ask", "push") == "ask",
-		Drain: r.Milliseconds("drain_ms", 50*ms, 0, minute), Add: r.Milliseconds("add_ms", time.Second, 0, minute),
-		Notice: r.Milliseconds("notice_ms", 2500*ms, 0, minute), Silent: r.Milliseconds("silent_ms", 9*time.Second, 0, time.Hour),
-		Spread: r.Milliseconds("spread_ms", 200*ms, 0, minute), Capacity: r.Number("calls_per_s", 40, 0.01, 1e6),
-		Timeout: r.Milliseconds("timeout_ms", 2*time.Second, ms, minute), Within: r.Seconds("ask_within_s", 10*time.Second, 100*ms, time.Hour),
+	s.Discovery = Discovery{Polled: r.OneOf("mode", "ask", "push") == "ask",
+		DrainDelay: r.Milliseconds("drain_ms", 50*ms, 0, minute), AddDelay: r.Milliseconds("add_ms", time.Second, 0, minute),
+		CrashDelay: r.Milliseconds("notice_ms", 2500*ms, 0, minute), UnreachableDelay: r.Milliseconds("silent_ms", 9*time.Second, 0, time.Hour),
+		NotifySpread: r.Milliseconds("spread_ms", 200*ms, 0, minute), CallsPerSecond: r.Number("calls_per_s", 40, 0.01, 1e6),
+		CallTimeout: r.Milliseconds("timeout_ms", 2*time.Second, ms, minute), MaxPollInterval: r.Seconds("ask_within_s", 10*time.Second, 100*ms, time.Hour),
 		Indented: r.OneOf("form", "lines", "indented") == "indented"}
 }
 
-func (s *Scenario) takeNet(r *settings.Reader, again bool) {
+func (s *Scenario) readNetwork(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Net = Net{Hop: r.Milliseconds("hop_ms", 200*time.Microsecond, 0, time.Second), Client: r.Milliseconds("client_ms", ms, 0, 10*time.Second),
-		Jitter: r.Number("jitter", 0.2, 0, 1), HandshakeTrips: r.Integer("handshake_trips", 2, 0, 10),
-		ConnectTimeout: r.Milliseconds("connect_timeout_ms", 250*ms, ms, minute), Idle: r.Seconds("idle_s", 30*time.Second, 10*ms, time.Hour)}
+	s.Network = Network{ServerLatency: r.Milliseconds("hop_ms", 200*time.Microsecond, 0, time.Second), ClientLatency: r.Milliseconds("client_ms", ms, 0, 10*time.Second),
+		Jitter: r.Number("jitter", 0.2, 0, 1), HandshakeRoundTrips: r.Integer("handshake_trips", 2, 0, 10),
+		ConnectTimeout: r.Milliseconds("connect_timeout_ms", 250*ms, ms, minute), IdleTimeout: r.Seconds("idle_s", 30*time.Second, 10*ms, time.Hour)}
 }
 
-func (s *Scenario) takeRules(r *settings.Reader, again bool) {
+func (s *Scenario) readRules(r *settings.Reader, again bool) {
 	r.Once(again)
 	s.Rules = Rules{MaxAttempts: r.Integer("max_attempts", 3, 1, 10),
-		DrainGrace: r.Milliseconds("drain_grace_ms", 250*ms, 0, minute), FallMultiple: r.Number("fall_multiple", 3, 0, 100),
-		Fall: r.Milliseconds("fall_ms", time.Second, ms, minute), MaxRetryAfter: r.Milliseconds("max_retry_after_ms", 2*time.Second, 0, time.Hour),
+		DrainGrace: r.Milliseconds("drain_grace_ms", 250*ms, 0, minute), OverloadMultiple: r.Number("fall_multiple", 3, 0, 100),
+		OverloadWindow: r.Milliseconds("fall_ms", time.Second, ms, minute), MaxRetryAfter: r.Milliseconds("max_retry_after_ms", 2*time.Second, 0, time.Hour),
 		Slack: r.Milliseconds("slack_ms", 20*ms, 0, time.Second)}
 }
 
-func (s *Scenario) takeFleet(r *settings.Reader, again bool) {
+func (s *Scenario) readFleet(r *settings.Reader, again bool) {
 	r.Once(again)
-	s.Fleet = Fleet{BoxesPer: r.Integer("boxes_per_process", 4, 1, 1000), Known: r.OneOf("known", "fresh", "old", "none"),
-		Age: r.Seconds("known_age_s", 0, 0, day), Old: r.Number("old_build", 0, 0, 1),
-		Control: r.OneOf("control", "off", "on") == "on"}
+	s.Fleet = Fleet{ServersPerProcess: r.Integer("boxes_per_process", 4, 1, 1000), BootstrapList: r.OneOf("known", "fresh", "old", "none"),
+		BootstrapAge: r.Seconds("known_age_s", 0, 0, day), OldBuildShare: r.Number("old_build", 0, 0, 1),
+		AdminCalls: r.OneOf("control", "off", "on") == "on"}
 }
 
-func (s *Scenario) takeTrouble(r *settings.Reader, _ bool) {
-	t := Trouble{Kind: r.Label(), Pos: fmt.Sprintf("%s:%d", r.File, r.Block.Line), At: r.Seconds("at_s", 0, 0, day),
-		Length: r.Seconds("length_s", 10*time.Second, 0, day), Tier: r.Text("tier", ""),
-		Part: r.Number("part", 0.2, 0, 1), Size: r.Number("size", 2, 0, 1e4), Share: r.Number("share", 0.02, 0, 1),
+func (s *Scenario) readFault(r *settings.Reader, _ bool) {
+	t := Fault{Kind: r.Label(), Position: fmt.Sprintf("%s:%d", r.File, r.Block.Line), At: r.Seconds("at_s", 0, 0, day),
+		Duration: r.Seconds("length_s", 10*time.Second, 0, day), Tier: r.Text("tier", ""),
+		TargetShare: r.Number("part", 0.2, 0, 1), Magnitude: r.Number("size", 2, 0, 1e4), Share: r.Number("share", 0.02, 0, 1),
 		Period: r.Seconds("period_s", 0, 0, time.Hour), Class: r.Text("class", ""),
-		Who: r.OneOf("who", "nodes", "boxes", "discovery"), Whom: r.OneOf("whom", "all", "nodes", "boxes", "discovery", "clients"),
-		Spread: r.Seconds("spread_s", 0, 0, time.Hour), Way: r.OneOf("way", "both", "out", "back"),
-		Heal: r.OneOf("heal", "held", "reset"), Delay: r.Milliseconds("delay_ms", 0, 0, minute),
-		Rate: r.Number("rate_kb", 0, 0, 1e9) * 1000, Bytes: r.Integer("bytes", 0, 0, 1<<30),
-		Folder: r.OneOf("folder", Folders...)}
-	if !slices.Contains(TroubleKinds, t.Kind) && !slices.Contains(FleetKinds, t.Kind) {
+		Target: r.OneOf("who", "nodes", "boxes", "discovery"), Peer: r.OneOf("whom", "all", "nodes", "boxes", "discovery", "clients"),
+		Spread: r.Seconds("spread_s", 0, 0, time.Hour), Direction: r.OneOf("way", "both", "out", "back"),
+		Recovery: r.OneOf("heal", "held", "reset"), Delay: r.Milliseconds("delay_ms", 0, 0, minute),
+		BytesPerSecond: r.Number("rate_kb", 0, 0, 1e9) * 1000, Bytes: r.Integer("bytes", 0, 0, 1<<30),
+		Folder: r.OneOf("folder", FolderStates...)}
+	if !slices.Contains(WorldFaultKinds, t.Kind) && !slices.Contains(ProcessFaultKinds, t.Kind) {
 		r.AddError(r.Block.Line, "unknown trouble %q", t.Kind)
 	}
 	if t.Tier == "" && len(s.Tiers) > 0 {
@@ -482,14 +482,14 @@
 	if line, ok := r.Has("class"); ok && !slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == t.Class }) {
 		r.AddError(line, "class %q is not one of the classes", t.Class)
 	}
-	if !s.Fleet.Control && (t.Kind == "upgrade" || t.Kind == "hand" || t.Folder != "kept") {
+	if !s.Fleet.AdminCalls && (t.Kind == "upgrade" || t.Kind == "hand" || t.Folder != "kept") {
 		r.AddError(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", t.Kind, t.Folder)
 	}
-	if line, ok := r.Has("size"); ok && t.Size == 0 {
+	if line, ok := r.Has("size"); ok && t.Magnitude == 0 {
 		r.AddError(line, "size must be above 0")
 	}
 	if t.Period > 0 && t.Period < 10*ms {
 		r.AddError(r.Block.Line, "period_s is under 0.01")
 	}
-	s.Troubles = append(s.Troubles, t)
+	s.Faults = append(s.Faults, t)
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,13 +10,13 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// root is what a client wants: its first try and all that follow.
-type root struct {
+// clientRequest is what a client wants: its first try and all that follow.
+type clientRequest struct {
 	model.Arrival
 	tries    int
 	done     bool
 	attempts int
-	again    func() // a closed loop goes on
+	onEnd    func() // a closed loop goes on
 }
 
 func (w *World) nextArrival() {
@@ -25,44 +25,44 @@
 		return
 	}
 	w.at(a.At, func() {
-		w.ask(&root{Arrival: a})
+		w.startRequest(&clientRequest{Arrival: a})
 		w.nextArrival()
 	})
 }
 
-// loopClient has one request at a time, until the arrivals end.
-func (w *World) loopClient() {
-	if w.now >= w.s.Length {
+// startClosedLoop has one request at a time, until the arrivals end.
+func (w *World) startClosedLoop() {
+	if w.now >= w.scenario.Length {
 		return
 	}
-	r := &root{Arrival: w.arrivals.Draw(w.now)}
-	r.again = w.loopClient
-	w.ask(r)
+	r := &clientRequest{Arrival: w.arrivals.Draw(w.now)}
+	r.onEnd = w.startClosedLoop
+	w.startRequest(r)
 }
 
-func (w *World) ask(r *root) {
-	w.score.Asked(r.At, r.Class, r.Tenant)
-	w.try(r)
+func (w *World) startRequest(r *clientRequest) {
+	w.score.RequestBegun(r.At, r.Class, r.Tenant)
+	w.startTry(r)
 }
 
-// try sends a root's next try by the front.
-func (w *World) try(r *root) {
-	class := w.s.Classes[r.Class]
+// startTry sends a root's next try by the front.
+func (w *World) startTry(r *clientRequest) {
+	class := w.scenario.Classes[r.Class]
 	last := r.At + class.Deadline
 	left := last - w.now
 	if left <= 0 {
-		w.over(r, score.Failed)
+		w.endRequest(r, score.Failed)
 		return
 	}
-	budget := model.Budget(w.s, r.Class, r.tries, model.Retries(w.s, w.storm), left)
+	budget := model.TryTimeout(w.scenario, r.Class, r.tries, model.MaxRetries(w.scenario, w.retryStorm), left)
 	repeat := r.tries > 0
 	r.tries++
 	w.score.Tries++
 	deadline := w.now + budget
-	hop := w.jitter(w.s.Net.Client)
-	n := w.front.deal()
+	hop := w.jitter(w.scenario.Network.ClientLatency)
+	n := w.ingress.pickNode()
 	if n == nil {
-		w.after(w.s.Clients.Backoff+hop, func() { w.retry(r, 0, true) })
+		w.after(w.scenario.Clients.Backoff+hop, func() { w.retry(r, 0, true) })
 		return
 	}
 	ended := false // this try is over for the client
@@ -72,79 +72,79 @@
 			w.retry(r, 0, class.Effect == balancer.Idempotent)
 		}
 	})
-	life := n.life
+	life := n.incarnation
 	w.after(hop, func() {
-		if !n.alive || n.life != life { // refused: it never got there
+		if !n.alive || n.incarnation != life { // refused: it never got there
 			w.after(hop, func() {
 				if !ended {
 					ended = true
-					w.retry(r, w.s.Clients.Backoff, true)
+					w.retry(r, w.scenario.Clients.Backoff, true)
 				}
 			})
 			return
 		}
-		c := &call{id: w.newID(), class: r.Class, deadline: deadline, work: r.Work, root: r}
+		c := &call{id: w.newID(), class: r.Class, deadline: deadline, work: r.Work, request: r}
 		c.reply = func(how checker.Answer, retryAfter time.Duration) {
-			w.after(w.jitter(w.s.Net.Client), func() {
+			w.after(w.jitter(w.scenario.Network.ClientLatency), func() {
 				if ended {
 					return
 				}
 				ended = true
-				w.answered(r, how, retryAfter)
+				w.answerReceived(r, how, retryAfter)
 			})
 		}
-		n.take(c)
-		n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, ClientRetry: repeat && w.s.Clients.Marks})
-		if r.Leaves > 0 && !repeat {
-			w.after(time.Duration(r.Leaves*float64(budget)), func() {
-				if n.life == life && !ended {
+		n.accept(c)
+		n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, ClientRetry: repeat && w.scenario.Clients.MarkRetries})
+		if r.LeavesAfter > 0 && !repeat {
+			w.after(time.Duration(r.LeavesAfter*float64(budget)), func() {
+				if n.incarnation == life && !ended {
 					ended = true
-					n.gone(c.id)
-					w.over(r, score.Left)
+					n.clientGone(c.id)
+					w.endRequest(r, score.Abandoned)
 				}
 			})
 		}
 	})
 }
 
-// answered is a node's answer at the client.
-func (w *World) answered(r *root, how checker.Answer, retryAfter time.Duration) {
+// answerReceived is a node's answer at the client.
+func (w *World) answerReceived(r *clientRequest, how checker.Answer, retryAfter time.Duration) {
 	switch {
 	case how == checker.Served:
-		w.over(r, score.Served)
-	case how == checker.Refused:
-		w.score.Refused(w.now)
-		wait := w.s.Clients.Backoff
-		if r.Honour && retryAfter > 0 {
+		w.endRequest(r, score.Served)
+	case how == checker.Rejected:
+		w.score.TryRejected(w.now)
+		wait := w.scenario.Clients.Backoff
+		if r.HonoursRetryAfter && retryAfter > 0 {
 			wait = retryAfter
 		}
-		if w.storm > 1 {
+		if w.retryStorm > 1 {
 			wait = 0
 		}
 		w.retry(r, wait, true)
 	default:
-		w.retry(r, w.s.Clients.Backoff, w.s.Classes[r.Class].Effect == balancer.Idempotent)
+		w.retry(r, w.scenario.Clients.Backoff, w.scenario.Classes[r.Class].Effect == balancer.Idempotent)
 	}
 }
 
 // retry tries again after a wait, where that is safe and there is time and a try left.
-func (w *World) retry(r *root, wait time.Duration, safe bool) {
-	if !safe || r.tries > model.Retries(w.s, w.storm) || w.now+wait >= r.At+w.s.Classes[r.Class].Deadline {
-		w.over(r, score.Failed)
+func (w *World) retry(r *clientRequest, wait time.Duration, safe bool) {
+	if !safe || r.tries > model.MaxRetries(w.scenario, w.retryStorm) || w.now+wait >= r.At+w.scenario.Classes[r.Class].Deadline {
+		w.endRequest(r, score.Failed)
 		return
 	}
-	w.after(wait, func() { w.try(r) })
+	w.after(wait, func() { w.startTry(r) })
 }
 
-// over is a root's end.
-func (w *World) over(r *root, how score.End) {
+// ended is a root's end.
+func (w *World) endRequest(r *clientRequest, how score.Outcome) {
 	if r.done {
 		return
 	}
 	r.done = true
-	w.score.Over(r.At, w.now-r.At, r.Class, r.Tenant, r.attempts, how)
-	if r.again != nil {
-		w.after(time.Microsecond, r.again)
+	w.score.RequestEnded(r.At, w.now-r.At, r.Class, r.Tenant, r.attempts, how)
+	if r.onEnd != nil {
+		w.after(time.Microsecond, r.onEnd)
 	}
 }
 
--- a/internal/lab/simulation/crowd_test.go
+++ b/internal/lab/simulation/crowd_test.go
@@ -34,8 +34,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if refused, _ := got.Refusals(); got.Worth() < 0.985 || refused > 40 || auditor.Count() > 0 {
-				t.Errorf("worth %.4f, %d refusals, %d rules broken", got.Worth(), refused, auditor.Count())
+			if refused, _ := got.Rejections(); got.ValueShare() < 0.985 || refused > 40 || auditor.Count() > 0 {
+				t.Errorf("worth %.4f, %d refusals, %d rules broken", got.ValueShare(), refused, auditor.Count())
 			}
 		})
 	}
--- a/internal/lab/simulation/misbehave_test.go
+++ b/internal/lab/simulation/misbehave_test.go
@@ -65,7 +65,7 @@
 	s := parsed(t, shared)
 	s.Seed = seed
 	draws := map[string]int{}
-	w, err := New(s, func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+	w, err := New(s, func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
 		d, err := policies.New(name, set, seed, truth)
 		if set.Tier > 0 {
 			return d, err
@@ -92,13 +92,13 @@
 		for i := range attacks {
 			at := time.Second + time.Duration(i)*5*time.Millisecond
 			w.at(at, func() {
-				n := w.front.nodes[i%len(w.front.nodes)]
-				r := &root{done: true} // it is nobody's loss
-				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, root: r, reply: func(checker.Answer, time.Duration) {}}
-				n.take(c)
+				n := w.ingress.nodes[i%len(w.ingress.nodes)]
+				r := &clientRequest{done: true} // it is nobody's loss
+				c := &call{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, request: r, reply: func(checker.Answer, time.Duration) {}}
+				n.accept(c)
 				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, ClientRetry: o.repeat})
 				if o.leaves > 0 {
-					w.after(o.leaves, func() { n.gone(c.id) })
+					w.after(o.leaves, func() { n.clientGone(c.id) })
 				}
 			})
 		}
@@ -110,8 +110,8 @@
 	for _, v := range auditor.Violations() {
 		t.Errorf("seed %d: %v", seed, v)
 	}
-	f := got.Figures(0)
-	inTime, late, failed, _ := got.Served()
+	f := got.Metrics(0)
+	inTime, late, failed, _ := got.Counts()
 	n := noticed{worth: f["worth"], refused: f["refusals"], p95: got.Quantile(95),
 		late: float64(late) / float64(inTime+late+failed)}
 	order, all := slices.Sorted(maps.Keys(draws)), 0
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -14,48 +14,48 @@
 // node hosts one instance of the decision module as the daemon does: it feeds events, carries out actions and
 // keeps connections. It starts from nothing as often as it is started.
 type node struct {
-	w        *World
-	name     string
-	tier     int // that it sends to
-	self     int
-	copies   int
-	front    *front // nil: a box's own node
-	place    int
-	host     *server
-	life     int // starts and ends so far: what was meant for an earlier life is dropped
-	alive    bool
-	leaving  bool
-	watching bool
-	lastTold time.Duration
-	decider  policies.Decider
-	calls    map[string]*call
-	kept     map[*server][]kept
-	known    []balancer.Server // the list as it was last held, for the next start
-	knownAt  map[string]int
+	world           *World
+	name            string
+	tier            int // that it sends to
+	replicaIndex    int
+	replicas        int
+	ingress         *ingress // nil: a box's own node
+	ingressIndex    int
+	host            *server
+	incarnation     int // starts and ends so far: what was meant for an earlier life is dropped
+	alive           bool
+	terminating     bool
+	watching        bool
+	lastNotified    time.Duration
+	decider         policies.Decider
+	calls           map[string]*call
+	idle            map[*server][]idleConnection
+	endpoints       []balancer.Server // the list as it was last held, for the next start
+	endpointIndexes map[string]int
 }
 
-// kept is an idle connection.
-type kept struct {
-	epoch int
-	since time.Duration
-	reset bool // it will be reset when next used
+// idleConnection is an idle connection.
+type idleConnection struct {
+	serverIncarnation int
+	since             time.Duration
+	reset             bool // it will be reset when next used
 }
 
-// call is a request that a node has taken.
+// callNextTier is a request that a node has taken.
 type call struct {
-	id       string
-	class    int
-	deadline time.Duration
-	work     float64
-	root     *root
-	reply    func(checker.Answer, time.Duration)
-	attempts []*attempt
-	closed   bool
-	out      int
+	id          string
+	class       int
+	deadline    time.Duration
+	work        float64
+	request     *clientRequest
+	reply       func(checker.Answer, time.Duration)
+	attempts    []*attempt
+	closed      bool
+	attemptsOut int
 }
 
 func (w *World) newNode(name string, tier, self, copies int) *node {
-	return &node{w: w, name: name, tier: tier, self: self, copies: copies}
+	return &node{world: w, name: name, tier: tier, replicaIndex: self, replicas: copies}
 }
 
 // start begins a life: a fresh instance that is given the list as last held, which may be old.
@@ -63,29 +63,29 @@
 	if n.alive {
 		return
 	}
-	n.life++
-	n.alive, n.leaving, n.watching = true, false, false
-	n.calls, n.kept = map[string]*call{}, map[*server][]kept{}
-	seed := model.Stream(n.w.s.Seed, "node "+n.name, n.life).Uint64()
+	n.incarnation++
+	n.alive, n.terminating, n.watching = true, false, false
+	n.calls, n.idle = map[string]*call{}, map[*server][]idleConnection{}
+	seed := model.Stream(n.world.scenario.Seed, "node "+n.name, n.incarnation).Uint64()
 	var err error
-	if n.decider, err = n.w.make(n.w.s.Policy, model.Settings(n.w.s, n.tier, n.self, n.copies), seed, n.w.truth); err != nil {
-		n.w.err = err
+	if n.decider, err = n.world.newDecider(n.world.scenario.Policy, model.NodeSettings(n.world.scenario, n.tier, n.replicaIndex, n.replicas), seed, n.world.inFlight); err != nil {
+		n.world.err = err
 		return
 	}
-	n.w.audit.NodeStarted(n.name)
-	n.w.seen(blackbox.Event{What: blackbox.Start, Node: n.name})
-	if n.known == nil {
-		n.known = slices.Clone(n.w.disc.lists[n.tier])
-		n.knownAt = n.w.disc.at[n.tier]
+	n.world.checker.NodeStarted(n.name)
+	n.world.record(blackbox.Event{Kind: blackbox.NodeStarted, Node: n.name})
+	if n.endpoints == nil {
+		n.endpoints = slices.Clone(n.world.discovery.lists[n.tier])
+		n.endpointIndexes = n.world.discovery.indexes[n.tier]
 	}
-	n.hear(balancer.EndpointUpdate{Complete: true, Cached: true, Servers: n.known})
-	if !n.w.s.Discovery.Asked && !n.w.disc.down {
-		n.w.disc.subscribe(n)
+	n.receiveUpdate(balancer.EndpointUpdate{Complete: true, Cached: true, Servers: n.endpoints})
+	if !n.world.scenario.Discovery.Polled && !n.world.discovery.down {
+		n.world.discovery.startWatch(n)
 	}
-	if n.front != nil {
-		n.front.hear(n, n.w.jitter(n.w.s.Net.Client), true)
+	if n.ingress != nil {
+		n.ingress.notify(n, n.world.jitter(n.world.scenario.Network.ClientLatency), true)
 	}
-	n.sweep()
+	n.expireIdle()
 }
 
 // kill ends a node at once, with all that it holds.
@@ -94,25 +94,25 @@
 		return
 	}
 	n.end()
-	n.w.audit.NodeKilled(n.name)
-	n.w.seen(blackbox.Event{What: blackbox.Kill, Node: n.name})
-	if n.front != nil {
-		n.front.hear(n, n.w.s.Front.Notice, false)
+	n.world.checker.NodeKilled(n.name)
+	n.world.record(blackbox.Event{Kind: blackbox.NodeKilled, Node: n.name})
+	if n.ingress != nil {
+		n.ingress.notify(n, n.world.scenario.Ingress.FailureDetection, false)
 	}
 }
 
 func (n *node) end() {
-	n.life++
+	n.incarnation++
 	n.alive = false
-	n.w.disc.drop(n)
-	for b, list := range n.kept {
+	n.world.discovery.endWatch(n)
+	for b, list := range n.idle {
 		for _, k := range list {
-			if k.epoch == b.Epoch {
-				b.Conns--
+			if k.serverIncarnation == b.Incarnation {
+				b.Connections--
 			}
 		}
 	}
-	n.kept = nil
+	n.idle = nil
 	for _, id := range sortedCalls(n.calls) {
 		c := n.calls[id]
 		for _, a := range c.attempts {
@@ -126,314 +126,314 @@
 	n.calls = nil
 }
 
-// leave is SIGTERM: the front hears of it at once but still deals for a while; what has been taken is answered.
-func (n *node) leave() {
-	if !n.alive || n.leaving {
+// terminate is SIGTERM: the front hears of it at once but still deals for a while; what has been taken is answered.
+func (n *node) terminate() {
+	if !n.alive || n.terminating {
 		return
 	}
-	n.leaving = true
-	n.w.seen(blackbox.Event{What: blackbox.Term, Node: n.name})
-	n.front.hear(n, model.FrontDeals, false)
-	life := n.life
-	until := n.w.now + model.FrontDeals + model.LongestDeadline(n.w.s) + 50*time.Millisecond
+	n.terminating = true
+	n.world.record(blackbox.Event{Kind: blackbox.NodeTerminating, Node: n.name})
+	n.ingress.notify(n, model.IngressDrainDelay, false)
+	life := n.incarnation
+	until := n.world.now + model.IngressDrainDelay + model.LongestDeadline(n.world.scenario) + 50*time.Millisecond
 	var look func()
 	look = func() {
-		if n.life != life {
+		if n.incarnation != life {
 			return
 		}
-		if len(n.calls) > 0 && n.w.now < until {
-			n.w.after(10*time.Millisecond, look)
+		if len(n.calls) > 0 && n.world.now < until {
+			n.world.after(10*time.Millisecond, look)
 			return
 		}
-		n.w.audit.NodeStopped(n.w.now, n.name)
-		n.w.seen(blackbox.Event{What: blackbox.Exit, Node: n.name})
+		n.world.checker.NodeStopped(n.world.now, n.name)
+		n.world.record(blackbox.Event{Kind: blackbox.NodeExited, Node: n.name})
 		n.end()
 	}
-	n.w.after(model.FrontDeals+50*time.Millisecond, look)
+	n.world.after(model.IngressDrainDelay+50*time.Millisecond, look)
 }
 
-// hear takes news of the boxes.
-func (n *node) hear(list balancer.EndpointUpdate) {
+// receiveUpdate takes news of the boxes.
+func (n *node) receiveUpdate(list balancer.EndpointUpdate) {
 	for _, s := range list.Servers {
-		n.w.audit.Told(n.w.now, n.name, s.ID, s.State == balancer.Ready)
-		n.w.seen(blackbox.Event{What: blackbox.Told, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
+		n.world.checker.EndpointNotified(n.world.now, n.name, s.ID, s.State == balancer.Ready)
+		n.world.record(blackbox.Event{Kind: blackbox.EndpointNotified, Node: n.name, Server: s.ID, Ready: s.State == balancer.Ready})
 	}
 	switch {
 	case list.Cached:
 	case list.Complete:
-		n.known = list.Servers
+		n.endpoints = list.Servers
 	default:
-		n.known = slices.Clone(n.known)
+		n.endpoints = slices.Clone(n.endpoints)
 		for _, s := range list.Servers {
-			n.known[n.knownAt[s.ID]] = s
+			n.endpoints[n.endpointIndexes[s.ID]] = s
 		}
 	}
 	n.handle(list)
 }
 
-// take is a request that has arrived whole. The reply comes once, at the moment of the answer.
-func (n *node) take(c *call) {
-	n.w.audit.Taken(n.w.now, n.name, c.id, c.class, c.deadline)
-	n.w.seen(blackbox.Event{What: blackbox.Ask, Node: n.name, ID: c.id, Class: c.class, Budget: c.deadline - n.w.now})
+// accept is a request that has arrived whole. The reply comes once, at the moment of the answer.
+func (n *node) accept(c *call) {
+	n.world.checker.RequestAccepted(n.world.now, n.name, c.id, c.class, c.deadline)
+	n.world.record(blackbox.Event{Kind: blackbox.RequestSent, Node: n.name, ID: c.id, Class: c.class, Duration: c.deadline - n.world.now})
 	n.calls[c.id] = c
 }
 
 func (n *node) handle(e balancer.Event) {
-	actions := n.decider.Handle(n.w.now, e)
+	actions := n.decider.Handle(n.world.now, e)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balancer.Send:
 			n.send(a)
 		case balancer.Reject:
-			n.answer(a.ID, checker.Refused, a.RetryAfter)
+			n.answer(a.ID, checker.Rejected, a.RetryAfter)
 		case balancer.Fail:
 			n.answer(a.ID, checker.Failed, 0)
 		case balancer.SetTimer:
-			life := n.life
-			n.w.at(a.At, func() {
-				if n.life == life {
+			life := n.incarnation
+			n.world.at(a.At, func() {
+				if n.incarnation == life {
 					n.handle(balancer.TimerFired{Token: a.Token})
 				}
 			})
 		case balancer.Subscribe:
-			n.w.disc.ask(n)
+			n.world.discovery.poll(n)
 		}
 	}
 }
 
 func (n *node) answer(id string, how checker.Answer, retryAfter time.Duration) {
-	n.w.audit.Answered(n.w.now, n.name, id, how)
-	n.w.seen(blackbox.Event{What: blackbox.Got, Node: n.name, ID: id, Status: map[checker.Answer]int{checker.Refused: 503, checker.Failed: 502}[how]})
+	n.world.checker.RequestAnswered(n.world.now, n.name, id, how)
+	n.world.record(blackbox.Event{Kind: blackbox.AnswerReceived, Node: n.name, ID: id, Status: map[checker.Answer]int{checker.Rejected: 503, checker.Failed: 502}[how]})
 	c := n.calls[id]
 	if c == nil || c.closed {
 		return
 	}
 	c.closed = true
 	c.reply(how, retryAfter)
-	n.forget(c)
+	n.forgetIfOver(c)
 }
 
-func (n *node) forget(c *call) {
-	if c.closed && c.out == 0 {
+func (n *node) forgetIfOver(c *call) {
+	if c.closed && c.attemptsOut == 0 {
 		delete(n.calls, c.id)
 	}
 }
 
-// gone is a client that has left.
-func (n *node) gone(id string) {
+// clientGone is a client that has left.
+func (n *node) clientGone(id string) {
 	c := n.calls[id]
 	if c == nil || c.closed {
 		return
 	}
 	c.closed = true
-	n.w.audit.Gone(n.w.now, n.name, id)
-	n.w.seen(blackbox.Event{What: blackbox.Left, Node: n.name, ID: id})
+	n.world.checker.ClientGone(n.world.now, n.name, id)
+	n.world.record(blackbox.Event{Kind: blackbox.ClientLeft, Node: n.name, ID: id})
 	n.handle(balancer.ClientGone{ID: id})
-	n.forget(c)
+	n.forgetIfOver(c)
 }
 
-// sweep drops connections that have been idle for too long, now and then.
-func (n *node) sweep() {
-	life := n.life
-	n.w.after(n.w.s.Net.Idle/2, func() {
-		if n.life != life {
+// expireIdle drops connections that have been idle for too long, now and then.
+func (n *node) expireIdle() {
+	life := n.incarnation
+	n.world.after(n.world.scenario.Network.IdleTimeout/2, func() {
+		if n.incarnation != life {
 			return
 		}
-		for b, list := range n.kept {
+		for b, list := range n.idle {
 			live := list[:0]
 			for _, k := range list {
 				switch {
-				case k.epoch != b.Epoch:
-				case n.w.now-k.since > n.w.s.Net.Idle:
-					b.Conns--
+				case k.serverIncarnation != b.Incarnation:
+				case n.world.now-k.since > n.world.scenario.Network.IdleTimeout:
+					b.Connections--
 				default:
 					live = append(live, k)
 				}
 			}
-			if n.kept[b] = live; len(live) == 0 {
-				delete(n.kept, b)
+			if n.idle[b] = live; len(live) == 0 {
+				delete(n.idle, b)
 			}
 		}
-		if n.w.now < n.w.s.Length {
-			n.sweep()
+		if n.world.now < n.world.scenario.Length {
+			n.expireIdle()
 		}
 	})
 }
 
-func (n *node) resetKept(b *server, share float64) {
-	for i := range n.kept[b] {
-		if n.w.draws.Float64() < share {
-			n.kept[b][i].reset = true
+func (n *node) resetIdle(b *server, share float64) {
+	for i := range n.idle[b] {
+		if n.world.rng.Float64() < share {
+			n.idle[b][i].reset = true
 		}
 	}
 }
 
-// takeKept is an idle connection to a box, the one used last.
-func (n *node) takeKept(b *server) (kept, bool) {
-	list := n.kept[b]
+// takeIdle is an idle connection to a box, the one used last.
+func (n *node) takeIdle(b *server) (idleConnection, bool) {
+	list := n.idle[b]
 	for len(list) > 0 {
 		k := list[len(list)-1]
 		list = list[:len(list)-1]
-		n.kept[b] = list
+		n.idle[b] = list
 		switch {
-		case k.epoch != b.Epoch || b.State == model.Down && !b.Cut: // the end of the process was seen
-		case n.w.now-k.since > n.w.s.Net.Idle:
-			b.Conns--
+		case k.serverIncarnation != b.Incarnation || b.State == model.Down && !b.Unreachable: // the end of the process was seen
+		case n.world.now-k.since > n.world.scenario.Network.IdleTimeout:
+			b.Connections--
 		default:
 			return k, true
 		}
 	}
-	return kept{}, false
+	return idleConnection{}, false
 }
 
 // attempt is one send.
 type attempt struct {
-	n      *node
-	call   *call
-	number int
-	box    *server // nil: there is none of the name
-	to     string
-	epoch  int
-	conn   bool // a connection of its own is counted at the box
-	sent   time.Duration
-	life   int
-	ended  bool
-	visit  *visit
+	node              *node
+	call              *call
+	number            int
+	server            *server // nil: there is none of the name
+	serverID          string
+	serverIncarnation int
+	hasConnection     bool // a connection of its own is counted at the box
+	sentAt            time.Duration
+	nodeIncarnation   int
+	ended             bool
+	visit             *visit
 }
 
 // send starts an attempt: over a kept connection, or a new one that costs a handshake.
 func (n *node) send(s balancer.Send) {
-	w := n.w
+	w := n.world
 	b := w.byID[s.Server]
-	w.audit.Sent(w.now, n.name, s.ID, s.Server)
+	w.checker.AttemptSent(w.now, n.name, s.ID, s.Server)
 	c := n.calls[s.ID]
 	if c == nil {
 		return
 	}
-	a := &attempt{n: n, call: c, number: len(c.attempts), box: b, to: s.Server, sent: w.now, life: n.life}
+	a := &attempt{node: n, call: c, number: len(c.attempts), server: b, serverID: s.Server, sentAt: w.now, nodeIncarnation: n.incarnation}
 	c.attempts = append(c.attempts, a)
-	c.out++
-	c.root.attempts++
+	c.attemptsOut++
+	c.request.attempts++
 	w.score.Attempts++
 	if b == nil {
 		a.endAfter(0, balancer.NotSent)
 		return
 	}
-	a.epoch = b.Epoch
+	a.serverIncarnation = b.Incarnation
 	w.after(min(s.Timeout, c.deadline-w.now), func() { a.end(balancer.TimedOut) })
-	hop := w.jitter(w.s.Net.Hop)
-	k, ok := n.takeKept(b)
+	hop := w.jitter(w.scenario.Network.ServerLatency)
+	k, ok := n.takeIdle(b)
 	switch {
 	case ok && k.reset:
-		b.Conns--
+		b.Connections--
 		a.endAfter(2*hop, balancer.ConnectionLost)
 	case ok:
-		a.conn = true
+		a.hasConnection = true
 		w.after(hop, func() { a.arrive(0) })
-	case b.Cut:
-		a.endAfter(w.s.Net.ConnectTimeout, balancer.Unreachable)
-	case b.State == model.Down || b.Conns >= b.Kind.Conns:
+	case b.Unreachable:
+		a.endAfter(w.scenario.Network.ConnectTimeout, balancer.Unreachable)
+	case b.State == model.Down || b.Connections >= b.Kind.MaxConnections:
 		a.endAfter(2*hop, balancer.Unreachable)
 	default:
-		a.conn = true
-		b.Conns++
+		a.hasConnection = true
+		b.Connections++
 		w.score.Handshakes++
-		w.after(time.Duration(1+2*w.s.Net.HandshakeTrips)*hop, func() { a.arrive(b.Kind.Handshake) })
+		w.after(time.Duration(1+2*w.scenario.Network.HandshakeRoundTrips)*hop, func() { a.arrive(b.Kind.HandshakeWork) })
 	}
 }
 
 // arrive is the last byte of a request at its box.
 func (a *attempt) arrive(handshake time.Duration) {
-	w, b := a.n.w, a.box
-	hop := w.jitter(w.s.Net.Hop)
+	w, b := a.node.world, a.server
+	hop := w.jitter(w.scenario.Network.ServerLatency)
 	switch {
-	case b.Cut: // nobody answers
-	case b.Epoch != a.epoch || b.State == model.Down:
+	case b.Unreachable: // nobody answers
+	case b.Incarnation != a.serverIncarnation || b.State == model.Down:
 		a.endAfter(hop, balancer.ConnectionLost)
-	case a.ended && a.life != a.n.life: // its node died before it had sent it
+	case a.ended && a.nodeIncarnation != a.node.incarnation: // its node died before it had sent it
 	default:
 		v := newVisit(w, a, handshake)
-		a.seen(blackbox.Event{What: blackbox.Reach, Work: v.first()})
+		a.record(blackbox.Event{Kind: blackbox.AttemptArrived, Work: v.beginWork()})
 		if a.ended { // its node has given it up on the way
-			a.seen(blackbox.Event{What: blackbox.Given})
+			a.record(blackbox.Event{Kind: blackbox.AttemptCanceled})
 		}
-		if b.Sent(w.now, v.first()) { // what it turns away counts too: a crowd at the door costs it as well
-			w.audit.Fell(w.now, a.n.name, a.call.id, b.ID)
-			a.seen(blackbox.Event{What: blackbox.Broke})
-			w.score.Fell++
+		if b.RecordArrival(w.now, v.beginWork()) { // what it turns away counts too: a crowd at the door costs it as well
+			w.checker.ServerOverloaded(w.now, a.node.name, a.call.id, b.ID)
+			a.record(blackbox.Event{Kind: blackbox.AttemptBroken})
+			w.score.Overloads++
 			w.crash(b, false)
-			w.after(model.FallenFor, func() { w.boot(b) })
+			w.after(model.OverloadDowntime, func() { w.boot(b) })
 			a.endAfter(hop, balancer.ConnectionLost)
 			return
 		}
-		if !b.Offer(w.now, &v.job) {
-			a.seen(blackbox.Event{What: blackbox.Reply, Status: 503, Never: true})
+		if !b.Admit(w.now, &v.job) {
+			a.record(blackbox.Event{Kind: blackbox.AttemptAnswered, Status: 503, NeverRan: true})
 			a.endAfter(hop, balancer.Overloaded)
 			return
 		}
 		a.visit = v
-		w.audit.Ran(w.now, a.n.name, a.call.id, b.ID)
-		w.look(b)
+		w.checker.AttemptExecuted(w.now, a.node.name, a.call.id, b.ID)
+		w.scheduleCompletion(b)
 	}
 }
 
-// seen records what a server gets of an attempt, or does with it.
-func (a *attempt) seen(e blackbox.Event) {
-	e.Node, e.ID, e.Server = a.n.name, a.call.id, a.to
-	a.n.w.seen(e)
+// record records what a server gets of an attempt, or does with it.
+func (a *attempt) record(e blackbox.Event) {
+	e.Node, e.ID, e.Server = a.node.name, a.call.id, a.serverID
+	a.node.world.record(e)
 }
 
 func (a *attempt) endAfter(wait time.Duration, e balancer.Outcome) {
-	a.n.w.after(wait, func() { a.end(e) })
+	a.node.world.after(wait, func() { a.end(e) })
 }
 
 // end tells the node how the attempt ended; later ends of the same attempt go nowhere.
 func (a *attempt) end(e balancer.Outcome) {
-	if a.ended || a.life != a.n.life {
+	if a.ended || a.nodeIncarnation != a.node.incarnation {
 		return
 	}
 	a.ended = true
-	n, w, c := a.n, a.n.w, a.call
+	n, w, c := a.node, a.node.world, a.call
 	if e == balancer.TimedOut && a.visit != nil {
-		a.seen(blackbox.Event{What: blackbox.Given})
+		a.record(blackbox.Event{Kind: blackbox.AttemptCanceled})
 	}
-	a.letGo(e)
-	w.audit.Ended(w.now, n.name, c.id, a.number, e)
-	c.out--
+	a.releaseConnection(e)
+	w.checker.AttemptEnded(w.now, n.name, c.id, a.number, e)
+	c.attemptsOut--
 	if e == balancer.Success && !c.closed {
 		c.closed = true
-		w.audit.Answered(w.now, n.name, c.id, checker.Served)
-		w.seen(blackbox.Event{What: blackbox.Got, Node: n.name, ID: c.id, Status: 200, Body: a.to})
+		w.checker.RequestAnswered(w.now, n.name, c.id, checker.Served)
+		w.record(blackbox.Event{Kind: blackbox.AnswerReceived, Node: n.name, ID: c.id, Status: 200, Body: a.serverID})
 		c.reply(checker.Served, 0)
 	}
-	n.handle(balancer.AttemptEnded{ID: c.id, Attempt: a.number, Server: a.to, Outcome: e, Latency: w.now - a.sent, RequestDone: c.closed})
-	n.forget(c)
+	n.handle(balancer.AttemptEnded{ID: c.id, Attempt: a.number, Server: a.serverID, Outcome: e, Latency: w.now - a.sentAt, RequestDone: c.closed})
+	n.forgetIfOver(c)
 }
 
 // abandon is the end of the node that waits for the attempt.
 func (a *attempt) abandon() {
 	if !a.ended {
 		a.ended = true
-		a.letGo(balancer.Canceled)
+		a.releaseConnection(balancer.Canceled)
 	}
 }
 
-// letGo keeps the connection of an attempt that was answered, and closes any other.
-func (a *attempt) letGo(e balancer.Outcome) {
-	b := a.box
+// releaseConnection keeps the connection of an attempt that was answered, and closes any other.
+func (a *attempt) releaseConnection(e balancer.Outcome) {
+	b := a.server
 	if b == nil {
 		return
 	}
 	answered := e == balancer.Success || e == balancer.Failure || e == balancer.Overloaded
-	if a.conn && b.Epoch == a.epoch {
-		if answered && a.n.kept != nil {
-			a.n.kept[b] = append(a.n.kept[b], kept{epoch: a.epoch, since: a.n.w.now})
+	if a.hasConnection && b.Incarnation == a.serverIncarnation {
+		if answered && a.node.idle != nil {
+			a.node.idle[b] = append(a.node.idle[b], idleConnection{serverIncarnation: a.serverIncarnation, since: a.node.world.now})
 		} else if b.State != model.Down {
-			b.Conns--
+			b.Connections--
 		}
 	}
-	if v := a.visit; v != nil && !answered && !v.over && b.GiveUp(a.n.w.now, &v.job) {
-		v.over = true
-		a.n.w.look(b)
+	if v := a.visit; v != nil && !answered && !v.ended && b.CancelQueued(a.node.world.now, &v.job) {
+		v.ended = true
+		a.node.world.scheduleCompletion(b)
 	}
 }
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *checker.Auditor) {
+func played(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *checker.Checker) {
 	t.Helper()
 	w, err := New(s, decide)
 	if err != nil {
@@ -83,15 +83,15 @@
 			}
 			s.Length /= 4
 			s.Clients.Rate /= 2
-			for i := range s.Troubles {
-				s.Troubles[i].At /= 4
-				s.Troubles[i].Length /= 4
+			for i := range s.Faults {
+				s.Faults[i].At /= 4
+				s.Faults[i].Duration /= 4
 			}
 			got, auditor := played(t, s, policies.New)
 			for _, v := range auditor.Violations() {
 				t.Error(v)
 			}
-			if inTime, _, _, _ := got.Served(); inTime < 100 {
+			if inTime, _, _, _ := got.Counts(); inTime < 100 {
 				t.Errorf("only %d were served in time", inTime)
 			}
 		})
@@ -129,7 +129,7 @@
 		}
 		_, auditor := played(t, s, policies.New)
 		for _, v := range auditor.Violations() {
-			if policy == "deckrelay" || v.Rule != checker.Cold { // the textbook knows nothing of cold boxes
+			if policy == "deckrelay" || v.Rule != checker.WarmupOverload { // the textbook knows nothing of cold boxes
 				t.Errorf("%s: %v", policy, v)
 			}
 		}
@@ -145,7 +145,7 @@
 func TestZeroDelaysKeepTheOrder(t *testing.T) {
 	s := parsed(t, strings.Replace(allTroubles, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
 		"net { hop_ms = 0 client_ms = 0 jitter = 0 handshake_trips = 0 }\nrules { slack_ms = 0 }")
-	s.Clients.Backoff, s.Front.Notice = 0, 0
+	s.Clients.Backoff, s.Ingress.FailureDetection = 0, 0
 	first := report(t, s)
 	for range 3 {
 		if again := report(t, s); again != first {
@@ -198,7 +198,7 @@
 			return out
 		}
 	}},
-	checker.Harmless: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.SafeRejection: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
 				if f, ok := a.(balancer.Fail); ok {
@@ -208,7 +208,7 @@
 			return out
 		}
 	}},
-	checker.OneOut: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.OneAttempt: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0])
@@ -216,7 +216,7 @@
 			return out
 		}
 	}},
-	checker.MostSends: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.AttemptLimit: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && len(out) > 0 {
 				out = append(out, out[0], out[0], out[0])
@@ -224,7 +224,7 @@
 			return out
 		}
 	}},
-	checker.Drain: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.DrainGrace: {small + `trouble "release" { at_s = 1 length_s = 4 tier = "log-front" part = 1 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		gone := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if l, ok := e.(balancer.EndpointUpdate); ok {
@@ -243,7 +243,7 @@
 			return out
 		}
 	}},
-	checker.Cold: {small + `trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.25 }
+	checker.WarmupOverload: {small + `trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.25 }
 trouble "overload" { at_s = 2 length_s = 4 size = 4 }`, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		cold := ""
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
@@ -263,7 +263,7 @@
 			return out
 		}
 	}},
-	checker.KnownBox: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
+	checker.KnownServer: {small, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for i, a := range out {
 				if s, ok := a.(balancer.Send); ok {
@@ -280,7 +280,7 @@
 func TestAuditorSeesEachFault(t *testing.T) {
 	for rule, fault := range faults {
 		t.Run(string(rule), func(t *testing.T) {
-			_, auditor := played(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+			_, auditor := played(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
 				d, err := policies.New(name, set, seed, truth)
 				if set.Tier > 0 {
 					return d, err // faults of the front nodes alone
@@ -304,7 +304,7 @@
 func TestLostOnStop(t *testing.T) {
 	s := parsed(t, small+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
 	s.Rules.Slack = time.Hour // so that nothing is late, only lost
-	_, auditor := played(t, s, func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+	_, auditor := played(t, s, func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
 		d, err := policies.New(name, set, seed, truth)
 		return &rogue{d, func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && set.Tier == 0 {
@@ -314,7 +314,7 @@
 		}}, err
 	})
 	for _, v := range auditor.Violations() {
-		if v.Rule == checker.Lost {
+		if v.Rule == checker.NothingLost {
 			return
 		}
 	}
@@ -337,7 +337,7 @@
 }
 
 // recorded is the history of a world, as it is seen from outside.
-func recorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (blackbox.Head, []blackbox.Event) {
+func recorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (blackbox.Header, []blackbox.Event) {
 	t.Helper()
 	w, err := New(s, decide)
 	if err != nil {
@@ -372,10 +372,10 @@
 		}
 	}
 	for rule, fault := range faults {
-		if rule == checker.OneAnswer || rule == checker.KnownBox { // what such a node does reaches nobody
+		if rule == checker.OneAnswer || rule == checker.KnownServer { // what such a node does reaches nobody
 			continue
 		}
-		h, events := recorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.Truth) (policies.Decider, error) {
+		h, events := recorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
 			d, err := policies.New(name, set, seed, truth)
 			if set.Tier > 0 {
 				return d, err
--- a/internal/lab/sweep/compare.go
+++ b/internal/lab/sweep/compare.go
@@ -12,26 +12,26 @@
 
 // Summary is a figure over seeds.
 type Summary struct {
-	N                   int
-	Median, Least, Most float64
-	Mean, Half          float64 // and half of its 95% interval (Student's t); infinite for one seed
+	N                  int
+	Median, Min, Max   float64
+	Mean, HalfInterval float64 // and half of its 95% interval (Student's t); infinite for one seed
 }
 
 // Summarize needs one value at least.
 func Summarize(values []float64) Summary {
 	v := slices.Sorted(slices.Values(values))
-	s := Summary{N: len(v), Least: v[0], Most: v[len(v)-1], Median: (v[(len(v)-1)/2] + v[len(v)/2]) / 2,
-		Mean: stat.Mean(v, nil), Half: math.Inf(1)}
+	s := Summary{N: len(v), Min: v[0], Max: v[len(v)-1], Median: (v[(len(v)-1)/2] + v[len(v)/2]) / 2,
+		Mean: stat.Mean(v, nil), HalfInterval: math.Inf(1)}
 	if len(v) > 1 {
 		t := distuv.StudentsT{Sigma: 1, Nu: float64(len(v) - 1)}
-		s.Half = t.Quantile(0.975) * stat.StdErr(stat.StdDev(v, nil), float64(len(v)))
+		s.HalfInterval = t.Quantile(0.975) * stat.StdErr(stat.StdDev(v, nil), float64(len(v)))
 	}
 	return s
 }
 
-func values(cells []Cell, figure string) (v []float64) {
+func metricValues(cells []Cell, figure string) (v []float64) {
 	for _, c := range cells {
-		v = append(v, c.Figures[figure])
+		v = append(v, c.Metrics[figure])
 	}
 	return v
 }
@@ -43,8 +43,8 @@
 			return err
 		}
 		for _, f := range figures {
-			s := Summarize(values(g, f))
-			if _, err := fmt.Fprintf(w, "  %-12s median %.4g   from %.4g to %.4g   mean %.4g ± %.2g\n", f, s.Median, s.Least, s.Most, s.Mean, s.Half); err != nil {
+			s := Summarize(metricValues(g, f))
+			if _, err := fmt.Fprintf(w, "  %-12s median %.4g   from %.4g to %.4g   mean %.4g ± %.2g\n", f, s.Median, s.Min, s.Max, s.Mean, s.HalfInterval); err != nil {
 				return err
 			}
 		}
@@ -54,14 +54,16 @@
 
 // Change is a figure of a group in two sets of results.
 type Change struct {
-	Group, Figure string
-	Before, After float64
-	By, Half      float64 // the mean change, and half of its 95% interval
-	Pairs         int     // seeds that both have: the change is taken seed by seed
+	Group, Metric            string
+	Before, After            float64
+	MeanChange, HalfInterval float64 // the mean change, and half of its 95% interval
+	Pairs                    int     // seeds that both have: the change is taken seed by seed
 }
 
-// Sure says that the interval leaves no room for no change.
-func (c Change) Sure() bool { return math.Abs(c.By) > c.Half || c.Half == 0 && c.By != 0 }
+// Significant says that the interval leaves no room for no change.
+func (c Change) Significant() bool {
+	return math.Abs(c.MeanChange) > c.HalfInterval || c.HalfInterval == 0 && c.MeanChange != 0
+}
 
 // Diff compares two sets of results seed by seed. Groups that only one of them has are left out and counted.
 func Diff(a, b []Cell) (changes []Change, left int) {
@@ -87,14 +89,14 @@
 		if len(pairs) == 0 {
 			continue
 		}
-		for _, f := range Names(g) {
+		for _, f := range MetricNames(g) {
 			var by, was, is []float64
 			for _, p := range pairs {
-				was, is = append(was, p[0].Figures[f]), append(is, p[1].Figures[f])
-				by = append(by, p[1].Figures[f]-p[0].Figures[f])
+				was, is = append(was, p[0].Metrics[f]), append(is, p[1].Metrics[f])
+				by = append(by, p[1].Metrics[f]-p[0].Metrics[f])
 			}
 			s := Summarize(by)
-			changes = append(changes, Change{name, f, stat.Mean(was, nil), stat.Mean(is, nil), s.Mean, s.Half, len(pairs)})
+			changes = append(changes, Change{name, f, stat.Mean(was, nil), stat.Mean(is, nil), s.Mean, s.HalfInterval, len(pairs)})
 		}
 	}
 	return changes, left + len(before)
--- a/internal/lab/sweep/report.go
+++ b/internal/lab/sweep/report.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Lab report</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:right}td:first-child,th:first-child{text-align:left}</style>
 <h1>{{.Title}}</h1>
@@ -23,12 +23,12 @@
 {{end}}</html>
 `))
 
-type drawing struct {
+type plot struct {
 	Title string
 	SVG   template.HTML
 }
 
-type row struct {
+type tableRow struct {
 	Name  string
 	Seeds int
 	Cells []string
@@ -40,40 +40,40 @@
 	data := struct {
 		Title   string
 		Figures []string
-		Rows    []row
-		Plots   []drawing
+		Rows    []tableRow
+		Plots   []plot
 	}{Title: "Lab report", Figures: figures}
 	for _, g := range groups {
-		r := row{Name: g[0].Scenario + ": " + g[0].Group(), Seeds: len(g)}
+		r := tableRow{Name: g[0].Scenario + ": " + g[0].Group(), Seeds: len(g)}
 		for _, f := range figures {
-			s := Summarize(values(g, f))
-			r.Cells = append(r.Cells, fmt.Sprintf("%.4g (%.4g to %.4g)", s.Median, s.Least, s.Most))
+			s := Summarize(metricValues(g, f))
+			r.Cells = append(r.Cells, fmt.Sprintf("%.4g (%.4g to %.4g)", s.Median, s.Min, s.Max))
 		}
 		data.Rows = append(data.Rows, r)
 	}
 	for _, d := range []struct {
 		title, unit string
 		of          func(Cell) []float64
-	}{{"Worth served over time", "share", func(c Cell) []float64 { return c.Worth }},
-		{"Mean latency over time", "ms", func(c Cell) []float64 { return c.Latency }}} {
-		data.Plots = append(data.Plots, drawing{d.title, course(groups, d.unit, d.of)})
+	}{{"Worth served over time", "share", func(c Cell) []float64 { return c.ValueShares }},
+		{"Mean latency over time", "ms", func(c Cell) []float64 { return c.Latencies }}} {
+		data.Plots = append(data.Plots, plot{d.title, timelinePlot(groups, d.unit, d.of)})
 	}
 	for _, f := range figures {
-		data.Plots = append(data.Plots, drawing{"Side by side: " + f, bars(groups, f)})
+		data.Plots = append(data.Plots, plot{"Side by side: " + f, barPlot(groups, f)})
 	}
 	for _, f := range figures {
-		data.Plots = append(data.Plots, sizes(groups, f)...)
+		data.Plots = append(data.Plots, settingPlots(groups, f)...)
 	}
-	return page.Execute(w, data)
+	return pageTemplate.Execute(w, data)
 }
 
-const mostLines = 12 // more can't be told apart
+const maxSeries = 12 // more can't be told apart
 
-// course plots the mean over seeds, second by second, with the troubles of the first group marked.
-func course(groups [][]Cell, unit string, of func(Cell) []float64) template.HTML {
-	f := newFrame(unit)
-	for _, g := range groups[:min(len(groups), mostLines)] {
-		l := line{name: g[0].Scenario + ": " + g[0].Group()}
+// timelinePlot plots the mean over seeds, second by second, with the troubles of the first group marked.
+func timelinePlot(groups [][]Cell, unit string, of func(Cell) []float64) template.HTML {
+	f := newChart(unit)
+	for _, g := range groups[:min(len(groups), maxSeries)] {
+		l := series{name: g[0].Scenario + ": " + g[0].Group()}
 		for t := range of(g[0]) {
 			sum, n := 0.0, 0
 			for _, c := range g {
@@ -82,29 +82,29 @@
 					n++
 				}
 			}
-			l.y = append(l.y, sum/float64(n))
+			l.values = append(l.values, sum/float64(n))
 		}
 		f.add(l)
 	}
-	return f.courses(groups[0][0].Troubles)
+	return f.timeline(groups[0][0].Faults)
 }
 
-// bars plots a figure's median for each group, and the least and the most as a line across it.
-func bars(groups [][]Cell, figure string) template.HTML {
-	f := newFrame(figure)
-	for _, g := range groups[:min(len(groups), mostLines)] {
-		s := Summarize(values(g, figure))
-		f.add(line{g[0].Scenario + ": " + g[0].Group(), []float64{s.Median, s.Least, s.Most}})
+// barPlot plots a figure's median for each group, and the least and the most as a line across it.
+func barPlot(groups [][]Cell, figure string) template.HTML {
+	f := newChart(figure)
+	for _, g := range groups[:min(len(groups), maxSeries)] {
+		s := Summarize(metricValues(g, figure))
+		f.add(series{g[0].Scenario + ": " + g[0].Group(), []float64{s.Median, s.Min, s.Max}})
 	}
 	return f.bars()
 }
 
-// sizes plots a figure against each setting that was varied and is a number: worth and cost against the rate, or
-// against the count of boxes. Groups that differ in that setting alone are one line.
-func sizes(groups [][]Cell, figure string) (plots []drawing) {
+// settingPlots plots a figure against each setting that was varied and is a number: worth and cost against the rate, or
+// overSetting the count of boxes. Groups that differ in that setting alone are one line.
+func settingPlots(groups [][]Cell, figure string) (plots []plot) {
 	varied := map[string]map[float64]bool{}
 	for _, g := range groups {
-		for path, text := range g[0].Set {
+		for path, text := range g[0].Settings {
 			v, err := strconv.ParseFloat(text, 64)
 			if err != nil {
 				continue
@@ -120,32 +120,32 @@
 		if len(at) < 2 {
 			continue
 		}
-		f := newFrame(figure)
-		f.at = at
+		f := newChart(figure)
+		f.positions = at
 		lines := map[string]int{}
 		for _, g := range groups {
-			v, err := strconv.ParseFloat(g[0].Set[path], 64)
+			v, err := strconv.ParseFloat(g[0].Settings[path], 64)
 			if err != nil {
 				continue
 			}
 			rest := g[0]
-			rest.Set = maps.Clone(rest.Set)
-			delete(rest.Set, path)
+			rest.Settings = maps.Clone(rest.Settings)
+			delete(rest.Settings, path)
 			name := rest.Scenario + ": " + rest.Group()
 			i, ok := lines[name]
 			if !ok {
-				if len(f.lines) == mostLines {
+				if len(f.series) == maxSeries {
 					continue
 				}
-				i = len(f.lines)
+				i = len(f.series)
 				lines[name] = i
-				f.add(line{name: name, y: slices.Repeat([]float64{math.NaN()}, len(at))})
+				f.add(series{name: name, values: slices.Repeat([]float64{math.NaN()}, len(at))})
 			}
-			median := Summarize(values(g, figure)).Median
-			f.lines[i].y[slices.Index(at, v)] = median
-			f.most = math.Max(f.most, median)
+			median := Summarize(metricValues(g, figure)).Median
+			f.series[i].values[slices.Index(at, v)] = median
+			f.maxValue = math.Max(f.maxValue, median)
 		}
-		plots = append(plots, drawing{figure + " against " + path, f.against(path)})
+		plots = append(plots, plot{figure + " against " + path, f.overSetting(path)})
 	}
 	return plots
 }
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -28,21 +28,21 @@
 // Grid says what is varied.
 type Grid struct {
 	File     string
-	Sets     []Set
+	Settings []Setting
 	Policies []string // none: the file's
 	Seeds    int      // from the file's seed on
 }
 
-// Set is a setting and the values that it takes.
-type Set struct {
+// Settings is a setting and the values that it takes.
+type Setting struct {
 	Path   string
 	Values []string
 }
 
-// ParseSet reads PATH=VALUE[,VALUE], with as many values as are given.
-func ParseSet(text string) (Set, error) {
+// ParseSetting reads PATH=VALUE[,VALUE], with as many values as are given.
+func ParseSetting(text string) (Setting, error) {
 	path, values, ok := strings.Cut(text, "=")
-	s := Set{Path: path, Values: strings.Split(values, ",")}
+	s := Setting{Path: path, Values: strings.Split(values, ",")}
 	if !ok || path == "" || slices.Contains(s.Values, "") {
 		return s, fmt.Errorf("--set %s: want PATH=VALUE[,VALUE]", text)
 	}
@@ -51,18 +51,18 @@
 
 // Cell is one experiment and its results.
 type Cell struct {
-	Scenario string             `json:"scenario"`
-	Set      map[string]string  `json:"set"`
-	Policy   string             `json:"policy"`
-	Seed     uint64             `json:"seed"`
-	Figures  map[string]float64 `json:"figures,omitempty"`
-	Worth    []float64          `json:"worth_by_second,omitempty"`
-	Latency  []float64          `json:"latency_ms_by_second,omitempty"`
-	Troubles []Mark             `json:"troubles,omitempty"`
+	Scenario    string             `json:"scenario"`
+	Settings    map[string]string  `json:"set"`
+	Policy      string             `json:"policy"`
+	Seed        uint64             `json:"seed"`
+	Metrics     map[string]float64 `json:"figures,omitempty"`
+	ValueShares []float64          `json:"worth_by_second,omitempty"`
+	Latencies   []float64          `json:"latency_ms_by_second,omitempty"`
+	Faults      []FaultInterval    `json:"troubles,omitempty"`
 }
 
-// Mark is a trouble's time.
-type Mark struct {
+// FaultInterval is a trouble's time.
+type FaultInterval struct {
 	Kind string  `json:"kind"`
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
@@ -71,13 +71,13 @@
 // Group names what cells have in common but for the seed.
 func (c Cell) Group() string {
 	text := c.Policy
-	for _, path := range slices.Sorted(maps.Keys(c.Set)) {
-		text += " " + path + "=" + c.Set[path]
+	for _, path := range slices.Sorted(maps.Keys(c.Settings)) {
+		text += " " + path + "=" + c.Settings[path]
 	}
 	return text
 }
 
-func (c Cell) key() string {
+func (c Cell) fileName() string {
 	safe := strings.Map(func(r rune) rune {
 		if r == '=' || r == '.' || r == '-' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' {
 			return r
@@ -87,7 +87,7 @@
 	return safe + "_seed-" + strconv.FormatUint(c.Seed, 10) + ".json"
 }
 
-const mostCells = 100000
+const maxCells = 100000
 
 // Cells are all experiments of a grid. Every one is read before any is played: a wrong value is told at once.
 func (g Grid) Cells() ([]Cell, error) {
@@ -105,7 +105,7 @@
 		}
 	}
 	sets := []map[string]string{{}}
-	for _, s := range g.Sets {
+	for _, s := range g.Settings {
 		var more []map[string]string
 		for _, base := range sets {
 			for _, v := range s.Values {
@@ -115,26 +115,26 @@
 			}
 		}
 		sets = more
-		if len(sets)*len(names)*g.Seeds > mostCells {
-			return nil, fmt.Errorf("over %d experiments", mostCells)
+		if len(sets)*len(names)*g.Seeds > maxCells {
+			return nil, fmt.Errorf("over %d experiments", maxCells)
 		}
 	}
 	var cells []Cell
 	for _, set := range sets {
-		s, err := load(g.File, set)
+		s, err := loadScenario(g.File, set)
 		if err != nil {
 			return nil, err
 		}
 		for _, name := range names {
 			for n := range g.Seeds {
-				cells = append(cells, Cell{Scenario: s.Name, Set: set, Policy: name, Seed: s.Seed + uint64(n)})
+				cells = append(cells, Cell{Scenario: s.Name, Settings: set, Policy: name, Seed: s.Seed + uint64(n)})
 			}
 		}
 	}
 	return cells, nil
 }
 
-func load(file string, set map[string]string) (*scenario.Scenario, error) {
+func loadScenario(file string, set map[string]string) (*scenario.Scenario, error) {
 	var list []scenario.Override
 	for _, path := range slices.Sorted(maps.Keys(set)) {
 		list = append(list, scenario.Override{Path: path, Value: set[path]})
@@ -164,7 +164,7 @@
 		go func() {
 			defer all.Done()
 			for i := range next {
-				if err := cells[i].fill(g.File, folder); err != nil {
+				if err := cells[i].loadOrPlay(g.File, folder); err != nil {
 					stop(err)
 					continue
 				}
@@ -191,17 +191,17 @@
 	return cells, Write(dir, cells)
 }
 
-// fill takes a cell's results from the folder, or plays it and keeps them there.
-func (c *Cell) fill(file, folder string) error {
-	path := filepath.Join(folder, c.key())
+// loadOrPlay takes a cell's results from the folder, or plays it and keeps them there.
+func (c *Cell) loadOrPlay(file, folder string) error {
+	path := filepath.Join(folder, c.fileName())
 	if text, err := os.ReadFile(path); err == nil {
 		var kept Cell
-		if json.Unmarshal(text, &kept) == nil && kept.key() == c.key() && len(kept.Figures) > 0 {
+		if json.Unmarshal(text, &kept) == nil && kept.fileName() == c.fileName() && len(kept.Metrics) > 0 {
 			*c = kept
 			return nil
 		}
 	}
-	s, err := load(file, c.Set)
+	s, err := loadScenario(file, c.Settings)
 	if err != nil {
 		return err
 	}
@@ -214,20 +214,20 @@
 	if err != nil {
 		return err
 	}
-	c.Figures = got.Figures(auditor.Count())
-	c.Worth, c.Latency = got.Course()
-	for _, t := range s.Troubles {
-		c.Troubles = append(c.Troubles, Mark{t.Kind, t.At.Seconds(), (t.At + t.Length).Seconds()})
+	c.Metrics = got.Metrics(auditor.Count())
+	c.ValueShares, c.Latencies = got.Timeline()
+	for _, t := range s.Faults {
+		c.Faults = append(c.Faults, FaultInterval{t.Kind, t.At.Seconds(), (t.At + t.Duration).Seconds()})
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return replace(path, text)
+	return replaceFile(path, text)
 }
 
-// replace writes a file whole or not at all: what a stopped sweep leaves can be trusted.
-func replace(path string, text []byte) error {
+// replaceFile writes a file whole or not at all: what a stopped sweep leaves can be trusted.
+func replaceFile(path string, text []byte) error {
 	half := path + ".part"
 	if err := os.WriteFile(half, text, 0o644); err != nil {
 		return err
@@ -239,7 +239,7 @@
 func Write(dir string, cells []Cell) error {
 	var lines, table strings.Builder
 	out := csv.NewWriter(&table)
-	figures := Names(cells)
+	figures := MetricNames(cells)
 	if err := out.Write(append([]string{"scenario", "group", "seed"}, figures...)); err != nil {
 		return err
 	}
@@ -251,23 +251,23 @@
 		lines.Write(append(text, '\n'))
 		row := []string{c.Scenario, c.Group(), strconv.FormatUint(c.Seed, 10)}
 		for _, f := range figures {
-			row = append(row, strconv.FormatFloat(c.Figures[f], 'g', -1, 64))
+			row = append(row, strconv.FormatFloat(c.Metrics[f], 'g', -1, 64))
 		}
 		if err := out.Write(row); err != nil {
 			return err
 		}
 	}
 	out.Flush()
-	return errors.Join(out.Error(), replace(filepath.Join(dir, "results.jsonl"), []byte(lines.String())),
-		replace(filepath.Join(dir, "results.csv"), []byte(table.String())))
+	return errors.Join(out.Error(), replaceFile(filepath.Join(dir, "results.jsonl"), []byte(lines.String())),
+		replaceFile(filepath.Join(dir, "results.csv"), []byte(table.String())))
 }
 
-// Names are the figures that cells have, sorted.
-func Names(cells []Cell) []string {
+// MetricNames are the figures that cells have, sorted.
+func MetricNames(cells []Cell) []string {
 	if len(cells) == 0 {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(cells[0].Figures))
+	return slices.Sorted(maps.Keys(cells[0].Metrics))
 }
 
 // Read reads the results of a folder.
@@ -288,7 +288,7 @@
 			return nil, fmt.Errorf("%s: no results", path)
 		case err != nil:
 			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
-		case len(c.Figures) == 0 || c.Policy == "":
+		case len(c.Metrics) == 0 || c.Policy == "":
 			return nil, fmt.Errorf("%s:%d: not a result", path, n)
 		}
 		cells = append(cells, c)
