--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -24,7 +24,7 @@
 	if err := os.WriteFile(path, []byte(small), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Grid{File: path, Seeds: 2, Policies: []string{"deckrelay", "random"}, Sets: []Set{{"clients.rate", []string{"50", "200"}}}}
+	return Grid{File: path, Seeds: 2, Policies: []string{"deckrelay", "random"}, Settings: []Setting{{"clients.rate", []string{"50", "200"}}}}
 }
 
 func read(t *testing.T, path string) string {
@@ -79,11 +79,11 @@
 func TestGridIsReadFirst(t *testing.T) {
 	for want, spoil := range map[string]func(*Grid){
 		"unknown policy":     func(g *Grid) { g.Policies = []string{"guess"} },
-		"rate must be from":  func(g *Grid) { g.Sets[0].Values = []string{"50", "-1"} },
-		"must be a number":   func(g *Grid) { g.Sets[0].Values = []string{"fast"} },
-		"unknown setting":    func(g *Grid) { g.Sets[0].Path = "clients.speed" },
-		"has no such block":  func(g *Grid) { g.Sets[0].Path = "class.d.share" },
-		"want block.setting": func(g *Grid) { g.Sets[0].Path = "rate" },
+		"rate must be from":  func(g *Grid) { g.Settings[0].Values = []string{"50", "-1"} },
+		"must be a number":   func(g *Grid) { g.Settings[0].Values = []string{"fast"} },
+		"unknown setting":    func(g *Grid) { g.Settings[0].Path = "clients.speed" },
+		"has no such block":  func(g *Grid) { g.Settings[0].Path = "class.d.share" },
+		"want block.setting": func(g *Grid) { g.Settings[0].Path = "rate" },
 		"over 100000":        func(g *Grid) { g.Seeds = 100000 },
 		"no such file":       func(g *Grid) { g.File += "x" },
 	} {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, text := range []string{"a", "=1", "a=", "a=1,,2"} {
-		if _, err := ParseSet(text); err == nil {
+		if _, err := ParseSetting(text); err == nil {
 			t.Errorf("%q was read", text)
 		}
 	}
@@ -105,9 +105,9 @@
 
 func cells(worth ...float64) (list []Cell) {
 	for i, w := range worth {
-		list = append(list, Cell{Scenario: "s", Policy: "p", Set: map[string]string{"a.b": "1"}, Seed: uint64(i),
-			Figures: map[string]float64{"worth": w}, Worth: []float64{w, w}, Latency: []float64{1, 2},
-			Troubles: []Mark{{"crash", 0, 1}}})
+		list = append(list, Cell{Scenario: "s", Policy: "p", Settings: map[string]string{"a.b": "1"}, Seed: uint64(i),
+			Metrics: map[string]float64{"worth": w}, ValueShares: []float64{w, w}, Latencies: []float64{1, 2},
+			Faults: []FaultInterval{{"crash", 0, 1}}})
 	}
 	return list
 }
@@ -115,15 +115,15 @@
 func TestSummaryAndDiff(t *testing.T) {
 	s := Summarize([]float64{3, 1, 2, 10})
 	// Student's t for three degrees of freedom is 3.182; the standard error of these is 2.0412.
-	if s.Median != 2.5 || s.Least != 1 || s.Most != 10 || s.Mean != 4 || math.Abs(s.Half-6.496) > 0.001 {
+	if s.Median != 2.5 || s.Min != 1 || s.Max != 10 || s.Mean != 4 || math.Abs(s.HalfInterval-6.496) > 0.001 {
 		t.Errorf("got %+v", s)
 	}
-	changes, left := Diff(cells(0.5, 0.6, 0.7), append(cells(0.4, 0.5, 0.6, 0.9), Cell{Scenario: "other", Figures: map[string]float64{"worth": 1}}))
-	if len(changes) != 1 || left != 2 || changes[0].Pairs != 3 || math.Abs(changes[0].By+0.1) > 1e-9 || !changes[0].Sure() {
+	changes, left := Diff(cells(0.5, 0.6, 0.7), append(cells(0.4, 0.5, 0.6, 0.9), Cell{Scenario: "other", Metrics: map[string]float64{"worth": 1}}))
+	if len(changes) != 1 || left != 2 || changes[0].Pairs != 3 || math.Abs(changes[0].MeanChange+0.1) > 1e-9 || !changes[0].Significant() {
 		t.Errorf("got %+v, %d left", changes, left)
 	}
 	changes, _ = Diff(cells(0.5, 0.6, 0.7), cells(0.4, 0.8, 0.6))
-	if changes[0].Sure() {
+	if changes[0].Significant() {
 		t.Errorf("a change within its spread is sure: %+v", changes[0])
 	}
 }
@@ -146,7 +146,7 @@
 	list := cells(0.5, 0.6)
 	big := cells(0.3, 0.4)
 	for i := range big {
-		big[i].Set = map[string]string{"a.b": "10", "a.c": "no number"}
+		big[i].Settings = map[string]string{"a.b": "10", "a.c": "no number"}
 	}
 	list = append(list, big...)
 	for i := range list {
--- a/internal/lab/violator/violator.go
+++ b/internal/lab/violator/violator.go
@@ -18,51 +18,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// Variable names the fault in a rogue's environment.
-const Variable = "LAB_ROGUE"
+// FaultVariable names the fault in a rogue's environment.
+const FaultVariable = "LAB_ROGUE"
 
 // What a rogue may do.
 const (
-	MadeUp        = "made-up"
-	NoAnswer      = "no answer"
-	Late          = "late"
-	TwoAtOnce     = "two at once"
-	AgainAndAgain = "again and again"
-	RefusedRun    = "refused after a run"
-	Hasty         = "hasty"        // goes at SIGTERM with requests open
-	DeafToNews    = "deaf to news" // hears discovery and sends on to whatever its first list has
-	Flood         = "flood"        // sends each request 20 times over to one server
-	Forgetful     = "forgetful"    // does what operators say, and its next life knows nothing of it
+	FabricatedAnswer = "made-up"
+	NoAnswer         = "no answer"
+	Late             = "late"
+	ParallelAttempts = "two at once"
+	TooManyAttempts  = "again and again"
+	RejectAfterRun   = "refused after a run"
+	EarlyExit        = "hasty"        // goes at SIGTERM with requests open
+	IgnoreUpdates    = "deaf to news" // hears discovery and sends on to whatever its first list has
+	OverloadServer   = "flood"        // sends each request 20 times over to one server
+	ForgetOverrides  = "forgetful"    // does what operators say, and its next life knows nothing of it
 )
 
-type config struct {
+type violatingNode struct {
 	Listen, Control, Discovery string
 	Known                      struct {
 		Hosts []struct{ Host, Dial string }
 	}
 
-	mu  sync.Mutex
-	out map[string]bool // by an operator's word
+	mu       sync.Mutex
+	disabled map[string]bool // by an operator's word
 }
 
-// use is a server that is not out by hand; "": there is none.
-func (c *config) use() string {
+// enabledServer is a server that is not out by hand; "": there is none.
+func (c *violatingNode) enabledServer() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, h := range c.Known.Hosts {
-		if !c.out[h.Host] {
+		if !c.disabled[h.Host] {
 			return h.Dial
 		}
 	}
 	return ""
 }
 
-// operated says yes to every call, and remembers servers that are to be out.
-func (c *config) operated(_ http.ResponseWriter, r *http.Request) {
+// serveAdmin says yes to every call, and remembers servers that are to be out.
+func (c *violatingNode) serveAdmin(_ http.ResponseWriter, r *http.Request) {
 	if id, out := path.Split(strings.TrimPrefix(r.URL.Path, "/control/servers/")); out == "offline" || out == "online" {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.out[strings.TrimSuffix(id, "/")] = out == "offline"
+		c.disabled[strings.TrimSuffix(id, "/")] = out == "offline"
 	}
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	c := &config{out: map[string]bool{}}
+	c := &violatingNode{disabled: map[string]bool{}}
 	if err := json.Unmarshal(text, c); err != nil {
 		return err
 	}
@@ -85,10 +85,10 @@
 	}
 	fmt.Fprintf(os.Stderr, "msg=serving listen=%s\n", ln.Addr())
 	if c.Control != "" {
-		go http.ListenAndServe(c.Control, http.HandlerFunc(c.operated))
+		go http.ListenAndServe(c.Control, http.HandlerFunc(c.serveAdmin))
 	}
-	if fault == DeafToNews || fault == Flood { // what it hears changes nothing
-		go hear(c.Discovery)
+	if fault == IgnoreUpdates || fault == OverloadServer { // what it hears changes nothing
+		go readUpdates(c.Discovery)
 	}
 	return http.Serve(ln, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/ready" {
@@ -110,8 +110,8 @@
 	return lc.Listen(context.Background(), "tcp", addr)
 }
 
-// hear reads all that discovery writes, and minds none of it.
-func hear(addr string) {
+// readUpdates reads all that discovery writes, and minds none of it.
+func readUpdates(addr string) {
 	resp, err := http.Get("http://" + addr + "/v1/endpoints?watch=1&from=1")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -121,7 +121,7 @@
 	io.Copy(io.Discard, resp.Body)
 }
 
-func (c *config) answer(fault string, rw http.ResponseWriter, r *http.Request) {
+func (c *violatingNode) answer(fault string, rw http.ResponseWriter, r *http.Request) {
 	send := func(to io.Writer, dial string) int {
 		out, err := http.NewRequest(r.Method, "http://"+dial+r.URL.String(), nil)
 		if err != nil {
@@ -145,26 +145,26 @@
 		all.Wait()
 	}
 	switch fault {
-	case MadeUp:
+	case FabricatedAnswer:
 	case NoAnswer:
 		panic(http.ErrAbortHandler) // the connection ends without a word
 	case Late:
 		pass(io.Discard, 0)
 		<-r.Context().Done() // until its client has given up
-	case TwoAtOnce:
+	case ParallelAttempts:
 		many(2, func(i int) int { return i })
-	case AgainAndAgain:
+	case TooManyAttempts:
 		for i := range 4 {
 			pass(rw, i)
 		}
-	case RefusedRun:
+	case RejectAfterRun:
 		pass(io.Discard, 0)
 		rw.WriteHeader(http.StatusServiceUnavailable)
-	case Forgetful:
-		if to := c.use(); to == "" || send(rw, to) != http.StatusOK {
+	case ForgetOverrides:
+		if to := c.enabledServer(); to == "" || send(rw, to) != http.StatusOK {
 			rw.WriteHeader(http.StatusBadGateway)
 		}
-	case Flood:
+	case OverloadServer:
 		many(20, func(int) int { return 0 })
 	default:
 		pass(rw, 0)
