--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -48,12 +48,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	h := &fleet.Hunt{World: s, Seeds: c.Seeds, First: c.First, AtOnce: c.AtOnce, Folder: c.Output, Base: c.World,
-		Opt:  fleet.Options{Program: []string{self}},
-		Tell: func(format string, args ...any) { fmt.Fprintf(io.stderr, format, args...) }}
+	h := &fleet.Hunt{World: s, Seeds: c.Seeds, FirstSeed: c.First, Parallel: c.AtOnce, Folder: c.Output, WorldFile: c.World,
+		Options: fleet.Options{Program: []string{self}},
+		Logf:    func(format string, args ...any) { fmt.Fprintf(io.stderr, format, args...) }}
 	found, err := h.Run(ctx)
 	for _, f := range found {
-		fmt.Fprintf(io.stdout, "%s: %s, %d troubles\n", f.File, f.Why, len(f.Troubles))
+		fmt.Fprintf(io.stdout, "%s: %s, %d troubles\n", f.File, f.Reason, len(f.Faults))
 	}
 	fmt.Fprintf(io.stdout, "%d schedules, %d found\n", h.Played, len(found))
 	switch {
@@ -101,7 +101,7 @@
 		}
 	}
 	if c.Table {
-		fleet.WriteHead(io.stdout)
+		fleet.WriteTableHeader(io.stdout)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -129,7 +129,7 @@
 	}
 	options := fleet.Options{Program: []string{self}}
 	if c.Old != "" {
-		options.Old = []string{c.Old}
+		options.OldProgram = []string{c.Old}
 	}
 	return options, nil
 }
@@ -152,7 +152,7 @@
 	io      streams
 	options fleet.Options
 
-	baselines fleet.Calm // plays without faults, by scenario and seed
+	baselines fleet.Baseline // plays without faults, by scenario and seed
 	cells     []sweep.Cell
 	broken    int  // rules broken in all plays
 	late      bool // some play was slowed down by the machine
@@ -160,30 +160,30 @@
 
 // play plays one scenario as often as the command says, and prints the result.
 func (r *fleetRun) play(ctx context.Context, s *scenario.Scenario) error {
-	var baseline *fleet.Played
-	if r.command.Calm && len(s.Troubles) > 0 {
+	var baseline *fleet.Result
+	if r.command.Calm && len(s.Faults) > 0 {
 		var err error
-		if baseline, err = r.baselines.Of(ctx, s, r.options); err != nil {
+		if baseline, err = r.baselines.Play(ctx, s, r.options); err != nil {
 			return fmt.Errorf("lab: without faults: %w", err)
 		}
-		r.late = r.late || baseline.TooLate()
+		r.late = r.late || baseline.Unreliable()
 	}
-	var plays []*fleet.Played
+	var plays []*fleet.Result
 	for range r.command.Plays {
 		played, err := fleet.Play(ctx, s, r.options)
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 		plays = append(plays, played)
-		r.broken += len(played.Broken)
-		r.late = r.late || played.TooLate()
+		r.broken += len(played.Violations)
+		r.late = r.late || played.Unreliable()
 		if !r.command.Table {
 			played.Write(r.io.stdout, s, baseline)
 		}
 		r.printViolations(played)
 	}
 	if r.command.Table {
-		fleet.WriteRow(r.io.stdout, s, plays, baseline)
+		fleet.WriteTableRow(r.io.stdout, s, plays, baseline)
 	}
 	r.cells = append(r.cells, fleet.Cells(s, plays, baseline)...)
 	return nil
@@ -210,20 +210,20 @@
 
 // printViolations prints which rules a play has broken. With a table, whose rows have the numbers, they go to standard
 // error.
-func (r *fleetRun) printViolations(p *fleet.Played) {
+func (r *fleetRun) printViolations(p *fleet.Result) {
 	out := r.io.stdout
 	if r.command.Table {
 		out = r.io.stderr
 	}
-	for _, v := range p.Broken[:min(len(p.Broken), maxPrintedViolations)] {
+	for _, v := range p.Violations[:min(len(p.Violations), maxPrintedViolations)] {
 		fmt.Fprintf(out, "violation: %v\n", v)
 	}
-	if p.TooLate() {
-		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.TooLate)
+	if p.Unreliable() {
+		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.MaxLateness)
 	} else if !r.command.Table {
-		fmt.Fprintf(out, "rules broken   %d\n", len(p.Broken))
+		fmt.Fprintf(out, "rules broken   %d\n", len(p.Violations))
 	}
-	if len(p.Broken) > 0 {
+	if len(p.Violations) > 0 {
 		fmt.Fprintf(r.io.stderr, "histories, configurations and logs are in %s\n", p.Folder)
 	}
 }
@@ -233,5 +233,5 @@
 // Run plays a part of a fleet's world, as its parent process says on standard input, until that ends.
 func (labPart) Run(io streams) error {
 	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
-	return loopback.ServePart(context.Background(), os.Stdin, io.stdout)
+	return loopback.ServeWorker(context.Background(), os.Stdin, io.stdout)
 }
