--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -17,7 +17,7 @@
 	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, CrowdedAbove: 4, CrowdingLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
 }
 
-// playToEnd plays a box until nothing runs and returns when each job was done.
+// playToEnd plays a server until nothing runs and returns when each job was done.
 func playToEnd(b *Server, now time.Duration, jobs []*Job) map[*Job]time.Duration {
 	done := map[*Job]time.Duration{}
 	for {
@@ -55,7 +55,8 @@
 	}
 }
 
-func TestRoomAndThrashing(t *testing.T) {
+// A server that is full rejects, and one that is crowded slows down: both show as an overload that feeds itself.
+func TestCapacityAndCrowding(t *testing.T) {
 	b := NewServer("b", 0, 0, kind(), scenario.Rules{})
 	var jobs []*Job
 	for range 7 {
@@ -65,7 +66,7 @@
 		}
 	}
 	if len(jobs) != 6 || b.InFlight() != 6 {
-		t.Fatalf("took %d, want its slots and its waiting room: 6", len(jobs))
+		t.Fatalf("took %d, want its slots and its queue: 6", len(jobs))
 	}
 	// Four run on two cores at half speed, and six held where four are no crowd cost a factor of 1.5.
 	at, _ := b.NextCompletion(0)
@@ -77,7 +78,7 @@
 	}
 	b.State = Draining
 	if b.Admit(0, &Job{Work: 1}) {
-		t.Error("a draining box took a request")
+		t.Error("a draining server accepted a request")
 	}
 	done, _ := b.NextCompletion(0)
 	calling := b.Completed(done) // its stretch is over, and it waits for calls
@@ -85,16 +86,17 @@
 	if len(calling) == 0 || len(lost) != 5 || lost[0] != jobs[0] || b.InFlight() != 0 {
 		t.Errorf("%d jobs died, %d of them in calls", len(lost), len(calling))
 	}
-	// Kind a call brings to a job that has died frees no slot of the next life, and runs nothing there.
+	// An answer to a call of a job that has died frees no slot of the next incarnation, and runs nothing there.
 	b.Start(time.Hour)
 	b.Release(time.Hour, calling[0])
 	b.Resume(time.Hour, calling[0], time.Second)
 	if _, runs := b.NextCompletion(time.Hour); runs || b.slotsTaken != 0 {
-		t.Errorf("the dead live on: %d slots taken, runs %v", b.slotsTaken, runs)
+		t.Errorf("jobs of the last incarnation live on: %d slots taken, runs %v", b.slotsTaken, runs)
 	}
 }
 
-func TestColdBoxWarmsUpAndFalls(t *testing.T) {
+// A server that gets more than it can do while it warms up falls over, and takes its requests with it.
+func TestWarmingServerFallsOver(t *testing.T) {
 	b := NewServer("b", 0, 0, kind(), scenario.Rules{OverloadMultiple: 3, OverloadWindow: time.Second})
 	b.Stop()
 	b.Start(time.Hour)
@@ -110,8 +112,8 @@
 	}
 	// 3 times 2 a second, and one largest request for chance: the eighth second of work is too much.
 	for n := 1; n <= 8; n++ {
-		if fell := b.RecordArrival(time.Hour, time.Second); fell != (n == 8) {
-			t.Errorf("after %d s of work: fell %v", n, fell)
+		if overloaded := b.RecordArrival(time.Hour, time.Second); overloaded != (n == 8) {
+			t.Errorf("after %d s of work: overloaded %v", n, overloaded)
 		}
 	}
 	if b.RecordArrival(time.Hour+2*time.Second, time.Second) {
@@ -151,6 +153,7 @@
 	})
 }
 
+// Arrivals have the rate, the shares and the work of their scenario; recorded ones are read as they stand.
 func TestArrivals(t *testing.T) {
 	s := &scenario.Scenario{Length: 100 * time.Second, Classes: []scenario.Class{{Name: "a", Share: 3, WorkVariation: 0.5}, {Name: "b", Share: 1}},
 		Tenants: []scenario.Tenant{{Name: "x", Share: 1}}, Clients: scenario.Clients{Rate: 100, Arrivals: "ramp"}}
@@ -198,7 +201,8 @@
 	}
 }
 
-func TestTroublesAreInOrderAndComeInPairs(t *testing.T) {
+// A fault that did not end as it began would leave every later figure of a scenario wrong.
+func TestWorldChangesAreInOrderAndComeInPairs(t *testing.T) {
 	s := &scenario.Scenario{Tiers: []scenario.Tier{{Name: "t", Kinds: []scenario.ServerKind{{Count: 10}}}}, Ingress: scenario.Ingress{Nodes: 4}}
 	for _, k := range scenario.WorldFaultKinds {
 		s.Faults = append(s.Faults, scenario.Fault{Kind: k, At: time.Second, Duration: 4 * time.Second, Tier: "t", TargetShare: 0.5, Magnitude: 0.5, Period: time.Second})
@@ -226,7 +230,7 @@
 	}
 	for i := range 10 {
 		if down[Crash][i] != down[Start][i] || down[Disconnect][i] != down[Reconnect][i] || math.Abs(slow[i]-1) > 1e-9 {
-			t.Errorf("box %d does not come back as it was: %v, %v", i, down, slow[i])
+			t.Errorf("server %d does not come back as it was: %v, %v", i, down, slow[i])
 		}
 	}
 	s.Faults = []scenario.Fault{{Kind: "neighbour", Tier: "t", Magnitude: 2, Position: "f:3"}}
--- /dev/null
+++ b/internal/lab/model/nodesettings.go
@@ -0,0 +1,51 @@
+package model
+
+import (
+	"time"
+
+	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/lab/scenario"
+)
+
+// Settings that the operators give all nodes, and that no scenario varies.
+const (
+	totalValueWeight = 0.6 // weight of the value served in all
+	worstClassWeight = 0.1 // weight of the worst class
+	tick             = time.Millisecond
+)
+
+// NodeSettings are the settings of a node that sends to a tier as replica number replicaIndex of so many replicas.
+func NodeSettings(s *scenario.Scenario, tier, replicaIndex, replicas int) balancer.Settings {
+	set := balancer.Settings{
+		Replicas:           replicas,
+		ReplicaIndex:       replicaIndex,
+		Tier:               tier,
+		TotalValueWeight:   totalValueWeight,
+		WorstClassWeight:   worstClassWeight,
+		ClientsMarkRetries: s.Clients.MarkRetries,
+		MaxAttempts:        s.Rules.MaxAttempts,
+		PollDiscovery:      s.Discovery.Polled,
+		MaxPollInterval:    s.Discovery.MaxPollInterval,
+		Tick:               tick,
+		MaxRetryAfter:      s.Rules.MaxRetryAfter,
+		OverloadMultiple:   s.Rules.OverloadMultiple,
+		SlowStartMinShare:  1,
+	}
+	for _, k := range s.Tiers[tier].Kinds {
+		set.SlowStartMinShare = min(set.SlowStartMinShare, k.WarmupStartShare)
+		set.SlowStartDuration = max(set.SlowStartDuration, k.WarmupDuration)
+	}
+	for _, c := range s.Classes {
+		set.Classes = append(set.Classes, balancer.Class{
+			Name:             c.Name,
+			Effect:           c.Effect,
+			DedupScope:       balancer.ScopeAll,
+			DedupWindow:      c.DedupWindow,
+			LatencyObjective: c.LatencyObjective,
+			Deadline:         c.Deadline,
+			LateCredit:       c.LateCredit,
+			PriorityWeight:   c.PriorityWeight,
+		})
+	}
+	return set
+}
--- /dev/null
+++ b/internal/lab/model/processfaults.go
@@ -0,0 +1,97 @@
+package model
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/lab/scenario"
+)
+
+// ProcessFault is a fault between processes, which only a fleet of them can have.
+type ProcessFault struct {
+	scenario.Fault
+	From, To time.Duration
+
+	// Targets is what the fault hits: the number of a node; of a process that holds a tier's servers; 0 for discovery; and
+	// for an administrative override the index of a server and its tier.
+	Targets []int
+}
+
+// ProcessFaults are the faults of a scenario that need processes, in the order of the file. What they hit is drawn from
+// the seed.
+func ProcessFaults(s *scenario.Scenario) (list []ProcessFault, err error) {
+	for n, f := range s.Faults {
+		if !slices.Contains(scenario.ProcessFaultKinds, f.Kind) {
+			continue
+		}
+		target, count := targetsOf(s, f)
+		if f.Peer == target && onLinks(f.Kind) {
+			return nil, fmt.Errorf("%s: %s and %s have no link", f.Position, f.Target, f.Peer)
+		}
+		f.Target = target
+		list = append(list, drawProcessFaults(s, f, count, Stream(s.Seed, "upset", n))...)
+	}
+	return list, nil
+}
+
+// targetsOf is what a fault hits, and how many of that there are to draw from.
+func targetsOf(s *scenario.Scenario, f scenario.Fault) (target string, count int) {
+	tier := tierIndex(s, f.Tier)
+	switch {
+	case f.Kind == scenario.FaultAdminOverride:
+		return scenario.TargetServers, s.Tiers[tier].ServerCount()
+	case f.Kind == scenario.FaultUpgrade, f.Kind == scenario.FaultMuteWatches:
+		return scenario.TargetNodes, nodeCount(s)
+	case f.Kind == scenario.FaultServerKill, f.Target == scenario.TargetServers:
+		return scenario.TargetServers, (s.Tiers[tier].ServerCount() + s.Fleet.ServersPerProcess - 1) / s.Fleet.ServersPerProcess
+	case f.Target == scenario.TargetNodes:
+		return f.Target, s.Ingress.Nodes
+	}
+	return f.Target, 1
+}
+
+// onLinks says that a kind of fault hits the links between two kinds of processes, and not processes as such.
+func onLinks(kind string) bool {
+	switch kind {
+	case scenario.FaultStall, scenario.FaultServerKill, scenario.FaultUpgrade, scenario.FaultAdminOverride, scenario.FaultMuteWatches:
+		return false
+	}
+	return true
+}
+
+// nodeCount counts all nodes: those of the ingress, and one beside each server that calls another tier.
+func nodeCount(s *scenario.Scenario) int {
+	count := s.Ingress.Nodes
+	for _, tier := range s.Tiers[:len(s.Tiers)-1] {
+		count += tier.ServerCount()
+	}
+	return count
+}
+
+// drawProcessFaults draws the targets of a fault, and for each when it is hit.
+func drawProcessFaults(s *scenario.Scenario, f scenario.Fault, count int, rng *rand.Rand) (list []ProcessFault) {
+	for _, i := range drawShare(rng, count, f.TargetShare) {
+		at := f.At + time.Duration(rng.Float64()*float64(f.Spread))
+		p := ProcessFault{Fault: f, From: at, To: at + f.Duration, Targets: []int{i}}
+		if f.Kind == scenario.FaultAdminOverride {
+			p.Targets = append(p.Targets, tierIndex(s, f.Tier))
+		}
+		list = append(list, p)
+	}
+	return list
+}
+
+func tierIndex(s *scenario.Scenario, name string) int {
+	return slices.IndexFunc(s.Tiers, func(t scenario.Tier) bool { return t.Name == name })
+}
+
+// WithoutProcessFaults is a scenario with only the faults that every way of playing knows.
+func WithoutProcessFaults(s *scenario.Scenario) *scenario.Scenario {
+	c := *s
+	c.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f scenario.Fault) bool {
+		return slices.Contains(scenario.ProcessFaultKinds, f.Kind)
+	})
+	return &c
+}
--- a/internal/lab/model/faultschedule_test.go
+++ b/internal/lab/model/processfaults_test.go
@@ -26,8 +26,9 @@
 	return s
 }
 
-// The same file and seed upset the same processes at the same times; another seed others.
-func TestUpsetsAreOfTheSeed(t *testing.T) {
+// The same file and seed hit the same processes at the same times, another seed others: a schedule that was found can be
+// played again.
+func TestProcessFaultsAreOfTheSeed(t *testing.T) {
 	const text = `trouble "stall" { at_s = 2 length_s = 3 spread_s = 1 part = 0.5 }
 trouble "box_kill" { at_s = 4 tier = "front" part = 0.5 }
 trouble "cut" { who = "discovery" whom = "nodes" part = 1 }
@@ -53,7 +54,7 @@
 		}
 	}
 	if !reflect.DeepEqual(counts, map[string]int{"stall": 5, "box_kill": 2, "cut": 1}) {
-		t.Errorf("met: %v", counts)
+		t.Errorf("hit: %v", counts)
 	}
 	changes, err := WorldChanges(WithoutProcessFaults(s))
 	if err != nil {
@@ -80,9 +81,9 @@
 	}
 }
 
-// A kill with a period is a loop of crashes: each start is killed again until the length is over, and the last one stays.
-// Two troubles that have discovery down at a time are one, from the first one's beginning to the later one's end.
-func TestCourseOfTroubles(t *testing.T) {
+// A kill with a period is a crash loop: each start is killed again until the duration is over, and the last one stays.
+// Two faults that have discovery down at a time are one outage, from the first one's beginning to the later one's end.
+func TestOverlappingFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "kill" { at_s = 2 length_s = 6 part = 0.1 period_s = 2 }`: "node killed 2s, node starts 2.5s, node killed 4s, node starts 4.5s, node killed 6s, node starts 6.5s",
 		`trouble "discovery_down" { at_s = 1 length_s = 4 }
@@ -104,21 +105,21 @@
 	}
 }
 
-// An upgrade meets all nodes, those beside boxes included.
-func TestUpgradeMeetsAllNodes(t *testing.T) {
+// An upgrade hits all nodes, those beside servers included.
+func TestUpgradeHitsAllNodes(t *testing.T) {
 	if list, err := ProcessFaults(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
 		t.Errorf("%d nodes are replaced, %v", len(list), err)
 	}
 }
 
-// Kind needs processes is no trouble of virtual time, and a link that is not there can't be cut.
-func TestUpsetsElsewhere(t *testing.T) {
+// A fault that needs processes can't be played in virtual time, and a link that does not exist can't be cut.
+func TestProcessFaultsElsewhere(t *testing.T) {
 	for _, kind := range scenario.ProcessFaultKinds {
 		if _, err := WorldChanges(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
 			t.Errorf("%s in virtual time: %v", kind, err)
 		}
 	}
 	if _, err := ProcessFaults(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
-		t.Error("boxes are cut from boxes")
+		t.Error("servers are cut from servers")
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -69,7 +69,8 @@
 	return Parse("f", text, func(string) ([]byte, error) { return nil, errors.New("none") })
 }
 
-func TestFaultsNameFileAndLine(t *testing.T) {
+// Whoever writes a scenario is told where it is wrong: each error is one line that begins with file and line.
+func TestErrorsNameFileAndLine(t *testing.T) {
 	for name, c := range invalidTexts {
 		t.Run(name, func(t *testing.T) {
 			_, err := parse([]byte(c.text))
