--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -13,82 +13,74 @@
 	"time"
 )
 
+// nodeHeader tells a server which node a request was sent to.
+const nodeHeader = "X-Soak-Node"
+
+// Draws of the clients' requests.
+const (
+	nonIdempotentRatio = 0.4                   // of the requests
+	newConnectionRatio = 0.3                   // of the requests, on connections of their own
+	maxCancelAfter     = 50 * time.Millisecond // of a client that cancels early; uniformly drawn
+)
+
+// Times of the clients.
 const (
-	nodeHeader         = "X-Soak-Node" // which node a request was handed to
-	requestBudget      = 2 * time.Second
-	nonIdempotentRatio = 0.4
-	newConnectionRatio = 0.3 // of the requests, on connections of their own
-	answerGrace        = 2 * time.Second
+	requestBudget = 2 * time.Second // until a request's deadline
+	answerGrace   = 2 * time.Second // that a client waits on after the deadline, so that a late answer is seen as such
+	poolIdleTime  = time.Minute     // longer than the nodes' own, so that nodes close idle connections
 )
 
-// clients ask the nodes at a steady rate, each request of one drawn node.
+// maxPooledConnections bounds the idle connections to one node.
+const maxPooledConnections = 8
+
+// clients send requests to the nodes at a steady rate, each to one drawn node.
 type clients struct {
 	recorder *recorder
 	nodes    []*node
 	faults   activeFaults
-	pooled   *http.Client
-	unpooled *http.Client
+	pooled   *http.Client // uses idle connections again
+	unpooled *http.Client // opens a connection for each request
 	inFlight sync.WaitGroup
 }
 
-func newClients(rec *recorder, nodes []*node) *clients {
-	return &clients{recorder: rec, nodes: nodes,
-		pooled:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}},
+// newClients are clients of some nodes; nothing is sent before run.
+func newClients(recorder *recorder, nodes []*node) *clients {
+	return &clients{recorder: recorder, nodes: nodes,
+		pooled:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxPooledConnections, IdleConnTimeout: poolIdleTime}},
 		unpooled: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// run asks until ctx ends and waits for the last answers.
+// run sends requests, so many a second, until ctx ends, and waits for the last answers.
 func (c *clients) run(ctx context.Context, rate int) {
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
 	defer c.inFlight.Wait()
-	for i := 0; ; i++ {
+	for number := 0; ; number++ {
 		select {
 		case <-tick.C:
-			c.inFlight.Go(func() { c.send(i) })
+			c.inFlight.Go(func() { c.send(number) })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// ask makes one request and notes what became of it.
-func (c *clients) send(i int) {
+// send makes one request and records what became of it.
+func (c *clients) send(number int) {
 	n := c.nodes[rand.IntN(len(c.nodes))]
-	a := &Request{ID: fmt.Sprintf("r-%d", i), Node: n.index, NonIdempotent: rand.Float64() < nonIdempotentRatio, NewConnection: rand.Float64() < newConnectionRatio}
-	method, class, body := http.MethodGet, "read", ""
-	if a.NonIdempotent {
-		method, class, body = http.MethodPost, "write", "x"
-	}
-	ctx, leave := context.WithTimeout(context.Background(), requestBudget+answerGrace)
-	defer leave()
-	if _, soon := c.faults.hits(ClientCancel); soon {
-		time.AfterFunc(rand.N(50*time.Millisecond), func() {
-			c.recorder.record(func(*Observations) {
-				if a.Finished == 0 {
-					a.ClientGone = c.recorder.now()
-				}
-			})
-			leave()
-		})
+	request := &Request{ID: fmt.Sprintf("r-%d", number), Node: n.index, NonIdempotent: rand.Float64() < nonIdempotentRatio,
+		NewConnection: rand.Float64() < newConnectionRatio}
+	ctx, cancel := context.WithTimeout(context.Background(), requestBudget+answerGrace)
+	defer cancel()
+	if _, cancels := c.faults.hits(ClientCancel); cancels {
+		c.cancelSoon(request, cancel)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, n.url()+"/api", strings.NewReader(body))
-	if err != nil {
-		panic(err) // only if a node's address is none
-	}
-	if body == "" {
-		r.Body, r.GetBody, r.ContentLength = nil, nil, 0
-	}
-	r.GetBody = nil // a request is not sent again by the client's library
-	r.Header.Set("X-Call-Id", a.ID)
-	r.Header.Set("X-Call-Class", class)
-	r.Header.Set("X-Budget", fmt.Sprintf("%dm", requestBudget.Milliseconds()))
-	r.Header.Set(nodeHeader, fmt.Sprint(n.index))
-	a.At = c.recorder.now()
-	a.Deadline = a.At + requestBudget
-	c.recorder.record(func(f *Observations) { f.Requests = append(f.Requests, a) })
+	r := newHTTPRequest(ctx, request, n)
+	request.At = c.recorder.now()
+	request.Deadline = request.At + requestBudget
+	c.recorder.record(func(o *Observations) { o.Requests = append(o.Requests, request) })
 	client := c.pooled
-	if a.NewConnection {
+	if request.NewConnection {
 		client = c.unpooled
 	}
 	resp, err := client.Do(r)
@@ -97,11 +89,42 @@
 		resp.Body.Close()
 	}
 	c.recorder.record(func(*Observations) {
-		a.Finished = c.recorder.now()
+		request.Finished = c.recorder.now()
 		if err != nil {
-			a.Err, a.ConnectionRefused = err.Error(), errors.Is(err, syscall.ECONNREFUSED)
+			request.Err, request.ConnectionRefused = err.Error(), errors.Is(err, syscall.ECONNREFUSED)
 			return
 		}
-		a.Status, a.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After") != ""
+		request.Status, request.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After") != ""
 	})
 }
+
+// cancelSoon cancels a request after a drawn time, unless it has its answer by then.
+func (c *clients) cancelSoon(request *Request, cancel context.CancelFunc) {
+	time.AfterFunc(rand.N(maxCancelAfter), func() {
+		c.recorder.record(func(*Observations) {
+			if request.Finished == 0 {
+				request.ClientGone = c.recorder.now()
+			}
+		})
+		cancel()
+	})
+}
+
+// newHTTPRequest is the request as a node reads it. The client's library must not send it a second time by itself, so
+// GetBody is nil.
+func newHTTPRequest(ctx context.Context, request *Request, n *node) *http.Request {
+	method, class, body := http.MethodGet, "read", io.Reader(nil)
+	if request.NonIdempotent {
+		method, class, body = http.MethodPost, "write", strings.NewReader("x")
+	}
+	r, err := http.NewRequestWithContext(ctx, method, n.url()+"/api", body)
+	if err != nil {
+		panic(err) // only if a node's address is none
+	}
+	r.GetBody = nil
+	r.Header.Set("X-Call-Id", request.ID)
+	r.Header.Set("X-Call-Class", class)
+	r.Header.Set("X-Budget", fmt.Sprintf("%dm", requestBudget.Milliseconds()))
+	r.Header.Set(nodeHeader, fmt.Sprint(request.Node))
+	return r
+}
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -12,12 +12,20 @@
 )
 
 const (
-	maxQueueTime   = 2 * time.Second         // a call that would wait for longer is turned down
-	oldAddressTime = 1500 * time.Millisecond // an address that is no longer named closes its connections after so long
+	// maxQueueTime is how long a call waits for its turn at most; one that would wait for longer is rejected.
+	maxQueueTime = 2 * time.Second
+	// oldAddressTime is how long an address that is no longer named keeps the connections that it has.
+	oldAddressTime = 1500 * time.Millisecond
 )
 
-// discovery is the stand-in for the service that all nodes share. Each node calls it at addresses of its own, which is how
-// it knows whom it tells.
+// Health of a listed server, as discovery writes it.
+const (
+	inService   = "in_service"
+	terminating = "terminating"
+)
+
+// discovery is the stand-in for the service that all nodes share. Each node calls it at an address of its own, by which
+// the stand-in knows whom it notifies.
 type discovery struct {
 	recorder *recorder
 	faults   activeFaults
@@ -27,15 +35,15 @@
 	hosts        []listedServer
 	changed      []int64           // by server: the version that changed it last
 	updated      chan struct{}     // closed at a change
-	stalled      chan struct{}     // closed: open watches bring nothing any more
+	stalled      chan struct{}     // closed: open watches deliver nothing any more
 	watchesReset chan struct{}     // closed: open watches are reset
-	queueFree    time.Time         // when a crowded discovery is done with the calls so far
-	refusing     bool              // connections are refused
-	holding      bool              // connections come up, and calls are turned down after a wait
+	queueFree    time.Time         // when an overloaded discovery has handled the calls so far
+	refusing     bool              // an outage: connections are refused
+	holding      bool              // an outage: connections come up, and calls are rejected after a wait
 	endpoints    map[int]*endpoint // by node
 }
 
-// host is a server as discovery lists it.
+// listedServer is a server as discovery writes it.
 type listedServer struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
@@ -45,68 +53,72 @@
 	Born   int64  `json:"born_ms"`
 }
 
-// list is a list, or the changes of one.
+// endpointList is the endpoint list, or the changes of one, as discovery writes it.
 type endpointList struct {
 	Version  int64          `json:"seq"`
 	Complete bool           `json:"whole"`
 	Hosts    []listedServer `json:"hosts"`
 }
 
-// door is where one node calls.
+// endpoint is the address that one node calls.
 type endpoint struct {
 	addr   string
-	server *http.Server
+	server *http.Server // nil: opened during an outage, and not served yet
 }
 
-func newDiscovery(rec *recorder, servers []*server) *discovery {
-	d := &discovery{recorder: rec, version: 1, updated: make(chan struct{}), stalled: make(chan struct{}), watchesReset: make(chan struct{}), endpoints: map[int]*endpoint{}}
+// newDiscovery lists some servers as version 1. It serves nobody before openAddress.
+func newDiscovery(recorder *recorder, servers []*server) *discovery {
+	d := &discovery{recorder: recorder, version: 1, updated: make(chan struct{}), stalled: make(chan struct{}),
+		watchesReset: make(chan struct{}), endpoints: map[int]*endpoint{}}
 	for _, s := range servers {
-		d.hosts = append(d.hosts, listedServer{Host: "s-" + strconv.Itoa(s.index), Dial: s.addr, Site: "a", Class: "m", Health: "in_service"})
+		d.hosts = append(d.hosts, listedServer{Host: "s-" + strconv.Itoa(s.index), Dial: s.addr, Site: "a", Class: "m", Health: inService})
 		d.changed = append(d.changed, d.version)
 	}
 	return d
 }
 
-// open gives a node a new address. The one before takes no new connections, and closes those that it has after a while.
+// openAddress gives a node a new address. The one before takes no new connections, and closes those that it has after a
+// while.
 func (d *discovery) openAddress(node int) (addr string, err error) {
-	ln, err := net.Listen("tcp", standInAddress()+":0")
+	listener, err := net.Listen("tcp", standInAddress()+":0")
 	if err != nil {
 		return "", err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.endpoints[node]
-	d.endpoints[node] = &endpoint{addr: ln.Addr().String()}
+	d.endpoints[node] = &endpoint{addr: listener.Addr().String()}
 	if d.refusing {
-		err = ln.Close()
+		err = listener.Close()
 	} else {
-		d.serveNode(node, ln)
+		d.serveNode(node, listener)
 	}
 	if old != nil && old.server != nil {
 		time.AfterFunc(oldAddressTime, func() { old.server.Close() })
 	}
-	return ln.Addr().String(), err
+	return listener.Addr().String(), err
 }
 
-// attend serves a node's calls. The caller holds the lock.
-func (d *discovery) serveNode(node int, ln net.Listener) {
-	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node) })}
+// serveNode serves a node's calls. The caller holds the lock.
+func (d *discovery) serveNode(node int, listener net.Listener) {
+	handler := func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node) }
+	server := &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: http.HandlerFunc(handler)}
 	d.endpoints[node].server = server
-	go server.Serve(ln) // ends with Close
+	go server.Serve(listener) // ends with Close
 }
 
-// close ends all addresses.
+// close closes all addresses.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, o := range d.endpoints {
-		if o.server != nil {
-			o.server.Close()
+	for _, e := range d.endpoints {
+		if e.server != nil {
+			e.server.Close()
 		}
 	}
 }
 
-// known is the list as it is.
+// currentList is the complete list as it is.
 func (d *discovery) currentList() endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,22 +129,24 @@
 func (d *discovery) drain(index int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.hosts[index].Health != "in_service" {
+	if d.hosts[index].Health != inService {
 		return
 	}
 	d.version++
-	d.hosts[index].Health, d.changed[index] = "terminating", d.version
-	drained := DrainStart{At: d.recorder.now(), Server: index, Version: d.version}
-	d.recorder.record(func(f *Observations) { f.Drains = append(f.Drains, drained) })
+	d.hosts[index].Health, d.changed[index] = terminating, d.version
+	start := DrainStart{At: d.recorder.now(), Server: index, Version: d.version}
+	d.recorder.record(func(o *Observations) { o.Drains = append(o.Drains, start) })
 	close(d.updated)
 	d.updated = make(chan struct{})
 }
 
-// hush has open watches fall silent, and reset ends them.
+// stallWatches has open watches deliver nothing any more.
 func (d *discovery) stallWatches() { d.closeAndRenew(&d.stalled) }
 
+// resetWatches resets open watches.
 func (d *discovery) resetWatches() { d.closeAndRenew(&d.watchesReset) }
 
+// closeAndRenew signals open watches; later ones wait for the next signal.
 func (d *discovery) closeAndRenew(signal *chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,7 +154,7 @@
 	*signal = make(chan struct{})
 }
 
-// serve answers a call for the whole list, or keeps a watch.
+// serve answers a call for the complete list, or serves a watch.
 func (d *discovery) serve(w http.ResponseWriter, r *http.Request, node int) {
 	if !d.awaitTurn(w, r) {
 		return
@@ -156,78 +170,82 @@
 	d.watch(w, r, node, from)
 }
 
-// turn makes a call wait as the faults have it. False: it has its answer, or nobody waits for one.
+// awaitTurn has a call wait as the faults have it. It returns false if the call has its answer, or if its client is gone.
 func (d *discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
-	var wait time.Duration
-	refused := false
+	wait, rejected := d.queueTime()
+	select {
+	case <-time.After(wait):
+	case <-r.Context().Done():
+		return false
+	}
+	if rejected {
+		http.Error(w, "too busy", http.StatusServiceUnavailable)
+	}
+	return !rejected
+}
+
+// queueTime is how long a call that arrives now waits, and whether it is rejected after that.
+func (d *discovery) queueTime() (wait time.Duration, rejected bool) {
 	if f, slow := d.faults.find(DiscoverySlow); slow {
 		wait = f.Wait
 	}
-	if f, crowded := d.faults.find(DiscoveryOverload); crowded {
-		d.mu.Lock()
-		now := time.Now()
-		if d.queueFree.Before(now) {
-			d.queueFree = now
-		}
-		if refused = d.queueFree.Sub(now) > maxQueueTime; !refused {
-			d.queueFree = d.queueFree.Add(f.Wait)
-		}
-		wait += min(d.queueFree.Sub(now), maxQueueTime)
-		d.mu.Unlock()
-		if refused {
+	if f, overloaded := d.faults.find(DiscoveryOverload); overloaded {
+		var queued time.Duration
+		if queued, rejected = d.enqueue(f.Wait); rejected {
 			wait = 0
+		} else {
+			wait += queued
 		}
 	}
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	if d.holding {
-		wait, refused = maxQueueTime, true
+		return maxQueueTime, true
 	}
-	d.mu.Unlock()
-	select {
-	case <-time.After(wait):
-	case <-r.Context().Done():
-		return false
+	return wait, rejected
+}
+
+// enqueue puts a call that takes a service time behind the calls so far, and returns when it is handled from now on; a
+// call whose turn is too far off is rejected.
+func (d *discovery) enqueue(serviceTime time.Duration) (wait time.Duration, rejected bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Now()
+	if d.queueFree.Before(now) {
+		d.queueFree = now
 	}
-	if refused {
-		http.Error(w, "too busy", http.StatusServiceUnavailable)
+	if d.queueFree.Sub(now) > maxQueueTime {
+		return 0, true
 	}
-	return !refused
+	d.queueFree = d.queueFree.Add(serviceTime)
+	return min(d.queueFree.Sub(now), maxQueueTime), false
 }
 
-// follow writes what has changed since a version and, on a watch, each change and heartbeat after.
+// watch writes what has changed since a version and, if a watch was asked for, each change and heartbeat after.
 func (d *discovery) watch(w http.ResponseWriter, r *http.Request, node int, from int64) {
-	beat := time.NewTicker(endpointlease.HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(endpointlease.HeartbeatInterval)
+	defer heartbeat.Stop()
 	d.mu.Lock()
-	silent, ended := d.stalled, d.watchesReset
+	stalled, watchesReset := d.stalled, d.watchesReset
 	d.mu.Unlock()
 	for first := true; ; first = false {
-		text, version, news := d.changesSince(from)
+		text, version, updated := d.changesSince(from)
 		if first || version > from {
-			if _, cut := d.faults.hits(DiscoveryTruncated); cut {
-				w.Write(text[:len(text)/2])
-				w.(http.Flusher).Flush()
-				panic(http.ErrAbortHandler)
-			}
-			d.recorder.record(func(f *Observations) {
-				f.Deliveries = append(f.Deliveries, Delivery{At: d.recorder.now(), Node: node, Version: version})
-			})
-			w.Write(text)
-			w.(http.Flusher).Flush()
+			d.deliver(w, node, text, version)
 			from = version
 		}
 		if r.URL.Query().Get("watch") == "" {
 			return
 		}
 		select {
-		case <-news:
-		case <-beat.C:
+		case <-updated:
+		case <-heartbeat.C:
 			w.Write([]byte("\n"))
 			w.(http.Flusher).Flush()
-		case <-silent:
+		case <-stalled:
 			<-r.Context().Done()
 			return
-		case <-ended:
+		case <-watchesReset:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -235,63 +253,85 @@
 	}
 }
 
-// since is what has changed since a version, as a line, and what is closed at the next change.
-func (d *discovery) changesSince(from int64) (text []byte, version int64, news <-chan struct{}) {
+// deliver writes a list to a node, or half of it and resets the connection if a fault has it so.
+func (d *discovery) deliver(w http.ResponseWriter, node int, text []byte, version int64) {
+	if _, truncated := d.faults.hits(DiscoveryTruncated); truncated {
+		w.Write(text[:len(text)/2])
+		w.(http.Flusher).Flush()
+		panic(http.ErrAbortHandler)
+	}
+	d.recorder.record(func(o *Observations) {
+		o.Deliveries = append(o.Deliveries, Delivery{At: d.recorder.now(), Node: node, Version: version})
+	})
+	w.Write(text)
+	w.(http.Flusher).Flush()
+}
+
+// changesSince is what has changed since a version, as a line, with the version that this leads to and the channel that
+// is closed at the next change.
+func (d *discovery) changesSince(from int64) (text []byte, version int64, updated <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := endpointList{Version: d.version, Complete: from == 0, Hosts: []listedServer{}}
-	for i, h := range d.hosts {
+	list := endpointList{Version: d.version, Complete: from == 0, Hosts: []listedServer{}}
+	for i, host := range d.hosts {
 		if from == 0 || d.changed[i] > from {
-			l.Hosts = append(l.Hosts, h)
+			list.Hosts = append(list.Hosts, host)
 		}
 	}
-	text, err := json.Marshal(l)
+	text, err := json.Marshal(list)
 	if err != nil {
 		panic(err) // only if the types of this file can't be written
 	}
 	return append(text, '\n'), d.version, d.updated
 }
 
-// setDown takes discovery away, so that watches are reset, or brings it back.
-func (d *discovery) setOutage(down, waits bool) error {
+// setOutage begins an outage, at which watches are reset, or ends it. With holdCalls connections come up and calls are
+// rejected after a wait, else connections are refused. Of two outages that overlap the first one counts, and either
+// outage's end of the same form ends it.
+func (d *discovery) setOutage(begin, holdCalls bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if (d.refusing || d.holding) == down || !down && d.holding != waits {
-		return nil // another outage is on, or has ended this one
+	if (d.refusing || d.holding) == begin || !begin && d.holding != holdCalls {
+		return nil
 	}
 	now := d.recorder.now()
-	if waits {
-		if d.holding = down; down {
+	if holdCalls {
+		if d.holding = begin; begin {
 			close(d.watchesReset)
 			d.watchesReset = make(chan struct{})
 		}
-		d.recordOutage(down, now)
-		return nil
+	} else if err := d.setRefusing(begin); err != nil {
+		return err
 	}
-	d.refusing = down
-	for node, o := range d.endpoints {
-		if down {
-			o.server.Close()
+	d.recordOutage(begin, now)
+	return nil
+}
+
+// setRefusing closes all addresses, or opens them again. The caller holds the lock.
+func (d *discovery) setRefusing(refusing bool) error {
+	d.refusing = refusing
+	for node, e := range d.endpoints {
+		if refusing {
+			e.server.Close()
 			continue
 		}
-		ln, err := net.Listen("tcp", o.addr)
+		listener, err := net.Listen("tcp", e.addr)
 		if err != nil {
 			return err
 		}
-		d.serveNode(node, ln)
+		d.serveNode(node, listener)
 	}
-	d.recordOutage(down, now)
 	return nil
 }
 
-// noteDown notes the begin or the end of an outage.
-func (d *discovery) recordOutage(down bool, now time.Duration) {
-	d.recorder.record(func(f *Observations) {
-		if down {
-			f.Outages = append(f.Outages, Span{From: now, Open: true})
+// recordOutage records the begin of an outage, since a time, or its end by now.
+func (d *discovery) recordOutage(begin bool, since time.Duration) {
+	d.recorder.record(func(o *Observations) {
+		if begin {
+			o.Outages = append(o.Outages, Span{From: since, Open: true})
 			return
 		}
-		last := &f.Outages[len(f.Outages)-1]
+		last := &o.Outages[len(o.Outages)-1]
 		last.To, last.Open = d.recorder.now(), false
 	})
 }
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -16,9 +16,17 @@
 	"time"
 )
 
-// nodeReady is how long a node may take until it says that it is ready.
-const nodeReadyTimeout = 30 * time.Second
+// Waits for a node that starts.
+const (
+	nodeReadyTimeout = 30 * time.Second // until it must be ready, on a busy machine
+	readyInterval    = 10 * time.Millisecond
+)
+
+// maxLogLine bounds a line of a node's log: a captured list is one long line.
+const maxLogLine = 8 << 20
 
+// nodeConfigFormat is a node's configuration file; the arguments are its index, its address, discovery's address, its
+// index, the bootstrap list, the number of nodes and its index.
 const nodeConfigFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be9%02x",
  "limits":{"cores":1,"memory_mb":128,"sockets":512},"known":%s,
  "settings":{"registry-mode":"on_request","balancers":%d,"me":%d,"rules":{"ask-within-ms":10000,"warm-after-ms":1000,"cold-from":0.2},
@@ -26,40 +34,44 @@
   "lanes":[{"name":"read","effect":"read_like","target-ms":500,"deadline-ms":2000,"worth":1},
    {"name":"write","effect":"non_idempotent","target-ms":500,"deadline-ms":2000,"worth":2}]}}`
 
-// Program gives the command that runs one node with a configuration file.
+// Program returns the command that runs one node with a configuration file.
 type Program func(config string) *exec.Cmd
 
-// node is one real node, over its lives.
+// node is one real node, over all of its incarnations.
 type node struct {
 	index     int
-	nodeCount int // nodes
+	nodeCount int
 	recorder  *recorder
 	program   Program
 	discovery *discovery
-	config    string // its file
+	config    string // its configuration file
 	listen    string
 
-	mu               sync.Mutex // over what follows; a life begins and ends under it
-	discoveryAddress string     // of discovery
-	command          *exec.Cmd  // nil: it does not run
-	ending           bool       // it was told to end, or killed
-	ended            chan struct{}
+	mu               sync.Mutex // an incarnation begins and ends under it
+	discoveryAddress string
+	command          *exec.Cmd     // nil: it does not run
+	ending           bool          // it was sent SIGTERM or SIGKILL
+	ended            chan struct{} // closed when the process has ended and its log is read
 }
 
-func newNode(index, of int, rec *recorder, d *discovery, program Program, folder string) (*node, error) {
-	n := &node{index: index, nodeCount: of, recorder: rec, discovery: d, program: program, config: filepath.Join(folder, fmt.Sprintf("n%d.json", index))}
+// newNode is a node that does not run yet, with an address of discovery of its own.
+func newNode(index, nodeCount int, recorder *recorder, d *discovery, program Program, folder string) (*node, error) {
+	n := &node{index: index, nodeCount: nodeCount, recorder: recorder, discovery: d, program: program}
+	n.config = filepath.Join(folder, fmt.Sprintf("n%d.json", index))
 	n.listen = fmt.Sprintf("%s:%d", nodeAddress(), firstNodePort+index)
 	var err error
 	n.discoveryAddress, err = d.openAddress(index)
 	return n, err
 }
 
-// firstPort is that of the first node. Nodes have addresses of their own on loopback, so that no port of theirs is
-// another's while they do not run, nor another soak's beside this one.
+// firstNodePort is that of the first node. Nodes have addresses of their own on loopback, so that no port of theirs is
+// taken while they do not run, nor by another soak beside this one.
 const firstNodePort = 20000
 
+// standInAddress is the loopback address of discovery and servers.
 func standInAddress() string { return ownAddress(1) }
 
+// nodeAddress is the loopback address of the nodes.
 func nodeAddress() string { return ownAddress(2) }
 
 // ownAddress is an address on loopback that this process has to itself, but for one in 16,384 others.
@@ -68,19 +80,20 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, last)
 }
 
+// url is the node's, for clients.
 func (n *node) url() string { return "http://" + n.listen }
 
-// write writes the configuration file. The caller holds the lock.
+// writeConfig writes the configuration file. The caller holds the lock.
 func (n *node) writeConfig() error {
-	known, err := json.Marshal(n.discovery.currentList())
+	bootstrap, err := json.Marshal(n.discovery.currentList())
 	if err != nil {
 		return err
 	}
-	text := fmt.Sprintf(nodeConfigFormat, n.index, n.listen, n.discoveryAddress, n.index, known, n.nodeCount, n.index)
+	text := fmt.Sprintf(nodeConfigFormat, n.index, n.listen, n.discoveryAddress, n.index, bootstrap, n.nodeCount, n.index)
 	return os.WriteFile(n.config, []byte(text), 0o600)
 }
 
-// start begins a life and waits until it is ready.
+// start begins an incarnation and waits until it is ready.
 func (n *node) start() error {
 	if err := n.launch(); err != nil {
 		return err
@@ -93,58 +106,66 @@
 				return nil
 			}
 		}
-		<-time.After(10 * time.Millisecond)
+		<-time.After(readyInterval)
 	}
 	return fmt.Errorf("node n%d is not ready after %v: look at its log", n.index, nodeReadyTimeout)
 }
 
+// launch starts the process.
 func (n *node) launch() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	c := n.program(n.config)
-	stderr, err := c.StderrPipe()
+	command := n.program(n.config)
+	stderr, err := command.StderrPipe()
 	if err != nil {
 		return err
 	}
-	n.recorder.record(func(f *Observations) {
-		f.Incarnations = append(f.Incarnations, Incarnation{Node: n.index, Started: n.recorder.now()})
+	n.recorder.record(func(o *Observations) {
+		o.Incarnations = append(o.Incarnations, Incarnation{Node: n.index, Started: n.recorder.now()})
 	})
-	if err := c.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return err
 	}
-	n.command, n.ending, n.ended = c, false, make(chan struct{})
-	go n.readLog(c, stderr, n.ended)
+	n.command, n.ending, n.ended = command, false, make(chan struct{})
+	go n.readLog(command, stderr, n.ended)
 	return nil
 }
 
-// attend reads a life's log to its end.
-func (n *node) readLog(c *exec.Cmd, stderr io.Reader, ended chan struct{}) {
+// readLog reads an incarnation's log to its end and records what must never stand in one, and an end that nobody asked
+// for.
+func (n *node) readLog(command *exec.Cmd, stderr io.Reader, ended chan struct{}) {
 	defer close(ended)
-	complain := func(text string) {
-		n.recorder.record(func(f *Observations) { f.Complaints = append(f.Complaints, fmt.Sprintf("n%d: %s", n.index, text)) })
-	}
 	lines := bufio.NewScanner(stderr)
-	lines.Buffer(nil, 8<<20)
+	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		line := lines.Text()
-		if strings.Contains(line, "invariant broken") || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") ||
-			strings.Contains(line, "DATA RACE") {
-			complain(line)
+		if line := lines.Text(); isComplaint(line) {
+			n.complain(line)
 		}
 	}
-	err := c.Wait()
+	err := command.Wait()
 	n.mu.Lock()
 	expected := n.ending
 	n.mu.Unlock()
 	if !expected {
-		complain(fmt.Sprintf("the process ended by itself: %v", err))
+		n.complain(fmt.Sprintf("the process ended by itself: %v", err))
 	}
 }
 
-// move names another address of discovery by SIGHUP.
+// isComplaint reports whether a line of a log tells of a broken invariant or of a fault of the program.
+func isComplaint(line string) bool {
+	return strings.Contains(line, "invariant broken") || strings.HasPrefix(line, "panic:") ||
+		strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE")
+}
+
+// complain records a complaint.
+func (n *node) complain(text string) {
+	n.recorder.record(func(o *Observations) { o.Complaints = append(o.Complaints, fmt.Sprintf("n%d: %s", n.index, text)) })
+}
+
+// changeDiscovery names another address of discovery by SIGHUP.
 func (n *node) changeDiscovery() error {
 	address, err := n.discovery.openAddress(n.index)
 	if err != nil {
@@ -159,52 +180,37 @@
 	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	n.recorder.record(func(f *Observations) {
-		f.AddressChanges = append(f.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index})
+	n.recorder.record(func(o *Observations) {
+		o.AddressChanges = append(o.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index})
 	})
-	if err := n.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // its end is a complaint
+	if err := n.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // readLog records such an end
 		return err
 	}
 	return nil
 }
 
-// pause holds the process up for a while.
-func (n *node) pause(wait time.Duration) {
+// pause stops the process for a while.
+func (n *node) pause(length time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command == nil || n.ending {
 		return
 	}
 	n.command.Process.Signal(syscall.SIGSTOP)
-	<-time.After(wait)
+	<-time.After(length)
 	n.command.Process.Signal(syscall.SIGCONT)
 }
 
-// stop ends a life, by SIGTERM or at once, and waits for its end. False: there was none to end.
+// stop ends an incarnation, by SIGTERM or SIGKILL, and waits for its end. It returns false if there is none to end.
 func (n *node) stop(kill bool) bool {
-	n.mu.Lock()
-	if n.command == nil || n.ending {
-		n.mu.Unlock()
+	command, ended := n.beginStop(kill)
+	if command == nil {
 		return false
 	}
-	n.ending = true
-	process, ended := n.command, n.ended
-	n.recorder.record(func(f *Observations) {
-		for i := range f.Incarnations {
-			if l := &f.Incarnations[i]; l.Node == n.index && l.Terminated == 0 && l.Killed == 0 {
-				if now := n.recorder.now(); kill {
-					l.Killed = now
-				} else {
-					l.Terminated = now
-				}
-			}
-		}
-	})
-	n.mu.Unlock()
 	if kill {
-		process.Process.Kill()
+		command.Process.Kill()
 	} else {
-		process.Process.Signal(syscall.SIGTERM)
+		command.Process.Signal(syscall.SIGTERM)
 	}
 	<-ended
 	n.mu.Lock()
@@ -212,3 +218,27 @@
 	n.command = nil
 	return true
 }
+
+// beginStop marks the incarnation as ending and records when; nil if there is none.
+func (n *node) beginStop(kill bool) (command *exec.Cmd, ended <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.command == nil || n.ending {
+		return nil, nil
+	}
+	n.ending = true
+	n.recorder.record(func(o *Observations) {
+		for i := range o.Incarnations {
+			incarnation := &o.Incarnations[i]
+			if incarnation.Node != n.index || incarnation.Terminated != 0 || incarnation.Killed != 0 {
+				continue
+			}
+			if now := n.recorder.now(); kill {
+				incarnation.Killed = now
+			} else {
+				incarnation.Terminated = now
+			}
+		}
+	})
+	return n.command, n.ended
+}
--- a/internal/lab/soak/facts.go
+++ b/internal/lab/soak/observations.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Facts are all that was seen, by the one clock of a play.
+// Observations are all that was seen in a run. Times are of one clock and count from the run's begin.
 type Observations struct {
 	Drains         []DrainStart
 	Deliveries     []Delivery
@@ -17,60 +17,60 @@
 	Complaints     []string // of nodes: broken invariants, panics, unexpected ends
 }
 
-// Span is from a time till another; an open one has no end yet.
+// Span is from a time to another; an open one has no end yet.
 type Span struct {
 	From, To time.Duration
 	Open     bool
 }
 
-// Drained is a server that began to drain, with the version of the list that has it.
+// DrainStart is a server that began to drain, with the version of the endpoint list that has it.
 type DrainStart struct {
 	At      time.Duration
 	Server  int
 	Version int64
 }
 
-// Written is a list that discovery wrote to a node whole. One that is cut is a call that failed.
+// Delivery is a list that discovery wrote to a node completely. One that is truncated is a call that failed.
 type Delivery struct {
 	At      time.Duration
 	Node    int
 	Version int64
 }
 
-// Life is one process of a node.
+// Incarnation is one process of a node.
 type Incarnation struct {
 	Node       int
-	Started    time.Duration // its start
-	Terminated time.Duration // to end; 0: never
-	Killed     time.Duration // 0: never
+	Started    time.Duration
+	Terminated time.Duration // when it was sent SIGTERM; 0: never
+	Killed     time.Duration // when it was sent SIGKILL; 0: never
 }
 
-// Moved is a SIGHUP that names another address of discovery.
+// AddressChange is a SIGHUP that names another address of discovery.
 type AddressChange struct {
 	At   time.Duration
 	Node int
 }
 
-// Arrival is a request at a server.
+// Attempt is a request's arrival at a server.
 type Attempt struct {
 	ID             string
 	Node           int
 	Server         int
 	At             time.Duration
-	Budget         time.Duration // as the request says
-	Executed       bool          // it was not turned down
+	Budget         time.Duration // what is left until the deadline, as the attempt says
+	Executed       bool          // it was not rejected
 	Finished       time.Duration // when the server was done, or its connection had ended; 0: never
 	ConnectionLost bool          // its connection had ended before
 }
 
-// Asked is a request of a client.
+// Request is a client's request and what became of it.
 type Request struct {
 	ID                string
 	Node              int
 	NonIdempotent     bool
 	At                time.Duration
 	Deadline          time.Duration
-	ClientGone        time.Duration // when its client left; 0: it stayed
+	ClientGone        time.Duration // when its client canceled; 0: it waited
 	Finished          time.Duration // when it had its answer, or knew that there is none
 	Status            int           // 0: none
 	RetryAfter        bool          // the answer says when to come back
@@ -79,7 +79,7 @@
 	ConnectionRefused bool // no connection came up
 }
 
-// record collects facts. Its methods may be called side by side.
+// recorder collects observations. Its methods may be called from any goroutine.
 type recorder struct {
 	started time.Time
 
@@ -87,12 +87,12 @@
 	observations Observations
 }
 
-// now is the play's clock.
+// now is the run's clock.
 func (r *recorder) now() time.Duration { return time.Since(r.started) }
 
-// note adds facts.
-func (r *recorder) record(add func(f *Observations)) {
+// record changes the observations under the lock.
+func (r *recorder) record(change func(*Observations)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	add(&r.observations)
+	change(&r.observations)
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -8,51 +8,59 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is a kind of fault. Its text is what a run prints.
 type Kind string
 
-// Kinds of faults.
+// Kinds of faults. Which fields of a Fault count is said with each.
 const (
-	WatchStall         Kind = "silent"    // open watches bring nothing any more
+	WatchStall         Kind = "silent"    // open watches deliver nothing any more, heartbeats included
 	WatchReset         Kind = "end-watch" // open watches are reset
 	DiscoverySlow      Kind = "slow"      // each call to discovery takes Wait
-	DiscoveryOverload  Kind = "crowded"   // discovery handles calls in turn, Wait each, and turns down at once what would wait for long
+	DiscoveryOverload  Kind = "crowded"   // discovery handles calls in turn, Wait each, and rejects at once what would wait for long
 	DiscoveryNoAnswer  Kind = "lose"      // a Share of the calls to discovery is never answered
 	DiscoveryTruncated Kind = "cut"       // a Share of the answers to calls is reset in the middle
-	DiscoveryOutage    Kind = "down"      // watches are reset, and connections refused or, if Waits, calls turned down after a wait
+	DiscoveryOutage    Kind = "down"      // watches are reset, and connections refused or, if HoldCalls, calls rejected after a wait
 	DiscoveryMove      Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
-	ServerDrain        Kind = "drain"     // a server drains
-	ServerHang         Kind = "hang"      // a server answers nothing
-	ServerReset        Kind = "reset"     // a server resets a Share of the requests that it has begun
-	ServerReject       Kind = "reject"    // a server turns a Share of the requests down
-	ServerError        Kind = "fail"      // a server answers a Share of the requests with an error
-	NodePause          Kind = "pause"     // nodes are held up for Wait
-	NodeRestart        Kind = "restart"   // a node is told to end, and started again
-	NodeKill           Kind = "kill"      // a node is killed, and started again
-	ClientCancel       Kind = "leave"     // a Share of the clients leaves early
+	ServerDrain        Kind = "drain"     // the Target server drains
+	ServerHang         Kind = "hang"      // the Target server answers nothing
+	ServerReset        Kind = "reset"     // the Target server resets a Share of the requests that it has begun
+	ServerReject       Kind = "reject"    // the Target server rejects a Share of the requests
+	ServerError        Kind = "fail"      // the Target server answers a Share of the requests with 500
+	NodePause          Kind = "pause"     // the Target node is stopped for Wait
+	NodeRestart        Kind = "restart"   // the Target node is sent SIGTERM, and started again
+	NodeKill           Kind = "kill"      // the Target node is sent SIGKILL, and started again
+	ClientCancel       Kind = "leave"     // a Share of the clients cancels early
 )
 
-// kinds in the order in which they are drawn. Drains and what befalls discovery come more often: a rule is broken where
-// they meet.
-var weightedKinds = []Kind{ServerDrain, ServerDrain, ServerDrain, WatchStall, WatchStall, WatchReset, WatchReset, DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated, DiscoveryOutage, DiscoveryMove, DiscoveryMove,
-	ServerHang, ServerReset, ServerReject, ServerError, NodePause, NodeRestart, NodeKill, ClientCancel}
+// weightedKinds are drawn from uniformly; their order is part of what a seed stands for. Drains and faults of discovery
+// come more often: rules are broken where they overlap.
+var weightedKinds = []Kind{
+	ServerDrain, ServerDrain, ServerDrain,
+	WatchStall, WatchStall, WatchReset, WatchReset,
+	DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated, DiscoveryOutage,
+	DiscoveryMove, DiscoveryMove,
+	ServerHang, ServerReset, ServerReject, ServerError,
+	NodePause, NodeRestart, NodeKill,
+	ClientCancel,
+}
 
-// Fault is one thing that goes wrong.
+// Fault is one thing that goes wrong. Which fields count depends on the Kind.
 type Fault struct {
 	Kind      Kind
-	From, To  time.Duration // To is when it is over, where it lasts
-	Target    int           // the server or the node, where it is one
+	From, To  time.Duration // of the run's clock; To is when it is over, where it lasts
+	Target    int           // index of the server or the node
 	Wait      time.Duration
-	Share     float64
+	Share     float64 // 0 to 1
 	Count     int
 	HoldCalls bool
 }
 
+// String is a line of a run's output.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %v to %v which=%d wait=%v share=%.2f count=%d waits=%v", f.Kind, f.From, f.To, f.Target, f.Wait, f.Share, f.Count, f.HoldCalls)
 }
 
-// Plan is what is played.
+// Plan is what a run does. The same seed, nodes and length give the same plan.
 type Plan struct {
 	Seed    uint64
 	Nodes   int
@@ -62,16 +70,36 @@
 	Faults  []Fault       // by their begin
 }
 
-// The last fault is over so long before the end, and service is judged in the last part of that.
+// Size of a plan beside its nodes.
+const (
+	planServers         = 8
+	planRequestsPerNode = 8 // a second: enough to meet every fault, too few to load the machine
+)
+
+// End of a plan: service can only be checked once nodes have had the time to recover.
+const (
+	recoveryTime     = 5 * time.Second // between the end of the last fault and the last request
+	serviceCheckTime = 2 * time.Second // the last part of it, in which requests must be served
+)
+
+// Number and length of the faults that are drawn freely.
 const (
-	recoveryTime     = 5 * time.Second
-	serviceCheckTime = 2 * time.Second
+	minFaults    = 4
+	extraFaults  = 8 // one less than this is the most that is added to minFaults
+	maxFaultTime = 8 * time.Second
+	minFaultTime = 500 * time.Millisecond
+	firstFault   = 500 * time.Millisecond // none begins before this
+)
 
-	minFaults, extraFaults = 4, 8
-	maxFaultTime           = 8 * time.Second
+// Draws of the group of faults that makes a stale list likely (see drawStaleListFaults).
+const (
+	staleMinShare     = 0.6 // of the calls to discovery that its fault affects
+	staleWatchLossIn  = 500 * time.Millisecond
+	staleMoveInterval = 500 * time.Millisecond // at most, between two changes of discovery's address
+	staleDrainIn      = time.Second
 )
 
-// after is the plan with its times counted from an earlier moment.
+// shifted is the plan with its times counted from an earlier moment.
 func (p Plan) shifted(begin time.Duration) Plan {
 	p.Faults = slices.Clone(p.Faults)
 	for i := range p.Faults {
@@ -82,10 +110,13 @@
 	return p
 }
 
-// Draw gives the plan of a seed.
+// planStream keeps the draws of plans apart from others of the same seed.
+const planStream = 0x50a4
+
+// DrawPlan draws the plan of a seed. The order of the random draws is fixed: a kept seed must go on standing for its plan.
 func DrawPlan(seed uint64, nodes int, length time.Duration) Plan {
-	rng := rand.New(rand.NewPCG(seed, 0x50a4))
-	p := Plan{Seed: seed, Nodes: nodes, Servers: 8, Rate: 8 * nodes, Length: length}
+	rng := rand.New(rand.NewPCG(seed, planStream))
+	p := Plan{Seed: seed, Nodes: nodes, Servers: planServers, Rate: planRequestsPerNode * nodes, Length: length}
 	for range minFaults + rng.IntN(extraFaults) {
 		p.Faults = append(p.Faults, drawFault(rng, p))
 	}
@@ -94,36 +125,37 @@
 	return p
 }
 
-// drawBlindness draws faults that meet by chance too seldom: a server drains just after the nodes have lost their watches,
-// and discovery is hard to hear for longer than a list may be relied on.
+// drawStaleListFaults draws faults that overlap too seldom by chance: a server drains just after the nodes have lost their
+// watches, while discovery can hardly be reached for longer than an endpoint lease lasts.
 func drawStaleListFaults(rng *rand.Rand, p Plan) []Fault {
 	pick := func(list ...Kind) Kind { return list[rng.IntN(len(list))] }
 	outage := drawFaultOf(rng, p, pick(DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryOutage))
 	outage.From = min(outage.From, p.Length-recoveryTime-maxFaultTime)
 	outage.To = outage.From + maxFaultTime
-	outage.Share = 0.6 + 0.4*rng.Float64()
+	outage.Share = staleMinShare + (1-staleMinShare)*rng.Float64()
 	watchLoss := drawFaultOf(rng, p, pick(WatchStall, WatchReset, DiscoveryMove))
-	watchLoss.From = outage.From + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
-	watchLoss.Wait = min(watchLoss.Wait, 500*time.Millisecond)
+	watchLoss.From = outage.From + time.Duration(rng.Int64N(int64(staleWatchLossIn)))
+	watchLoss.Wait = min(watchLoss.Wait, staleMoveInterval)
 	drain := drawFaultOf(rng, p, ServerDrain)
-	drain.From = watchLoss.From + time.Duration(rng.Int64N(int64(time.Second)))
+	drain.From = watchLoss.From + time.Duration(rng.Int64N(int64(staleDrainIn)))
 	return []Fault{outage, watchLoss, drain}
 }
 
-// drawFault draws one that is over in time.
+// drawFault draws a fault of any kind.
 func drawFault(rng *rand.Rand, p Plan) Fault {
 	return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))])
 }
 
-// drawKind draws a fault of a kind that is over in time.
+// drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Every field is drawn for every kind, so
+// that the draws after it do not depend on the kind more than they must.
 func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
 	}
 	last := p.Length - recoveryTime
 	f := Fault{Kind: kind, Share: 0.1 + 0.5*rng.Float64(), Count: 1 + rng.IntN(4), HoldCalls: rng.IntN(2) == 0}
-	f.From = between(500*time.Millisecond, last)
-	f.To = min(f.From+between(500*time.Millisecond, maxFaultTime), last)
+	f.From = between(firstFault, last)
+	f.To = min(f.From+between(minFaultTime, maxFaultTime), last)
 	f.Target = rng.IntN(p.Servers)
 	switch f.Kind {
 	case DiscoverySlow:
--- a/internal/lab/soak/stability_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
+	"reflect"
 	"testing"
 )
 
@@ -24,3 +25,26 @@
 		t.Errorf("digest of the plans is %s, want %s", got, want)
 	}
 }
+
+// A seed that gave two plans could not be played again, and a fault that lasts to the end hides whether nodes recover: the
+// same seed gives the same plan, all faults are over in time, and the plans of many seeds have every kind.
+func TestPlans(t *testing.T) {
+	seen := map[Kind]bool{}
+	for seed := range uint64(300) {
+		p := DrawPlan(seed, 24, 20*second)
+		if !reflect.DeepEqual(p, DrawPlan(seed, 24, 20*second)) {
+			t.Fatalf("seed %d gives two plans", seed)
+		}
+		for _, f := range p.Faults {
+			seen[f.Kind] = true
+			if f.From < 0 || f.From > p.Length-recoveryTime+second || f.To > p.Length-recoveryTime || f.Target >= max(p.Nodes, p.Servers) {
+				t.Errorf("seed %d: %v", seed, f)
+			}
+		}
+	}
+	for _, kind := range weightedKinds {
+		if !seen[kind] {
+			t.Errorf("no plan has %s", kind)
+		}
+	}
+}
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/run.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Played is a plan that was played and what was seen, by one clock.
+// Result is a plan that was run and what was observed.
 type Result struct {
-	Plan         Plan
+	Plan         Plan // with its times on the clock of Observations
 	Observations *Observations
 }
 
-// Play plays a plan with real nodes. The error says why it could not be played.
+// Run runs a plan with real nodes. The error says why it could not be run to its end; broken rules are no error (see
+// Result.Violations).
 func Run(ctx context.Context, p Plan, program Program) (*Result, error) {
 	folder, err := os.MkdirTemp("", "hookwalk-soak")
 	if err != nil {
@@ -33,7 +34,7 @@
 	return &Result{Plan: r.plan, Observations: &r.recorder.observations}, nil
 }
 
-// rig is all that is played.
+// run is all that a plan is run with.
 type run struct {
 	plan      Plan
 	recorder  *recorder
@@ -43,10 +44,10 @@
 	clients   *clients
 
 	mu       sync.Mutex
-	firstErr error // the first of an action
+	firstErr error // of an injection
 }
 
-// open starts everything and waits until all nodes are ready.
+// start starts everything and waits until all nodes are ready.
 func (r *run) start(program Program, folder string) error {
 	for i := range r.plan.Servers {
 		s, err := newServer(i, r.recorder)
@@ -64,6 +65,11 @@
 		r.nodes = append(r.nodes, n)
 	}
 	r.clients = newClients(r.recorder, r.nodes)
+	return r.startNodes()
+}
+
+// startNodes starts all nodes at once and returns the first error.
+func (r *run) startNodes() error {
 	errs := make(chan error, len(r.nodes))
 	for _, n := range r.nodes {
 		go func() { errs <- n.start() }()
@@ -79,11 +85,11 @@
 
 // close ends everything.
 func (r *run) close() {
-	var all sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, n := range r.nodes {
-		all.Go(func() { n.stop(true) })
+		stopping.Go(func() { n.stop(true) })
 	}
-	all.Wait()
+	stopping.Wait()
 	if r.discovery != nil {
 		r.discovery.close()
 	}
@@ -92,27 +98,27 @@
 	}
 }
 
-// play lets the clients come and the faults begin and end. The plan's times are counted from here.
+// playFaults sends requests while the faults begin and end. The plan's times count from here.
 func (r *run) playFaults(ctx context.Context) error {
 	r.plan = r.plan.shifted(r.recorder.now())
-	ctx, end := context.WithTimeout(ctx, r.plan.Length-r.recorder.now())
-	defer end()
-	var acting sync.WaitGroup
+	ctx, cancel := context.WithTimeout(ctx, r.plan.Length-r.recorder.now())
+	defer cancel()
+	var injecting sync.WaitGroup
 	for _, f := range r.plan.Faults {
-		acting.Go(func() {
+		injecting.Go(func() {
 			if r.waitUntil(ctx, f.From) {
 				r.inject(ctx, f)
 			}
 		})
 	}
 	r.clients.run(ctx, r.plan.Rate)
-	acting.Wait()
+	injecting.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.firstErr
 }
 
-// wait waits for a time of the play's clock, unless ctx ends before.
+// waitUntil waits for a time of the run's clock. It returns false if ctx ends before.
 func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(at - r.recorder.now()):
@@ -122,7 +128,7 @@
 	}
 }
 
-// failed keeps the first error of what the rig does.
+// keepError keeps the first error of an injection.
 func (r *run) keepError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,35 +137,25 @@
 	}
 }
 
-// do makes one fault, from its begin to its end.
+// inject plays one fault, from its begin to its end.
 func (r *run) inject(ctx context.Context, f Fault) {
-	lasting := func(on *activeFaults) {
-		on.begin(f)
-		r.waitUntil(ctx, f.To)
-		on.end(f)
-	}
 	switch f.Kind {
 	case WatchStall:
 		r.discovery.stallWatches()
 	case WatchReset:
 		r.discovery.resetWatches()
 	case DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated:
-		lasting(&r.discovery.faults)
+		r.activate(ctx, &r.discovery.faults, f)
 	case DiscoveryOutage:
 		r.keepError(r.discovery.setOutage(true, f.HoldCalls))
 		r.waitUntil(ctx, f.To)
 		r.keepError(r.discovery.setOutage(false, f.HoldCalls))
 	case DiscoveryMove:
-		for range f.Count {
-			for _, n := range r.nodes {
-				r.keepError(n.changeDiscovery())
-			}
-			r.waitUntil(ctx, r.recorder.now()+f.Wait)
-		}
+		r.moveDiscovery(ctx, f)
 	case ServerDrain:
 		r.discovery.drain(f.Target)
 	case ServerHang, ServerReset, ServerReject, ServerError:
-		lasting(&r.servers[f.Target].faults)
+		r.activate(ctx, &r.servers[f.Target].faults, f)
 	case NodePause:
 		r.nodes[f.Target].pause(f.Wait)
 	case NodeRestart, NodeKill:
@@ -167,26 +163,44 @@
 			r.keepError(r.nodes[f.Target].start())
 		}
 	case ClientCancel:
-		lasting(&r.clients.faults)
+		r.activate(ctx, &r.clients.faults, f)
+	}
+}
+
+// activate has a fault in force at a stand-in until it is over.
+func (r *run) activate(ctx context.Context, at *activeFaults, f Fault) {
+	at.begin(f)
+	r.waitUntil(ctx, f.To)
+	at.end(f)
+}
+
+// moveDiscovery gives all nodes another address of discovery, several times in a row.
+func (r *run) moveDiscovery(ctx context.Context, f Fault) {
+	for range f.Count {
+		for _, n := range r.nodes {
+			r.keepError(n.changeDiscovery())
+		}
+		r.waitUntil(ctx, r.recorder.now()+f.Wait)
 	}
 }
 
-// String says how much was seen.
-func (p *Result) String() string {
-	served, refused, failed, none := 0, 0, 0, 0
-	for _, a := range p.Observations.Requests {
+// String says how much was observed, in one line of a run's output.
+func (r *Result) String() string {
+	served, rejected, failed, unanswered := 0, 0, 0, 0
+	for _, request := range r.Observations.Requests {
 		switch {
-		case a.ClientGone > 0:
-		case a.Status == http.StatusOK:
+		case request.ClientGone > 0:
+		case request.Status == http.StatusOK:
 			served++
-		case a.Status == http.StatusServiceUnavailable:
-			refused++
-		case a.Status == 0:
-			none++
+		case request.Status == http.StatusServiceUnavailable:
+			rejected++
+		case request.Status == 0:
+			unanswered++
 		default:
 			failed++
 		}
 	}
+	o := r.Observations
 	return fmt.Sprintf("%d faults, %d requests: %d served, %d refused, %d failed, %d without an answer; %d attempts, %d drains, %d lists, %d moves",
-		len(p.Plan.Faults), len(p.Observations.Requests), served, refused, failed, none, len(p.Observations.Attempts), len(p.Observations.Drains), len(p.Observations.Deliveries), len(p.Observations.AddressChanges))
+		len(r.Plan.Faults), len(o.Requests), served, rejected, failed, unanswered, len(o.Attempts), len(o.Drains), len(o.Deliveries), len(o.AddressChanges))
 }
--- /dev/null
+++ b/internal/lab/soak/violations_test.go
@@ -0,0 +1,70 @@
+package soak
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// second is short for the tables below.
+const second = time.Second
+
+// A check that misses a broken rule makes every soak pass, and one that is too strict hides faults in noise: each rule is
+// named where it is broken by the least amount, and not where it is just kept.
+func TestViolations(t *testing.T) {
+	requests := func(change func(*Request)) []*Request {
+		a := &Request{ID: "r", At: 10 * second, Deadline: 12 * second, Finished: 11 * second, Status: 200, NonIdempotent: true}
+		change(a)
+		return []*Request{a}
+	}
+	answered := requests(func(*Request) {})
+	attempt := func(at time.Duration, change func(*Attempt)) *Attempt {
+		a := &Attempt{ID: "r", Server: 3, At: at, Budget: second, Executed: true, Finished: at + 1}
+		change(a)
+		return a
+	}
+	unchanged := func(*Attempt) {}
+	drained := []DrainStart{{At: 4 * second, Server: 3, Version: 2}}
+	for name, c := range map[string]struct {
+		observations Observations
+		want         string // what the one line begins with; "": none
+	}{
+		"no fault":                        {Observations{Requests: answered, Attempts: []*Attempt{attempt(10500*time.Millisecond, unchanged)}}, ""},
+		"a drain before its deadline":     {Observations{Drains: drained, Attempts: []*Attempt{attempt(10300*time.Millisecond, unchanged)}}, ""},
+		"a drain after its deadline":      {Observations{Drains: drained, Attempts: []*Attempt{attempt(10400*time.Millisecond, unchanged)}}, "drain"},
+		"after a delivered list":          {Observations{Drains: drained, Deliveries: []Delivery{{At: 5 * second, Version: 2}}, Attempts: []*Attempt{attempt(5400*time.Millisecond, unchanged)}}, "drain"},
+		"4 s after a change of address":   {Observations{Drains: drained, AddressChanges: []AddressChange{{At: 5 * second}}, Attempts: []*Attempt{attempt(9400*time.Millisecond, unchanged)}}, "drain"},
+		"while discovery is unreachable":  {Observations{Drains: drained, Outages: []Span{{From: 3 * second, To: 8 * second}}, Attempts: []*Attempt{attempt(14300*time.Millisecond, unchanged)}}, ""},
+		"6 s after its return":            {Observations{Drains: drained, Outages: []Span{{From: 3 * second, To: 8 * second}}, Attempts: []*Attempt{attempt(14400*time.Millisecond, unchanged)}}, "drain"},
+		"a new process":                   {Observations{Drains: drained, Incarnations: []Incarnation{{Started: 5 * second}}, Attempts: []*Attempt{attempt(11300*time.Millisecond, unchanged)}}, ""},
+		"executed twice":                  {Observations{Requests: answered, Attempts: []*Attempt{attempt(10*second, unchanged), attempt(11*second, unchanged)}}, "duplicate"},
+		"rejected, then executed":         {Observations{Requests: answered, Attempts: []*Attempt{attempt(10*second, func(a *Attempt) { a.Executed = false }), attempt(11*second, unchanged)}}, ""},
+		"out twice at once":               {Observations{Attempts: []*Attempt{attempt(10*second, func(a *Attempt) { a.Finished = 0 }), attempt(11*second, unchanged)}}, "duplicate"},
+		"an answer after the deadline":    {Observations{Requests: requests(func(a *Request) { a.Finished = 12700 * time.Millisecond })}, "lost"},
+		"forwarded, no answer":            {Observations{Requests: requests(func(a *Request) { a.Status = 0 }), Attempts: []*Attempt{attempt(10*second, unchanged)}}, "lost"},
+		"no answer on an idle connection": {Observations{Requests: requests(func(a *Request) { a.Status = 0 })}, ""},
+		"no answer on a new connection":   {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true })}, "lost"},
+		"its node was killed":             {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 11 * second}}}, ""},
+		"rejected without Retry-After":    {Observations{Requests: requests(func(a *Request) { a.Status = 503 })}, "lost"},
+		"sent after the client was gone":  {Observations{Requests: requests(func(a *Request) { a.ClientGone = 10 * second }), Attempts: []*Attempt{attempt(10300*time.Millisecond, unchanged)}}, "lost"},
+		"too large a budget":              {Observations{Requests: answered, Attempts: []*Attempt{attempt(10*second, func(a *Attempt) { a.Budget = 2300 * time.Millisecond })}}, "budget"},
+		"a broken invariant of a node":    {Observations{Complaints: []string{"n1: invariant broken"}}, "n1"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			result := &Result{Plan: Plan{Length: 60 * second}, Observations: &c.observations}
+			got := strings.Join(result.Violations(), "; ")
+			if (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) || strings.Contains(got, "; ") {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// Nodes that answer everything with a rejection break no rule on single requests: that they serve again is checked apart.
+func TestViolationWhereNothingIsServed(t *testing.T) {
+	rejected := &Request{ID: "r", At: 10 * second, Deadline: 12 * second, Finished: 11 * second, Status: 503, RetryAfter: true, NonIdempotent: true}
+	result := &Result{Plan: Plan{Length: 12 * second}, Observations: &Observations{Requests: []*Request{rejected}}}
+	if got := result.Violations(); len(got) != 1 || !strings.HasPrefix(got[0], "service") {
+		t.Errorf("nothing served at the end: %q", got)
+	}
+}
