--- a/internal/lab/eventq/eventq_test.go
+++ b/internal/lab/eventq/eventq_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// What comes out is what a stable sort by time gives, however pushes and pops mix.
+// A simulation is only repeatable if events of one time keep their order: what comes out is what a stable sort by time
+// gives, however pushes and pops mix.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -1,5 +1,5 @@
 // Package grpcserver is a stand-in for a gRPC server that does to each call what a script says. It writes HTTP/2 frames
-// itself, for a sound server would not let streams be refused, cut or left silent at will.
+// itself, for a correct server would not let streams be refused, truncated or left without an answer at will.
 package grpcserver
 
 import (
@@ -14,10 +14,16 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// maxMessage bounds a message of a call, in bytes.
+// maxMessage bounds a call's message, in bytes, so that a faulty client can't fill the memory. What is over it is dropped.
 const maxMessage = 1 << 20
 
-// Call is one call that has come whole.
+// messagePrefix is the length of what gRPC puts before a message: a flag and four bytes of length.
+const messagePrefix = 5
+
+// headerTableSize is HPACK's default size of a decoder's table, in bytes.
+const headerTableSize = 4096
+
+// Call is one call whose message has come completely.
 type Call struct {
 	Method   string
 	Metadata map[string]string
@@ -28,17 +34,17 @@
 	stream uint32
 }
 
-// Server serves on loopback until Close.
+// Server serves on loopback until Close. Its methods may be called from any goroutine.
 type Server struct {
 	listener   net.Listener
 	script     func(*Call)
-	maxStreams uint32 // at once on a connection; 0: no limit told
+	maxStreams uint32 // at once on a connection; 0: no limit is announced
 	running    sync.WaitGroup
 
 	mu       sync.Mutex
 	conns    map[*conn]bool
 	calls    int
-	accepted int // connections that have come
+	accepted int // connections so far
 	closed   bool
 }
 
@@ -47,9 +53,9 @@
 	net.Conn
 	server *Server
 
-	highestStream uint32 // the highest stream that the script was given, guarded by server.mu
-	goAwaySent    bool   // GOAWAY was sent: streams after last are not taken; likewise
-	lastStream    uint32
+	highestStream uint32 // that the script was given; guarded by server.mu
+	goAwaySent    bool   // streams after lastStream are ignored; guarded by server.mu
+	lastStream    uint32 // that GOAWAY named; guarded by server.mu
 
 	mu      sync.Mutex // of the writes
 	framer  *http2.Framer
@@ -57,71 +63,76 @@
 	block   bytes.Buffer
 }
 
-// New starts a server. The script is called for each call, in a goroutine of its own; maxStreams of 0 tells no limit.
+// New starts a server. The script is called for each call, in a goroutine of its own; maxStreams of 0 announces no limit.
+// Close must follow. The error is the listener's.
 func New(maxStreams uint32, script func(*Call)) (*Server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Server{listener: ln, script: script, maxStreams: maxStreams, conns: map[*conn]bool{}}
-	b.running.Add(1)
-	go b.accept()
-	return b, nil
+	s := &Server{listener: listener, script: script, maxStreams: maxStreams, conns: map[*conn]bool{}}
+	s.running.Go(s.accept)
+	return s, nil
 }
 
 // Addr is where the server listens.
-func (b *Server) Addr() string { return b.listener.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Seen counts the connections and the whole calls that have come.
-func (b *Server) Counts() (conns, calls int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.accepted, b.calls
+// Counts returns how many connections, and how many complete calls, have come.
+func (s *Server) Counts() (conns, calls int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepted, s.calls
 }
 
-// Close ends the server with all its connections.
-func (b *Server) Close() {
-	b.mu.Lock()
-	b.closed = true
-	b.listener.Close()
-	for c := range b.conns {
+// Close ends the server with all its connections, and waits for the scripts that run.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.listener.Close()
+	for c := range s.conns {
 		c.Close()
 	}
-	b.mu.Unlock()
-	b.running.Wait()
+	s.mu.Unlock()
+	s.running.Wait()
 }
 
-func (b *Server) accept() {
-	defer b.running.Done()
+// accept serves connections until Close.
+func (s *Server) accept() {
 	for {
-		nc, err := b.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &conn{Conn: nc, server: b, framer: http2.NewFramer(nc, nc)}
+		c := &conn{Conn: netConn, server: s, framer: http2.NewFramer(netConn, netConn)}
 		c.encoder = hpack.NewEncoder(&c.block)
-		c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-		b.mu.Lock()
-		if b.closed {
-			b.mu.Unlock()
-			nc.Close()
+		c.framer.ReadMetaHeaders = hpack.NewDecoder(headerTableSize, nil)
+		if !s.startConn(c) {
+			netConn.Close()
 			return
 		}
-		b.conns[c] = true
-		b.accepted++
-		b.running.Add(1)
-		b.mu.Unlock()
-		go func() {
-			defer b.running.Done()
-			c.serve()
-			nc.Close()
-			b.mu.Lock()
-			delete(b.conns, c)
-			b.mu.Unlock()
-		}()
 	}
 }
 
+// startConn serves a connection in a goroutine. It returns false once the server is closed.
+func (s *Server) startConn(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return false
+	}
+	s.conns[c] = true
+	s.accepted++
+	s.running.Go(func() {
+		c.serve()
+		c.Close()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.conns, c)
+	})
+	return true
+}
+
 // serve reads frames until the connection ends.
 func (c *conn) serve() {
 	preface := make([]byte, len(http2.ClientPreface))
@@ -133,71 +144,79 @@
 		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: c.server.maxStreams})
 	}
 	c.write(func() error { return c.framer.WriteSettings(settings...) })
-	open := map[uint32]*Call{}
+	open := map[uint32]*Call{} // calls whose message is not complete, by stream
 	for {
-		f, err := c.framer.ReadFrame()
+		frame, err := c.framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		switch f := f.(type) {
-		case *http2.SettingsFrame:
-			if !f.IsAck() {
-				c.write(c.framer.WriteSettingsAck)
-			}
-		case *http2.PingFrame:
-			if data := f.Data; !f.IsAck() {
-				c.write(func() error { return c.framer.WritePing(true, data) })
-			}
-		case *http2.MetaHeadersFrame:
-			call := &Call{Method: f.PseudoValue("path"), Metadata: map[string]string{}, conn: c, stream: f.StreamID}
-			for _, h := range f.RegularFields() {
-				call.Metadata[h.Name] = h.Value
-			}
-			open[f.StreamID] = call
-		case *http2.DataFrame:
-			call := open[f.StreamID]
-			if call == nil || len(call.Message)+len(f.Data()) > maxMessage {
-				continue
-			}
-			call.Message = append(call.Message, f.Data()...)
-			if n := uint32(len(f.Data())); n > 0 {
-				c.write(func() error { return c.framer.WriteWindowUpdate(0, n) })
-			}
-			if f.StreamEnded() && len(call.Message) >= 5 {
-				delete(open, f.StreamID)
-				call.Message = call.Message[5:]
-				c.run(call)
-			}
-		case *http2.RSTStreamFrame:
-			delete(open, f.StreamID)
+		c.handle(frame, open)
+	}
+}
+
+// handle handles one frame.
+func (c *conn) handle(frame http2.Frame, open map[uint32]*Call) {
+	switch f := frame.(type) {
+	case *http2.SettingsFrame:
+		if !f.IsAck() {
+			c.write(c.framer.WriteSettingsAck)
+		}
+	case *http2.PingFrame:
+		if data := f.Data; !f.IsAck() {
+			c.write(func() error { return c.framer.WritePing(true, data) })
 		}
+	case *http2.MetaHeadersFrame:
+		call := &Call{Method: f.PseudoValue("path"), Metadata: map[string]string{}, conn: c, stream: f.StreamID}
+		for _, field := range f.RegularFields() {
+			call.Metadata[field.Name] = field.Value
+		}
+		open[f.StreamID] = call
+	case *http2.DataFrame:
+		c.handleData(f, open)
+	case *http2.RSTStreamFrame:
+		delete(open, f.StreamID)
+	}
+}
+
+// handleData adds to a call's message, and gives the call to the script once the message is complete.
+func (c *conn) handleData(f *http2.DataFrame, open map[uint32]*Call) {
+	call := open[f.StreamID]
+	if call == nil || len(call.Message)+len(f.Data()) > maxMessage {
+		return
+	}
+	call.Message = append(call.Message, f.Data()...)
+	if n := uint32(len(f.Data())); n > 0 {
+		c.write(func() error { return c.framer.WriteWindowUpdate(0, n) })
+	}
+	if f.StreamEnded() && len(call.Message) >= messagePrefix {
+		delete(open, f.StreamID)
+		call.Message = call.Message[messagePrefix:]
+		c.run(call)
 	}
 }
 
+// run gives a call to the script, unless it came after GOAWAY.
 func (c *conn) run(call *Call) {
-	b := c.server
-	b.mu.Lock()
+	s := c.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if c.goAwaySent && call.stream > c.lastStream {
-		b.mu.Unlock()
 		return
 	}
 	c.highestStream = max(c.highestStream, call.stream)
-	call.Number = b.calls
-	b.calls++
-	b.running.Add(1)
-	b.mu.Unlock()
-	go func() {
-		defer b.running.Done()
-		b.script(call)
-	}()
+	call.Number = s.calls
+	s.calls++
+	s.running.Go(func() { s.script(call) })
 }
 
-func (c *conn) write(f func() error) {
+// write writes one frame. The reader of the connection notices if it is broken.
+func (c *conn) write(frame func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = f() // a connection that broke is noticed by its reader
+	_ = frame()
 }
 
+// headers writes a HEADERS frame with names and values in turn. The caller holds mu.
 func (c *conn) headers(stream uint32, end bool, pairs ...string) error {
 	c.block.Reset()
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -209,72 +228,73 @@
 }
 
 // Header sends the header of an answer alone.
-func (k *Call) Header() {
-	k.conn.write(func() error {
-		return k.conn.headers(k.stream, false, ":status", "200", "content-type", "application/grpc")
+func (call *Call) Header() {
+	call.conn.write(func() error {
+		return call.conn.headers(call.stream, false, ":status", "200", "content-type", "application/grpc")
 	})
 }
 
-// Data sends the first part bytes of a message with its prefix, of all of it if part is negative.
-func (k *Call) Data(message []byte, part int) {
+// Data sends the first length bytes of a message with its prefix; all of it if length is negative.
+func (call *Call) Data(message []byte, length int) {
 	framed := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(message)))
 	framed = append(framed, message...)
-	if part >= 0 {
-		framed = framed[:part]
+	if length >= 0 {
+		framed = framed[:length]
 	}
-	k.conn.write(func() error { return k.conn.framer.WriteData(k.stream, false, framed) })
+	call.conn.write(func() error { return call.conn.framer.WriteData(call.stream, false, framed) })
 }
 
-// Status ends a call that has had its header; pairs are further trailers.
-func (k *Call) Status(code int, pairs ...string) {
-	k.conn.write(func() error {
-		return k.conn.headers(k.stream, true, append([]string{"grpc-status", strconv.Itoa(code)}, pairs...)...)
+// Status ends a call that has had its header; pairs are further trailers, names and values in turn.
+func (call *Call) Status(code int, pairs ...string) {
+	call.conn.write(func() error {
+		return call.conn.headers(call.stream, true, append([]string{"grpc-status", strconv.Itoa(code)}, pairs...)...)
 	})
 }
 
-// Answer serves the call with a message.
-func (k *Call) Answer(message []byte) {
-	k.Header()
-	k.Data(message, -1)
-	k.Status(0)
+// Answer answers the call with a message and status 0.
+func (call *Call) Answer(message []byte) {
+	call.Header()
+	call.Data(message, -1)
+	call.Status(0)
 }
 
 // Fail ends a call by a status alone, without a header before; pairs are further trailers.
-func (k *Call) FailWithoutHeader(code int, pairs ...string) {
-	k.conn.write(func() error {
-		return k.conn.headers(k.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
+func (call *Call) FailWithoutHeader(code int, pairs ...string) {
+	call.conn.write(func() error {
+		return call.conn.headers(call.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
 			"grpc-status", strconv.Itoa(code)}, pairs...)...)
 	})
 }
 
 // Reset sends RST_STREAM.
-func (k *Call) Reset(code http2.ErrCode) {
-	k.conn.write(func() error { return k.conn.framer.WriteRSTStream(k.stream, code) })
+func (call *Call) Reset(code http2.ErrCode) {
+	call.conn.write(func() error { return call.conn.framer.WriteRSTStream(call.stream, code) })
 }
 
-// GoAway sends GOAWAY and takes no later stream of the connection. With before, the call itself counts as not taken; that
-// can be told, and is done, only while no later one of the connection has been taken.
-func (k *Call) GoAway(before bool) (done bool) {
-	c, b := k.conn, k.conn.server
-	b.mu.Lock()
+// GoAway sends GOAWAY and ignores later streams of the connection. With before, the call itself counts as not processed,
+// which can be said only while no later one of the connection has been given to the script. It returns false if nothing was
+// sent: that condition does not hold, or GOAWAY was sent already.
+func (call *Call) GoAway(before bool) (sent bool) {
+	c, s := call.conn, call.conn.server
+	s.mu.Lock()
 	last := c.highestStream
-	if before && k.stream < last || c.goAwaySent {
-		b.mu.Unlock()
+	if before && call.stream < last || c.goAwaySent {
+		s.mu.Unlock()
 		return false
 	}
 	if before {
 		last = max(last, 2) - 2 // clients number their streams by odd numbers
 	}
 	c.goAwaySent, c.lastStream = true, last
-	b.mu.Unlock()
+	s.mu.Unlock()
 	c.write(func() error { return c.framer.WriteGoAway(last, http2.ErrCodeNo, nil) })
 	return true
 }
 
-// Cut ends the connection; with a reset, as a process that is killed.
-func (k *Call) ResetConnection() {
-	if tcp, ok := k.conn.Conn.(*net.TCPConn); ok {
+// ResetConnection ends the connection with a TCP reset, as a process that is killed does.
+func (call *Call) ResetConnection() {
+	if tcp, ok := call.conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	k.conn.Close()
+	call.conn.Close()
 }
