--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// shortestWarmUp is how long calls are made at least before any is measured.
-const shortestWarmUp = time.Second
+// minWarmUp is how long requests are sent at least before any is measured.
+const minWarmUp = time.Second
 
 // DataPathOptions say what is measured in one run.
 type DataPathOptions struct {
@@ -46,7 +46,7 @@
 	return r.Node.Quantile(percent) - r.Direct.Quantile(percent)
 }
 
-// CPUPerCall is the processor time of one node for one call, that at rest included.
+// CPUPerCall is the processor time of one node for one call, that of the idle node included.
 func (r DataPathResult) CPUPerCall() time.Duration {
 	if r.NodeCalls == 0 {
 		return 0
@@ -90,7 +90,7 @@
 		}
 		c.nodes = append(c.nodes, node)
 		if tier > 0 {
-			c.services[tier-1].Before(service, node.Addr)
+			c.services[tier-1].SetNext(service, node.Addr)
 		}
 	}
 	return nil
@@ -111,10 +111,10 @@
 
 // warmUp makes calls until about each server has its connections.
 func (c *chain) warmUp(ctx context.Context, options DataPathOptions) error {
-	const callsPerServer = 2
+	const callsPerServer = 2 // on average, so that nearly every server is met
 	length := time.Duration(callsPerServer * float64(options.Servers) / options.Rate * float64(time.Second))
 	warm := options
-	warm.Duration = max(length, shortestWarmUp)
+	warm.Duration = max(length, minWarmUp)
 	_, _, err := c.load(ctx, warm, "warm")
 	return err
 }
@@ -185,29 +185,29 @@
 // changes are those that are made beside a load.
 type changes struct {
 	stop    context.CancelFunc
-	made    sync.WaitGroup
+	running sync.WaitGroup
 	lists   int
 	reloads int
-	errors  [2]error
+	errors  [2]error // of lists and of reloads
 }
 
 // beginChanges changes lists and configurations at the rates that are asked for, until end.
 func (c *chain) beginChanges(ctx context.Context, options DataPathOptions) *changes {
 	made := &changes{}
 	ctx, made.stop = context.WithCancel(ctx)
-	made.made.Go(func() {
+	made.running.Go(func() {
 		made.lists, made.errors[0] = periodically(ctx, options.ListChanges, c.changeLists)
 	})
-	made.made.Go(func() {
+	made.running.Go(func() {
 		made.reloads, made.errors[1] = periodically(ctx, options.Reloads, c.reload)
 	})
 	return made
 }
 
-// end makes no more changes, and says how many each node has had.
+// end makes no more changes, and returns how many each node has had.
 func (c *changes) end(before error) (lists, reloads int, err error) {
 	c.stop()
-	c.made.Wait()
+	c.running.Wait()
 	return c.lists, c.reloads, errors.Join(before, c.errors[0], c.errors[1])
 }
 
@@ -229,9 +229,9 @@
 	return nil
 }
 
-// periodically does something so many times a minute, the first time after half a period, until ctx ends, and says how
-// often it was done.
-func periodically(ctx context.Context, perMinute float64, do func(number int) error) (done int, err error) {
+// periodically calls a function so many times a minute, the first time after half a period, until ctx ends or the function
+// fails, and returns how often it succeeded.
+func periodically(ctx context.Context, perMinute float64, change func(number int) error) (done int, err error) {
 	if perMinute <= 0 {
 		return 0, nil
 	}
@@ -245,7 +245,7 @@
 		case <-ctx.Done():
 			return done, nil
 		}
-		if err := do(done); err != nil {
+		if err := change(done); err != nil {
 			return done, err
 		}
 	}
--- a/internal/lab/scale/datapath_large_test.go
+++ b/internal/lab/scale/datapath_large_test.go
@@ -17,14 +17,14 @@
 	vary  func(o *DataPathOptions, size float64)
 }
 
-// dataPathFigure is one figure of a run, as it is fitted against the size.
-type dataPathFigure struct {
+// dataPathMetric is one measurement of a run, as it is fitted against the size.
+type dataPathMetric struct {
 	name string
 	of   func(r DataPathResult) float64
 }
 
-// dataPathFigures are fitted in every series.
-var dataPathFigures = []dataPathFigure{
+// dataPathMetrics are fitted in every series.
+var dataPathMetrics = []dataPathMetric{
 	{"added p50, µs", func(r DataPathResult) float64 { return micros(r.Added(50)) }},
 	{"added p99, µs", func(r DataPathResult) float64 { return micros(r.Added(99)) }},
 	{"added p99.9, µs", func(r DataPathResult) float64 { return micros(r.Added(99.9)) }},
@@ -70,7 +70,7 @@
 		}}.run(t)
 }
 
-// Of safe calls, which may be given up and made again elsewhere, by calls a second.
+// Of idempotent requests, which may time out and be retried elsewhere, by requests a second.
 func TestDataPathSafeCalls(t *testing.T) {
 	largeOnly(t)
 	dataPathSeries{title: "Data path of safe calls by calls a second (28 servers, 1 node)", size: "calls/s", sizes: []float64{170, 1700},
@@ -100,6 +100,7 @@
 	s.fits(t, results)
 }
 
+// add adds the row of one run to a table.
 func (s dataPathSeries) add(table *Table, size float64, run int, r DataPathResult) {
 	cells := []any{size, run, r.Node.Calls, r.Node.Failures + r.Direct.Failures, float64(r.Attempts) / float64(r.NodeCalls)}
 	percents := []float64{50, 99, 99.9}
@@ -113,20 +114,21 @@
 	table.Add(cells...)
 }
 
+// fits prints the line of each metric through the runs of all sizes.
 func (s dataPathSeries) fits(t *testing.T, results map[float64][]DataPathResult) {
 	table := Table{Title: "Lines through the points, by " + s.size, Header: []string{"figure", "line", "most between two runs of a size"}}
-	for _, figure := range dataPathFigures {
+	for _, metric := range dataPathMetrics {
 		var points []Point
 		var noise float64
 		for _, size := range s.sizes {
 			var values []float64
 			for _, result := range results[size] {
-				values = append(values, figure.of(result))
-				points = append(points, Point{size, figure.of(result)})
+				values = append(values, metric.of(result))
+				points = append(points, Point{size, metric.of(result)})
 			}
-			noise = max(noise, spread(values))
+			noise = max(noise, valueRange(values))
 		}
-		addFit(t, &table, figure.name, points, noise)
+		addFit(t, &table, metric.name, points, noise)
 	}
 	table.Print(os.Stdout)
 }
@@ -141,13 +143,13 @@
 	table.Add(name, fit, noise)
 }
 
-// spread is the difference between the largest and the smallest value.
-func spread(values []float64) float64 {
-	least, most := values[0], values[0]
+// valueRange is the difference between the largest and the smallest value.
+func valueRange(values []float64) float64 {
+	lowest, highest := values[0], values[0]
 	for _, v := range values {
-		least, most = min(least, v), max(most, v)
+		lowest, highest = min(lowest, v), max(highest, v)
 	}
-	return most - least
+	return highest - lowest
 }
 
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
--- a/internal/lab/scale/datapath_load.go
+++ b/internal/lab/scale/datapath_load.go
@@ -18,13 +18,13 @@
 
 // Bounds of what a histogram of latencies holds, in nanoseconds.
 const (
-	shortestLatency  = int64(time.Microsecond)
-	longestLatency   = int64(time.Minute)
-	latencyPrecision = 3 // significant decimal digits
+	shortestLatency  = int64(time.Microsecond) // less counts as this
+	longestLatency   = int64(time.Minute)      // more counts as this; twice a call's deadline
+	latencyPrecision = 3                       // significant decimal digits
 )
 
-// idleConnections is how many connections a generator keeps open to one address.
-const idleConnections = 256
+// maxIdleConnections is how many connections a generator keeps open to one address.
+const maxIdleConnections = 256
 
 // Latencies are the times that calls took, and how many failed. A time runs from the moment at which the call was due,
 // not from the moment at which it was sent, so a generator that falls behind or a server that stalls shows in all the
@@ -32,7 +32,7 @@
 type Latencies struct {
 	Calls    int64
 	Failures int64
-	Lag      time.Duration // 99 in 100 calls were sent within so long after they were due
+	Lag      time.Duration // within which 99 in 100 calls were sent after they were due
 	latency  *hdrhistogram.Histogram
 }
 
@@ -47,7 +47,7 @@
 	Duration time.Duration
 	Seed     uint64
 	URL      func() string // of the next call
-	Name     string        // begins the calls' ids
+	Name     string        // prefix of the calls' IDs
 	Class    string        // ReadClass or WriteClass
 }
 
@@ -76,7 +76,7 @@
 		open.Go(func() {
 			sent := loopback.Monotonic()
 			err := call(ctx, client, l.URL(), l.Class, id)
-			record.add(sent-at, loopback.Monotonic()-at, err)
+			record.record(sent-at, loopback.Monotonic()-at, err)
 		})
 	}
 	open.Wait()
@@ -117,10 +117,10 @@
 // newClient is a client that keeps its connections.
 func newClient() *http.Client {
 	return &http.Client{Timeout: 2 * callDeadline,
-		Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}}
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}}
 }
 
-// recorder takes what became of calls, from many goroutines.
+// recorder records what became of calls. Its methods may be called from any goroutine.
 type recorder struct {
 	mu       sync.Mutex
 	latency  *hdrhistogram.Histogram
@@ -136,7 +136,7 @@
 	return &recorder{latency: histogram(), lag: histogram()}
 }
 
-func (r *recorder) add(lag, latency time.Duration, err error) {
+func (r *recorder) record(lag, latency time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls++
--- a/internal/lab/scale/datapath_servers.go
+++ b/internal/lab/scale/datapath_servers.go
@@ -24,16 +24,16 @@
 // Service is a stand-in for one service of a chain: some addresses whose servers answer at once, or when the next
 // service has answered. One handler serves all addresses, so that many servers cost no more than one.
 type Service struct {
-	name     string
-	hosts    []loopback.Entry
-	servers  []*http.Server
-	serving  sync.WaitGroup
-	client   *http.Client
-	next     *Service      // nil: the last of the chain
-	nextNode func() string // address of the node in front of next
-	turn     atomic.Uint64
-	received []atomic.Int64 // calls, by server
-	attempts atomic.Int64   // calls that came from a node
+	name        string
+	hosts       []loopback.Entry
+	servers     []*http.Server
+	serving     sync.WaitGroup
+	client      *http.Client
+	next        *Service      // nil: the last of the chain
+	nextNode    func() string // address of the node in front of next
+	directCalls atomic.Uint64
+	received    []atomic.Int64 // calls, by server
+	attempts    atomic.Int64   // calls that came from a node
 }
 
 // NewService begins to serve at so many addresses. Close must follow.
@@ -73,13 +73,13 @@
 // Attempts counts the calls that a node has sent.
 func (s *Service) Attempts() int64 { return s.attempts.Load() }
 
-// Before puts a service behind this one, with a node between for calls on nodePath.
-func (s *Service) Before(next *Service, node func() string) { s.next, s.nextNode = next, node }
+// SetNext has this service call another one, through a node for calls on nodePath.
+func (s *Service) SetNext(next *Service, node func() string) { s.next, s.nextNode = next, node }
 
 // DirectURL is the address of the next call without a node; the servers take turns.
 func (s *Service) DirectURL() string {
-	turn := s.turn.Add(1)
-	return "http://" + s.hosts[turn%uint64(len(s.hosts))].Dial + directPath
+	number := s.directCalls.Add(1)
+	return "http://" + s.hosts[number%uint64(len(s.hosts))].Dial + directPath
 }
 
 // serve answers a call, after the next service has if there is one.
@@ -94,10 +94,10 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(w, answer) // a caller that is gone reads nothing
+	_, _ = io.WriteString(w, answer) // a client that is gone reads nothing
 }
 
-// forward makes the call at the next service, in the way in which it has come.
+// forward makes the call at the next service, with or without a node as it has come.
 func (s *Service) forward(r *http.Request) error {
 	url := s.next.DirectURL()
 	if r.URL.Path == nodePath {
--- a/internal/lab/scale/datapath_test.go
+++ b/internal/lab/scale/datapath_test.go
@@ -26,6 +26,7 @@
 	os.Exit(withProgramFolder(m.Run))
 }
 
+// withProgramFolder runs the tests with a folder for programs.
 func withProgramFolder(run func() int) int {
 	folder, err := os.MkdirTemp("", "hookwalk-scale-")
 	if err != nil {
@@ -59,8 +60,9 @@
 		Duration: 8 * time.Second}
 }
 
-// The small form: a chain of three nodes, with changes going on. No call fails, each passes each service once, and no
-// node holds more descriptors than it is allowed.
+// A measurement of calls that fail, or that pass a service twice, would be one of something else. In the small form, a
+// chain of three nodes with changes going on, no call fails, each passes each service once, and no node holds more
+// descriptors than it is allowed.
 func TestDataPathChain(t *testing.T) {
 	t.Parallel()
 	options := dataPathOptions(t)
@@ -85,13 +87,14 @@
 	if result.ListChanges == 0 || result.Reloads == 0 {
 		t.Errorf("%d changes of lists and %d of configurations", result.ListChanges, result.Reloads)
 	}
-	const mostDescriptors = 512 // limits.sockets of the configuration that package sockets writes
-	if result.FirstNode.Descriptors > mostDescriptors {
-		t.Errorf("%d descriptors, at most %d are allowed", result.FirstNode.Descriptors, mostDescriptors)
+	const maxDescriptors = 512 // limits.sockets of the configuration that package loopback writes
+	if result.FirstNode.Descriptors > maxDescriptors {
+		t.Errorf("%d descriptors, at most %d are allowed", result.FirstNode.Descriptors, maxDescriptors)
 	}
 }
 
-// A server that is taken out of the list gets no more calls: the list that a rig changes is the one that its node uses.
+// A rig whose list its node does not use would measure changes that cost nothing: a server that is taken out of the list
+// gets no more calls.
 func TestDataPathFollowsTheList(t *testing.T) {
 	program, settings := nodeProgram(t)
 	service, err := NewService("tier", 2)
@@ -133,8 +136,9 @@
 	}
 }
 
-// A configuration that a rig changes is taken by its node, also one with a list that is a long line in its capture.
-func TestReloadIsTaken(t *testing.T) {
+// A reload that its node ignores would cost nothing: a configuration that a rig changes is applied by its node, also one
+// with a list that is a long line in its capture.
+func TestReloadIsApplied(t *testing.T) {
 	program, settings := nodeProgram(t)
 	node, err := StartNode(t.Context(), NodeOptions{Program: program, SettingsFile: settings, Folder: t.TempDir(), Servers: ListedServers(1000)})
 	if err != nil {
@@ -152,8 +156,8 @@
 	t.Helper()
 	limit, end := context.WithTimeout(t.Context(), 20*time.Second)
 	defer end()
-	look := time.NewTicker(10 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
 	for {
 		written, err := node.Log()
 		if err != nil {
@@ -163,19 +167,19 @@
 			return
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-limit.Done():
 			t.Fatalf("the node has not written %q:\n%s", text, written)
 		}
 	}
 }
 
-// An open load counts the time from when a call was due: behind a server that stalls, all that were due meanwhile are
-// late.
+// Coordinated omission: a generator that waits for a stalled server sends fewer calls, and would record one slow call where
+// many were due. An open load counts the time from when a call was due.
 func TestOpenLoadCountsTimeFromWhenDue(t *testing.T) {
 	record := newRecorder()
-	record.add(2*time.Millisecond, 5*time.Millisecond, nil)
-	record.add(0, time.Millisecond, context.Canceled)
+	record.record(2*time.Millisecond, 5*time.Millisecond, nil)
+	record.record(0, time.Millisecond, context.Canceled)
 	got := record.result()
 	if got.Calls != 2 || got.Failures != 1 {
 		t.Errorf("%d calls, %d failures", got.Calls, got.Failures)
--- a/internal/lab/scale/discovery_fleet.go
+++ b/internal/lab/scale/discovery_fleet.go
@@ -13,8 +13,8 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// askWithin is the platform's bound on how long a node may go without asking, where lists are asked for.
-const askWithin = time.Second
+// maxPollInterval is the platform's bound on the time between two polls of a node, where lists are polled.
+const maxPollInterval = time.Second
 
 // Dial opens a connection, as in http.Transport.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -24,33 +24,33 @@
 	Nodes   int
 	Addr    string
 	Dial    Dial  // nil: over TCP
-	Asked   bool  // lists are asked for; else they are pushed
+	Polled  bool  // lists are polled; else they are pushed
 	Version int64 // that each node holds from before; 0: it has no list
 }
 
-// DiscoveryFleet is hollow nodes that keep a watch on discovery: of a node's control part each has the real source of
-// its list (package discovery), of the data path nothing.
+// DiscoveryFleet is hollow nodes that keep a watch on discovery: of a node each has only the real source of its list
+// (package discovery).
 type DiscoveryFleet struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	lists   int64     // that all nodes have taken
-	awaited int64     // the version that is waited for
-	at      []arrival // by node
-	missing int       // nodes that do not have it
-	all     chan struct{}
+	mu         sync.Mutex
+	lists      int64     // received by all nodes
+	awaited    int64     // the version that is waited for
+	arrivals   []arrival // by node
+	missing    int       // nodes that do not have it
+	allArrived chan struct{}
 }
 
-// arrival is when a node got what is waited for.
+// arrival is when a node received what is awaited.
 type arrival struct {
-	when time.Time
+	at   time.Time
 	done bool
 }
 
 // StartDiscoveryFleet starts all nodes at once, and waits for a first list at each. Stop must follow.
 func StartDiscoveryFleet(ctx context.Context, options DiscoveryFleetOptions) *DiscoveryFleet {
-	f := &DiscoveryFleet{at: make([]arrival, options.Nodes)}
+	f := &DiscoveryFleet{arrivals: make([]arrival, options.Nodes)}
 	f.Await(0)
 	ctx, f.stop = context.WithCancel(ctx)
 	for i := range options.Nodes {
@@ -69,55 +69,55 @@
 func (f *DiscoveryFleet) Await(version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.awaited, f.missing, f.all = version, len(f.at), make(chan struct{})
-	for i := range f.at {
-		f.at[i].done = false
+	f.awaited, f.missing, f.allArrived = version, len(f.arrivals), make(chan struct{})
+	for i := range f.arrivals {
+		f.arrivals[i].done = false
 	}
 }
 
-// All is closed when no node waits any more.
-func (f *DiscoveryFleet) All() <-chan struct{} {
+// AllArrived is closed when no node is missing any more.
+func (f *DiscoveryFleet) AllArrived() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.all
+	return f.allArrived
 }
 
-// Arrivals gives, for the nodes that have what is waited for, the time since a moment, and how many do not have it.
+// Arrivals returns, for the nodes that have what is awaited, the time since a moment, and how many nodes are missing.
 func (f *DiscoveryFleet) Arrivals(since time.Time) (after []time.Duration, missing int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.at {
+	for _, a := range f.arrivals {
 		if a.done {
-			after = append(after, a.when.Sub(since))
+			after = append(after, a.at.Sub(since))
 		}
 	}
 	return after, f.missing
 }
 
-// Lists is how many lists all nodes have taken so far.
+// Lists is how many lists all nodes have received so far.
 func (f *DiscoveryFleet) Lists() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lists
 }
 
-// took notes that a node has taken a list.
-func (f *DiscoveryFleet) took(node int, version int64) {
+// recordArrival records that a node has received a list.
+func (f *DiscoveryFleet) recordArrival(node int, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists++
-	a := &f.at[node]
+	a := &f.arrivals[node]
 	if a.done || version < f.awaited {
 		return
 	}
-	a.done, a.when = true, time.Now()
+	a.done, a.at = true, time.Now()
 	if f.missing--; f.missing == 0 {
-		close(f.all)
+		close(f.allArrived)
 	}
 }
 
-// hollowSource is the source of one node's list, and of its module the one rule that the source depends on: when to ask
-// again.
+// hollowSource is the source of one node's list, with the one rule of the decision module that the source depends on: when
+// to poll again.
 type hollowSource struct {
 	source   *discovery.Source
 	fleet    *DiscoveryFleet
@@ -127,15 +127,15 @@
 
 func newHollowSource(options DiscoveryFleetOptions, fleet *DiscoveryFleet, index int) *hollowSource {
 	h := &hollowSource{fleet: fleet, index: index}
-	config := discovery.Config{Addr: options.Addr, Polled: options.Asked, MaxPollInterval: askWithin, Version: options.Version}
-	h.source = discovery.New(config, slog.New(slog.DiscardHandler), h.tell)
+	config := discovery.Config{Addr: options.Addr, Polled: options.Polled, MaxPollInterval: maxPollInterval, Version: options.Version}
+	h.source = discovery.New(config, slog.New(slog.DiscardHandler), h.applyUpdate)
 	if options.Dial != nil {
 		h.source.Client.Transport.(*http.Transport).DialContext = options.Dial
 	}
 	return h
 }
 
-// run gives the function that watches until ctx ends.
+// run returns the function that watches until ctx ends.
 func (h *hollowSource) run(ctx context.Context) func() {
 	return func() {
 		h.source.Subscribe()
@@ -143,23 +143,23 @@
 	}
 }
 
-// tell takes a list, as the engine does, or the failure of all calls.
-func (h *hollowSource) tell(_ context.Context, update engine.Update) error {
+// applyUpdate receives a list, as the engine does, or the failure of all polls.
+func (h *hollowSource) applyUpdate(_ context.Context, update engine.Update) error {
 	if update.Failed {
 		h.failures++
-		time.AfterFunc(askAgain(h.failures), h.source.Subscribe)
+		time.AfterFunc(pollBackoff(h.failures), h.source.Subscribe)
 		return nil
 	}
 	h.failures = 0
-	h.fleet.took(h.index, update.Version)
+	h.fleet.recordArrival(h.index, update.Version)
 	return nil
 }
 
-// askAgain draws the wait before the list is asked for again after so many failures, as the decision module does
-// (deckrelay, askAgain).
-func askAgain(failures int) time.Duration {
-	const mostShifts = 4
-	longest := askWithin / 4
-	wait := min(longest, longest/16<<min(failures, mostShifts))
+// pollBackoff draws the wait before the next poll after so many failures in a row, as the decision module does: full jitter
+// up to a sixteenth of a quarter of the poll interval, doubled with each failure up to that quarter.
+func pollBackoff(failures int) time.Duration {
+	const maxDoublings = 4 // to longest
+	longest := maxPollInterval / 4
+	wait := min(longest, longest/16<<min(failures, maxDoublings))
 	return time.Duration(rand.Float64()*float64(wait)) + 1
 }
--- a/internal/lab/scale/discovery_large_test.go
+++ b/internal/lab/scale/discovery_large_test.go
@@ -17,10 +17,10 @@
 
 // Sizes of the target: one service in the mean, a zone, a region, everything.
 const (
-	serviceSize = 28
-	zoneSize    = 119
-	regionSize  = 475
-	targetSize  = 1900
+	oneServiceNodes = 28
+	oneZoneNodes    = 119
+	oneRegionNodes  = 475
+	targetNodes     = 1900
 )
 
 // missedChanges is how many changes nodes have missed that were away for an hour, at 760 a day.
@@ -29,8 +29,8 @@
 // measureOnLoopback runs the rig over TCP, and says so where not all nodes are served in time.
 func measureOnLoopback(t *testing.T, options DiscoveryOptions) DiscoveryResult {
 	t.Helper()
-	options.MostTime = 45 * time.Second
-	options.Queue.LongestWait = callTurnedDownAfter
+	options.Timeout = 45 * time.Second
+	options.Queue.MaxQueueTime = discoveryMaxQueueTime
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	}
 	if result.Change.Missing > 0 || result.WatchesEnd.Missing > 0 {
 		t.Errorf("%d nodes: %d without the change and %d without a list after the end of all watches, within %v",
-			options.Nodes, result.Change.Missing, result.WatchesEnd.Missing, options.MostTime)
+			options.Nodes, result.Change.Missing, result.WatchesEnd.Missing, options.Timeout)
 	}
 	return result
 }
@@ -65,50 +65,48 @@
 		if err != nil {
 			t.Fatalf("%s: %v", s.name, err)
 		}
-		table.Add(s.name, fit, fit.At(serviceSize), fit.At(zoneSize), fit.At(regionSize), fit.At(targetSize))
+		table.Add(s.name, fit, fit.At(oneServiceNodes), fit.At(oneZoneNodes), fit.At(oneRegionNodes), fit.At(targetNodes))
 	}
 	table.Print(os.Stdout)
 }
 
 // The tables of discovery in docs/CAPACITY.md: n nodes come back at once, by n and by the service time of a call, with
-// lists of 28 servers; pushed and asked for.
+// lists of 28 servers; pushed and polled.
 func TestDiscoveryLargeReturn(t *testing.T) {
-	if !*large {
-		t.Skip("prints tables: run it with -scale.large -v")
-	}
-	for _, asked := range []bool{false, true} {
+	largeOnly(t)
+	for _, polled := range []bool{false, true} {
 		for _, serviceTime := range discoveryServiceTimes {
-			measureReturns(t, asked, serviceTime, discoveryNodes)
+			measureReturns(t, polled, serviceTime, discoveryNodes)
 		}
 	}
 }
 
 // discoveryMode names how lists come.
-func discoveryMode(asked bool) string {
-	if asked {
+func discoveryMode(polled bool) string {
+	if polled {
 		return "asked for"
 	}
 	return "pushed"
 }
 
 // measureReturns prints the table and the lines of one service time.
-func measureReturns(t *testing.T, asked bool, serviceTime time.Duration, sizes []int) {
+func measureReturns(t *testing.T, polled bool, serviceTime time.Duration, sizes []int) {
 	t.Helper()
-	title := "n nodes come back at once, lists " + discoveryMode(asked) + ", " + serviceTime.String() + " a call, 28 servers"
+	title := "n nodes come back at once, lists " + discoveryMode(polled) + ", " + serviceTime.String() + " a call, 28 servers"
 	table := Table{Title: title + "; " + Origin(), Header: []string{"nodes", "calls", "turned down", "payload B out", "payload B in",
 		"s until half", "s until 99%", "s until the last", "without", "processor ms", "change: s until the last", "change: B a node",
 		"watches end: calls", "s until the last"}}
 	calls, bytesOut, last := &discoverySeries{name: "calls"}, &discoverySeries{name: "payload B out"}, &discoverySeries{name: "s until the last"}
 	for _, nodes := range sizes {
-		r := measureOnLoopback(t, DiscoveryOptions{Nodes: nodes, Asked: asked,
-			Queue: DiscoveryQueueOptions{Servers: serviceSize, ServiceTime: serviceTime}})
-		table.Add(nodes, r.Return.Calls, r.Return.TurnedDown, r.Return.BytesOut, r.Return.BytesIn, r.Return.Quantile(0.5).Seconds(),
-			r.Return.Quantile(0.99).Seconds(), r.Return.Last().Seconds(), r.Return.Missing, r.Return.CPU.Seconds()*1000,
+		r := measureOnLoopback(t, DiscoveryOptions{Nodes: nodes, Polled: polled,
+			Queue: DiscoveryQueueOptions{Servers: oneServiceNodes, ServiceTime: serviceTime}})
+		table.Add(nodes, r.Start.Calls, r.Start.Rejected, r.Start.BytesOut, r.Start.BytesIn, r.Start.Quantile(0.5).Seconds(),
+			r.Start.Quantile(0.99).Seconds(), r.Start.Last().Seconds(), r.Start.Missing, r.Start.CPU.Seconds()*1000,
 			r.Change.Last().Seconds(), float64(r.Change.BytesOut)/float64(nodes), r.WatchesEnd.Calls, r.WatchesEnd.Last().Seconds())
-		calls.add(nodes, float64(r.Return.Calls))
-		bytesOut.add(nodes, float64(r.Return.BytesOut))
-		if r.Return.Missing == 0 {
-			last.add(nodes, r.Return.Last().Seconds())
+		calls.add(nodes, float64(r.Start.Calls))
+		bytesOut.add(nodes, float64(r.Start.BytesOut))
+		if r.Start.Missing == 0 {
+			last.add(nodes, r.Start.Last().Seconds())
 		}
 	}
 	table.Print(os.Stdout)
@@ -117,9 +115,7 @@
 
 // By the size of the list, whole and with 32 changes missed: a region comes back at once.
 func TestDiscoveryLargeLists(t *testing.T) {
-	if !*large {
-		t.Skip("prints tables: run it with -scale.large -v")
-	}
+	largeOnly(t)
 	for _, missed := range []int{0, missedChanges} {
 		title := "475 nodes come back at once, lists pushed, 1ms a call, 0 changes missed (a whole list)"
 		if missed > 0 {
@@ -129,11 +125,11 @@
 			"processor µs a node"}}
 		bytesOut, cpu := &discoverySeries{name: "payload B out a node"}, &discoverySeries{name: "processor µs a node"}
 		for _, servers := range discoveryServers {
-			r := measureOnLoopback(t, DiscoveryOptions{Nodes: regionSize, Missed: missed,
+			r := measureOnLoopback(t, DiscoveryOptions{Nodes: oneRegionNodes, MissedChanges: missed,
 				Queue: DiscoveryQueueOptions{Servers: servers, ServiceTime: time.Millisecond}})
-			perNode := float64(r.Return.BytesOut) / regionSize
-			micros := float64(r.Return.CPU.Microseconds()) / regionSize
-			table.Add(servers, r.Return.Calls, perNode, r.Return.Last().Seconds(), micros)
+			perNode := float64(r.Start.BytesOut) / oneRegionNodes
+			micros := float64(r.Start.CPU.Microseconds()) / oneRegionNodes
+			table.Add(servers, r.Start.Calls, perNode, r.Start.Last().Seconds(), micros)
 			bytesOut.add(servers, perNode)
 			cpu.add(servers, micros)
 		}
@@ -144,23 +140,21 @@
 
 // A zone and a region at once, measured beside the lines; and watches at rest, with memory and descriptors.
 func TestDiscoveryLargeTarget(t *testing.T) {
-	if !*large {
-		t.Skip("prints tables: run it with -scale.large -v")
-	}
+	largeOnly(t)
 	table := Table{Title: "A service, a zone, a region, everything at once, lists pushed, 28 servers; " + Origin(), Header: []string{"nodes", "ms a call",
 		"calls", "turned down", "s until the last", "change: s until the last", "watches end: s until the last", "at rest: B/s a node out", "calls", "processor, % of a core a node and its watch", "RSS kB a node and its watch",
 		"descriptors a node and its watch"}}
 	for _, serviceTime := range discoveryServiceTimes {
-		for _, nodes := range []int{serviceSize, zoneSize, regionSize, targetSize} {
-			options := DiscoveryOptions{Nodes: nodes, Queue: DiscoveryQueueOptions{Servers: serviceSize, ServiceTime: serviceTime}}
+		for _, nodes := range []int{oneServiceNodes, oneZoneNodes, oneRegionNodes, targetNodes} {
+			options := DiscoveryOptions{Nodes: nodes, Queue: DiscoveryQueueOptions{Servers: oneServiceNodes, ServiceTime: serviceTime}}
 			if serviceTime == time.Millisecond {
-				options.Rest, options.ReadMemory = 4*time.Second, true
+				options.IdleTime, options.ReadMemory = 4*time.Second, true
 			}
 			r := measureOnLoopback(t, options)
 			each := func(v float64) float64 { return v / float64(nodes) }
-			rest := max(r.Rest.Elapsed.Seconds(), 1)
-			table.Add(nodes, float64(serviceTime.Milliseconds()), r.Return.Calls, r.Return.TurnedDown, r.Return.Last().Seconds(),
-				r.Change.Last().Seconds(), r.WatchesEnd.Last().Seconds(), each(float64(r.Rest.BytesOut)/rest), r.Rest.Calls, 100*each(r.Rest.CPU.Seconds()/rest), each(float64(r.RSSBytes)/1024), each(float64(r.Descriptors)))
+			rest := max(r.Idle.Elapsed.Seconds(), 1)
+			table.Add(nodes, float64(serviceTime.Milliseconds()), r.Start.Calls, r.Start.Rejected, r.Start.Last().Seconds(),
+				r.Change.Last().Seconds(), r.WatchesEnd.Last().Seconds(), each(float64(r.Idle.BytesOut)/rest), r.Idle.Calls, 100*each(r.Idle.CPU.Seconds()/rest), each(float64(r.RSSBytes)/1024), each(float64(r.Descriptors)))
 		}
 	}
 	table.Print(os.Stdout)
--- a/internal/lab/scale/discovery_usage.go
+++ b/internal/lab/scale/discovery_usage.go
@@ -32,7 +32,7 @@
 
 // ownResidentMemory is the resident memory of this process, in bytes.
 func ownResidentMemory() (int64, error) {
-	const path = "/proc/self/statm"
+	const path = "/proc/self/statm" // sizes in pages; the second one is the resident size
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -46,7 +46,7 @@
 // String gives the line and its residuals on one line.
 func (f Fit) String() string {
 	return fmt.Sprintf("%s x size %s; residual RMS %s, max %s",
-		Figure(f.Slope), signed(f.Constant), Figure(f.RMSResidual), Figure(f.MaxResidual))
+		FormatNumber(f.Slope), signed(f.Constant), FormatNumber(f.RMSResidual), FormatNumber(f.MaxResidual))
 }
 
 // residuals gives the RMS and the largest distance of the points from the line.
@@ -60,6 +60,7 @@
 	return math.Sqrt(squares / float64(len(points))), largest
 }
 
+// split separates sizes and values.
 func split(points []Point) (sizes, values []float64) {
 	for _, p := range points {
 		sizes = append(sizes, p.Size)
@@ -68,6 +69,7 @@
 	return sizes, values
 }
 
+// distinct counts the different sizes.
 func distinct(sizes []float64) int {
 	seen := map[float64]bool{}
 	for _, size := range sizes {
@@ -79,7 +81,7 @@
 // signed writes a summand with its sign.
 func signed(v float64) string {
 	if v < 0 {
-		return "- " + Figure(-v)
+		return "- " + FormatNumber(-v)
 	}
-	return "+ " + Figure(v)
+	return "+ " + FormatNumber(v)
 }
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFitLineRefusesOneSize(t *testing.T) {
+func TestFitLineRejectsOneSize(t *testing.T) {
 	for _, points := range [][]Point{nil, {{1, 1}}, {{4, 1}, {4, 2}}} {
 		if _, err := FitLine(points); !errors.Is(err, ErrTooFewSizes) {
 			t.Errorf("%v: error is %v", points, err)
--- a/internal/lab/scale/hollowconn.go
+++ b/internal/lab/scale/hollowconn.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// segmentHeaderBytes is what a TCP segment on loopback or an Ethernet carries beside its payload: 20 bytes of IPv4, 20 of TCP,
-// 12 of timestamps.
+// segmentHeaderBytes is the estimate of what a TCP segment carries beside its payload: 20 bytes of IPv4 header, 20 of TCP
+// header and 12 of the timestamp option. What the link layer adds is not in it.
 const segmentHeaderBytes = 52
 
-// SessionTraffic counts what connections of sessions have carried.
+// SessionTraffic counts what the connections of hollow nodes' sessions have carried.
 type SessionTraffic struct {
 	BytesIn     int64 `json:"bytes_in"`  // payload
 	BytesOut    int64 `json:"bytes_out"` // payload
 	SegmentsIn  int64 `json:"segments_in"`
 	SegmentsOut int64 `json:"segments_out"`
-	Dials       int64 `json:"dials"`   // connections that came up
-	Watches     int64 `json:"watches"` // watches asked for
+	Dials       int64 `json:"dials"`   // connections that were opened
+	Watches     int64 `json:"watches"` // watches that were requested
 }
 
 // OnWire is the payload of both directions with the headers of all segments, in bytes.
@@ -31,7 +31,7 @@
 	return t.BytesIn + t.BytesOut + segmentHeaderBytes*(t.SegmentsIn+t.SegmentsOut)
 }
 
-// Plus adds two counts.
+// Plus is the sum of two counts.
 func (t SessionTraffic) Plus(o SessionTraffic) SessionTraffic {
 	return SessionTraffic{t.BytesIn + o.BytesIn, t.BytesOut + o.BytesOut, t.SegmentsIn + o.SegmentsIn, t.SegmentsOut + o.SegmentsOut,
 		t.Dials + o.Dials, t.Watches + o.Watches}
@@ -43,47 +43,47 @@
 		t.Dials - o.Dials, t.Watches - o.Watches}
 }
 
-// Network dials for hollow nodes: it counts traffic, tells of each watch that is opened, and puts addresses out of
-// reach. Out of reach, connections that are up carry nothing and no new one comes up, until the address is back.
+// Network dials for hollow nodes: it counts traffic, reports each watch that is opened, and makes addresses unreachable.
+// While an address is unreachable, connections to it that are up carry nothing, and no new one comes up.
 type Network struct {
-	opened func(address string, at time.Time) // called when a watch is asked for
+	onWatch func(address string, at time.Time) // called when a watch is requested
 
-	mu      sync.Mutex
-	cut     map[string]bool
-	changed chan struct{} // closed when cut changes
-	up      map[*meteredConn]bool
-	ended   SessionTraffic // of connections that are closed
+	mu            sync.Mutex
+	unreachable   map[string]bool
+	changed       chan struct{} // closed when unreachable changes
+	open          map[*meteredConn]bool
+	closedTraffic SessionTraffic // of connections that are closed
 }
 
-// NewNetwork returns a network without faults. Opened is called for each watch, from the goroutine that asks for it.
-func NewNetwork(opened func(address string, at time.Time)) *Network {
-	return &Network{opened: opened, cut: map[string]bool{}, changed: make(chan struct{}), up: map[*meteredConn]bool{}}
+// NewNetwork returns a network without faults. onWatch is called for each watch, from the goroutine that asks for it.
+func NewNetwork(onWatch func(address string, at time.Time)) *Network {
+	return &Network{onWatch: onWatch, unreachable: map[string]bool{}, changed: make(chan struct{}), open: map[*meteredConn]bool{}}
 }
 
-// Cut puts the addresses out of reach and all others in reach.
-func (n *Network) Cut(addresses []string) {
+// SetUnreachable makes the addresses unreachable and all others reachable.
+func (n *Network) SetUnreachable(addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = map[string]bool{}
+	n.unreachable = map[string]bool{}
 	for _, address := range addresses {
-		n.cut[address] = true
+		n.unreachable[address] = true
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// state says whether an address is out of reach, and gives what is closed when that may have changed.
-func (n *Network) state(address string) (cut bool, changed <-chan struct{}) {
+// reachability reports whether an address is unreachable, and the channel that is closed when that may have changed.
+func (n *Network) reachability(address string) (unreachable bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[address], n.changed
+	return n.unreachable[address], n.changed
 }
 
-// reach waits until an address is in reach. False: ended was closed before.
-func (n *Network) reach(address string, ended <-chan struct{}) bool {
+// awaitReachable waits until an address is reachable. It returns false if ended was closed before.
+func (n *Network) awaitReachable(address string, ended <-chan struct{}) bool {
 	for {
-		cut, changed := n.state(address)
-		if !cut {
+		unreachable, changed := n.reachability(address)
+		if !unreachable {
 			return true
 		}
 		select {
@@ -96,7 +96,7 @@
 
 // DialContext opens a counted connection.
 func (n *Network) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	if !n.reach(address, ctx.Done()) {
+	if !n.awaitReachable(address, ctx.Done()) {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: context.Cause(ctx)}
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -106,8 +106,8 @@
 	metered := &meteredConn{Conn: conn, network: n, address: address, closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended.Dials++
-	n.up[metered] = true
+	n.closedTraffic.Dials++
+	n.open[metered] = true
 	return metered, nil
 }
 
@@ -115,8 +115,8 @@
 func (n *Network) Traffic() SessionTraffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	total := n.ended
-	for conn := range n.up {
+	total := n.closedTraffic
+	for conn := range n.open {
 		total = total.Plus(conn.traffic())
 	}
 	return total
@@ -137,24 +137,24 @@
 // watchRequest is how the request for a watch begins.
 var watchRequest = []byte("GET /v1/config?")
 
-// Read holds back what arrives while the address is out of reach.
+// Read holds back what arrives while the address is unreachable.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.network.reach(c.address, c.closed) {
+	if !c.network.awaitReachable(c.address, c.closed) {
 		return 0, net.ErrClosed
 	}
 	c.in.Add(int64(n))
 	return n, err
 }
 
-// Write waits while the address is out of reach.
+// Write waits while the address is unreachable.
 func (c *meteredConn) Write(b []byte) (int, error) {
-	if !c.network.reach(c.address, c.closed) {
+	if !c.network.awaitReachable(c.address, c.closed) {
 		return 0, net.ErrClosed
 	}
 	if bytes.HasPrefix(b, watchRequest) {
 		c.watches.Add(1)
-		c.network.opened(c.address, time.Now())
+		c.network.onWatch(c.address, time.Now())
 	}
 	n, err := c.Conn.Write(b)
 	c.out.Add(int64(n))
@@ -167,20 +167,20 @@
 		close(c.closed)
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
-		c.network.ended = c.network.ended.Plus(c.traffic())
-		delete(c.network.up, c)
+		c.network.closedTraffic = c.network.closedTraffic.Plus(c.traffic())
+		delete(c.network.open, c)
 	})
 	return c.Conn.Close()
 }
 
 func (c *meteredConn) traffic() SessionTraffic {
 	t := SessionTraffic{BytesIn: c.in.Load(), BytesOut: c.out.Load(), Watches: c.watches.Load()}
-	t.SegmentsIn, t.SegmentsOut = segments(c.Conn)
+	t.SegmentsIn, t.SegmentsOut = tcpSegments(c.Conn)
 	return t
 }
 
-// segments asks the system how many TCP segments a connection has received and sent.
-func segments(conn net.Conn) (in, out int64) {
+// tcpSegments asks the kernel how many TCP segments a connection has received and sent; 0 once it is closed.
+func tcpSegments(conn net.Conn) (in, out int64) {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, 0
@@ -189,7 +189,7 @@
 	if err != nil {
 		return 0, 0
 	}
-	_ = raw.Control(func(fd uintptr) { // a connection that is closed has been counted
+	_ = raw.Control(func(fd uintptr) { // fails only on a closed connection
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
 			in, out = int64(info.Segs_in), int64(info.Segs_out)
--- a/internal/lab/scale/hollowconn_test.go
+++ b/internal/lab/scale/hollowconn_test.go
@@ -70,57 +70,60 @@
 	}
 }
 
-func TestNetworkCutsConnectionsThatAreUp(t *testing.T) {
+// A partition that open connections get through would let sessions go on that have lost their controller: what is sent
+// meanwhile arrives when the partition is over.
+func TestNetworkStallsOpenConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
 	network := NewNetwork(func(string, time.Time) {})
-	near, err := network.DialContext(t.Context(), "tcp", listener.Addr().String())
+	client, err := network.DialContext(t.Context(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	far, err := listener.Accept()
+	defer client.Close()
+	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	network.Cut([]string{listener.Addr().String()})
-	if _, err := io.WriteString(far, "held"); err != nil {
+	defer server.Close()
+	network.SetUnreachable([]string{listener.Addr().String()})
+	if _, err := io.WriteString(server, "held"); err != nil {
 		t.Fatal(err)
 	}
 	arrived := make(chan string, 1)
 	go func() {
 		b := make([]byte, len("held"))
-		io.ReadFull(near, b)
+		io.ReadFull(client, b)
 		arrived <- string(b)
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := network.DialContext(ctx, "tcp", listener.Addr().String()); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a dial out of reach ended with %v", err)
+		t.Errorf("a dial to an unreachable address ended with %v", err)
 	}
 	select {
 	case got := <-arrived:
-		t.Errorf("%q arrived through a cut", got)
+		t.Errorf("%q arrived through a partition", got)
 	default:
 	}
-	network.Cut(nil)
+	network.SetUnreachable(nil)
 	if got := <-arrived; got != "held" {
-		t.Errorf("%q arrived after the cut", got)
+		t.Errorf("%q arrived after the partition", got)
 	}
 }
 
-func TestNetworkClosesDuringACut(t *testing.T) {
+// A session that ends during a partition must not hang in a write that waits for the partition's end.
+func TestNetworkClosesDuringAPartition(t *testing.T) {
 	address := echoServer(t)
 	network := NewNetwork(func(string, time.Time) {})
 	conn, err := network.DialContext(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	network.Cut([]string{address})
+	network.SetUnreachable([]string{address})
 	failed := make(chan error, 1)
 	go func() {
 		_, err := conn.Write([]byte("never sent"))
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -20,13 +20,13 @@
 
 // Rig timings.
 const (
-	// pollInterval is how often a rig looks at what its processes have done.
+	// pollInterval is the time between two looks at what a rig's processes have done.
 	pollInterval = 10 * time.Millisecond
 	// reportTimeout is how long a process of hollow nodes may take to answer, on a busy machine.
 	reportTimeout = 20 * time.Second
-	// keptAfter is how long a node may take to write a version to its disk. It starts from that version or a later one
-	// if it is killed afterwards.
-	keptAfter = 5 * time.Second
+	// persistedAfter is how long a node may take to write a version to its disk. If it is killed afterwards, it starts
+	// again from that version or a later one.
+	persistedAfter = 5 * time.Second
 )
 
 // HollowOptions say how a fleet of hollow nodes is run.
@@ -50,21 +50,21 @@
 	zones   []*hollowZone
 }
 
-// hollowZone is the process of one zone, over all of its lives.
+// hollowZone is the process of one zone, over all of its incarnations.
 type hollowZone struct {
-	nodes   []HollowNode
-	life    int
-	command *exec.Cmd
-	input   io.WriteCloser
-	traffic chan SessionTraffic
-	ended   chan struct{} // closed when the process has ended and all of its reports are read
+	nodes       []HollowNode
+	incarnation int
+	command     *exec.Cmd
+	input       io.WriteCloser
+	traffic     chan SessionTraffic
+	ended       chan struct{} // closed when the process has ended and all of its reports are read
 }
 
 // NewHollowFleet returns a fleet of which nothing runs yet. Stop must follow.
 func NewHollowFleet(options HollowOptions) *HollowFleet {
 	fleet := &HollowFleet{options: options, audit: NewAudit()}
 	if options.Folder != "" {
-		fleet.audit.KeptAfter = keptAfter
+		fleet.audit.PersistedAfter = persistedAfter
 	}
 	for zone := range options.Topology.Zones() {
 		nodes := options.Topology.ZoneNodes(zone)
@@ -86,9 +86,10 @@
 	return nil
 }
 
+// startZone starts the process of a zone.
 func (f *HollowFleet) startZone(number int) error {
 	zone := f.zones[number]
-	zone.life++
+	zone.incarnation++
 	command := f.options.Program()
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	log, err := os.OpenFile(filepath.Join(f.options.Log, fmt.Sprintf("zone-%02d.log", number)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -110,13 +111,13 @@
 	}
 	zone.command, zone.input = command, input
 	zone.traffic, zone.ended = make(chan SessionTraffic, 1), make(chan struct{})
-	go f.read(zone, output)
+	go f.readReports(zone, output)
 	return json.NewEncoder(input).Encode(HollowSpec{Nodes: zone.nodes, Controllers: f.options.Controllers, Folder: f.options.Folder,
-		Life: zone.life, Seed: f.options.Seed + uint64(zone.life)<<32 + uint64(number)<<16})
+		Incarnation: zone.incarnation, Seed: f.options.Seed + uint64(zone.incarnation)<<32 + uint64(number)<<16})
 }
 
-// read takes the reports of one life of a process, to its end.
-func (f *HollowFleet) read(zone *hollowZone, output io.Reader) {
+// readReports handles the reports of one incarnation of a process, to its end.
+func (f *HollowFleet) readReports(zone *hollowZone, output io.Reader) {
 	defer close(zone.ended)
 	reports := json.NewDecoder(bufio.NewReaderSize(output, 1<<16))
 	for {
@@ -124,13 +125,14 @@
 		if reports.Decode(&report) != nil { // the process has ended, perhaps within a report
 			break
 		}
-		f.take(zone, report)
+		f.handleReport(zone, report)
 	}
 	io.Copy(io.Discard, output)
 	zone.command.Wait()
 }
 
-func (f *HollowFleet) take(zone *hollowZone, report HollowReport) {
+// handleReport handles one report of a process.
+func (f *HollowFleet) handleReport(zone *hollowZone, report HollowReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -141,7 +143,7 @@
 	case report.Traffic != nil:
 		select {
 		case zone.traffic <- *report.Traffic:
-		default: // whoever asked has given up
+		default: // Traffic has given up
 		}
 	}
 }
@@ -156,12 +158,12 @@
 	}
 }
 
-// Cut puts controllers out of the reach of a zone's nodes, and all others in reach.
-func (f *HollowFleet) Cut(zone int, addresses []string) error {
-	return json.NewEncoder(f.zones[zone].input).Encode(HollowCommand{SetCut: true, Cut: addresses})
+// SetUnreachable makes controllers unreachable for a zone's nodes, and all others reachable.
+func (f *HollowFleet) SetUnreachable(zone int, addresses []string) error {
+	return json.NewEncoder(f.zones[zone].input).Encode(HollowCommand{SetUnreachable: true, Unreachable: addresses})
 }
 
-// Traffic adds up what the nodes of all zones have carried in their present lives.
+// Traffic adds up what the nodes of all zones have carried in their present incarnations.
 func (f *HollowFleet) Traffic() (total SessionTraffic, err error) {
 	for number, zone := range f.zones {
 		if zone.command == nil {
@@ -170,16 +172,16 @@
 		if err := json.NewEncoder(zone.input).Encode(HollowCommand{Traffic: true}); err != nil {
 			return total, fmt.Errorf("scale: traffic of zone %d: %w", number, err)
 		}
-		late := time.NewTimer(reportTimeout)
+		timeout := time.NewTimer(reportTimeout)
 		select {
 		case traffic := <-zone.traffic:
 			total = total.Plus(traffic)
 		case <-zone.ended:
 			err = fmt.Errorf("scale: traffic of zone %d: its process has ended", number)
-		case <-late.C:
+		case <-timeout.C:
 			err = fmt.Errorf("scale: traffic of zone %d: no answer within %v", number, reportTimeout)
 		}
-		late.Stop()
+		timeout.Stop()
 		if err != nil {
 			return total, err
 		}
@@ -224,14 +226,14 @@
 	return zones
 }
 
-// Audit runs a function on the audit.
-func (f *HollowFleet) Audit(look func(*Audit)) {
+// Audit calls a function with the audit, while nothing else uses it.
+func (f *HollowFleet) Audit(inspect func(*Audit)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	look(f.audit)
+	inspect(f.audit)
 }
 
-// Watches gives the watches that were opened since a moment, in order.
+// Watches returns the watches that were opened since a moment, in order.
 func (f *HollowFleet) Watches(since time.Time) []WatchOpened {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -245,10 +247,10 @@
 	return opened
 }
 
-// Await waits until all nodes of a list have answered for a version.
+// Await waits until all nodes of a list have answered for a version, applied or rejected.
 func (f *HollowFleet) Await(ctx context.Context, version configapi.Version, nodes []string) error {
 	err := poll(ctx, func() (done bool) {
-		f.Audit(func(a *Audit) { done = a.Everywhere(version, nodes) })
+		f.Audit(func(a *Audit) { done = a.AnsweredByAll(version, nodes) })
 		return done
 	})
 	if err != nil {
@@ -269,20 +271,20 @@
 		if zone.command == nil {
 			continue
 		}
-		late := time.NewTimer(reportTimeout)
+		timeout := time.NewTimer(reportTimeout)
 		select {
 		case <-zone.ended:
-		case <-late.C:
+		case <-timeout.C:
 			zone.command.Process.Kill()
 			<-zone.ended
 			failures = append(failures, fmt.Errorf("scale: hollow nodes of zone %d did not end within %v", number, reportTimeout))
 		}
-		late.Stop()
+		timeout.Stop()
 	}
 	return errors.Join(failures...)
 }
 
-// poll looks again and again until something is done or the context ends.
+// poll calls done until it returns true. It returns the cause if the context ends before.
 func poll(ctx context.Context, done func() bool) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/lab/scale/hollowprocess.go
+++ b/internal/lab/scale/hollowprocess.go
@@ -17,18 +17,18 @@
 	Nodes       []HollowNode         `json:"nodes"`
 	Controllers []configapi.Endpoint `json:"controllers"`
 	Folder      string               `json:"folder"` // of last known good versions; "": nodes keep none
-	Life        int                  `json:"life"`   // rises with each start
+	Incarnation int                  `json:"life"`   // rises with each start
 	Seed        uint64               `json:"seed"`
 }
 
-// HollowCommand is each further line that it reads.
+// HollowCommand is each further line that the process reads.
 type HollowCommand struct {
-	SetCut  bool     `json:"set_cut,omitempty"`
-	Cut     []string `json:"cut,omitempty"`     // with SetCut: the addresses out of reach from now on
-	Traffic bool     `json:"traffic,omitempty"` // asks for a report of it
+	SetUnreachable bool     `json:"set_cut,omitempty"`
+	Unreachable    []string `json:"cut,omitempty"`     // with SetUnreachable: the addresses that are unreachable from now on
+	Traffic        bool     `json:"traffic,omitempty"` // requests a report of it
 }
 
-// HollowReport is each line that it writes. One field is set.
+// HollowReport is each line that the process writes. One field is set.
 type HollowReport struct {
 	Observation *Observation    `json:"observation,omitempty"`
 	Watch       *WatchOpened    `json:"watch,omitempty"`
@@ -41,11 +41,11 @@
 	AtNS    int64  `json:"at_ns"` // Unix nanoseconds
 }
 
-// hollowSession is what runs for one hollow node.
+// hollowSession is the control session of one hollow node.
 type hollowSession interface{ Close() error }
 
-// startHollow starts the session of one hollow node. It reports through observe, from any goroutine.
-type startHollow func(spec HollowSpec, node HollowNode, network *Network, observe func(Observation)) (hollowSession, error)
+// sessionStarter starts the session of one hollow node. It reports through observe, from any goroutine.
+type sessionStarter func(spec HollowSpec, node HollowNode, network *Network, observe func(Observation)) (hollowSession, error)
 
 // hollowProcess is a process of hollow nodes.
 type hollowProcess struct {
@@ -55,14 +55,16 @@
 	written  sync.WaitGroup
 }
 
-// reportQueue is how many reports wait to be written before a session waits for the rig.
+// reportQueue is how many reports wait to be written before a session has to wait for the rig: several for each node of
+// the largest zone, so that sessions are not slowed by what is measured.
 const reportQueue = 1 << 16
 
 // ServeHollow runs hollow nodes until its input ends: it reads a HollowSpec and then HollowCommands, one JSON object
 // each, and writes HollowReports.
 func ServeHollow(in io.Reader, out io.Writer) error { return serveHollow(in, out, startConfigSession) }
 
-func serveHollow(in io.Reader, out io.Writer, start startHollow) error {
+// serveHollow is ServeHollow with a choice of what is started for each node.
+func serveHollow(in io.Reader, out io.Writer, start sessionStarter) error {
 	commands := json.NewDecoder(in)
 	var spec HollowSpec
 	if err := commands.Decode(&spec); err != nil {
@@ -75,12 +77,13 @@
 	process.written.Go(func() { writeReports(out, process.reports) })
 	err := process.start(spec, start)
 	if err == nil {
-		err = process.obey(commands)
+		err = process.runCommands(commands)
 	}
 	return errors.Join(err, process.close())
 }
 
-func (p *hollowProcess) start(spec HollowSpec, start startHollow) error {
+// start starts a session for each node.
+func (p *hollowProcess) start(spec HollowSpec, start sessionStarter) error {
 	observe := func(o Observation) { p.reports <- HollowReport{Observation: &o} }
 	for _, node := range spec.Nodes {
 		session, err := start(spec, node, p.network, observe)
@@ -92,7 +95,8 @@
 	return nil
 }
 
-func (p *hollowProcess) obey(commands *json.Decoder) error {
+// runCommands carries out commands until the input ends.
+func (p *hollowProcess) runCommands(commands *json.Decoder) error {
 	for {
 		var command HollowCommand
 		err := commands.Decode(&command)
@@ -102,8 +106,8 @@
 		case err != nil:
 			return fmt.Errorf("scale: hollow nodes: command: %w", err)
 		}
-		if command.SetCut {
-			p.network.Cut(command.Cut)
+		if command.SetUnreachable {
+			p.network.SetUnreachable(command.Unreachable)
 		}
 		if command.Traffic {
 			traffic := p.network.Traffic()
@@ -114,7 +118,7 @@
 
 // close ends all sessions at once, for each may wait for its connections.
 func (p *hollowProcess) close() error {
-	p.network.Cut(nil)
+	p.network.SetUnreachable(nil)
 	failures := make([]error, len(p.sessions))
 	var closing sync.WaitGroup
 	for i, session := range p.sessions {
@@ -126,7 +130,8 @@
 	return errors.Join(failures...)
 }
 
-// writeReports writes reports as they come, many at once where many wait. A rig that reads no more ends the process.
+// writeReports writes reports as they come, many at once where many wait. After an error it discards them: the rig has
+// ended and will end this process.
 func writeReports(out io.Writer, reports <-chan HollowReport) {
 	buffered := bufio.NewWriterSize(out, 1<<16)
 	encoder := json.NewEncoder(buffered)
--- a/internal/lab/scale/hollowprocess_test.go
+++ b/internal/lab/scale/hollowprocess_test.go
@@ -23,12 +23,14 @@
 	return nil
 }
 
+// startFake starts a fakeSession.
 func startFake(spec HollowSpec, node HollowNode, _ *Network, observe func(Observation)) (hollowSession, error) {
-	session := &fakeSession{observe, Observation{Node: node.Name, Service: node.Service, Life: spec.Life, Outcome: configapi.Applied}}
+	session := &fakeSession{observe, Observation{Node: node.Name, Service: node.Service, Incarnation: spec.Incarnation, Outcome: configapi.Applied}}
 	observe(session.observation)
 	return session, nil
 }
 
+// lines is an input of JSON objects.
 func lines(t *testing.T, objects ...any) io.Reader {
 	t.Helper()
 	var text bytes.Buffer
@@ -40,6 +42,7 @@
 	return &text
 }
 
+// readReports reads all that a process has written.
 func readReports(t *testing.T, from io.Reader) (reports []HollowReport) {
 	t.Helper()
 	decoder := json.NewDecoder(from)
@@ -57,32 +60,32 @@
 }
 
 func TestServeHollowReportsAndEndsWithItsInput(t *testing.T) {
-	spec := HollowSpec{Nodes: SmallTopology.ZoneNodes(0), Life: 3}
+	spec := HollowSpec{Nodes: SmallTopology.ZoneNodes(0), Incarnation: 3}
 	var out bytes.Buffer
-	err := serveHollow(lines(t, spec, HollowCommand{Traffic: true}, HollowCommand{SetCut: true, Cut: []string{"127.0.0.1:1"}}), &out, startFake)
+	err := serveHollow(lines(t, spec, HollowCommand{Traffic: true}, HollowCommand{SetUnreachable: true, Unreachable: []string{"127.0.0.1:1"}}), &out, startFake)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lives, traffic := map[string][]configapi.Version{}, 0
+	reported, traffic := map[string][]configapi.Version{}, 0
 	for _, report := range readReports(t, &out) {
-		if o := report.Observation; o != nil && o.Life == 3 {
-			lives[o.Node] = append(lives[o.Node], o.InForce)
+		if o := report.Observation; o != nil && o.Incarnation == 3 {
+			reported[o.Node] = append(reported[o.Node], o.InForce)
 		}
 		if report.Traffic != nil {
 			traffic++
 		}
 	}
-	if traffic != 1 || len(lives) != len(spec.Nodes) {
-		t.Errorf("%d reports of traffic, observations of %d nodes", traffic, len(lives))
+	if traffic != 1 || len(reported) != len(spec.Nodes) {
+		t.Errorf("%d reports of traffic, observations of %d nodes", traffic, len(reported))
 	}
-	for node, versions := range lives {
+	for node, versions := range reported {
 		if len(versions) != 2 || versions[0] != 0 || versions[1] != 1 {
 			t.Errorf("%s reported %v", node, versions)
 		}
 	}
 }
 
-func TestServeHollowRefusesWhatItCannotRead(t *testing.T) {
+func TestServeHollowRejectsUnreadableInput(t *testing.T) {
 	for name, input := range map[string]string{"no specification": "", "no command": "{}\n[]\n"} {
 		if err := serveHollow(strings.NewReader(input), io.Discard, startFake); err == nil {
 			t.Errorf("%s: no error", name)
--- a/internal/lab/scale/hollowsession.go
+++ b/internal/lab/scale/hollowsession.go
@@ -21,7 +21,7 @@
 // connectTimeout is how long a hollow node waits for a connection, as a real one does.
 const connectTimeout = 2 * time.Second
 
-// configSession is the real session of a hollow node.
+// configSession is a hollow node's session with a controller, the same as a real node's.
 type configSession struct{ session *configwatch.Session }
 
 // Close ends the session.
@@ -30,11 +30,11 @@
 	return nil
 }
 
-// hollowApplier brings configurations into force at a node that has no data path: it reads them as a node does, and
+// hollowApplier applies configurations at a node that has no data path: it reads and checks them as a node does, and
 // remembers which publication they came from.
 type hollowApplier struct{ publication atomic.Pointer[string] }
 
-// Apply reads and checks a configuration.
+// Apply reads and checks a configuration. Its errors are of type *configapi.Rejection.
 func (a *hollowApplier) Apply(_ context.Context, config configapi.ServiceConfig) error {
 	settings, err := simwire.ParseSettings(config.Settings)
 	if err != nil {
@@ -43,11 +43,12 @@
 	if err := settings.Validate(); err != nil {
 		return &configapi.Rejection{Kind: configapi.RejectInvalid, Message: err.Error()}
 	}
-	a.take(config)
+	a.setInForce(config)
 	return nil
 }
 
-func (a *hollowApplier) take(config configapi.ServiceConfig) {
+// setInForce remembers a configuration's publication.
+func (a *hollowApplier) setInForce(config configapi.ServiceConfig) {
 	id := publicationOf(config.Settings)
 	a.publication.Store(&id)
 }
@@ -60,12 +61,12 @@
 	return ""
 }
 
-// startConfigSession starts the session of a hollow node, from its last known good version if it keeps one.
+// startConfigSession starts the session of a hollow node, from its last known good version if it has stored one.
 func startConfigSession(spec HollowSpec, node HollowNode, network *Network, observe func(Observation)) (hollowSession, error) {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // lines are written as at a real node, to nobody
+	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // lines are formatted as at a real node, and discarded
 	applier := &hollowApplier{}
 	report := func(version, applied configapi.Version, outcome configapi.Outcome) {
-		observe(Observation{Node: node.Name, Service: node.Service, Life: spec.Life, Version: version, Outcome: outcome, InForce: applied,
+		observe(Observation{Node: node.Name, Service: node.Service, Incarnation: spec.Incarnation, Version: version, Outcome: outcome, InForce: applied,
 			ID: applier.inForce(), AtNS: time.Now().UnixNano()})
 	}
 	options := configwatch.Options{Node: node.Name, Service: node.Service, Region: node.Region, Zone: node.Zone, Seed: spec.Seed + nameHash(node.Name),
@@ -75,7 +76,7 @@
 		options.Controllers = append(options.Controllers, controller.Address)
 	}
 	if spec.Folder != "" {
-		folder := filepath.Join(spec.Folder, node.Name) // each has one of its own: a write looks at all that is there
+		folder := filepath.Join(spec.Folder, node.Name) // one for each node: a write lists the whole folder
 		err := os.MkdirAll(folder, 0o700)
 		if err != nil {
 			return nil, err
@@ -85,11 +86,11 @@
 			return nil, err
 		}
 	}
-	if kept := options.LastKnownGood; kept.Version > 0 {
-		if kept.Config != nil {
-			applier.take(*kept.Config)
+	if stored := options.LastKnownGood; stored.Version > 0 {
+		if stored.Config != nil {
+			applier.setInForce(*stored.Config)
 		}
-		report(kept.Version, kept.Version, configapi.Applied)
+		report(stored.Version, stored.Version, configapi.Applied)
 	}
 	return configSession{configwatch.Start(options)}, nil
 }
@@ -103,7 +104,7 @@
 	}
 }
 
-// nameHash tells nodes' seeds apart.
+// nameHash gives each node a seed of its own.
 func nameHash(name string) uint64 {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/internal/lab/scale/membership_large_test.go
+++ b/internal/lab/scale/membership_large_test.go
@@ -17,23 +17,23 @@
 // processors, and where these don't suffice members take each other for failed. Those start in batches.
 var (
 	membershipSizes = []membershipSize{{12, 0, []int{1}}, {24, 0, []int{1}}, {36, 0, []int{1}}, {48, 0, []int{1}}}
-	membershipMany  = []membershipSize{{96, 24, []int{1, serviceSize}}, {192, 24, []int{1, serviceSize}},
-		{300, 24, []int{1, serviceSize, zoneSize}}}
+	membershipMany  = []membershipSize{{96, 24, []int{1, oneServiceNodes}}, {192, 24, []int{1, oneServiceNodes}},
+		{300, 24, []int{1, oneServiceNodes, oneZoneNodes}}}
 )
 
-// membershipFigures are fitted by members, and printed for each size.
-var membershipFigures = []struct {
+// membershipMetrics are fitted by members, and printed for each size.
+var membershipMetrics = []struct {
 	name string
 	of   func(r MembershipResult, size membershipSize) float64
 }{
 	{"s until all agree", func(r MembershipResult, _ membershipSize) float64 { return r.Agree.Elapsed.Seconds() }},
 	{"s until all agree after one joins", func(r MembershipResult, _ membershipSize) float64 { return r.Join.Elapsed.Seconds() }},
 	{"s until a death is known to all", func(r MembershipResult, _ membershipSize) float64 { return r.Deaths[0].Elapsed.Seconds() }},
-	{"packets/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Rest.PerMember(r.Rest.Packets) }},
-	{"packet payload B/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Rest.PerMember(r.Rest.PacketBytes) }},
-	{"stream payload B/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Rest.PerMember(r.Rest.StreamBytes) }},
-	{"sent B/s a member with packet headers", func(r MembershipResult, _ membershipSize) float64 { return r.Rest.PerMember(r.Rest.Wire()) }},
-	{"processor, % of a core a member", func(r MembershipResult, _ membershipSize) float64 { return 100 * r.Rest.Core() }},
+	{"packets/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Idle.PerMember(r.Idle.Packets) }},
+	{"packet payload B/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Idle.PerMember(r.Idle.PacketBytes) }},
+	{"stream payload B/s a member", func(r MembershipResult, _ membershipSize) float64 { return r.Idle.PerMember(r.Idle.StreamBytes) }},
+	{"sent B/s a member with packet headers", func(r MembershipResult, _ membershipSize) float64 { return r.Idle.PerMember(r.Idle.Wire()) }},
+	{"processor, % of a core a member", func(r MembershipResult, _ membershipSize) float64 { return 100 * r.Idle.Core() }},
 	{"RSS kB a member", func(r MembershipResult, s membershipSize) float64 {
 		return float64(r.RSSBytes) / 1024 / float64(s.members)
 	}},
@@ -43,30 +43,26 @@
 
 // The tables of membership in docs/CAPACITY.md.
 func TestMembershipLarge(t *testing.T) {
-	if !*large {
-		t.Skip("prints tables: run it with -scale.large -v")
-	}
-	series := make([]*discoverySeries, len(membershipFigures))
-	for i, figure := range membershipFigures {
-		series[i] = &discoverySeries{name: figure.name}
+	largeOnly(t)
+	series := make([]*discoverySeries, len(membershipMetrics))
+	for i, metric := range membershipMetrics {
+		series[i] = &discoverySeries{name: metric.name}
 	}
 	for _, size := range membershipSizes {
 		result, ok := measureMembersAtRest(t, size)
 		if !ok {
 			continue
 		}
-		for i, figure := range membershipFigures {
-			series[i].add(size.members, figure.of(result, size))
+		for i, metric := range membershipMetrics {
+			series[i].add(size.members, metric.of(result, size))
 		}
 	}
 	printFits(t, "Lines by members", series...)
 }
 
-// Beyond the sizes of the line: the figures are printed beside it.
+// Beyond the sizes of the line: the measurements are printed beside it.
 func TestMembershipLargeMany(t *testing.T) {
-	if !*large {
-		t.Skip("prints tables: run it with -scale.large -v")
-	}
+	largeOnly(t)
 	for _, size := range membershipMany {
 		if _, ok := measureMembers(t, size); !ok {
 			t.Errorf("%d members were not measured", size.members)
@@ -74,19 +70,19 @@
 	}
 }
 
-// mostRepeats is how often a size is measured at most until no member has taken another for failed that was not.
-const mostRepeats = 3
+// maxRepeats is how often a size is measured at most until no member has taken another for failed that was not.
+const maxRepeats = 3
 
 // measureMembersAtRest measures one size until members were at rest: false alarms are work that a slow machine makes, and
 // what is sent because of them is no part of the line. Each attempt is printed.
 func measureMembersAtRest(t *testing.T, size membershipSize) (result MembershipResult, ok bool) {
 	t.Helper()
-	for range mostRepeats {
+	for range maxRepeats {
 		if result, ok = measureMembers(t, size); ok && result.FalseAlarms == 0 {
 			return result, true
 		}
 	}
-	t.Errorf("%d members: false alarms, or no agreement, in each of %d attempts: the machine is too busy", size.members, mostRepeats)
+	t.Errorf("%d members: false alarms, or no agreement, in each of %d attempts: the machine is too busy", size.members, maxRepeats)
 	return result, false
 }
 
@@ -95,19 +91,19 @@
 func measureMembers(t *testing.T, size membershipSize) (result MembershipResult, ok bool) {
 	t.Helper()
 	result, err := MeasureMembership(t.Context(), MembershipOptions{Members: size.members, Batch: size.batch, Settle: 2 * time.Second,
-		Rest: 10 * time.Second, Deaths: size.deaths, MostTime: 20 * time.Second, Folder: t.TempDir()})
+		IdleTime: 10 * time.Second, Deaths: size.deaths, Timeout: 20 * time.Second, Folder: t.TempDir()})
 	if err != nil {
 		t.Logf("%d members: %v; what was measured before that: %+v", size.members, err, result)
 		return result, false
 	}
-	table := Table{Title: Figure(float64(size.members)) + " members in one process, three sites; " + Origin(), Header: []string{"figure", "value"}}
-	for _, figure := range membershipFigures {
-		table.Add(figure.name, figure.of(result, size))
+	table := Table{Title: FormatNumber(float64(size.members)) + " members in one process, three sites; " + Origin(), Header: []string{"figure", "value"}}
+	for _, metric := range membershipMetrics {
+		table.Add(metric.name, metric.of(result, size))
 	}
-	for i, part := range result.Deaths {
-		table.Add(Figure(float64(size.deaths[i]))+" closed at once: s until known to all", part.Elapsed.Seconds())
-		table.Add("sent B/s a member with packet headers meanwhile", part.PerMember(part.Wire()))
-		table.Add("processor, % of a core a member meanwhile", 100*part.Core())
+	for i, phase := range result.Deaths {
+		table.Add(FormatNumber(float64(size.deaths[i]))+" closed at once: s until known to all", phase.Elapsed.Seconds())
+		table.Add("sent B/s a member with packet headers meanwhile", phase.PerMember(phase.Wire()))
+		table.Add("processor, % of a core a member meanwhile", 100*phase.Core())
 	}
 	table.Print(os.Stdout)
 	return result, true
--- a/internal/lab/scale/membership_rig.go
+++ b/internal/lab/scale/membership_rig.go
@@ -15,20 +15,20 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// What a member's view says of itself and of others, as operators see it.
+// States in a member's view, as operators see them.
 const (
-	viewAgreed   = "agreed"
-	memberFailed = "failed"
-	memberLeft   = "left"
+	viewAgreed   = "agreed" // of the member itself: it agrees with the running members that concern it
+	memberFailed = "failed" // of another member: it does not answer
+	memberLeft   = "left"   // of another member: it announced that it leaves
 )
 
-// membershipLook is the time between two looks at a view that does not change.
-const membershipLook = 50 * time.Millisecond
+// viewPollInterval is the time between two looks at a view that does not hold yet.
+const viewPollInterval = 50 * time.Millisecond
 
-// membershipSites are a centre and two sites below it, as in docs/sites.md. Members are spread over them in turn.
+// The sites are a root and two below it, as in docs/sites.md. Members are spread over them in turn.
 var (
 	membershipSites = []string{"dc", "okanagan", "similkameen"}
-	membershipTree  = membership.Tree{"dc": "", "okanagan": "dc", "similkameen": "dc"}
+	membershipTree  = membership.Tree{"dc": "", "okanagan": "dc", "similkameen": "dc"} // parents by site
 )
 
 // MembershipOptions say what is measured in one run.
@@ -36,9 +36,9 @@
 	Members  int
 	Batch    int           // how many start at once; the next ones start when these have met. 0: all start at once
 	Settle   time.Duration // between the agreement of all and the measurement
-	Rest     time.Duration // the length of the measurement at rest
-	Deaths   []int         // how many members are closed at once, one group after another, without a word
-	MostTime time.Duration // for each part
+	IdleTime time.Duration // the length of the measurement while nothing happens
+	Deaths   []int         // how many members are closed at once, one group after another, without an announcement
+	Timeout  time.Duration // of each phase
 	Folder   string        // for the key
 }
 
@@ -49,7 +49,7 @@
 	StreamBytes int64 // payload of TCP streams, both ways, each stream counted once
 }
 
-// Since is what was sent between an earlier moment and this one.
+// Since is what was sent after an earlier count.
 func (t MembershipTraffic) Since(earlier MembershipTraffic) MembershipTraffic {
 	return MembershipTraffic{
 		PacketBytes: t.PacketBytes - earlier.PacketBytes,
@@ -66,36 +66,36 @@
 	return t.PacketBytes + t.Packets*packetHeaderBytes + t.StreamBytes
 }
 
-// MembershipPart is what one part of a run has cost.
-type MembershipPart struct {
+// MembershipPhase is what one phase of a run has cost.
+type MembershipPhase struct {
 	MembershipTraffic
 	Running int           // members that ran
-	Elapsed time.Duration // until what was waited for held at all of them, or the length of the measurement
+	Elapsed time.Duration // until what was awaited held at all of them, or the length of the measurement
 	CPU     time.Duration // of this process: all members
 }
 
 // PerMember is a count as a rate for one member.
-func (p MembershipPart) PerMember(count int64) float64 {
+func (p MembershipPhase) PerMember(count int64) float64 {
 	return float64(count) / float64(p.Running) / p.Elapsed.Seconds()
 }
 
-// Core is the part of a core that one member uses.
-func (p MembershipPart) Core() float64 {
+// Core is the share of one core that one member uses.
+func (p MembershipPhase) Core() float64 {
 	return p.CPU.Seconds() / float64(p.Running) / p.Elapsed.Seconds()
 }
 
 // MembershipResult is what a run has measured.
 type MembershipResult struct {
-	Agree       MembershipPart   // from the start of the last batch until all agree
-	Rest        MembershipPart   // nothing happens
-	Join        MembershipPart   // from the start of one more member until all agree
-	Deaths      []MembershipPart // from each group's end until all others call all of it failed
-	RSSBytes    int64            // added by all members, garbage aside
-	Descriptors int              // added likewise
-	FalseAlarms uint64           // times that a member was called failed that was not, before any death, by all members
+	Agree       MembershipPhase   // from the start of the last batch until all agree
+	Idle        MembershipPhase   // nothing happens
+	Join        MembershipPhase   // from the start of one more member until all agree
+	Deaths      []MembershipPhase // from each group's end until all others call all of it failed
+	RSSBytes    int64             // added by all members, garbage aside
+	Descriptors int               // added likewise
+	FalseAlarms uint64            // times that a member was called failed that was not, before any death, by all members
 }
 
-// MembershipError says that something did not come to hold in time.
+// MembershipError says that something was not reached in time.
 type MembershipError struct {
 	Member string
 	What   string
@@ -108,16 +108,16 @@
 
 // membershipRun is one run.
 type membershipRun struct {
-	options  MembershipOptions
-	keyFile  string
-	clusters []*peers.Cluster // that run
-	began    time.Time
-	before   MembershipTraffic
-	cpu      time.Duration
+	options       MembershipOptions
+	keyFile       string
+	clusters      []*peers.Cluster // that run
+	phaseStart    time.Time
+	trafficBefore MembershipTraffic
+	cpuBefore     time.Duration
 }
 
 // MeasureMembership runs members in this process, each with the real package peers on an address of its own in
-// 127.0.0.0/8, takes them through all parts and stops them.
+// 127.0.0.0/8, runs all phases and stops them.
 func MeasureMembership(ctx context.Context, options MembershipOptions) (result MembershipResult, err error) {
 	run := &membershipRun{options: options}
 	defer func() { run.close(run.clusters) }()
@@ -125,10 +125,10 @@
 	if err != nil {
 		return result, err
 	}
-	if result.Agree, err = run.agree(ctx); err != nil {
+	if result.Agree, err = run.formCluster(ctx); err != nil {
 		return result, err
 	}
-	if result.Rest, err = run.rest(ctx); err != nil {
+	if result.Idle, err = run.idle(ctx); err != nil {
 		return result, err
 	}
 	after, err := readOwnUsage(true)
@@ -141,94 +141,94 @@
 		return result, err
 	}
 	for _, count := range options.Deaths {
-		part, err := run.die(ctx, count)
+		phase, err := run.killMembers(ctx, count)
 		if err != nil {
 			return result, err
 		}
-		result.Deaths = append(result.Deaths, part)
+		result.Deaths = append(result.Deaths, phase)
 	}
 	return result, nil
 }
 
-// agree starts all members and waits until each agrees and has all others.
-func (r *membershipRun) agree(ctx context.Context) (MembershipPart, error) {
+// formCluster starts all members and waits until each agrees and has all others.
+func (r *membershipRun) formCluster(ctx context.Context) (MembershipPhase, error) {
 	if err := r.writeKey(); err != nil {
-		return MembershipPart{}, err
+		return MembershipPhase{}, err
 	}
 	batch := r.options.Members
 	if r.options.Batch > 0 {
 		batch = r.options.Batch
 	}
 	for len(r.clusters) < r.options.Members {
-		if err := r.untilMet(ctx); err != nil {
-			return MembershipPart{}, err
+		if err := r.awaitMet(ctx); err != nil {
+			return MembershipPhase{}, err
 		}
-		r.begin()
+		r.beginPhase()
 		for range min(batch, r.options.Members-len(r.clusters)) {
 			if err := r.join(); err != nil {
-				return MembershipPart{}, err
+				return MembershipPhase{}, err
 			}
 		}
 	}
-	err := r.untilAgreed(ctx)
-	return r.end(), err
+	err := r.awaitAgreed(ctx)
+	return r.endPhase(), err
 }
 
 // joinOne starts one more member and waits until all agree.
-func (r *membershipRun) joinOne(ctx context.Context) (MembershipPart, error) {
-	r.begin()
+func (r *membershipRun) joinOne(ctx context.Context) (MembershipPhase, error) {
+	r.beginPhase()
 	if err := r.join(); err != nil {
-		return MembershipPart{}, err
+		return MembershipPhase{}, err
 	}
-	err := r.untilAgreed(ctx)
-	return r.end(), err
+	err := r.awaitAgreed(ctx)
+	return r.endPhase(), err
 }
 
-// untilMet waits until each member that runs has all others.
-func (r *membershipRun) untilMet(ctx context.Context) error {
+// awaitMet waits until each member that runs has all others.
+func (r *membershipRun) awaitMet(ctx context.Context) error {
 	all := len(r.clusters)
-	return r.until(ctx, "met all others", func(v peers.View) bool { return running(v) == all })
+	return r.awaitEach(ctx, "met all others", func(v peers.View) bool { return countRunning(v) == all })
 }
 
-// untilAgreed waits until each member that runs agrees, and has all others.
-func (r *membershipRun) untilAgreed(ctx context.Context) error {
+// awaitAgreed waits until each member that runs agrees, and has all others.
+func (r *membershipRun) awaitAgreed(ctx context.Context) error {
 	all := len(r.clusters)
-	return r.until(ctx, "agreed with all others", func(v peers.View) bool { return v.Self == viewAgreed && running(v) == all })
+	return r.awaitEach(ctx, "agreed with all others", func(v peers.View) bool { return v.Self == viewAgreed && countRunning(v) == all })
 }
 
-// rest measures while nothing happens.
-func (r *membershipRun) rest(ctx context.Context) (MembershipPart, error) {
-	if err := wait(ctx, r.options.Settle); err != nil {
-		return MembershipPart{}, err
+// idle measures while nothing happens.
+func (r *membershipRun) idle(ctx context.Context) (MembershipPhase, error) {
+	if err := sleep(ctx, r.options.Settle); err != nil {
+		return MembershipPhase{}, err
 	}
-	r.begin()
-	err := wait(ctx, r.options.Rest)
-	return r.end(), err
+	r.beginPhase()
+	err := sleep(ctx, r.options.IdleTime)
+	return r.endPhase(), err
 }
 
-// die closes members without a word, and waits until all others call them failed.
-func (r *membershipRun) die(ctx context.Context, count int) (MembershipPart, error) {
+// killMembers closes members without an announcement, and waits until all others call them failed.
+func (r *membershipRun) killMembers(ctx context.Context, count int) (MembershipPhase, error) {
 	dead := slices.Clone(r.clusters[len(r.clusters)-count:])
 	names := map[string]bool{}
 	for _, cluster := range dead {
 		names[cluster.View().Me.Name] = true
 	}
 	r.clusters = r.clusters[:len(r.clusters)-count]
-	r.begin()
+	r.beginPhase()
 	r.close(dead)
-	err := r.until(ctx, "called the dead failed", func(v peers.View) bool { return failed(v, names) == len(names) })
-	return r.end(), err
+	err := r.awaitEach(ctx, "called the dead failed", func(v peers.View) bool { return countFailed(v, names) == len(names) })
+	return r.endPhase(), err
 }
 
-// begin begins a part.
-func (r *membershipRun) begin() {
-	r.before, r.cpu, r.began = r.traffic(), ownProcessorTime(), time.Now()
+// beginPhase begins a phase: what is measured counts from here.
+func (r *membershipRun) beginPhase() {
+	r.trafficBefore, r.cpuBefore, r.phaseStart = r.traffic(), ownProcessorTime(), time.Now()
 }
 
-// end ends it.
-func (r *membershipRun) end() MembershipPart {
-	elapsed, cpu := time.Since(r.began), ownProcessorTime()-r.cpu
-	return MembershipPart{MembershipTraffic: r.traffic().Since(r.before), Running: len(r.clusters), Elapsed: elapsed, CPU: cpu}
+// endPhase ends a phase and returns what it has cost.
+func (r *membershipRun) endPhase() MembershipPhase {
+	elapsed, cpu := time.Since(r.phaseStart), ownProcessorTime()-r.cpuBefore
+	return MembershipPhase{MembershipTraffic: r.traffic().Since(r.trafficBefore), Running: len(r.clusters), Elapsed: elapsed, CPU: cpu}
 }
 
 // traffic is what the members that run have sent so far.
@@ -250,18 +250,18 @@
 	return sum
 }
 
-// until waits until something has held at each member.
-func (r *membershipRun) until(ctx context.Context, what string, holds func(peers.View) bool) error {
-	limit, stop := context.WithTimeout(ctx, r.options.MostTime)
+// awaitEach waits until holds has been true of each member's view. What says in an error what that means.
+func (r *membershipRun) awaitEach(ctx context.Context, what string, holds func(peers.View) bool) error {
+	limit, stop := context.WithTimeout(ctx, r.options.Timeout)
 	defer stop()
-	look := time.NewTicker(membershipLook)
-	defer look.Stop()
+	poll := time.NewTicker(viewPollInterval)
+	defer poll.Stop()
 	for _, cluster := range r.clusters {
 		for !holds(cluster.View()) {
 			select {
-			case <-look.C:
+			case <-poll.C:
 			case <-limit.Done():
-				return &MembershipError{Member: cluster.View().Me.Name, What: what, Within: r.options.MostTime}
+				return &MembershipError{Member: cluster.View().Me.Name, What: what, Within: r.options.Timeout}
 			}
 		}
 	}
@@ -270,7 +270,7 @@
 
 // join starts the next member.
 func (r *membershipRun) join() error {
-	const addressesPerNet = 250
+	const addressesPerNet = 250 // of the last byte of 127.77.x.y
 	index := len(r.clusters)
 	config := peers.Config{
 		Name:       fmt.Sprintf("member-%04d", index),
@@ -303,7 +303,7 @@
 
 // writeKey writes the key that all members share.
 func (r *membershipRun) writeKey() error {
-	const key = "0123456789abcdef"
+	const key = "0123456789abcdef" // it protects nothing but a measurement
 	file, err := os.CreateTemp(r.options.Folder, "key-")
 	if err != nil {
 		return err
@@ -313,8 +313,8 @@
 	return errors.Join(err, file.Close())
 }
 
-// running counts the members that a view has as running, the member itself among them.
-func running(v peers.View) int {
+// countRunning counts the members that a view has as running, the member itself among them.
+func countRunning(v peers.View) int {
 	count := 1
 	for _, m := range v.Members {
 		if m.State != memberFailed && m.State != memberLeft {
@@ -324,8 +324,8 @@
 	return count
 }
 
-// failed counts those of some names that a view has as failed.
-func failed(v peers.View, names map[string]bool) (count int) {
+// countFailed counts those of some names that a view has as failed.
+func countFailed(v peers.View, names map[string]bool) (count int) {
 	for _, m := range v.Members {
 		if names[m.Name] && m.State == memberFailed {
 			count++
@@ -334,15 +334,15 @@
 	return count
 }
 
-// wait waits for a time.
-func wait(ctx context.Context, length time.Duration) error {
+// sleep waits for a span of time. It returns the cause if ctx ends before.
+func sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return ctx.Err()
+		return context.Cause(ctx)
 	}
 }
 
@@ -360,7 +360,7 @@
 	return s.last, nil
 }
 
-// Save keeps a number that a refutation raised.
+// Save stores a number that a refutation raised.
 func (s *startCounter) Save(start uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/scale/nodeload.go
+++ b/internal/lab/scale/nodeload.go
@@ -12,7 +12,7 @@
 // placeholderPort is the first port of servers that are listed and never called.
 const placeholderPort = 1
 
-// NodeLoadOptions say what is measured at one node that has no calls.
+// NodeLoadOptions say what is measured at one node without requests.
 type NodeLoadOptions struct {
 	Program      string // the node, from BuildForService
 	SettingsFile string
@@ -25,13 +25,13 @@
 
 // NodeLoadResult is what a node without calls has used.
 type NodeLoadResult struct {
-	Elapsed   time.Duration
-	CPU       time.Duration // meanwhile
-	Usage     Usage         // at the end
-	Traffic   Traffic       // of the list, meanwhile
-	Changes   int           // of the list, meanwhile
-	LogBytes  int64         // written to standard error meanwhile: figures, capture and log
-	WholeList int           // bytes of the list's whole form in JSON
+	Elapsed           time.Duration
+	CPU               time.Duration // meanwhile
+	Usage             Usage         // at the end
+	Traffic           Traffic       // of the list, meanwhile
+	Changes           int           // of the list, meanwhile
+	LogBytes          int64         // written to standard error meanwhile: metrics, capture and log
+	CompleteListBytes int           // of the complete list in JSON
 }
 
 // Core is the share of one core that the node has used.
@@ -80,7 +80,7 @@
 		return result, err
 	}
 	result.CPU, result.Usage, result.LogBytes = after.CPU-before.CPU, after, logAfter-logBefore
-	result.WholeList, err = wholeListBytes(n.Discovery)
+	result.CompleteListBytes, err = completeListBytes(n.Discovery)
 	return result, err
 }
 
@@ -94,7 +94,7 @@
 	return usage, written, err
 }
 
-// changeFor changes a node's list as often as is asked for, for a while, and says how many changes that were.
+// changeFor changes a node's list at a rate for a span of time, and returns how many changes that were.
 func changeFor(ctx context.Context, node *NodeProcess, perMinute float64, length time.Duration) (changes int, err error) {
 	changing, end := context.WithTimeout(ctx, length)
 	defer end()
--- a/internal/lab/scale/nodeload_build.go
+++ b/internal/lab/scale/nodeload_build.go
@@ -17,9 +17,10 @@
 // settingsFile, below the module's root, is the settings file of a node in service.
 const settingsFile = "deploy/hookwalk.hcl"
 
-// deployOutput is where that command puts its programs. A rig has them elsewhere, and needs the node alone.
+// deployOutput begins that command: it makes the folder for all programs. A rig builds the node alone, into another one.
 const deployOutput = "mkdir -p bin && "
 
+// Parts of deploy/balancer.toml: the line of the command, and the end of the command that says what is built.
 var (
 	buildCommand  = regexp.MustCompile(`(?m)^build = "(.*)"$`)
 	outputAndWhat = regexp.MustCompile(`-o bin/ \./cmd/\.\.\.$`)
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -7,31 +7,17 @@
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
-	"time"
 
 	"hookwalk.example/hookwalk/internal/lab/link"
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// heartbeatEvery is the time between two empty lines on a watch, as discovery has it.
-const heartbeatEvery = 2 * time.Second
-
-// headerTimeout bounds the reading of a request's header at a stand-in.
-const headerTimeout = 5 * time.Second
-
-// Health of a server in a list, as discovery writes it.
-const (
-	inService   = "in_service"
-	terminating = "terminating"
-)
-
-// WatchServer is a stand-in for discovery that serves one list to one node and counts the bytes. Package sockets has a
-// stand-in too, which belongs to a whole world with model servers and an auditor; this one is light enough to measure
-// beside, and writes the same form.
+// WatchServer is a stand-in for discovery that serves one list to one node and counts the bytes. Package loopback has a
+// stand-in too, which belongs to a world with model servers and a checker; this one costs little beside what is measured,
+// and writes the same form.
 type WatchServer struct {
-	listener *countingListener
+	listener *segmentListener
 	server   *http.Server
 	serving  sync.WaitGroup
 
@@ -39,7 +25,7 @@
 	version int64
 	hosts   []loopback.Entry
 	changed []int64       // by host: the version that changed it last
-	news    chan struct{} // closed at the next change
+	updated chan struct{} // closed at the next change
 }
 
 // NewWatchServer serves a list of servers, all as they are given, as version 1. Close must follow.
@@ -48,8 +34,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("scale: stand-in for discovery: %w", err)
 	}
-	s := &WatchServer{listener: newCountingListener(ln), version: 1, hosts: slices.Clone(hosts),
-		changed: slices.Repeat([]int64{1}, len(hosts)), news: make(chan struct{})}
+	s := &WatchServer{listener: newSegmentListener(ln), version: 1, hosts: slices.Clone(hosts),
+		changed: slices.Repeat([]int64{1}, len(hosts)), updated: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", s.serve)
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
@@ -73,8 +59,8 @@
 	return err
 }
 
-// Whole is the whole list.
-func (s *WatchServer) Whole() loopback.Roster {
+// CompleteList is the list as it is.
+func (s *WatchServer) CompleteList() loopback.Roster {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return loopback.Roster{Seq: s.version, Whole: true, Hosts: slices.Clone(s.hosts)}
@@ -86,8 +72,8 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.hosts[index].Health, s.changed[index] = health, s.version
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
 // Change makes the next of a series of changes, numbered from 0: a server is taken out of service, the next change puts
@@ -100,8 +86,8 @@
 	s.SetHealth(number/2%len(s.hosts), health)
 }
 
-// since gives the changes after a version, and what is closed at the next change.
-func (s *WatchServer) since(version int64) (loopback.Roster, <-chan struct{}) {
+// changesSince returns the changes after a version; of version 0, and of one that is not known, the complete list.
+func (s *WatchServer) changesSince(version int64) listUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version > s.version {
@@ -113,53 +99,14 @@
 			list.Hosts = append(list.Hosts, host)
 		}
 	}
-	return list, s.news
+	return listUpdate{list: list, version: s.version, updated: s.updated}
 }
 
-// serve answers a call for the whole list, or keeps a watch.
-func (s *WatchServer) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Query().Get("watch") == "" {
-		_ = json.NewEncoder(w).Encode(s.Whole()) // a caller that is gone reads nothing
-		return
-	}
-	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	if err != nil {
-		http.Error(w, "from is no number", http.StatusBadRequest)
-		return
-	}
-	s.follow(w, r, from)
-}
-
-// follow writes the changes after a version, then every change as it comes, and empty lines between, until the caller
-// goes.
-func (s *WatchServer) follow(w http.ResponseWriter, r *http.Request, version int64) {
-	encoder, flusher := json.NewEncoder(w), w.(http.Flusher)
-	heartbeat := time.NewTicker(heartbeatEvery)
-	defer heartbeat.Stop()
-	for first := true; ; first = false {
-		list, news := s.since(version)
-		if first || list.Seq > version {
-			if encoder.Encode(list) != nil {
-				return
-			}
-			flusher.Flush()
-			version = list.Seq
-		}
-		select {
-		case <-news:
-		case <-heartbeat.C:
-			if _, err := w.Write([]byte("\n")); err != nil {
-				return
-			}
-			flusher.Flush()
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
+// serve answers a call for the complete list, or serves a watch.
+func (s *WatchServer) serve(w http.ResponseWriter, r *http.Request) { serveList(w, r, s.changesSince) }
 
-// wholeListBytes is the length of a whole list as it is served.
-func wholeListBytes(s *WatchServer) (int, error) {
-	text, err := json.Marshal(s.Whole())
+// completeListBytes is the length of the complete list as it is served, in bytes.
+func completeListBytes(s *WatchServer) (int, error) {
+	text, err := json.Marshal(s.CompleteList())
 	return len(text) + len("\n"), err
 }
--- a/internal/lab/scale/nodeload_large_test.go
+++ b/internal/lab/scale/nodeload_large_test.go
@@ -15,8 +15,8 @@
 	nodeLoadChanges = []float64{0, 6, 60, 600}
 )
 
-// nodeLoadFigures are fitted against the servers in the list, for each rate of changes, and against the rate.
-var nodeLoadFigures = []struct {
+// nodeLoadMetrics are fitted against the servers in the list, for each rate of changes, and against the rate.
+var nodeLoadMetrics = []struct {
 	name string
 	of   func(r NodeLoadResult) float64
 }{
@@ -84,7 +84,7 @@
 			for run, r := range results[nodeLoadKey{servers, changes}] {
 				table.Add(servers, changes, run+1, 100*r.Core(), kilobytes(r.Usage.RSSBytes), kilobytes(r.Usage.PrivateBytes), r.Usage.Descriptors,
 					r.PerSecond(r.Traffic.PayloadOut+r.Traffic.PayloadIn), r.PerSecond(r.Traffic.Segments), r.PerSecond(r.Traffic.Wire()),
-					r.PerSecond(r.LogBytes), r.Changes, r.WholeList)
+					r.PerSecond(r.LogBytes), r.Changes, r.CompleteListBytes)
 			}
 		}
 	}
@@ -98,29 +98,29 @@
 		for _, servers := range nodeLoadServers {
 			bySize[float64(servers)] = results[nodeLoadKey{servers, changes}]
 		}
-		nodeLoadFits(t, "Lines by servers in the list, at "+Figure(changes)+" changes a minute", bySize)
+		nodeLoadFits(t, "Lines by servers in the list, at "+FormatNumber(changes)+" changes a minute", bySize)
 	}
 	for _, servers := range nodeLoadServers {
 		bySize := map[float64][]NodeLoadResult{}
 		for _, changes := range nodeLoadChanges {
 			bySize[changes] = results[nodeLoadKey{servers, changes}]
 		}
-		nodeLoadFits(t, "Lines by changes a minute, with "+Figure(float64(servers))+" servers", bySize)
+		nodeLoadFits(t, "Lines by changes a minute, with "+FormatNumber(float64(servers))+" servers", bySize)
 	}
 }
 
-// nodeLoadFits prints the line of each figure through the runs of each size.
+// nodeLoadFits prints the line of each metric through the runs of each size.
 func nodeLoadFits(t *testing.T, title string, bySize map[float64][]NodeLoadResult) {
 	t.Helper()
 	table := Table{Title: title, Header: []string{"figure", "line", "most between two runs of a size"}}
-	for _, figure := range nodeLoadFigures {
+	for _, metric := range nodeLoadMetrics {
 		var points []Point
 		var noise float64
 		for _, size := range slices.Sorted(maps.Keys(bySize)) {
-			added := nodeLoadPoints(bySize[size], size, figure.of)
+			added := nodeLoadPoints(bySize[size], size, metric.of)
 			points, noise = append(points, added...), max(noise, spreadOf(added))
 		}
-		addFit(t, &table, figure.name, points, noise)
+		addFit(t, &table, metric.name, points, noise)
 	}
 	table.Print(os.Stdout)
 }
@@ -136,5 +136,5 @@
 // spreadOf is the difference between the largest and the smallest value of points.
 func spreadOf(points []Point) float64 {
 	_, values := split(points)
-	return spread(values)
+	return valueRange(values)
 }
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -19,23 +19,23 @@
 
 // Classes of calls in the rigs.
 const (
-	// ReadClass is of safe calls. One that has no answer long after others would have had theirs is given up and made
-	// again at another server.
+	// ReadClass is of idempotent requests. One without an answer long after others would have had theirs is retried at
+	// another server.
 	ReadClass = "read"
 
-	// WriteClass is of calls that must not be made twice. Each is one attempt, whatever the machine is busy with.
+	// WriteClass is of non-idempotent requests. Each is one attempt, however busy the machine is.
 	WriteClass = "write"
 )
 
-// callDeadline is the time that a call has, and targetMillis the time that its class aims at. Both are long, so that
-// what is measured or counted does not turn on refusals of calls that would be late on a busy machine.
+// Times of a request. Both are long, so that measurements do not depend on the rejection of requests that would be late on
+// a busy machine.
 const (
-	callDeadline = 30 * time.Second
-	targetMillis = 20000
+	callDeadline = 30 * time.Second // as in nodeScenario
+	targetMillis = 20000            // latency objective of both classes in ms, as in nodeScenario
 )
 
-// nodeScenario is the world that a rig's node is configured for: a list that is pushed, and two classes of calls. The
-// servers are the rig's own, so the tier has one only for form.
+// nodeScenario is what a rig's node is configured for: a list that is pushed, and two classes of requests. The servers are
+// the rig's own; the tier has one because a scenario needs one.
 const nodeScenario = `
 scenario "scale" { policy = "deckrelay" }
 tier "servers" {
@@ -72,8 +72,8 @@
 	reloads int
 }
 
-// StartNode starts a node and returns once it is ready. Its list is that of options, known from the start. Stop must
-// follow unless there is an error.
+// StartNode starts a node and returns once it is ready. The list of options is its bootstrap list. Stop must
+// watch unless there is an error.
 func StartNode(ctx context.Context, options NodeOptions) (*NodeProcess, error) {
 	world, err := scenario.Parse("scale", []byte(nodeScenario), nil)
 	if err != nil {
@@ -90,7 +90,7 @@
 		return err
 	}
 	how := loopback.Options{Program: []string{options.Program}, Begin: begin, Dir: options.Folder}
-	node.nodes, err = loopback.NewNodes(ctx, world, how, nodeLists{node.Discovery})
+	node.nodes, err = loopback.NewNodes(ctx, world, how, stubWorld{node.Discovery})
 	if err == nil {
 		err = node.nodes.Start(ctx, 0, nil)
 	}
@@ -114,7 +114,7 @@
 // Usage is what the node's process has used so far.
 func (n *NodeProcess) Usage() (Usage, error) { return ReadUsage(n.process.Pid) }
 
-// Log is what the node has written to its standard error, its figures and capture among it.
+// Log is what the node has written to its standard error, its metrics and capture among it.
 func (n *NodeProcess) Log() ([]byte, error) { return n.nodes.Log(0) }
 
 // LogBytes is the length of Log.
@@ -126,8 +126,8 @@
 	return info.Size(), nil
 }
 
-// Reload gives the node another configuration file and sends SIGHUP. Each differs from the one before in the time that
-// the first class aims at.
+// Reload gives the node another configuration file and sends SIGHUP. Each differs from the one before in the latency
+// objective of the first class.
 func (n *NodeProcess) Reload() error {
 	path := filepath.Join(n.nodes.Folder(), "n0.json")
 	text, err := os.ReadFile(path)
@@ -144,7 +144,7 @@
 	return n.process.Signal(syscall.SIGHUP)
 }
 
-// withTarget is a configuration with another target, in ms, for the first class.
+// withTarget is a configuration with another latency objective, in ms, for the first class.
 func withTarget(configuration []byte, target float64) ([]byte, error) {
 	var file map[string]any
 	if err := json.Unmarshal(configuration, &file); err != nil {
@@ -163,11 +163,11 @@
 	return json.Marshal(file)
 }
 
-// nodeLists tells a node of its stand-in for discovery.
-type nodeLists struct{ discovery *WatchServer }
+// stubWorld gives a node the address and the list of its stand-in for discovery.
+type stubWorld struct{ discovery *WatchServer }
 
 // Discovery is the address of the list.
-func (l nodeLists) Discovery(string) string { return l.discovery.Addr() }
+func (l stubWorld) Discovery(string) string { return l.discovery.Addr() }
 
 // Known is the list that a node starts with.
-func (l nodeLists) Known(string, int) loopback.Roster { return l.discovery.Whole() }
+func (l stubWorld) Known(string, int) loopback.Roster { return l.discovery.CompleteList() }
--- a/internal/lab/scale/nodeload_test.go
+++ b/internal/lab/scale/nodeload_test.go
@@ -4,9 +4,12 @@
 	"os"
 	"testing"
 	"time"
+
+	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// The small form: what a node's list costs on the wire is bounded by its heartbeat and its changes.
+// A node that asked for complete lists, or opened watches again and again, would cost discovery more than docs/CAPACITY.md
+// says: what a list costs on the wire is bounded by its heartbeats and changes.
 func TestNodeLoadSmall(t *testing.T) {
 	t.Parallel()
 	program, settings := nodeProgram(t)
@@ -19,7 +22,7 @@
 		t.Error("the list has not changed")
 	}
 	const bytesPerChange, bytesPerHeartbeat = 400, 6
-	heartbeats := int64(result.Elapsed/heartbeatEvery) + 1
+	heartbeats := int64(result.Elapsed/endpointlease.HeartbeatInterval) + 1
 	if most := int64(result.Changes+1)*bytesPerChange + heartbeats*bytesPerHeartbeat; result.Traffic.PayloadOut > most {
 		t.Errorf("%d bytes for %d changes, at most %d are expected", result.Traffic.PayloadOut, result.Changes, most)
 	}
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// significantDigits is how many digits of a measured figure are printed.
+// significantDigits is how many digits of a measurement are printed.
 const significantDigits = 4
 
 // Table is a table of measurements, printed as Markdown so that it can be copied into a page as it is.
@@ -46,14 +46,16 @@
 	fmt.Fprintln(w)
 }
 
+// printRow prints one line of a table.
 func printRow(w io.Writer, cells []string) {
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
+// text is a cell as it is printed.
 func text(cell any) string {
 	switch v := cell.(type) {
 	case float64:
-		return Figure(v)
+		return FormatNumber(v)
 	case int:
 		return group(strconv.Itoa(v))
 	case int64:
@@ -63,8 +65,8 @@
 	}
 }
 
-// Figure writes a number with four significant digits, thousands grouped by commas.
-func Figure(v float64) string {
+// FormatNumber writes a number with four significant digits, thousands grouped by commas.
+func FormatNumber(v float64) string {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	}
@@ -90,8 +92,8 @@
 	return sign + digits
 }
 
-// Origin says where figures come from: the commit, whether the working copy differs from it, the machine, the time, and
-// the machine's load average of the last minute, which tells whether others were at work.
+// Origin says where measurements come from: the commit, whether the working copy differs from it, the machine, the time, and
+// the machine's load average of the last minute, which shows whether the machine had other work.
 func Origin() string {
 	return fmt.Sprintf("commit %s, %d cores, %s, %s/%s, %s, load average %s",
 		commit(), runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH, time.Now().UTC().Format(time.RFC3339), loadAverage())
--- a/internal/lab/scale/table_test.go
+++ b/internal/lab/scale/table_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func TestFigure(t *testing.T) {
+func TestFormatNumber(t *testing.T) {
 	for v, want := range map[float64]string{
 		0: "0", 1: "1", 0.5: "0.5", 12.3456: "12.35", 999.96: "1,000", 1234567: "1,234,567", -1234.5: "-1,234", 0.00012346: "0.0001235",
 		math.Inf(1): "+Inf",
 	} {
-		if got := Figure(v); got != want {
+		if got := FormatNumber(v); got != want {
 			t.Errorf("%v is printed as %q, want %q", v, got, want)
 		}
 	}
--- a/internal/lab/scale/versions_test.go
+++ b/internal/lab/scale/versions_test.go
@@ -63,8 +63,8 @@
 func checkLeaderKilled(rig *versionsRig) {
 	fault := controllerFault{name: "leader killed", leader: true}
 	round := publishBesideFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
-	if round.settled.Outcome != PublishAccepted {
-		rig.Errorf("a publish that is repeated is %s", round.settled.Outcome)
+	if round.final.Outcome != PublishAccepted {
+		rig.Errorf("a publish that is repeated is %s", round.final.Outcome)
 	}
 }
 
@@ -76,10 +76,10 @@
 func checkRegionCutOff(rig *versionsRig) {
 	const publishes = 2
 	const length = 2 * time.Second
-	cut := newRegionCut(rig, 0)
+	cut := newRegionPartition(rig, 0)
 	cut.set(true)
-	_, attempts := cut.publishDuringCut(publishes, length)
-	cut.checkNothingTaken(attempts, Publication{Version: rig.newest})
+	_, attempts := cut.publishDuringPartition(publishes, length)
+	cut.checkNothingAccepted(attempts, Publication{Version: rig.newest})
 	cut.set(false)
 	rig.await(rig.newest, rig.fleet.Nodes())
 }
@@ -102,7 +102,7 @@
 			rig.Fatal(err)
 		}
 	}
-	if newest := rig.caughtUp(); newest < before {
+	if newest := rig.awaitSameVersion(); newest < before {
 		rig.Errorf("version %d was accepted, the controllers came back with %d", before, newest)
 	}
 	rig.mustPublish(rig.topology.ServiceNames())
--- a/internal/lab/scale/versionsaudit_test.go
+++ b/internal/lab/scale/versionsaudit_test.go
@@ -21,7 +21,7 @@
 
 // applied is a node's observation of a version in force, some time after the start.
 func applied(node string, version configapi.Version, id string, after time.Duration) Observation {
-	return Observation{Node: node, Service: "checkout", Life: 1, Version: version, Outcome: configapi.Applied, InForce: version,
+	return Observation{Node: node, Service: "checkout", Incarnation: 1, Version: version, Outcome: configapi.Applied, InForce: version,
 		ID: id, AtNS: auditStart.Add(after).UnixNano()}
 }
 
@@ -39,34 +39,34 @@
 		newest       configapi.Version
 		want         []Rule
 	}{
-		"all well": {
+		"no violation": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 2)},
 			observations: []Observation{applied("a", 1, "p1", 0), applied("a", 2, "p2", 1), applied("b", 2, "p2", 1)},
 			newest:       2,
 		},
-		"backwards": {
+		"a node rolls back": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 2)},
 			observations: []Observation{applied("a", 2, "p2", 0), applied("a", 1, "p1", 1), applied("a", 2, "p2", 2)},
 			newest:       2,
-			want:         []Rule{RuleBackwards},
+			want:         []Rule{RuleNoRollback},
 		},
 		"an accepted version beyond the log": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 2)},
 			observations: []Observation{applied("a", 1, "p1", 0)},
 			newest:       1,
-			want:         []Rule{RuleLost},
+			want:         []Rule{RuleDurable},
 		},
 		"two accepted publishes with one version": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 1)},
 			observations: []Observation{applied("a", 1, "p2", 0)},
 			newest:       1,
-			want:         []Rule{RuleLost},
+			want:         []Rule{RuleDurable},
 		},
-		"a refused publish in force": {
-			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishRefused)},
+		"a rejected publish in force": {
+			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishRejected)},
 			observations: []Observation{applied("a", 2, "p2", 0)},
 			newest:       2,
-			want:         []Rule{RuleRefusedTaken},
+			want:         []Rule{RuleRejectedNeverApplied},
 		},
 		"an unanswered publish in force": {
 			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishUnknown)},
@@ -77,25 +77,25 @@
 			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishUnknown)},
 			observations: []Observation{applied("a", 1, "p2", 0)},
 			newest:       1,
-			want:         []Rule{RuleWrongContent},
+			want:         []Rule{RuleSameContent},
 		},
 		"settings that nobody published": {
 			publications: []Publication{accepted("p1", 1)},
 			observations: []Observation{applied("a", 1, "p9", 0)},
 			newest:       1,
-			want:         []Rule{RuleWrongContent},
+			want:         []Rule{RuleSameContent},
 		},
 		"the settings of the version before": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 2)},
 			observations: []Observation{applied("a", 2, "p1", 0)},
 			newest:       2,
-			want:         []Rule{RuleWrongContent},
+			want:         []Rule{RuleSameContent},
 		},
 		"a node that lags": {
 			publications: []Publication{accepted("p1", 1), accepted("p2", 2)},
 			observations: []Observation{applied("a", 1, "p1", 0), applied("b", 2, "p2", 0)},
 			newest:       2,
-			want:         []Rule{RuleNotEverywhere},
+			want:         []Rule{RuleConvergence},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,9 +115,9 @@
 
 func TestAuditNamesANodeThatNeverReported(t *testing.T) {
 	audit := NewAudit()
-	audit.Expect("silent", "checkout")
+	audit.Expect("unheard", "checkout")
 	audit.Published(accepted("p1", 1))
-	if got := rules(audit.Violations(1)); !slices.Equal(got, []Rule{RuleNotEverywhere}) {
+	if got := rules(audit.Violations(1)); !slices.Equal(got, []Rule{RuleConvergence}) {
 		t.Errorf("broken rules %q", got)
 	}
 }
@@ -134,28 +134,28 @@
 	}
 }
 
-func TestAuditOfALaterLife(t *testing.T) {
+func TestAuditOfALaterIncarnation(t *testing.T) {
 	for name, tc := range map[string]struct {
-		keptAfter time.Duration
-		back      time.Duration // when the later life begins
-		want      []Rule
+		persistedAfter time.Duration
+		back           time.Duration // when the later incarnation begins
+		want           []Rule
 	}{
 		"without a disk":                  {0, time.Minute, nil},
-		"with a disk":                     {time.Second, 2 * time.Second, []Rule{RuleBackwards}},
+		"with a disk":                     {time.Second, 2 * time.Second, []Rule{RuleNoRollback}},
 		"killed before it was on disk":    {time.Second, time.Second / 2, nil},
-		"killed as soon as it is on disk": {time.Second, time.Second, []Rule{RuleBackwards}},
+		"killed as soon as it is on disk": {time.Second, time.Second, []Rule{RuleNoRollback}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			audit := NewAudit()
-			audit.KeptAfter = tc.keptAfter
+			audit.PersistedAfter = tc.persistedAfter
 			audit.Published(accepted("p1", 1))
 			audit.Published(accepted("p2", 2))
 			audit.Observed(applied("a", 2, "p2", 0))
 			again := applied("a", 1, "p1", tc.back)
-			again.Life = 2
+			again.Incarnation = 2
 			audit.Observed(again)
 			last := applied("a", 2, "p2", tc.back+1)
-			last.Life = 2
+			last.Incarnation = 2
 			audit.Observed(last)
 			if got := rules(audit.Violations(2)); !slices.Equal(got, tc.want) {
 				t.Errorf("broken rules %q, want %q", got, tc.want)
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestAuditHoldsAcknowledgementsAgainstWhatNodesDo(t *testing.T) {
+func TestAuditChecksAcknowledgementsAgainstObservations(t *testing.T) {
 	audit := NewAudit()
 	audit.Published(accepted("p1", 1))
 	audit.Published(accepted("p2", 2))
@@ -177,7 +177,7 @@
 		newer := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 2, LastDecided: held, Applied: applied, Outcome: outcome}
 		return []configapi.ControllerStatus{{Nodes: []configapi.NodeStatus{newer}}, {Nodes: []configapi.NodeStatus{older}}}
 	}
-	if got := audit.Acknowledged(status(2, 1, configapi.Rejected)); len(got) != 0 {
+	if got := audit.CheckAcknowledgements(status(2, 1, configapi.Rejected)); len(got) != 0 {
 		t.Errorf("violations %v", got)
 	}
 	for name, statuses := range map[string][]configapi.ControllerStatus{
@@ -185,7 +185,7 @@
 		"an older version":            status(1, 1, configapi.Applied),
 		"nothing":                     nil,
 	} {
-		if got := rules(audit.Acknowledged(statuses)); !slices.Equal(got, []Rule{RuleAcknowledged}) {
+		if got := rules(audit.CheckAcknowledgements(statuses)); !slices.Equal(got, []Rule{RuleTruthfulAcknowledgement}) {
 			t.Errorf("%s: broken rules %q", name, got)
 		}
 	}
@@ -204,8 +204,8 @@
 	if want := []string{"gone"}; !slices.Equal(missing, want) {
 		t.Errorf("missing %v, want %v", missing, want)
 	}
-	if !audit.Everywhere(1, []string{"early", "late"}) || audit.Everywhere(2, []string{"early", "late"}) {
-		t.Error("Everywhere does not tell version 1 from version 2")
+	if !audit.AnsweredByAll(1, []string{"early", "late"}) || audit.AnsweredByAll(2, []string{"early", "late"}) {
+		t.Error("AnsweredByAll does not tell version 1 from version 2")
 	}
 	if !audit.CameIntoForce("p1") || audit.CameIntoForce("p9") {
 		t.Error("CameIntoForce does not tell p1 from p9")
--- a/internal/lab/scale/versionsbad_test.go
+++ b/internal/lab/scale/versionsbad_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// badEvery is how often a version is bad: a fifth of them.
-const badEvery = 5
+// badInterval is the number of versions of which one is bad.
+const badInterval = 5
 
 // badVersion is a kind of settings that a node must reject, with a class of a name in it where it can have classes.
 type badVersion struct {
@@ -19,25 +19,28 @@
 	settings func(class string) map[string]any
 }
 
+// badVersions are bad in turn.
 var badVersions = []badVersion{
-	{"of another form", func(string) map[string]any { return realSettings("none") }},
+	{"of another form", func(string) map[string]any { return nodeSettings("none") }},
 	{"refused by the checks", func(class string) map[string]any {
-		lanes := lanesOf(lane{Name: class})
-		lanes[1].DeadlineMS = 0
-		return realSettings(lanes)
+		classes := classesWith(classSettings{Name: class})
+		classes[1].DeadlineMS = 0
+		return nodeSettings(classes)
+	}},
+	{"a part is missing", func(class string) map[string]any {
+		return map[string]any{"lanes": classesWith(classSettings{Name: class})}
 	}},
-	{"a part is missing", func(class string) map[string]any { return map[string]any{"lanes": lanesOf(lane{Name: class})} }},
 	{"a class without a server", func(class string) map[string]any {
-		return realSettings(lanesOf(lane{Name: class, OnlyKinds: []string{"nowhere"}}))
+		return nodeSettings(classesWith(classSettings{Name: class, OnlyKinds: []string{"nowhere"}}))
 	}},
 	{"a class that is left with one server", func(class string) map[string]any {
-		lanes := lanesOf(lane{Name: class})
-		lanes[0].OnlyKinds = []string{"a"}
-		return realSettings(lanes)
+		classes := classesWith(classSettings{Name: class})
+		classes[0].OnlyKinds = []string{"a"}
+		return nodeSettings(classes)
 	}},
 }
 
-// versionSequence publishes versions to real nodes and holds what nodes say of each against what they do.
+// versionSequence publishes versions to real nodes and checks what nodes acknowledge of each against what they do.
 type versionSequence struct {
 	*versionNodes
 	publisher *Publisher
@@ -49,7 +52,7 @@
 func (s *versionSequence) publish(number int, bad *badVersion) {
 	s.Helper()
 	class := fmt.Sprintf("class-%d", number)
-	settings := realSettings(lanesOf(lane{Name: class}))
+	settings := nodeSettings(classesWith(classSettings{Name: class}))
 	if bad != nil {
 		settings = bad.settings(class)
 	}
@@ -57,7 +60,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	text, err = json.Marshal(configapi.Document{Services: map[string]configapi.ServiceConfig{realService: {Settings: text}}})
+	text, err = json.Marshal(configapi.Document{Services: map[string]configapi.ServiceConfig{testedService: {Settings: text}}})
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -67,22 +70,22 @@
 	if publication.Outcome != PublishAccepted {
 		s.Fatalf("%s is %s", class, publication.Outcome)
 	}
-	words := s.await(ctx, publication.Version)
+	statuses := s.await(ctx, publication.Version)
 	if bad == nil {
 		s.lastGood = class
 	}
 	for _, node := range s.nodes {
-		s.check(ctx, node, words[node.Name], class, bad)
+		s.check(ctx, node, statuses[node.Name], class, bad)
 	}
 }
 
 // await waits until the controllers have each node's answer for a version.
-func (s *versionSequence) await(ctx context.Context, version configapi.Version) (words map[string]configapi.NodeStatus) {
+func (s *versionSequence) await(ctx context.Context, version configapi.Version) (statuses map[string]configapi.NodeStatus) {
 	s.Helper()
 	err := poll(ctx, func() bool {
-		words = s.words()
+		statuses = s.nodeStatuses()
 		for _, node := range s.nodes {
-			if words[node.Name].LastDecided < version {
+			if statuses[node.Name].LastDecided < version {
 				return false
 			}
 		}
@@ -91,30 +94,31 @@
 	if err != nil {
 		s.Fatalf("version %d is not answered for by all nodes: %v", version, err)
 	}
-	return words
+	return statuses
 }
 
-// check holds a node's answer against what it does with requests.
-func (s *versionSequence) check(ctx context.Context, node *versionNode, word configapi.NodeStatus, class string, bad *badVersion) {
+// check checks a node's acknowledgement against what it does with requests.
+func (s *versionSequence) check(ctx context.Context, node *versionNode, status configapi.NodeStatus, class string, bad *badVersion) {
 	s.Helper()
 	want := configapi.Applied
 	if bad != nil {
 		want = configapi.Rejected
 		s.rejected[bad.name]++
 	}
-	if word.Outcome != want {
-		s.Errorf("%s: %s is %s, want %s (%v)", node.Name, class, word.Outcome, want, word.Rejection)
+	if status.Outcome != want {
+		s.Errorf("%s: %s is %s, want %s (%v)", node.Name, class, status.Outcome, want, status.Rejection)
 	}
-	if word.Outcome == configapi.Rejected && (word.Rejection == nil || word.Rejection.Message == "") {
+	if status.Outcome == configapi.Rejected && (status.Rejection == nil || status.Rejection.Message == "") {
 		s.Errorf("%s rejected %s without a reason", node.Name, class)
 	}
-	s.checkClass(ctx, node, class, word.Outcome == configapi.Applied)
+	s.checkClass(ctx, node, class, status.Outcome == configapi.Applied)
 	s.checkClass(ctx, node, s.lastGood, true)
 }
 
+// checkClass checks by a request whether a node has a class.
 func (s *versionSequence) checkClass(ctx context.Context, node *versionNode, class string, want bool) {
 	s.Helper()
-	known, err := s.knows(ctx, node, class)
+	known, err := s.hasClass(ctx, node, class)
 	if err != nil {
 		s.Errorf("%s: %v", node.Name, err)
 		return
@@ -124,13 +128,13 @@
 	}
 }
 
-// run publishes so many versions, one of each badEvery bad, with the kinds of bad ones in turn.
+// run publishes so many versions, one of each badInterval bad, with the kinds of bad ones in turn.
 func (s *versionSequence) run(versions int) {
 	s.Helper()
 	for number := 1; number <= versions && !s.Failed(); number++ {
 		var bad *badVersion
-		if number%badEvery == 0 {
-			bad = &badVersions[number/badEvery%len(badVersions)]
+		if number%badInterval == 0 {
+			bad = &badVersions[number/badInterval%len(badVersions)]
 		}
 		s.publish(number, bad)
 	}
@@ -187,5 +191,5 @@
 
 // TestRealNodesDoWhatTheyAcknowledge is the small form of TestVersionsBad.
 func TestRealNodesDoWhatTheyAcknowledge(t *testing.T) {
-	newVersionSequence(t, SmallTopology, 2).run(len(badVersions) * badEvery)
+	newVersionSequence(t, SmallTopology, 2).run(len(badVersions) * badInterval)
 }
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -19,13 +19,13 @@
 
 // Timings of a ControlCluster.
 const (
-	// statusTimeout is how long a controller may take to tell its status.
+	// statusTimeout is how long a controller may take to answer with its status.
 	statusTimeout = 2 * time.Second
 	// stopTimeout is how long a controller may take to end after SIGTERM.
 	stopTimeout = 10 * time.Second
 )
 
-// Controller is one controller of a rig, over all of its lives.
+// Controller is one controller of a rig, over all of its incarnations.
 type Controller struct {
 	Name     string
 	Region   string
@@ -33,7 +33,7 @@
 	Address  string // of configapi's calls
 	Raft     string
 	Folder   string            // of its data
-	Via      map[string]string // by address of another controller: where it is dialed instead
+	Via      map[string]string // by address of another controller: at which it is dialed instead
 	settings string            // its settings file
 	log      string
 	command  *exec.Cmd
@@ -59,28 +59,28 @@
 
 	options ClusterOptions
 	release func()
-	relays  map[relayKey][]*link.Link
+	relays  map[regionPair][]*link.Link
 	client  *http.Client
 }
 
-// relayKey is a direction between two regions.
-type relayKey struct{ from, to string }
+// regionPair is a direction between two regions.
+type regionPair struct{ from, to string }
 
 // NewControlCluster writes the settings of all controllers and starts none. Stop must follow, also after an error.
 func NewControlCluster(ctx context.Context, options ClusterOptions) (*ControlCluster, error) {
-	cluster := &ControlCluster{options: options, release: func() {}, relays: map[relayKey][]*link.Link{},
+	cluster := &ControlCluster{options: options, release: func() {}, relays: map[regionPair][]*link.Link{},
 		client: &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	ports, release, err := link.ClaimPorts(ctx)
 	if err != nil {
 		return cluster, err
 	}
 	cluster.release = release
-	addresses, err := freeAddresses(ports, addressesEach*options.Topology.Controllers)
+	addresses, err := freeAddresses(ports, addressesPerController*options.Topology.Controllers)
 	if err != nil {
 		return cluster, err
 	}
 	for number := range options.Topology.Controllers {
-		controller, err := cluster.place(number, addresses[addressesEach*number:])
+		controller, err := cluster.newController(number, addresses[addressesPerController*number:])
 		if err != nil {
 			return cluster, err
 		}
@@ -99,11 +99,11 @@
 	return cluster, nil
 }
 
-// addressesEach is how many addresses a controller has: for configapi's calls and for raft.
-const addressesEach = 2
+// addressesPerController is how many addresses a controller has: for configapi's calls and for raft.
+const addressesPerController = 2
 
-// place deals controllers out to regions in turn, and to the zones of a region in turn.
-func (c *ControlCluster) place(number int, addresses []string) (*Controller, error) {
+// newController is the controller of a number. Regions take turns, and the zones of a region take turns.
+func (c *ControlCluster) newController(number int, addresses []string) (*Controller, error) {
 	topology := c.options.Topology
 	region := number % topology.Regions
 	zone := (number / topology.Regions) % topology.ZonesPerRegion
@@ -128,6 +128,7 @@
 	return addresses, nil
 }
 
+// openRelays opens the relays between controllers of different regions.
 func (c *ControlCluster) openRelays(ports int) error {
 	for _, caller := range c.Controllers {
 		for _, called := range c.Controllers {
@@ -139,7 +140,7 @@
 				if err != nil {
 					return err
 				}
-				key := relayKey{caller.Region, called.Region}
+				key := regionPair{caller.Region, called.Region}
 				c.relays[key] = append(c.relays[key], relay)
 				caller.Via[address] = relay.Addr()
 			}
@@ -148,16 +149,16 @@
 	return nil
 }
 
-// CutRegion cuts the controllers of a region off from those of all others, or ends the cut. Bytes under way are held
-// until then.
-func (c *ControlCluster) CutRegion(region string, off bool) error {
+// SetRegionPartitioned partitions the controllers of a region from those of all others, or ends that. Bytes under way are
+// held until the partition ends.
+func (c *ControlCluster) SetRegionPartitioned(region string, partitioned bool) error {
 	for key, relays := range c.relays {
 		if key.from != region && key.to != region {
 			continue
 		}
 		for _, relay := range relays {
-			if err := relay.Set(link.Fault{Stall: [2]bool{off, off}}); err != nil {
-				return fmt.Errorf("scale: cut of %s: %w", region, err)
+			if err := relay.Set(link.Fault{Stall: [2]bool{partitioned, partitioned}}); err != nil {
+				return fmt.Errorf("scale: partition of %s: %w", region, err)
 			}
 		}
 	}
@@ -173,9 +174,9 @@
 }
 
 // Addresses are those of all controllers but some.
-func (c *ControlCluster) Addresses(but ...*Controller) (addresses []string) {
+func (c *ControlCluster) Addresses(excluded ...*Controller) (addresses []string) {
 	skip := map[string]bool{}
-	for _, controller := range but {
+	for _, controller := range excluded {
 		skip[controller.Address] = true
 	}
 	for _, controller := range c.Controllers {
@@ -213,7 +214,7 @@
 	controller.command, controller.ended = command, ended
 	go func() {
 		defer close(ended)
-		command.Wait() // how it ended stands in its log
+		command.Wait() // its log tells how it ended
 	}()
 	return nil
 }
@@ -236,7 +237,7 @@
 	controller.command = nil
 }
 
-// Stall stops a controller with SIGSTOP; Resume has it go on.
+// Stall stops a controller with SIGSTOP until Resume.
 func (c *ControlCluster) Stall(controller *Controller) error {
 	return controller.command.Process.Signal(syscall.SIGSTOP)
 }
@@ -254,18 +255,19 @@
 // Status asks a controller for its status.
 func (c *ControlCluster) Status(ctx context.Context, controller *Controller) (configapi.ControllerStatus, error) {
 	var status configapi.ControllerStatus
-	err := c.ask(ctx, controller, configapi.PathStatus, &status)
+	err := c.get(ctx, controller, configapi.PathStatus, &status)
 	return status, err
 }
 
 // Load asks a controller for its load.
 func (c *ControlCluster) Load(ctx context.Context, controller *Controller) (configapi.Load, error) {
 	var load configapi.Load
-	err := c.ask(ctx, controller, configapi.PathLoad, &load)
+	err := c.get(ctx, controller, configapi.PathLoad, &load)
 	return load, err
 }
 
-func (c *ControlCluster) ask(ctx context.Context, controller *Controller, path string, into any) error {
+// get reads the JSON that a controller answers at a path.
+func (c *ControlCluster) get(ctx context.Context, controller *Controller, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+controller.Address+path, nil)
 	if err != nil {
 		return err
@@ -304,7 +306,7 @@
 	return statuses
 }
 
-// Leader asks the controllers who leads them. Nil: nobody that more than half of them agree on.
+// Leader asks the controllers who leads them; nil if more than half of them do not agree on one.
 func (c *ControlCluster) Leader(ctx context.Context) *Controller {
 	votes := map[string]int{}
 	for _, status := range c.Statuses(ctx) {
@@ -355,13 +357,14 @@
 	return errors.Join(failures...)
 }
 
+// awaitEnd waits for a controller that was sent SIGTERM, and kills it after stopTimeout.
 func (c *ControlCluster) awaitEnd(controller *Controller) error {
-	late := time.NewTimer(stopTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(stopTimeout)
+	defer timeout.Stop()
 	select {
 	case <-controller.ended:
 		return nil
-	case <-late.C:
+	case <-timeout.C:
 		c.Kill(controller)
 		return fmt.Errorf("scale: %s did not end within %v of SIGTERM", controller.Name, stopTimeout)
 	}
--- a/internal/lab/scale/versionscost_test.go
+++ b/internal/lab/scale/versionscost_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Budgets of a node's control part.
+// Budgets of a node's control session.
 const (
 	budgetCPUPercent = 1.0      // of one core
 	budgetRSS        = 64 << 20 // bytes
@@ -25,23 +25,24 @@
 	nodeWire             float64 // bytes a second, per node
 	nodePrivate          float64 // bytes, per node
 	controllerCPUPercent float64 // of a core, the mean controller
-	controllerCPUMost    float64 // of a core, the busiest controller
+	controllerCPUMax     float64 // of a core, the busiest controller
 	controllerRSS        float64 // bytes, the largest
 	controllerFDs        float64 // the most
 	controllerWire       float64 // bytes a second of its sessions, the mean controller
 }
 
-// meter notes where counters stand.
-type meter struct {
+// usageReading is a reading of all counters.
+type usageReading struct {
 	at          time.Time
 	fleet       Usage
 	traffic     SessionTraffic
 	controllers []Usage
 }
 
-func readMeter(rig *versionsRig) meter {
+// readUsageOf reads the counters of a rig.
+func readUsageOf(rig *versionsRig) usageReading {
 	rig.Helper()
-	m := meter{at: time.Now()}
+	m := usageReading{at: time.Now()}
 	var err error
 	if m.fleet, err = rig.fleet.Usage(); err != nil {
 		rig.Fatal(err)
@@ -59,8 +60,8 @@
 	return m
 }
 
-// cost is what was used between two readings.
-func cost(rig *versionsRig, from, to meter, versions int) controlCost {
+// costBetween is what was used between two readings.
+func costBetween(rig *versionsRig, from, to usageReading, versions int) controlCost {
 	nodes, seconds := float64(rig.topology.Nodes), to.at.Sub(from.at).Seconds()
 	c := controlCost{nodes: rig.topology.Nodes, span: to.at.Sub(from.at), versions: versions}
 	c.nodeCPUPercent = 100 * (to.fleet.CPU - from.fleet.CPU).Seconds() / seconds / nodes
@@ -71,29 +72,29 @@
 	for i, usage := range to.controllers {
 		percent := 100 * (usage.CPU - from.controllers[i].CPU).Seconds() / seconds
 		c.controllerCPUPercent += percent / float64(len(to.controllers))
-		c.controllerCPUMost = max(c.controllerCPUMost, percent)
+		c.controllerCPUMax = max(c.controllerCPUMax, percent)
 		c.controllerRSS = max(c.controllerRSS, float64(usage.RSSBytes))
 		c.controllerFDs = max(c.controllerFDs, float64(usage.Descriptors))
 	}
 	return c
 }
 
-// costAtRest measures a span without changes.
+// costAtRest measures a span without publishes.
 func costAtRest(rig *versionsRig, span time.Duration) controlCost {
-	from := readMeter(rig)
-	rig.within(span)
-	return cost(rig, from, readMeter(rig), 0)
+	from := readUsageOf(rig)
+	rig.sleep(span)
+	return costBetween(rig, from, readUsageOf(rig), 0)
 }
 
 // costUnderChange measures a span in which versions are published at even distances, each for one service in turn.
 func costUnderChange(rig *versionsRig, span time.Duration) controlCost {
 	versions := int(changesPerMinute * span / time.Minute)
-	from := readMeter(rig)
+	from := readUsageOf(rig)
 	for number := range versions {
 		rig.mustPublish([]string{serviceName(number % rig.topology.Services)})
-		rig.within(max(0, time.Until(from.at.Add(span*time.Duration(number+1)/time.Duration(versions)))))
+		rig.sleep(max(0, time.Until(from.at.Add(span*time.Duration(number+1)/time.Duration(versions)))))
 	}
-	return cost(rig, from, readMeter(rig), versions)
+	return costBetween(rig, from, readUsageOf(rig), versions)
 }
 
 // costSizes are the sizes that are measured, the target's for a whole minute.
@@ -114,11 +115,11 @@
 		topology.Nodes = size.nodes
 		t.Run(fmt.Sprint(size.nodes), func(t *testing.T) {
 			rig := newVersionsRig(t, rigOptions{topology: topology, folder: memoryFolder(t)})
-			rig.within(settle)
+			rig.sleep(settle)
 			costs := []controlCost{costAtRest(rig, rest), costUnderChange(rig, size.change)}
 			rig.verify()
 			for _, c := range costs {
-				table.Add(c.nodes, c.versions, c.nodeCPUPercent, c.nodeWire, c.nodePrivate, c.controllerCPUPercent, c.controllerCPUMost,
+				table.Add(c.nodes, c.versions, c.nodeCPUPercent, c.nodeWire, c.nodePrivate, c.controllerCPUPercent, c.controllerCPUMax,
 					c.controllerRSS/(1<<20), c.controllerFDs, c.controllerWire)
 			}
 			changing = append(changing, costs[1])
@@ -148,7 +149,7 @@
 		of   func(controlCost) float64
 	}{
 		{"controller CPU, % of a core, mean", func(c controlCost) float64 { return c.controllerCPUPercent }},
-		{"controller CPU, % of a core, most", func(c controlCost) float64 { return c.controllerCPUMost }},
+		{"controller CPU, % of a core, most", func(c controlCost) float64 { return c.controllerCPUMax }},
 		{"controller RSS, MB", func(c controlCost) float64 { return c.controllerRSS / (1 << 20) }},
 		{"controller descriptors", func(c controlCost) float64 { return c.controllerFDs }},
 		{"controller bytes/s of sessions", func(c controlCost) float64 { return c.controllerWire }},
--- a/internal/lab/scale/versionsdelays.go
+++ b/internal/lab/scale/versionsdelays.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// InForceLimit is how long after the yes to its publish a version may take to be in force everywhere.
+// InForceLimit is how long a version may take from the acceptance of its publish until it is in force everywhere.
 const InForceLimit = 3 * time.Second
 
 // Delays summarizes how long versions took to be in force at nodes.
@@ -22,31 +22,32 @@
 		return Delays{}
 	}
 	sorted := slices.Sorted(slices.Values(delays))
-	return Delays{Count: len(sorted), P50: rank(sorted, 0.50), P99: rank(sorted, 0.99), Max: sorted[len(sorted)-1]}
+	return Delays{Count: len(sorted), P50: nearestRank(sorted, 0.50), P99: nearestRank(sorted, 0.99), Max: sorted[len(sorted)-1]}
 }
 
-func rank(sorted []time.Duration, share float64) time.Duration {
+// nearestRank is the percentile of a share, 0 to 1, by the nearest rank.
+func nearestRank(sorted []time.Duration, share float64) time.Duration {
 	return sorted[int(math.Ceil(share*float64(len(sorted))))-1]
 }
 
 // Milliseconds writes a duration for a table.
 func Milliseconds(d time.Duration) string {
-	return fmt.Sprintf("%s ms", Figure(float64(d)/float64(time.Millisecond)))
+	return fmt.Sprintf("%s ms", FormatNumber(float64(d)/float64(time.Millisecond)))
 }
 
-// MostWithin is the largest number of moments, in ascending nanoseconds, within any span of a length.
-func MostWithin(moments []int64, span time.Duration) (most int) {
+// MaxWithin is the largest number of moments, in ascending nanoseconds, within any span of a length.
+func MaxWithin(moments []int64, span time.Duration) (largest int) {
 	first := 0
 	for last := range moments {
 		for moments[last]-moments[first] >= int64(span) {
 			first++
 		}
-		most = max(most, last-first+1)
+		largest = max(largest, last-first+1)
 	}
-	return most
+	return largest
 }
 
-// Unevenness is how far the share that is furthest from the mean is from it, as a part of the mean.
+// Unevenness is the largest distance of a share from the mean, relative to the mean.
 func Unevenness(shares []int) float64 {
 	total := 0
 	for _, share := range shares {
--- a/internal/lab/scale/versionsdelays_test.go
+++ b/internal/lab/scale/versionsdelays_test.go
@@ -23,13 +23,13 @@
 	}
 }
 
-func TestMostWithin(t *testing.T) {
+func TestMaxWithin(t *testing.T) {
 	ms := int64(time.Millisecond)
 	moments := []int64{0, 50 * ms, 99 * ms, 100 * ms, 149 * ms, 400 * ms}
-	if got := MostWithin(moments, 100*time.Millisecond); got != 4 {
+	if got := MaxWithin(moments, 100*time.Millisecond); got != 4 {
 		t.Errorf("%d within 100 ms, want 4", got)
 	}
-	if got := MostWithin(nil, time.Second); got != 0 {
+	if got := MaxWithin(nil, time.Second); got != 0 {
 		t.Errorf("%d of nothing", got)
 	}
 }
--- a/internal/lab/scale/versionsdisk_test.go
+++ b/internal/lab/scale/versionsdisk_test.go
@@ -31,17 +31,17 @@
 	}
 }
 
-// copyFolder keeps a copy of a controller's data while it does not run.
-func copyFolder(rig *versionsRig, controller *Controller) (kept string) {
+// copyFolder makes a copy of a controller's data while it does not run.
+func copyFolder(rig *versionsRig, controller *Controller) (copied string) {
 	rig.Helper()
-	kept = rig.TempDir()
+	copied = rig.TempDir()
 	rig.cluster.Kill(controller)
-	if err := os.CopyFS(kept, os.DirFS(controller.Folder)); err != nil {
+	if err := os.CopyFS(copied, os.DirFS(controller.Folder)); err != nil {
 		rig.Fatal(err)
 	}
 	rig.start(controller)
-	rig.caughtUp()
-	return kept
+	rig.awaitSameVersion()
+	return copied
 }
 
 // start starts a controller.
@@ -65,18 +65,18 @@
 	return nil
 }
 
-// publishesWithDisks is how many versions are published between two steps.
-const publishesWithDisks = 3
+// publishesPerStep is how many versions are published between two steps.
+const publishesPerStep = 3
 
 // checkEmptiedDisk has a follower, and then the leader, come back with an empty folder.
 func checkEmptiedDisk(rig *versionsRig) {
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		rig.cluster.Kill(victim)
 		replaceFolder(rig, victim, "")
-		publishSome(rig, publishesWithDisks)
+		publishSome(rig, publishesPerStep)
 		rig.start(victim)
-		publishSome(rig, publishesWithDisks)
-		rig.caughtUp()
+		publishSome(rig, publishesPerStep)
+		rig.awaitSameVersion()
 	}
 }
 
@@ -84,13 +84,13 @@
 func checkOldDisk(rig *versionsRig) {
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		old := copyFolder(rig, victim)
-		publishSome(rig, publishesWithDisks)
+		publishSome(rig, publishesPerStep)
 		rig.cluster.Kill(victim)
 		replaceFolder(rig, victim, old)
-		publishSome(rig, publishesWithDisks)
+		publishSome(rig, publishesPerStep)
 		rig.start(victim)
-		publishSome(rig, publishesWithDisks)
-		rig.caughtUp()
+		publishSome(rig, publishesPerStep)
+		rig.awaitSameVersion()
 	}
 }
 
@@ -98,18 +98,20 @@
 // then it comes back with an empty folder.
 func checkCopiedDisk(rig *versionsRig) {
 	source, victim := rig.leader(), rig.follower()
-	kept := copyFolder(rig, source)
+	copied := copyFolder(rig, source)
 	rig.cluster.Kill(victim)
-	replaceFolder(rig, victim, kept)
+	replaceFolder(rig, victim, copied)
 	rig.start(victim)
-	publishSome(rig, publishesWithDisks)
+	publishSome(rig, publishesPerStep)
 	rig.cluster.Kill(victim)
 	replaceFolder(rig, victim, "")
 	rig.start(victim)
-	publishSome(rig, publishesWithDisks)
-	rig.caughtUp()
+	publishSome(rig, publishesPerStep)
+	rig.awaitSameVersion()
 }
 
+// A controller that has lost or mixed up its disk must neither lose an accepted version nor bring back an old one: its
+// folder is emptied, replaced by an older one, and by that of another controller.
 func TestVersionsDisks(t *testing.T) {
 	largeOnly(t)
 	rig := newVersionsRig(t, rigOptions{topology: diskTopology, folder: memoryFolder(t)})
--- a/internal/lab/scale/versionsfault_test.go
+++ b/internal/lab/scale/versionsfault_test.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// The moment of a fault is drawn within a span, relative to the publish.
+// faultSpan is the span within which the moment of a fault is drawn, relative to the publish.
 type faultSpan struct{ earliest, latest time.Duration }
 
 var (
-	// aroundPublish is the span for senders that repeat a publish until it has its yes, as an operator's command does.
+	// aroundPublish is the span for senders that repeat a publish until it is accepted, as an operator's command does.
 	aroundPublish = faultSpan{-1500 * time.Millisecond, 500 * time.Millisecond}
-	// duringPublish is the span for senders that ask once: while the leader works at the publish.
+	// duringPublish is the span for senders that ask once: while the leader handles the publish.
 	duringPublish = faultSpan{-5 * time.Millisecond, 20 * time.Millisecond}
 )
 
+// draw draws a moment within the span.
 func (s faultSpan) draw(random *rand.Rand) time.Duration {
 	return s.earliest + time.Duration(random.Int64N(int64(s.latest-s.earliest)))
 }
 
-// controllerFault is what is done to one controller.
+// controllerFault is a fault of one controller.
 type controllerFault struct {
 	name   string
 	leader bool // else a follower
 	stall  bool // SIGSTOP, else SIGKILL
 }
 
+// begin kills or stalls a controller.
 func (f controllerFault) begin(rig *versionsRig, victim *Controller) {
 	if !f.stall {
 		rig.cluster.Kill(victim)
@@ -39,13 +41,14 @@
 	}
 }
 
+// end starts or resumes it.
 func (f controllerFault) end(rig *versionsRig, victim *Controller) {
 	rig.Helper()
-	recover := rig.cluster.Start
+	restore := rig.cluster.Start
 	if f.stall {
-		recover = rig.cluster.Resume
+		restore = rig.cluster.Resume
 	}
-	if err := recover(victim); err != nil {
+	if err := restore(victim); err != nil {
 		rig.Fatal(err)
 	}
 }
@@ -64,18 +67,18 @@
 	}
 }
 
-// faultRound is what one publish beside a fault came to.
+// faultRound is what became of one publish beside a fault.
 type faultRound struct {
-	offset  time.Duration // of the fault, from the publish
-	first   Publication   // as its sender left it
-	settled Publication   // with further attempts, where that was unknown
-	toYes   time.Duration // from the publish to its yes
-	last    time.Duration // from the yes to in force at the last node
+	offset     time.Duration // of the fault, from the publish
+	first      Publication   // as its sender left it
+	final      Publication   // with further attempts, where that was unknown
+	toAccepted time.Duration // from the publish to its acceptance
+	last       time.Duration // from the acceptance to in force at the last node
 }
 
-// publishBesideFault has one fault at a drawn moment round one publish. A sender that repeats goes on until it has its
-// yes. One that asks once, the leader of before, settles what became of an unknown publish by repeating it with the same
-// ID; what was refused stays so.
+// publishBesideFault injects one fault at a drawn moment around one publish. A sender that repeats goes on until it is
+// accepted. One that asks once, the leader of before, finds out what became of an unknown publish by repeating it with the
+// same ID; what was rejected stays so.
 func publishBesideFault(rig *versionsRig, fault controllerFault, random *rand.Rand, repeats bool) faultRound {
 	rig.Helper()
 	publisher, attempts, span := rig.publisher, 0, aroundPublish
@@ -85,7 +88,7 @@
 	victim := fault.victim(rig, random)
 	round := faultRound{offset: span.draw(random)}
 	services := rig.topology.ServiceNames()
-	request := rig.request(services)
+	request := rig.nextRequest(services)
 	ctx, cancel := context.WithTimeout(rig.Context(), rigTimeout)
 	defer cancel()
 	answered := make(chan Publication, 1)
@@ -93,32 +96,32 @@
 	var sent time.Time
 	if round.offset < 0 {
 		fault.begin(rig, victim)
-		rig.within(-round.offset)
+		rig.sleep(-round.offset)
 		sent = time.Now()
 		go publish()
 	} else {
 		sent = time.Now()
 		go publish()
-		rig.within(round.offset)
+		rig.sleep(round.offset)
 		fault.begin(rig, victim)
 	}
 	round.first = <-answered
-	round.settled = round.first
+	round.final = round.first
 	if round.first.Outcome == PublishUnknown {
-		round.settled = rig.publisher.Publish(ctx, request, services, 0)
+		round.final = rig.publisher.Publish(ctx, request, services, 0)
 	}
-	rig.record(round.settled)
-	if round.settled.Outcome == PublishAccepted {
-		round.toYes = round.settled.Answered.Sub(sent)
-		rig.await(round.settled.Version, rig.fleet.Nodes())
-		round.last = Summarize(rig.delays(round.settled.Version, round.settled.Answered, rig.fleet.Nodes())).Max
+	rig.record(round.final)
+	if round.final.Outcome == PublishAccepted {
+		round.toAccepted = round.final.Answered.Sub(sent)
+		rig.await(round.final.Version, rig.fleet.Nodes())
+		round.last = Summarize(rig.delays(round.final.Version, round.final.Answered, rig.fleet.Nodes())).Max
 	}
 	fault.end(rig, victim)
-	rig.await(rig.caughtUp(), rig.fleet.Nodes())
+	rig.await(rig.awaitSameVersion(), rig.fleet.Nodes())
 	return round
 }
 
-// publishBesideFaults plays so many rounds with senders that repeat, and half as many with senders that ask once.
+// publishBesideFaults runs so many rounds with senders that repeat, and half as many with senders that ask once.
 func publishBesideFaults(rig *versionsRig, fault controllerFault, seed uint64, rounds int) (played []faultRound) {
 	rig.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -138,11 +141,11 @@
 	var last, toYes []time.Duration
 	for _, round := range rounds {
 		yes, inForce := "never", "never"
-		if round.settled.Outcome == PublishAccepted {
-			last, toYes = append(last, round.last), append(toYes, round.toYes)
-			yes, inForce = Milliseconds(round.toYes), Milliseconds(round.last)
+		if round.final.Outcome == PublishAccepted {
+			last, toYes = append(last, round.last), append(toYes, round.toAccepted)
+			yes, inForce = Milliseconds(round.toAccepted), Milliseconds(round.last)
 		}
-		table.Add(Milliseconds(round.offset), round.first.Outcome, round.settled.Outcome, round.settled.Attempts, yes, inForce)
+		table.Add(Milliseconds(round.offset), round.first.Outcome, round.final.Outcome, round.final.Attempts, yes, inForce)
 	}
 	inForce, yes := Summarize(last), Summarize(toYes)
 	table.Add("p50", "", "", "", Milliseconds(yes.P50), Milliseconds(inForce.P50))
@@ -150,7 +153,8 @@
 	return table, inForce.Max
 }
 
-func faultRow(t *testing.T, fault controllerFault) {
+// runFaultRow measures one row of docs/CAPACITY.md: publishes beside one kind of fault.
+func runFaultRow(t *testing.T, fault controllerFault) {
 	largeOnly(t)
 	const rounds = 20
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
@@ -164,17 +168,17 @@
 }
 
 func TestVersionsFollowerKilled(t *testing.T) {
-	faultRow(t, controllerFault{name: "follower killed"})
+	runFaultRow(t, controllerFault{name: "follower killed"})
 }
 
 func TestVersionsFollowerStalled(t *testing.T) {
-	faultRow(t, controllerFault{name: "follower stalled", stall: true})
+	runFaultRow(t, controllerFault{name: "follower stalled", stall: true})
 }
 
 func TestVersionsLeaderKilled(t *testing.T) {
-	faultRow(t, controllerFault{name: "leader killed", leader: true})
+	runFaultRow(t, controllerFault{name: "leader killed", leader: true})
 }
 
 func TestVersionsLeaderStalled(t *testing.T) {
-	faultRow(t, controllerFault{name: "leader stalled", leader: true, stall: true})
+	runFaultRow(t, controllerFault{name: "leader stalled", leader: true, stall: true})
 }
--- a/internal/lab/scale/versionsnode_test.go
+++ b/internal/lab/scale/versionsnode_test.go
@@ -38,22 +38,22 @@
 // versionNode is one real node.
 type versionNode struct {
 	HollowNode
-	off     bool // without a session
-	folder  string
-	command *exec.Cmd
-	ended   chan struct{}
-	listen  string
-	calls   atomic.Int64 // of the load
+	noSession bool // without a session
+	folder    string
+	command   *exec.Cmd
+	ended     chan struct{}
+	listen    string
+	calls     atomic.Int64 // of the load
 }
 
-// realService is the service of all real nodes.
-const realService = "checkout"
+// testedService is the service of all real nodes.
+const testedService = "checkout"
 
 // loadInterval is the time between two calls of the load at each node.
 const loadInterval = 20 * time.Millisecond
 
-// lane is a class in a node's settings.
-type lane struct {
+// classSettings is a class in a node's settings, by the names of the wire.
+type classSettings struct {
 	Name       string   `json:"name"`
 	Effect     string   `json:"effect"`
 	TargetMS   float64  `json:"target-ms"`
@@ -63,19 +63,19 @@
 	OnlyZones  []string `json:"confined-to,omitempty"`
 }
 
-// lanesOf are the lane "read" and further ones, all of the same form.
-func lanesOf(further ...lane) []lane {
-	lanes := []lane{{Name: "read"}}
-	lanes = append(lanes, further...)
-	for i := range lanes {
-		lanes[i].Effect, lanes[i].TargetMS, lanes[i].DeadlineMS, lanes[i].Worth = "read_like", 1000, 2000, 1
+// classesWith are the class "read" and further ones, all of the same form.
+func classesWith(further ...classSettings) []classSettings {
+	classes := []classSettings{{Name: "read"}}
+	classes = append(classes, further...)
+	for i := range classes {
+		classes[i].Effect, classes[i].TargetMS, classes[i].DeadlineMS, classes[i].Worth = "read_like", 1000, 2000, 1
 	}
-	return lanes
+	return classes
 }
 
-// realSettings are settings that a real node can take from its start on. Lanes may be anything, for bad settings.
-func realSettings(lanes any) map[string]any {
-	return map[string]any{"lanes": lanes, "limits": map[string]any{"conn-idle-ms": 30000, "connect-timeout-ms": 1000, "max-attempts": 3,
+// nodeSettings are settings that a real node can take from its start on. Classes may be anything, for bad settings.
+func nodeSettings(classes any) map[string]any {
+	return map[string]any{"lanes": classes, "limits": map[string]any{"conn-idle-ms": 30000, "connect-timeout-ms": 1000, "max-attempts": 3,
 		"max-retry-after-ms": 1000, "retry-after": true}}
 }
 
@@ -97,6 +97,7 @@
 	return v
 }
 
+// startDiscovery serves the list of servers as it is.
 func (v *versionNodes) startDiscovery() {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(v.list)
@@ -110,10 +111,11 @@
 	})
 }
 
-func (v *versionNodes) startNode(number int, off bool) *versionNode {
+// startNode starts the node of a number.
+func (v *versionNodes) startNode(number int, noSession bool) *versionNode {
 	v.Helper()
-	node := &versionNode{HollowNode: TargetTopology.Node(number), off: off, folder: v.TempDir()}
-	node.Service = realService
+	node := &versionNode{HollowNode: TargetTopology.Node(number), noSession: noSession, folder: v.TempDir()}
+	node.Service = testedService
 	v.Cleanup(func() { v.stop(node) })
 	v.launch(node)
 	return node
@@ -123,12 +125,12 @@
 func (v *versionNodes) launch(node *versionNode) {
 	v.Helper()
 	var session string
-	if !node.off {
+	if !node.noSession {
 		session = sessionSettings(node, v.cluster.Endpoints())
 	}
 	settings := v.write(node, "settings.hcl", []byte(session))
 	config, err := json.Marshal(map[string]any{"name": node.Name, "listen": "127.0.0.1:0", "discovery": v.watch, "seed": fmt.Sprintf("%x", 1000+len(v.nodes)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": v.list, "settings": realSettings(lanesOf())})
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": v.list, "settings": nodeSettings(classesWith())})
 	if err != nil {
 		v.Fatal(err)
 	}
@@ -144,7 +146,7 @@
 	}
 	node.ended = make(chan struct{})
 	serving := make(chan string, 1)
-	go node.read(stderr, serving)
+	go node.readLog(stderr, serving)
 	select {
 	case node.listen = <-serving:
 	case <-node.ended:
@@ -155,8 +157,8 @@
 // servingLine is what a node writes when it takes calls.
 var servingLine = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
 
-// read keeps what the node writes in its log, and waits for its end.
-func (n *versionNode) read(stderr io.Reader, serving chan<- string) {
+// readLog writes what the node says to its log file, and waits for its end.
+func (n *versionNode) readLog(stderr io.Reader, serving chan<- string) {
 	defer close(n.ended)
 	log, err := os.OpenFile(filepath.Join(n.folder, "node.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err == nil {
@@ -173,6 +175,7 @@
 	n.command.Wait()
 }
 
+// write writes a file into a node's folder.
 func (v *versionNodes) write(node *versionNode, name string, text []byte) (path string) {
 	v.Helper()
 	path = filepath.Join(node.folder, name)
@@ -182,6 +185,7 @@
 	return path
 }
 
+// stop kills a node that was started.
 func (v *versionNodes) stop(node *versionNode) {
 	if node.ended == nil {
 		return
@@ -190,8 +194,8 @@
 	<-node.ended
 }
 
-// knows asks a node by a request whether a class is one of its classes.
-func (v *versionNodes) knows(ctx context.Context, node *versionNode, class string) (bool, error) {
+// hasClass asks a node by a request whether a class is one of its classes.
+func (v *versionNodes) hasClass(ctx context.Context, node *versionNode, class string) (bool, error) {
 	status, err := v.call(ctx, node, class)
 	if err != nil {
 		return false, err
@@ -199,6 +203,7 @@
 	return status != http.StatusBadRequest, nil
 }
 
+// call sends one request of a class to a node.
 func (v *versionNodes) call(ctx context.Context, node *versionNode, class string) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.listen+"/api", nil)
 	if err != nil {
@@ -216,7 +221,8 @@
 	return response.StatusCode, err
 }
 
-// load calls each node again and again until the context ends, and then returns the calls made and those that failed.
+// load calls each node at a steady rate until the context ends. The results wait for the last call, and return the calls
+// made and those that failed.
 func (v *versionNodes) load(ctx context.Context) (calls, failed func() int64) {
 	var callers sync.WaitGroup
 	var made, lost atomic.Int64
@@ -246,8 +252,8 @@
 	return count(&made), count(&lost)
 }
 
-// words are what the controllers last heard of each node.
-func (v *versionNodes) words() map[string]configapi.NodeStatus {
+// nodeStatuses are what the controllers know of each node.
+func (v *versionNodes) nodeStatuses() map[string]configapi.NodeStatus {
 	return newestNodeStatus(v.cluster.Statuses(v.Context()))
 }
 
--- a/internal/lab/scale/versionsoff_test.go
+++ b/internal/lab/scale/versionsoff_test.go
@@ -63,7 +63,7 @@
 	onBefore, offBefore := meanUsage(t, on), meanUsage(t, off)
 	for number := 1; number <= versions; number++ {
 		sequence.publish(number, nil)
-		if !pause(t.Context(), time.Until(began.Add(span*time.Duration(number)/versions))) {
+		if sleep(t.Context(), time.Until(began.Add(span*time.Duration(number)/versions))) != nil {
 			return
 		}
 	}
--- a/internal/lab/scale/versionspublish.go
+++ b/internal/lab/scale/versionspublish.go
@@ -16,8 +16,8 @@
 const (
 	// attemptTimeout is how long one controller may take to answer a publish.
 	attemptTimeout = 1500 * time.Millisecond
-	// attemptPause is the time between two attempts.
-	attemptPause = 50 * time.Millisecond
+	// retryInterval is the time between two attempts of a publish.
+	retryInterval = 50 * time.Millisecond
 )
 
 // Publisher sends publishes to controllers as an operator's command does, and records what it learns of them.
@@ -33,11 +33,11 @@
 }
 
 // Publish sends a document to one controller after another, with the same ID, until one accepts it or the context
-// ends. At most so many attempts are made; 0: any number.
-func (p *Publisher) Publish(ctx context.Context, request configapi.PublishRequest, services []string, most int) Publication {
-	publication := Publication{ID: request.ID, Services: services, Outcome: PublishRefused}
-	address := p.turn()
-	for most == 0 || publication.Attempts < most {
+// ends. At most maxAttempts are made; 0: any number.
+func (p *Publisher) Publish(ctx context.Context, request configapi.PublishRequest, services []string, maxAttempts int) Publication {
+	publication := Publication{ID: request.ID, Services: services, Outcome: PublishRejected}
+	address := p.nextAddress()
+	for maxAttempts == 0 || publication.Attempts < maxAttempts {
 		outcome, reply, leader := p.attempt(ctx, address, request)
 		publication.Attempts++
 		publication.Answered = time.Now()
@@ -49,38 +49,39 @@
 			publication.Outcome = PublishUnknown
 		}
 		if address = leader; address == "" {
-			address = p.turn()
+			address = p.nextAddress()
 		}
-		if !pause(ctx, attemptPause) {
+		if sleep(ctx, retryInterval) != nil {
 			break
 		}
 	}
 	return publication
 }
 
-func (p *Publisher) turn() (address string) {
+// nextAddress is that of the next controller in turn.
+func (p *Publisher) nextAddress() (address string) {
 	address = p.Addresses[p.next%len(p.Addresses)]
 	p.next++
 	return address
 }
 
-// attempt asks one controller once. What ends without an answer may have been taken.
+// attempt asks one controller once. A call that ends without an answer may have been accepted.
 func (p *Publisher) attempt(ctx context.Context, address string, request configapi.PublishRequest) (PublishOutcome, configapi.PublishReply, string) {
 	var reply configapi.PublishReply
 	body, err := json.Marshal(request)
 	if err != nil {
-		return PublishRefused, reply, ""
+		return PublishRejected, reply, ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+configapi.PathPublish, bytes.NewReader(body))
 	if err != nil {
-		return PublishRefused, reply, ""
+		return PublishRejected, reply, ""
 	}
 	response, err := p.client.Do(call)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return PublishRefused, reply, ""
+		return PublishRejected, reply, ""
 	case err != nil:
 		return PublishUnknown, reply, ""
 	}
@@ -91,31 +92,19 @@
 		}
 		return PublishAccepted, reply, ""
 	}
-	var refusal configapi.Error
-	if json.NewDecoder(response.Body).Decode(&refusal) != nil {
+	var failure configapi.Error
+	if json.NewDecoder(response.Body).Decode(&failure) != nil {
 		return PublishUnknown, reply, ""
 	}
-	return outcomeOf(refusal.Kind), reply, refusal.Leader
+	return outcomeOf(failure.Kind), reply, failure.Leader
 }
 
-// outcomeOf is what a refusal says of the document.
+// outcomeOf is what a controller's error says of the document.
 func outcomeOf(kind configapi.ErrorKind) PublishOutcome {
 	switch kind {
 	case configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited, configapi.ErrorNotLeader, configapi.ErrorNoQuorum:
-		return PublishRefused
+		return PublishRejected
 	default:
 		return PublishUnknown
 	}
 }
-
-// pause waits. False: the context has ended before.
-func pause(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/lab/scale/versionspublish_test.go
+++ b/internal/lab/scale/versionspublish_test.go
@@ -9,17 +9,17 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// scripted is a controller that answers publishes with one kind of refusal after another, "": yes, and hangs up where
-// the kind is hangUp.
-func scripted(t *testing.T, kinds ...configapi.ErrorKind) (address string) {
+// scriptedController is a controller that answers publishes with one kind of error after another; the kind "" accepts, and
+// hangUp closes the connection without an answer. The last kind repeats.
+func scriptedController(t *testing.T, kinds ...configapi.ErrorKind) (address string) {
 	t.Helper()
-	asked := 0
+	answered := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		kind := kinds[min(asked, len(kinds)-1)]
-		asked++
+		kind := kinds[min(answered, len(kinds)-1)]
+		answered++
 		switch kind {
 		case "":
-			json.NewEncoder(w).Encode(configapi.PublishReply{Cluster: "c", Version: configapi.Version(asked)})
+			json.NewEncoder(w).Encode(configapi.PublishReply{Cluster: "c", Version: configapi.Version(answered)})
 		case hangUp:
 			panic(http.ErrAbortHandler)
 		default:
@@ -31,26 +31,29 @@
 	return server.Listener.Addr().String()
 }
 
+// hangUp is no kind of a real controller.
 const hangUp configapi.ErrorKind = "hang up"
 
-func TestPublisherTellsUnknownFromRefused(t *testing.T) {
+// An operator repeats a publish that was rejected with another document: if it was accepted all the same, both come into
+// force. Without an answer the outcome is unknown, and stays so whatever other controllers say later.
+func TestPublisherTellsUnknownFromRejected(t *testing.T) {
 	for name, tc := range map[string]struct {
-		kinds    []configapi.ErrorKind
-		most     int
-		want     PublishOutcome
-		attempts int
+		kinds       []configapi.ErrorKind
+		maxAttempts int
+		want        PublishOutcome
+		attempts    int
 	}{
-		"accepted at once":         {[]configapi.ErrorKind{""}, 0, PublishAccepted, 1},
-		"accepted after a refusal": {[]configapi.ErrorKind{configapi.ErrorNoQuorum, ""}, 0, PublishAccepted, 2},
-		"accepted after no answer": {[]configapi.ErrorKind{hangUp, ""}, 0, PublishAccepted, 2},
-		"refused":                  {[]configapi.ErrorKind{configapi.ErrorNoQuorum, configapi.ErrorNotLeader}, 2, PublishRefused, 2},
-		"no answer":                {[]configapi.ErrorKind{hangUp}, 1, PublishUnknown, 1},
-		"unknown":                  {[]configapi.ErrorKind{configapi.ErrorOutcomeUnknown}, 1, PublishUnknown, 1},
-		"refused after no answer":  {[]configapi.ErrorKind{hangUp, configapi.ErrorNoQuorum}, 2, PublishUnknown, 2},
+		"accepted at once":           {[]configapi.ErrorKind{""}, 0, PublishAccepted, 1},
+		"accepted after a rejection": {[]configapi.ErrorKind{configapi.ErrorNoQuorum, ""}, 0, PublishAccepted, 2},
+		"accepted after no answer":   {[]configapi.ErrorKind{hangUp, ""}, 0, PublishAccepted, 2},
+		"rejected":                   {[]configapi.ErrorKind{configapi.ErrorNoQuorum, configapi.ErrorNotLeader}, 2, PublishRejected, 2},
+		"no answer":                  {[]configapi.ErrorKind{hangUp}, 1, PublishUnknown, 1},
+		"unknown":                    {[]configapi.ErrorKind{configapi.ErrorOutcomeUnknown}, 1, PublishUnknown, 1},
+		"rejected after no answer":   {[]configapi.ErrorKind{hangUp, configapi.ErrorNoQuorum}, 2, PublishUnknown, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			publisher := NewPublisher([]string{scripted(t, tc.kinds...)})
-			got := publisher.Publish(t.Context(), configapi.PublishRequest{ID: "p1", Document: json.RawMessage(`{}`)}, nil, tc.most)
+			publisher := NewPublisher([]string{scriptedController(t, tc.kinds...)})
+			got := publisher.Publish(t.Context(), configapi.PublishRequest{ID: "p1", Document: json.RawMessage(`{}`)}, nil, tc.maxAttempts)
 			if got.Outcome != tc.want || got.Attempts != tc.attempts || got.ID != "p1" {
 				t.Errorf("publication %+v", got)
 			}
@@ -66,7 +69,7 @@
 	address := server.Listener.Addr().String()
 	server.Close()
 	got := NewPublisher([]string{address}).Publish(t.Context(), configapi.PublishRequest{ID: "p1", Document: json.RawMessage(`{}`)}, nil, 1)
-	if got.Outcome != PublishRefused {
+	if got.Outcome != PublishRejected {
 		t.Errorf("a connection that was refused is %s", got.Outcome)
 	}
 }
--- a/internal/lab/scale/versionsrest_test.go
+++ b/internal/lab/scale/versionsrest_test.go
@@ -17,7 +17,7 @@
 		delays := rig.delays(publication.Version, publication.Answered, rig.fleet.Nodes())
 		last = append(last, Summarize(delays).Max)
 		all = append(all, delays...)
-		rig.within(restPause)
+		rig.sleep(restPause)
 	}
 	return last, all
 }
--- a/internal/lab/scale/versionsreturn_test.go
+++ b/internal/lab/scale/versionsreturn_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// arrivalSpan is the span in which the most arrivals are counted.
+// arrivalSpan is the span within which the largest number of arrivals is counted.
 const arrivalSpan = 100 * time.Millisecond
 
-// zonesReturn is what came of zones that were killed and started again at once.
+// zonesReturn is what was measured of zones that were killed and started again at once.
 type zonesReturn struct {
-	nodes     int
-	watches   int
-	mostTotal int // watches opened within arrivalSpan
-	mostOne   int // the same, at one controller
-	inForce   Delays
-	shares    []int
+	nodes    int
+	watches  int
+	maxTotal int // watches opened within arrivalSpan
+	maxOne   int // the same, at one controller
+	inForce  Delays
+	shares   []int
 }
 
 // returnOfZones kills zones, publishes while they are down, starts them again all at once and waits until all of their
@@ -39,6 +39,7 @@
 	return back
 }
 
+// countArrivals counts watches, in total and by controller.
 func (b *zonesReturn) countArrivals(watches []WatchOpened) {
 	var all []int64
 	at := map[string][]int64{}
@@ -47,29 +48,29 @@
 		at[watch.Address] = append(at[watch.Address], watch.AtNS)
 	}
 	b.watches = len(watches)
-	b.mostTotal = MostWithin(all, arrivalSpan)
+	b.maxTotal = MaxWithin(all, arrivalSpan)
 	for _, moments := range at {
-		b.mostOne = max(b.mostOne, MostWithin(moments, arrivalSpan))
+		b.maxOne = max(b.maxOne, MaxWithin(moments, arrivalSpan))
 	}
 }
 
 func TestVersionsZonesReturn(t *testing.T) {
 	largeOnly(t)
-	const settle, looks = 10 * time.Second, 3
+	const settle, readings = 10 * time.Second, 3
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
-	rig.within(settle)
+	rig.sleep(settle)
 	table := &Table{Title: "nodes killed and back at once, with a version published meanwhile: 1,900 nodes, 7 controllers", Header: []string{"nodes",
 		"watches opened", "most in 100 ms", "most in 100 ms at one controller", "start to in force p50", "p99", "most", "sessions at once, and furthest from the mean", "10 s later", "20 s later", "30 s later"}}
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
 		back := returnOfZones(rig, zones)
 		shares := []string{writeShares(back.shares)}
 		var later []int
-		for range looks {
-			rig.within(settle)
+		for range readings {
+			rig.sleep(settle)
 			later = rig.sessions()
 			shares = append(shares, writeShares(later))
 		}
-		table.Add(back.nodes, back.watches, back.mostTotal, back.mostOne, Milliseconds(back.inForce.P50), Milliseconds(back.inForce.P99),
+		table.Add(back.nodes, back.watches, back.maxTotal, back.maxOne, Milliseconds(back.inForce.P50), Milliseconds(back.inForce.P99),
 			Milliseconds(back.inForce.Max), shares[0], shares[1], shares[2], shares[3])
 		if uneven := Unevenness(later); uneven > sharesTolerance {
 			t.Errorf("sessions %v: one share is %.1f%% from the mean", later, 100*uneven)
--- a/internal/lab/scale/versionsrig_test.go
+++ b/internal/lab/scale/versionsrig_test.go
@@ -12,7 +12,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// hollowVariable has the test binary serve hollow nodes.
+// hollowVariable is the environment variable that has the test binary serve hollow nodes.
 const hollowVariable = "HOOKWALK_SCALE_HOLLOW"
 
 // TestHollowProcess is not a test: it is the process of hollow nodes, when a rig runs it.
@@ -116,13 +116,14 @@
 	}
 }
 
-// request is the next publish of a good document for services.
-func (r *versionsRig) request(services []string) configapi.PublishRequest {
+// nextRequest is the next publish of a good document for services.
+func (r *versionsRig) nextRequest(services []string) configapi.PublishRequest {
 	r.Helper()
-	return r.requestOf(services, true)
+	return r.newRequest(services, true)
 }
 
-func (r *versionsRig) requestOf(services []string, good bool) configapi.PublishRequest {
+// newRequest is the next publish of a document, good or unreadable, for services.
+func (r *versionsRig) newRequest(services []string, good bool) configapi.PublishRequest {
 	r.Helper()
 	r.published++
 	id := fmt.Sprintf("publication-%d", r.published)
@@ -133,7 +134,7 @@
 	return configapi.PublishRequest{ID: id, Document: text}
 }
 
-// record notes the end of a publish.
+// record enters the end of a publish in the audit.
 func (r *versionsRig) record(p Publication) Publication {
 	r.fleet.Audit(func(a *Audit) { a.Published(p) })
 	if p.Outcome == PublishAccepted {
@@ -145,17 +146,17 @@
 // mustPublish publishes a good document until it is accepted.
 func (r *versionsRig) mustPublish(services []string) Publication {
 	r.Helper()
-	return r.settle(r.request(services), services)
+	return r.publishUntilAccepted(r.nextRequest(services), services)
 }
 
 // publishBad publishes a document that nodes can't read until it is accepted.
 func (r *versionsRig) publishBad(services []string) Publication {
 	r.Helper()
-	return r.settle(r.requestOf(services, false), nil) // it changes the settings of no service
+	return r.publishUntilAccepted(r.newRequest(services, false), nil) // it changes the settings of no service
 }
 
-// settle publishes until a document is accepted. Services are those whose settings it changes.
-func (r *versionsRig) settle(request configapi.PublishRequest, services []string) Publication {
+// publishUntilAccepted publishes until a document is accepted. Services are those whose settings it changes.
+func (r *versionsRig) publishUntilAccepted(request configapi.PublishRequest, services []string) Publication {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), rigTimeout)
 	defer cancel()
@@ -199,8 +200,8 @@
 	return delays
 }
 
-// caughtUp waits until all controllers have the newest version, and returns its number.
-func (r *versionsRig) caughtUp() (newest configapi.Version) {
+// awaitSameVersion waits until all controllers have the newest version, and returns its number.
+func (r *versionsRig) awaitSameVersion() (newest configapi.Version) {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), rigTimeout)
 	defer cancel()
@@ -226,11 +227,11 @@
 // verify waits until everything is in force and known, and checks the whole audit.
 func (r *versionsRig) verify() {
 	r.Helper()
-	newest := r.caughtUp()
+	newest := r.awaitSameVersion()
 	r.await(newest, r.fleet.Nodes())
 	var violations []Violation
 	r.fleet.Audit(func(a *Audit) { violations = a.Violations(newest) })
-	r.show(violations)
+	r.reportViolations(violations)
 	r.verifyAcknowledgements()
 }
 
@@ -246,18 +247,19 @@
 	err := poll(ctx, func() bool {
 		statuses := r.cluster.Statuses(ctx)
 		if len(statuses) < len(r.cluster.Controllers) {
-			return false // one did not answer in time: the last violations stand
+			return false // one did not answer in time: the violations found last stay
 		}
-		r.fleet.Audit(func(a *Audit) { violations = a.Acknowledged(statuses) })
+		r.fleet.Audit(func(a *Audit) { violations = a.CheckAcknowledgements(statuses) })
 		return len(violations) == 0
 	})
 	if err != nil {
-		r.show(violations)
+		r.reportViolations(violations)
 		r.Errorf("acknowledgements are not those of the nodes after %v", acknowledgedWithin)
 	}
 }
 
-func (r *versionsRig) show(violations []Violation) {
+// reportViolations fails the test with the first violations.
+func (r *versionsRig) reportViolations(violations []Violation) {
 	r.Helper()
 	const shown = 10
 	for _, violation := range violations[:min(shown, len(violations))] {
@@ -282,11 +284,11 @@
 	return shares
 }
 
-// within waits for a span of time in which a rig measures or has a fault go on.
-func (r *versionsRig) within(span time.Duration) {
+// sleep waits for a span of time in which a rig measures, or a fault goes on.
+func (r *versionsRig) sleep(span time.Duration) {
 	r.Helper()
-	if !pause(r.Context(), span) {
-		r.Fatal(context.Cause(r.Context()))
+	if err := sleep(r.Context(), span); err != nil {
+		r.Fatal(err)
 	}
 }
 
--- a/internal/lab/scale/versionssettings.go
+++ b/internal/lab/scale/versionssettings.go
@@ -16,18 +16,19 @@
 	return nil
 }
 
+// settingsOf is the text of a controller's settings file.
 func (c *ControlCluster) settingsOf(self *Controller) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "controllers {\n  folder = %q\n}\n", filepath.Dir(self.Folder))
 	for _, controller := range c.Controllers {
 		fmt.Fprintf(&text, "controller %q {\n  listen = %q\n  raft   = %q\n  region = %q\n  zone   = %q\n  dial   = %q\n}\n", controller.Name,
-			controller.Address, self.dials(controller.Raft), controller.Region, controller.Zone, self.dials(controller.Address))
+			controller.Address, self.dialAddress(controller.Raft), controller.Region, controller.Zone, self.dialAddress(controller.Address))
 	}
 	return text.String()
 }
 
-// dials is where a controller reaches an address of another one.
-func (c *Controller) dials(address string) string {
+// dialAddress is where a controller reaches an address of another one.
+func (c *Controller) dialAddress(address string) string {
 	if relay, ok := c.Via[address]; ok {
 		return relay
 	}
--- a/internal/lab/scale/versionstopology.go
+++ b/internal/lab/scale/versionstopology.go
@@ -30,10 +30,13 @@
 	Zone    string `json:"zone"`
 }
 
+// regionName is the name of a region, counted from 0.
 func regionName(region int) string { return fmt.Sprintf("region-%d", region+1) }
 
+// zoneName is the name of a zone of a region, both counted from 0.
 func zoneName(region, zone int) string { return fmt.Sprintf("region-%d-zone-%d", region+1, zone+1) }
 
+// serviceName is the name of a service, counted from 0.
 func serviceName(service int) string { return fmt.Sprintf("service-%02d", service) }
 
 // Zones is the number of all zones.
@@ -42,7 +45,7 @@
 // RegionOf is the region of a zone, both counted from 0.
 func (t Topology) RegionOf(zone int) int { return zone / t.ZonesPerRegion }
 
-// Node is one node; nodes are dealt out to zones and services in turn.
+// Node is the node of a number; zones take turns, and services take turns in each zone.
 func (t Topology) Node(number int) HollowNode {
 	zone := number % t.Zones()
 	region := t.RegionOf(zone)
