--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -23,14 +23,14 @@
 )
 
 func testHeader() Header {
-	return Header{Overlap: 100 * ms,
+	return Header{ObservationLag: 100 * ms,
 		Rules:   scenario.Rules{MaxAttempts: 3, DrainGrace: 250 * ms, OverloadMultiple: 3, OverloadWindow: time.Second, Slack: 50 * ms},
 		Classes: []scenario.Class{{Name: "block-view", Effect: balancer.Idempotent}, {Name: "bin-weighin", Effect: balancer.NonIdempotent}},
 		Kinds:   map[string]scenario.ServerKind{"s1": {Cores: 1, Speed: 1, WarmupStartShare: 0.3, WarmupDuration: 10 * time.Second}},
 		Means:   map[string]time.Duration{"s1": 20 * ms}}
 }
 
-// initialEvents is how every small history begins: node n knows two servers.
+// initialEvents are the beginning of every small history: node n knows two servers.
 var initialEvents = []Event{{Kind: NodeStarted, Node: "n"}, {Kind: EndpointNotified, Node: "n", Server: "s1", Ready: true}, {Kind: EndpointNotified, Node: "n", Server: "s2", Ready: true}}
 
 func history(events ...Event) []Event {
@@ -66,7 +66,7 @@
 }
 func body(status int) string { return map[int]string{200: "picked"}[status] }
 
-// attempts are n of them that the servers answered 500, one after another, and the answer to the client.
+// attempts are n attempts that the servers answered 500, one after another, and the answer to the client.
 func attempts(n int) (list []Event) {
 	list = append(list, requestSent(1000*ms, safe))
 	for i := range n {
@@ -77,9 +77,9 @@
 	return append(list, answerReceived(1200*ms, 502))
 }
 
-// warmupArrivals is n requests of 20 ms, the mean, for a server that may get 45 of them in the second after its start, of which so
-// many come from a node that was not told of it.
-func warmupArrivals(n, untold int) (list []Event) {
+// warmupArrivals are n requests of 20 ms, the mean, to a server that may get 45 of them in the second after its start. The
+// first unnotified of them come from a node that was not notified of the start.
+func warmupArrivals(n, unnotified int) (list []Event) {
 	list = append(list, Event{At: 4000 * ms, Kind: NodeStarted, Node: "m"}, Event{At: 4000 * ms, Kind: EndpointNotified, Node: "m", Server: "s1", Ready: true},
 		Event{At: 5000 * ms, Kind: ServerStarted, Server: "s1"}, Event{At: 5005 * ms, Kind: EndpointNotified, Server: "s1", Ready: true})
 	for i := range n {
@@ -88,7 +88,7 @@
 			if e.ID = id; e.Kind == AttemptArrived {
 				e.Work = 20 * ms
 			}
-			if i < untold {
+			if i < unnotified {
 				e.Node = "m"
 			}
 			list = append(list, e)
@@ -97,7 +97,8 @@
 	return list
 }
 
-// Each rule rejects a history that breaks it, by that rule alone, and accepts one that stays a step inside.
+// A rule that rejects nothing, or that rejects what is allowed, makes every play of the lab worthless: each rule rejects a
+// history that breaks it, by that rule alone, and accepts one that stays a step inside.
 func TestEachRuleHasItsHistory(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rule          checker.Rule
@@ -122,10 +123,10 @@
 		"sent again after a time-out": {checker.NoSecondRun,
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 502)},
 			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 503)}},
-		"refused after a run": {checker.SafeRejection,
+		"rejected after a run": {checker.SafeRejection,
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), answerReceived(1120*ms, 503)},
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), answerReceived(1120*ms, 429)}},
-		"refused while out": {checker.SafeRejection,
+		"rejected while out": {checker.SafeRejection,
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 429), attemptCanceled(1130*ms, "s1")},
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 502), attemptCanceled(1130*ms, "s1")}},
 		"two out": {checker.OneAttempt,
@@ -135,17 +136,17 @@
 		"after a drain": {checker.DrainGrace,
 			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2301*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)},
 			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2300*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)}},
-		"after a word by hand": {checker.AdminOverride,
+		"after a confirmed override": {checker.AdminOverride,
 			[]Event{overridden(1000*ms, false), {At: 1900 * ms, Kind: EndpointNotified, Server: "s1", Ready: true}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
 			[]Event{overridden(1000*ms, false), overridden(1100*ms, false), overridden(1900*ms, true), requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)}},
-		"by hand, over an upgrade": {checker.AdminOverride,
+		"after an override, over an upgrade": {checker.AdminOverride,
 			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
 			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s2"), attemptAnswered(2110*ms, "s2", 200), answerReceived(2110*ms, 200)}},
 		"lost in an upgrade": {checker.InTime,
 			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}},
 			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, answerReceived(1300*ms, 503)}},
-		"pushed over":                   {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
-		"pushed over by those who knew": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
+		"overloaded":                   {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
+		"overloaded by those who knew": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
 		"lost on SIGTERM": {checker.NothingLost,
 			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, {At: 1200 * ms, Kind: NodeExited}},
 			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, answerReceived(1150*ms, 502), {At: 1200 * ms, Kind: NodeExited}}},
@@ -201,12 +202,12 @@
 				events[i].Status = 503
 			}
 		}
-		refused := false
+		rejected := false
 		for _, v := range Check(h, events) {
-			refused = refused || v.Rule == checker.SafeRejection
+			rejected = rejected || v.Rule == checker.SafeRejection
 		}
-		if !refused {
-			t.Errorf("%s: every answer turned into a refusal, and accepted", name)
+		if !rejected {
+			t.Errorf("%s: every answer turned into a rejection, and accepted", name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/blackbox/events.go
@@ -0,0 +1,72 @@
+// Package blackbox holds a recorded history to the promises of a node by what can be seen without looking into a node:
+// what clients sent and received, what servers received and answered, what discovery wrote, and the signals that processes
+// got. It feeds package checker.
+//
+// Two of the checker's facts are known only to a node itself in virtual time: that it sends an attempt, and the outcome as
+// the node sees it. Here an attempt is what reached a server, and its outcome is what that server did or saw. Two checks
+// are added: a warming server's load is computed from what reached it, and an answer is compared with what servers
+// answered for its request.
+package blackbox
+
+import "time"
+
+// Kinds of events, with the words that histories hold.
+const (
+	NodeStarted        = "start" // a node's process begins, knowing nothing but what it is notified of from here on
+	NodeKilled         = "kill"  // it is ended from outside, at once
+	NodeTerminating    = "term"  // it is asked to end
+	NodeExited         = "exit"  // it has ended by itself
+	EndpointNotified   = "told"  // discovery has written to the node, or the node counts as notified, whether a server is ready
+	RequestSent        = "ask"   // a client has written the last byte of a request
+	AnswerReceived     = "got"   // a client has the last byte of an answer
+	ConnectionCut      = "cut"   // a client's connection ended without a complete answer
+	ClientLeft         = "left"  // a client has closed its connection
+	AttemptArrived     = "reach" // a server has the last byte of a request
+	AttemptAnswered    = "reply" // it has answered it
+	AttemptBroken      = "broke" // it has ended the connection without an answer, or its process died
+	AttemptCanceled    = "given" // it saw the node close the connection
+	ServerStarted      = "boot"  // a server's process has started, to warm up
+	SuccessorReady     = "heir"  // the successor of the node's process is ready, and takes over when this one exits
+	EndpointOverridden = "hand"  // the node has confirmed an operator's call that disables a server, or enables it if Ready
+	HistoryEnded       = "end"   // nothing is recorded after
+)
+
+// Kinds of events of worlds whose parts are processes of their own.
+const (
+	ServerDied     = "down"   // a server's process has died, with all attempts that were out at it
+	ProcessStopped = "stall"  // a node's or a server's process is stopped, and its machine goes on
+	ProcessResumed = "resume" // and runs again
+	WatchMuted     = "deaf"   // what discovery writes to the node, on one of its watches or on all, does not arrive from now on; Ready: the end of the watch will be seen
+	WatchUnmuted   = "hears"  // and from now on it does. Ready: on the same connection; otherwise the node gave that one up Duration ago
+	LinkHeld       = "hold"   // what goes between the node and the server is held up
+	LinkReleased   = "free"   // and arrives, what was held first
+	ClientsMuted   = "mute"   // what goes between clients and the node is held up
+	ClientsUnmuted = "speak"  // and arrives
+	ClientsReset   = "sever"  // connections between clients and the node are reset, by neither side
+)
+
+// Kinds of events that only reports use; no rule is about them.
+const (
+	ConnectionOpened = "conn" // a connection has come up at a server
+	DiscoveryCalled  = "call" // a node has called discovery
+	TryRejected      = "away" // a client's try was rejected
+	RequestBegun     = "wish" // a client's first try
+	ProcessLate      = "late" // a process of the rig was late by Duration: the machine is too slow, or the process was stopped
+	RequestEnded     = "over" // a client's request ended Duration after its first try; Ready: it was served
+)
+
+// Event is something that was seen. Which fields matter depends on its kind.
+type Event struct {
+	At       time.Duration `json:"at"`
+	Kind     string        `json:"what"`
+	Node     string        `json:"node,omitempty"` // an incarnation of a node
+	ID       string        `json:"id,omitempty"`   // of a request, or of a watch
+	Server   string        `json:"server,omitempty"`
+	Ready    bool          `json:"ready,omitempty"`  // see the kinds; of ConnectionCut: the connection had carried a request before
+	Class    int           `json:"class,omitempty"`  // of RequestSent
+	Duration time.Duration `json:"budget,omitempty"` // of RequestSent: until the deadline; else see the kinds
+	Work     time.Duration `json:"work,omitempty"`   // of AttemptArrived
+	Status   int           `json:"status,omitempty"` // of AnswerReceived and AttemptAnswered
+	NeverRan bool          `json:"never,omitempty"`  // of AttemptAnswered: the server rejected it
+	Body     string        `json:"body,omitempty"`   // of AnswerReceived and AttemptAnswered: tells one answer from another; "": not recorded
+}
--- a/internal/lab/blackbox/fault_test.go
+++ b/internal/lab/blackbox/fault_test.go
@@ -27,8 +27,9 @@
 }
 func concat(parts ...[]Event) []Event { return slices.Concat(parts...) }
 
-// A rule that is broken beside a fault is rejected all the same; what the fault alone explains is not.
-func TestRulesBesideFaults(t *testing.T) {
+// A fault must not hide a broken rule, nor be taken for one: a rule that is broken during a fault is reported all the same,
+// and what the fault alone explains is not.
+func TestRulesDuringFaults(t *testing.T) {
 	late := []Event{requestSent(1000*ms, safe), attemptArrived(1010*ms, "s1")}
 	for name, tc := range map[string]struct {
 		rule          checker.Rule
@@ -43,44 +44,44 @@
 		"stopped for longer than its client listens": {checker.InTime,
 			concat(late, []Event{nodeEvent(1100*ms, ProcessStopped), nodeEvent(2499*ms, ProcessResumed)}),
 			concat(late, []Event{nodeEvent(1100*ms, ProcessStopped), nodeEvent(2500*ms, ProcessResumed)})},
-		"asked before a stop, not in it": {checker.InTime,
+		"sent before a stop, not during it": {checker.InTime,
 			[]Event{requestSent(1000*ms, safe), nodeEvent(1001*ms, ProcessStopped), nodeEvent(1500*ms, ProcessResumed)},
 			[]Event{nodeEvent(999*ms, ProcessStopped), requestSent(1000*ms, safe), nodeEvent(1500*ms, ProcessResumed)}},
 		"an answer to a connection that was reset": {checker.OneAnswer,
 			concat(late, []Event{nodeEvent(1100*ms, ClientsReset)}, served(1200*ms), []Event{answerReceived(1250*ms, 200)}),
 			concat(late, []Event{nodeEvent(1100*ms, ClientsReset)}, served(1200*ms))},
-		"sent on after a drain that it was told in a stop": {checker.DrainGrace,
+		"sent after a drain that it was notified of during a stop": {checker.DrainGrace,
 			concat([]Event{nodeEvent(500*ms, ProcessStopped), notified(600*ms, false), nodeEvent(1000*ms, ProcessResumed), requestSent(1200*ms, safe), attemptArrived(1301*ms, "s1")}, served(1310*ms)),
 			concat([]Event{nodeEvent(500*ms, ProcessStopped), notified(600*ms, false), nodeEvent(1000*ms, ProcessResumed), requestSent(1200*ms, safe), attemptArrived(1300*ms, "s1")}, served(1310*ms))},
-		"sent on after a drain that reached it at last": {checker.DrainGrace,
+		"sent after a drain whose notification was held up": {checker.DrainGrace,
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(1000*ms, true), requestSent(1200*ms, safe), attemptArrived(1301*ms, "s1")}, served(1310*ms)),
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(1000*ms, true), requestSent(1200*ms, safe), attemptArrived(1300*ms, "s1")}, served(1310*ms))},
-		"sent on over 6 s after a watch fell silent that it still has": {checker.DrainGrace,
+		"sent over 6 s after a watch was muted that it still has": {checker.DrainGrace,
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), requestSent(6700*ms, safe), attemptArrived(6801*ms, "s1")}, served(6810*ms), []Event{unmuted(9000*ms, true)}),
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), requestSent(6700*ms, safe), attemptArrived(6800*ms, "s1")}, served(6810*ms), []Event{unmuted(9000*ms, true)})},
-		"sent on long after a drain on a watch that it gave up, and asked nobody": {checker.DrainGrace,
+		"sent long after a drain on a watch that it gave up, and did not poll": {checker.DrainGrace,
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(9000*ms, false), requestSent(15200*ms, safe), attemptArrived(15301*ms, "s1")}, served(15310*ms)),
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(9000*ms, false), requestSent(15200*ms, safe), attemptArrived(15300*ms, "s1")}, served(15310*ms))},
-		"sent on long after a drain on a watch that it gave up in time, at a discovery that took calls again only later": {checker.DrainGrace,
+		"sent long after a drain on a watch that it gave up in time, with a discovery that answered polls only later": {checker.DrainGrace,
 			concat([]Event{watchMuted(500 * ms), notified(600*ms, false), watchAbandoned(9000*ms, 6000*ms), requestSent(15200*ms, safe), attemptArrived(15301*ms, "s1")}, served(15310*ms)),
 			concat([]Event{watchMuted(500 * ms), notified(600*ms, false), watchAbandoned(9000*ms, 6000*ms), requestSent(15200*ms, safe), attemptArrived(15300*ms, "s1")}, served(15310*ms))},
-		"sent on after a drain on a watch that it gave up too late, at the same": {checker.DrainGrace,
+		"sent after a drain on a watch that it gave up too late, with the same": {checker.DrainGrace,
 			concat([]Event{watchMuted(500 * ms), notified(600*ms, false), requestSent(6700*ms, safe), attemptArrived(6801*ms, "s1")}, served(6810*ms), []Event{watchAbandoned(9000*ms, 2000*ms)}),
 			concat([]Event{watchMuted(500 * ms), notified(600*ms, false), requestSent(6700*ms, safe), attemptArrived(6800*ms, "s1")}, served(6810*ms), []Event{watchAbandoned(9000*ms, 2000*ms)})},
-		"sent on after the next watch told it what the one before had not": {checker.DrainGrace,
+		"sent after the next watch notified it of what the one before had not": {checker.DrainGrace,
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(1000*ms, false), notified(2000*ms, false), requestSent(2200*ms, safe), attemptArrived(2301*ms, "s1")}, served(2310*ms)),
 			concat([]Event{nodeEvent(500*ms, WatchMuted), notified(600*ms, false), unmuted(1000*ms, false), notified(2000*ms, false), requestSent(2200*ms, safe), attemptArrived(2300*ms, "s1")}, served(2310*ms))},
-		"sent again though a dead box may have run it": {checker.NoSecondRun,
+		"sent again though a dead server may have run it": {checker.NoSecondRun,
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1010*ms, "s1"), serverEvent(1100*ms, ServerDied), attemptArrived(1110*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)},
 			[]Event{requestSent(1000*ms, safe), attemptArrived(1010*ms, "s1"), serverEvent(1100*ms, ServerDied), attemptArrived(1110*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)}},
-		"sent again though a stopped box may run it yet": {checker.NoSecondRun,
+		"sent again though a stopped server may run it yet": {checker.NoSecondRun,
 			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1010*ms, "s1"), serverEvent(1100*ms, ProcessStopped), attemptArrived(1110*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)},
 			[]Event{requestSent(1000*ms, safe), attemptArrived(1010*ms, "s1"), serverEvent(1100*ms, ProcessStopped), attemptArrived(1110*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200),
 				serverEvent(1500*ms, ProcessResumed)}},
 		"sent to two, and one is stopped": {checker.NoSecondRun,
 			[]Event{requestSent(1000*ms, unsafe), serverEvent(1000*ms, ProcessStopped), attemptArrived(1010*ms, "s2"), answerReceived(1100*ms, 502), attemptAnswered(1105*ms, "s2", 500), serverEvent(1150*ms, ProcessResumed), attemptArrived(1160*ms, "s1")},
 			[]Event{requestSent(1000*ms, unsafe), serverEvent(1000*ms, ProcessStopped), attemptArrived(1010*ms, "s2"), attemptAnswered(1050*ms, "s2", 503), serverEvent(1100*ms, ProcessResumed), attemptArrived(1110*ms, "s1"), answerReceived(1150*ms, 502)}},
-		"refused after a box that was stopped had it": {checker.SafeRejection,
+		"rejected after a server that was stopped had it": {checker.SafeRejection,
 			[]Event{requestSent(1000*ms, unsafe), serverEvent(1000*ms, ProcessStopped), serverEvent(1100*ms, ProcessResumed), attemptArrived(1110*ms, "s1"), attemptAnswered(1120*ms, "s1", 500), answerReceived(1150*ms, 503)},
 			[]Event{requestSent(1000*ms, unsafe), serverEvent(1000*ms, ProcessStopped), serverEvent(1100*ms, ProcessResumed), attemptArrived(1110*ms, "s1"), attemptAnswered(1120*ms, "s1", 503), answerReceived(1150*ms, 503)}},
 		"sent after the answer, and nothing was held up by then": {checker.OneAnswer,
@@ -92,7 +93,7 @@
 		"held up on the way to the client, and late by more": {checker.InTime,
 			concat(late, []Event{nodeEvent(1100*ms, ClientsMuted), nodeEvent(2000*ms, ClientsUnmuted)}, served(3151*ms)),
 			concat(late, []Event{nodeEvent(1100*ms, ClientsMuted), nodeEvent(2000*ms, ClientsUnmuted)}, served(3150*ms))},
-		"cut after a box had it": {checker.NothingLost,
+		"cut after a server had it": {checker.NothingLost,
 			[]Event{requestSent(1000*ms, safe), attemptArrived(1010*ms, "s1"), connectionCut(1100*ms, true), attemptCanceled(1110*ms, "s1")},
 			[]Event{requestSent(1000*ms, safe), connectionCut(1100*ms, true)}},
 		"cut on a fresh connection": {checker.NothingLost,
@@ -118,7 +119,8 @@
 	}
 }
 
-// Histories of several processes become one, by time; the last line of a killed process may end anywhere.
+// Histories of several processes become one, by time. A killed process leaves half a line behind, which must not cost the
+// rest of its history.
 func TestMerge(t *testing.T) {
 	events, err := Merge(strings.NewReader(`{"at":5,"what":"start"}`+"\n"+`{"at":9,"what":"kill"}`+"\n"),
 		strings.NewReader(`{"at":5,"what":"told"}`+"\n"+`{"at":7,"what":"ask"}`+"\n"+`{"at":8,"wha`))
--- /dev/null
+++ b/internal/lab/checker/attempt.go
@@ -0,0 +1,133 @@
+package checker
+
+import (
+	"time"
+
+	"hookwalk.example/hookwalk/balancer"
+)
+
+// AttemptSent is an attempt that leaves a node.
+func (c *Checker) AttemptSent(now time.Duration, node, id, server string) {
+	n, r := c.find(node, id)
+	if n == nil {
+		return
+	}
+	c.checkServer(now, n, node, id, server)
+	if r == nil {
+		c.report(OneAnswer, now, node, id, server, "sent for no open request")
+		return
+	}
+	if r.answered && now > r.answeredAt+c.ObservationLag {
+		c.report(OneAnswer, now, node, id, server, "sent after the final answer")
+	}
+	if r.attemptsOut > 0 {
+		r.overlaps = append(r.overlaps, overlap{now, server})
+		c.reportOverlaps(now, node, id, r)
+	}
+	if len(r.attempts) >= c.rules.MaxAttempts {
+		c.report(AttemptLimit, now, node, id, server, "attempt %d of %d", len(r.attempts)+1, c.rules.MaxAttempts)
+	}
+	if earlier, ok := c.mayRunTwice(now, r); ok {
+		c.report(NoSecondRun, now, node, id, server, "sent again though %s may have run it", earlier)
+	}
+	r.attempts = append(r.attempts, attempt{sentAt: now, server: server})
+	r.attemptsOut++
+}
+
+// checkServer checks that a node may send to a server.
+func (c *Checker) checkServer(now time.Duration, n *node, node, id, server string) {
+	grace := c.rules.DrainGrace + c.rules.Slack
+	if state, known := n.endpoints[server]; !known {
+		c.report(KnownServer, now, node, id, server, "the node was never notified of it")
+	} else if !state.ready && now > state.since+grace {
+		c.report(DrainGrace, now, node, id, server, "sent %.0f ms after the node was notified that it drains or is removed", (now-state.since).Seconds()*1000)
+	}
+	if since, disabled := n.overridden[server]; disabled && now > since+grace {
+		c.report(AdminOverride, now, node, id, server, "sent %.0f ms after an operator disabled it", (now-since).Seconds()*1000)
+	}
+}
+
+// mayRunTwice says that sending a request now may run it a second time though its class does not allow that, and where the
+// first run may have been.
+func (c *Checker) mayRunTwice(now time.Duration, r *request) (server string, ok bool) {
+	class := c.classes[r.class]
+	for _, t := range r.attempts {
+		windowOver := class.Effect == balancer.IdempotentWithKey && now > t.sentAt+class.DedupWindow
+		if !t.neverRan && (class.Effect == balancer.NonIdempotent || windowOver) {
+			return t.server, true
+		}
+	}
+	return "", false
+}
+
+// reportOverlaps reports the attempts that were sent while an earlier one stayed out for longer than it takes to notice.
+func (c *Checker) reportOverlaps(now time.Duration, node, id string, r *request) {
+	for len(r.overlaps) > 0 && now-r.overlaps[0].at >= c.ObservationLag {
+		c.report(OneAttempt, r.overlaps[0].at, node, id, r.overlaps[0].server, "another attempt is out")
+		r.overlaps = r.overlaps[1:]
+	}
+}
+
+// SentUnobserved is an attempt that reached a stopped server at some time. It may have run, and counts as one, but neither
+// when it came nor whether it is still out is known.
+func (c *Checker) SentUnobserved(now time.Duration, node, id, server string) {
+	n, r := c.find(node, id)
+	if r == nil {
+		return
+	}
+	if _, known := n.endpoints[server]; !known {
+		c.report(KnownServer, now, node, id, server, "the node was never notified of it")
+	}
+	for _, t := range r.attempts { // whichever of the two came first: it may have run when the other was sent
+		if !t.neverRan && c.nonIdempotent(r) {
+			c.report(NoSecondRun, now, node, id, server, "sent here and to %s, and each may have run it", t.server)
+			break
+		}
+	}
+	r.attempts = append(r.attempts, attempt{sentAt: now, server: server, unobserved: true})
+	if len(r.attempts) > c.rules.MaxAttempts {
+		c.report(AttemptLimit, now, node, id, server, "attempt %d of %d", len(r.attempts), c.rules.MaxAttempts)
+	}
+}
+
+// AttemptUnobserved says of an attempt that nobody can see whether it is still out.
+func (c *Checker) AttemptUnobserved(now time.Duration, node, id string, number int) {
+	n, r := c.find(node, id)
+	if r == nil || number >= len(r.attempts) || r.attempts[number].ended || r.attempts[number].unobserved {
+		return
+	}
+	r.attempts[number].unobserved = true
+	r.attemptsOut--
+	c.forgetIfOver(now, n, id, r)
+}
+
+// AttemptExecuted is a server that has really begun to work on a request.
+func (c *Checker) AttemptExecuted(now time.Duration, node, id, server string) {
+	_, r := c.find(node, id)
+	if r == nil {
+		return
+	}
+	if r.executions++; r.executions > 1 && c.nonIdempotent(r) {
+		c.report(NoSecondRun, now, node, id, server, "run %d of a request that must run once", r.executions)
+	}
+}
+
+// AttemptEnded is the outcome of an attempt as its node sees it.
+func (c *Checker) AttemptEnded(now time.Duration, node, id string, number int, outcome balancer.Outcome) {
+	n, r := c.find(node, id)
+	if r == nil || number >= len(r.attempts) || r.attempts[number].ended {
+		return
+	}
+	t := &r.attempts[number]
+	t.ended = true
+	t.neverRan = outcome == balancer.Overloaded || outcome == balancer.Unreachable || outcome == balancer.NotSent
+	if t.unobserved {
+		return
+	}
+	c.reportOverlaps(now, node, id, r)
+	r.attemptsOut--
+	if r.attemptsOut <= 1 {
+		r.overlaps = nil
+	}
+	c.forgetIfOver(now, n, id, r)
+}
--- /dev/null
+++ b/internal/lab/checker/request.go
@@ -0,0 +1,105 @@
+package checker
+
+import "time"
+
+// RequestAccepted is a request that a node has read to its end.
+func (c *Checker) RequestAccepted(now time.Duration, node, id string, class int, deadline time.Duration) {
+	n := c.nodes[node]
+	if n == nil {
+		return
+	}
+	if n.requests[id] != nil {
+		c.report(OneAnswer, now, node, id, "", "accepted twice under one id")
+		return
+	}
+	n.requests[id] = &request{class: class, acceptedAt: now, deadline: deadline}
+}
+
+// RequestAnswered is a final answer.
+func (c *Checker) RequestAnswered(now time.Duration, node, id string, how Answer) {
+	n, r := c.find(node, id)
+	switch {
+	case n == nil:
+		return
+	case r == nil:
+		c.report(OneAnswer, now, node, id, "", "answered though nothing is open under this id")
+		return
+	case r.answered:
+		c.report(OneAnswer, now, node, id, "", "answered a second time")
+		return
+	}
+	r.answered, r.answeredAt = true, now
+	if now > r.deadline+c.rules.Slack && !r.clientGone && !r.excused {
+		c.report(InTime, now, node, id, "", "answered %.0f ms after its deadline", (now-r.deadline).Seconds()*1000)
+	}
+	if how == Served && r.executions == 0 {
+		c.report(GenuineAnswer, now, node, id, "", "served though no server has run it")
+	}
+	if how == Rejected && c.nonIdempotent(r) {
+		c.checkRejection(now, node, id, r)
+	}
+	c.forgetIfOver(now, n, id, r)
+}
+
+// checkRejection checks that a rejected request that must not run twice has not run: its client will retry it.
+func (c *Checker) checkRejection(now time.Duration, node, id string, r *request) {
+	for _, t := range r.attempts {
+		if !t.neverRan {
+			c.report(SafeRejection, now, node, id, t.server, "rejected though it may have run there")
+			return
+		}
+	}
+}
+
+// ConnectionDropped is an accepted request whose connection the node has ended without a complete answer.
+func (c *Checker) ConnectionDropped(now time.Duration, node, id string) {
+	n, r := c.find(node, id)
+	if r == nil || r.answered {
+		return
+	}
+	if !r.excused {
+		c.report(NothingLost, now, node, id, "", "its connection ended without an answer")
+	}
+	r.answered, r.answeredAt = true, now
+	c.forgetIfOver(now, n, id, r)
+}
+
+// ClientGone is a client that has left: nothing is owed to it.
+func (c *Checker) ClientGone(now time.Duration, node, id string) {
+	if n, r := c.find(node, id); r != nil {
+		r.clientGone, r.answered, r.answeredAt = true, true, now
+		c.forgetIfOver(now, n, id, r)
+	}
+}
+
+// answeredRequest is a request that has been answered and waits to be forgotten.
+type answeredRequest struct {
+	at      time.Duration
+	node    *node
+	id      string
+	request *request
+}
+
+// forgetIfOver drops a request of which nothing more can come. With an observation lag that is only known after the lag.
+func (c *Checker) forgetIfOver(now time.Duration, n *node, id string, r *request) {
+	for len(c.answeredRequests) > 0 && now > c.answeredRequests[0].at+c.ObservationLag {
+		c.answeredRequests[0].forget()
+		c.answeredRequests = c.answeredRequests[1:]
+	}
+	answered := answeredRequest{now, n, id, r}
+	switch {
+	case !r.answered:
+	case c.ObservationLag > 0:
+		c.answeredRequests = append(c.answeredRequests, answered)
+	default:
+		answered.forget()
+	}
+}
+
+// forget drops the request unless an attempt is out. One that was sent again stays: the run of an attempt that was said
+// never to have run may still show.
+func (a answeredRequest) forget() {
+	if r := a.request; r.answered && r.attemptsOut == 0 && len(r.attempts) < 2 && a.node.requests[a.id] == r {
+		delete(a.node.requests, a.id)
+	}
+}
