--- a/internal/lab/loopback/world.go
+++ b/internal/lab/loopback/world.go
@@ -21,6 +21,7 @@
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
 	"hookwalk.example/hookwalk/internal/lab/checker"
 	"hookwalk.example/hookwalk/internal/lab/model"
+	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
@@ -90,7 +91,7 @@
 	w.observations.recorder = opt.Recorder
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	var err error
-	if s.Policy != "deckrelay" {
+	if s.Policy != policies.Module {
 		return w, errors.New("on sockets nodes are real: policy deckrelay only")
 	}
 	if w.arrivals, err = model.NewArrivals(s); err != nil {
--- /dev/null
+++ b/internal/lab/policies/choice.go
@@ -0,0 +1,76 @@
+package policies
+
+import "math"
+
+// leftShare is the share of the list that is the left group of TwoLeft.
+const leftShare = 0.5
+
+// firstTurns is the range from which round-robin draws where it begins, so that nodes don't all begin with one server.
+const firstTurns = 1 << 20
+
+// choice chooses one of some servers, at least one.
+type choice func(servers []*endpoint) *endpoint
+
+// random chooses any server.
+func (r *reference) random(servers []*endpoint) *endpoint { return servers[r.rng.IntN(len(servers))] }
+
+// roundRobin chooses one server after another.
+func (r *reference) roundRobin() choice {
+	next := r.rng.IntN(firstTurns)
+	return func(servers []*endpoint) *endpoint {
+		next++
+		return servers[next%len(servers)]
+	}
+}
+
+// leastOfTwo draws two different servers and chooses the one with fewer attempts, of equal ones the first.
+func (r *reference) leastOfTwo(servers []*endpoint) *endpoint {
+	i := r.rng.IntN(len(servers))
+	j := (i + 1 + r.rng.IntN(max(1, len(servers)-1))) % len(servers)
+	if servers[j].inFlight < servers[i].inFlight {
+		return servers[j]
+	}
+	return servers[i]
+}
+
+// twoRandom draws twice, with replacement, and chooses the server with fewer attempts, any of equal ones.
+func (r *reference) twoRandom(servers []*endpoint) *endpoint {
+	first, second := servers[r.rng.IntN(len(servers))], servers[r.rng.IntN(len(servers))]
+	if second.inFlight < first.inFlight || second.inFlight == first.inFlight && r.rng.IntN(2) == 0 {
+		return second
+	}
+	return first
+}
+
+// twoLeft draws one server from the left group of the list and one from the others, and chooses the one with fewer
+// attempts; ties go left.
+func (r *reference) twoLeft(servers []*endpoint) *endpoint {
+	cut := int(math.Round(leftShare * float64(len(servers))))
+	if cut == 0 || cut == len(servers) {
+		return servers[r.rng.IntN(len(servers))]
+	}
+	left, right := servers[r.rng.IntN(cut)], servers[cut+r.rng.IntN(len(servers)-cut)]
+	if right.inFlight < left.inFlight {
+		return right
+	}
+	return left
+}
+
+// shortestQueue chooses the server that really holds the fewest requests, any of equal ones.
+func (r *reference) shortestQueue(inFlight InFlight) choice {
+	return func(servers []*endpoint) (best *endpoint) {
+		fewest, ties := math.MaxInt, 0
+		for _, s := range servers {
+			held := inFlight(s.ID)
+			switch {
+			case held < fewest:
+				best, fewest, ties = s, held, 1
+			case held == fewest:
+				if ties++; r.rng.IntN(ties) == 0 {
+					best = s
+				}
+			}
+		}
+		return best
+	}
+}
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-// Every reference policy keeps the rules on what may have run: never ran, it goes elsewhere, up to three times, and
-// ends in a refusal; may have run, only a safe one does.
+// A reference that ran a weigh-in twice would win by breaking the rules. What never ran is sent elsewhere, up to three
+// times, and then rejected; what may have run is sent again only if it is idempotent.
 func TestReferencesKeepTheRules(t *testing.T) {
 	for _, name := range []string{"random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"} {
 		p, err := New(name, settings(), 1, func(string) int { return 0 })
@@ -36,7 +36,7 @@
 			class   string
 			ending  balancer.Outcome
 			sends   int
-			refused bool
+			rejected bool
 		}{{"safe", balancer.Overloaded, 3, true}, {"safe", balancer.ConnectionLost, 3, true},
 			{"unsafe", balancer.Unreachable, 3, true}, {"unsafe", balancer.Failure, 1, false}, {"unknown", balancer.TimedOut, 1, false}} {
 			id := strconv.Itoa(n)
@@ -56,16 +56,16 @@
 				out = p.Handle(0, balancer.AttemptEnded{ID: id, Attempt: len(seen), Server: s.Server, Outcome: c.ending})
 				seen[s.Server] = true
 			}
-			if _, refused := out[0].(balancer.Reject); refused != c.refused || len(seen) != c.sends {
+			if _, rejected := out[0].(balancer.Reject); rejected != c.rejected || len(seen) != c.sends {
 				t.Errorf("%s, %+v: %d sends, then %T", name, c, len(seen), out[0])
 			}
 		}
 	}
 }
 
-// A box that drains or is gone gets nothing new, and calls that are out may still end.
+// A server that drains or is removed gets nothing new, and attempts that are out may still end.
 func TestReferencesFollowTheList(t *testing.T) {
-	p, err := New("least-of-two", settings(), 1, nil)
+	p, err := New(LeastOfTwo, settings(), 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,10 +75,10 @@
 	one.Complete, one.Servers[0].State, one.Servers[1].State = false, balancer.Draining, balancer.Removed
 	p.Handle(0, one)
 	if out := p.Handle(0, balancer.Request{ID: "b", Class: "safe", Deadline: time.Second}); len(out) != 1 || out[0] != (balancer.Reject{ID: "b"}) {
-		t.Errorf("with no ready box: %v", out)
+		t.Errorf("with no ready server: %v", out)
 	}
 	if out := p.Handle(0, balancer.AttemptEnded{ID: "a", Outcome: balancer.Success, RequestDone: true}); len(out) != 0 {
-		t.Errorf("a call that was out: %v", out)
+		t.Errorf("an attempt that was out: %v", out)
 	}
 	back := endpointList(2)
 	back.Servers[0].StartTime = time.Second
@@ -88,34 +88,34 @@
 			t.Errorf("back again: %v", out)
 		}
 	}
-	if _, err := New("oracle", settings(), 1, nil); err == nil {
-		t.Error("an oracle that sees nothing")
+	if _, err := New(Oracle, settings(), 1, nil); err == nil {
+		t.Error("an oracle that sees no servers")
 	}
 }
 
-// BenchmarkRequest is what a request with its one outcome costs an instance that knows so many boxes and has 32
+// BenchmarkRequest is what a request with its one outcome costs an instance that knows so many servers and has 32
 // inFlight out; BenchmarkChange what a change of one box does.
 func BenchmarkRequest(b *testing.B) {
-	for _, name := range []string{"deckrelay", "two-random"} {
-		for _, boxes := range []int{10, 100, 1000, 10000} {
-			b.Run(fmt.Sprintf("%s/%d", name, boxes), func(b *testing.B) {
+	for _, name := range []string{Module, TwoRandom} {
+		for _, servers := range []int{10, 100, 1000, 10000} {
+			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				p, err := New(name, settings(), 1, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
-				p.Handle(0, endpointList(boxes))
+				p.Handle(0, endpointList(servers))
 				const out = 32
-				servers := make([]string, out)
+				sentTo := make([]string, out)
 				now := time.Second
 				for i := 0; b.Loop(); i++ {
 					now += 100 * time.Microsecond
 					k := i % out
 					if i >= out {
-						p.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(k), Server: servers[k], Outcome: balancer.Success, RequestDone: true})
+						p.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(k), Server: sentTo[k], Outcome: balancer.Success, RequestDone: true})
 					}
 					for _, a := range p.Handle(now, balancer.Request{ID: strconv.Itoa(k), Class: "unsafe", Deadline: now + 2*time.Second}) {
 						if s, ok := a.(balancer.Send); ok {
-							servers[k] = s.Server
+							sentTo[k] = s.Server
 						}
 					}
 				}
@@ -125,13 +125,13 @@
 }
 
 func BenchmarkChange(b *testing.B) {
-	for _, boxes := range []int{10, 100, 1000, 10000} {
-		b.Run(strconv.Itoa(boxes), func(b *testing.B) {
-			p, err := New("deckrelay", settings(), 1, nil)
+	for _, servers := range []int{10, 100, 1000, 10000} {
+		b.Run(strconv.Itoa(servers), func(b *testing.B) {
+			p, err := New(Module, settings(), 1, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := endpointList(boxes)
+			list := endpointList(servers)
 			p.Handle(0, list)
 			one := balancer.EndpointUpdate{Servers: list.Servers[:1]}
 			now := time.Second
--- /dev/null
+++ b/internal/lab/policies/reference.go
@@ -0,0 +1,196 @@
+package policies
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"hookwalk.example/hookwalk/balancer"
+)
+
+// streamConstant is the second half of a reference's seed: any odd constant serves.
+const streamConstant = 0x9e3779b9
+
+// The pause before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter of
+// it, less a drawn part of up to a half: nodes that lost discovery together must not poll together.
+const (
+	maxPollFailures    = 4
+	pollPauseDivisor   = 64
+	pollPauseJitterMin = 0.5
+)
+
+// pollTimer is the token of the timer before a poll.
+const pollTimer = "list"
+
+// reference is a reference policy; they differ only in their choice.
+type reference struct {
+	settings     balancer.Settings
+	rng          *rand.Rand
+	choose       choice
+	endpoints    map[string]*endpoint
+	ready        []*endpoint // by ID
+	requests     map[string]*request
+	pollFailures int
+	actions      []balancer.Action // of the present event
+}
+
+// endpoint is a server of the list, and the attempts that are out at it.
+type endpoint struct {
+	balancer.Server
+	inFlight int
+}
+
+// request is one that is not answered, or has attempts out.
+type request struct {
+	class       balancer.Class
+	deadline    time.Duration
+	attempts    []*endpoint
+	mayHaveRun  bool
+	attemptsOut int
+	answered    bool
+}
+
+func newReference(settings balancer.Settings, seed uint64) *reference {
+	return &reference{settings: settings, rng: rand.New(rand.NewPCG(seed, streamConstant)),
+		endpoints: map[string]*endpoint{}, requests: map[string]*request{}}
+}
+
+// emit adds an action.
+func (r *reference) emit(a balancer.Action) { r.actions = append(r.actions, a) }
+
+// Handle takes one event and returns the actions that follow from it.
+func (r *reference) Handle(now time.Duration, e balancer.Event) []balancer.Action {
+	r.actions = nil
+	switch e := e.(type) {
+	case balancer.EndpointUpdate:
+		r.applyUpdate(e)
+	case balancer.WatchFailed:
+		r.schedulePoll(now)
+	case balancer.TimerFired:
+		r.emit(balancer.Subscribe{})
+	case balancer.Request:
+		r.admit(now, e)
+	case balancer.AttemptEnded:
+		r.attemptEnded(now, e)
+	case balancer.ClientGone:
+		if q := r.requests[e.ID]; q != nil {
+			q.answered = true
+			r.forgetIfOver(e.ID, q)
+		}
+	}
+	return r.actions
+}
+
+// schedulePoll sets the timer before the next poll.
+func (r *reference) schedulePoll(now time.Duration) {
+	r.pollFailures = min(r.pollFailures+1, maxPollFailures)
+	pause := float64(r.settings.MaxPollInterval) / pollPauseDivisor * float64(int(1)<<r.pollFailures) * (pollPauseJitterMin + r.rng.Float64()/2)
+	r.emit(balancer.SetTimer{At: now + time.Duration(pause) + 1, Token: pollTimer})
+}
+
+// applyUpdate takes a list, or changes to it. Attempts that are out keep the endpoint that they were sent to.
+func (r *reference) applyUpdate(update balancer.EndpointUpdate) {
+	if update.Complete {
+		clear(r.endpoints)
+		for _, e := range r.ready {
+			r.endpoints[e.ID] = e
+			e.State = balancer.Removed
+		}
+	}
+	for _, s := range update.Servers {
+		if e := r.endpoints[s.ID]; e != nil && e.StartTime == s.StartTime {
+			e.Server = s
+		} else {
+			r.endpoints[s.ID] = &endpoint{Server: s}
+		}
+	}
+	r.listReady()
+	if update.Cached && r.settings.PollDiscovery {
+		r.emit(balancer.Subscribe{})
+	} else {
+		r.pollFailures = 0
+	}
+}
+
+// listReady lists the endpoints that are ready, and forgets those that are removed.
+func (r *reference) listReady() {
+	r.ready = nil
+	for id, e := range r.endpoints {
+		switch e.State {
+		case balancer.Ready:
+			r.ready = append(r.ready, e)
+		case balancer.Removed:
+			delete(r.endpoints, id)
+		}
+	}
+	slices.SortFunc(r.ready, func(a, b *endpoint) int { return strings.Compare(a.ID, b.ID) })
+}
+
+// admit takes a request. An unknown class counts as one that is not idempotent.
+func (r *reference) admit(now time.Duration, e balancer.Request) {
+	if r.requests[e.ID] != nil {
+		return
+	}
+	q := &request{deadline: e.Deadline}
+	for _, c := range r.settings.Classes {
+		if c.Name == e.Class {
+			q.class = c
+		}
+	}
+	r.requests[e.ID] = q
+	r.dispatch(now, e.ID, q)
+}
+
+// dispatch sends a request to a server that has not had it, or gives its final answer.
+func (r *reference) dispatch(now time.Duration, id string, q *request) {
+	untried := slices.DeleteFunc(slices.Clone(r.ready), func(e *endpoint) bool { return slices.Contains(q.attempts, e) })
+	if len(untried) == 0 || len(q.attempts) >= max(1, r.settings.MaxAttempts) || !q.safeToSend() || now >= q.deadline {
+		q.answered = true
+		if q.safeToSend() {
+			r.emit(balancer.Reject{ID: id})
+		} else {
+			r.emit(balancer.Fail{ID: id})
+		}
+		r.forgetIfOver(id, q)
+		return
+	}
+	chosen := r.choose(untried)
+	chosen.inFlight++
+	q.attempts = append(q.attempts, chosen)
+	q.attemptsOut++
+	r.emit(balancer.Send{ID: id, Server: chosen.ID, Timeout: q.deadline - now})
+}
+
+// safeToSend says that another run does no harm: the request has not run, or may run again.
+func (q *request) safeToSend() bool {
+	return !q.mayHaveRun || q.class.Effect == balancer.Idempotent
+}
+
+// attemptEnded takes an outcome and sends the request again, if it is not answered.
+func (r *reference) attemptEnded(now time.Duration, e balancer.AttemptEnded) {
+	q := r.requests[e.ID]
+	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) {
+		return
+	}
+	q.attempts[e.Attempt].inFlight--
+	q.attemptsOut--
+	if e.Outcome != balancer.Overloaded && e.Outcome != balancer.Unreachable && e.Outcome != balancer.NotSent {
+		q.mayHaveRun = true
+	}
+	if e.RequestDone {
+		q.answered = true
+	}
+	if !q.answered && q.attemptsOut == 0 {
+		r.dispatch(now, e.ID, q)
+		return
+	}
+	r.forgetIfOver(e.ID, q)
+}
+
+// forgetIfOver drops a request that is answered and has no attempt out.
+func (r *reference) forgetIfOver(id string, q *request) {
+	if q.answered && q.attemptsOut == 0 {
+		delete(r.requests, id)
+	}
+}
--- a/internal/lab/scenario/blocks.go
+++ b/internal/lab/scenario/blocks.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/lab/policies"
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
@@ -34,7 +35,7 @@
 	r.Text("base", "") // Parse has applied it
 	s.Seed = uint64(r.Integer("seed", 1, 0, maxSeed))
 	s.Length = r.Seconds("length_s", 30*time.Second, millisecond, day)
-	s.Policy = r.OneOf("policy", Policies...)
+	s.Policy = r.OneOf("policy", policies.Names...)
 }
 
 // readTier reads a block tier.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -17,7 +17,7 @@
 	Name      string
 	Seed      uint64
 	Length    time.Duration // how long requests arrive; those that arrived in time are played to their end
-	Policy    string        // one of Policies
+	Policy    string        // one of policies.Names
 	Tiers     []Tier        // the first is the one that the ingress nodes send to
 	Classes   []Class
 	Tenants   []Tenant
@@ -160,9 +160,3 @@
 	BootstrapOld   = "old"
 	BootstrapNone  = "none"
 )
-
-// PolicyModule is the policy that is the decision module itself. The name is that of its first version.
-const PolicyModule = "deckrelay"
-
-// Policies are the names that a scenario may choose from: the decision module and the references of package policies.
-var Policies = []string{PolicyModule, "random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"}
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -1,10 +1,8 @@
-// Package score counts what a played world was worth to its clients and what it cost. Both ways of playing feed
-// it, and its report is the same bytes for the same counts.
+// Package score counts the value that a played world served its clients, and what that cost. Both ways of playing feed it,
+// and its report is the same bytes for the same counts.
 package score
 
 import (
-	"fmt"
-	"io"
 	"math"
 	"time"
 
@@ -13,72 +11,93 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Outcome is how a client's wish ended.
+// Outcome is how a client's request ended.
 type Outcome int
 
-// Ends.
+// Outcomes.
 const (
-	Served Outcome = iota
-	Failed
-	Abandoned // it went away by itself: counts for nothing
+	Served    Outcome = iota // with a success
+	Failed                   // with an error, or without an answer
+	Abandoned                // the client left by itself: counts for nothing
 )
 
+// Histograms.
+const (
+	maxLatency        = time.Hour // as deadlines are shorter
+	maxAttempts       = 1 << 20   // of a request, over all tiers
+	significantDigits = 3
+)
+
+// worstWindow is the length in seconds of the windows of which the worst one is reported.
+const worstWindow = 10
+
 // Score holds the counts of a run.
 type Score struct {
 	scenario *scenario.Scenario
 
 	Tries, Attempts, Handshakes, Overloads int
-	Work, Wasted                           time.Duration // at speed 1
+	Work, Wasted                           time.Duration // of servers, at speed 1
 	Events                                 uint64
 
 	total         value
-	seconds       []value   // a second each, by the time of the first try
-	latencySums   []float64 // sums of latencies of what was served, in ms, by the same
-	servedCounts  []int     // and their counts
+	seconds       []value   // by the time of the first try
+	latencySums   []float64 // of what was served, in ms, by the same
+	servedCounts  []int     // of what was served, by the same
 	classes       []value
 	tenants       []value
-	latency       *hdrhistogram.Histogram // of served first tries, in microseconds
-	attempts      *hdrhistogram.Histogram // attempts a request, over all tiers
-	served        int
+	latency       *hdrhistogram.Histogram // of served requests, in microseconds
+	attempts      *hdrhistogram.Histogram // of a request, over all tiers
+	served        int                     // within the latency objective
 	late          int
 	failed        int
 	abandoned     int
 	rejected      int // tries
-	rejectedEarly int // of them in the first second
+	rejectedEarly int // those in the first second
 }
 
-// value is asked for and earned in time.
+// value is the priority weight that was offered, and what was earned of it.
 type value struct{ offered, earned float64 }
 
-func (w value) share() float64 {
-	if w.offered == 0 {
+// share is the share that was earned; 1 where nothing was offered.
+func (v value) share() float64 {
+	if v.offered == 0 {
 		return 1
 	}
-	return w.earned / w.offered
+	return v.earned / v.offered
 }
 
 // New returns the empty score of a scenario.
 func New(s *scenario.Scenario) *Score {
-	return &Score{scenario: s, seconds: make([]value, int(s.Length/time.Second)+1), classes: make([]value, len(s.Classes)),
-		latencySums: make([]float64, int(s.Length/time.Second)+1), servedCounts: make([]int, int(s.Length/time.Second)+1),
-		tenants: make([]value, len(s.Tenants)),
-		latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3), attempts: hdrhistogram.New(1, 1<<20, 3)}
+	seconds := int(s.Length/time.Second) + 1
+	return &Score{
+		scenario:     s,
+		seconds:      make([]value, seconds),
+		latencySums:  make([]float64, seconds),
+		servedCounts: make([]int, seconds),
+		classes:      make([]value, len(s.Classes)),
+		tenants:      make([]value, len(s.Tenants)),
+		latency:      hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
+		attempts:     hdrhistogram.New(1, maxAttempts, significantDigits),
+	}
 }
 
-func (s *Score) eachValue(at time.Duration, class, tenant int, f func(*value)) {
-	f(&s.total)
-	f(&s.seconds[min(int(at/time.Second), len(s.seconds)-1)])
-	f(&s.classes[class])
-	f(&s.tenants[tenant])
+// eachValue changes all values that a request counts for.
+func (s *Score) eachValue(at time.Duration, class, tenant int, change func(*value)) {
+	change(&s.total)
+	change(&s.seconds[s.secondOf(at)])
+	change(&s.classes[class])
+	change(&s.tenants[tenant])
 }
 
+func (s *Score) secondOf(at time.Duration) int { return min(int(at/time.Second), len(s.seconds)-1) }
+
 // RequestBegun is a client's first try.
 func (s *Score) RequestBegun(at time.Duration, class, tenant int) {
-	v := s.scenario.Classes[class].PriorityWeight
-	s.eachValue(at, class, tenant, func(w *value) { w.offered += v })
+	weight := s.scenario.Classes[class].PriorityWeight
+	s.eachValue(at, class, tenant, func(v *value) { v.offered += weight })
 }
 
-// TryRejected is a try that was turned away.
+// TryRejected is a try that was rejected.
 func (s *Score) TryRejected(at time.Duration) {
 	s.rejected++
 	if at < time.Second {
@@ -86,112 +105,78 @@
 	}
 }
 
-// Rejections counts the tries that were turned away, and of them those in the first second.
+// Rejections counts the tries that were rejected, and those of them in the first second.
 func (s *Score) Rejections() (all, early int) { return s.rejected, s.rejectedEarly }
 
-// RequestEnded is the end of what a client wanted, so long after its first try.
+// RequestEnded is the end of a client's request, so long after its first try at a time.
 func (s *Score) RequestEnded(at, took time.Duration, class, tenant, attempts int, how Outcome) {
 	c := s.scenario.Classes[class]
 	if attempts > 0 {
-		_ = s.attempts.RecordValue(int64(attempts)) // more than a million is none we can have
+		_ = s.attempts.RecordValue(int64(attempts)) // no request has more than maxAttempts
 	}
-	v := 0.0
+	earned := 0.0
 	switch {
 	case how == Abandoned:
 		s.abandoned++
-		s.eachValue(at, class, tenant, func(w *value) { w.offered -= c.PriorityWeight })
+		s.eachValue(at, class, tenant, func(v *value) { v.offered -= c.PriorityWeight })
 		return
 	case how == Failed || took > c.Deadline:
 		s.failed++
 		return
 	case took <= c.LatencyObjective:
-		v = c.PriorityWeight
+		earned = c.PriorityWeight
 		s.served++
 	default:
-		v = c.PriorityWeight * c.LateCredit
+		earned = c.PriorityWeight * c.LateCredit
 		s.late++
 	}
-	i := min(int(at/time.Second), len(s.servedCounts)-1)
-	s.latencySums[i] += milliseconds(took)
-	s.servedCounts[i]++
-	_ = s.latency.RecordValue(max(1, took.Microseconds())) // under an hour, as deadlines are
-	s.eachValue(at, class, tenant, func(w *value) { w.earned += v })
+	second := s.secondOf(at)
+	s.latencySums[second] += milliseconds(took)
+	s.servedCounts[second]++
+	_ = s.latency.RecordValue(max(1, took.Microseconds())) // no deadline is over maxLatency
+	s.eachValue(at, class, tenant, func(v *value) { v.earned += earned })
 }
 
-// ValueShare is the share of the worth asked for that was served in time (a late answer counts its part).
+// ValueShare is the share of the offered value that was served in time; a late answer earns its late credit.
 func (s *Score) ValueShare() float64 { return s.total.share() }
 
-// WorstShares is the least share of any ten seconds, class and tenant.
+// WorstShares are the least shares of any ten seconds, of any class and of any tenant.
 func (s *Score) WorstShares() (window, class, tenant float64) {
-	const span = 10
 	window = 1
-	for i := 0; i == 0 || i+span <= len(s.seconds); i++ {
-		var w value
-		for _, o := range s.seconds[i:min(i+span, len(s.seconds))] {
-			w.offered += o.offered
-			w.earned += o.earned
+	for i := 0; i == 0 || i+worstWindow <= len(s.seconds); i++ {
+		var v value
+		for _, second := range s.seconds[i:min(i+worstWindow, len(s.seconds))] {
+			v.offered += second.offered
+			v.earned += second.earned
 		}
-		window = math.Min(window, w.share())
+		window = math.Min(window, v.share())
 	}
-	least := func(list []value) float64 {
-		v := 1.0
-		for _, w := range list {
-			v = math.Min(v, w.share())
-		}
-		return v
+	return window, leastShare(s.classes), leastShare(s.tenants)
+}
+
+func leastShare(values []value) float64 {
+	least := 1.0
+	for _, v := range values {
+		least = math.Min(least, v.share())
 	}
-	return window, least(s.classes), least(s.tenants)
+	return least
 }
 
-// Counts counts first tries that were served in time or late, failed, or left.
-func (s *Score) Counts() (inTime, late, failed, left int) {
+// Counts counts the requests that were served within the objective or late, that failed, or whose clients left.
+func (s *Score) Counts() (inTime, late, failed, abandoned int) {
 	return s.served, s.late, s.failed, s.abandoned
 }
 
-// Quantile is a latency of what was served.
+// Quantile is a quantile of the latency of what was served; q is in percent.
 func (s *Score) Quantile(q float64) time.Duration {
 	return time.Duration(s.latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Metrics are the run's results by name, for comparisons. Higher is better only for worth.
-func (s *Score) Metrics(violations int) map[string]float64 {
-	window, class, tenant := s.WorstShares()
-	roots := float64(max(1, s.served+s.late+s.failed))
-	return map[string]float64{"worth": s.ValueShare(), "worst_10s": window, "worst_class": class, "worst_tenant": tenant,
-		"p50_ms": milliseconds(s.Quantile(50)), "p95_ms": milliseconds(s.Quantile(95)), "p99_ms": milliseconds(s.Quantile(99)),
-		"refusals": float64(s.rejected) / roots, "tries": float64(s.Tries) / roots, "attempts": float64(s.Attempts) / roots,
-		"handshakes": float64(s.Handshakes) / float64(max(1, s.Attempts)), "failed": float64(s.failed) / roots,
-		"wasted": s.Wasted.Seconds() / math.Max(s.Work.Seconds(), 1e-9), "violations": float64(violations)}
-}
-
-// Timeline is the worth served and the mean latency in ms of what was served, second by second.
-func (s *Score) Timeline() (worth, latency []float64) {
-	for i, w := range s.seconds {
-		worth = append(worth, w.share())
-		latency = append(latency, s.latencySums[i]/float64(max(1, s.servedCounts[i])))
+// Timeline is the value share and the mean latency in ms of what was served, second by second.
+func (s *Score) Timeline() (valueShares, latencies []float64) {
+	for i, v := range s.seconds {
+		valueShares = append(valueShares, v.share())
+		latencies = append(latencies, s.latencySums[i]/float64(max(1, s.servedCounts[i])))
 	}
-	return worth, latency
+	return valueShares, latencies
 }
-
-// Write prints the report.
-func (s *Score) Write(w io.Writer) error {
-	window, class, tenant := s.WorstShares()
-	roots := max(1, s.served+s.late+s.failed)
-	_, err := fmt.Fprintf(w, `scenario %s, seed %d, policy %s, %.0f s
-worth served   %.4f   worst 10 s %.4f   worst class %.4f   worst tenant %.4f
-requests       %d in time, %d late, %d failed, %d left
-latency ms     p50 %.2f   p95 %.2f   p99 %.2f   most %.2f
-a request      %.3f tries, %.3f attempts (p99 %d), %.4f refusals (%d in the first second)
-connections    %d opened, %.4f an attempt
-work           %.3f s, %.4f of it wasted; cold boxes pushed over: %d
-events         %d
-`, s.scenario.Name, s.scenario.Seed, s.scenario.Policy, s.scenario.Length.Seconds(), s.ValueShare(), window, class, tenant,
-		s.served, s.late, s.failed, s.abandoned, milliseconds(s.Quantile(50)), milliseconds(s.Quantile(95)), milliseconds(s.Quantile(99)),
-		float64(s.latency.Max())/1000, float64(s.Tries)/float64(roots), float64(s.Attempts)/float64(roots),
-		s.attempts.ValueAtQuantile(99), float64(s.rejected)/float64(roots), s.rejectedEarly, s.Handshakes,
-		float64(s.Handshakes)/float64(max(1, s.Attempts)), s.Work.Seconds(),
-		s.Wasted.Seconds()/math.Max(s.Work.Seconds(), 1e-9), s.Overloads, s.Events)
-	return err
-}
-
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -117,7 +117,7 @@
 `
 
 func TestSameSeedSameBytes(t *testing.T) {
-	for _, policy := range scenario.Policies {
+	for _, policy := range policies.Names {
 		s := parsed(t, allTroubles)
 		s.Policy = policy
 		first := report(t, s)
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -100,7 +100,7 @@
 		names = []string{first.Policy}
 	}
 	for _, name := range names {
-		if !slices.Contains(scenario.Policies, name) {
+		if !slices.Contains(policies.Names, name) {
 			return nil, fmt.Errorf("unknown policy %q", name)
 		}
 	}
