--- /dev/null
+++ b/internal/lab/sweep/results.go
@@ -0,0 +1,101 @@
+package sweep
+
+import (
+	"cmp"
+	"encoding/csv"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Names of the results files in a folder.
+const (
+	resultsJSON = "results.jsonl"
+	resultsCSV  = "results.csv"
+)
+
+// Write puts all results into one file of JSON lines and one of CSV, in the order of the grid.
+func Write(dir string, cells []Cell) error {
+	var lines, table strings.Builder
+	out := csv.NewWriter(&table)
+	metrics := MetricNames(cells)
+	if err := out.Write(append([]string{"scenario", "group", "seed"}, metrics...)); err != nil {
+		return err
+	}
+	for _, c := range cells {
+		text, err := json.Marshal(c)
+		if err != nil {
+			return err
+		}
+		lines.Write(append(text, '\n'))
+		row := []string{c.Scenario, c.Group(), strconv.FormatUint(c.Seed, 10)}
+		for _, m := range metrics {
+			row = append(row, strconv.FormatFloat(c.Metrics[m], 'g', -1, 64))
+		}
+		if err := out.Write(row); err != nil {
+			return err
+		}
+	}
+	out.Flush()
+	return errors.Join(out.Error(), replaceFile(filepath.Join(dir, resultsJSON), []byte(lines.String())),
+		replaceFile(filepath.Join(dir, resultsCSV), []byte(table.String())))
+}
+
+// MetricNames are the names of the metrics that cells have, sorted.
+func MetricNames(cells []Cell) []string {
+	if len(cells) == 0 {
+		return nil
+	}
+	return slices.Sorted(maps.Keys(cells[0].Metrics))
+}
+
+// Read reads the results of a folder. An error names file and line.
+func Read(dir string) (cells []Cell, err error) {
+	path := filepath.Join(dir, resultsJSON)
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	in := json.NewDecoder(f)
+	for n := 1; ; n++ {
+		var c Cell
+		switch err := in.Decode(&c); {
+		case errors.Is(err, io.EOF) && n > 1:
+			return cells, nil
+		case errors.Is(err, io.EOF):
+			return nil, fmt.Errorf("%s: no results", path)
+		case err != nil:
+			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
+		case len(c.Metrics) == 0 || c.Policy == "":
+			return nil, fmt.Errorf("%s:%d: not a result", path, n)
+		}
+		cells = append(cells, c)
+	}
+}
+
+// ByGroup sorts cells into groups that differ only in the seed, in the order in which the groups first appear.
+func ByGroup(cells []Cell) (groups [][]Cell) {
+	indexes := map[string]int{}
+	for _, c := range cells {
+		key := c.groupName()
+		i, ok := indexes[key]
+		if !ok {
+			i = len(groups)
+			indexes[key] = i
+			groups = append(groups, nil)
+		}
+		groups[i] = append(groups[i], c)
+	}
+	for _, g := range groups {
+		slices.SortFunc(g, func(a, b Cell) int { return cmp.Compare(a.Seed, b.Seed) })
+	}
+	return groups
+}
--- /dev/null
+++ b/internal/lab/sweep/run.go
@@ -0,0 +1,66 @@
+package sweep
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"sync"
+)
+
+// Run plays the cells that the folder does not have yet, on all cores, and then writes results.jsonl and results.csv from
+// all of them. progress is called after each cell, from any goroutine but one at a time.
+func Run(ctx context.Context, g Grid, dir string, progress func(done, of int)) ([]Cell, error) {
+	cells, err := g.Cells()
+	if err != nil {
+		return nil, err
+	}
+	folder := filepath.Join(dir, "cells")
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return nil, fmt.Errorf("sweep: %w", err)
+	}
+	if err := playAll(ctx, cells, g.File, folder, progress); err != nil {
+		return nil, fmt.Errorf("sweep: %w", err)
+	}
+	return cells, Write(dir, cells)
+}
+
+// playAll completes all cells, and stops at the first error.
+func playAll(ctx context.Context, cells []Cell, file, folder string, progress func(done, of int)) error {
+	ctx, stop := context.WithCancelCause(ctx)
+	defer stop(nil)
+	var workers sync.WaitGroup
+	var mu sync.Mutex
+	done := 0
+	next := make(chan int)
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(func() {
+			for i := range next {
+				if err := cells[i].loadOrPlay(file, folder); err != nil {
+					stop(err)
+					continue
+				}
+				mu.Lock()
+				done++
+				progress(done, len(cells))
+				mu.Unlock()
+			}
+		})
+	}
+	sendIndexes(ctx, next, len(cells))
+	workers.Wait()
+	return context.Cause(ctx)
+}
+
+// sendIndexes sends the numbers of all cells until ctx ends, and closes the channel.
+func sendIndexes(ctx context.Context, next chan<- int, count int) {
+	defer close(next)
+	for i := range count {
+		select {
+		case next <- i:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -36,20 +36,20 @@
 	return string(text)
 }
 
-// A sweep that was stopped goes on: what is done is kept, what is half written or not a result is played again, and
-// the results are the bytes of one that ran through.
-func TestASweepGoesOnWhereItWas(t *testing.T) {
+// A sweep of hours must survive being stopped: cells that are done are kept, files that are cut or hold no result are
+// played again, and the results are the bytes of a sweep that ran through.
+func TestStoppedSweepResumes(t *testing.T) {
 	g, dir := grid(t), t.TempDir()
-	var told atomic.Int32
-	if _, err := Run(context.Background(), g, dir, func(int, int) { told.Add(1) }); err != nil {
+	var reported atomic.Int32
+	if _, err := Run(context.Background(), g, dir, func(int, int) { reported.Add(1) }); err != nil {
 		t.Fatal(err)
 	}
-	if told.Load() != 8 {
-		t.Errorf("told of %d, want 8", told.Load())
+	if reported.Load() != 8 {
+		t.Errorf("%d cells reported, want 8", reported.Load())
 	}
-	whole, table := read(t, filepath.Join(dir, "results.jsonl")), read(t, filepath.Join(dir, "results.csv"))
-	if strings.Count(whole, "\n") != 8 || strings.Count(table, "\n") != 9 {
-		t.Errorf("%d lines, %d rows", strings.Count(whole, "\n"), strings.Count(table, "\n"))
+	complete, table := read(t, filepath.Join(dir, "results.jsonl")), read(t, filepath.Join(dir, "results.csv"))
+	if strings.Count(complete, "\n") != 8 || strings.Count(table, "\n") != 9 {
+		t.Errorf("%d lines, %d rows", strings.Count(complete, "\n"), strings.Count(table, "\n"))
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "cells", "*.json"))
 	if err != nil || len(files) != 8 {
@@ -70,14 +70,15 @@
 		t.Fatal(err)
 	}
 	again := read(t, filepath.Join(dir, "results.jsonl"))
-	if again == whole || strings.Replace(again, `"attempts":1`, `"attempts":`, 1) != strings.Replace(whole, `"attempts":1`, `"attempts":`, 1) &&
+	if again == complete || strings.Replace(again, `"attempts":1`, `"attempts":`, 1) != strings.Replace(complete, `"attempts":1`, `"attempts":`, 1) &&
 		strings.Count(again, "\n") != 8 {
 		t.Error("the kept cell was played again, or another differs")
 	}
 }
 
-func TestGridIsReadFirst(t *testing.T) {
-	for want, spoil := range map[string]func(*Grid){
+// A wrong value must not be found after hours of playing: the complete grid is read before anything is played.
+func TestGridIsReadBeforePlaying(t *testing.T) {
+	for want, breakGrid := range map[string]func(*Grid){
 		"unknown policy":     func(g *Grid) { g.Policies = []string{"guess"} },
 		"rate must be from":  func(g *Grid) { g.Settings[0].Values = []string{"50", "-1"} },
 		"must be a number":   func(g *Grid) { g.Settings[0].Values = []string{"fast"} },
@@ -88,12 +89,12 @@
 		"no such file":       func(g *Grid) { g.File += "x" },
 	} {
 		g, dir := grid(t), t.TempDir()
-		spoil(&g)
+		breakGrid(&g)
 		if _, err := Run(context.Background(), g, dir, func(int, int) {}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 		if left, _ := os.ReadDir(dir); len(left) > 0 {
-			t.Errorf("%s: it has begun all the same", want)
+			t.Errorf("%s: it has begun nevertheless", want)
 		}
 	}
 	for _, text := range []string{"a", "=1", "a=", "a=1,,2"} {
@@ -112,22 +113,24 @@
 	return list
 }
 
+// A change is significant only where its interval over the pairs excludes zero; cells without a partner are counted.
 func TestSummaryAndDiff(t *testing.T) {
 	s := Summarize([]float64{3, 1, 2, 10})
 	// Student's t for three degrees of freedom is 3.182; the standard error of these is 2.0412.
 	if s.Median != 2.5 || s.Min != 1 || s.Max != 10 || s.Mean != 4 || math.Abs(s.HalfInterval-6.496) > 0.001 {
 		t.Errorf("got %+v", s)
 	}
-	changes, left := Diff(cells(0.5, 0.6, 0.7), append(cells(0.4, 0.5, 0.6, 0.9), Cell{Scenario: "other", Metrics: map[string]float64{"worth": 1}}))
-	if len(changes) != 1 || left != 2 || changes[0].Pairs != 3 || math.Abs(changes[0].MeanChange+0.1) > 1e-9 || !changes[0].Significant() {
-		t.Errorf("got %+v, %d left", changes, left)
+	changes, unpaired := Diff(cells(0.5, 0.6, 0.7), append(cells(0.4, 0.5, 0.6, 0.9), Cell{Scenario: "other", Metrics: map[string]float64{"worth": 1}}))
+	if len(changes) != 1 || unpaired != 2 || changes[0].Pairs != 3 || math.Abs(changes[0].MeanChange+0.1) > 1e-9 || !changes[0].Significant() {
+		t.Errorf("got %+v, %d unpaired", changes, unpaired)
 	}
 	changes, _ = Diff(cells(0.5, 0.6, 0.7), cells(0.4, 0.8, 0.6))
 	if changes[0].Significant() {
-		t.Errorf("a change within its spread is sure: %+v", changes[0])
+		t.Errorf("a change within its interval is significant: %+v", changes[0])
 	}
 }
 
+// A results file that was cut or is none is an error that names the line.
 func TestReadNamesFileAndLine(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{"": "no results", "{}": ":1: not a result", "half": ":1: invalid",
@@ -141,7 +144,7 @@
 	}
 }
 
-// The page needs nothing from anywhere, and what a scenario is called can't make it do anything.
+// The page loads nothing from elsewhere, and the name of a scenario can't inject markup.
 func TestReportStandsAlone(t *testing.T) {
 	list := cells(0.5, 0.6)
 	big := cells(0.3, 0.4)
