--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -24,8 +24,8 @@
 
 // attemptRun is one attempt under way, in the goroutine that Start made for it.
 //
-// Its outcome decides whether the request may be sent again, so it must never claim less than what may have happened: once
-// the last byte is written the request may have run.
+// Its outcome decides whether the request may be sent again. So it must never say that a request did not run which may have
+// run: from the last byte on that is so, whatever comes after.
 //
 //	NotSent          nothing was written, for reasons of the node's own or of the client
 //	Unreachable      the request was not completely written: it can't have run
@@ -44,30 +44,34 @@
 // runAttempt sends an attempt's request, once, and waits for what comes back.
 func (p *connPool) runAttempt(att *engine.Attempt) engine.Result {
 	run := &attemptRun{pool: p, att: att, req: att.Call.Payload.(*clientRequest)}
-	if run.req.remaining != nil && (run.req.remaining.remainderUsed.Load() || run.req.remaining.incomplete()) {
-		return run.ended(balancer.NotSent) // a part of its body is gone
+	return *run.run()
+}
+
+func (a *attemptRun) run() *engine.Result {
+	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.incomplete()) {
+		return a.ended(balancer.NotSent) // a part of its body is gone
 	}
-	if !att.MaySend(p.clock.Now()) {
-		return run.ended(balancer.NotSent)
+	if !a.att.MaySend(a.pool.clock.Now()) {
+		return a.ended(balancer.NotSent)
 	}
-	if failure := run.connect(); failure != nil {
-		return *failure
+	if failure := a.connect(); failure != nil {
+		return failure
 	}
-	began, failure := run.send()
+	began, failure := a.send()
 	if failure != nil {
-		return *failure
+		return failure
 	}
-	return run.receive(began)
+	return a.receive(began)
 }
 
 // ended is the result of an attempt that ended without an error worth logging.
-func (a *attemptRun) ended(outcome balancer.Outcome) engine.Result {
-	return engine.Result{Attempt: a.att, Outcome: outcome}
+func (a *attemptRun) ended(outcome balancer.Outcome) *engine.Result {
+	return &engine.Result{Attempt: a.att, Outcome: outcome}
 }
 
 // failed is the result of an attempt without a response, with what is logged of its connection.
-func (a *attemptRun) failed(outcome balancer.Outcome, err error) engine.Result {
-	result := engine.Result{Attempt: a.att, Outcome: outcome, Err: err}
+func (a *attemptRun) failed(outcome balancer.Outcome, err error) *engine.Result {
+	result := &engine.Result{Attempt: a.att, Outcome: outcome, Err: err}
 	if c := a.conn; c != nil {
 		result.ConnectionUses, result.ConnectionAge, result.ConnectionIdle = c.uses, a.pool.clock.Now()-c.connectedAt, c.idleBefore
 	}
@@ -77,25 +81,24 @@
 // connect acquires a connection that can be written to. A reused one that proves broken is replaced; a new one that does
 // is the server's fault. It returns the attempt's result if there is none.
 func (a *attemptRun) connect() (failure *engine.Result) {
-	end := func(result engine.Result) *engine.Result { return &result }
 	for {
 		c, fresh, err := a.pool.acquire(a.att)
 		if errors.Is(err, errNoDescriptor) {
-			return end(a.ended(balancer.NotSent))
+			return a.ended(balancer.NotSent)
 		}
 		if a.conn = c; err != nil {
-			return end(a.failed(balancer.Unreachable, err))
+			return a.failed(balancer.Unreachable, err)
 		}
-		// Connecting takes time: the request may be over by now, or the server may have been told to drain.
+		// Connecting takes time: the request may be over by now, or the server may have begun to drain.
 		if !a.att.MaySend(a.pool.clock.Now()) {
 			a.pool.release(c)
-			return end(a.ended(balancer.NotSent))
+			return a.ended(balancer.NotSent)
 		}
 		if a.pool.markRequestSent(c) {
 			return nil
 		}
 		if fresh {
-			return end(a.failed(balancer.Unreachable, errClosedBeforeRequest))
+			return a.failed(balancer.Unreachable, errClosedBeforeRequest)
 		}
 	}
 }
@@ -112,8 +115,7 @@
 	a.att.Sent(writeBegan, left)
 	if err != nil {
 		a.pool.close(a.conn)
-		result := a.failed(balancer.Unreachable, err)
-		return 0, &result
+		return 0, a.failed(balancer.Unreachable, err)
 	}
 	return a.att.Started, nil
 }
@@ -126,11 +128,10 @@
 	}
 	outcome := a.conn.incompleteSendOutcome()
 	a.pool.close(a.conn)
-	result := a.failed(outcome, err)
 	if a.req.remaining.incomplete() {
-		result = a.ended(balancer.NotSent) // the client's fault: it says nothing of the server
+		return 0, a.ended(balancer.NotSent) // the client's fault: it says nothing of the server
 	}
-	return 0, &result
+	return 0, a.failed(outcome, err)
 }
 
 func (a *attemptRun) writeStreamed() error {
@@ -171,7 +172,7 @@
 }
 
 // receive waits for the response and makes the connection idle, or closes it. Latency counts from began.
-func (a *attemptRun) receive(began time.Duration) engine.Result {
+func (a *attemptRun) receive(began time.Duration) *engine.Result {
 	response := <-a.conn.responses
 	switch {
 	case errors.Is(response.err, os.ErrDeadlineExceeded):
@@ -179,11 +180,11 @@
 	case response.err != nil:
 		return a.failed(balancer.ConnectionLost, response.err)
 	}
-	result := engine.Result{Attempt: a.att, Outcome: responseOutcome(response.head), Reply: response}
+	result := &engine.Result{Attempt: a.att, Outcome: responseOutcome(response.head), Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
 		result.Latency = max(a.pool.clock.Now()-began, 1)
 	}
-	if response.stream != nil && !a.passStream(response, &result) {
+	if response.stream != nil && !a.passStream(response, result) {
 		return result
 	}
 	if response.head.Close {
