--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -18,8 +18,8 @@
 
 // Why an attempt has no response, for the log. The outcome beside them says what may have run.
 var (
-	errClosedBeforeRequest = errors.New("closed by the server before it was asked")
-	errResponseTimeout     = errors.New("no answer in time")
+	errClosedBeforeRequest = errors.New("the server closed the connection before the request was sent")
+	errResponseTimeout     = errors.New("no response before the deadline")
 )
 
 // attemptRun is one attempt under way, in the goroutine that Start made for it.
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -19,8 +19,8 @@
 	// newConnectionGrace is how long net/http's Shutdown leaves a connection alone on which nothing was requested yet.
 	newConnectionGrace = 5 * time.Second
 
-	// halfCloseTimeout is how long a connection whose sending side was closed waits for its client to close it too. A
-	// client that does not within that time is closed on.
+	// halfCloseTimeout is how long a connection whose sending side was closed waits for its client to close it too. Then the
+	// node closes it completely.
 	halfCloseTimeout = 200 * time.Millisecond
 
 	// waitForSignal is the wait for a slot when no connection is idle: only the signal that one is free ends it.
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -26,7 +26,7 @@
 
 // errNoDescriptor says that the node has all the connections that it may have, and none of them is idle. It is the node's
 // own lack and says nothing of the server.
-var errNoDescriptor = errors.New("no socket left for another connection")
+var errNoDescriptor = errors.New("no descriptor left for another connection")
 
 // connPool keeps the connections to servers and sends one request at a time on each. It implements engine.Sender.
 //
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -63,7 +63,7 @@
 	return servers
 }
 
-// compose puts an override into the text of a configuration file.
+// composeConfig returns the text of a configuration file with an override in it.
 func composeConfig(file []byte, override Override) ([]byte, error) {
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(file, &document); err != nil {
--- a/internal/node/peerprocess.go
+++ b/internal/node/peerprocess.go
@@ -14,8 +14,8 @@
 	// an answer within 1 s.
 	peerAckTimeout = 400 * time.Millisecond
 
-	// servingAckTimeout is how long the process before may take to confirm that this one serves. Nobody waits for that
-	// but its own shutdown.
+	// servingAckTimeout is how long the process before may take to confirm that this one serves. Until then operators
+	// are told that this process is not ready.
 	servingAckTimeout = 2 * time.Second
 )
 
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -36,6 +36,11 @@
 
 // serve serves clients on one listener and operators on the other (nil: none), until ctx ends or serving clients fails.
 //
+// Its goroutines: the engine's loop, discovery's watch, the admin API and those of the peer process (in owned); one for
+// each attempt and each connection to a server (the pool's); closeIdleConnections; the writers of metrics and captures. All
+// of these have ended when it returns. The goroutines of client connections are net/http's: they end in shutDown, but for
+// those that it closes at its deadline, which end soon after.
+//
 // It ends in an order that loses nothing: clients first, then operators, whose calls must reach the peer process; then
 // the peer process, discovery and the connections to servers; the engine, which may still report results of attempts;
 // at last metrics and the capture, which record all that.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -43,8 +43,9 @@
 // shutDown stops serving without losing a request.
 //
 // A listener that closed at once would reset the connections that the load balancer in front of the node still sends
-// here, and idle connections that closed at once would cross requests. Clients use the connections that they have while these stay
-// open, and may have no other node to go to: they are served for as long as each answer comes before SIGKILL can.
+// here, and idle connections that closed at once would cross requests. Clients use the connections that they have while
+// these stay open, and may have no other node to go to: they are served for as long as each answer comes before SIGKILL
+// can.
 func (n *Node) shutDown(server *http.Server) {
 	n.log.Info("shutting down")
 	machine := n.transition(lifecycle.Terminate)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Told to stop, a node accepts what still comes while the load balancer in front of it notices, answers what is open and ends without
-// an error. A listener closed at once would reset connections of clients.
+// Told to stop, a node accepts what still comes while the load balancer in front of it notices, answers what is open and
+// ends without an error. A listener closed at once would reset connections of clients.
 func TestShutdownLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -24,7 +24,7 @@
 
 // errMalformedResponse says that a server sent a response that is too long, or whose end can't be trusted, or bytes that
 // nobody asked for.
-var errMalformedResponse = errors.New("answer too long or unsound")
+var errMalformedResponse = errors.New("response too long or malformed")
 
 // upstreamConn is a connection to a server. Its states are those of connPool.
 //
