--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -11,7 +11,7 @@
 		ID, Server string
 		Timeout    time.Duration
 	}
-	// Reject is a final answer that promises that a retry does no harm.
+	// Reject is a final answer that promises that a retry does no harm. Balancer.giveUp lists the reasons.
 	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -28,7 +28,8 @@
 var (
 	// ErrUnknownServer: the server is neither on the endpoint list nor disabled. Check its ID.
 	ErrUnknownServer = errors.New("no such server")
-	// ErrTooManyOverrides: MaxOverrides are remembered already. Enable servers that need not be disabled.
+	// ErrTooManyOverrides: MaxOverrides are remembered already. Enable servers that need not be disabled. The
+	// text is an answer of the admin API (docs/operations.md); "out by hand" there means disabled.
 	ErrTooManyOverrides = errors.New("too many servers are out by hand")
 )
 
@@ -98,7 +99,7 @@
 // nil. A server in slow start is drawn seldom, and in light traffic its operators would wait long to see
 // whether it works. One attempt at a time is none too many for it.
 func (b *Balancer) firstRequestOwed(r *request) *server {
-	for _, s := range r.class.pool.ready {
+	for _, s := range r.class.pool.inService {
 		due := s.firstRequestDue > 0 && b.now >= s.firstRequestDue
 		if due && s.inFlightCount() == 0 && b.capacityLimit(s) > 0 && !b.isOutlier(s, r) && b.mayServe(r, s) {
 			return s
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -43,7 +43,7 @@
 				}
 			}
 			b.Handle(100*time.Second, AdminOverride{Server: "s00"})
-			if b.IsDisabled("s00") || len(b.pools[0].ready) != 2 {
+			if b.IsDisabled("s00") || len(b.pools[0].inService) != 2 {
 				t.Error("one call did not enable it")
 			}
 		})
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -34,20 +34,20 @@
 	// nothing of what the tiers below can take.
 	minWindowUse = 0.8
 
-	// loadSampleWeight over the window plus loadSampleWindow is the weight of an answer in the load ratio:
-	// answers of a larger window come faster, and each tells less.
-	loadSampleWeight = 2
-	// loadSampleWindow keeps that weight small in a small window, in attempts.
-	loadSampleWindow = 16
+	// An answer moves the load ratio by the weight loadWeightNumerator/(window+loadWeightOffset), which is
+	// 2/(window+16): answers of a larger window come faster, and each tells less. The offset, in attempts,
+	// keeps a single answer in a small window from moving the ratio by much.
+	loadWeightNumerator = 2
+	loadWeightOffset    = 16
 )
 
-// windowFull says that a node has as many attempts out as the tiers below answer in good time, or no
+// windowFull says that a pool has as many attempts out as the tiers below answer in good time, or no
 // server. Only tier 0 holds back: a request rejected further down wastes the work done above it.
 func (b *Balancer) windowFull(p *pool) bool {
-	if len(p.ready) == 0 {
+	if len(p.inService) == 0 {
 		return true
 	}
-	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.windowFraction)
+	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.roundingDraw)
 }
 
 // leaveWindow takes an attempt out of the window, once. A streamed message is slow for its client's sake:
@@ -62,7 +62,7 @@
 }
 
 // adjustWindow steers the window so that the mean latency stays at a part of the latency objective. Input:
-// the end of an attempt. Output: the window, in attempts.
+// the end of an attempt, which has left the window (leaveWindow). Output: the window, in attempts.
 //
 // Servers that are sent more than they can work on answer all of it late, and clients that time out ask
 // again: an overload that feeds itself. So the excess must wait or be shed here, before it costs the tiers
@@ -72,33 +72,51 @@
 	if b.settings.Tier > 0 || e.Outcome == Canceled || e.Outcome == NotSent || e.Outcome == Failure {
 		return
 	}
-	p := r.class.pool
+	p, ratio := r.class.pool, b.latencyRatio(r, e)
+	p.learnLoad(ratio, e.Outcome)
+	b.steerWindow(p, ratio)
+	p.keepWindowFloor()
+}
+
+// latencyRatio is how long an attempt took, over the latency objective; at least 1 if it did not succeed.
+func (b *Balancer) latencyRatio(r *request, e AttemptEnded) float64 {
 	ratio := float64(b.attemptLatency(r, r.attempts[e.Attempt], e)) / float64(r.class.LatencyObjective)
 	if e.Outcome != Success {
 		ratio = max(ratio, 1)
 	}
-	moveTowards(&p.loadRatio, min(ratio, 1), loadSampleWeight/(p.window+loadSampleWindow))
-	p.windowFraction = 0
-	if e.Outcome == Success && p.shedShare < maxUnloadedShedShare {
+	return ratio
+}
+
+// learnLoad takes the latency ratio of an attempt into the load ratio and, if it succeeded while next to
+// nothing was shed, into the ratio without overload.
+func (p *pool) learnLoad(ratio float64, outcome Outcome) {
+	moveTowards(&p.loadRatio, min(ratio, 1), loadWeightNumerator/(p.window+loadWeightOffset))
+	if outcome == Success && p.shedShare < maxUnloadedShedShare {
 		p.unloadedSamples++
 		moveTowards(&p.unloadedRatio, ratio, max(slowSampleWeight, 1/p.unloadedSamples))
 	}
+}
+
+// steerWindow lowers the window while the load ratio is above the target, and raises it by an attempt in
+// good time that has found the window in use. That attempt has left the window already: +1 counts it back
+// in.
+func (b *Balancer) steerWindow(p *pool, ratio float64) {
 	target := min(max(targetLoadRatio, unloadedRatioMultiple*p.unloadedRatio), maxTargetLoadRatio)
+	p.roundingDraw = 0
 	if p.loadRatio > target {
 		b.lowerWindow(p)
 	} else if ratio < target && float64(p.inFlight+1) >= minWindowUse*p.window {
 		p.raiseWindow(target)
 	}
-	p.keepWindowFloor()
 }
 
 // lowerWindow lowers a window. Where replicas outnumber servers, windows of an attempt or two that are
 // rounded up at every replica would overload the servers: while the window falls, a draw rounds it up or
-// down, so that all replicas together hold to it. At other times it is rounded up, which lets bursts
-// through.
+// down (windowFull), so that all replicas together hold to it. At other times the draw is 0 and the window
+// is rounded up, which lets bursts through.
 func (b *Balancer) lowerWindow(p *pool) {
 	p.window -= windowLoss
-	p.windowFraction = b.rng.Float64()
+	p.roundingDraw = b.rng.Float64()
 }
 
 // raiseWindow raises a window by the free part of the target: a fixed step would leave servers idle, or
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -146,7 +146,7 @@
 		if i%2 == 0 {
 			took = 60 * millisecond
 		}
-		a := &attempt{server: p.ready[i%10], sentAt: b.now - took}
+		a := &attempt{server: p.inService[i%10], sentAt: b.now - took}
 		a.request = &request{class: b.classes["get"], attempts: []*attempt{a}}
 		b.recordOutcome(a, AttemptEnded{Outcome: Success})
 		b.adjustWindow(a.request, AttemptEnded{Outcome: Success})
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -45,8 +45,8 @@
 	nextPoll     time.Duration
 	leaseExpired bool // the lease on the endpoint list
 
-	faults       *faultInjector // nil: no fault injections are configured
-	shuttingDown bool
+	faults               *faultInjector // nil: no fault injections are configured
+	faultInjectionsEnded bool
 }
 
 // New returns a Balancer that knows no servers yet. All its draws follow from the seed. The error is a
@@ -78,7 +78,8 @@
 // SlowStartDuration is how long after its start a server is in slow start.
 func (b *Balancer) SlowStartDuration() time.Duration { return b.settings.SlowStartDuration }
 
-// Handle takes one event at the clock time now and returns what to do, in order.
+// Handle takes one event at the clock time now and returns what to do, in order. After every event it also
+// sends what is queued and may go now (dispatchQueued): no event needs to do that by itself.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -104,7 +105,7 @@
 	case StartFaultInjection:
 		b.startFaultInjection(e.Name)
 	case ShuttingDown:
-		b.beginShutdown()
+		b.endFaultInjections()
 	case AdminOverride:
 		b.applyOverride(e)
 	case SettingsChanged:
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -12,8 +12,8 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.now = 20 * millisecond
-	s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
-	s.inFlight = callsInFlight(2)
+	s, r := b.pools[0].inService[0], &request{class: b.classes["get"]}
+	s.inFlight = attemptsInFlight(2)
 	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Overloaded})
 	if b.capacityLimit(s) != 2 {
 		t.Fatalf("a limit of %d attempts after a rejection at 2", b.capacityLimit(s))
@@ -24,7 +24,7 @@
 		t.Errorf("a limit of %d attempts after an answer below the limit, want 2", b.capacityLimit(s))
 	}
 	for n := 1; n < 4; n++ {
-		s.inFlight = callsInFlight(n)
+		s.inFlight = attemptsInFlight(n)
 		b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
 	}
 	if got := b.capacityLimit(s); got != 5 {
--- a/balancer/checkpointforms.go
+++ b/balancer/checkpointforms.go
@@ -8,25 +8,25 @@
 // savedBalancer is the whole state of a Balancer. Servers, requests and classes stand in lists; what refers
 // to one has its index there instead.
 type savedBalancer struct {
-	Now             time.Duration       `json:"Now"`
-	RNGState        []byte              `json:"Random"`
-	Servers         []savedServer       `json:"Servers"`
-	KnownServers    int                 `json:"Mapped"` // the first of Servers; others: ended attempts
-	Requests        []savedRequest      `json:"Requests"`
-	Classes         []savedClass        `json:"Classes"`
-	Pools           []savedPool         `json:"Pools"`
-	KeyQueues       []savedKeyQueue     `json:"Lines"`
-	ErrorRate       float64             `json:"Errors"`
-	LastSuccess     time.Duration       `json:"LastOK"`
-	RetryBalance    float64             `json:"Tokens"`
-	PollFailures    int                 `json:"SubFails"`
-	NextPoll        time.Duration       `json:"SubWanted"`
-	ShuttingDown    bool                `json:"Leaving"`
-	LeaseExpired    bool                `json:"Expired,omitempty"`
-	Overrides       []savedOverride     `json:"Hands,omitempty"`
-	SettingsVersion int                 `json:"Rules"`
-	PreviousClasses []int               `json:"Before,omitempty"` // indexes of Classes
-	FaultInjector   *savedFaultInjector `json:"Drills,omitempty"`
+	Now                  time.Duration       `json:"Now"`
+	RNGState             []byte              `json:"Random"`
+	Servers              []savedServer       `json:"Servers"`
+	KnownServers         int                 `json:"Mapped"` // the first of Servers; others: ended attempts
+	Requests             []savedRequest      `json:"Requests"`
+	Classes              []savedClass        `json:"Classes"`
+	Pools                []savedPool         `json:"Pools"`
+	KeyQueues            []savedKeyQueue     `json:"Lines"`
+	ErrorRate            float64             `json:"Errors"`
+	LastSuccess          time.Duration       `json:"LastOK"`
+	RetryBalance         float64             `json:"Tokens"`
+	PollFailures         int                 `json:"SubFails"`
+	NextPoll             time.Duration       `json:"SubWanted"`
+	FaultInjectionsEnded bool                `json:"Leaving"`
+	LeaseExpired         bool                `json:"Expired,omitempty"`
+	Overrides            []savedOverride     `json:"Hands,omitempty"`
+	SettingsVersion      int                 `json:"Rules"`
+	PreviousClasses      []int               `json:"Before,omitempty"` // indexes of Classes
+	FaultInjector        *savedFaultInjector `json:"Drills,omitempty"`
 }
 
 // savedServer is a server and what was learned of it.
@@ -57,7 +57,7 @@
 type savedRequest struct {
 	ID           []byte         `json:"ID"` // may be no UTF-8, which JSON would replace
 	Class        int            `json:"Class"`
-	Arrived      time.Duration  `json:"Arrived"`
+	FirstAskedAt time.Duration  `json:"Arrived"`
 	Deadline     time.Duration  `json:"Deadline"`
 	Attempts     []savedAttempt `json:"Attempts"`
 	ClientRetry  bool           `json:"Repeat"`
@@ -96,7 +96,7 @@
 
 // savedPool is a pool and what was learned of it.
 type savedPool struct {
-	Ready             []int    `json:"Ready"`
+	InService         []int    `json:"Ready"`
 	Preferred         []int    `json:"Near"`
 	Queued            []int    `json:"Held"`
 	InFlight          int      `json:"InFlight"`
@@ -110,7 +110,7 @@
 	UnloadedSamples   float64  `json:"Spared"`
 	PeakInFlight      float64  `json:"Peak"`
 	FloorServers      float64  `json:"Base"`
-	WindowFraction    float64  `json:"Part"`
+	RoundingDraw      float64  `json:"Part"`
 	ShedShare         float64  `json:"Shed"`
 	AllDisabled       bool     `json:"Handed,omitempty"`
 	AllowedZones      []string `json:"Zones"` // nil: all
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -74,7 +74,7 @@
 	b.retryBalance = saved.RetryBalance
 	b.pollFailures = saved.PollFailures
 	b.nextPoll = saved.NextPoll
-	b.shuttingDown = saved.ShuttingDown
+	b.faultInjectionsEnded = saved.FaultInjectionsEnded
 	b.leaseExpired = saved.LeaseExpired
 	b.settingsVersion = saved.SettingsVersion
 }
@@ -157,7 +157,7 @@
 	q := &request{
 		id:           string(saved.ID),
 		class:        resolveOne(r, "class", r.classes, saved.Class),
-		arrived:      saved.Arrived,
+		firstAskedAt: saved.FirstAskedAt,
 		deadline:     saved.Deadline,
 		clientRetry:  saved.ClientRetry,
 		answered:     saved.Answered,
@@ -218,7 +218,7 @@
 func (r *checkpointReader) readPools() {
 	for i, saved := range r.saved.Pools {
 		p := r.balancer.pools[i]
-		p.ready = resolve(r, "server", r.servers, saved.Ready)
+		p.inService = resolve(r, "server", r.servers, saved.InService)
 		p.preferred = resolve(r, "server", r.servers, saved.Preferred)
 		p.queued = resolve(r, "request", r.requests, saved.Queued)
 		for _, q := range p.queued {
@@ -235,7 +235,7 @@
 		p.unloadedSamples = saved.UnloadedSamples
 		p.peakInFlight = saved.PeakInFlight
 		p.floorServers = saved.FloorServers
-		p.windowFraction = saved.WindowFraction
+		p.roundingDraw = saved.RoundingDraw
 		p.shedShare = saved.ShedShare
 		p.allDisabled = saved.AllDisabled
 	}
--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -19,15 +19,15 @@
 // newCheckpointWriter begins with what stands for itself.
 func newCheckpointWriter(b *Balancer) *checkpointWriter {
 	return &checkpointWriter{balancer: b, saved: &savedBalancer{
-		Now:             b.now,
-		ErrorRate:       b.errorRate,
-		LastSuccess:     b.lastSuccess,
-		RetryBalance:    b.retryBalance,
-		PollFailures:    b.pollFailures,
-		NextPoll:        b.nextPoll,
-		ShuttingDown:    b.shuttingDown,
-		LeaseExpired:    b.leaseExpired,
-		SettingsVersion: b.settingsVersion,
+		Now:                  b.now,
+		ErrorRate:            b.errorRate,
+		LastSuccess:          b.lastSuccess,
+		RetryBalance:         b.retryBalance,
+		PollFailures:         b.pollFailures,
+		NextPoll:             b.nextPoll,
+		FaultInjectionsEnded: b.faultInjectionsEnded,
+		LeaseExpired:         b.leaseExpired,
+		SettingsVersion:      b.settingsVersion,
 	}}
 }
 
@@ -81,7 +81,7 @@
 	saved := savedRequest{
 		ID:           []byte(r.id),
 		Class:        w.classes.number(r.class),
-		Arrived:      r.arrived,
+		FirstAskedAt: r.firstAskedAt,
 		Deadline:     r.deadline,
 		ClientRetry:  r.clientRetry,
 		Answered:     r.answered,
@@ -155,7 +155,7 @@
 func (w *checkpointWriter) writePools() {
 	for _, p := range w.balancer.pools {
 		w.saved.Pools = append(w.saved.Pools, savedPool{
-			Ready:             w.servers.numbers(p.ready),
+			InService:         w.servers.numbers(p.inService),
 			Preferred:         w.servers.numbers(p.preferred),
 			Queued:            w.requests.numbers(p.queued),
 			InFlight:          p.inFlight,
@@ -169,7 +169,7 @@
 			UnloadedSamples:   p.unloadedSamples,
 			PeakInFlight:      p.peakInFlight,
 			FloorServers:      p.floorServers,
-			WindowFraction:    p.windowFraction,
+			RoundingDraw:      p.roundingDraw,
 			ShedShare:         p.shedShare,
 			AllDisabled:       p.allDisabled,
 			AllowedZones:      p.allowedZones,
--- a/balancer/discoverypoll.go
+++ b/balancer/discoverypoll.go
@@ -1,4 +1,7 @@
-// Polls of discovery, where the endpoint list comes only after a Subscribe.
+// Polls of discovery, for hosts whose discovery sends an endpoint list only after a Subscribe.
+//
+// That is the simulator. In service internal/endpointlease schedules the polls of discovery, and the first
+// Subscribe is all that counts: it lets the first poll begin, and those that follow change nothing.
 
 package balancer
 
@@ -14,9 +17,10 @@
 	maxPollBackoff = 4
 )
 
-// schedulePoll plans a Subscribe. Input: the number of failures in a row. Output: a timer at a random time
-// between now and a wait that doubles with each failure, up to a part of MaxPollInterval. The jitter keeps
-// replicas that lost discovery together from all coming back to it together, which would overload it again.
+// schedulePoll plans a Subscribe, where PollDiscovery is set. Input: the number of failures in a row.
+// Output: a timer at a random time between now and a wait that doubles with each failure, up to a part of
+// MaxPollInterval. The jitter keeps replicas that lost discovery together from all coming back to it
+// together, which would overload it again.
 func (b *Balancer) schedulePoll() {
 	if !b.settings.PollDiscovery {
 		return
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -21,11 +21,10 @@
 //	retry.go           which requests may be tried again
 //	retrybudget.go     how many retries the successes pay for
 //	retryafter.go      when a rejected client is asked to come back
-//	lease.go           what an expired endpoint list means
-//	discoverypoll.go   when discovery is polled
+//	lease.go           what an expired lease on the endpoint list means
+//	discoverypoll.go   when a Subscribe is sent; in service the first one lets internal/endpointlease poll
 //	accesslist.go      which clients are admitted
-//	faultinjection.go  faults that operators inject on purpose
-//	shutdown.go        what ends when the node shuts down
+//	faultinjection.go  faults that operators inject on purpose, and their end when the node shuts down
 //
 // The state that the rules share is in balancer.go, pool.go, class.go, server.go and request.go, each with
 // the states that its objects pass through. endpoints.go takes in the endpoint list, outcome.go what the
--- a/balancer/eligibility_test.go
+++ b/balancer/eligibility_test.go
@@ -10,7 +10,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
 	drawFromAll(b)
-	b.servers["s00"].inFlight, b.pools[0].inFlight = callsInFlight(2), 2
+	b.servers["s00"].inFlight, b.pools[0].inFlight = attemptsInFlight(2), 2
 	got := traffic(b, 300, "get", func(string) Outcome { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -38,13 +38,13 @@
 // shrinks with its pool, for the attempts that a lost server took must not overload those that stay; it does
 // not grow with the pool.
 func (b *Balancer) refreshPools() {
-	ready, disabled := b.serversInService()
+	inService, disabled := b.serversInService()
 	for _, p := range b.pools {
-		before := len(p.ready)
-		p.ready = slices.DeleteFunc(slices.Clone(ready), func(s *server) bool { return !p.allows(s) })
-		p.allDisabled = len(p.ready) == 0 && slices.ContainsFunc(disabled, p.allows)
-		if len(p.ready) < before {
-			p.window *= float64(len(p.ready)) / float64(before)
+		before := len(p.inService)
+		p.inService = slices.DeleteFunc(slices.Clone(inService), func(s *server) bool { return !p.allows(s) })
+		p.allDisabled = len(p.inService) == 0 && slices.ContainsFunc(disabled, p.allows)
+		if len(p.inService) < before {
+			p.window *= float64(len(p.inService)) / float64(before)
 		}
 	}
 	for _, p := range b.pools {
@@ -54,7 +54,7 @@
 
 // serversInService forgets servers that have left, and returns those in service, and those that only an
 // operator keeps out. The first are in the order of their IDs, which is the same at every replica.
-func (b *Balancer) serversInService() (ready, disabled []*server) {
+func (b *Balancer) serversInService() (inService, disabled []*server) {
 	for id, s := range b.servers {
 		switch {
 		case !s.listed && s.inFlightCount() == 0:
@@ -63,9 +63,9 @@
 		case b.overrides[id].disabled:
 			disabled = append(disabled, s)
 		default:
-			ready = append(ready, s)
+			inService = append(inService, s)
 		}
 	}
-	slices.SortFunc(ready, func(s, t *server) int { return strings.Compare(s.ID, t.ID) })
-	return ready, disabled
+	slices.SortFunc(inService, func(s, t *server) int { return strings.Compare(s.ID, t.ID) })
+	return inService, disabled
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -8,7 +8,8 @@
 // ServerState is what discovery says of a server.
 type ServerState int
 
-// Server states, as discovery knows them. The states of a server within a Balancer are at the type server.
+// Server states, as discovery knows them. A server that is listed as Ready is in service unless an operator
+// has disabled it; all states of a server within a Balancer are at the type server.
 const (
 	Ready    ServerState = iota // takes new requests
 	Draining                    // finishes what it has
@@ -53,9 +54,10 @@
 		Cached   bool // kept from before a restart, possibly out of date
 		Servers  []Server
 	}
-	// WatchFailed says that a Subscribe failed or that the subscription ended.
+	// WatchFailed says that a Subscribe failed or that the watch which it began has ended.
 	WatchFailed struct{}
-	// EndpointLease says whether the lease on the endpoint list has expired; lease.go says what that means.
+	// EndpointLease says that the lease on the endpoint list has expired, or is in force again. lease.go says
+	// what that means.
 	EndpointLease struct{ Expired bool }
 	// Request is a client's request; the Balancer owes it one final answer by Deadline.
 	Request struct {
@@ -90,7 +92,8 @@
 	TimerFired struct{ Token string }
 	// StartFaultInjection starts the fault injection of this name, or its time anew.
 	StartFaultInjection struct{ Name string }
-	// ShuttingDown says that the node is about to stop.
+	// ShuttingDown ends all fault injections for good, because the node is about to stop. It has no other
+	// effect, and hosts that have no fault injections need not give it.
 	ShuttingDown struct{}
 	// AdminOverride disables a server or enables it again, as an operator said.
 	AdminOverride struct {
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -34,7 +34,7 @@
 type faultInjector struct {
 	rngSource   *rand.PCG // of rng
 	rng         *rand.Rand
-	activeUntil []time.Duration // of each fault injection: when it ends
+	activeUntil []time.Duration // of each fault injection, as in the settings: when it ends
 	delayed     []*request      // in the order of their arrival
 }
 
@@ -52,10 +52,10 @@
 }
 
 // startFaultInjection lets a fault injection run for its whole duration from now, also one that runs
-// already. A node that shuts down starts none.
+// already. A node that shuts down starts none (endFaultInjections).
 func (b *Balancer) startFaultInjection(name string) {
 	for i, fault := range b.settings.FaultInjections {
-		if fault.Name == name && !b.shuttingDown {
+		if fault.Name == name && !b.faultInjectionsEnded {
 			b.faults.activeUntil[i] = b.now + fault.Duration
 		}
 	}
@@ -126,3 +126,18 @@
 		b.faults.delayed = remove(b.faults.delayed, r)
 	}
 }
+
+// endFaultInjections ends all fault injections for good, because the node shuts down. It must not spend its
+// last seconds on injected delays, or it would be killed before its requests are answered. Nothing else
+// changes: until the host stops, requests are accepted, sent and answered as before, so that clients that
+// have not been notified yet are served.
+func (b *Balancer) endFaultInjections() {
+	b.faultInjectionsEnded = true
+	if b.faults == nil {
+		return
+	}
+	clear(b.faults.activeUntil)
+	for len(b.faults.delayed) > 0 {
+		b.resumeRequest(b.faults.delayed[0])
+	}
+}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "heir.json", text)
+	golden(t, "successor.json", text)
 }
 
 // A checkpoint of an earlier build is read without loss: the Balancer made of it writes the same bytes.
@@ -121,7 +121,7 @@
 
 // A successor state of an earlier build is read without loss, but for the successor's own draws.
 func TestGoldenSuccessorStateIsRead(t *testing.T) {
-	settings, state := goldenBusyBalancer(t).settings, goldenFile(t, "heir.json")
+	settings, state := goldenBusyBalancer(t).settings, goldenFile(t, "successor.json")
 	var s savedBalancer
 	if err := json.Unmarshal(state, &s); err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "heir.json", text)
+	checkGolden(t, "successor.json", text)
 }
 
 // A field that no golden file has could change its key unnoticed.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -42,8 +42,8 @@
 // drawFromAll makes a replica draw from all servers for some hundred requests, as a busy one does.
 func drawFromAll(b *Balancer) { b.pools[0].peakInFlight = 1e9 }
 
-// callsInFlight are n attempts that have just been sent.
-func callsInFlight(n int) (open []*attempt) {
+// attemptsInFlight are n attempts that have just been sent.
+func attemptsInFlight(n int) (open []*attempt) {
 	for range n {
 		open = append(open, &attempt{request: &request{class: &class{meanLatency: 1e18}}})
 	}
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -15,8 +15,9 @@
 	quietUntil time.Duration // an earlier attempt may still run: no other request starts before this
 }
 
-// joinKeyQueue puts a request behind the earlier ones of its key. False: the queue is so long that its turn
-// would come too late, and waiting would only keep its client from what else it can do.
+// joinKeyQueue puts a request behind the earlier ones of its key. False: the queue is so long that, by the
+// mean latency of the class, its turn would come after its queue deadline. Waiting would only keep its
+// client from what else it can do.
 func (b *Balancer) joinKeyQueue(r *request, key uint64) bool {
 	queue := b.keyQueues[key]
 	if queue == nil {
@@ -50,9 +51,10 @@
 	}
 }
 
-// settleKeyQueue drops a queue that is empty, or asks for a timer at the end of its quiet period: then the
-// next request goes.
-func (b *Balancer) settleKeyQueue(queue *keyQueue) {
+// dropOrRearmKeyQueue asks for a timer at the end of a key's quiet period, or drops its queue if that is
+// over and the queue is empty. It sends nothing: the key's next request goes by dispatchQueued, which
+// follows every event, also that of the timer.
+func (b *Balancer) dropOrRearmKeyQueue(queue *keyQueue) {
 	switch {
 	case queue == nil:
 	case b.now < queue.quietUntil:
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -1,4 +1,4 @@
-// Endpoint lease: what an expired list means.
+// Endpoint lease: what it means that the lease on the endpoint list has expired.
 
 package balancer
 
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -8,7 +8,7 @@
 // Discovery is away for so long that the lease on the list expires; servers may have left it meanwhile.
 // Nothing is sent, neither first nor again: what waits and what comes is answered at once, as a rejection
 // where a retry does no harm. Before there is a list its arrival is waited for.
-func TestExpiredList(t *testing.T) {
+func TestExpiredListRejectsAll(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointLease{Expired: true})
 	if out := b.Handle(0, Request{ID: "early", Class: "pay", Deadline: time.Second}); finalAnswer(out) != nil || len(sends(out)) != 0 {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -29,16 +29,18 @@
 	// maxBackoffLevel is how many times the time of an ejection or of a capacity limit doubles: up to 32
 	// times.
 	maxBackoffLevel = 5
-	// unresponsiveDeviations is how many deviations above the mean a wait is overlong.
+	// unresponsiveDeviations is how many deviations above the mean latency an attempt must be unanswered for
+	// its server to count as unresponsive.
 	unresponsiveDeviations = 3.0
-	// answeredSinceDivisor: half of that wait is left for others to be answered in, which shows that
-	// the fault is the server's alone.
+	// answeredSinceDivisor: since half of that wait another server must have answered and this one not,
+	// which shows that the fault is the server's alone.
 	answeredSinceDivisor = 2
 )
 
 // excludeOutliers marks the servers of a list that are kept out for their health. Input: the servers that a
 // request could go to, and the share of requests shed. Output: true for the outliers with the most failures
-// in a row, up to maxExcludedShare of the list.
+// in a row, up to maxExcludedShare of the list. Time-outs and errors count there, a long wait does not: an
+// unresponsive server may have none in a row, and is then the first to stay in where there are too many.
 //
 // The share falls as more load is shed, for time-outs in an overload show load rather than ill health. One
 // may always be excluded: a server that fails at once drains its count and would win most draws; one that
@@ -64,9 +66,9 @@
 
 // isOutlier says that a server should not be drawn for a request because of its health: it is ejected,
 // unresponsive, or on probation and not open to this request. On probation one request at a time decides,
-// and one that may be repeated: a bad server must not fail many, nor one that can't be tried again. Where
-// no such request comes for as long again as the first ejection, a non-idempotent one must do, or the
-// server would never come back.
+// and not a NonIdempotent one: a bad server must not fail many, nor one that can't be tried again. Where no
+// other comes for as long as a first ejection, reckoned by the class of this request, a NonIdempotent one
+// must do, or the server would never come back.
 func (b *Balancer) isOutlier(s *server, r *request) bool {
 	if b.now < s.ejectedUntil || b.isUnresponsive(s) {
 		return true
@@ -74,9 +76,9 @@
 	if s.ejectionLevel == 0 || s.consecutiveSuccesses > 0 {
 		return false
 	}
-	ejection := time.Duration(ejectionLatencies * r.class.meanLatency)
-	tooEarly := r.class.Effect == NonIdempotent && b.now < s.ejectedUntil+ejection
-	return tooEarly || s.inFlightCount() > 0
+	firstEjection := time.Duration(ejectionLatencies * r.class.meanLatency)
+	nonIdempotentTooEarly := r.class.Effect == NonIdempotent && b.now < s.ejectedUntil+firstEjection
+	return nonIdempotentTooEarly || s.inFlightCount() > 0
 }
 
 // isUnresponsive says that an old attempt at the server is unanswered while a younger one was answered
@@ -101,8 +103,19 @@
 // one over the number of servers, and more if it fails quickly.
 //
 // Errors that strike everywhere come from the tier below, and ejecting on them would leave nobody. So a run
-// counts only if the share of failures at all servers makes it unlikely: by the hundredth request one error
-// is not. The time of an ejection doubles while requests on probation fail.
+// of n failures counts only if share^n is below the limit of the last one's kind. That gives:
+//
+//	share of failures   ejected by a time-out as    ejected by an error as
+//	before the last     the failure in a row of     the failure in a row of
+//	1 to 2 %            number 1                    number 2
+//	5 %                 number 1                    number 3
+//	10 %                number 2                    number 4
+//	20 %                number 2                    number 5
+//	50 %                number 4                    number 10
+//
+// Each failure raises the share by 0.06 of what it lacks to 1, each success at any server takes 0.06 of it:
+// where nothing succeeds between them, it takes four or five errors rather than two. The time of an
+// ejection doubles while requests on probation fail.
 func (b *Balancer) recordFailure(s *server, c *class, outcome Outcome) {
 	s.consecutiveFailures++
 	s.consecutiveSuccesses = 0
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -36,10 +36,10 @@
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		b.now = 20 * millisecond // what each attempt takes
-		s, r := b.pools[0].ready[0], &request{class: b.classes["get"]}
+		s, r := b.pools[0].inService[0], &request{class: b.classes["get"]}
 		for _, e := range tc.endings {
 			for i := range 9 {
-				b.recordOutcome(&attempt{request: r, server: b.pools[0].ready[1+i%3]}, AttemptEnded{Outcome: Success})
+				b.recordOutcome(&attempt{request: r, server: b.pools[0].inService[1+i%3]}, AttemptEnded{Outcome: Success})
 			}
 			b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: e})
 		}
@@ -153,12 +153,12 @@
 	}{{0, 4}, {0.5, 2}, {0.9, 1}} {
 		b := newBalancer(t, nil)
 		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(20)})
-		for _, s := range b.pools[0].ready[:10] {
+		for _, s := range b.pools[0].inService[:10] {
 			s.ejectedUntil = time.Minute
 		}
 		b.pools[0].shedShare = c.shed
 		out := 0
-		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready) {
+		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService) {
 			if o {
 				out++
 			}
@@ -174,9 +174,9 @@
 func TestSheddingKeepsADeadServerOut(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
-	b.pools[0].ready[2].ejectedUntil = time.Minute
+	b.pools[0].inService[2].ejectedUntil = time.Minute
 	b.pools[0].shedShare = 0.6
-	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].ready); fmt.Sprint(out) != "[false false true false]" {
+	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService); fmt.Sprint(out) != "[false false true false]" {
 		t.Errorf("excluded %v, want the third alone", out)
 	}
 }
--- a/balancer/pool.go
+++ b/balancer/pool.go
@@ -7,7 +7,7 @@
 // full, slow or dead stops no class that may go elsewhere.
 type pool struct {
 	allowedZones, allowedKinds []string  // nil: all
-	ready                      []*server // servers in service, in the order that all replicas share
+	inService                  []*server // listed as ready, not disabled; in the order of their IDs
 	preferred                  []*server // those to use first (zonepreference.go)
 
 	crossZoneShare   float64 // share of requests that may go to servers that are not preferred
@@ -23,11 +23,11 @@
 	unloadedRatio   float64 // the same of answers while no load was shed
 	unloadedSamples float64 // their count
 	peakInFlight    float64 // inFlight, quick to rise and slow to fall
-	floorServers    float64 // servers that the window's floor counts
-	windowFraction  float64 // of an attempt, drawn while the window falls: rounds it up or down
+	floorServers    float64 // servers a replica for which minWindowPerServer is granted (keepWindowFloor)
+	roundingDraw    float64 // from 0 to 1, drawn while the window falls; 0: the window is rounded up
 	shedShare       float64 // share of requests answered without an attempt
 
-	allDisabled bool // every server in service is disabled by an operator
+	allDisabled bool // no server is in service, and some would be if operators had not disabled them
 }
 
 // allows says that the placement of a pool's classes lets them go to a server.
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -5,17 +5,18 @@
 import "time"
 
 const (
-	// marginTicks is how many ticks before a deadline the Balancer acts: one in which a timer may be late,
-	// and one in which the answer reaches the client.
-	marginTicks = 2
+	// deadlineMarginTolerances is how long before a deadline the Balancer acts, in tolerances of the host's
+	// timers: one by which its own timer may be late, and one in which the answer reaches the client.
+	deadlineMarginTolerances = 2
 	// minQueueDivisor: a request may wait for at least a quarter of its latency objective.
 	minQueueDivisor = 4
-	// queueDeviations is how many deviations above the mean latency are left for its answer.
+	// queueDeviations is how many deviations above the mean latency are left for the answer to a queued
+	// request.
 	queueDeviations = 2
 )
 
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
-func (b *Balancer) deadlineMargin() time.Duration { return marginTicks * b.settings.Tick }
+func (b *Balancer) deadlineMargin() time.Duration { return deadlineMarginTolerances * b.settings.Tick }
 
 // queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
 // objective, its deadline and the latencies of its class. Output: the time from which its answer may well
@@ -25,10 +26,13 @@
 // Late answers take the capacity of those in time. Waiting to the request's own deadline would fill the
 // queue with requests whose clients are about to give up and ask again, which is how an overload feeds
 // itself: it shows as full queues, busy servers, and answers that all come late.
+//
+// It counts from the client's first try. Of a client's retry it is mostly over: such a request is sent at
+// once or rejected at once.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
 	wait := max(objective/minQueueDivisor, objective-r.class.latencyBound(queueDeviations))
-	return min(r.deadline-b.deadlineMargin(), r.arrived+wait)
+	return min(r.deadline-b.deadlineMargin(), r.firstAskedAt+wait)
 }
 
 // enqueue keeps a request until a server may take it; its timer makes sure that it is answered. One that
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -16,12 +16,12 @@
 //	answered     it has its final answer, or its client has gone (closeRequest); attempts may still be out
 //	forgotten    answered and without attempts out (forgetIfDone)
 //
-// From queued it goes to attempt out; from there to answered, or back to attempt out or queued by a retry.
-// An answered request is never sent again.
+// From delayed or queued it goes to attempt out; from there to answered, or to the next attempt by a retry,
+// which is sent at once or not at all. So a request is never queued again, nor is an answered one sent.
 type request struct {
 	id           string
 	class        *class
-	arrived      time.Duration // of a client's retry: when the client asked first
+	firstAskedAt time.Duration // its arrival; of a client's retry, an estimate of the first try's
 	deadline     time.Duration
 	attempts     []*attempt
 	clientRetry  bool      // the client has asked before
@@ -104,7 +104,7 @@
 	r := &request{
 		id:           e.ID,
 		class:        c,
-		arrived:      b.now,
+		firstAskedAt: b.now,
 		deadline:     min(e.Deadline, b.now+c.Deadline),
 		clientRetry:  e.ClientRetry,
 		streamedBody: e.StreamedBody,
@@ -208,13 +208,24 @@
 
 // inTime says that an answer met the latency objective. Of a stream that is its first message.
 func (b *Balancer) inTime(a *attempt, e AttemptEnded) bool {
-	objective := a.request.arrived + a.request.class.LatencyObjective
+	objective := a.request.firstAskedAt + a.request.class.LatencyObjective
 	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
 }
 
-// giveUp gives the final answer to a request that gets none from a server: a rejection where a retry by the
-// client is surely harmless, else a failure. A request of which the client has part of a response gets no
-// other answer.
+// giveUp gives the final answer to a request that gets none from a server: a rejection (503) where a retry
+// by the client is surely harmless, else a failure. A request of which the client has part of a response
+// gets no other answer. The answer does not say why; these are all the reasons:
+//
+//	acceptRequest   too many requests of its key are queued before it (joinKeyQueue)
+//	enqueue         its queue deadline is over, and no server, window or key queue has let it go
+//	enqueue, dispatchQueued
+//	                the lease on the endpoint list has expired (listUnreliable), or operators have
+//	                disabled all servers that it could go to (pool.allDisabled)
+//	retryOrGiveUp   after an attempt that did not succeed: its class or MaxAttempts allows no other
+//	                (mayRetry), the retry budget is used up, too little time is left for an answer, or no
+//	                server is eligible for it (chooseServer)
+//
+// A fault injection may answer 503 as well (abortRequest), as Abort rather than Reject.
 func (b *Balancer) giveUp(r *request) {
 	if r.answered || r.streaming {
 		return
@@ -252,6 +263,6 @@
 	delete(b.requests, r.id)
 	if queue := r.keyQueue; queue != nil {
 		queue.requests = remove(queue.requests, r)
-		b.settleKeyQueue(queue)
+		b.dropOrRearmKeyQueue(queue)
 	}
 }
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -32,10 +32,10 @@
 			return s
 		}
 	}
-	if s := b.chooseFrom(r, p.ready, p.subsetShare(p.ready), false); s != nil {
+	if s := b.chooseFrom(r, p.inService, p.subsetShare(p.inService), false); s != nil {
 		return s
 	}
-	return b.chooseFrom(r, p.ready, 1, true)
+	return b.chooseFrom(r, p.inService, 1, true)
 }
 
 // chooseFrom chooses among the eligible servers of a share of both groups of a list, nil if there are none.
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -9,7 +9,7 @@
 // serversWithCalls are servers with so many own attempts in flight.
 func serversWithCalls(calls ...int) (list []*server) {
 	for i, n := range calls {
-		list = append(list, &server{Server: Server{ID: fmt.Sprint(i, n)}, inFlight: callsInFlight(n)})
+		list = append(list, &server{Server: Server{ID: fmt.Sprint(i, n)}, inFlight: attemptsInFlight(n)})
 	}
 	return list
 }
@@ -72,8 +72,8 @@
 		b.Handle(0, EndpointUpdate{Servers: l[i : i+1]})
 	}
 	for i := range l {
-		if a.pools[0].ready[i].ID != b.pools[0].ready[i].ID {
-			t.Fatalf("order differs at %d: %s, %s", i, a.pools[0].ready[i].ID, b.pools[0].ready[i].ID)
+		if a.pools[0].inService[i].ID != b.pools[0].inService[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.pools[0].inService[i].ID, b.pools[0].inService[i].ID)
 		}
 	}
 }
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -5,22 +5,26 @@
 const (
 	// minArrivals is how many recent requests a class must have to be taken for the worst served.
 	minArrivals = 1
-	// minDivisor stands in for a count or a sum that is zero.
+	// minDivisor stands in for a divisor of zero: no class with a weight has had a request, or the settings
+	// give no class a weight.
 	minDivisor = 1e-9
 )
 
-// sheddingValue is what an answer to a request adds to the value of all answers, per nanosecond of server
-// time. Input: the priority weights, the recent counts of each class, and its mean latency. Requests of the
-// least value wait longest, and are shed when their queue deadlines pass.
+// sheddingValue is what an answer to a request is worth, over the mean latency of its class: a share of the
+// whole, per nanosecond of server time. Input: the priority weights, the recent counts of each class, and
+// the mean latency. Requests of the least value wait longest, and are shed when their queue deadlines pass.
 //
-// The class whose requests are answered in time least often counts extra, by WorstClassWeight: by priority
-// weights alone the cheapest class would get nothing at all in a long overload. A client's retry counts as
-// a late answer, for its latency objective is mostly over.
+//	(TotalValueWeight*PriorityWeight/totalOfferedValue + WorstClassWeight/arrivals) * LateCredit / latency
+//
+// The first part is the request's share of the value of all recent requests. The second is for the class
+// that is served worst alone: an answer raises the share of its requests that are answered by one over
+// their number. By priority weights alone the cheapest class would get nothing at all in a long overload.
+// LateCredit is for a client's retry alone, which counts as a late answer: its latency objective is mostly
+// over.
 func (b *Balancer) sheddingValue(r *request) float64 {
 	c := r.class
-	total, worst := b.offeredValue(c)
-	value := b.settings.TotalValueWeight * c.PriorityWeight / max(total, minDivisor)
-	if worst == c {
+	value := b.settings.TotalValueWeight * c.PriorityWeight / max(b.totalOfferedValue(), minDivisor)
+	if b.worstServedClass(c) == c {
 		value += b.settings.WorstClassWeight / max(c.arrivals, minDivisor)
 	}
 	if r.clientRetry {
@@ -29,19 +33,27 @@
 	return value / c.meanLatency
 }
 
-// offeredValue is the value of all recent requests, and the class that is served worst: that with the
-// lowest share of answers in time, a given one where none is lower.
-func (b *Balancer) offeredValue(worst *class) (total float64, worstServed *class) {
+// totalOfferedValue is the value of all recent requests by their priority weights.
+func (b *Balancer) totalOfferedValue() (total float64) {
 	for _, c := range b.classList {
 		total += c.PriorityWeight * c.arrivals
+	}
+	return total
+}
+
+// worstServedClass is the class with the lowest share of its recent requests answered in time: a given one
+// where none is lower. Classes with hardly a request are passed over.
+func (b *Balancer) worstServedClass(worst *class) *class {
+	for _, c := range b.classList {
 		if c.arrivals > minArrivals && c.served*worst.arrivals < worst.served*c.arrivals {
 			worst = c
 		}
 	}
-	return total, worst
+	return worst
 }
 
-// countAdmitted notes that a request was sent, and countShed that one was answered without an attempt.
+// countAdmitted notes that a request was sent.
 func (p *pool) countAdmitted() { moveTowards(&p.shedShare, 0, slowSampleWeight) }
 
+// countShed notes that a request was answered without an attempt.
 func (p *pool) countShed() { moveTowards(&p.shedShare, 1, slowSampleWeight) }
--- a/balancer/successor.go
+++ b/balancer/successor.go
@@ -39,7 +39,7 @@
 	s.KeyQueues = nil
 	s.PreviousClasses = nil
 	s.SettingsVersion = 0
-	s.ShuttingDown = false
+	s.FaultInjectionsEnded = false
 	s.LeaseExpired = false
 	s.NextPoll = 0
 	s.Classes = s.Classes[:classes]
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -27,7 +27,7 @@
 		b.handlePollTimer()
 	case keyTimer:
 		if key, err := strconv.ParseUint(name, 10, 64); err == nil {
-			b.settleKeyQueue(b.keyQueues[key])
+			b.dropOrRearmKeyQueue(b.keyQueues[key])
 		}
 	case delayTimer:
 		b.handleDelayTimer(b.requests[name])
@@ -36,5 +36,5 @@
 	}
 }
 
-// isDue says that a time has come, or comes within the tick by which a timer may be early.
+// isDue says that a time has come, or comes within the tolerance by which a timer may be early.
 func (b *Balancer) isDue(at time.Duration) bool { return b.now+b.settings.Tick >= at }
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -27,13 +27,13 @@
 func (b *Balancer) preferServers(p *pool) {
 	needed := func(s *server) bool {
 		return slices.ContainsFunc(b.pools, func(narrower *pool) bool {
-			return len(narrower.ready) < len(p.ready) && narrower.allows(s)
+			return len(narrower.inService) < len(p.inService) && narrower.allows(s)
 		})
 	}
 	otherZone := func(s *server) bool { return s.Zone != b.settings.Zone }
-	sameZone, own := excludeUnlessAll(p.ready, otherZone), p.ready
+	sameZone, own := excludeUnlessAll(p.inService, otherZone), p.inService
 	if p.preferred = excludeUnlessAll(sameZone, needed); len(p.preferred) < len(sameZone) {
-		own = excludeUnlessAll(p.ready, needed)
+		own = excludeUnlessAll(p.inService, needed)
 	}
 	p.serversPerReplica = float64(len(own)) / float64(max(1, b.settings.Replicas))
 	if p.window == 0 {
@@ -54,7 +54,7 @@
 // Where there is a difference it draws, by the cross-zone share.
 func (b *Balancer) crossesZones(p *pool) bool {
 	n := len(p.preferred)
-	return n == 0 || n == len(p.ready) || b.rng.Float64() < max(p.crossZoneShare, minCrossZoneShare)
+	return n == 0 || n == len(p.inService) || b.rng.Float64() < max(p.crossZoneShare, minCrossZoneShare)
 }
 
 // learnZoneLatency learns from the latency of an attempt whether requests should leave the preferred
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -25,10 +25,10 @@
 	// upper bound: Timeout runs from the body's last byte.
 	Deadline time.Duration
 	Timeout  time.Duration // how long the balancer waits for it
-	Started  time.Duration // by the engine's clock
+	Started  time.Duration // when the Sender got it, by the engine's clock
 
 	streaming bool           // the loop's own
-	lease     *endpointLease // on the endpoint list that has the target; nil: it has no end
+	lease     *leaseDeadline // on the endpoint list that has the target; nil: it has no end
 	guard     *invariants.Guard
 }
 
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -23,7 +23,8 @@
 // first (clientGoneAt) and the loop takes up later:
 //
 //   - arriving: Do waits for the loop to take the call. The balancer does not know it yet.
-//   - queued: the balancer holds it, before its first attempt or between two. No attempt is out.
+//   - queued: the balancer holds it before its first attempt, or for an injected delay. A retry never waits: it is sent as
+//     the attempt before it ends, or not at all.
 //   - attempt out: one attempt is with the Sender (outstanding is 1). It can still end so that a retry follows.
 //   - streaming: the response to its attempt is passed on to the client as it comes (Attempt.streaming). No retry can
 //     follow: the client has seen a part of it. With PassResponse the start of the response is the final answer, so the
@@ -59,8 +60,8 @@
 	mayHaveRun  bool // an attempt that has ended may have run at its server
 }
 
-// Close marks the call as over, and says whether it was open. Who gets true owes the call its one final answer, unless its
-// client has gone; who gets false must not answer it.
+// Close claims the right to give the call its one final answer, and marks the call as closed. It says whether the right was
+// still to be had: who gets true must answer the call, unless its client has gone; who gets false must not.
 func (c *Call) Close() bool { return !c.closed.Swap(true) }
 
 // Closed says that the call has its answer or its client has gone: nothing more may be sent for it.
@@ -192,7 +193,7 @@
 	e.forget(c)
 }
 
-// serve gives a call that the caller has closed the answer of an attempt that succeeded.
+// serve gives a call the answer of an attempt that succeeded. The caller has claimed the answer.
 func (e *Engine) serve(c *Call, reply any) {
 	e.counters.served++
 	c.answer <- Answer{Verdict: Served, Reply: reply}
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -14,6 +14,7 @@
 )
 
 // attemptStage splits the counts of rejected and failed calls: overload shows before the attempt, faults of servers after.
+// Why the balancer rejected a call is counted only for an expired endpoint list; balancer.giveUp lists the other reasons.
 type attemptStage int
 
 // The stages.
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -20,7 +20,9 @@
 	Endpoints []Endpoint
 	Complete  bool // Endpoints are all that there are; what is not among them has left the list
 	Cached    bool // Endpoints were kept from an earlier run of the node
-	Failed    bool // a watch that the balancer subscribed to has failed or ended; there are no Endpoints
+	// Failed says that the source's polls and watches have failed or ended, and none is left; there are no Endpoints. The
+	// balancer answers with Options.Subscribe after a backoff, which changes nothing at a source that polls by itself.
+	Failed bool
 }
 
 // Target is a server that may be sent to: at one address, and from one start of the server to the next. A server that moved
@@ -28,7 +30,7 @@
 type Target struct {
 	ID   string
 	Addr string
-	Boot time.Duration // when the server started, by the engine's clock; 0: long ago
+	Boot time.Duration // as discovery gives it: when its process started, by the engine's clock; 0: long ago
 
 	stoppedAt   atomic.Int64 // when sends had to stop, by the engine's clock; 0: they need not
 	outstanding int          // attempts that have not ended; the loop's own
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -33,11 +33,13 @@
 
 // Options are an engine's parts. Metrics, Capture and Guard may be nil: off.
 type Options struct {
-	Clock     Clock
-	Log       *slog.Logger
-	Balancer  *balancer.Balancer // the loop's own once Run has begun
-	Sender    Sender
-	Subscribe func() // asks the source for a watch of the endpoint list; called in the loop, must not block
+	Clock    Clock
+	Log      *slog.Logger
+	Balancer *balancer.Balancer // the loop's own once Run has begun
+	Sender   Sender
+	// Subscribe asks the source for the endpoint list and its changes. The first call lets a source begin that polls by
+	// itself, as internal/discovery does; later ones change nothing there. It is called in the loop and must not block.
+	Subscribe func()
 	Metrics   *metrics.Reporter
 	Capture   *capture.Writer
 	Guard     *invariants.Guard // counts and logs broken invariants
@@ -49,60 +51,63 @@
 	Options
 
 	// What is handed to the loop.
-	updates         chan Update
-	commands        chan command
-	arrivals        chan *Call
-	clientsGone     chan *Call
-	results         chan Result
-	responses       chan responseStart
-	faultInjections chan FaultInjectionStart
-	dumps           chan struct{} // buffers one request, so that DumpCapture need not block
-	shutdown        chan struct{} // closed by BeginShutdown
-	stopped         chan struct{} // closed by Stop
+	updates            chan Update
+	commands           chan command
+	arrivals           chan *Call
+	clientsGone        chan *Call
+	results            chan Result
+	responses          chan responseStart
+	faultInjections    chan FaultInjectionStart
+	dumps              chan struct{} // buffers one request, so that DumpCapture need not block
+	endFaultInjections chan struct{} // closed by BeginShutdown
+	stopped            chan struct{} // closed by Stop
 
 	// The loop's own state.
-	calls           map[string]*Call     // by request ID: those that are open or have an attempt out
-	arriving        *Call                // the call whose Request event the balancer is handling
-	endpoints       map[string]Endpoint  // by server ID: all that are listed as ready, also those disabled by an operator
-	targets         map[string]*Target   // by server ID: those of endpoints that may be sent to
-	timers          timerHeap            // that the balancer has set
-	shutdownPending <-chan struct{}      // shutdown, until the balancer has been notified of it; then nil
-	leaseExpired    bool                 // as the balancer was last notified
-	counters        counters             // for the log
-	eventContext    capture.EventContext // for the capture, of the next event
+	calls        map[string]*Call    // by request ID: those that are open or have an attempt out
+	arriving     *Call               // the call whose Request event the balancer is handling
+	endpoints    map[string]Endpoint // by server ID: all that are listed as ready, also those disabled by an operator
+	targets      map[string]*Target  // by server ID: those of endpoints that may be sent to
+	timers       timerHeap           // that the balancer has set
+	endPending   <-chan struct{}     // endFaultInjections until the balancer has been notified of it; then nil
+	leaseExpired bool                // as the balancer was last notified
+	counters     counters            // for the log
+	// eventContext is what the capture records beside the next event that decide gives to the balancer. Whoever dispatches
+	// an event with a context sets it right before; decide clears it. When dispatch finds that the lease has just changed,
+	// the event of that takes it, and the event behind it is recorded without.
+	eventContext capture.EventContext
 
 	// State that other goroutines read at any time.
-	lease           *endpointLease
+	lease           *leaseDeadline
 	hasUsableServer atomic.Bool // some target may be sent to
 	hasListedServer atomic.Bool // some endpoint is listed as ready, be it disabled by an operator
 }
 
 // New makes an engine, which does nothing before Run.
 func New(o Options) *Engine {
-	shutdown := make(chan struct{})
+	endFaultInjections := make(chan struct{})
 	return &Engine{
-		Options:         o,
-		updates:         make(chan Update),
-		commands:        make(chan command),
-		arrivals:        make(chan *Call),
-		clientsGone:     make(chan *Call),
-		results:         make(chan Result),
-		responses:       make(chan responseStart),
-		faultInjections: make(chan FaultInjectionStart),
-		dumps:           make(chan struct{}, 1),
-		shutdown:        shutdown,
-		shutdownPending: shutdown,
-		stopped:         make(chan struct{}),
-		calls:           map[string]*Call{},
-		endpoints:       map[string]Endpoint{},
-		targets:         map[string]*Target{},
-		lease:           newEndpointLease(),
+		Options:            o,
+		updates:            make(chan Update),
+		commands:           make(chan command),
+		arrivals:           make(chan *Call),
+		clientsGone:        make(chan *Call),
+		results:            make(chan Result),
+		responses:          make(chan responseStart),
+		faultInjections:    make(chan FaultInjectionStart),
+		dumps:              make(chan struct{}, 1),
+		endFaultInjections: endFaultInjections,
+		endPending:         endFaultInjections,
+		stopped:            make(chan struct{}),
+		calls:              map[string]*Call{},
+		endpoints:          map[string]Endpoint{},
+		targets:            map[string]*Target{},
+		lease:              newLeaseDeadline(),
 	}
 }
 
-// BeginShutdown notifies the balancer that the node begins to shut down. It must be called once at most, and doesn't block.
-// The loop goes on until Stop.
-func (e *Engine) BeginShutdown() { close(e.shutdown) }
+// BeginShutdown ends all fault injections for good: the node shuts down. It has no other effect, and a node without fault
+// injections need not call it. It must be called once at most, and doesn't block. The loop goes on until Stop.
+func (e *Engine) BeginShutdown() { close(e.endFaultInjections) }
 
 // DumpCapture has the records that the capture holds in memory written to standard error. It must not be called without a
 // capture. It doesn't block; a request while another one waits is merged with it.
@@ -175,10 +180,10 @@
 		e.handleFaultInjectionStart(s)
 	case <-e.dumps:
 		e.Capture.Dump()
-	case <-e.shutdownPending:
-		e.shutdownPending = nil
+	case <-e.endPending:
+		e.endPending = nil
 		e.dispatch(balancer.ShuttingDown{})
-	case <-e.lease.changed: // the loop begins with a look at the lease
+	case <-e.lease.changed: // Run begins its next round with checkLease
 	case <-due:
 	case <-report:
 		e.logCounters()
--- a/internal/engine/invariants.go
+++ b/internal/engine/invariants.go
@@ -7,6 +7,9 @@
 )
 
 // checkStart counts and logs the invariants that an attempt breaks as it starts, before it is counted as outstanding.
+//
+// Slow start is checked from the start of the server's process. The balancer also has a server start slowly after an
+// operator has enabled it again; that is not checked here, as a Target does not know when it was enabled.
 func (e *Engine) checkStart(now time.Duration, attempt *Attempt) {
 	c, target := attempt.Call, attempt.Target
 	attrs := attempt.logAttrs()
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -11,30 +11,30 @@
 // Lease says until when the endpoint list may be relied on.
 type Lease struct {
 	Until     time.Time // with a reading of the monotonic clock
-	Unbounded bool      // there is no end: discovery is unavailable, and knows of nothing newer that would count
+	Unbounded bool      // no end for now: discovery is unresponsive, and the list is used until it answers
 }
 
 // noEnd is when a lease without an end expires.
 const noEnd = time.Duration(math.MaxInt64)
 
-// endpointLease is the lease in force. It guards against sends that rest on an expired list: discovery may long have
+// leaseDeadline is when the lease in force ends. It guards against sends that rest on an expired list: discovery may long have
 // announced that a server drains, and this node not have heard of it. Such sends show as broken invariants "drain". The
 // balancer is notified when the lease expires, but attempts that it decided on earlier may still wait for a connection, and
 // the loop may be busy; so senders read the lease themselves, right before they write. Any goroutine may use it.
-type endpointLease struct {
+type leaseDeadline struct {
 	end     atomic.Int64  // by the engine's clock
 	changed chan struct{} // wakes the loop; buffers one, so that RenewLease need not block
 }
 
-// newEndpointLease makes a lease without an end, in force until a source says otherwise.
-func newEndpointLease() *endpointLease {
-	l := &endpointLease{changed: make(chan struct{}, 1)}
+// newLeaseDeadline makes a lease without an end, in force until a source says otherwise.
+func newLeaseDeadline() *leaseDeadline {
+	l := &leaseDeadline{changed: make(chan struct{}, 1)}
 	l.end.Store(int64(noEnd))
 	return l
 }
 
 // until is when the lease expires, by the engine's clock. A nil lease has no end.
-func (l *endpointLease) until() time.Duration {
+func (l *leaseDeadline) until() time.Duration {
 	if l == nil {
 		return noEnd
 	}
@@ -42,7 +42,7 @@
 }
 
 // expired says that the list may not be relied on at a time of the engine's clock.
-func (l *endpointLease) expired(now time.Duration) bool { return now >= l.until() }
+func (l *leaseDeadline) expired(now time.Duration) bool { return now >= l.until() }
 
 // RenewLease says until when the endpoint list may be relied on. It doesn't block, and holds at once for all that has not
 // been written.
