--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -58,7 +58,7 @@
 	cluster       configapi.Cluster
 	version       configapi.Version
 	configVersion configapi.Version // the version that set the service's configuration
-	watchID       uint64
+	watchNumber   uint64
 	controller    string                   // HOST:PORT
 	config        *configapi.ServiceConfig // what is being applied; nil: nothing has changed
 }
@@ -149,7 +149,7 @@
 		cluster:       u.Cluster,
 		version:       u.Version,
 		configVersion: u.ConfigVersion,
-		watchID:       w.id,
+		watchNumber:   w.number,
 		controller:    w.address,
 	}
 }
@@ -166,7 +166,7 @@
 		s.versions.cluster, s.versions.applied, u.Cluster)}
 	s.emit(VersionDecided{u.Cluster, u.Version, configapi.Rejected, rejection, s.versions.applied, w.address})
 	// Applied stays 0: the node has no version of that cluster in force.
-	s.ackQueue.add(queuedAck{watchID: w.id, ack: configapi.Acknowledgement{Cluster: u.Cluster, Version: u.Version,
+	s.ackQueue.add(queuedAck{watchNumber: w.number, ack: configapi.Acknowledgement{Cluster: u.Cluster, Version: u.Version,
 		Outcome: configapi.Rejected, Rejection: rejection}})
 }
 
@@ -185,7 +185,7 @@
 	if v.received.cluster != c.cluster || v.received.version != c.configVersion {
 		// The controller left the configuration out because it assumed that it was applied. The next watch's request
 		// says what is.
-		s.reopenForConfig(c.watchID)
+		s.reopenForConfig(c.watchNumber)
 		return
 	}
 	c.config = v.received.config
--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -28,8 +28,8 @@
 	d.finishAck(true)
 	d.finishAck(true)
 	want := []configapi.Acknowledgement{
-		{Node: "n", StartedMS: 1, Session: w.Watch, Cluster: "x", Version: 3, Outcome: configapi.Applied, Applied: 3},
-		{Node: "n", StartedMS: 1, Session: w.Watch, Cluster: "x", Version: 6, Outcome: configapi.Rejected, Rejection: invalidRejection, Applied: 3},
+		{Node: "n", StartedMS: 1, WatchNumber: w.Watch, Cluster: "x", Version: 3, Outcome: configapi.Applied, Applied: 3},
+		{Node: "n", StartedMS: 1, WatchNumber: w.Watch, Cluster: "x", Version: 6, Outcome: configapi.Rejected, Rejection: invalidRejection, Applied: 3},
 	}
 	if !slices.Equal(d.acks, want) {
 		t.Errorf("it acknowledged %+v", d.acks)
@@ -39,7 +39,7 @@
 	}
 	d.step(WatchEnded{w.Watch})
 	next := d.nextWatch(reconnectJitter).Request
-	if next.LastDecided != 6 || next.Applied != 3 || !next.LastRejected || next.RejectionReason != invalidRejection.Error() || next.Cluster != "x" || next.Session <= w.Watch {
+	if next.LastDecided != 6 || next.Applied != 3 || !next.LastRejected || next.RejectionReason != invalidRejection.Error() || next.Cluster != "x" || next.WatchNumber <= w.Watch {
 		t.Errorf("its request is %+v", next)
 	}
 }
--- a/configversion/acknowledgement.go
+++ b/configversion/acknowledgement.go
@@ -30,8 +30,8 @@
 
 // queuedAck is an acknowledgement for the controller of the main watch, or for that of a certain watch.
 type queuedAck struct {
-	ack     configapi.Acknowledgement
-	watchID uint64 // 0: the main watch
+	ack         configapi.Acknowledgement
+	watchNumber uint64 // 0: the main watch
 }
 
 // add appends an acknowledgement. The one in flight is never dropped, so that its result belongs to the first one.
@@ -54,8 +54,8 @@
 	for !q.inFlight && len(q.pending) > 0 {
 		first := q.pending[0]
 		target := s.watches.main
-		if first.watchID != 0 {
-			if target = s.watches.find(first.watchID); target == nil {
+		if first.watchNumber != 0 {
+			if target = s.watches.find(first.watchNumber); target == nil {
 				q.pending = q.pending[1:]
 				continue
 			}
@@ -68,7 +68,7 @@
 			return
 		}
 		ack := first.ack
-		ack.Node, ack.StartedMS, ack.Session = s.options.Node, s.options.StartedMS, target.id
+		ack.Node, ack.StartedMS, ack.WatchNumber = s.options.Node, s.options.StartedMS, target.number
 		q.inFlight = true
 		s.emit(SendAck{target.address, ack})
 	}
--- a/configversion/acknowledgement_test.go
+++ b/configversion/acknowledgement_test.go
@@ -25,7 +25,7 @@
 		t.Error("an acknowledgement is sent without a watch")
 	}
 	d.update(next.Watch, versionUpdate("x", 1))
-	if d.ack == nil || d.ack.Address != next.Address || d.ack.Ack.Session != next.Watch || d.ack.Ack.Version != 1 {
+	if d.ack == nil || d.ack.Address != next.Address || d.ack.Ack.WatchNumber != next.Watch || d.ack.Ack.Version != 1 {
 		t.Errorf("at the next controller: %+v", d.ack)
 	}
 	d.finishAck(true)
--- a/configversion/controller_choice.go
+++ b/configversion/controllerchoice.go
@@ -11,7 +11,7 @@
 // opened; among watches that bring updates, chooseMain says which one stays.
 //
 // Near controllers come first, so that a node depends on as little of the network as it can. Controllers that failed
-// lately are avoided, so that a node finds one that works within the time budget (see watch_silence.go).
+// lately are avoided, so that a node finds one that works within the time budget (see watchsilence.go).
 
 const (
 	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others:
@@ -145,7 +145,7 @@
 
 // addresses are all controllers that the node knows, those that the cluster named first.
 func (s *watchSet) addresses() (addresses []string) {
-	for _, e := range s.clusterEndpoints {
+	for _, e := range s.clusterControllers {
 		addresses = append(addresses, e.Address)
 	}
 	for _, address := range s.configuredAddresses {
@@ -167,7 +167,7 @@
 )
 
 func (s *watchSet) distanceTo(address string) distance {
-	for _, e := range s.clusterEndpoints {
+	for _, e := range s.clusterControllers {
 		switch {
 		case e.Address != address:
 		case s.location.Region != e.Region || e.Region == "":
--- a/configversion/controller_choice_test.go
+++ b/configversion/controllerchoice_test.go
@@ -25,10 +25,10 @@
 func TestRejectedWatchFollowsRedirects(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}})
 	first := d.nextWatch(InitialConnectJitter)
-	noCapacity := configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "d:1"}, {Address: "e:1"}}}
+	noCapacity := configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.ControllerAddress{{Address: "d:1"}, {Address: "e:1"}}}
 	d.step(WatchRejected{first.Watch, noCapacity})
 	second := d.nextWatch(redirectJitter)
-	d.step(WatchRejected{second.Watch, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "a:1"}, {Address: "e:1"}}}})
+	d.step(WatchRejected{second.Watch, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.ControllerAddress{{Address: "a:1"}, {Address: "e:1"}}}})
 	third := d.nextWatch(redirectJitter)
 	if second.Address != "d:1" || third.Address != "e:1" || second.Request.WatchRejections != 1 || third.Request.WatchRejections != 2 {
 		t.Errorf("the watches are %+v, then %+v", second, third)
--- a/configversion/doc.go
+++ b/configversion/doc.go
@@ -5,14 +5,14 @@
 // internal/configwatch drives it. Each rule has a file of its own:
 //
 //	acceptance.go         which version of an update is applied or rejected (version acceptance)
-//	class_check.go        which configurations would leave a class of requests without servers
+//	class.go              which configurations would leave a class of requests without servers
 //	acknowledgement.go    in which order decisions are acknowledged, retries and backoff
 //	watch.go              the states of a watch
-//	watch_opening.go      connecting: timeouts, hedged watches, backoff
-//	watch_silence.go      heartbeats and the silence timeout
-//	controller_choice.go  which controller is watched
-//	controller_search.go  the search for a controller that has a leader
-//	watch_migration.go    requests of a controller to move to another one
+//	watchopening.go       connecting: timeouts, hedged watches, backoff
+//	watchsilence.go       heartbeats and the silence timeout
+//	controllerchoice.go   which controller is watched
+//	controllersearch.go   the search for a controller that has a leader
+//	watchmigration.go     requests of a controller to move to another one
 //
 // At a controller, a Placement decides how many sessions it admits (placement.go) and which of its own it migrates
 // (migration.go). Package internal/controller drives it.
--- a/configversion/lastknowngood.go
+++ b/configversion/lastknowngood.go
@@ -15,7 +15,7 @@
 	// Former are the clusters that the node has left, each with the newest version that the node knew of it.
 	Former map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
 	// Controllers are the controllers of the cluster, with their locations.
-	Controllers []configapi.Endpoint `json:"controllers,omitempty"`
+	Controllers []configapi.ControllerAddress `json:"controllers,omitempty"`
 }
 
 // Supersedes reports whether k is newer than other: a later version of the same cluster, or a version of a cluster that
@@ -38,6 +38,6 @@
 		Version:     v.applied,
 		Config:      v.appliedConfig,
 		Former:      maps.Clone(v.formerClusters),
-		Controllers: slices.Clone(s.watches.clusterEndpoints),
+		Controllers: slices.Clone(s.watches.clusterControllers),
 	}
 }
--- a/configversion/migration.go
+++ b/configversion/migration.go
@@ -16,7 +16,7 @@
 // Migration is a session whose node is to be asked to move to another controller.
 type Migration struct {
 	ID     uint64
-	Target configapi.Endpoint
+	Target configapi.ControllerAddress
 }
 
 // PlanMigrations decides which of the controller's sessions are migrated now. It is called once after each round of
@@ -24,7 +24,7 @@
 //
 // Migration begins when this controller is above the even share by more than the tolerance, or another is below it by
 // more; it goes on until this one is at its share or no other has capacity. All controllers decide at the same time
-// without asking each other, so that each takes only its quota of the capacity of the others (see capacityByPeer), and
+// without asking each other, so that each takes only its quota of the capacity of the others (see capacityByController), and
 // at most MaxMigrationsPerPlan sessions.
 //
 // It guards against a controller that has returned and stays empty while the others carry its nodes, and against the
@@ -35,7 +35,7 @@
 	if !p.migrating {
 		p.migrating = excess > 0 && p.isUnbalanced()
 	}
-	capacity := p.capacityByPeer(goal)
+	capacity := p.capacityByController(goal)
 	if excess <= 0 || len(capacity) == 0 {
 		p.migrating = false
 	}
@@ -64,8 +64,8 @@
 	if p.sessions > share+shareTolerance(share) {
 		return true
 	}
-	return slices.ContainsFunc(p.available(), func(peer peerLoad) bool {
-		return peer.estimate() < share-shareTolerance(share)
+	return slices.ContainsFunc(p.available(), func(other otherController) bool {
+		return other.estimate() < share-shareTolerance(share)
 	})
 }
 
@@ -83,13 +83,13 @@
 	return p.totalSessions() / p.controllerCount()
 }
 
-// capacityByPeer is how many sessions this controller may migrate to each of those below the goal. All controllers
+// capacityByController is how many sessions this controller may migrate to each of those below the goal. All controllers
 // above the goal (the donors) divide the capacity of each target evenly; the remainder goes to the first of them.
-func (p *Placement) capacityByPeer(goal int) map[string]int {
+func (p *Placement) capacityByController(goal int) map[string]int {
 	rank, donors := p.donorRank(goal)
 	capacity := map[string]int{}
-	for _, peer := range p.available() {
-		free := goal - peer.estimate()
+	for _, other := range p.available() {
+		free := goal - other.estimate()
 		if free <= 0 {
 			continue
 		}
@@ -98,7 +98,7 @@
 			quota++
 		}
 		if quota > 0 {
-			capacity[peer.Endpoint.Address] = quota
+			capacity[other.Controller.Address] = quota
 		}
 	}
 	return capacity
@@ -108,12 +108,12 @@
 // comes first; all controllers find the same order from the same reports.
 func (p *Placement) donorRank(goal int) (rank, donors int) {
 	donors = 1
-	for _, peer := range p.available() {
-		if peer.Sessions <= goal {
+	for _, other := range p.available() {
+		if other.Sessions <= goal {
 			continue
 		}
 		donors++
-		if cmp.Or(cmp.Compare(peer.Sessions, p.sessions), cmp.Compare(p.self.Address, peer.Endpoint.Address)) > 0 {
+		if cmp.Or(cmp.Compare(other.Sessions, p.sessions), cmp.Compare(p.self.Address, other.Controller.Address)) > 0 {
 			rank++
 		}
 	}
@@ -122,19 +122,19 @@
 
 // pickTarget chooses the controller for a session among those with capacity: in its own zone or region if it can be,
 // else the one with the fewest sessions.
-func (p *Placement) pickTarget(s MigrationCandidate, capacity map[string]int) (configapi.Endpoint, bool) {
-	best, found := peerLoad{}, false
+func (p *Placement) pickTarget(s MigrationCandidate, capacity map[string]int) (configapi.ControllerAddress, bool) {
+	best, found := otherController{}, false
 	node := SessionRequest{Region: s.Region, Zone: s.Zone}
-	rank := func(peer peerLoad) peerRank { return rankPeer(peer, node, peer.estimate()+1) } // by location alone
-	for _, peer := range p.available() {
-		if capacity[peer.Endpoint.Address] <= 0 {
+	rank := func(other otherController) controllerRank { return rankController(other, node, other.estimate()+1) } // by location alone
+	for _, other := range p.available() {
+		if capacity[other.Controller.Address] <= 0 {
 			continue
 		}
-		if !found || cmp.Or(cmp.Compare(rank(peer), rank(best)), cmp.Compare(peer.estimate(), best.estimate())) < 0 {
-			best, found = peer, true
+		if !found || cmp.Or(cmp.Compare(rank(other), rank(best)), cmp.Compare(other.estimate(), best.estimate())) < 0 {
+			best, found = other, true
 		}
 	}
-	return best.Endpoint, found
+	return best.Controller, found
 }
 
 // distanceTo is how far this controller is from a session's node.
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -31,23 +31,23 @@
 	// MaxMigrationsPerPlan is how many sessions a call of PlanMigrations returns at most.
 	MaxMigrationsPerPlan int
 
-	self      configapi.Endpoint
-	sessions  int // own
-	peers     []peerLoad
-	migrating bool // see PlanMigrations
+	self             configapi.ControllerAddress
+	sessions         int // own
+	otherControllers []otherController
+	migrating        bool // see PlanMigrations
 }
 
-// PeerLoad is what another controller last reported.
-type PeerLoad struct {
-	Endpoint configapi.Endpoint
-	Sessions int
+// ControllerLoad is what another controller last reported.
+type ControllerLoad struct {
+	Controller configapi.ControllerAddress
+	Sessions   int
 	// Available is set if the controller answers and serves nodes. One that does not is left out of all decisions.
 	Available bool
 }
 
-// peerLoad is a controller's report with the sessions that this controller has sent there.
-type peerLoad struct {
-	PeerLoad
+// otherController is a controller's report with the sessions that this controller has sent there.
+type otherController struct {
+	ControllerLoad
 	sentSinceReport int // after the newest report
 	// sentBeforeReport counts those sent between the two newest reports: they may be in the newest report or still on
 	// their way.
@@ -56,7 +56,7 @@
 
 // estimate is the number of sessions that the controller has by now, as far as this one can know; never too low by what
 // this one has sent.
-func (p peerLoad) estimate() int { return p.Sessions + p.sentSinceReport + p.sentBeforeReport }
+func (p otherController) estimate() int { return p.Sessions + p.sentSinceReport + p.sentBeforeReport }
 
 const (
 	// admissionToleranceDivisor is the part of the even share, one in so many, by which a controller may exceed it with
@@ -73,24 +73,24 @@
 )
 
 // NewPlacement makes the Placement of the controller at self.
-func NewPlacement(self configapi.Endpoint, maxSessions, maxMigrationsPerPlan int) *Placement {
+func NewPlacement(self configapi.ControllerAddress, maxSessions, maxMigrationsPerPlan int) *Placement {
 	return &Placement{MaxSessions: maxSessions, MaxMigrationsPerPlan: maxMigrationsPerPlan, self: self}
 }
 
 // SetSessions sets the number of the controller's own sessions.
 func (p *Placement) SetSessions(sessions int) { p.sessions = sessions }
 
-// SetPeers replaces the reports of the other controllers.
-func (p *Placement) SetPeers(peers []PeerLoad) {
-	next := make([]peerLoad, 0, len(peers))
-	for _, peer := range peers {
-		load := peerLoad{PeerLoad: peer}
-		if at := p.peerIndex(peer.Endpoint.Address); at >= 0 {
-			load.sentBeforeReport = p.peers[at].sentSinceReport
+// SetOtherControllers replaces the reports of the other controllers.
+func (p *Placement) SetOtherControllers(loads []ControllerLoad) {
+	next := make([]otherController, 0, len(loads))
+	for _, load := range loads {
+		other := otherController{ControllerLoad: load}
+		if at := p.otherIndex(load.Controller.Address); at >= 0 {
+			other.sentBeforeReport = p.otherControllers[at].sentSinceReport
 		}
-		next = append(next, load)
+		next = append(next, other)
 	}
-	p.peers = next
+	p.otherControllers = next
 }
 
 // SessionRequest is a node that asks for a session.
@@ -102,7 +102,7 @@
 
 // Admit decides about a node that asks for a session. If the node is not admitted, alternatives are the other
 // controllers, the best one first; the node is counted as sent to the first.
-func (p *Placement) Admit(r SessionRequest) (admitted bool, alternatives []configapi.Endpoint) {
+func (p *Placement) Admit(r SessionRequest) (admitted bool, alternatives []configapi.ControllerAddress) {
 	if p.sessions < p.admissionLimit(r) {
 		return true, nil
 	}
@@ -111,7 +111,7 @@
 
 // admissionLimit is the number of sessions below which a node is admitted.
 func (p *Placement) admissionLimit(r SessionRequest) int {
-	if r.WatchRejections > 0 || !p.peersHaveCapacity() {
+	if r.WatchRejections > 0 || !p.othersHaveCapacity() {
 		return p.MaxSessions
 	}
 	share := p.evenShare(1)
@@ -120,7 +120,7 @@
 }
 
 // Redirect returns the other controllers for a node, the best one first, and counts the node as sent to the first.
-func (p *Placement) Redirect(r SessionRequest) (alternatives []configapi.Endpoint) {
+func (p *Placement) Redirect(r SessionRequest) (alternatives []configapi.ControllerAddress) {
 	alternatives = p.Alternatives(r)
 	if len(alternatives) > 0 {
 		p.recordSent(alternatives[0].Address)
@@ -130,47 +130,47 @@
 
 // Alternatives returns the other controllers, the best one for a node first: those below the even share in its zone, in
 // its region, elsewhere; then those at or above it. Of equals the least loaded comes first.
-func (p *Placement) Alternatives(r SessionRequest) []configapi.Endpoint {
+func (p *Placement) Alternatives(r SessionRequest) []configapi.ControllerAddress {
 	share := p.evenShare(1)
-	peers := p.available()
-	slices.SortStableFunc(peers, func(x, y peerLoad) int {
+	others := p.available()
+	slices.SortStableFunc(others, func(x, y otherController) int {
 		return cmp.Or(
-			cmp.Compare(rankPeer(x, r, share), rankPeer(y, r, share)),
+			cmp.Compare(rankController(x, r, share), rankController(y, r, share)),
 			cmp.Compare(x.estimate(), y.estimate()),
-			cmp.Compare(x.Endpoint.Address, y.Endpoint.Address))
+			cmp.Compare(x.Controller.Address, y.Controller.Address))
 	})
-	var endpoints []configapi.Endpoint
-	for _, peer := range peers {
-		endpoints = append(endpoints, peer.Endpoint)
+	var endpoints []configapi.ControllerAddress
+	for _, other := range others {
+		endpoints = append(endpoints, other.Controller)
 	}
 	return endpoints
 }
 
-// peerRank orders controllers for a node; the least comes first.
-type peerRank int
+// controllerRank orders controllers for a node; the least comes first.
+type controllerRank int
 
 const (
-	peerInZone      peerRank = iota // below the even share, in the node's zone
-	peerInRegion                    // below it, in another zone of the node's region
-	peerOtherRegion                 // below it, in another region
-	peerAboveShare                  // at the even share or above
+	rankSameZone    controllerRank = iota // below the even share, in the node's zone
+	rankSameRegion                        // below it, in another zone of the node's region
+	rankOtherRegion                       // below it, in another region
+	rankAboveShare                        // at the even share or above
 )
 
-func rankPeer(peer peerLoad, r SessionRequest, share int) peerRank {
-	switch at := peer.Endpoint; {
-	case peer.estimate() >= share:
-		return peerAboveShare
+func rankController(other otherController, r SessionRequest, share int) controllerRank {
+	switch at := other.Controller; {
+	case other.estimate() >= share:
+		return rankAboveShare
 	case at.Region == r.Region && at.Zone == r.Zone:
-		return peerInZone
+		return rankSameZone
 	case at.Region == r.Region:
-		return peerInRegion
+		return rankSameRegion
 	}
-	return peerOtherRegion
+	return rankOtherRegion
 }
 
-// peersHaveCapacity reports whether another controller could admit a node that this one rejects.
-func (p *Placement) peersHaveCapacity() bool {
-	return slices.ContainsFunc(p.available(), func(peer peerLoad) bool { return peer.estimate() < p.MaxSessions })
+// othersHaveCapacity reports whether another controller could admit a node that this one rejects.
+func (p *Placement) othersHaveCapacity() bool {
+	return slices.ContainsFunc(p.available(), func(other otherController) bool { return other.estimate() < p.MaxSessions })
 }
 
 // evenShare is the even share of all known sessions and of some that are arriving, rounded up.
@@ -182,8 +182,8 @@
 // totalSessions is the number of all known sessions.
 func (p *Placement) totalSessions() int {
 	total := p.sessions
-	for _, peer := range p.available() {
-		total += peer.estimate()
+	for _, other := range p.available() {
+		total += other.estimate()
 	}
 	return total
 }
@@ -191,17 +191,17 @@
 // controllerCount is the number of available controllers, this one included.
 func (p *Placement) controllerCount() int { return 1 + len(p.available()) }
 
-func (p *Placement) available() []peerLoad {
-	return slices.DeleteFunc(slices.Clone(p.peers), func(peer peerLoad) bool { return !peer.Available })
+func (p *Placement) available() []otherController {
+	return slices.DeleteFunc(slices.Clone(p.otherControllers), func(other otherController) bool { return !other.Available })
 }
 
-func (p *Placement) peerIndex(address string) int {
-	return slices.IndexFunc(p.peers, func(peer peerLoad) bool { return peer.Endpoint.Address == address })
+func (p *Placement) otherIndex(address string) int {
+	return slices.IndexFunc(p.otherControllers, func(other otherController) bool { return other.Controller.Address == address })
 }
 
 // recordSent counts a node as sent to a controller.
 func (p *Placement) recordSent(address string) {
-	if at := p.peerIndex(address); at >= 0 {
-		p.peers[at].sentSinceReport++
+	if at := p.otherIndex(address); at >= 0 {
+		p.otherControllers[at].sentSinceReport++
 	}
 }
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -14,7 +14,7 @@
 // one, nodes that were asked to migrate do, and then all controllers read each other's reports. Reports are out of date
 // by a round.
 type placementModel struct {
-	endpoints            []configapi.Endpoint
+	endpoints            []configapi.ControllerAddress
 	placements           []*Placement
 	down                 []bool
 	nodes                []modelNode
@@ -36,7 +36,7 @@
 	modelMigrationsPerRound = 10
 )
 
-func newPlacementModel(locations []configapi.Endpoint, limit int) *placementModel {
+func newPlacementModel(locations []configapi.ControllerAddress, limit int) *placementModel {
 	m := &placementModel{}
 	for i, location := range locations {
 		location.Address = fmt.Sprintf("10.0.0.%d:7400", i+1)
@@ -69,7 +69,7 @@
 }
 
 func (m *placementModel) index(address string) int {
-	return slices.IndexFunc(m.endpoints, func(e configapi.Endpoint) bool { return e.Address == address })
+	return slices.IndexFunc(m.endpoints, func(e configapi.ControllerAddress) bool { return e.Address == address })
 }
 
 // requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next
@@ -134,14 +134,14 @@
 		if m.down[i] {
 			continue
 		}
-		var peers []PeerLoad
+		var loads []ControllerLoad
 		for j, endpoint := range m.endpoints {
 			if i != j {
-				peers = append(peers, PeerLoad{Endpoint: endpoint, Sessions: m.sessions(j), Available: !m.down[j]})
+				loads = append(loads, ControllerLoad{Controller: endpoint, Sessions: m.sessions(j), Available: !m.down[j]})
 			}
 		}
 		rules.SetSessions(m.sessions(i))
-		rules.SetPeers(peers)
+		rules.SetOtherControllers(loads)
 	}
 	for i, rules := range m.placements {
 		if m.down[i] {
@@ -192,8 +192,8 @@
 }
 
 // fourRegions are seven controllers in four regions, as the target has them.
-func fourRegions() []configapi.Endpoint {
-	return []configapi.Endpoint{{Region: "a", Zone: "a1"}, {Region: "a", Zone: "a2"}, {Region: "b", Zone: "b1"}, {Region: "b", Zone: "b2"},
+func fourRegions() []configapi.ControllerAddress {
+	return []configapi.ControllerAddress{{Region: "a", Zone: "a1"}, {Region: "a", Zone: "a2"}, {Region: "b", Zone: "b1"}, {Region: "b", Zone: "b2"},
 		{Region: "c", Zone: "c1"}, {Region: "c", Zone: "c2"}, {Region: "d", Zone: "d1"}}
 }
 
@@ -244,8 +244,8 @@
 
 // All nodes know the same single controller. Its limit holds, and the others get their share.
 func TestPlacementWithOneAddressKnown(t *testing.T) {
-	places := make([]configapi.Endpoint, 7)
-	places[0] = configapi.Endpoint{Region: "a"}
+	places := make([]configapi.ControllerAddress, 7)
+	places[0] = configapi.ControllerAddress{Region: "a"}
 	m := newPlacementModel(places, modelLimit)
 	m.exchangeReports()
 	m.addNodes(1900, "a", "a1")
@@ -296,7 +296,7 @@
 
 // Nodes get a controller of their own region as far as the shares allow: regions are often cut off from each other.
 func TestPlacementPrefersTheOwnRegion(t *testing.T) {
-	m := newPlacementModel([]configapi.Endpoint{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelLimit)
+	m := newPlacementModel([]configapi.ControllerAddress{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelLimit)
 	m.exchangeReports()
 	for _, region := range []string{"a", "b", "c"} {
 		m.addNodes(100, region, region+"1")
@@ -311,8 +311,8 @@
 
 // A controller that reaches no other one admits nodes up to its limit: there is nowhere to redirect them.
 func TestPlacementAloneAdmitsUpToTheLimit(t *testing.T) {
-	p := NewPlacement(configapi.Endpoint{Address: "127.0.0.1:7400"}, 3, 1)
-	p.SetPeers([]PeerLoad{{Endpoint: configapi.Endpoint{Address: "127.0.0.1:7401"}, Available: false}})
+	p := NewPlacement(configapi.ControllerAddress{Address: "127.0.0.1:7400"}, 3, 1)
+	p.SetOtherControllers([]ControllerLoad{{Controller: configapi.ControllerAddress{Address: "127.0.0.1:7401"}, Available: false}})
 	for have := range 3 {
 		p.SetSessions(have)
 		if admitted, _ := p.Admit(SessionRequest{}); !admitted {
@@ -328,12 +328,12 @@
 // Many nodes are redirected between two reports. They are spread by the capacity of the others, not all sent to the one
 // that was the emptiest in the report.
 func TestPlacementSpreadsRedirectedNodes(t *testing.T) {
-	p := NewPlacement(configapi.Endpoint{Address: "a:1"}, 10, 1)
+	p := NewPlacement(configapi.ControllerAddress{Address: "a:1"}, 10, 1)
 	p.SetSessions(10)
-	p.SetPeers([]PeerLoad{
-		{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 2, Available: true},
-		{Endpoint: configapi.Endpoint{Address: "c:1"}, Sessions: 4, Available: true},
-		{Endpoint: configapi.Endpoint{Address: "d:1"}, Sessions: 0, Available: false}})
+	p.SetOtherControllers([]ControllerLoad{
+		{Controller: configapi.ControllerAddress{Address: "b:1"}, Sessions: 2, Available: true},
+		{Controller: configapi.ControllerAddress{Address: "c:1"}, Sessions: 4, Available: true},
+		{Controller: configapi.ControllerAddress{Address: "d:1"}, Sessions: 0, Available: false}})
 	sent := map[string]int{}
 	for range 10 {
 		admitted, elsewhere := p.Admit(SessionRequest{})
@@ -354,9 +354,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		regions := []string{"a", "b", "c", "d"}
 		count := rapid.IntRange(1, 7).Draw(t, "controllers")
-		var places []configapi.Endpoint
+		var places []configapi.ControllerAddress
 		for range count {
-			places = append(places, configapi.Endpoint{Region: rapid.SampledFrom(regions).Draw(t, "region")})
+			places = append(places, configapi.ControllerAddress{Region: rapid.SampledFrom(regions).Draw(t, "region")})
 		}
 		m := newPlacementModel(places, limit)
 		m.exchangeReports()
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -108,7 +108,7 @@
 		cmp.Compare(x.StartedMS, y.StartedMS),
 		cmp.Compare(r.decidedVersion(x), r.decidedVersion(y)),
 		compareBool(x.Connected, y.Connected),
-		cmp.Compare(x.Session, y.Session),
+		cmp.Compare(x.WatchNumber, y.WatchNumber),
 		cmp.Compare(x.LastSeenMS, y.LastSeenMS)) > 0
 }
 
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -10,7 +10,7 @@
 )
 
 func appliedNode(name string, session uint64, held configapi.Version) configapi.NodeStatus {
-	return configapi.NodeStatus{Node: name, StartedMS: 1, Session: session, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
+	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: session, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
 }
 
 // The state of a node follows from its report, in all combinations of cluster, version and outcome.
@@ -147,8 +147,8 @@
 
 // A node opens a second watch while its first one is silent, and closes it when the first one sends heartbeats again.
 func TestMergeStatusesOfASecondWatchThatWasClosed(t *testing.T) {
-	first := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
-	second := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
+	first := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
+	second := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
 	for name, tc := range map[string]struct {
 		first, second configapi.NodeStatus
 		want          string
--- a/configversion/session_driver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -164,10 +164,10 @@
 	return configapi.Update{Cluster: cluster, Current: true}
 }
 
-var threeControllers = []configapi.Endpoint{{Address: "a:1", Region: "east", Zone: "a"}, {Address: "b:1", Region: "east", Zone: "b"},
+var threeControllers = []configapi.ControllerAddress{{Address: "a:1", Region: "east", Zone: "a"}, {Address: "b:1", Region: "east", Zone: "b"},
 	{Address: "c:1", Region: "west", Zone: "a"}}
 
-func addressesOf(endpoints []configapi.Endpoint) (addresses []string) {
+func addressesOf(endpoints []configapi.ControllerAddress) (addresses []string) {
 	for _, e := range endpoints {
 		addresses = append(addresses, e.Address)
 	}
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -20,10 +20,10 @@
 
 // watch is one open call for updates.
 type watch struct {
-	id             uint64
+	number         uint64
 	address        string // of the controller, HOST:PORT
 	openedAt       time.Duration
-	silenceTimeout time.Duration // see watch_silence.go
+	silenceTimeout time.Duration // see watchsilence.go
 	lastActivity   time.Duration // the last byte
 	updateBegan    time.Duration // when the update that is arriving began; 0: none is
 	updated        bool          // its first update has come
@@ -50,12 +50,12 @@
 // and sends acknowledgements to. Others are opened beside it only while it is silent or does not bring the newest
 // versions, or when its controller asks the node to migrate.
 type watchSet struct {
-	location            configapi.Endpoint // the node's own, without an address
+	location            configapi.ControllerAddress // the node's own, without an address
 	configuredAddresses []string
-	clusterEndpoints    []configapi.Endpoint // the cluster's controllers, as it last named them
-	open                []*watch             // the oldest first
-	main                *watch               // nil: none
-	lastID              uint64
+	clusterControllers  []configapi.ControllerAddress // the cluster's controllers, as it last named them
+	open                []*watch                      // the oldest first
+	main                *watch                        // nil: none
+	lastNumber          uint64
 
 	nextOpenAt            time.Duration            // without a live watch, none is opened before
 	consecutiveFailures   int                      // of watches, since the last that became main
@@ -73,17 +73,17 @@
 
 func newWatchSet(options SessionOptions) watchSet {
 	return watchSet{
-		location:            configapi.Endpoint{Region: options.Region, Zone: options.Zone},
+		location:            configapi.ControllerAddress{Region: options.Region, Zone: options.Zone},
 		configuredAddresses: slices.Clone(options.Controllers),
-		clusterEndpoints:    slices.Clone(options.LastKnownGood.Controllers),
+		clusterControllers:  slices.Clone(options.LastKnownGood.Controllers),
 		avoidedUntil:        map[string]time.Duration{},
 	}
 }
 
 // find returns the open watch of a number; nil: there is none.
-func (s *watchSet) find(id uint64) *watch {
+func (s *watchSet) find(number uint64) *watch {
 	for _, w := range s.open {
-		if w.id == id {
+		if w.number == number {
 			return w
 		}
 	}
@@ -151,7 +151,7 @@
 	w.lastActivity, w.updateBegan = s.now, 0
 	w.current, w.foreign, w.behind = u.Current, !s.versions.follows(u), s.versions.behind(u)
 	if !w.foreign && len(u.Controllers) > 0 {
-		s.watches.clusterEndpoints = slices.Clone(u.Controllers)
+		s.watches.clusterControllers = slices.Clone(u.Controllers)
 	}
 	if !w.updated {
 		w.updated = true
@@ -166,9 +166,9 @@
 }
 
 // watchEnded handles the end of a watch that the session did not close.
-func (s *Session) watchEnded(id uint64) {
+func (s *Session) watchEnded(number uint64) {
 	set := &s.watches
-	w := set.find(id)
+	w := set.find(number)
 	if w == nil {
 		return
 	}
@@ -188,9 +188,9 @@
 func (s *Session) openWatch(address string) *watch {
 	set := &s.watches
 	v := &s.versions
-	set.lastID++
+	set.lastNumber++
 	w := &watch{
-		id:             set.lastID,
+		number:         set.lastNumber,
 		address:        address,
 		openedAt:       s.now,
 		lastActivity:   s.now,
@@ -203,7 +203,7 @@
 		Region:          s.options.Region,
 		Zone:            s.options.Zone,
 		StartedMS:       s.options.StartedMS,
-		Session:         w.id,
+		WatchNumber:     w.number,
 		Cluster:         v.cluster,
 		LastDecided:     v.lastDecided,
 		Applied:         v.applied,
@@ -212,13 +212,13 @@
 	if v.rejection != nil {
 		request.LastRejected, request.RejectionReason = true, v.rejection.Error()
 	}
-	s.emit(OpenWatch{w.id, address, request})
+	s.emit(OpenWatch{w.number, address, request})
 	return w
 }
 
 func (s *Session) closeWatch(w *watch) {
 	s.watches.remove(w)
-	s.emit(CloseWatch{w.id})
+	s.emit(CloseWatch{w.number})
 }
 
 // closeOpeningExcept closes the watches in state watchOpening, except those at one address.
--- a/configversion/watch_opening.go
+++ b/configversion/watchopening.go
@@ -14,7 +14,7 @@
 	reconnectJitter = 400 * time.Millisecond
 
 	// openTimeout is how long a watch may take until its first update before another one is opened beside it. See
-	// watch_silence.go for the time budget.
+	// watchsilence.go for the time budget.
 	openTimeout = 600 * time.Millisecond
 	// maxOpenTimeout is the longest open timeout. Controllers that are slow because they are overloaded must get less
 	// load, not the same watches again; but a version has to arrive within 3 s of the moment when they recover.
@@ -100,9 +100,9 @@
 // reopenForConfig closes a watch whose controller left out a configuration that the node does not have, and lets
 // connect open another one: its request says what the node has. The backoff guards against a controller that never
 // sends it.
-func (s *Session) reopenForConfig(id uint64) {
+func (s *Session) reopenForConfig(number uint64) {
 	set := &s.watches
-	w := set.find(id)
+	w := set.find(number)
 	if w == nil {
 		return
 	}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -84,7 +84,7 @@
 
 // Each row is what a caller sends, and the call to the node that comes of it. Only what is a call of operators, with its method,
 // reaches the node.
-func TestCalls(t *testing.T) {
+func TestCallsReachTheNodeAndAnswer(t *testing.T) {
 	f := &fakeNode{}
 	addr := startServer(t, f)
 	request := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
--- a/internal/configapi/doc.go
+++ b/internal/configapi/doc.go
@@ -47,8 +47,8 @@
 // Version is the number of a configuration version. The first one is 1, and each publish adds 1; 0 is none.
 type Version uint64
 
-// Endpoint is where a controller is reached, and its location.
-type Endpoint struct {
+// ControllerAddress is where a controller is reached, and its location.
+type ControllerAddress struct {
 	Address string `json:"address"` // HOST:PORT of these calls
 	Region  string `json:"region,omitempty"`
 	Zone    string `json:"zone,omitempty"`
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -13,7 +13,7 @@
 // each message must not change with the names of Go fields.
 func TestGoldenMessages(t *testing.T) {
 	config := ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"}
-	endpoints := []Endpoint{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}
+	endpoints := []ControllerAddress{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}
 	rejection := &Rejection{Kind: RejectNoServer, Message: "class c would have no server"}
 	document := Document{Services: map[string]ServiceConfig{"front": config, "mill": config}}
 	golden := func(name string) string { return filepath.Join("testdata", name+".json") }
@@ -21,7 +21,7 @@
 	goldentest.Check(t, golden("document"), document)
 	goldentest.Check(t, golden("update"), Update{Cluster: "cluster-2", Replaces: []Cluster{"cluster-1"}, Version: 17, ConfigVersion: 16,
 		Config: &config, Current: true, MigrateTo: "127.0.0.1:7401", Controllers: endpoints})
-	goldentest.Check(t, golden("acknowledgement"), Acknowledgement{Node: "node-1", StartedMS: 1700000000000, Session: 3,
+	goldentest.Check(t, golden("acknowledgement"), Acknowledgement{Node: "node-1", StartedMS: 1700000000000, WatchNumber: 3,
 		Cluster: "cluster-2", Version: 17, Outcome: Rejected, Rejection: rejection, Applied: 16})
 	goldentest.Check(t, golden("publish-request"), PublishRequest{ID: "id-1",
 		Document: json.RawMessage(`{"services":{"front":{"settings":{"tick-ms":5}}}}`), Replaces: []Cluster{"cluster-1"}})
@@ -30,7 +30,7 @@
 	goldentest.Check(t, golden("load"), Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, Current: true})
 	goldentest.Check(t, golden("status"), ControllerStatus{Name: "c1", Cluster: "cluster-2", Version: 17, Leader: "c2", Current: true,
 		Sessions: 4, Controllers: endpoints, Nodes: []NodeStatus{{Node: "node-1", Service: "front", Region: "north", Zone: "north-a",
-			StartedMS: 1700000000000, Session: 3, Connected: true, LastSeenMS: 1700000001000, Cluster: "cluster-2", LastDecided: 17,
+			StartedMS: 1700000000000, WatchNumber: 3, Connected: true, LastSeenMS: 1700000001000, Cluster: "cluster-2", LastDecided: 17,
 			Outcome: Rejected, Applied: 16, Rejection: rejection}}})
 }
 
@@ -47,7 +47,7 @@
 // A node opens its watch with a query, which a controller of another build reads.
 func TestGoldenWatchRequest(t *testing.T) {
 	const golden = "applied=16&cluster=cluster-2&held=17&node=node-1&reason=no+server&refused=2&region=north&rejected=1&service=front&session=3&started=1700000000000&zone=north-a"
-	want := WatchRequest{Node: "node-1", Service: "front", Region: "north", Zone: "north-a", StartedMS: 1700000000000, Session: 3,
+	want := WatchRequest{Node: "node-1", Service: "front", Region: "north", Zone: "north-a", StartedMS: 1700000000000, WatchNumber: 3,
 		Cluster: "cluster-2", LastDecided: 17, Applied: 16, LastRejected: true, RejectionReason: "no server", WatchRejections: 2}
 	if zero := goldentest.ZeroFields(want); zero != nil {
 		t.Errorf("zero: %v", zero)
--- a/internal/configapi/publish.go
+++ b/internal/configapi/publish.go
@@ -47,10 +47,10 @@
 
 // Error is a controller's error, the body of each response that is not 200.
 type Error struct {
-	Kind         ErrorKind  `json:"kind"`
-	Message      string     `json:"message"`             // with what an operator can do
-	Leader       string     `json:"leader,omitempty"`    // HOST:PORT, for ErrorNotLeader, if known
-	Alternatives []Endpoint `json:"elsewhere,omitempty"` // for ErrorNoCapacity, the best first
+	Kind         ErrorKind           `json:"kind"`
+	Message      string              `json:"message"`             // with what an operator can do
+	Leader       string              `json:"leader,omitempty"`    // HOST:PORT, for ErrorNotLeader, if known
+	Alternatives []ControllerAddress `json:"elsewhere,omitempty"` // for ErrorNoCapacity, the best first
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s", e.Kind, e.Message) }
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -18,7 +18,7 @@
 	Sessions int          `json:"sessions"`
 	Nodes    []NodeStatus `json:"nodes"` // by name
 	// Controllers are all controllers of the cluster, this one among them.
-	Controllers []Endpoint `json:"controllers,omitempty"`
+	Controllers []ControllerAddress `json:"controllers,omitempty"`
 }
 
 // NodeStatus is the last report of a node to a controller.
@@ -28,7 +28,7 @@
 	Region      string     `json:"region,omitempty"`
 	Zone        string     `json:"zone,omitempty"`
 	StartedMS   int64      `json:"started"`   // start of the node's process, Unix milliseconds
-	Session     uint64     `json:"session"`   // of the last watch
+	WatchNumber uint64     `json:"session"`   // of the last watch
 	Connected   bool       `json:"connected"` // the watch is open
 	LastSeenMS  int64      `json:"seen_ms"`   // last request, acknowledgement or end of the watch, Unix milliseconds
 	Cluster     Cluster    `json:"cluster,omitempty"`
--- a/internal/configapi/watch.go
+++ b/internal/configapi/watch.go
@@ -13,7 +13,7 @@
 	Region          string
 	Zone            string
 	StartedMS       int64   // start of the process, Unix milliseconds: tells two processes of one node apart
-	Session         uint64  // rises by 1 with each watch that the process opens
+	WatchNumber     uint64  // rises by 1 with each watch that the process opens
 	Cluster         Cluster // that the node follows; empty: none
 	LastDecided     Version // the newest version applied or rejected; 0: none
 	Applied         Version // the version in force; 0: the configuration that the process was started with
@@ -31,7 +31,7 @@
 	keyRegion          = "region"   // Region
 	keyZone            = "zone"     // Zone
 	keyStartedMS       = "started"  // StartedMS, a number
-	keySession         = "session"  // Session, a number
+	keyWatchNumber     = "session"  // WatchNumber, a number
 	keyCluster         = "cluster"  // Cluster
 	keyLastDecided     = "held"     // LastDecided, a number
 	keyApplied         = "applied"  // Applied, a number
@@ -50,7 +50,7 @@
 	q.Set(keyRegion, r.Region)
 	q.Set(keyZone, r.Zone)
 	q.Set(keyStartedMS, strconv.FormatInt(r.StartedMS, 10))
-	q.Set(keySession, strconv.FormatUint(r.Session, 10))
+	q.Set(keyWatchNumber, strconv.FormatUint(r.WatchNumber, 10))
 	q.Set(keyCluster, string(r.Cluster))
 	q.Set(keyLastDecided, strconv.FormatUint(uint64(r.LastDecided), 10))
 	q.Set(keyApplied, strconv.FormatUint(uint64(r.Applied), 10))
@@ -79,7 +79,7 @@
 		return r, &Error{Kind: ErrorInvalid, Message: "a watch needs node and service"}
 	}
 	for key, into := range map[string]*uint64{
-		keySession:     &r.Session,
+		keyWatchNumber: &r.WatchNumber,
 		keyLastDecided: (*uint64)(&r.LastDecided),
 		keyApplied:     (*uint64)(&r.Applied),
 	} {
@@ -129,7 +129,7 @@
 	// MigrateTo asks the node to open a watch at another controller (HOST:PORT) and then to close this one.
 	MigrateTo string `json:"move_to,omitempty"`
 	// Controllers are all controllers of the cluster; only the first Update of a watch has them.
-	Controllers []Endpoint `json:"controllers,omitempty"`
+	Controllers []ControllerAddress `json:"controllers,omitempty"`
 }
 
 // Outcome is what a node did with a version.
@@ -164,12 +164,12 @@
 
 // Acknowledgement is a node's decision about a version.
 type Acknowledgement struct {
-	Node      string     `json:"node"`
-	StartedMS int64      `json:"started"` // as in the WatchRequest
-	Session   uint64     `json:"session"` // as in the WatchRequest
-	Cluster   Cluster    `json:"cluster"`
-	Version   Version    `json:"version"`
-	Outcome   Outcome    `json:"outcome"`
-	Rejection *Rejection `json:"rejection,omitempty"`
-	Applied   Version    `json:"applied"` // the version in force after this; 0: the configuration of the start
+	Node        string     `json:"node"`
+	StartedMS   int64      `json:"started"` // as in the WatchRequest
+	WatchNumber uint64     `json:"session"` // as in the WatchRequest
+	Cluster     Cluster    `json:"cluster"`
+	Version     Version    `json:"version"`
+	Outcome     Outcome    `json:"outcome"`
+	Rejection   *Rejection `json:"rejection,omitempty"`
+	Applied     Version    `json:"applied"` // the version in force after this; 0: the configuration of the start
 }
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -139,7 +139,7 @@
 		return strings.TrimPrefix(server.URL, "http://")
 	}
 	second := serve(configapi.ControllerStatus{Name: "c2"})
-	first := serve(configapi.ControllerStatus{Name: "c1", Controllers: []configapi.Endpoint{{Address: second}, {Address: "127.0.0.1:1"}}})
+	first := serve(configapi.ControllerStatus{Name: "c1", Controllers: []configapi.ControllerAddress{{Address: second}, {Address: "127.0.0.1:1"}}})
 	client := New([]string{first})
 	defer client.Close()
 	got := client.Status(t.Context())
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -21,7 +21,7 @@
 	want := configversion.LastKnownGood{Cluster: "cluster-2", Version: 17,
 		Config:      &configapi.ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"},
 		Former:      map[configapi.Cluster]configapi.Version{"cluster-1": 9},
-		Controllers: []configapi.Endpoint{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}}
+		Controllers: []configapi.ControllerAddress{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}}
 	goldentest.Check(t, path, want)
 	body := bytes.TrimSpace(goldentest.Text(t, path))
 
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -100,7 +100,7 @@
 		LastKnownGood: options.LastKnownGood,
 		Seed:          options.Seed,
 	}, 0)
-	s.publishState()
+	s.updateState()
 	s.tasks.Go(func() { s.run(ctx) })
 	return s
 }
@@ -118,7 +118,7 @@
 // State returns the session's state.
 func (s *Session) State() State { return *s.state.Load() }
 
-func (s *Session) publishState() {
+func (s *Session) updateState() {
 	s.state.Store(&State{Cluster: s.decisions.Cluster(), LastDecided: s.decisions.LastDecided(), Applied: s.decisions.Applied(), Controller: s.decisions.Controller()})
 }
 
@@ -187,13 +187,13 @@
 			s.options.Store.Save(a.LastKnownGood)
 		}
 	case configversion.VersionDecided:
-		s.publishState()
+		s.updateState()
 		s.logDecision(a)
 		if s.options.Observe != nil {
 			s.options.Observe(a)
 		}
 	case configversion.ControllerChanged:
-		s.publishState()
+		s.updateState()
 		s.options.Log.Info("configuration watch", "controller", a.Controller, "current", a.Current)
 	}
 }
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -24,7 +24,7 @@
 		observed := make(chan configversion.VersionDecided, 10)
 		s := startSession(t, n, acceptAll(applied), func(o *Options) { o.Observe = func(a configversion.VersionDecided) { observed <- a } })
 		request := receiveWithin(t, c.watches, configversion.InitialConnectJitter, "watch")
-		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", StartedMS: request.StartedMS, Session: 1}); request != want {
+		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", StartedMS: request.StartedMS, WatchNumber: 1}); request != want {
 			t.Errorf("asked with %+v", request)
 		}
 		c.updates <- versionUpdate(1)
@@ -32,7 +32,7 @@
 			t.Errorf("applied %s", got)
 		}
 		ack := receiveWithin(t, c.acks, time.Second, "acknowledgement")
-		want := configapi.Acknowledgement{Node: "n", StartedMS: request.StartedMS, Session: 1, Cluster: "x", Version: 1,
+		want := configapi.Acknowledgement{Node: "n", StartedMS: request.StartedMS, WatchNumber: 1, Cluster: "x", Version: 1,
 			Outcome: configapi.Applied, Applied: 1}
 		if ack != want {
 			t.Errorf("acknowledged %+v", ack)
@@ -214,7 +214,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
 		startFakeController(t, n, "a:1", func(c *fakeController) {
-			c.rejectWith = &configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.Endpoint{{Address: "b:1"}}}
+			c.rejectWith = &configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.ControllerAddress{{Address: "b:1"}}}
 		})
 		b := startFakeController(t, n, "b:1")
 		startSession(t, n, acceptAll(make(chan string, 10)))
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -18,7 +18,7 @@
 
 func storedVersion(n int) configversion.LastKnownGood {
 	return configversion.LastKnownGood{Cluster: "x", Version: configapi.Version(n), Config: &configapi.ServiceConfig{Settings: json.RawMessage(`{"a":1}`)},
-		Controllers: []configapi.Endpoint{{Address: "a:1", Region: "r", Zone: "z"}}}
+		Controllers: []configapi.ControllerAddress{{Address: "a:1", Region: "r", Zone: "z"}}}
 }
 
 func newTestStore(folder string) *Store {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -59,7 +59,7 @@
 	tc.waitForVersion(1)
 	leader := tc.leader()
 	tc.disableRaft(leader)
-	tc.waitFor("the leader that is cut off says so", func() bool { return !tc.running[leader].views.load().current })
+	tc.waitFor("the leader that is cut off says so", func() bool { return !tc.running[leader].views.load().hasLeaderContact })
 	alone := configclient.New([]string{tc.configOf(leader).Self.Listen})
 	defer alone.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/controller/cluster_disk_test.go
+++ b/internal/controller/clusterdisk_test.go
@@ -97,7 +97,7 @@
 }
 
 // A controller starts while all others are down. It serves its nodes the state of its snapshot, and says that it is not
-// current.
+// hasLeaderContact.
 func TestClusterMemberWithoutAQuorumServesItsSnapshot(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -111,7 +111,7 @@
 		tc.stop(name)
 	}
 	tc.start("c1")
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.Current {
 		t.Errorf("a controller that is alone says %+v", u)
 	}
--- a/internal/controller/cluster_harness_test.go
+++ b/internal/controller/clusterharness_test.go
@@ -160,7 +160,7 @@
 	tc.t.Helper()
 	tc.waitFor(fmt.Sprintf("version %d everywhere", version), func() bool {
 		for _, running := range tc.running {
-			if now := running.views.load(); now.state.Version != version || !now.current {
+			if now := running.views.load(); now.state.Version != version || !now.hasLeaderContact {
 				return false
 			}
 		}
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -40,8 +40,8 @@
 	disk   *disk
 	stream *raftStream
 	raft   *raft.Raft
-	// started is the same as raft, for raft's own goroutines, which run before raft is set.
-	started atomic.Pointer[raft.Raft]
+	// raftForCallbacks is the same as raft, for raft's own goroutines, which run before raft is set.
+	raftForCallbacks atomic.Pointer[raft.Raft]
 	// readyTerm is the term in which this controller leads and has applied all that was committed before; 0: none.
 	readyTerm   atomic.Uint64
 	leaderCh    <-chan bool
@@ -87,7 +87,7 @@
 		return nil, &ConsensusError{"raft can't start", err}
 	}
 	c.raft = server
-	c.started.Store(server)
+	c.raftForCallbacks.Store(server)
 	return c, nil
 }
 
@@ -140,11 +140,11 @@
 // replicatesTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
 // entries worth another attempt.
 func (c *consensus) replicatesTo(server raft.ServerID, term uint64) bool {
-	running := c.started.Load()
-	if running == nil || running.State() != raft.Leader || running.CurrentTerm() != term {
+	raftServer := c.raftForCallbacks.Load()
+	if raftServer == nil || raftServer.State() != raft.Leader || raftServer.CurrentTerm() != term {
 		return false
 	}
-	servers, err := serversOf(running)
+	servers, err := serversOf(raftServer)
 	if err != nil {
 		return false
 	}
@@ -152,8 +152,8 @@
 }
 
 // serversOf are the servers of raft's newest configuration.
-func serversOf(running *raft.Raft) ([]raft.Server, error) {
-	future := running.GetConfiguration()
+func serversOf(raftServer *raft.Raft) ([]raft.Server, error) {
+	future := raftServer.GetConfiguration()
 	if err := future.Error(); err != nil {
 		return nil, err
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 	processID string // drawn at random, to tell two processes on copies of one disk apart
 	views     *viewStore
 	nodes     *nodeTable
-	peers     *peerReports
+	reports   *controllerReports
 
 	disk         *disk
 	listener     net.Listener
@@ -67,7 +67,7 @@
 		processID: randomText(),
 		views:     newViewStore(),
 		nodes:     newNodeTable(placement),
-		peers:     newPeerReports(config),
+		reports:   newControllerReports(config),
 	}
 	var err error
 	if c.disk, err = openDisk(config.Folder, config.Self.Name); err != nil {
@@ -166,7 +166,7 @@
 	if err := c.disk.close(); err != nil {
 		c.log.Warn("closing the log failed", "err", err)
 	}
-	c.peers.client.CloseIdleConnections()
+	c.reports.client.CloseIdleConnections()
 	c.log.Info("stopped")
 }
 
@@ -184,9 +184,9 @@
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		c.peers.poll(ctx, c.participation.Load().serverID)
+		c.reports.poll(ctx, c.participation.Load().serverID)
 		now := time.Now()
-		migrated := c.nodes.setPeers(c.peers.loads(now, c.views.load().current), now)
+		migrated := c.nodes.setOtherControllers(c.reports.loads(now, c.views.load().hasLeaderContact), now)
 		if migrated > 0 {
 			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessions())
 		}
--- a/internal/controller/peer_reports.go
+++ b/internal/controller/controllerreports.go
@@ -26,12 +26,12 @@
 	// maxReportBytes bounds one report.
 	maxReportBytes = 64 << 10
 
-	// peerIdleConnections is how many idle connections stay open to each other controller.
-	peerIdleConnections = 2
-	// maxPeerConnections is how many connections are open to each: polls may overlap after a time-out.
-	maxPeerConnections = 4
-	// peerIdleConnectionTimeout is how long an idle connection stays open, as after a change of the settings.
-	peerIdleConnectionTimeout = 30 * time.Second
+	// maxIdleReportConnections is how many idle connections stay open to each other controller.
+	maxIdleReportConnections = 2
+	// maxReportConnections is how many connections are open to each: polls may overlap after a time-out.
+	maxReportConnections = 4
+	// idleReportConnectionTimeout is how long an idle connection stays open, as after a change of the settings.
+	idleReportConnectionTimeout = 30 * time.Second
 )
 
 // memberReport is a controller's response to GET /v1/load: what nodes need to know, and what the other controllers
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("controller: the report of %s: %s", e.Address, e.Reason)
 }
 
-// peerReports reads and holds the other controllers' reports.
-type peerReports struct {
+// controllerReports reads and holds the other controllers' reports.
+type controllerReports struct {
 	config Config
 	client *http.Client
 
@@ -79,18 +79,18 @@
 // isValid reports whether the report still counts.
 func (r timedReport) isValid(now time.Time) bool { return now.Sub(r.receivedAt) < reportValidity }
 
-func newPeerReports(config Config) *peerReports {
+func newControllerReports(config Config) *controllerReports {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: peerIdleConnections,
-		MaxConnsPerHost:     maxPeerConnections,
-		IdleConnTimeout:     peerIdleConnectionTimeout,
+		MaxIdleConnsPerHost: maxIdleReportConnections,
+		MaxConnsPerHost:     maxReportConnections,
+		IdleConnTimeout:     idleReportConnectionTimeout,
 		DisableCompression:  true,
 	}
-	return &peerReports{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
+	return &controllerReports{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
 }
 
 // poll reads the reports of all other controllers in parallel. server is the own raft server ID.
-func (p *peerReports) poll(ctx context.Context, server string) {
+func (p *controllerReports) poll(ctx context.Context, server string) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var readings sync.WaitGroup
@@ -107,7 +107,7 @@
 }
 
 // record notes the result of a reading. After one that failed, the last report stays until it is too old.
-func (p *peerReports) record(name string, report memberReport, err error) {
+func (p *controllerReports) record(name string, report memberReport, err error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if err == nil {
@@ -119,7 +119,7 @@
 	p.reports[name] = last
 }
 
-func (p *peerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
+func (p *controllerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
 	address := "http://" + member.Dial + configapi.PathLoad + "?server=" + url.QueryEscape(server)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // valid returns the reports that still count, by the controller's name.
-func (p *peerReports) valid(now time.Time) map[string]memberReport {
+func (p *controllerReports) valid(now time.Time) map[string]memberReport {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	valid := map[string]memberReport{}
@@ -158,20 +158,20 @@
 
 // loads is what session placement needs to know of the others. A controller is available if its last reading succeeded,
 // it has a state, and it is no worse in contact with a leader than this one (current).
-func (p *peerReports) loads(now time.Time, current bool) []configversion.PeerLoad {
+func (p *controllerReports) loads(now time.Time, current bool) []configversion.ControllerLoad {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	var loads []configversion.PeerLoad
+	var loads []configversion.ControllerLoad
 	for _, member := range p.config.Members {
 		if member.Name == p.config.Self.Name {
 			continue
 		}
 		report := p.reports[member.Name]
 		answers := !report.lastFetchFailed && report.isValid(now)
-		loads = append(loads, configversion.PeerLoad{
-			Endpoint:  member.Endpoint(),
-			Sessions:  report.Sessions,
-			Available: answers && report.Cluster != "" && (report.Current || !current),
+		loads = append(loads, configversion.ControllerLoad{
+			Controller: member.Endpoint(),
+			Sessions:   report.Sessions,
+			Available:  answers && report.Cluster != "" && (report.Current || !current),
 		})
 	}
 	return loads
--- a/internal/controller/peer_reports_test.go
+++ b/internal/controller/controllerreports_test.go
@@ -11,7 +11,7 @@
 // A controller does not answer one poll. No node is sent to it, but it still counts as a member until its report is too
 // old.
 func TestLoadsOfAnUnresponsiveController(t *testing.T) {
-	p := newPeerReports(configOf("c1", "c2", "c3"))
+	p := newControllerReports(configOf("c1", "c2", "c3"))
 	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, Current: true}}
 	p.record("c2", report, nil)
 	p.record("c3", report, nil)
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -13,16 +13,16 @@
 //
 //	state.go, fsm.go          the replicated state; only committed log entries change it
 //	publish.go                which publish requests are proposed, and what their result is
-//	publish_rate.go           the rate limit of publish requests
+//	publishrate.go            the rate limit of publish requests
 //	disk.go                   the folder: identity, log, snapshots
 //	participation.go          how this controller takes part in the cluster (phase)
-//	startup_decisions.go      how an empty disk starts; whether a disk is an old copy
-//	quorum_membership.go      which servers are voters; the leader changes it
+//	startupdecisions.go       how an empty disk starts; whether a disk is an old copy
+//	quorummembership.go       which servers are voters; the leader changes it
 //	leadership.go             when this controller leads, and when it is in contact with a leader
-//	peer_reports.go           what the other controllers report
+//	controllerreports.go      what the other controllers report
 //	views.go, watch.go        what nodes are sent
-//	node_table.go             the nodes' sessions and the last report of each node
-//	raft_stream.go            connections between controllers, and who may use them
+//	nodetable.go              the nodes' sessions and the last report of each node
+//	raftstream.go             connections between controllers, and who may use them
 //
 // Package configversion decides about the placement of sessions. cmd/hookwalk runs a controller; builds for service
 // (tag nolab) have none.
--- a/internal/controller/handlers.go
+++ b/internal/controller/handlers.go
@@ -110,7 +110,7 @@
 		return configapi.PublishReply{}, &configapi.Error{Kind: configapi.ErrorNoQuorum,
 			Message: "this controller waits for a majority of the others; nothing was taken"}
 	}
-	return running.publish(publishCommand{ID: request.ID, Document: document, Replaces: request.Replaces}, r.Context().Done())
+	return running.proposeVersion(publishCommand{ID: request.ID, Document: document, Replaces: request.Replaces}, r.Context().Done())
 }
 
 // readBody decodes a request's JSON body of at most maxBytes, which has to arrive within bodyTimeout.
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -21,7 +21,7 @@
 		if running.isLeader() && !running.isReady() {
 			running.prepareLeadership()
 		}
-		running.reconcile(c.peers.valid(time.Now()), c.processID)
+		running.reconcile(c.reports.valid(time.Now()), c.processID)
 		select {
 		case <-tick.C:
 		case <-running.leaderCh:
--- a/internal/controller/node_table.go
+++ b/internal/controller/nodetable.go
@@ -117,7 +117,7 @@
 		return invalidError("node %s has no session here: open a watch first", a.Node)
 	}
 	status := &entry.status
-	if a.StartedMS != status.StartedMS || a.Session < status.Session {
+	if a.StartedMS != status.StartedMS || a.WatchNumber < status.WatchNumber {
 		return nil
 	}
 	if a.Cluster == status.Cluster && a.Version < status.LastDecided {
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// setPeers passes new reports of the other controllers to session placement, and requests the migrations that it plans.
+// setOtherControllers passes new reports of the other controllers to session placement, and requests the migrations that it plans.
 // Newer sessions come before older ones of the same distance.
-func (t *nodeTable) setPeers(peers []configversion.PeerLoad, now time.Time) (migrated int) {
+func (t *nodeTable) setOtherControllers(loads []configversion.ControllerLoad, now time.Time) (migrated int) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.placement.SetPeers(peers)
+	t.placement.SetOtherControllers(loads)
 	if t.draining {
 		return 0
 	}
@@ -194,7 +194,7 @@
 }
 
 // alternatives are the other controllers for a node, the best one first.
-func (t *nodeTable) alternatives(request configapi.WatchRequest) []configapi.Endpoint {
+func (t *nodeTable) alternatives(request configapi.WatchRequest) []configapi.ControllerAddress {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.placement.Alternatives(configversion.SessionRequest{Region: request.Region, Zone: request.Zone})
@@ -245,7 +245,7 @@
 		Region:      r.Region,
 		Zone:        r.Zone,
 		StartedMS:   r.StartedMS,
-		Session:     r.Session,
+		WatchNumber: r.WatchNumber,
 		Connected:   true,
 		LastSeenMS:  now.UnixMilli(),
 		Cluster:     r.Cluster,
--- a/internal/controller/node_table_test.go
+++ b/internal/controller/nodetable_test.go
@@ -13,7 +13,7 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 func newTestTable(maxSessions int) *nodeTable {
-	return newNodeTable(configversion.NewPlacement(configapi.Endpoint{Address: "a:1"}, maxSessions, 10))
+	return newNodeTable(configversion.NewPlacement(configapi.ControllerAddress{Address: "a:1"}, maxSessions, 10))
 }
 
 func mustOpen(t *testing.T, table *nodeTable, r configapi.WatchRequest) *session {
@@ -29,14 +29,14 @@
 // it.
 func TestSessionsAreBounded(t *testing.T) {
 	table := newTestTable(2)
-	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
+	table.setOtherControllers([]configversion.ControllerLoad{{Controller: configapi.ControllerAddress{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
 	first := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry"})
 	mustOpen(t, table, configapi.WatchRequest{Node: "n2", Service: "dry"})
 	_, err := table.openSession(configapi.WatchRequest{Node: "n3", Service: "dry"}, noon)
 	if err == nil || err.Kind != configapi.ErrorNoCapacity || len(err.Alternatives) != 1 || err.Alternatives[0].Address != "b:1" {
 		t.Errorf("the third of at most two: %+v", err)
 	}
-	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Session: 2}) // replaces its older session
+	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", WatchNumber: 2}) // replaces its older session
 	select {
 	case <-first.done:
 	default:
@@ -51,8 +51,8 @@
 // Two processes use one node name. The older one must not replace the newer one's session.
 func TestOlderProcessOfANodeIsRejected(t *testing.T) {
 	table := newTestTable(5)
-	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 2, Session: 1})
-	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 9}, noon)
+	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 2, WatchNumber: 1})
+	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 9}, noon)
 	if err == nil || err.Kind != configapi.ErrorInvalid {
 		t.Errorf("an older process: %+v", err)
 	}
@@ -61,12 +61,12 @@
 // Acknowledgements arrive late, of an older session or of an older version. They change nothing.
 func TestAcknowledgementsInAnyOrder(t *testing.T) {
 	table := newTestTable(5)
-	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, Session: 2, Cluster: "c", LastDecided: 3, Applied: 3})
-	ack := configapi.Acknowledgement{Node: "n1", StartedMS: 5, Session: 2, Cluster: "c", Outcome: configapi.Applied}
+	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, WatchNumber: 2, Cluster: "c", LastDecided: 3, Applied: 3})
+	ack := configapi.Acknowledgement{Node: "n1", StartedMS: 5, WatchNumber: 2, Cluster: "c", Outcome: configapi.Applied}
 	for _, late := range []func(*configapi.Acknowledgement){
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 7, 7 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 6, 6 },
-		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.Session = 9, 9, 1 },
+		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.WatchNumber = 9, 9, 1 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.StartedMS = 9, 9, 4 },
 	} {
 		a := ack
@@ -134,7 +134,7 @@
 // A controller shuts down. Its nodes are spread over the others, and new ones are rejected.
 func TestDrainAsksAllToMigrate(t *testing.T) {
 	table := newTestTable(5)
-	table.setPeers([]configversion.PeerLoad{{Endpoint: configapi.Endpoint{Address: "b:1"}, Available: true}, {Endpoint: configapi.Endpoint{Address: "c:1"}, Available: true}}, noon)
+	table.setOtherControllers([]configversion.ControllerLoad{{Controller: configapi.ControllerAddress{Address: "b:1"}, Available: true}, {Controller: configapi.ControllerAddress{Address: "c:1"}, Available: true}}, noon)
 	var sessions []*session
 	for i := range 4 {
 		sessions = append(sessions, mustOpen(t, table, configapi.WatchRequest{Node: fmt.Sprint("n", i), Service: "dry"}))
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -87,7 +87,7 @@
 	decision := startUndecided
 	var reports map[string]memberReport
 	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
-		reports = c.peers.valid(time.Now())
+		reports = c.reports.valid(time.Now())
 		waitForAll := time.Since(began) < bootstrapWait
 		decision = decideEmptyDiskStart(c.config, c.processID, reports, waitForAll)
 		return decision != startUndecided
@@ -141,7 +141,7 @@
 	c.consensus.Store(running)
 	verdict := diskUndecided
 	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
-		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.peers.valid(time.Now()))
+		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.reports.valid(time.Now()))
 		return verdict != diskUndecided
 	})
 	switch {
@@ -195,7 +195,7 @@
 	for {
 		if c.views.setCurrent(running.isCurrent(time.Now())) {
 			view := c.views.load()
-			c.log.Info("leader contact", "current", view.current, "version", view.state.Version)
+			c.log.Info("leader contact", "current", view.hasLeaderContact, "version", view.state.Version)
 		}
 		if part := c.participation.Load(); part.phase == phaseJoining && running.isVoter() {
 			c.setParticipation(phaseMember, nil)
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -18,12 +18,12 @@
 	commitTimeout = 5 * time.Second
 )
 
-// publish proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error
+// proposeVersion proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error
 // of kind ErrorOutcomeUnknown the version may still come into force; with any other, nothing was written. canceled is
 // closed when the requester has gone.
 //
 // One publish is proposed at a time: each sees the versions and the rate of those before it.
-func (c *consensus) publish(publish publishCommand, canceled <-chan struct{}) (configapi.PublishReply, *configapi.Error) {
+func (c *consensus) proposeVersion(publish publishCommand, canceled <-chan struct{}) (configapi.PublishReply, *configapi.Error) {
 	select {
 	case c.publishSlot <- struct{}{}:
 		defer func() { <-c.publishSlot }()
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -14,9 +14,9 @@
 type session struct {
 	id         uint64
 	request    configapi.WatchRequest
-	applied    atomic.Pointer[appliedVersion] // of the last acknowledgement
-	migrate    chan configapi.Endpoint        // the target of a migration that the node is to be asked for; buffers one
-	done       chan struct{}                  // closed when the session must end
+	applied    atomic.Pointer[appliedVersion]   // of the last acknowledgement
+	migrate    chan configapi.ControllerAddress // the target of a migration that the node is to be asked for; buffers one
+	done       chan struct{}                    // closed when the session must end
 	closeOnce  sync.Once
 	migratedAt time.Time // when a migration was last requested; guarded by nodeTable
 }
@@ -31,7 +31,7 @@
 	s := &session{
 		id:      id,
 		request: request,
-		migrate: make(chan configapi.Endpoint, 1),
+		migrate: make(chan configapi.ControllerAddress, 1),
 		done:    make(chan struct{}),
 	}
 	s.applied.Store(&appliedVersion{request.Cluster, request.Applied})
@@ -49,7 +49,7 @@
 
 // requestMigration makes the handler ask the node to migrate. It is called with the table locked, and returns false if
 // an earlier request was not sent yet.
-func (s *session) requestMigration(target configapi.Endpoint, now time.Time) bool {
+func (s *session) requestMigration(target configapi.ControllerAddress, now time.Time) bool {
 	select {
 	case s.migrate <- target:
 		s.migratedAt = now
@@ -61,5 +61,5 @@
 
 // isOlder reports whether watch x is of an older process of a node than watch y, or an older one of the same process.
 func isOlder(x, y configapi.WatchRequest) bool {
-	return cmp.Or(cmp.Compare(x.StartedMS, y.StartedMS), cmp.Compare(x.Session, y.Session)) < 0
+	return cmp.Or(cmp.Compare(x.StartedMS, y.StartedMS), cmp.Compare(x.WatchNumber, y.WatchNumber)) < 0
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -70,8 +70,8 @@
 }
 
 // Endpoint is where nodes reach the controller.
-func (m Member) Endpoint() configapi.Endpoint {
-	return configapi.Endpoint{Address: m.Listen, Region: m.Region, Zone: m.Zone}
+func (m Member) Endpoint() configapi.ControllerAddress {
+	return configapi.ControllerAddress{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
 // LoadConfig reads a cluster's settings file for the controller of a name. All controllers may share one file; the name
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -98,18 +98,18 @@
 func (s *state) apply(c command) (*state, commandResult) {
 	switch {
 	case c.Kind == commandCreateCluster && c.CreateCluster != nil:
-		return s.createCluster(*c.CreateCluster), commandResult{}
+		return s.applyCreateCluster(*c.CreateCluster), commandResult{}
 	case c.Kind == commandPublish && c.Publish != nil:
-		return s.publish(*c.Publish)
+		return s.applyPublish(*c.Publish)
 	case c.Kind == commandMemberStarted && c.MemberStarted != nil:
-		return s.memberStarted(*c.MemberStarted), commandResult{}
+		return s.applyMemberStarted(*c.MemberStarted), commandResult{}
 	}
 	err := &configapi.Error{Kind: configapi.ErrorInvalid,
 		Message: fmt.Sprintf("this controller does not know the log's command %q: all controllers need the same build", c.Kind)}
 	return s, commandResult{Err: err}
 }
 
-func (s *state) createCluster(c createClusterCommand) *state {
+func (s *state) applyCreateCluster(c createClusterCommand) *state {
 	if s.Cluster != "" {
 		return s
 	}
@@ -118,7 +118,7 @@
 	return &next
 }
 
-func (s *state) publish(c publishCommand) (*state, commandResult) {
+func (s *state) applyPublish(c publishCommand) (*state, commandResult) {
 	if reply, err := s.earlierReply(c); reply.Version != 0 || err != nil {
 		return s, commandResult{Reply: reply, Err: err}
 	}
@@ -156,7 +156,7 @@
 	return configapi.PublishReply{Cluster: s.Cluster, Version: s.History[at].Version}, nil
 }
 
-func (s *state) memberStarted(c memberStartedCommand) *state {
+func (s *state) applyMemberStarted(c memberStartedCommand) *state {
 	if known, ok := s.Starts[c.ServerID]; ok && known.Start >= c.Start {
 		return s
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -15,7 +15,7 @@
 			Name:     c.config.Self.Name,
 			Cluster:  view.state.Cluster,
 			Sessions: c.nodes.sessions(),
-			Current:  view.current,
+			Current:  view.hasLeaderContact,
 		},
 		Phase:     part.phase,
 		ServerID:  part.serverID,
@@ -39,7 +39,7 @@
 		Name:        c.config.Self.Name,
 		Cluster:     view.state.Cluster,
 		Version:     view.state.Version,
-		Current:     view.current,
+		Current:     view.hasLeaderContact,
 		Sessions:    c.nodes.sessions(),
 		Nodes:       c.nodes.list(time.Now()),
 		Controllers: c.endpoints(),
@@ -53,8 +53,8 @@
 }
 
 // endpoints are the addresses of all controllers of the cluster.
-func (c *Controller) endpoints() []configapi.Endpoint {
-	var endpoints []configapi.Endpoint
+func (c *Controller) endpoints() []configapi.ControllerAddress {
+	var endpoints []configapi.ControllerAddress
 	for _, member := range c.config.Members {
 		endpoints = append(endpoints, member.Endpoint())
 	}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -9,9 +9,9 @@
 
 // view is what a controller serves at one moment. It is immutable except for its cache of encoded updates.
 type view struct {
-	state      *state
-	current    bool          // in contact with the leader of a quorum
-	superseded chan struct{} // closed when there is a newer view
+	state            *state
+	hasLeaderContact bool          // in contact with the leader of a quorum
+	superseded       chan struct{} // closed when there is a newer view
 
 	lock    sync.Mutex
 	encoded map[updateKey][]byte
@@ -32,14 +32,14 @@
 // equalForNodes reports whether another view has the same updates. The start of a controller, for one, changes the
 // state but no update: nodes would be woken for nothing.
 func (v *view) equalForNodes(other *view) bool {
-	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.current == other.current &&
+	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.hasLeaderContact == other.hasLeaderContact &&
 		len(v.state.Replaces) == len(other.state.Replaces)
 }
 
 // update builds the update of a service.
-func (v *view) update(key updateKey, controllers []configapi.Endpoint) configapi.Update {
+func (v *view) update(key updateKey, controllers []configapi.ControllerAddress) configapi.Update {
 	u := configapi.Update{Cluster: v.state.Cluster, Replaces: v.state.Replaces, Version: v.state.Version,
-		ConfigVersion: v.configVersion(key.service), Current: v.current}
+		ConfigVersion: v.configVersion(key.service), Current: v.hasLeaderContact}
 	if service, ok := v.state.Services[key.service]; ok && key.withConfig {
 		u.Config = &service.Config
 	}
@@ -50,7 +50,7 @@
 }
 
 // encodedUpdate is the update of a service as one line of JSON, encoded once for all sessions.
-func (v *view) encodedUpdate(key updateKey, controllers []configapi.Endpoint) []byte {
+func (v *view) encodedUpdate(key updateKey, controllers []configapi.ControllerAddress) []byte {
 	if _, ok := v.state.Services[key.service]; !ok {
 		key.service = "" // services without a configuration share theirs
 	}
@@ -83,7 +83,7 @@
 func newViewStore() *viewStore { return &viewStore{latest: newView(&state{}, false)} }
 
 func newView(s *state, current bool) *view {
-	return &view{state: s, current: current, superseded: make(chan struct{}), encoded: map[updateKey][]byte{}}
+	return &view{state: s, hasLeaderContact: current, superseded: make(chan struct{}), encoded: map[updateKey][]byte{}}
 }
 
 // load returns the newest view.
@@ -100,22 +100,22 @@
 	if s == vs.latest.state {
 		return
 	}
-	vs.publish(newView(s, vs.latest.current))
+	vs.replace(newView(s, vs.latest.hasLeaderContact))
 }
 
 // setCurrent sets whether the controller is in contact with the leader of a quorum.
 func (vs *viewStore) setCurrent(current bool) (changed bool) {
 	vs.lock.Lock()
 	defer vs.lock.Unlock()
-	if current == vs.latest.current {
+	if current == vs.latest.hasLeaderContact {
 		return false
 	}
-	vs.publish(newView(vs.latest.state, current))
+	vs.replace(newView(vs.latest.state, current))
 	return true
 }
 
-// publish replaces the view, and wakes all sessions. It is called with the store locked.
-func (vs *viewStore) publish(next *view) {
+// replace replaces the view, and wakes all sessions. It is called with the store locked.
+func (vs *viewStore) replace(next *view) {
 	before := vs.latest
 	vs.latest = next
 	close(before.superseded)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -99,7 +99,7 @@
 }
 
 // migrationLine is an update, without a configuration, that asks a session's node to migrate.
-func migrationLine(v *view, s *session, target configapi.Endpoint) []byte {
+func migrationLine(v *view, s *session, target configapi.ControllerAddress) []byte {
 	u := v.update(updateKey{service: s.request.Service}, nil)
 	u.MigrateTo = target.Address
 	return encodeLine(u)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -82,12 +82,12 @@
 	tc.publish("dry")
 	tc.waitForVersion(1)
 	address := tc.configOf("c1").Self.Listen
-	watch := openWatch(t, address, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
+	watch := openWatch(t, address, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	first := watch.update(t)
 	if first.Version != 1 || first.ConfigVersion != 1 || first.Config == nil || len(first.Controllers) != 1 || !first.Current {
 		t.Fatalf("the first update is %+v", first)
 	}
-	ack(t, address, configapi.Acknowledgement{Node: "n1", StartedMS: 1, Session: 1, Cluster: first.Cluster, Version: 1, Outcome: configapi.Applied, Applied: 1})
+	ack(t, address, configapi.Acknowledgement{Node: "n1", StartedMS: 1, WatchNumber: 1, Cluster: first.Cluster, Version: 1, Outcome: configapi.Applied, Applied: 1})
 	watch.heartbeat(t)
 	tc.publish("press")
 	if u := watch.update(t); u.Version != 2 || u.ConfigVersion != 1 || u.Config != nil || u.Controllers != nil {
@@ -126,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := c.request
-			request.Node, request.StartedMS, request.Session = strings.ReplaceAll(name, " ", "-"), 1, 1
+			request.Node, request.StartedMS, request.WatchNumber = strings.ReplaceAll(name, " ", "-"), 1, 1
 			if request.Service == "" {
 				request.Service = "dry"
 			}
@@ -145,7 +145,7 @@
 	tc.start("c1")
 	tc.publish("dry")
 	tc.waitForVersion(1)
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	watch.update(t)
 	running := tc.running["c1"].consensus.Load()
 	if _, err := running.propose(command{Kind: commandMemberStarted, MemberStarted: &memberStartedCommand{"c9", 1, "p"}}); err != nil {
@@ -162,10 +162,10 @@
 	tc.publish("dry")
 	tc.waitForVersion(1)
 	address := tc.configOf("c1").Self.Listen
-	request := configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1}
+	request := configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1}
 	older := openWatch(t, address, request)
 	older.update(t)
-	request.Session = 2
+	request.WatchNumber = 2
 	newer := openWatch(t, address, request)
 	newer.update(t)
 	for {
@@ -182,10 +182,10 @@
 	tc.start("c1", "c2", "c3")
 	tc.publish("dry")
 	tc.waitForVersion(1)
-	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, Session: 1})
+	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	watch.update(t)
 	tc.waitFor("c1 knows the others' loads", func() bool {
-		return len(tc.running["c1"].peers.valid(time.Now())) == 2 && len(tc.running["c1"].nodes.alternatives(configapi.WatchRequest{})) == 2
+		return len(tc.running["c1"].reports.valid(time.Now())) == 2 && len(tc.running["c1"].nodes.alternatives(configapi.WatchRequest{})) == 2
 	})
 	tc.running["c1"].stop()
 	for {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -52,14 +52,14 @@
 	version        atomic.Int64 // of the list held
 
 	// Of the goroutine of Run.
-	streams           map[int]*stream // by the tracker's ID
-	heldGeneration    int             // of the address from which the list held came
-	needComplete      bool            // the list held can't be built on: the complete list comes first
-	olderLists        int             // consecutive complete lists that were older than the one held
-	loggedState       endpointlease.State
-	loggedUnavailable bool // whether discovery was unavailable as the log has it
-	lastEndLogged     time.Time
-	endsSinceLog      int // streams that ended since lastEndLogged
+	streams              map[int]*stream // by the tracker's ID
+	heldGeneration       int             // of the address from which the list held came
+	needComplete         bool            // the list held can't be built on: the complete list comes first
+	olderLists           int             // consecutive complete lists that were older than the one held
+	loggedState          endpointlease.State
+	loggedUnavailable    bool // whether discovery was unavailable as the log has it
+	lastEndLogged        time.Time
+	streamsEndedSinceLog int // streams that ended since lastEndLogged
 
 	mu             sync.Mutex // of what follows
 	addr           string
@@ -153,7 +153,7 @@
 		if decision.Action == endpointlease.OpenStream {
 			opened = s.newStream(now)
 		}
-		lease, unavailable := s.tracker.CheckLease(now), s.tracker.Unavailable()
+		lease, unavailable := s.tracker.AdvanceLease(now), s.tracker.Unavailable()
 		s.notifyLease()
 		s.mu.Unlock()
 		s.logLease(lease.State, unavailable)
@@ -163,7 +163,7 @@
 		case endpointlease.OpenStream:
 			s.openStream(ctx, opened, readers)
 		case endpointlease.DropStream:
-			s.endStream(decision.StreamID, errDropped)
+			s.endStream(decision.StreamID, errNotNeeded)
 		case endpointlease.AbortStalledStream:
 			s.streamFailed(ctx, s.streams[decision.StreamID], errStalled)
 		}
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -130,7 +130,7 @@
 }
 
 // Where lists are polled, the module requests the first poll and is told of failures: the node polls nothing by itself.
-func TestPolledMode(t *testing.T) {
+func TestPolledListFailuresReachTheModule(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	source, updates := startSource(t, addr, "on_request")
 	for range 2 {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -15,7 +15,7 @@
 // Why a stream was ended from this side, as the cause of its context.
 var (
 	errSuperseded = errors.New("a list of a later address of discovery is held")
-	errDropped    = errors.New("another stream serves")
+	errNotNeeded  = errors.New("another stream serves")
 )
 
 // errStalled ends a stream whose list has begun and is not complete in time.
@@ -23,14 +23,14 @@
 
 // stream is a poll of discovery and the watch that it becomes. Its states, and the rules for them, are the tracker's.
 type stream struct {
-	source     *Source
-	id         int // the tracker's
-	generation int // of its address
-	addr       string
-	openedAt   time.Duration
-	pollOnly   bool // it asks for the complete list and for no watch
-	lists      int  // that it brought
-	cancel     context.CancelCauseFunc
+	source        *Source
+	id            int // the tracker's
+	generation    int // of its address
+	addr          string
+	openedAt      time.Duration
+	pollOnly      bool // it asks for the complete list and for no watch
+	listsReceived int  // that it brought
+	cancel        context.CancelCauseFunc
 }
 
 // streamEvent is what a stream has read: a list, or its end.
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxOlderLists is how many complete lists in a row must be older than the one held for the last to be believed. A
+	// olderListsUntilBelieved is how many complete lists in a row must be older than the one held for the last to be believed. A
 	// discovery that answers late would bring endpoints back that have drained; one that has lost its state counts anew,
 	// and says so each time.
-	maxOlderLists = 3
+	olderListsUntilBelieved = 3
 	// endLogInterval bounds the log of ended polls: while discovery is down each node's fail several times a second.
 	endLogInterval = time.Second
 )
@@ -57,12 +57,12 @@
 	if s.ApplyUpdate(ctx, ToUpdate(list)) != nil {
 		return // ctx has ended
 	}
-	st.lists++
+	st.listsReceived++
 	s.heldGeneration, s.olderLists = st.generation, 0
 	s.version.Store(list.Seq)
 	s.needComplete = s.needComplete && !list.Complete
 	if st.pollOnly {
-		s.endStream(st.id, errDropped)
+		s.endStream(st.id, errNotNeeded)
 	}
 }
 
@@ -83,7 +83,7 @@
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoEndpoints}
 	case !list.Complete && list.Seq < base:
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrVersionGap}
-	case list.Complete && list.Seq < base && s.olderLists < maxOlderLists-1:
+	case list.Complete && list.Seq < base && s.olderLists < olderListsUntilBelieved-1:
 		s.olderLists++
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlderVersion}
 	}
@@ -127,11 +127,11 @@
 
 // logEnd logs the end of a watch, and of polls without a list one in endLogInterval, with how many there were.
 func (s *Source) logEnd(st *stream, err error, unreadable bool) {
-	s.endsSinceLog++
-	if st.lists == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
+	s.streamsEndedSinceLog++
+	if st.listsReceived == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
 		return
 	}
-	s.log.Warn("discovery watch ended", "addr", st.addr, "lists", st.lists, "list", s.State(), "err", err, "polls", s.endsSinceLog,
+	s.log.Warn("discovery watch ended", "addr", st.addr, "lists", st.listsReceived, "list", s.State(), "err", err, "polls", s.streamsEndedSinceLog,
 		"after", s.now()-st.openedAt)
-	s.endsSinceLog, s.lastEndLogged = 0, time.Now()
+	s.streamsEndedSinceLog, s.lastEndLogged = 0, time.Now()
 }
--- a/internal/endpointlease/availability.go
+++ b/internal/endpointlease/availability.go
@@ -29,10 +29,10 @@
 	available availability = iota
 	// unreachable: the last connection was refused or did not come up. Set by Unreachable; ended by Connected.
 	unreachable
-	// rejecting: the watch has ended, and polls are rejected after a wait, as by a proxy before a discovery that is down.
+	// downBehindProxy: the watch has ended, and polls are rejected after a wait, as by a proxy before a discovery that is down.
 	// Set by PollRejected.
-	rejecting
-	// unresponsive: connections come up and nothing has come on any for slowPeriod and more. Set by CheckLease.
+	downBehindProxy
+	// unresponsive: connections come up and nothing has come on any for slowPeriod and more. Set by AdvanceLease.
 	unresponsive
 )
 
@@ -63,14 +63,14 @@
 	t.overloaded = now-s.openedAt <= immediateRejection
 	if t.overloaded {
 		t.noteAlive(now)
-	} else if !t.watchOpen {
-		t.noteUnavailable(rejecting, id)
+	} else if !t.lateRejectionProvesNothing {
+		t.noteUnavailable(downBehindProxy, id)
 	}
 }
 
 // noteAlive notes that discovery has sent something.
 func (t *Tracker) noteAlive(now time.Duration) {
-	t.lastActivityAt, t.availability, t.reachedSinceConfirm = now, available, true
+	t.lastActivityAt, t.availability, t.reachedSinceConfirmed = now, available, true
 }
 
 // noteUnavailable notes that discovery was unavailable when a poll began. A change that it had before the outage, while it
@@ -85,8 +85,8 @@
 			outageBegan = min(outageBegan, t.lastWatchEndedAt)
 		}
 		expires := t.Expires()
-		if t.reachedSinceConfirm || t.otherPollConnected(id) || expires <= outageBegan {
-			t.frozenExpiry = max(expires, 1) // 0 means that there is none
+		if t.reachedSinceConfirmed || t.otherPollConnected(id) || expires <= outageBegan {
+			t.expiryFixedByOutage = max(expires, 1) // 0 means that there is none
 		}
 	}
 	t.availability, t.unavailablePollAt = how, s.openedAt
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -8,7 +8,7 @@
 //
 // The rules, and where they stand:
 //
-//	lease expiry                        lease.go         Expires, CheckLease, State
+//	lease expiry                        lease.go         Expires, AdvanceLease, State
 //	unavailable, unresponsive or slow   availability.go  PollRejected, Unreachable, slowUntil
 //	when to poll                        schedule.go      Step
 //	parallel polls                      parallel.go      parallelPollAt
@@ -64,16 +64,16 @@
 	malformedLists      int           // consecutive answers that could not be read
 
 	// What is known of discovery: see availability.go.
-	availability          availability
-	lastActivityAt        time.Duration // the last sign of life, a rejection that came at once included
-	unavailablePollAt     time.Duration // the begin of the last poll that found discovery unavailable
-	watchOpen             bool          // the last watch is open, even if silent; an ended one may be of a discovery that went down
-	reachedSinceConfirm   bool          // discovery could be reached since the list was last confirmed, and sent nothing
-	pendingAddressChanges []addressChange
+	availability               availability
+	lastActivityAt             time.Duration // the last sign of life, a rejection that came at once included
+	unavailablePollAt          time.Duration // the begin of the last poll that found discovery unavailable
+	lateRejectionProvesNothing bool          // the last watch is open, even if silent; an ended one may be of a discovery that went down
+	reachedSinceConfirmed      bool          // discovery could be reached since the list was last confirmed, and sent nothing
+	pendingAddressChanges      []addressChange
 
 	// The lease: see Expires.
-	confirmedAt      time.Duration // when the list held was last known to be all that discovery had
-	lastPollAt       time.Duration // the begin of the last poll
-	lastWatchEndedAt time.Duration // when the last watch ended, where none is open
-	frozenExpiry     time.Duration // an end of the lease that an outage does not put off; 0: there is none
+	confirmedAt         time.Duration // when the list held was last known to be all that discovery had
+	lastPollAt          time.Duration // the begin of the last poll
+	lastWatchEndedAt    time.Duration // when the last watch ended, where none is open
+	expiryFixedByOutage time.Duration // an end of the lease that an outage does not put off; 0: there is none
 }
--- a/internal/endpointlease/events.go
+++ b/internal/endpointlease/events.go
@@ -45,7 +45,7 @@
 	t.confirm(now)
 	t.pendingAddressChanges = slices.DeleteFunc(t.pendingAddressChanges, func(c addressChange) bool { return c.generation <= s.generation })
 	if s.generation == t.generation {
-		t.parallelPolls, t.consecutiveFailures, t.overloaded, t.watchOpen = 0, 0, false, true
+		t.parallelPolls, t.consecutiveFailures, t.overloaded, t.lateRejectionProvesNothing = 0, 0, false, true
 	}
 }
 
@@ -60,7 +60,7 @@
 // and no list came, discovery may have had a change that it could not send: see noteUnavailable.
 func (t *Tracker) StreamFailed(id int) {
 	s := t.stream(id)
-	t.reachedSinceConfirm = t.reachedSinceConfirm || s.connected && !s.isWatch()
+	t.reachedSinceConfirmed = t.reachedSinceConfirmed || s.connected && !s.isWatch()
 }
 
 // MalformedList notes, before StreamEnded, that a stream brought something that can't be read or built on. A watch that
@@ -83,14 +83,14 @@
 		t.parallelPolls = 0 // it was answered, even if with a rejection
 		t.consecutiveFailures++
 	} else if !t.hasWatch() {
-		t.watchOpen = false
+		t.lateRejectionProvesNothing = false
 	}
 	t.nextPollAt = now + t.backoff(s.jitter)
 }
 
 // confirm notes that the list held is all that discovery has: the lease begins anew.
 func (t *Tracker) confirm(now time.Duration) {
-	t.confirmedAt, t.frozenExpiry, t.reachedSinceConfirm = now, 0, false
+	t.confirmedAt, t.expiryFixedByOutage, t.reachedSinceConfirmed = now, 0, false
 }
 
 // InheritAge takes over the list of the process before this one: it was confirmed so long ago. Without it a restart would
@@ -113,7 +113,7 @@
 	t.generation++
 	t.nextPollAt, t.pollingStarted = now, true
 	t.parallelPolls, t.consecutiveFailures, t.malformedLists, t.overloaded = 0, 0, 0, false
-	t.watchOpen = true
+	t.lateRejectionProvesNothing = true
 	if len(t.pendingAddressChanges) == maxPendingAddressChanges {
 		t.pendingAddressChanges[maxPendingAddressChanges-1].generation = t.generation
 		return
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -39,13 +39,13 @@
 //
 // While discovery is unavailable it can notify nobody: each poll that finds it so puts the end off to NotificationDeadline
 // after that poll's begin. While it is unresponsive the lease has no end. Neither puts the end off where a change may have
-// come before the outage (frozenExpiry).
+// come before the outage (expiryFixedByOutage).
 //
 // Without this rule a node goes on sending to a drained endpoint while discovery is slow: the incident of 2 December 2026.
 func (t *Tracker) Expires() time.Duration {
 	switch {
-	case t.frozenExpiry > 0:
-		return t.frozenExpiry
+	case t.expiryFixedByOutage > 0:
+		return t.expiryFixedByOutage
 	case t.availability == unresponsive:
 		return never
 	case t.Unavailable():
@@ -71,23 +71,23 @@
 // Unbounded says whether the lease has no end for now, while discovery is unresponsive.
 func (t *Tracker) Unbounded() bool { return t.Expires() == never }
 
-// Lease is what CheckLease finds.
-type Lease struct {
+// LeaseCheck is what AdvanceLease finds.
+type LeaseCheck struct {
 	State   State
 	Expires time.Duration
 	CheckAt time.Duration // when to check again if no event comes before
 }
 
-// CheckLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date: no poll
+// AdvanceLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date: no poll
 // has confirmed it since. Discovery counts as slow then and, at slowUntil, as unresponsive.
-func (t *Tracker) CheckLease(now time.Duration) Lease {
+func (t *Tracker) AdvanceLease(now time.Duration) LeaseCheck {
 	if t.availability != unresponsive && now >= t.Expires() {
 		t.availability = available
 		if t.pollingStarted && now >= t.slowUntil() {
 			t.availability = unresponsive
 		}
 	}
-	lease := Lease{State: t.State(now), Expires: t.Expires()}
+	lease := LeaseCheck{State: t.State(now), Expires: t.Expires()}
 	switch lease.CheckAt = lease.Expires; {
 	case t.availability == unresponsive:
 		lease.CheckAt = never
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -33,7 +33,7 @@
 type HollowOptions struct {
 	Program     func() *exec.Cmd // a process that calls ServeHollow with its standard input and output
 	Topology    Topology
-	Controllers []configapi.Endpoint
+	Controllers []configapi.ControllerAddress
 	Folder      string // of last known good versions; "": nodes keep none
 	Log         string // folder for standard error
 	Seed        uint64
--- a/internal/lab/scale/hollowprocess.go
+++ b/internal/lab/scale/hollowprocess.go
@@ -14,11 +14,11 @@
 
 // HollowSpec is the first line that a process of hollow nodes reads.
 type HollowSpec struct {
-	Nodes       []HollowNode         `json:"nodes"`
-	Controllers []configapi.Endpoint `json:"controllers"`
-	Folder      string               `json:"folder"` // of last known good versions; "": nodes keep none
-	Life        int                  `json:"life"`   // rises with each start
-	Seed        uint64               `json:"seed"`
+	Nodes       []HollowNode                  `json:"nodes"`
+	Controllers []configapi.ControllerAddress `json:"controllers"`
+	Folder      string                        `json:"folder"` // of last known good versions; "": nodes keep none
+	Life        int                           `json:"life"`   // rises with each start
+	Seed        uint64                        `json:"seed"`
 }
 
 // HollowCommand is each further line that it reads.
--- a/internal/lab/scale/versionsaudit_test.go
+++ b/internal/lab/scale/versionsaudit_test.go
@@ -173,8 +173,8 @@
 	rejected.Outcome, rejected.InForce = configapi.Rejected, 1
 	audit.Observed(rejected)
 	status := func(held, applied configapi.Version, outcome configapi.Outcome) []configapi.ControllerStatus {
-		older := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 1, LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
-		newer := configapi.NodeStatus{Node: "a", StartedMS: 1, Session: 2, LastDecided: held, Applied: applied, Outcome: outcome}
+		older := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 1, LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
+		newer := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastDecided: held, Applied: applied, Outcome: outcome}
 		return []configapi.ControllerStatus{{Nodes: []configapi.NodeStatus{newer}}, {Nodes: []configapi.NodeStatus{older}}}
 	}
 	if got := audit.Acknowledged(status(2, 1, configapi.Rejected)); len(got) != 0 {
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -41,8 +41,8 @@
 }
 
 // Endpoint is the controller as nodes know it.
-func (c *Controller) Endpoint() configapi.Endpoint {
-	return configapi.Endpoint{Address: c.Address, Region: c.Region, Zone: c.Zone}
+func (c *Controller) Endpoint() configapi.ControllerAddress {
+	return configapi.ControllerAddress{Address: c.Address, Region: c.Region, Zone: c.Zone}
 }
 
 // ClusterOptions say how controllers are run.
@@ -165,7 +165,7 @@
 }
 
 // Endpoints are all controllers as nodes know them.
-func (c *ControlCluster) Endpoints() (endpoints []configapi.Endpoint) {
+func (c *ControlCluster) Endpoints() (endpoints []configapi.ControllerAddress) {
 	for _, controller := range c.Controllers {
 		endpoints = append(endpoints, controller.Endpoint())
 	}
--- a/internal/lab/scale/versionsnode_test.go
+++ b/internal/lab/scale/versionsnode_test.go
@@ -252,7 +252,7 @@
 }
 
 // sessionSettings is a settings file with a session. The node keeps its last known good version in its folder.
-func sessionSettings(node *versionNode, controllers []configapi.Endpoint) string {
+func sessionSettings(node *versionNode, controllers []configapi.ControllerAddress) string {
 	var addresses []string
 	for _, controller := range controllers {
 		addresses = append(addresses, strconv.Quote(controller.Address))
--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -30,9 +30,9 @@
 func (m Machine) EndsConnections(now time.Duration) bool {
 	switch m.state {
 	case outOfService:
-		return m.frontHasNoticed(now)
+		return m.notReadyNoticed(now)
 	case shuttingDown:
-		return m.isSucceeded || m.isOut && m.frontHasNoticed(now) || now >= max(m.since+acceptAfterSignal, m.forcedEnd-responsesCloseLeft)
+		return m.hasSuccessor || m.isOut && m.notReadyNoticed(now) || now >= max(m.since+acceptAfterSignal, m.killAt-responsesCloseLeft)
 	}
 	return false
 }
@@ -43,7 +43,7 @@
 	case outOfService:
 		return minIdle, now >= m.since+closeIdleAfter
 	case shuttingDown:
-		return minIdle, m.isOut && now >= m.since+closeIdleAfter || now >= m.forcedEnd-closeIdleLeft
+		return minIdle, m.isOut && now >= m.since+closeIdleAfter || now >= m.killAt-closeIdleLeft
 	}
 	return 0, false
 }
@@ -53,7 +53,7 @@
 	if m.state != shuttingDown {
 		return 0
 	}
-	return m.forcedEnd - lastResponseLeft
+	return m.killAt - lastResponseLeft
 }
 
 // StopsAt is for how much longer, from now on, a node that shuts down accepts the connections that the front deals out. One
@@ -61,13 +61,13 @@
 // signal; another one all but what it needs to close idle connections.
 func (m Machine) StopsAt(now time.Duration) time.Duration {
 	switch {
-	case m.isSucceeded:
+	case m.hasSuccessor:
 		return 0
-	case m.isOut && m.frontHasNoticed(now):
+	case m.isOut && m.notReadyNoticed(now):
 		return acceptAfterSignal
 	}
-	return max(acceptAfterSignal, m.forcedEnd-closeIdleLeft-now)
+	return max(acceptAfterSignal, m.killAt-closeIdleLeft-now)
 }
 
-// frontHasNoticed says whether the front deals out no more connections because of a no that began at since.
-func (m Machine) frontHasNoticed(now time.Duration) bool { return now >= m.since+noticedAfter }
+// notReadyNoticed says whether the front deals out no more connections because of a no that began at since.
+func (m Machine) notReadyNoticed(now time.Duration) bool { return now >= m.since+noticedAfter }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -43,16 +43,16 @@
 
 // Machine is the state of a node. The zero Machine is that of one that starts.
 type Machine struct {
-	state       state
-	since       time.Duration // when it went out of service or, if it was in service, began to shut down
-	isOut       bool          // what an operator said last
-	forcedEnd   time.Duration // shutting down: from then on the process may be killed
-	isSucceeded bool          // shutting down: another process of the node takes new connections
+	state        state
+	since        time.Duration // when it went out of service or, if it was in service, began to shut down
+	isOut        bool          // what an operator said last
+	killAt       time.Duration // shutting down: from then on the process may be killed
+	hasSuccessor bool          // shutting down: another process of the node takes new connections
 }
 
 // Step returns the machine after an event. The last two arguments belong to Terminate: how long the process has until it may
 // be killed, and whether another process of the node takes the connections that come from now on.
-func (m Machine) Step(now time.Duration, event Event, remaining time.Duration, succeeded bool) Machine {
+func (m Machine) Step(now time.Duration, event Event, killIn time.Duration, hasSuccessor bool) Machine {
 	if m.state == shuttingDown {
 		return m // there is no way back
 	}
@@ -64,7 +64,7 @@
 	case InService:
 		return m.putInService()
 	case Terminate:
-		return m.terminated(now, remaining, succeeded)
+		return m.terminated(now, killIn, hasSuccessor)
 	}
 	return m
 }
@@ -101,11 +101,11 @@
 }
 
 // terminated keeps the time at which a node went out of service: its clients have been leaving since then.
-func (m Machine) terminated(now, remaining time.Duration, succeeded bool) Machine {
+func (m Machine) terminated(now, killIn time.Duration, hasSuccessor bool) Machine {
 	if m.state != outOfService {
 		m.since = now
 	}
-	m.state, m.forcedEnd, m.isSucceeded = shuttingDown, now+remaining, succeeded
+	m.state, m.killAt, m.hasSuccessor = shuttingDown, now+killIn, hasSuccessor
 	return m
 }
 
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -21,7 +21,7 @@
 
 // Each row is a node some time after events, and what it owes: whether it is ready, whether responses close their
 // connections, and whether idle connections are closed.
-func TestWhatANodeOwes(t *testing.T) {
+func TestConnectionsCloseByState(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name                    string
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -27,10 +27,10 @@
 
 // Why a file can't be used. A VersionError and an OwnerError are further reasons.
 var (
-	// ErrTorn says that a file is incomplete or was changed: it is no JSON, or its checksum is another.
-	ErrTorn = errors.New("torn")
+	// ErrDamaged says that a file is incomplete or was changed: it is no JSON, or its checksum is another.
+	ErrDamaged = errors.New("torn")
 	// ErrChecksum says that a file is torn in such a way that it is JSON still.
-	ErrChecksum = fmt.Errorf("%w: its checksum is another", ErrTorn)
+	ErrChecksum = fmt.Errorf("%w: its checksum is another", ErrDamaged)
 	// ErrTooLarge says that a file has more than MaxFileSize bytes.
 	ErrTooLarge = fmt.Errorf("over %d bytes", MaxFileSize)
 	// ErrNotRegular says that there is a folder, a pipe or the like where the file should be.
@@ -56,14 +56,14 @@
 	return crc64.Checksum(fmt.Appendf(nil, "%d\n%q\n%q\n%d\n%s", f.Version, f.Owner, f.BootID, f.SinceBoot, f.Body), checksumTable)
 }
 
-// parse reads a file of Version or of version 1. The error is ErrTorn, ErrTooLarge or a *VersionError.
+// parse reads a file of Version or of version 1. The error is ErrDamaged, ErrTooLarge or a *VersionError.
 func parse(text []byte) (file, error) {
 	var f file
 	if len(text) > MaxFileSize {
 		return f, ErrTooLarge
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return f, fmt.Errorf("%w: %w", ErrTorn, err)
+		return f, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	want := f.checksum()
 	switch f.Version {
--- a/internal/state/read.go
+++ b/internal/state/read.go
@@ -19,7 +19,7 @@
 	Errors   []error         // why files that are there were not used, each a *FileError
 }
 
-// FileError says why a file that is there can't be used: ErrTorn, ErrTooLarge, ErrNotRegular, a *VersionError, an
+// FileError says why a file that is there can't be used: ErrDamaged, ErrTooLarge, ErrNotRegular, a *VersionError, an
 // *OwnerError, or an error of the system.
 type FileError struct {
 	Path string
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -110,9 +110,9 @@
 		reason func(error) bool
 		damage func(path string) error
 	}{
-		"empty":          {is(ErrTorn), func(p string) error { return os.WriteFile(p, nil, 0o600) }},
-		"truncated":      {is(ErrTorn), func(p string) error { return os.Truncate(p, 900) }},
-		"not JSON":       {is(ErrTorn), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
+		"empty":          {is(ErrDamaged), func(p string) error { return os.WriteFile(p, nil, 0o600) }},
+		"truncated":      {is(ErrDamaged), func(p string) error { return os.Truncate(p, 900) }},
+		"not JSON":       {is(ErrDamaged), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
 		"a byte changed": {is(ErrChecksum), func(p string) error { return put(p, func(f *file) { f.Checksum = f.checksum() ^ 1 }) }},
 		"of another owner": {func(err error) bool {
 			var owner *OwnerError
@@ -165,7 +165,7 @@
 
 // A node uses the age of what it finds to judge how much it is worth. A wrong age is worse than none: a file of another run
 // of the machine, or from the future, has none, and neither has one of version 1, which is read all the same.
-func TestAge(t *testing.T) {
+func TestAgeIsMeasuredByTheBootClock(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change   func(*file)
 		from, to time.Duration
