--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -21,6 +21,10 @@
 // A pending version is dropped when a newer one comes, and an applying one when its ApplyConfig is interrupted: then it
 // was never decided, and the next update brings it or a newer one.
 //
+// After a rejection each later version tries the same configuration again, also one that changes only another service: its
+// ConfigVersion is the rejected one, which is not in force. So a service may come right without a new publish for it, as
+// when its servers are back.
+//
 // The rule guards against a configuration that goes back: by a controller that lags, by a cluster that was rebuilt from
 // nothing or restored from a backup, or by a second cluster at the same addresses. Any of them would otherwise silently
 // undo an operator's change. It shows as a rejection of kind "foreign", or as a watch that is not adopted.
--- a/configversion/doc.go
+++ b/configversion/doc.go
@@ -8,6 +8,7 @@
 //	class.go              which configurations would leave a class of requests without servers
 //	acknowledgement.go    in which order decisions are acknowledged, retries and backoff
 //	watch.go              the states of a watch
+//	watchset.go           the open watches of a node
 //	watchopening.go       connecting: timeouts, hedged watches, backoff
 //	watchsilence.go       heartbeats and the silence timeout
 //	controllerchoice.go   which controller is watched
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -139,11 +139,11 @@
 			cmp.Compare(x.estimate(), y.estimate()),
 			cmp.Compare(x.Controller.Address, y.Controller.Address))
 	})
-	var endpoints []configapi.ControllerAddress
+	var addresses []configapi.ControllerAddress
 	for _, other := range others {
-		endpoints = append(endpoints, other.Controller)
+		addresses = append(addresses, other.Controller)
 	}
-	return endpoints
+	return addresses
 }
 
 // controllerRank orders controllers for a node; the least comes first.
--- a/configversion/session.go
+++ b/configversion/session.go
@@ -112,8 +112,8 @@
 	// maxBackoffDoublings bounds the shift in backoff, so that a long row of failures does not overflow it. Every
 	// backoff has reached its maximum by then.
 	maxBackoffDoublings = 16
-	// backoffJitterDivisor is halves a backoff into a fixed and a drawn part: nodes that failed
-	// together must not come back together.
+	// backoffJitterDivisor divides a backoff into a fixed half and a drawn half: nodes that failed together must not come back
+	// together.
 	backoffJitterDivisor = 2
 )
 
--- a/configversion/sessiontypes.go
+++ b/configversion/sessiontypes.go
@@ -5,7 +5,7 @@
 // SessionEvent is something that happened to a session; the caller passes it to Step.
 type SessionEvent interface{ sessionEvent() }
 
-// Events. Those of a watch that the session has closed are ignored.
+// Events. Watch is the number of the OpenWatch; events of a watch that the session has closed are ignored.
 type (
 	// Tick reports that the time that Next returned has come.
 	Tick struct{}
@@ -29,8 +29,8 @@
 	// ApplyFinished is the result of an ApplyConfig.
 	ApplyFinished struct {
 		Rejection *configapi.Rejection // nil: the configuration is in force
-		// Interrupted is set if the configuration could not be checked: it is not in force, and the version is neither
-		// applied nor rejected.
+		// Interrupted is set if the configuration was not checked, because the node ends: it is not in force, and the version
+		// is neither applied nor rejected.
 		Interrupted bool
 	}
 	// AckFinished is the result of a SendAck.
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,7 @@
 // Package adminapi serves the HTTP calls that operators make to a running node:
 //
-//	GET  /control/ready                    whether this process takes clients
+//	GET  /control/ready                    whether the process is well; also yes while out of service, unlike /ready on the
+//	                                       clients' address
 //	POST /control/out-of-service           send the clients away
 //	POST /control/in-service               take clients again
 //	POST /control/servers/SERVER/offline   disable a server: no requests to it
@@ -30,7 +31,8 @@
 )
 
 const (
-	// requestTimeout is for a connection to bring a complete request: one that does not takes a place from an operator.
+	// requestTimeout is the time within which a connection must bring a complete request: until then it takes one of
+	// MaxConnections from operators.
 	requestTimeout = 1500 * time.Millisecond
 	// effectTimeout is for the node to do what a call wants. An answer is owed within 1 s; the rest is for writing it.
 	effectTimeout = 900 * time.Millisecond
@@ -44,7 +46,7 @@
 
 // Node is what operators can ask of a node. A nil error says that the effect holds; after another nothing has changed.
 type Node interface {
-	// CheckReady says why the process does not take clients.
+	// CheckReady says why the process is not well; nil: it serves whoever comes, in service or not.
 	CheckReady() error
 	// SetServerDisabled disables or enables a server. The error wraps balancer.ErrUnknownServer for one that is not known.
 	SetServerDisabled(ctx context.Context, server string, disabled bool) error
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -106,10 +106,12 @@
 	return response, err
 }
 
-// ResponseError reports that a controller's response is none that controllers give.
+// ResponseError reports that a response which is not 200 has no controller's error in its body.
 type ResponseError struct{ Status string }
 
-func (e *ResponseError) Error() string { return "answered " + e.Status }
+func (e *ResponseError) Error() string {
+	return fmt.Sprintf("answered %s without a controller's error: check that the address is a controller's and what lies before it", e.Status)
+}
 
 // readError reads a controller's error from a response that is not 200. Its own error is a *ResponseError.
 func readError(response *http.Response) (*configapi.Error, error) {
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -16,8 +16,8 @@
 // Applier brings configurations into force.
 type Applier interface {
 	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why
-	// it is not in force; any other error says that it could not be checked, and nothing is acknowledged. Calls come
-	// one at a time.
+	// it is not in force; any other error says that it was not checked, because the node ends, and nothing is
+	// acknowledged. Calls come one at a time.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
@@ -194,7 +194,7 @@
 		}
 	case configversion.ControllerChanged:
 		s.updateState()
-		s.options.Log.Info("configuration watch", "controller", a.Controller, "current", a.Current)
+		s.logController(a)
 	}
 }
 
@@ -220,6 +220,14 @@
 	return configversion.AckFinished{Accepted: err == nil}
 }
 
+func (s *Session) logController(a configversion.ControllerChanged) {
+	if a.Controller == "" {
+		s.options.Log.Info("configuration watch lost")
+		return
+	}
+	s.options.Log.Info("configuration watch at controller", "controller", a.Controller, "current", a.Current)
+}
+
 func (s *Session) logDecision(a configversion.VersionDecided) {
 	if a.Outcome == configapi.Applied {
 		s.options.Log.Info("configuration version", "version", a.Version, "outcome", a.Outcome, "cluster", a.Cluster,
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -40,7 +40,8 @@
 	disk   *disk
 	stream *raftStream
 	raft   *raft.Raft
-	// raftForCallbacks is the same as raft, for raft's own goroutines, which run before raft is set.
+	// raftForCallbacks is raft once more, for replicatesTo: raft calls it from goroutines of its own, which run before
+	// startConsensus has set raft. nil until then.
 	raftForCallbacks atomic.Pointer[raft.Raft]
 	// readyTerm is the term in which this controller leads and has applied all that was committed before; 0: none.
 	readyTerm   atomic.Uint64
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,7 +60,7 @@
 // New opens a controller's folder and its addresses. Its error is a FolderError or a ListenError.
 func New(config Config, log *slog.Logger) (*Controller, error) {
 	maxMigrations := int(migrationsPerSecond * pollInterval / time.Second)
-	placement := configversion.NewPlacement(config.Self.Endpoint(), config.MaxSessions, maxMigrations)
+	placement := configversion.NewPlacement(config.Self.ControllerAddress(), config.MaxSessions, maxMigrations)
 	c := &Controller{
 		config:    config,
 		log:       log.With("controller", config.Self.Name),
@@ -127,7 +127,7 @@
 			failed <- err
 		}
 	})
-	c.tasks.Go(func() { c.pollPeers(work) })
+	c.tasks.Go(func() { c.pollReports(work) })
 	c.tasks.Go(func() {
 		if err := c.runConsensus(work); err != nil {
 			failed <- err
@@ -179,8 +179,8 @@
 	}
 }
 
-// pollPeers reads the other controllers' reports until ctx ends, and migrates sessions by them.
-func (c *Controller) pollPeers(ctx context.Context) {
+// pollReports reads the other controllers' reports until ctx ends, and migrates sessions by them.
+func (c *Controller) pollReports(ctx context.Context) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
--- a/internal/controller/controllerreports.go
+++ b/internal/controller/controllerreports.go
@@ -157,8 +157,8 @@
 }
 
 // loads is what session placement needs to know of the others. A controller is available if its last reading succeeded,
-// it has a state, and it is no worse in contact with a leader than this one (current).
-func (p *controllerReports) loads(now time.Time, current bool) []configversion.ControllerLoad {
+// it has a state, and it is in contact with the leader if this one is.
+func (p *controllerReports) loads(now time.Time, hasLeaderContact bool) []configversion.ControllerLoad {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	var loads []configversion.ControllerLoad
@@ -169,9 +169,9 @@
 		report := p.reports[member.Name]
 		answers := !report.lastFetchFailed && report.isValid(now)
 		loads = append(loads, configversion.ControllerLoad{
-			Controller: member.Endpoint(),
+			Controller: member.ControllerAddress(),
 			Sessions:   report.Sessions,
-			Available:  answers && report.Cluster != "" && (report.Current || !current),
+			Available:  answers && report.Cluster != "" && (report.Current || !hasLeaderContact),
 		})
 	}
 	return loads
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -7,18 +7,10 @@
 	"fmt"
 	"io"
 	"net"
-	"strings"
 
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-const (
-	// maxNameBytes is the length of the name of a service, a node, a region or a zone.
-	maxNameBytes = 256
-	// maxPublishIDBytes is the length of a publish request's ID.
-	maxPublishIDBytes = 128
-)
-
 // readDocument decodes a published document and checks its form. The nodes of a service check what its settings mean.
 func readDocument(text []byte) (configapi.Document, *configapi.Error) {
 	if len(text) > configapi.MaxDocumentBytes {
@@ -58,38 +50,7 @@
 	return nil
 }
 
-// checkPublish checks all of a publish request but its document.
-func checkPublish(request configapi.PublishRequest) *configapi.Error {
-	if request.ID == "" || len(request.ID) > maxPublishIDBytes || !validName(request.ID) {
-		return invalidError("a publish request needs an ID of 1 to %d visible ASCII characters", maxPublishIDBytes)
-	}
-	for _, cluster := range request.Replaces {
-		if !validName(string(cluster)) {
-			return invalidError("%q is not a cluster's identity", truncate(string(cluster)))
-		}
-	}
-	return nil
-}
-
 // invalidError is an error of kind ErrorInvalid.
 func invalidError(format string, args ...any) *configapi.Error {
 	return &configapi.Error{Kind: configapi.ErrorInvalid, Message: fmt.Sprintf(format, args...)}
 }
-
-// validName reports whether a text can be a name: visible ASCII characters, and spaces between them, as in nodes'
-// settings.
-func validName(text string) bool {
-	return text != "" && len(text) <= maxNameBytes && text == strings.TrimSpace(text) &&
-		!strings.ContainsFunc(text, func(c rune) bool { return c < ' ' || c > '~' })
-}
-
-// maxQuotedBytes is how much of a client's text a message quotes: it goes into logs.
-const maxQuotedBytes = 40
-
-// truncate shortens a client's text for a message.
-func truncate(text string) string {
-	if len(text) <= maxQuotedBytes {
-		return text
-	}
-	return text[:maxQuotedBytes] + "..."
-}
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -53,12 +53,11 @@
 // Unwrap returns raft's error.
 func (e *ConsensusError) Unwrap() error { return e.Err }
 
-// UnknownControllerError reports that the log has a controller that the settings file does not name: all controllers
-// need the same file.
+// UnknownControllerError reports that the log has a controller that the settings file does not name.
 type UnknownControllerError struct{ Name string }
 
 func (e *UnknownControllerError) Error() string {
-	return fmt.Sprintf("no controller %s in the settings", e.Name)
+	return fmt.Sprintf("no controller %s in the settings: all controllers need the same settings file", e.Name)
 }
 
 // ConfigError says what is wrong with a settings file as a whole.
--- a/internal/controller/nodetable.go
+++ b/internal/controller/nodetable.go
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// setOtherControllers passes new reports of the other controllers to session placement, and requests the migrations that it plans.
-// Newer sessions come before older ones of the same distance.
+// setOtherControllers passes new reports of the other controllers to session placement, and requests the migrations that
+// it plans. Newer sessions come before older ones of the same distance.
 func (t *nodeTable) setOtherControllers(loads []configversion.ControllerLoad, now time.Time) (migrated int) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -193,13 +193,13 @@
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
-		if c.views.setCurrent(running.isCurrent(time.Now())) {
+		if c.views.setLeaderContact(running.isCurrent(time.Now())) {
 			view := c.views.load()
 			c.log.Info("leader contact", "current", view.hasLeaderContact, "version", view.state.Version)
 		}
-		if part := c.participation.Load(); part.phase == phaseJoining && running.isVoter() {
+		if own := c.participation.Load(); own.phase == phaseJoining && running.isVoter() {
 			c.setParticipation(phaseMember, nil)
-			c.log.Info("this controller is a member of the cluster again", "server", part.serverID)
+			c.log.Info("this controller is a member of the cluster again", "server", own.serverID)
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -16,6 +16,8 @@
 	enqueueTimeout = time.Second
 	// commitTimeout is how long a command waits for a quorum before its outcome is called unknown.
 	commitTimeout = 5 * time.Second
+	// maxPublishIDBytes is the length of a publish request's ID.
+	maxPublishIDBytes = 128
 )
 
 // proposeVersion proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error
@@ -48,6 +50,19 @@
 	return result.Reply, result.Err
 }
 
+// checkPublish checks all of a publish request but its document.
+func checkPublish(request configapi.PublishRequest) *configapi.Error {
+	if request.ID == "" || len(request.ID) > maxPublishIDBytes || !validName(request.ID) {
+		return invalidError("a publish request needs an ID of 1 to %d visible ASCII characters", maxPublishIDBytes)
+	}
+	for _, cluster := range request.Replaces {
+		if !validName(string(cluster)) {
+			return invalidError("%q is not a cluster's identity", truncate(string(cluster)))
+		}
+	}
+	return nil
+}
+
 // checkLeadership says why a publish request can't be proposed here, and where to if that is known.
 func (c *consensus) checkLeadership() *configapi.Error {
 	switch leader, known := c.leader(); {
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -69,8 +69,8 @@
 	Zone   string
 }
 
-// Endpoint is where nodes reach the controller.
-func (m Member) Endpoint() configapi.ControllerAddress {
+// ControllerAddress is where nodes reach the controller.
+func (m Member) ControllerAddress() configapi.ControllerAddress {
 	return configapi.ControllerAddress{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,7 +9,7 @@
 // report is what this controller reports to another one; server is the raft server ID whose recorded start is asked
 // for.
 func (c *Controller) report(server string) memberReport {
-	part, view := c.participation.Load(), c.views.load()
+	own, view := c.participation.Load(), c.views.load()
 	r := memberReport{
 		Load: configapi.Load{
 			Name:     c.config.Self.Name,
@@ -17,11 +17,11 @@
 			Sessions: c.nodes.sessions(),
 			Current:  view.hasLeaderContact,
 		},
-		Phase:     part.phase,
-		ServerID:  part.serverID,
-		Start:     part.start,
+		Phase:     own.phase,
+		ServerID:  own.serverID,
+		Start:     own.start,
 		ProcessID: c.processID,
-		Founders:  part.founders,
+		Founders:  own.founders,
 	}
 	if running := c.consensus.Load(); running != nil {
 		r.AppliedIndex = running.raft.AppliedIndex()
@@ -42,7 +42,7 @@
 		Current:     view.hasLeaderContact,
 		Sessions:    c.nodes.sessions(),
 		Nodes:       c.nodes.list(time.Now()),
-		Controllers: c.endpoints(),
+		Controllers: c.controllerAddresses(),
 	}
 	if running := c.consensus.Load(); running != nil {
 		if leader, known := running.leader(); known {
@@ -52,11 +52,11 @@
 	return s
 }
 
-// endpoints are the addresses of all controllers of the cluster.
-func (c *Controller) endpoints() []configapi.ControllerAddress {
-	var endpoints []configapi.ControllerAddress
+// controllerAddresses are the addresses of all controllers of the cluster.
+func (c *Controller) controllerAddresses() []configapi.ControllerAddress {
+	var addresses []configapi.ControllerAddress
 	for _, member := range c.config.Members {
-		endpoints = append(endpoints, member.Endpoint())
+		addresses = append(addresses, member.ControllerAddress())
 	}
-	return endpoints
+	return addresses
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -10,7 +10,7 @@
 // view is what a controller serves at one moment. It is immutable except for its cache of encoded updates.
 type view struct {
 	state            *state
-	hasLeaderContact bool          // in contact with the leader of a quorum
+	hasLeaderContact bool          // this controller is in contact with the leader of a quorum
 	superseded       chan struct{} // closed when there is a newer view
 
 	lock    sync.Mutex
@@ -82,8 +82,8 @@
 
 func newViewStore() *viewStore { return &viewStore{latest: newView(&state{}, false)} }
 
-func newView(s *state, current bool) *view {
-	return &view{state: s, hasLeaderContact: current, superseded: make(chan struct{}), encoded: map[updateKey][]byte{}}
+func newView(s *state, hasLeaderContact bool) *view {
+	return &view{state: s, hasLeaderContact: hasLeaderContact, superseded: make(chan struct{}), encoded: map[updateKey][]byte{}}
 }
 
 // load returns the newest view.
@@ -103,14 +103,14 @@
 	vs.replace(newView(s, vs.latest.hasLeaderContact))
 }
 
-// setCurrent sets whether the controller is in contact with the leader of a quorum.
-func (vs *viewStore) setCurrent(current bool) (changed bool) {
+// setLeaderContact sets whether the controller is in contact with the leader of a quorum.
+func (vs *viewStore) setLeaderContact(hasContact bool) (changed bool) {
 	vs.lock.Lock()
 	defer vs.lock.Unlock()
-	if current == vs.latest.hasLeaderContact {
+	if hasContact == vs.latest.hasLeaderContact {
 		return false
 	}
-	vs.replace(newView(vs.latest.state, current))
+	vs.replace(newView(vs.latest.state, hasContact))
 	return true
 }
 
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -95,7 +95,7 @@
 		withConfig: s.needsConfig(v.state.Cluster, v.configVersion(service)),
 		first:      first,
 	}
-	return v.encodedUpdate(key, c.endpoints())
+	return v.encodedUpdate(key, c.controllerAddresses())
 }
 
 // migrationLine is an update, without a configuration, that asks a session's node to migrate.
--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -8,8 +8,8 @@
 }
 
 // SetAddress has another discovery polled, at once: the old one may be about to close, and the node counts as notified
-// soon of what the new one has. The endpoints held stay, and streams of the old address are read, until the list of the
-// new one is there; versions of the old one are not asked for at the new one (see baseVersion).
+// soon of what the new one has. Until a list has come from the new one, the endpoints held stay and streams of the old
+// address are read. The first poll of the new address asks for no version of the old one (see baseVersion).
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -29,7 +29,7 @@
 	if expired := state == endpointlease.Expired; expired != (s.loggedState == endpointlease.Expired) {
 		if expired {
 			s.log.Warn("endpoint list expired: requests are rejected until discovery answers", "version", s.Version(),
-				"addr", s.Addr(), "polls", len(s.streams))
+				"addr", s.Addr(), "open_streams", len(s.streams))
 		} else {
 			s.log.Info("endpoint list may be used again", "version", s.Version(), "list", state, "unavailable", unavailable)
 		}
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -25,7 +25,7 @@
 // Config says which discovery is polled, how, and what the node holds from before.
 type Config struct {
 	Addr            string        // HOST:PORT
-	Polled          bool          // lists are polled, and Subscribe requests the first poll; else an agent pushes them
+	Polled          bool          // lists are polled, the first time after Subscribe; else an agent pushes them
 	MaxPollInterval time.Duration // where lists are polled: the lease of a list without a watch ends so long after the last poll
 	Pollers         int           // nodes that poll the same discovery; 0: not known
 	Version         int64         // of the list held; 0: none
@@ -49,7 +49,7 @@
 	pollRequests   chan struct{} // Subscribe was called
 	addressChanges chan struct{} // SetAddress has changed addr
 	events         chan streamEvent
-	version        atomic.Int64 // of the list held
+	version        atomic.Int64 // of the list held; see Version
 
 	// Of the goroutine of Run.
 	streams              map[int]*stream // by the tracker's ID
@@ -59,7 +59,7 @@
 	loggedState          endpointlease.State
 	loggedUnavailable    bool // whether discovery was unavailable as the log has it
 	lastEndLogged        time.Time
-	streamsEndedSinceLog int // streams that ended since lastEndLogged
+	streamsEndedSinceLog int // since lastEndLogged
 
 	mu             sync.Mutex // of what follows
 	addr           string
@@ -94,7 +94,8 @@
 // now is the tracker's time. It is monotonic: a step of the wall clock changes no lease.
 func (s *Source) now() time.Duration { return time.Since(s.epoch) }
 
-// Subscribe requests a watch. One that is requested already is enough.
+// Subscribe requests the first poll, where lists are polled. Further calls change nothing: the tracker schedules all later
+// polls by itself.
 func (s *Source) Subscribe() { signal(s.pollRequests) }
 
 func signal(c chan struct{}) {
@@ -107,7 +108,7 @@
 // Version is that of the list held.
 func (s *Source) Version() int64 { return s.version.Load() }
 
-// State says what the list that the node holds is worth.
+// State says whether the list that the node holds may be used.
 func (s *Source) State() endpointlease.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +136,7 @@
 		case <-wake.C:
 		case <-s.pollRequests:
 			s.track((*endpointlease.Tracker).RequestPoll)
-		case <-s.addressChanges: // SetAddress has told the tracker
+		case <-s.addressChanges: // SetAddress has noted it with the tracker
 		case event := <-s.events:
 			s.handle(ctx, event)
 		case <-ctx.Done():
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -129,7 +129,8 @@
 	})
 }
 
-// Where lists are polled, the module requests the first poll and is told of failures: the node polls nothing by itself.
+// Where lists are polled, the decision module requests the first poll and is told when the last stream has ended. Its later
+// requests make no second poll beside the one that the tracker schedules.
 func TestPolledListFailuresReachTheModule(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	source, updates := startSource(t, addr, "on_request")
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -15,7 +15,7 @@
 // Why a stream was ended from this side, as the cause of its context.
 var (
 	errSuperseded = errors.New("a list of a later address of discovery is held")
-	errNotNeeded  = errors.New("another stream serves")
+	errNotNeeded  = errors.New("the stream is not needed: another one serves, or its one list has come")
 )
 
 // errStalled ends a stream whose list has begun and is not complete in time.
@@ -29,7 +29,7 @@
 	addr          string
 	openedAt      time.Duration
 	pollOnly      bool // it asks for the complete list and for no watch
-	listsReceived int  // that it brought
+	listsReceived int
 	cancel        context.CancelCauseFunc
 }
 
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// olderListsUntilBelieved is how many complete lists in a row must be older than the one held for the last to be believed. A
-	// discovery that answers late would bring endpoints back that have drained; one that has lost its state counts anew,
-	// and says so each time.
+	// olderListsUntilBelieved is how many complete lists in a row must be older than the one held for the last of them to be
+	// applied. A single one may be a late answer, and would bring endpoints back that have drained; a discovery that has lost
+	// its state counts its versions anew, and each of its lists is older.
 	olderListsUntilBelieved = 3
-	// endLogInterval bounds the log of ended polls: while discovery is down each node's fail several times a second.
+	// endLogInterval is the least time between two log lines of polls that ended without a list: while discovery is down, a
+	// node's polls end several times a second.
 	endLogInterval = time.Second
 )
 
@@ -91,8 +92,8 @@
 }
 
 // streamFailed ends a stream that has failed. After something that can't be read the complete list is polled next, and all
-// streams end: what the others bring would build on it too. Where lists are polled, the module is told when no stream is
-// left, and requests the next.
+// streams end: what the others bring would build on it too. Where lists are polled, the decision module is told when no
+// stream is left. In response it calls Subscribe, which changes nothing here: the tracker schedules the next poll by itself.
 func (s *Source) streamFailed(ctx context.Context, st *stream, err error) {
 	s.endStream(st.id, err)
 	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
@@ -125,13 +126,14 @@
 	t.StreamEnded(id, now)
 }
 
-// logEnd logs the end of a watch, and of polls without a list one in endLogInterval, with how many there were.
+// logEnd logs the end of a stream that brought a list or something unreadable. Of polls that ended without a list it logs one
+// in endLogInterval, with how many streams ended since the last line.
 func (s *Source) logEnd(st *stream, err error, unreadable bool) {
 	s.streamsEndedSinceLog++
 	if st.listsReceived == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
 		return
 	}
-	s.log.Warn("discovery watch ended", "addr", st.addr, "lists", st.listsReceived, "list", s.State(), "err", err, "polls", s.streamsEndedSinceLog,
-		"after", s.now()-st.openedAt)
+	s.log.Warn("discovery stream ended", "addr", st.addr, "lists_received", st.listsReceived, "list_state", s.State(), "err", err,
+		"ended_since_last_line", s.streamsEndedSinceLog, "open_for", s.now()-st.openedAt)
 	s.streamsEndedSinceLog, s.lastEndLogged = 0, time.Now()
 }
--- a/internal/endpointlease/availability.go
+++ b/internal/endpointlease/availability.go
@@ -10,11 +10,13 @@
 	// it that waited in vain.
 	immediateRejection = time.Second
 
-	// A discovery that accepts connections and sends nothing is slow, overloaded, or down. It counts as slow until this
-	// long after the lease has expired, while the node rejects requests; from then on it counts as unavailable.
-	slowPeriod          = 10 * time.Second
-	slowPeriodPerPoller = 50 * time.Millisecond // a discovery with many pollers takes longer for all of them,
-	maxSlowPeriod       = 20 * time.Second      // but the node does not reject requests for longer than this
+	// slowPeriod is how long after the lease has expired a discovery that accepts connections and sends nothing counts as
+	// slow, while the node rejects requests. From then on it counts as unresponsive, and the node serves again.
+	slowPeriod = 10 * time.Second
+	// slowPeriodPerPoller raises slowPeriod for a discovery with over 200 pollers: it takes longer for all of them.
+	slowPeriodPerPoller = 50 * time.Millisecond
+	// maxSlowPeriod bounds it: the node rejects requests for no longer than this.
+	maxSlowPeriod = 20 * time.Second
 )
 
 // availability says whether discovery can notify nodes of changes. While it can't, nothing that it has counts as known to
@@ -29,7 +31,7 @@
 	available availability = iota
 	// unreachable: the last connection was refused or did not come up. Set by Unreachable; ended by Connected.
 	unreachable
-	// downBehindProxy: the watch has ended, and polls are rejected after a wait, as by a proxy before a discovery that is down.
+	// downBehindProxy: the watch has ended, and polls are rejected after a wait, as by a proxy that can't reach discovery.
 	// Set by PollRejected.
 	downBehindProxy
 	// unresponsive: connections come up and nothing has come on any for slowPeriod and more. Set by AdvanceLease.
@@ -41,7 +43,8 @@
 
 // Connected notes that a poll's connection has come up: discovery can be reached, whether or not it answers.
 func (t *Tracker) Connected(id int) {
-	t.stream(id).connected = true
+	s, _ := t.find(id)
+	s.connected = true
 	if t.availability == unreachable {
 		t.availability = available
 	}
@@ -56,8 +59,8 @@
 //   - A later one means that discovery is down if its watch has ended too. While a watch is open, or the address has
 //     changed, a late rejection may as well come from a slow discovery, which must not renew the lease.
 func (t *Tracker) PollRejected(id int, now time.Duration) {
-	s := t.stream(id)
-	if s.id == 0 || s.generation != t.generation {
+	s, open := t.find(id)
+	if !open || s.generation != t.generation {
 		return
 	}
 	t.overloaded = now-s.openedAt <= immediateRejection
@@ -73,25 +76,39 @@
 	t.lastActivityAt, t.availability, t.reachedSinceConfirmed = now, available, true
 }
 
-// noteUnavailable notes that discovery was unavailable when a poll began. A change that it had before the outage, while it
-// could be reached and sent nothing, still counts as known to the node at its deadline: then the lease keeps its end, and
-// the outage does not put it off. Without that a node would go on sending to an endpoint that began to drain just before
-// discovery went down.
+// noteUnavailable notes that discovery was unavailable when a poll began. Each such poll renews the lease, unless discovery
+// may have had a change before the outage: then the lease keeps the end that it had.
 func (t *Tracker) noteUnavailable(how availability, id int) {
-	s := t.stream(id)
+	s, _ := t.find(id)
 	if t.availability == available {
 		outageBegan := s.openedAt
 		if t.Pushed { // its watch ended as it went down
 			outageBegan = min(outageBegan, t.lastWatchEndedAt)
 		}
 		expires := t.Expires()
-		if t.reachedSinceConfirmed || t.otherPollConnected(id) || expires <= outageBegan {
+		if t.changeMayPredateOutage(id, outageBegan, expires) {
 			t.expiryFixedByOutage = max(expires, 1) // 0 means that there is none
 		}
 	}
 	t.availability, t.unavailablePollAt = how, s.openedAt
 }
 
+// changeMayPredateOutage says whether discovery may have had a change before an outage that a poll has found, and could have
+// sent it: such a change counts as known to the node at its deadline, outage or not. Without this rule a node goes on sending
+// to an endpoint that began to drain just before discovery went down. An example, where lists are polled, with the last
+// heartbeat at 0 s:
+//
+//	1 s  an endpoint begins to drain, and discovery is too slow to say so
+//	3 s  the watch counts as silent; a poll reaches discovery, and nothing comes on it
+//	4 s  discovery goes down: that poll is reset, and the next one is refused
+//	6 s  the lease ends, although polls are refused: the node counts as notified of the drain
+//
+// The three cases: discovery was reached since the list was confirmed and has sent no list since; another poll has reached
+// it and still waits; or the lease had ended before the outage began.
+func (t *Tracker) changeMayPredateOutage(id int, outageBegan, expires time.Duration) bool {
+	return t.reachedSinceConfirmed || t.otherPollConnected(id) || expires <= outageBegan
+}
+
 // otherPollConnected says whether a poll beside this one has reached discovery and waits for a list.
 func (t *Tracker) otherPollConnected(id int) bool {
 	return slices.ContainsFunc(t.streams, func(s stream) bool { return s.id != id && !s.isWatch() && s.connected })
--- a/internal/endpointlease/backoff.go
+++ b/internal/endpointlease/backoff.go
@@ -5,7 +5,8 @@
 // The wait after a poll that failed or a watch that ended. An overloaded discovery spends on each rejection some of what
 // it could serve: 300 nodes that polled again within 0.8 s kept it from serving any of them for 15 s.
 const (
-	// firstBackoff is the wait before the first repetition; it doubles with each failure.
+	// firstBackoff is the wait after a watch that ended. It doubles with each poll that failed since the last list: 300 ms
+	// after the first one, for a failed poll counts before its wait is computed.
 	firstBackoff = 150 * time.Millisecond
 	// maxBackoff bounds the wait: a node must find within NotificationDeadline that discovery is back.
 	maxBackoff = 2500 * time.Millisecond
@@ -13,11 +14,13 @@
 	maxBackoffDoublings = 8
 	// minBackoffShare is the least part of the wait that a node draws: nodes whose watches ended together poll apart.
 	minBackoffShare = 0.1
-	// maxBackoffUnavailable: the next poll must be over before the lease is that the last one has renewed.
+	// maxBackoffUnavailable bounds the wait while discovery is unavailable: a poll that finds it so renews the lease, and the
+	// next one must be over before that lease expires.
 	maxBackoffUnavailable = 1500 * time.Millisecond
 	// overloadBackoffPerPoller raises maxBackoff where discovery rejects polls at once: all pollers take turns.
 	overloadBackoffPerPoller = 25 * time.Millisecond
-	// maxBackoffPushedUnavailable: as an agent is back, a node counts as notified at once of what it has.
+	// maxBackoffPushedUnavailable is the bound where lists are pushed: once the agent is back, a node counts as notified at
+	// once of what the agent has.
 	maxBackoffPushedUnavailable = 200 * time.Millisecond
 
 	// freeMalformedLists is how many malformed lists cost no further wait: after the first the complete list is polled at
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -6,9 +6,34 @@
 // choosing, on a monotonic clock, so that a step of the wall clock neither expires a lease nor prolongs it. The caller
 // (internal/discovery) serializes all calls.
 //
+// What happens to a node that holds a list when discovery goes away, by the time since the list was last confirmed. A
+// discovery that refuses connections can notify nobody, so that the node serves on. One that accepts them and stays silent
+// may be notifying others, so that the node first stops:
+//
+//	           refuses connections, or they do       accepts connections and sends nothing
+//	           not come up (unreachable)
+//	0 s        the watch ends and polls begin: each  the watch falls silent; the node serves until the lease
+//	           that is refused renews the lease, to  expires
+//	           6 s after the poll's begin
+//	2.3-2.8 s  the node serves on                    the watch counts as silent, and polls begin
+//	6 s        the node serves on                    the lease expires: requests are rejected, and discovery
+//	                                                 counts as slow
+//	16 s       the node serves on                    unresponsive: the lease has no end, and the node serves again
+//	                                                 on the old list (with over 200 pollers later, with 400 and
+//	                                                 more at 26 s: see slowUntil)
+//	back       as a connection comes up the lease    as the first byte comes the lease is over, and requests are
+//	           has an end again, 6 s after the       rejected until a list is complete or a watch has a heartbeat
+//	           begin of the last refused poll
+//
+// Where an agent pushes lists, the lease ends 100 ms after its last watch (pushedGrace), but while polls are refused: in the
+// right column at once if the watch has ended, and in the left one as soon as a connection comes up.
+//
+// A change that discovery may have had before it became unavailable is an exception: see changeMayPredateOutage.
+//
 // The rules, and where they stand:
 //
 //	lease expiry                        lease.go         Expires, AdvanceLease, State
+//	no renewal by an outage             availability.go  changeMayPredateOutage
 //	unavailable, unresponsive or slow   availability.go  PollRejected, Unreachable, slowUntil
 //	when to poll                        schedule.go      Step
 //	parallel polls                      parallel.go      parallelPollAt
@@ -64,16 +89,18 @@
 	malformedLists      int           // consecutive answers that could not be read
 
 	// What is known of discovery: see availability.go.
-	availability               availability
-	lastActivityAt             time.Duration // the last sign of life, a rejection that came at once included
-	unavailablePollAt          time.Duration // the begin of the last poll that found discovery unavailable
-	lateRejectionProvesNothing bool          // the last watch is open, even if silent; an ended one may be of a discovery that went down
-	reachedSinceConfirmed      bool          // discovery could be reached since the list was last confirmed, and sent nothing
+	availability      availability
+	lastActivityAt    time.Duration // the last sign of life, a rejection that came at once included
+	unavailablePollAt time.Duration // the begin of the last poll that found discovery unavailable
+	// lateRejectionProvesNothing: a poll that is rejected after a wait does not show that discovery is down, for a watch is
+	// open (even if silent), or the address has changed: a slow discovery may have rejected it.
+	lateRejectionProvesNothing bool
+	reachedSinceConfirmed      bool // discovery could be reached since the list was last confirmed, and sent nothing
 	pendingAddressChanges      []addressChange
 
 	// The lease: see Expires.
 	confirmedAt         time.Duration // when the list held was last known to be all that discovery had
 	lastPollAt          time.Duration // the begin of the last poll
 	lastWatchEndedAt    time.Duration // when the last watch ended, where none is open
-	expiryFixedByOutage time.Duration // an end of the lease that an outage does not put off; 0: there is none
+	expiryFixedByOutage time.Duration // the end that the lease had as an outage began, which the outage does not put off; 0: none
 }
--- a/internal/endpointlease/events.go
+++ b/internal/endpointlease/events.go
@@ -16,10 +16,11 @@
 	return t.lastStreamID
 }
 
-// Activity notes a sign of life on a stream: the head of an answer, a heartbeat, or a part of a list.
+// Activity notes a sign of life on a stream: the head of an answer, a heartbeat, or a part of a list. One on a stream that
+// was dropped shows all the same that discovery is available.
 func (t *Tracker) Activity(id int, now time.Duration) {
 	t.noteAlive(now)
-	s := t.stream(id)
+	s, _ := t.find(id)
 	s.lastByteAt = now
 	if s.isWatch() && s.listBeganAt == 0 {
 		t.confirm(now) // a heartbeat: the watch holds no newer list back
@@ -29,7 +30,7 @@
 // ListBegan notes the first byte of a list. The list must be complete within ListTransferTimeout.
 func (t *Tracker) ListBegan(id int, now time.Duration) {
 	t.Activity(id, now)
-	if s := t.stream(id); s.listBeganAt == 0 {
+	if s, _ := t.find(id); s.listBeganAt == 0 {
 		s.listBeganAt = max(now, 1) // 0 means that none has begun
 	}
 }
@@ -37,7 +38,7 @@
 // ListComplete notes that a watch has brought a complete list or complete changes: the node holds what discovery had.
 func (t *Tracker) ListComplete(id int, now time.Duration) {
 	t.noteAlive(now)
-	s := t.stream(id)
+	s, _ := t.find(id)
 	s.lastByteAt, s.listBeganAt = now, 0
 	if !s.isWatch() {
 		s.firstListAt = max(now, 1) // 0 means that none was complete
@@ -59,14 +60,14 @@
 // StreamFailed notes, before StreamEnded, that a stream was reset or has ended. If the connection of a poll had come up
 // and no list came, discovery may have had a change that it could not send: see noteUnavailable.
 func (t *Tracker) StreamFailed(id int) {
-	s := t.stream(id)
+	s, _ := t.find(id)
 	t.reachedSinceConfirmed = t.reachedSinceConfirmed || s.connected && !s.isWatch()
 }
 
 // MalformedList notes, before StreamEnded, that a stream brought something that can't be read or built on. A watch that
 // was read without fault for healthyWatchAge is a new case: what was malformed before it no longer counts.
 func (t *Tracker) MalformedList(id int, now time.Duration) {
-	if s := t.stream(id); s.isWatch() && now-s.firstListAt > healthyWatchAge {
+	if s, _ := t.find(id); s.isWatch() && now-s.firstListAt > healthyWatchAge {
 		t.malformedLists = 0
 	}
 	t.malformedLists++
@@ -80,8 +81,8 @@
 		return
 	}
 	if !s.isWatch() {
-		t.parallelPolls = 0 // it was answered, even if with a rejection
-		t.consecutiveFailures++
+		t.parallelPolls = 0     // it was answered, even if with a rejection
+		t.consecutiveFailures++ // before backoff, which is 300 ms and not 150 ms after the first failed poll
 	} else if !t.hasWatch() {
 		t.lateRejectionProvesNothing = false
 	}
@@ -113,7 +114,7 @@
 	t.generation++
 	t.nextPollAt, t.pollingStarted = now, true
 	t.parallelPolls, t.consecutiveFailures, t.malformedLists, t.overloaded = 0, 0, 0, false
-	t.lateRejectionProvesNothing = true
+	t.lateRejectionProvesNothing = true // the new discovery is reached by all its nodes at once, and may be slow
 	if len(t.pendingAddressChanges) == maxPendingAddressChanges {
 		t.pendingAddressChanges[maxPendingAddressChanges-1].generation = t.generation
 		return
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -78,8 +78,8 @@
 	CheckAt time.Duration // when to check again if no event comes before
 }
 
-// AdvanceLease says what the list is worth at a time. As the lease expires, what was known of an outage is out of date: no poll
-// has confirmed it since. Discovery counts as slow then and, at slowUntil, as unresponsive.
+// AdvanceLease moves availability on when the lease has expired, and says what the list is worth then. An outage that no poll
+// has confirmed since is out of date: discovery counts as slow again and, at slowUntil, as unresponsive.
 func (t *Tracker) AdvanceLease(now time.Duration) LeaseCheck {
 	if t.availability != unresponsive && now >= t.Expires() {
 		t.availability = available
--- a/internal/endpointlease/parallel.go
+++ b/internal/endpointlease/parallel.go
@@ -5,11 +5,16 @@
 // How long a poll without an answer is waited for before another is opened beside it (a hedged request). The first list
 // that comes ends all of them.
 //
-// A node alone: a watch that falls silent right after a line is noticed 2.8 s later at the latest; of three polls in a row
-// that are lost each has the next beside it 0.9 s later, and the fourth still has half a second for its answer within
-// NotificationDeadline. Nodes that share a discovery lose their watches together, and parallel polls keep a discovery that
-// works through its polls in turn from serving anybody: there one lost poll is made up for in time, and a node that is later
-// rejects requests until it has its list.
+// A node alone recovers from three lost polls in a row within NotificationDeadline. At the latest, after the last line of
+// a watch that falls silent:
+//
+//	2.8 s  the watch counts as silent (heartbeatTimeout 2.3 s, its jitter 0.5 s): the first poll
+//	5.5 s  the fourth poll, three times 0.9 s later (parallelDelayAfterSilence 0.8 s, its jitter an eighth)
+//	6.0 s  its answer has come
+//
+// Nodes that share a discovery lose their watches together, and parallel polls keep a discovery that works through its polls
+// in turn from serving anybody: there one lost poll is made up for in time, and a node that loses more rejects requests until
+// it has its list.
 const (
 	// parallelDelayAfterSilence: where a watch fell silent, 2.3 s and more of NotificationDeadline have gone.
 	parallelDelayAfterSilence = 800 * time.Millisecond
--- a/internal/endpointlease/stream.go
+++ b/internal/endpointlease/stream.go
@@ -50,19 +50,21 @@
 	return s.listBeganAt + ListTransferTimeout
 }
 
-// stream finds an open stream. One that was dropped may still report: its events go to a stream that nobody reads.
-func (t *Tracker) stream(id int) *stream {
+// find returns an open stream. One that was dropped may still report: for it open is false, and the stream returned is
+// an empty one whose changes nobody reads.
+func (t *Tracker) find(id int) (s *stream, open bool) {
 	for i := range t.streams {
 		if t.streams[i].id == id {
-			return &t.streams[i]
+			return &t.streams[i], true
 		}
 	}
-	return &stream{}
+	return &stream{}, false
 }
 
 // forget removes a stream. Where it was the last watch, the node is without one from now on.
 func (t *Tracker) forget(id int, now time.Duration) stream {
-	forgotten := *t.stream(id)
+	found, _ := t.find(id)
+	forgotten := *found
 	t.streams = slices.DeleteFunc(t.streams, func(s stream) bool { return s.id == id })
 	if forgotten.isWatch() && !t.hasWatch() {
 		t.lastWatchEndedAt = now
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -19,7 +19,8 @@
 	return fmt.Sprintf("it disables %d servers, and operators may disable %d", e.Servers, balancer.MaxOverrides)
 }
 
-// NewStore keeps a file beside the path of SocketPath. onBusy is called when another process hangs with the file's lock.
+// NewStore keeps a file beside the path of SocketPath. onBusy is called when another process does not release the file's
+// lock in time.
 func NewStore(path, node, listen string, onBusy func()) *Store {
 	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnBusy: onBusy}}
 }
--- a/internal/hotrestart/takeover.go
+++ b/internal/hotrestart/takeover.go
@@ -20,7 +20,11 @@
 }
 
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("handover state of version %d, node %q at %q", e.Version, e.Node, e.Listen)
+	advice := "another node has the same socket: give one of the two another $TMPDIR"
+	if e.Version != Version {
+		advice = "start a build of the same protocol version, or stop the old process first"
+	}
+	return fmt.Sprintf("handover state of version %d, node %q at %q: %s", e.Version, e.Node, e.Listen, advice)
 }
 
 // TakeOver asks the process that listens at a path for its state and its listening socket. The caller closes the listener,
--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// The front that deals out connections asks every 100 ms whether a node is ready, and may deal it connections for up to 200
-// ms after a no. Out of service, a node may hold no connection without a request 4 s after the call, nor one with a request
-// of the last 2 s.
+// The load balancer in front of the node asks every 100 ms whether the node is ready, and may send it connections for up to
+// 200 ms after a no. 4 s after a node was taken out of service it may hold no connection without a request, nor one
+// that brought a request within the last 2 s.
 const (
-	// noticedAfter is when the front has seen that the node is not ready, and deals it no more connections: both times above,
-	// and 50 ms for the answer. Responses that close their connections before it would send clients back to this node.
+	// noticedAfter is when the load balancer in front of the node has noticed that the node is not ready, and sends it no more
+	// connections: both times above, and 50 ms for the answer. Responses that close their connections before it would send
+	// clients back to this node.
 	noticedAfter = 350 * time.Millisecond
 	// closeIdleAfter is when connections without a request are closed, out of service: responses have closed those in use by
 	// then, and the 4 s above are not over.
@@ -15,7 +16,7 @@
 	// minIdle is how long a connection must have been idle for that. A client sends as it connects, and a request that is
 	// under way as its connection is closed is lost.
 	minIdle = 250 * time.Millisecond
-	// acceptAfterSignal is how long the front still deals out connections after SIGTERM: noticedAfter, and some to spare.
+	// acceptAfterSignal is how long the load balancer may still send connections after SIGTERM: noticedAfter and 100 ms more.
 	acceptAfterSignal = 450 * time.Millisecond
 )
 
@@ -56,9 +57,11 @@
 	return m.killAt - lastResponseLeft
 }
 
-// StopsAt is for how much longer, from now on, a node that shuts down accepts the connections that the front deals out. One
-// whose successor accepts them needs no time; one that went out of service long ago only that which the front takes after a
-// signal; another one all but what it needs to close idle connections.
+// StopsAt is for how much longer, from now on, a node that shuts down accepts connections:
+//
+//   - not at all if its successor accepts them,
+//   - for acceptAfterSignal if the load balancer had noticed before that it is out of service,
+//   - else until idle connections are closed: clients may have no other node to go to.
 func (m Machine) StopsAt(now time.Duration) time.Duration {
 	switch {
 	case m.hasSuccessor:
@@ -69,5 +72,5 @@
 	return max(acceptAfterSignal, m.killAt-closeIdleLeft-now)
 }
 
-// notReadyNoticed says whether the front deals out no more connections because of a no that began at since.
+// notReadyNoticed says whether the load balancer in front of the node has noticed that it is not ready, since m.since.
 func (m Machine) notReadyNoticed(now time.Duration) bool { return now >= m.since+noticedAfter }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -13,6 +13,21 @@
 //
 // An operator's OutOfService and InService are remembered in every state but shutting down: a node that is taken out of
 // service as it starts does not serve once it has started.
+//
+// A shutdown without a successor, with SIGTERM at 0 and the process killed at K at the earliest. K is the longest deadline of
+// a class, 3 s at most, plus 700 ms (maxCountedDeadline and killMargin in internal/node):
+//
+//	0                        not ready: the load balancer in front of the node is to send it no more connections; those that
+//	                         still come are accepted and served
+//	K - 900 ms, min. 450 ms  responses close their connections (EndsConnections)
+//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (StopsAt)
+//	K - 150 ms               the last response is due (HardDeadline)
+//	K                        SIGKILL may come
+//
+// A node that was out of service for 350 ms and more accepts for 450 ms only, and its responses close their connections from
+// the start. One with a successor accepts nothing more: its responses close their connections at once, and idle connections
+// stay open until K - 750 ms. After the stage in which it accepts, internal/node waits for open requests for as long as the
+// longest deadline of a class, uncapped, plus 20 ms: it relies on HardDeadline to have answered them by then.
 package lifecycle
 
 import "time"
@@ -38,7 +53,7 @@
 	starting     state = iota // not ready yet
 	serving                   // ready
 	outOfService              // by an operator: it serves who is still connected
-	shuttingDown              // until HardDeadline
+	shuttingDown              // until the process ends
 )
 
 // Machine is the state of a node. The zero Machine is that of one that starts.
@@ -50,8 +65,8 @@
 	hasSuccessor bool          // shutting down: another process of the node takes new connections
 }
 
-// Step returns the machine after an event. The last two arguments belong to Terminate: how long the process has until it may
-// be killed, and whether another process of the node takes the connections that come from now on.
+// Step returns the machine after an event. The last two arguments belong to Terminate, and are ignored with other events: in
+// how long the process may be killed, and whether another process of the node accepts the connections that come from now on.
 func (m Machine) Step(now time.Duration, event Event, killIn time.Duration, hasSuccessor bool) Machine {
 	if m.state == shuttingDown {
 		return m // there is no way back
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -28,8 +28,8 @@
 // Why a file can't be used. A VersionError and an OwnerError are further reasons.
 var (
 	// ErrDamaged says that a file is incomplete or was changed: it is no JSON, or its checksum is another.
-	ErrDamaged = errors.New("torn")
-	// ErrChecksum says that a file is torn in such a way that it is JSON still.
+	ErrDamaged = errors.New("torn (incomplete or damaged)")
+	// ErrChecksum says that a file is damaged and is JSON still.
 	ErrChecksum = fmt.Errorf("%w: its checksum is another", ErrDamaged)
 	// ErrTooLarge says that a file has more than MaxFileSize bytes.
 	ErrTooLarge = fmt.Errorf("over %d bytes", MaxFileSize)
--- a/internal/state/lock.go
+++ b/internal/state/lock.go
@@ -17,10 +17,10 @@
 )
 
 // ErrBusy says that the lock was not released within LockTimeout.
-var ErrBusy = errors.New("state: another process holds the lock and hangs")
+var ErrBusy = fmt.Errorf("state: another process did not release the lock within %v: look at the processes of this node", LockTimeout)
 
 // Lock keeps other processes and goroutines from what is at path until release, which may be called after an error too. The
-// error is ErrBusy where the holder hangs. The system releases the lock of a process that is killed.
+// error is ErrBusy where the holder hangs or is slow. The system releases the lock of a process that is killed.
 func Lock(ctx context.Context, path string) (release func(), err error) {
 	ctx, cancel := context.WithTimeout(ctx, LockTimeout)
 	defer cancel()
--- a/internal/state/read.go
+++ b/internal/state/read.go
@@ -31,8 +31,8 @@
 // Unwrap returns the reason.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Read returns the newest file that can be used: the one at path, or else the one before it. It returns as soon whatever is
-// at these places.
+// Read returns the newest file that can be used: the one at path, or else the one before it. It returns promptly,
+// whatever is there (see load).
 func Read(path, owner string) Snapshot {
 	var found Snapshot
 	bootID, now := BootClock()
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -12,8 +12,8 @@
 // called Save is on disk when its call returns. Callers that wait together share a write.
 type Store struct {
 	Path, Owner string
-	// OnBusy is told that another process holds the lock and hangs. The file is written all the same: a process that hangs
-	// does not write either, and what an operator said must not be lost for its sake.
+	// OnBusy is called when another process did not release the lock in time (ErrBusy). The file is written all the same: that
+	// process most likely hangs and does not write, and what an operator said must not be lost for its sake.
 	OnBusy func()
 
 	requests atomic.Uint64 // calls of Save so far
