--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 	processID string // drawn at random, to tell two processes on copies of one disk apart
 	views     *viewStore
 	nodes     *nodeTable
-	peers     *peerReports
+	reports   *controllerReports
 
 	disk         *disk
 	listener     net.Listener
@@ -60,14 +60,14 @@
 // New opens a controller's folder and its addresses. Its error is a FolderError or a ListenError.
 func New(config Config, log *slog.Logger) (*Controller, error) {
 	maxMigrations := int(migrationsPerSecond * pollInterval / time.Second)
-	placement := configversion.NewPlacement(config.Self.Endpoint(), config.MaxSessions, maxMigrations)
+	placement := configversion.NewPlacement(config.Self.ControllerAddress(), config.MaxSessions, maxMigrations)
 	c := &Controller{
 		config:    config,
 		log:       log.With("controller", config.Self.Name),
 		processID: randomText(),
 		views:     newViewStore(),
 		nodes:     newNodeTable(placement),
-		peers:     newPeerReports(config),
+		reports:   newControllerReports(config),
 	}
 	var err error
 	if c.disk, err = openDisk(config.Folder, config.Self.Name); err != nil {
@@ -127,7 +127,7 @@
 			failed <- err
 		}
 	})
-	c.tasks.Go(func() { c.pollPeers(work) })
+	c.tasks.Go(func() { c.pollReports(work) })
 	c.tasks.Go(func() {
 		if err := c.runConsensus(work); err != nil {
 			failed <- err
@@ -166,7 +166,7 @@
 	if err := c.disk.close(); err != nil {
 		c.log.Warn("closing the log failed", "err", err)
 	}
-	c.peers.client.CloseIdleConnections()
+	c.reports.client.CloseIdleConnections()
 	c.log.Info("stopped")
 }
 
@@ -179,14 +179,14 @@
 	}
 }
 
-// pollPeers reads the other controllers' reports until ctx ends, and migrates sessions by them.
-func (c *Controller) pollPeers(ctx context.Context) {
+// pollReports reads the other controllers' reports until ctx ends, and migrates sessions by them.
+func (c *Controller) pollReports(ctx context.Context) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		c.peers.poll(ctx, c.participation.Load().serverID)
+		c.reports.poll(ctx, c.participation.Load().serverID)
 		now := time.Now()
-		migrated := c.nodes.setPeers(c.peers.loads(now, c.views.load().current), now)
+		migrated := c.nodes.setOtherControllers(c.reports.loads(now, c.views.load().hasLeaderContact), now)
 		if migrated > 0 {
 			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessions())
 		}
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -69,9 +69,9 @@
 	Zone   string
 }
 
-// Endpoint is where nodes reach the controller.
-func (m Member) Endpoint() configapi.Endpoint {
-	return configapi.Endpoint{Address: m.Listen, Region: m.Region, Zone: m.Zone}
+// ControllerAddress is where nodes reach the controller.
+func (m Member) ControllerAddress() configapi.ControllerAddress {
+	return configapi.ControllerAddress{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
 // LoadConfig reads a cluster's settings file for the controller of a name. All controllers may share one file; the name
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -21,7 +21,7 @@
 
 // Each row is a node some time after events, and what it owes: whether it is ready, whether responses close their
 // connections, and whether idle connections are closed.
-func TestWhatANodeOwes(t *testing.T) {
+func TestConnectionsCloseByState(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name                    string
@@ -32,7 +32,7 @@
 		{"starting", after(), 0, false, false, false},
 		{"serving", after(Started), time.Hour, true, false, false},
 		{"just out of service", after(Started, OutOfService), 0, false, false, false},
-		{"the front has noticed", after(Started, OutOfService), 400 * ms, false, true, false},
+		{"the load balancer has noticed", after(Started, OutOfService), 400 * ms, false, true, false},
 		{"idle connections are closed", after(Started, OutOfService), 1300 * ms, false, true, true},
 		{"out of service twice", after(Started, OutOfService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, true, true},
 		{"back", after(Started, OutOfService, InService), 1300 * ms, true, false, false},
@@ -41,8 +41,8 @@
 		{"out of service as it starts", after(OutOfService, Started), 0, false, false, false},
 		{"terminated", after(Started, Terminate), 0, false, false, false},
 		{"in service again as it shuts down", after(Started, Terminate, InService), 0, false, false, false},
-		{"near its forced end", after(Started, Terminate), 2900 * ms, false, true, false},
-		{"nearer to its forced end", after(Started, Terminate), 3000 * ms, false, true, true},
+		{"900 ms before it may be killed", after(Started, Terminate), 2900 * ms, false, true, false},
+		{"750 ms before it may be killed", after(Started, Terminate), 3000 * ms, false, true, true},
 		{"terminated while out of service", after(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
 		{"terminated with a successor", after(Started).Step(0, Terminate, untilKilled, true), 0, false, true, false},
 	} {
