--- a/internal/node/accesscontrol_test.go
+++ b/internal/node/accesscontrol_test.go
@@ -215,7 +215,9 @@
 	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), start, requestText("2")); got[0] != 200 || got[1] != 200 {
 		t.Errorf("others were answered %v", got)
 	}
-	if len(out.lines(`msg="drill started" drill=stall client=127.0.0.1`)) != 1 {
+	started := func() []string { return out.lines(`msg="drill started" drill=stall client=127.0.0.1`) }
+	eventually(t, "the start is logged, be it after its response", func() bool { return len(started()) >= 1 })
+	if len(started()) != 1 {
 		t.Errorf("who started the drill is not logged: %s", out)
 	}
 	if len(out.lines("msg=drilled id=2 class=unsafe drill=stall client=127.0.0.1\n")) != 1 {
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -166,7 +166,10 @@
 			t.Errorf("the key: %d", status)
 		}
 	}
-	if got := out.lines(`msg="drill started" drill=stall`); len(got) != 2 {
+	// The engine's loop logs a start after it has accepted it, so the line may come after the response.
+	started := func() []string { return out.lines(`msg="drill started" drill=stall`) }
+	eventually(t, "both starts are logged", func() bool { return len(started()) >= 2 })
+	if got := started(); len(got) != 2 {
 		t.Errorf("said %q", got)
 	}
 	if b.requests() != 0 {
--- a/internal/requesthead/requesthead_test.go
+++ b/internal/requesthead/requesthead_test.go
@@ -50,6 +50,7 @@
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"\r\n\r\nGET / HTTP/1.1\nHost: h\r\nContent-Length:\r\n 4\r\n\r\n", "\r", "\n\n", ":",
+		"POST / HTTP/0.1\r\n000000000000:00\r\nTrAnsfer-EnCoding:00000000\r\n\r\n00000",
 	} {
 		f.Add(s, 3)
 	}
@@ -68,8 +69,15 @@
 		if err != nil || first.Count() != 1 || first.Findings().Fault != "" {
 			return
 		}
-		if req.ContentLength > 0 && req.ContentLength != first.Findings().ContentLength || (req.ContentLength < 0) != first.Findings().TransferEncoding {
-			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, first.Findings())
+		findings := first.Findings()
+		unknownLength := req.ContentLength < 0
+		if !req.ProtoAtLeast(1, 1) {
+			// net/http ignores Transfer-Encoding below HTTP/1.1. The reader must see it all the same: it then takes all that
+			// follows for this request's body, and the ingress answers the version with 505 and a close.
+			unknownLength = unknownLength || findings.TransferEncoding
+		}
+		if req.ContentLength > 0 && req.ContentLength != findings.ContentLength || unknownLength != findings.TransferEncoding {
+			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, findings)
 		}
 	})
 }
