--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -25,7 +25,7 @@
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the endpoint list and its changes.
+	// Subscribe asks discovery for the endpoint list and its changes (discoverypoll.go).
 	Subscribe struct{}
 	// FaultInjected says that a fault is injected into a request, and by which fault injection.
 	FaultInjected struct{ ID, FaultInjection string }
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// payFault is a fault injection of class pay named stall, with what f says beside.
-func payFault(d FaultInjection) []FaultInjection {
-	d.Name, d.Duration = "stall", time.Minute
-	if d.Class == "" {
-		d.Class = "pay"
+// payFault is a fault injection named stall, of class pay unless the given one names another.
+func payFault(fault FaultInjection) []FaultInjection {
+	fault.Name, fault.Duration = "stall", time.Minute
+	if fault.Class == "" {
+		fault.Class = "pay"
 	}
-	return []FaultInjection{d}
+	return []FaultInjection{fault}
 }
 
 // withFaultInjection is a Balancer with servers and the fault injection active from time 0.
-func withFaultInjection(t *testing.T, d FaultInjection) *Balancer {
+func withFaultInjection(t *testing.T, fault FaultInjection) *Balancer {
 	t.Helper()
-	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(d) })
+	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(fault) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, StartFaultInjection{Name: "stall"})
 	return b
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -62,7 +62,7 @@
 // completeList is a complete list of n servers.
 func completeList(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
 
-// sends are the Send actions among others.
+// sends are the Send actions of a list of actions.
 func sends(acts []Action) []Send {
 	var l []Send
 	for _, a := range acts {
@@ -144,7 +144,7 @@
 	return now, nil
 }
 
-// ending is an outcome to come.
+// pendingOutcome is the end of an attempt that is still to come.
 type pendingOutcome struct {
 	at    time.Duration
 	event AttemptEnded
@@ -164,7 +164,7 @@
 	return out
 }
 
-// timed is an event with its clock time.
+// timedEvent is an event with its clock time.
 type timedEvent struct {
 	at    time.Duration
 	event Event
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -23,7 +23,7 @@
 func (b *Balancer) recordOutcome(a *attempt, e AttemptEnded) {
 	s, c := a.server, a.request.class
 	if a.serverStart != s.startedAt() {
-		s = &server{}
+		s = &server{} // thrown away with what is learned of it
 	}
 	latency := float64(b.attemptLatency(a.request, a, e))
 	if e.Outcome == Success || e.Outcome == TimedOut {
--- a/balancer/pool.go
+++ b/balancer/pool.go
@@ -16,7 +16,7 @@
 
 	queued            []*request
 	inFlight          int     // attempts that count in the window
-	serversPerReplica float64 // servers of this pool that each replica has for itself
+	serversPerReplica float64 // servers that count for this pool (preferServers), over the replicas
 
 	window          float64 // attempts admitted at once, on tier 0 (admission.go)
 	loadRatio       float64 // mean latency over the latency objective
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -17,9 +17,10 @@
 		return false
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		expired := b.now >= a.sentAt+r.class.DedupWindow-b.deadlineMargin()
-		unsafe := r.class.Effect == NonIdempotent || r.class.Effect == IdempotentWithKey && expired
-		return !a.neverRan && unsafe
+		dedupWindowOver := b.now >= a.sentAt+r.class.DedupWindow-b.deadlineMargin()
+		mustNotRunAgain := r.class.Effect == NonIdempotent ||
+			r.class.Effect == IdempotentWithKey && dedupWindowOver
+		return !a.neverRan && mustNotRunAgain
 	})
 }
 
--- a/balancer/settingschange_test.go
+++ b/balancer/settingschange_test.go
@@ -73,7 +73,7 @@
 
 // A request waits in a pool that the new settings no longer have. It must still be sent when the pool's
 // attempt ends.
-func TestQueuedInAPoolThatIsGone(t *testing.T) {
+func TestRequestQueuedInADroppedPoolIsSent(t *testing.T) {
 	bound := func(s *Settings) { s.Classes[0].AllowedZones = []string{"z"} }
 	b := newBalancer(t, bound)
 	b.Handle(0, completeList(2))
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -9,7 +9,8 @@
 
 // SettingsError says which setting is wrong. Validate, New and Restore return it.
 type SettingsError struct {
-	Path    string // the setting, by the keys of the stored form
+	Path    string // the setting and what it is part of, by the keys of the stored form (the json tags)
+	Key     string // the last key of Path; internal/simwire knows that of the settings object
 	Problem string // what is wrong with it
 	Remedy  string // what the operator can do
 }
@@ -19,6 +20,15 @@
 	return fmt.Sprintf("balancer: %s %s: %s", e.Path, e.Problem, e.Remedy)
 }
 
+// invalid is the error of a setting of an entry, or of the Settings themselves where entry is "".
+func invalid(entry, key, problem, remedy string) *SettingsError {
+	path := key
+	if entry != "" {
+		path = entry + ": " + key
+	}
+	return &SettingsError{Path: path, Key: key, Problem: problem, Remedy: remedy}
+}
+
 // Remedies that several settings share.
 const (
 	remedyNotNegative = "set it to zero or more"         // of times and counts
@@ -29,7 +39,7 @@
 // Validate returns a *SettingsError for the first setting that no Balancer can work with, or nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return &SettingsError{"Classes", "is empty", "configure at least one class"}
+		return invalid("", "Classes", "is empty", "configure at least one class")
 	}
 	for i := range s.Classes {
 		if err := s.validateClass(i); err != nil {
@@ -37,24 +47,24 @@
 		}
 	}
 	if !isShare(s.SlowStartMinShare) {
-		return &SettingsError{"ColdFrom", "is out of range", remedyShare}
+		return invalid("", "ColdFrom", "is out of range", remedyShare)
 	}
 	for _, d := range []struct {
-		path  string
+		key   string
 		value time.Duration
 	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter},
 		{"OrderSettle", s.KeyQuietPeriod}, {"WarmAfter", s.SlowStartDuration}} {
 		if d.value < 0 {
-			return &SettingsError{d.path, "is negative", remedyNotNegative}
+			return invalid("", d.key, "is negative", remedyNotNegative)
 		}
 	}
 	for _, n := range []struct {
-		path  string
+		key   string
 		value float64
 	}{{"Tier", float64(s.Tier)}, {"Balancers", float64(s.Replicas)}, {"Self", float64(s.ReplicaIndex)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"FallMultiple", s.OverloadMultiple}} {
 		if !(n.value >= 0) { // also not a number
-			return &SettingsError{n.path, "is negative or not a number", remedyNotNegative}
+			return invalid("", n.key, "is negative or not a number", remedyNotNegative)
 		}
 	}
 	for i := range s.FaultInjections {
@@ -75,15 +85,15 @@
 	path = fmt.Sprintf("%s (%s)", path, c.Name)
 	switch {
 	case c.LatencyObjective <= 0:
-		return &SettingsError{path + ": Aim", "is not positive", remedyPositive}
+		return invalid(path, "Aim", "is not positive", remedyPositive)
 	case c.Deadline <= 0:
-		return &SettingsError{path + ": Deadline", "is not positive", remedyPositive}
+		return invalid(path, "Deadline", "is not positive", remedyPositive)
 	case c.DedupWindow < 0:
-		return &SettingsError{path + ": Window", "is negative", remedyNotNegative}
+		return invalid(path, "Window", "is negative", remedyNotNegative)
 	case !(c.PriorityWeight >= 0):
-		return &SettingsError{path + ": Worth", "is negative or not a number", remedyNotNegative}
+		return invalid(path, "Worth", "is negative or not a number", remedyNotNegative)
 	case !isShare(c.LateCredit):
-		return &SettingsError{path + ": LateShare", "is out of range", remedyShare}
+		return invalid(path, "LateShare", "is out of range", remedyShare)
 	}
 	return nil
 }
@@ -99,18 +109,18 @@
 	path = fmt.Sprintf("%s (%s)", path, f.Name)
 	if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }) {
 		path = fmt.Sprintf("%s: Class %q", path, f.Class)
-		return &SettingsError{path, "is not one of the classes", "name a configured class"}
+		return &SettingsError{path, "Class", "is not one of the classes", "name a configured class"}
 	}
 	switch {
 	case !(f.Percent >= 0 && f.Percent <= 100):
-		return &SettingsError{path + ": Share", "is out of range", "set it to a percentage from 0 to 100"}
+		return invalid(path, "Share", "is out of range", "set it to a percentage from 0 to 100")
 	case f.Delay < 0:
-		return &SettingsError{path + ": Delay", "is negative", remedyNotNegative}
+		return invalid(path, "Delay", "is negative", remedyNotNegative)
 	case f.Duration <= 0:
-		return &SettingsError{path + ": Duration", "is not positive", remedyPositive}
+		return invalid(path, "Duration", "is not positive", remedyPositive)
 	case f.AbortStatus != 0 && f.AbortStatus != http.StatusServiceUnavailable &&
 		f.AbortStatus != http.StatusInternalServerError:
-		return &SettingsError{path + ": AbortStatus", "is out of range", "set it to 503 or 500, or to 0"}
+		return invalid(path, "AbortStatus", "is out of range", "set it to 503 or 500, or to 0")
 	}
 	return nil
 }
@@ -119,10 +129,10 @@
 func validateName(path, name string, repeated bool) error {
 	switch {
 	case name == "":
-		return &SettingsError{path + ".Name", "is empty", "give it a name"}
+		return &SettingsError{path + ".Name", "Name", "is empty", "give it a name"}
 	case repeated:
 		path = fmt.Sprintf("%s.Name (%s)", path, name)
-		return &SettingsError{path, "is repeated", "give each its own name"}
+		return &SettingsError{path, "Name", "is repeated", "give each its own name"}
 	}
 	return nil
 }
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("got %v, want %q", err, want)
 		}
 		var wrong *SettingsError
-		if !errors.As(err, &wrong) || wrong.Path == "" || wrong.Problem == "" || wrong.Remedy == "" {
+		if !errors.As(err, &wrong) || wrong.Path == "" || wrong.Key == "" || wrong.Problem == "" || wrong.Remedy == "" {
 			t.Errorf("%v does not say where, what and what to do: %+v", err, wrong)
 		}
 	}
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -22,20 +22,20 @@
 // classes of a narrower pool have nowhere else to go: were its servers filled by others, these classes
 // alone would fail, while other servers idle.
 //
-// What is left to narrower pools does not count in serversPerReplica either: else the floors of two windows
-// would admit twice what one server takes.
+// Servers that are left to narrower pools are not counted in serversPerReplica either: else the floors of
+// two windows would admit twice what one server takes.
 func (b *Balancer) preferServers(p *pool) {
-	needed := func(s *server) bool {
+	neededByNarrowerPool := func(s *server) bool {
 		return slices.ContainsFunc(b.pools, func(narrower *pool) bool {
 			return len(narrower.inService) < len(p.inService) && narrower.allows(s)
 		})
 	}
 	otherZone := func(s *server) bool { return s.Zone != b.settings.Zone }
-	sameZone, own := excludeUnlessAll(p.inService, otherZone), p.inService
-	if p.preferred = excludeUnlessAll(sameZone, needed); len(p.preferred) < len(sameZone) {
-		own = excludeUnlessAll(p.inService, needed)
+	sameZone, counted := excludeUnlessAll(p.inService, otherZone), p.inService
+	if p.preferred = excludeUnlessAll(sameZone, neededByNarrowerPool); len(p.preferred) < len(sameZone) {
+		counted = excludeUnlessAll(p.inService, neededByNarrowerPool)
 	}
-	p.serversPerReplica = float64(len(own)) / float64(max(1, b.settings.Replicas))
+	p.serversPerReplica = float64(len(counted)) / float64(max(1, b.settings.Replicas))
 	if p.window == 0 {
 		p.floorServers = p.serversPerReplica
 		p.window = initialWindowPerServer * p.floorServers
--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -66,7 +66,7 @@
 	case simwire.InstanceStarted:
 		b, err := balancer.New(message.Settings, message.Seed)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", message.Instance, err)
+			return fmt.Errorf("instance %d: %w", message.Instance, simwire.WithObjectKey(err))
 		}
 		h.balancers[message.Instance] = b
 	case simwire.InstanceKilled:
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -86,7 +86,7 @@
 	Aborted
 )
 
-// statusUnavailable is the status with which a fault injection rejects a call: the balancer has such statuses as HTTP's.
+// statusUnavailable is the status with which a fault injection rejects a call. Balancers give such statuses in HTTP's terms.
 const statusUnavailable = 503
 
 // Answer is the final answer to a call.
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -18,21 +18,22 @@
 	noInstance      = -1      // no message has named an instance yet
 )
 
-// Names of the messages on the wire.
+// Names of the messages on the wire, and their values in order, numbered from 0 as fields does. Values in parentheses are
+// not read.
 const (
 	nameBatchStart    = "sync"             // clock time
 	nameBatchEnd      = "eob"              // a reply is due
 	nameInstance      = "about"            // instance of the messages that follow
 	nameList          = "list"             // number and length of an endpoint list
-	nameListItem      = "item"             // an endpoint of the list
+	nameListItem      = "item"             // ID, zone, kind, cell, state, (size), start time
 	nameHello         = "hello"            // seed and settings of a new instance
 	nameKilled        = "crash_now"        // the instance is killed
-	nameEndpoints     = "announce"         // mode and number of an endpoint list
-	nameRequest       = "job_in"           // a client's request
+	nameEndpoints     = "announce"         // mode, number of an endpoint list, (version)
+	nameRequest       = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
 	nameTimer         = "ring"             // token of a timer that fired
-	nameAttemptEnded  = "outcome"          // an attempt has ended
-	nameClientGone    = "timed_out_client" // a client has given up
-	nameStreamStarted = "flowing"          // a response has begun
+	nameAttemptEnded  = "outcome"          // ID, server, latency, request done, attempt, outcome, (load report)
+	nameClientGone    = "timed_out_client" // ID of a request whose client has given up
+	nameStreamStarted = "flowing"          // ID, (server), (latency), attempt
 	nameChecked       = "checked"          // ignored: result of a health check
 	nameMail          = "mail"             // ignored: message of another instance
 )
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -3,5 +3,5 @@
 //
 // The simulator writes batches of lines and waits for a reply to each batch. A line is the name of a message and its
 // values, separated by tabs. A Decoder reads batches (decoder.go), an Encoder writes replies (encoder.go), ParseSettings
-// reads the settings object (settings.go).
+// reads the settings object (settings.go), and WithObjectKey makes the errors of its values name its keys (settingskeys.go).
 package simwire
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -12,6 +12,18 @@
 // writeBufferBytes holds most replies, so that they are written at once.
 const writeBufferBytes = 1 << 16
 
+// Names of the actions on the wire, and their values in order.
+const (
+	nameActingInstance = "instance"       // instance of the actions that follow
+	nameSend           = "forward"        // ID, server, time-out
+	nameReject         = "turn_away"      // ID, Retry-After
+	nameFail           = "report_failure" // ID
+	nameSetTimer       = "remind"         // clock time, token
+	nameSubscribe      = "subscribe"      // subscribeOn, or the end of a subscription, which is not used
+	nameReplyEnd       = "yield"
+	subscribeOn        = "1"
+)
+
 // Encoder writes replies.
 type Encoder struct {
 	writer   *bufio.Writer
@@ -23,30 +35,31 @@
 	return &Encoder{writer: bufio.NewWriterSize(w, writeBufferBytes), instance: noInstance}
 }
 
-// Action adds one action of an instance to the reply. Actions of which the simulator knows nothing are left out.
+// Action adds one action of an instance to the reply. Deny, Abort and FaultInjected are left out: the simulator configures
+// neither access lists nor fault injections, and its wire has no such actions.
 func (e *Encoder) Action(instance int, action balancer.Action) {
 	if instance != e.instance {
-		e.write("instance", strconv.Itoa(instance))
+		e.write(nameActingInstance, strconv.Itoa(instance))
 		e.instance = instance
 	}
 	switch a := action.(type) {
 	case balancer.Send:
-		e.write("forward", a.ID, a.Server, milliseconds(a.Timeout))
+		e.write(nameSend, a.ID, a.Server, milliseconds(a.Timeout))
 	case balancer.Reject:
-		e.write("turn_away", a.ID, milliseconds(a.RetryAfter))
+		e.write(nameReject, a.ID, milliseconds(a.RetryAfter))
 	case balancer.Fail:
-		e.write("report_failure", a.ID)
+		e.write(nameFail, a.ID)
 	case balancer.SetTimer:
-		e.write("remind", milliseconds(a.At), a.Token)
+		e.write(nameSetTimer, milliseconds(a.At), a.Token)
 	case balancer.Subscribe:
-		e.write("subscribe", "1")
+		e.write(nameSubscribe, subscribeOn)
 	}
 }
 
 // Flush ends the reply and sends it. The error is that of the writer, for any part of the reply.
 func (e *Encoder) Flush() error {
 	e.instance = noInstance
-	e.write("yield")
+	e.write(nameReplyEnd)
 	return e.writer.Flush()
 }
 
--- a/invariants/guard_test.go
+++ b/invariants/guard_test.go
@@ -7,8 +7,6 @@
 	"testing"
 )
 
-// A rule is broken three times in a moment: all three are counted, and the log has one line, with the request. A node without a
-// Guard checks all the same and counts nothing.
 // A rule is broken three times in a moment: all three are counted, and the log has one line, with the request. A node without a
 // Guard checks all the same and counts nothing.
 func TestGuardCountsAndLogs(t *testing.T) {
