--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -20,10 +20,10 @@
 
 // watch is one open call for updates.
 type watch struct {
-	id             uint64
+	number         uint64
 	address        string // of the controller, HOST:PORT
 	openedAt       time.Duration
-	silenceTimeout time.Duration // see watch_silence.go
+	silenceTimeout time.Duration // see watchsilence.go
 	lastActivity   time.Duration // the last byte
 	updateBegan    time.Duration // when the update that is arriving began; 0: none is
 	updated        bool          // its first update has come
@@ -46,76 +46,6 @@
 // bringsNewest reports that a watch brings the newest versions of the node's cluster as soon as they are committed.
 func (w *watch) bringsNewest() bool { return w.current && !w.foreign && !w.behind }
 
-// watchSet holds the open watches of a session. The main watch is the one whose controller the node takes versions from
-// and sends acknowledgements to. Others are opened beside it only while it is silent or does not bring the newest
-// versions, or when its controller asks the node to migrate.
-type watchSet struct {
-	location            configapi.Endpoint // the node's own, without an address
-	configuredAddresses []string
-	clusterEndpoints    []configapi.Endpoint // the cluster's controllers, as it last named them
-	open                []*watch             // the oldest first
-	main                *watch               // nil: none
-	lastID              uint64
-
-	nextOpenAt            time.Duration            // without a live watch, none is opened before
-	consecutiveFailures   int                      // of watches, since the last that became main
-	consecutiveReopens    int                      // for a missing configuration, since the last decision
-	slowOpens             int                      // watches over their open timeout, since the last that became main
-	consecutiveRejections uint64                   // of watches, since the last that became main
-	avoidedUntil          map[string]time.Duration // by address
-	redirects             []string                 // where the last rejection sent the node, the best first
-
-	migrateTo           string // address that the main watch's controller asks to migrate to; "": none
-	migrationsAllowedAt time.Duration
-	nextSearchAt        time.Duration // 0: no search is in progress
-	searchedAddresses   []string      // in this round
-}
-
-func newWatchSet(options SessionOptions) watchSet {
-	return watchSet{
-		location:            configapi.Endpoint{Region: options.Region, Zone: options.Zone},
-		configuredAddresses: slices.Clone(options.Controllers),
-		clusterEndpoints:    slices.Clone(options.LastKnownGood.Controllers),
-		avoidedUntil:        map[string]time.Duration{},
-	}
-}
-
-// find returns the open watch of a number; nil: there is none.
-func (s *watchSet) find(id uint64) *watch {
-	for _, w := range s.open {
-		if w.id == id {
-			return w
-		}
-	}
-	return nil
-}
-
-func (s *watchSet) isOpenAt(address string) bool {
-	return slices.ContainsFunc(s.open, func(w *watch) bool { return w.address == address })
-}
-
-// opening are the watches in state watchOpening, the oldest first.
-func (s *watchSet) opening() (opening []*watch) {
-	for _, w := range s.open {
-		if !w.updated {
-			opening = append(opening, w)
-		}
-	}
-	return opening
-}
-
-// mainIsLive reports whether there is a main watch and it is not silent.
-func (s *watchSet) mainIsLive(now time.Duration) bool {
-	return s.main != nil && s.main.state(now) == watchLive
-}
-
-func (s *watchSet) remove(w *watch) {
-	s.open = slices.DeleteFunc(s.open, func(other *watch) bool { return other == w })
-	if s.main == w {
-		s.main = nil
-	}
-}
-
 // reconcileWatches opens and closes watches as the rules want it now, and sets the time of the next look.
 func (s *Session) reconcileWatches() {
 	set := &s.watches
@@ -151,7 +81,7 @@
 	w.lastActivity, w.updateBegan = s.now, 0
 	w.current, w.foreign, w.behind = u.Current, !s.versions.follows(u), s.versions.behind(u)
 	if !w.foreign && len(u.Controllers) > 0 {
-		s.watches.clusterEndpoints = slices.Clone(u.Controllers)
+		s.watches.clusterControllers = slices.Clone(u.Controllers)
 	}
 	if !w.updated {
 		w.updated = true
@@ -166,9 +96,9 @@
 }
 
 // watchEnded handles the end of a watch that the session did not close.
-func (s *Session) watchEnded(id uint64) {
+func (s *Session) watchEnded(number uint64) {
 	set := &s.watches
-	w := set.find(id)
+	w := set.find(number)
 	if w == nil {
 		return
 	}
@@ -188,9 +118,9 @@
 func (s *Session) openWatch(address string) *watch {
 	set := &s.watches
 	v := &s.versions
-	set.lastID++
+	set.lastNumber++
 	w := &watch{
-		id:             set.lastID,
+		number:         set.lastNumber,
 		address:        address,
 		openedAt:       s.now,
 		lastActivity:   s.now,
@@ -203,7 +133,7 @@
 		Region:          s.options.Region,
 		Zone:            s.options.Zone,
 		StartedMS:       s.options.StartedMS,
-		Session:         w.id,
+		WatchNumber:     w.number,
 		Cluster:         v.cluster,
 		LastDecided:     v.lastDecided,
 		Applied:         v.applied,
@@ -212,13 +142,13 @@
 	if v.rejection != nil {
 		request.LastRejected, request.RejectionReason = true, v.rejection.Error()
 	}
-	s.emit(OpenWatch{w.id, address, request})
+	s.emit(OpenWatch{w.number, address, request})
 	return w
 }
 
 func (s *Session) closeWatch(w *watch) {
 	s.watches.remove(w)
-	s.emit(CloseWatch{w.id})
+	s.emit(CloseWatch{w.number})
 }
 
 // closeOpeningExcept closes the watches in state watchOpening, except those at one address.
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -16,8 +16,8 @@
 // Applier brings configurations into force.
 type Applier interface {
 	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why
-	// it is not in force; any other error says that it could not be checked, and nothing is acknowledged. Calls come
-	// one at a time.
+	// it is not in force; any other error says that it was not checked, because the node ends, and nothing is
+	// acknowledged. Calls come one at a time.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
@@ -100,7 +100,7 @@
 		LastKnownGood: options.LastKnownGood,
 		Seed:          options.Seed,
 	}, 0)
-	s.publishState()
+	s.updateState()
 	s.tasks.Go(func() { s.run(ctx) })
 	return s
 }
@@ -118,7 +118,7 @@
 // State returns the session's state.
 func (s *Session) State() State { return *s.state.Load() }
 
-func (s *Session) publishState() {
+func (s *Session) updateState() {
 	s.state.Store(&State{Cluster: s.decisions.Cluster(), LastDecided: s.decisions.LastDecided(), Applied: s.decisions.Applied(), Controller: s.decisions.Controller()})
 }
 
@@ -187,14 +187,14 @@
 			s.options.Store.Save(a.LastKnownGood)
 		}
 	case configversion.VersionDecided:
-		s.publishState()
+		s.updateState()
 		s.logDecision(a)
 		if s.options.Observe != nil {
 			s.options.Observe(a)
 		}
 	case configversion.ControllerChanged:
-		s.publishState()
-		s.options.Log.Info("configuration watch", "controller", a.Controller, "current", a.Current)
+		s.updateState()
+		s.logController(a)
 	}
 }
 
@@ -220,6 +220,14 @@
 	return configversion.AckFinished{Accepted: err == nil}
 }
 
+func (s *Session) logController(a configversion.ControllerChanged) {
+	if a.Controller == "" {
+		s.options.Log.Info("configuration watch lost")
+		return
+	}
+	s.options.Log.Info("configuration watch at controller", "controller", a.Controller, "current", a.Current)
+}
+
 func (s *Session) logDecision(a configversion.VersionDecided) {
 	if a.Outcome == configapi.Applied {
 		s.options.Log.Info("configuration version", "version", a.Version, "outcome", a.Outcome, "cluster", a.Cluster,
