--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -35,10 +35,11 @@
 	minWindowUse = 0.8
 
 	// An answer moves the load ratio by the weight loadWeightNumerator/(window+loadWeightOffset), which is
-	// 2/(window+16): answers of a larger window come faster, and each tells less. The offset, in attempts,
-	// keeps a single answer in a small window from moving the ratio by much.
+	// 2/(window+16): answers of a larger window come faster, and each tells less.
 	loadWeightNumerator = 2
-	loadWeightOffset    = 16
+	// loadWeightOffset, in attempts, keeps a single answer in a small window from moving the load ratio by
+	// much.
+	loadWeightOffset = 16
 )
 
 // windowFull says that a pool has as many attempts out as the tiers below answer in good time, or no
@@ -50,19 +51,19 @@
 	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.roundingDraw)
 }
 
-// leaveWindow takes an attempt out of the window, once. A streamed message is slow for its client's sake:
-// its server does nothing before it has all of a request, and no more while a response is read. Were these
-// counted, a few slow clients would cause the rejection of all others. As attempts at their servers they
-// count to the end.
-func (a *attempt) leaveWindow() {
+// removeFromWindow ends the count of an attempt in the window, once. A streamed message is slow for its
+// client's sake: its server does nothing before it has all of a request, and no more while a response is
+// read. Were these counted, a few slow clients would cause the rejection of all others. As attempts at their
+// servers they count to the end.
+func (a *attempt) removeFromWindow() {
 	if !a.outsideWindow {
 		a.outsideWindow = true
 		a.request.class.pool.inFlight--
 	}
 }
 
-// adjustWindow steers the window so that the mean latency stays at a part of the latency objective. Input:
-// the end of an attempt, which has left the window (leaveWindow). Output: the window, in attempts.
+// adjustWindow moves the window so that the mean latency stays at a part of the latency objective. Input:
+// the end of an attempt, which no longer counts (removeFromWindow). Output: the window, in attempts.
 //
 // Servers that are sent more than they can work on answer all of it late, and clients that time out ask
 // again: an overload that feeds itself. So the excess must wait or be shed here, before it costs the tiers
@@ -74,7 +75,7 @@
 	}
 	p, ratio := r.class.pool, b.latencyRatio(r, e)
 	p.learnLoad(ratio, e.Outcome)
-	b.steerWindow(p, ratio)
+	b.moveWindow(p, ratio)
 	p.keepWindowFloor()
 }
 
@@ -97,10 +98,10 @@
 	}
 }
 
-// steerWindow lowers the window while the load ratio is above the target, and raises it by an attempt in
-// good time that has found the window in use. That attempt has left the window already: +1 counts it back
-// in.
-func (b *Balancer) steerWindow(p *pool, ratio float64) {
+// moveWindow lowers the window while the load ratio is above the target, and raises it by an answer in good
+// time that has found the window in use. Its attempt no longer counts in the window (removeFromWindow): +1
+// puts it back.
+func (b *Balancer) moveWindow(p *pool, ratio float64) {
 	target := min(max(targetLoadRatio, unloadedRatioMultiple*p.unloadedRatio), maxTargetLoadRatio)
 	p.roundingDraw = 0
 	if p.loadRatio > target {
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -19,7 +19,7 @@
 	kinds      map[string]string
 	requests   map[string]*trackedRequest
 	ordered    []*trackedRequest // of classes that keep their order, as they came
-	broken     []string
+	violations []string
 	keepEvents bool         // the events that it was given, in events
 	events     []timedEvent // events
 }
@@ -49,7 +49,7 @@
 }
 
 func (c *checker) violation(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (t *trackedAttempt) mayHaveRun() bool {
@@ -247,8 +247,8 @@
 				c.actions(now, []Action{s})
 			}
 		}
-		if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
-			t.Errorf("want %q among %q", tc.want, c.broken)
+		if !strings.Contains(strings.Join(c.violations, "\n"), tc.want) {
+			t.Errorf("want %q among %q", tc.want, c.violations)
 		}
 	}
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -17,21 +17,16 @@
 // over. So the golden files in testdata must not change. Whoever changes a form on purpose raises the version of what
 // holds it (capture.Version, hotrestart.Version) and writes the files anew with -update.
 
-// golden compares a text with a golden file.
+// golden checks that a text is that of a golden file. The flag -update writes the file anew.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if goldentest.Updating() {
-		goldentest.Write(t, goldenPath(name), got)
-	}
-	checkGolden(t, name, got)
+	goldentest.CheckBytes(t, goldenPath(name), got)
 }
 
-// checkGolden checks that a text is that of a golden file.
+// checkGolden checks that a text, made of the golden file itself, is that of the file. It never writes it.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := goldenFile(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s has another form:\n got %s\nwant %s", name, got, want)
-	}
+	goldentest.CompareBytes(t, goldenPath(name), got)
 }
 
 func goldenFile(t *testing.T, name string) []byte {
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -233,7 +233,7 @@
 		}
 		c := newChecker(set)
 		log, b := run(t, set, seed, 6000, c)
-		for i, s := range c.broken {
+		for i, s := range c.violations {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, s)
 			}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -154,7 +154,7 @@
 	}
 	p.inFlight++
 	if r.streamedBody {
-		a.leaveWindow()
+		a.removeFromWindow()
 	}
 	inFlight := float64(p.inFlight)
 	moveTowards(&p.peakInFlight, inFlight, slowSampleWeight)
@@ -166,7 +166,7 @@
 func (b *Balancer) handleResponseStarted(e ResponseStarted) {
 	if a := b.findAttempt(e.ID, e.Attempt); a != nil {
 		a.request.streaming = true
-		a.leaveWindow()
+		a.removeFromWindow()
 	}
 }
 
@@ -181,7 +181,7 @@
 	r := a.request
 	a.ended = true
 	a.neverRan = e.Outcome.NeverRan()
-	a.leaveWindow()
+	a.removeFromWindow()
 	b.startQuietPeriod(r, e.Outcome)
 	tooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
 	if !tooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -19,9 +19,11 @@
 	nameReject         = "turn_away"      // ID, Retry-After
 	nameFail           = "report_failure" // ID
 	nameSetTimer       = "remind"         // clock time, token
-	nameSubscribe      = "subscribe"      // subscribeOn, or the end of a subscription, which is not used
-	nameReplyEnd       = "yield"
-	subscribeOn        = "1"
+	nameSubscribe      = "subscribe"      // subscribeOn
+	nameReplyEnd       = "yield"          // ends the reply
+
+	// subscribeOn begins a subscription.
+	subscribeOn = "1"
 )
 
 // Encoder writes replies.
