--- a/balancer/class.go
+++ b/balancer/class.go
@@ -28,7 +28,7 @@
 	latencyDeviation float64       // their mean deviation, in nanoseconds
 	samples          float64       // successes that they rest on
 	arrivals, served float64       // decayed counts of requests and of answers in time
-	typicalBudget    time.Duration // middle of the time that requests come with
+	typicalBudget    time.Duration // about the median of the time that requests come with
 }
 
 // newClass returns a class of which nothing is known but its settings.
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// learnBudget moves the typical budget towards the middle of the budgets that come, by as much for each. A
+// learnBudget moves the typical budget towards the median of the budgets that come, by as much for each. A
 // mean would be raised by one client's long budgets, and everybody else's first tries would look like
 // retries.
 func (c *class) learnBudget(budget time.Duration) {
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -27,7 +27,7 @@
 // queue with requests whose clients are about to give up and ask again, which is how an overload feeds
 // itself: it shows as full queues, busy servers, and answers that all come late.
 //
-// It counts from the client's first try. Of a client's retry it is mostly over: such a request is sent at
+// It counts from the client's first try. Of a client's retry it is mostly over; then the request is sent at
 // once or rejected at once.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -131,7 +131,8 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server.
+// send starts an attempt of a request at a server. Its time-out is no shorter than the host's timers can
+// keep.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
 		request:     r,
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -31,7 +31,7 @@
 // and will not be done. A successor process serves on, or the node has to be started again.
 var ErrStopped = errors.New("the engine has stopped: the node is shutting down")
 
-// Options are an engine's parts. Metrics, Capture and Guard may be nil: off.
+// Options are an engine's parts. Metrics, Capture and Guard may be nil: off. The others must be set before Run.
 type Options struct {
 	Clock    Clock
 	Log      *slog.Logger
