--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -16,7 +16,9 @@
 )
 
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
-func (b *Balancer) deadlineMargin() time.Duration { return deadlineMarginTolerances * b.settings.Tick }
+func (b *Balancer) deadlineMargin() time.Duration {
+	return deadlineMarginTolerances * b.settings.Tick
+}
 
 // queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
 // objective, its deadline and the latencies of its class. Output: the time from which its answer may well
