--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -16,7 +16,9 @@
 )
 
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
-func (b *Balancer) deadlineMargin() time.Duration { return deadlineMarginTolerances * b.settings.Tick }
+func (b *Balancer) deadlineMargin() time.Duration {
+	return deadlineMarginTolerances * b.settings.Tick
+}
 
 // queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
 // objective, its deadline and the latencies of its class. Output: the time from which its answer may well
@@ -27,7 +29,7 @@
 // queue with requests whose clients are about to give up and ask again, which is how an overload feeds
 // itself: it shows as full queues, busy servers, and answers that all come late.
 //
-// It counts from the client's first try. Of a client's retry it is mostly over: such a request is sent at
+// It counts from the client's first try. Of a client's retry it is mostly over; then the request is sent at
 // once or rejected at once.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
