--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -9,10 +9,10 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// delegate answers the library's questions and takes the messages that it delivers.
+// delegate is what memberlist calls for this node's data, and with the messages that it receives.
 type delegate struct{ cluster *Cluster }
 
-// NodeMeta is what this node spreads of itself.
+// NodeMeta returns the meta data that memberlist spreads with this node.
 func (d delegate) NodeMeta(limit int) []byte {
 	d.cluster.mu.Lock()
 	defer d.cluster.mu.Unlock()
@@ -24,25 +24,25 @@
 	return b
 }
 
-// NotifyMsg brings a message.
+// NotifyMsg receives a message.
 func (d delegate) NotifyMsg(b []byte) { d.cluster.receive(slices.Clone(b)) }
 
-// GetBroadcasts gives the library the messages to send.
+// GetBroadcasts returns the messages to send with the next gossip, within a limit of bytes.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.cluster.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is empty: the library's own lists are enough.
+// LocalState is empty: memberlist exchanges its own state, and this package has none to add.
 func (d delegate) LocalState(bool) []byte { return nil }
 
 // MergeRemoteState has nothing to merge.
 func (d delegate) MergeRemoteState([]byte, bool) {}
 
-// eventDelegate keeps what the detector has: its own list may be read only while it calls here. The library holds its lock
-// meanwhile, so nothing that holds mu may call the library.
+// eventDelegate keeps a copy of the failure detector's list of nodes, which may be read only while memberlist calls here.
+// memberlist holds its lock during the call, so nothing that holds mu may call memberlist: both would wait for each other.
 type eventDelegate struct{ cluster *Cluster }
 
-// detected is a live node as the detector has it.
+// detected is a live node as the failure detector has it.
 type detected struct {
 	address string
 	meta    []byte
@@ -51,11 +51,11 @@
 // NotifyJoin reports a node that is live.
 func (e eventDelegate) NotifyJoin(n *memberlist.Node) { e.update(n, true) }
 
-// NotifyUpdate reports that a node's meta has changed.
+// NotifyUpdate reports that a node's meta data has changed.
 func (e eventDelegate) NotifyUpdate(n *memberlist.Node) { e.update(n, true) }
 
-// NotifyLeave reports a node that is gone. Whether it left or failed the library does not tell: a node that leaves sends a
-// message of its own.
+// NotifyLeave reports a node that has left or failed. memberlist does not say which: a node that leaves sends a message of
+// its own.
 func (e eventDelegate) NotifyLeave(n *memberlist.Node) { e.update(n, false) }
 
 func (e eventDelegate) update(n *memberlist.Node, live bool) {
@@ -77,11 +77,11 @@
 	}
 }
 
-// conflictDelegate hears of another node that uses a name.
+// conflictDelegate is called when two live nodes use one name.
 type conflictDelegate struct{ cluster *Cluster }
 
-// NotifyConflict reports another incarnation of a name that is live. The library goes on with the one that it has; the
-// module hears of both.
+// NotifyConflict reports another incarnation of a live name. memberlist goes on with the one that it has; package membership
+// is notified of both.
 func (d conflictDelegate) NotifyConflict(_, other *memberlist.Node) {
 	c := d.cluster
 	meta, err := parseMeta(other.Meta)
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -13,7 +13,7 @@
 // maxKeys is how many keys may be valid at the same time.
 const maxKeys = 8
 
-// KeyError says that a key file can't be used.
+// KeyError says that a key file can't be used; its text says what a key file must have.
 type KeyError struct {
 	File string
 	Err  error
@@ -49,7 +49,8 @@
 	return keys, nil
 }
 
-// ReloadKeys reads the key file again: its keys are valid at once, others no longer. On an error the old ones stay.
+// ReloadKeys reads the key file again: its keys are valid at once, others no longer. After an error, of type *KeyError, the
+// old ones stay valid.
 func (c *Cluster) ReloadKeys() error {
 	keys, err := ReadKeys(c.cfg.KeyFile)
 	if err != nil {
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -13,25 +13,25 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Form and bounds of messages.
+// Form and bounds of messages. All bounds are in bytes.
 const (
 	messageVersion = 1    // of the form; messages of another version are dropped
-	maxMessage     = 1200 // bytes, of a packet of 1400
-	maxName        = 128  // bytes
-	maxMeta        = 512  // bytes
+	maxMessage     = 1200 // leaves room for memberlist's headers in a packet of 1400
+	maxName        = 128  // of a node or a site
+	maxMeta        = 512  // memberlist's own limit for meta data
 )
 
 // malformedLogInterval is the shortest time between two log lines about messages that can't be read.
 const malformedLogInterval = time.Minute
 
-// Why a message is dropped.
+// Reasons to drop a message.
 var (
 	errTooLong = errors.New("too long")
 	errVersion = errors.New("of another version")
 	errName    = errors.New("without a name that can be")
 )
 
-// MalformedError says that a peer has sent what can't be read.
+// MalformedError says that a peer has sent a message that can't be read. It was dropped.
 type MalformedError struct {
 	Err   error
 	Count int64 // of such messages so far
@@ -45,16 +45,17 @@
 // malformedCount is how many messages could not be read.
 type malformedCount struct {
 	total  int64
-	logged time.Time // when the log said so last
+	logged time.Time // when it was logged last
 }
 
-// nodeMeta is what a node spreads of itself beside its name and address.
+// nodeMeta is a node's meta data: what memberlist spreads of it beside its name and address.
 type nodeMeta struct {
 	Start uint64 `json:"s"`
 	Nonce uint64 `json:"n"`
 	Site  string `json:"w"`
 }
 
+// incarnation is the incarnation of the node with a name and this meta data.
 func (m nodeMeta) incarnation(name string) membership.Incarnation {
 	return membership.Incarnation{Name: name, Start: m.Start, Nonce: m.Nonce}
 }
@@ -67,7 +68,7 @@
 	Announcement membership.Announcement `json:"Word"`
 }
 
-// validName says that a name may be one of a node or a site.
+// validName reports whether a name may be one of a node or a site.
 func validName(name string) bool { return name != "" && len(name) <= maxName }
 
 // parseMessage reads a message strictly: one that is too long, of another version or without a name is dropped.
@@ -93,6 +94,7 @@
 	return m, nil
 }
 
+// parseMeta reads meta data strictly, as parseMessage does.
 func parseMeta(b []byte) (m nodeMeta, err error) {
 	if len(b) > maxMeta {
 		return m, errTooLong
@@ -130,8 +132,9 @@
 	}
 }
 
-// enqueueFarewell has the others told that this node ends. Later announcements are not sent: in the queue, here and at the
-// nodes that pass messages on, they would replace it, and the others would take this node for failed.
+// enqueueFarewell announces that this node leaves. Later announcements are not sent: in the queues, here and at the nodes
+// that forward messages, they would replace the farewell, and the others would call this node failed. The channel is
+// closed when the farewell has been sent often enough.
 func (c *Cluster) enqueueFarewell() (sent <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,8 +144,8 @@
 	return sent
 }
 
-// enqueue has a message of this node sent; an earlier one that still waits need not be. The channel is closed when it has
-// been sent often enough. The caller holds mu.
+// enqueue queues a message of this node; it replaces an earlier one that still waits. The channel is closed when it has been
+// sent often enough. The caller holds mu.
 func (c *Cluster) enqueue(m message) (sent <-chan struct{}) {
 	if c.leaving {
 		return nil
@@ -165,14 +168,14 @@
 	c.queue.Prune(maxQueued)
 }
 
-// receive takes a message and passes it on, if it is new.
+// receive handles a message, and forwards it if it is new.
 func (c *Cluster) receive(b []byte) {
 	if event := c.receivedEvent(b); event != nil {
 		c.step(event)
 	}
 }
 
-// receivedEvent is what a message says to the module; nil: nothing, or nothing new.
+// receivedEvent is the event of a message for package membership; nil if there is none, or nothing new.
 func (c *Cluster) receivedEvent(b []byte) membership.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +189,7 @@
 		return nil
 	}
 	if len(c.lastSequence) > 2*c.cfg.Limits.MaxMembers {
-		clear(c.lastSequence) // mostly of incarnations that have ended; the others' messages are passed on once more
+		clear(c.lastSequence) // mostly of incarnations that have ended; messages of the others are forwarded once more
 	}
 	c.lastSequence[from] = m.Sequence
 	c.queueBroadcast(&broadcast{from.Name, slices.Clone(b), func() {}})
@@ -198,7 +201,7 @@
 	}
 	c.left[from] = true
 	if _, reported := c.reported[from.Name]; reported {
-		return nil // the detector's report is waited for
+		return nil // the failure detector reports it later
 	}
 	return membership.NodeDead{Incarnation: from, Left: true}
 }
@@ -212,20 +215,20 @@
 	}
 }
 
-// broadcast is a message in the library's queue.
+// broadcast is a message in memberlist's queue.
 type broadcast struct {
 	from     string
 	payload  []byte
 	finished func()
 }
 
-// Invalidates says that this message replaces an earlier one of the same node.
+// Invalidates reports whether this message replaces an earlier one: both are of the same node.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	earlier, ok := other.(*broadcast)
 	return ok && earlier.from == b.from
 }
 
-// Message is what is sent.
+// Message returns the bytes that are sent.
 func (b *broadcast) Message() []byte { return b.payload }
 
 // Finished is called when the message is not sent any more.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers is how the nodes of an installation reach each other. The memberlist library detects failures and spreads
-// messages (SWIM with Lifeguard's corrections); this package feeds the pure module members with what the library reports,
-// and carries that module's announcements to the other nodes. It decides nothing, and no request waits for it: consumers
-// read a Cluster's View.
+// Package peers connects the nodes of an installation. The memberlist library detects failures and spreads messages (SWIM
+// with Lifeguard's extensions); this package passes what it reports to the pure package membership, and broadcasts that
+// package's announcements to the other nodes. It decides nothing itself, and no request waits for it: consumers read a
+// Cluster's View.
 package peers
 
 import (
@@ -23,7 +23,7 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Config says who a node is among others.
+// Config describes a node and how it reaches its peers.
 type Config struct {
 	Name, Site       string
 	Tree             membership.Tree
@@ -31,7 +31,7 @@
 	Seeds            []string          // HOST:PORT of nodes to join through
 	KeyFile          string            // see ReadKeys
 	Label            string            // of the installation: messages with another one are dropped
-	AddressOverrides map[string]string // where a peer's address is reached from here, if elsewhere
+	AddressOverrides map[string]string // by peer's address: where it is dialed instead
 	StartStore       StartStore
 	Limits           membership.Limits // zero: membership.DefaultLimits
 }
@@ -44,26 +44,28 @@
 	Save(start uint64) error
 }
 
-// Settings of memberlist's failure detector (SWIM). With them a death is noticed within 2 s at 24 nodes and 4 s at 100.
+// Settings of memberlist's failure detector (SWIM): a compromise between a fast detection of failures, traffic that grows
+// with the nodes, and live nodes that are called failed while a machine is busy. Of a few dozen nodes a failed one is
+// detected within seconds.
 const (
 	probeInterval       = 250 * time.Millisecond // between two probes of a node
 	probeTimeout        = 150 * time.Millisecond // for an answer, before others are asked to probe
 	gossipInterval      = 100 * time.Millisecond // between two rounds of messages
 	suspicionMultiplier = 3                      // a suspicion lasts at least this times log10 of the nodes times probeInterval
-	pushPullInterval    = 5 * time.Second        // between two exchanges of the whole state, which mend lost messages
+	pushPullInterval    = 5 * time.Second        // between two exchanges of the complete state, which make up for lost messages
 	gossipToDead        = 10 * time.Second       // how long a failed node is still sent messages, so that it can refute
 	joinTimeout         = 2 * time.Second        // of one exchange over TCP
 )
 
-// Pace and bounds of this package's own work.
+// Intervals and bounds of this package's own work.
 const (
-	reconcileInterval    = 100 * time.Millisecond // between two steps of the membership without an event
+	reconcileInterval    = 100 * time.Millisecond // between two steps of package membership without an event
 	retransmitMultiplier = 3                      // a message is sent on this often, times log10 of the nodes
 	maxQueued            = 2048                   // messages that wait to be sent
-	maxReconnects        = 64                     // that wait for their turn
+	maxReconnects        = 64                     // that wait in the queue
 )
 
-// JoinError says that a node could not begin to listen for its peers.
+// JoinError says that a node could not listen for its peers; its text says what to change.
 type JoinError struct {
 	Listen string
 	Err    error
@@ -86,14 +88,14 @@
 
 	mu           sync.Mutex
 	module       *membership.Members
-	live         map[string]detected               // by name, as the detector has them, without this node
-	reported     map[string]membership.Incarnation // by name, as the module was told last
+	live         map[string]detected               // by name, as the failure detector has them, without this node
+	reported     map[string]membership.Incarnation // by name, as package membership was notified last
 	addresses    map[string]string                 // by name, last known
 	left         map[membership.Incarnation]bool   // that announced that they leave
 	lastSequence map[membership.Incarnation]uint64 // of the messages received
 	sequence     uint64                            // of the messages sent
 	queue        memberlist.TransmitLimitedQueue
-	leaving      bool // the farewell is queued: nothing may replace it
+	leaving      bool // the farewell is queued: no message may replace it
 	malformed    malformedCount
 	changed      chan struct{} // closed and replaced at each change of the view
 
@@ -158,7 +160,7 @@
 	return host, port, err
 }
 
-// tryListen says why an address can't be listened at. The library's own error does not tell that one is taken.
+// tryListen returns why an address can't be listened on. memberlist's own error does not say that one is in use.
 func tryListen(listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -167,8 +169,8 @@
 	return listener.Close()
 }
 
-// newIncarnation begins an incarnation of the local node. Without its start number it claims one that may be stale: the
-// peers know the right one, if there is one.
+// newIncarnation returns a new incarnation of the local node. If its start number can't be read, it claims one that may be
+// stale: peers that know a higher one make it refute that.
 func newIncarnation(cfg Config, logger *slog.Logger) membership.Incarnation {
 	start, err := cfg.StartStore.Next()
 	if err != nil {
@@ -179,9 +181,9 @@
 	return membership.Incarnation{Name: cfg.Name, Start: start, Nonce: binary.LittleEndian.Uint64(nonce[:])}
 }
 
-// startDetector starts the library.
+// startDetector starts memberlist.
 func (c *Cluster) startDetector(host string, port int, keys [][]byte) error {
-	quiet := log.New(io.Discard, "", 0) // what matters of the library's log shows in the view
+	quiet := log.New(io.Discard, "", 0) // what an operator needs of memberlist's log is in the view
 	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: quiet})
 	if err != nil {
 		return &JoinError{c.cfg.Listen, err}
@@ -225,10 +227,11 @@
 // Addr is where this node listens for its peers.
 func (c *Cluster) Addr() string { return c.detector.LocalNode().Address() }
 
-// Leave announces that this node ends, so that the others need not suspect it.
+// Leave announces that this node leaves, so that the others do not suspect it, and waits at most for the given time. After
+// an error the others may call this node failed.
 func (c *Cluster) Leave(within time.Duration) error {
 	sent := c.enqueueFarewell()
-	select { // it is sent with the gossip that is due
+	select { // it is sent with the next rounds of gossip
 	case <-sent:
 	case <-time.After(within / 2):
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -61,8 +61,8 @@
 
 var tree = membership.Tree{"dc": "", "okanagan": "dc"}
 
-// port is a free address.
-func port(t *testing.T) string {
+// freeAddress is an address on loopback that nobody listens on.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,6 +72,7 @@
 	return ln.Addr().String()
 }
 
+// testNode is a node of a test's cluster.
 type testNode struct {
 	cfg   Config
 	store *memoryStore
@@ -86,8 +87,8 @@
 	}
 }
 
-// until waits for something to hold of a view.
-func until(t *testing.T, r *Cluster, what string, holds func(View) bool) View {
+// awaitView waits until a node's view is as wanted.
+func awaitView(t *testing.T, r *Cluster, what string, holds func(View) bool) View {
 	t.Helper()
 	for end := time.After(30 * time.Second); ; {
 		changed := r.Changed()
@@ -104,24 +105,27 @@
 	}
 }
 
-func agreed(n int) func(View) bool {
+// agreedWith wants a node to agree with n nodes, itself among them.
+func agreedWith(n int) func(View) bool {
 	return func(v View) bool {
-		there := 1
+		alive := 1
 		for _, m := range v.Members {
 			if m.State == "here" {
-				there++
+				alive++
 			}
 		}
-		return v.Self == "agreed" && there == n
+		return v.Self == "agreed" && alive == n
 	}
 }
 
-func gather(t *testing.T, keys string) []*testNode {
+// startNodes starts six nodes of two sites, and waits until all agree.
+func startNodes(t *testing.T, keys string) []*testNode {
+	t.Helper()
 	var all []*testNode
 	names := []string{"r1", "r2", "r3", "a1", "a2", "a3"}
-	first := port(t)
+	first := freeAddress(t)
 	for n, name := range names {
-		site, listen := "dc", port(t)
+		site, listen := "dc", freeAddress(t)
 		if name[0] == 'a' {
 			site = "okanagan"
 		}
@@ -136,17 +140,18 @@
 		all = append(all, p)
 	}
 	for _, p := range all {
-		until(t, p.Cluster, "agreed", agreed(len(all)))
+		awaitView(t, p.Cluster, "agreed", agreedWith(len(all)))
 	}
 	return all
 }
 
-// A key is replaced while all run: the old one and the new one are valid side by side, then the old one no longer.
+// A key is replaced while all nodes run: for a while the old one and the new one are both valid, then only the new one. A
+// node that lost the others on the way would be called failed.
 func TestKeysAreReplaced(t *testing.T) {
-	const fresh = "fresh-key-fresh-"
+	const newKey = "fresh-key-fresh-"
 	keys := keyFile(t, key)
-	all := gather(t, keys)
-	for _, list := range [][]string{{key, fresh}, {fresh, key}, {fresh}} {
+	all := startNodes(t, keys)
+	for _, list := range [][]string{{key, newKey}, {newKey, key}, {newKey}} {
 		writeKeys(t, keys, list...)
 		for _, p := range all {
 			if err := p.ReloadKeys(); err != nil {
@@ -155,10 +160,10 @@
 		}
 	}
 	late := &testNode{cfg: all[1].cfg, store: &memoryStore{}}
-	late.cfg.Name, late.cfg.Listen, late.cfg.StartStore = "late", port(t), late.store
+	late.cfg.Name, late.cfg.Listen, late.cfg.StartStore = "late", freeAddress(t), late.store
 	late.join(t)
 	defer late.Close()
-	until(t, late.Cluster, "agreed", agreed(len(all)+1))
+	awaitView(t, late.Cluster, "agreed", agreedWith(len(all)+1))
 	if err := os.WriteFile(keys, []byte("short\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -166,22 +171,23 @@
 	if err := late.ReloadKeys(); !errors.As(err, &wrong) {
 		t.Errorf("a broken key file: %v", err)
 	}
-	until(t, all[0].Cluster, "agreed", agreed(len(all)+1))
+	awaitView(t, all[0].Cluster, "agreed", agreedWith(len(all)+1))
 }
 
-// A stranger with another key, or of another installation, gets in nowhere.
-func TestStrangers(t *testing.T) {
-	all := gather(t, keyFile(t, key))
+// A node of another installation that shares an address must not join: neither one with another key, nor one with another
+// label.
+func TestOtherKeyOrLabelIsRejected(t *testing.T) {
+	all := startNodes(t, keyFile(t, key))
 	for what, change := range map[string]func(*Config){
 		"another key":          func(c *Config) { c.KeyFile = keyFile(t, "fedcba9876543210") },
 		"another installation": func(c *Config) { c.Label = "elsewhere" },
 	} {
 		p := &testNode{cfg: all[1].cfg, store: &memoryStore{}}
-		p.cfg.Name, p.cfg.Listen, p.cfg.StartStore = "stranger", port(t), p.store
+		p.cfg.Name, p.cfg.Listen, p.cfg.StartStore = "outsider", freeAddress(t), p.store
 		change(&p.cfg)
 		p.join(t)
 		if n, err := p.detector.Join([]string{all[0].cfg.Listen}); n > 0 || err == nil {
-			t.Errorf("with %s it got in", what)
+			t.Errorf("with %s it joined", what)
 		}
 		p.Close()
 	}
@@ -190,8 +196,8 @@
 	}
 }
 
-// Errors have types and say what to do.
-func TestWhatCantBeUsed(t *testing.T) {
+// An operator who starts a node with a wrong address or key needs the reason: errors have types and say what to do.
+func TestInvalidConfig(t *testing.T) {
 	good := Config{Name: "n", Site: "dc", Tree: tree, Listen: "127.0.0.1:0", KeyFile: keyFile(t, key), StartStore: &memoryStore{}}
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -204,7 +210,7 @@
 		says   string
 	}{
 		"no port":       {func(c *Config) { c.Listen = "127.0.0.1" }, new(*JoinError), "name an address"},
-		"a taken port":  {func(c *Config) { c.Listen = taken.Addr().String() }, new(*JoinError), "name an address"},
+		"a port in use": {func(c *Config) { c.Listen = taken.Addr().String() }, new(*JoinError), "name an address"},
 		"no key file":   {func(c *Config) { c.KeyFile = "/nowhere/key" }, new(*KeyError), "one key of"},
 		"a short key":   {func(c *Config) { c.KeyFile = keyFile(t, "short") }, new(*KeyError), "line 2"},
 		"an empty file": {func(c *Config) { c.KeyFile = keyFile(t) }, new(*KeyError), "0 keys"},
@@ -250,7 +256,7 @@
 	}
 }
 
-// Whatever a peer sends is read or counted, and what is read is within bounds.
+// A peer may send anything, also a faulty or hostile one: a message is read or counted, and what is read is within bounds.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte(`{"V":1,"Seq":1,"Word":{"From":{"Name":"a","Start":1,"Nonce":2},"Site":"dc","Views":{"dc":7},"Claims":[{"Name":"b"}]}}`))
 	f.Add([]byte(`{"V":2}`))
@@ -264,26 +270,26 @@
 	})
 }
 
-// A name that two machines use: the others go on with the newer incarnation, as with a node that moved; the one before
-// grants nothing while that lasts, and is itself again when the other is gone.
-func TestNameOfTwo(t *testing.T) {
-	all := gather(t, keyFile(t, key))
+// Two machines are configured with one name: the others go on with the newer incarnation, as with a node that was moved. The
+// older one must not grant anything meanwhile, or both would hold the same lease; it agrees again when the other has ended.
+func TestTwoNodesWithOneName(t *testing.T) {
+	all := startNodes(t, keyFile(t, key))
 	first := all[3]
 	second := &testNode{cfg: first.cfg, store: &memoryStore{last: 5}}
-	second.cfg.Listen, second.cfg.StartStore = port(t), second.store
+	second.cfg.Listen, second.cfg.StartStore = freeAddress(t), second.store
 	second.join(t)
-	until(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
+	awaitView(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
 	if first.May(membership.Grant) {
 		t.Error("the older of two nodes of a name may grant")
 	}
 	for _, p := range all[:3] {
-		until(t, p.Cluster, "agreed", func(v View) bool { return v.Self == "agreed" })
+		awaitView(t, p.Cluster, "agreed", func(v View) bool { return v.Self == "agreed" })
 	}
 	second.Close()
-	until(t, first.Cluster, "agreed", agreed(len(all)))
+	awaitView(t, first.Cluster, "agreed", agreedWith(len(all)))
 }
 
-// Nothing that a leaving node would announce replaces its farewell in the queue: without it the others call it failed.
+// A node that leaves was called failed when a later announcement replaced its farewell in the queue: nothing replaces it.
 func TestFarewellStaysQueued(t *testing.T) {
 	c, err := Join(Config{Name: "a", Site: "dc", Tree: tree, Listen: "127.0.0.1:0", KeyFile: keyFile(t, key),
 		StartStore: &memoryStore{}}, slog.New(slog.DiscardHandler))
@@ -297,8 +303,8 @@
 	if c.View().Digest == before {
 		t.Fatal("the view has not changed: there is nothing to announce")
 	}
-	const wholePacket = 1400
-	queued := c.queue.GetBroadcasts(0, wholePacket)
+	const packetBytes = 1400
+	queued := c.queue.GetBroadcasts(0, packetBytes)
 	if len(queued) != 1 {
 		t.Fatalf("%d messages are queued", len(queued))
 	}
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -7,20 +7,21 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Waits of connect.
+// Waits of connect: a backoff, so that the nodes of an installation that starts do not all dial the seeds at once.
 const (
-	minSeedWait   = 100 * time.Millisecond // after a first round through the seeds; it doubles up to
-	maxSeedWait   = 2 * time.Second        // this
-	connectedWait = time.Second            // while somebody is there
+	minSeedWait   = 100 * time.Millisecond // after the first attempt to join all seeds; doubled after each further one
+	maxSeedWait   = 2 * time.Second        // at most, so that a node joins soon after a seed has come up
+	connectedWait = time.Second            // between two checks that there is still another node
 )
 
-// nodeCount is how many nodes the detector has, this one among them.
+// nodeCount is how many live nodes the failure detector has, this one among them.
 func (c *Cluster) nodeCount() int { return int(c.liveCount.Load()) + 1 }
 
-// now is the module's clock. It is monotonic: a change of the machine's wall clock does not move it.
+// now is the clock of package membership. It is monotonic: a change of the machine's wall clock does not move it.
 func (c *Cluster) now() time.Duration { return time.Since(c.started) }
 
-// run ticks, reconciles the module with the detector, and notices stalls of this process.
+// run ticks, reconciles package membership with the failure detector, and notices stalls of this process: after one, what
+// the node believes of its peers is out of date.
 func (c *Cluster) run(ctx context.Context) {
 	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
@@ -42,14 +43,15 @@
 	}
 }
 
-// reconcile reports to the module all that the detector has by now. A report that was lost or raced another one is made
-// good by the next.
+// reconcile notifies package membership of all that the failure detector has by now. A report that was lost, or raced
+// another one, is made up for by the next.
 func (c *Cluster) reconcile() {
 	for _, event := range c.detectorEvents() {
 		c.step(event)
 	}
 }
 
+// detectorEvents are the nodes that the failure detector has, and those reported earlier that it does not have any more.
 func (c *Cluster) detectorEvents() (events []membership.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +75,7 @@
 	return events
 }
 
-// step gives an event to the module and carries out its actions.
+// step passes an event to package membership and carries out its actions.
 func (c *Cluster) step(event membership.Event) {
 	c.mu.Lock()
 	before := c.module.Revision()
@@ -101,19 +103,19 @@
 	}
 	c.mu.Unlock()
 	if refuted != nil {
-		c.tasks.Go(func() { c.refute(refuted.Start) }) // neither the disk nor the peers' answers are waited for
+		c.tasks.Go(func() { c.refute(refuted.Start) }) // a step must not wait for the disk or for peers
 	}
 }
 
-// refute stores the raised start number and has the detector spread it.
+// refute stores the raised start number and has memberlist spread it.
 func (c *Cluster) refute(start uint64) {
 	if err := c.cfg.StartStore.Save(start); err != nil {
 		c.log.Warn("peers: the number of this start is not on disk", "err", err)
 	}
-	c.detector.UpdateNode(joinTimeout) // an error says that nobody has confirmed it yet
+	c.detector.UpdateNode(joinTimeout) // an error means that no peer has confirmed it yet; gossip goes on
 }
 
-// reconnect has a failed member tried. Where too many wait, the module asks again later.
+// reconnect queues an attempt to reach a failed member. If the queue is full, package membership requests it again later.
 func (c *Cluster) reconnect(name string) {
 	address := c.addresses[name]
 	if address == "" {
@@ -125,7 +127,7 @@
 	}
 }
 
-// connect tries the seeds until a node is found, and failed members one after another.
+// connect joins through the seeds until another node is found, and reconnects to failed members one after another.
 func (c *Cluster) connect(ctx context.Context) {
 	wait := minSeedWait
 	next := time.NewTimer(0)
@@ -133,7 +135,7 @@
 	for {
 		select {
 		case address := <-c.reconnects:
-			c.detector.Join([]string{address}) // an error says that it is still away
+			c.detector.Join([]string{address}) // an error means that it is still down
 		case <-next.C:
 			if c.nodeCount() > 1 {
 				wait = minSeedWait
@@ -149,13 +151,14 @@
 	}
 }
 
+// joinSeeds tries all seeds but this node itself.
 func (c *Cluster) joinSeeds(ctx context.Context) {
 	for _, seed := range c.cfg.Seeds {
 		if ctx.Err() != nil {
 			return
 		}
 		if seed != c.cfg.Listen {
-			c.detector.Join([]string{seed}) // an error says that it is away
+			c.detector.Join([]string{seed}) // an error means that it is down
 		}
 	}
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's own, with addresses as they are reached from here, and counts of the traffic.
+// transport is memberlist's own, with address overrides and counts of the traffic.
 type transport struct {
 	*memberlist.NetTransport
 	overrides   map[string]string
@@ -17,7 +17,7 @@
 	streamBytes atomic.Int64 // both ways, on streams that this node opened
 }
 
-// resolve is where a peer's address is reached from here.
+// resolve is where a peer's address is dialed.
 func (t *transport) resolve(address string) string {
 	if override, ok := t.overrides[address]; ok {
 		return override
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -6,7 +6,7 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// View is what a node knows of its peers at a moment. Its names are those of the control's answer in JSON.
+// View is what a node knows of its peers at a moment. Its JSON names are those of the admin API's answer.
 type View struct {
 	Self    string                      `json:"Self"` // the local state
 	Me      membership.Incarnation      `json:"Me"`
@@ -18,7 +18,7 @@
 	Packets int64                       `json:"Packets"` // sent since the start
 	Streams int64                       `json:"Streams"` // bytes both ways since the start, on the streams that this node opened
 	Bad     int64                       `json:"Bad"`     // messages that could not be read
-	Failed  uint64                      `json:"Failed"`  // times that a member was taken for failed
+	Failed  uint64                      `json:"Failed"`  // how often a member was called failed
 }
 
 // MemberView is one member.
@@ -53,7 +53,7 @@
 	return v
 }
 
-// May says whether this node may carry out an operation now.
+// May reports whether this node may carry out an operation now.
 func (c *Cluster) May(operation membership.Operation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
