--- a/cmd/hookwalk/outside_test.go
+++ b/cmd/hookwalk/blackbox_test.go
@@ -14,8 +14,9 @@
 // record keeps the history that TestRealNodesFromOutside plays, for the outside checker's own tests.
 var record = flag.String("record", "", "a file for the history")
 
-// Real nodes on loopback, with every fault on real connections, keep the rules as they are seen from outside.
-func TestRealNodesFromOutside(t *testing.T) {
+// Nodes that break a rule may not know it. Real nodes on loopback, with every fault on real connections, keep the rules as
+// clients, servers and discovery observe them.
+func TestRealNodesBlackBox(t *testing.T) {
 	s, err := scenario.Parse("small.hcl", []byte(smallWorld), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -25,7 +25,7 @@
 	"hookwalk.example/hookwalk/internal/node"
 )
 
-// stubController is a stand-in of a controller on a socket: it writes what a test hands it, and notes what nodes say.
+// stubController is a stand-in for a controller: it sends the updates of a test, and records what nodes send.
 type stubController struct {
 	*httptest.Server
 	updates chan configapi.Update
@@ -41,11 +41,12 @@
 	mux.HandleFunc("GET "+configapi.PathWatch, c.watch)
 	mux.HandleFunc("POST "+configapi.PathAck, c.ack)
 	c.Server = httptest.NewServer(mux)
-	t.Cleanup(c.shut)
+	t.Cleanup(c.shutDown)
 	return c
 }
 
-func (c *stubController) shut() {
+// shutDown closes the controller with its connections.
+func (c *stubController) shutDown() {
 	c.CloseClientConnections()
 	c.Close()
 }
@@ -82,25 +83,26 @@
 }
 
 // versionedSite is a node that follows configuration versions, with its servers, two of kind big and one of kind small.
-type versionedSite struct {
+type versionedNode struct {
 	listen, config, settings, folder string
 }
 
-// classes are settings with classes; each is a lane's JSON without its braces, but for target and deadline.
-func classSettings(lanes ...string) string {
+// classSettings are settings with classes; each argument is the JSON of one class without braces, latency objective and
+// deadline.
+func classSettings(classes ...string) string {
 	text := `{"limits":{"conn-idle-ms":30000,"connect-timeout-ms":1000,"max-attempts":3},"lanes":[`
-	for i, lane := range lanes {
+	for i, class := range classes {
 		if i > 0 {
 			text += ","
 		}
-		text += `{"target-ms":4000,"deadline-ms":8000,"worth":1,` + lane + `}`
+		text += `{"target-ms":4000,"deadline-ms":8000,"worth":1,` + class + `}`
 	}
 	return text + `]}`
 }
 
-func newVersionedSite(t *testing.T, controllers ...string) *versionedSite {
+func newVersionedNode(t *testing.T, controllers ...string) *versionedNode {
 	t.Helper()
-	s := &versionedSite{listen: free(t), folder: t.TempDir()}
+	s := &versionedNode{listen: freeAddress(t), folder: t.TempDir()}
 	var hosts []string
 	for i, kind := range []string{"big", "big", "small"} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, kind) }))
@@ -117,19 +119,20 @@
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	s.config = written(t, "config.json", s.file(discovery.Listener.Addr().String(), list, classSettings(`"name":"file"`)))
-	s.settings = written(t, "hookwalk.hcl", fmt.Sprintf(`config_watch { controllers = ["%s"] service = "log-logic" region = "east" zone = "a" folder = %q }`,
+	s.config = writeFile(t, "config.json", s.configText(discovery.Listener.Addr().String(), list, classSettings(`"name":"file"`)))
+	s.settings = writeFile(t, "hookwalk.hcl", fmt.Sprintf(`config_watch { controllers = ["%s"] service = "log-logic" region = "east" zone = "a" folder = %q }`,
 		strings.Join(controllers, `", "`), s.folder))
 	return s
 }
 
-func (s *versionedSite) file(discovery, list, settings string) string {
+// configText is the text of the node's configuration file.
+func (s *versionedNode) configText(discovery, list, settings string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, s.listen, discovery, list, settings)
 }
 
-// start starts the node's process, with what it says to standard error.
-func (s *versionedSite) start(t *testing.T, args ...string) (c *exec.Cmd, said *lockedBuffer) {
+// start starts the node's process, and returns with it what it writes to standard error.
+func (s *versionedNode) start(t *testing.T, args ...string) (c *exec.Cmd, said *lockedBuffer) {
 	t.Helper()
 	c = exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "HOOKWALK_AS_PROGRAM=1", "ROUTER_CONFIG="+s.config, "TMPDIR="+t.TempDir())
@@ -153,7 +156,7 @@
 	return c, said
 }
 
-// poll waits for what a process does by itself.
+// poll waits until something that a process does has happened.
 func poll(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
@@ -165,6 +168,7 @@
 	}
 }
 
+// lockedBuffer is a buffer that may be written and read by different goroutines.
 type lockedBuffer struct {
 	lock sync.Mutex
 	text bytes.Buffer
@@ -182,8 +186,8 @@
 	return b.text.String()
 }
 
-// ask makes a request of a class, and returns its status and the kind of the server that answered.
-func (s *versionedSite) ask(t *testing.T, class string) (status int, kind string) {
+// send sends a request of a class, and returns its status and the kind of the server that answered.
+func (s *versionedNode) send(t *testing.T, class string) (status int, kind string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+s.listen+"/api", strings.NewReader("x"))
 	if err != nil {
@@ -204,18 +208,19 @@
 	return resp.StatusCode, string(body)
 }
 
-// serves wants requests of a class to be served, or to be unknown.
-func (s *versionedSite) serves(t *testing.T, class string, yes bool) {
+// wantClass wants requests of a class to be served, or the class to be unknown.
+func (s *versionedNode) wantClass(t *testing.T, class string, yes bool) {
 	t.Helper()
 	want := http.StatusBadRequest
 	if yes {
 		want = http.StatusOK
 	}
-	if got, _ := s.ask(t, class); got != want {
+	if got, _ := s.send(t, class); got != want {
 		t.Errorf("class %s is answered %d, want %d", class, got, want)
 	}
 }
 
+// receive waits for a value.
 func receive[T any](t *testing.T, from <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -227,75 +232,77 @@
 	}
 }
 
-func setsConfig(cluster configapi.Cluster, n configapi.Version, settings string) configapi.Update {
+// configUpdate is an update with a version of the service's settings.
+func configUpdate(cluster configapi.Cluster, n configapi.Version, settings string) configapi.Update {
 	return configapi.Update{Cluster: cluster, Version: n, ConfigVersion: n, Current: true, Config: &configapi.ServiceConfig{Settings: json.RawMessage(settings)}}
 }
 
-// A real node does what it acknowledges, as requests show: it applies what is sound, keeps what it has where a version is
-// bad in any way, and starts with its last known good version after it was killed, with no controller there.
+// A node that acknowledges what it does not do misleads the operator who rolls out a version. A real node does what it
+// acknowledges, as requests show: it applies valid versions, keeps what it has where a version is invalid in any way, and
+// starts with its last known good version after it was killed, with no controller there.
 func TestNodeFollowsConfigurationVersions(t *testing.T) {
 	controller := newStubController(t)
-	s := newVersionedSite(t, controller.Listener.Addr().String())
+	s := newVersionedNode(t, controller.Listener.Addr().String())
 	c, said := s.start(t, "--settings", s.settings)
 	first := receive(t, controller.watches, "watch")
 	if first.Node != "n0" || first.Service != "log-logic" || first.Region != "east" || first.Zone != "a" || first.Applied != 0 {
 		t.Errorf("it asks with %+v", first)
 	}
-	s.serves(t, "file", true)
-	controller.updates <- setsConfig("x", 1, classSettings(`"name":"v1"`))
+	s.wantClass(t, "file", true)
+	controller.updates <- configUpdate("x", 1, classSettings(`"name":"v1"`))
 	if ack := receive(t, controller.acks, "acknowledgement"); ack.Outcome != configapi.Applied || ack.Version != 1 || ack.Applied != 1 {
 		t.Errorf("it acknowledges %+v", ack)
 	}
-	s.serves(t, "v1", true)
+	s.wantClass(t, "v1", true)
 
 	number := configapi.Version(1)
 	for name, bad := range map[string]struct {
 		settings string
 		kind     configapi.RejectionKind
 	}{
-		"no object":             {`7`, configapi.RejectUnreadable},
-		"of another form":       {`{"limits":{"conn-idle-ms":30000,"connect-timeout-ms":1000,"max-attempts":3},"lanes":{}}`, configapi.RejectUnreadable},
-		"no classes":            {classSettings(), configapi.RejectInvalid},
-		"no attempts":           {strings.Replace(classSettings(`"name":"bad"`), `"max-attempts":3`, `"max-attempts":0`, 1), configapi.RejectInvalid},
-		"no deadline":           {strings.Replace(classSettings(`"name":"bad"`), `"deadline-ms":8000`, `"deadline-ms":0`, 1), configapi.RejectInvalid},
-		"a key out":             {strings.Replace(classSettings(`"name":"bad"`), `"conn-idle-ms":30000,`, ``, 1), configapi.RejectInvalid},
-		"a class without":       {classSettings(`"name":"v1"`, `"name":"bad","bound-to":["huge"]`), configapi.RejectNoServer},
-		"all of it on one":      {classSettings(`"name":"v1","bound-to":["small"]`, `"name":"bad"`), configapi.RejectOneServer},
-		"of a zone not present": {classSettings(`"name":"v1","confined-to":["z"]`, `"name":"bad"`), configapi.RejectNoServer},
+		"no object":                {`7`, configapi.RejectUnreadable},
+		"another form":             {`{"limits":{"conn-idle-ms":30000,"connect-timeout-ms":1000,"max-attempts":3},"lanes":{}}`, configapi.RejectUnreadable},
+		"no classes":               {classSettings(), configapi.RejectInvalid},
+		"no attempts":              {strings.Replace(classSettings(`"name":"bad"`), `"max-attempts":3`, `"max-attempts":0`, 1), configapi.RejectInvalid},
+		"no deadline":              {strings.Replace(classSettings(`"name":"bad"`), `"deadline-ms":8000`, `"deadline-ms":0`, 1), configapi.RejectInvalid},
+		"a missing key":            {strings.Replace(classSettings(`"name":"bad"`), `"conn-idle-ms":30000,`, ``, 1), configapi.RejectInvalid},
+		"a class without a server": {classSettings(`"name":"v1"`, `"name":"bad","bound-to":["huge"]`), configapi.RejectNoServer},
+		"a class on one server":    {classSettings(`"name":"v1","bound-to":["small"]`, `"name":"bad"`), configapi.RejectOneServer},
+		"a zone without servers":   {classSettings(`"name":"v1","confined-to":["z"]`, `"name":"bad"`), configapi.RejectNoServer},
 	} {
 		number++
-		controller.updates <- setsConfig("x", number, bad.settings)
+		controller.updates <- configUpdate("x", number, bad.settings)
 		ack := receive(t, controller.acks, name)
 		if ack.Outcome != configapi.Rejected || ack.Version != number || ack.Applied != 1 || ack.Rejection == nil || ack.Rejection.Kind != bad.kind {
 			t.Errorf("%s: it acknowledges %+v, %v", name, ack, ack.Rejection)
 		}
-		s.serves(t, "bad", false)
-		s.serves(t, "v1", true)
+		s.wantClass(t, "bad", false)
+		s.wantClass(t, "v1", true)
 	}
-	controller.updates <- setsConfig("y", 99, classSettings(`"name":"foreign"`))
+	controller.updates <- configUpdate("y", 99, classSettings(`"name":"foreign"`))
 	if ack := receive(t, controller.acks, "another cluster's"); ack.Cluster != "y" || ack.Rejection == nil || ack.Rejection.Kind != configapi.RejectForeign {
 		t.Errorf("another cluster's: %+v", ack)
 	}
-	s.serves(t, "foreign", false)
+	s.wantClass(t, "foreign", false)
 
 	number++
-	controller.updates <- setsConfig("x", number, classSettings(`"name":"last","bound-to":["big"]`))
+	controller.updates <- configUpdate("x", number, classSettings(`"name":"last","bound-to":["big"]`))
 	if ack := receive(t, controller.acks, "acknowledgement"); ack.Outcome != configapi.Applied || ack.Version != number {
 		t.Errorf("it acknowledges %+v, %v", ack, ack.Rejection)
 	}
-	controller.updates <- setsConfig("x", 1, classSettings(`"name":"late"`))
+	controller.updates <- configUpdate("x", 1, classSettings(`"name":"late"`))
 	for range 20 {
-		if status, kind := s.ask(t, "last"); status != http.StatusOK || kind != "big" {
+		if status, kind := s.send(t, "last"); status != http.StatusOK || kind != "big" {
 			t.Fatalf("answered %d by %s", status, kind)
 		}
 	}
-	s.serves(t, "late", false)
+	s.wantClass(t, "late", false)
 
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	poll(t, "the file read again", func() bool { return strings.Count(said.String(), `msg="configuration read again"`) == 3 })
-	s.serves(t, "last", true)
+	s.wantClass(t, "last", true)
 	for _, want := range []string{`msg="configuration version" version=1 outcome=applied cluster=x`, "outcome=rejected kind=no_server", "kind=foreign"} {
 		if !strings.Contains(said.String(), want) {
 			t.Errorf("it never says %s", want)
@@ -304,54 +311,54 @@
 
 	store := configwatch.NewStore(s.folder, "n0", slog.New(slog.DiscardHandler))
 	poll(t, "the version on disk", func() bool {
-		kept, err := store.Read()
-		return err == nil && kept.Version == number
+		stored, err := store.Read()
+		return err == nil && stored.Version == number
 	})
 	c.Process.Kill()
 	c.Wait()
-	controller.shut()
+	controller.shutDown()
 	s.start(t, "--settings", s.settings)
-	if status, kind := s.ask(t, "last"); status != http.StatusOK || kind != "big" {
-		t.Errorf("after its death, without a controller: answered %d by %s", status, kind)
+	if status, kind := s.send(t, "last"); status != http.StatusOK || kind != "big" {
+		t.Errorf("after SIGKILL, without a controller: answered %d by %s", status, kind)
 	}
-	s.serves(t, "file", false)
+	s.wantClass(t, "file", false)
 }
 
-// A folder that can't be written, and one whose file can't be read, cost the node nothing but a line.
+// A full or missing disk must not stop a rollout: a folder that can't be written costs the node nothing but a log line.
 func TestNodeFollowsVersionsWithoutADisk(t *testing.T) {
 	controller := newStubController(t)
-	s := newVersionedSite(t, controller.Listener.Addr().String())
+	s := newVersionedNode(t, controller.Listener.Addr().String())
 	if err := os.RemoveAll(s.folder); err != nil {
 		t.Fatal(err)
 	}
 	_, said := s.start(t, "--settings", s.settings)
-	controller.updates <- setsConfig("x", 1, classSettings(`"name":"v1"`))
+	controller.updates <- configUpdate("x", 1, classSettings(`"name":"v1"`))
 	if ack := receive(t, controller.acks, "acknowledgement"); ack.Outcome != configapi.Applied {
 		t.Errorf("it acknowledges %+v, %v", ack, ack.Rejection)
 	}
-	s.serves(t, "v1", true)
+	s.wantClass(t, "v1", true)
 	poll(t, "a line about the disk", func() bool { return strings.Contains(said.String(), `msg="configuration version not stored"`) })
 }
 
-// A file that is torn, or of a version that the node's own file does not go with, leaves the node with its own file.
+// A stored version that can't be read must not keep a node from starting: it starts with its own configuration file.
 func TestNodeStartsWithoutAGoodVersion(t *testing.T) {
-	for name, befall := range map[string]func(t *testing.T, path string){
-		"torn": func(t *testing.T, path string) {
+	for name, damage := range map[string]func(t *testing.T, path string){
+		"truncated": func(t *testing.T, path string) {
 			if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"a folder": func(t *testing.T, path string) {
+		"a folder in its place": func(t *testing.T, path string) {
 			if err := os.Mkdir(path, 0o700); err != nil {
 				t.Fatal(err)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newVersionedSite(t, "127.0.0.1:1")
-			befall(t, filepath.Join(s.folder, "hookwalk-config.n0"))
+			s := newVersionedNode(t, "127.0.0.1:1")
+			damage(t, filepath.Join(s.folder, "hookwalk-config.n0"))
 			_, said := s.start(t, "--settings", s.settings)
-			s.serves(t, "file", true)
+			s.wantClass(t, "file", true)
 			if !strings.Contains(said.String(), "starts with its own configuration file") {
 				t.Errorf("it says %s", said)
 			}
@@ -359,7 +366,7 @@
 	}
 }
 
-// Without the block nothing of the session runs.
+// The build for service must pay nothing for the feature: without the block no part of the session runs.
 func TestConfigWatchIsOffByDefault(t *testing.T) {
 	cfg := node.Config{Name: "n0"}
 	before := runtime.NumGoroutine()
@@ -369,7 +376,7 @@
 		t.Errorf("%+v, %v, %d goroutines, %d before", session, err, runtime.NumGoroutine(), before)
 	}
 	for _, on := range []bool{false, true} {
-		s := newVersionedSite(t, "127.0.0.1:1")
+		s := newVersionedNode(t, "127.0.0.1:1")
 		args := []string{}
 		if on {
 			args = []string{"--settings", s.settings}
--- a/cmd/hookwalk/controller_test.go
+++ b/cmd/hookwalk/controller_test.go
@@ -25,36 +25,37 @@
 	return addresses
 }
 
-// A controller of a cluster of one, as a process: a document is published, repeated, refused, and status tells.
+// The commands against a controller process, in a cluster of one: a document is published, published again with the same
+// ID, one is rejected, and status shows the result.
 func TestControllerAndConfigCommands(t *testing.T) {
 	addresses := freeAddresses(t, 2)
-	file := written(t, "controllers.hcl", fmt.Sprintf(`controllers { folder = %q }
+	file := writeFile(t, "controllers.hcl", fmt.Sprintf(`controllers { folder = %q }
 controller "c1" { listen = %q raft = %q }`, t.TempDir(), addresses[0], addresses[1]))
-	controller := program(t, "", "controller", "run", file)
+	controller := programCommand(t, "", "controller", "run", file)
 	controller.Stderr = os.Stderr
 	if err := controller.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = controller.Process.Kill() })
 
-	document := written(t, "document.json", `{"services":{"dry":{"settings":{}}}}`)
+	document := writeFile(t, "document.json", `{"services":{"dry":{"settings":{}}}}`)
 	publish := func(args ...string) (code int, stdout, stderr string) {
-		return ends(t, program(t, "", append([]string{"config", "publish", "--controllers", addresses[0]}, args...)...))
+		return runToEnd(t, programCommand(t, "", append([]string{"config", "publish", "--controllers", addresses[0]}, args...)...))
 	}
 	for range 2 { // with one ID, so the second one adds no version
 		if code, said, complaint := publish("--id", "first", document); code != 0 || said != "version 1\n" {
 			t.Fatalf("exit %d, %q, %q", code, said, complaint)
 		}
 	}
-	bad := written(t, "bad.json", `{"services":{"dry":{}}}`)
+	bad := writeFile(t, "bad.json", `{"services":{"dry":{}}}`)
 	if code, _, complaint := publish(bad); code != 1 || !strings.Contains(complaint, "service dry has no settings") || strings.Count(complaint, "\n") != 1 {
 		t.Errorf("a document without settings: exit %d, %q", code, complaint)
 	}
-	if code, _, complaint := publish(written(t, "no.json", `{`)); code != 1 || !strings.Contains(complaint, "is not JSON") {
+	if code, _, complaint := publish(writeFile(t, "no.json", `{`)); code != 1 || !strings.Contains(complaint, "is not JSON") {
 		t.Errorf("a document that is not JSON: exit %d, %q", code, complaint)
 	}
-	status := program(t, "", "config", "status", "--json", "--controllers", addresses[0])
-	if code, said, complaint := ends(t, status); code != 0 || !strings.Contains(said, `"version": 1`) || !strings.Contains(said, `"complete": true`) {
+	status := programCommand(t, "", "config", "status", "--json", "--controllers", addresses[0])
+	if code, said, complaint := runToEnd(t, status); code != 0 || !strings.Contains(said, `"version": 1`) || !strings.Contains(said, `"complete": true`) {
 		t.Errorf("status: exit %d, %s, %q", code, said, complaint)
 	}
 
@@ -64,13 +65,13 @@
 	if err := controller.Wait(); err != nil {
 		t.Errorf("the controller's end: %v", err)
 	}
-	if code, said, _ := ends(t, program(t, "", "config", "status", "--controllers", addresses[0])); code != 1 || !strings.Contains(said, "does not answer") {
+	if code, said, _ := runToEnd(t, programCommand(t, "", "config", "status", "--controllers", addresses[0])); code != 1 || !strings.Contains(said, "does not answer") {
 		t.Errorf("status without a controller: exit %d, %s", code, said)
 	}
 }
 
-func TestControllerSettingsThatCanNotBeUsed(t *testing.T) {
-	file := written(t, "controllers.hcl", "controller \"c1\" { listen = \"a:1\" }")
-	endsInOneLine(t, program(t, "", "controller", "run", file), file+":1: controller c1 needs raft")
-	endsInOneLine(t, program(t, "", "controller", "run", "/nowhere.hcl"), "/nowhere.hcl")
+func TestInvalidControllerSettings(t *testing.T) {
+	file := writeFile(t, "controllers.hcl", "controller \"c1\" { listen = \"a:1\" }")
+	wantOneLineError(t, programCommand(t, "", "controller", "run", file), file+":1: controller c1 needs raft")
+	wantOneLineError(t, programCommand(t, "", "controller", "run", "/nowhere.hcl"), "/nowhere.hcl")
 }
--- a/cmd/hookwalk/fleet_test.go
+++ b/cmd/hookwalk/fleet_test.go
@@ -18,8 +18,8 @@
 
 const smallFleet = "../../lab/fleets/small.hcl"
 
-// children are the processes that have a folder in their environment.
-func children(t *testing.T, dir string) (pids []string) {
+// processesIn are the IDs of the processes that have a folder as TMPDIR in their environment.
+func processesIn(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	list, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
@@ -33,8 +33,8 @@
 	return pids
 }
 
-// short is a folder in which the paths of nodes' sockets are not too long.
-func short(t *testing.T) string {
+// shortTempDir is a temporary folder in which the paths of nodes' sockets are not too long.
+func shortTempDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "hw")
 	if err != nil {
@@ -44,11 +44,11 @@
 	return dir
 }
 
-// gone waits until no process of a folder is left.
-func gone(t *testing.T, dir string) {
+// awaitNoProcesses waits until no process of a folder is left.
+func awaitNoProcesses(t *testing.T, dir string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		left := children(t, dir)
+		left := processesIn(t, dir)
 		if len(left) == 0 {
 			return
 		}
@@ -58,29 +58,30 @@
 	}
 }
 
-// Twelve nodes and three kinds of stand-in as processes of their own, with every kind of trouble between them, keep the
-// rules as they are seen from outside; and nothing is left of them.
+// Faults between processes, as of a network, are not met by nodes in one process. Twelve nodes and three kinds of stand-in,
+// each a process, with every kind of fault between them, keep the rules as observed from outside; afterwards no process
+// and no file is left.
 func TestFleetKeepsTheRules(t *testing.T) {
 	s, err := scenario.Load(smallFleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	met := map[string]bool{}
-	for _, trouble := range s.Troubles {
-		met[trouble.Kind] = true
+	planned := map[string]bool{}
+	for _, fault := range s.Troubles {
+		planned[fault.Kind] = true
 	}
 	for _, kind := range scenario.FleetKinds {
-		if !met[kind] {
+		if !planned[kind] {
 			t.Errorf("no %s is played", kind)
 		}
 	}
-	for try := range 3 {
-		dir := short(t)
-		c := program(t, "", "lab", "fleet", "--no-calm", smallFleet)
+	for attempt := range 3 {
+		dir := shortTempDir(t)
+		c := programCommand(t, "", "lab", "fleet", "--no-calm", smallFleet)
 		c.Env = append(c.Env, "TMPDIR="+dir)
-		code, said, warned := ends(t, c)
-		gone(t, dir)
-		if code == exitLate && try < 2 {
+		code, said, warned := runToEnd(t, c)
+		awaitNoProcesses(t, dir)
+		if code == exitLate && attempt < 2 {
 			t.Logf("the machine was too slow: %s", said)
 			continue
 		}
@@ -97,17 +98,18 @@
 	}
 }
 
-// Whatever ends the parent, no other process survives it, one that is stopped included; one that is asked to end leaves
-// no folder either. A hunt that plays two at once is a parent too.
+// Processes that survive their rig load the machine and hold its ports. Whatever ends the parent, no child survives it, one
+// that is stopped included; a parent that gets SIGINT or SIGTERM leaves no folder either. A hunt that plays two schedules
+// at once is a parent too.
 func TestFleetDiesWithItsParent(t *testing.T) {
 	for _, tc := range []struct {
 		sig syscall.Signal
 		two bool
 	}{{syscall.SIGINT, false}, {syscall.SIGKILL, false}, {syscall.SIGINT, true}, {syscall.SIGTERM, true}, {syscall.SIGKILL, true}} {
-		dir, found := short(t), t.TempDir()
-		c, processes := program(t, "", "lab", "fleet", "--no-calm", smallFleet), 1+12+6
+		dir, found := shortTempDir(t), t.TempDir()
+		c, processes := programCommand(t, "", "lab", "fleet", "--no-calm", smallFleet), 1+12+6
 		if tc.two {
-			c, processes = program(t, "", "lab", "fleet", "hunt", "--at-once", "2", "-o", found, smallFleet), 1+2*(12+6)
+			c, processes = programCommand(t, "", "lab", "fleet", "hunt", "--at-once", "2", "-o", found, smallFleet), 1+2*(12+6)
 		}
 		var said strings.Builder
 		c.Stdout = &said
@@ -124,12 +126,12 @@
 			c.Process.Kill()
 			<-ended
 		})
-		for end := time.Now().Add(60 * time.Second); len(children(t, dir)) < processes; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(60 * time.Second); len(processesIn(t, dir)) < processes; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("only %d processes", len(children(t, dir)))
+				t.Fatalf("only %d processes", len(processesIn(t, dir)))
 			}
 		}
-		for _, pid := range children(t, dir)[:3] {
+		for _, pid := range processesIn(t, dir)[:3] {
 			if n, err := strconv.Atoi(pid); err == nil && n != c.Process.Pid {
 				syscall.Kill(n, syscall.SIGSTOP)
 			}
@@ -140,7 +142,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%v does not end it", tc.sig)
 		}
-		gone(t, dir)
+		awaitNoProcesses(t, dir)
 		if tc.sig == syscall.SIGKILL {
 			continue
 		}
--- a/cmd/hookwalk/main_test.go
+++ b/cmd/hookwalk/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain has the test binary be the program when the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("HOOKWALK_AS_PROGRAM") != "" {
 		main()
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// written is a file that holds a text.
-func written(t testing.TB, name, text string) (path string) {
+// writeFile writes a text into a new file.
+func writeFile(t testing.TB, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -34,8 +34,8 @@
 	return path
 }
 
-// ends runs a program to its end and returns its exit code and what it said.
-func ends(t *testing.T, c *exec.Cmd) (code int, stdout, stderr string) {
+// runToEnd runs a program to its end and returns its exit code and output.
+func runToEnd(t *testing.T, c *exec.Cmd) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs strings.Builder
 	c.Stdout, c.Stderr = &out, &errs
@@ -45,22 +45,24 @@
 	return c.ProcessState.ExitCode(), out.String(), errs.String()
 }
 
-func program(t testing.TB, config string, args ...string) *exec.Cmd {
+// programCommand is the program with a text as its configuration file.
+func programCommand(t testing.TB, config string, args ...string) *exec.Cmd {
 	t.Helper()
-	path := written(t, "config.json", config)
+	path := writeFile(t, "config.json", config)
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "HOOKWALK_AS_PROGRAM=1", "ROUTER_CONFIG="+path)
 	return c
 }
 
-const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
+// minimalConfig is a configuration with one server that does not exist and one class; its argument is discovery's address.
+const minimalConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","health":"in_service"}]},
  "settings":{"limits":{"conn-idle-ms":30000,"connect-timeout-ms":75},
   "lanes":[{"name":"a","target-ms":100,"deadline-ms":200,"worth":1}]}}`
 
-// watchable is a discovery that tells when it is watched and hands out the list that a node starts with.
-func watchable(t *testing.T) (addr string, watched <-chan struct{}) {
+// startDiscovery starts a discovery that signals each watch and serves the list that minimalConfig has.
+func startDiscovery(t *testing.T) (addr string, watched <-chan struct{}) {
 	calls := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("watch") == "" {
@@ -79,8 +81,8 @@
 	return s.Listener.Addr().String(), calls
 }
 
-// serving starts the program and waits until it is ready.
-func serving(t *testing.T, c *exec.Cmd) (lines *bufio.Scanner, url string) {
+// startServing starts the program and waits until it is ready.
+func startServing(t *testing.T, c *exec.Cmd) (lines *bufio.Scanner, url string) {
 	t.Helper()
 	stderr, err := c.StderrPipe()
 	if err != nil {
@@ -106,6 +108,7 @@
 	return lines, url
 }
 
+// status is the status of a GET.
 func status(t *testing.T, url string) int {
 	t.Helper()
 	resp, err := http.Get(url)
@@ -130,20 +133,20 @@
 }
 
 func TestServesUntilSIGTERM(t *testing.T) {
-	agent, _ := watchable(t)
-	c := program(t, fmt.Sprintf(config, agent))
-	lines, _ := serving(t, c)
+	agent, _ := startDiscovery(t)
+	c := programCommand(t, fmt.Sprintf(minimalConfig, agent))
+	lines, _ := startServing(t, c)
 	terminate(t, c, lines)
 }
 
-// SIGHUP, uncaught, ended the node. It reads the file again instead and watches the discovery named there;
-// with a file that can't be used it says so in one line and goes on as it was.
+// SIGHUP once ended the node, because nothing handled it. It reads the file again instead and watches the discovery named
+// there; with a file that can't be used it logs one line and goes on as before.
 func TestSIGHUPReadsTheConfigurationAgain(t *testing.T) {
-	first, firstWatched := watchable(t)
-	second, secondWatched := watchable(t)
-	c := program(t, fmt.Sprintf(config, first))
+	first, firstWatched := startDiscovery(t)
+	second, secondWatched := startDiscovery(t)
+	c := programCommand(t, fmt.Sprintf(minimalConfig, first))
 	path := strings.TrimPrefix(c.Env[len(c.Env)-1], "ROUTER_CONFIG=")
-	lines, url := serving(t, c)
+	lines, url := startServing(t, c)
 	<-firstWatched
 	hangUp := func(text, want string) {
 		t.Helper()
@@ -164,20 +167,20 @@
 	if len(firstWatched)+len(secondWatched) != 0 {
 		t.Error("a file that can't be read moved the watch")
 	}
-	hangUp(fmt.Sprintf(config, second), `msg="configuration read again"`)
+	hangUp(fmt.Sprintf(minimalConfig, second), `msg="configuration read again"`)
 	<-secondWatched
 	if got := status(t, url+"/ready"); got != http.StatusOK {
 		t.Errorf("after SIGHUP /ready answers %d", got)
 	}
-	hangUp(fmt.Sprintf(config, first), `msg="configuration read again"`)
+	hangUp(fmt.Sprintf(minimalConfig, first), `msg="configuration read again"`)
 	<-firstWatched
 	terminate(t, c, lines)
 }
 
-// endsInOneLine wants exit 1 and one line that says a text.
-func endsInOneLine(t *testing.T, c *exec.Cmd, want string) {
+// wantOneLineError wants exit 1 and one line that says a text.
+func wantOneLineError(t *testing.T, c *exec.Cmd, want string) {
 	t.Helper()
-	code, _, said := ends(t, c)
+	code, _, said := runToEnd(t, c)
 	if code != 1 || strings.Count(said, "\n") != 1 || !strings.HasPrefix(said, "hookwalk: ") || !strings.Contains(said, want) {
 		t.Errorf("exit %d, said %q, want exit 1 and one line with %q", code, said, want)
 	}
@@ -189,10 +192,10 @@
 		`drill "a" { class = 3 }`:           ":1: class must be a string",
 		"\n\ndrill \"a\" { class = \"b\" }": `:3: drill a: class "b" is not one of the node's classes`,
 	} {
-		path := written(t, "hookwalk.hcl", text)
-		endsInOneLine(t, program(t, fmt.Sprintf(config, "127.0.0.1:1"), "--settings", path), path+want)
+		path := writeFile(t, "hookwalk.hcl", text)
+		wantOneLineError(t, programCommand(t, fmt.Sprintf(minimalConfig, "127.0.0.1:1"), "--settings", path), path+want)
 	}
-	endsInOneLine(t, program(t, fmt.Sprintf(config, "127.0.0.1:1"), "--settings", "/nowhere.hcl"), "/nowhere.hcl")
+	wantOneLineError(t, programCommand(t, fmt.Sprintf(minimalConfig, "127.0.0.1:1"), "--settings", "/nowhere.hcl"), "/nowhere.hcl")
 }
 
 func TestUsage(t *testing.T) {
@@ -202,9 +205,9 @@
 		"version more": 2, "run --fast": 2, "run more": 2, "run -h": 0, "check --help": 0, "version -h": 0,
 		"drill start --file x --addr a:1 more": 2, "drill start --file x": 2, "-h": 0, "drill -h": 0, "drill start -h": 0,
 	} {
-		c := program(t, "", strings.Fields(args)...)
+		c := programCommand(t, "", strings.Fields(args)...)
 		c.Env = append(c.Env, "ROUTER_LISTEN=")
-		code, said, warned := ends(t, c)
+		code, said, warned := runToEnd(t, c)
 		if want == 0 {
 			warned = said
 		}
@@ -215,46 +218,46 @@
 }
 
 func TestCheckAndVersion(t *testing.T) {
-	good := written(t, "good.hcl", "figures { flush_ms = 100 }")
-	if code, said, warned := ends(t, program(t, "", "check", good)); code != 0 || said != "ok\n" || warned != "" {
+	good := writeFile(t, "good.hcl", "figures { flush_ms = 100 }")
+	if code, said, warned := runToEnd(t, programCommand(t, "", "check", good)); code != 0 || said != "ok\n" || warned != "" {
 		t.Errorf("a good file: exit %d, %q, %q", code, said, warned)
 	}
-	bad := written(t, "bad.hcl", "\nfigures { flush_ms = 1 }")
-	endsInOneLine(t, program(t, "", "check", bad), bad+":2: flush_ms must be from 10")
-	if code, said, _ := ends(t, program(t, "", "version")); code != 0 || !regexp.MustCompile(`^hookwalk, revision .*, go1\.`).MatchString(said) {
+	bad := writeFile(t, "bad.hcl", "\nfigures { flush_ms = 1 }")
+	wantOneLineError(t, programCommand(t, "", "check", bad), bad+":2: flush_ms must be from 10")
+	if code, said, _ := runToEnd(t, programCommand(t, "", "version")); code != 0 || !regexp.MustCompile(`^hookwalk, revision .*, go1\.`).MatchString(said) {
 		t.Errorf("version: exit %d, %q", code, said)
 	}
 }
 
 func TestLabRun(t *testing.T) {
-	good := written(t, "a.hcl", `scenario "a" { length_s = 2 }
+	good := writeFile(t, "a.hcl", `scenario "a" { length_s = 2 }
 tier "t" { kind "k" { count = 4 } }
 class "c" { effect = "safe" work_ms = 5 }`)
-	code, said, _ := ends(t, program(t, "", "lab", "run", good))
+	code, said, _ := runToEnd(t, programCommand(t, "", "lab", "run", good))
 	if code != 0 || !strings.Contains(said, "\nrules broken   0\n") {
 		t.Errorf("exit %d, %q", code, said)
 	}
-	if _, again, _ := ends(t, program(t, "", "lab", "run", good)); again != said {
+	if _, again, _ := runToEnd(t, programCommand(t, "", "lab", "run", good)); again != said {
 		t.Errorf("the same seed: %q, then %q", said, again)
 	}
-	if _, other, _ := ends(t, program(t, "", "lab", "run", good, "--seed", "2", "--policy", "random")); other == said || !strings.Contains(other, "seed 2, policy random") {
+	if _, other, _ := runToEnd(t, programCommand(t, "", "lab", "run", good, "--seed", "2", "--policy", "random")); other == said || !strings.Contains(other, "seed 2, policy random") {
 		t.Errorf("another seed and policy: %q", other)
 	}
-	bad := written(t, "b.hcl", "scenario \"a\" {}\n\nfire {}")
-	endsInOneLine(t, program(t, "", "lab", "run", bad), bad+":3: unknown block fire")
-	endsInOneLine(t, program(t, "", "lab", "run", good, "--policy", "guess"), `unknown policy "guess"`)
+	bad := writeFile(t, "b.hcl", "scenario \"a\" {}\n\nfire {}")
+	wantOneLineError(t, programCommand(t, "", "lab", "run", bad), bad+":3: unknown block fire")
+	wantOneLineError(t, programCommand(t, "", "lab", "run", good, "--policy", "guess"), `unknown policy "guess"`)
 }
 
 // A sweep, its page, and what another policy changes: status 1 where worth falls by more than it may.
 func TestLabSweepReportDiff(t *testing.T) {
-	file := written(t, "a.hcl", `scenario "a" { length_s = 3 }
+	file := writeFile(t, "a.hcl", `scenario "a" { length_s = 3 }
 tier "t" { kind "k" { count = 3 cores = 1 slots = 6 queue = 3 } }
 class "c" { effect = "safe" work_ms = 15 aim_ms = 100 deadline_ms = 300 }
 trouble "overload" { at_s = 0.5 length_s = 2 size = 4 }`)
 	dir := t.TempDir()
 	lab := func(want int, args ...string) string {
 		t.Helper()
-		code, said, warned := ends(t, program(t, "", append([]string{"lab"}, args...)...))
+		code, said, warned := runToEnd(t, programCommand(t, "", append([]string{"lab"}, args...)...))
 		if code != want {
 			t.Errorf("%v: exit %d, %s%s", args, code, said, warned)
 		}
@@ -310,9 +313,9 @@
 
 // The same world on sockets: real nodes, and every fault on real connections.
 func TestLabRunOnSockets(t *testing.T) {
-	c := program(t, "", "lab", "run", "--sockets", written(t, "small.hcl", smallWorld))
+	c := programCommand(t, "", "lab", "run", "--sockets", writeFile(t, "small.hcl", smallWorld))
 	c.Env = append(c.Env, "TMPDIR="+t.TempDir())
-	code, said, warned := ends(t, c)
+	code, said, warned := runToEnd(t, c)
 	if code != 0 || !strings.Contains(said, "\nrules broken   0\n") || !strings.Contains(said, "scenario small") {
 		t.Errorf("exit %d, %s%s", code, said, warned)
 	}
@@ -321,7 +324,7 @@
 // The line that lab up prints is served, and nothing stays behind when it is told to end.
 func TestLabUp(t *testing.T) {
 	dir := t.TempDir()
-	c := program(t, "", "lab", "up", written(t, "small.hcl", smallWorld))
+	c := programCommand(t, "", "lab", "up", writeFile(t, "small.hcl", smallWorld))
 	c.Env = append(c.Env, "TMPDIR="+dir)
 	out, err := c.StdoutPipe()
 	if err != nil {
@@ -366,28 +369,28 @@
 func TestDrillCommand(t *testing.T) {
 	const drills = `drill "away" { class = "a" secret = "crush-pad-7" share = 100 abort_status = 500 }
 drill "locked" { class = "a" }`
-	agent, _ := watchable(t)
-	file := written(t, "hookwalk.hcl", drills)
-	c := program(t, fmt.Sprintf(config, agent), "--settings", file)
-	lines, url := serving(t, c)
+	agent, _ := startDiscovery(t)
+	file := writeFile(t, "hookwalk.hcl", drills)
+	c := programCommand(t, fmt.Sprintf(minimalConfig, agent), "--settings", file)
+	lines, url := startServing(t, c)
 	addr := strings.TrimPrefix(url, "http://")
 	command := func(args ...string) *exec.Cmd {
-		c := program(t, "", append([]string{"drill", "start"}, args...)...)
+		c := programCommand(t, "", append([]string{"drill", "start"}, args...)...)
 		c.Env = append(c.Env, "ROUTER_LISTEN="+addr)
 		return c
 	}
-	endsInOneLine(t, command("--file", file), "several drills")
-	endsInOneLine(t, command("--file", file, "--name", "locked"), "drill locked has no secret")
-	endsInOneLine(t, command("--file", file, "--name", "other"), "no drill other")
-	endsInOneLine(t, command("--file", written(t, "empty.hcl", "")), "no drill")
-	endsInOneLine(t, command("--file", file, "--name", "away", "--addr", "127.0.0.1:1"), "drill away: ")
-	wrong := written(t, "wrong.hcl", strings.Replace(drills, "pad-7", "pad-8", 1))
-	endsInOneLine(t, command("--file", wrong, "--name", "away"), "403 Forbidden")
-	code, said, _ := ends(t, command("--file", file, "--name", "away"))
+	wantOneLineError(t, command("--file", file), "several drills")
+	wantOneLineError(t, command("--file", file, "--name", "locked"), "drill locked has no secret")
+	wantOneLineError(t, command("--file", file, "--name", "other"), "no drill other")
+	wantOneLineError(t, command("--file", writeFile(t, "empty.hcl", "")), "no drill")
+	wantOneLineError(t, command("--file", file, "--name", "away", "--addr", "127.0.0.1:1"), "drill away: ")
+	wrong := writeFile(t, "wrong.hcl", strings.Replace(drills, "pad-7", "pad-8", 1))
+	wantOneLineError(t, command("--file", wrong, "--name", "away"), "403 Forbidden")
+	code, said, _ := runToEnd(t, command("--file", file, "--name", "away"))
 	if code != 0 || said != "drill=away started\n" {
 		t.Errorf("exit %d, said %q", code, said)
 	}
-	if status := ask(t, url, "id-1"); status != http.StatusInternalServerError {
+	if status := sendRequest(t, url, "id-1"); status != http.StatusInternalServerError {
 		t.Errorf("answered %d, want the drill's 500", status)
 	}
 	for lines.Scan() && !strings.Contains(lines.Text(), "id=id-1") {
@@ -399,7 +402,7 @@
 }
 
 // ask sends a request of class a and returns the answer's status.
-func ask(t *testing.T, url, id string, headers ...string) int {
+func sendRequest(t *testing.T, url, id string, headers ...string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/api", nil)
 	if err != nil {
@@ -421,21 +424,21 @@
 
 // The operators' check: loopback traffic, and standard error tells of it, to the last flush. Log lines and
 // figures don't mix.
-func TestFiguresOnStandardError(t *testing.T) {
-	agent, _ := watchable(t)
-	c := program(t, fmt.Sprintf(config, agent), "--settings", written(t, "hookwalk.hcl", `figures { flush_ms = 60000 }
+func TestMetricsOnStandardError(t *testing.T) {
+	agent, _ := startDiscovery(t)
+	c := programCommand(t, fmt.Sprintf(minimalConfig, agent), "--settings", writeFile(t, "hookwalk.hcl", `figures { flush_ms = 60000 }
 drill "away" { class = "a" secret = "crush-pad-7" share = 100 abort_status = 503 }`))
-	lines, url := serving(t, c)
-	if code, _, said := ends(t, program(t, "", "drill", "start", "--file", written(t, "drill.hcl",
+	lines, url := startServing(t, c)
+	if code, _, said := runToEnd(t, programCommand(t, "", "drill", "start", "--file", writeFile(t, "drill.hcl",
 		`drill "away" { class = "a" secret = "crush-pad-7" }`), "--addr", strings.TrimPrefix(url, "http://"))); code != 0 {
 		t.Fatalf("the drill did not start: %s", said)
 	}
 	for i := range 20 {
-		if status := ask(t, url, fmt.Sprint(i), "X-Caller", "okanagan-ridge"); status != http.StatusServiceUnavailable {
+		if status := sendRequest(t, url, fmt.Sprint(i), "X-Caller", "okanagan-ridge"); status != http.StatusServiceUnavailable {
 			t.Errorf("answered %d", status)
 		}
 	}
-	if status := ask(t, url, "x", "X-Call-Class", "new"); status != http.StatusBadRequest {
+	if status := sendRequest(t, url, "x", "X-Call-Class", "new"); status != http.StatusBadRequest {
 		t.Errorf("an unknown class was answered %d", status)
 	}
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
@@ -473,10 +476,10 @@
 // A node that is killed outright leaves a capture on standard error that replays; SIGUSR1 writes out what it
 // holds once more. The exit code tells of differences and of captures that can't be played.
 func TestCaptureAndReplay(t *testing.T) {
-	agent, _ := watchable(t)
+	agent, _ := startDiscovery(t)
 	dir := t.TempDir()
-	c := program(t, fmt.Sprintf(config, agent), "--settings", written(t, "hookwalk.hcl", fmt.Sprintf("figures { flush_ms = 10 }\ncapture { folder = %q }", dir)))
-	lines, url := serving(t, c)
+	c := programCommand(t, fmt.Sprintf(minimalConfig, agent), "--settings", writeFile(t, "hookwalk.hcl", fmt.Sprintf("figures { flush_ms = 10 }\ncapture { folder = %q }", dir)))
+	lines, url := startServing(t, c)
 	var log strings.Builder
 	until := func(enough func(line string) bool) {
 		t.Helper()
@@ -489,7 +492,7 @@
 		t.Fatal("standard error ended")
 	}
 	for i := range 50 {
-		ask(t, url, fmt.Sprint(i), "X-Caller", "okanagan-ridge")
+		sendRequest(t, url, fmt.Sprint(i), "X-Caller", "okanagan-ridge")
 	}
 	if err := c.Process.Signal(syscall.SIGUSR1); err != nil {
 		t.Fatal(err)
@@ -502,7 +505,7 @@
 		}
 		return heads == 1
 	})
-	ask(t, url, "last")
+	sendRequest(t, url, "last")
 	if err := c.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -511,7 +514,7 @@
 	}
 	c.Wait()
 	replayed := func(name, text string) (code int, said, warned string) {
-		return ends(t, program(t, "", "replay", "--capture", written(t, name, text)))
+		return runToEnd(t, programCommand(t, "", "replay", "--capture", writeFile(t, name, text)))
 	}
 	code, said, warned := replayed("node.log", log.String())
 	if code != 0 || !regexp.MustCompile(`^[0-9]{2,} records compared, 0 differences, [0-9]+ skipped\n$`).MatchString(said) {
@@ -546,12 +549,12 @@
 		"no JSON":     "{",
 		"no settings": `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1"}`,
 		"no classes":  `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"limits":{"conn-idle-ms":1,"connect-timeout-ms":1}}}`,
-		"bad seed":    strings.Replace(fmt.Sprintf(config, "127.0.0.1:1"), "8c1f", "xyz", 1),
-		"bad listen":  strings.Replace(fmt.Sprintf(config, "127.0.0.1:1"), "127.0.0.1:0", "nowhere", 1),
-		"bad limits":  strings.Replace(fmt.Sprintf(config, "127.0.0.1:1"), `"sockets":1024`, `"sockets":-1`, 1),
+		"bad seed":    strings.Replace(fmt.Sprintf(minimalConfig, "127.0.0.1:1"), "8c1f", "xyz", 1),
+		"bad listen":  strings.Replace(fmt.Sprintf(minimalConfig, "127.0.0.1:1"), "127.0.0.1:0", "nowhere", 1),
+		"bad limits":  strings.Replace(fmt.Sprintf(minimalConfig, "127.0.0.1:1"), `"sockets":1024`, `"sockets":-1`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			endsInOneLine(t, program(t, text), "")
+			wantOneLineError(t, programCommand(t, text), "")
 		})
 	}
 }
--- a/cmd/hookwalk/operations_test.go
+++ b/cmd/hookwalk/operations_test.go
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// The figures of docs/operations.md, each with real processes on loopback:
+// The measurements of docs/operations.md, each with real processes on loopback:
 //
 //	go test ./cmd/hookwalk -run '^$' -bench Operations -benchtime 1x -count 5
 
 // BenchmarkOperationsUpgrade replaces the process under the load of 32 clients.
 func BenchmarkOperationsUpgrade(b *testing.B) {
 	for b.Loop() {
-		s := newSite(b)
+		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
 		l := s.load(32)
 		begin := time.Now()
-		heir := s.start(b)
-		heir.waitReady(b)
-		yes := time.Since(begin)
+		successor := s.start(b)
+		successor.waitReady(b)
+		readyTime := time.Since(begin)
 		p.terminate(b)
 		close(l.stop)
-		l.wg.Wait()
-		b.ReportMetric(float64(l.wrong.Load()), "lost")
+		l.running.Wait()
+		b.ReportMetric(float64(l.failures.Load()), "lost")
 		b.ReportMetric(float64(l.unread.Load()), "unread")
 		b.ReportMetric(float64(l.served.Load()), "served")
-		b.ReportMetric(float64(yes.Milliseconds()), "ms-to-yes")
-		heir.terminate(b)
+		b.ReportMetric(float64(readyTime.Milliseconds()), "ms-to-yes")
+		successor.terminate(b)
 	}
 }
 
-// BenchmarkOperationsControl makes operators' calls at full load, beside connections that hold their places.
+// BenchmarkOperationsControl makes operators' calls at full load, beside connections that send no complete request.
 func BenchmarkOperationsControl(b *testing.B) {
 	for b.Loop() {
-		s := newSite(b)
+		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
 		l := s.load(64)
@@ -59,7 +59,7 @@
 				held = append(held, c)
 			}
 			begin := time.Now()
-			if got := p.call("POST", "/control/servers/s-1/"+[]string{"offline", "online"}[i%2]); got != http.StatusOK {
+			if got := p.callAdmin("POST", "/control/servers/s-1/"+[]string{"offline", "online"}[i%2]); got != http.StatusOK {
 				b.Errorf("answered %d", got)
 			}
 			took = append(took, time.Since(begin))
@@ -68,7 +68,7 @@
 			c.Close()
 		}
 		close(l.stop)
-		l.wg.Wait()
+		l.running.Wait()
 		worst, sum := time.Duration(0), time.Duration(0)
 		for _, d := range took {
 			worst, sum = max(worst, d), sum+d
@@ -79,28 +79,29 @@
 	}
 }
 
-// BenchmarkOperationsSize passes bodies and answers of 32 MB on, 24 at a time, 1.5 GB in all.
+// BenchmarkOperationsSize forwards bodies and answers of 32 MB, 24 at a time, 1.5 GB in all.
 func BenchmarkOperationsSize(b *testing.B) {
 	for b.Loop() {
-		peak, wrong := manyLarge(b, 24, 32<<20)
+		peak, wrong := sendLargeBodies(b, 24, 32<<20)
 		b.ReportMetric(float64(peak)/1024, "MB-peak")
 		b.ReportMetric(float64(wrong), "wrong")
 	}
 }
 
-// Large bodies and answers, together far over what the node may have, cost it next to nothing.
-func TestManyLargeAtOnce(t *testing.T) {
-	if peak, wrong := manyLarge(t, 12, 8<<20); wrong > 0 || peak > 64<<10 {
+// A node that buffered bodies would be killed for its memory by a few uploads at once. Large bodies and answers, together
+// far over the node's memory limit, cost it next to nothing.
+func TestManyLargeBodiesAtOnce(t *testing.T) {
+	if peak, wrong := sendLargeBodies(t, 12, 8<<20); wrong > 0 || peak > 64<<10 {
 		t.Errorf("%d went wrong, %d KiB of memory at most for 192 MiB", wrong, peak)
 	}
 }
 
 // manyLarge has n clients send a body of a size and read an answer of the same size. It returns the node's peak of
 // memory in KiB, and how many of them went wrong.
-func manyLarge(t testing.TB, n, size int) (peak int, wrong int64) {
+func sendLargeBodies(t testing.TB, n, size int) (peak int, wrong int64) {
 	t.Helper()
 	piece := bytes.Repeat([]byte("brix 23.4;"), 3277)
-	s := newSiteOf(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newNodeEnvironmentWith(t, func(w http.ResponseWriter, r *http.Request) {
 		got, err := io.Copy(io.Discard, r.Body)
 		if err != nil || got != int64(size) {
 			return
@@ -118,7 +119,7 @@
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			r, _ := http.NewRequest("POST", "http://"+s.listen+"/api", io.LimitReader(&repeating{text: piece}, int64(size)))
+			r, _ := http.NewRequest("POST", "http://"+s.listen+"/api", io.LimitReader(&repeatingReader{text: piece}, int64(size)))
 			r.ContentLength = int64(size) * int64(i%2*2-1) // every second one is chunked
 			if r.ContentLength < 0 {
 				r.ContentLength = -1
@@ -148,13 +149,13 @@
 	return peak, faults.Load()
 }
 
-// repeating is a text without end.
-type repeating struct {
+// repeatingReader is a text without end.
+type repeatingReader struct {
 	text []byte
 	at   int
 }
 
-func (r *repeating) Read(b []byte) (int, error) {
+func (r *repeatingReader) Read(b []byte) (int, error) {
 	n := copy(b, r.text[r.at:])
 	r.at = (r.at + n) % len(r.text)
 	return n, nil
--- /dev/null
+++ b/cmd/hookwalk/operatorstate_test.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+)
+
+// An operator who was told that a server is disabled relies on it: if the node forgot this at SIGKILL, it would send to a
+// server under repair. Every acknowledged override is in force in the next incarnation, which knows it from the folder
+// alone, also where many calls come at once.
+func TestAcknowledgedOverridesSurviveAKill(t *testing.T) {
+	t.Run("with a socket between processes", func(t *testing.T) { checkOverridesSurviveKills(t, "") })
+	t.Run("where the path is too long for a socket", func(t *testing.T) { checkOverridesSurviveKills(t, strings.Repeat("d", 100)) })
+}
+
+// checkOverridesSurviveKills disables and enables servers at a node that is killed after each round.
+func checkOverridesSurviveKills(t *testing.T, folder string) {
+	const servers = 12 // below the limit of overrides
+	var ids []string
+	for i := range servers {
+		ids = append(ids, fmt.Sprintf("m-%d", i))
+	}
+	s := newNodeEnvironmentWith(t, func(http.ResponseWriter, *http.Request) {}, ids...)
+	s.tmp = filepath.Join(s.tmp, folder)
+	if err := os.MkdirAll(s.tmp, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for round := range 3 {
+		p := s.start(t)
+		p.waitReady(t)
+		var calls sync.WaitGroup
+		for i := range servers {
+			calls.Go(func() {
+				what := "offline"
+				if round%2 == 1 && i%2 == 1 { // what is enabled again must not be disabled either
+					what = "online"
+				}
+				if got := p.callAdmin("POST", "/control/servers/"+ids[i]+"/"+what); got != http.StatusOK {
+					t.Errorf("round %d: %s of m-%d is answered %d", round, what, i, got)
+				}
+			})
+		}
+		calls.Wait()
+		p.Process.Signal(syscall.SIGKILL)
+		<-p.ended
+		p.ended <- nil
+		disabled := s.disabledOnDisk(t)
+		for i := range servers {
+			if want := round%2 == 0 || i%2 == 0; slices.Contains(disabled, ids[i]) != want {
+				t.Errorf("round %d: m-%d is disabled in the folder: %v, want %v", round, i, !want, want)
+			}
+		}
+	}
+	// The stored state can be shown, and a truncated file is told from a complete one.
+	files, _ := filepath.Glob(s.tmp + "/*.kept")
+	for _, tc := range []struct {
+		command, says string
+		code, cut     int
+	}{{"show", "version 2\nof      n0 at " + s.listen + "\nage     ", 0, 0}, {"check", "ok\n", 0, 0}, {"check", "torn", 1, 90}} {
+		if tc.cut > 0 {
+			if err := os.Truncate(files[0], int64(tc.cut)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		code, said, errs := runToEnd(t, programCommand(t, "", "state", tc.command, files[0]))
+		if code != tc.code || !strings.Contains(said+errs, tc.says) || strings.Count(errs, "\n") != tc.code {
+			t.Errorf("%s: %d, %s%s", tc.command, code, said, errs)
+		}
+	}
+}
--- a/cmd/hookwalk/peers_test.go
+++ b/cmd/hookwalk/peers_test.go
@@ -13,26 +13,27 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// What a disk that lies makes of the number of a start: the next best is gone on with, at once, and the log says so where
-// something was wrong. The peers settle the rest.
-func TestStartNumberOnDisksThatLie(t *testing.T) {
+// A disk may have lost, truncated or altered the number of a node's start, or bring back an older one. The node goes on at
+// once with the best number that it can find, and the log has a line where something was wrong; the peers refute a number
+// that is too low.
+func TestStartNumberOnFaultyDisks(t *testing.T) {
 	for name, tc := range map[string]struct {
-		befall func(path string) error
+		damage func(path string) error
 		want   uint64
 		wrong  bool
 	}{
-		"sound":        {func(string) error { return nil }, 4, false},
-		"gone":         {removed, 1, false},
-		"an older one": {func(path string) error { return state.Write(path, "n", []byte("1")) }, 2, false},
-		"of another":   {func(path string) error { removed(path); return state.Write(path, "m", []byte("9")) }, 1, true},
-		"no number":    {func(path string) error { removed(path); return state.Write(path, "n", []byte(`"x"`)) }, 1, true},
-		"torn":         {func(path string) error { return changed(path, func(b []byte) []byte { return b[:len(b)/2] }) }, 3, false},
-		"a bit differs": {func(path string) error {
-			return changed(path, func(b []byte) []byte { b[len(b)/2] ^= 4; return b })
+		"undamaged":       {func(string) error { return nil }, 4, false},
+		"missing":         {removeBothCopies, 1, false},
+		"an older one":    {func(path string) error { return state.Write(path, "n", []byte("1")) }, 2, false},
+		"of another node": {func(path string) error { removeBothCopies(path); return state.Write(path, "m", []byte("9")) }, 1, true},
+		"no number":       {func(path string) error { removeBothCopies(path); return state.Write(path, "n", []byte(`"x"`)) }, 1, true},
+		"truncated":       {func(path string) error { return rewriteFile(path, func(b []byte) []byte { return b[:len(b)/2] }) }, 3, false},
+		"one bit flipped": {func(path string) error {
+			return rewriteFile(path, func(b []byte) []byte { b[len(b)/2] ^= 4; return b })
 		}, 3, false},
-		"torn, and the one before too": {func(path string) error {
+		"truncated, and no earlier copy": {func(path string) error {
 			os.Remove(path + ".before")
-			return changed(path, func(b []byte) []byte { return b[:len(b)/2] })
+			return rewriteFile(path, func(b []byte) []byte { return b[:len(b)/2] })
 		}, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +43,7 @@
 					t.Fatal(err)
 				}
 			}
-			if err := tc.befall(path); err != nil {
+			if err := tc.damage(path); err != nil {
 				t.Fatal(err)
 			}
 			s := &startFile{path: path, owner: "n", log: slog.New(slog.DiscardHandler)}
@@ -61,16 +62,18 @@
 		t.Errorf("without a folder it is start %d", n)
 	}
 	if err := nowhere.Save(7); err == nil {
-		t.Error("it is kept nowhere, and nobody says so")
+		t.Error("the number is stored nowhere, and Save returns no error")
 	}
 }
 
-func removed(path string) error {
+// removeBothCopies removes the file and its earlier copy.
+func removeBothCopies(path string) error {
 	os.Remove(path + ".before")
 	return os.Remove(path)
 }
 
-func changed(path string, how func([]byte) []byte) error {
+// rewriteFile changes the bytes of the file.
+func rewriteFile(path string, how func([]byte) []byte) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/cmd/hookwalk/restart_test.go
+++ b/cmd/hookwalk/restart_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// A node that starts owes an answer to every request whose connection came up, the first one to arrive at its listener
-// included: what waits unread between the opening of the listener and the first read is taken all the same. Clients
-// here try without a pause while the process is killed and started again, so that each start meets some at that moment.
+// A node that starts owes an answer to every request whose connection came up, the first one at its listener included:
+// what arrives between the opening of the listener and the first read must not be lost. Clients here connect without a
+// pause while the process is killed and started again, so that some arrive at that moment of each start.
 func TestNothingIsLostAsANodeStarts(t *testing.T) {
 	const rounds, clients, owed = 5, 8, 2 * time.Second
-	s := newSite(t)
-	var first [rounds]atomic.Int64
+	s := newNodeEnvironment(t)
+	var connected [rounds]atomic.Int64
 	for round := range rounds {
 		p := s.start(t)
 		stop := make(chan struct{})
@@ -40,13 +40,13 @@
 						t.Errorf("no connection: %v", err)
 						return
 					}
-					first[round].Add(1)
+					connected[round].Add(1)
 					c.SetDeadline(time.Now().Add(owed + 500*time.Millisecond))
 					fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r%d-c%d-%d\r\nX-Call-Class: a\r\nX-Budget: %dm\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 						round, n, i, owed.Milliseconds())
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil {
-						t.Errorf("round %d: taken and not answered: %v", round, err)
+						t.Errorf("round %d: accepted and not answered: %v", round, err)
 					} else if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 						t.Errorf("round %d: answered %d", round, resp.StatusCode)
 					}
@@ -55,11 +55,11 @@
 			})
 		}
 		p.waitReady(t)
-		for had := first[round].Load(); first[round].Load() < had+3*clients; {
+		for had := connected[round].Load(); connected[round].Load() < had+3*clients; {
 			time.Sleep(time.Millisecond)
 		}
 		close(stop)
-		wg.Wait() // nobody asks while it is killed: what it held then would be owed nothing
+		wg.Wait() // no client runs while it is killed: requests in flight then are owed nothing
 		p.Process.Kill()
 		<-p.ended
 	}
--- a/cmd/hookwalk/soak_test.go
+++ b/cmd/hookwalk/soak_test.go
@@ -11,43 +11,44 @@
 )
 
 var (
-	soakSeed   = flag.Uint64("soak.seed", 1, "the first seed of TestSoak")
-	soakSeeds  = flag.Int("soak.seeds", 2, "how many seeds TestSoak plays")
-	soakNodes  = flag.Int("soak.nodes", 8, "nodes of each play")
-	soakLength = flag.Duration("soak.length", 20*time.Second, "of each play")
-	soakBuild  = flag.String("soak.program", "", "another build of hookwalk to play; empty: this one")
+	soakSeed    = flag.Uint64("soak.seed", 1, "the first seed of TestSoak")
+	soakSeeds   = flag.Int("soak.seeds", 2, "how many seeds TestSoak plays")
+	soakNodes   = flag.Int("soak.nodes", 8, "nodes of each play")
+	soakLength  = flag.Duration("soak.length", 20*time.Second, "of each play")
+	soakProgram = flag.String("soak.program", "", "another build of hookwalk to play; empty: this one")
 )
 
 // asProgram runs one node of a soak with the test binary, or with the build that the flag names.
-func asProgram(config string) *exec.Cmd {
+func testBinaryAsNode(config string) *exec.Cmd {
 	c := exec.Command(os.Args[0])
-	if *soakBuild != "" {
-		c = exec.Command(*soakBuild, "run")
+	if *soakProgram != "" {
+		c = exec.Command(*soakProgram, "run")
 	}
 	c.Env = append(os.Environ(), "HOOKWALK_AS_PROGRAM=1", "ROUTER_CONFIG="+config)
 	return c
 }
 
-// Random, overlapping faults break no rule, as seen from outside and by the nodes' own invariants. More:
+// Faults that overlap break rules which each of them alone does not: random, overlapping faults break no rule, as observed
+// from outside and by the nodes' own invariants. More:
 //
 //	go test ./cmd/hookwalk -run TestSoak -soak.seeds 50 -soak.nodes 24 -timeout 1h
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		plan := soak.DrawPlan(*soakSeed+uint64(i), *soakNodes, *soakLength)
-		played, err := soak.Run(t.Context(), plan, asProgram)
+		result, err := soak.Run(t.Context(), plan, testBinaryAsNode)
 		if err != nil {
 			t.Fatal(err)
 		}
-		broken := played.Violations()
-		t.Logf("seed %d: %v", plan.Seed, played)
-		if len(broken) == 0 {
+		violations := result.Violations()
+		t.Logf("seed %d: %v", plan.Seed, result)
+		if len(violations) == 0 {
 			continue
 		}
-		t.Errorf("seed %d: %d broken, the first:", plan.Seed, len(broken))
-		for _, b := range broken[:min(len(broken), 5)] {
-			t.Errorf("  %s", b)
+		t.Errorf("seed %d: %d broken, the first:", plan.Seed, len(violations))
+		for _, violation := range violations[:min(len(violations), 5)] {
+			t.Errorf("  %s", violation)
 		}
-		for _, f := range played.Plan.Faults {
+		for _, f := range result.Plan.Faults {
 			t.Logf("  %v", f)
 		}
 	}
--- a/cmd/hookwalk/upgrade_test.go
+++ b/cmd/hookwalk/upgrade_test.go
@@ -21,16 +21,16 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// site is what the processes of one node meet: servers, a discovery that lists them, an address for clients and a
-// $TMPDIR.
-type site struct {
+// nodeEnvironment is what the processes of one node share: servers, a discovery that lists them, an address for clients and
+// a $TMPDIR.
+type nodeEnvironment struct {
 	listen, tmp string
-	config      string // with the address of operators to fill in
-	ran         [2]atomic.Int64
+	config      string // with the address of the admin API to fill in
+	requests    [2]atomic.Int64
 }
 
-// free is an address that nobody listens on.
-func free(t testing.TB) string {
+// freeAddress is an address that nobody listens on.
+func freeAddress(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,22 +40,23 @@
 	return ln.Addr().String()
 }
 
-func newSite(t testing.TB) *site {
+// newNodeEnvironment has two servers that answer with the request's ID.
+func newNodeEnvironment(t testing.TB) *nodeEnvironment {
 	t.Helper()
-	return newSiteOf(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Header.Get("X-Call-Id")) })
+	return newNodeEnvironmentWith(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Header.Get("X-Call-Id")) })
 }
 
-// newSiteOf is a site whose servers answer in a way, and that lists others where nobody listens.
-func newSiteOf(t testing.TB, answer http.HandlerFunc, others ...string) *site {
+// newNodeEnvironmentWith has two servers with a handler, and lists others where nobody listens.
+func newNodeEnvironmentWith(t testing.TB, answer http.HandlerFunc, others ...string) *nodeEnvironment {
 	t.Helper()
-	s := &site{listen: free(t), tmp: t.TempDir()}
+	s := &nodeEnvironment{listen: freeAddress(t), tmp: t.TempDir()}
 	var hosts []string
 	for _, id := range others {
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","health":"in_service"}`, id))
 	}
-	for i := range s.ran {
+	for i := range s.requests {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			s.ran[i].Add(1)
+			s.requests[i].Add(1)
 			answer(w, r)
 		}))
 		t.Cleanup(server.Close)
@@ -78,17 +79,18 @@
 	return s
 }
 
-// process is one process of the site's node.
-type process struct {
+// nodeProcess is one process of the node.
+type nodeProcess struct {
 	*exec.Cmd
 	control string
 	ended   chan error
 }
 
-func (s *site) start(t testing.TB) *process {
+// start starts a process, which is killed at the end of the test.
+func (s *nodeEnvironment) start(t testing.TB) *nodeProcess {
 	t.Helper()
-	p := &process{control: free(t), ended: make(chan error, 1)}
-	p.Cmd = program(t, fmt.Sprintf(s.config, p.control))
+	p := &nodeProcess{control: freeAddress(t), ended: make(chan error, 1)}
+	p.Cmd = programCommand(t, fmt.Sprintf(s.config, p.control))
 	p.Env = append(p.Env, "TMPDIR="+s.tmp)
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -106,8 +108,8 @@
 	return p
 }
 
-// call makes an operator's call and returns its status, 0 if there is no answer.
-func (p *process) call(method, path string) int {
+// callAdmin calls the admin API and returns the status of the answer, 0 if there is none.
+func (p *nodeProcess) callAdmin(method, path string) int {
 	r, _ := http.NewRequest(method, "http://"+p.control+path, nil)
 	resp, err := (&http.Client{Timeout: 5 * time.Second}).Do(r)
 	if err != nil {
@@ -117,17 +119,18 @@
 	return resp.StatusCode
 }
 
-func (p *process) waitReady(t testing.TB) {
+// waitReady waits until the process has taken over.
+func (p *nodeProcess) waitReady(t testing.TB) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); p.call("GET", "/control/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); p.callAdmin("GET", "/control/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never said yes")
+			t.Fatal("it never became ready")
 		}
 	}
 }
 
 // terminate ends a process and wants it to end well.
-func (p *process) terminate(t testing.TB) {
+func (p *nodeProcess) terminate(t testing.TB) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	select {
@@ -140,30 +143,33 @@
 	}
 }
 
-// load asks on kept connections until stop is closed. It counts answers, requests that a connection's end met unread,
-// and what went wrong otherwise.
-type load struct {
-	served, unread, wrong atomic.Int64
-	stop                  chan struct{}
-	wg                    sync.WaitGroup
-	first                 atomic.Pointer[string]
+// clientLoad sends requests on keep-alive connections until stop is closed. It counts answers, requests that met the close
+// of an idle connection, and other failures.
+type clientLoad struct {
+	served, unread, failures atomic.Int64
+	stop                     chan struct{}
+	running                  sync.WaitGroup
+	firstFailure             atomic.Pointer[string]
 }
 
-func (s *site) load(clients int) *load {
-	l := &load{stop: make(chan struct{})}
+// load starts clients.
+func (s *nodeEnvironment) load(clients int) *clientLoad {
+	l := &clientLoad{stop: make(chan struct{})}
 	for c := range clients {
-		l.wg.Go(func() { l.client(s.listen, c) })
+		l.running.Go(func() { l.runClient(s.listen, c) })
 	}
 	return l
 }
 
-func (l *load) fault(format string, args ...any) {
+// recordFailure counts a failure, and keeps the first one.
+func (l *clientLoad) recordFailure(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	l.first.CompareAndSwap(nil, &text)
-	l.wrong.Add(1)
+	l.firstFailure.CompareAndSwap(nil, &text)
+	l.failures.Add(1)
 }
 
-func (l *load) client(addr string, n int) {
+// runClient sends requests one after another. One that meets the close of its connection is sent once more.
+func (l *clientLoad) runClient(addr string, n int) {
 	var c net.Conn
 	var br *bufio.Reader
 	for i := 0; i < 20000; i++ {
@@ -173,31 +179,31 @@
 		case <-time.After(time.Duration(1+n%5) * time.Millisecond):
 		}
 		id := fmt.Sprintf("c%d-%d", n, i)
-		for try := 0; ; try++ {
+		for attempt := 0; ; attempt++ {
 			used := c != nil
 			if !used {
 				var err error
 				if c, err = net.Dial("tcp", addr); err != nil {
-					l.fault("no connection: %v", err)
+					l.recordFailure("no connection: %v", err)
 					return
 				}
 				br = bufio.NewReader(c)
 			}
 			fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: a\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n", id)
 			resp, err := http.ReadResponse(br, nil)
-			if err != nil && used && try == 0 {
+			if err != nil && used && attempt == 0 {
 				l.unread.Add(1)
 				c.Close()
 				c = nil
 				continue
 			}
 			if err != nil {
-				l.fault("%s: %v", id, err)
+				l.recordFailure("%s: %v", id, err)
 				return
 			}
 			body, err := io.ReadAll(resp.Body)
 			if err != nil || resp.StatusCode != http.StatusOK || string(body) != id {
-				l.fault("%s: %d %q %v", id, resp.StatusCode, body, err)
+				l.recordFailure("%s: %d %q %v", id, resp.StatusCode, body, err)
 			}
 			l.served.Add(1)
 			if resp.Close {
@@ -209,12 +215,13 @@
 	}
 }
 
-func (l *load) end(t *testing.T) {
+// stopAndCheck stops the clients and wants no failures.
+func (l *clientLoad) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(l.stop)
-	l.wg.Wait()
-	if first := l.first.Load(); first != nil {
-		t.Errorf("%d requests went wrong, first: %s", l.wrong.Load(), *first)
+	l.running.Wait()
+	if first := l.firstFailure.Load(); first != nil {
+		t.Errorf("%d requests failed, first: %s", l.failures.Load(), *first)
 	}
 	if l.unread.Load() > 2 {
 		t.Errorf("%d requests met a connection's end", l.unread.Load())
@@ -222,75 +229,76 @@
 	t.Logf("%d served, %d unread", l.served.Load(), l.unread.Load())
 }
 
-// Two upgrades in a row under load lose nothing; what an operator said outlasts them, and in the overlap what is said
-// to either process binds both.
+// A hot restart has two processes for a while: a request may fall between them, and an operator may call either. Two
+// upgrades in a row under load lose nothing; overrides outlast them, and during the overlap a call to either process binds
+// both.
 func TestUpgradeUnderLoad(t *testing.T) {
-	s := newSite(t)
+	s := newNodeEnvironment(t)
 	p := s.start(t)
 	p.waitReady(t)
 	l := s.load(16)
 	for round := range 2 {
-		heir := s.start(t)
-		heir.waitReady(t)
-		for _, each := range []*process{p, heir} { // settings that are read again in the overlap change nothing of it
+		successor := s.start(t)
+		successor.waitReady(t)
+		for _, each := range []*nodeProcess{p, successor} { // a reload during the overlap must not end it
 			each.Process.Signal(syscall.SIGHUP)
 		}
-		said := []*process{p, heir}[round]
-		if got := said.call("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
+		asked := []*nodeProcess{p, successor}[round]
+		if got := asked.callAdmin("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
 			t.Errorf("offline is answered %d", got)
 		}
-		had, before := s.ran[1].Load(), l.served.Load()
+		had, before := s.requests[1].Load(), l.served.Load()
 		for l.served.Load() < before+200 {
 			time.Sleep(time.Millisecond)
 		}
-		if s.ran[1].Load() > had+16 { // those that were out
-			t.Errorf("round %d: a server that is out got %d requests", round, s.ran[1].Load()-had)
+		if s.requests[1].Load() > had+16 { // those that were in flight
+			t.Errorf("round %d: a disabled server got %d requests", round, s.requests[1].Load()-had)
 		}
 		p.terminate(t)
-		p = heir
+		p = successor
 	}
-	if got := p.call("POST", "/control/servers/s-1/online"); got != http.StatusOK {
+	if got := p.callAdmin("POST", "/control/servers/s-1/online"); got != http.StatusOK {
 		t.Errorf("online is answered %d", got)
 	}
-	for had := s.ran[1].Load(); s.ran[1].Load() == had; {
+	for had := s.requests[1].Load(); s.requests[1].Load() == had; {
 		time.Sleep(time.Millisecond)
 	}
-	l.end(t)
-	if s.ran[0].Load()+s.ran[1].Load() != l.served.Load() {
-		t.Errorf("servers ran %d requests of %d", s.ran[0].Load()+s.ran[1].Load(), l.served.Load())
+	l.stopAndCheck(t)
+	if s.requests[0].Load()+s.requests[1].Load() != l.served.Load() {
+		t.Errorf("servers ran %d requests of %d", s.requests[0].Load()+s.requests[1].Load(), l.served.Load())
 	}
 	p.terminate(t)
 }
 
-// out are the servers that the folder says are out by hand.
-func (s *site) out(t testing.TB) []string {
+// disabledOnDisk are the servers that the folder has as disabled by an operator.
+func (s *nodeEnvironment) disabledOnDisk(t testing.TB) []string {
 	t.Helper()
-	var kept struct{ Out []string }
+	var stored struct{ Out []string }
 	files, _ := filepath.Glob(s.tmp + "/*.kept")
 	for _, name := range files {
 		info, err := state.Inspect(name)
-		if err = errors.Join(err, json.Unmarshal(info.Body, &kept)); err != nil {
+		if err = errors.Join(err, json.Unmarshal(info.Body, &stored)); err != nil {
 			t.Error(err)
 		}
 	}
-	return kept.Out
+	return stored.Out
 }
 
-// One that has sent its clients away is replaced by one that has, too.
+// A node is out of service for a reason that outlasts an upgrade: its successor is out of service too.
 func TestUpgradeWhileDrained(t *testing.T) {
-	s := newSite(t)
+	s := newNodeEnvironment(t)
 	p := s.start(t)
 	p.waitReady(t)
-	if got := p.call("POST", "/control/out-of-service"); got != http.StatusOK {
+	if got := p.callAdmin("POST", "/control/out-of-service"); got != http.StatusOK {
 		t.Fatalf("answered %d", got)
 	}
-	heir := s.start(t)
-	heir.waitReady(t)
+	successor := s.start(t)
+	successor.waitReady(t)
 	p.terminate(t)
 	if got := status(t, "http://"+s.listen+"/ready"); got != http.StatusServiceUnavailable {
-		t.Errorf("the heir's /ready says %d", got)
+		t.Errorf("the successor's /ready says %d", got)
 	}
-	if got := heir.call("POST", "/control/in-service"); got != http.StatusOK {
+	if got := successor.callAdmin("POST", "/control/in-service"); got != http.StatusOK {
 		t.Fatalf("answered %d", got)
 	}
 	if got := status(t, "http://"+s.listen+"/ready"); got != http.StatusOK {
@@ -298,16 +306,17 @@
 	}
 }
 
-// SIGTERM ends a node well at any stage of a drain and of the return from it.
+// Operators drain a node before they end it, and may change their mind: SIGTERM ends a node in order at any stage of a drain
+// and of the return from it.
 func TestSIGTERMInADrain(t *testing.T) {
 	for name, calls := range map[string][]string{"drained": {"out-of-service"}, "drained twice": {"out-of-service", "out-of-service"},
 		"back": {"out-of-service", "in-service"}, "drained again": {"out-of-service", "in-service", "out-of-service"}} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newNodeEnvironment(t)
 			p := s.start(t)
 			p.waitReady(t)
 			for _, c := range calls {
-				if got := p.call("POST", "/control/"+c); got != http.StatusOK {
+				if got := p.callAdmin("POST", "/control/"+c); got != http.StatusOK {
 					t.Errorf("%s is answered %d", c, got)
 				}
 			}
@@ -316,56 +325,57 @@
 	}
 }
 
-// An heir that dies before or after its yes leaves the old process serving as before.
-func TestHeirThatDies(t *testing.T) {
-	s := newSite(t)
+// A new build may crash as it takes over. A successor that dies before or after it became ready leaves the old process
+// serving as before.
+func TestSuccessorThatDies(t *testing.T) {
+	s := newNodeEnvironment(t)
 	p := s.start(t)
 	p.waitReady(t)
 	l := s.load(1)
 	for round := range 2 {
-		heir := s.start(t)
+		successor := s.start(t)
 		if round == 1 {
-			heir.waitReady(t)
+			successor.waitReady(t)
 		}
-		heir.Process.Kill()
-		<-heir.ended
-		heir.ended <- errors.New("killed")
+		successor.Process.Kill()
+		<-successor.ended
+		successor.ended <- errors.New("killed")
 	}
 	before := l.served.Load()
-	for l.served.Load() < before+200 && l.wrong.Load() == 0 {
+	for l.served.Load() < before+200 && l.failures.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(l.stop)
-	l.wg.Wait()
-	if l.served.Load() < before+200 && l.unread.Load() == 0 { // what the heir itself held is its own to lose
-		t.Errorf("it does not serve on: %v", *l.first.Load())
+	l.running.Wait()
+	if l.served.Load() < before+200 && l.unread.Load() == 0 { // what the successor itself had in flight may be lost
+		t.Errorf("it does not serve on: %v", *l.firstFailure.Load())
 	}
 	p.terminate(t)
 }
 
-// A process that is hung, or gone without a word, is replaced within the time that an heir has; what an operator had
-// said stands on disk.
+// A successor waits for the old process, and one that hangs or was killed never answers. It is replaced within the time that
+// a successor has; overrides are restored from disk.
 func TestOldProcessThatIsHung(t *testing.T) {
-	for name, sig := range map[string]syscall.Signal{"hung": syscall.SIGSTOP, "gone": syscall.SIGKILL} {
+	for name, sig := range map[string]syscall.Signal{"hung": syscall.SIGSTOP, "killed": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newNodeEnvironment(t)
 			p := s.start(t)
 			p.waitReady(t)
-			if got := p.call("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
+			if got := p.callAdmin("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
 				t.Fatalf("offline is answered %d", got)
 			}
 			p.Process.Signal(sig)
 			begin := time.Now()
-			heir := s.start(t)
-			heir.waitReady(t)
+			successor := s.start(t)
+			successor.waitReady(t)
 			if took := time.Since(begin); took > 6*time.Second {
-				t.Errorf("the yes took %v", took)
+				t.Errorf("it was ready after %v", took)
 			}
-			if got := heir.call("POST", "/control/servers/s-1/online"); got != http.StatusOK {
-				t.Errorf("the server that was out is answered %d", got)
+			if got := successor.callAdmin("POST", "/control/servers/s-1/online"); got != http.StatusOK {
+				t.Errorf("enabling the disabled server is answered %d", got)
 			}
-			if out := s.out(t); len(out) > 0 {
-				t.Errorf("on disk %v is out", out)
+			if disabled := s.disabledOnDisk(t); len(disabled) > 0 {
+				t.Errorf("on disk %v is disabled", disabled)
 			}
 		})
 	}
