--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -258,7 +258,8 @@
 	call.Status(0)
 }
 
-// Fail ends a call by a status alone, without a header before; pairs are further trailers.
+// FailWithoutHeader ends a call by a status alone, without a header before; pairs are further trailers, names and values in
+// turn.
 func (call *Call) FailWithoutHeader(code int, pairs ...string) {
 	call.conn.write(func() error {
 		return call.conn.headers(call.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
--- a/internal/lab/link/ports.go
+++ b/internal/lab/link/ports.go
@@ -16,7 +16,7 @@
 const (
 	firstBlockPort = 12000 // of the first block
 	blockCount     = 5     // rigs that run at once
-	portsPerBlock  = 4000
+	portsPerBlock  = 4000  // see portRanges
 )
 
 // Hosts of ports. Blocks are of one loopback address; listeners without a block share the ports of another one. With the
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -20,8 +20,8 @@
 
 // Health of a listed server, as discovery writes it.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
+	inService   = "in_service"  // it takes requests
+	terminating = "terminating" // it drains
 )
 
 // discovery is the stand-in for the service that all nodes share. Each node calls it at an address of its own, by which
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -18,8 +18,8 @@
 
 // Waits for a node that starts.
 const (
-	nodeReadyTimeout = 30 * time.Second // until it must be ready, on a busy machine
-	readyInterval    = 10 * time.Millisecond
+	nodeReadyTimeout = 30 * time.Second      // until it must be ready, on a busy machine
+	readyInterval    = 10 * time.Millisecond // between two looks
 )
 
 // maxLogLine bounds a line of a node's log: a captured list is one long line.
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -72,7 +72,7 @@
 
 // Size of a plan beside its nodes.
 const (
-	planServers         = 8
+	planServers         = 8 // enough that a class keeps servers while some drain or fail
 	planRequestsPerNode = 8 // a second: enough to meet every fault, too few to load the machine
 )
 
@@ -84,21 +84,39 @@
 
 // Number and length of the faults that are drawn freely.
 const (
-	minFaults    = 4
-	extraFaults  = 8 // one less than this is the most that is added to minFaults
-	maxFaultTime = 8 * time.Second
-	minFaultTime = 500 * time.Millisecond
+	minFaults    = 4                      // so that some overlap
+	extraFaults  = 8                      // one less than this is the most that is added to minFaults
+	maxFaultTime = 8 * time.Second        // longer than an endpoint lease lasts
+	minFaultTime = 500 * time.Millisecond // long enough that requests meet it
 	firstFault   = 500 * time.Millisecond // none begins before this
 )
 
 // Draws of the group of faults that makes a stale list likely (see drawStaleListFaults).
 const (
-	staleMinShare     = 0.6 // of the calls to discovery that its fault affects
-	staleWatchLossIn  = 500 * time.Millisecond
+	staleMinShare     = 0.6                    // least share of the calls to discovery that its fault affects
+	staleWatchLossIn  = 500 * time.Millisecond // within which watches are lost after that fault began
 	staleMoveInterval = 500 * time.Millisecond // at most, between two changes of discovery's address
-	staleDrainIn      = time.Second
+	staleDrainIn      = time.Second            // within which a server drains after the watches were lost
 )
 
+// Draws of a fault's fields, for every kind.
+const (
+	minShare   = 0.1 // least Share
+	shareRange = 0.5 // added to it at most
+	maxCount   = 4
+)
+
+// waitRange are the bounds of a fault's Wait.
+type waitRange struct{ min, max time.Duration }
+
+// waitRanges are the bounds of Wait, of the kinds that have one.
+var waitRanges = map[Kind]waitRange{
+	DiscoverySlow:     {500 * time.Millisecond, 7 * time.Second}, // up to beyond a poll's timeout
+	DiscoveryOverload: {20 * time.Millisecond, 300 * time.Millisecond},
+	DiscoveryMove:     {100 * time.Millisecond, 900 * time.Millisecond},
+	NodePause:         {20 * time.Millisecond, 150 * time.Millisecond}, // shorter than what makes a request late
+}
+
 // shifted is the plan with its times counted from an earlier moment.
 func (p Plan) shifted(begin time.Duration) Plan {
 	p.Faults = slices.Clone(p.Faults)
@@ -147,27 +165,21 @@
 }
 
 // drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Every field is drawn for every kind, so
-// that the draws after it do not depend on the kind more than they must.
+// that the draws of later faults depend on the kind as little as possible.
 func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
 	}
 	last := p.Length - recoveryTime
-	f := Fault{Kind: kind, Share: 0.1 + 0.5*rng.Float64(), Count: 1 + rng.IntN(4), HoldCalls: rng.IntN(2) == 0}
+	f := Fault{Kind: kind, Share: minShare + shareRange*rng.Float64(), Count: 1 + rng.IntN(maxCount), HoldCalls: rng.IntN(2) == 0}
 	f.From = between(firstFault, last)
 	f.To = min(f.From+between(minFaultTime, maxFaultTime), last)
 	f.Target = rng.IntN(p.Servers)
-	switch f.Kind {
-	case DiscoverySlow:
-		f.Wait = between(500*time.Millisecond, 7*time.Second)
-	case DiscoveryOverload:
-		f.Wait = between(20*time.Millisecond, 300*time.Millisecond)
-	case DiscoveryMove:
-		f.Wait = between(100*time.Millisecond, 900*time.Millisecond)
-	case NodePause:
-		f.Wait = between(20*time.Millisecond, 150*time.Millisecond)
-		f.Target = rng.IntN(p.Nodes)
-	case NodeRestart, NodeKill:
+	if wait, drawn := waitRanges[kind]; drawn {
+		f.Wait = between(wait.min, wait.max)
+	}
+	switch kind {
+	case NodePause, NodeRestart, NodeKill:
 		f.Target = rng.IntN(p.Nodes)
 	}
 	return f
