--- a/cmd/hookwalk/fleet_test.go
+++ b/cmd/hookwalk/fleet_test.go
@@ -67,10 +67,10 @@
 		t.Fatal(err)
 	}
 	planned := map[string]bool{}
-	for _, fault := range s.Troubles {
+	for _, fault := range s.Faults {
 		planned[fault.Kind] = true
 	}
-	for _, kind := range scenario.FleetKinds {
+	for _, kind := range scenario.ProcessFaultKinds {
 		if !planned[kind] {
 			t.Errorf("no %s is played", kind)
 		}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -95,11 +95,11 @@
 		withConfig: s.needsConfig(v.state.Cluster, v.configVersion(service)),
 		first:      first,
 	}
-	return v.encodedUpdate(key, c.endpoints())
+	return v.encodedUpdate(key, c.controllerAddresses())
 }
 
 // migrationLine is an update, without a configuration, that asks a session's node to migrate.
-func migrationLine(v *view, s *session, target configapi.Endpoint) []byte {
+func migrationLine(v *view, s *session, target configapi.ControllerAddress) []byte {
 	u := v.update(updateKey{service: s.request.Service}, nil)
 	u.MigrateTo = target.Address
 	return encodeLine(u)
--- a/internal/lab/model/faultschedule_test.go
+++ b/internal/lab/model/processfaults_test.go
@@ -26,42 +26,43 @@
 	return s
 }
 
-// The same file and seed upset the same processes at the same times; another seed others.
-func TestUpsetsAreOfTheSeed(t *testing.T) {
+// The same file and seed hit the same processes at the same times, another seed others: a schedule that was found can be
+// played again.
+func TestProcessFaultsAreOfTheSeed(t *testing.T) {
 	const text = `trouble "stall" { at_s = 2 length_s = 3 spread_s = 1 part = 0.5 }
 trouble "box_kill" { at_s = 4 tier = "front" part = 0.5 }
 trouble "cut" { who = "discovery" whom = "nodes" part = 1 }
 trouble "kill" { at_s = 1 length_s = 2 part = 0.7 spread_s = 0.4 }`
 	s := parsed(t, text)
-	first, err := Upsets(s)
+	first, err := ProcessFaults(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := Upsets(parsed(t, text))
+	again, _ := ProcessFaults(parsed(t, text))
 	if !reflect.DeepEqual(first, again) {
 		t.Error("two draws of one seed differ")
 	}
 	s.Seed = 4
-	if other, _ := Upsets(s); reflect.DeepEqual(first, other) {
+	if other, _ := ProcessFaults(s); reflect.DeepEqual(first, other) {
 		t.Error("another seed draws the same")
 	}
 	counts := map[string]int{}
 	for _, u := range first {
 		counts[u.Kind]++
-		if u.From < u.At || u.From > u.At+u.Spread || u.To-u.From != u.Length {
+		if u.From < u.At || u.From > u.At+u.Spread || u.To-u.From != u.Duration {
 			t.Errorf("%s from %v to %v", u.Kind, u.From, u.To)
 		}
 	}
 	if !reflect.DeepEqual(counts, map[string]int{"stall": 5, "box_kill": 2, "cut": 1}) {
-		t.Errorf("met: %v", counts)
+		t.Errorf("hit: %v", counts)
 	}
-	changes, err := Troubles(WithoutUpsets(s))
+	changes, err := WorldChanges(WithoutProcessFaults(s))
 	if err != nil {
 		t.Fatal(err)
 	}
 	kills := map[int]time.Duration{}
 	for _, c := range changes {
-		switch c.What {
+		switch c.Kind {
 		case NodeKill:
 			kills[c.Index] = c.At
 		case NodeStart:
@@ -80,9 +81,9 @@
 	}
 }
 
-// A kill with a period is a loop of crashes: each start is killed again until the length is over, and the last one stays.
-// Two troubles that have discovery down at a time are one, from the first one's beginning to the later one's end.
-func TestCourseOfTroubles(t *testing.T) {
+// A kill with a period is a crash loop: each start is killed again until the duration is over, and the last one stays.
+// Two faults that have discovery down at a time are one outage, from the first one's beginning to the later one's end.
+func TestOverlappingFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "kill" { at_s = 2 length_s = 6 part = 0.1 period_s = 2 }`: "node killed 2s, node starts 2.5s, node killed 4s, node starts 4.5s, node killed 6s, node starts 6.5s",
 		`trouble "discovery_down" { at_s = 1 length_s = 4 }
@@ -90,13 +91,13 @@
 trouble "discovery_down" { at_s = 4 length_s = 3 }
 trouble "discovery_down" { at_s = 8 length_s = 1 }`: "discovery down 1s, discovery up 7s, discovery down 8s, discovery up 9s",
 	} {
-		changes, err := Troubles(parsed(t, text))
+		changes, err := WorldChanges(parsed(t, text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []string
 		for _, c := range changes {
-			got = append(got, c.What.String()+" "+c.At.String())
+			got = append(got, c.Kind.String()+" "+c.At.String())
 		}
 		if strings.Join(got, ", ") != want {
 			t.Errorf("%s: %v", text, got)
@@ -104,21 +105,21 @@
 	}
 }
 
-// An upgrade meets all nodes, those beside boxes included.
-func TestUpgradeMeetsAllNodes(t *testing.T) {
-	if list, err := Upsets(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
+// An upgrade hits all nodes, those beside servers included.
+func TestUpgradeHitsAllNodes(t *testing.T) {
+	if list, err := ProcessFaults(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
 		t.Errorf("%d nodes are replaced, %v", len(list), err)
 	}
 }
 
-// What needs processes is no trouble of virtual time, and a link that is not there can't be cut.
-func TestUpsetsElsewhere(t *testing.T) {
-	for _, kind := range scenario.FleetKinds {
-		if _, err := Troubles(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
+// A fault that needs processes can't be played in virtual time, and a link that does not exist can't be cut.
+func TestProcessFaultsElsewhere(t *testing.T) {
+	for _, kind := range scenario.ProcessFaultKinds {
+		if _, err := WorldChanges(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
 			t.Errorf("%s in virtual time: %v", kind, err)
 		}
 	}
-	if _, err := Upsets(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
-		t.Error("boxes are cut from boxes")
+	if _, err := ProcessFaults(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
+		t.Error("servers are cut from servers")
 	}
 }
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -23,13 +23,13 @@
 
 	mu      sync.Mutex
 	version int64
-	hosts   []loopback.Entry
+	hosts   []loopback.Endpoint
 	changed []int64       // by host: the version that changed it last
 	updated chan struct{} // closed at the next change
 }
 
 // NewWatchServer serves a list of servers, all as they are given, as version 1. Close must follow.
-func NewWatchServer(hosts []loopback.Entry) (*WatchServer, error) {
+func NewWatchServer(hosts []loopback.Endpoint) (*WatchServer, error) {
 	ln, err := link.Listen(0, link.ForDiscovery)
 	if err != nil {
 		return nil, fmt.Errorf("scale: stand-in for discovery: %w", err)
@@ -60,10 +60,10 @@
 }
 
 // CompleteList is the list as it is.
-func (s *WatchServer) CompleteList() loopback.Roster {
+func (s *WatchServer) CompleteList() loopback.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return loopback.Roster{Seq: s.version, Whole: true, Hosts: slices.Clone(s.hosts)}
+	return loopback.EndpointList{Seq: s.version, Complete: true, Endpoints: slices.Clone(s.hosts)}
 }
 
 // SetHealth changes one server's state, which is one new version.
@@ -93,10 +93,10 @@
 	if version > s.version {
 		version = 0
 	}
-	list := loopback.Roster{Seq: s.version, Whole: version == 0, Hosts: []loopback.Entry{}}
+	list := loopback.EndpointList{Seq: s.version, Complete: version == 0, Endpoints: []loopback.Endpoint{}}
 	for i, host := range s.hosts {
 		if s.changed[i] > version {
-			list.Hosts = append(list.Hosts, host)
+			list.Endpoints = append(list.Endpoints, host)
 		}
 	}
 	return listUpdate{list: list, version: s.version, updated: s.updated}
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -1,10 +1,8 @@
-// Package score counts what a played world was worth to its clients and what it cost. Both ways of playing feed
-// it, and its report is the same bytes for the same counts.
+// Package score counts the value that a played world served its clients, and what that cost. Both ways of playing feed it,
+// and its report is the same bytes for the same counts.
 package score
 
 import (
-	"fmt"
-	"io"
 	"math"
 	"time"
 
@@ -13,183 +11,172 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// End is how a client's wish ended.
-type End int
+// Outcome is how a client's request ended.
+type Outcome int
 
-// Ends.
+// Outcomes.
 const (
-	Served End = iota
-	Failed
-	Left // it went away by itself: counts for nothing
+	Served    Outcome = iota // with a success
+	Failed                   // with an error, or without an answer
+	Abandoned                // the client left by itself: counts for nothing
 )
 
+// Histograms.
+const (
+	maxLatency        = time.Hour // as deadlines are shorter
+	maxAttempts       = 1 << 20   // of a request, over all tiers
+	significantDigits = 3
+)
+
+// worstWindow is the length in seconds of the windows of which the worst one is reported.
+const worstWindow = 10
+
 // Score holds the counts of a run.
 type Score struct {
-	s *scenario.Scenario
-
-	Tries, Attempts, Handshakes, Fell int
-	Work, Wasted                      time.Duration // at speed 1
-	Events                            uint64
-
-	all     worth
-	windows []worth   // a second each, by the time of the first try
-	slow    []float64 // sums of latencies of what was served, in ms, by the same
-	ok      []int     // and their counts
-	classes []worth
-	tenants []worth
-	latency *hdrhistogram.Histogram // of served first tries, in microseconds
-	sends   *hdrhistogram.Histogram // attempts a request, over all tiers
-	served  int
-	late    int
-	failed  int
-	left    int
-	refused int // tries
-	early   int // of them in the first second
+	scenario *scenario.Scenario
+
+	Tries, Attempts, Handshakes, Overloads int
+	Work, Wasted                           time.Duration // of servers, at speed 1
+	Events                                 uint64
+
+	total         value
+	seconds       []value   // by the time of the first try
+	latencySums   []float64 // of what was served, in ms, by the same
+	servedCounts  []int     // of what was served, by the same
+	classes       []value
+	tenants       []value
+	latency       *hdrhistogram.Histogram // of served requests, in microseconds
+	attempts      *hdrhistogram.Histogram // of a request, over all tiers
+	served        int                     // within the latency objective
+	late          int
+	failed        int
+	abandoned     int
+	rejected      int // tries
+	rejectedEarly int // those in the first second
 }
 
-// worth is asked for and earned in time.
-type worth struct{ asked, got float64 }
+// value is the priority weight that was offered, and what was earned of it.
+type value struct{ offered, earned float64 }
 
-func (w worth) share() float64 {
-	if w.asked == 0 {
+// share is the share that was earned; 1 where nothing was offered.
+func (v value) share() float64 {
+	if v.offered == 0 {
 		return 1
 	}
-	return w.got / w.asked
+	return v.earned / v.offered
 }
 
 // New returns the empty score of a scenario.
 func New(s *scenario.Scenario) *Score {
-	return &Score{s: s, windows: make([]worth, int(s.Length/time.Second)+1), classes: make([]worth, len(s.Classes)),
-		slow: make([]float64, int(s.Length/time.Second)+1), ok: make([]int, int(s.Length/time.Second)+1),
-		tenants: make([]worth, len(s.Tenants)),
-		latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3), sends: hdrhistogram.New(1, 1<<20, 3)}
+	seconds := int(s.Length/time.Second) + 1
+	return &Score{
+		scenario:     s,
+		seconds:      make([]value, seconds),
+		latencySums:  make([]float64, seconds),
+		servedCounts: make([]int, seconds),
+		classes:      make([]value, len(s.Classes)),
+		tenants:      make([]value, len(s.Tenants)),
+		latency:      hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
+		attempts:     hdrhistogram.New(1, maxAttempts, significantDigits),
+	}
 }
 
-func (s *Score) each(at time.Duration, class, tenant int, f func(*worth)) {
-	f(&s.all)
-	f(&s.windows[min(int(at/time.Second), len(s.windows)-1)])
-	f(&s.classes[class])
-	f(&s.tenants[tenant])
+// eachValue changes all values that a request counts for.
+func (s *Score) eachValue(at time.Duration, class, tenant int, change func(*value)) {
+	change(&s.total)
+	change(&s.seconds[s.secondOf(at)])
+	change(&s.classes[class])
+	change(&s.tenants[tenant])
 }
 
-// Asked is a client's first try.
-func (s *Score) Asked(at time.Duration, class, tenant int) {
-	v := s.s.Classes[class].Worth
-	s.each(at, class, tenant, func(w *worth) { w.asked += v })
+func (s *Score) secondOf(at time.Duration) int { return min(int(at/time.Second), len(s.seconds)-1) }
+
+// RequestBegun is a client's first try.
+func (s *Score) RequestBegun(at time.Duration, class, tenant int) {
+	weight := s.scenario.Classes[class].PriorityWeight
+	s.eachValue(at, class, tenant, func(v *value) { v.offered += weight })
 }
 
-// Refused is a try that was turned away.
-func (s *Score) Refused(at time.Duration) {
-	s.refused++
+// TryRejected is a try that was rejected.
+func (s *Score) TryRejected(at time.Duration) {
+	s.rejected++
 	if at < time.Second {
-		s.early++
+		s.rejectedEarly++
 	}
 }
 
-// Refusals counts the tries that were turned away, and of them those in the first second.
-func (s *Score) Refusals() (all, early int) { return s.refused, s.early }
+// Rejections counts the tries that were rejected, and those of them in the first second.
+func (s *Score) Rejections() (all, early int) { return s.rejected, s.rejectedEarly }
 
-// Over is the end of what a client wanted, so long after its first try.
-func (s *Score) Over(at, took time.Duration, class, tenant, attempts int, how End) {
-	c := s.s.Classes[class]
+// RequestEnded is the end of a client's request, so long after its first try at a time.
+func (s *Score) RequestEnded(at, took time.Duration, class, tenant, attempts int, how Outcome) {
+	c := s.scenario.Classes[class]
 	if attempts > 0 {
-		_ = s.sends.RecordValue(int64(attempts)) // more than a million is none we can have
+		_ = s.attempts.RecordValue(int64(attempts)) // no request has more than maxAttempts
 	}
-	v := 0.0
+	earned := 0.0
 	switch {
-	case how == Left:
-		s.left++
-		s.each(at, class, tenant, func(w *worth) { w.asked -= c.Worth })
+	case how == Abandoned:
+		s.abandoned++
+		s.eachValue(at, class, tenant, func(v *value) { v.offered -= c.PriorityWeight })
 		return
 	case how == Failed || took > c.Deadline:
 		s.failed++
 		return
-	case took <= c.Aim:
-		v = c.Worth
+	case took <= c.LatencyObjective:
+		earned = c.PriorityWeight
 		s.served++
 	default:
-		v = c.Worth * c.LateShare
+		earned = c.PriorityWeight * c.LateCredit
 		s.late++
 	}
-	i := min(int(at/time.Second), len(s.ok)-1)
-	s.slow[i] += ms(took)
-	s.ok[i]++
-	_ = s.latency.RecordValue(max(1, took.Microseconds())) // under an hour, as deadlines are
-	s.each(at, class, tenant, func(w *worth) { w.got += v })
+	second := s.secondOf(at)
+	s.latencySums[second] += milliseconds(took)
+	s.servedCounts[second]++
+	_ = s.latency.RecordValue(max(1, took.Microseconds())) // no deadline is over maxLatency
+	s.eachValue(at, class, tenant, func(v *value) { v.earned += earned })
 }
 
-// Worth is the share of the worth asked for that was served in time (a late answer counts its part).
-func (s *Score) Worth() float64 { return s.all.share() }
+// ValueShare is the share of the offered value that was served in time; a late answer earns its late credit.
+func (s *Score) ValueShare() float64 { return s.total.share() }
 
-// Worst is the least share of any ten seconds, class and tenant.
-func (s *Score) Worst() (window, class, tenant float64) {
-	const span = 10
+// WorstShares are the least shares of any ten seconds, of any class and of any tenant.
+func (s *Score) WorstShares() (window, class, tenant float64) {
 	window = 1
-	for i := 0; i == 0 || i+span <= len(s.windows); i++ {
-		var w worth
-		for _, o := range s.windows[i:min(i+span, len(s.windows))] {
-			w.asked += o.asked
-			w.got += o.got
+	for i := 0; i == 0 || i+worstWindow <= len(s.seconds); i++ {
+		var v value
+		for _, second := range s.seconds[i:min(i+worstWindow, len(s.seconds))] {
+			v.offered += second.offered
+			v.earned += second.earned
 		}
-		window = math.Min(window, w.share())
+		window = math.Min(window, v.share())
 	}
-	least := func(list []worth) float64 {
-		v := 1.0
-		for _, w := range list {
-			v = math.Min(v, w.share())
-		}
-		return v
+	return window, leastShare(s.classes), leastShare(s.tenants)
+}
+
+func leastShare(values []value) float64 {
+	least := 1.0
+	for _, v := range values {
+		least = math.Min(least, v.share())
 	}
-	return window, least(s.classes), least(s.tenants)
+	return least
 }
 
-// Served counts first tries that were served in time or late, failed, or left.
-func (s *Score) Served() (inTime, late, failed, left int) { return s.served, s.late, s.failed, s.left }
+// Counts counts the requests that were served within the objective or late, that failed, or whose clients left.
+func (s *Score) Counts() (inTime, late, failed, abandoned int) {
+	return s.served, s.late, s.failed, s.abandoned
+}
 
-// Quantile is a latency of what was served.
+// Quantile is a quantile of the latency of what was served; q is in percent.
 func (s *Score) Quantile(q float64) time.Duration {
 	return time.Duration(s.latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Figures are the run's results by name, for comparisons. Higher is better only for worth.
-func (s *Score) Figures(violations int) map[string]float64 {
-	window, class, tenant := s.Worst()
-	roots := float64(max(1, s.served+s.late+s.failed))
-	return map[string]float64{"worth": s.Worth(), "worst_10s": window, "worst_class": class, "worst_tenant": tenant,
-		"p50_ms": ms(s.Quantile(50)), "p95_ms": ms(s.Quantile(95)), "p99_ms": ms(s.Quantile(99)),
-		"refusals": float64(s.refused) / roots, "tries": float64(s.Tries) / roots, "attempts": float64(s.Attempts) / roots,
-		"handshakes": float64(s.Handshakes) / float64(max(1, s.Attempts)), "failed": float64(s.failed) / roots,
-		"wasted": s.Wasted.Seconds() / math.Max(s.Work.Seconds(), 1e-9), "violations": float64(violations)}
-}
-
-// Course is the worth served and the mean latency in ms of what was served, second by second.
-func (s *Score) Course() (worth, latency []float64) {
-	for i, w := range s.windows {
-		worth = append(worth, w.share())
-		latency = append(latency, s.slow[i]/float64(max(1, s.ok[i])))
+// Timeline is the value share and the mean latency in ms of what was served, second by second.
+func (s *Score) Timeline() (valueShares, latencies []float64) {
+	for i, v := range s.seconds {
+		valueShares = append(valueShares, v.share())
+		latencies = append(latencies, s.latencySums[i]/float64(max(1, s.servedCounts[i])))
 	}
-	return worth, latency
+	return valueShares, latencies
 }
-
-// Write prints the report.
-func (s *Score) Write(w io.Writer) error {
-	window, class, tenant := s.Worst()
-	roots := max(1, s.served+s.late+s.failed)
-	_, err := fmt.Fprintf(w, `scenario %s, seed %d, policy %s, %.0f s
-worth served   %.4f   worst 10 s %.4f   worst class %.4f   worst tenant %.4f
-requests       %d in time, %d late, %d failed, %d left
-latency ms     p50 %.2f   p95 %.2f   p99 %.2f   most %.2f
-a request      %.3f tries, %.3f attempts (p99 %d), %.4f refusals (%d in the first second)
-connections    %d opened, %.4f an attempt
-work           %.3f s, %.4f of it wasted; cold boxes pushed over: %d
-events         %d
-`, s.s.Name, s.s.Seed, s.s.Policy, s.s.Length.Seconds(), s.Worth(), window, class, tenant,
-		s.served, s.late, s.failed, s.left, ms(s.Quantile(50)), ms(s.Quantile(95)), ms(s.Quantile(99)),
-		float64(s.latency.Max())/1000, float64(s.Tries)/float64(roots), float64(s.Attempts)/float64(roots),
-		s.sends.ValueAtQuantile(99), float64(s.refused)/float64(roots), s.early, s.Handshakes,
-		float64(s.Handshakes)/float64(max(1, s.Attempts)), s.Work.Seconds(),
-		s.Wasted.Seconds()/math.Max(s.Work.Seconds(), 1e-9), s.Fell, s.Events)
-	return err
-}
-
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -13,6 +13,21 @@
 //
 // An operator's OutOfService and InService are remembered in every state but shutting down: a node that is taken out of
 // service as it starts does not serve once it has started.
+//
+// A shutdown without a successor, with SIGTERM at 0 and the process killed at K at the earliest. K is the longest deadline of
+// a class, 3 s at most, plus 700 ms (maxCountedDeadline and killMargin in internal/node):
+//
+//	0                        not ready: the load balancer in front of the node is to send it no more connections; those that
+//	                         still come are accepted and served
+//	K - 900 ms, min. 450 ms  responses close their connections (EndsConnections)
+//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (StopsAt)
+//	K - 150 ms               the last response is due (HardDeadline)
+//	K                        SIGKILL may come
+//
+// A node that was out of service for 350 ms and more accepts for 450 ms only, and its responses close their connections from
+// the start. One with a successor accepts nothing more: its responses close their connections at once, and idle connections
+// stay open until K - 750 ms. After the stage in which it accepts, internal/node waits for open requests for as long as the
+// longest deadline of a class, uncapped, plus 20 ms: it relies on HardDeadline to have answered them by then.
 package lifecycle
 
 import "time"
@@ -38,21 +53,21 @@
 	starting     state = iota // not ready yet
 	serving                   // ready
 	outOfService              // by an operator: it serves who is still connected
-	shuttingDown              // until HardDeadline
+	shuttingDown              // until the process ends
 )
 
 // Machine is the state of a node. The zero Machine is that of one that starts.
 type Machine struct {
-	state       state
-	since       time.Duration // when it went out of service or, if it was in service, began to shut down
-	isOut       bool          // what an operator said last
-	forcedEnd   time.Duration // shutting down: from then on the process may be killed
-	isSucceeded bool          // shutting down: another process of the node takes new connections
+	state        state
+	since        time.Duration // when it went out of service or, if it was in service, began to shut down
+	isOut        bool          // what an operator said last
+	killAt       time.Duration // shutting down: from then on the process may be killed
+	hasSuccessor bool          // shutting down: another process of the node takes new connections
 }
 
-// Step returns the machine after an event. The last two arguments belong to Terminate: how long the process has until it may
-// be killed, and whether another process of the node takes the connections that come from now on.
-func (m Machine) Step(now time.Duration, event Event, remaining time.Duration, succeeded bool) Machine {
+// Step returns the machine after an event. The last two arguments belong to Terminate, and are ignored with other events: in
+// how long the process may be killed, and whether another process of the node accepts the connections that come from now on.
+func (m Machine) Step(now time.Duration, event Event, killIn time.Duration, hasSuccessor bool) Machine {
 	if m.state == shuttingDown {
 		return m // there is no way back
 	}
@@ -64,7 +79,7 @@
 	case InService:
 		return m.putInService()
 	case Terminate:
-		return m.terminated(now, remaining, succeeded)
+		return m.terminated(now, killIn, hasSuccessor)
 	}
 	return m
 }
@@ -101,11 +116,11 @@
 }
 
 // terminated keeps the time at which a node went out of service: its clients have been leaving since then.
-func (m Machine) terminated(now, remaining time.Duration, succeeded bool) Machine {
+func (m Machine) terminated(now, killIn time.Duration, hasSuccessor bool) Machine {
 	if m.state != outOfService {
 		m.since = now
 	}
-	m.state, m.forcedEnd, m.isSucceeded = shuttingDown, now+remaining, succeeded
+	m.state, m.killAt, m.hasSuccessor = shuttingDown, now+killIn, hasSuccessor
 	return m
 }
 
