--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -1,16 +1,17 @@
-// Package paper computes what "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher and
-// Vöcking) publishes: its fluid limits by integrating the equations, and its simulation by the event queue. The
-// published figures stand beside them, so that the lab's idea of the design can be checked against its source.
+// Package paper computes what "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher and Vöcking)
+// publishes: its fluid limits by integrating the equations, and its simulation by an event queue. The results are compared
+// with the published ones, so that the lab's understanding of the design can be checked against its source.
 package paper
 
 import "math"
 
-// step advances x by h under f, by the classical Runge-Kutta method of fourth order.
+// stepper integrates a derivative by the classical Runge-Kutta method of fourth order.
 type stepper struct {
 	derivative         func(x, dx []float64)
 	k1, k2, k3, k4, at []float64
 }
 
+// newStepper returns a stepper for vectors of length n.
 func newStepper(n int, f func(x, dx []float64)) *stepper {
 	v := make([][]float64, 5)
 	for i := range v {
@@ -19,6 +20,7 @@
 	return &stepper{f, v[0], v[1], v[2], v[3], v[4]}
 }
 
+// step advances x by h.
 func (s *stepper) step(x []float64, h float64) {
 	shift := func(k []float64, by float64) {
 		for i := range x {
@@ -37,7 +39,28 @@
 	}
 }
 
-const maxLoad = 24 // loads that are followed; beyond, all shares are under the least number there is
+// maxLoad is the number of loads that are followed: beyond, all shares are under the least number that there is.
+const maxLoad = 24
+
+// ballSteps is the number of integration steps from no ball to n balls.
+const ballSteps = 4096
+
+// The integration of queues up to their fixed point.
+const (
+	queueStep      = 0.1    // of time; the fastest rate is about the number of groups, so this is stable
+	stillMovement  = 1e-13  // relative movement a unit of time at which a point counts as fixed
+	stillInterval  = 64     // steps between two looks at the movement
+	maxQueueSteps  = 200000 // should it never come to rest
+	negligibleLoad = 1e-200 // a share under which movement is rounding
+)
+
+// The search for the best share of the left group, in thousandths: the times that the paper prints have their least in it.
+const (
+	thousandths   = 1000
+	minBestShare  = 500
+	maxBestShare  = 650
+	searchedRange = 2 // under which each share is tried
+)
 
 // BallsRandom gives, after n balls into n bins by the lesser of d random ones, the share of bins with at least i
 // balls.
@@ -50,9 +73,8 @@
 			dx[i] = math.Pow(x[i-1], float64(d)) - math.Pow(x[i], float64(d))
 		}
 	})
-	const steps = 4096
-	for range steps {
-		s.step(w, 1.0/steps)
+	for range ballSteps {
+		s.step(w, 1.0/ballSteps)
 	}
 	return w
 }
@@ -68,9 +90,8 @@
 			dx[i] = (x[i-2] - x[i]) * x[i-1] / (alpha * (1 - alpha))
 		}
 	})
-	const steps = 4096
-	for range steps {
-		s.step(x, 1.0/steps)
+	for range ballSteps {
+		s.step(x, 1.0/ballSteps)
 	}
 	return sumGroups(x, 2)
 }
@@ -94,17 +115,36 @@
 	return w
 }
 
-// QueuesLeft is the fixed point with d groups of the given shares, ties going left: the paper's equations 10 and 14,
+// QueuesLeft is the fixed point with groups of the given shares, ties going left: the paper's equations 10 and 14,
 // integrated until nothing moves.
 func QueuesLeft(lambda float64, shares ...float64) []float64 {
 	d := len(shares)
 	x := make([]float64, d*maxLoad)
 	copy(x, shares)
+	derivative := queueDerivative(lambda, shares)
+	s := newStepper(len(x), derivative)
+	dx := make([]float64, len(x))
+	for n := range maxQueueSteps {
+		s.step(x, queueStep)
+		if n%stillInterval > 0 {
+			continue
+		}
+		derivative(x, dx)
+		if movement(x[d:], dx[d:]) < stillMovement {
+			break
+		}
+	}
+	return sumGroups(x, d)
+}
+
+// queueDerivative is how the shares of queues move, those of all groups of one load after those of the load below.
+func queueDerivative(lambda float64, shares []float64) func(x, dx []float64) {
+	d := len(shares)
 	rate := lambda
 	for _, a := range shares {
 		rate /= a
 	}
-	f := func(x, dx []float64) {
+	return func(x, dx []float64) {
 		for i := range d {
 			dx[i] = 0
 		}
@@ -120,33 +160,20 @@
 			dx[i] = in - (x[i] - above)
 		}
 	}
-	s := newStepper(len(x), f)
-	dx := make([]float64, len(x))
-	const (
-		h     = 0.1   // the fastest rate is about d, so this is well within what is stable
-		still = 1e-13 // relative movement a unit of time at which it counts as fixed
-		most  = 200000
-	)
-	for n := range most {
-		s.step(x, h)
-		if n%64 > 0 {
-			continue
-		}
-		f(x, dx)
-		moving := 0.0
-		for i := d; i < len(x); i++ {
-			if x[i] > 1e-200 {
-				moving = math.Max(moving, math.Abs(dx[i])/x[i])
-			}
-		}
-		if moving < still {
-			break
+}
+
+// movement is the largest relative movement of shares that are not negligible.
+func movement(x, dx []float64) float64 {
+	largest := 0.0
+	for i := range x {
+		if x[i] > negligibleLoad {
+			largest = math.Max(largest, math.Abs(dx[i])/x[i])
 		}
 	}
-	return sumGroups(x, d)
+	return largest
 }
 
-// ExpectedTime is the expected time in the system of a fixed point, by Little's law.
+// ExpectedTime is the expected time in the system at a fixed point, by Little's law.
 func ExpectedTime(u []float64, lambda float64) float64 {
 	sum := 0.0
 	for _, v := range u[1:] {
@@ -155,31 +182,31 @@
 	return sum / lambda
 }
 
-// BestLeftShare is the share of the left group, to the thousandth, at which the expected time is least. The time falls and
-// then rises with the share, so thirds of the range are dropped.
-func BestLeftShare(lambda float64) (alpha, least float64) {
-	at := map[int]float64{}
-	time := func(k int) float64 {
-		if _, ok := at[k]; !ok {
-			a := float64(k) / 1000
-			at[k] = ExpectedTime(QueuesLeft(lambda, a, 1-a), lambda)
+// BestLeftShare is the share of the left group, to the thousandth, at which the expected time is least, and that time. The
+// time falls and then rises with the share, so thirds of the range are dropped.
+func BestLeftShare(lambda float64) (share, least float64) {
+	times := map[int]float64{}
+	timeAt := func(k int) float64 {
+		if _, ok := times[k]; !ok {
+			left := float64(k) / thousandths
+			times[k] = ExpectedTime(QueuesLeft(lambda, left, 1-left), lambda)
 		}
-		return at[k]
+		return times[k]
 	}
-	lo, hi := 500, 650
-	for hi-lo > 2 {
-		m, n := lo+(hi-lo)/3, hi-(hi-lo)/3
-		if time(m) < time(n) {
-			hi = n
+	low, high := minBestShare, maxBestShare
+	for high-low > searchedRange {
+		first, second := low+(high-low)/3, high-(high-low)/3
+		if timeAt(first) < timeAt(second) {
+			high = second
 		} else {
-			lo = m
+			low = first
 		}
 	}
-	best := lo
-	for k := lo; k <= hi; k++ {
-		if time(k) < time(best) {
+	best := low
+	for k := low; k <= high; k++ {
+		if timeAt(k) < timeAt(best) {
 			best = k
 		}
 	}
-	return float64(best) / 1000, time(best)
+	return float64(best) / thousandths, timeAt(best)
 }
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -11,15 +11,15 @@
 // Every figure of tables 2, 3 and 5 is as published, to a unit of the last digit printed, but for the two errata.
 func TestTablesAreAsPublished(t *testing.T) {
 	var out bytes.Buffer
-	off, err := Write(&out, 0, 1)
-	if err != nil || off != 0 || !strings.Contains(out.String(), "76 figures compared, 0 differ") ||
+	differing, err := Write(&out, 0, 1)
+	if err != nil || differing != 0 || !strings.Contains(out.String(), "76 figures compared, 0 differ") ||
 		strings.Count(out.String(), "e: published") != 2 {
-		t.Errorf("%d differ, %v:\n%s", off, err, out.String())
+		t.Errorf("%d differ, %v:\n%s", differing, err, out.String())
 	}
 }
 
 // Table 4, by runs so short that their interval is wide; the command plays it at its length.
-func TestSimulationMeetsTable4(t *testing.T) {
+func TestSimulationAgreesWithTable4(t *testing.T) {
 	w := World{Servers: 100, Lambda: 0.9, Units: 4000, WarmUp: 400}
 	for _, row := range table4 {
 		e := Repeat(4, 1, func(seed uint64) float64 { return w.Run(seed, row.pick) })
@@ -33,8 +33,8 @@
 	}
 }
 
-// The marks are only worth what they see.
-func TestADifferentFigureIsMarked(t *testing.T) {
+// A mark that misses a difference would hide an error in the integration.
+func TestDifferingFigureIsMarked(t *testing.T) {
 	p := &printer{w: &bytes.Buffer{}}
 	for published, v := range map[string]float64{"0.7616": 0.76175, "6.0e-6": 5.85e-6, "1.26569": 1.265671} {
 		if s := p.compare(v, published); !strings.HasSuffix(s, "!") {
@@ -46,7 +46,7 @@
 	}
 }
 
-// At a random server each one is an M/M/1 queue, whose mean time is known.
+// With one random choice each server is an M/M/1 queue, whose mean time is known.
 func TestSimulationOfOneChoice(t *testing.T) {
 	w := World{Servers: 50, Lambda: 0.5, Units: 4000, WarmUp: 400}
 	e := Repeat(8, 1, func(seed uint64) float64 {
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -50,8 +50,22 @@
 	Units, WarmUp float64 // played, and discarded of them
 }
 
+// unit is the virtual time of a unit of the paper's.
 const unit = float64(time.Second)
 
+// arrival is the event of a customer's arrival; other events are the numbers of servers that have finished one.
+const arrival = -1
+
+// firstServerID begins the servers' numbers, so that all have as many digits and sort as they are numbered.
+const firstServerID = 1000
+
+// neverLate is a latency objective and deadline that nothing reaches, so that what the module does about lateness has no
+// effect.
+const neverLate = 24 * time.Hour
+
+// upperQuantile is the quantile of Student's t that bounds a 95% interval from above.
+const upperQuantile = 0.975
+
 // Run plays one world and returns the mean time in the system of the customers that came after the warm-up.
 func (w World) Run(seed uint64, pick Pick) float64 {
 	rng := model.Stream(seed, "paper", 0)
@@ -63,15 +77,14 @@
 	}, func(_ time.Duration, i, _ int) { held[i]-- })
 }
 
-// play is the event queue: take places customer n, and done tells of its end at a server.
-func (w World) play(rng *rand.Rand, take func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
+// play runs the event queue: place puts customer n at a server, and done is its end there. It returns the mean time.
+func (w World) play(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
 	type customer struct {
-		n    int
-		came time.Duration
+		n         int
+		arrivedAt time.Duration
 	}
-	const arrival = -1
 	var q eventq.Queue[int]
-	lines := make([][]customer, w.Servers)
+	queues := make([][]customer, w.Servers)
 	gap := func(rate float64) time.Duration { return time.Duration(rng.ExpFloat64() / rate * unit) }
 	q.Push(gap(w.Lambda*float64(w.Servers)), arrival)
 	sum, served, n := 0.0, 0, 0
@@ -82,21 +95,21 @@
 			return sum / float64(max(1, served)) / unit
 		}
 		if i == arrival {
-			s := take(now, n)
-			lines[s] = append(lines[s], customer{n, now})
+			s := place(now, n)
+			queues[s] = append(queues[s], customer{n, now})
 			n++
-			if len(lines[s]) == 1 {
+			if len(queues[s]) == 1 {
 				q.Push(now+gap(1), s)
 			}
 			q.Push(now+gap(w.Lambda*float64(w.Servers)), arrival)
 			continue
 		}
-		c := lines[i][0]
-		if lines[i] = lines[i][1:]; len(lines[i]) > 0 {
+		c := queues[i][0]
+		if queues[i] = queues[i][1:]; len(queues[i]) > 0 {
 			q.Push(now+gap(1), i)
 		}
-		if c.came >= warm {
-			sum += float64(now - c.came)
+		if c.arrivedAt >= warm {
+			sum += float64(now - c.arrivedAt)
 			served++
 		}
 		done(now, i, c.n)
@@ -105,32 +118,28 @@
 
 // RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
-	const long = 24 * time.Hour // nothing is ever late, so that what the module does about lateness stays out
 	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
-		Classes: []balancer.Class{{Name: "c", LatencyObjective: long, Deadline: long, PriorityWeight: 1}}}, seed)
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: neverLate, Deadline: neverLate, PriorityWeight: 1}}}, seed)
 	if err != nil {
 		return 0, err
 	}
 	list := balancer.EndpointUpdate{Complete: true}
-	at := map[string]int{}
+	indexes := map[string]int{}
+	names := make([]string, w.Servers)
 	for i := range w.Servers {
-		id := "s-" + strconv.Itoa(1000+i)
-		at[id] = i
+		id := "s-" + strconv.Itoa(firstServerID+i)
+		indexes[id], names[i] = i, id
 		list.Servers = append(list.Servers, balancer.Server{ID: id})
 	}
 	b.Handle(0, list)
 	rng := model.Stream(seed, "paper", 0)
-	names := make([]string, w.Servers)
-	for id, i := range at {
-		names[i] = id
-	}
 	mean = w.play(rng, func(now time.Duration, n int) int {
-		for _, a := range b.Handle(now, balancer.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + long}) {
+		for _, a := range b.Handle(now, balancer.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + neverLate}) {
 			if s, ok := a.(balancer.Send); ok {
-				return at[s.Server]
+				return indexes[s.Server]
 			}
 		}
-		return rng.IntN(w.Servers) // it never holds anything back here
+		return rng.IntN(w.Servers) // it never queues a request here
 	}, func(now time.Duration, server, n int) {
 		b.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(n), Server: names[server], Outcome: balancer.Success, RequestDone: true})
 	})
@@ -140,34 +149,38 @@
 // Estimate is a mean over runs, with half its 95% interval and the runs' standard deviation.
 type Estimate struct{ Mean, HalfInterval, StandardDeviation float64 }
 
-// Repeat plays runs of seeds of their own on all cores. The same seed gives the same estimate on any number of them.
+// Repeat plays runs, each with a seed of its own, on all cores. The same seed gives the same estimate on any number of them.
 func Repeat(runs int, seed uint64, run func(seed uint64) float64) Estimate {
-	got := make([]float64, runs)
+	results := make([]float64, runs)
 	next := make(chan int)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		workers.Go(func() {
 			for i := range next {
-				got[i] = run(seed + uint64(i))
+				results[i] = run(seed + uint64(i))
 			}
-		}()
+		})
 	}
-	for i := range got {
+	for i := range results {
 		next <- i
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
+	return estimate(results)
+}
+
+// estimate is the mean of some results, at least one.
+func estimate(results []float64) Estimate {
+	runs := len(results)
 	e := Estimate{}
-	for _, v := range got {
+	for _, v := range results {
 		e.Mean += v / float64(runs)
 	}
-	for _, v := range got {
+	for _, v := range results {
 		e.StandardDeviation += (v - e.Mean) * (v - e.Mean) / float64(max(1, runs-1))
 	}
 	e.StandardDeviation = math.Sqrt(e.StandardDeviation)
 	t := distuv.StudentsT{Sigma: 1, Nu: float64(max(1, runs-1))}
-	e.HalfInterval = t.Quantile(0.975) * e.StandardDeviation / math.Sqrt(float64(runs))
+	e.HalfInterval = t.Quantile(upperQuantile) * e.StandardDeviation / math.Sqrt(float64(runs))
 	return e
 }
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Published figures, as printed; "" is a blank.
+// Published figures of the paper's tables, as printed; "" is a blank.
 var (
 	table2 = [][3]string{{"0.7616", "0.7717", "0.7758"}, {"0.2295", "0.2239", "0.2201"}, {"0.0089", "0.0045", "0.0041"},
 		{"6.0e-6", "5.2e-8", "3.8e-8"}, {"1.3e-12", "1.2e-21", "6.1e-22"}, {"3.2e-26", "5.3e-58", "8.8e-59"}}
@@ -29,13 +29,13 @@
 		{"1.5e-6", "2.5e-8", "9.7e-51", "", "", ""}}
 )
 
-// errata are published figures that the paper's own equations don't give.
+// errata are published figures that the paper's own equations contradict, and what they give instead.
 var errata = map[string]string{
 	"2.9e-17": "its closed form is 0.9 to the power of 364, which is 2.2e-17",
 	"3.8e-8":  "equation 5 gives 3.944e-8, with this step and with half of it",
 }
 
-// formatLike prints a figure the way a published one is printed: as many decimals, or the same form of exponent.
+// formatLike prints a figure as a published one is printed: with as many decimals, or the same form of exponent.
 func formatLike(v float64, like string) string {
 	if mantissa, _, ok := cutByte(like, 'e'); ok {
 		s := strconv.FormatFloat(v, 'e', decimals(mantissa), 64)
@@ -46,6 +46,7 @@
 	return strconv.FormatFloat(v, 'f', decimals(like), 64)
 }
 
+// cutByte cuts s at the first c.
 func cutByte(s string, c byte) (before, after string, ok bool) {
 	for i := range len(s) {
 		if s[i] == c {
@@ -55,22 +56,34 @@
 	return s, "", false
 }
 
+// decimals counts the digits after the point.
 func decimals(s string) int {
 	_, after, _ := cutByte(s, '.')
 	return len(after)
 }
 
-// withinLastDigit says that a figure is less than a unit of the last printed digit away from the published one: the paper
-// cuts some off where it rounds others, and has the best share from times that differ by two in ten million.
+// withinLastDigit says that a figure is at most a unit of the last printed digit away from the published one: the paper
+// truncates some figures and rounds others, and has the best share from times that differ by two in ten million.
 func withinLastDigit(v float64, published string) bool {
 	p, err := strconv.ParseFloat(published, 64)
 	mantissa, exponent, _ := cutByte(published, 'e')
 	e, _ := strconv.Atoi(exponent)
 	unit := math.Pow(10, float64(e-decimals(mantissa)))
-	return err == nil && math.Abs(v-p) <= 1.000001*unit
+	return err == nil && math.Abs(v-p) <= lastDigitTolerance*unit
 }
 
-// printer writes lines and counts the figures that are not as published.
+// lastDigitTolerance is a unit of the last digit, and a little for the rounding of floating point.
+const lastDigitTolerance = 1.000001
+
+// Marks of a figure beside the published one.
+const (
+	markSame     = " "
+	markRounding = "~" // within a unit of its last digit
+	markErratum  = "e"
+	markDiffers  = "!"
+)
+
+// printer writes tables and counts the figures that are not as published.
 type printer struct {
 	w         io.Writer
 	differing int
@@ -85,50 +98,67 @@
 	}
 }
 
-// compare is a figure and the published one.
+// compare is a figure and the published one, with its mark.
 func (p *printer) compare(v float64, published string) string {
 	if published == "" {
 		return fmt.Sprintf("%9s %9s ", "", "")
 	}
 	p.compared++
-	got, mark := formatLike(v, published), " "
+	got, mark := formatLike(v, published), markSame
 	switch {
 	case got == published:
 	case withinLastDigit(v, published):
-		mark = "~"
+		mark = markRounding
 	case errata[published] != "":
-		mark = "e"
+		mark = markErratum
 		p.errataMet = append(p.errataMet, published)
 	default:
 		p.differing++
-		mark = "!"
+		mark = markDiffers
 	}
 	return fmt.Sprintf("%9s %9s%s", got, published, mark)
 }
 
-// Write prints all tables beside the published ones and says how many figures are not as published. Table 4 takes
-// formatLike many runs as are asked for, the published one 100; without any it is left out.
-func Write(w io.Writer, runs int, seed uint64) (off int, err error) {
+// Write prints all tables beside the published ones and returns how many figures differ. Table 4 takes so many runs, the
+// published one 100; without any it is left out.
+func Write(w io.Writer, runs int, seed uint64) (differing int, err error) {
 	p := &printer{w: w}
 	p.printf("each figure beside the published one: ~ within a unit of its last digit, e one that the paper's own\n" +
 		"equations contradict, ! one that differs\n")
+	p.writeTable2()
+	p.writeTable3()
+	p.writeTable5()
+	if runs > 0 {
+		p.writeTable4(runs, seed)
+	}
+	p.printf("\n")
+	for _, f := range p.errataMet {
+		p.printf("e: published %s: %s\n", f, errata[f])
+	}
+	p.printf("%d figures compared, %d differ\n", p.compared, p.differing)
+	return p.differing, p.err
+}
+
+func (p *printer) writeTable2() {
 	p.printf("\ntable 2: share of bins with at least i balls, n balls into n bins\n  i  2-random             2-left, 0.5          2-left, 0.585\n")
 	columns := [][]float64{BallsRandom(2), BallsLeft(0.5), BallsLeft(0.585)}
 	for i, row := range table2 {
-		p.printf("  %d ", i+1)
-		for k, want := range row {
-			p.printf(" %s", p.compare(columns[k][i+1], want))
-		}
-		p.printf("\n")
+		p.writeRow(i+1, row[:], columns)
 	}
+}
+
+func (p *printer) writeTable3() {
 	p.printf("\ntable 3: expected time in the system, fluid limit\n  rate  2-random            2-left, 0.5          2-left, best         best share\n")
 	for _, row := range table3 {
 		best, least := BestLeftShare(row.lambda)
 		p.printf("  %.1f  %s %s %s %s\n", row.lambda, p.compare(ExpectedTime(QueuesRandom(2, row.lambda), row.lambda), row.random),
 			p.compare(ExpectedTime(QueuesLeft(row.lambda, 0.5, 0.5), row.lambda), row.left), p.compare(least, row.best), p.compare(best, row.bestAt))
 	}
+}
+
+func (p *printer) writeTable5() {
 	p.printf("\ntable 5: share of servers with at least i customers, rate 0.9\n  i  d=2 random           d=2 left             d=3 random           d=3 left             d=4 random           d=4 left\n")
-	columns = nil
+	var columns [][]float64
 	for d := 2; d <= 4; d++ {
 		shares := make([]float64, d)
 		for i := range shares {
@@ -137,35 +167,39 @@
 		columns = append(columns, QueuesRandom(d, 0.9), QueuesLeft(0.9, shares...))
 	}
 	for i, row := range table5 {
-		p.printf("  %d ", i+1)
-		for k, want := range row {
-			p.printf(" %s", p.compare(columns[k][i+1], want))
-		}
-		p.printf("\n")
+		p.writeRow(i+1, row[:], columns)
 	}
-	if runs > 0 {
-		p.writeTable4(runs, seed)
+}
+
+// writeRow writes the figures of one load beside the published ones.
+func (p *printer) writeRow(load int, published []string, columns [][]float64) {
+	p.printf("  %d ", load)
+	for k, want := range published {
+		p.printf(" %s", p.compare(columns[k][load], want))
 	}
 	p.printf("\n")
-	for _, f := range p.errataMet {
-		p.printf("e: published %s: %s\n", f, errata[f])
-	}
-	p.printf("%d figures compared, %d differ\n", p.compared, p.differing)
-	return p.differing, p.err
 }
 
-// writeTable4 is table 4, and what the module makes of the same world.
+// The module's runs are fewer and shorter than those of table 4, for it costs more: a tenth of the runs, at least two.
+const (
+	moduleRunDivisor = 10
+	moduleMinRuns    = 2
+	moduleUnits      = 5000
+	moduleWarmUp     = 500
+)
+
+// writeTable4 writes table 4, and the result of the module in the same world.
 func (p *printer) writeTable4(runs int, seed uint64) {
 	world := World{Servers: 100, Lambda: 0.9, Units: 50000, WarmUp: 5000}
 	p.printf("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, world.Units)
 	var left Estimate
 	for i, row := range table4 {
 		e := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, row.pick) })
-		mark := " "
+		mark := markSame
 		p.compared++
 		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half {
 			p.differing++
-			mark = "!"
+			mark = markDiffers
 		}
 		if i == 1 {
 			left = e
@@ -175,9 +209,10 @@
 	shares := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, Left2(0.5, true)) })
 	p.printf("  %-24s %.5f ± %.5f\n", "zero ties by shares", shares.Mean, shares.HalfInterval)
 	short := world
-	short.Units, short.WarmUp = 5000, 500
+	short.Units, short.WarmUp = moduleUnits, moduleWarmUp
+	moduleRuns := max(moduleMinRuns, runs/moduleRunDivisor)
 	var failed error
-	module := Repeat(max(2, runs/10), seed, func(seed uint64) float64 {
+	module := Repeat(moduleRuns, seed, func(seed uint64) float64 {
 		v, err := short.RunModule(seed)
 		if err != nil {
 			failed = err
@@ -187,7 +222,7 @@
 	if failed != nil && p.err == nil {
 		p.err = failed
 	}
-	p.printf("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.HalfInterval, max(2, runs/10), short.Units)
+	p.printf("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.HalfInterval, moduleRuns, short.Units)
 	p.printf("  zero ties by shares change 2-left's time by %+.2f%%: ties of empty queues no longer fill the left group first.\n"+
 		"  The module also passes over servers with more calls than one above the mean, so it chooses among fewer, shorter queues.\n",
 		100*(shares.Mean/left.Mean-1))
--- a/internal/lab/violator/violator.go
+++ b/internal/lab/violator/violator.go
@@ -1,5 +1,5 @@
-// Package violator is a node that knows the wire and breaks a rule, for the lab's own tests: what judges nodes must catch
-// it, also beside a fault that explains some of what it sees. A test's binary stands in for the program with it.
+// Package violator is a node that speaks the protocol and breaks a rule, for the lab's own tests: the checks must catch it,
+// also during a fault that explains some of what they see. A test's binary stands in for the program with it.
 package violator
 
 import (
@@ -18,99 +18,89 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultVariable names the fault in a rogue's environment.
+// FaultVariable is the environment variable that names the fault of a node.
 const FaultVariable = "LAB_ROGUE"
 
-// What a rogue may do.
+// Faults of a node.
 const (
-	FabricatedAnswer = "made-up"
-	NoAnswer         = "no answer"
-	Late             = "late"
-	ParallelAttempts = "two at once"
-	TooManyAttempts  = "again and again"
-	RejectAfterRun   = "refused after a run"
-	EarlyExit        = "hasty"        // goes at SIGTERM with requests open
-	IgnoreUpdates    = "deaf to news" // hears discovery and sends on to whatever its first list has
-	OverloadServer   = "flood"        // sends each request 20 times over to one server
-	ForgetOverrides  = "forgetful"    // does what operators say, and its next life knows nothing of it
+	FabricatedAnswer = "made-up"             // answers a success that no server has run
+	NoAnswer         = "no answer"           // ends the client's connection
+	Late             = "late"                // answers when the client has given up
+	ParallelAttempts = "two at once"         // has two attempts out
+	TooManyAttempts  = "again and again"     // sends whatever the outcome
+	RejectAfterRun   = "refused after a run" // rejects what a server has run
+	EarlyExit        = "hasty"               // exits at SIGTERM with requests open
+	IgnoreUpdates    = "deaf to news"        // watches discovery and sends to whatever its first list has
+	OverloadServer   = "flood"               // sends each request many times to one server
+	ForgetOverrides  = "forgetful"           // does what operators call for, and its next incarnation knows nothing of it
 )
 
+// How often the faults send a request.
+const (
+	parallelCopies = 2
+	attemptCopies  = 4  // more than the rules allow
+	overloadCopies = 20 // more than a warming server bears
+)
+
+// violatingNode is the node, with what it needs of its configuration.
 type violatingNode struct {
-	Listen, Control, Discovery string
-	Known                      struct {
+	Listen    string
+	Control   string
+	Discovery string
+	Known     struct {
 		Hosts []struct{ Host, Dial string }
 	}
 
 	mu       sync.Mutex
-	disabled map[string]bool // by an operator's word
-}
-
-// enabledServer is a server that is not out by hand; "": there is none.
-func (c *violatingNode) enabledServer() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, h := range c.Known.Hosts {
-		if !c.disabled[h.Host] {
-			return h.Dial
-		}
-	}
-	return ""
+	disabled map[string]bool // by operators
 }
 
-// serveAdmin says yes to every call, and remembers servers that are to be out.
-func (c *violatingNode) serveAdmin(_ http.ResponseWriter, r *http.Request) {
-	if id, out := path.Split(strings.TrimPrefix(r.URL.Path, "/control/servers/")); out == "offline" || out == "online" {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.disabled[strings.TrimSuffix(id, "/")] = out == "offline"
-	}
-}
-
-// Serve is the node, from ROUTER_CONFIG until the process is ended.
+// Serve runs the node, with the configuration that ROUTER_CONFIG names, until the process is ended.
 func Serve(fault string) error {
-	text, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
+	configFile := os.Getenv("ROUTER_CONFIG")
+	text, err := os.ReadFile(configFile)
 	if err != nil {
 		return err
 	}
-	c := &violatingNode{disabled: map[string]bool{}}
-	if err := json.Unmarshal(text, c); err != nil {
+	n := &violatingNode{disabled: map[string]bool{}}
+	if err := json.Unmarshal(text, n); err != nil {
 		return err
 	}
-	if len(c.Known.Hosts) == 0 {
-		return fmt.Errorf("rogue: no servers in %s", os.Getenv("ROUTER_CONFIG"))
+	if len(n.Known.Hosts) == 0 {
+		return fmt.Errorf("violator: no servers in %s", configFile)
 	}
-	ln, err := listen(c.Listen)
+	listener, err := listen(n.Listen)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "msg=serving listen=%s\n", ln.Addr())
-	if c.Control != "" {
-		go http.ListenAndServe(c.Control, http.HandlerFunc(c.serveAdmin))
+	fmt.Fprintf(os.Stderr, "msg=serving listen=%s\n", listener.Addr())
+	if n.Control != "" {
+		go http.ListenAndServe(n.Control, http.HandlerFunc(n.serveAdmin))
 	}
-	if fault == IgnoreUpdates || fault == OverloadServer { // what it hears changes nothing
-		go readUpdates(c.Discovery)
+	if fault == IgnoreUpdates || fault == OverloadServer { // what it reads changes nothing
+		go readUpdates(n.Discovery)
 	}
-	return http.Serve(ln, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	return http.Serve(listener, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/ready" {
-			c.answer(fault, rw, r)
+			n.answer(fault, rw, r)
 		}
 	}))
 }
 
-// listen lets an older process of the node keep the address beside it.
+// listen lets an older process of the node keep the address at the same time.
 func listen(addr string) (net.Listener, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		if e := c.Control(func(fd uintptr) {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+		if controlErr := c.Control(func(fd uintptr) {
 			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-		}); e != nil {
-			return e
+		}); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	return lc.Listen(context.Background(), "tcp", addr)
+	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// readUpdates reads all that discovery writes, and minds none of it.
+// readUpdates reads all that discovery writes, and drops it.
 func readUpdates(addr string) {
 	resp, err := http.Get("http://" + addr + "/v1/endpoints?watch=1&from=1")
 	if err != nil {
@@ -121,52 +111,84 @@
 	io.Copy(io.Discard, resp.Body)
 }
 
-func (c *violatingNode) answer(fault string, rw http.ResponseWriter, r *http.Request) {
-	send := func(to io.Writer, dial string) int {
-		out, err := http.NewRequest(r.Method, "http://"+dial+r.URL.String(), nil)
-		if err != nil {
-			return 0
-		}
-		out.Header = r.Header.Clone()
-		resp, err := http.DefaultClient.Do(out)
-		if err != nil {
-			return 0
-		}
-		defer resp.Body.Close()
-		io.Copy(to, resp.Body)
-		return resp.StatusCode
+// serveAdmin confirms every admin call, and remembers which servers are disabled.
+func (n *violatingNode) serveAdmin(_ http.ResponseWriter, r *http.Request) {
+	id, action := path.Split(strings.TrimPrefix(r.URL.Path, "/control/servers/"))
+	if action != "offline" && action != "online" {
+		return
 	}
-	pass := func(to io.Writer, n int) int { return send(to, c.Known.Hosts[n%len(c.Known.Hosts)].Dial) }
-	many := func(n int, to func(i int) int) {
-		var all sync.WaitGroup
-		for i := range n {
-			all.Go(func() { pass(io.Discard, to(i)) })
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.disabled[strings.TrimSuffix(id, "/")] = action == "offline"
+}
+
+// enabledServer is the address of a server that no operator has disabled; "": there is none.
+func (n *violatingNode) enabledServer() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, h := range n.Known.Hosts {
+		if !n.disabled[h.Host] {
+			return h.Dial
 		}
-		all.Wait()
 	}
+	return ""
+}
+
+// answer answers a request with the node's fault. With a fault that is not about forwarding it forwards once.
+func (n *violatingNode) answer(fault string, rw http.ResponseWriter, r *http.Request) {
 	switch fault {
 	case FabricatedAnswer:
 	case NoAnswer:
-		panic(http.ErrAbortHandler) // the connection ends without a word
+		panic(http.ErrAbortHandler) // ends the connection
 	case Late:
-		pass(io.Discard, 0)
-		<-r.Context().Done() // until its client has given up
+		n.forward(io.Discard, r, 0)
+		<-r.Context().Done() // until the client has given up
 	case ParallelAttempts:
-		many(2, func(i int) int { return i })
+		n.forwardCopies(r, parallelCopies, func(i int) int { return i })
 	case TooManyAttempts:
-		for i := range 4 {
-			pass(rw, i)
+		for i := range attemptCopies {
+			n.forward(rw, r, i)
 		}
 	case RejectAfterRun:
-		pass(io.Discard, 0)
+		n.forward(io.Discard, r, 0)
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case ForgetOverrides:
-		if to := c.enabledServer(); to == "" || send(rw, to) != http.StatusOK {
+		if addr := n.enabledServer(); addr == "" || forwardTo(rw, r, addr) != http.StatusOK {
 			rw.WriteHeader(http.StatusBadGateway)
 		}
 	case OverloadServer:
-		many(20, func(int) int { return 0 })
+		n.forwardCopies(r, overloadCopies, func(int) int { return 0 })
 	default:
-		pass(rw, 0)
+		n.forward(rw, r, 0)
+	}
+}
+
+// forwardCopies forwards a request several times at once, and drops the answers.
+func (n *violatingNode) forwardCopies(r *http.Request, copies int, server func(copy int) int) {
+	var attempts sync.WaitGroup
+	for i := range copies {
+		attempts.Go(func() { n.forward(io.Discard, r, server(i)) })
+	}
+	attempts.Wait()
+}
+
+// forward forwards a request to the server of a number, and copies the body of the answer.
+func (n *violatingNode) forward(to io.Writer, r *http.Request, server int) {
+	forwardTo(to, r, n.Known.Hosts[server%len(n.Known.Hosts)].Dial)
+}
+
+// forwardTo forwards a request to an address and returns the status; 0: there was no answer.
+func forwardTo(to io.Writer, r *http.Request, addr string) int {
+	out, err := http.NewRequest(r.Method, "http://"+addr+r.URL.String(), nil)
+	if err != nil {
+		return 0
+	}
+	out.Header = r.Header.Clone()
+	resp, err := http.DefaultClient.Do(out)
+	if err != nil {
+		return 0
 	}
+	defer resp.Body.Close()
+	io.Copy(to, resp.Body)
+	return resp.StatusCode
 }
