--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strconv"
 	"sync"
 	"time"
@@ -11,127 +12,110 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// request is what a client wants: its first try and all that follow.
+// clientRequest is what a client wants: its first try and all that follow.
 type clientRequest struct {
 	model.Arrival
 	number int
 }
 
-// ingress deals clients out over the nodes that it believes to serve.
-type ingress struct {
-	mu              sync.Mutex
-	nodes           []*process
-	believedServing []bool
-	lastPicked      int
-}
-
-func (f *ingress) pickNode() *process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for range f.nodes {
-		f.lastPicked = (f.lastPicked + 1) % len(f.nodes)
-		if f.believedServing[f.lastPicked] {
-			return f.nodes[f.lastPicked]
-		}
-	}
-	return nil
-}
-
-func (f *ingress) setServing(i int, serves bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.believedServing[i] = serves
-}
-
-// playClients sends first tries as they come, each on a goroutine of its own, and returns when all are over.
+// playClients sends first tries as they come, each on a goroutine of its own, and returns when all requests have ended.
 func (w *World) playClients() {
-	var all sync.WaitGroup
-	defer all.Wait()
-	n := 0
+	var clients sync.WaitGroup
+	defer clients.Wait()
 	if loops := w.scenario.Clients.ClosedLoop; loops > 0 {
-		for range loops {
-			goTracked(&all, func() {
-				for w.now() < w.scenario.Length && w.ctx.Err() == nil {
-					w.mu.Lock()
-					n++
-					r := &clientRequest{Arrival: w.arrivals.Draw(w.now()), number: n}
-					w.mu.Unlock()
-					w.playRequest(r)
-				}
-			})
-		}
+		w.playClosedLoops(&clients, loops)
 		return
 	}
-	for {
+	for number := 1; ; number++ {
 		w.mu.Lock()
 		a, ok := w.arrivals.Next()
 		w.mu.Unlock()
 		if !ok || !w.sleep(a.At-w.now()) {
 			return
 		}
-		n++
-		r := &clientRequest{Arrival: a, number: n}
-		goTracked(&all, func() { w.playRequest(r) })
+		goTracked(&clients, func() { w.playRequest(&clientRequest{Arrival: a, number: number}) })
 	}
 }
 
-// sleep waits. False: the world has ended meanwhile.
-func (w *World) sleep(d time.Duration) bool {
-	if d <= 0 {
-		return w.ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-w.ctx.Done():
-		return false
+// playClosedLoops has clients make one request after another, until the arrivals end.
+func (w *World) playClosedLoops(clients *sync.WaitGroup, loops int) {
+	count := 0 // of requests so far, under the world's lock
+	for range loops {
+		goTracked(clients, func() {
+			for w.now() < w.scenario.Length && w.ctx.Err() == nil {
+				w.mu.Lock()
+				count++
+				r := &clientRequest{Arrival: w.arrivals.Draw(w.now()), number: count}
+				w.mu.Unlock()
+				w.playRequest(r)
+			}
+		})
 	}
 }
 
-// playRequest is a client from its first try to the end: it tries again as the scenario says, where that is safe.
+// playRequest is a client from its first try to the end of its request. It retries as the scenario says, where that is safe.
 func (w *World) playRequest(r *clientRequest) {
 	r.At = w.now()
 	w.observations.requestBegun(r.At, r.Class, r.Tenant)
-	class := w.scenario.Classes[r.Class]
-	last := r.At + class.Deadline
+	outcome := w.playTries(r)
+	w.observations.requestEnded(r, w.now()-r.At, outcome)
+}
+
+// playTries makes the tries of a request.
+func (w *World) playTries(r *clientRequest) score.Outcome {
+	deadline := r.At + w.scenario.Classes[r.Class].Deadline
 	for try := 0; ; try++ {
 		retries := w.maxRetries()
-		left := last - w.now()
+		left := deadline - w.now()
 		if left <= 0 || try > retries || w.ctx.Err() != nil {
-			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
-			return
+			return score.Failed
 		}
-		budget := model.TryTimeout(w.scenario, r.Class, try, retries, left)
+		timeout := model.TryTimeout(w.scenario, r.Class, try, retries, left)
 		w.observations.tryBegun()
-		var a answer
-		if n := w.ingress.pickNode(); n != nil {
-			a = n.send(w.ctx, r.Class, fmt.Sprintf("%d.%d", r.number, try), strconv.Itoa(r.number),
-				w.scenario.Tenants[r.Tenant].Name, r.Work, w.now()+budget, try > 0 && w.scenario.Clients.MarkRetries)
-		} else {
-			a = answer{connectionRefused: true}
+		a := w.sendTry(r, try, timeout)
+		if a.status == http.StatusOK {
+			return score.Served
 		}
-		wait := w.scenario.Clients.Backoff
-		switch {
-		case a.status == 200:
-			w.observations.requestEnded(r, w.now()-r.At, score.Served)
-			return
-		case a.status == 429 || a.status == 503:
-			w.observations.tryRejected(w.now())
-			if r.HonoursRetryAfter && a.retryAfter > 0 {
-				wait = a.retryAfter
-			}
-			if w.inRetryStorm() {
-				wait = 0
-			}
-		case !a.connectionRefused && class.Effect != balancer.Idempotent:
-			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
-			return
+		pause, retryable := w.pauseBeforeRetry(r, a)
+		if !retryable || !w.sleep(pause) {
+			return score.Failed
 		}
-		if !w.sleep(wait) {
-			w.observations.requestEnded(r, w.now()-r.At, score.Failed)
-			return
+	}
+}
+
+// sendTry sends a try to the next node.
+func (w *World) sendTry(r *clientRequest, try int, timeout time.Duration) answer {
+	n := w.ingress.pickNode()
+	if n == nil {
+		return answer{connectionRefused: true}
+	}
+	return n.send(w.ctx, nodeRequest{
+		class:    r.Class,
+		id:       fmt.Sprintf("%d.%d", r.number, try),
+		client:   strconv.Itoa(r.number),
+		tenant:   w.scenario.Tenants[r.Tenant].Name,
+		work:     r.Work,
+		deadline: w.now() + timeout,
+		isRetry:  try > 0 && w.scenario.Clients.MarkRetries,
+	})
+}
+
+// pauseBeforeRetry is how long a client waits after an answer before it retries: the backoff, what Retry-After says if it
+// honors that, or nothing in a retry storm. It returns false if a retry could run the request a second time.
+func (w *World) pauseBeforeRetry(r *clientRequest, a answer) (pause time.Duration, retryable bool) {
+	pause = w.scenario.Clients.Backoff
+	switch {
+	case a.rejected():
+		w.observations.tryRejected(w.now())
+		if r.HonoursRetryAfter && a.retryAfter > 0 {
+			pause = a.retryAfter
+		}
+		if w.inRetryStorm() {
+			pause = 0
 		}
+		return pause, true
+	case a.connectionRefused:
+		return pause, true
 	}
+	return pause, w.scenario.Classes[r.Class].Effect == balancer.Idempotent
 }
--- a/internal/lab/loopback/nodes.go
+++ b/internal/lab/loopback/nodes.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"os"
+	"os/exec"
+	"path/filepath"
 	"syscall"
 	"time"
 
@@ -10,29 +12,18 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// EndpointList is a list of boxes in discovery's published form; Entry is one of them.
-type (
-	EndpointList = endpointList
-	Endpoint     = endpoint
-)
-
-// NewEndpoint lists a box as one in service.
-func NewEndpoint(id, kind, addr string, index int) Endpoint {
-	return Endpoint{Host: id, Dial: addr, Site: "benchland", Class: kind, Block: index / 6, Health: "in_service", Share: 1}
-}
-
-// ListProvider says what a node is given at its start, by its place and tier.
+// ListProvider says what a node is given at its start, by its base name and tier.
 type ListProvider interface {
-	DiscoveryAddr(place string) (addr string)
-	BootstrapList(place string, tier int) EndpointList
+	DiscoveryAddr(base string) (addr string)
+	BootstrapList(base string, tier int) EndpointList
 }
 
-// NodeInfo is what stays the same of a node over its lives.
+// NodeInfo is what stays the same of a node over its incarnations.
 type NodeInfo struct {
-	Base         string
+	Base         string // its name without the incarnation
 	Tier         int    // that it sends to
-	IngressIndex int    // its number among the front's nodes; -1: it stands beside a box
-	HostServer   [2]int // tier and index of that box
+	IngressIndex int    // its number among the ingress nodes; -1: it stands beside a server
+	HostServer   [2]int // tier and index of that server
 	HostID       string
 }
 
@@ -42,13 +33,16 @@
 // providedLists brings a rig's lists to the processes.
 type providedLists struct{ ListProvider }
 
-func (a providedLists) discoveryAddr(p *process) string       { return a.DiscoveryAddr(p.base) }
-func (a providedLists) bootstrapList(p *process) endpointList { return a.BootstrapList(p.base, p.tier) }
+// discoveryAddr implements bootstrapLists.
+func (l providedLists) discoveryAddr(p *process) string { return l.DiscoveryAddr(p.base) }
+
+// bootstrapList implements bootstrapLists.
+func (l providedLists) bootstrapList(p *process) EndpointList { return l.BootstrapList(p.base, p.tier) }
 
 // NewNodes makes the nodes of a scenario; none runs yet. Down must follow, also after an error.
-func NewNodes(ctx context.Context, s *scenario.Scenario, opt Options, given ListProvider) (*Nodes, error) {
-	w, err := newWorld(ctx, s, opt)
-	w.lists = providedLists{given}
+func NewNodes(ctx context.Context, s *scenario.Scenario, options Options, lists ListProvider) (*Nodes, error) {
+	w, err := newWorld(ctx, s, options)
+	w.lists = providedLists{lists}
 	w.setClock(beforeStart, time.Now())
 	return &Nodes{w}, err
 }
@@ -74,7 +68,7 @@
 	return list
 }
 
-// ServerIDs are the ids of a tier's boxes, by index, and their kinds' names.
+// ServerIDs are the IDs of a tier's servers, by index, and their kinds' names.
 func (n *Nodes) ServerIDs(tier int) (ids, kinds []string) {
 	for _, b := range n.world.servers[tier] {
 		ids, kinds = append(ids, b.model.ID), append(kinds, b.model.Kind.Name)
@@ -82,7 +76,7 @@
 	return ids, kinds
 }
 
-// SetProgram has a node started from another build from its next life on.
+// SetProgram has a node started from another build from its next incarnation on; nil: from the usual one.
 func (n *Nodes) SetProgram(i int, program []string) {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -90,35 +84,34 @@
 	p.program = program
 }
 
-// Start begins a node's next life and returns once it is ready.
-// The process of the life before is waited for: one that was told to stop may still have answers to give. Between the two
-// meanwhile is called, if there is one.
-func (n *Nodes) Start(ctx context.Context, i int, meanwhile func() error) error {
+// Start begins a node's next incarnation and returns once it is ready. It waits for the process of the one before, which
+// may still have answers to give. Between the two, between is called, if it is not nil.
+func (n *Nodes) Start(ctx context.Context, i int, between func() error) error {
 	p := n.world.processes[i]
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mu.Unlock()
-	if ended != nil {
+	if exited != nil {
 		select {
-		case <-ended:
+		case <-exited:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	if meanwhile != nil {
-		if err := meanwhile(); err != nil {
+	if between != nil {
+		if err := between(); err != nil {
 			return err
 		}
 	}
 	if !n.world.scenario.Fleet.AdminCalls {
 		p.mu.Lock()
-		p.addr = "" // another one each time: nobody keeps it for a node that is dead
+		p.addr = "" // another one each time: nobody keeps it for a node that is down
 		p.mu.Unlock()
 	}
 	return p.start(ctx)
 }
 
-// Incarnation is a node's name and address in its present life.
+// Incarnation is a node's name and address in its present incarnation.
 func (n *Nodes) Incarnation(i int) (name, addr string) {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -137,6 +130,22 @@
 	return p.addr
 }
 
+// AdminAddr is a node's name in its present incarnation, and where it takes admin calls; "": it does not run, or takes none.
+func (n *Nodes) AdminAddr(i int) (name, addr string) {
+	p := n.world.processes[i]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return p.name, ""
+	}
+	return p.name, p.adminAddr
+}
+
+// SetFolder gives a node a $TMPDIR of its own from its next process on. onStart is called with each process that begins.
+func (n *Nodes) SetFolder(i int, dir string, onStart func(*exec.Cmd)) {
+	n.world.processes[i].tempDir, n.world.processes[i].onStart = dir, onStart
+}
+
 // Running says that a node's process runs.
 func (n *Nodes) Running(i int) bool {
 	p := n.world.processes[i]
@@ -148,56 +157,63 @@
 // Kill ends a node at once; nothing is owed any more.
 func (n *Nodes) Kill(i int) { n.world.processes[i].kill() }
 
-// Stop sends SIGTERM. What it took is owed until it has ended.
-func (n *Nodes) Stop(i int, heard func()) {
+// Stop sends SIGTERM, and calls terminating on a goroutine once that is done. What the node accepted is owed until it has
+// ended.
+func (n *Nodes) Stop(i int, terminating func()) {
 	w := n.world
-	ended, name := w.processes[i].signal(syscall.SIGTERM)
-	if ended == nil {
+	exited, name := w.processes[i].signal(syscall.SIGTERM)
+	if exited == nil {
 		return
 	}
 	w.observations.record(blackbox.Event{At: w.now(), Kind: blackbox.NodeTerminating, Node: name})
 	w.goOwned(func() {
-		heard()
-		<-ended
+		terminating()
+		<-exited
 		w.sleep(socketSlack) // its last answers are still being read
 		w.observations.nodeStopped(w.now(), name)
 	})
 }
 
-// SetStopped stops a node's process where it is, or lets it go on. False: it does not run.
-func (n *Nodes) SetStopped(i int, stop bool) bool {
+// SetStopped stops a node's process where it is, or has it go on. It returns false if the node does not run.
+func (n *Nodes) SetStopped(i int, stopped bool) bool {
 	name, _ := n.Incarnation(i)
-	sig, what := syscall.SIGCONT, blackbox.ProcessResumed
-	if stop {
-		sig, what = syscall.SIGSTOP, blackbox.ProcessStopped
+	if !stopped { // what the node does from now on must not be seen before it is known to run
+		n.Record(blackbox.Event{Kind: blackbox.ProcessResumed, Node: name})
+		exited, _ := n.world.processes[i].signal(syscall.SIGCONT)
+		return exited != nil
 	}
-	if !stop { // what it does from now on must not be seen before it is known to run
-		n.Record(blackbox.Event{Kind: what, Node: name})
+	exited, _ := n.world.processes[i].signal(syscall.SIGSTOP)
+	if exited != nil {
+		n.Record(blackbox.Event{Kind: blackbox.ProcessStopped, Node: name})
 	}
-	ended, _ := n.world.processes[i].signal(sig)
-	if ended != nil && stop {
-		n.Record(blackbox.Event{Kind: what, Node: name})
-	}
-	return ended != nil
+	return exited != nil
+}
+
+// Replace has a node's process replaced by its successor, of the usual program.
+func (n *Nodes) Replace(ctx context.Context, i int) error {
+	n.SetProgram(i, nil)
+	return n.world.processes[i].replace(ctx)
 }
 
-// Record adds an event of now.
+// Record adds an event of now to the history.
 func (n *Nodes) Record(e blackbox.Event) {
 	e.At = n.world.now()
 	n.world.observations.record(e)
 }
 
 // SetClock begins the scenario's time.
-func (n *Nodes) SetClock(began time.Duration, wall time.Time) { n.world.setClock(began, wall) }
+func (n *Nodes) SetClock(startTick time.Duration, wall time.Time) { n.world.setClock(startTick, wall) }
 
 // Now is the scenario's time.
 func (n *Nodes) Now() time.Duration { return n.world.now() }
 
-// Go runs something that Down waits for; Sleep waits, false: the world has ended.
-func (n *Nodes) Go(f func())                { n.world.goOwned(f) }
+// Go runs something on a goroutine that Down waits for.
+func (n *Nodes) Go(f func()) { n.world.goOwned(f) }
+
+// Sleep waits. It returns false if the world has ended in the meantime.
 func (n *Nodes) Sleep(d time.Duration) bool { return n.world.sleep(d) }
 
-// Log is where a node's standard error is kept.
+// Log is a node's standard error.
 func (n *Nodes) Log(i int) ([]byte, error) {
-	return os.ReadFile(n.world.dir + "/" + n.world.processes[i].base + ".log")
+	return os.ReadFile(filepath.Join(n.world.dir, n.world.processes[i].base+".log"))
 }
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -3,222 +3,237 @@
 import (
 	"bufio"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
-	"net/http/httptrace"
-	"net/url"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
+)
+
+const (
+	// startTimeout is how long a node may take to start on a busy machine.
+	startTimeout = 20 * time.Second
+
+	// readyInterval is the time between two looks whether a node is ready.
+	readyInterval = 10 * time.Millisecond
+
+	// maxLogLine is the longest line of a node's standard error in bytes: a captured list of some thousand servers is one.
+	maxLogLine = 16 << 20
+)
+
+// Signals to a node that are not about its end.
+const (
+	syscallReload = syscall.SIGHUP
+	noSignal      = syscall.Signal(0) // only looks whether it runs
+)
 
-	"hookwalk.example/hookwalk/balancer"
-	"hookwalk.example/hookwalk/internal/lab/model"
+// Connections of clients to a node.
+const (
+	maxIdleConnections = 256
+	clientIdleTimeout  = time.Second
 )
 
-// process is a node: a real `hookwalk run` with a configuration as the platform writes it, started from nothing as
-// often as it is started.
+// servingLine is the line by which a node says where it listens.
+var servingLine = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
+
+// process is a node: a real `hookwalk run` with a configuration as the platform writes it, started from nothing as often as
+// it is started. During an upgrade it has two processes.
 type process struct {
 	world         *World
-	base          string // its name without the life
-	tier          int
+	base          string // its name without the incarnation
+	tier          int    // that it sends to
 	replicaIndex  int
 	replicas      int
-	host          *server           // nil: a front node
-	dialAddresses map[string]string // where it reaches boxes; none: where they are
-
-	program []string // of its next life; nil: as the others
+	host          *server           // the server that it stands beside; nil: an ingress node
+	dialAddresses map[string]string // where it reaches servers; none: where they are
 
 	mu             sync.Mutex
-	name           string // of this life: what is owed in one is not in the next
+	program        []string // of its next incarnation; nil: the usual one
+	name           string   // of this incarnation: what is owed in one is not in the next
 	incarnation    int
 	addr           string
-	cmd            *exec.Cmd
+	cmd            *exec.Cmd // nil: it does not run
 	exited         chan struct{}
-	previous       *exec.Cmd     // in an upgrade: the older process
-	previousExited chan struct{} // and its end
+	previous       *exec.Cmd // during an upgrade: the older process
+	previousExited chan struct{}
+	replacing      bool
+	client         *http.Client
 
-	replacing bool
-	client    *http.Client
-
-	adminAddr string // of the newest process, where nodes take operators' calls
+	adminAddr string // of the newest process; "": it takes no admin calls
 	tempDir   string // its $TMPDIR; "": that of all
 	onStart   func(*exec.Cmd)
 }
 
-// startTimeout is how long a node may take to start on a busy machine.
-const startTimeout = 20 * time.Second
-
-var servingLine = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
-
-// longestLine is the longest line of a node's standard error in bytes: a captured list of some thousand servers is one.
-const longestLine = 16 << 20
-
-// config is the node's configuration file.
-func (p *process) config(known endpointList) ([]byte, error) {
-	set := model.NodeSettings(p.world.scenario, p.tier, p.replicaIndex, p.replicas)
-	effects := map[balancer.Effect]string{balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent"}
-	type object = map[string]any
-	var lanes, tenants []object
-	for _, c := range set.Classes {
-		lanes = append(lanes, object{"name": c.Name, "effect": effects[c.Effect], "key-scope": "all", "window-ms": milliseconds(c.DedupWindow),
-			"target-ms": milliseconds(c.LatencyObjective), "deadline-ms": milliseconds(c.Deadline), "late-share": c.LateCredit, "worth": c.PriorityWeight})
-	}
-	for _, t := range p.world.scenario.Tenants {
-		tenants = append(tenants, object{"name": t.Name})
-	}
-	mode := "pushed"
-	if set.PollDiscovery {
-		mode = "on_request"
-	}
-	listen := p.addr
-	if listen == "" {
-		listen = "127.0.0.1:0"
-	}
-	name := p.name
-	if p.adminAddr != "" { // what stands in its folder is of a node, not of a life
-		name = p.base
-	}
-	return json.Marshal(object{"name": name, "listen": listen, "control": p.adminAddr, "discovery": p.world.lists.discoveryAddr(p),
-		"seed":   strconv.FormatUint(model.Stream(p.world.scenario.Seed, "node "+p.base, p.incarnation).Uint64(), 16),
-		"limits": object{"cores": 1, "memory_mb": 128, "sockets": 512}, "known": known,
-		"settings": object{"balancers": set.Replicas, "me": set.ReplicaIndex, "tier": set.Tier, "registry-mode": mode, "tick-ms": milliseconds(set.Tick),
-			"zone": "", "blend": object{"whole": set.TotalValueWeight, "worst-class": set.WorstClassWeight},
-			"callers": object{"marks-retry": set.ClientsMarkRetries}, "lanes": lanes, "tenants": tenants,
-			"limits": object{"max-attempts": set.MaxAttempts, "retry-after": true,
-				"max-retry-after-ms": milliseconds(set.MaxRetryAfter), "conn-idle-ms": milliseconds(p.world.scenario.Network.IdleTimeout),
-				"connect-timeout-ms": milliseconds(p.world.scenario.Network.ConnectTimeout)},
-			"rules": object{"ask-within-ms": milliseconds(set.MaxPollInterval), "cold-from": set.SlowStartMinShare, "warm-after-ms": milliseconds(set.SlowStartDuration),
-				"fall-multiple": set.OverloadMultiple}}})
+// startedProcess is a process of a node that has been started.
+type startedProcess struct {
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when it has ended
+	addr   <-chan string // where it listens, once it serves
 }
 
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// logFile is where the node's standard error is kept.
+func (p *process) logFile() string { return filepath.Join(p.world.dir, p.base+".log") }
 
-// write puts the configuration where the node reads it.
-func (p *process) write(known endpointList) (path string, err error) {
-	text, err := p.config(known)
-	if err != nil {
-		return "", err
-	}
-	path = filepath.Join(p.world.dir, p.base+".json")
-	return path, os.WriteFile(path, text, 0o600)
-}
-
-// start begins a life and returns once the node is ready.
+// start begins an incarnation and returns once the node is ready. A node that runs is left alone.
 func (p *process) start(ctx context.Context) error {
-	p.mu.Lock()
-	if p.cmd != nil {
-		p.mu.Unlock()
+	name, ok := p.nextIncarnation()
+	if !ok {
 		return nil
 	}
-	p.incarnation++
-	p.name = fmt.Sprintf("%s.%d", p.base, p.incarnation)
-	p.mu.Unlock()
 	if p.world.options.OnIncarnation != nil {
-		p.world.options.OnIncarnation(p.base, p.incarnationName())
+		p.world.options.OnIncarnation(p.base, name)
 	}
 	if err := p.assignAddresses(); err != nil {
 		return err
 	}
-	known := p.world.lists.bootstrapList(p)
-	p.world.observations.nodeStarted(p.world.now(), p.name, known)
-	cmd, exited, addr, err := p.launch(known)
+	list := p.world.lists.bootstrapList(p)
+	p.world.observations.nodeStarted(p.world.now(), name, list)
+	started, err := p.launch(list)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.cmd, p.exited = cmd, exited
-	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second, DisableCompression: true}}
+	p.cmd, p.exited, p.client = started.cmd, started.exited, newClient()
 	p.mu.Unlock()
-	late := time.NewTimer(startTimeout)
-	defer late.Stop()
-	log := filepath.Join(p.world.dir, p.base+".log")
-	select {
-	case at := <-addr:
-		p.mu.Lock()
-		p.addr = at
-		p.mu.Unlock()
-	case <-exited:
-		return fmt.Errorf("node %s ended without serving: see %s", p.base, log)
-	case <-late.C:
-		return fmt.Errorf("node %s does not serve: see %s", p.base, log)
-	case <-ctx.Done():
-		return ctx.Err()
+	timeout := time.NewTimer(startTimeout)
+	defer timeout.Stop()
+	addr, err := p.waitServing(ctx, started, timeout.C)
+	if err != nil {
+		return err
 	}
-	return p.waitReady(ctx, "http://"+p.addr+"/ready", exited, late.C)
+	return p.waitReady(ctx, "http://"+addr+"/ready", started.exited, timeout.C)
 }
 
-// launch starts a process of the node and gives its end, and its address once it serves.
-func (p *process) launch(known endpointList) (*exec.Cmd, chan struct{}, <-chan string, error) {
-	fail := func(err error) (*exec.Cmd, chan struct{}, <-chan string, error) {
-		return nil, nil, nil, fmt.Errorf("node %s: %w", p.base, err)
-	}
-	path, err := p.write(known)
-	if err != nil {
-		return fail(err)
+// nextIncarnation names the next incarnation. It returns false if the node runs.
+func (p *process) nextIncarnation() (name string, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd != nil {
+		return "", false
 	}
-	program := p.world.options.Program
+	p.incarnation++
+	p.name = fmt.Sprintf("%s.%d", p.base, p.incarnation)
+	return p.name, true
+}
+
+// setIncarnation takes over name and address of an incarnation that another process has started.
+func (p *process) setIncarnation(name, addr string) {
 	p.mu.Lock()
-	if p.program != nil {
-		program = p.program
+	defer p.mu.Unlock()
+	p.name, p.addr, p.client = name, addr, newClient()
+}
+
+// newClient returns an HTTP client as the lab's clients have it.
+func newClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: clientIdleTimeout, DisableCompression: true}}
+}
+
+// launch starts a process of the node.
+func (p *process) launch(list EndpointList) (startedProcess, error) {
+	started, err := p.launchCommand(list)
+	if err != nil {
+		return started, fmt.Errorf("node %s: %w", p.base, err)
 	}
-	p.mu.Unlock()
-	cmd := exec.Command(program[0], append(slices.Clone(program[1:]), "run")...)
-	cmd.Env = append(os.Environ(), append(slices.Clone(p.world.options.Env), "ROUTER_CONFIG="+path)...)
-	if p.tempDir != "" {
-		cmd.Env = append(cmd.Env, "TMPDIR="+p.tempDir)
+	return started, nil
+}
+
+func (p *process) launchCommand(list EndpointList) (started startedProcess, err error) {
+	path, err := p.writeConfig(list)
+	if err != nil {
+		return started, err
 	}
+	cmd := p.command(path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
-		return fail(err)
+		return started, err
 	}
-	log, err := os.OpenFile(filepath.Join(p.world.dir, p.base+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fail(err)
+		return started, err
 	}
 	if err := p.world.options.startCommand(cmd); err != nil {
 		log.Close()
-		return fail(err)
+		return started, err
 	}
 	if p.onStart != nil {
 		p.onStart(cmd)
 	}
 	addr, exited := make(chan string, 1), make(chan struct{})
-	// One that begins as the world ends is met by nobody's signal: it ends with the world whatever comes first.
-	done := context.AfterFunc(p.world.ctx, func() { cmd.Process.Kill() })
+	// A process that begins as the world ends gets nobody's signal: this ends it, whatever comes first.
+	stopKilling := context.AfterFunc(p.world.ctx, func() { cmd.Process.Kill() })
 	p.world.goOwned(func() {
 		defer log.Close()
-		defer done()
-		lines := bufio.NewScanner(stderr)
-		lines.Buffer(nil, longestLine)
-		for lines.Scan() {
-			fmt.Fprintln(log, lines.Text())
-			if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
-				addr <- m[1]
-			}
-		}
+		defer stopKilling()
+		copyLog(log, stderr, addr)
 		cmd.Wait() // how it ended shows in the log and in what it answered
-		p.mu.Lock()
-		if p.cmd == cmd {
-			p.cmd = nil
-		}
-		p.mu.Unlock()
+		p.processEnded(cmd)
 		close(exited)
 	})
-	return cmd, exited, addr, nil
+	return startedProcess{cmd: cmd, exited: exited, addr: addr}, nil
+}
+
+// command is the command of the node's next process.
+func (p *process) command(configFile string) *exec.Cmd {
+	program := p.world.options.Program
+	p.mu.Lock()
+	if p.program != nil {
+		program = p.program
+	}
+	p.mu.Unlock()
+	cmd := exec.Command(program[0], append(slices.Clone(program[1:]), "run")...)
+	cmd.Env = append(os.Environ(), append(slices.Clone(p.world.options.Env), "ROUTER_CONFIG="+configFile)...)
+	if p.tempDir != "" {
+		cmd.Env = append(cmd.Env, "TMPDIR="+p.tempDir)
+	}
+	return cmd
+}
+
+// copyLog copies a node's standard error to its log until it ends, and sends the address at which the node serves.
+func copyLog(log io.Writer, stderr io.Reader, addr chan<- string) {
+	lines := bufio.NewScanner(stderr)
+	lines.Buffer(nil, maxLogLine)
+	for lines.Scan() {
+		fmt.Fprintln(log, lines.Text())
+		if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
+			addr <- m[1]
+		}
+	}
+}
+
+// processEnded notes that a process has ended. The node does not run any more if it was its newest.
+func (p *process) processEnded(cmd *exec.Cmd) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == cmd {
+		p.cmd = nil
+	}
+}
+
+// waitServing waits until a process serves, and takes its address.
+func (p *process) waitServing(ctx context.Context, started startedProcess, timeout <-chan time.Time) (addr string, err error) {
+	select {
+	case addr = <-started.addr:
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.addr = addr
+		return addr, nil
+	case <-started.exited:
+		return "", fmt.Errorf("node %s ended without serving: see %s", p.base, p.logFile())
+	case <-timeout:
+		return "", fmt.Errorf("node %s does not serve: see %s", p.base, p.logFile())
+	case <-ctx.Done():
+		return "", ctx.Err()
+	}
 }
 
-// waitReady waits until a node says yes at an address.
-func (p *process) waitReady(ctx context.Context, url string, exited <-chan struct{}, late <-chan time.Time) error {
-	log := filepath.Join(p.world.dir, p.base+".log")
+// waitReady waits until a process answers at an address that it is ready.
+func (p *process) waitReady(ctx context.Context, url string, exited <-chan struct{}, timeout <-chan time.Time) error {
 	p.mu.Lock()
 	client := p.client
 	p.mu.Unlock()
@@ -231,39 +246,39 @@
 			}
 		}
 		select {
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readyInterval):
 		case <-exited:
-			return fmt.Errorf("node %s ended before it was ready: see %s", p.base, log)
-		case <-late:
-			return fmt.Errorf("node %s is not ready: see %s", p.base, log)
+			return fmt.Errorf("node %s ended before it was ready: see %s", p.base, p.logFile())
+		case <-timeout:
+			return fmt.Errorf("node %s is not ready: see %s", p.base, p.logFile())
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// incarnationName is the node's name in this life.
+// incarnationName is the node's name in this incarnation.
 func (p *process) incarnationName() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.name
 }
 
-// signal sends a signal to the node, if it runs, and returns what is closed when it has ended.
-func (p *process) signal(s syscall.Signal) (ended <-chan struct{}, name string) {
+// signal sends a signal to the node's processes, if it runs, and returns what is closed when the newest has ended.
+func (p *process) signal(s syscall.Signal) (exited <-chan struct{}, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil, ""
 	}
 	p.cmd.Process.Signal(s) // one that has just ended needs none
-	if p.previous != nil {  // both are the node
+	if p.previous != nil {
 		p.previous.Process.Signal(s)
 	}
 	return p.exited, p.name
 }
 
-// kill ends the node at once; nothing is owed any more.
+// kill ends the node at once, and returns when its processes have ended; nothing is owed any more.
 func (p *process) kill() {
 	p.mu.Lock()
 	name, running := p.name, p.cmd != nil
@@ -272,115 +287,15 @@
 		return
 	}
 	p.world.observations.nodeKilled(p.world.now(), name)
-	if ended, _ := p.signal(syscall.SIGKILL); ended != nil {
-		<-ended
-		p.mu.Lock()
-		older := p.previousExited
-		p.mu.Unlock()
-		if older != nil {
-			<-older
-		}
-	}
-}
-
-// reload has the node read its configuration again.
-func (p *process) reload() error {
-	if _, err := p.write(p.world.lists.bootstrapList(p)); err != nil {
-		return err
+	exited, _ := p.signal(syscall.SIGKILL)
+	if exited == nil {
+		return
 	}
-	p.signal(syscall.SIGHUP)
-	return nil
-}
-
-// answer is a node's answer, or what stands for none.
-type answer struct {
-	status            int // 0: none came
-	retryAfter        time.Duration
-	connectionRefused bool // the connection never came up
-}
-
-// send asks the node on behalf of a client or a box.
-func (p *process) send(ctx context.Context, class int, id, root, tenant string, work float64, deadline time.Duration, repeat bool) answer {
+	<-exited
 	p.mu.Lock()
-	name, addr, client := p.name, p.addr, p.client
+	previousExited := p.previousExited
 	p.mu.Unlock()
-	if client == nil {
-		return answer{connectionRefused: true}
-	}
-	c := p.world.scenario.Classes[class]
-	method := http.MethodPost
-	if c.Effect == balancer.Idempotent {
-		method = http.MethodGet
-	}
-	q := url.Values{"work": {strconv.FormatFloat(work, 'g', -1, 64)}, "root": {root}, "node": {name}}
-	now := p.world.now()
-	left := deadline - now
-	if left <= 0 {
-		return answer{status: 504}
+	if previousExited != nil {
+		<-previousExited
 	}
-	ctx, cancel := context.WithTimeout(ctx, left+clientListenTime)
-	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/api?"+q.Encode(), nil)
-	if err != nil {
-		return answer{}
-	}
-	r.Header.Set("X-Call-Id", id)
-	r.Header.Set("X-Call-Class", c.Name)
-	r.Header.Set("X-Caller", tenant)
-	r.Header.Set("X-Budget", strconv.FormatInt(left.Microseconds(), 10)+"u")
-	if repeat {
-		r.Header.Set("X-Again", "1")
-	}
-	if c.Effect == balancer.IdempotentWithKey {
-		r.Header.Set("Idempotency-Key", id)
-	}
-	p.world.observations.requestSent(now, name, id, class, deadline)
-	kept := false
-	r = r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{
-		GotConn: func(c httptrace.GotConnInfo) { kept = c.Reused }}))
-	resp, err := client.Do(r)
-	unread := func() bool {
-		if p.world.worker != nil { // nobody here sees the boxes
-			return kept && c.Effect == balancer.Idempotent
-		}
-		return p.world.observations.noAttemptArrived(name, id)
-	}
-	if err != nil && ctx.Err() == nil && !errors.Is(err, syscall.ECONNREFUSED) && unread() {
-		// A node may close a connection between requests. One that crosses that is sent once more on a new one.
-		client.CloseIdleConnections()
-		resp, err = client.Do(r)
-	}
-	switch {
-	case err == nil:
-	case errors.Is(err, syscall.ECONNREFUSED):
-		p.world.observations.connectionRefused(p.world.now(), name, id)
-		return answer{connectionRefused: true}
-	case ctx.Err() != nil: // no answer in all the time that there was: it stays open for the auditor to find
-		return answer{}
-	default:
-		p.world.observations.connectionDropped(p.world.now(), name, id, kept)
-		return answer{}
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
-	status := resp.StatusCode
-	if err != nil {
-		status = 502 // it can tell that the answer is incomplete
-	}
-	p.world.observations.answerReceived(p.world.now(), name, id, status, string(body))
-	a := answer{status: status}
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		a.retryAfter = time.Duration(s * float64(time.Second))
-	}
-	return a
-}
-
-// clientListenTime is how long a client of the lab listens past its deadline: an answer that is late shall be seen.
-const clientListenTime = 500 * time.Millisecond
-
-// playRequest is a box's call to the next tier through its own node. Its id is fresh: the same visit may be made again
-// elsewhere, and its calls come by here once more.
-func (p *process) callNextTier(v *visit) bool {
-	a := p.send(p.world.ctx, v.class, fmt.Sprintf("c%d", p.world.lastCallID.Add(1)), v.request, "", v.workFactor, v.deadline, false)
-	return a.status == http.StatusOK
 }
--- a/internal/lab/loopback/server_test.go
+++ b/internal/lab/loopback/server_test.go
@@ -18,7 +18,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// newTestServer is a lone box that listens, and its world.
+// newTestServer returns a single server that listens, in a world of its own.
 func newTestServer(t *testing.T) *server {
 	t.Helper()
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
@@ -40,7 +40,7 @@
 	return b
 }
 
-// testClient is a connection to the box, as a node has it.
+// testClient is a connection to the server, as a node has it.
 type testClient struct {
 	net.Conn
 	br *bufio.Reader
@@ -78,14 +78,15 @@
 	}
 }
 
-func TestBoxAnswersAndTurnsAway(t *testing.T) {
+// A stand-in that answered more than its kind allows would hide overload from every play.
+func TestServerAnswersAndRejects(t *testing.T) {
 	b := newTestServer(t)
 	p := dial(t, b)
 	p.expect(t, "c", 200)
 	p.expect(t, "c", 200)
 	b.locked(func() { // its one slot is taken
 		if !b.model.Admit(b.world.now(), &model.Job{Work: time.Hour}) {
-			t.Error("no room")
+			t.Error("not admitted")
 		}
 	})
 	p.expect(t, "c", 503)
@@ -93,7 +94,8 @@
 	p.expect(t, "c", 503)
 }
 
-func TestBoxDies(t *testing.T) {
+// A process that dies resets its connections and refuses new ones, and can start again at its address.
+func TestServerDies(t *testing.T) {
 	b := newTestServer(t)
 	p := dial(t, b)
 	p.expect(t, "c", 200)
@@ -112,8 +114,9 @@
 	dial(t, b).expect(t, "c", 200)
 }
 
-// A machine that is cut off says nothing on old connections and lets no new one come up; back, it resets the old.
-func TestBoxIsCutOff(t *testing.T) {
+// A machine that leaves the network looks like nothing at all: old connections stay open without an answer, and no new one
+// comes up. When it is back, it resets the old ones.
+func TestServerLeavesTheNetwork(t *testing.T) {
 	b := newTestServer(t)
 	p := dial(t, b)
 	p.expect(t, "c", 200)
@@ -123,7 +126,7 @@
 	p.send("c")
 	p.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := p.answer(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("an old connection: %v, want silence", err)
+		t.Errorf("an old connection: %v, want no answer", err)
 	}
 	if c, err := net.DialTimeout("tcp", b.addr, 100*time.Millisecond); err == nil {
 		c.Close()
@@ -137,14 +140,15 @@
 	dial(t, b).expect(t, "c", 200)
 }
 
-func TestBoxResetsAndBreaks(t *testing.T) {
+// A server resets idle connections and breaks off answers as its faults say, and holds no more connections than its kind has.
+func TestServerResetsAndBreaksOff(t *testing.T) {
 	b := newTestServer(t)
 	p := dial(t, b)
 	p.expect(t, "c", 200)
 	b.resetIdle(1)
 	p.send("c")
 	if _, err := p.answer(); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
-		t.Errorf("a kept connection: %v, want a reset", err)
+		t.Errorf("an idle connection: %v, want a reset", err)
 	}
 	b.locked(func() { b.brokenShare = 1 })
 	q := dial(t, b)
@@ -157,14 +161,14 @@
 		c := dial(t, b)
 		c.expect(t, "c", 200)
 		c.Close()
-		for open := 1; open > 0; { // the box notices by itself
+		for open := 1; open > 0; { // the server notices by itself
 			b.locked(func() { open = len(b.connections) })
 		}
 	}
 }
 
-// What no node would send must not harm a box.
-func FuzzBoxRequest(f *testing.F) {
+// Requests that no node would send must not harm a server.
+func FuzzServerRequest(f *testing.F) {
 	f.Add("GET /api?work=1e99&root=%zz HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n")
 	f.Add("GET /api?work=NaN HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Budget: 99999999999999999999u\r\n\r\n")
--- a/internal/lab/loopback/violator_test.go
+++ b/internal/lab/loopback/violator_test.go
@@ -24,8 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// On sockets too each fault of a node is named for what it is.
-func TestAuditorSeesRoguesOnSockets(t *testing.T) {
+// A checker that misses a broken rule on sockets would let it pass where only real nodes show it: each fault of a node is
+// reported for the rule that it breaks.
+func TestCheckerSeesViolationsOnSockets(t *testing.T) {
 	for fault, want := range map[string][]checker.Rule{
 		violator.FabricatedAnswer: {checker.GenuineAnswer},
 		violator.NoAnswer:         {checker.NothingLost},
@@ -48,12 +49,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, auditor, err := w.Play()
+			_, checked, err := w.Play()
 			if err != nil {
 				t.Fatal(err)
 			}
 			seen := map[checker.Rule]bool{}
-			for _, v := range auditor.Violations() {
+			for _, v := range checked.Violations() {
 				seen[v.Rule] = true
 			}
 			for _, rule := range want {
@@ -65,8 +66,8 @@
 	}
 }
 
-// A node that does not start is an error that says so, and leaves nothing behind.
-func TestUpFailsAsAWhole(t *testing.T) {
+// A node that does not start is an error that says so, and leaves no process and no folder behind.
+func TestUpFailsCleanly(t *testing.T) {
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
 tier "t" { kind "k" {} }
 class "c" {}`), nil)
@@ -85,8 +86,9 @@
 	}
 }
 
-// A node whose process begins only after its world has ended is ended too: Down has no other look at it.
-func TestNothingBeginsAfterTheEnd(t *testing.T) {
+// A node whose process begins only after its world has ended must be ended too: Down does not look again, and the process
+// would stay behind on the machine.
+func TestProcessStartedAfterTheEndIsEnded(t *testing.T) {
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
 tier "t" { kind "k" {} }
 class "c" {}`), nil)
