--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -45,7 +45,7 @@
 // MaxLateness is how late the rig itself may be: beyond it what is late may be the machine's doing, and nothing is judged.
 const MaxLateness = 300 * time.Millisecond
 
-// MaxLateness says that the machine was too slow for the play to tell anything.
+// Unreliable says that the machine was too slow for the play to tell anything.
 func (p *Result) Unreliable() bool { return p.Lateness > MaxLateness }
 
 // Play plays a scenario once.
