--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// An apply is interrupted, as by a node that reads its file again. The version is neither applied nor rejected, and is
-// applied when it comes again.
+// An apply is interrupted, because the node ends. The version is neither applied nor rejected, and is applied if it comes
+// again.
 func TestInterruptedApplyIsNotDecided(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 1))
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -14,7 +14,7 @@
 // one, nodes that were asked to migrate do, and then all controllers read each other's reports. Reports are out of date
 // by a round.
 type placementModel struct {
-	endpoints            []configapi.ControllerAddress
+	controllers          []configapi.ControllerAddress
 	placements           []*Placement
 	down                 []bool
 	nodes                []modelNode
@@ -40,7 +40,7 @@
 	m := &placementModel{}
 	for i, location := range locations {
 		location.Address = fmt.Sprintf("10.0.0.%d:7400", i+1)
-		m.endpoints = append(m.endpoints, location)
+		m.controllers = append(m.controllers, location)
 		m.placements = append(m.placements, NewPlacement(location, limit, modelMigrationsPerRound))
 		m.down = append(m.down, false)
 		m.sessionCounts = append(m.sessionCounts, 0)
@@ -69,7 +69,7 @@
 }
 
 func (m *placementModel) index(address string) int {
-	return slices.IndexFunc(m.endpoints, func(e configapi.ControllerAddress) bool { return e.Address == address })
+	return slices.IndexFunc(m.controllers, func(e configapi.ControllerAddress) bool { return e.Address == address })
 }
 
 // requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next
@@ -100,15 +100,15 @@
 // picks.
 func (m *placementModel) preferredController(n *modelNode, spread int) int {
 	var own []int
-	for i, endpoint := range m.endpoints {
-		if endpoint.Region == n.region && !m.down[i] {
+	for i, controller := range m.controllers {
+		if controller.Region == n.region && !m.down[i] {
 			own = append(own, i)
 		}
 	}
 	if len(own) > 0 {
 		return own[spread%len(own)]
 	}
-	return spread % len(m.endpoints)
+	return spread % len(m.controllers)
 }
 
 func (m *placementModel) round() {
@@ -135,9 +135,9 @@
 			continue
 		}
 		var loads []ControllerLoad
-		for j, endpoint := range m.endpoints {
+		for j, controller := range m.controllers {
 			if i != j {
-				loads = append(loads, ControllerLoad{Controller: endpoint, Sessions: m.sessions(j), Available: !m.down[j]})
+				loads = append(loads, ControllerLoad{Controller: controller, Sessions: m.sessions(j), Available: !m.down[j]})
 			}
 		}
 		rules.SetSessions(m.sessions(i))
@@ -180,7 +180,7 @@
 		}
 	}
 	share := (m.connected() + up - 1) / up
-	for i := range m.endpoints {
+	for i := range m.controllers {
 		if m.down[i] {
 			continue
 		}
@@ -303,8 +303,8 @@
 	}
 	settle(t, m)
 	for i, node := range m.nodes {
-		if m.endpoints[node.controller].Region != node.region {
-			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.endpoints[node.controller])
+		if m.controllers[node.controller].Region != node.region {
+			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.controllers[node.controller])
 		}
 	}
 }
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-func appliedNode(name string, session uint64, held configapi.Version) configapi.NodeStatus {
-	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: session, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
+func appliedNode(name string, watchNumber uint64, held configapi.Version) configapi.NodeStatus {
+	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: watchNumber, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
 }
 
 // The state of a node follows from its report, in all combinations of cluster, version and outcome.
@@ -65,7 +65,7 @@
 }
 
 // A controller that was stalled reads, late, the request of a watch that its node has given up: the node has a higher
-// session number there, and no session.
+// watch number there, and no session.
 func TestRolloutPrefersTheOpenSession(t *testing.T) {
 	open, givenUp, olderProcess := appliedNode("n", 3, 7), appliedNode("n", 4, 6), appliedNode("n", 9, 6)
 	givenUp.Connected, givenUp.LastSeenMS = false, 9000
--- a/configversion/sessiondriver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -167,8 +167,8 @@
 var threeControllers = []configapi.ControllerAddress{{Address: "a:1", Region: "east", Zone: "a"}, {Address: "b:1", Region: "east", Zone: "b"},
 	{Address: "c:1", Region: "west", Zone: "a"}}
 
-func addressesOf(endpoints []configapi.ControllerAddress) (addresses []string) {
-	for _, e := range endpoints {
+func addressesOf(controllers []configapi.ControllerAddress) (addresses []string) {
+	for _, e := range controllers {
 		addresses = append(addresses, e.Address)
 	}
 	return addresses
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -82,8 +82,8 @@
 	return resp
 }
 
-// Each row is what a caller sends, and the call to the node that comes of it. Only what is a call of operators, with its method,
-// reaches the node.
+// Each row is what a caller sends, the status of the answer, and the call to the node that comes of it. Only what is a call
+// of operators, with its method, reaches the node.
 func TestCallsReachTheNodeAndAnswer(t *testing.T) {
 	f := &fakeNode{}
 	addr := startServer(t, f)
--- a/internal/controller/clusterdisk_test.go
+++ b/internal/controller/clusterdisk_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// A controller starts while all others are down. It serves its nodes the state of its snapshot, and says that it is not
-// hasLeaderContact.
+// A controller starts while all others are down. It serves its nodes the state of its snapshot, and says that it is
+// not in contact with a leader.
 func TestClusterMemberWithoutAQuorumServesItsSnapshot(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -12,11 +12,11 @@
 )
 
 // countingWatchdog counts what it observes.
-type countingWatchdog struct{ blanks, begun, parts int }
+type countingWatchdog struct{ heartbeats, objects, progress int }
 
-func (w *countingWatchdog) Blank() { w.blanks++ }
-func (w *countingWatchdog) Begun() { w.begun++ }
-func (w *countingWatchdog) Part()  { w.parts++ }
+func (w *countingWatchdog) Blank() { w.heartbeats++ }
+func (w *countingWatchdog) Begun() { w.objects++ }
+func (w *countingWatchdog) Part()  { w.progress++ }
 
 // twoLists is a complete list on one line and changes on several, with heartbeats between.
 const twoLists = "\n\n" + `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"in_service"}]}` + "\n\r\n" + `{
@@ -44,7 +44,7 @@
 		if end != io.EOF {
 			t.Errorf("%s: ended with %v", name, end)
 		}
-		if watchdog.begun != 2 || name == "byte by byte" && watchdog.blanks != 6 {
+		if watchdog.objects != 2 || name == "byte by byte" && watchdog.heartbeats != 6 {
 			t.Errorf("%s: observed %+v", name, watchdog)
 		}
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -19,8 +19,8 @@
 	return m
 }
 
-// Each row is a node some time after events, and what it owes: whether it is ready, whether responses close their
-// connections, and whether idle connections are closed.
+// Each row is a node some time after events: whether it takes new clients, whether responses close their connections, and
+// whether idle connections are closed.
 func TestConnectionsCloseByState(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -37,7 +37,7 @@
 	checkFound(t, path, want)
 }
 
-// checkFound checks that a node finds what a golden file has, and that a file with one byte of the body changed is torn.
+// checkFound checks that a node finds what a golden file has, and that a file with one byte of the body changed counts as damaged.
 func checkFound(t *testing.T, golden string, want file) {
 	t.Helper()
 	text := goldentest.Text(t, golden)
--- a/internal/watchstream/watchstream_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -20,11 +20,11 @@
 }
 
 // countingWatchdog counts what it observes.
-type countingWatchdog struct{ blanks, begun, parts int }
+type countingWatchdog struct{ heartbeats, objects, progress int }
 
-func (w *countingWatchdog) Blank() { w.blanks++ }
-func (w *countingWatchdog) Begun() { w.begun++ }
-func (w *countingWatchdog) Part()  { w.parts++ }
+func (w *countingWatchdog) Blank() { w.heartbeats++ }
+func (w *countingWatchdog) Begun() { w.objects++ }
+func (w *countingWatchdog) Part()  { w.progress++ }
 
 // twoObjects is an object on one line and one on several, with heartbeats between.
 const twoObjects = "\n\n" + `{"number":1}` + "\n\r\n" + `{
@@ -54,7 +54,7 @@
 		if end != io.EOF {
 			t.Errorf("%s: ended with %v", name, end)
 		}
-		if observed.begun != 2 || name == "byte by byte" && observed.blanks != 6 {
+		if observed.objects != 2 || name == "byte by byte" && observed.heartbeats != 6 {
 			t.Errorf("%s: observed %+v", name, observed)
 		}
 	}
