--- a/cmd/hookwalk/main_test.go
+++ b/cmd/hookwalk/main_test.go
@@ -321,7 +321,7 @@
 	}
 }
 
-// The line that lab up prints is served, and nothing stays behind when it is told to end.
+// The address that lab up prints is served, and no process or file is left after SIGTERM.
 func TestLabUp(t *testing.T) {
 	dir := t.TempDir()
 	c := programCommand(t, "", "lab", "up", writeFile(t, "small.hcl", smallWorld))
@@ -422,8 +422,8 @@
 	return resp.StatusCode
 }
 
-// The operators' check: loopback traffic, and standard error tells of it, to the last flush. Log lines and
-// figures don't mix.
+// Operators collect metrics from standard error, where log lines are too: each request of some loopback traffic is counted,
+// to the last flush, and no line mixes both.
 func TestMetricsOnStandardError(t *testing.T) {
 	agent, _ := startDiscovery(t)
 	c := programCommand(t, fmt.Sprintf(minimalConfig, agent), "--settings", writeFile(t, "hookwalk.hcl", `figures { flush_ms = 60000 }
@@ -473,8 +473,9 @@
 	}
 }
 
-// A node that is killed outright leaves a capture on standard error that replays; SIGUSR1 writes out what it
-// holds once more. The exit code tells of differences and of captures that can't be played.
+// After a crash the capture is all that is left to find the cause. A node that gets SIGKILL leaves a capture on standard
+// error that replays; SIGUSR1 writes the records in memory once more. The exit code shows differences, and captures that
+// can't be replayed.
 func TestCaptureAndReplay(t *testing.T) {
 	agent, _ := startDiscovery(t)
 	dir := t.TempDir()
--- a/cmd/hookwalk/operatorstate_test.go
+++ b/cmd/hookwalk/operatorstate_test.go
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	// The stored state can be shown, and a truncated file is told from a complete one.
+	// The stored state can be shown, and a truncated file is distinguished from a complete one.
 	files, _ := filepath.Glob(s.tmp + "/*.kept")
 	for _, tc := range []struct {
 		command, says string
--- a/internal/lab/link/pipe.go
+++ b/internal/lab/link/pipe.go
@@ -179,7 +179,7 @@
 	return true
 }
 
-// passEnd tells the other side how this one ended: a FIN after io.EOF, else a reset.
+// passEnd ends the other side as this one has ended: by a FIN after io.EOF, else by a reset.
 func passEnd(s *session, to net.Conn, readErr error) {
 	if readErr != nil && !errors.Is(readErr, io.EOF) {
 		s.reset()
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -165,7 +165,7 @@
 	return sum
 }
 
-// load makes calls both ways at once, each at the rate that is asked for.
+// load makes calls both ways at once, each at the rate of the options.
 func (c *chain) load(ctx context.Context, options DataPathOptions, name string) (direct, node *Latencies, err error) {
 	first, entry := c.services[0], "http://"+c.nodes[0].Addr()+nodePath
 	var directError, nodeError error
@@ -191,7 +191,7 @@
 	errors  [2]error // of lists and of reloads
 }
 
-// beginChanges changes lists and configurations at the rates that are asked for, until end.
+// beginChanges changes lists and configurations at the rates of the options, until end.
 func (c *chain) beginChanges(ctx context.Context, options DataPathOptions) *changes {
 	made := &changes{}
 	ctx, made.stop = context.WithCancel(ctx)
--- a/internal/lab/scale/datapath_pacer.go
+++ b/internal/lab/scale/datapath_pacer.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Close gives the thread back.
+// Close releases the thread.
 func (p *pacer) Close() error {
 	runtime.UnlockOSThread()
 	return unix.Close(p.timer)
--- a/internal/lab/scale/discovery_large_test.go
+++ b/internal/lab/scale/discovery_large_test.go
@@ -113,7 +113,7 @@
 	printFits(t, "Lines of: "+title, calls, bytesOut, last)
 }
 
-// By the size of the list, whole and with 32 changes missed: a region comes back at once.
+// By the size of the list, complete and with 32 changes missed: a region comes back at once.
 func TestDiscoveryLargeLists(t *testing.T) {
 	largeOnly(t)
 	for _, missed := range []int{0, missedChanges} {
--- a/internal/lab/scale/hollowconn_test.go
+++ b/internal/lab/scale/hollowconn_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// echoServer answers each request with a text, and gives its address.
+// echoServer starts a server that answers each request with a text, and returns its address.
 func echoServer(t *testing.T) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "answer") }))
--- a/internal/lab/scale/hollowprocess.go
+++ b/internal/lab/scale/hollowprocess.go
@@ -35,7 +35,7 @@
 	Traffic     *SessionTraffic `json:"traffic,omitempty"`
 }
 
-// WatchOpened is the moment when a node asked for a watch.
+// WatchOpened is the moment when a node requested a watch.
 type WatchOpened struct {
 	Address string `json:"address"`
 	AtNS    int64  `json:"at_ns"` // Unix nanoseconds
--- a/internal/lab/scale/nodeload.go
+++ b/internal/lab/scale/nodeload.go
@@ -49,7 +49,7 @@
 	return hosts
 }
 
-// MeasureNodeLoad starts a node that is given no calls, changes its list as often as is asked for, and stops it.
+// MeasureNodeLoad starts a node, sends it no requests, changes its list at the rate of the options, and stops it.
 func MeasureNodeLoad(ctx context.Context, options NodeLoadOptions) (result NodeLoadResult, err error) {
 	node, err := StartNode(ctx, NodeOptions{Program: options.Program, SettingsFile: options.SettingsFile,
 		Folder: options.Folder, Servers: ListedServers(options.Servers)})
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -46,7 +46,7 @@
 // Addr is where the list is served.
 func (s *WatchServer) Addr() string { return s.listener.Addr().String() }
 
-// Traffic is what has gone over the list's connections so far.
+// Traffic is what the list's connections have carried so far.
 func (s *WatchServer) Traffic() Traffic { return s.listener.Traffic() }
 
 // Close ends all watches.
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -59,7 +59,7 @@
 type NodeOptions struct {
 	Program      string // the node, from BuildForService
 	SettingsFile string
-	Folder       string // where its configuration and log are kept
+	Folder       string // of its configuration and log
 	Servers      []loopback.Endpoint
 }
 
@@ -126,7 +126,7 @@
 	return info.Size(), nil
 }
 
-// Reload gives the node another configuration file and sends SIGHUP. Each differs from the one before in the latency
+// Reload writes another configuration file and sends SIGHUP. Each differs from the one before in the latency
 // objective of the first class.
 func (n *NodeProcess) Reload() error {
 	path := filepath.Join(n.nodes.Folder(), "n0.json")
--- a/internal/lab/scale/nodeload_test.go
+++ b/internal/lab/scale/nodeload_test.go
@@ -8,7 +8,7 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// A node that asked for complete lists, or opened watches again and again, would cost discovery more than docs/CAPACITY.md
+// A node that requested complete lists, or opened watches again and again, would cost discovery more than docs/CAPACITY.md
 // says: what a list costs on the wire is bounded by its heartbeats and changes.
 func TestNodeLoadSmall(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/scale/versionsrig_test.go
+++ b/internal/lab/scale/versionsrig_test.go
@@ -224,7 +224,7 @@
 	return newest
 }
 
-// verify waits until everything is in force and known, and checks the whole audit.
+// verify waits until the newest version is in force at all nodes and known to the controllers, and checks the audit.
 func (r *versionsRig) verify() {
 	r.Helper()
 	newest := r.awaitSameVersion()
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -221,7 +221,7 @@
 	return min(d.queueFree.Sub(now), maxQueueTime), false
 }
 
-// watch writes what has changed since a version and, if a watch was asked for, each change and heartbeat after.
+// watch writes what has changed since a version and, if the call is a watch, each change and heartbeat after.
 func (d *discovery) watch(w http.ResponseWriter, r *http.Request, node int, from int64) {
 	heartbeat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer heartbeat.Stop()
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// readLog reads an incarnation's log to its end and records what must never stand in one, and an end that nobody asked
-// for.
+// readLog reads an incarnation's log to its end and records what must never stand in one, and an end that no
+// fault has caused.
 func (n *node) readLog(command *exec.Cmd, stderr io.Reader, ended chan struct{}) {
 	defer close(ended)
 	lines := bufio.NewScanner(stderr)
@@ -154,7 +154,7 @@
 	}
 }
 
-// isComplaint reports whether a line of a log tells of a broken invariant or of a fault of the program.
+// isComplaint reports whether a line of a log is about a broken invariant or a crash of the program.
 func isComplaint(line string) bool {
 	return strings.Contains(line, "invariant broken") || strings.HasPrefix(line, "panic:") ||
 		strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE")
