--- /dev/null
+++ b/internal/lab/fleet/drawfault.go
@@ -0,0 +1,119 @@
+package fleet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/lab/model"
+	"hookwalk.example/hookwalk/internal/lab/scenario"
+)
+
+// Bounds of drawn schedules. Times are multiples of an eighth of a second, which a file shows as they are.
+const (
+	minFaults       = 2
+	extraFaults     = 4 // at most one less is added
+	drawnSteps      = 8 // of a second
+	firstFaultAt    = 1.0
+	lastFaultMargin = 2.0
+	minFaultSeconds = 0.2
+	maxFaultSeconds = 3.0
+	spreadSteps     = 3
+	minDelayMS      = 5
+	delayRangeMS    = 60
+	maxBreakBytes   = 2000
+	milderMagnitude = 1.5 // of faults that hit everything at once
+)
+
+// drawnWorldFaults are the kinds that are drawn besides those between processes. Their order is part of a drawn schedule.
+var drawnWorldFaults = []string{scenario.FaultKill, scenario.FaultCrash, scenario.FaultDiscoveryDown, scenario.FaultRelease,
+	scenario.FaultNodeRestart, scenario.FaultSharedSlow, scenario.FaultOverload}
+
+// linkPairs are the targets and peers of drawn link faults.
+var linkPairs = [][2]string{
+	{scenario.TargetNodes, scenario.TargetServers}, {scenario.TargetNodes, scenario.TargetDiscovery}, {scenario.TargetNodes, scenario.TargetClients},
+	{scenario.TargetServers, scenario.TargetNodes}, {scenario.TargetDiscovery, scenario.TargetNodes},
+}
+
+// Draw draws a schedule from a seed: from two to five faults, all over well before the end.
+func Draw(s *scenario.Scenario, seed uint64) []scenario.Fault {
+	rng := model.Stream(seed, "hunt", 0)
+	kinds := slices.Concat(drawnWorldFaults, scenario.ProcessFaultKinds)
+	if !s.Fleet.AdminCalls { // then nodes have neither a folder of their own nor anyone who replaces them
+		kinds = slices.DeleteFunc(kinds, func(kind string) bool {
+			return kind == scenario.FaultUpgrade || kind == scenario.FaultAdminOverride
+		})
+	}
+	var list []scenario.Fault
+	for range minFaults + rng.IntN(extraFaults) {
+		list = append(list, drawFault(s, rng, kinds[rng.IntN(len(kinds))]))
+	}
+	return list
+}
+
+// drawTime draws a time between two numbers of seconds.
+func drawTime(rng *rand.Rand, from, to float64) time.Duration {
+	return max(1, time.Duration(drawnSteps*(from+rng.Float64()*(to-from)))) * time.Second / drawnSteps
+}
+
+// drawFault draws a fault of a kind. The order of its draws is part of every found schedule.
+func drawFault(s *scenario.Scenario, rng *rand.Rand, kind string) scenario.Fault {
+	last := (s.Length - faultFreeTail).Seconds()
+	f := scenario.Fault{
+		Kind:        kind,
+		At:          drawTime(rng, firstFaultAt, last-lastFaultMargin),
+		Tier:        s.Tiers[rng.IntN(len(s.Tiers))].Name,
+		TargetShare: float64(1+rng.IntN(10)) / 10,
+		Magnitude:   2,
+		Share:       0.02,
+		Target:      scenario.TargetNodes,
+		Peer:        scenario.TargetServers,
+	}
+	f.Duration = min(drawTime(rng, minFaultSeconds, maxFaultSeconds), time.Duration(last*float64(time.Second))-f.At)
+	f.Spread = time.Duration(rng.IntN(spreadSteps)) * time.Second / drawnSteps
+	f.Direction = []string{scenario.DirectionBoth, scenario.DirectionOut, scenario.DirectionBack}[rng.IntN(3)]
+	f.Recovery = []string{scenario.RecoveryHeld, scenario.RecoveryReset}[rng.IntN(2)]
+	f.Folder = scenario.FolderKept
+	if s.Fleet.AdminCalls {
+		f.Folder = scenario.FolderStates[rng.IntN(len(scenario.FolderStates))]
+	}
+	drawKind(rng, &f)
+	return f
+}
+
+// drawKind draws what only some kinds have.
+func drawKind(rng *rand.Rand, f *scenario.Fault) {
+	switch f.Kind {
+	case scenario.FaultStall:
+		f.Target = []string{scenario.TargetNodes, scenario.TargetServers, scenario.TargetDiscovery}[rng.IntN(3)]
+	case scenario.FaultCut, scenario.FaultSlowLink, scenario.FaultResetLink, scenario.FaultRefuseLink, scenario.FaultHalfOpen:
+		pair := linkPairs[rng.IntN(len(linkPairs))]
+		f.Target, f.Peer = pair[0], pair[1]
+		f.Delay = time.Duration(minDelayMS+rng.IntN(delayRangeMS)) * time.Millisecond
+	case scenario.FaultBreakLink:
+		f.Bytes = 1 + rng.IntN(maxBreakBytes)
+	case scenario.FaultOverload, scenario.FaultSharedSlow:
+		f.Magnitude = milderMagnitude
+	}
+}
+
+// FaultText is a fault as a file has it.
+func FaultText(f scenario.Fault) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "trouble %q { at_s = %.3f length_s = %.3f part = %g tier = %q size = %g share = %g", f.Kind, f.At.Seconds(), f.Duration.Seconds(),
+		f.TargetShare, f.Tier, f.Magnitude, f.Share)
+	if f.Folder != scenario.FolderKept {
+		fmt.Fprintf(&b, " folder = %q", f.Folder)
+	}
+	if f.Spread > 0 {
+		fmt.Fprintf(&b, " spread_s = %.3f", f.Spread.Seconds())
+	}
+	if slices.Contains(scenario.ProcessFaultKinds, f.Kind) {
+		fmt.Fprintf(&b, " who = %q whom = %q way = %q heal = %q delay_ms = %d rate_kb = %g bytes = %d", f.Target, f.Peer, f.Direction, f.Recovery,
+			f.Delay.Milliseconds(), f.BytesPerSecond/1000, f.Bytes)
+	}
+	b.WriteString(" }\n")
+	return b.String()
+}
--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -14,25 +14,26 @@
 	"golang.org/x/sys/unix"
 
 	"hookwalk.example/hookwalk/internal/lab/model"
+	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// folders are the nodes' own $TMPDIR, in which they find again what they knew, and what becomes of them between two
-// incarnation. Nil folders are none.
+// folders are the nodes' own $TMPDIR, in which they find again what they persisted, and what becomes of them between two
+// incarnations. With nil folders all nodes share one.
 type folders struct {
 	rig *rig
 	dir string
 
 	mu         sync.Mutex
-	next       map[int]string // by node: what its next life finds; none: all as it was
-	unwritable map[int]bool   // nodes whose present life may write nothing
-	missing    map[int]bool   // and those without a folder, where not even two processes of a node meet
+	next       map[int]string // by node: the state that its next incarnation finds; none: all as it was
+	unwritable map[int]bool   // nodes whose present incarnation can write nothing
+	missing    map[int]bool   // nodes without a folder, where not even two processes of one node can meet
 	rng        *rand.Rand
 }
 
 // oldFolderAge is the age of an old folder's files.
 const oldFolderAge = time.Hour
 
-// newFolders makes one for each node. Their paths are short, for a socket is in them.
+// newFolders makes a folder for each node. Their paths are short, for a socket is in them.
 func newFolders(r *rig) (*folders, error) {
 	f := &folders{rig: r, dir: filepath.Join(r.dir, "t"), next: map[int]string{}, unwritable: map[int]bool{}, missing: map[int]bool{},
 		rng: model.Stream(r.scenario.Seed, "folders", 0)}
@@ -45,10 +46,13 @@
 	return f, nil
 }
 
-func (f *folders) path(i int) string     { return filepath.Join(f.dir, strconv.Itoa(i)) }
+// path is a node's folder.
+func (f *folders) path(i int) string { return filepath.Join(f.dir, strconv.Itoa(i)) }
+
+// pastPath is where a node's folder is kept as it was at the beginning.
 func (f *folders) pastPath(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
 
-// snapshot keeps each folder as it is now, for a node that finds an old one.
+// snapshot copies each folder as it is now, for a node that finds an old one.
 func (f *folders) snapshot() error {
 	if f == nil {
 		return nil
@@ -61,17 +65,17 @@
 	return nil
 }
 
-// setNext says what a node finds when it starts again.
-func (f *folders) setNext(i int, how string) {
+// setNext says in which state a node finds its folder at its next start.
+func (f *folders) setNext(i int, state string) {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next[i] = how
+	f.next[i] = state
 }
 
-// betweenIncarnations is what happens to a node's folder between two lives.
+// betweenIncarnations returns what happens to a node's folder between two incarnations.
 func (f *folders) betweenIncarnations(i int) func() error {
 	if f == nil {
 		return nil
@@ -79,18 +83,19 @@
 	return func() error {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		how := f.next[i]
+		state := f.next[i]
 		delete(f.next, i)
-		f.unwritable[i], f.missing[i] = how == "full" || how == "unwritable", how == "unwritable"
-		if how != "" && how != "kept" && how != "full" {
+		f.missing[i] = state == scenario.FolderUnwritable
+		f.unwritable[i] = f.missing[i] || state == scenario.FolderFull
+		if state != "" && state != scenario.FolderKept && state != scenario.FolderFull {
 			f.rig.overrides.folderLost(i)
 		}
-		return changeFolder(how, f.path(i), f.pastPath(i), f.path((i+1)%len(f.rig.infos)), f.rng)
+		return changeFolder(state, f.path(i), f.pastPath(i), f.path((i+1)%len(f.rig.infos)), f.rng)
 	}
 }
 
-// processStarts takes the room on its disk from a process whose disk is full: no file may grow. What it has written meanwhile
-// stands.
+// processStarts makes the disk full for a process that is to have a full one: no file may grow. What it has written by then
+// stays.
 func (f *folders) processStarts(i int, cmd *exec.Cmd) {
 	f.rig.overrides.nodeStarts(i)
 	if f.cannotWrite(i) {
@@ -101,47 +106,47 @@
 	}
 }
 
-// cannotWrite says that a node's present life can write nothing.
+// cannotWrite says that a node's present incarnation can write nothing.
 func (f *folders) cannotWrite(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unwritable[i]
 }
 
-// separated says that a node's processes can't meet.
+// separated says that two processes of a node can't meet, as they have no folder.
 func (f *folders) separated(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.missing[i]
 }
 
-// changeFolder does to a node's folder what becomes of it: past is what it was at the beginning, other is another node's.
-func changeFolder(how, dir, past, other string, draws *rand.Rand) error {
-	if info, err := os.Lstat(dir); err != nil || !info.IsDir() { // as it was left unwritable
+// changeFolder brings a node's folder into a state: past is what it was at the beginning, other is another node's.
+func changeFolder(state, dir, past, other string, rng *rand.Rand) error {
+	if info, err := os.Lstat(dir); err != nil || !info.IsDir() { // it was unwritable before
 		os.Remove(dir)
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
 		}
 	}
-	switch how {
-	case "emptied":
+	switch state {
+	case scenario.FolderEmptied:
 		return emptyFolder(dir)
-	case "cut":
+	case scenario.FolderCut:
 		return eachFile(dir, func(path string, size int64) error {
 			if size == 0 {
 				return nil
 			}
-			return os.Truncate(path, draws.Int64N(size))
+			return os.Truncate(path, rng.Int64N(size))
 		})
-	case "old":
+	case scenario.FolderOld:
 		if err := replaceFiles(dir, past); err != nil {
 			return err
 		}
 		then := time.Now().Add(-oldFolderAge)
 		return eachFile(dir, func(path string, _ int64) error { return os.Chtimes(path, then, then) })
-	case "other":
+	case scenario.FolderOther:
 		return swapFiles(dir, other)
-	case "unwritable": // whoever the rig runs as: a file stands where the folder was
+	case scenario.FolderUnwritable: // for every user: a file stands where the folder was
 		if err := os.RemoveAll(dir); err != nil {
 			return err
 		}
@@ -150,7 +155,7 @@
 	return nil
 }
 
-// eachFile does something with every plain file of a folder. Sockets are none, and one that goes meanwhile is nothing.
+// eachFile does something with every plain file of a folder. Sockets are none, and a file that goes in between is skipped.
 func eachFile(dir string, do func(path string, size int64) error) error {
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -168,6 +173,7 @@
 	return nil
 }
 
+// emptyFolder removes all that is in a folder.
 func emptyFolder(dir string) error {
 	list, err := os.ReadDir(dir)
 	for _, e := range list {
@@ -178,7 +184,7 @@
 	return err
 }
 
-// replaceFiles makes a folder's files those of another.
+// replaceFiles replaces a folder's files by copies of another's.
 func replaceFiles(dir, from string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -189,7 +195,7 @@
 	return eachFile(from, func(path string, _ int64) error { return copyFile(filepath.Join(dir, filepath.Base(path)), path) })
 }
 
-// swapFiles puts another node's files under the names of this one's, of the same kind by their ending.
+// swapFiles copies another node's files under the names of this one's, of the same kind by their extension.
 func swapFiles(dir, other string) error {
 	mine := map[string][]string{}
 	if err := eachFile(dir, func(path string, _ int64) error {
@@ -215,6 +221,7 @@
 	})
 }
 
+// copyFile copies a file.
 func copyFile(to, from string) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -33,7 +33,8 @@
 	return s
 }
 
-// A drawn schedule is of its seed, is over before the end, can be played, and reads back from a file as it is.
+// A schedule that was found must play again from its file: each drawn one depends only on its seed, is over before the end,
+// can be played, and reads back from a file as it is.
 func TestDrawnSchedulesPlayAgain(t *testing.T) {
 	s := load(t, "w.hcl", world)
 	kinds := map[string]bool{}
@@ -52,7 +53,7 @@
 		}
 		again := load(t, "again.hcl", text)
 		if len(again.Faults) != len(list) {
-			t.Fatalf("seed %d: %d troubles of %d", seed, len(again.Faults), len(list))
+			t.Fatalf("seed %d: %d faults of %d", seed, len(again.Faults), len(list))
 		}
 		again.Seed = seed
 		drawn := *again
@@ -63,7 +64,7 @@
 		}
 		got, err := model.ProcessFaults(again)
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("seed %d: %d upsets of %d, %v", seed, len(got), len(want), err)
+			t.Fatalf("seed %d: %d process faults of %d, %v", seed, len(got), len(want), err)
 		}
 		for i := range got {
 			got[i].Position, want[i].Position = "", ""
@@ -79,8 +80,9 @@
 	}
 }
 
-// Name a hunt finds holds no trouble that can go, and is a file that plays again.
-func TestHuntMakesFindsSmaller(t *testing.T) {
+// A finding that holds faults without effect sends an engineer the wrong way: what a hunt finds holds no fault that can be
+// left out, and is a file that plays again. A play that the machine spoils is no finding.
+func TestHuntShrinksFindings(t *testing.T) {
 	dir := t.TempDir()
 	base := filepath.Join(dir, "w.hcl")
 	if err := os.WriteFile(base, []byte(world), 0o600); err != nil {
@@ -101,7 +103,7 @@
 				return nil, &StageError{errors.New("address already in use"), dir}
 			}
 			if plays%7 == 0 {
-				p.Lateness = time.Second // the machine was slow: nothing is told
+				p.Lateness = time.Second // the machine was slow: nothing is judged
 			} else if has(s, "kill") && has(s, "cut") {
 				p.Violations = []checker.Violation{{Rule: checker.NothingLost}}
 			}
--- /dev/null
+++ b/internal/lab/fleet/linkfaults.go
@@ -0,0 +1,194 @@
+package fleet
+
+import (
+	"fmt"
+
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/link"
+	"hookwalk.example/hookwalk/internal/lab/model"
+	"hookwalk.example/hookwalk/internal/lab/scenario"
+)
+
+// jitterDivisor is the part of a slow link's delay by which the delay varies.
+const jitterDivisor = 4
+
+// linkFault is a fault of the links of a target: links[i] has faults[i] while it lasts.
+type linkFault struct {
+	rig    *rig
+	fault  model.ProcessFault
+	links  []*networkLink
+	faults []link.Fault
+	heal   func(reset bool) // nil: it has not begun
+}
+
+// linkFault returns what begins a fault of links and what ends it.
+func (r *rig) linkFault(f model.ProcessFault) (begin, end func() error, err error) {
+	l := &linkFault{rig: r, fault: f}
+	if err := l.findLinks(); err != nil {
+		return nil, nil, err
+	}
+	if f.Kind == scenario.FaultResetLink {
+		return l.reset, func() error { return nil }, nil
+	}
+	return l.begin, l.end, nil
+}
+
+// findLinks finds the links of the target, and what is wrong with each.
+func (l *linkFault) findLinks() error {
+	f := l.fault
+	if f.Kind == scenario.FaultBreakLink && f.Peer != scenario.TargetServers && f.Peer != scenario.TargetDiscovery {
+		return fmt.Errorf("%s: a break_link meets links to boxes or discovery, for only their callers can tell it from an answer", f.Position)
+	}
+	peer := endKind(f.Peer)
+	if f.Peer == scenario.TargetAll {
+		peer = anyEnd
+	}
+	for _, e := range l.rig.targetEnds(f) {
+		links, far := l.rig.network.linksOf(e, peer)
+		for i, found := range links {
+			l.links, l.faults = append(l.links, found), append(l.faults, faultOf(f, far[i]))
+		}
+	}
+	if len(l.links) == 0 {
+		return fmt.Errorf("%s: %s and %s have no link", f.Position, f.Target, f.Peer)
+	}
+	return nil
+}
+
+// targetEnds are the ends of links that a fault hits.
+func (r *rig) targetEnds(f model.ProcessFault) (ends []linkEnd) {
+	switch f.Target {
+	case scenario.TargetNodes:
+		ends = append(ends, nodeAt(r.infos[f.Targets[0]].Base))
+	case scenario.TargetDiscovery:
+		ends = append(ends, linkEnd{discoveryEnd, ""})
+	case scenario.TargetServers:
+		for _, id := range r.serverIDs(r.workersOfTier(f.Tier)[f.Targets[0]]) {
+			ends = append(ends, serverAt(id))
+		}
+	}
+	return ends
+}
+
+// faultOf is what is wrong with a link of the target. far: the target is the side that is called, so that out of the target
+// is back on the link.
+func faultOf(f model.ProcessFault, far bool) (fault link.Fault) {
+	out, back := link.Out, link.Back
+	if far {
+		out, back = back, out
+	}
+	var ways [2]bool
+	ways[out] = f.Direction != scenario.DirectionBack
+	ways[back] = f.Direction != scenario.DirectionOut
+	switch f.Kind {
+	case scenario.FaultCut:
+		fault.Silent = ways
+	case scenario.FaultHalfOpen:
+		fault.Deaf = ways
+	case scenario.FaultSlowLink:
+		fault.Delay, fault.Jitter, fault.Rate = f.Delay, f.Delay/jitterDivisor, f.BytesPerSecond
+	case scenario.FaultRefuseLink:
+		fault.Refuse = true
+	case scenario.FaultBreakLink:
+		fault.Break = int64(max(f.Bytes, 1))
+	}
+	return fault
+}
+
+// reset resets the links once.
+func (l *linkFault) reset() error {
+	for _, n := range l.links {
+		l.rig.recordReset(n)
+		n.Reset()
+	}
+	return nil
+}
+
+// begin makes the faults. Nodes that are kept from hearing discovery count as muted from before the fault until after it.
+func (l *linkFault) begin() error {
+	l.recordHeld(blackbox.LinkHeld, blackbox.ClientsMuted)
+	for name := range l.mutedNodes() {
+		l.rig.nodes.Record(blackbox.Event{Kind: blackbox.WatchMuted, Node: name})
+	}
+	l.heal = l.rig.network.addFault(l.links, l.faults)
+	return nil
+}
+
+// end takes the faults away, by a reset of the links or so that what they held arrives.
+func (l *linkFault) end() error {
+	if l.heal == nil {
+		return nil
+	}
+	reset := l.fault.Recovery == scenario.RecoveryReset
+	if reset {
+		for _, n := range l.links {
+			l.rig.recordReset(n)
+		}
+	}
+	stillOpen := map[string]bool{} // by node: its watch has held what discovery wrote
+	for name, n := range l.mutedNodes() {
+		stillOpen[name] = !reset && n.Held()
+	}
+	l.heal(reset)
+	l.recordHeld(blackbox.LinkReleased, blackbox.ClientsUnmuted)
+	for name, open := range stillOpen {
+		l.rig.nodes.Record(blackbox.Event{Kind: blackbox.WatchUnmuted, Node: name, Ready: open})
+	}
+	return nil
+}
+
+// recordHeld records where links carry nothing, or carry something again: to servers, and to nodes.
+func (l *linkFault) recordHeld(ofServer, ofNode string) {
+	for i, n := range l.links {
+		if s := l.faults[i].Silent; s[link.Out] || s[link.Back] {
+			l.rig.recordLink(ofServer, n, serverEnd, nodeEnd)
+			l.rig.recordLink(ofNode, n, nodeEnd, clientEnd)
+			l.rig.recordLink(ofNode, n, nodeEnd, serverEnd)
+		}
+	}
+}
+
+// mutedNodes are the present incarnations of nodes that the fault keeps from hearing discovery, and the links in question.
+func (l *linkFault) mutedNodes() map[string]*networkLink {
+	muted := map[string]*networkLink{}
+	for i, n := range l.links {
+		if n.to.kind != discoveryEnd || !l.faults[i].Silent[link.Back] {
+			continue
+		}
+		if name := l.rig.incarnationOf(n.from.name); name != "" {
+			muted[name] = n
+		}
+	}
+	return muted
+}
+
+// recordReset records that connections of clients to a node are reset, if the link is one of those.
+func (r *rig) recordReset(n *networkLink) {
+	r.recordLink(blackbox.ClientsReset, n, nodeEnd, clientEnd)
+	r.recordLink(blackbox.ClientsReset, n, nodeEnd, serverEnd)
+}
+
+// recordLink records an event of a link, if it goes from one kind of end to another: of a node in its present incarnation,
+// and of the server where that is the one that is called.
+func (r *rig) recordLink(event string, n *networkLink, to, from endKind) {
+	if n.to.kind != to || n.from.kind != from {
+		return
+	}
+	e, base := blackbox.Event{Kind: event}, n.to.name
+	if to == serverEnd {
+		e.Server, base = n.to.name, n.from.name
+	}
+	e.Node = r.incarnationOf(base)
+	r.nodes.Record(e)
+}
+
+// incarnationOf is the present incarnation of a node's base name; "": there is no such node.
+func (r *rig) incarnationOf(base string) string {
+	for n, info := range r.infos {
+		if info.Base == base {
+			name, _ := r.nodes.Incarnation(n)
+			return name
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/lab/fleet/network.go
@@ -0,0 +1,210 @@
+package fleet
+
+import (
+	"fmt"
+	"sync"
+
+	"hookwalk.example/hookwalk/internal/lab/link"
+	"hookwalk.example/hookwalk/internal/lab/scenario"
+)
+
+// endKind is what stands at an end of a link.
+type endKind string
+
+// Kinds of ends, as scenarios name them.
+const (
+	nodeEnd      endKind = scenario.TargetNodes
+	serverEnd    endKind = scenario.TargetServers
+	discoveryEnd endKind = scenario.TargetDiscovery
+	clientEnd    endKind = scenario.TargetClients
+	anyEnd       endKind = ""
+)
+
+// linkEnd is one end of a link.
+type linkEnd struct {
+	kind endKind
+	name string // of a node or server
+}
+
+func nodeAt(base string) linkEnd { return linkEnd{nodeEnd, base} }
+func serverAt(id string) linkEnd { return linkEnd{serverEnd, id} }
+
+// networkLink is a link and all that is wrong with it, by cause: causes come and go independently.
+type networkLink struct {
+	*link.Link
+	from, to   linkEnd
+	noListener bool // nobody listens at its far end
+	causes     map[int]link.Fault
+
+	setting sync.Mutex // one at a time, and each with the causes of that time
+}
+
+// network has all links of a fleet.
+type network struct {
+	mu        sync.Mutex
+	links     []*networkLink
+	lastCause int
+
+	ports int // the rig's block
+}
+
+// open adds a link. where is the address of its far end, asked for with each connection.
+func (w *network) open(from, to linkEnd, where func() string) (addr string, err error) {
+	l, err := link.Open(w.ports, where)
+	if err != nil {
+		return "", fmt.Errorf("%s %s to %s %s: %w", from.kind, from.name, to.kind, to.name, err)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.links = append(w.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
+	return l.Addr(), nil
+}
+
+// addr is where a node is reached by whoever calls it.
+func (w *network) addr(base string) string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, l := range w.links {
+		if l.to == nodeAt(base) {
+			return l.Addr()
+		}
+	}
+	return ""
+}
+
+// refuse has new connections to an end refused, as where nobody listens, or ends that.
+func (w *network) refuse(to linkEnd, refused bool) {
+	var changed []*networkLink
+	w.mu.Lock()
+	for _, l := range w.links {
+		if l.to == to && l.noListener != refused {
+			l.noListener = refused
+			changed = append(changed, l)
+		}
+	}
+	w.mu.Unlock()
+	for _, l := range changed {
+		w.apply(l)
+	}
+}
+
+// apply sets the sum of a link's causes. A link that has just been closed needs none. A link takes a moment to be muted: the
+// lock over all links is not held during that.
+func (w *network) apply(l *networkLink) {
+	l.setting.Lock()
+	defer l.setting.Unlock()
+	w.mu.Lock()
+	sum := l.sumOfCauses()
+	w.mu.Unlock()
+	l.Set(sum)
+}
+
+// sumOfCauses is all that is wrong with a link. The caller holds the network's lock.
+func (l *networkLink) sumOfCauses() link.Fault {
+	sum := link.Fault{Refuse: l.noListener}
+	for _, f := range l.causes {
+		for way := range f.Silent {
+			sum.Silent[way] = sum.Silent[way] || f.Silent[way]
+			sum.Deaf[way] = sum.Deaf[way] || f.Deaf[way]
+		}
+		sum.Refuse = sum.Refuse || f.Refuse
+		sum.Delay += f.Delay
+		sum.Jitter += f.Jitter
+		if f.Rate > 0 && (sum.Rate == 0 || f.Rate < sum.Rate) {
+			sum.Rate = f.Rate
+		}
+		if f.Break > 0 {
+			sum.Break = f.Break
+		}
+	}
+	return sum
+}
+
+// linksOf are the links between an end and all ends of a kind, and of each whether the end is its far side.
+func (w *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, far []bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, l := range w.links {
+		switch {
+		case l.from == e && (peer == anyEnd || l.to.kind == peer):
+			list, far = append(list, l), append(far, false)
+		case l.to == e && (peer == anyEnd || l.from.kind == peer):
+			list, far = append(list, l), append(far, true)
+		}
+	}
+	return list, far
+}
+
+// addFault adds a cause to links and returns what takes it away again.
+func (w *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
+	w.mu.Lock()
+	w.lastCause++
+	cause := w.lastCause
+	w.mu.Unlock()
+	w.changeEach(links, func(i int, l *networkLink) { l.causes[cause] = faults[i] })
+	return func(reset bool) {
+		if reset {
+			for _, l := range links {
+				l.Reset()
+			}
+		}
+		w.changeEach(links, func(_ int, l *networkLink) { delete(l.causes, cause) })
+	}
+}
+
+// changeEach changes the causes of links and applies them, of all links at once.
+func (w *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
+	forEach(len(links), func(i int) error {
+		w.mu.Lock()
+		change(i, links[i])
+		w.mu.Unlock()
+		w.apply(links[i])
+		return nil
+	})
+}
+
+// close closes all links.
+func (w *network) close() {
+	w.mu.Lock()
+	links := w.links
+	w.mu.Unlock()
+	forEach(len(links), func(i int) error {
+		links[i].Close()
+		return nil
+	})
+}
+
+// connectAll opens a link for every pair that talks.
+func (r *rig) connectAll() error {
+	for i, info := range r.infos {
+		if err := r.connectNode(i, info.Base, info.Tier); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// connectNode opens the links of one node: from its callers, to discovery, and to the servers of its tier.
+func (r *rig) connectNode(i int, base string, tier int) error {
+	node, caller := nodeAt(base), linkEnd{clientEnd, ""}
+	if info := r.infos[i]; info.IngressIndex < 0 {
+		caller = serverAt(info.HostID)
+	}
+	if _, err := r.network.open(caller, node, func() string { return r.nodes.Addr(i) }); err != nil {
+		return err
+	}
+	discoveryAddr, err := r.network.open(node, linkEnd{discoveryEnd, ""}, func() string { return r.discoveryAddr(base) })
+	if err != nil {
+		return err
+	}
+	r.lists.discoveryAddrs[base] = discoveryAddr
+	dialAddresses := map[string]string{}
+	ids, _ := r.nodes.ServerIDs(tier)
+	for _, id := range ids {
+		if dialAddresses[id], err = r.network.open(node, serverAt(id), func() string { return r.serverAddr(id) }); err != nil {
+			return err
+		}
+	}
+	r.lists.dialAddresses[base] = dialAddresses
+	return nil
+}
--- /dev/null
+++ b/internal/lab/fleet/overrides.go
@@ -0,0 +1,108 @@
+package fleet
+
+import (
+	"errors"
+	"net/http"
+	"net/url"
+	"slices"
+	"sync"
+	"time"
+
+	"hookwalk.example/hookwalk/internal/lab/blackbox"
+	"hookwalk.example/hookwalk/internal/lab/model"
+)
+
+// adminCallTimeout is how long an operator waits for an answer.
+const adminCallTimeout = 2 * time.Second
+
+// overrides are the servers that operators have disabled at nodes: what a node has confirmed outlives its process, as far as
+// its folder does.
+type overrides struct {
+	rig *rig
+
+	mu       sync.Mutex
+	disabled map[int][]string // server IDs by node
+}
+
+// overrideFault has operators disable the server of a fault at each node that sends to it, and enable it again.
+func (r *rig) overrideFault(f model.ProcessFault) (begin, end func() error) {
+	index, tier := f.Targets[0], f.Targets[1]
+	ids, _ := r.nodes.ServerIDs(tier)
+	callAll := func(disable bool) error {
+		for i, info := range r.infos {
+			if info.Tier == tier {
+				r.goOwned(func() { r.overrides.call(i, ids[index], disable) })
+			}
+		}
+		return nil
+	}
+	return func() error { return callAll(true) }, func() error { return callAll(false) }
+}
+
+// call makes an operator's call at a node. Without an answer nothing is confirmed and nothing changes that is promised, but
+// for a server that is to be enabled: it may be.
+func (o *overrides) call(i int, id string, disable bool) {
+	incarnation, addr := o.rig.nodes.AdminAddr(i)
+	if addr == "" {
+		return
+	}
+	action := "/offline"
+	if !disable {
+		action = "/online"
+		o.enabled(i, id)
+	}
+	client := http.Client{Timeout: adminCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Post("http://"+addr+"/control/servers/"+url.PathEscape(id)+action, "", nil)
+	if err != nil {
+		return
+	}
+	resp.Body.Close()
+	switch {
+	case !disable:
+	case resp.StatusCode == http.StatusOK:
+		o.confirmed(i, id, incarnation)
+	case resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusNotFound:
+		o.rig.cancel(errors.New("an operator is answered " + resp.Status))
+	}
+}
+
+// confirmed notes that an incarnation of a node has confirmed that a server is disabled.
+func (o *overrides) confirmed(i int, id, incarnation string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if now, _ := o.rig.nodes.AdminAddr(i); now != incarnation { // it has been killed since
+		return
+	}
+	if !o.rig.folders.cannotWrite(i) && !slices.Contains(o.disabled[i], id) { // otherwise it ends with this incarnation
+		o.disabled[i] = append(o.disabled[i], id)
+	}
+	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id})
+}
+
+// enabled notes that a node may use a server again, before it is called.
+func (o *overrides) enabled(i int, id string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if n := slices.Index(o.disabled[i], id); n >= 0 {
+		o.disabled[i] = slices.Delete(o.disabled[i], n, n+1)
+	}
+	incarnation, _ := o.rig.nodes.Incarnation(i)
+	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id, Ready: true})
+}
+
+// nodeStarts notes what a node's next incarnation owes of what operators disabled at the one before.
+func (o *overrides) nodeStarts(i int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	incarnation, _ := o.rig.nodes.Incarnation(i)
+	for _, id := range o.disabled[i] {
+		o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id})
+	}
+}
+
+// folderLost forgets what was in a node's folder.
+func (o *overrides) folderLost(i int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.disabled, i)
+}
--- a/internal/lab/fleet/result_test.go
+++ b/internal/lab/fleet/timeline_test.go
@@ -10,7 +10,7 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// timelineServing is a course of 20 s in which each second asks for 10 and is served so much.
+// timelineServing is a timeline of 20 s in which each second offers 10 and earns so much.
 func timelineServing(got func(second int) float64) (c Timeline) {
 	for i := range 201 {
 		c.Offered, c.Earned = append(c.Offered, 1), append(c.Earned, got(i/10))
@@ -18,8 +18,9 @@
 	return c
 }
 
+// Full service counts from when it stays full: a dip soon after belongs to the same outage, one much later does not.
 func TestTimeToFullService(t *testing.T) {
-	calm := timelineServing(func(int) float64 { return 1 })
+	baseline := timelineServing(func(int) float64 { return 1 })
 	for name, tc := range map[string]struct {
 		got  func(int) float64
 		took time.Duration
@@ -35,31 +36,32 @@
 		"never whole again": {func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s >= 5] }, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			took, lost, ok := FullService(timelineServing(tc.got), calm, 5*time.Second)
+			took, lost, ok := FullService(timelineServing(tc.got), baseline, 5*time.Second)
 			if ok != tc.ok || ok && (took != tc.took || lost < tc.lost-0.03 || lost > tc.lost+0.03) {
 				t.Errorf("%v, %.2f lost, %v", took, lost, ok)
 			}
 		})
 	}
-	// A calm play that serves half of a second asks no more than that.
+	// A baseline that serves half of a second asks no more than that.
 	half := func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s == 5] }
 	if took, _, ok := FullService(timelineServing(half), timelineServing(half), 5*time.Second); !ok || took != 0 {
 		t.Errorf("as without the fault: %v, %v", took, ok)
 	}
 }
 
-func TestCourseAndPeaks(t *testing.T) {
+// Value counts by the time of the first try, and a peak is the most after a fault over the mean before.
+func TestTimelineAndPeaks(t *testing.T) {
 	s := &scenario.Scenario{Length: 10 * time.Second, Classes: []scenario.Class{{PriorityWeight: 4, LateCredit: 0.5, LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
-	wish := func(at time.Duration) blackbox.Event { return blackbox.Event{At: at, Kind: blackbox.RequestBegun} }
-	over := func(at, took time.Duration, served bool) blackbox.Event {
+	begun := func(at time.Duration) blackbox.Event { return blackbox.Event{At: at, Kind: blackbox.RequestBegun} }
+	ended := func(at, took time.Duration, served bool) blackbox.Event {
 		return blackbox.Event{At: at + took, Kind: blackbox.RequestEnded, Duration: took, Ready: served}
 	}
-	c := TimelineOf(s, []blackbox.Event{wish(time.Second), over(time.Second, 900*time.Millisecond, true),
-		wish(time.Second), over(time.Second, 1500*time.Millisecond, true),
-		wish(2 * time.Second), over(2*time.Second, 100*time.Millisecond, false), wish(3 * time.Second)})
-	asked, got := c.Between(time.Second, 2*time.Second)
-	if asked != 8 || got != 6 || c.Share() != 6.0/16 {
-		t.Errorf("asked %v, got %v, share %v", asked, got, c.Share())
+	c := TimelineOf(s, []blackbox.Event{begun(time.Second), ended(time.Second, 900*time.Millisecond, true),
+		begun(time.Second), ended(time.Second, 1500*time.Millisecond, true),
+		begun(2 * time.Second), ended(2*time.Second, 100*time.Millisecond, false), begun(3 * time.Second)})
+	offered, earned := c.Between(time.Second, 2*time.Second)
+	if offered != 8 || earned != 6 || c.Share() != 6.0/16 {
+		t.Errorf("offered %v, earned %v, share %v", offered, earned, c.Share())
 	}
 	var events []blackbox.Event
 	for i := range 100 { // one a tenth of a second, and after 5 s seven at once
@@ -82,8 +84,7 @@
 	}
 }
 
-// Name a report gets of a play is its worth second by second, its troubles, and when service was whole again; of one in
-// which it never was, that it never was.
+// A report shows of a play its value second by second, its faults, and when service was full again, or that it never was.
 func TestCellsForReports(t *testing.T) {
 	s := &scenario.Scenario{Length: 20 * time.Second, Classes: []scenario.Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second}},
 		Faults: []scenario.Fault{{Kind: "kill", At: 4 * time.Second, Duration: 2 * time.Second, Spread: time.Second}}}
@@ -95,8 +96,8 @@
 		}
 		return p
 	}
-	calm := played(0, 0)
-	cells := Cells(s, []*Result{played(40, 60), played(40, 200)}, calm)
+	baseline := played(0, 0)
+	cells := Cells(s, []*Result{played(40, 60), played(40, 200)}, baseline)
 	for i, want := range [][4]float64{{2, 0, 0.9, 0}, {16, 1, 0.2, 0}, {0, 0, 1, 1}} {
 		c := cells[i]
 		if got := [4]float64{c.Metrics["full_service_s"], c.Metrics["never_whole"], math.Round(c.Metrics["worth"]*10) / 10, c.ValueShares[5]}; got != want {
--- a/internal/lab/fleet/violator_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -16,7 +16,7 @@
 	"hookwalk.example/hookwalk/internal/lab/violator"
 )
 
-// TestMain lets the test binary stand in for the rig's parts, and for nodes that break a rule.
+// TestMain lets the test binary stand in for the rig's workers, and for nodes that break a rule.
 func TestMain(m *testing.M) {
 	fault := os.Getenv(violator.FaultVariable)
 	if fault == "" {
@@ -35,7 +35,8 @@
 	os.Exit(0)
 }
 
-// playJudged plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: then again.
+// playJudged plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: it is played
+// again then.
 func playJudged(t *testing.T, fault string, s *scenario.Scenario) *Result {
 	t.Helper()
 	for range 3 {
@@ -52,11 +53,12 @@
 	return nil
 }
 
-// Processes that break a rule are named for it, whatever fault there is meanwhile between them and others.
-func TestRoguesAreCaughtBesideFaults(t *testing.T) {
+// A fault of the world must not excuse a node that breaks a rule: nodes are reported for the rule that they break, during
+// each kind of fault between processes.
+func TestViolationsAreSeenDuringFaults(t *testing.T) {
 	const nodesToBoxes = `at_s = 0.6 length_s = 0.4 part = 0.5 who = "nodes" whom = "boxes"`
-	met := map[string]bool{}
-	for trouble, tc := range map[string]struct {
+	played := map[string]bool{}
+	for fault, tc := range map[string]struct {
 		fault string
 		want  checker.Rule
 	}{
@@ -77,22 +79,22 @@
 trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {violator.IgnoreUpdates, checker.DrainGrace},
 	} {
 		length := "2"
-		if strings.Contains(trouble, "hush") {
+		if strings.Contains(fault, "hush") {
 			length = "8"
 		}
 		add := "1000"
-		if strings.Contains(trouble, "box_kill") { // a fall breaks the rule where most of it comes from nodes that were told
+		if strings.Contains(fault, "box_kill") { // an overload breaks the rule where most of it comes from nodes that were notified
 			add = "1"
 		}
-		s := load(t, "rogues.hcl", `scenario "rogues" { length_s = `+length+` }
+		s := load(t, "violations.hcl", `scenario "violations" { length_s = `+length+` }
 tier "t" { kind "k" { count = 2 cold_s = 5 conns = 200 slots = 200 } }
 class "bin-weighin" { work_ms = 80 cv = 0 aim_ms = 500 deadline_ms = 1000 }
 clients { rate = 25 retries = 0 }
 front { nodes = 2 notice_s = 0.1 }
 discovery { drain_ms = 10 spread_ms = 10 add_ms = `+add+` }
 fleet { boxes_per_process = 2 control = "on" }
-trouble `+trouble)
-		met[s.Faults[0].Kind] = true
+trouble `+fault)
+		played[s.Faults[0].Kind] = true
 		t.Run(s.Faults[0].Kind, func(t *testing.T) {
 			t.Parallel()
 			broken := playJudged(t, tc.fault, s).Violations
@@ -102,14 +104,15 @@
 		})
 	}
 	for _, kind := range scenario.ProcessFaultKinds {
-		if !met[kind] {
-			t.Errorf("no rogue is played beside %s", kind)
+		if !played[kind] {
+			t.Errorf("no violation is played during %s", kind)
 		}
 	}
 }
 
-// Name operators said to a node is owed by its next life as far as its folder was kept, and no further.
-func TestWhatOperatorsSaidOutlivesAProcess(t *testing.T) {
+// A server that an operator disabled must stay disabled over a crash of the node: the next incarnation owes it as far as its
+// folder was kept, and no further.
+func TestOverridesOutliveAProcess(t *testing.T) {
 	for folder, owed := range map[string]bool{"kept": true, "full": true, "emptied": false, "old": false} {
 		s := load(t, "hand.hcl", `scenario "hand" { length_s = 3 }
 tier "t" { kind "k" { count = 3 } }
@@ -127,15 +130,15 @@
 				t.Errorf("also broken: %v", broken[other])
 			}
 			if len(broken) > 0 != owed {
-				t.Errorf("it sends to what is out by hand: caught %v, want %v", !owed, owed)
+				t.Errorf("it sends to a disabled server: reported %v, want %v", !owed, owed)
 			}
 		})
 	}
 }
 
-// Two troubles that have one process of boxes down at a time start it once, after the later; a trouble whose end is
-// that of the play leaves no process behind. Play waits for all of them.
-func TestTroublesThatOverlap(t *testing.T) {
+// Two faults that have one process of servers down at a time must start it once, after the later one, or two processes hold
+// the same servers. A fault that ends with the play leaves no process behind: Play waits for all of them.
+func TestOverlappingServerKills(t *testing.T) {
 	p := playJudged(t, violator.EarlyExit, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
 tier "t" { kind "k" { count = 2 } }
 class "c" { effect = "safe" }
@@ -153,6 +156,6 @@
 		}
 	}
 	if boots != 2 {
-		t.Errorf("two boxes have started %d times", boots)
+		t.Errorf("two servers have started %d times", boots)
 	}
 }
--- a/internal/lab/loopback/change.go
+++ b/internal/lab/loopback/change.go
@@ -66,15 +66,15 @@
 	case model.Drain:
 		if b.inState(model.Up) {
 			b.locked(func() { b.model.State = model.Draining })
-			w.updateEndpoint(b, healthDraining, 0, delays.DrainDelay)
+			w.updateEndpoint(b, HealthDraining, 0, delays.DrainDelay)
 		}
 	case model.Disconnect:
-		w.updateEndpoint(b, healthRemoved, 0, delays.UnreachableDelay)
+		w.updateEndpoint(b, HealthRemoved, 0, delays.UnreachableDelay)
 		return b.disconnect()
 	case model.Reconnect:
 		b.locked(b.reconnect)
 		if b.inState(model.Up) {
-			w.updateEndpoint(b, healthReady, 0, delays.AddDelay)
+			w.updateEndpoint(b, HealthReady, 0, delays.AddDelay)
 		}
 	case model.ScaleSpeed:
 		b.locked(func() {
@@ -106,7 +106,7 @@
 	if planned {
 		delay = w.scenario.Discovery.DrainDelay
 	}
-	w.updateEndpoint(b, healthRemoved, 0, delay)
+	w.updateEndpoint(b, HealthRemoved, 0, delay)
 }
 
 // updateEndpoint has discovery list a server's state after a while.
@@ -148,7 +148,7 @@
 	if w.worker != nil {
 		w.worker.send(Message{Operation: OpServerStart, Tier: b.model.Tier, Index: b.model.Index, Addr: b.addr})
 	}
-	w.updateEndpoint(b, healthReady, now, w.scenario.Discovery.AddDelay)
+	w.updateEndpoint(b, HealthReady, now, w.scenario.Discovery.AddDelay)
 	return nil
 }
 
--- a/internal/lab/loopback/endpoints.go
+++ b/internal/lab/loopback/endpoints.go
@@ -4,9 +4,9 @@
 
 // States of a server in discovery's published form.
 const (
-	healthReady    = "in_service"
-	healthDraining = "terminating"
-	healthRemoved  = "terminated"
+	HealthReady    = "in_service"
+	HealthDraining = "terminating"
+	HealthRemoved  = "terminated"
 )
 
 // How discovery lists the servers of the lab.
@@ -39,11 +39,11 @@
 
 // NewEndpoint lists a server as ready.
 func NewEndpoint(id, kind, addr string, index int) Endpoint {
-	return Endpoint{Host: id, Dial: addr, Site: site, Class: kind, Block: index / blockServers, Health: healthReady, Share: 1}
+	return Endpoint{Host: id, Dial: addr, Site: site, Class: kind, Block: index / blockServers, Health: HealthReady, Share: 1}
 }
 
 // ready says that a server may be sent requests.
-func (e Endpoint) ready() bool { return e.Health == healthReady }
+func (e Endpoint) ready() bool { return e.Health == HealthReady }
 
 // withDialAddresses replaces the addresses of servers by those at which a node reaches them.
 func (p *process) withDialAddresses(list []Endpoint) []Endpoint {
