--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -86,26 +86,26 @@
 
 // Run plays fleets. The report goes to standard output.
 func (c labFleetPlay) Run(io streams) error {
-	var over []scenario.Override
+	var overrides []scenario.Override
 	for _, text := range c.Set {
 		path, value, ok := strings.Cut(text, "=")
 		if !ok {
 			return fmt.Errorf("--set %s: want PATH=VALUE", text)
 		}
-		over = append(over, scenario.Override{Path: path, Value: value})
+		overrides = append(overrides, scenario.Override{Path: path, Value: value})
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	opt := fleet.Options{Program: []string{self}}
+	options := fleet.Options{Program: []string{self}}
 	if c.Old != "" {
-		opt.OldProgram = []string{c.Old}
+		options.OldProgram = []string{c.Old}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	broken, late := 0, false
-	var calm fleet.Baseline
+	violations, late := 0, false
+	var baseline fleet.Baseline
 	var cells []sweep.Cell
 	if c.Output != "" {
 		if err := os.MkdirAll(c.Output, 0o755); err != nil {
@@ -116,38 +116,38 @@
 		fleet.WriteTableHeader(io.stdout)
 	}
 	for _, file := range c.Files {
-		s, err := scenario.Load(file, over...)
+		s, err := scenario.Load(file, overrides...)
 		if err != nil {
 			return err
 		}
 		if c.Seed != nil {
 			s.Seed = *c.Seed
 		}
-		var quiet *fleet.Result
+		var baselineResult *fleet.Result
 		if c.Calm && len(s.Faults) > 0 {
-			if quiet, err = calm.Play(ctx, s, opt); err != nil {
+			if baselineResult, err = baseline.Play(ctx, s, options); err != nil {
 				return fmt.Errorf("lab: without troubles: %w", err)
 			}
-			late = late || quiet.Unreliable()
+			late = late || baselineResult.Unreliable()
 		}
 		var plays []*fleet.Result
 		for range c.Plays {
-			played, err := fleet.Play(ctx, s, opt)
+			played, err := fleet.Play(ctx, s, options)
 			if err != nil {
 				return fmt.Errorf("lab: %w", err)
 			}
 			plays = append(plays, played)
-			broken += len(played.Violations)
+			violations += len(played.Violations)
 			late = late || played.Unreliable()
 			if !c.Table {
-				played.Write(io.stdout, s, quiet)
+				played.Write(io.stdout, s, baselineResult)
 			}
-			c.tell(io, played)
+			c.report(io, played)
 		}
 		if c.Table {
-			fleet.WriteTableRow(io.stdout, s, plays, quiet)
+			fleet.WriteTableRow(io.stdout, s, plays, baselineResult)
 		}
-		cells = append(cells, fleet.Cells(s, plays, quiet)...)
+		cells = append(cells, fleet.Cells(s, plays, baselineResult)...)
 	}
 	if c.Output != "" {
 		if err := sweep.Write(c.Output, cells); err != nil {
@@ -157,14 +157,14 @@
 	switch {
 	case late:
 		return exitStatus(exitLate)
-	case broken > 0:
+	case violations > 0:
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// tell says what a play has broken.
-func (c labFleetPlay) tell(io streams, p *fleet.Result) {
+// report prints the rules that a play has broken.
+func (c labFleetPlay) report(io streams, p *fleet.Result) {
 	const shown = 20
 	out := io.stdout
 	if c.Table { // which has the numbers
@@ -185,8 +185,8 @@
 
 type labPart struct{}
 
-// Run plays a part of a fleet's world, as its parent says on standard input, until that ends.
+// Run plays a worker of a fleet, as its parent says on standard input, until that ends.
 func (labPart) Run(io streams) error {
-	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
+	signal.Ignore(os.Interrupt) // the parent gets it too, and ends its workers
 	return loopback.ServeWorker(context.Background(), os.Stdin, io.stdout)
 }
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -73,7 +73,7 @@
 		defer pprof.StopCPUProfile()
 	}
 	began := time.Now()
-	result, auditor, err := w.Run(nil)
+	result, checked, err := w.Run(nil)
 	if err != nil {
 		return err
 	}
@@ -82,27 +82,27 @@
 	}
 	took := time.Since(began)
 	fmt.Fprintf(io.stderr, "took %.2f s, %.0f events a second\n", took.Seconds(), float64(result.Events)/took.Seconds())
-	return verdict(io, auditor)
+	return verdict(io, checked)
 }
 
 // verdict names the rules that were broken.
-func verdict(io streams, auditor *checker.Checker) error {
+func verdict(io streams, checked *checker.Checker) error {
 	const shown = 20
-	for i, v := range auditor.Violations() {
+	for i, v := range checked.Violations() {
 		if i == shown {
 			break
 		}
 		fmt.Fprintf(io.stdout, "violation: %v\n", v)
 	}
-	fmt.Fprintf(io.stdout, "rules broken   %d\n", auditor.Count())
-	if auditor.Count() > 0 {
+	fmt.Fprintf(io.stdout, "rules broken   %d\n", checked.Count())
+	if checked.Count() > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// upSockets brings a world up whose nodes are this program.
-func upSockets(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
+// startWorld brings a world up whose nodes are this program.
+func startWorld(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
@@ -118,29 +118,29 @@
 func runSockets(io streams, s *scenario.Scenario) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startWorld(ctx, s)
 	if err != nil {
 		return err
 	}
-	result, auditor, err := w.Play()
-	w.Down(err != nil || auditor.Count() > 0)
+	result, checked, err := w.Play()
+	w.Down(err != nil || checked.Count() > 0)
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	if err := result.Write(io.stdout); err != nil {
 		return err
 	}
-	if auditor.Count() > 0 {
+	if checked.Count() > 0 {
 		fmt.Fprintf(io.stderr, "the nodes' logs are in %s\n", w.Folder())
 	}
-	return verdict(io, auditor)
+	return verdict(io, checked)
 }
 
 type labUp struct {
 	File string `arg:"" help:"The scenario."`
 }
 
-// Run holds a world up. Its troubles don't come; its clients are whoever asks.
+// Run holds a world up. Its faults are not made; its clients are whoever sends requests.
 func (c labUp) Run(io streams) error {
 	s, err := scenario.Load(c.File)
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startWorld(ctx, s)
 	if err != nil {
 		return err
 	}
--- a/cmd/hookwalk/sweep.go
+++ b/cmd/hookwalk/sweep.go
@@ -20,8 +20,8 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// mainFigures are shown where none are named.
-var mainFigures = []string{"worth", "worst_10s", "p95_ms", "refusals", "attempts", "wasted", "violations"}
+// mainMetrics are shown where none are named.
+var mainMetrics = []string{"worth", "worst_10s", "p95_ms", "refusals", "attempts", "wasted", "violations"}
 
 type labSweep struct {
 	File   string   `arg:"" help:"The scenario."`
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	return sweep.Table(io.stdout, cells, mainFigures)
+	return sweep.Table(io.stdout, cells, mainMetrics)
 }
 
 // progress is a bar on a terminal, else a line every few seconds.
@@ -98,15 +98,15 @@
 		path = filepath.Join(c.Folder, "report.html")
 	}
 	names := sweep.MetricNames(cells)
-	figures := slices.DeleteFunc(slices.Clone(mainFigures), func(name string) bool { return !slices.Contains(names, name) })
-	if len(figures) < len(mainFigures) { // not of a sweep
-		figures = names
+	metrics := slices.DeleteFunc(slices.Clone(mainMetrics), func(name string) bool { return !slices.Contains(names, name) })
+	if len(metrics) < len(mainMetrics) { // not of a sweep
+		metrics = names
 	}
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(sweep.Report(f, cells, figures), f.Close()); err != nil {
+	if err := errors.Join(sweep.Report(f, cells, metrics), f.Close()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	fmt.Fprintln(io.stdout, path)
@@ -135,7 +135,7 @@
 			return fmt.Errorf("unknown figure %q: there are %s", f, strings.Join(known, ", "))
 		}
 	}
-	changes, left := sweep.Diff(before, after)
+	changes, unpaired := sweep.Diff(before, after)
 	if len(changes) == 0 {
 		return errors.New("the two have no experiment in common")
 	}
@@ -152,8 +152,8 @@
 			fmt.Fprintf(io.stdout, "%s %s %s: %.4g to %.4g, by %+.3g ± %.2g (%d seeds)\n", mark, d.Group, d.Metric, d.Before, d.After, d.MeanChange, d.HalfInterval, d.Pairs)
 		}
 	}
-	if left > 0 {
-		fmt.Fprintf(io.stdout, "%d experiments are in one of the two alone\n", left)
+	if unpaired > 0 {
+		fmt.Fprintf(io.stdout, "%d experiments are in one of the two alone\n", unpaired)
 	}
 	if fell > 0 {
 		return exitStatus(exitFailed)
--- a/internal/lab/fleet/drawfault.go
+++ b/internal/lab/fleet/drawfault.go
@@ -13,18 +13,18 @@
 
 // Bounds of drawn schedules. Times are multiples of an eighth of a second, which a file shows as they are.
 const (
-	minFaults       = 2
-	extraFaults     = 4 // at most one less is added
-	drawnSteps      = 8 // of a second
-	firstFaultAt    = 1.0
-	lastFaultMargin = 2.0
-	minFaultSeconds = 0.2
-	maxFaultSeconds = 3.0
-	spreadSteps     = 3
-	minDelayMS      = 5
-	delayRangeMS    = 60
-	maxBreakBytes   = 2000
-	milderMagnitude = 1.5 // of faults that hit everything at once
+	minFaults       = 2    // of a schedule
+	extraFaults     = 4    // at most one less is added
+	drawnSteps      = 8    // of a second
+	firstFaultAt    = 1.0  // seconds from the start, so that there is a time without faults before
+	lastFaultMargin = 2.0  // seconds before the fault-free end at which the last fault begins
+	minFaultSeconds = 0.2  // shortest duration drawn
+	maxFaultSeconds = 3.0  // longest duration drawn
+	spreadSteps     = 3    // spreads drawn: none, one or two eighths of a second
+	minDelayMS      = 5    // of a slow link
+	delayRangeMS    = 60   // added to it, at most one less
+	maxBreakBytes   = 2000 // before a connection breaks
+	milderMagnitude = 1.5  // of faults that hit everything at once
 )
 
 // drawnWorldFaults are the kinds that are drawn besides those between processes. Their order is part of a drawn schedule.
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -13,11 +13,11 @@
 
 // Kinds of ends, as scenarios name them.
 const (
-	nodeEnd      endKind = scenario.TargetNodes
-	serverEnd    endKind = scenario.TargetServers
-	discoveryEnd endKind = scenario.TargetDiscovery
-	clientEnd    endKind = scenario.TargetClients
-	anyEnd       endKind = ""
+	nodeEnd      endKind = scenario.TargetNodes     // a node
+	serverEnd    endKind = scenario.TargetServers   // a server
+	discoveryEnd endKind = scenario.TargetDiscovery // the service
+	clientEnd    endKind = scenario.TargetClients   // all clients
+	anyEnd       endKind = ""                       // matches every kind
 )
 
 // linkEnd is one end of a link.
--- a/internal/lab/fleet/peaks.go
+++ b/internal/lab/fleet/peaks.go
@@ -8,10 +8,10 @@
 
 // Names of peaks.
 const (
-	peakOneServer  = "requests at one box"
-	peakAllServers = "requests at all boxes"
-	peakHandshakes = "handshakes at all boxes"
-	peakDiscovery  = "calls to discovery"
+	peakOneServer  = "requests at one box"     // the busiest
+	peakAllServers = "requests at all boxes"   // together
+	peakHandshakes = "handshakes at all boxes" // together
+	peakDiscovery  = "calls to discovery"      // polls and watches
 )
 
 // Peak is the most of something in one slice of time after a fault, and its ratio to the mean of a slice before.
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -15,8 +15,8 @@
 
 // Names of the two groups of cells of a fleet, in place of a policy.
 const (
-	withFaults    = "with troubles"
-	withoutFaults = "without"
+	withFaults    = "with troubles" // the plays
+	withoutFaults = "without"       // the baseline
 )
 
 // noValue stands in a table for a figure that there is not.
--- a/internal/lab/fleet/timeline.go
+++ b/internal/lab/fleet/timeline.go
@@ -12,8 +12,8 @@
 
 // Full service: each of the seconds that follow serves at least this share of what the same seed serves without faults.
 const (
-	fullServiceShare   = 0.99
-	fullServiceSeconds = 5
+	fullServiceShare   = 0.99 // a hundredth less is no outage
+	fullServiceSeconds = 5    // for so long, so that a single good second is no recovery
 )
 
 // Timeline is the priority weight that clients offered and that was earned, by the time of their first tries, in pieces of
--- a/internal/lab/loopback/clock.go
+++ b/internal/lab/loopback/clock.go
@@ -46,7 +46,7 @@
 // How late a process of a rig may be before that is worth a report.
 const (
 	latenessInterval = 10 * time.Millisecond // between two looks
-	minLateness      = 20 * time.Millisecond
+	minLateness      = 20 * time.Millisecond // below it every busy machine is
 )
 
 // WatchLateness reports, until stop, by how much a process of the rig is late, each time that it is worse than before: what
--- a/internal/lab/loopback/endpoints.go
+++ b/internal/lab/loopback/endpoints.go
@@ -4,9 +4,9 @@
 
 // States of a server in discovery's published form.
 const (
-	HealthReady    = "in_service"
-	HealthDraining = "terminating"
-	HealthRemoved  = "terminated"
+	HealthReady    = "in_service"  // accepts requests
+	HealthDraining = "terminating" // accepts nothing new
+	HealthRemoved  = "terminated"  // has ended, or can't be reached
 )
 
 // How discovery lists the servers of the lab.
--- a/internal/lab/loopback/message.go
+++ b/internal/lab/loopback/message.go
@@ -11,9 +11,9 @@
 
 // Roles of a worker.
 const (
-	RoleServers   = "boxes"
-	RoleDiscovery = "discovery"
-	RoleClients   = "clients"
+	RoleServers   = "boxes"     // those of one machine
+	RoleDiscovery = "discovery" // the service
+	RoleClients   = "clients"   // all clients and the ingress
 )
 
 // Operations that the parent sends.
--- a/internal/lab/loopback/nodeconfig.go
+++ b/internal/lab/loopback/nodeconfig.go
@@ -13,9 +13,9 @@
 
 // Limits of a node, as the platform gives them.
 const (
-	nodeCores    = 1
-	nodeMemoryMB = 128
-	nodeSockets  = 512
+	nodeCores    = 1   // processor cores
+	nodeMemoryMB = 128 // memory in MB
+	nodeSockets  = 512 // open sockets
 )
 
 // anyAddress is an address of which the system chooses the port.
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -29,14 +29,14 @@
 
 // Signals to a node that are not about its end.
 const (
-	syscallReload = syscall.SIGHUP
+	syscallReload = syscall.SIGHUP    // read the configuration again
 	noSignal      = syscall.Signal(0) // only looks whether it runs
 )
 
 // Connections of clients to a node.
 const (
-	maxIdleConnections = 256
-	clientIdleTimeout  = time.Second
+	maxIdleConnections = 256         // to one node
+	clientIdleTimeout  = time.Second // shorter than any scenario, so that no connection outlives its node for long
 )
 
 // servingLine is the line by which a node says where it listens.
--- a/internal/lab/model/arrivals.go
+++ b/internal/lab/model/arrivals.go
@@ -13,8 +13,8 @@
 // An impatient client leaves after a share of its time, drawn evenly between these two: neither before its request has
 // arrived nor when its time is up anyway.
 const (
-	leavesAfterMin  = 0.05
-	leavesAfterSpan = 0.9
+	leavesAfterMin  = 0.05 // share of its time
+	leavesAfterSpan = 0.9  // share of its time
 )
 
 // rampStart is the share of the rate at which a ramp begins; it ends at the rate plus this share.
--- a/internal/lab/model/nodesettings.go
+++ b/internal/lab/model/nodesettings.go
@@ -9,9 +9,9 @@
 
 // Settings that the operators give all nodes, and that no scenario varies.
 const (
-	totalValueWeight = 0.6 // weight of the value served in all
-	worstClassWeight = 0.1 // weight of the worst class
-	tick             = time.Millisecond
+	totalValueWeight = 0.6              // weight of the value served in all
+	worstClassWeight = 0.1              // weight of the worst class
+	tick             = time.Millisecond // between two looks at timers
 )
 
 // NodeSettings are the settings of a node that sends to a tier as replica number replicaIndex of so many replicas.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -16,9 +16,9 @@
 
 // States of a server. Start and Stop move between Up and Down; whoever plays the world sets Draining.
 const (
-	Up       ServerState = iota
-	Draining             // finishes what it has and accepts nothing new
-	Down                 // its process does not run
+	Up       ServerState = iota // accepts requests
+	Draining                    // finishes what it has and accepts nothing new
+	Down                        // its process does not run
 )
 
 // Limits of the times at which a server is looked at.
--- a/internal/lab/model/worldfaults.go
+++ b/internal/lab/model/worldfaults.go
@@ -14,15 +14,15 @@
 // Steps of a rolling release of servers, as shares of the time that each server has: after the drain it finishes its
 // requests, is replaced, and starts again before the next server drains.
 const (
-	releaseCrashPercent = 60
-	releaseStartPercent = 80
+	releaseCrashPercent = 60 // its process ends
+	releaseStartPercent = 80 // it starts again
 )
 
 // A node in a crash loop is down for a quarter of the period, as a supervisor restarts it soon, and never for longer
 // than it takes the ingress to notice.
 const (
-	crashLoopDownShare = 4 // divisor of the period
-	crashLoopMaxDown   = time.Second
+	crashLoopDownShare = 4           // divisor of the period
+	crashLoopMaxDown   = time.Second // below the default detection time of the ingress
 )
 
 // WorldChanges turns the faults of a scenario into changes in order of time. The servers and nodes that a fault hits are
--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -56,10 +56,10 @@
 
 // The search for the best share of the left group, in thousandths: the times that the paper prints have their least in it.
 const (
-	thousandths   = 1000
-	minBestShare  = 500
-	maxBestShare  = 650
-	searchedRange = 2 // under which each share is tried
+	thousandths   = 1000 // of a share of 1
+	minBestShare  = 500  // half: the groups are equal
+	maxBestShare  = 650  // above all best shares published
+	searchedRange = 2    // under which each share is tried
 )
 
 // BallsRandom gives, after n balls into n bins by the lesser of d random ones, the share of bins with at least i
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -77,10 +77,10 @@
 
 // Marks of a figure beside the published one.
 const (
-	markSame     = " "
+	markSame     = " " // as printed
 	markRounding = "~" // within a unit of its last digit
-	markErratum  = "e"
-	markDiffers  = "!"
+	markErratum  = "e" // the paper's own equations contradict the published one
+	markDiffers  = "!" // a real difference
 )
 
 // printer writes tables and counts the figures that are not as published.
@@ -182,10 +182,10 @@
 
 // The module's runs are fewer and shorter than those of table 4, for it costs more: a tenth of the runs, at least two.
 const (
-	moduleRunDivisor = 10
-	moduleMinRuns    = 2
-	moduleUnits      = 5000
-	moduleWarmUp     = 500
+	moduleRunDivisor = 10   // of the runs of table 4
+	moduleMinRuns    = 2    // for an interval
+	moduleUnits      = 5000 // of time, of each run
+	moduleWarmUp     = 500  // units that do not count
 )
 
 // writeTable4 writes table 4, and the result of the module in the same world.
--- a/internal/lab/policies/reference.go
+++ b/internal/lab/policies/reference.go
@@ -15,9 +15,9 @@
 // The pause before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter of
 // it, less a drawn part of up to a half: nodes that lost discovery together must not poll together.
 const (
-	maxPollFailures    = 4
-	pollPauseDivisor   = 64
-	pollPauseJitterMin = 0.5
+	maxPollFailures    = 4   // doublings of the pause
+	pollPauseDivisor   = 64  // of the poll interval
+	pollPauseJitterMin = 0.5 // share of the pause that is never left out
 )
 
 // pollTimer is the token of the timer before a poll.
--- a/internal/lab/scenario/blocks.go
+++ b/internal/lab/scenario/blocks.go
@@ -11,19 +11,19 @@
 
 // Bounds of settings: what is beyond them is a mistake, and would only exhaust the machine that plays it.
 const (
-	day                = 24 * time.Hour
-	millisecond        = time.Millisecond
-	maxSeed            = 1 << 53 // a number of the file's grammar holds no larger integer exactly
-	maxTiers           = 8
-	maxServers         = 100000 // of a tier
-	maxRequestsHeld    = 1 << 20
-	maxWeight          = 1e6 // of shares and priorities
-	maxRate            = 1e6 // a second
-	maxBytes           = 1 << 30
+	day                = 24 * time.Hour        // the longest scenario, and the latest fault
+	millisecond        = time.Millisecond      // the shortest length, objective and deadline
+	maxSeed            = 1 << 53               // a number of the file's grammar holds no larger integer exactly
+	maxTiers           = 8                     // of a chain
+	maxServers         = 100000                // of a tier
+	maxRequestsHeld    = 1 << 20               // in a slot or queue, and connections of one server
+	maxWeight          = 1e6                   // of shares and priorities
+	maxRate            = 1e6                   // a second
+	maxBytes           = 1 << 30               // after which a connection breaks
 	minPeriod          = 10 * time.Millisecond // of a fault that goes on and off
-	bytesPerKilobyte   = 1000
-	defaultTryShare    = 0.55
-	defaultTargetShare = 0.2
+	bytesPerKilobyte   = 1000                  // as rate_kb counts
+	defaultTryShare    = 0.55                  // of the deadline: leaves time for a retry
+	defaultTargetShare = 0.2                   // of servers or nodes
 )
 
 // readHeader reads the block scenario.
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -29,52 +29,52 @@
 
 // Kinds of faults that every way of playing a scenario knows. FaultKill also takes a spread and a folder state.
 const (
-	FaultCrash          = "crash"
-	FaultCutOff         = "cut_off"
-	FaultNeighbor       = "neighbour" // another tenant of the machine takes part of its cores
-	FaultHeavyTail      = "heavy_tail"
-	FaultSharedSlow     = "shared_slow" // all servers of a tier slow down at once, as behind one database
-	FaultBrokenAnswers  = "broken_answers"
-	FaultIdleResets     = "kept_resets"
-	FaultRelease        = "release" // a rolling release of the servers
-	FaultNodeRestart    = "node_restart"
-	FaultNodeKill       = "node_kill"
-	FaultKill           = "kill"
-	FaultDiscoveryDown  = "discovery_down"
-	FaultDiscoveryMoved = "discovery_moved"
-	FaultOverload       = "overload"
-	FaultRetryStorm     = "retry_storm"
+	FaultCrash          = "crash"           // processes of servers die, and start again
+	FaultCutOff         = "cut_off"         // machines of servers leave the network, and come back
+	FaultNeighbor       = "neighbour"       // another tenant of the machine takes part of its cores
+	FaultHeavyTail      = "heavy_tail"      // some requests have many times the work
+	FaultSharedSlow     = "shared_slow"     // all servers of a tier slow down at once, as behind one database
+	FaultBrokenAnswers  = "broken_answers"  // some answers break off
+	FaultIdleResets     = "kept_resets"     // idle connections are reset when next used
+	FaultRelease        = "release"         // a rolling release of the servers
+	FaultNodeRestart    = "node_restart"    // ingress nodes get SIGTERM, one after another
+	FaultNodeKill       = "node_kill"       // ingress nodes get SIGKILL, one after another
+	FaultKill           = "kill"            // ingress nodes get SIGKILL together, or in a crash loop
+	FaultDiscoveryDown  = "discovery_down"  // calls fail and watches end
+	FaultDiscoveryMoved = "discovery_moved" // discovery has another address
+	FaultOverload       = "overload"        // more requests arrive
+	FaultRetryStorm     = "retry_storm"     // rejected clients retry at once, and more often
 )
 
 // Kinds of faults that need processes with links between them.
 const (
-	FaultStall         = "stall" // processes are stopped, and continue later
-	FaultCut           = "cut"   // links carry nothing
-	FaultSlowLink      = "slow_link"
-	FaultResetLink     = "reset_link"
-	FaultRefuseLink    = "refuse_link"
-	FaultHalfOpen      = "half_open"
-	FaultBreakLink     = "break_link" // connections break after some bytes
-	FaultServerKill    = "box_kill"
-	FaultUpgrade       = "upgrade" // a node's process is replaced by its successor
-	FaultAdminOverride = "hand"    // operators disable servers at the nodes, and enable them again
-	FaultMuteWatches   = "hush"    // discovery writes nothing more on its open watches
+	FaultStall         = "stall"       // processes are stopped, and continue later
+	FaultCut           = "cut"         // links carry nothing
+	FaultSlowLink      = "slow_link"   // links delay and limit what they carry
+	FaultResetLink     = "reset_link"  // connections are reset once
+	FaultRefuseLink    = "refuse_link" // links refuse new connections
+	FaultHalfOpen      = "half_open"   // one side of a connection is gone, and the other is not told
+	FaultBreakLink     = "break_link"  // connections break after some bytes
+	FaultServerKill    = "box_kill"    // a machine of servers dies with the nodes on it
+	FaultUpgrade       = "upgrade"     // a node's process is replaced by its successor
+	FaultAdminOverride = "hand"        // operators disable servers at the nodes, and enable them again
+	FaultMuteWatches   = "hush"        // discovery writes nothing more on its open watches
 )
 
 // Targets and peers of faults between processes.
 const (
-	TargetNodes     = "nodes"
-	TargetServers   = "boxes"
-	TargetDiscovery = "discovery"
-	TargetClients   = "clients" // as a peer only
-	TargetAll       = "all"     // as a peer only
+	TargetNodes     = "nodes"     // ingress nodes
+	TargetServers   = "boxes"     // the machines of a tier
+	TargetDiscovery = "discovery" // the service
+	TargetClients   = "clients"   // as a peer only
+	TargetAll       = "all"       // as a peer only
 )
 
 // Directions of a link fault, seen from the target.
 const (
-	DirectionBoth = "both"
-	DirectionOut  = "out"
-	DirectionBack = "back"
+	DirectionBoth = "both" // both ways
+	DirectionOut  = "out"  // what the target sends
+	DirectionBack = "back" // what the target receives
 )
 
 // Recoveries of a link after its fault.
@@ -85,13 +85,13 @@
 
 // States in which a node can find its folder ($TMPDIR) at its next start.
 const (
-	FolderKept       = "kept"
-	FolderEmptied    = "emptied"
-	FolderCut        = "cut" // files are truncated at a drawn length
-	FolderOld        = "old" // files are those of the beginning
-	FolderOther      = "other"
-	FolderUnwritable = "unwritable"
-	FolderFull       = "full"
+	FolderKept       = "kept"       // as it was left
+	FolderEmptied    = "emptied"    // without its files
+	FolderCut        = "cut"        // files are truncated at a drawn length
+	FolderOld        = "old"        // files are those of the beginning
+	FolderOther      = "other"      // with another node's files
+	FolderUnwritable = "unwritable" // it can't be made
+	FolderFull       = "full"       // no file can grow
 )
 
 // WorldFaultKinds are the faults that every way of playing a scenario knows.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -100,9 +100,9 @@
 
 // Arrival processes of Clients.Arrivals.
 const (
-	ArrivalsPoisson  = "poisson"
-	ArrivalsRamp     = "ramp" // from half the rate to one and a half times the rate
-	ArrivalsRecorded = "recorded"
+	ArrivalsPoisson  = "poisson"  // independent arrivals at the rate
+	ArrivalsRamp     = "ramp"     // from half the rate to one and a half times the rate
+	ArrivalsRecorded = "recorded" // from a file
 )
 
 // Ingress spreads clients over the nodes in front of the first tier.
@@ -156,7 +156,7 @@
 
 // Endpoint lists of Fleet.BootstrapList.
 const (
-	BootstrapFresh = "fresh"
-	BootstrapOld   = "old"
-	BootstrapNone  = "none"
+	BootstrapFresh = "fresh" // the list of now
+	BootstrapOld   = "old"   // the list of BootstrapAge ago
+	BootstrapNone  = "none"  // an empty list
 )
--- a/internal/lab/score/report.go
+++ b/internal/lab/score/report.go
@@ -12,9 +12,9 @@
 
 // Quantiles of reports, in percent.
 const (
-	median = 50
-	p95    = 95
-	p99    = 99
+	median = 50 // half is faster
+	p95    = 95 // one in twenty is slower
+	p99    = 99 // one in a hundred is slower
 )
 
 // requestCount counts the requests that ended and count, at least 1.
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -25,7 +25,7 @@
 const (
 	maxLatency        = time.Hour // as deadlines are shorter
 	maxAttempts       = 1 << 20   // of a request, over all tiers
-	significantDigits = 3
+	significantDigits = 3         // of a recorded value
 )
 
 // worstWindow is the length in seconds of the windows of which the worst one is reported.
--- a/internal/lab/sweep/chart.go
+++ b/internal/lab/sweep/chart.go
@@ -14,13 +14,13 @@
 
 // Sizes in pixels: of a plot, of its margins for axes and labels, and of a line in its legend.
 const (
-	width, height           = 900, 340
-	leftMargin, rightMargin = 70, 20
-	topMargin, bottomMargin = 15, 35
-	legendLine              = 16
-	legendBox               = 10
-	plotWidth               = width - leftMargin - rightMargin
-	plotHeight              = height - topMargin - bottomMargin
+	width, height           = 900, 340                          // of the plot with its margins
+	leftMargin, rightMargin = 70, 20                            // the left one holds labels of values
+	topMargin, bottomMargin = 15, 35                            // the bottom one holds labels of seconds or settings
+	legendLine              = 16                                // height
+	legendBox               = 10                                // side of a color sample
+	plotWidth               = width - leftMargin - rightMargin  // without margins
+	plotHeight              = height - topMargin - bottomMargin // without margins
 )
 
 const (
@@ -30,9 +30,9 @@
 
 // Styles of what is drawn more than once.
 const (
-	lineStyle   = "fill:none;stroke-width:1.5;stroke:"
-	middleLabel = "text-anchor:middle"
-	endLabel    = "text-anchor:end"
+	lineStyle   = "fill:none;stroke-width:1.5;stroke:" // of a series, before its color
+	middleLabel = "text-anchor:middle"                 // centered at its position
+	endLabel    = "text-anchor:end"                    // ends at its position
 )
 
 // colors are those of the series, in their order.
--- a/internal/lab/sweep/results.go
+++ b/internal/lab/sweep/results.go
@@ -17,8 +17,8 @@
 
 // Names of the results files in a folder.
 const (
-	resultsJSON = "results.jsonl"
-	resultsCSV  = "results.csv"
+	resultsJSON = "results.jsonl" // one cell a line
+	resultsCSV  = "results.csv"   // one cell a row
 )
 
 // Write puts all results into one file of JSON lines and one of CSV, in the order of the grid.
--- a/internal/lab/violator/violator.go
+++ b/internal/lab/violator/violator.go
@@ -37,7 +37,7 @@
 
 // How often the faults send a request.
 const (
-	parallelCopies = 2
+	parallelCopies = 2  // at once
 	attemptCopies  = 4  // more than the rules allow
 	overloadCopies = 20 // more than a warming server bears
 )
