--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -11,7 +11,7 @@
 		ID, Server string
 		Timeout    time.Duration
 	}
-	// Reject is a final answer that promises that a retry does no harm.
+	// Reject is a final answer that promises that a retry does no harm. Balancer.giveUp lists the reasons.
 	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
@@ -25,7 +25,7 @@
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the endpoint list and its changes.
+	// Subscribe asks discovery for the endpoint list and its changes (discoverypoll.go).
 	Subscribe struct{}
 	// FaultInjected says that a fault is injected into a request, and by which fault injection.
 	FaultInjected struct{ ID, FaultInjection string }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -25,8 +25,8 @@
 	settings  Settings
 	rngSource *rand.PCG // of rng
 	rng       *rand.Rand
-	now       time.Duration // clock time of the event in hand
-	actions   []Action      // what the event in hand has led to
+	now       time.Duration // clock time of the current event
+	actions   []Action      // what the current event has led to
 	servers   map[string]*server
 	requests  map[string]*request
 	classes   map[string]*class
@@ -45,8 +45,8 @@
 	nextPoll     time.Duration
 	leaseExpired bool // the lease on the endpoint list
 
-	faults       *faultInjector // nil: no fault injections are configured
-	shuttingDown bool
+	faults               *faultInjector // nil: no fault injections are configured
+	faultInjectionsEnded bool
 }
 
 // New returns a Balancer that knows no servers yet. All its draws follow from the seed. The error is a
@@ -78,7 +78,8 @@
 // SlowStartDuration is how long after its start a server is in slow start.
 func (b *Balancer) SlowStartDuration() time.Duration { return b.settings.SlowStartDuration }
 
-// Handle takes one event at the clock time now and returns what to do, in order.
+// Handle takes one event at the clock time now and returns what to do, in order. After every event it also
+// sends what is queued and may go now (dispatchQueued): no event needs to do that by itself.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -104,7 +105,7 @@
 	case StartFaultInjection:
 		b.startFaultInjection(e.Name)
 	case ShuttingDown:
-		b.beginShutdown()
+		b.endFaultInjections()
 	case AdminOverride:
 		b.applyOverride(e)
 	case SettingsChanged:
@@ -114,7 +115,7 @@
 	return b.actions
 }
 
-// emit adds an action to what the event in hand leads to.
+// emit adds an action to what the current event leads to.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // moveTowards moves an exponentially weighted moving average towards a sample.
--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -16,17 +16,18 @@
 	classes  numberTable[*class]
 }
 
+// newCheckpointWriter begins with what stands for itself.
 func newCheckpointWriter(b *Balancer) *checkpointWriter {
 	return &checkpointWriter{balancer: b, saved: &savedBalancer{
-		Now:             b.now,
-		ErrorRate:       b.errorRate,
-		LastSuccess:     b.lastSuccess,
-		RetryBalance:    b.retryBalance,
-		PollFailures:    b.pollFailures,
-		NextPoll:        b.nextPoll,
-		ShuttingDown:    b.shuttingDown,
-		LeaseExpired:    b.leaseExpired,
-		SettingsVersion: b.settingsVersion,
+		Now:                  b.now,
+		ErrorRate:            b.errorRate,
+		LastSuccess:          b.lastSuccess,
+		RetryBalance:         b.retryBalance,
+		PollFailures:         b.pollFailures,
+		NextPoll:             b.nextPoll,
+		FaultInjectionsEnded: b.faultInjectionsEnded,
+		LeaseExpired:         b.leaseExpired,
+		SettingsVersion:      b.settingsVersion,
 	}}
 }
 
@@ -61,6 +62,7 @@
 	}
 }
 
+// writeOverrides writes what operators said, in the order of IDs.
 func (w *checkpointWriter) writeOverrides() {
 	for _, id := range slices.Sorted(maps.Keys(w.balancer.overrides)) {
 		o := w.balancer.overrides[id]
@@ -79,7 +81,7 @@
 	saved := savedRequest{
 		ID:           []byte(r.id),
 		Class:        w.classes.number(r.class),
-		Arrived:      r.arrived,
+		FirstAskedAt: r.firstAskedAt,
 		Deadline:     r.deadline,
 		ClientRetry:  r.clientRetry,
 		Answered:     r.answered,
@@ -107,6 +109,7 @@
 	return saved
 }
 
+// writeServers writes all servers, also those that only attempts refer to.
 func (w *checkpointWriter) writeServers() {
 	for _, s := range w.servers.list {
 		saved := savedServer{
@@ -130,6 +133,7 @@
 	}
 }
 
+// writeClasses writes what was learned of the classes, and previous classes in full.
 func (w *checkpointWriter) writeClasses() {
 	b := w.balancer
 	for i, c := range w.classes.list {
@@ -151,7 +155,7 @@
 func (w *checkpointWriter) writePools() {
 	for _, p := range w.balancer.pools {
 		w.saved.Pools = append(w.saved.Pools, savedPool{
-			Ready:             w.servers.numbers(p.ready),
+			InService:         w.servers.numbers(p.inService),
 			Preferred:         w.servers.numbers(p.preferred),
 			Queued:            w.requests.numbers(p.queued),
 			InFlight:          p.inFlight,
@@ -165,7 +169,7 @@
 			UnloadedSamples:   p.unloadedSamples,
 			PeakInFlight:      p.peakInFlight,
 			FloorServers:      p.floorServers,
-			WindowFraction:    p.windowFraction,
+			RoundingDraw:      p.roundingDraw,
 			ShedShare:         p.shedShare,
 			AllDisabled:       p.allDisabled,
 			AllowedZones:      p.allowedZones,
@@ -174,6 +178,7 @@
 	}
 }
 
+// writeKeyQueues writes the queues, in the order of keys.
 func (w *checkpointWriter) writeKeyQueues() {
 	for _, key := range slices.Sorted(maps.Keys(w.balancer.keyQueues)) {
 		queue := w.balancer.keyQueues[key]
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -15,8 +15,9 @@
 	quietUntil time.Duration // an earlier attempt may still run: no other request starts before this
 }
 
-// joinKeyQueue puts a request behind the earlier ones of its key. False: the queue is so long that its turn
-// would come too late, and waiting would only keep its client from what else it can do.
+// joinKeyQueue puts a request behind the earlier ones of its key. False: the queue is so long that, by the
+// mean latency of the class, its turn would come after its queue deadline. Waiting would only keep its
+// client from what else it can do.
 func (b *Balancer) joinKeyQueue(r *request, key uint64) bool {
 	queue := b.keyQueues[key]
 	if queue == nil {
@@ -33,7 +34,9 @@
 
 // keyOrderAllows says that the order of its key lets a request be sent: it is the head of its queue, and
 // the quiet period is over. So the next request goes only when the one before is answered and has no
-// attempt out. The head may be tried again at once, for its attempts don't overtake each other's requests.
+// attempt out. The head may be tried again at once, for it overtakes no other request. Without the order,
+// two changes of one thing could be applied the wrong way round, at servers that know nothing of each
+// other; that shows only in the data.
 func (b *Balancer) keyOrderAllows(r *request) bool {
 	queue := r.keyQueue
 	return queue == nil || queue.requests[0] == r && (len(r.attempts) > 0 || b.now >= queue.quietUntil)
@@ -48,9 +51,10 @@
 	}
 }
 
-// settleKeyQueue drops a queue that is empty, or asks for a timer at the end of its quiet period: then the
-// next request goes.
-func (b *Balancer) settleKeyQueue(queue *keyQueue) {
+// dropOrRearmKeyQueue asks for a timer at the end of a key's quiet period, or drops its queue if that is
+// over and the queue is empty. It sends nothing: the key's next request goes by dispatchQueued, which
+// follows every event, also that of the timer.
+func (b *Balancer) dropOrRearmKeyQueue(queue *keyQueue) {
 	switch {
 	case queue == nil:
 	case b.now < queue.quietUntil:
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -16,12 +16,12 @@
 //	answered     it has its final answer, or its client has gone (closeRequest); attempts may still be out
 //	forgotten    answered and without attempts out (forgetIfDone)
 //
-// From queued it goes to attempt out; from there to answered, or back to attempt out or queued by a retry.
-// An answered request is never sent again.
+// From delayed or queued it goes to attempt out; from there to answered, or to the next attempt by a retry,
+// which is sent at once or not at all. So a request is never queued again, nor is an answered one sent.
 type request struct {
 	id           string
 	class        *class
-	arrived      time.Duration // of a client's retry: when the client asked first
+	firstAskedAt time.Duration // its arrival; of a client's retry, an estimate of the first try's
 	deadline     time.Duration
 	attempts     []*attempt
 	clientRetry  bool      // the client has asked before
@@ -104,7 +104,7 @@
 	r := &request{
 		id:           e.ID,
 		class:        c,
-		arrived:      b.now,
+		firstAskedAt: b.now,
 		deadline:     min(e.Deadline, b.now+c.Deadline),
 		clientRetry:  e.ClientRetry,
 		streamedBody: e.StreamedBody,
@@ -131,7 +131,8 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server.
+// send starts an attempt of a request at a server. Its time-out is no shorter than the host's timers can
+// keep.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
 		request:     r,
@@ -154,7 +155,7 @@
 	}
 	p.inFlight++
 	if r.streamedBody {
-		a.leaveWindow()
+		a.removeFromWindow()
 	}
 	inFlight := float64(p.inFlight)
 	moveTowards(&p.peakInFlight, inFlight, slowSampleWeight)
@@ -166,7 +167,7 @@
 func (b *Balancer) handleResponseStarted(e ResponseStarted) {
 	if a := b.findAttempt(e.ID, e.Attempt); a != nil {
 		a.request.streaming = true
-		a.leaveWindow()
+		a.removeFromWindow()
 	}
 }
 
@@ -181,7 +182,7 @@
 	r := a.request
 	a.ended = true
 	a.neverRan = e.Outcome.NeverRan()
-	a.leaveWindow()
+	a.removeFromWindow()
 	b.startQuietPeriod(r, e.Outcome)
 	tooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
 	if !tooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
@@ -208,13 +209,24 @@
 
 // inTime says that an answer met the latency objective. Of a stream that is its first message.
 func (b *Balancer) inTime(a *attempt, e AttemptEnded) bool {
-	objective := a.request.arrived + a.request.class.LatencyObjective
+	objective := a.request.firstAskedAt + a.request.class.LatencyObjective
 	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
 }
 
-// giveUp gives the final answer to a request that gets none from a server: a rejection where a retry by the
-// client is surely harmless, else a failure. A request of which the client has part of a response gets no
-// other answer.
+// giveUp gives the final answer to a request that gets none from a server: a rejection (503) where a retry
+// by the client is surely harmless, else a failure. A request of which the client has part of a response
+// gets no other answer. The answer does not say why; these are all the reasons:
+//
+//	acceptRequest   too many requests of its key are queued before it (joinKeyQueue)
+//	enqueue         its queue deadline is over, and no server, window or key queue has let it go
+//	enqueue, dispatchQueued
+//	                the lease on the endpoint list has expired (listUnreliable), or operators have
+//	                disabled all servers that it could go to (pool.allDisabled)
+//	retryOrGiveUp   after an attempt that did not succeed: its class or MaxAttempts allows no other
+//	                (mayRetry), the retry budget is used up, too little time is left for an answer, or no
+//	                server is eligible for it (chooseServer)
+//
+// A fault injection may answer 503 as well (abortRequest), as Abort rather than Reject.
 func (b *Balancer) giveUp(r *request) {
 	if r.answered || r.streaming {
 		return
@@ -252,6 +264,6 @@
 	delete(b.requests, r.id)
 	if queue := r.keyQueue; queue != nil {
 		queue.requests = remove(queue.requests, r)
-		b.settleKeyQueue(queue)
+		b.dropOrRearmKeyQueue(queue)
 	}
 }
--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -13,7 +13,7 @@
 // A version of the node's cluster passes through these states; only the Session changes them:
 //
 //	pending       newer than all others known; waits for the one being applied (considerUpdate)
-//	applying      an ApplyConfig is under way, one at a time (applyPending)
+//	applying      an ApplyConfig is in progress, one at a time (applyPending)
 //	applied       in force, or without a change for this service (recordApplied)
 //	rejected      the node's checks failed, the version before stays in force (applyFinished)
 //	acknowledged  a controller has the node's decision (ackFinished)
@@ -21,6 +21,10 @@
 // A pending version is dropped when a newer one comes, and an applying one when its ApplyConfig is interrupted: then it
 // was never decided, and the next update brings it or a newer one.
 //
+// After a rejection each later version tries the same configuration again, also one that changes only another service: its
+// ConfigVersion is the rejected one, which is not in force. So a service may come right without a new publish for it, as
+// when its servers are back.
+//
 // The rule guards against a configuration that goes back: by a controller that lags, by a cluster that was rebuilt from
 // nothing or restored from a backup, or by a second cluster at the same addresses. Any of them would otherwise silently
 // undo an operator's change. It shows as a rejection of kind "foreign", or as a watch that is not adopted.
@@ -58,7 +62,7 @@
 	cluster       configapi.Cluster
 	version       configapi.Version
 	configVersion configapi.Version // the version that set the service's configuration
-	watchID       uint64
+	watchNumber   uint64
 	controller    string                   // HOST:PORT
 	config        *configapi.ServiceConfig // what is being applied; nil: nothing has changed
 }
@@ -95,7 +99,7 @@
 	return newest
 }
 
-// follows says whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
+// follows reports whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
 // replaces its own on an operator's confirmation. A cluster that the node has left before needs a newer version than
 // the node knew then, or two clusters that replace each other would pass the node back and forth.
 func (v *versionState) follows(u configapi.Update) bool {
@@ -105,7 +109,7 @@
 	return slices.Contains(u.Replaces, v.cluster) && u.Version > v.formerClusters[u.Cluster]
 }
 
-// behind says whether the controller of an update lacks versions that the node has decided.
+// behind reports whether the controller of an update lacks versions that the node has decided.
 func (v *versionState) behind(u configapi.Update) bool {
 	return u.Cluster == v.cluster && u.Version < v.lastDecided
 }
@@ -149,7 +153,7 @@
 		cluster:       u.Cluster,
 		version:       u.Version,
 		configVersion: u.ConfigVersion,
-		watchID:       w.id,
+		watchNumber:   w.number,
 		controller:    w.address,
 	}
 }
@@ -166,7 +170,7 @@
 		s.versions.cluster, s.versions.applied, u.Cluster)}
 	s.emit(VersionDecided{u.Cluster, u.Version, configapi.Rejected, rejection, s.versions.applied, w.address})
 	// Applied stays 0: the node has no version of that cluster in force.
-	s.ackQueue.add(queuedAck{watchID: w.id, ack: configapi.Acknowledgement{Cluster: u.Cluster, Version: u.Version,
+	s.ackQueue.add(queuedAck{watchNumber: w.number, ack: configapi.Acknowledgement{Cluster: u.Cluster, Version: u.Version,
 		Outcome: configapi.Rejected, Rejection: rejection}})
 }
 
@@ -183,9 +187,9 @@
 		return
 	}
 	if v.received.cluster != c.cluster || v.received.version != c.configVersion {
-		// The controller left the configuration out because it took it for applied. The next watch's request says
-		// what is.
-		s.reopenForConfig(c.watchID)
+		// The controller left the configuration out because it assumed that it was applied. The next watch's request
+		// says what is.
+		s.reopenForConfig(c.watchNumber)
 		return
 	}
 	c.config = v.received.config
--- a/configversion/controller_choice.go
+++ b/configversion/controllerchoice.go
@@ -11,18 +11,18 @@
 // opened; among watches that bring updates, chooseMain says which one stays.
 //
 // Near controllers come first, so that a node depends on as little of the network as it can. Controllers that failed
-// lately are avoided, so that a node finds one that works within the time budget (see watch_silence.go).
+// lately are avoided, so that a node finds one that works within the time budget (see watchsilence.go).
 
 const (
-	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others: as
-	// long as a version may take to be in force everywhere.
+	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others:
+	// as long as a version may take to be in force everywhere.
 	avoidAfterFailure = 3 * time.Second
 	// avoidAfterRejection is the same for a controller without capacity: sessions that migrate free some soon.
 	avoidAfterRejection = 2 * time.Second
 	// maxAvoided bounds the memory of avoided addresses; beyond it all are forgotten.
 	maxAvoided = 64
-	// redirectJitter is the span within which nodes that were rejected together follow their redirects. It is short: the
-	// controller that redirected them has spread them over the others already.
+	// redirectJitter is the span within which nodes that were rejected together follow their redirects. It is short:
+	// the controller that redirected them has spread them over the others already.
 	redirectJitter = 50 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 	s.emit(ControllerChanged{w.address, w.current})
 }
 
-// isBetter says whether a watch replaces a live main watch.
+// isBetter reports whether a watch replaces a live main watch.
 func isBetter(w, main *watch, isMigrationTarget bool) bool {
 	if w.bringsNewest() == main.bringsNewest() {
 		return isMigrationTarget
@@ -62,8 +62,8 @@
 	return w.bringsNewest()
 }
 
-// watchRejected handles a controller's refusal to admit a watch. One without capacity names alternatives, which are
-// tried next; any other refusal counts as a failure.
+// watchRejected handles a watch that a controller did not admit. One without capacity names alternatives, which are
+// tried next; any other error counts as a failure.
 func (s *Session) watchRejected(e WatchRejected) {
 	w := s.watches.find(e.Watch)
 	if w == nil {
@@ -145,7 +145,7 @@
 
 // addresses are all controllers that the node knows, those that the cluster named first.
 func (s *watchSet) addresses() (addresses []string) {
-	for _, e := range s.clusterEndpoints {
+	for _, e := range s.clusterControllers {
 		addresses = append(addresses, e.Address)
 	}
 	for _, address := range s.configuredAddresses {
@@ -167,7 +167,7 @@
 )
 
 func (s *watchSet) distanceTo(address string) distance {
-	for _, e := range s.clusterEndpoints {
+	for _, e := range s.clusterControllers {
 		switch {
 		case e.Address != address:
 		case s.location.Region != e.Region || e.Region == "":
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log, joining
-// when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the disk has
-// a log or begins a new cluster.
+// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log,
+// joining when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the
+// disk has a log or begins a new cluster.
 type phase string
 
 const (
@@ -87,7 +87,7 @@
 	decision := startUndecided
 	var reports map[string]memberReport
 	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
-		reports = c.peers.valid(time.Now())
+		reports = c.reports.valid(time.Now())
 		waitForAll := time.Since(began) < bootstrapWait
 		decision = decideEmptyDiskStart(c.config, c.processID, reports, waitForAll)
 		return decision != startUndecided
@@ -131,8 +131,8 @@
 	return running, nil
 }
 
-// resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part in
-// the cluster when judgeDisk has found that the disk is no old copy.
+// resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part
+// in the cluster when judgeDisk has found that the disk is no old copy.
 func (c *Controller) resumeFromDisk(ctx context.Context) (*consensus, error) {
 	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrapNone)
 	if err != nil {
@@ -141,7 +141,7 @@
 	c.consensus.Store(running)
 	verdict := diskUndecided
 	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
-		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.peers.valid(time.Now()))
+		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.reports.valid(time.Now()))
 		return verdict != diskUndecided
 	})
 	switch {
@@ -193,13 +193,13 @@
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
-		if c.views.setCurrent(running.isCurrent(time.Now())) {
+		if c.views.setLeaderContact(running.isCurrent(time.Now())) {
 			view := c.views.load()
-			c.log.Info("leader contact", "current", view.current, "version", view.state.Version)
+			c.log.Info("leader contact", "current", view.hasLeaderContact, "version", view.state.Version)
 		}
-		if part := c.participation.Load(); part.phase == phaseJoining && running.isVoter() {
+		if own := c.participation.Load(); own.phase == phaseJoining && running.isVoter() {
 			c.setParticipation(phaseMember, nil)
-			c.log.Info("this controller is a member of the cluster again", "server", part.serverID)
+			c.log.Info("this controller is a member of the cluster again", "server", own.serverID)
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -17,8 +17,8 @@
 	// defaultMaxSessions is the limit of sessions at one controller: each costs a connection and its buffers. It leaves
 	// room for the nodes of controllers that have failed.
 	defaultMaxSessions = 600
-	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough for
-	// a slow disk, and short enough that a publish survives the change of the leader.
+	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough
+	// for a slow disk, and short enough that a publish survives the change of the leader.
 	defaultElectionTimeout = 400 * time.Millisecond
 	// defaultLeaderLease is how long a leader that hears nothing from a quorum still leads. It ends before another one
 	// can be elected.
@@ -69,9 +69,9 @@
 	Zone   string
 }
 
-// Endpoint is where nodes reach the controller.
-func (m Member) Endpoint() configapi.Endpoint {
-	return configapi.Endpoint{Address: m.Listen, Region: m.Region, Zone: m.Zone}
+// ControllerAddress is where nodes reach the controller.
+func (m Member) ControllerAddress() configapi.ControllerAddress {
+	return configapi.ControllerAddress{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
 // LoadConfig reads a cluster's settings file for the controller of a name. All controllers may share one file; the name
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,18 +12,18 @@
 
 // serveWatch is a node's session: the first update at once, then one with each change, heartbeats in between.
 func (c *Controller) serveWatch(w http.ResponseWriter, r *http.Request) {
-	request, refusal := c.readWatch(r)
-	if refusal != nil {
-		writeError(w, refusal)
+	request, apiError := c.readWatch(r)
+	if apiError != nil {
+		writeError(w, apiError)
 		return
 	}
 	if c.views.load().state.Cluster == "" {
 		writeError(w, &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller has no state yet", Alternatives: c.nodes.alternatives(request)})
 		return
 	}
-	s, refusal := c.nodes.openSession(request, time.Now())
-	if refusal != nil {
-		writeError(w, refusal)
+	s, apiError := c.nodes.openSession(request, time.Now())
+	if apiError != nil {
+		writeError(w, apiError)
 		return
 	}
 	defer func() { c.nodes.closeSession(s, time.Now()) }()
@@ -95,11 +95,11 @@
 		withConfig: s.needsConfig(v.state.Cluster, v.configVersion(service)),
 		first:      first,
 	}
-	return v.encodedUpdate(key, c.endpoints())
+	return v.encodedUpdate(key, c.controllerAddresses())
 }
 
 // migrationLine is an update, without a configuration, that asks a session's node to migrate.
-func migrationLine(v *view, s *session, target configapi.Endpoint) []byte {
+func migrationLine(v *view, s *session, target configapi.ControllerAddress) []byte {
 	u := v.update(updateKey{service: s.request.Service}, nil)
 	u.MigrateTo = target.Address
 	return encodeLine(u)
--- a/internal/lab/loopback/server.go
+++ b/internal/lab/loopback/server.go
@@ -49,7 +49,7 @@
 	if b.world.worker != nil { // its links know where it is: nobody keeps the address of a server that is down
 		addr = ""
 	}
-	ln, err := b.world.listenAt(addr, link.ForBox)
+	ln, err := b.world.listenAt(addr, link.ForServer)
 	if err != nil {
 		return fmt.Errorf("server %s: %w", b.model.ID, err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // listenAt listens at an address; "": at a free one.
-func (w *World) listenAt(addr string, use link.Use) (*net.TCPListener, error) {
+func (w *World) listenAt(addr string, use link.PortUse) (*net.TCPListener, error) {
 	if addr == "" {
 		return link.Listen(w.options.Ports, use)
 	}
--- a/internal/lab/loopback/serverfaults.go
+++ b/internal/lab/loopback/serverfaults.go
@@ -40,7 +40,7 @@
 		return nil
 	}
 	b.reconnected, b.model.Unreachable = make(chan struct{}), true
-	fill, err := link.Hush(b.listener)
+	fill, err := link.StopConnects(b.listener)
 	if err != nil {
 		return fmt.Errorf("server %s: cut off: %w", b.model.ID, err)
 	}
@@ -57,7 +57,7 @@
 		reset(c)
 	}
 	b.backlogFill, b.model.Unreachable = nil, false
-	link.Backlog(b.listener, listenBacklog)
+	link.SetBacklog(b.listener, listenBacklog)
 	b.listener.SetDeadline(time.Time{})
 	close(b.reconnected)
 	b.reconnected = nil
--- /dev/null
+++ b/internal/lab/soak/observations.go
@@ -0,0 +1,98 @@
+package soak
+
+import (
+	"sync"
+	"time"
+)
+
+// Observations are all that was seen in a run. Times are of one clock and count from the run's begin.
+type Observations struct {
+	Drains         []DrainStart
+	Deliveries     []Delivery
+	Incarnations   []Incarnation
+	AddressChanges []AddressChange
+	Outages        []Span // of discovery
+	Attempts       []*Attempt
+	Requests       []*Request
+	Complaints     []string // of nodes: broken invariants, panics, unexpected ends
+}
+
+// Span is from a time to another; an open one has no end yet.
+type Span struct {
+	From, To time.Duration
+	Open     bool
+}
+
+// DrainStart is a server that began to drain, with the version of the endpoint list that has it.
+type DrainStart struct {
+	At      time.Duration
+	Server  int
+	Version int64
+}
+
+// Delivery is a list that discovery wrote to a node completely. One that is truncated is a call that failed.
+type Delivery struct {
+	At      time.Duration
+	Node    int
+	Version int64
+}
+
+// Incarnation is one process of a node.
+type Incarnation struct {
+	Node       int
+	Started    time.Duration
+	Terminated time.Duration // when it was sent SIGTERM; 0: never
+	Killed     time.Duration // when it was sent SIGKILL; 0: never
+}
+
+// AddressChange is a SIGHUP that names another address of discovery.
+type AddressChange struct {
+	At   time.Duration
+	Node int
+}
+
+// Attempt is a request's arrival at a server.
+type Attempt struct {
+	ID             string
+	Node           int
+	Server         int
+	At             time.Duration
+	Budget         time.Duration // what is left until the deadline, as the attempt says
+	Executed       bool          // it was not rejected
+	Finished       time.Duration // when the server was done, or its connection had ended; 0: never
+	ConnectionLost bool          // its connection had ended before
+}
+
+// Request is a client's request and what became of it.
+type Request struct {
+	ID                string
+	Node              int
+	NonIdempotent     bool
+	At                time.Duration
+	Deadline          time.Duration
+	ClientGone        time.Duration // when its client canceled; 0: it waited
+	Finished          time.Duration // when it had its answer, or knew that there is none
+	Status            int           // 0: none
+	RetryAfter        bool          // the answer says when to come back
+	Err               string
+	NewConnection     bool // it was on a connection of its own
+	ConnectionRefused bool // no connection came up
+}
+
+// recorder collects observations. Its methods may be called from any goroutine.
+type recorder struct {
+	started time.Time
+
+	mu           sync.Mutex
+	observations Observations
+}
+
+// now is the run's clock.
+func (r *recorder) now() time.Duration { return time.Since(r.started) }
+
+// record changes the observations under the lock.
+func (r *recorder) record(change func(*Observations)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	change(&r.observations)
+}
--- /dev/null
+++ b/internal/lab/soak/run.go
@@ -0,0 +1,206 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+)
+
+// Result is a plan that was run and what was observed.
+type Result struct {
+	Plan         Plan // with its times on the clock of Observations
+	Observations *Observations
+}
+
+// Run runs a plan with real nodes. The error says why it could not be run to its end; broken rules are no error (see
+// Result.Violations).
+func Run(ctx context.Context, p Plan, program Program) (*Result, error) {
+	folder, err := os.MkdirTemp("", "hookwalk-soak")
+	if err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(folder)
+	r := &run{plan: p, recorder: &recorder{started: time.Now()}}
+	defer r.close()
+	if err := r.start(program, folder); err != nil {
+		return nil, fmt.Errorf("soak: seed %d could not be played: %w", p.Seed, err)
+	}
+	if err := r.playFaults(ctx); err != nil {
+		return nil, fmt.Errorf("soak: seed %d could not be played to its end: %w", p.Seed, err)
+	}
+	return &Result{Plan: r.plan, Observations: &r.recorder.observations}, nil
+}
+
+// run is all that a plan is run with.
+type run struct {
+	plan      Plan
+	recorder  *recorder
+	servers   []*server
+	discovery *discovery
+	nodes     []*node
+	clients   *clients
+
+	mu       sync.Mutex
+	firstErr error // of an injection
+}
+
+// start starts everything and waits until all nodes are ready.
+func (r *run) start(program Program, folder string) error {
+	for i := range r.plan.Servers {
+		s, err := newServer(i, r.recorder)
+		if err != nil {
+			return err
+		}
+		r.servers = append(r.servers, s)
+	}
+	r.discovery = newDiscovery(r.recorder, r.servers)
+	for i := range r.plan.Nodes {
+		n, err := newNode(i, r.plan.Nodes, r.recorder, r.discovery, program, folder)
+		if err != nil {
+			return err
+		}
+		r.nodes = append(r.nodes, n)
+	}
+	r.clients = newClients(r.recorder, r.nodes)
+	return r.startNodes()
+}
+
+// startNodes starts all nodes at once and returns the first error.
+func (r *run) startNodes() error {
+	errs := make(chan error, len(r.nodes))
+	for _, n := range r.nodes {
+		go func() { errs <- n.start() }()
+	}
+	var first error
+	for range r.nodes {
+		if err := <-errs; err != nil && first == nil {
+			first = err
+		}
+	}
+	return first
+}
+
+// close ends everything.
+func (r *run) close() {
+	var stopping sync.WaitGroup
+	for _, n := range r.nodes {
+		stopping.Go(func() { n.stop(true) })
+	}
+	stopping.Wait()
+	if r.discovery != nil {
+		r.discovery.close()
+	}
+	for _, s := range r.servers {
+		s.http.Close()
+	}
+}
+
+// playFaults sends requests while the faults begin and end. The plan's times count from here.
+func (r *run) playFaults(ctx context.Context) error {
+	r.plan = r.plan.shifted(r.recorder.now())
+	ctx, cancel := context.WithTimeout(ctx, r.plan.Length-r.recorder.now())
+	defer cancel()
+	var injecting sync.WaitGroup
+	for _, f := range r.plan.Faults {
+		injecting.Go(func() {
+			if r.waitUntil(ctx, f.From) {
+				r.inject(ctx, f)
+			}
+		})
+	}
+	r.clients.run(ctx, r.plan.Rate)
+	injecting.Wait()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.firstErr
+}
+
+// waitUntil waits for a time of the run's clock. It returns false if ctx ends before.
+func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
+	select {
+	case <-time.After(at - r.recorder.now()):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// keepError keeps the first error of an injection.
+func (r *run) keepError(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil && r.firstErr == nil {
+		r.firstErr = err
+	}
+}
+
+// inject plays one fault, from its begin to its end.
+func (r *run) inject(ctx context.Context, f Fault) {
+	switch f.Kind {
+	case WatchStall:
+		r.discovery.stallWatches()
+	case WatchReset:
+		r.discovery.resetWatches()
+	case DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryTruncated:
+		r.activate(ctx, &r.discovery.faults, f)
+	case DiscoveryOutage:
+		r.keepError(r.discovery.setOutage(true, f.HoldCalls))
+		r.waitUntil(ctx, f.To)
+		r.keepError(r.discovery.setOutage(false, f.HoldCalls))
+	case DiscoveryMove:
+		r.moveDiscovery(ctx, f)
+	case ServerDrain:
+		r.discovery.drain(f.Target)
+	case ServerHang, ServerReset, ServerReject, ServerError:
+		r.activate(ctx, &r.servers[f.Target].faults, f)
+	case NodePause:
+		r.nodes[f.Target].pause(f.Wait)
+	case NodeRestart, NodeKill:
+		if r.nodes[f.Target].stop(f.Kind == NodeKill) {
+			r.keepError(r.nodes[f.Target].start())
+		}
+	case ClientCancel:
+		r.activate(ctx, &r.clients.faults, f)
+	}
+}
+
+// activate has a fault in force at a stand-in until it is over.
+func (r *run) activate(ctx context.Context, at *activeFaults, f Fault) {
+	at.begin(f)
+	r.waitUntil(ctx, f.To)
+	at.end(f)
+}
+
+// moveDiscovery gives all nodes another address of discovery, several times in a row.
+func (r *run) moveDiscovery(ctx context.Context, f Fault) {
+	for range f.Count {
+		for _, n := range r.nodes {
+			r.keepError(n.changeDiscovery())
+		}
+		r.waitUntil(ctx, r.recorder.now()+f.Wait)
+	}
+}
+
+// String says how much was observed, in one line of a run's output.
+func (r *Result) String() string {
+	served, rejected, failed, unanswered := 0, 0, 0, 0
+	for _, request := range r.Observations.Requests {
+		switch {
+		case request.ClientGone > 0:
+		case request.Status == http.StatusOK:
+			served++
+		case request.Status == http.StatusServiceUnavailable:
+			rejected++
+		case request.Status == 0:
+			unanswered++
+		default:
+			failed++
+		}
+	}
+	o := r.Observations
+	return fmt.Sprintf("%d faults, %d requests: %d served, %d refused, %d failed, %d without an answer; %d attempts, %d drains, %d lists, %d moves",
+		len(r.Plan.Faults), len(o.Requests), served, rejected, failed, unanswered, len(o.Attempts), len(o.Drains), len(o.Deliveries), len(o.AddressChanges))
+}
