--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -88,7 +88,7 @@
 		b.applyEndpointUpdate(e)
 	case WatchFailed:
 		b.handleWatchFailed()
-	case EndpointLease:
+	case LeaseChanged:
 		b.leaseExpired = e.Expired
 	case Request:
 		b.acceptRequest(e)
@@ -104,7 +104,7 @@
 		b.handleTimer(e)
 	case StartFaultInjection:
 		b.startFaultInjection(e.Name)
-	case ShuttingDown:
+	case EndFaultInjections:
 		b.endFaultInjections()
 	case AdminOverride:
 		b.applyOverride(e)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -56,9 +56,9 @@
 	}
 	// WatchFailed says that a Subscribe failed or that the watch which it began has ended.
 	WatchFailed struct{}
-	// EndpointLease says that the lease on the endpoint list has expired, or is in force again. lease.go says
+	// LeaseChanged says that the lease on the endpoint list has expired, or is in force again. lease.go says
 	// what that means.
-	EndpointLease struct{ Expired bool }
+	LeaseChanged struct{ Expired bool }
 	// Request is a client's request; the Balancer owes it one final answer by Deadline.
 	Request struct {
 		ID              string
@@ -92,9 +92,9 @@
 	TimerFired struct{ Token string }
 	// StartFaultInjection starts the fault injection of this name, or its time anew.
 	StartFaultInjection struct{ Name string }
-	// ShuttingDown ends all fault injections for good, because the node is about to stop. It has no other
+	// EndFaultInjections ends all fault injections for good, because the node is about to stop. It has no other
 	// effect, and hosts that have no fault injections need not give it.
-	ShuttingDown struct{}
+	EndFaultInjections struct{}
 	// AdminOverride disables a server or enables it again, as an operator said.
 	AdminOverride struct {
 		Server   string
@@ -106,13 +106,13 @@
 
 func (EndpointUpdate) event()      {}
 func (WatchFailed) event()         {}
-func (EndpointLease) event()       {}
+func (LeaseChanged) event()        {}
 func (Request) event()             {}
 func (AttemptEnded) event()        {}
 func (ResponseStarted) event()     {}
 func (ClientGone) event()          {}
 func (TimerFired) event()          {}
 func (StartFaultInjection) event() {}
-func (ShuttingDown) event()        {}
+func (EndFaultInjections) event()  {}
 func (AdminOverride) event()       {}
 func (SettingsChanged) event()     {}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -13,7 +13,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, DedupScope: balancer.ScopeAll,
 			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
-		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Replicas: 1, MaxAttempts: 3, TimerTolerance: time.Millisecond,
 		SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
 	}, 42)
 	if err != nil {
@@ -47,7 +47,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
 			Deadline: time.Second, PriorityWeight: 1}},
-		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Replicas: 1, MaxAttempts: 3, TimerTolerance: time.Millisecond,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -180,7 +180,7 @@
 	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	delayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
 	delayed(t, b, millisecond, newRequest("2", "pay", 0, time.Second))
-	if s := sends(b.Handle(2*millisecond, ShuttingDown{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
+	if s := sends(b.Handle(2*millisecond, EndFaultInjections{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
 		t.Errorf("sent %v", s)
 	}
 	b.Handle(3*millisecond, StartFaultInjection{Name: "stall"})
@@ -188,7 +188,7 @@
 		t.Errorf("after that: %v", acts)
 	}
 	plain := newBalancer(t, nil)
-	if acts := plain.Handle(0, ShuttingDown{}); len(acts) != 0 {
+	if acts := plain.Handle(0, EndFaultInjections{}); len(acts) != 0 {
 		t.Errorf("without fault injections: %v", acts)
 	}
 }
--- a/balancer/goldensimulation_test.go
+++ b/balancer/goldensimulation_test.go
@@ -25,7 +25,7 @@
 			{Name: "remote", Effect: Idempotent, LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1, AllowedZones: []string{"far"}},
 		},
 		Replicas: 2, ReplicaIndex: 1, Zone: "z", TotalValueWeight: 0.6, WorstClassWeight: 0.3, ClientsMarkRetries: true,
-		MaxAttempts: 5, PollDiscovery: true, MaxPollInterval: 10 * time.Second, Tick: 2 * millisecond, MaxRetryAfter: 2 * time.Second,
+		MaxAttempts: 5, PollDiscovery: true, MaxPollInterval: 10 * time.Second, TimerTolerance: 2 * millisecond, MaxRetryAfter: 2 * time.Second,
 		KeyQuietPeriod: 30 * millisecond, SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
 		FaultInjections: []FaultInjection{{Name: "refuse", Class: "post", Percent: 50, AbortStatus: 503, Duration: time.Second},
 			{Name: "stall", Class: "get", Percent: 30, Delay: 80 * millisecond, Duration: time.Minute}},
@@ -171,7 +171,7 @@
 func goldenStoppingBalancer(t *testing.T) *goldenSimulation {
 	t.Helper()
 	g := goldenBusyBalancer(t)
-	g.handle(EndpointLease{Expired: true})
-	g.handle(ShuttingDown{})
+	g.handle(LeaseChanged{Expired: true})
+	g.handle(EndFaultInjections{})
 	return g
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -19,7 +19,7 @@
 			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * millisecond, Deadline: 1500 * millisecond, PriorityWeight: 3},
 		},
 		Replicas: 2, Tier: 0, TotalValueWeight: 0.6, WorstClassWeight: 0.3,
-		MaxAttempts: 5, Tick: 2 * millisecond,
+		MaxAttempts: 5, TimerTolerance: 2 * millisecond,
 		MaxPollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
 		SlowStartMinShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3,
 	}
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -17,7 +17,7 @@
 
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
 func (b *Balancer) deadlineMargin() time.Duration {
-	return deadlineMarginTolerances * b.settings.Tick
+	return deadlineMarginTolerances * b.settings.TimerTolerance
 }
 
 // queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -160,7 +160,7 @@
 	inFlight := float64(p.inFlight)
 	moveTowards(&p.peakInFlight, inFlight, slowSampleWeight)
 	p.peakInFlight = max(inFlight, p.peakInFlight)
-	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(b.attemptTimeout(r), b.settings.Tick)})
+	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(b.attemptTimeout(r), b.settings.TimerTolerance)})
 }
 
 // handleResponseStarted notes that a response is streamed to the client.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -55,7 +55,7 @@
 	MaxAttempts     int           `json:"MaxAttempts"`   // attempts a request
 	PollDiscovery   bool          `json:"AskDiscovery"`  // the endpoint list comes only after a Subscribe
 	MaxPollInterval time.Duration `json:"AskWithin"`     // longest time between polls while unsubscribed
-	Tick            time.Duration `json:"Tick"`          // how early or late the host's timers may fire
+	TimerTolerance  time.Duration `json:"Tick"`          // how early or late the host's timers may fire
 	MaxRetryAfter   time.Duration `json:"MaxRetryAfter"` // longest Retry-After that clients follow; 0: none
 	KeyQuietPeriod  time.Duration `json:"OrderSettle"`   // pause of a key after an attempt that may still run
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -37,4 +37,4 @@
 }
 
 // isDue says that a time has come, or comes within the tolerance by which a timer may be early.
-func (b *Balancer) isDue(at time.Duration) bool { return b.now+b.settings.Tick >= at }
+func (b *Balancer) isDue(at time.Duration) bool { return b.now+b.settings.TimerTolerance >= at }
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -52,7 +52,7 @@
 	for _, d := range []struct {
 		key   string
 		value time.Duration
-	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter},
+	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.TimerTolerance}, {"MaxRetryAfter", s.MaxRetryAfter},
 		{"OrderSettle", s.KeyQuietPeriod}, {"WarmAfter", s.SlowStartDuration}} {
 		if d.value < 0 {
 			return invalid("", d.key, "is negative", remedyNotNegative)
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -203,7 +203,7 @@
 		return balancer.PickResult{}, errStopped
 	}
 	p.balancer.mu.RLock()
-	k := p.balancer.connections[endpointKey{a.Target.ID, a.Target.Addr, int64(a.Target.Boot)}]
+	k := p.balancer.connections[endpointKey{a.Target.ID, a.Target.Addr, int64(a.Target.StartTime)}]
 	p.balancer.mu.RUnlock()
 	if k == nil { // the engine has the server on its list, the channel will have it soon
 		return balancer.PickResult{}, balancer.ErrNoSubConnAvailable
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -176,7 +176,7 @@
 
 // unaryAttempt makes an attempt of a unary call.
 func (t *tier) unaryAttempt(a *attempt) (balancer.Outcome, error) {
-	ctx, cancel := context.WithDeadline(a.call.ctx, t.engine.Clock.At(a.Deadline))
+	ctx, cancel := context.WithDeadline(a.call.ctx, t.engine.Clock.ToTime(a.Deadline))
 	defer cancel()
 	var trailer metadata.MD
 	err := a.call.invoke(context.WithValue(ctx, attemptKey{}, a), &trailer)
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -52,8 +52,8 @@
 	SetServerDisabled(ctx context.Context, server string, disabled bool) error
 	// SetInService puts the node in service or out of it.
 	SetInService(ctx context.Context, inService bool) error
-	// Sites is what the node knows of its peers, for JSON; nil: it has none.
-	Sites() any
+	// Peers is what the node knows of its peers, for JSON; nil: it has none.
+	Peers() any
 }
 
 // Server answers calls on one listener.
@@ -136,7 +136,7 @@
 
 // serveSites answers with what the node knows of its peers. It changes nothing.
 func (s *Server) serveSites(w http.ResponseWriter) {
-	sites := s.node.Sites()
+	sites := s.node.Peers()
 	if sites == nil {
 		http.Error(w, "no: this node has no peers: its settings have no block peers", http.StatusNotFound)
 		return
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -27,7 +27,7 @@
 	err   error
 }
 
-func (f *fakeNode) Sites() any { return f.sites }
+func (f *fakeNode) Peers() any { return f.sites }
 
 func (f *fakeNode) record(format string, args ...any) error {
 	f.mu.Lock()
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -33,7 +33,7 @@
 		return r, nil
 	case balancer.WatchFailed:
 		return record{Kind: kindWatchFailed}, nil
-	case balancer.EndpointLease:
+	case balancer.LeaseChanged:
 		return record{Kind: kindEndpointLease, Expired: e.Expired}, nil
 	case balancer.ResponseStarted:
 		return record{Kind: kindResponseStarted, ID: escapeText(e.ID), Attempt: e.Attempt}, nil
@@ -41,7 +41,7 @@
 		return record{Kind: kindClientGone, ID: escapeText(e.ID)}, nil
 	case balancer.StartFaultInjection:
 		return record{Kind: kindStartFaultInjection, Name: e.Name}, nil
-	case balancer.ShuttingDown:
+	case balancer.EndFaultInjections:
 		return record{Kind: kindShuttingDown}, nil
 	case balancer.AdminOverride:
 		return record{Kind: kindAdminOverride, Server: escapeText(e.Server), Disabled: e.Disabled}, nil
@@ -73,7 +73,7 @@
 	case kindWatchFailed:
 		return balancer.WatchFailed{}, nil
 	case kindEndpointLease:
-		return balancer.EndpointLease{Expired: r.Expired}, nil
+		return balancer.LeaseChanged{Expired: r.Expired}, nil
 	case kindResponseStarted:
 		return balancer.ResponseStarted{ID: unescapeText(r.ID), Attempt: r.Attempt}, nil
 	case kindClientGone:
@@ -81,7 +81,7 @@
 	case kindStartFaultInjection:
 		return balancer.StartFaultInjection{Name: r.Name}, nil
 	case kindShuttingDown:
-		return balancer.ShuttingDown{}, nil
+		return balancer.EndFaultInjections{}, nil
 	case kindAdminOverride:
 		return balancer.AdminOverride{Server: unescapeText(r.Server), Disabled: r.Disabled}, nil
 	case kindSettingsChanged:
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -51,8 +51,8 @@
 			context: EventContext{Addresses: map[string]string{"s-0": "127.0.0.1:5"}}},
 		{event: balancer.TimerFired{Token: "list"}, actions: []balancer.Action{balancer.Subscribe{}}},
 		{event: balancer.WatchFailed{}},
-		{event: balancer.EndpointLease{Expired: true}},
-		{event: balancer.EndpointLease{}},
+		{event: balancer.LeaseChanged{Expired: true}},
+		{event: balancer.LeaseChanged{}},
 		{event: balancer.Request{ID: id, Class: "in-order", Deadline: goldenStart + 2*second, ClientRetry: true, Key: 1<<64 - 1, HasKey: true,
 			Client: netip.MustParseAddr("10.1.2.3"), SettingsVersion: 3, StreamedBody: true},
 			actions: []balancer.Action{balancer.FaultInjected{ID: id, FaultInjection: "stall"}, balancer.SetTimer{At: goldenStart + second, Token: "d:" + id},
@@ -70,7 +70,7 @@
 		{event: balancer.AdminOverride{Server: "s-1", Disabled: true}},
 		{event: balancer.AdminOverride{Server: "s-1"}},
 		{event: balancer.SettingsChanged{Settings: changed}},
-		{event: balancer.ShuttingDown{}},
+		{event: balancer.EndFaultInjections{}},
 	}
 	for outcome := balancer.Success; outcome <= balancer.NotSent; outcome++ {
 		o := goldenEvent{event: balancer.AttemptEnded{ID: id, Attempt: int(outcome), Server: "s-0", Outcome: outcome, Latency: second,
--- a/internal/capture/workload_test.go
+++ b/internal/capture/workload_test.go
@@ -27,7 +27,7 @@
 			{Name: "bin-weighin", Effect: balancer.NonIdempotent, LatencyObjective: 250 * msec, Deadline: 600 * msec, PriorityWeight: 8},
 			{Name: "in-order", Effect: balancer.IdempotentWithKey, DedupWindow: 400 * msec, OrderedByKey: true, LatencyObjective: 250 * msec, Deadline: 600 * msec, PriorityWeight: 1},
 		},
-		Replicas: 2, MaxAttempts: 3, Tick: 2 * msec, TotalValueWeight: 0.6, WorstClassWeight: 0.1, MaxRetryAfter: time.Second,
+		Replicas: 2, MaxAttempts: 3, TimerTolerance: 2 * msec, TotalValueWeight: 0.6, WorstClassWeight: 0.1, MaxRetryAfter: time.Second,
 		PollDiscovery: true, MaxPollInterval: time.Second, KeyQuietPeriod: 20 * msec, SlowStartMinShare: 0.3, SlowStartDuration: time.Second, OverloadMultiple: 3,
 		FaultInjections: []balancer.FaultInjection{{Name: "stall", Class: "bin-weighin", Percent: 30, Delay: 50 * msec, Duration: time.Second}},
 		AccessList:      &balancer.AccessList{Deny: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}},
--- a/internal/configwatch/watch.go
+++ b/internal/configwatch/watch.go
@@ -68,16 +68,16 @@
 	watch   uint64
 }
 
-// Blank reports a heartbeat.
-func (r *activityReporter) Blank() {
+// Heartbeat reports a heartbeat.
+func (r *activityReporter) Heartbeat() {
 	r.session.options.Counters.Heartbeats.Add(1)
 	r.session.post(r.ctx, configversion.WatchActivity{Watch: r.watch})
 }
 
-// Begun reports the beginning of an update.
-func (r *activityReporter) Begun() { r.Part() }
+// ObjectBegan reports the beginning of an update.
+func (r *activityReporter) ObjectBegan() { r.Progress() }
 
-// Part reports a fragment of an update.
-func (r *activityReporter) Part() {
+// Progress reports a fragment of an update.
+func (r *activityReporter) Progress() {
 	r.session.post(r.ctx, configversion.WatchActivity{Watch: r.watch, UpdateInProgress: true})
 }
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -17,12 +17,12 @@
 // ToServer is an endpoint as the decision module knows it. An endpoint in a state that is not known gets no requests.
 func ToServer(endpoint discoveryapi.Endpoint) balancer.Server {
 	server := balancer.Server{
-		ID:        endpoint.Host,
-		Zone:      endpoint.Site,
-		Kind:      endpoint.Class,
-		Cell:      endpoint.Block,
+		ID:        endpoint.ID,
+		Zone:      endpoint.Zone,
+		Kind:      endpoint.Kind,
+		Cell:      endpoint.Cell,
 		State:     balancer.Draining,
-		StartTime: time.Duration(endpoint.Born * float64(time.Millisecond)),
+		StartTime: time.Duration(endpoint.StartedAtMillis * float64(time.Millisecond)),
 	}
 	switch endpoint.Health {
 	case healthInService:
@@ -35,9 +35,9 @@
 
 // ToUpdate is a list as the engine takes it.
 func ToUpdate(list discoveryapi.List) engine.Update {
-	update := engine.Update{Version: list.Seq, Complete: list.Complete, Endpoints: make([]engine.Endpoint, len(list.Endpoints))}
+	update := engine.Update{Version: list.Version, Complete: list.Complete, Endpoints: make([]engine.Endpoint, len(list.Endpoints))}
 	for i, endpoint := range list.Endpoints {
-		update.Endpoints[i] = engine.Endpoint{Server: ToServer(endpoint), Addr: endpoint.Dial}
+		update.Endpoints[i] = engine.Endpoint{Server: ToServer(endpoint), Addr: endpoint.Addr}
 	}
 	return update
 }
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -17,7 +17,7 @@
 func TestInheritedListKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := discoverytest.NewAgent(discoverytest.CompleteList)
-		source, updates := startSource(t, "agent:1", "on_request", piped(t, agent), func(source *Source) { source.Subscribe() })
+		source, updates := startSource(t, "agent:1", "on_request", piped(t, agent), func(source *Source) { source.RequestPoll() })
 		agent.WantCall(t, "watch 1")
 		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-updates
@@ -61,7 +61,7 @@
 		})), func(source *Source) {
 			source.tracker.MaxPollInterval = 10 * time.Second
 			source.RenewLease = func(l engine.Lease) { leases <- l }
-			source.Subscribe()
+			source.RequestPoll()
 		})
 		var last engine.Lease
 		newest := func() engine.Lease {
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -60,8 +60,8 @@
 		source.ApplyUpdate = func(_ context.Context, u engine.Update) error {
 			mu.Lock()
 			defer mu.Unlock()
-			if u.Failed {
-				time.AfterFunc(rand.N(600*time.Millisecond), source.Subscribe)
+			if u.WatchFailed {
+				time.AfterFunc(rand.N(600*time.Millisecond), source.RequestPoll)
 				return nil
 			}
 			if u.Version == 100 && !updated[i] {
@@ -74,7 +74,7 @@
 			return nil
 		}
 		piped(t, queue)(source)
-		source.Subscribe()
+		source.RequestPoll()
 		running.Go(func() {
 			<-time.After(time.Duration(i) * queue.pollTime) // each starts when discovery is free for it
 			source.Run(ctx)
@@ -109,12 +109,12 @@
 				t.Run(fmt.Sprintf("%s/%v/ended=%v", mode, takes, ended), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						s := &slowDiscovery{broken: make(chan struct{})}
-						_, updates := startSource(t, "agent:1", mode, piped(t, s), func(source *Source) { source.Subscribe() })
+						_, updates := startSource(t, "agent:1", mode, piped(t, s), func(source *Source) { source.RequestPoll() })
 						<-updates
 						began := time.Now()
 						s.set(takes, ended)
 						for u := range updates {
-							if u.Failed {
+							if u.WatchFailed {
 								continue
 							}
 							// A watch that fell silent is noticed within 2.8 s; after one that ended discovery is polled within 0.2 s.
--- a/internal/discovery/queue_test.go
+++ b/internal/discovery/queue_test.go
@@ -142,8 +142,8 @@
 		config.Pollers = pollers
 		source := New(config, slog.New(slog.DiscardHandler), nil)
 		source.ApplyUpdate = func(ctx context.Context, u engine.Update) error {
-			if u.Failed { // the module requests the next poll
-				time.AfterFunc(rand.N(300*time.Millisecond), source.Subscribe)
+			if u.WatchFailed { // the module asks for a poll: its request changes nothing, the tracker polls by itself
+				time.AfterFunc(rand.N(300*time.Millisecond), source.RequestPoll)
 			} else {
 				onList(i, u.Version)
 			}
@@ -152,7 +152,7 @@
 		option(source)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		source.Subscribe()
+		source.RequestPoll()
 		go func() {
 			defer close(done)
 			time.Sleep(rand.N(2 * time.Second)) // the heartbeats of the watches are apart
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -94,9 +94,9 @@
 // now is the tracker's time. It is monotonic: a step of the wall clock changes no lease.
 func (s *Source) now() time.Duration { return time.Since(s.epoch) }
 
-// Subscribe requests the first poll, where lists are polled. Further calls change nothing: the tracker schedules all later
+// RequestPoll requests the first poll, where lists are polled. Further calls change nothing: the tracker schedules all later
 // polls by itself.
-func (s *Source) Subscribe() { signal(s.pollRequests) }
+func (s *Source) RequestPoll() { signal(s.pollRequests) }
 
 func signal(c chan struct{}) {
 	select {
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -69,7 +69,7 @@
 	_, updates := startSource(t, addr, "pushed")
 	agent.WantCall(t, "watch 1")
 	agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
-	if u := <-updates; u.Version != 43 || u.Failed {
+	if u := <-updates; u.Version != 43 || u.WatchFailed {
 		t.Fatalf("updated to %+v", u)
 	}
 	agent.Lines <- ""
@@ -86,12 +86,12 @@
 			old, oldAddr := newAgent(t, discoverytest.CompleteList)
 			agent, addr := newAgent(t, discoverytest.CompleteList)
 			source, updates := startSource(t, oldAddr, mode)
-			source.Subscribe()
+			source.RequestPoll()
 			old.WantCall(t, "watch 1")
 			source.SetAddress(addr)
 			agent.WantCall(t, "watch 0")
 			agent.Lines <- `{"seq":7,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
-			if u := <-updates; u.Version != 7 || !u.Complete || u.Failed {
+			if u := <-updates; u.Version != 7 || !u.Complete || u.WatchFailed {
 				t.Fatalf("updated to %+v", u)
 			}
 			agent.Lines <- `{"seq":8,"whole":false,"hosts":[]}`
@@ -135,10 +135,10 @@
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	source, updates := startSource(t, addr, "on_request")
 	for range 2 {
-		source.Subscribe()
+		source.RequestPoll()
 		agent.WantCall(t, "watch 1")
 		agent.EndWatch <- struct{}{}
-		if u := <-updates; !u.Failed {
+		if u := <-updates; !u.WatchFailed {
 			t.Fatalf("updated to %+v", u)
 		}
 	}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -78,7 +78,7 @@
 	body, err := st.source.get(ctx, st.id, st.addr, query)
 	if err == nil {
 		defer body.Close()
-		st.Part()
+		st.Progress()
 		err = st.readLists(ctx, discoveryapi.NewReader(body, st))
 	}
 	if cause := context.Cause(ctx); cause != nil {
@@ -111,15 +111,15 @@
 	}
 }
 
-// Blank notes a heartbeat.
-func (st *stream) Blank() {
+// Heartbeat notes a heartbeat.
+func (st *stream) Heartbeat() {
 	st.source.track(func(t *endpointlease.Tracker) { t.Activity(st.id, st.source.now()) })
 }
 
-// Begun notes the first bytes of a list.
-func (st *stream) Begun() {
+// ObjectBegan notes the first bytes of a list.
+func (st *stream) ObjectBegan() {
 	st.source.track(func(t *endpointlease.Tracker) { t.ListBegan(st.id, st.source.now()) })
 }
 
-// Part notes the head of an answer, or a part of a list.
-func (st *stream) Part() { st.Blank() }
+// Progress notes the head of an answer, or a part of a list.
+func (st *stream) Progress() { st.Heartbeat() }
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -60,7 +60,7 @@
 	}
 	st.listsReceived++
 	s.heldGeneration, s.olderLists = st.generation, 0
-	s.version.Store(list.Seq)
+	s.version.Store(list.Version)
 	s.needComplete = s.needComplete && !list.Complete
 	if st.pollOnly {
 		s.endStream(st.id, errNotNeeded)
@@ -82,9 +82,9 @@
 	switch {
 	case list.Complete && list.Endpoints == nil:
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoEndpoints}
-	case !list.Complete && list.Seq < base:
+	case !list.Complete && list.Version < base:
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrVersionGap}
-	case list.Complete && list.Seq < base && s.olderLists < olderListsUntilBelieved-1:
+	case list.Complete && list.Version < base && s.olderLists < olderListsUntilBelieved-1:
 		s.olderLists++
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlderVersion}
 	}
@@ -107,7 +107,7 @@
 	}
 	s.logEnd(st, err, unreadable)
 	if s.polled && len(s.streams) == 0 {
-		s.ApplyUpdate(ctx, engine.Update{Failed: true}) // fails only as ctx ends
+		s.ApplyUpdate(ctx, engine.Update{WatchFailed: true}) // fails only as ctx ends
 	}
 }
 
--- a/internal/discovery/updates_test.go
+++ b/internal/discovery/updates_test.go
@@ -145,9 +145,9 @@
 					if r.URL.Query().Get("watch") != "" {
 						<-r.Context().Done()
 					}
-				})), func(source *Source) { source.ResumeFrom(50); source.Subscribe() })
+				})), func(source *Source) { source.ResumeFrom(50); source.RequestPoll() })
 				for u := range updates {
-					if u.Failed {
+					if u.WatchFailed {
 						continue
 					}
 					if u.Version != c.want {
--- a/internal/discoveryapi/discoveryapi.go
+++ b/internal/discoveryapi/discoveryapi.go
@@ -19,20 +19,20 @@
 
 // List is the complete endpoint list, or the changes since an earlier version.
 type List struct {
-	Seq       int64      `json:"seq"`   // the version of the list; it grows
+	Version   int64      `json:"seq"`   // the version of the list; it grows
 	Complete  bool       `json:"whole"` // all endpoints are in Endpoints; else those that have changed
 	Endpoints []Endpoint `json:"hosts"` // nil: the key was missing
 }
 
 // Endpoint is one server of a list.
 type Endpoint struct {
-	Host   string  `json:"host"`    // its ID
-	Dial   string  `json:"dial"`    // its address, HOST:PORT
-	Site   string  `json:"site"`    // its zone
-	Class  string  `json:"class"`   // its kind
-	Block  int     `json:"block"`   // its cell
-	Health string  `json:"health"`  // in_service, terminated, or another state in which it takes no new requests
-	Born   float64 `json:"born_ms"` // when it started, in milliseconds of the Unix epoch; 0: not known
+	ID              string  `json:"host"`    // its ID
+	Addr            string  `json:"dial"`    // its address, HOST:PORT
+	Zone            string  `json:"site"`    // its zone
+	Kind            string  `json:"class"`   // its kind
+	Cell            int     `json:"block"`   // its cell
+	Health          string  `json:"health"`  // in_service, terminated, or another state in which it takes no new requests
+	StartedAtMillis float64 `json:"born_ms"` // when it started, in milliseconds of the Unix epoch; 0: not known
 }
 
 // TruncatedError says that an answer ended within a list. The lists that came before it are good.
--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -14,9 +14,9 @@
 // countingWatchdog counts what it observes.
 type countingWatchdog struct{ heartbeats, objects, progress int }
 
-func (w *countingWatchdog) Blank() { w.heartbeats++ }
-func (w *countingWatchdog) Begun() { w.objects++ }
-func (w *countingWatchdog) Part()  { w.progress++ }
+func (w *countingWatchdog) Heartbeat()   { w.heartbeats++ }
+func (w *countingWatchdog) ObjectBegan() { w.objects++ }
+func (w *countingWatchdog) Progress()    { w.progress++ }
 
 // twoLists is a complete list on one line and changes on several, with heartbeats between.
 const twoLists = "\n\n" + `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"in_service"}]}` + "\n\r\n" + `{
@@ -35,10 +35,10 @@
 		first, firstErr := r.Next()
 		second, secondErr := r.Next()
 		_, end := r.Next()
-		if firstErr != nil || first.Seq != 1 || !first.Complete {
+		if firstErr != nil || first.Version != 1 || !first.Complete {
 			t.Errorf("%s: first %+v, %v", name, first, firstErr)
 		}
-		if secondErr != nil || second.Seq != 2 || second.Complete || len(second.Endpoints) != 1 || second.Endpoints[0].Host != "b\n{" {
+		if secondErr != nil || second.Version != 2 || second.Complete || len(second.Endpoints) != 1 || second.Endpoints[0].ID != "b\n{" {
 			t.Errorf("%s: second %+v, %v", name, second, secondErr)
 		}
 		if end != io.EOF {
@@ -83,7 +83,7 @@
 func TestHeartbeatsAreNotBuffered(t *testing.T) {
 	heartbeats := bytes.Repeat([]byte("\n"), 2*MaxListBytes)
 	r := NewReader(io.MultiReader(iotest.HalfReader(bytes.NewReader(heartbeats)), strings.NewReader(`{"seq":3}`)), &countingWatchdog{})
-	if list, err := r.Next(); err != nil || list.Seq != 3 {
+	if list, err := r.Next(); err != nil || list.Version != 3 {
 		t.Errorf("%+v, %v", list, err)
 	}
 }
--- a/internal/discoveryapi/golden_test.go
+++ b/internal/discoveryapi/golden_test.go
@@ -12,16 +12,16 @@
 // noWatchdog ignores what comes.
 type noWatchdog struct{}
 
-func (noWatchdog) Blank() {}
-func (noWatchdog) Begun() {}
-func (noWatchdog) Part()  {}
+func (noWatchdog) Heartbeat()   {}
+func (noWatchdog) ObjectBegan() {}
+func (noWatchdog) Progress()    {}
 
 // Discovery writes the lists, so no build of a node may read them by other names: a field that is not found would be zero,
 // without an error.
 func TestGoldenList(t *testing.T) {
 	path := filepath.Join("testdata", "list.json")
-	want := List{Seq: 5, Complete: true, Endpoints: []Endpoint{{Host: "server-1", Dial: "127.0.0.1:9000", Site: "north-a", Class: "big", Block: 3,
-		Health: "ready", Born: 1.5}}}
+	want := List{Version: 5, Complete: true, Endpoints: []Endpoint{{ID: "server-1", Addr: "127.0.0.1:9000", Zone: "north-a", Kind: "big", Cell: 3,
+		Health: "ready", StartedAtMillis: 1.5}}}
 	goldentest.Check(t, path, want)
 	if got, err := NewReader(bytes.NewReader(goldentest.Text(t, path)), noWatchdog{}).Next(); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v", got, err)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -146,7 +146,7 @@
 func (e *Engine) handleResponseStart(r responseStart) {
 	c := r.attempt.Call
 	if r.accepted != nil {
-		accepted := c.Close()
+		accepted := c.ClaimAnswer()
 		r.accepted <- accepted
 		if !accepted {
 			return
@@ -168,7 +168,7 @@
 	r.Attempt.Target.outstanding--
 	c.mayHaveRun = c.mayHaveRun || !r.Outcome.NeverRan()
 	e.counters.addResult(e.Log, e.Clock.Now(), r)
-	if r.Outcome == balancer.Success && c.Close() {
+	if r.Outcome == balancer.Success && c.ClaimAnswer() {
 		e.eventContext.Served = true
 		e.checkAnswer(c, false)
 		e.serve(c, r.Reply)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -60,9 +60,9 @@
 	mayHaveRun  bool // an attempt that has ended may have run at its server
 }
 
-// Close claims the right to give the call its one final answer, and marks the call as closed. It says whether the right was
+// ClaimAnswer claims the right to give the call its one final answer, and marks the call as closed. It says whether the right was
 // still to be had: who gets true must answer the call, unless its client has gone; who gets false must not.
-func (c *Call) Close() bool { return !c.closed.Swap(true) }
+func (c *Call) ClaimAnswer() bool { return !c.closed.Swap(true) }
 
 // Closed says that the call has its answer or its client has gone: nothing more may be sent for it.
 func (c *Call) Closed() bool { return c.closed.Load() }
@@ -138,7 +138,7 @@
 		return
 	}
 	if e.calls[c.Request.ID] != nil {
-		c.Close()
+		c.ClaimAnswer()
 		c.answer <- Answer{Verdict: DuplicateID}
 		return
 	}
@@ -151,7 +151,7 @@
 
 // handleClientGone closes a call whose client has gone, and notifies the balancer.
 func (e *Engine) handleClientGone(c *Call) {
-	if !c.Close() {
+	if !c.ClaimAnswer() {
 		return
 	}
 	e.counters.clientGone++
@@ -163,7 +163,7 @@
 // another client's call.
 func (e *Engine) deny(a balancer.Deny) {
 	c := e.arriving
-	if !c.Close() {
+	if !c.ClaimAnswer() {
 		return
 	}
 	e.counters.denied++
@@ -176,7 +176,7 @@
 // is closed already.
 func (e *Engine) answer(id string, a Answer) {
 	c := e.calls[id]
-	if c == nil || !c.Close() {
+	if c == nil || !c.ClaimAnswer() {
 		return
 	}
 	if a.rejects() {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -20,17 +20,17 @@
 	Endpoints []Endpoint
 	Complete  bool // Endpoints are all that there are; what is not among them has left the list
 	Cached    bool // Endpoints were kept from an earlier run of the node
-	// Failed says that the source's polls and watches have failed or ended, and none is left; there are no Endpoints. The
+	// WatchFailed says that the source's polls and watches have failed or ended, and none is left; there are no Endpoints. The
 	// balancer answers with Options.Subscribe after a backoff, which changes nothing at a source that polls by itself.
-	Failed bool
+	WatchFailed bool
 }
 
 // Target is a server that may be sent to: at one address, and from one start of the server to the next. A server that moved
 // or restarted is another target, for it shares no connection with the one before.
 type Target struct {
-	ID   string
-	Addr string
-	Boot time.Duration // as discovery gives it: when its process started, by the engine's clock; 0: long ago
+	ID        string
+	Addr      string
+	StartTime time.Duration // as discovery gives it: when its process started, by the engine's clock; 0: long ago
 
 	stoppedAt   atomic.Int64 // when sends had to stop, by the engine's clock; 0: they need not
 	outstanding int          // attempts that have not ended; the loop's own
@@ -64,7 +64,7 @@
 // handleUpdate takes over an update of the endpoint list. It stops all sends to servers that may get nothing new before it
 // notifies the balancer: the drain grace counts from here.
 func (e *Engine) handleUpdate(u Update) {
-	if u.Failed {
+	if u.WatchFailed {
 		e.dispatch(balancer.WatchFailed{})
 		return
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	target := e.targets[endpoint.ID]
-	if target != nil && (target.Addr != endpoint.Addr || target.Boot != endpoint.StartTime) {
+	if target != nil && (target.Addr != endpoint.Addr || target.StartTime != endpoint.StartTime) {
 		e.removeEndpoint(endpoint.ID)
 	}
 	e.endpoints[endpoint.ID] = endpoint
@@ -116,7 +116,7 @@
 // addTarget lets a listed server get attempts, unless it does already or an operator has disabled it.
 func (e *Engine) addTarget(endpoint Endpoint) {
 	if e.targets[endpoint.ID] == nil && !e.Balancer.IsDisabled(endpoint.ID) {
-		e.targets[endpoint.ID] = &Target{ID: endpoint.ID, Addr: endpoint.Addr, Boot: endpoint.StartTime}
+		e.targets[endpoint.ID] = &Target{ID: endpoint.ID, Addr: endpoint.Addr, StartTime: endpoint.StartTime}
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,7 +59,7 @@
 	responses          chan responseStart
 	faultInjections    chan FaultInjectionStart
 	dumps              chan struct{} // buffers one request, so that DumpCapture need not block
-	endFaultInjections chan struct{} // closed by BeginShutdown
+	endFaultInjections chan struct{} // closed by EndFaultInjections
 	stopped            chan struct{} // closed by Stop
 
 	// The loop's own state.
@@ -105,9 +105,9 @@
 	}
 }
 
-// BeginShutdown ends all fault injections for good: the node shuts down. It has no other effect, and a node without fault
+// EndFaultInjections ends all fault injections for good: the node shuts down. It has no other effect, and a node without fault
 // injections need not call it. It must be called once at most, and doesn't block. The loop goes on until Stop.
-func (e *Engine) BeginShutdown() { close(e.endFaultInjections) }
+func (e *Engine) EndFaultInjections() { close(e.endFaultInjections) }
 
 // DumpCapture has the records that the capture holds in memory written to standard error. It must not be called without a
 // capture. It doesn't block; a request while another one waits is merged with it.
@@ -182,7 +182,7 @@
 		e.Capture.Dump()
 	case <-e.endPending:
 		e.endPending = nil
-		e.dispatch(balancer.ShuttingDown{})
+		e.dispatch(balancer.EndFaultInjections{})
 	case <-e.lease.changed: // Run begins its next round with checkLease
 	case <-due:
 	case <-report:
--- a/internal/engine/invariants.go
+++ b/internal/engine/invariants.go
@@ -24,7 +24,7 @@
 		e.Guard.Note(retry.Check(), attrs...)
 	}
 	slowStart := invariants.SlowStartSend{
-		WarmingUp:   target.Boot > 0 && now < target.Boot+e.Balancer.SlowStartDuration(),
+		WarmingUp:   target.StartTime > 0 && now < target.StartTime+e.Balancer.SlowStartDuration(),
 		Outstanding: target.outstanding,
 	}
 	e.Guard.Note(slowStart.Check(), attrs...)
@@ -32,7 +32,7 @@
 
 // checkAnswer counts and logs the invariants that a final answer breaks.
 func (e *Engine) checkAnswer(c *Call, rejected bool) {
-	end := invariants.Close{
+	end := invariants.RequestEnd{
 		At:         e.Clock.Now(),
 		Deadline:   c.Request.Deadline,
 		Answered:   true,
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -49,7 +49,7 @@
 func (e *Engine) RenewLease(l Lease) {
 	until := noEnd
 	if !l.Unbounded {
-		until = e.Clock.Of(l.Until)
+		until = e.Clock.FromTime(l.Until)
 	}
 	e.lease.end.Store(int64(until))
 	select {
@@ -65,5 +65,5 @@
 		return
 	}
 	e.leaseExpired = expired
-	e.decide(balancer.EndpointLease{Expired: expired})
+	e.decide(balancer.LeaseChanged{Expired: expired})
 }
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ErrPeerGone says that the other process has ended, or did not answer in time.
-var ErrPeerGone = errors.New("the other process is gone")
+// ErrOtherProcessGone says that the other process has ended, or did not answer in time.
+var ErrOtherProcessGone = errors.New("the other process is gone")
 
 // Conn is the connection between two processes of a node. Run must run for Send to have its answers. All methods but Run and
 // HandOver may be called from any goroutine.
@@ -64,7 +64,7 @@
 	}
 }
 
-// Send sends a Message and waits until the other process has taken it. It fails with ErrPeerGone when the connection ends or
+// Send sends a Message and waits until the other process has taken it. It fails with ErrOtherProcessGone when the connection ends or
 // the timeout passes before, and with the connection's error when it can't be written. An operator is owed an answer in 1 s,
 // so a process that hangs must not hold up the call.
 func (c *Conn) Send(message Message, timeout time.Duration) error {
@@ -82,7 +82,7 @@
 	case <-c.closed:
 	case <-late.C:
 	}
-	return ErrPeerGone
+	return ErrOtherProcessGone
 }
 
 // register makes an ID whose acknowledgement is awaited.
--- a/internal/lab/loopback/nodeconfig.go
+++ b/internal/lab/loopback/nodeconfig.go
@@ -73,7 +73,7 @@
 		"me":            set.ReplicaIndex,
 		"tier":          set.Tier,
 		"registry-mode": mode,
-		"tick-ms":       milliseconds(set.Tick),
+		"tick-ms":       milliseconds(set.TimerTolerance),
 		"zone":          "",
 		"blend":         object{"whole": set.TotalValueWeight, "worst-class": set.WorstClassWeight},
 		"callers":       object{"marks-retry": set.ClientsMarkRetries},
--- a/internal/lab/model/nodesettings.go
+++ b/internal/lab/model/nodesettings.go
@@ -26,7 +26,7 @@
 		MaxAttempts:        s.Rules.MaxAttempts,
 		PollDiscovery:      s.Discovery.Polled,
 		MaxPollInterval:    s.Discovery.MaxPollInterval,
-		Tick:               tick,
+		TimerTolerance:     tick,
 		MaxRetryAfter:      s.Rules.MaxRetryAfter,
 		OverloadMultiple:   s.Rules.OverloadMultiple,
 		SlowStartMinShare:  1,
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -118,7 +118,7 @@
 
 // RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
-	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, Tick: time.Millisecond,
+	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, TimerTolerance: time.Millisecond,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: neverLate, Deadline: neverLate, PriorityWeight: 1}}}, seed)
 	if err != nil {
 		return 0, err
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -10,7 +10,7 @@
 )
 
 func settings() balancer.Settings {
-	return balancer.Settings{Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond, PollDiscovery: true, MaxPollInterval: time.Second,
+	return balancer.Settings{Replicas: 1, MaxAttempts: 3, TimerTolerance: time.Millisecond, PollDiscovery: true, MaxPollInterval: time.Second,
 		Classes: []balancer.Class{{Name: "safe", Effect: balancer.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
 			{Name: "unsafe", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 }
--- a/internal/lab/scale/discovery_fleet.go
+++ b/internal/lab/scale/discovery_fleet.go
@@ -138,16 +138,16 @@
 // run returns the function that watches until ctx ends.
 func (h *hollowSource) run(ctx context.Context) func() {
 	return func() {
-		h.source.Subscribe()
+		h.source.RequestPoll()
 		h.source.Run(ctx)
 	}
 }
 
 // applyUpdate receives a list, as the engine does, or the failure of all polls.
 func (h *hollowSource) applyUpdate(_ context.Context, update engine.Update) error {
-	if update.Failed {
+	if update.WatchFailed {
 		h.failures++
-		time.AfterFunc(pollBackoff(h.failures), h.source.Subscribe)
+		time.AfterFunc(pollBackoff(h.failures), h.source.RequestPoll)
 		return nil
 	}
 	h.failures = 0
--- a/internal/lab/scale/versionsnode_test.go
+++ b/internal/lab/scale/versionsnode_test.go
@@ -86,10 +86,10 @@
 	for number, kind := range []string{"a", "b", "b"} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Header.Get("X-Call-Id")) }))
 		t.Cleanup(server.Close)
-		v.list.Endpoints = append(v.list.Endpoints, discoveryapi.Endpoint{Host: fmt.Sprintf("server-%d", number), Dial: server.Listener.Addr().String(),
-			Class: kind, Health: "in_service"})
+		v.list.Endpoints = append(v.list.Endpoints, discoveryapi.Endpoint{ID: fmt.Sprintf("server-%d", number), Addr: server.Listener.Addr().String(),
+			Kind: kind, Health: "in_service"})
 	}
-	v.list.Seq, v.list.Complete = 1, true
+	v.list.Version, v.list.Complete = 1, true
 	v.startDiscovery()
 	for number := range count {
 		v.nodes = append(v.nodes, v.startNode(number, false))
--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -27,8 +27,8 @@
 	lastResponseLeft   = 150 * time.Millisecond // the last response is due: it still has to be written
 )
 
-// EndsConnections says whether responses close the connections that they go on: the clients are to come back elsewhere.
-func (m Machine) EndsConnections(now time.Duration) bool {
+// ResponsesCloseConnections says whether responses close the connections that they go on: the clients are to come back elsewhere.
+func (m Machine) ResponsesCloseConnections(now time.Duration) bool {
 	switch m.state {
 	case outOfService:
 		return m.notReadyNoticed(now)
@@ -57,12 +57,12 @@
 	return m.killAt - lastResponseLeft
 }
 
-// StopsAt is for how much longer, from now on, a node that shuts down accepts connections:
+// AcceptsFor is for how much longer, from now on, a node that shuts down accepts connections:
 //
 //   - not at all if its successor accepts them,
 //   - for acceptAfterSignal if the load balancer had noticed before that it is out of service,
 //   - else until idle connections are closed: clients may have no other node to go to.
-func (m Machine) StopsAt(now time.Duration) time.Duration {
+func (m Machine) AcceptsFor(now time.Duration) time.Duration {
 	switch {
 	case m.hasSuccessor:
 		return 0
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -19,8 +19,8 @@
 //
 //	0                        not ready: the load balancer in front of the node is to send it no more connections; those that
 //	                         still come are accepted and served
-//	K - 900 ms, min. 450 ms  responses close their connections (EndsConnections)
-//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (StopsAt)
+//	K - 900 ms, min. 450 ms  responses close their connections (ResponsesCloseConnections)
+//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (AcceptsFor)
 //	K - 150 ms               the last response is due (HardDeadline)
 //	K                        SIGKILL may come
 //
@@ -124,8 +124,8 @@
 	return m
 }
 
-// Ready says whether new clients are to be sent to the node.
-func (m Machine) Ready() bool { return m.state == serving }
+// TakesNewClients says whether new clients are to be sent to the node.
+func (m Machine) TakesNewClients() bool { return m.state == serving }
 
 // Running says whether the process serves whoever comes: it has started, and does not shut down.
 func (m Machine) Running() bool { return m.state == serving || m.state == outOfService }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -47,7 +47,7 @@
 		{"terminated with a successor", after(Started).Step(0, Terminate, untilKilled, true), 0, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ready, ends := c.machine.Ready(), c.machine.EndsConnections(c.at)
+			ready, ends := c.machine.TakesNewClients(), c.machine.ResponsesCloseConnections(c.at)
 			_, closesIdle := c.machine.ClosesIdleConnections(c.at)
 			if ready != c.ready || ends != c.ends || closesIdle != c.closesIdle {
 				t.Errorf("ready %v, ends connections %v, closes idle ones %v", ready, ends, closesIdle)
@@ -73,7 +73,7 @@
 			default:
 				out = event == OutOfService
 			}
-			if m.Ready() != (started && !out && !terminated) || m.ShuttingDown() != terminated {
+			if m.TakesNewClients() != (started && !out && !terminated) || m.ShuttingDown() != terminated {
 				t.Fatalf("started %v, out %v, terminated %v: %+v", started, out, terminated, m)
 			}
 			if deadline := m.HardDeadline(); terminated != (deadline > 0) {
--- a/internal/metrics/tags.go
+++ b/internal/metrics/tags.go
@@ -31,8 +31,8 @@
 	reported [gaugeCount]int64 // as last exported
 }
 
-// Name adds the classes and tenants of changed settings to those that are told apart.
-func (r *Reporter) Name(classes, tenants []string) {
+// AddNames adds the classes and tenants of changed settings to those that are told apart.
+func (r *Reporter) AddNames(classes, tenants []string) {
 	if r == nil {
 		return
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Sites is what the node knows of its peers, to be written as JSON; nil: it has none.
-func (s adminService) Sites() any {
+// Peers is what the node knows of its peers, to be written as JSON; nil: it has none.
+func (s adminService) Peers() any {
 	if s.node.PeersView == nil {
 		return nil
 	}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -151,7 +151,7 @@
 func TestNothingSentAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*engine.Attempt){
 		"drained":  func(a *engine.Attempt) { a.Target.StopSending(1) },
-		"answered": func(a *engine.Attempt) { a.Call.Close() },
+		"answered": func(a *engine.Attempt) { a.Call.ClaimAnswer() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, respondOK)
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -57,7 +57,7 @@
 					resp.Body.Close()
 				}
 				if caller == 0 && i%5 == 0 { // the list changes beside it
-					hosts[0].Born++
+					hosts[0].StartedAtMillis++
 					n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: hosts[:1]}))
 				}
 			}
@@ -84,7 +84,7 @@
 			t.Errorf("%q is in it", never)
 		}
 	}
-	for _, want := range []string{`"tenant":"okanagan-ridge","budget":30000000000`, `"addr":"` + hosts[0].Dial + `"`, `"kind":"drill"`,
+	for _, want := range []string{`"tenant":"okanagan-ridge","budget":30000000000`, `"addr":"` + hosts[0].Addr + `"`, `"kind":"drill"`,
 		`"do":"deny"`, `"answer":200`, `"kind":"leaving"`} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %s in it", want)
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -116,7 +116,7 @@
 // acquire returns the target's idle connection that was used last, else a new one. It returns errNoDescriptor if there
 // may be no further connection, else the error of connecting.
 func (p *connPool) acquire(att *engine.Attempt) (c *upstreamConn, fresh bool, err error) {
-	deadline := p.clock.At(att.Deadline)
+	deadline := p.clock.ToTime(att.Deadline)
 	p.mu.Lock()
 	if c := p.acquireIdle(att.Target, deadline); c != nil {
 		p.mu.Unlock()
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -142,7 +142,7 @@
 	n.peerProcess.mu.Lock()
 	defer n.peerProcess.mu.Unlock()
 	if n.peerProcess.closed {
-		return hotrestart.ErrPeerGone
+		return hotrestart.ErrOtherProcessGone
 	}
 	handover := hotrestart.HandoverState{Node: n.cfg.Name, Listen: n.cfg.Listen, Settings: settings,
 		ListVersion: n.discovery.ResumeVersion(), ListAge: n.discovery.Age()}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -28,7 +28,7 @@
 // testConfig is a configuration whose discovery works in a mode, with a bootstrap list.
 func testConfig(t *testing.T, mode string, known ...discoveryapi.Endpoint) Config {
 	t.Helper()
-	k, err := json.Marshal(discoveryapi.List{Seq: 1, Complete: true, Endpoints: known})
+	k, err := json.Marshal(discoveryapi.List{Version: 1, Complete: true, Endpoints: known})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 
 // inService is a server on the list that takes requests.
 func inService(id, addr string) discoveryapi.Endpoint {
-	return discoveryapi.Endpoint{Host: id, Dial: addr, Site: "z", Health: "in_service"}
+	return discoveryapi.Endpoint{ID: id, Addr: addr, Zone: "z", Health: "in_service"}
 }
 
 // eventually waits for what the node does by itself in the background.
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -96,7 +96,7 @@
 		return http.StatusBadRequest
 	}
 	if err != nil { // the client has gone, or the node ends and this connection was closed
-		closed := invariants.Close{ClientGone: errors.Is(err, engine.ErrClientGone)}
+		closed := invariants.RequestEnd{ClientGone: errors.Is(err, engine.ErrClientGone)}
 		h.guard.Note(closed.Check(), "id", req.Request.ID, "err", err)
 		return statusClientGone
 	}
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -102,7 +102,7 @@
 
 // mergeUpdate is a list with changes made to it.
 func mergeUpdate(list, changes engine.Update) engine.Update {
-	if changes.Complete || changes.Failed {
+	if changes.Complete || changes.WatchFailed {
 		return changes
 	}
 	changes.Complete = true
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -210,7 +210,7 @@
 func TestStartTimeIsClockTime(t *testing.T) {
 	ck := engine.NewClock()
 	born := time.Now().Add(-5 * time.Second)
-	s := discovery.ToServer(discoveryapi.Endpoint{Host: "s", Health: "in_service", Born: float64(born.UnixMicro()) / 1000})
+	s := discovery.ToServer(discoveryapi.Endpoint{ID: "s", Health: "in_service", StartedAtMillis: float64(born.UnixMicro()) / 1000})
 	if age := ck.Now() - s.StartTime; age < 4999*time.Millisecond || age > time.Minute {
 		t.Errorf("a server born 5 s ago is %v old", age)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -108,10 +108,10 @@
 	n.maxClientConns = available * clientDescriptorShare / descriptorShares
 	n.pool = newConnPool(n.clock, cfg, available-n.maxClientConns, n.engine.AttemptEnded, n.engine.PassResponse)
 	n.discovery = discovery.New(discovery.Config{Addr: cfg.Discovery, Polled: cfg.Settings.PollDiscovery,
-		MaxPollInterval: cfg.Settings.MaxPollInterval, Pollers: cfg.Settings.Replicas, Version: cfg.BootstrapList.Seq},
+		MaxPollInterval: cfg.Settings.MaxPollInterval, Pollers: cfg.Settings.Replicas, Version: cfg.BootstrapList.Version},
 		logger, n.applyDiscoveryUpdate)
 	n.discovery.RenewLease = n.engine.RenewLease
-	n.engine.Sender, n.engine.Subscribe = n.pool, n.discovery.Subscribe
+	n.engine.Sender, n.engine.Subscribe = n.pool, n.discovery.RequestPoll
 	return n, nil
 }
 
@@ -130,5 +130,5 @@
 // ready reports whether clients are to be sent here: the node knows a usable server, from discovery itself if that
 // answers, and is in service.
 func (n *Node) ready() bool {
-	return n.hasEndpointList.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().Ready()
+	return n.hasEndpointList.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().TakesNewClients()
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -48,7 +48,7 @@
 			return err
 		}
 		n.classes.Store(newClassTable(settings, n.classes.Load(), n.clock.Now()))
-		n.engine.Metrics.Name(cfg.classNames(), cfg.tenants)
+		n.engine.Metrics.AddNames(cfg.classNames(), cfg.tenants)
 		n.balancerSettings.Store(&settings)
 	}
 	n.pool.applyConfig(cfg)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -109,7 +109,7 @@
 			metrics:         n.engine.Metrics,
 			accessList:      n.accessList,
 			guard:           n.engine.Guard,
-			endsConnections: func() bool { return n.lifecycle.Load().EndsConnections(n.clock.Now()) },
+			endsConnections: func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) },
 			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() },
 		},
 		ReadHeaderTimeout: requestHeadTimeout,
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -50,12 +50,12 @@
 	n.log.Info("shutting down")
 	machine := n.transition(lifecycle.Terminate)
 	if len(n.cfg.Features.FaultInjections) > 0 { // without any, the balancer's capture would have an event of no effect
-		n.engine.BeginShutdown()
+		n.engine.EndFaultInjections()
 	}
 	if n.successorServing() {
 		n.drainToSuccessor(machine)
 	}
-	time.Sleep(machine.StopsAt(n.clock.Now()))
+	time.Sleep(machine.AcceptsFor(n.clock.Now()))
 	n.clientListener.stopReadingIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), n.classes.Load().maxDeadline+shutdownMargin)
 	defer cancel()
--- a/internal/node/upstreamfaults_test.go
+++ b/internal/node/upstreamfaults_test.go
@@ -199,8 +199,8 @@
 	}()
 	<-came
 	moved := inService("s-0", other.addr())
-	moved.Born = 1000
-	for _, h := range []discoveryapi.Endpoint{{Host: "s-0", Health: "terminating"}, {Host: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
+	moved.StartedAtMillis = 1000
+	for _, h := range []discoveryapi.Endpoint{{ID: "s-0", Health: "terminating"}, {ID: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
 		if err := n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -17,7 +17,7 @@
 	goldentest.Read[settingsObject](t, path)
 	got, err := ParseSettings(goldentest.Text(t, path))
 	want := balancer.Settings{Replicas: 2, ReplicaIndex: 1, Tier: 4, Zone: "north-a", TotalValueWeight: 0.25, WorstClassWeight: 0.75, ClientsMarkRetries: true,
-		MaxAttempts: 3, PollDiscovery: true, MaxPollInterval: 11 * time.Millisecond, Tick: 5 * time.Millisecond, SlowStartMinShare: 0.5,
+		MaxAttempts: 3, PollDiscovery: true, MaxPollInterval: 11 * time.Millisecond, TimerTolerance: 5 * time.Millisecond, SlowStartMinShare: 0.5,
 		SlowStartDuration: 14 * time.Millisecond, OverloadMultiple: 1.5, KeyQuietPeriod: 13 * time.Millisecond, MaxRetryAfter: 12 * time.Millisecond,
 		Classes: []balancer.Class{{Name: "quick", Effect: balancer.IdempotentWithKey, DedupScope: balancer.ScopeZone, DedupWindow: 9 * time.Millisecond,
 			LatencyObjective: 8 * time.Millisecond, Deadline: 7 * time.Millisecond, LateCredit: 0.1, PriorityWeight: 6, Stream: true, OrderedByKey: true,
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -94,7 +94,7 @@
 		MaxAttempts:        o.Limits.MaxAttempts,
 		PollDiscovery:      o.DiscoveryMode == pollDiscoveryMode,
 		MaxPollInterval:    fromMilliseconds(o.Rules.MaxPollInterval),
-		Tick:               fromMilliseconds(o.Tick),
+		TimerTolerance:     fromMilliseconds(o.Tick),
 		KeyQuietPeriod:     fromMilliseconds(o.Rules.KeyQuietPeriod),
 		SlowStartMinShare:  o.Rules.SlowStartMinShare,
 		SlowStartDuration:  fromMilliseconds(o.Rules.SlowStartDuration),
--- a/internal/watchstream/watchstream.go
+++ b/internal/watchstream/watchstream.go
@@ -40,9 +40,9 @@
 // Watchdog observes what comes while objects are read, so that its owner can time out a stream that is silent, or that stalls
 // within an object. It is called from the goroutine that reads.
 type Watchdog interface {
-	Blank() // a heartbeat: nothing but space between two objects
-	Begun() // the first bytes of an object
-	Part()  // more bytes of an object
+	Heartbeat()   // a heartbeat: nothing but space between two objects
+	ObjectBegan() // the first bytes of an object
+	Progress()    // more bytes of an object
 }
 
 // Reader reads one object of type T after another from a stream. It is for one goroutine.
@@ -104,7 +104,7 @@
 func (s *objectStream) enterObject() {
 	if s.between {
 		s.between = false
-		s.watchdog.Begun()
+		s.watchdog.ObjectBegan()
 	}
 }
 
@@ -120,9 +120,9 @@
 		case len(got) > 0 && s.between:
 			s.enterObject()
 		case len(got) > 0:
-			s.watchdog.Part()
+			s.watchdog.Progress()
 		case n > 0:
-			s.watchdog.Blank()
+			s.watchdog.Heartbeat()
 		}
 		if s.remaining -= len(got); s.remaining < 0 {
 			return 0, TooLargeError{s.limit}
--- a/internal/watchstream/watchstream_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -22,9 +22,9 @@
 // countingWatchdog counts what it observes.
 type countingWatchdog struct{ heartbeats, objects, progress int }
 
-func (w *countingWatchdog) Blank() { w.heartbeats++ }
-func (w *countingWatchdog) Begun() { w.objects++ }
-func (w *countingWatchdog) Part()  { w.progress++ }
+func (w *countingWatchdog) Heartbeat()   { w.heartbeats++ }
+func (w *countingWatchdog) ObjectBegan() { w.objects++ }
+func (w *countingWatchdog) Progress()    { w.progress++ }
 
 // twoObjects is an object on one line and one on several, with heartbeats between.
 const twoObjects = "\n\n" + `{"number":1}` + "\n\r\n" + `{
--- a/invariants/checks.go
+++ b/invariants/checks.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Close is the end of a request at the node.
-type Close struct {
+// RequestEnd is the end of a request at the node.
+type RequestEnd struct {
 	At         time.Duration // of the same clock as Deadline
 	Deadline   time.Duration // the client's
 	Answered   bool          // with a final answer
@@ -96,7 +96,7 @@
 // Check returns the violation by the end of a request, if any. Duplicate: what may have run is not rejected, unless its
 // class allows another run, for its client would send it again. Lost: there is an answer, unless nobody is there for it,
 // and it comes within AnswerSlack after the deadline.
-func (c Close) Check() *Violation {
+func (c RequestEnd) Check() *Violation {
 	switch {
 	case c.Rejected && c.MayHaveRun && !c.Retryable:
 		return &Violation{Rule: Duplicate, What: "a request that may have run and must not run twice was rejected"}
--- a/invariants/guard_test.go
+++ b/invariants/guard_test.go
@@ -15,7 +15,7 @@
 	for range 3 {
 		g.Note(SlowStartSend{WarmingUp: true, Outstanding: 1}.Check(), "id", "r-1")
 	}
-	g.Note(Close{}.Check(), "id", "r-2")
+	g.Note(RequestEnd{}.Check(), "id", "r-2")
 	if g.Note(nil) || g.Count(SlowStart) != 3 || g.Count(Lost) != 1 || g.Total() != 4 {
 		t.Errorf("counted %d and %d of %d", g.Count(SlowStart), g.Count(Lost), g.Total())
 	}
@@ -23,7 +23,7 @@
 		t.Errorf("logged %s", text.String())
 	}
 	var none *Guard
-	if !none.Note(Close{}.Check()) || none.Total() != 0 {
+	if !none.Note(RequestEnd{}.Check()) || none.Total() != 0 {
 		t.Error("no guard counts")
 	}
 }
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -1,6 +1,6 @@
 // Package invariants holds what must never happen at a node, as checks of typed facts. There is one for each moment at which
 // a rule can be broken: a request is written to a server (Send), a request is retried (Retry), an attempt starts at a server
-// in slow start (SlowStartSend), a request ends (Close). A check takes what is known at that moment and returns the
+// in slow start (SlowStartSend), a request ends (RequestEnd). A check takes what is known at that moment and returns the
 // Violation, nil if there is none. The checks are pure and may be called from any goroutine; a Guard counts and logs what
 // the checks of one node found.
 //
