--- a/internal/lab/blackbox/events.go
+++ b/internal/lab/blackbox/events.go
@@ -10,55 +10,58 @@
 
 import "time"
 
+// EventKind is what an Event is. Its values are the words that histories hold.
+type EventKind string
+
 // Kinds of events, with the words that histories hold.
 const (
-	NodeStarted        = "start" // a node's process begins, knowing nothing but what it is notified of from here on
-	NodeKilled         = "kill"  // it is ended from outside, at once
-	NodeTerminating    = "term"  // it is asked to end
-	NodeExited         = "exit"  // it has ended by itself
-	EndpointNotified   = "told"  // discovery has written to the node, or the node counts as notified, whether a server is ready
-	RequestSent        = "ask"   // a client has written the last byte of a request
-	AnswerReceived     = "got"   // a client has the last byte of an answer
-	ConnectionCut      = "cut"   // a client's connection ended without a complete answer
-	ClientLeft         = "left"  // a client has closed its connection
-	AttemptArrived     = "reach" // a server has the last byte of a request
-	AttemptAnswered    = "reply" // it has answered it
-	AttemptBroken      = "broke" // it has ended the connection without an answer, or its process died
-	AttemptCanceled    = "given" // it saw the node close the connection
-	ServerStarted      = "boot"  // a server's process has started, to warm up
-	SuccessorReady     = "heir"  // the successor of the node's process is ready, and takes over when this one exits
-	EndpointOverridden = "hand"  // the node has confirmed an operator's call that disables a server, or enables it if Ready
-	HistoryEnded       = "end"   // nothing is recorded after
+	NodeStarted        EventKind = "start" // a node's process begins, knowing nothing but what it is notified of from here on
+	NodeKilled         EventKind = "kill"  // it is ended from outside, at once
+	NodeTerminating    EventKind = "term"  // it is asked to end
+	NodeExited         EventKind = "exit"  // it has ended by itself
+	EndpointNotified   EventKind = "told"  // discovery has written to the node, or the node counts as notified, whether a server is ready
+	RequestSent        EventKind = "ask"   // a client has written the last byte of a request
+	AnswerReceived     EventKind = "got"   // a client has the last byte of an answer
+	ConnectionCut      EventKind = "cut"   // a client's connection ended without a complete answer
+	ClientLeft         EventKind = "left"  // a client has closed its connection
+	AttemptArrived     EventKind = "reach" // a server has the last byte of a request
+	AttemptAnswered    EventKind = "reply" // it has answered it
+	AttemptBroken      EventKind = "broke" // it has ended the connection without an answer, or its process died
+	AttemptCanceled    EventKind = "given" // it saw the node close the connection
+	ServerStarted      EventKind = "boot"  // a server's process has started, to warm up
+	SuccessorReady     EventKind = "heir"  // the successor of the node's process is ready, and takes over when this one exits
+	EndpointOverridden EventKind = "hand"  // the node has confirmed an operator's call that disables a server, or enables it if Ready
+	HistoryEnded       EventKind = "end"   // nothing is recorded after
 )
 
 // Kinds of events of worlds whose parts are processes of their own.
 const (
-	ServerDied     = "down"   // a server's process has died, with all attempts that were out at it
-	ProcessStopped = "stall"  // a node's or a server's process is stopped, and its machine goes on
-	ProcessResumed = "resume" // and runs again
-	WatchMuted     = "deaf"   // what discovery writes to the node, on one of its watches or on all, does not arrive from now on; Ready: the end of the watch will be seen
-	WatchUnmuted   = "hears"  // and from now on it does. Ready: on the same connection; otherwise the node gave that one up Duration ago
-	LinkHeld       = "hold"   // what goes between the node and the server is held up
-	LinkReleased   = "free"   // and arrives, what was held first
-	ClientsMuted   = "mute"   // what goes between clients and the node is held up
-	ClientsUnmuted = "speak"  // and arrives
-	ClientsReset   = "sever"  // connections between clients and the node are reset, by neither side
+	ServerDied     EventKind = "down"   // a server's process has died, with all attempts that were out at it
+	ProcessStopped EventKind = "stall"  // a node's or a server's process is stopped, and its machine goes on
+	ProcessResumed EventKind = "resume" // and runs again
+	WatchMuted     EventKind = "deaf"   // what discovery writes to the node, on one of its watches or on all, does not arrive from now on; Ready: the end of the watch will be seen
+	WatchUnmuted   EventKind = "hears"  // and from now on it does. Ready: on the same connection; otherwise the node gave that one up Duration ago
+	LinkHeld       EventKind = "hold"   // what goes between the node and the server is held up
+	LinkReleased   EventKind = "free"   // and arrives, what was held first
+	ClientsMuted   EventKind = "mute"   // what goes between clients and the node is held up
+	ClientsUnmuted EventKind = "speak"  // and arrives
+	ClientsReset   EventKind = "sever"  // connections between clients and the node are reset, by neither side
 )
 
 // Kinds of events that only reports use; no rule is about them.
 const (
-	ConnectionOpened = "conn" // a connection has come up at a server
-	DiscoveryCalled  = "call" // a node has called discovery
-	TryRejected      = "away" // a client's try was rejected
-	RequestBegun     = "wish" // a client's first try
-	ProcessLate      = "late" // a process of the rig was late by Duration: the machine is too slow, or the process was stopped
-	RequestEnded     = "over" // a client's request ended Duration after its first try; Ready: it was served
+	ConnectionOpened EventKind = "conn" // a connection has come up at a server
+	DiscoveryCalled  EventKind = "call" // a node has called discovery
+	TryRejected      EventKind = "away" // a client's try was rejected
+	RequestBegun     EventKind = "wish" // a client's first try
+	ProcessLate      EventKind = "late" // a process of the rig was late by Duration: the machine is too slow, or the process was stopped
+	RequestEnded     EventKind = "over" // a client's request ended Duration after its first try; Ready: it was served
 )
 
 // Event is something that was seen. Which fields matter depends on its kind.
 type Event struct {
 	At       time.Duration `json:"at"`
-	Kind     string        `json:"what"`
+	Kind     EventKind     `json:"what"`
 	Node     string        `json:"node,omitempty"` // an incarnation of a node
 	ID       string        `json:"id,omitempty"`   // of a request, or of a watch
 	Server   string        `json:"server,omitempty"`
--- a/internal/lab/blackbox/fault_test.go
+++ b/internal/lab/blackbox/fault_test.go
@@ -9,8 +9,10 @@
 	"hookwalk.example/hookwalk/internal/lab/checker"
 )
 
-func nodeEvent(t time.Duration, what string) Event   { return Event{At: t, Kind: what} }
-func serverEvent(t time.Duration, what string) Event { return Event{At: t, Kind: what, Server: "s1"} }
+func nodeEvent(t time.Duration, kind EventKind) Event { return Event{At: t, Kind: kind} }
+func serverEvent(t time.Duration, kind EventKind) Event {
+	return Event{At: t, Kind: kind, Server: "s1"}
+}
 func notified(t time.Duration, ready bool) Event {
 	return Event{At: t, Kind: EndpointNotified, Server: "s1", Ready: ready}
 }
@@ -129,7 +131,7 @@
 	}
 	var order []string
 	for _, e := range events {
-		order = append(order, e.Kind)
+		order = append(order, string(e.Kind))
 	}
 	if got := strings.Join(order, " "); got != "start told ask kill" {
 		t.Errorf("merged: %s", got)
--- a/internal/lab/fleet/linkfaults.go
+++ b/internal/lab/fleet/linkfaults.go
@@ -138,7 +138,7 @@
 }
 
 // recordHeld records where links carry nothing, or carry something again: to servers, and to nodes.
-func (l *linkFault) recordHeld(ofServer, ofNode string) {
+func (l *linkFault) recordHeld(ofServer, ofNode blackbox.EventKind) {
 	for i, n := range l.links {
 		if s := l.faults[i].Stall; s[link.Upstream] || s[link.Downstream] {
 			l.rig.recordLink(ofServer, n, serverEnd, nodeEnd)
@@ -170,7 +170,7 @@
 
 // recordLink records an event of a link, if it goes from one kind of end to another: of a node in its present incarnation,
 // and of the server where that is the one that is called.
-func (r *rig) recordLink(event string, n *networkLink, to, from endKind) {
+func (r *rig) recordLink(event blackbox.EventKind, n *networkLink, to, from endKind) {
 	if n.to.kind != to || n.from.kind != from {
 		return
 	}
--- a/internal/lab/fleet/peaks.go
+++ b/internal/lab/fleet/peaks.go
@@ -24,7 +24,7 @@
 
 // Peaks counts what servers and discovery received, at the busiest server and at all together.
 func Peaks(events []blackbox.Event, fault, length time.Duration) []Peak {
-	ofKind := func(kind string) func(blackbox.Event) (string, bool) {
+	ofKind := func(kind blackbox.EventKind) func(blackbox.Event) (string, bool) {
 		return func(e blackbox.Event) (string, bool) { return "", e.Kind == kind }
 	}
 	ofServer := func(e blackbox.Event) (string, bool) { return e.Server, e.Kind == blackbox.AttemptArrived }
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -88,7 +88,7 @@
 
 // recordServers records an event of each server of a worker, and one of each node beside them: a server that is stopped is
 // also a client that does not read.
-func (r *rig) recordServers(w *worker, ofServer, ofNode string) {
+func (r *rig) recordServers(w *worker, ofServer, ofNode blackbox.EventKind) {
 	for _, id := range r.serverIDs(w) {
 		r.nodes.Record(blackbox.Event{Kind: ofServer, Server: id})
 		for n, info := range r.infos {
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -43,8 +43,8 @@
 }
 
 // eventCounts counts the events of a play by their kinds.
-func (p *Result) eventCounts() map[string]int {
-	counts := map[string]int{}
+func (p *Result) eventCounts() map[blackbox.EventKind]int {
+	counts := map[blackbox.EventKind]int{}
 	for _, e := range p.Events {
 		counts[e.Kind]++
 	}
