--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,6 +7,7 @@
 	"reflect"
 
 	"hookwalk.example/hookwalk/balancer"
+	"hookwalk.example/hookwalk/internal/simwire"
 )
 
 // errMaxAttempts says that a changed file has no sound limit of attempts though the one in force has.
@@ -65,7 +66,7 @@
 func (c Config) validatedSettings() (balancer.Settings, error) {
 	settings, err := c.balancerSettings()
 	if err == nil {
-		err = settings.Validate()
+		err = simwire.WithObjectKey(settings.Validate()) // operators know the settings by their keys in the file
 	}
 	if err != nil {
 		return settings, fmt.Errorf("settings: %w", err)
