--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -213,12 +213,27 @@
 		command.Process.Signal(syscall.SIGTERM)
 	}
 	<-ended
+	if kill {
+		n.recordExit()
+	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.command = nil
 	return true
 }
 
+// recordExit records that the incarnation that was killed last has exited.
+func (n *node) recordExit() {
+	n.recorder.record(func(o *Observations) {
+		for i := range o.Incarnations {
+			incarnation := &o.Incarnations[i]
+			if incarnation.Node == n.index && incarnation.Killed != 0 && incarnation.Exited == 0 {
+				incarnation.Exited = n.recorder.now()
+			}
+		}
+	})
+}
+
 // beginStop marks the incarnation as ending and records when; nil if there is none.
 func (n *node) beginStop(kill bool) (command *exec.Cmd, ended <-chan struct{}) {
 	n.mu.Lock()
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -42,6 +42,7 @@
 	Node       int
 	Started    time.Duration
 	Terminated time.Duration // when it was sent SIGTERM; 0: never
+	Exited     time.Duration // when the process that was killed had ended; 0: not yet, or it was not killed
 	Killed     time.Duration // when it was sent SIGKILL; 0: never
 }
 
--- a/internal/lab/soak/violations_test.go
+++ b/internal/lab/soak/violations_test.go
@@ -45,6 +45,8 @@
 		"no answer on an idle connection": {Observations{Requests: requests(func(a *Request) { a.Status = 0 })}, ""},
 		"no answer on a new connection":   {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true })}, "lost"},
 		"its node was killed":             {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 11 * second}}}, ""},
+		"its killed node still accepts":   {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 9990 * time.Millisecond, Exited: 10010 * time.Millisecond}}}, ""},
+		"its node was dead before":        {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 9 * second, Exited: 9990 * time.Millisecond}}}, "lost"},
 		"rejected without Retry-After":    {Observations{Requests: requests(func(a *Request) { a.Status = 503 })}, "lost"},
 		"sent after the client was gone":  {Observations{Requests: requests(func(a *Request) { a.ClientGone = 10 * second }), Attempts: []*Attempt{attempt(10300*time.Millisecond, unchanged)}}, "lost"},
 		"too large a budget":              {Observations{Requests: answered, Attempts: []*Attempt{attempt(10*second, func(a *Attempt) { a.Budget = 2300 * time.Millisecond })}}, "budget"},
