--- a/cmd/hookwalk/blackbox_test.go
+++ b/cmd/hookwalk/blackbox_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"flag"
 	"os"
+	"strings"
 	"testing"
 
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
@@ -43,6 +44,11 @@
 	for _, v := range blackbox.Check(h, events) {
 		t.Error(v)
 	}
+	for _, e := range events {
+		if e.Kind == blackbox.NodeStarted && strings.HasSuffix(e.Node, ".1") && e.At > 0 {
+			t.Errorf("%s was up before the play and is recorded as started at %v", e.Node, e.At)
+		}
+	}
 	if len(events) < 500 {
 		t.Errorf("only %d events", len(events))
 	}
--- a/internal/lab/loopback/clock.go
+++ b/internal/lab/loopback/clock.go
@@ -18,6 +18,17 @@
 	return time.Duration(t.Nano())
 }
 
+// incarnationStart is the present time, for an incarnation that begins. One that begins before the play, while the world
+// comes up, counts from the play's start: the clock is restarted then, and a start recorded some milliseconds into the
+// earlier count would stand behind the first requests, as if the node had forgotten them. A worker's clock has its start
+// from the first, see beforeStart.
+func (w *World) incarnationStart() time.Duration {
+	if w.worker == nil && !w.playing.Load() {
+		return min(w.now(), 0)
+	}
+	return w.now()
+}
+
 // restartClock begins the scenario's time now that all nodes are ready. Servers have done nothing yet and discovery knows
 // no start times, so nothing holds an earlier time; what nodes were notified of so far counts as of the start.
 func (w *World) restartClock() { w.setClock(Monotonic(), time.Now()) }
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	list := p.world.lists.bootstrapList(p)
-	p.world.observations.nodeStarted(p.world.now(), name, list)
+	p.world.observations.nodeStarted(p.world.incarnationStart(), name, list)
 	started, err := p.launch(list)
 	if err != nil {
 		return err
--- a/internal/lab/loopback/world.go
+++ b/internal/lab/loopback/world.go
@@ -60,6 +60,7 @@
 	dir          string
 	startTick    atomic.Int64 // of the play, on the system's monotonic clock, as all its processes read it
 	startWall    atomic.Int64 // the same moment in Unix time, in ns
+	playing      atomic.Bool  // Play has begun: the clock is that of the play
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	wg           sync.WaitGroup
@@ -239,6 +240,7 @@
 		return nil, nil, err
 	}
 	w.restartClock()
+	w.playing.Store(true)
 	failed := make(chan error, 1)
 	w.goOwned(func() {
 		if err := w.applyChanges(changes); err != nil {
