--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,9 @@
 	// windowGain is the attempts by which an answer in good time raises the window, times the free part of
 	// the target.
 	windowGain = 1.0
-	// windowLoss is the attempts by which an answer lowers the window while the mean is above the target.
+	// windowLoss is the attempts by which an answer lowers the window while the mean is above the target: a
+	// tenth of the window by as many answers as it holds. Answers to attempts that were sent before the
+	// first step come late too; larger steps would punish one overload many times.
 	windowLoss = 0.1
 	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns
 	// nothing of what the tiers below can take.
@@ -130,7 +132,8 @@
 
 // keepWindowFloor keeps a window at its floor. The floor follows the list of servers down at once, and up
 // only by answers in good time: a list that grows in a surge says nothing of the tiers below, which a floor
-// that grew with it would overload.
+// that grew with it would overload. floorServers is fractional: it is a replica's part of the servers, and
+// grows with the window by parts of an attempt.
 func (p *pool) keepWindowFloor() {
 	p.floorServers = min(p.floorServers, p.serversPerReplica)
 	p.window = max(p.window, minWindow, minWindowPerServer*p.floorServers)
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -7,7 +7,8 @@
 // A stream is one attempt: admitted, placed and counted like any other call, and never moved once it is open.
 //
 // plugin.go has the interceptors, tier.go the engine that channels share, balancer.go the resolver, balancer and picker of
-// grpc-go, stream.go streams, outcomes.go how the library's errors map to outcomes of attempts.
+// grpc-go, stream.go streams, source.go where the servers of a tier come from, outcomes.go how the library's errors map to
+// outcomes of attempts.
 package grpcbalancer
 
 import (
@@ -41,8 +42,8 @@
 // client stops listening: only the rejection says that nothing ran.
 const answerMargin = 20 * time.Millisecond
 
-// answerMarginShare: of a short budget, the margin is the 50th part.
-const answerMarginShare = 50
+// answerMarginDivisor: of a short budget, the margin is the 50th part.
+const answerMarginDivisor = 50
 
 // plugin is the state that the channels of one DialOptions share.
 type plugin struct {
@@ -80,14 +81,14 @@
 		// A short backoff: while the library waits to reconnect, all that the engine sends to the server fails.
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}),
-		grpc.WithChainUnaryInterceptor(p.unary),
-		grpc.WithChainStreamInterceptor(p.stream),
+		grpc.WithChainUnaryInterceptor(p.interceptUnary),
+		grpc.WithChainStreamInterceptor(p.interceptStream),
 	}, nil
 }
 
-// unary is the interceptor of unary calls: the engine admits, places and retries a call and gives its one final answer.
-func (p *plugin) unary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	t, err := p.acquireTier(ctx, cc)
+// interceptUnary is the interceptor of unary calls: the engine admits, places and retries a call and gives its one final answer.
+func (p *plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
+	t, err := p.waitForTier(ctx, cc)
 	if err != nil {
 		return err
 	}
@@ -111,7 +112,7 @@
 	if end, ok := ctx.Deadline(); ok {
 		r.Budget = time.Until(end)
 	}
-	r.Budget -= min(r.Budget/answerMarginShare, answerMargin)
+	r.Budget -= min(r.Budget/answerMarginDivisor, answerMargin)
 	md, _ := metadata.FromOutgoingContext(ctx)
 	r.Tenant = firstValue(md, TenantKey)
 	r.Request = balancer.Request{ID: strconv.FormatUint(t.lastCallID.Add(1), 10), Class: p.config.Methods[method],
@@ -119,9 +120,9 @@
 	return r
 }
 
-// acquireTier makes a call a user of its channel's tier. A new channel has none before its resolver is built, and a new
+// waitForTier makes a call a user of its channel's tier. A new channel has none before its resolver is built, and a new
 // tier waits for its first list. The library builds no second resolver for a channel whose first failed.
-func (p *plugin) acquireTier(ctx context.Context, cc *grpc.ClientConn) (*tier, error) {
+func (p *plugin) waitForTier(ctx context.Context, cc *grpc.ClientConn) (*tier, error) {
 	for {
 		p.mu.Lock()
 		t, changed, err := p.tier, p.changed, p.err
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -31,9 +31,9 @@
 	outcome      balancer.Outcome
 }
 
-// stream is the interceptor of streams: the engine admits and places a stream; the client gets it when it is open.
-func (p *plugin) stream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	t, err := p.acquireTier(ctx, cc)
+// interceptStream is the interceptor of streams: the engine admits and places a stream; the client gets it when it is open.
+func (p *plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+	t, err := p.waitForTier(ctx, cc)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 }
 
 // result is the outcome of the attempt, and its latency until the first message.
-func (s *stream) result(err error) (how balancer.Outcome, latency time.Duration) {
+func (s *stream) result(err error) (outcome balancer.Outcome, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstMessage > 0 {
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -184,13 +184,13 @@
 }
 
 // streamAttempt makes an attempt of a stream.
-func (t *tier) streamAttempt(a *attempt) (how balancer.Outcome, latency time.Duration, err error) {
+func (t *tier) streamAttempt(a *attempt) (outcome balancer.Outcome, latency time.Duration, err error) {
 	s, err := t.openStream(a)
 	if s == nil {
 		return outcomeOf(a, err, nil), 0, err
 	}
-	how, latency = s.result(err)
-	return how, latency, err
+	outcome, latency = s.result(err)
+	return outcome, latency, err
 }
 
 // Retire implements engine.Sender. Channels close the connections of servers that have left their list themselves.
--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// The token of a balancer's timer for a request is one of these, a colon and the request's ID.
+// The token of a balancer's timer for a request is one of these, a colon and the request's ID. They repeat queueTimer and
+// delayTimer of balancer/timers.go, which the balancer does not export.
 const (
 	queueTimer = "r" // of a queued request
 	delayTimer = "d" // of a request that a fault injection delays
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -34,7 +34,7 @@
 	case balancer.WatchFailed:
 		return record{Kind: kindWatchFailed}, nil
 	case balancer.LeaseChanged:
-		return record{Kind: kindEndpointLease, Expired: e.Expired}, nil
+		return record{Kind: kindLeaseChanged, Expired: e.Expired}, nil
 	case balancer.ResponseStarted:
 		return record{Kind: kindResponseStarted, ID: escapeText(e.ID), Attempt: e.Attempt}, nil
 	case balancer.ClientGone:
@@ -42,7 +42,7 @@
 	case balancer.StartFaultInjection:
 		return record{Kind: kindStartFaultInjection, Name: e.Name}, nil
 	case balancer.EndFaultInjections:
-		return record{Kind: kindShuttingDown}, nil
+		return record{Kind: kindEndFaultInjections}, nil
 	case balancer.AdminOverride:
 		return record{Kind: kindAdminOverride, Server: escapeText(e.Server), Disabled: e.Disabled}, nil
 	case balancer.SettingsChanged:
@@ -72,7 +72,7 @@
 		return e, nil
 	case kindWatchFailed:
 		return balancer.WatchFailed{}, nil
-	case kindEndpointLease:
+	case kindLeaseChanged:
 		return balancer.LeaseChanged{Expired: r.Expired}, nil
 	case kindResponseStarted:
 		return balancer.ResponseStarted{ID: unescapeText(r.ID), Attempt: r.Attempt}, nil
@@ -80,7 +80,7 @@
 		return balancer.ClientGone{ID: unescapeText(r.ID)}, nil
 	case kindStartFaultInjection:
 		return balancer.StartFaultInjection{Name: r.Name}, nil
-	case kindShuttingDown:
+	case kindEndFaultInjections:
 		return balancer.EndFaultInjections{}, nil
 	case kindAdminOverride:
 		return balancer.AdminOverride{Server: unescapeText(r.Server), Disabled: r.Disabled}, nil
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -33,11 +33,11 @@
 	kindTimerFired          recordKind = "timer"       // balancer.TimerFired
 	kindEndpointUpdate      recordKind = "list"        // balancer.EndpointUpdate
 	kindWatchFailed         recordKind = "list_failed" // balancer.WatchFailed
-	kindEndpointLease       recordKind = "list_lease"  // balancer.EndpointLease
+	kindLeaseChanged        recordKind = "list_lease"  // balancer.LeaseChanged
 	kindResponseStarted     recordKind = "started"     // balancer.ResponseStarted
 	kindClientGone          recordKind = "client_gone" // balancer.ClientGone
 	kindStartFaultInjection recordKind = "drill"       // balancer.StartFaultInjection
-	kindShuttingDown        recordKind = "leaving"     // balancer.ShuttingDown
+	kindEndFaultInjections  recordKind = "leaving"     // balancer.EndFaultInjections
 	kindAdminOverride       recordKind = "hand"        // balancer.AdminOverride
 	kindSettingsChanged     recordKind = "retune"      // balancer.SettingsChanged
 )
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -39,12 +39,12 @@
 	nextWarning time.Time
 }
 
-// New begins a capture of a Balancer that has seen no event yet. module are the settings and seed the seed that it was made
-// with. Errors are logged, at most one every ten seconds, and stop nothing.
-func New(set settings.Capture, node string, bal *balancer.Balancer, module balancer.Settings, seed uint64,
+// New begins a capture of a Balancer that has seen no event yet. balancerSettings are the settings and seed the seed
+// that it was made with. Errors are logged, at most one every ten seconds, and stop nothing.
+func New(set settings.Capture, node string, bal *balancer.Balancer, balancerSettings balancer.Settings, seed uint64,
 	stderr io.Writer, log *slog.Logger) *Writer {
 	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringBytes),
-		head: head{Version: Version, Node: node, Began: time.Now().UnixNano(), Seed: seed, Settings: module}}
+		head: head{Version: Version, Node: node, Began: time.Now().UnixNano(), Seed: seed, Settings: balancerSettings}}
 	if set.Folder != "" {
 		w.folder = openFolder(set.Folder, set.FileBytes)
 	}
--- a/internal/endpointlease/availability.go
+++ b/internal/endpointlease/availability.go
@@ -38,7 +38,8 @@
 	unresponsive
 )
 
-// Unavailable says whether discovery can't be reached, or has sent nothing for long. Any activity ends that.
+// Unavailable says whether the node may serve on its list without discovery: unreachable, downBehindProxy or
+// unresponsive. Any activity ends that.
 func (t *Tracker) Unavailable() bool { return t.availability != available }
 
 // Connected notes that a poll's connection has come up: discovery can be reached, whether or not it answers.
--- a/internal/endpointlease/availability_test.go
+++ b/internal/endpointlease/availability_test.go
@@ -38,7 +38,7 @@
 		"down behind a proxy: late rejections after the watch ended": {
 			options: polled,
 			events:  func(tracker *Tracker) { watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s) },
-			at:      7 * s, wakeAt: 8100*ms + firstBackoff*4/10, expires: 12 * s, state: Aging,
+			at:      7 * s, wakeAt: 8100*ms + watchEndBackoff*4/10, expires: 12 * s, state: Aging,
 		},
 		"an immediate rejection after late ones": {
 			options: polled,
@@ -65,7 +65,7 @@
 				tracker.StreamFailed(2)
 				tracker.StreamEnded(2, 5*s)
 			},
-			at: 5 * s, wakeAt: 5*s + firstBackoff*2/10, expires: 7 * s, state: Aging,
+			at: 5 * s, wakeAt: 5*s + watchEndBackoff*2/10, expires: 7 * s, state: Aging,
 		},
 		"polls that are reset renew no lease": {
 			options: polled,
--- a/internal/endpointlease/backoff.go
+++ b/internal/endpointlease/backoff.go
@@ -5,9 +5,9 @@
 // The wait after a poll that failed or a watch that ended. An overloaded discovery spends on each rejection some of what
 // it could serve: 300 nodes that polled again within 0.8 s kept it from serving any of them for 15 s.
 const (
-	// firstBackoff is the wait after a watch that ended. It doubles with each poll that failed since the last list: 300 ms
-	// after the first one, for a failed poll counts before its wait is computed.
-	firstBackoff = 150 * time.Millisecond
+	// watchEndBackoff is the wait after a watch's end. It doubles with each poll that failed since the last list, and a failed
+	// poll counts before its wait is computed: 150 ms after a watch's end, 300 ms after the first failed poll.
+	watchEndBackoff = 150 * time.Millisecond
 	// maxBackoff bounds the wait: a node must find within NotificationDeadline that discovery is back.
 	maxBackoff = 2500 * time.Millisecond
 	// maxBackoffDoublings keeps the wait from overflowing; maxBackoff is reached before.
@@ -35,12 +35,12 @@
 // backoff is the wait before the next poll after a stream has ended. The jitter, from 0 to 1, says where in the range this
 // node acts: from minBackoffShare to all of the wait, and from half of it where the least wait matters.
 func (t *Tracker) backoff(jitter float64) time.Duration {
-	wait := min(exponential(firstBackoff, t.consecutiveFailures), t.maxBackoff())
+	wait := min(exponential(watchEndBackoff, t.consecutiveFailures), t.maxBackoff())
 	if t.Pushed && t.Unavailable() {
 		return halfJittered(min(wait, maxBackoffPushedUnavailable), jitter)
 	}
 	if t.malformedLists > freeMalformedLists {
-		return halfJittered(max(wait, min(exponential(firstBackoff, t.malformedLists), maxMalformedBackoff)), jitter)
+		return halfJittered(max(wait, min(exponential(watchEndBackoff, t.malformedLists), maxMalformedBackoff)), jitter)
 	}
 	return time.Duration((minBackoffShare + (1-minBackoffShare)*jitter) * float64(wait))
 }
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -56,7 +56,7 @@
 		expires = max(expires, t.unavailablePollAt+NotificationDeadline)
 	}
 	switch {
-	case t.hasWatch():
+	case t.hasWatch(): // any open watch, even a silent one: what is left is NotificationDeadline
 	case t.Pushed:
 		expires = min(expires, t.lastWatchEndedAt+pushedGrace)
 	case len(t.streams) == 0:
@@ -82,6 +82,8 @@
 // has confirmed since is out of date: discovery counts as slow again and, at slowUntil, as unresponsive.
 func (t *Tracker) AdvanceLease(now time.Duration) LeaseCheck {
 	if t.availability != unresponsive && now >= t.Expires() {
+		// The lease has ended in spite of an outage: no later poll has confirmed it, or a change may have come before it.
+		// So it excuses no further serving, and discovery counts as slow: available, but silent.
 		t.availability = available
 		if t.pollingStarted && now >= t.slowUntil() {
 			t.availability = unresponsive
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -52,7 +52,7 @@
 				openWatch(tracker, s, 2*s)
 				tracker.StreamEnded(1, 3*s)
 			},
-			at: 3 * s, wakeAt: 3*s + firstBackoff/10, expires: 8 * s, state: Aging,
+			at: 3 * s, wakeAt: 3*s + watchEndBackoff/10, expires: 8 * s, state: Aging,
 		},
 		"a shorter poll interval": {
 			options: Options{MaxPollInterval: 2 * s},
@@ -60,7 +60,7 @@
 				openWatch(tracker, s, 2*s)
 				tracker.StreamEnded(1, 3*s)
 			},
-			at: 3 * s, wakeAt: 3*s + firstBackoff/10, expires: 3 * s, state: Expired,
+			at: 3 * s, wakeAt: 3*s + watchEndBackoff/10, expires: 3 * s, state: Expired,
 		},
 		"a silent watch that is heard again": {
 			options: polled,
@@ -164,7 +164,7 @@
 				openWatch(tracker, s, s)
 				tracker.StreamEnded(1, 2*s)
 			},
-			at: 2 * s, wakeAt: 2*s + firstBackoff/10, expires: 2*s + pushedGrace, state: Aging,
+			at: 2 * s, wakeAt: 2*s + watchEndBackoff/10, expires: 2*s + pushedGrace, state: Aging,
 		},
 		"pushed, an unreachable agent": {
 			options: pushed,
--- a/internal/endpointlease/schedule_test.go
+++ b/internal/endpointlease/schedule_test.go
@@ -44,7 +44,7 @@
 				tracker.StreamOpened(s, 0)
 				tracker.StreamEnded(1, 2*s)
 			},
-			at: 2 * s, wakeAt: 2*s + firstBackoff/5, expires: 6 * s, state: Aging,
+			at: 2 * s, wakeAt: 2*s + watchEndBackoff/5, expires: 6 * s, state: Aging,
 		},
 		"a poll that failed after a list": {
 			options: rarelyPolled,
@@ -86,7 +86,7 @@
 		"a second malformed list": {
 			options: polled,
 			events:  func(tracker *Tracker) { bringMalformed(tracker, 2, s) },
-			at:      s, wakeAt: s + 2*firstBackoff, expires: 6 * s, state: Aging,
+			at:      s, wakeAt: s + 2*watchEndBackoff, expires: 6 * s, state: Aging,
 		},
 		"a second malformed list, and a poll requested": {
 			options: polled,
@@ -94,7 +94,7 @@
 				bringMalformed(tracker, 2, s)
 				tracker.RequestPoll()
 			},
-			at: s, wakeAt: s + 2*firstBackoff, expires: 6 * s, state: Aging,
+			at: s, wakeAt: s + 2*watchEndBackoff, expires: 6 * s, state: Aging,
 		},
 	})
 }
--- a/internal/metrics/flush.go
+++ b/internal/metrics/flush.go
@@ -130,7 +130,8 @@
 	r.batch, r.droppedInBatch = r.batch[:0], 0
 }
 
-// drop counts a dropped batch, and logs how many there were since the last such line, at most once in a warnInterval.
+// drop counts a dropped batch, and logs how many batches were dropped since the last such line, at most one line in a
+// warnInterval.
 func (r *Reporter) drop(err error) {
 	r.dropped++
 	r.droppedSinceWarning++
--- a/internal/node/accesscontrol.go
+++ b/internal/node/accesscontrol.go
@@ -35,13 +35,13 @@
 // address of the connection.
 //
 // The header is read by the goroutine that serves the connection, never by the one that accepts: a slow proxy holds up
-// nobody else. A connection that breaks the protocol is logged and closed; the HTTP server sees it end.
+// nobody else. A connection that breaks the protocol is logged and closed; net/http sees it end.
 type identifiedConn struct {
 	net.Conn
 	access     *accessControl
 	acceptedAt time.Time
-	peerAddr   netip.Addr
-	fromProxy  bool // the peer is a trusted proxy
+	remoteAddr netip.Addr
+	fromProxy  bool // remoteAddr is that of a trusted proxy
 
 	once       sync.Once
 	clientAddr netip.Addr
@@ -57,26 +57,26 @@
 func (a *accessControl) identify(nc net.Conn) *identifiedConn {
 	c := &identifiedConn{Conn: nc, access: a, acceptedAt: time.Now(), buffered: bufio.NewReaderSize(nc, proxyHeaderBuffer)}
 	if addr, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
-		c.peerAddr = addr.AddrPort().Addr().Unmap().WithZone("")
+		c.remoteAddr = addr.AddrPort().Addr().Unmap().WithZone("")
 	}
-	c.fromProxy = a.accessList.TrustsProxy(c.peerAddr)
+	c.fromProxy = a.accessList.TrustsProxy(c.remoteAddr)
 	return c
 }
 
-// RemoteAddr is the client's address. The HTTP server asks for it first of all, in the connection's goroutine.
+// RemoteAddr is the client's address. net/http asks for it first of all, in the connection's goroutine.
 func (c *identifiedConn) RemoteAddr() net.Addr {
 	c.resolveClient()
-	if c.clientAddr == c.peerAddr || !c.clientAddr.IsValid() {
+	if c.clientAddr == c.remoteAddr || !c.clientAddr.IsValid() {
 		return c.Conn.RemoteAddr()
 	}
 	return &net.TCPAddr{IP: c.clientAddr.AsSlice()}
 }
 
-// resolve finds the client's address, once. On a connection from a trusted proxy it waits for the PROXY header, for no
+// resolveClient finds the client's address, once. On a connection from a trusted proxy it waits for the PROXY header, for no
 // longer than the proxy header timeout.
 func (c *identifiedConn) resolveClient() {
 	c.once.Do(func() {
-		c.clientAddr = c.peerAddr
+		c.clientAddr = c.remoteAddr
 		if !c.fromProxy {
 			return
 		}
@@ -94,9 +94,9 @@
 	})
 }
 
-// closeWith logs why the connection broke the PROXY protocol and closes it. The HTTP server reads its end.
+// closeWith logs why the connection broke the PROXY protocol and closes it. net/http reads its end.
 func (c *identifiedConn) closeWith(err error) {
-	c.access.log.Warn("connection closed", "client", c.peerAddr, "err", err)
+	c.access.log.Warn("connection closed", "client", c.remoteAddr, "err", err)
 	c.closeErr = io.EOF
 	c.Conn.Close()
 }
@@ -167,6 +167,6 @@
 
 // deniedRequest is the request of a denied client, for the log and the counters: nothing more of it is read.
 func deniedRequest(r *http.Request, client netip.Addr) *clientRequest {
-	return &clientRequest{Call: engine.Call{Tenant: r.Header.Get(headerClientName), AccessDenied: true,
+	return &clientRequest{Call: engine.Call{Tenant: r.Header.Get(headerTenant), AccessDenied: true,
 		Request: balancer.Request{ID: r.Header.Get(headerRequestID), Class: r.Header.Get(headerClass), Client: client}}}
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -21,13 +21,13 @@
 // CheckReady returns why the process does not take clients, or nil. A process that is out of service takes whoever comes
 // all the same: that it is out of service is for the load balancer in front of the nodes to know, from /ready.
 func (s adminService) CheckReady() error {
-	if !s.node.peerProcess.isSynced() {
+	if !s.node.otherProcess.isSynced() {
 		return errNotSynced
 	}
 	switch machine := s.node.lifecycle.Load(); {
 	case machine.ShuttingDown():
 		return errShuttingDown
-	case !s.node.hasEndpointList.Load():
+	case !s.node.initialListSettled.Load():
 		return errNoList
 	case !machine.Running() || !s.node.engine.HasListedServer():
 		return errNoListedServer
@@ -48,7 +48,7 @@
 	if err := s.node.engine.SetServerDisabled(ctx, id, disabled); err != nil {
 		return err
 	}
-	s.node.replicate(ctx, hotrestart.Message{Server: id, Disabled: disabled})
+	s.node.recordOperatorCall(ctx, hotrestart.Message{Server: id, Disabled: disabled})
 	return nil
 }
 
@@ -56,6 +56,6 @@
 func (s adminService) SetInService(ctx context.Context, inService bool) error {
 	s.node.setInService(inService)
 	outOfService := !inService
-	s.node.replicate(ctx, hotrestart.Message{OutOfService: &outOfService})
+	s.node.recordOperatorCall(ctx, hotrestart.Message{OutOfService: &outOfService})
 	return nil
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -22,17 +22,21 @@
 	errResponseTimeout     = errors.New("no response before the deadline")
 )
 
+// notFromFirstByte is given to engine.Attempt.Sent in place of the announced timeout: that of a streamed request does not
+// run from the first byte that was written.
+const notFromFirstByte = 0
+
 // attemptRun is one attempt under way, in the goroutine that Start made for it.
 //
 // Its outcome decides whether the request may be sent again. So it must never say that a request did not run which may have
 // run: from the last byte on that is so, whatever comes after.
 //
-//	NotSent          nothing was written, for reasons of the node's own or of the client
+//	NotSent          no complete request was written, for reasons of the node or of the client
 //	Unreachable      the request was not completely written: it can't have run
 //	Overloaded       the server says that it did not run the request
 //	ConnectionLost   completely written, and no complete response came
 //	TimedOut         the same, at the deadline
-//	Failure          a response other than 200 or a rejection: it may have run
+//	Failure          any response that is neither a 200 nor a marked rejection: it may have run
 //	Canceled         the response could not be passed to the client
 type attemptRun struct {
 	pool *connPool
@@ -48,7 +52,7 @@
 }
 
 func (a *attemptRun) run() *engine.Result {
-	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.incomplete()) {
+	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.unsendable()) {
 		return a.ended(balancer.NotSent) // a part of its body is gone
 	}
 	if !a.att.MaySend(a.pool.clock.Now()) {
@@ -82,7 +86,7 @@
 // is the server's fault. It returns the attempt's result if there is none.
 func (a *attemptRun) connect() (failure *engine.Result) {
 	for {
-		c, fresh, err := a.pool.acquire(a.att)
+		c, fresh, err := a.pool.acquireOrDial(a.att)
 		if errors.Is(err, errNoDescriptor) {
 			return a.ended(balancer.NotSent)
 		}
@@ -128,7 +132,7 @@
 	}
 	outcome := a.conn.incompleteSendOutcome()
 	a.pool.close(a.conn)
-	if a.req.remaining.incomplete() {
+	if a.req.remaining.unsendable() {
 		return 0, a.ended(balancer.NotSent) // the client's fault: it says nothing of the server
 	}
 	return 0, a.failed(outcome, err)
@@ -136,7 +140,7 @@
 
 func (a *attemptRun) writeStreamed() error {
 	began := a.pool.clock.Now()
-	defer a.att.Sent(began, 0)
+	defer a.att.Sent(began, notFromFirstByte)
 	out := upstreamRequest(a.req, a.att.Timeout)
 	out.ContentLength = a.req.contentLength
 	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.req.body), remainingBody{a.req.remaining}))
@@ -144,7 +148,7 @@
 	if err := out.Write(w); err != nil {
 		return err
 	}
-	if a.req.remaining.incomplete() { // what came of it would pass as the whole body
+	if a.req.remaining.unsendable() { // what came of it would pass as the whole body
 		return errRequestBody
 	}
 	a.pool.mu.Lock()
@@ -171,7 +175,9 @@
 	return balancer.Unreachable
 }
 
-// receive waits for the response and makes the connection idle, or closes it. Latency counts from began.
+// receive waits for the response and makes the connection idle, or closes it. Where the request's
+// body or the response is streamed, Latency counts from began and is at least 1. Else it is 0: the engine counts from the
+// attempt's start.
 func (a *attemptRun) receive(began time.Duration) *engine.Result {
 	response := <-a.conn.responses
 	switch {
@@ -217,7 +223,7 @@
 	return true
 }
 
-// outcomeOf returns the outcome that a response means. A 503 or 504 without the mark of a rejection may come from a
+// responseOutcome returns the outcome that a response means. A 503 or 504 without the mark of a rejection may come from a
 // request that ran.
 func responseOutcome(head *http.Response) balancer.Outcome {
 	unavailable := head.StatusCode == http.StatusServiceUnavailable || head.StatusCode == http.StatusGatewayTimeout
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -206,7 +206,7 @@
 	if got := p.runAttempt(att).Outcome; got != balancer.Success {
 		t.Fatalf("ended %v", got)
 	}
-	c, fresh, err := p.acquire(att)
+	c, fresh, err := p.acquireOrDial(att)
 	if err != nil || fresh {
 		t.Fatalf("fresh %v, %v", fresh, err)
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -39,22 +39,29 @@
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.readAhead.stopReader()
 	n, err := c.head.Read(b)
-	for n == 0 && len(b) == 1 && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.outlivesDeadline() {
+	for n == 0 && isBackgroundRead(b) && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.outlivesDeadline() {
 		n, err = c.head.Read(b)
 	}
 	if n > 0 && !c.listener.markActive(c) {
 		return 0, io.EOF
 	}
-	if n == 1 && len(b) == 1 { // net/http's background read while a request is open
-		c.readAhead.serverReadByte()
+	if n == 1 && isBackgroundRead(b) {
+		c.readAhead.httpReadByte()
 	}
 	return n, err
 }
 
-// SetReadDeadline sets the HTTP server's deadline.
+// backgroundReadSize is the size in bytes of the buffer of net/http's background read, by which it waits for the client's
+// leaving while a request is open. Its other reads have larger buffers, but where a single byte of one is left.
+const backgroundReadSize = 1
+
+// isBackgroundRead reports whether a read into b looks like net/http's background read, which has no other sign.
+func isBackgroundRead(b []byte) bool { return len(b) == backgroundReadSize }
+
+// SetReadDeadline sets net/http's deadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error { return c.readAhead.setReadDeadline(t) }
 
-// CloseWrite closes the sending side. The HTTP server also calls it where it leaves something unread.
+// CloseWrite closes the sending side. net/http also calls it where it leaves something unread.
 func (c *clientConn) CloseWrite() error {
 	nc := c.Conn
 	if identified, ok := nc.(*identifiedConn); ok {
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -142,7 +142,7 @@
 }
 
 // stopAccepting closes the listener, of which the successor has a copy. Accept returns only after Close: an error from
-// it would end the HTTP server and with it the connections that are still served.
+// it would end net/http's server and with it the connections that are still served.
 func (l *clientListener) stopAccepting() {
 	l.handedOver.Store(true)
 	l.Listener.Close()
@@ -155,7 +155,7 @@
 	return l.openConns
 }
 
-// connStateChanged is told by the HTTP server which state a connection has come to.
+// connStateChanged is told by net/http which state a connection has come to.
 func (l *clientListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	switch c := nc.(*clientConn); state {
 	case http.StateIdle:
@@ -217,8 +217,8 @@
 	l.shuttingDown = true
 	for e := l.idleConns.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
-		closedByServer := c.hasRequested || time.Since(c.acceptedAt) >= newConnectionGrace
-		if c.readClosedAt.IsZero() && closedByServer {
+		closedByHTTPServer := c.hasRequested || time.Since(c.acceptedAt) >= newConnectionGrace
+		if c.readClosedAt.IsZero() && closedByHTTPServer {
 			c.readClosedAt = time.Now()
 		}
 	}
--- a/internal/node/configcompat.go
+++ b/internal/node/configcompat.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"reflect"
@@ -21,6 +22,9 @@
 // optionalPaths are paths below which anything may come and go.
 var optionalPaths = map[string]bool{"known": true, "settings.family-info": true}
 
+// errMaxAttempts says that a changed file has no sound limit of attempts though the one in force has.
+var errMaxAttempts = errors.New("settings.limits.max-attempts must be above 0")
+
 // checkCompatible returns an IncompatibleConfigError if the configuration can't replace an old one while the node runs.
 //
 // It guards against a file that was read while it was written: one that was cut short may still be valid JSON, and
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -17,8 +17,8 @@
 	// idle connections: the node is to close first, else a request could cross the server's close.
 	idleTimeoutDivisor = 2
 
-	// peerShareDivisor leaves each of two processes of the node this part of the connections, while both run.
-	peerShareDivisor = 2
+	// otherProcessShareDivisor leaves each of two processes of the node this part of the connections, while both run.
+	otherProcessShareDivisor = 2
 
 	// upstreamReadBuffer is the read buffer of a connection to a server, in bytes.
 	upstreamReadBuffer = 4 << 10
@@ -63,7 +63,7 @@
 func newConnPool(clock engine.Clock, cfg Config, maxConns int, attemptEnded func(engine.Result),
 	passResponse func(*engine.Attempt, any) bool) *connPool {
 	p := &connPool{clock: clock, dialer: net.Dialer{KeepAlive: -1},
-		bufferLimit: bufferLimit(cfg.MemoryMB, responseMemoryShare, maxConns), maxConns: maxConns, fullMaxConns: maxConns,
+		bufferLimit: bufferLimit(cfg.MemoryMB, responseMemoryDivisor, maxConns), maxConns: maxConns, fullMaxConns: maxConns,
 		attemptEnded: attemptEnded, passResponse: passResponse,
 		conns: map[*upstreamConn]bool{}, idle: list.New(), idleByTarget: map[*engine.Target][]*upstreamConn{}}
 	p.applyConfig(cfg)
@@ -77,13 +77,13 @@
 	p.dialer.Timeout, p.idleTimeout = cfg.connectTimeout, cfg.upstreamIdleTimeout/idleTimeoutDivisor
 }
 
-// shareWithPeer leaves a part of the connections to another process of the node, or takes them back: the two share the
-// platform's limit.
-func (p *connPool) shareWithPeer(sharing bool) {
+// shareWithOtherProcess leaves a part of the connections to another process of the node, or takes them back: the two
+// share the platform's limit.
+func (p *connPool) shareWithOtherProcess(sharing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.maxConns = p.fullMaxConns; sharing {
-		p.maxConns = p.fullMaxConns / peerShareDivisor
+		p.maxConns = p.fullMaxConns / otherProcessShareDivisor
 	}
 }
 
@@ -113,9 +113,9 @@
 	p.goroutines.Wait()
 }
 
-// acquire returns the target's idle connection that was used last, else a new one. It returns errNoDescriptor if there
+// acquireOrDial returns the target's idle connection that was used last, else a new one. It returns errNoDescriptor if there
 // may be no further connection, else the error of connecting.
-func (p *connPool) acquire(att *engine.Attempt) (c *upstreamConn, fresh bool, err error) {
+func (p *connPool) acquireOrDial(att *engine.Attempt) (c *upstreamConn, fresh bool, err error) {
 	deadline := p.clock.ToTime(att.Deadline)
 	p.mu.Lock()
 	if c := p.acquireIdle(att.Target, deadline); c != nil {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -20,11 +20,11 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// listen opens the clients' listener: the one that another process of the node hands over, else one of its own.
+// listenOrTakeOver opens the clients' listener: the one that another process of the node hands over, else one of its own.
 //
 // Where operators can replace the process, its own listener shares the address (SO_REUSEPORT): a process that hangs hands
 // nothing over, and its successor must be able to listen beside it.
-func (n *Node) listen(ctx context.Context) (net.Listener, error) {
+func (n *Node) listenOrTakeOver(ctx context.Context) (net.Listener, error) {
 	var config net.ListenConfig
 	if n.cfg.AdminAddress != "" {
 		if ln := n.takeOver(); ln != nil {
@@ -49,7 +49,7 @@
 // hands nothing over. Then at least the operators' state is restored from disk.
 func (n *Node) takeOver() net.Listener {
 	path, err := hotrestart.SocketPath(os.TempDir(), n.cfg.Name, n.cfg.Listen)
-	n.peerProcess.store = hotrestart.NewStore(path, n.cfg.Name, n.cfg.Listen, func() {
+	n.otherProcess.store = hotrestart.NewStore(path, n.cfg.Name, n.cfg.Listen, func() {
 		n.log.Warn("another process of the node holds the lock of the operator state")
 	})
 	if err != nil {
@@ -57,7 +57,7 @@
 		n.restoreOperatorState()
 		return nil
 	}
-	n.peerProcess.socketPath = path
+	n.otherProcess.socketPath = path
 	handover, ln, conn, err := hotrestart.TakeOver(path, n.cfg.Name, n.cfg.Listen)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
@@ -67,15 +67,15 @@
 		return nil
 	}
 	n.applyHandover(handover)
-	n.peerProcess.conn, n.peerProcess.synced = conn, make(chan struct{})
-	n.pool.shareWithPeer(true)
+	n.otherProcess.conn, n.otherProcess.synced = conn, make(chan struct{})
+	n.pool.shareWithOtherProcess(true)
 	n.log.Info("took over", "servers", len(handover.Endpoints), "disabled", handover.DisabledServers, "out_of_service", handover.OutOfService)
 	return ln
 }
 
 // restoreOperatorState restores from disk which servers operators have disabled, and whether the node is out of service.
 func (n *Node) restoreOperatorState() {
-	saved, snapshot := n.peerProcess.store.Read()
+	saved, snapshot := n.otherProcess.store.Read()
 	for _, err := range snapshot.Errors {
 		n.log.Warn("a file with operator state can't be used", "err", err)
 	}
@@ -107,7 +107,7 @@
 	n.inheritedEndpoints = handover.Endpoints
 	n.discovery.ResumeFrom(handover.ListVersion)
 	n.discovery.InheritAge(handover.ListAge)
-	n.hasEndpointList.Store(true)
+	n.initialListSettled.Store(true)
 	if handover.OutOfService {
 		n.transition(lifecycle.OutOfService)
 	}
@@ -139,9 +139,9 @@
 	if err != nil {
 		return err
 	}
-	n.peerProcess.mu.Lock()
-	defer n.peerProcess.mu.Unlock()
-	if n.peerProcess.closed {
+	n.otherProcess.mu.Lock()
+	defer n.otherProcess.mu.Unlock()
+	if n.otherProcess.closed {
 		return hotrestart.ErrOtherProcessGone
 	}
 	handover := hotrestart.HandoverState{Node: n.cfg.Name, Listen: n.cfg.Listen, Settings: settings,
@@ -155,8 +155,8 @@
 	if err := conn.HandOver(handover, tcp); err != nil {
 		return err
 	}
-	n.peerProcess.replace(conn)
-	n.pool.shareWithPeer(true)
+	n.otherProcess.replace(conn)
+	n.pool.shareWithOtherProcess(true)
 	n.log.Info("handed over")
 	return nil
 }
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -73,11 +73,11 @@
 
 // serveRequest answers a client's request and returns the HTTP status, or statusClientGone or statusTruncated.
 func (h *ingressHandler) serveRequest(w http.ResponseWriter, r *http.Request, tags metrics.Tags) (status int) {
-	req, rejected := h.admitRequest(w, r)
-	if rejected != nil {
+	req, notAccepted := h.readOrMarkDenied(w, r)
+	if notAccepted != nil {
 		endConnection(w) // the body may not have been read to its end
-		http.Error(w, rejected.Reason, rejected.Status)
-		return rejected.Status
+		http.Error(w, notAccepted.Reason, notAccepted.Status)
+		return notAccepted.Status
 	}
 	req.Tags, req.Payload = tags, req
 	conn := connOf(r)
@@ -85,7 +85,7 @@
 		if req.remaining == nil && conn.readAhead.beginRequest() {
 			return statusClientGone
 		}
-		req.ClientGone = conn.readAhead.peerClosed
+		req.ClientGone = conn.readAhead.clientClosed
 	}
 	answer, err := h.engine.Do(r.Context(), &req.Call)
 	if conn != nil && conn.readAhead.endRequest() {
@@ -103,16 +103,18 @@
 	return h.writeResponse(w, answer)
 }
 
-// admitRequest reads a request, or only its head if the access list denies its client.
-func (h *ingressHandler) admitRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, *requestError) {
+// readOrMarkDenied reads and validates a request. notAccepted is the answer to one that breaks the protocol: a 4xx or 505
+// that the engine never sees. Of a client that the access list denies only the head is read. Its request is accepted here
+// and goes to the engine marked as denied: the rejection is the engine's, which logs and counts it.
+func (h *ingressHandler) readOrMarkDenied(w http.ResponseWriter, r *http.Request) (*clientRequest, *requestError) {
 	client, denied := h.deniedClient(r)
 	if denied {
 		closeWithoutReading(w)
 		return deniedRequest(r, client), nil
 	}
-	req, rejected := h.readRequest(w, r)
-	if rejected != nil {
-		return nil, rejected
+	req, notAccepted := h.readRequest(w, r)
+	if notAccepted != nil {
+		return nil, notAccepted
 	}
 	req.Request.Client = client
 	return req, nil
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// initialListWait is how long a node that polls discovery, or finds it unavailable, waits for a first list before the
-	// bootstrap list is used.
-	initialListWait = time.Second
+	// polledListWait is how long a node that polls discovery, or finds it unavailable, waits for a first list before it
+	// settles for the bootstrap list: no list is likely to come soon, and the node is to be ready.
+	polledListWait = time.Second
 
-	// maxInitialListWait is the same where discovery pushes and is available. The bootstrap list may be out of date there,
+	// pushedListWait is the same where discovery pushes and is available. The bootstrap list may be out of date there,
 	// so discovery gets more time.
-	maxInitialListWait = 2500 * time.Millisecond
+	pushedListWait = 2500 * time.Millisecond
 )
 
 // initialList is the first endpoint list that the engine is given.
@@ -61,14 +61,14 @@
 	owned.Go(func() { n.discovery.Run(ctx) })
 	useBootstrapList := func() {
 		n.initialList.apply(ctx, n, nil)
-		n.hasEndpointList.Store(true)
+		n.initialListSettled.Store(true)
 	}
-	first := time.AfterFunc(initialListWait, func() {
+	first := time.AfterFunc(polledListWait, func() {
 		if n.cfg.Settings.PollDiscovery || n.discovery.Unavailable() {
 			useBootstrapList()
 		}
 	})
-	last := time.AfterFunc(maxInitialListWait, useBootstrapList)
+	last := time.AfterFunc(pushedListWait, useBootstrapList)
 	return func() {
 		last.Stop()
 		first.Stop()
@@ -80,7 +80,7 @@
 	if err := n.initialList.apply(ctx, n, &update); err != nil {
 		return err
 	}
-	n.hasEndpointList.Store(true)
+	n.initialListSettled.Store(true)
 	return nil
 }
 
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -154,7 +154,7 @@
 }
 
 // Where discovery pushes, a new process does not begin with its bootstrap list while discovery is slow. If discovery is
-// unavailable it does after initialListWait, if it never answers after maxInitialListWait.
+// unavailable it does after polledListWait, if it never answers after pushedListWait.
 func TestInitialListWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		agent    func(w http.ResponseWriter, r *http.Request)
@@ -171,8 +171,8 @@
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}, false, 1900 * time.Millisecond, 2 * time.Second},
-		"silent": {func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false, maxInitialListWait, maxInitialListWait + 100*time.Millisecond},
-		"away":   {nil, true, initialListWait, initialListWait + 100*time.Millisecond},
+		"silent": {func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, false, pushedListWait, pushedListWait + 100*time.Millisecond},
+		"away":   {nil, true, polledListWait, polledListWait + 100*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,9 +66,9 @@
 	idleClosers        sync.WaitGroup                    // goroutines of closeIdleConnections
 	stopped            chan struct{}                     // closed when clients are no longer served
 
-	hasEndpointList    atomic.Bool // from discovery or the process before, or discovery had its time
+	initialListSettled atomic.Bool // from discovery or the process before, or discovery had its time
 	initialList        initialList
-	peerProcess        peerProcess
+	otherProcess       otherProcess
 	inheritedEndpoints []engine.Endpoint // handed over by the process before; nil: none
 
 	// PeersView returns what this node knows of its peers, for operators; nil: nothing. To be set before Run.
@@ -130,5 +130,5 @@
 // ready reports whether clients are to be sent here: the node knows a usable server, from discovery itself if that
 // answers, and is in service.
 func (n *Node) ready() bool {
-	return n.hasEndpointList.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().TakesNewClients()
+	return n.initialListSettled.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().TakesNewClients()
 }
--- a/internal/node/peerprocess.go
+++ b/internal/node/otherprocess.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// peerAckTimeout is how long the other process may take to confirm what an operator did. The operator's call is owed
-	// an answer within 1 s.
-	peerAckTimeout = 400 * time.Millisecond
+	// otherProcessAckTimeout is how long the other process may take to confirm what an operator did. The operator's call
+	// is owed an answer within 1 s.
+	otherProcessAckTimeout = 400 * time.Millisecond
 
 	// servingAckTimeout is how long the process before may take to confirm that this one serves. Until then operators
 	// are told that this process is not ready.
 	servingAckTimeout = 2 * time.Second
 )
 
-// peerProcess is the other process of the node, while two run for a hot restart. Only a node with an admin address has
+// otherProcess is the other process of the node, while two run for a hot restart. Only a node with an admin address has
 // one. Of two processes the newer is the successor.
-type peerProcess struct {
+type otherProcess struct {
 	socketPath string            // where the processes meet; "": they can't
 	store      *hotrestart.Store // of operators' state on disk; nil: none
 
@@ -34,7 +34,7 @@
 }
 
 // isSynced reports whether this process has everything that the one before it had to tell.
-func (p *peerProcess) isSynced() bool {
+func (p *otherProcess) isSynced() bool {
 	if p.synced == nil {
 		return true
 	}
@@ -47,7 +47,7 @@
 }
 
 // current is the connection to the other process; nil: there is none.
-func (p *peerProcess) current() *hotrestart.Conn {
+func (p *otherProcess) current() *hotrestart.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conn
@@ -55,7 +55,7 @@
 
 // replace makes a process that has just taken over the successor. The newest one counts; the one before is dropped. The
 // caller holds p.mu.
-func (p *peerProcess) replace(conn *hotrestart.Conn) {
+func (p *otherProcess) replace(conn *hotrestart.Conn) {
 	if p.conn != nil {
 		p.conn.Close()
 	}
@@ -63,14 +63,14 @@
 }
 
 // markServing notes that the process at a connection serves clients, if it is still the current one.
-func (p *peerProcess) markServing(conn *hotrestart.Conn) {
+func (p *otherProcess) markServing(conn *hotrestart.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.serving = p.conn == conn
 }
 
 // close ends the connection, and lets nobody take over from here on.
-func (p *peerProcess) close() {
+func (p *otherProcess) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -81,30 +81,30 @@
 
 // successorServing reports whether another process of the node takes the clients that come from now on.
 func (n *Node) successorServing() bool {
-	n.peerProcess.mu.Lock()
-	defer n.peerProcess.mu.Unlock()
-	return n.peerProcess.isSuccessor && n.peerProcess.serving
+	n.otherProcess.mu.Lock()
+	defer n.otherProcess.mu.Unlock()
+	return n.otherProcess.isSuccessor && n.otherProcess.serving
 }
 
-// connectPeers receives from the process that this one took over from, and lets others take over from this one, until
+// connectOtherProcess receives from the process that this one took over from, and lets others take over from this one, until
 // the function that it returns is called. start starts goroutines that serve waits for.
-func (n *Node) connectPeers(ln net.Listener, start func(func())) (disconnect func()) {
-	if n.peerProcess.socketPath == "" {
+func (n *Node) connectOtherProcess(ln net.Listener, start func(func())) (disconnect func()) {
+	if n.otherProcess.socketPath == "" {
 		return func() {}
 	}
-	if conn := n.peerProcess.conn; conn != nil {
-		start(func() { n.receiveFromPeer(conn) })
+	if conn := n.otherProcess.conn; conn != nil {
+		start(func() { n.receiveFromOtherProcess(conn) })
 		start(func() { n.announceServing(conn) })
 	}
-	listener, err := hotrestart.Listen(n.peerProcess.socketPath)
+	listener, err := hotrestart.Listen(n.otherProcess.socketPath)
 	if err != nil {
 		n.log.Warn("no process can take over from this one", "err", err)
-		return n.peerProcess.close
+		return n.otherProcess.close
 	}
 	start(func() { n.acceptSuccessors(listener, ln, start) })
 	return func() {
 		listener.Close()
-		n.peerProcess.close()
+		n.otherProcess.close()
 	}
 }
 
@@ -114,7 +114,7 @@
 	if conn.Send(hotrestart.Message{Serving: true}, servingAckTimeout) != nil {
 		n.log.Warn("the process before this one has gone")
 	}
-	close(n.peerProcess.synced)
+	close(n.otherProcess.synced)
 }
 
 // acceptSuccessors hands over to each process that asks, until the listener is closed.
@@ -129,16 +129,16 @@
 			conn.Close()
 			continue
 		}
-		start(func() { n.receiveFromPeer(conn) })
+		start(func() { n.receiveFromOtherProcess(conn) })
 	}
 }
 
-// receiveFromPeer applies what the other process sends, until one of the two ends.
-func (n *Node) receiveFromPeer(conn *hotrestart.Conn) {
+// receiveFromOtherProcess applies what the other process sends, until one of the two ends.
+func (n *Node) receiveFromOtherProcess(conn *hotrestart.Conn) {
 	conn.Run(func(message hotrestart.Message) {
 		switch {
 		case message.Serving:
-			n.peerProcess.markServing(conn)
+			n.otherProcess.markServing(conn)
 		case message.OutOfService != nil:
 			n.setInService(!*message.OutOfService)
 		case message.Server != "":
@@ -147,26 +147,26 @@
 			}
 		}
 	})
-	n.peerProcess.mu.Lock()
-	defer n.peerProcess.mu.Unlock()
-	if n.peerProcess.conn == conn {
-		n.peerProcess.conn, n.peerProcess.serving = nil, false
-		n.pool.shareWithPeer(false)
+	n.otherProcess.mu.Lock()
+	defer n.otherProcess.mu.Unlock()
+	if n.otherProcess.conn == conn {
+		n.otherProcess.conn, n.otherProcess.serving = nil, false
+		n.pool.shareWithOtherProcess(false)
 	}
 }
 
-// replicate sends what an operator did to the other process, if there is one, and saves it on disk. Neither failure undoes
-// it here: the operator reads it in the log.
-func (n *Node) replicate(ctx context.Context, message hotrestart.Message) {
-	if n.peerProcess.store == nil {
+// recordOperatorCall sends what an operator did to the other process, if there is one, and saves it on disk. Neither
+// failure undoes it here: the operator reads it in the log.
+func (n *Node) recordOperatorCall(ctx context.Context, message hotrestart.Message) {
+	if n.otherProcess.store == nil {
 		return
 	}
-	if conn := n.peerProcess.current(); conn != nil {
-		if err := conn.Send(message, peerAckTimeout); err != nil {
+	if conn := n.otherProcess.current(); conn != nil {
+		if err := conn.Send(message, otherProcessAckTimeout); err != nil {
 			n.log.Warn("an operator's call did not reach the other process", "err", err)
 		}
 	}
-	err := n.peerProcess.store.Save(ctx, func() (hotrestart.OperatorState, error) {
+	err := n.otherProcess.store.Save(ctx, func() (hotrestart.OperatorState, error) {
 		_, _, disabled, err := n.engine.SuccessorState(ctx, func() {})
 		return hotrestart.OperatorState{DisabledServers: disabled, OutOfService: n.lifecycle.Load().IsOutOfService()}, err
 	})
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -25,7 +25,7 @@
 // background read, and stopReader uses it for the same: it tells such a deadline from one that a request body has met.
 const pastDeadlineUnix = 1
 
-// Kernel numbers of the TCP states in which the peer has closed its side.
+// Kernel numbers of the TCP states in which the client has closed its side.
 const (
 	tcpClose     = 7 // reset, or closed in both directions
 	tcpCloseWait = 8 // a FIN has come
@@ -36,8 +36,8 @@
 //
 // It guards against work for clients that are gone: net/http reads one byte ahead of an open request, and once it has
 // that byte it no longer notices when the client closes. A client that pipelined a request, or sent stray bytes, and
-// left would have its request forwarded and run. Here a goroutine keeps reading, keeps up to maxReadAhead bytes for the
-// server, and calls clientGone when the connection ends.
+// left would have its request forwarded and run. Here a goroutine keeps reading, keeps up to maxReadAhead bytes for
+// net/http, and calls clientGone when the connection ends.
 //
 // Ownership: at any time one goroutine reads the socket. Between requests, and while a body is read, that is net/http's
 // goroutine by Read. While a request is open and net/http holds its one byte, it is the goroutine started by
@@ -47,18 +47,18 @@
 	raw        syscall.RawConn    // nil: not a socket
 	clientGone context.CancelFunc // cancels the contexts of all requests on the connection
 
-	mu            sync.Mutex
-	buf           []byte // read from the socket, not taken by the server yet
-	err           error  // how the connection ended, behind buf
-	drained       bool   // the socket had nothing more when it was last looked at
-	requestOpen   bool   // a request is open and its body has been read
-	serverHasByte bool   // net/http holds a byte that came behind that request, and reads no more
-	discarded     int    // bytes that were not kept: the connection has to end with this response
-	readerDone    chan struct{}
-	stopping      bool
-	deadline      time.Time // the read deadline that the server has set
-	scratch       [peekSize]byte
-	peekSocket    func(fd uintptr) bool
+	mu          sync.Mutex
+	buf         []byte // read from the socket, not taken by net/http yet
+	err         error  // how the connection ended, behind buf
+	drained     bool   // the socket had nothing more when it was last looked at
+	requestOpen bool   // a request is open and its body has been read
+	httpHasByte bool   // net/http holds a byte that came behind that request, and reads no more
+	discarded   int    // bytes that were not kept: the connection has to end with this response
+	readerDone  chan struct{}
+	stopping    bool
+	deadline    time.Time // the read deadline that net/http has set
+	scratch     [peekSize]byte
+	peekSocket  func(fd uintptr) bool
 }
 
 func newReadAheadBuffer(nc net.Conn) *readAheadBuffer {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Read reads for the server: first what was read ahead, then from the connection.
+// Read reads for net/http: first what was read ahead, then from the connection.
 func (a *readAheadBuffer) Read(b []byte) (n int, err error) {
 	a.mu.Lock()
 	if n = copy(b, a.buf); n > 0 {
@@ -106,7 +106,7 @@
 		n, err = a.conn.Read(b)
 		more = n < len(b) && err == nil
 	}
-	if more && len(b) > 1 {
+	if more && len(b) > backgroundReadSize {
 		a.peek()
 	}
 	return n, err
@@ -124,11 +124,11 @@
 	a.raw.Read(a.peekSocket)
 }
 
-// serverReadByte notes that net/http holds a byte of what comes behind the open request.
-func (a *readAheadBuffer) serverReadByte() {
+// httpReadByte notes that net/http holds a byte of what comes behind the open request.
+func (a *readAheadBuffer) httpReadByte() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.serverHasByte = true
+	a.httpHasByte = true
 	a.startReader()
 }
 
@@ -139,7 +139,7 @@
 	defer a.mu.Unlock()
 	a.requestOpen = true
 	a.startReader()
-	return a.err != nil || !a.drained && a.peerClosed() // the end may lie behind more than was looked at
+	return a.err != nil || !a.drained && a.clientClosed() // the end may lie behind more than was looked at
 }
 
 // endRequest notes that the request is answered, and reports whether the connection has to end with the response
@@ -154,7 +154,7 @@
 // startReader starts the goroutine that reads on, if a request is open and nobody else reads. The caller holds a.mu.
 // The goroutine ends by stopReader, by the end of the connection, or when it has dropped maxDiscardedReadAhead bytes.
 func (a *readAheadBuffer) startReader() {
-	if a.requestOpen && a.serverHasByte && a.readerDone == nil && a.err == nil {
+	if a.requestOpen && a.httpHasByte && a.readerDone == nil && a.err == nil {
 		a.readerDone = make(chan struct{})
 		go a.readOn(a.readerDone)
 	}
@@ -187,10 +187,10 @@
 	return err != nil || a.stopping || a.discarded > maxDiscardedReadAhead
 }
 
-// stopReader ends the goroutine that reads on, if there is one, and leaves the connection to the server.
+// stopReader ends the goroutine that reads on, if there is one, and leaves the connection to net/http.
 func (a *readAheadBuffer) stopReader() {
 	a.mu.Lock()
-	a.serverHasByte = false
+	a.httpHasByte = false
 	done := a.readerDone
 	if done != nil {
 		a.stopping = true
@@ -207,7 +207,7 @@
 	a.conn.SetReadDeadline(a.deadline)
 }
 
-// setReadDeadline sets the server's deadline. While the goroutine reads on it is only noted: it is not meant for that.
+// setReadDeadline sets net/http's deadline. While the goroutine reads on it is only noted: it is not meant for that.
 func (a *readAheadBuffer) setReadDeadline(t time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -232,9 +232,9 @@
 	return a.conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// peerClosed asks the kernel whether the client has closed its side, whatever is still unread. It is needed where the
+// clientClosed asks the kernel whether the client has closed its side, whatever is still unread. It is needed where the
 // rest of a body waits to be read: the end lies behind it. It reports false where that can't be known.
-func (a *readAheadBuffer) peerClosed() (closed bool) {
+func (a *readAheadBuffer) clientClosed() (closed bool) {
 	if a.raw == nil {
 		return false
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"reflect"
 
@@ -10,9 +9,6 @@
 	"hookwalk.example/hookwalk/internal/simwire"
 )
 
-// errMaxAttempts says that a changed file has no sound limit of attempts though the one in force has.
-var errMaxAttempts = errors.New("settings.limits.max-attempts must be above 0")
-
 // Reload applies what of a changed configuration file can change while the node runs: the settings and the address of
 // discovery. It applies all of it or nothing, and returns why nothing. Connections, open requests and known servers stay
 // as they are. An override that is in force stays in force over the new file.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -116,12 +116,12 @@
 	}
 	req := &clientRequest{method: r.Method, url: r.URL, host: r.Host}
 	req.Retryable = rule.effect != balancer.NonIdempotent
-	req.Tenant = r.Header.Get(headerClientName)
+	req.Tenant = r.Header.Get(headerTenant)
 	req.Request.ID = r.Header.Get(headerRequestID)
 	req.Request.Class = r.Header.Get(headerClass)
 	req.Request.SettingsVersion = rule.settingsVersion
 	req.Request.ClientRetry = r.Header.Get(headerClientRetry) == flagSet
-	if key := r.Header.Get(headerRouteKey); key != "" {
+	if key := r.Header.Get(headerKey); key != "" {
 		sum := fnv.New64a() // the balancer only compares keys
 		sum.Write([]byte(key))
 		req.Request.Key, req.Request.HasKey = sum.Sum64(), true
--- a/internal/node/requestbody.go
+++ b/internal/node/requestbody.go
@@ -20,8 +20,8 @@
 // Parts of the node's memory that buffered data may take in all, as divisors. The rest is for the program itself and for
 // the buffers of streams.
 const (
-	requestBodyMemoryShare = 4 // a quarter for request bodies
-	responseMemoryShare    = 6 // a sixth for responses
+	requestBodyMemoryDivisor = 4 // a quarter for request bodies
+	responseMemoryDivisor    = 6 // a sixth for responses
 )
 
 // Times that guard against bodies that trickle in (slow loris): each would hold a slot, and a connection to a server,
@@ -51,11 +51,11 @@
 // bufferLimit is how many bytes of one body or response are buffered, where so many may be at once: at most maxBuffered,
 // and all together no more than a share of the node's memory (0: no limit is set). Nothing has to be counted, and no
 // request waits or is rejected for memory: what does not fit is streamed.
-func bufferLimit(memoryMB, memoryShare, atOnce int) int {
+func bufferLimit(memoryMB, memoryDivisor, atOnce int) int {
 	if memoryMB == 0 {
 		return maxBuffered
 	}
-	return min(max(memoryMB<<20/memoryShare/max(atOnce, 1), minBuffered), maxBuffered)
+	return min(max(memoryMB<<20/memoryDivisor/max(atOnce, 1), minBuffered), maxBuffered)
 }
 
 // bodyReader reads a client's body and holds it to minBodyRate. Only the time that is spent waiting for the client counts.
@@ -127,7 +127,7 @@
 }
 
 // close ends reading, also a read that waits. It reports whether the body came completely, and whether it broke. The
-// connection's deadline is the HTTP server's again.
+// connection's deadline is net/http's again.
 func (r *bodyReader) close() (complete, broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,9 +138,9 @@
 	return r.err == io.EOF, r.err != nil && r.err != io.EOF
 }
 
-// incomplete reports whether the body can't be sent to its end any more: the client ended it or held it back, or the
-// request is over.
-func (r *bodyReader) incomplete() bool {
+// unsendable reports whether the body can't be sent to its end any more: the client ended it or held it back, or the
+// request is over. A body of which more is to come is not unsendable.
+func (r *bodyReader) unsendable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closed || r.err != nil && r.err != io.EOF
--- a/internal/node/requestmetrics.go
+++ b/internal/node/requestmetrics.go
@@ -10,7 +10,7 @@
 // serveMeasured serves a request, counts it and returns its status.
 func (h *ingressHandler) serveMeasured(w http.ResponseWriter, r *http.Request) (status int) {
 	reporter, begin := h.metrics, h.clock.Now()
-	tags := reporter.Tags(r.Header.Get(headerClass), r.Header.Get(headerClientName))
+	tags := reporter.Tags(r.Header.Get(headerClass), r.Header.Get(headerTenant))
 	reporter.Count(tags, metrics.Requests)
 	reporter.Add(tags, metrics.OpenRequests, 1)
 	if c := connOf(r); c != nil {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -20,7 +20,7 @@
 // Run serves until ctx ends, then shuts down: it accepts what still comes while the load balancer in front of it
 // notices, answers what is open and returns nil. Any error is why it could not begin, or not go on.
 func (n *Node) Run(ctx context.Context) error {
-	clients, err := n.listen(ctx)
+	clients, err := n.listenOrTakeOver(ctx)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -36,13 +36,13 @@
 
 // serve serves clients on one listener and operators on the other (nil: none), until ctx ends or serving clients fails.
 //
-// Its goroutines: the engine's loop, discovery's watch, the admin API and those of the peer process (in owned); one for
+// Its goroutines: the engine's loop, discovery's watch, the admin API and those of the other process (in owned); one for
 // each attempt and each connection to a server (the pool's); closeIdleConnections; the writers of metrics and captures. All
 // of these have ended when it returns. The goroutines of client connections are net/http's: they end in shutDown, but for
 // those that it closes at its deadline, which end soon after.
 //
-// It ends in an order that loses nothing: clients first, then operators, whose calls must reach the peer process; then
-// the peer process, discovery and the connections to servers; the engine, which may still report results of attempts;
+// It ends in an order that loses nothing: clients first, then operators, whose calls must reach the other process; then
+// the other process, discovery and the connections to servers; the engine, which may still report results of attempts;
 // at last metrics and the capture, which record all that.
 func (n *Node) serve(ctx context.Context, clients, admin net.Listener) error {
 	var owned sync.WaitGroup // of all goroutines that serve the node
@@ -63,13 +63,13 @@
 	if machine := n.transition(lifecycle.Started); machine.IsOutOfService() {
 		n.closeIdleConnections(machine)
 	}
-	disconnectPeers := n.connectPeers(clients, owned.Go)
+	disconnectOtherProcess := n.connectOtherProcess(clients, owned.Go)
 	stopAdmin := n.startAdmin(admin, &owned)
 	n.log.Info("serving", "name", n.cfg.Name, "listen", clients.Addr().String(), "tier", n.cfg.Settings.Tier)
 
 	err := n.waitForEnd(ctx, server, serveErr)
 	stopAdmin()
-	disconnectPeers()
+	disconnectOtherProcess()
 	close(n.stopped)
 	n.idleClosers.Wait()
 	stopWatching()
@@ -104,7 +104,7 @@
 			clock:           n.clock,
 			classes:         n.classes.Load,
 			ready:           n.ready,
-			bufferLimit:     bufferLimit(n.cfg.MemoryMB, requestBodyMemoryShare, n.maxClientConns),
+			bufferLimit:     bufferLimit(n.cfg.MemoryMB, requestBodyMemoryDivisor, n.maxClientConns),
 			faultKeys:       faultinjection.NewKeys(n.cfg.Features.FaultInjections),
 			metrics:         n.engine.Metrics,
 			accessList:      n.accessList,
--- a/internal/node/streamedbody_test.go
+++ b/internal/node/streamedbody_test.go
@@ -254,7 +254,7 @@
 		t.Errorf("a read with 1 s left ends %v on", deadline.Sub(begin))
 	}
 	p.bytesRead = maxStreamedBody
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !p.incomplete() {
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !p.unsendable() {
 		t.Errorf("beyond the bound it ends with %v", err)
 	}
 	p.err = nil
@@ -267,8 +267,8 @@
 // All that is buffered at once stays within its share of the memory, also on the smallest nodes.
 func TestBufferLimit(t *testing.T) {
 	for _, c := range []struct{ memory, places, part, want int }{
-		{0, 1000, 4, maxBuffered}, {64, 209, requestBodyMemoryShare, maxBuffered}, {32, 129, requestBodyMemoryShare, 65027}, {32, 609, requestBodyMemoryShare, 13774},
-		{192, 365, responseMemoryShare, maxBuffered}, {32, 365, responseMemoryShare, 15321}, {32, 1 << 20, 4, minBuffered},
+		{0, 1000, 4, maxBuffered}, {64, 209, requestBodyMemoryDivisor, maxBuffered}, {32, 129, requestBodyMemoryDivisor, 65027}, {32, 609, requestBodyMemoryDivisor, 13774},
+		{192, 365, responseMemoryDivisor, maxBuffered}, {32, 365, responseMemoryDivisor, 15321}, {32, 1 << 20, 4, minBuffered},
 	} {
 		got := bufferLimit(c.memory, c.part, c.places)
 		if got != c.want || c.memory > 0 && got > minBuffered && got*c.places > c.memory<<20/c.part {
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -93,15 +93,15 @@
 		if err == nil && !c.requestSent {
 			err = errMalformedResponse
 		}
-		idleTimeoutWasOver := !idle && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.deadline)
-		if !idleTimeoutWasOver && (idle || err != nil) {
+		// The idle timeout may run out just as an attempt takes the connection, which has set a later deadline.
+		metOldDeadline := !idle && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.deadline)
+		if !metOldDeadline && (idle || err != nil) {
 			c.pool.closeLocked(c)
 		}
 		c.pool.mu.Unlock()
-		if !idleTimeoutWasOver {
+		if !metOldDeadline {
 			return idle, err
 		}
-		// The idle timeout ran out just as an attempt took the connection, which has set a later deadline.
 	}
 }
 
--- a/internal/proxyproto/proxyproto.go
+++ b/internal/proxyproto/proxyproto.go
@@ -83,7 +83,8 @@
 	return false, false
 }
 
-// Read reads one header from the start of r, and not a byte more. r must hold at least 12 bytes. An invalid source means
+// Read reads one header from the start of r, and not a byte more. r's buffer must have room for
+// a signature at least (12 bytes): it is peeked at, and read only once it is known. An invalid source means
 // that the header names none: then the address of the connection itself counts. The error wraps ErrMalformed,
 // io.ErrUnexpectedEOF or that of the connection.
 func Read(r *bufio.Reader) (source netip.Addr, err error) {
