--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -112,7 +112,7 @@
 	Unreachable []string                     `json:"unreachable,omitempty"`
 }
 
-// Run asks all controllers and prints what they know.
+// Run asks all controllers and prints what they know. The exit code is exitFailed unless the rollout is complete.
 func (c configStatus) Run(s streams) error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -184,7 +184,7 @@
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nCONTROLLER\tVERSION\tIN TOUCH WITH A QUORUM\tLEADER\tSESSIONS")
 	for _, c := range r.Controllers {
-		fmt.Fprintf(w, "%s\t%d\t%t\t%s\t%d\n", c.Name, c.Version, c.Current, dashIfEmpty(c.Leader), c.Sessions)
+		fmt.Fprintf(w, "%s\t%d\t%t\t%s\t%d\n", c.Name, c.Version, c.HasLeaderContact, dashIfEmpty(c.Leader), c.Sessions)
 	}
 	return w.Flush()
 }
--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -234,7 +234,7 @@
 
 // configUpdate is an update with a version of the service's settings.
 func configUpdate(cluster configapi.Cluster, n configapi.Version, settings string) configapi.Update {
-	return configapi.Update{Cluster: cluster, Version: n, ConfigVersion: n, Current: true, Config: &configapi.ServiceConfig{Settings: json.RawMessage(settings)}}
+	return configapi.Update{Cluster: cluster, Version: n, ConfigVersion: n, HasLeaderContact: true, Config: &configapi.ServiceConfig{Settings: json.RawMessage(settings)}}
 }
 
 // A node that acknowledges what it does not do misleads the operator who rolls out a version. A real node does what it
--- a/cmd/hookwalk/main.go
+++ b/cmd/hookwalk/main.go
@@ -20,10 +20,10 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Exit codes. Scripts of operators rely on them.
+// Exit codes. Scripts of operators rely on them. Code 3 is exitLate, of the lab's fleet alone.
 const (
-	exitFailed = 1 // the command could not do its work, or found a difference
-	exitUsage  = 2 // it was called wrongly, or its input can't be used
+	exitFailed = 1 // the command could not do its work, or a check found a fault; replay: something is decided otherwise
+	exitUsage  = 2 // it was called wrongly, or its input can't be used; replay: the capture can't be played
 )
 
 // commandLine is the command line's grammar, parsed by kong.
--- a/cmd/hookwalk/run.go
+++ b/cmd/hookwalk/run.go
@@ -25,15 +25,15 @@
 // threads, which the runtime does not count.
 const goMemoryPercent = 75
 
-// runNode runs a node until SIGTERM or SIGINT. features is the path of the settings file; "": no feature is on.
-func runNode(hangups <-chan os.Signal, features string) error {
-	path := os.Getenv("ROUTER_CONFIG")
-	cfg, err := node.LoadConfig(path)
+// runNode runs a node until SIGTERM or SIGINT. settingsPath names the settings file; "": no feature is on.
+func runNode(hangups <-chan os.Signal, settingsPath string) error {
+	configPath := os.Getenv("ROUTER_CONFIG")
+	cfg, err := node.LoadConfig(configPath)
 	if err != nil {
 		return err
 	}
-	if features != "" {
-		if cfg.Features, err = settings.Load(features); err != nil {
+	if settingsPath != "" {
+		if cfg.Features, err = settings.Load(settingsPath); err != nil {
 			return err
 		}
 	}
@@ -55,7 +55,7 @@
 	defer leavePeers()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	defer handleSignals(n, log, path, hangups, captureSignals(cfg))()
+	defer handleSignals(n, log, configPath, hangups, captureSignals(cfg))()
 	defer versions.start(n)()
 	return n.Run(ctx)
 }
@@ -84,14 +84,14 @@
 
 // handleSignals reloads the configuration at each SIGHUP and dumps the capture at each SIGUSR1, in a goroutine that ends
 // when stop is called. stop returns after it has ended.
-func handleSignals(n *node.Node, log *slog.Logger, path string, hangups, dumps <-chan os.Signal) (stop func()) {
+func handleSignals(n *node.Node, log *slog.Logger, configPath string, hangups, dumps <-chan os.Signal) (stop func()) {
 	stopped := make(chan struct{})
 	var handler sync.WaitGroup
 	handler.Go(func() {
 		for {
 			select {
 			case <-hangups:
-				if err := reload(n, path); err != nil {
+				if err := reload(n, configPath); err != nil {
 					log.Error("configuration not read again", "err", err)
 				}
 			case <-dumps:
@@ -109,8 +109,8 @@
 
 // reload reads the configuration file again and brings it into force, with the keys of the peers. With a configuration
 // that can't be used the node keeps the one that it has.
-func reload(n *node.Node, path string) error {
-	cfg, err := node.LoadConfig(path)
+func reload(n *node.Node, configPath string) error {
+	cfg, err := node.LoadConfig(configPath)
 	if err != nil {
 		return err
 	}
--- a/cmd/hookwalk/startnumber.go
+++ b/cmd/hookwalk/startnumber.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"log/slog"
 	"sync"
+	"time"
 
 	"hookwalk.example/hookwalk/internal/state"
 )
@@ -60,9 +61,12 @@
 // Save stores a number that a refutation has raised, and waits for the disk.
 func (s *startFile) Save(start uint64) error { return s.write(start) }
 
-// write stores a number. It waits for another process that writes, but no longer than leaveTimeout.
+// startLockTimeout is how long a node waits for the lock of its start number. Another process holds it for one write.
+const startLockTimeout = time.Second
+
+// write stores a number. It waits for another process that writes, but no longer than startLockTimeout.
 func (s *startFile) write(start uint64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), startLockTimeout)
 	defer cancel()
 	release, err := state.Lock(ctx, s.path)
 	if err != nil {
--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -114,8 +114,8 @@
 	return u.Cluster == v.cluster && u.Version < v.lastDecided
 }
 
-// join makes the node follow an update's cluster. The configuration in force stays until a version changes it.
-func (v *versionState) join(u configapi.Update) {
+// switchCluster makes the node follow an update's cluster. The configuration in force stays until a version changes it.
+func (v *versionState) switchCluster(u configapi.Update) {
 	if u.Cluster == v.cluster {
 		return
 	}
@@ -142,7 +142,7 @@
 		s.rejectForeign(w, u)
 		return
 	}
-	v.join(u)
+	v.switchCluster(u)
 	if u.Config != nil && (u.Cluster != v.received.cluster || u.ConfigVersion >= v.received.version) {
 		v.received = receivedConfig{u.Cluster, u.ConfigVersion, u.Config}
 	}
--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -48,19 +48,19 @@
 // configuration in place is applied with it again, also when the configuration came before.
 func TestVersionsOfOtherServices(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
-	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 1, Current: true})
+	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 1, HasLeaderContact: true})
 	if d.applying != nil || d.session.Applied() != 1 {
 		t.Errorf("%d is in force", d.session.Applied())
 	}
 	d.update(w.Watch, versionUpdate("x", 2))
 	d.finishApply(nil)
-	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 3, ConfigVersion: 2, Current: true})
+	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 3, ConfigVersion: 2, HasLeaderContact: true})
 	if d.applying != nil || d.session.Applied() != 3 || string(d.persisted.Config.Settings) != "2" || d.persisted.Version != 3 {
 		t.Errorf("%d is in force, persisted %+v", d.session.Applied(), d.persisted)
 	}
 	d.update(w.Watch, versionUpdate("x", 4))
 	d.finishApply(invalidRejection)
-	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 5, ConfigVersion: 4, Current: true})
+	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 5, ConfigVersion: 4, HasLeaderContact: true})
 	if d.applying == nil || d.applying.Version != 5 || string(d.applying.Config.Settings) != "4" {
 		t.Errorf("it applies %+v", d.applying)
 	}
--- a/configversion/controllersearch_test.go
+++ b/configversion/controllersearch_test.go
@@ -10,7 +10,7 @@
 func TestSearchForACurrentController(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
-	stale.Current = false
+	stale.HasLeaderContact = false
 	d.update(first.Watch, stale)
 	began := d.now
 	elections := func() {
@@ -58,7 +58,7 @@
 func TestShortElectionStartsNoSearch(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
-	stale.Current = false
+	stale.HasLeaderContact = false
 	d.update(first.Watch, stale)
 	d.advance(searchDelay - ms)
 	d.update(first.Watch, emptyUpdate("x"))
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -58,7 +58,7 @@
 		switch {
 		case status.Cluster != r.Cluster:
 			r.ForeignControllers = append(r.ForeignControllers, status.Name)
-		case status.Version < r.Version || !status.Current:
+		case status.Version < r.Version || !status.HasLeaderContact:
 			r.BehindControllers = append(r.BehindControllers, status.Name)
 		}
 		for _, node := range status.Nodes {
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -39,7 +39,7 @@
 		"without a session, whatever it held": {away, RolloutDisconnected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{c.node}}})
+			r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{c.node}}})
 			if got := r.Nodes[0].State; got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
@@ -57,8 +57,8 @@
 	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
 	atSecond.LastSeenMS = 8000
 	r := MergeStatuses([]configapi.ControllerStatus{
-		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{atFirst}},
-		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{atSecond}}})
+		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{atFirst}},
+		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{atSecond}}})
 	if len(r.Nodes) != 1 || r.Nodes[0].Controller != "c2" || r.Nodes[0].State != RolloutCurrent {
 		t.Errorf("merged into %+v", r.Nodes)
 	}
@@ -71,9 +71,9 @@
 	givenUp.Connected, givenUp.LastSeenMS = false, 9000
 	olderProcess.StartedMS = 0
 	r := MergeStatuses([]configapi.ControllerStatus{
-		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{givenUp}},
-		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{open}},
-		{Name: "c3", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{olderProcess}}})
+		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{givenUp}},
+		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{open}},
+		{Name: "c3", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{olderProcess}}})
 	if len(r.Nodes) != 1 || r.Nodes[0].Controller != "c2" || r.Nodes[0].State != RolloutCurrent {
 		t.Errorf("merged into %+v", r.Nodes)
 	}
@@ -85,8 +85,8 @@
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
 	second.LastSeenMS = 9000
 	r := MergeStatuses([]configapi.ControllerStatus{
-		{Name: "c1", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{first}},
-		{Name: "c2", Cluster: "c", Version: 7, Current: true, Nodes: []configapi.NodeStatus{second}}})
+		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{first}},
+		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{second}}})
 	if r.Nodes[0].Controller != "c1" || r.Nodes[0].State != RolloutCurrent {
 		t.Errorf("merged into %+v", r.Nodes)
 	}
@@ -95,10 +95,10 @@
 // A controller lags or has lost its leader, and another one belongs to a second cluster: operators must see which.
 func TestRolloutNamesControllersThatAreBehindOrForeign(t *testing.T) {
 	r := MergeStatuses([]configapi.ControllerStatus{
-		{Name: "c1", Cluster: "c", Version: 7, Current: true},
-		{Name: "c2", Cluster: "c", Version: 6, Current: true},
-		{Name: "c3", Cluster: "c", Version: 7, Current: false},
-		{Name: "c4", Cluster: "d", Version: 9, Current: true},
+		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true},
+		{Name: "c2", Cluster: "c", Version: 6, HasLeaderContact: true},
+		{Name: "c3", Cluster: "c", Version: 7, HasLeaderContact: false},
+		{Name: "c4", Cluster: "d", Version: 9, HasLeaderContact: true},
 		{Name: "c5"}})
 	if r.Cluster != "c" || r.Version != 7 {
 		t.Errorf("cluster %s, version %d", r.Cluster, r.Version)
@@ -120,7 +120,7 @@
 		var statuses []configapi.ControllerStatus
 		names := map[string]bool{}
 		for _, controller := range []string{"c1", "c2", "c3"} {
-			status := configapi.ControllerStatus{Name: controller, Cluster: "c", Version: configapi.Version(rapid.IntRange(0, 3).Draw(t, "version")), Current: true}
+			status := configapi.ControllerStatus{Name: controller, Cluster: "c", Version: configapi.Version(rapid.IntRange(0, 3).Draw(t, "version")), HasLeaderContact: true}
 			for _, name := range []string{"n1", "n2", "n3"} {
 				if !rapid.Bool().Draw(t, "known") {
 					continue
@@ -171,8 +171,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			merged := MergeStatuses([]configapi.ControllerStatus{
-				{Name: "one", Cluster: "c", Version: 9, Current: true, Nodes: []configapi.NodeStatus{tc.first}},
-				{Name: "two", Cluster: "c", Version: 9, Current: true, Nodes: []configapi.NodeStatus{tc.second}},
+				{Name: "one", Cluster: "c", Version: 9, HasLeaderContact: true, Nodes: []configapi.NodeStatus{tc.first}},
+				{Name: "two", Cluster: "c", Version: 9, HasLeaderContact: true, Nodes: []configapi.NodeStatus{tc.second}},
 			})
 			if merged.Current != 1 || len(merged.Nodes) != 1 || merged.Nodes[0].Controller != tc.want {
 				t.Errorf("merged into %+v", merged)
--- a/configversion/sessiondriver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -156,12 +156,12 @@
 
 // versionUpdate is an update with a version that sets the service's configuration.
 func versionUpdate(cluster configapi.Cluster, n int) configapi.Update {
-	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), Current: true}
+	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), HasLeaderContact: true}
 }
 
 // emptyUpdate is an update of a cluster without a version.
 func emptyUpdate(cluster configapi.Cluster) configapi.Update {
-	return configapi.Update{Cluster: cluster, Current: true}
+	return configapi.Update{Cluster: cluster, HasLeaderContact: true}
 }
 
 var threeControllers = []configapi.ControllerAddress{{Address: "a:1", Region: "east", Zone: "a"}, {Address: "b:1", Region: "east", Zone: "b"},
--- a/configversion/sessionproperty_test.go
+++ b/configversion/sessionproperty_test.go
@@ -37,7 +37,7 @@
 
 // update is the update of a controller that has the first n versions.
 func (p *clusterHistory) update(n int, withConfig bool) configapi.Update {
-	u := configapi.Update{Cluster: p.cluster, Version: configapi.Version(n), Current: true}
+	u := configapi.Update{Cluster: p.cluster, Version: configapi.Version(n), HasLeaderContact: true}
 	for cluster, from := range p.replaces {
 		if n >= from {
 			u.Replaces = append(u.Replaces, cluster)
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -79,7 +79,7 @@
 	u := e.Update
 	wasCurrent := w.current
 	w.lastActivity, w.updateBegan = s.now, 0
-	w.current, w.foreign, w.behind = u.Current, !s.versions.follows(u), s.versions.behind(u)
+	w.current, w.foreign, w.behind = u.HasLeaderContact, !s.versions.follows(u), s.versions.behind(u)
 	if !w.foreign && len(u.Controllers) > 0 {
 		s.watches.clusterControllers = slices.Clone(u.Controllers)
 	}
--- a/configversion/watchopening_test.go
+++ b/configversion/watchopening_test.go
@@ -77,7 +77,7 @@
 func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	for range 100 {
-		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, Current: true})
+		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
 		if _, still := d.open[w.Watch]; still || d.session.Applied() != 0 {
 			t.Fatal("the watch stays open")
 		}
--- a/configversion/watchsilence.go
+++ b/configversion/watchsilence.go
@@ -40,6 +40,9 @@
 	}
 	w.lastActivity = s.now
 	if e.UpdateInProgress && w.updateBegan == 0 {
-		w.updateBegan = max(s.now, 1) // 0 stands for none
+		w.updateBegan = nonZero(s.now)
 	}
 }
+
+// nonZero is a time that is to be stored where 0 stands for unset: an event at time 0 counts as one at 1 ns.
+func nonZero(t time.Duration) time.Duration { return max(t, 1) }
--- a/internal/configapi/doc.go
+++ b/internal/configapi/doc.go
@@ -33,8 +33,9 @@
 	// HeartbeatInterval is the longest time without a byte on a watch: a controller writes an empty line after so long
 	// without an Update.
 	HeartbeatInterval = 500 * time.Millisecond
-	// SilenceTimeout is how long a node waits for a byte on a watch before it opens one at another controller: two
-	// heartbeats may be lost or late.
+	// SilenceTimeout is how long a node waits at most for a byte on a watch before it opens one at another controller.
+	// Each wait is shorter by a jitter of up to 0.2 s (see configversion). One heartbeat may be lost, and the next one late
+	// by the rest of the wait; two may not.
 	SilenceTimeout = 1200 * time.Millisecond
 	// DefaultAddress is where a controller listens, and where commands look for one, without a setting.
 	DefaultAddress = "127.0.0.1:7400"
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -20,15 +20,15 @@
 
 	goldentest.Check(t, golden("document"), document)
 	goldentest.Check(t, golden("update"), Update{Cluster: "cluster-2", Replaces: []Cluster{"cluster-1"}, Version: 17, ConfigVersion: 16,
-		Config: &config, Current: true, MigrateTo: "127.0.0.1:7401", Controllers: controllers})
+		Config: &config, HasLeaderContact: true, MigrateTo: "127.0.0.1:7401", Controllers: controllers})
 	goldentest.Check(t, golden("acknowledgement"), Acknowledgement{Node: "node-1", StartedMS: 1700000000000, WatchNumber: 3,
 		Cluster: "cluster-2", Version: 17, Outcome: Rejected, Rejection: rejection, Applied: 16})
 	goldentest.Check(t, golden("publish-request"), PublishRequest{ID: "id-1",
 		Document: json.RawMessage(`{"services":{"front":{"settings":{"tick-ms":5}}}}`), Replaces: []Cluster{"cluster-1"}})
 	goldentest.Check(t, golden("publish-reply"), PublishReply{Cluster: "cluster-2", Version: 17})
 	goldentest.Check(t, golden("error"), Error{Kind: ErrorNoCapacity, Message: "no more sessions", Leader: "127.0.0.1:7401", Alternatives: controllers})
-	goldentest.Check(t, golden("load"), Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, Current: true})
-	goldentest.Check(t, golden("status"), ControllerStatus{Name: "c1", Cluster: "cluster-2", Version: 17, Leader: "c2", Current: true,
+	goldentest.Check(t, golden("load"), Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, HasLeaderContact: true})
+	goldentest.Check(t, golden("status"), ControllerStatus{Name: "c1", Cluster: "cluster-2", Version: 17, Leader: "c2", HasLeaderContact: true,
 		Sessions: 4, Controllers: controllers, Nodes: []NodeStatus{{Node: "node-1", Service: "front", Region: "north", Zone: "north-a",
 			StartedMS: 1700000000000, WatchNumber: 3, Connected: true, LastSeenMS: 1700000001000, Cluster: "cluster-2", LastDecided: 17,
 			Outcome: Rejected, Applied: 16, Rejection: rejection}}})
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -2,21 +2,21 @@
 
 // Load is how many sessions a controller has, and whether it is current (see Update).
 type Load struct {
-	Name     string  `json:"name"`
-	Cluster  Cluster `json:"cluster"`
-	Sessions int     `json:"sessions"`
-	Current  bool    `json:"current"`
+	Name             string  `json:"name"`
+	Cluster          Cluster `json:"cluster"`
+	Sessions         int     `json:"sessions"`
+	HasLeaderContact bool    `json:"current"`
 }
 
 // ControllerStatus is what one controller knows.
 type ControllerStatus struct {
-	Name     string       `json:"name"`
-	Cluster  Cluster      `json:"cluster"`
-	Version  Version      `json:"version"`
-	Leader   string       `json:"leader,omitempty"` // HOST:PORT; empty: none is known
-	Current  bool         `json:"current"`          // see Update
-	Sessions int          `json:"sessions"`
-	Nodes    []NodeStatus `json:"nodes"` // by name
+	Name             string       `json:"name"`
+	Cluster          Cluster      `json:"cluster"`
+	Version          Version      `json:"version"`
+	Leader           string       `json:"leader,omitempty"` // HOST:PORT; empty: none is known
+	HasLeaderContact bool         `json:"current"`          // see Update
+	Sessions         int          `json:"sessions"`
+	Nodes            []NodeStatus `json:"nodes"` // by name
 	// Controllers are all controllers of the cluster, this one among them.
 	Controllers []ControllerAddress `json:"controllers,omitempty"`
 }
--- a/internal/configapi/watch.go
+++ b/internal/configapi/watch.go
@@ -123,9 +123,9 @@
 	// has applied ConfigVersion or a later one has the configuration of Version already, and Config is absent.
 	ConfigVersion Version        `json:"changed"`
 	Config        *ServiceConfig `json:"config,omitempty"`
-	// Current is set if the controller was in contact with the leader of a quorum within the last second. A controller
+	// HasLeaderContact is set if the controller was in contact with the leader of a quorum within the last second. A controller
 	// that was not serves the state that it has; a node prefers one that was.
-	Current bool `json:"current"`
+	HasLeaderContact bool `json:"current"`
 	// MigrateTo asks the node to open a watch at another controller (HOST:PORT) and then to close this one.
 	MigrateTo string `json:"move_to,omitempty"`
 	// Controllers are all controllers of the cluster; only the first Update of a watch has them.
--- a/internal/configwatch/fakecontroller_test.go
+++ b/internal/configwatch/fakecontroller_test.go
@@ -170,7 +170,7 @@
 }
 
 func versionUpdate(n int) configapi.Update {
-	return configapi.Update{Cluster: "x", Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Current: true,
+	return configapi.Update{Cluster: "x", Version: configapi.Version(n), ConfigVersion: configapi.Version(n), HasLeaderContact: true,
 		Config: &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}}
 }
 
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -122,7 +122,7 @@
 		if len(b.watches) > 0 {
 			first, other = b, a
 		}
-		first.updates <- configapi.Update{Cluster: "x", Current: true}
+		first.updates <- configapi.Update{Cluster: "x", HasLeaderContact: true}
 		advance(time.Second)
 		first.noHeartbeats.Store(true) // it stalls: neither heartbeats nor updates come any more
 		began := time.Now()
--- a/internal/controller/clusterdisk_test.go
+++ b/internal/controller/clusterdisk_test.go
@@ -112,7 +112,7 @@
 	}
 	tc.start("c1")
 	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
-	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.Current {
+	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.HasLeaderContact {
 		t.Errorf("a controller that is alone says %+v", u)
 	}
 }
--- a/internal/controller/controllerreports.go
+++ b/internal/controller/controllerreports.go
@@ -18,7 +18,9 @@
 	// pollInterval is how often controllers read each other's reports.
 	pollInterval = 300 * time.Millisecond
 	// pollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
-	// nodes of a stalled controller leave it 0.7 s after the fact at the earliest, and must not be redirected to it.
+	// nodes that leave a stalled controller must not be redirected to it. The first of them leave it 0.5 s after the stall:
+	// SilenceTimeout without its jitter of 0.2 s, less a heartbeat interval. That is 0.05 s before a reading that began
+	// pollInterval after the last one has timed out (docs/open-items.md).
 	pollTimeout = 250 * time.Millisecond
 	// reportValidity is how long a report counts in the rules about membership. It is longer than several readings, so
 	// that a single lost one changes nothing.
@@ -171,7 +173,7 @@
 		loads = append(loads, configversion.ControllerLoad{
 			Controller: member.ControllerAddress(),
 			Sessions:   report.Sessions,
-			Available:  answers && report.Cluster != "" && (report.Current || !hasLeaderContact),
+			Available:  answers && report.Cluster != "" && (report.HasLeaderContact || !hasLeaderContact),
 		})
 	}
 	return loads
--- a/internal/controller/controllerreports_test.go
+++ b/internal/controller/controllerreports_test.go
@@ -12,7 +12,7 @@
 // old.
 func TestLoadsOfAnUnresponsiveController(t *testing.T) {
 	p := newControllerReports(configOf("c1", "c2", "c3"))
-	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, Current: true}}
+	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, HasLeaderContact: true}}
 	p.record("c2", report, nil)
 	p.record("c3", report, nil)
 	p.record("c3", memberReport{}, errors.New("no answer"))
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -6,7 +6,7 @@
 // controller.
 //
 // A publish succeeds once a quorum of controllers has it on disk. Every controller serves its nodes from its own copy
-// of the state, also one that is cut off from the quorum, which says so (configapi.Update.Current). What a node did
+// of the state, also one that is cut off from the quorum, which says so (configapi.Update.HasLeaderContact). What a node did
 // with a version is held in memory only, by the controller that has its session.
 //
 // Who owns which state, and where its rules are:
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -126,7 +126,7 @@
 // Controllers read each other's reports, also those of another build, to decide whether a disk may take part.
 func TestGoldenMemberReport(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "member-report.json"), memberReport{
-		Load:  configapi.Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, Current: true},
+		Load:  configapi.Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, HasLeaderContact: true},
 		Phase: phaseMember, ServerID: "c1/2", Start: 3, ProcessID: "process-1", AppliedIndex: 99,
 		Founders: map[string]string{"c1": "process-1", "c2": "process-2"}, RecordedStart: &memberStart{Start: 2, ProcessID: "process-0"}})
 	goldentest.Check(t, filepath.Join("testdata", "phases.json"), []phase{phaseEmpty, phaseJoining, phaseMember})
--- a/internal/controller/quorummembership.go
+++ b/internal/controller/quorummembership.go
@@ -64,9 +64,12 @@
 	return c.raft.AddNonvoter(server, logAddress(member), 0, membershipChangeTimeout).Error()
 }
 
-// promote makes a nonvoter a voter once its log is at most one message of entries behind.
+// maxPromotionLag is how many log entries a nonvoter may lack when it becomes a voter: one message brings them.
+const maxPromotionLag = appendBatch
+
+// promote makes a nonvoter a voter once its log is at most maxPromotionLag entries behind.
 func (c *consensus) promote(member Member, report memberReport) error {
-	if report.AppliedIndex+appendBatch < c.raft.CommitIndex() || report.Cluster != c.views.load().state.Cluster {
+	if report.AppliedIndex+maxPromotionLag < c.raft.CommitIndex() || report.Cluster != c.views.load().state.Cluster {
 		return nil
 	}
 	c.log.Info("a controller that joined has the log and may vote", "controller", member.Name, "server", report.ServerID)
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -14,7 +14,8 @@
 
 // Defaults of the settings.
 const (
-	// defaultMaxSessions is the limit of sessions at one controller: each costs a connection and its buffers. It leaves
+	// defaultMaxSessions is the limit of sessions at one controller: each costs two connections of the process and their
+	// buffers. It leaves
 	// room for the nodes of controllers that have failed.
 	defaultMaxSessions = 600
 	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough
@@ -134,10 +135,10 @@
 		if !ok {
 			line = r.Block.Line
 		}
-		r.AddError(line, "lease_ms must not be above election_ms")
+		r.AddErrorAt(line, "lease_ms must not be above election_ms")
 	}
 	if line, ok := r.Has("folder"); ok && c.Folder == "" {
-		r.AddError(line, "folder must name a folder")
+		r.AddErrorAt(line, "folder must name a folder")
 	}
 }
 
@@ -146,7 +147,7 @@
 	member := Member{Name: r.Label(), Listen: r.Text("listen", ""), Raft: r.Text("raft", ""), Dial: r.Text("dial", ""),
 		Region: r.Text("region", ""), Zone: r.Text("zone", "")}
 	if !validMemberName(member.Name) {
-		r.AddError(r.Block.Line, "a controller's label is its name: 1 to 64 letters, digits, '-', '_' or '.'")
+		r.AddErrorAt(r.Block.Line, "a controller's label is its name: 1 to %d letters, digits, '-', '_' or '.'", maxMemberNameBytes)
 	}
 	checkAddress(r, "listen", member.Listen)
 	checkAddress(r, "raft", member.Raft)
@@ -158,7 +159,7 @@
 	c.checkDistinct(r, member)
 	c.Members = append(c.Members, member)
 	if len(c.Members) > maxMembers {
-		r.AddError(r.Block.Line, "more than %d controllers", maxMembers)
+		r.AddErrorAt(r.Block.Line, "more than %d controllers", maxMembers)
 	}
 }
 
@@ -166,27 +167,27 @@
 func (c *Config) checkDistinct(r *settings.Reader, member Member) {
 	for _, other := range c.Members {
 		if other.Name == member.Name {
-			r.AddError(r.Block.Line, "controller %s is there already", member.Name)
+			r.AddErrorAt(r.Block.Line, "controller %s is there already", member.Name)
 		}
 		for _, taken := range []string{other.Listen, other.Raft} {
 			if taken == member.Listen || taken == member.Raft {
-				r.AddError(r.Block.Line, "controller %s has the address %s of controller %s", member.Name, taken, other.Name)
+				r.AddErrorAt(r.Block.Line, "controller %s has the address %s of controller %s", member.Name, taken, other.Name)
 			}
 		}
 	}
 	if member.Listen == member.Raft {
-		r.AddError(r.Block.Line, "listen and raft of controller %s must differ", member.Name)
+		r.AddErrorAt(r.Block.Line, "listen and raft of controller %s must differ", member.Name)
 	}
 }
 
 func checkAddress(r *settings.Reader, name, address string) {
 	line, ok := r.Has(name)
 	if !ok {
-		r.AddError(r.Block.Line, "controller %s needs %s", r.Block.Label, name)
+		r.AddErrorAt(r.Block.Line, "controller %s needs %s", r.Block.Label, name)
 		return
 	}
 	if host, port, err := net.SplitHostPort(address); err != nil || host == "" || port == "" {
-		r.AddError(line, "%s must be HOST:PORT", name)
+		r.AddErrorAt(line, "%s must be HOST:PORT", name)
 	}
 }
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,10 +12,10 @@
 	own, view := c.participation.Load(), c.views.load()
 	r := memberReport{
 		Load: configapi.Load{
-			Name:     c.config.Self.Name,
-			Cluster:  view.state.Cluster,
-			Sessions: c.nodes.sessions(),
-			Current:  view.hasLeaderContact,
+			Name:             c.config.Self.Name,
+			Cluster:          view.state.Cluster,
+			Sessions:         c.nodes.sessions(),
+			HasLeaderContact: view.hasLeaderContact,
 		},
 		Phase:     own.phase,
 		ServerID:  own.serverID,
@@ -36,13 +36,13 @@
 func (c *Controller) status() configapi.ControllerStatus {
 	view := c.views.load()
 	s := configapi.ControllerStatus{
-		Name:        c.config.Self.Name,
-		Cluster:     view.state.Cluster,
-		Version:     view.state.Version,
-		Current:     view.hasLeaderContact,
-		Sessions:    c.nodes.sessions(),
-		Nodes:       c.nodes.list(time.Now()),
-		Controllers: c.controllerAddresses(),
+		Name:             c.config.Self.Name,
+		Cluster:          view.state.Cluster,
+		Version:          view.state.Version,
+		HasLeaderContact: view.hasLeaderContact,
+		Sessions:         c.nodes.sessions(),
+		Nodes:            c.nodes.list(time.Now()),
+		Controllers:      c.controllerAddresses(),
 	}
 	if running := c.consensus.Load(); running != nil {
 		if leader, known := running.leader(); known {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -39,7 +39,7 @@
 // update builds the update of a service.
 func (v *view) update(key updateKey, controllers []configapi.ControllerAddress) configapi.Update {
 	u := configapi.Update{Cluster: v.state.Cluster, Replaces: v.state.Replaces, Version: v.state.Version,
-		ConfigVersion: v.configVersion(key.service), Current: v.hasLeaderContact}
+		ConfigVersion: v.configVersion(key.service), HasLeaderContact: v.hasLeaderContact}
 	if service, ok := v.state.Services[key.service]; ok && key.withConfig {
 		u.Config = &service.Config
 	}
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -84,7 +84,7 @@
 	address := tc.configOf("c1").Self.Listen
 	watch := openWatch(t, address, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	first := watch.update(t)
-	if first.Version != 1 || first.ConfigVersion != 1 || first.Config == nil || len(first.Controllers) != 1 || !first.Current {
+	if first.Version != 1 || first.ConfigVersion != 1 || first.Config == nil || len(first.Controllers) != 1 || !first.HasLeaderContact {
 		t.Fatalf("the first update is %+v", first)
 	}
 	ack(t, address, configapi.Acknowledgement{Node: "n1", StartedMS: 1, WatchNumber: 1, Cluster: first.Cluster, Version: 1, Outcome: configapi.Applied, Applied: 1})
--- a/internal/lab/blackbox/evaluator.go
+++ b/internal/lab/blackbox/evaluator.go
@@ -91,10 +91,10 @@
 		}
 		v.checker.NodeStopped(e.At, e.Node)
 	case EndpointOverridden:
-		v.checker.EndpointOverridden(e.At, e.Node, e.Server, !e.Ready)
+		v.checker.EndpointOverridden(e.At, e.Node, e.Server, !e.enables())
 	case EndpointNotified:
-		v.checker.EndpointNotified(e.At, e.Node, e.Server, e.Ready)
-		if s := v.starts[e.Server]; s != nil && e.Ready {
+		v.checker.EndpointNotified(e.At, e.Node, e.Server, e.announcesReady())
+		if s := v.starts[e.Server]; s != nil && e.announcesReady() {
 			s.notifiedNodes[e.Node] = true
 		}
 	}
@@ -110,7 +110,7 @@
 	case AnswerReceived:
 		v.answerReceived(e, key)
 	case ConnectionCut:
-		if r := v.requests[key]; e.Ready && r != nil && len(r.attemptServers) == 0 {
+		if r := v.requests[key]; e.onReusedConnection() && r != nil && len(r.attemptServers) == 0 {
 			v.checker.ClientGone(e.At, e.Node, e.ID) // the end of an idle connection crossed a request that was not read
 			return
 		}
--- a/internal/lab/blackbox/events.go
+++ b/internal/lab/blackbox/events.go
@@ -73,3 +73,20 @@
 	NeverRan bool          `json:"never,omitempty"`  // of AttemptAnswered: the server rejected it
 	Body     string        `json:"body,omitempty"`   // of AnswerReceived and AttemptAnswered: tells one answer from another; "": not recorded
 }
+
+// What Ready stands for, by kind.
+
+// announcesReady: of EndpointNotified, the server is announced as ready.
+func (e Event) announcesReady() bool { return e.Ready }
+
+// enables: of EndpointOverridden, the operator's call enables the server.
+func (e Event) enables() bool { return e.Ready }
+
+// endVisible: of WatchMuted, the node will see the end of the watch.
+func (e Event) endVisible() bool { return e.Ready }
+
+// onSameConnection: of WatchUnmuted, the watch goes on on the connection that it had.
+func (e Event) onSameConnection() bool { return e.Ready }
+
+// onReusedConnection: of ConnectionCut, the connection had carried a request before.
+func (e Event) onReusedConnection() bool { return e.Ready }
--- a/internal/lab/blackbox/notifications.go
+++ b/internal/lab/blackbox/notifications.go
@@ -69,7 +69,7 @@
 	switch {
 	case e.Kind == WatchMuted:
 		if m == nil {
-			c.muted[watchKey{e.Node, e.ID}] = &mutedWatch{since: e.At, endVisible: e.Ready}
+			c.muted[watchKey{e.Node, e.ID}] = &mutedWatch{since: e.At, endVisible: e.endVisible()}
 		}
 	case e.Kind == NodeStarted:
 		maps.DeleteFunc(c.muted, func(k watchKey, _ *mutedWatch) bool { return k.node == e.Node })
@@ -89,7 +89,7 @@
 	for _, p := range m.pending {
 		bound := m.bound(p)
 		switch {
-		case e.Ready:
+		case e.onSameConnection():
 			c.add(p, min(e.At, bound))
 		case m.endVisible && bound < e.At-e.Duration: // it kept the watch for longer than the lease allows
 			c.add(p, bound)
--- a/internal/lab/checker/node.go
+++ b/internal/lab/checker/node.go
@@ -28,7 +28,7 @@
 // Its machine may take requests and notifications all the same.
 func (c *Checker) NodeUnresponsive(now time.Duration, name string) {
 	if n := c.nodes[name]; n != nil && n.unresponsiveSince == 0 {
-		n.unresponsiveSince = max(now, 1)
+		n.unresponsiveSince = nonZero(now)
 	}
 }
 
@@ -94,3 +94,6 @@
 func (c *Checker) ServerOverloaded(now time.Duration, node, id, server string) {
 	c.report(WarmupOverload, now, node, id, server, "sent more than %.3g times what it could do within %v", c.rules.OverloadMultiple, c.rules.OverloadWindow)
 }
+
+// nonZero is a time that is to be stored where 0 stands for unset: an event at time 0 counts as one at 1 ns.
+func nonZero(t time.Duration) time.Duration { return max(t, 1) }
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -310,7 +310,7 @@
 func (c *ControlCluster) Leader(ctx context.Context) *Controller {
 	votes := map[string]int{}
 	for _, status := range c.Statuses(ctx) {
-		if status.Current {
+		if status.HasLeaderContact {
 			votes[status.Leader]++
 		}
 	}
--- a/internal/lab/scenario/blocks.go
+++ b/internal/lab/scenario/blocks.go
@@ -29,7 +29,7 @@
 // readHeader reads the block scenario.
 func (s *Scenario) readHeader(r *settings.Reader, repeated bool) {
 	if repeated {
-		r.AddError(r.Block.Line, "block scenario is there already")
+		r.AddErrorAt(r.Block.Line, "block scenario is there already")
 	}
 	s.Name = r.Label()
 	r.Text("base", "") // Parse has applied it
@@ -42,21 +42,21 @@
 func (s *Scenario) readTier(r *settings.Reader, _ bool) {
 	t := Tier{Name: r.Label(), Work: r.Number("work", 1, 0.0001, 100), Calls: r.Number("calls", 1, 0, 20)}
 	if slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Name }) {
-		r.AddError(r.Block.Line, "tier %s is there already", t.Name)
+		r.AddErrorAt(r.Block.Line, "tier %s is there already", t.Name)
 	}
 	for _, inner := range r.Blocks("kind") {
 		t.Kinds = append(t.Kinds, readServerKind(inner))
-		r.AddErr(inner.End())
+		r.KeepFirst(inner.End())
 	}
 	if len(t.Kinds) == 0 {
-		r.AddError(r.Block.Line, "tier %s has no kind", t.Name)
+		r.AddErrorAt(r.Block.Line, "tier %s has no kind", t.Name)
 	}
 	if t.ServerCount() > maxServers {
-		r.AddError(r.Block.Line, "tier %s has over %d servers", t.Name, maxServers)
+		r.AddErrorAt(r.Block.Line, "tier %s has over %d servers", t.Name, maxServers)
 	}
 	s.Tiers = append(s.Tiers, t)
 	if len(s.Tiers) > maxTiers {
-		r.AddError(r.Block.Line, "over %d tiers", maxTiers)
+		r.AddErrorAt(r.Block.Line, "over %d tiers", maxTiers)
 	}
 }
 
@@ -99,10 +99,10 @@
 		c.Effect = balancer.Idempotent
 	}
 	if c.Deadline < c.LatencyObjective {
-		r.AddError(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
+		r.AddErrorAt(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
 	}
 	if c.Name == "" || slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == c.Name }) {
-		r.AddError(r.Block.Line, "class %q is empty or there already", c.Name)
+		r.AddErrorAt(r.Block.Line, "class %q is empty or there already", c.Name)
 	}
 	s.Classes = append(s.Classes, c)
 }
@@ -111,7 +111,7 @@
 func (s *Scenario) readTenant(r *settings.Reader, _ bool) {
 	t := Tenant{Name: r.Label(), Share: r.Number("share", 1, 0, maxWeight)}
 	if t.Name == "" || slices.ContainsFunc(s.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
-		r.AddError(r.Block.Line, "tenant %q is empty or there already", t.Name)
+		r.AddErrorAt(r.Block.Line, "tenant %q is empty or there already", t.Name)
 	}
 	s.Tenants = append(s.Tenants, t)
 }
@@ -132,7 +132,7 @@
 		ClosedLoop:       r.Integer("closed_loop", 0, 0, 100000),
 	}
 	if (s.Clients.Arrivals == ArrivalsRecorded) != (s.Clients.ArrivalsFile != "") {
-		r.AddError(r.Block.Line, "arrivals = \"recorded\" and file go together")
+		r.AddErrorAt(r.Block.Line, "arrivals = \"recorded\" and file go together")
 	}
 }
 
@@ -233,21 +233,21 @@
 // checkFault checks what a fault needs of the rest of the scenario.
 func (s *Scenario) checkFault(r *settings.Reader, f Fault) {
 	if !slices.Contains(WorldFaultKinds, f.Kind) && !slices.Contains(ProcessFaultKinds, f.Kind) {
-		r.AddError(r.Block.Line, "unknown trouble %q", f.Kind)
+		r.AddErrorAt(r.Block.Line, "unknown trouble %q", f.Kind)
 	}
 	if line, ok := r.Has("tier"); ok && !slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == f.Tier }) {
-		r.AddError(line, "tier %q is not one of the tiers", f.Tier)
+		r.AddErrorAt(line, "tier %q is not one of the tiers", f.Tier)
 	}
 	if line, ok := r.Has("class"); ok && !slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == f.Class }) {
-		r.AddError(line, "class %q is not one of the classes", f.Class)
+		r.AddErrorAt(line, "class %q is not one of the classes", f.Class)
 	}
 	if !s.Fleet.AdminCalls && (f.Kind == FaultUpgrade || f.Kind == FaultAdminOverride || f.Folder != FolderKept) {
-		r.AddError(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", f.Kind, f.Folder)
+		r.AddErrorAt(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", f.Kind, f.Folder)
 	}
 	if line, ok := r.Has("size"); ok && f.Magnitude == 0 {
-		r.AddError(line, "size must be above 0")
+		r.AddErrorAt(line, "size must be above 0")
 	}
 	if f.Period > 0 && f.Period < minPeriod {
-		r.AddError(r.Block.Line, "period_s is under %g", minPeriod.Seconds())
+		r.AddErrorAt(r.Block.Line, "period_s is under %g", minPeriod.Seconds())
 	}
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -10,7 +10,8 @@
 )
 
 // unreachableFactor is how much longer than the poll interval a node without a watch may know nothing of a change while
-// discovery is down.
+// discovery is down: no poll brings it anything meanwhile, and from then on the rule holds it to the change anyway. The
+// factor is a choice of the lab: room for some failed polls with their waits.
 const unreachableFactor = 4
 
 // discovery lists servers: late, and to the nodes that watch it.
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -66,7 +66,7 @@
 	Nodes   int
 	Servers int
 	Rate    int           // requests a second, of all clients
-	Length  time.Duration // from the first request to the last
+	Length  time.Duration // from the begin of the run to the last request; a plan that is shifted gets longer
 	Faults  []Fault       // by their begin
 }
 
@@ -84,11 +84,11 @@
 
 // Number and length of the faults that are drawn freely.
 const (
-	minFaults    = 4                      // so that some overlap
-	extraFaults  = 8                      // one less than this is the most that is added to minFaults
-	maxFaultTime = 8 * time.Second        // longer than an endpoint lease lasts
-	minFaultTime = 500 * time.Millisecond // long enough that requests meet it
-	firstFault   = 500 * time.Millisecond // none begins before this
+	minFaults         = 4                      // so that some overlap
+	extraFaultChoices = 8                      // how many counts of extra faults there are to draw from: 0 to 7 are added to minFaults
+	maxFaultTime      = 8 * time.Second        // longer than an endpoint lease lasts
+	minFaultTime      = 500 * time.Millisecond // long enough that requests meet it
+	firstFault        = 500 * time.Millisecond // none begins before this
 )
 
 // Draws of the group of faults that makes a stale list likely (see drawStaleListFaults).
@@ -135,7 +135,7 @@
 func DrawPlan(seed uint64, nodes int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := Plan{Seed: seed, Nodes: nodes, Servers: planServers, Rate: planRequestsPerNode * nodes, Length: length}
-	for range minFaults + rng.IntN(extraFaults) {
+	for range minFaults + rng.IntN(extraFaultChoices) {
 		p.Faults = append(p.Faults, drawFault(rng, p))
 	}
 	p.Faults = append(p.Faults, drawStaleListFaults(rng, p)...)
@@ -164,8 +164,9 @@
 	return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))])
 }
 
-// drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Every field is drawn for every kind, so
-// that the draws of later faults depend on the kind as little as possible.
+// drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Most fields are
+// drawn for every kind, so that the draws of later faults depend on the kind as little as possible; Wait is drawn only for
+// kinds that use it, and Target a second time for the faults of nodes.
 func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -16,7 +16,7 @@
 func (d delegate) NodeMeta(limit int) []byte {
 	d.cluster.mu.Lock()
 	defer d.cluster.mu.Unlock()
-	local := d.cluster.module.Local()
+	local := d.cluster.members.Local()
 	b, err := json.Marshal(nodeMeta{local.Start, local.Nonce, d.cluster.cfg.Site})
 	if err != nil || len(b) > limit {
 		return nil
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -24,7 +24,7 @@
 // malformedLogInterval is the shortest time between two log lines about messages that can't be read.
 const malformedLogInterval = time.Minute
 
-// Reasons to drop a message.
+// Reasons to drop a message. errName also stands for a list of newer incarnations that is too long.
 var (
 	errTooLong = errors.New("too long")
 	errVersion = errors.New("of another version")
@@ -138,7 +138,7 @@
 func (c *Cluster) enqueueFarewell() (sent <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	farewell := membership.Announcement{From: c.module.Local(), Site: c.cfg.Site}
+	farewell := membership.Announcement{From: c.members.Local(), Site: c.cfg.Site}
 	sent = c.enqueue(message{Leaving: true, Announcement: farewell})
 	c.leaving = true
 	return sent
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -23,6 +23,10 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
+// deadNodeReclaimTime is how long memberlist keeps the name of a dead node from a node at another address. A node that is
+// replaced must get its name back at once, and 0 would mean never.
+const deadNodeReclaimTime = time.Millisecond
+
 // Config describes a node and how it reaches its peers.
 type Config struct {
 	Name, Site       string
@@ -87,7 +91,7 @@
 	liveCount atomic.Int64 // of live
 
 	mu           sync.Mutex
-	module       *membership.Members
+	members      *membership.Members
 	live         map[string]detected               // by name, as the failure detector has them, without this node
 	reported     map[string]membership.Incarnation // by name, as package membership was notified last
 	addresses    map[string]string                 // by name, last known
@@ -122,7 +126,7 @@
 		cfg.Limits = membership.DefaultLimits()
 	}
 	local := newIncarnation(cfg, logger)
-	module, err := membership.New(local, cfg.Site, cfg.Tree, cfg.Limits, local.Nonce)
+	members, err := membership.New(local, cfg.Site, cfg.Tree, cfg.Limits, local.Nonce)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -130,7 +134,7 @@
 		cfg:          cfg,
 		log:          logger,
 		started:      time.Now(),
-		module:       module,
+		members:      members,
 		live:         map[string]detected{},
 		reported:     map[string]membership.Incarnation{},
 		addresses:    map[string]string{},
@@ -213,7 +217,7 @@
 	lib.PushPullInterval = pushPullInterval
 	lib.GossipToTheDeadTime = gossipToDead
 	lib.TCPTimeout = joinTimeout
-	lib.DeadNodeReclaimTime = time.Millisecond
+	lib.DeadNodeReclaimTime = deadNodeReclaimTime
 	lib.Delegate = delegate{c}
 	lib.Events = eventDelegate{c}
 	lib.Conflict = conflictDelegate{c}
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -78,9 +78,9 @@
 // step passes an event to package membership and carries out its actions.
 func (c *Cluster) step(event membership.Event) {
 	c.mu.Lock()
-	before := c.module.Revision()
-	actions := c.module.Step(c.now(), event)
-	changed := c.module.Revision() != before
+	before := c.members.Revision()
+	actions := c.members.Step(c.now(), event)
+	changed := c.members.Revision() != before
 	var refuted *membership.Incarnation
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -35,19 +35,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := View{
-		Self:    c.module.LocalState().String(),
-		Me:      c.module.Local(),
+		Self:    c.members.LocalState().String(),
+		Me:      c.members.Local(),
 		Site:    c.cfg.Site,
-		Digest:  fmt.Sprintf("%016x", c.module.Digest()),
-		Sites:   c.module.Sites(),
+		Digest:  fmt.Sprintf("%016x", c.members.Digest()),
+		Sites:   c.members.Sites(),
 		Sent:    c.transport.packetBytes.Load(),
 		Packets: c.transport.packets.Load(),
 		Streams: c.transport.streamBytes.Load(),
 		Bad:     c.malformed.total,
-		Failed:  c.module.Failures(),
+		Failed:  c.members.Failures(),
 	}
 	now := c.now()
-	for _, m := range c.module.List() {
+	for _, m := range c.members.List() {
 		v.Members = append(v.Members, MemberView{m.Name, m.Site, m.State.String(), m.Start, (now - m.Since).Milliseconds()})
 	}
 	return v
@@ -57,7 +57,7 @@
 func (c *Cluster) May(operation membership.Operation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.module.LocalState().May(operation)
+	return c.members.LocalState().May(operation)
 }
 
 // Changed returns a channel that is closed at the next change of the view.
--- a/internal/settings/configwatch.go
+++ b/internal/settings/configwatch.go
@@ -24,11 +24,11 @@
 	}
 	checkControllers(r, w.Controllers)
 	if !isPrintable(w.Service) {
-		r.AddError(r.Block.Line, "block config_watch needs service: 1 to %d visible characters", maxTextLength)
+		r.AddErrorAt(r.Block.Line, "block config_watch needs service: 1 to %d visible characters", maxTextLength)
 	}
 	for name, text := range map[string]string{"region": w.Region, "zone": w.Zone} {
 		if line, set := r.Has(name); set && !isPrintable(text) {
-			r.AddError(line, "%s must be 1 to %d visible characters", name, maxTextLength)
+			r.AddErrorAt(line, "%s must be 1 to %d visible characters", name, maxTextLength)
 		}
 	}
 	r.checkFolder(w.Folder)
@@ -38,15 +38,15 @@
 // checkControllers notes an error unless there are controllers, each with an address of its own.
 func checkControllers(r *Reader, controllers []string) {
 	if len(controllers) == 0 {
-		r.AddError(r.Block.Line, "block config_watch needs controllers")
+		r.AddErrorAt(r.Block.Line, "block config_watch needs controllers")
 	}
 	line, _ := r.Has("controllers")
 	for i, address := range controllers {
 		if !isHostPort(address) {
-			r.AddError(line, "controllers must be a list of HOST:PORT")
+			r.AddErrorAt(line, "controllers must be a list of HOST:PORT")
 		}
 		if slices.Contains(controllers[:i], address) {
-			r.AddError(line, "controllers names %s twice", address)
+			r.AddErrorAt(line, "controllers names %s twice", address)
 		}
 	}
 }
--- a/internal/settings/faultinjection.go
+++ b/internal/settings/faultinjection.go
@@ -11,7 +11,7 @@
 	Name        string        // unique
 	Secret      string        // the key that starts it; "": it can't be started
 	Class       string        // of requests
-	Percent     float64       // of the class's requests, 0 to 100
+	Percent     float64       // share of the class's requests in percent, 0 to 100; the key is share
 	Delay       time.Duration // before the first attempt
 	AbortStatus int           // answered at once without an attempt: 503 or 500; 0: not
 	Duration    time.Duration // from each start; default 1 min
@@ -32,21 +32,21 @@
 func (f *File) readFaultInjection(r *Reader) {
 	d := FaultInjection{Pos: r.Position(), Name: r.Label()}
 	if !isPrintable(d.Name) || strings.Contains(d.Name, " ") {
-		r.AddError(r.Block.Line, "a drill's label is its name: 1 to %d visible characters", maxTextLength)
+		r.AddErrorAt(r.Block.Line, "a drill's label is its name: 1 to %d visible characters", maxTextLength)
 	}
 	d.Secret = r.Text("secret", "")
 	if line, ok := r.Has("secret"); ok && !isPrintable(d.Secret) {
-		r.AddError(line, "secret must be 1 to %d ASCII characters that fit in a header", maxTextLength)
+		r.AddErrorAt(line, "secret must be 1 to %d ASCII characters that fit in a header", maxTextLength)
 	}
 	d.Class = r.Text("class", "")
 	if d.Class == "" {
-		r.AddError(r.Block.Line, "drill %s names no class", d.Name)
+		r.AddErrorAt(r.Block.Line, "drill %s names no class", d.Name)
 	}
 	d.Percent = r.Number("share", 0, 0, 100)
 	d.Delay = r.Milliseconds("delay_ms", 0, 0, maxFaultDelay)
 	d.AbortStatus = r.Integer("abort_status", 0, 0, maxStatus)
 	if line, ok := r.Has("abort_status"); ok && d.AbortStatus != 503 && d.AbortStatus != 500 {
-		r.AddError(line, "abort_status must be 503 or 500")
+		r.AddErrorAt(line, "abort_status must be 503 or 500")
 	}
 	seconds := r.Number("duration_s", defaultFaultSeconds, minFaultSeconds, maxFaultSeconds)
 	d.Duration = time.Duration(seconds * float64(time.Second))
@@ -58,10 +58,10 @@
 func (f *File) checkUnique(r *Reader, d FaultInjection) {
 	for _, other := range f.FaultInjections {
 		if other.Name == d.Name {
-			r.AddError(r.Block.Line, "drill %s is there already (%s)", d.Name, other.Pos)
+			r.AddErrorAt(r.Block.Line, "drill %s is there already (%s)", d.Name, other.Pos)
 		}
 		if other.Secret == d.Secret && d.Secret != "" {
-			r.AddError(r.Block.Line, "drill %s has the secret of drill %s: a key must name one drill", d.Name, other.Name)
+			r.AddErrorAt(r.Block.Line, "drill %s has the secret of drill %s: a key must name one drill", d.Name, other.Name)
 		}
 	}
 }
--- a/internal/settings/metrics.go
+++ b/internal/settings/metrics.go
@@ -32,9 +32,9 @@
 		MaxBatch: r.Integer("max_batch_bytes", defaultMaxBatch, minMaxBatch, maxMaxBatch),
 	}
 	if line, ok := r.Has("file"); ok && f.Metrics.File == "" {
-		r.AddError(line, "file must name a file")
+		r.AddErrorAt(line, "file must name a file")
 	}
 	if line, ok := r.Has("udp"); ok && !isHostPort(f.Metrics.UDP) {
-		r.AddError(line, "udp must be HOST:PORT")
+		r.AddErrorAt(line, "udp must be HOST:PORT")
 	}
 }
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -28,13 +28,13 @@
 	}
 	for name, text := range map[string]string{"site": p.Site, "listen": p.Listen, "key_file": p.KeyFile} {
 		if text == "" {
-			r.AddError(r.Block.Line, "block peers needs %s", name)
+			r.AddErrorAt(r.Block.Line, "block peers needs %s", name)
 		}
 	}
 	checkAddress := func(name, address string) {
 		if !isHostPort(address) {
 			line, _ := r.Has(name)
-			r.AddError(line, "%s must be HOST:PORT", name)
+			r.AddErrorAt(line, "%s must be HOST:PORT", name)
 		}
 	}
 	checkAddress("listen", p.Listen)
@@ -44,7 +44,7 @@
 	for _, override := range r.Texts("via") { // "10.0.0.4:7946=192.0.2.1:7946"
 		listen, reached, ok := strings.Cut(override, "=")
 		if line, _ := r.Has("via"); !ok {
-			r.AddError(line, "via must be a list of HOST:PORT=HOST:PORT")
+			r.AddErrorAt(line, "via must be a list of HOST:PORT=HOST:PORT")
 		}
 		checkAddress("via", listen)
 		checkAddress("via", reached)
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -38,15 +38,15 @@
 	return inner
 }
 
-// AddError notes an error at a line, unless there is one already.
-func (r *Reader) AddError(line int, format string, args ...any) {
+// AddErrorAt notes an error at a line, unless there is one already.
+func (r *Reader) AddErrorAt(line int, format string, args ...any) {
 	if r.err == nil {
 		r.err = ErrorAt(r.File, line, format, args...)
 	}
 }
 
-// AddErr notes the error of a nested block, unless there is one already.
-func (r *Reader) AddErr(err error) {
+// KeepFirst notes the error of a nested block, unless there is one already.
+func (r *Reader) KeepFirst(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -74,7 +74,7 @@
 // Label returns the block's label, which must be there.
 func (r *Reader) Label() string {
 	if !r.Block.HasLabel {
-		r.AddError(r.Block.Line, "block %s needs a label", r.Block.Kind)
+		r.AddErrorAt(r.Block.Line, "block %s needs a label", r.Block.Kind)
 	}
 	return r.Block.Label
 }
@@ -83,9 +83,9 @@
 func (r *Reader) Once(again bool) {
 	switch {
 	case again:
-		r.AddError(r.Block.Line, "block %s is there already", r.Block.Kind)
+		r.AddErrorAt(r.Block.Line, "block %s is there already", r.Block.Kind)
 	case r.Block.HasLabel:
-		r.AddError(r.Block.Line, "block %s has no label", r.Block.Kind)
+		r.AddErrorAt(r.Block.Line, "block %s has no label", r.Block.Kind)
 	}
 }
 
@@ -107,7 +107,7 @@
 			continue
 		}
 		if v, ok = s.value.(T); !ok {
-			r.AddError(s.line, "%s must be %s", name, kind)
+			r.AddErrorAt(s.line, "%s must be %s", name, kind)
 		}
 		return v, s.line, ok
 	}
@@ -133,7 +133,7 @@
 	v := r.Text(name, allowed[0])
 	if !slices.Contains(allowed, v) {
 		line, _ := r.Has(name)
-		r.AddError(line, "%s must be one of %s", name, strings.Join(allowed, ", "))
+		r.AddErrorAt(line, "%s must be one of %s", name, strings.Join(allowed, ", "))
 	}
 	return v
 }
@@ -145,11 +145,11 @@
 	for _, text := range texts {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			r.AddError(line, "%s: %q is not a range such as 10.4.0.0/16", name, text)
+			r.AddErrorAt(line, "%s: %q is not a range such as 10.4.0.0/16", name, text)
 			continue
 		}
 		if p != p.Masked() {
-			r.AddError(line, "%s: %s has address bits beyond its length: %s is meant, or a longer one", name, text, p.Masked())
+			r.AddErrorAt(line, "%s: %s has address bits beyond its length: %s is meant, or a longer one", name, text, p.Masked())
 		}
 		if p.Addr().Is4In6() && p.Bits() >= mappedPrefixBits {
 			p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-mappedPrefixBits)
@@ -170,7 +170,7 @@
 	}
 	v, err := strconv.ParseFloat(string(text), 64)
 	if errors.Is(err, strconv.ErrRange) || !(v >= minimum && v <= maximum) {
-		r.AddError(line, "%s must be from %g to %g", name, minimum, maximum)
+		r.AddErrorAt(line, "%s must be from %g to %g", name, minimum, maximum)
 		return defaultValue
 	}
 	return v
@@ -181,7 +181,7 @@
 	v := r.Number(name, float64(defaultValue), float64(minimum), float64(maximum))
 	if v != float64(int(v)) {
 		line, _ := r.Has(name)
-		r.AddError(line, "%s must be a whole number", name)
+		r.AddErrorAt(line, "%s must be a whole number", name)
 	}
 	return int(v)
 }
@@ -200,7 +200,7 @@
 // checkFolder notes an error if the setting folder is there and names none.
 func (r *Reader) checkFolder(folder string) {
 	if line, ok := r.Has("folder"); ok && folder == "" {
-		r.AddError(line, "folder must name a folder")
+		r.AddErrorAt(line, "folder must name a folder")
 	}
 }
 
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -12,11 +12,11 @@
 func (f *File) readSite(r *Reader) {
 	s := Site{Pos: r.Position(), Name: r.Label(), Parent: r.Text("parent", "")}
 	if !isPrintable(s.Name) {
-		r.AddError(r.Block.Line, "a site's label is its name: 1 to %d visible characters", maxTextLength)
+		r.AddErrorAt(r.Block.Line, "a site's label is its name: 1 to %d visible characters", maxTextLength)
 	}
 	for _, other := range f.Sites {
 		if other.Name == s.Name {
-			r.AddError(r.Block.Line, "site %s is there already (%s)", s.Name, other.Pos)
+			r.AddErrorAt(r.Block.Line, "site %s is there already (%s)", s.Name, other.Pos)
 		}
 	}
 	f.Sites = append(f.Sites, s)
--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -72,7 +72,7 @@
 
 // announce sends an announcement.
 func (m *Members) announce(newer ...Incarnation) {
-	m.announcedAt = max(m.now, 1)
+	m.announcedAt = nonZero(m.now)
 	m.announcedDigests = m.digests()
 	m.emit(Broadcast{Announcement{
 		From:    m.local,
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -33,11 +33,15 @@
 		m.disputedSince = 0
 		m.needsReplies = m.needsReplies && q.known == 1
 	} else if m.disputedSince == 0 {
-		m.disputedSince = max(m.now, 1)
+		m.disputedSince = nonZero(m.now)
 	}
 	m.setLocalState(m.nextLocalState(q))
 }
 
+// reconnectJitterDivisor sets the most jitter of a reconnect delay, as a fraction of ReconnectMin: nodes that lost a member
+// together do not call it together.
+const reconnectJitterDivisor = 4
+
 // retryFailed reconnects to failed members, ever more rarely, and forgets those that ended long ago.
 func (m *Members) retryFailed() {
 	for _, name := range slices.Sorted(maps.Keys(m.members)) {
@@ -46,7 +50,7 @@
 		case !member.State.running() && m.now-member.Since >= m.FailedTTL:
 			m.forget(name)
 		case member.State == Failed && m.now-member.lastReconnect >= member.reconnectDelay:
-			jitter := time.Duration(m.rng.Float64() * float64(m.ReconnectMin) / 4)
+			jitter := time.Duration(m.rng.Float64() * float64(m.ReconnectMin) / reconnectJitterDivisor)
 			member.lastReconnect = m.now
 			member.reconnectDelay = min(2*member.reconnectDelay, m.ReconnectMax) + jitter
 			m.emit(Reconnect{name})
@@ -67,7 +71,7 @@
 		}
 		q.running++
 		last := m.announcements[member.Name]
-		if last == nil || m.announcementExpired(member) && m.enabled(guardExpired) {
+		if last == nil || (m.announcementExpired(member) && m.enabled(guardExpired)) {
 			continue
 		}
 		if last.Digests[m.site] == own {
@@ -108,3 +112,6 @@
 		m.state = state
 	}
 }
+
+// nonZero is a time that is to be stored where 0 stands for unset: an event at time 0 counts as one at 1 ns.
+func nonZero(t time.Duration) time.Duration { return max(t, 1) }
--- a/membership/guard.go
+++ b/membership/guard.go
@@ -1,7 +1,7 @@
 package membership
 
-// guard is one of the checks on messages that are stale, misdirected or false. Tests disable one at a time, to show that
-// each is needed.
+// guard is one of the checks on messages that are stale, misdirected or false. All are always enabled
+// outside of tests, which alone disable one at a time, to show that each is needed.
 type guard int
 
 const (
--- a/membership/members.go
+++ b/membership/members.go
@@ -132,7 +132,7 @@
 			m.setState(member, Alive)
 		}
 	case m.enabled(guardImplausible) && e.Start > member.Start && e.Start-member.Start > maxStartGap:
-	case e.NewerThan(member.Incarnation) && e.Start >= m.minStart[e.Name] || !m.enabled(guardStaleIncarnation):
+	case (e.NewerThan(member.Incarnation) && e.Start >= m.minStart[e.Name]) || !m.enabled(guardStaleIncarnation):
 		m.markChanged()
 		*member = Member{Incarnation: e.Incarnation, Site: e.Site, State: Alive, Since: m.now}
 		delete(m.announcements, e.Name)
@@ -148,9 +148,9 @@
 func (m *Members) handleOwnName(other Incarnation) {
 	switch {
 	case other.Nonce == m.local.Nonce: // the local one, under an earlier start number or one that was garbled
-	case other.Start < m.local.Start:
-	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap:
-	case !m.enabled(guardRefute):
+	case other.Start < m.local.Start: // stale: the local one is newer
+	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap: // not believed
+	case !m.enabled(guardRefute): // only in tests: it does not refute
 	case !m.agreedOnce || !m.enabled(guardNameConflict): // nobody has agreed with the local one yet: it gives way
 		stale := m.local.Start
 		m.markChanged()
@@ -202,7 +202,7 @@
 		return
 	}
 	clear(m.announcements)
-	m.disputedSince = max(m.now-m.DisputeTimeout, 1)
+	m.disputedSince = nonZero(m.now - m.DisputeTimeout) // the time to settle a dispute is over already
 	m.needsReplies = true
 	m.announcedAt = 0
 	m.setLocalState(Disputed)
--- a/membership/state.go
+++ b/membership/state.go
@@ -17,10 +17,10 @@
 
 // States of a member.
 const (
-	Alive   State = iota // the detector gets answers
-	Suspect              // the detector had no answer and waits for a refutation
-	Failed               // the detector has given it up
-	Left                 // it announced that it leaves
+	Alive   State = iota // printed "here": the detector gets answers
+	Suspect              // printed "suspected": the detector had no answer and waits for a refutation
+	Failed               // printed "failed": the detector has given it up
+	Left                 // printed "left": it announced that it leaves
 )
 
 // String is the word that commands print, in which an alive member is "here".
@@ -47,11 +47,11 @@
 
 // States of the local node.
 const (
-	Joining  LocalState = iota // it has not agreed with anybody yet
-	Agreed                     // a majority of the known members of its own site and its parent has the same view
-	Disputed                   // a majority is reachable but has another view, or the local process stood still
-	Minority                   // it reaches half of them or fewer
-	Isolated                   // it reaches none of them
+	Joining  LocalState = iota // printed "joining": it has not agreed with anybody yet
+	Agreed                     // printed "agreed": a majority of the known members of its own site and its parent has the same view
+	Disputed                   // printed "disputed": a majority is reachable but has another view, or the local process stood still
+	Minority                   // printed "cut off": it reaches half of them or fewer
+	Isolated                   // printed "alone": it reaches none of them
 )
 
 // String is the word that commands and logs print.
@@ -59,7 +59,8 @@
 	return [...]string{"joining", "agreed", "disputed", "cut off", "alone"}[s]
 }
 
-// Operation is something that a node may do on the strength of its view.
+// Operation is something that a node may do on the strength of its view. Failover chains are not built yet: nothing but
+// tests asks May for an operation today.
 type Operation int
 
 // Operations, from the most harmless to those that need agreement.
