--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// startRaft starts raft in the way that the disk allows. It returns nil if ctx ends before.
+// startRaft starts raft in the way that the disk allows. It returns nil and no error if ctx ends before.
 func (c *Controller) startRaft(ctx context.Context) (*consensus, error) {
 	switch c.participation.Load().phase {
 	case phaseMember:
--- a/internal/controller/startupdecisions.go
+++ b/internal/controller/startupdecisions.go
@@ -23,6 +23,9 @@
 // that it must not take part under its old server ID. Both show as nodes that reject versions as "foreign", or as
 // versions that are lost.
 //
+// Of three controllers, for example: two empty ones begin a cluster once waitForAll is over while the third is down; an
+// empty one joins when another reports phaseMember; one that is alone waits.
+//
 // The exception: a member that found this very process empty before it began a cluster counts it as a founder. Such a
 // process has never voted, and begins the same cluster.
 func decideEmptyDiskStart(config Config, processID string, reports map[string]memberReport, waitForAll bool) emptyDiskStart {
