--- a/internal/node/slowclients_test.go
+++ b/internal/node/slowclients_test.go
@@ -2,11 +2,14 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -196,3 +199,29 @@
 		}
 	}
 }
+
+// A client sends the beginning of a head and stays silent. It is owed an answer or a close within 3 s, however much it has
+// sent. With 4095 bytes one byte is left in net/http's buffer of 4096, and the read of it looks like net/http's background
+// read, whose deadline is lifted: the connection stays, and holds its slot.
+func TestEndlessHeadIsEnded(t *testing.T) {
+	n := startWith(t, newBackend(t, respondOK))
+	for _, size := range []int{4000, 4094, 4095, 4096} {
+		t.Run(strconv.Itoa(size), func(t *testing.T) {
+			t.Parallel()
+			c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			if err := c.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := io.WriteString(c, "GET /"+strings.Repeat("a", size-len("GET /"))); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Error("neither answered nor closed within 3 s")
+			}
+		})
+	}
+}
