--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -103,7 +103,7 @@
 const (
 	minShare   = 0.1 // least Share
 	shareRange = 0.5 // added to it at most
-	maxCount   = 4
+	maxCount   = 4   // most polls or requests that a counted fault strikes
 )
 
 // waitRange are the bounds of a fault's Wait.
