--- a/balancer/accesslist.go
+++ b/balancer/accesslist.go
@@ -24,16 +24,16 @@
 	if !client.IsValid() {
 		return len(l.Allow) == 0 && len(l.Deny) == 0
 	}
-	return (len(l.Allow) == 0 || contains(l.Allow, client)) && !contains(l.Deny, client)
+	return (len(l.Allow) == 0 || containsAddress(l.Allow, client)) && !containsAddress(l.Deny, client)
 }
 
 // TrustsProxy says whether a connection from an address must begin by naming its client.
 func (l *AccessList) TrustsProxy(peer netip.Addr) bool {
-	return l != nil && contains(l.TrustedProxies, peer)
+	return l != nil && containsAddress(l.TrustedProxies, peer)
 }
 
-// contains says that an address is in one of the ranges, an IPv4 address also in its IPv6 form.
-func contains(ranges []netip.Prefix, address netip.Addr) bool {
+// containsAddress says that an address is in one of the ranges, an IPv4 address also in its IPv6 form.
+func containsAddress(ranges []netip.Prefix, address netip.Addr) bool {
 	address = address.Unmap().WithZone("")
 	return slices.ContainsFunc(ranges, func(r netip.Prefix) bool { return r.Contains(address) })
 }
--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -10,26 +10,26 @@
 // Who is admitted: ranges of both address families, of IPv4 in IPv6, Deny before Allow, and clients whose
 // address is not known.
 func TestAccessListAllows(t *testing.T) {
-	none, some := &AccessList{}, &AccessList{Allow: prefixes("10.4.0.0/16", "fd00:12::/48"), Deny: prefixes("10.4.9.0/24")}
-	denies := &AccessList{Deny: prefixes("10.4.9.0/24", "::1/128")}
+	empty, allowAndDeny := &AccessList{}, &AccessList{Allow: parsePrefixes("10.4.0.0/16", "fd00:12::/48"), Deny: parsePrefixes("10.4.9.0/24")}
+	denyOnly := &AccessList{Deny: parsePrefixes("10.4.9.0/24", "::1/128")}
 	for _, c := range []struct {
-		lists  *AccessList
+		list   *AccessList
 		client string
 		want   bool
 	}{
 		{nil, "192.0.2.1", true}, {nil, "", true},
-		{none, "192.0.2.1", true}, {none, "::1", true}, {none, "", true},
-		{some, "10.4.1.1", true}, {some, "::ffff:10.4.1.1", true}, {some, "fd00:12::7", true}, {some, "fd00:12::7%eth0", true},
-		{some, "10.5.1.1", false}, {some, "fd00:13::7", false}, {some, "", false},
-		{some, "10.4.9.1", false}, {some, "::ffff:10.4.9.1", false},
-		{denies, "10.4.9.1", false}, {denies, "10.4.8.1", true}, {denies, "::1", false}, {denies, "::2", true}, {denies, "", false},
+		{empty, "192.0.2.1", true}, {empty, "::1", true}, {empty, "", true},
+		{allowAndDeny, "10.4.1.1", true}, {allowAndDeny, "::ffff:10.4.1.1", true}, {allowAndDeny, "fd00:12::7", true}, {allowAndDeny, "fd00:12::7%eth0", true},
+		{allowAndDeny, "10.5.1.1", false}, {allowAndDeny, "fd00:13::7", false}, {allowAndDeny, "", false},
+		{allowAndDeny, "10.4.9.1", false}, {allowAndDeny, "::ffff:10.4.9.1", false},
+		{denyOnly, "10.4.9.1", false}, {denyOnly, "10.4.8.1", true}, {denyOnly, "::1", false}, {denyOnly, "::2", true}, {denyOnly, "", false},
 	} {
 		var client netip.Addr
 		if c.client != "" {
 			client = netip.MustParseAddr(c.client)
 		}
-		if got := c.lists.Allows(client); got != c.want {
-			t.Errorf("%+v allows %s: %v", c.lists, c.client, got)
+		if got := c.list.Allows(client); got != c.want {
+			t.Errorf("%+v allows %s: %v", c.list, c.client, got)
 		}
 	}
 }
@@ -37,9 +37,9 @@
 // Only a trusted proxy may name the clients of its connections: else anybody could choose the address by
 // which it is admitted.
 func TestAccessListTrustsProxy(t *testing.T) {
-	fronts := &AccessList{TrustedProxies: prefixes("127.0.0.2/32", "fd00::/64")}
+	list := &AccessList{TrustedProxies: parsePrefixes("127.0.0.2/32", "fd00::/64")}
 	for addr, want := range map[string]bool{"127.0.0.2": true, "::ffff:127.0.0.2": true, "127.0.0.1": false, "fd00::9": true, "fd01::9": false} {
-		if fronts.TrustsProxy(netip.MustParseAddr(addr)) != want {
+		if list.TrustsProxy(netip.MustParseAddr(addr)) != want {
 			t.Errorf("trusts %s: %v", addr, !want)
 		}
 	}
@@ -51,7 +51,7 @@
 // A client outside the access list is denied before anything is learned of its request, also with an ID
 // that is in use.
 func TestClientsOutsideTheAccessListAreDenied(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: prefixes("10.4.0.0/16")} })
+	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: parsePrefixes("10.4.0.0/16")} })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	allowed := Request{ID: "r", Class: "pay", Deadline: time.Second, Client: netip.MustParseAddr("10.4.0.1")}
 	if acts := b.Handle(0, allowed); len(sends(acts)) != 1 {
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -14,9 +14,9 @@
 // MaxOverrides is how many servers' overrides are remembered.
 const MaxOverrides = 1024
 
-// firstRequestAfter is when a server that was enabled and is still unused is given a request. Operators who
+// firstRequestDelay is when a server that was enabled and is still unused is given a request. Operators who
 // enable a server look for its first requests within 5 s.
-const firstRequestAfter = time.Second
+const firstRequestDelay = time.Second
 
 // override is what operators said of a server last.
 type override struct {
@@ -62,15 +62,15 @@
 	if !b.IsDisabled(id) && (s == nil || !s.listed) {
 		return ErrUnknownServer
 	}
-	b.forgetOldOverrides()
+	b.removeExpiredOverrides()
 	if _, known := b.overrides[id]; !known && len(b.overrides) >= MaxOverrides {
 		return ErrTooManyOverrides
 	}
 	return nil
 }
 
-// forgetOldOverrides drops servers that were enabled so long ago that their slow start is over.
-func (b *Balancer) forgetOldOverrides() {
+// removeExpiredOverrides drops servers that were enabled so long ago that their slow start is over.
+func (b *Balancer) removeExpiredOverrides() {
 	maps.DeleteFunc(b.overrides, func(_ string, o override) bool {
 		return !o.disabled && b.now >= o.enabledAt+b.settings.SlowStartDuration
 	})
@@ -89,16 +89,16 @@
 			listed:          s.listed,
 			inFlight:        s.inFlight,
 			enabledAt:       b.now,
-			firstRequestDue: b.now + firstRequestAfter,
+			firstRequestDue: b.now + firstRequestDelay,
 		}
 	}
 	b.refreshPools()
 }
 
-// firstRequestOwed gives a server that was enabled and is unused since, if the request may go there; else
+// serverDueFirstRequest gives a server that was enabled and is unused since, if the request may go there; else
 // nil. A server in slow start is drawn seldom, and in light traffic its operators would wait long to see
 // whether it works. One attempt at a time is none too many for it.
-func (b *Balancer) firstRequestOwed(r *request) *server {
+func (b *Balancer) serverDueFirstRequest(r *request) *server {
 	for _, s := range r.class.pool.inService {
 		due := s.firstRequestDue > 0 && b.now >= s.firstRequestDue
 		if due && s.inFlightCount() == 0 && b.capacityLimit(s) > 0 && !b.isOutlier(s, r) && b.mayServe(r, s) {
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -10,11 +10,11 @@
 
 // An operator disables a server. It stays disabled whatever discovery says, and is enabled by one call
 // however many disabled it.
-func TestOverrideOutlastsDiscovery(t *testing.T) {
+func TestOverridePersistsAcrossEndpointUpdates(t *testing.T) {
 	boot := func(s Server, at time.Duration) Server { s.StartTime = at; return s }
 	gone, moved := servers(1)[0], servers(1)[0]
 	gone.State, moved.Zone = Removed, "elsewhere"
-	for name, news := range map[string][]Event{
+	for name, events := range map[string][]Event{
 		"nothing":           nil,
 		"the whole list":    {completeList(2)},
 		"a restart":         {EndpointUpdate{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
@@ -28,10 +28,10 @@
 			b := newBalancer(t, nil)
 			b.Handle(0, completeList(2))
 			b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
-			for _, e := range news {
+			for _, e := range events {
 				b.Handle(2*time.Second, e)
 			}
-			b = restored(t, b.settings, b)
+			b = restoreFromCheckpoint(t, b.settings, b)
 			for i := range 50 {
 				id := fmt.Sprint("r", i)
 				now := time.Duration(40+i) * time.Second
@@ -85,7 +85,7 @@
 
 // A server is enabled after repair, often right after its restart. It is warming up from the call on; a
 // start before the call, heard of later, changes nothing, one after it begins anew.
-func TestEnabledServerStartsSlowly(t *testing.T) {
+func TestEnabledServerIsInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
 	b.Handle(time.Second, AdminOverride{Server: "s00", Disabled: true})
@@ -94,14 +94,14 @@
 	s := b.servers["s00"]
 	s.consecutiveFailures = 2
 	for _, c := range []struct {
-		boot, start time.Duration
-		streak      int
+		boot, wantStart time.Duration
+		wantFailures    int
 	}{{0, call, 2}, {15 * time.Second, call, 2}, {15 * time.Second, call, 2}, {25 * time.Second, 25 * time.Second, 0}} {
 		n := servers(1)[0]
 		n.StartTime = c.boot
 		b.Handle(26*time.Second, EndpointUpdate{Servers: []Server{n}})
-		if s.startedAt() != c.start || s.consecutiveFailures != c.streak {
-			t.Errorf("notified of a start at %v: start %v, %d failures, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.start, c.streak)
+		if s.startedAt() != c.wantStart || s.consecutiveFailures != c.wantFailures {
+			t.Errorf("notified of a start at %v: start %v, %d failures, want %v, %d", c.boot, s.startedAt(), s.consecutiveFailures, c.wantStart, c.wantFailures)
 		}
 	}
 	b.Handle(27*time.Second, EndpointUpdate{Complete: true})
@@ -113,7 +113,7 @@
 
 // Operators who enable a server wait to see it work. It has a request within 5 s, though one comes a second
 // and none may be sent twice; never two at once.
-func TestEnabledServerIsUsedInLightTraffic(t *testing.T) {
+func TestEnabledServerGetsARequestSoonInLightTraffic(t *testing.T) {
 	for seed := range uint64(40) {
 		b, err := New(testSettings(), seed)
 		if err != nil {
@@ -140,7 +140,7 @@
 
 // All servers are disabled. A request is rejected at once, one that waits too, and told when to come back:
 // nothing it could wait for will happen in time.
-func TestAllServersDisabled(t *testing.T) {
+func TestRequestsAreRejectedWhenAllServersAreDisabled(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
 	b.Handle(0, AdminOverride{Server: "s00", Disabled: true})
@@ -160,25 +160,25 @@
 
 // Whatever operators and discovery say of servers in whatever order, nothing goes to a disabled one, and a
 // checkpoint in between changes nothing.
-func TestOverridesInAnyOrder(t *testing.T) {
+func TestDisabledServersGetNoRequestsInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, err := New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Handle(0, completeList(4))
-		out := map[string]bool{}
+		disabled := map[string]bool{}
 		for i := range 60 {
 			now := time.Duration(i) * 200 * millisecond
 			id := fmt.Sprintf("s%02d", rapid.IntRange(0, 3).Draw(t, "server"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				if known := b.CheckOverride(id) == nil; known {
-					out[id] = true
+					disabled[id] = true
 				}
 				b.Handle(now, AdminOverride{Server: id, Disabled: true})
 			case 1:
-				delete(out, id)
+				delete(disabled, id)
 				b.Handle(now, AdminOverride{Server: id})
 			case 2:
 				b.Handle(now, completeList(rapid.IntRange(0, 4).Draw(t, "listed")))
@@ -192,7 +192,7 @@
 				}
 			default:
 				for _, s := range sends(b.Handle(now, newRequest(now.String(), "get", now, time.Second))) {
-					if out[s.Server] {
+					if disabled[s.Server] {
 						t.Fatalf("%s is disabled", s.Server)
 					}
 				}
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,22 +16,22 @@
 	// targetLoadRatio is the mean latency, over the latency objective, that the window steers to. Half of
 	// the objective is left for the spread of latencies.
 	targetLoadRatio = 0.5
-	// unloadedRatioMultiple raises the target to so many times the ratio without overload, where that is
+	// unloadedRatioMultiplier raises the target to so many times the ratio without overload, where that is
 	// more: work that takes most of the objective by itself is no overload.
-	unloadedRatioMultiple = 1.4
+	unloadedRatioMultiplier = 1.4
 	// maxTargetLoadRatio is the highest target: above it too many answers would miss the objective.
 	maxTargetLoadRatio = 0.7
 	// maxUnloadedShedShare is the share of shed requests above which answers tell of an overload rather
 	// than of the time that the work takes by itself.
 	maxUnloadedShedShare = 0.02
 
-	// windowGain is the attempts by which an answer in good time raises the window, times the free part of
+	// maxWindowIncrement is the attempts by which an answer in good time raises the window, times the free part of
 	// the target.
-	windowGain = 1.0
-	// windowLoss is the attempts by which an answer lowers the window while the mean is above the target: a
+	maxWindowIncrement = 1.0
+	// windowDecrement is the attempts by which an answer lowers the window while the mean is above the target: a
 	// tenth of the window by as many answers as it holds. Answers to attempts that were sent before the
 	// first step come late too; larger steps would punish one overload many times.
-	windowLoss = 0.1
+	windowDecrement = 0.1
 	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns
 	// nothing of what the tiers below can take.
 	minWindowUse = 0.8
@@ -76,9 +76,9 @@
 		return
 	}
 	p, ratio := r.class.pool, b.latencyRatio(r, e)
-	p.learnLoad(ratio, e.Outcome)
-	b.moveWindow(p, ratio)
-	p.keepWindowFloor()
+	p.updateLoadRatio(ratio, e.Outcome)
+	b.raiseOrLowerWindow(p, ratio)
+	p.enforceWindowFloor()
 }
 
 // latencyRatio is how long an attempt took, over the latency objective; at least 1 if it did not succeed.
@@ -90,9 +90,9 @@
 	return ratio
 }
 
-// learnLoad takes the latency ratio of an attempt into the load ratio and, if it succeeded while next to
+// updateLoadRatio takes the latency ratio of an attempt into the load ratio and, if it succeeded while next to
 // nothing was shed, into the ratio without overload.
-func (p *pool) learnLoad(ratio float64, outcome Outcome) {
+func (p *pool) updateLoadRatio(ratio float64, outcome Outcome) {
 	moveTowards(&p.loadRatio, min(ratio, 1), loadWeightNumerator/(p.window+loadWeightOffset))
 	if outcome == Success && p.shedShare < maxUnloadedShedShare {
 		p.unloadedSamples++
@@ -100,11 +100,11 @@
 	}
 }
 
-// moveWindow lowers the window while the load ratio is above the target, and raises it by an answer in good
+// raiseOrLowerWindow lowers the window while the load ratio is above the target, and raises it by an answer in good
 // time that has found the window in use. Its attempt no longer counts in the window (removeFromWindow): +1
 // puts it back.
-func (b *Balancer) moveWindow(p *pool, ratio float64) {
-	target := min(max(targetLoadRatio, unloadedRatioMultiple*p.unloadedRatio), maxTargetLoadRatio)
+func (b *Balancer) raiseOrLowerWindow(p *pool, ratio float64) {
+	target := min(max(targetLoadRatio, unloadedRatioMultiplier*p.unloadedRatio), maxTargetLoadRatio)
 	p.roundingDraw = 0
 	if p.loadRatio > target {
 		b.lowerWindow(p)
@@ -118,23 +118,23 @@
 // down (windowFull), so that all replicas together hold to it. At other times the draw is 0 and the window
 // is rounded up, which lets bursts through.
 func (b *Balancer) lowerWindow(p *pool) {
-	p.window -= windowLoss
+	p.window -= windowDecrement
 	p.roundingDraw = b.rng.Float64()
 }
 
 // raiseWindow raises a window by the free part of the target: a fixed step would leave servers idle, or
 // overshoot.
 func (p *pool) raiseWindow(target float64) {
-	gain := windowGain * (1 - p.loadRatio/target)
+	gain := maxWindowIncrement * (1 - p.loadRatio/target)
 	p.window += gain
 	p.floorServers += gain / minWindowPerServer
 }
 
-// keepWindowFloor keeps a window at its floor. The floor follows the list of servers down at once, and up
+// enforceWindowFloor keeps a window at its floor. The floor follows the list of servers down at once, and up
 // only by answers in good time: a list that grows in a surge says nothing of the tiers below, which a floor
 // that grew with it would overload. floorServers is fractional: it is a replica's part of the servers, and
 // grows with the window by parts of an attempt.
-func (p *pool) keepWindowFloor() {
+func (p *pool) enforceWindowFloor() {
 	p.floorServers = min(p.floorServers, p.serversPerReplica)
 	p.window = max(p.window, minWindow, minWindowPerServer*p.floorServers)
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,7 +9,7 @@
 
 // Half of the servers leave. The rest must not take the attempts of all: the window shrinks with the list,
 // and grows again by answers alone.
-func TestWindowShrinksWithTheList(t *testing.T) {
+func TestWindowShrinksWithTheEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 	b.pools[0].window = 100
@@ -25,7 +25,7 @@
 
 // A fleet that is enlarged in a surge stands on tiers below that did not grow. Late answers must not find a
 // floor of the window that grew with the list; answers in good time must raise it.
-func TestWindowFloorGrowsByAnswersNotByTheList(t *testing.T) {
+func TestWindowFloorGrowsWithAnswersNotWithTheEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(40)})
@@ -83,13 +83,13 @@
 
 // After a quiet time, servers with capacity to spare must not see requests rejected for half a minute while
 // a full window creeps up; near the target it must creep, or it overshoots.
-func TestWindowGrowsWithTheFreePartOfTheTarget(t *testing.T) {
-	grown := func(fill float64) float64 {
+func TestWindowGrowsInProportionToTheDistanceFromTheTarget(t *testing.T) {
+	grown := func(loadRatio float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
 		p := b.pools[0]
-		p.window, p.loadRatio, p.shedShare = 20, fill, maxUnloadedShedShare
-		sent := time.Duration(float64(b.settings.Classes[0].LatencyObjective) * fill)
+		p.window, p.loadRatio, p.shedShare = 20, loadRatio, maxUnloadedShedShare
+		sent := time.Duration(float64(b.settings.Classes[0].LatencyObjective) * loadRatio)
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: time.Second - sent}}}
 		b.now = time.Second
 		for range 40 {
@@ -106,7 +106,7 @@
 
 // Work that takes half of the latency objective while no load is shed is no overload, and the window must
 // not fall for it. The same latency after quicker answers is one, and so is one near the whole objective.
-func TestUnloadedLatencyIsNoOverload(t *testing.T) {
+func TestUnloadedLatencyIsNotTreatedAsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		before, now float64 // latency over the objective
@@ -116,9 +116,9 @@
 		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
 		p, objective := b.pools[0], float64(b.settings.Classes[0].LatencyObjective)
 		p.window = 60
-		answers := func(over float64) {
+		answers := func(latencyRatio float64) {
 			r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: 0}}}
-			b.now = time.Duration(over * objective)
+			b.now = time.Duration(latencyRatio * objective)
 			for range 200 {
 				b.adjustWindow(r, AttemptEnded{Outcome: Success})
 			}
@@ -158,41 +158,41 @@
 
 // Many replicas have windows of one and a half attempts. When answers come late, they must not all round up
 // and let two out: together that is a third more than the servers take.
-func TestFallingWindowIsRoundedByADraw(t *testing.T) {
+func TestFallingWindowIsRoundedAtRandom(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(12)}) // a floor of 1.5 attempts
 	p, closed := b.pools[0], 0
-	ends := func(fill float64, e Outcome) bool {
-		p.window, p.loadRatio, p.inFlight = 1.5, fill, 1
+	fullAfter := func(loadRatio float64, e Outcome) bool {
+		p.window, p.loadRatio, p.inFlight = 1.5, loadRatio, 1
 		b.adjustWindow(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Outcome: e})
 		return b.windowFull(p)
 	}
 	for range 400 {
-		if ends(1, TimedOut) {
+		if fullAfter(1, TimedOut) {
 			closed++
 		}
 	}
 	if closed < 160 || closed > 240 {
 		t.Errorf("closed to a second attempt %d times in 400, want about half", closed)
 	}
-	if ends(0, Success) {
+	if fullAfter(0, Success) {
 		t.Error("a window that does not fall must be rounded up")
 	}
 }
 
 // Two pools overlap. If both counted a shared server in the floors of their windows, it would be sent twice
 // what it takes.
-func TestFloorsOfOverlappingPoolsDoNotAddUp(t *testing.T) {
+func TestOverlappingPoolsCountSharedServersOnce(t *testing.T) {
 	b, _ := boundToSlow(t, 12)
-	free, bound := b.classes["get"].pool, b.classes["post"].pool
-	if bound.serversPerReplica != 2 || free.serversPerReplica != 4 {
-		t.Errorf("12 servers for 2 replicas: %v for each of the bound pool, %v for the free one; want 2 and 4", bound.serversPerReplica, free.serversPerReplica)
+	unrestricted, restricted := b.classes["get"].pool, b.classes["post"].pool
+	if restricted.serversPerReplica != 2 || unrestricted.serversPerReplica != 4 {
+		t.Errorf("12 servers for 2 replicas: %v for each of the bound pool, %v for the free one; want 2 and 4", restricted.serversPerReplica, unrestricted.serversPerReplica)
 	}
 }
 
 // Clients that leave early and ask again in an overload make it worse if their places become free at once:
 // servers still work on what they left. Their attempts fill the window until each has its outcome.
-func TestAttemptsOfGoneClientsCountInTheWindow(t *testing.T) {
+func TestAttemptsOfDisconnectedClientsCountInTheWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	b.pools[0].window = 4
@@ -216,7 +216,7 @@
 // A few clients that send or read slowly must not fill the window: a streamed body never counts, a streamed
 // response not from its beginning on. Its end frees no place twice, and its latency is what the host
 // measured.
-func TestStreamedMessagesLeaveTheWindow(t *testing.T) {
+func TestStreamedMessagesDoNotCountInTheWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(4))
 	p := b.pools[0]
@@ -228,7 +228,7 @@
 		t.Fatalf("%d in flight beside a body that comes", p.inFlight)
 	}
 	b.Handle(10*millisecond, ResponseStarted{ID: "down"})
-	b = restored(t, b.settings, b)
+	b = restoreFromCheckpoint(t, b.settings, b)
 	p = b.pools[0]
 	for i, id := range []string{"up", "down"} {
 		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].inFlightCount(); p.inFlight != 0 || calls == 0 {
--- a/balancer/attempttimeout_test.go
+++ b/balancer/attempttimeout_test.go
@@ -9,7 +9,7 @@
 // A machine that is cut off takes requests and says nothing. What may be sent again must not wait there
 // until its time is up; what must never run twice has nothing else to wait for.
 func TestIdempotentAttemptsLeaveTimeForARetry(t *testing.T) {
-	for class, early := range map[string]bool{"get": true, "pay": false} {
+	for class, retriesEarly := range map[string]bool{"get": true, "pay": false} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		now := time.Duration(0)
@@ -25,11 +25,11 @@
 			endAttempt(b, now, s.ID, s, Success)
 		}
 		s := send("cut off")
-		if got := s.Timeout < 500*millisecond; got != early {
+		if got := s.Timeout < 500*millisecond; got != retriesEarly {
 			t.Fatalf("%s: waited for %v of a second, answers take 20 ms", class, s.Timeout)
 		}
 		now += s.Timeout
-		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); early && (len(next) != 1 || next[0].Server == s.Server) {
+		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); retriesEarly && (len(next) != 1 || next[0].Server == s.Server) {
 			t.Errorf("%s: %v after the time-out, want one send to another server", class, next)
 		}
 	}
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -31,9 +31,9 @@
 	return math.MaxInt
 }
 
-// learnRejection limits a server that has rejected an attempt, or could not be reached, to the attempts
+// recordRejection limits a server that has rejected an attempt, or could not be reached, to the attempts
 // that it has. The time doubles with each rejection in a row.
-func (b *Balancer) learnRejection(s *server, c *class) {
+func (b *Balancer) recordRejection(s *server, c *class) {
 	s.capacityLimit = s.inFlightCount()
 	jitter := minCapacityJitter + b.rng.Float64()
 	first := time.Duration(jitter * capacityLimitLatencies * c.meanLatency)
@@ -41,9 +41,9 @@
 	s.consecutiveRejections = min(s.consecutiveRejections+1, maxBackoffLevel)
 }
 
-// learnCapacity raises the limit of a server that has answered while it had all the attempts of its limit:
+// relaxCapacityLimit raises the limit of a server that has answered while it had all the attempts of its limit:
 // its queue has moved on.
-func (s *server) learnCapacity() {
+func (s *server) relaxCapacityLimit() {
 	if s.inFlightCount()+1 >= s.capacityLimit {
 		s.capacityLimit++
 	}
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -34,21 +34,21 @@
 
 // Connection tables filled by other replicas reject at once, and so look idle. A server that rejected gets
 // no more own attempts than it had, however many others reject too, and is tried again later.
-func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
+func TestRejectingServerIsLimitedToItsAttemptsInFlight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	b.classes["get"].samples = 1 / sampleWeight // its answers took a quarter of the objective until now
 	now, id := millisecond, 0
-	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
-	refused := func(n int) (count int) {
+	fullServers := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
+	countRejections := func(n int) (count int) {
 		for range n {
 			now += 5 * millisecond
 			id++
 			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
 			for try := 0; len(todo) > 0; try++ {
 				end := Success
-				if full[todo[0].Server] {
+				if fullServers[todo[0].Server] {
 					end = Unreachable
 					count++
 				}
@@ -59,15 +59,15 @@
 		}
 		return count
 	}
-	first := refused(20)
+	first := countRejections(20)
 	if first < 5 {
 		t.Fatalf("only %d rejections, want the full servers found", first)
 	}
-	if got := refused(20); got > first/2 {
+	if got := countRejections(20); got > first/2 {
 		t.Errorf("%d rejections after %d: full servers are still drawn", got, first)
 	}
 	now += time.Minute
-	if refused(20) == 0 {
+	if countRejections(20) == 0 {
 		t.Error("full servers were never tried again")
 	}
 }
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -11,17 +11,17 @@
 // checker follows the events given to one Balancer and its actions, and notes every broken rule. It shares
 // no code with the module.
 type checker struct {
-	settings   Settings
-	slack      time.Duration
-	state      map[string]ServerState
-	cells      map[string]int
-	zones      map[string]string
-	kinds      map[string]string
-	requests   map[string]*trackedRequest
-	ordered    []*trackedRequest // of classes that keep their order, as they came
-	violations []string
-	keepEvents bool         // the events that it was given, in events
-	events     []timedEvent // events
+	settings          Settings
+	deadlineTolerance time.Duration
+	states            map[string]ServerState
+	cells             map[string]int
+	zones             map[string]string
+	kinds             map[string]string
+	requests          map[string]*trackedRequest
+	orderedRequests   []*trackedRequest // of classes that keep their order, as they came
+	violations        []string
+	keepEvents        bool         // the events that it was given, in events
+	events            []timedEvent // events
 }
 
 // trackedRequest is what the checker knows of a request.
@@ -44,11 +44,11 @@
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{settings: set, slack: 20 * millisecond, state: map[string]ServerState{}, cells: map[string]int{},
+	return &checker{settings: set, deadlineTolerance: 20 * millisecond, states: map[string]ServerState{}, cells: map[string]int{},
 		zones: map[string]string{}, kinds: map[string]string{}, requests: map[string]*trackedRequest{}}
 }
 
-func (c *checker) violation(format string, args ...any) {
+func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
@@ -56,11 +56,11 @@
 	return !t.ended || (t.outcome != Overloaded && t.outcome != Unreachable && t.outcome != NotSent)
 }
 
-func (t *trackedRequest) hasAttemptOut() bool {
-	return slices.ContainsFunc(t.attempts, func(t *trackedAttempt) bool { return !t.ended })
+func (r *trackedRequest) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a *trackedAttempt) bool { return !a.ended })
 }
 
-func (c *checker) event(now time.Duration, e Event) {
+func (c *checker) checkEvent(now time.Duration, e Event) {
 	if c.keepEvents {
 		if l, ok := e.(EndpointUpdate); ok { // its list is used again
 			l.Servers = slices.Clone(l.Servers)
@@ -71,12 +71,12 @@
 	switch e := e.(type) {
 	case EndpointUpdate:
 		if e.Complete {
-			for id := range c.state {
-				c.state[id] = Removed
+			for id := range c.states {
+				c.states[id] = Removed
 			}
 		}
 		for _, s := range e.Servers {
-			c.state[s.ID], c.cells[s.ID], c.zones[s.ID], c.kinds[s.ID] = s.State, s.Cell, s.Zone, s.Kind
+			c.states[s.ID], c.cells[s.ID], c.zones[s.ID], c.kinds[s.ID] = s.State, s.Cell, s.Zone, s.Kind
 		}
 	case Request:
 		if c.requests[e.ID] == nil {
@@ -88,7 +88,7 @@
 			}
 			c.requests[e.ID] = &trackedRequest{class: cl, deadline: e.Deadline, id: e.ID, key: e.Key}
 			if cl.OrderedByKey && e.HasKey {
-				c.ordered = append(c.ordered, c.requests[e.ID])
+				c.orderedRequests = append(c.orderedRequests, c.requests[e.ID])
 			}
 		}
 	case AttemptEnded:
@@ -113,90 +113,90 @@
 // checkDeadlines wants an answer for each request whose deadline is over.
 func (c *checker) checkDeadlines(now time.Duration) {
 	for id, r := range c.requests {
-		if !r.ended && now > r.deadline+c.slack {
-			c.violation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+		if !r.ended && now > r.deadline+c.deadlineTolerance {
+			c.addViolation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
 			r.ended = true
 		}
 	}
 }
 
-func (c *checker) actions(now time.Duration, acts []Action) {
+func (c *checker) checkActions(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
-			c.send(now, a)
+			c.checkSend(now, a)
 		case Reject:
-			if r := c.finalAnswer(a.ID); r != nil {
+			if r := c.checkFinalAnswer(a.ID); r != nil {
 				for _, t := range r.attempts {
-					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
-					if t.mayHaveRun() && !loose {
-						c.violation("rule 2: %s rejected though it may have run", a.ID)
+					mayRunAgain := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
+					if t.mayHaveRun() && !mayRunAgain {
+						c.addViolation("rule 2: %s rejected though it may have run", a.ID)
 					}
 				}
 			}
 		case Fail:
-			c.finalAnswer(a.ID)
+			c.checkFinalAnswer(a.ID)
 		case Abort:
-			if r := c.finalAnswer(a.ID); r != nil && len(r.attempts) > 0 {
-				c.violation("fault injection: %s aborted after an attempt", a.ID)
+			if r := c.checkFinalAnswer(a.ID); r != nil && len(r.attempts) > 0 {
+				c.addViolation("fault injection: %s aborted after an attempt", a.ID)
 			}
 		}
 	}
 }
 
-func (c *checker) finalAnswer(id string) *trackedRequest {
+func (c *checker) checkFinalAnswer(id string) *trackedRequest {
 	r := c.requests[id]
 	if r == nil || r.ended {
-		c.violation("rule 1: final answer for %s, which is over or unknown", id)
+		c.addViolation("rule 1: final answer for %s, which is over or unknown", id)
 		return nil
 	}
 	r.ended = true
 	return r
 }
 
-func (c *checker) send(now time.Duration, a Send) {
+func (c *checker) checkSend(now time.Duration, a Send) {
 	r := c.requests[a.ID]
 	if r == nil || r.ended {
-		c.violation("rule 1: sent %s, which is over or unknown", a.ID)
+		c.addViolation("rule 1: sent %s, which is over or unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Server]
+	state, known := c.states[a.Server]
 	if !known || state != Ready {
-		c.violation("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.addViolation("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
 	}
 	if len(r.attempts) >= c.settings.MaxAttempts {
-		c.violation("more than %d attempts", c.settings.MaxAttempts)
+		c.addViolation("more than %d attempts", c.settings.MaxAttempts)
 	}
-	if slices.Contains(c.ordered, r) {
-		for _, o := range c.ordered[:slices.Index(c.ordered, r)] {
-			if o.key == r.key && (!o.ended || o.hasAttemptOut() || now < o.quietUntil) {
-				c.violation("rule 5: %s sent before %s, which has its key, was over", a.ID, o.id)
+	if slices.Contains(c.orderedRequests, r) {
+		for _, o := range c.orderedRequests[:slices.Index(c.orderedRequests, r)] {
+			if o.key == r.key && (!o.ended || o.hasAttemptInFlight() || now < o.quietUntil) {
+				c.addViolation("rule 5: %s sent before %s, which has its key, was over", a.ID, o.id)
 			}
 		}
 	}
 	if z := r.class.AllowedZones; z != nil && !slices.Contains(z, c.zones[a.Server]) {
-		c.violation("rule 6: %s sent to zone %s", a.ID, c.zones[a.Server])
+		c.addViolation("rule 6: %s sent to zone %s", a.ID, c.zones[a.Server])
 	}
 	if k := r.class.AllowedKinds; k != nil && !slices.Contains(k, c.kinds[a.Server]) {
-		c.violation("rule 6: %s sent to kind %s", a.ID, c.kinds[a.Server])
+		c.addViolation("rule 6: %s sent to kind %s", a.ID, c.kinds[a.Server])
 	}
 	for _, t := range r.attempts {
 		if !t.ended {
-			c.violation("second attempt of %s while one is out", a.ID)
+			c.addViolation("second attempt of %s while one is out", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
 		}
 		switch r.class.Effect {
 		case NonIdempotent:
-			c.violation("rule 2: non-idempotent %s sent again", a.ID)
+			c.addViolation("rule 2: non-idempotent %s sent again", a.ID)
 		case IdempotentWithKey:
 			if now > t.sentAt+r.class.DedupWindow {
-				c.violation("rule 2: %s sent again outside its window", a.ID)
+				c.addViolation("rule 2: %s sent again outside its window", a.ID)
 			}
 			if r.class.DedupScope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
 				r.class.DedupScope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
-				c.violation("rule 2: %s sent again outside its scope", a.ID)
+				c.addViolation("rule 2: %s sent again outside its scope", a.ID)
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // The checker must itself be able to fail: it is given a trace that breaks each rule.
-func TestCheckerCanFail(t *testing.T) {
+func TestCheckerReportsEachViolation(t *testing.T) {
 	list := EndpointUpdate{Complete: true, Servers: []Server{{ID: "a", Cell: 0, Zone: "z"},
 		{ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * millisecond} }
@@ -242,9 +242,9 @@
 			case time.Duration:
 				now = s
 			case Event:
-				c.event(now, s)
+				c.checkEvent(now, s)
 			case Action:
-				c.actions(now, []Action{s})
+				c.checkActions(now, []Action{s})
 			}
 		}
 		if !strings.Contains(strings.Join(c.violations, "\n"), tc.want) {
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -13,7 +13,7 @@
 // A capture begins with a checkpoint, and its replay with what is restored. A Balancer that is made anew
 // from checkpoints, again and again in the middle of random events, does just what one does that runs
 // through.
-func TestRestoredBalancerDecidesAlike(t *testing.T) {
+func TestRestoredBalancerMakesTheSameDecisions(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		set := ruleSettings()
 		set.Tier, set.PollDiscovery = int(seed%2), seed%3 == 0
@@ -30,7 +30,7 @@
 		var got []string
 		for i, s := range c.events {
 			if i%37 == 0 {
-				b = restored(t, set, b)
+				b = restoreFromCheckpoint(t, set, b)
 			}
 			for _, a := range b.Handle(s.at, s.event) {
 				got = append(got, fmt.Sprintf("%v %T%v", s.at, a, a))
@@ -47,8 +47,8 @@
 	}
 }
 
-// restored makes a Balancer anew, and wants its checkpoint to be the one that it was made from.
-func restored(t *testing.T, set Settings, b *Balancer) *Balancer {
+// restoreFromCheckpoint makes a Balancer anew, and wants its checkpoint to be the one that it was made from.
+func restoreFromCheckpoint(t *testing.T, set Settings, b *Balancer) *Balancer {
 	t.Helper()
 	text, err := b.Checkpoint()
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // A field that a checkpoint lacks is lost without an error. Whoever adds a field must say here that the
 // checkpoint has it, or that it need not.
-func TestCheckpointKnowsEveryField(t *testing.T) {
+func TestCheckpointCoversEveryField(t *testing.T) {
 	for v, want := range map[any]int{&Balancer{}: 22, &pool{}: 19, &keyQueue{}: 3, &class{}: 8, &server{}: 13,
 		&request{}: 15, &attempt{}: 10, &faultInjector{}: 4} {
 		if n := reflect.TypeOf(v).Elem().NumField(); n != want {
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -8,9 +8,9 @@
 
 // Why a stored form is no checkpoint of a Balancer with given settings.
 var (
-	errMissingParts  = errors.New("it lacks classes, pools or fault injections of the settings")
-	errPreviousClass = errors.New("a previous class lacks its settings or its pool")
-	errUnknownKey    = errors.New("a request waits in the queue of a key that has none")
+	errSettingsMismatch = errors.New("it lacks classes, pools or fault injections of the settings")
+	errPreviousClass    = errors.New("a previous class lacks its settings or its pool")
+	errUnknownKeyQueue  = errors.New("a request waits in the queue of a key that has none")
 )
 
 // checkpointReader fills a new Balancer from its stored form. References are resolved last: each list must
@@ -33,7 +33,7 @@
 	if err := r.balancer.rngSource.UnmarshalBinary(r.saved.RNGState); err != nil {
 		return err
 	}
-	if err := r.checkParts(); err != nil {
+	if err := r.checkMatchesSettings(); err != nil {
 		return err
 	}
 	r.readScalars()
@@ -53,12 +53,12 @@
 	return r.err
 }
 
-// checkParts checks that the stored form has what the settings ask for.
-func (r *checkpointReader) checkParts() error {
+// checkMatchesSettings checks that the stored form has what the settings ask for.
+func (r *checkpointReader) checkMatchesSettings() error {
 	b, saved := r.balancer, r.saved
 	if len(saved.Classes) < len(b.classList) || len(saved.Pools) < len(b.pools) ||
 		(saved.FaultInjector != nil) != (b.faults != nil) {
-		return errMissingParts
+		return errSettingsMismatch
 	}
 	if saved.KnownServers < 0 || saved.KnownServers > len(saved.Servers) {
 		return fmt.Errorf("%d of its %d servers are known", saved.KnownServers, len(saved.Servers))
@@ -198,7 +198,7 @@
 			continue
 		}
 		if r.requests[i].keyQueue = queues[*saved.KeyQueue]; r.requests[i].keyQueue == nil {
-			r.fail(errUnknownKey)
+			r.recordError(errUnknownKeyQueue)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 		return err
 	}
 	if len(saved.ActiveUntil) != len(faults.activeUntil) {
-		return errMissingParts
+		return errSettingsMismatch
 	}
 	copy(faults.activeUntil, saved.ActiveUntil)
 	faults.delayed = resolve(r, "request", r.requests, saved.Delayed)
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// fail keeps the first error.
-func (r *checkpointReader) fail(err error) {
+// recordError keeps the first error.
+func (r *checkpointReader) recordError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -271,7 +271,7 @@
 func resolve[T any](r *checkpointReader, kind string, list []T, indexes []int) (found []T) {
 	for _, i := range indexes {
 		if i < 0 || i >= len(list) {
-			r.fail(fmt.Errorf("%s %d of %d is referred to", kind, i, len(list)))
+			r.recordError(fmt.Errorf("%s %d of %d is referred to", kind, i, len(list)))
 			return nil
 		}
 		found = append(found, list[i])
--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -11,9 +11,9 @@
 type checkpointWriter struct {
 	balancer *Balancer
 	saved    *savedBalancer
-	servers  numberTable[*server]
-	requests numberTable[*request]
-	classes  numberTable[*class]
+	servers  indexTable[*server]
+	requests indexTable[*request]
+	classes  indexTable[*class]
 }
 
 // newCheckpointWriter begins with what stands for itself.
@@ -33,7 +33,7 @@
 
 // write takes all steps. The error is that of a random source.
 func (w *checkpointWriter) write() (*savedBalancer, error) {
-	w.numberAll()
+	w.assignIndexes()
 	w.writeOverrides()
 	w.writeRequests()
 	w.writeServers()
@@ -46,19 +46,19 @@
 	return w.saved, nil
 }
 
-// numberAll numbers what the Balancer knows, in the order of IDs and names.
-func (w *checkpointWriter) numberAll() {
+// assignIndexes numbers what the Balancer knows, in the order of IDs and names.
+func (w *checkpointWriter) assignIndexes() {
 	b := w.balancer
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		w.servers.number(b.servers[id])
+		w.servers.indexOf(b.servers[id])
 	}
 	w.saved.KnownServers = len(w.servers.list)
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		w.requests.number(b.requests[id])
+		w.requests.indexOf(b.requests[id])
 	}
-	w.classes.numbers(b.classList)
+	w.classes.indexesOf(b.classList)
 	for _, name := range slices.Sorted(maps.Keys(b.previousClasses)) {
-		w.saved.PreviousClasses = append(w.saved.PreviousClasses, w.classes.number(b.previousClasses[name]))
+		w.saved.PreviousClasses = append(w.saved.PreviousClasses, w.classes.indexOf(b.previousClasses[name]))
 	}
 }
 
@@ -80,7 +80,7 @@
 func (w *checkpointWriter) savedRequest(r *request) savedRequest {
 	saved := savedRequest{
 		ID:           []byte(r.id),
-		Class:        w.classes.number(r.class),
+		Class:        w.classes.indexOf(r.class),
 		FirstAskedAt: r.firstAskedAt,
 		Deadline:     r.deadline,
 		ClientRetry:  r.clientRetry,
@@ -96,7 +96,7 @@
 	}
 	for _, a := range r.attempts {
 		saved.Attempts = append(saved.Attempts, savedAttempt{
-			Server:        w.servers.number(a.server),
+			Server:        w.servers.indexOf(a.server),
 			SentAt:        a.sentAt,
 			Zone:          a.zone,
 			Cell:          a.cell,
@@ -127,7 +127,7 @@
 			FirstRequestDue:       s.firstRequestDue,
 		}
 		for _, a := range s.inFlight {
-			saved.InFlight = append(saved.InFlight, [2]int{w.requests.number(a.request), a.number})
+			saved.InFlight = append(saved.InFlight, [2]int{w.requests.indexOf(a.request), a.number})
 		}
 		w.saved.Servers = append(w.saved.Servers, saved)
 	}
@@ -155,9 +155,9 @@
 func (w *checkpointWriter) writePools() {
 	for _, p := range w.balancer.pools {
 		w.saved.Pools = append(w.saved.Pools, savedPool{
-			InService:         w.servers.numbers(p.inService),
-			Preferred:         w.servers.numbers(p.preferred),
-			Queued:            w.requests.numbers(p.queued),
+			InService:         w.servers.indexesOf(p.inService),
+			Preferred:         w.servers.indexesOf(p.preferred),
+			Queued:            w.requests.indexesOf(p.queued),
 			InFlight:          p.inFlight,
 			CrossZoneShare:    p.crossZoneShare,
 			PreferredLatency:  p.preferredLatency,
@@ -184,7 +184,7 @@
 		queue := w.balancer.keyQueues[key]
 		w.saved.KeyQueues = append(w.saved.KeyQueues, savedKeyQueue{
 			Key:        key,
-			Requests:   w.requests.numbers(queue.requests),
+			Requests:   w.requests.indexesOf(queue.requests),
 			QuietUntil: queue.quietUntil,
 		})
 	}
@@ -201,20 +201,20 @@
 	}
 	w.saved.FaultInjector = &savedFaultInjector{
 		ActiveUntil: faults.activeUntil,
-		Delayed:     w.requests.numbers(faults.delayed),
+		Delayed:     w.requests.indexesOf(faults.delayed),
 	}
 	w.saved.FaultInjector.RNGState, err = faults.rngSource.MarshalBinary()
 	return err
 }
 
-// numberTable numbers values in the order in which it is first asked for them. The zero value is empty.
-type numberTable[T comparable] struct {
+// indexTable numbers values in the order in which it is first asked for them. The zero value is empty.
+type indexTable[T comparable] struct {
 	list    []T
 	indexes map[T]int // in list
 }
 
-// number is the number of a value, a new one if it has none.
-func (t *numberTable[T]) number(value T) int {
+// indexOf is the indexOf of a value, a new one if it has none.
+func (t *indexTable[T]) indexOf(value T) int {
 	i, ok := t.indexes[value]
 	if !ok {
 		if t.indexes == nil {
@@ -227,10 +227,10 @@
 	return i
 }
 
-// numbers are the numbers of values, nil for none.
-func (t *numberTable[T]) numbers(values []T) (numbers []int) {
+// indexesOf are the indexesOf of values, nil for none.
+func (t *indexTable[T]) indexesOf(values []T) (indexes []int) {
 	for _, v := range values {
-		numbers = append(numbers, t.number(v))
+		indexes = append(indexes, t.indexOf(v))
 	}
-	return numbers
+	return indexes
 }
--- a/balancer/churn_test.go
+++ b/balancer/churn_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// expectedState is what a host knows of the attempts that are out, by server and in all.
-type expectedState struct {
+// churnHost is what a host knows of the attempts that are out, by server and in all.
+type churnHost struct {
 	inFlight  map[string]int
 	timers    []SetTimer
-	due       []pendingOutcome
+	pending   []pendingOutcome
 	maxTimers int // timers at once
 }
 
 // apply notes what the module wants; draw gives an attempt its outcome.
-func (h *expectedState) apply(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
+func (h *churnHost) apply(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
 			h.inFlight[a.Server]++
-			took, how := draw(a)
+			took, outcome := draw(a)
 			n := len(b.requests[a.ID].attempts) - 1
-			h.due = append(h.due, pendingOutcome{now + took, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: how, RequestDone: how == Success}})
+			h.pending = append(h.pending, pendingOutcome{now + took, AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: outcome, RequestDone: outcome == Success}})
 		case SetTimer:
 			h.timers = append(h.timers, a)
 			h.maxTimers = max(h.maxTimers, len(h.timers))
@@ -33,7 +33,7 @@
 }
 
 // difference says where the module's count of its own attempts is not that of the attempts truly out.
-func (h *expectedState) difference(b *Balancer) string {
+func (h *churnHost) difference(b *Balancer) string {
 	for id, n := range h.inFlight {
 		if s := b.servers[id]; n < 0 || s == nil && n > 0 || s != nil && s.inFlightCount() != n {
 			return fmt.Sprintf("%s: %d attempts are out, the module has %+v", id, n, s)
@@ -64,7 +64,7 @@
 // restart and drain, clients leave and give odd deadlines. A node that leaked a little with each would die
 // within weeks. After every event the own attempts in flight are those that are truly out; in the end
 // nothing is kept, and no timer or counter has grown.
-func TestChurnLeavesNothingBehind(t *testing.T) {
+func TestChurnDoesNotLeak(t *testing.T) {
 	for seed := range uint64(2) {
 		settings := ruleSettings()
 		settings.Tier, settings.PollDiscovery = int(seed%2), seed%2 == 0
@@ -72,35 +72,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &churn{t: t, b: b, seed: seed, rng: rand.New(rand.NewPCG(seed, 9)), fleet: servers(6), next: 6,
-			host: &expectedState{inFlight: map[string]int{}}}
-		c.give(EndpointUpdate{Complete: true, Servers: c.fleet})
+		c := &churn{t: t, b: b, seed: seed, rng: rand.New(rand.NewPCG(seed, 9)), servers: servers(6), next: 6,
+			host: &churnHost{inFlight: map[string]int{}}}
+		c.handle(EndpointUpdate{Complete: true, Servers: c.servers})
 		for i := range 10000 {
-			c.pass(time.Duration(1+c.rng.IntN(6000)*c.rng.IntN(12)) * millisecond) // about two days in all
-			c.ask(i)
+			c.advance(time.Duration(1+c.rng.IntN(6000)*c.rng.IntN(12)) * millisecond) // about two days in all
+			c.addRequests(i)
 			c.changeFleet()
 		}
 		for range 100 {
-			c.pass(time.Minute)
+			c.advance(time.Minute)
 		}
-		c.checkNothingLeft()
+		c.checkNoLeaks()
 	}
 }
 
 // churn is a host whose servers and requests keep changing.
 type churn struct {
-	t     *testing.T
-	b     *Balancer
-	seed  uint64
-	rng   *rand.Rand
-	now   time.Duration
-	fleet []Server
-	next  int // number of the next new server
-	host  *expectedState
+	t       *testing.T
+	b       *Balancer
+	seed    uint64
+	rng     *rand.Rand
+	now     time.Duration
+	servers []Server
+	next    int // number of the next new server
+	host    *churnHost
 }
 
-// draw draws how long an attempt takes and its outcome.
-func (c *churn) draw(s Send) (time.Duration, Outcome) {
+// drawOutcome draws how long an attempt takes and its outcome.
+func (c *churn) drawOutcome(s Send) (time.Duration, Outcome) {
 	took := time.Duration(c.rng.ExpFloat64() * float64(150*millisecond))
 	switch {
 	case took > s.Timeout:
@@ -111,71 +111,71 @@
 	return took, Success
 }
 
-// give gives the Balancer an event and compares its counts with the host's.
-func (c *churn) give(e Event) {
+// handle gives the Balancer an event and compares its counts with the host's.
+func (c *churn) handle(e Event) {
 	c.t.Helper()
-	c.host.apply(c.now, c.b, c.b.Handle(c.now, e), c.draw)
+	c.host.apply(c.now, c.b, c.b.Handle(c.now, e), c.drawOutcome)
 	if difference := c.host.difference(c.b); difference != "" {
 		c.t.Fatalf("seed %d at %v after %T%+v: %s", c.seed, c.now, e, e, difference)
 	}
 }
 
-// pass lets time go by, in which timers fire and attempts end.
-func (c *churn) pass(step time.Duration) {
+// advance lets time go by, in which timers fire and attempts end.
+func (c *churn) advance(step time.Duration) {
 	c.now += step
 	for _, w := range takeDue(&c.host.timers, func(w SetTimer) bool { return w.At <= c.now }) {
-		c.give(TimerFired{Token: w.Token})
+		c.handle(TimerFired{Token: w.Token})
 	}
-	for _, d := range takeDue(&c.host.due, func(d pendingOutcome) bool { return d.at <= c.now }) {
+	for _, d := range takeDue(&c.host.pending, func(d pendingOutcome) bool { return d.at <= c.now }) {
 		if c.host.inFlight[d.event.Server]--; c.host.inFlight[d.event.Server] == 0 {
 			delete(c.host.inFlight, d.event.Server)
 		}
-		c.give(d.event)
+		c.handle(d.event)
 	}
 }
 
-// ask gives some requests, of which some clients leave at once.
-func (c *churn) ask(step int) {
+// addRequests gives some requests, of which some clients leave at once.
+func (c *churn) addRequests(step int) {
 	classes := c.b.settings.Classes
 	for k := range 1 + c.rng.IntN(3) {
 		id := fmt.Sprintf("%d.%d", step, k)
-		c.give(Request{ID: id, Class: classes[c.rng.IntN(len(classes))].Name, Key: c.rng.Uint64(), HasKey: true,
+		c.handle(Request{ID: id, Class: classes[c.rng.IntN(len(classes))].Name, Key: c.rng.Uint64(), HasKey: true,
 			ClientRetry: c.rng.IntN(4) == 0, Deadline: c.now + time.Duration(c.rng.Int64N(int64(time.Hour)))>>c.rng.IntN(40)})
 		if c.rng.IntN(10) == 0 {
-			c.give(ClientGone{ID: id})
+			c.handle(ClientGone{ID: id})
 		}
 	}
 }
 
 // changeFleet changes one server now and then.
 func (c *churn) changeFleet() {
-	switch s := &c.fleet[c.rng.IntN(len(c.fleet))]; c.rng.IntN(40) {
+	switch s := &c.servers[c.rng.IntN(len(c.servers))]; c.rng.IntN(40) {
 	case 0: // another machine in its place
 		gone := *s
 		gone.State = Removed
-		c.give(EndpointUpdate{Servers: []Server{gone}})
+		c.handle(EndpointUpdate{Servers: []Server{gone}})
 		*s = Server{ID: fmt.Sprint("n", c.next), Zone: gone.Zone, StartTime: c.now}
 		c.next++
-		c.give(EndpointUpdate{Servers: []Server{*s}})
+		c.handle(EndpointUpdate{Servers: []Server{*s}})
 	case 1: // a new process
 		s.State, s.StartTime = Ready, c.now
-		c.give(EndpointUpdate{Servers: []Server{*s}})
+		c.handle(EndpointUpdate{Servers: []Server{*s}})
 	case 2:
 		s.State = Draining
-		c.give(EndpointUpdate{Servers: []Server{*s}})
+		c.handle(EndpointUpdate{Servers: []Server{*s}})
 	case 3: // back, as it was
 		s.State = Ready
-		c.give(EndpointUpdate{Complete: true, Servers: c.fleet})
+		c.handle(EndpointUpdate{Complete: true, Servers: c.servers})
 	case 4:
-		c.give(WatchFailed{})
+		c.handle(WatchFailed{})
 	}
 }
 
-// checkNothingLeft checks that nothing of all that is kept, and that what was learned is within bounds.
-func (c *churn) checkNothingLeft() {
+// checkNoLeaks checks that nothing of all that is kept, and that what was learned is within bounds.
+func (c *churn) checkNoLeaks() {
 	c.t.Helper()
 	b, t := c.b, c.t
-	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.servers) > len(c.fleet) {
+	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.servers) > len(c.servers) {
 		t.Errorf("seed %d: %d requests, %d key queues, %d servers are kept", c.seed, len(b.requests), len(b.keyQueues), len(b.servers))
 	}
 	for _, s := range b.servers {
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// learnLatency takes the latency of a success, in nanoseconds, into the mean and the deviation. The first
+// recordLatency takes the latency of a success, in nanoseconds, into the mean and the deviation. The first
 // answers weigh more than later ones, in place of the assumption.
-func (c *class) learnLatency(latency float64) {
+func (c *class) recordLatency(latency float64) {
 	if c.samples++; c.samples == 1 {
 		c.meanLatency, c.latencyDeviation = latency, latency/firstDeviationDivisor
 	}
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -24,7 +24,7 @@
 // before the deadline of the request, as if the client had set that with its first try.
 func (b *Balancer) detectClientRetry(r *request) {
 	budget, c := r.deadline-b.now, r.class
-	c.learnBudget(budget)
+	c.updateTypicalBudget(budget)
 	short := float64(budget) < shortBudgetShare*float64(c.typicalBudget)
 	if b.settings.Tier == 0 && (r.clientRetry || short && !b.settings.ClientsMarkRetries) {
 		r.firstAskedAt = min(b.now, r.deadline-r.class.Deadline)
@@ -32,10 +32,10 @@
 	}
 }
 
-// learnBudget moves the typical budget towards the median of the budgets that come, by as much for each. A
+// updateTypicalBudget moves the typical budget towards the median of the budgets that come, by as much for each. A
 // mean would be raised by one client's long budgets, and everybody else's first tries would look like
 // retries.
-func (c *class) learnBudget(budget time.Duration) {
+func (c *class) updateTypicalBudget(budget time.Duration) {
 	switch {
 	case c.typicalBudget == 0:
 		c.typicalBudget = budget
--- a/balancer/clientretry_test.go
+++ b/balancer/clientretry_test.go
@@ -8,7 +8,7 @@
 
 // Where clients don't mark their retries, one shows by a deadline shorter than that of other requests. Its
 // latency objective runs from the client's first try.
-func TestShortDeadlineMarksAClientRetry(t *testing.T) {
+func TestShortDeadlineIdentifiesAClientRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * millisecond})
@@ -24,7 +24,7 @@
 }
 
 // Where clients mark their retries, a first try with less time than a last one has is still a first try.
-func TestRetryMarksOutrankShortDeadlines(t *testing.T) {
+func TestRetryMarksTakePrecedenceOverShortDeadlines(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
 	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * millisecond, ClientRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * millisecond})
@@ -39,10 +39,10 @@
 
 // Where clients mark no retries, one client with longer deadlines than all others must not make these look
 // like retries, which are shed first.
-func TestOneLongDeadlineMakesNobodyARetry(t *testing.T) {
+func TestLongDeadlinesOfOneClientMarkNoRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-	repeats := 0
+	retries := 0
 	for i := range 1000 {
 		now, budget := time.Duration(i)*10*millisecond, 800*millisecond
 		if i%5 == 0 {
@@ -51,13 +51,13 @@
 		id := fmt.Sprint(i)
 		acts := b.Handle(now, Request{ID: id, Class: "get", Deadline: now + budget})
 		if b.requests[id].clientRetry && i > 200 {
-			repeats++
+			retries++
 		}
 		for _, s := range sends(acts) {
 			endAttempt(b, now+5*millisecond, id, s, Success)
 		}
 	}
-	if repeats > 8 {
-		t.Errorf("%d of 800 first tries are taken for retries", repeats)
+	if retries > 8 {
+		t.Errorf("%d of 800 first tries are taken for retries", retries)
 	}
 }
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -12,7 +12,7 @@
 // are, only those under the concurrency cap; as a last resort, also those at their capacity limit: a server
 // that has rejected an attempt may have capacity again, and the request has nowhere else to go.
 func (b *Balancer) eligibleServers(r *request, left, right []*server, lastResort bool) (
-	okLeft, okRight []*server) {
+	eligibleLeft, eligibleRight []*server) {
 	list := slices.Concat(left, right)
 	excluded := b.excludeOutliers(r, list)
 	limits := []func(*server) int{b.concurrencyCap(list), b.capacityLimit}
@@ -28,16 +28,16 @@
 				continue
 			}
 			if i < len(left) {
-				okLeft = append(okLeft, s)
+				eligibleLeft = append(eligibleLeft, s)
 			} else {
-				okRight = append(okRight, s)
+				eligibleRight = append(eligibleRight, s)
 			}
 		}
-		if len(okLeft)+len(okRight) > 0 {
+		if len(eligibleLeft)+len(eligibleRight) > 0 {
 			break
 		}
 	}
-	return okLeft, okRight
+	return eligibleLeft, eligibleRight
 }
 
 // unlimited is the limit of a server without one.
--- a/balancer/eligibility_test.go
+++ b/balancer/eligibility_test.go
@@ -6,10 +6,10 @@
 
 // Two draws can meet the same busy server several times while others idle. Below the first tier nothing
 // else bounds its load: a server with more than the mean and one is passed over.
-func TestServerOverItsConcurrencyCapIsPassedOver(t *testing.T) {
+func TestServerAtItsConcurrencyCapIsNotChosen(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	b.servers["s00"].inFlight, b.pools[0].inFlight = attemptsInFlight(2), 2
 	got := traffic(b, 300, "get", func(string) Outcome { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -12,8 +12,8 @@
 const (
 	// faultRNGStream is the second half of the seed of fault injections.
 	faultRNGStream = 0xd2111
-	// percentPerShare turns a share of a class's requests into percent.
-	percentPerShare = 100
+	// fractionToPercent turns a share of a class's requests into percent.
+	fractionToPercent = 100
 	// delayDeviations is how many deviations above the mean latency an injected delay leaves for the
 	// answer.
 	delayDeviations = 2
@@ -70,7 +70,7 @@
 	for i := range b.settings.FaultInjections {
 		fault := &b.settings.FaultInjections[i]
 		active := fault.Class == e.Class && b.now < b.faults.activeUntil[i]
-		if active && b.faults.rng.Float64()*percentPerShare < fault.Percent {
+		if active && b.faults.rng.Float64()*fractionToPercent < fault.Percent {
 			b.emit(FaultInjected{ID: e.ID, FaultInjection: fault.Name})
 			return fault
 		}
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -16,8 +16,8 @@
 	return []FaultInjection{fault}
 }
 
-// withFaultInjection is a Balancer with servers and the fault injection active from time 0.
-func withFaultInjection(t *testing.T, fault FaultInjection) *Balancer {
+// newBalancerWithFault is a Balancer with servers and the fault injection active from time 0.
+func newBalancerWithFault(t *testing.T, fault FaultInjection) *Balancer {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(fault) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -27,9 +27,9 @@
 
 // A fault injection hits its share of its class, and no other class: operators who test one class must not
 // hurt others.
-func TestFaultInjectionTakesItsShareOfItsClass(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 10})
-	marked := map[string]int{}
+func TestFaultInjectionAffectsItsShareOfItsClass(t *testing.T) {
+	b := newBalancerWithFault(t, FaultInjection{Percent: 10})
+	injected := map[string]int{}
 	for i := range 1000 {
 		for _, class := range []string{"pay", "get"} {
 			now, id := time.Duration(i)*millisecond, fmt.Sprint(class, i)
@@ -38,22 +38,22 @@
 				if d.FaultInjection != "stall" || d.ID != id {
 					t.Fatalf("marked %+v", d)
 				}
-				marked[class]++
+				injected[class]++
 			}
 			for _, s := range sends(acts) {
 				endAttempt(b, now, id, s, Success)
 			}
 		}
 	}
-	if marked["pay"] < 70 || marked["pay"] > 130 || marked["get"] != 0 {
-		t.Errorf("marked %v of 1000 each, want about 100 of pay and none of get", marked)
+	if injected["pay"] < 70 || injected["pay"] > 130 || injected["get"] != 0 {
+		t.Errorf("marked %v of 1000 each, want about 100 of pay and none of get", injected)
 	}
 }
 
 // What a fault injection draws must not shift the draws of the requests around it: with nothing but marks,
 // all else stays.
-func TestFaultInjectionLeavesOrdinaryDrawsAlone(t *testing.T) {
-	play := func(faults []FaultInjection) (rest []Action) {
+func TestFaultInjectionDoesNotShiftOtherRandomDraws(t *testing.T) {
+	otherActions := func(faults []FaultInjection) (rest []Action) {
 		b := newBalancer(t, func(s *Settings) { s.FaultInjections = faults })
 		acts := b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 		acts = append(acts, b.Handle(0, StartFaultInjection{Name: "stall"})...)
@@ -73,14 +73,14 @@
 		}
 		return rest
 	}
-	want := play(nil)
-	if got := play(payFault(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
+	want := otherActions(nil)
+	if got := otherActions(payFault(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
 		t.Error("a fault injection without delay changed what was done")
 	}
 }
 
-// delayed gives a request to a Balancer that delays it, and returns the timer that ends its delay.
-func delayed(t *testing.T, b *Balancer, now time.Duration, r Request) SetTimer {
+// handleDelayed gives a request to a Balancer that delays it, and returns the timer that ends its delay.
+func handleDelayed(t *testing.T, b *Balancer, now time.Duration, r Request) SetTimer {
 	t.Helper()
 	acts := b.Handle(now, r)
 	if len(acts) != 2 || acts[0] != (FaultInjected{ID: r.ID, FaultInjection: "stall"}) {
@@ -91,8 +91,8 @@
 
 // A delayed request is sent when its timer is due, not when the timer fires early, and once.
 func TestDelayEndsWithItsTimer(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
-	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
+	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
+	w := handleDelayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
 	if w.At != 300*millisecond {
 		t.Errorf("delayed until %v", w.At)
 	}
@@ -111,8 +111,8 @@
 // A delay that would use up the client's time ends while an answer can still come: an injected delay must
 // not become a failure.
 func TestDelayIsLimitedByTheDeadline(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: time.Hour})
-	w := delayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
+	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: time.Hour})
+	w := handleDelayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
 	if left := 1500*millisecond - w.At; left < b.classes["pay"].latencyBound(2) || w.At < 500*millisecond {
 		t.Errorf("delayed until %v of 1500ms", w.At)
 	}
@@ -126,10 +126,10 @@
 }
 
 // An injected error is answered at once, with Retry-After for a 503, and nothing of the request is kept.
-func TestAbortIsAnsweredAtOnce(t *testing.T) {
-	for status, advice := range map[int]time.Duration{503: 50 * millisecond, 500: 0} {
-		b := withFaultInjection(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
-		want := []Action{FaultInjected{ID: "r", FaultInjection: "stall"}, Abort{ID: "r", Status: status, RetryAfter: advice}}
+func TestAbortedRequestIsAnsweredImmediately(t *testing.T) {
+	for status, retryAfter := range map[int]time.Duration{503: 50 * millisecond, 500: 0} {
+		b := newBalancerWithFault(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
+		want := []Action{FaultInjected{ID: "r", FaultInjection: "stall"}, Abort{ID: "r", Status: status, RetryAfter: retryAfter}}
 		if acts := b.Handle(0, newRequest("r", "pay", 0, time.Second)); !reflect.DeepEqual(acts, want) {
 			t.Errorf("got %v, want %v", acts, want)
 		}
@@ -145,29 +145,29 @@
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Percent: 100, AbortStatus: 500}) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	n := 0
-	runs := func(now time.Duration) bool {
+	isActive := func(now time.Duration) bool {
 		n++
 		_, ok := b.Handle(now, newRequest(fmt.Sprint(n), "pay", now, time.Second))[0].(FaultInjected)
 		return ok
 	}
-	if runs(0) {
+	if isActive(0) {
 		t.Error("it ran before it was started")
 	}
 	b.Handle(0, StartFaultInjection{Name: "another"})
-	if runs(0) {
+	if isActive(0) {
 		t.Error("another name started it")
 	}
 	b.Handle(time.Second, StartFaultInjection{Name: "stall"})
 	b.Handle(31*time.Second, StartFaultInjection{Name: "stall"}) // a minute from here
-	if !runs(90*time.Second) || runs(91*time.Second) {
+	if !isActive(90*time.Second) || isActive(91*time.Second) {
 		t.Error("it did not end a minute after the second start")
 	}
 }
 
 // A client leaves while its request is delayed: nothing is sent, and nothing of it is kept.
-func TestClientGoneEndsItsDelay(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
-	w := delayed(t, b, 0, newRequest("r", "pay", 0, time.Second))
+func TestDelayEndsWhenTheClientDisconnects(t *testing.T) {
+	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
+	w := handleDelayed(t, b, 0, newRequest("r", "pay", 0, time.Second))
 	b.Handle(10*millisecond, ClientGone{ID: "r"})
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.faults.delayed) != 0 {
 		t.Errorf("it left, and yet: %v", acts)
@@ -177,9 +177,9 @@
 // A node that shuts down sends what is delayed at once, in order, and injects nothing more: its last
 // seconds are for answers.
 func TestShutdownEndsFaultInjection(t *testing.T) {
-	b := withFaultInjection(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
-	delayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
-	delayed(t, b, millisecond, newRequest("2", "pay", 0, time.Second))
+	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
+	handleDelayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
+	handleDelayed(t, b, millisecond, newRequest("2", "pay", 0, time.Second))
 	if s := sends(b.Handle(2*millisecond, EndFaultInjections{})); len(s) != 2 || s[0].ID != "1" || s[1].ID != "2" {
 		t.Errorf("sent %v", s)
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -17,8 +17,8 @@
 // over. So the golden files in testdata must not change. Whoever changes a form on purpose raises the version of what
 // holds it (capture.Version, hotrestart.Version) and writes the files anew with -update.
 
-// golden checks that a text is that of a golden file. The flag -update writes the file anew.
-func golden(t *testing.T, name string, got []byte) {
+// checkOrUpdateGolden checks that a text is that of a checkOrUpdateGolden file. The flag -update writes the file anew.
+func checkOrUpdateGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	goldentest.CheckBytes(t, goldenPath(name), got)
 }
@@ -29,30 +29,30 @@
 	goldentest.CompareBytes(t, goldenPath(name), got)
 }
 
-func goldenFile(t *testing.T, name string) []byte {
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	return goldentest.Text(t, goldenPath(name))
 }
 
 func goldenPath(name string) string { return filepath.Join("testdata", name) }
 
-// noteFields notes every exported struct field that is reached from a value, and whether it is ever other than zero.
-func noteFields(v reflect.Value, nonZero map[string]bool) {
+// recordFields notes every exported struct field that is reached from a value, and whether it is ever other than zero.
+func recordFields(v reflect.Value, nonZero map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			noteFields(v.Elem(), nonZero)
+			recordFields(v.Elem(), nonZero)
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			noteFields(v.Index(i), nonZero)
+			recordFields(v.Index(i), nonZero)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
 				key := v.Type().Name() + "." + f.Name
 				nonZero[key] = nonZero[key] || !v.Field(i).IsZero()
-				noteFields(v.Field(i), nonZero)
+				recordFields(v.Field(i), nonZero)
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 	t.Helper()
 	nonZero := map[string]bool{}
 	for _, v := range examples {
-		noteFields(reflect.ValueOf(v), nonZero)
+		recordFields(reflect.ValueOf(v), nonZero)
 	}
 	for field, ok := range nonZero {
 		if !ok {
@@ -84,25 +84,25 @@
 
 // The same events lead to the same bytes. The golden files are of amd64: other machines may round sums of products
 // otherwise.
-func TestGoldenCheckpointsAreWritten(t *testing.T) {
+func TestCheckpointsMatchTheGoldenFiles(t *testing.T) {
 	for name, run := range goldenCheckpoints {
 		text, err := run(t).Checkpoint()
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, name, text)
+		checkOrUpdateGolden(t, name, text)
 	}
 	text, err := goldenBusyBalancer(t).SuccessorState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "successor.json", text)
+	checkOrUpdateGolden(t, "successor.json", text)
 }
 
 // A checkpoint of an earlier build is read without loss: the Balancer made of it writes the same bytes.
-func TestGoldenCheckpointsAreRead(t *testing.T) {
+func TestGoldenCheckpointsAreRestoredWithoutLoss(t *testing.T) {
 	for name, run := range goldenCheckpoints {
-		b, err := Restore(run(t).settings, goldenFile(t, name))
+		b, err := Restore(run(t).settings, readGolden(t, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,8 +115,8 @@
 }
 
 // A successor state of an earlier build is read without loss, but for the successor's own draws.
-func TestGoldenSuccessorStateIsRead(t *testing.T) {
-	settings, state := goldenBusyBalancer(t).settings, goldenFile(t, "successor.json")
+func TestGoldenSuccessorStateIsRestoredWithoutLoss(t *testing.T) {
+	settings, state := goldenBusyBalancer(t).settings, readGolden(t, "successor.json")
 	var s savedBalancer
 	if err := json.Unmarshal(state, &s); err != nil {
 		t.Fatal(err)
@@ -139,11 +139,11 @@
 }
 
 // A field that no golden file has could change its key unnoticed.
-func TestGoldenCheckpointsHaveEveryField(t *testing.T) {
+func TestGoldenCheckpointsCoverEveryField(t *testing.T) {
 	var all []any
 	for name := range goldenCheckpoints {
 		var s savedBalancer
-		if err := json.Unmarshal(goldenFile(t, name), &s); err != nil {
+		if err := json.Unmarshal(readGolden(t, name), &s); err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, &s)
@@ -155,16 +155,16 @@
 }
 
 // Settings are compared as bytes by the process that takes over, and stand in the heads of captures.
-func TestGoldenSettings(t *testing.T) {
+func TestSettingsMatchTheGoldenFile(t *testing.T) {
 	set := goldenSettings()
 	set.Tier = 1
 	text, err := json.Marshal(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "settings.json", text)
+	checkOrUpdateGolden(t, "settings.json", text)
 	var read Settings
-	if err := json.Unmarshal(goldenFile(t, "settings.json"), &read); err != nil {
+	if err := json.Unmarshal(readGolden(t, "settings.json"), &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, set) {
--- a/balancer/goldensimulation_test.go
+++ b/balancer/goldensimulation_test.go
@@ -84,9 +84,9 @@
 }
 
 // endAttempts ends those attempts that are out before their time.
-func (g *goldenSimulation) endAttempts(how Outcome, which func(*attempt) bool) {
-	for _, d := range takeDue(&g.pending, func(d pendingOutcome) bool { return which(g.requests[d.event.ID].attempts[d.event.Attempt]) }) {
-		d.event.Outcome, d.event.RequestDone = how, false
+func (g *goldenSimulation) endAttempts(outcome Outcome, selected func(*attempt) bool) {
+	for _, d := range takeDue(&g.pending, func(d pendingOutcome) bool { return selected(g.requests[d.event.ID].attempts[d.event.Attempt]) }) {
+		d.event.Outcome, d.event.RequestDone = outcome, false
 		g.handle(d.event)
 	}
 }
@@ -106,9 +106,9 @@
 }
 
 // overload gives so many requests of all classes, more than the servers take.
-func (g *goldenSimulation) overload(n int, every time.Duration) {
+func (g *goldenSimulation) overload(n int, interval time.Duration) {
 	for range n {
-		g.advance(every)
+		g.advance(interval)
 		class := g.settings.Classes[g.rng.IntN(len(g.settings.Classes))].Name
 		g.request(class, Request{Key: 1 + g.rng.Uint64N(3), HasKey: true, ClientRetry: g.rng.IntN(6) == 0, StreamedBody: g.rng.IntN(8) == 0})
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -39,8 +39,8 @@
 	return b
 }
 
-// drawFromAll makes a replica draw from all servers for some hundred requests, as a busy one does.
-func drawFromAll(b *Balancer) { b.pools[0].peakInFlight = 1e9 }
+// disableSubsetting makes a replica draw from all servers for some hundred requests, as a busy one does.
+func disableSubsetting(b *Balancer) { b.pools[0].peakInFlight = 1e9 }
 
 // attemptsInFlight are n attempts that have just been sent.
 func attemptsInFlight(n int) (open []*attempt) {
@@ -80,7 +80,7 @@
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It returns how
 // many first attempts each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Outcome) map[string]int {
+func traffic(b *Balancer, n int, class string, outcomeOf func(server string) Outcome) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*millisecond
@@ -89,7 +89,7 @@
 				got[s.Server]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				e := outcomeOf(s.Server)
 				now += 10 * millisecond
 				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Server: s.Server, Outcome: e, RequestDone: e == Success}))
 				if len(again) == 0 {
@@ -111,8 +111,8 @@
 func sentTo(b *Balancer, id string) string { return b.requests[id].attempts[0].server.ID }
 
 // finalAnswer is the first of a list of actions that ends a request, nil if none does.
-func finalAnswer(out []Action) Action {
-	for _, a := range out {
+func finalAnswer(acts []Action) Action {
+	for _, a := range acts {
 		switch a.(type) {
 		case Reject, Fail:
 			return a
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// finalAnswerAt gives a request and plays its timers. It returns its first send or final answer, and when
+// firstSendOrAnswer gives a request and plays its timers. It returns its first send or final answer, and when
 // that came.
-func finalAnswerAt(b *Balancer, now time.Duration, e Request) (at time.Duration, answer Action) {
+func firstSendOrAnswer(b *Balancer, now time.Duration, e Request) (at time.Duration, answer Action) {
 	acts := b.Handle(now, e)
 	for range 100 {
 		var next *SetTimer
@@ -170,8 +170,8 @@
 	event Event
 }
 
-// prefixes parses address ranges.
-func prefixes(list ...string) (all []netip.Prefix) {
+// parsePrefixes parses address ranges.
+func parsePrefixes(list ...string) (all []netip.Prefix) {
 	for _, s := range list {
 		all = append(all, netip.MustParsePrefix(s))
 	}
--- a/balancer/keyorder_test.go
+++ b/balancer/keyorder_test.go
@@ -8,7 +8,7 @@
 
 // Requests of one key must run in order. The next goes when the one before is over and the quiet period has
 // passed; a hot key rejects who would wait in vain, and holds up no other key.
-func TestKeyKeepsItsOrder(t *testing.T) {
+func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[2].OrderedByKey, s.KeyQuietPeriod = true, 50*millisecond })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
 	pay := func(at time.Duration, id string, key uint64) []Action {
@@ -25,15 +25,15 @@
 	if got := sends(b.Handle(70*millisecond, TimerFired{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
 		t.Fatalf("after the quiet period %v was sent, want b", got)
 	}
-	refused := 0
+	rejected := 0
 	for i := range 50 {
 		for _, a := range pay(80*millisecond, fmt.Sprint("hot", i), 1) {
 			if _, ok := a.(Reject); ok {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if refused < 40 {
-		t.Errorf("%d of 50 were rejected behind a hot key, want most", refused)
+	if rejected < 40 {
+		t.Errorf("%d of 50 were rejected behind a hot key, want most", rejected)
 	}
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -34,7 +34,7 @@
 	case Success:
 		b.recordSuccess(s, c, latency)
 	case Overloaded, Unreachable:
-		b.learnRejection(s, c)
+		b.recordRejection(s, c)
 	case Failure, ConnectionLost, TimedOut:
 		b.recordFailure(s, c, e.Outcome)
 	}
@@ -44,8 +44,8 @@
 func (b *Balancer) recordSuccess(s *server, c *class, latency float64) {
 	b.refillRetryBudget()
 	b.lastSuccess, s.lastSuccess = b.now, b.now
-	c.learnLatency(latency)
-	s.learnCapacity()
+	c.recordLatency(latency)
+	s.relaxCapacityLimit()
 	s.firstRequestDue = 0
-	b.recordHealthy(s)
+	b.endFailureRun(s)
 }
--- a/balancer/outcome_test.go
+++ b/balancer/outcome_test.go
@@ -8,7 +8,7 @@
 
 // A replica far down the chain gets few requests a second. What its first answers tell of a class must
 // outweigh the assumption made from the latency objective, which is for all tiers together.
-func TestFirstAnswersOutweighTheGuess(t *testing.T) {
+func TestFirstAnswersOutweighTheInitialEstimate(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 2 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	now := time.Duration(0)
@@ -25,10 +25,10 @@
 
 // A client that gives less time than answers take shows that its deadlines are short. Nobody is ejected for
 // it, and the window stays open for the others.
-func TestShortDeadlinesTeachNothing(t *testing.T) {
+func TestTimeoutsFromShortDeadlinesAreIgnored(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	traffic(b, 200, "get", func(string) Outcome { return Success })
 	now, window := b.now+millisecond, b.pools[0].window
 	for i := range 300 {
@@ -54,9 +54,9 @@
 	b := newBalancer(t, func(s *Settings) { s.Replicas, s.MaxAttempts = 1, 1 })
 	l := servers(1)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: l})
-	var out []Send
+	var sent []Send
 	for i := range 4 {
-		out = append(out, sends(b.Handle(millisecond, Request{ID: fmt.Sprint(i), Class: "pay", Deadline: time.Second}))...)
+		sent = append(sent, sends(b.Handle(millisecond, Request{ID: fmt.Sprint(i), Class: "pay", Deadline: time.Second}))...)
 	}
 	l[0].StartTime = 2 * millisecond
 	b.Handle(3*millisecond, EndpointUpdate{Servers: l})
@@ -65,9 +65,9 @@
 	if b.now = 950 * millisecond; b.isUnresponsive(s) {
 		t.Error("silent for what the earlier process owes")
 	}
-	for i, o := range out {
-		if s.inFlightCount() != len(out)-i {
-			t.Fatalf("%d calls in flight, want %d", s.inFlightCount(), len(out)-i)
+	for i, o := range sent {
+		if s.inFlightCount() != len(sent)-i {
+			t.Fatalf("%d calls in flight, want %d", s.inFlightCount(), len(sent)-i)
 		}
 		b.Handle(960*millisecond, AttemptEnded{ID: o.ID, Server: o.Server, Outcome: []Outcome{ConnectionLost, TimedOut, Unreachable, ConnectionLost}[i]})
 	}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// maxTimeoutRunChance: a run of time-outs that is likelier than this, by the share of failures at all
+	// maxTimeoutRunProbability: a run of time-outs that is likelier than this, by the share of failures at all
 	// servers, is taken for chance.
-	maxTimeoutRunChance = 0.08
-	// maxErrorRunChance is the same for a run that ends in an error or a lost connection. These are often
+	maxTimeoutRunProbability = 0.08
+	// maxErrorRunProbability is the same for a run that ends in an error or a lost connection. These are often
 	// passed on from below the server and say less of it.
-	maxErrorRunChance = 0.001
+	maxErrorRunProbability = 0.001
 	// minErrorRate is the share of failures that is assumed at least: below it a single error would seem
 	// too unlikely for chance.
 	minErrorRate = 0.01
@@ -119,9 +119,9 @@
 func (b *Balancer) recordFailure(s *server, c *class, outcome Outcome) {
 	s.consecutiveFailures++
 	s.consecutiveSuccesses = 0
-	limit := maxErrorRunChance
+	limit := maxErrorRunProbability
 	if outcome == TimedOut {
-		limit = maxTimeoutRunChance
+		limit = maxTimeoutRunProbability
 	}
 	if b.now >= s.ejectedUntil && math.Pow(b.errorRate, float64(s.consecutiveFailures)) < limit {
 		s.ejectedUntil = b.now + time.Duration(ejectionLatencies*c.meanLatency)<<s.ejectionLevel
@@ -130,8 +130,8 @@
 	moveTowards(&b.errorRate, 1, sampleWeight)
 }
 
-// recordHealthy ends a run of failures. Each full run of successes takes one level of ejection back.
-func (b *Balancer) recordHealthy(s *server) {
+// endFailureRun ends a run of failures. Each full run of successes takes one level of ejection back.
+func (b *Balancer) endFailureRun(s *server) {
 	s.consecutiveFailures = 0
 	moveTowards(&b.errorRate, 0, sampleWeight)
 	b.errorRate = max(minErrorRate, b.errorRate)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -8,11 +8,11 @@
 
 // A server that fails at once drains its count, and so would win every draw and fail most requests. It must
 // be ejected, whatever the kind of failure.
-func TestFastErrorsAreEjected(t *testing.T) {
+func TestServerWithFastErrorsIsEjected(t *testing.T) {
 	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-		drawFromAll(b)
+		disableSubsetting(b)
 		got := traffic(b, 600, "get", func(s string) Outcome {
 			if s == "s03" {
 				return e
@@ -29,29 +29,29 @@
 // capacity of a sound one away. Several in a row while its peers serve, or a time-out, tell of the server.
 func TestOneErrorDoesNotEject(t *testing.T) {
 	for _, tc := range []struct {
-		endings []Outcome
-		ejected bool
+		outcomes []Outcome
+		ejected  bool
 	}{{[]Outcome{Failure}, false}, {[]Outcome{ConnectionLost}, false}, {[]Outcome{Failure, Success, Failure}, false},
 		{[]Outcome{Failure, Failure, Failure}, true}, {[]Outcome{TimedOut}, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 		b.now = 20 * millisecond // what each attempt takes
 		s, r := b.pools[0].inService[0], &request{class: b.classes["get"]}
-		for _, e := range tc.endings {
+		for _, e := range tc.outcomes {
 			for i := range 9 {
 				b.recordOutcome(&attempt{request: r, server: b.pools[0].inService[1+i%3]}, AttemptEnded{Outcome: Success})
 			}
 			b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: e})
 		}
 		if got := s.ejectedUntil > b.now; got != tc.ejected {
-			t.Errorf("after outcomes %v: ejected %v, want %v", tc.endings, got, tc.ejected)
+			t.Errorf("after outcomes %v: ejected %v, want %v", tc.outcomes, got, tc.ejected)
 		}
 	}
 }
 
 // In a list so short that the share that may be excluded rounds to nothing, one bad server must still be
 // left out.
-func TestOneOfFourIsEjected(t *testing.T) {
+func TestOneBadServerOfAShortListIsEjected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	got := traffic(b, 600, "get", func(s string) Outcome {
@@ -67,10 +67,10 @@
 
 // When every server fails alike the fault is below them. Ejecting them all would leave nobody to serve what
 // still can be.
-func TestFailuresEverywhereEjectFew(t *testing.T) {
+func TestFailuresAtAllServersEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
@@ -79,24 +79,24 @@
 
 // A machine that hangs shows nothing but an old unanswered attempt while others answer. Until its time-outs
 // end it must not be sent request after request.
-func TestUnresponsiveServerIsPassedOver(t *testing.T) {
+func TestUnresponsiveServerIsNotChosen(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
-	stuck, now := 0, time.Duration(0)
+	disableSubsetting(b)
+	unanswered, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		now += 20 * millisecond
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
 			if s.Server == "s03" {
-				stuck++
+				unanswered++
 			} else {
 				endAttempt(b, now+10*millisecond, id, s, Success)
 			}
 		}
 	}
-	if stuck == 0 || stuck > 6 {
-		t.Errorf("the unresponsive server holds %d calls", stuck)
+	if unanswered == 0 || unanswered > 6 {
+		t.Errorf("the unresponsive server holds %d calls", unanswered)
 	}
 }
 
@@ -105,7 +105,7 @@
 func TestProbationRequestIsIdempotentWherePossible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	s := b.servers["s03"]
 	s.ejectionLevel = 1
 	for range 100 {
@@ -115,7 +115,7 @@
 			t.Fatal("a server on probation got a non-idempotent request")
 		}
 	}
-	drawFromAll(b)
+	disableSubsetting(b)
 	if got := traffic(b, 400, "get", func(string) Outcome { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
@@ -123,10 +123,10 @@
 
 // Where only non-idempotent requests come, one of them must be the probation request after an ejection:
 // else the server is out for good.
-func TestNonIdempotentRequestsEndAnEjection(t *testing.T) {
+func TestNonIdempotentRequestsCanEndProbation(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	b.servers["s03"].ejectionLevel, b.servers["s03"].ejectedUntil = 1, time.Second
 	got := map[string]int{}
 	for i := range 400 {
@@ -146,7 +146,7 @@
 
 // In an overload attempts time out at every server, and all look bad. The more load is shed, the fewer
 // servers may be excluded for their health: excluding them would make the overload worse.
-func TestSheddingLeavesMoreServersIn(t *testing.T) {
+func TestFewerServersAreExcludedWhileLoadIsShed(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
@@ -157,26 +157,26 @@
 			s.ejectedUntil = time.Minute
 		}
 		b.pools[0].shedShare = c.shed
-		out := 0
+		excluded := 0
 		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService) {
 			if o {
-				out++
+				excluded++
 			}
 		}
-		if out != c.want {
-			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, out, c.want)
+		if excluded != c.want {
+			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, excluded, c.want)
 		}
 	}
 }
 
 // A dead server fills a short list's window with attempts that nobody answers, so that load is shed. That
 // must not bring the dead server back into the draw.
-func TestSheddingKeepsADeadServerOut(t *testing.T) {
+func TestDeadServerStaysExcludedWhileLoadIsShed(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.pools[0].inService[2].ejectedUntil = time.Minute
 	b.pools[0].shedShare = 0.6
-	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService); fmt.Sprint(out) != "[false false true false]" {
-		t.Errorf("excluded %v, want the third alone", out)
+	if excluded := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService); fmt.Sprint(excluded) != "[false false true false]" {
+		t.Errorf("excluded %v, want the third alone", excluded)
 	}
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -42,7 +42,7 @@
 // servers disabled.
 func (b *Balancer) enqueue(r *request) {
 	p := r.class.pool
-	if b.now >= b.queueDeadline(r) || p.allDisabled || b.listUnreliable() {
+	if b.now >= b.queueDeadline(r) || p.allDisabled || b.endpointListExpired() {
 		b.giveUp(r)
 		return
 	}
@@ -89,7 +89,7 @@
 // capacity.
 func (b *Balancer) dispatchQueued() {
 	for _, p := range b.pools {
-		for (p.allDisabled || b.listUnreliable()) && len(p.queued) > 0 {
+		for (p.allDisabled || b.endpointListExpired()) && len(p.queued) > 0 {
 			b.giveUp(p.queued[0])
 		}
 		for len(p.queued) > 0 && !b.windowFull(p) {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -35,7 +35,7 @@
 	for _, class := range []string{"get", "pay"} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true})
-		at, a := finalAnswerAt(b, millisecond, Request{ID: "r", Class: class, Deadline: time.Hour})
+		at, a := firstSendOrAnswer(b, millisecond, Request{ID: "r", Class: class, Deadline: time.Hour})
 		if r, ok := a.(Reject); !ok || r.RetryAfter != 50*millisecond || at > 500*millisecond {
 			t.Errorf("%s: %+v at %v", class, a, at)
 		}
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -91,11 +91,11 @@
 // give gives the Balancer an event and notes what it asks for.
 func (h *randomHost) give(e Event) {
 	if h.checker != nil {
-		h.checker.event(h.now, e)
+		h.checker.checkEvent(h.now, e)
 	}
 	actions := h.b.Handle(h.now, e)
 	if h.checker != nil {
-		h.checker.actions(h.now, actions)
+		h.checker.checkActions(h.now, actions)
 	}
 	for _, a := range actions {
 		h.log = append(h.log, fmt.Sprintf("%v %T%v", h.now, a, a))
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -151,7 +151,7 @@
 	b.dequeue(r)
 	s.inFlight = append(s.inFlight, a)
 	if s.firstRequestDue > 0 {
-		s.firstRequestDue = b.now + firstRequestAfter
+		s.firstRequestDue = b.now + firstRequestDelay
 	}
 	p.inFlight++
 	if r.streamedBody {
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -20,10 +20,10 @@
 // preferred servers, unless the request crosses zones; its subset of all servers; all servers, where also
 // capacity limits no longer bind.
 func (b *Balancer) chooseServer(r *request) *server {
-	if b.listUnreliable() {
+	if b.endpointListExpired() {
 		return nil
 	}
-	if s := b.firstRequestOwed(r); s != nil {
+	if s := b.serverDueFirstRequest(r); s != nil {
 		return s
 	}
 	p := r.class.pool
--- a/balancer/settingschange_test.go
+++ b/balancer/settingschange_test.go
@@ -31,7 +31,7 @@
 			set := testSettings()
 			c.change(&set)
 			b.Handle(millisecond, SettingsChanged{Settings: set})
-			b = restored(t, b.settings, b)
+			b = restoreFromCheckpoint(t, b.settings, b)
 			if got := len(sends(endAttempt(b, 2*millisecond, "old", first[0], Failure))) > 0; got != c.old {
 				t.Errorf("the open request was sent again: %v", got)
 			}
@@ -81,7 +81,7 @@
 	first := sends(b.Handle(0, newRequest("first", "get", 0, time.Second)))
 	b.Handle(0, newRequest("queued", "get", 0, time.Second))
 	b.Handle(millisecond, SettingsChanged{Settings: testSettings()})
-	b = restored(t, b.settings, b)
+	b = restoreFromCheckpoint(t, b.settings, b)
 	if got := sends(endAttempt(b, 2*millisecond, "first", first[0], Success)); len(got) != 1 || got[0].ID != "queued" {
 		t.Errorf("sent %v", got)
 	}
