--- a/balancer/accesslist.go
+++ b/balancer/accesslist.go
@@ -1,4 +1,5 @@
-// Access list: which clients are admitted, and which proxies may name the clients that they pass on.
+// Access list: which clients are admitted, and which proxies are trusted to state the address of their
+// clients.
 
 package balancer
 
@@ -7,16 +8,16 @@
 	"slices"
 )
 
-// AccessList is the address ranges by which clients are admitted. A nil list admits all and trusts no
-// proxy.
+// AccessList holds the address ranges that decide which clients are admitted. A nil list admits every client
+// and trusts no proxy.
 type AccessList struct {
-	Allow          []netip.Prefix `json:"Allow"`     // empty: all
-	Deny           []netip.Prefix `json:"Deny"`      // wins over Allow
-	TrustedProxies []netip.Prefix `json:"ProxyFrom"` // proxies that name the client of each connection
+	Allow          []netip.Prefix `json:"Allow"`     // empty: every address
+	Deny           []netip.Prefix `json:"Deny"`      // takes precedence over Allow
+	TrustedProxies []netip.Prefix `json:"ProxyFrom"` // proxies that state the client of each connection
 }
 
-// Allows says whether a client is admitted. One whose address is not known is admitted only by an empty
-// list.
+// Allows reports whether a client is admitted. A client whose address is unknown is admitted only if Allow
+// and Deny are empty.
 func (l *AccessList) Allows(client netip.Addr) bool {
 	if l == nil {
 		return true
@@ -27,12 +28,14 @@
 	return (len(l.Allow) == 0 || containsAddress(l.Allow, client)) && !containsAddress(l.Deny, client)
 }
 
-// TrustsProxy says whether a connection from an address must begin by naming its client.
+// TrustsProxy reports whether peer is a trusted proxy. Each of its connections must begin by stating the
+// address of its client.
 func (l *AccessList) TrustsProxy(peer netip.Addr) bool {
 	return l != nil && containsAddress(l.TrustedProxies, peer)
 }
 
-// containsAddress says that an address is in one of the ranges, an IPv4 address also in its IPv6 form.
+// containsAddress reports whether an address is in one of the ranges. An IPv4 address that is mapped to IPv6
+// is compared as IPv4.
 func containsAddress(ranges []netip.Prefix, address netip.Addr) bool {
 	address = address.Unmap().WithZone("")
 	return slices.ContainsFunc(ranges, func(r netip.Prefix) bool { return r.Contains(address) })
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -1,6 +1,6 @@
-// Administrative override: servers that operators disable stay out of service until they enable them again,
-// whatever discovery says. Discovery may list a server as ready while its operators repair it; sending to it
-// would fail requests that others could serve.
+// Administrative override: a server that operators disable stays out of service until they enable it again,
+// whatever discovery reports. Discovery may list a server as ready while its operators repair it, and
+// requests sent to it would fail although other servers could serve them.
 
 package balancer
 
@@ -11,32 +11,33 @@
 	"time"
 )
 
-// MaxOverrides is how many servers' overrides are remembered.
+// MaxOverrides is the maximum number of servers whose overrides are remembered.
 const MaxOverrides = 1024
 
-// firstRequestDelay is when a server that was enabled and is still unused is given a request. Operators who
-// enable a server look for its first requests within 5 s.
+// firstRequestDelay is how long a server that was enabled may stay unused before it is given a request.
+// Operators who enable a server look for its first requests within 5 s.
 const firstRequestDelay = time.Second
 
-// override is what operators said of a server last.
+// override is the last instruction of operators for a server.
 type override struct {
 	disabled  bool
-	enabledAt time.Duration // when it was enabled again
+	enabledAt time.Duration // when it was last enabled
 }
 
-// Why a server can't be disabled or enabled.
+// Reasons why a server cannot be disabled or enabled.
 var (
-	// ErrUnknownServer: the server is neither on the endpoint list nor disabled. Check its ID.
+	// ErrUnknownServer means that the server is neither on the endpoint list nor disabled. Check its ID.
 	ErrUnknownServer = errors.New("no such server")
-	// ErrTooManyOverrides: MaxOverrides are remembered already. Enable servers that need not be disabled. The
-	// text is an answer of the admin API (docs/operations.md); "out by hand" there means disabled.
+	// ErrTooManyOverrides means that MaxOverrides overrides are remembered already. Enable servers that need
+	// not be disabled. The text is part of the admin API (docs/operations.md); "out by hand" in it means
+	// disabled by an operator.
 	ErrTooManyOverrides = errors.New("too many servers are out by hand")
 )
 
-// IsDisabled says that a server is disabled by an operator.
+// IsDisabled reports whether a server is disabled by an operator.
 func (b *Balancer) IsDisabled(id string) bool { return b.overrides[id].disabled }
 
-// DisabledServers are the IDs of the servers that are disabled by an operator, sorted.
+// DisabledServers returns the sorted IDs of the servers that are disabled by an operator.
 func (b *Balancer) DisabledServers() (ids []string) {
 	for id, o := range b.overrides {
 		if o.disabled {
@@ -47,16 +48,17 @@
 	return ids
 }
 
-// RestoreDisabled disables servers that were disabled before the node started, up to MaxOverrides. It comes
-// before any event.
+// RestoreDisabled disables servers that were disabled before the node started, at most MaxOverrides. It must
+// be called before the first event.
 func (b *Balancer) RestoreDisabled(ids []string) {
 	for _, id := range ids[:min(len(ids), MaxOverrides)] {
 		b.overrides[id] = override{disabled: true}
 	}
 }
 
-// CheckOverride says whether an AdminOverride would be followed: its server is listed or disabled, and can
-// be remembered. The error is ErrUnknownServer or ErrTooManyOverrides.
+// CheckOverride returns nil if an AdminOverride of a server would be applied: the server is listed or
+// disabled, and its override can be remembered. Otherwise the error is ErrUnknownServer or
+// ErrTooManyOverrides.
 func (b *Balancer) CheckOverride(id string) error {
 	s := b.servers[id]
 	if !b.IsDisabled(id) && (s == nil || !s.listed) {
@@ -69,15 +71,17 @@
 	return nil
 }
 
-// removeExpiredOverrides drops servers that were enabled so long ago that their slow start is over.
+// removeExpiredOverrides removes the overrides of servers that were enabled so long ago that their slow start
+// is over.
 func (b *Balancer) removeExpiredOverrides() {
 	maps.DeleteFunc(b.overrides, func(_ string, o override) bool {
 		return !o.disabled && b.now >= o.enabledAt+b.settings.SlowStartDuration
 	})
 }
 
-// applyOverride disables a server, or enables it as one that has just started: its operators have restarted
-// it, and what was learned before is of its earlier process. Saying the same again changes nothing.
+// applyOverride disables a server, or enables it as one that has just started: its operators are assumed to
+// have restarted it, so what was learned applies to its previous process. Repeating an override changes
+// nothing.
 func (b *Balancer) applyOverride(e AdminOverride) {
 	if b.CheckOverride(e.Server) != nil || b.IsDisabled(e.Server) == e.Disabled {
 		return
@@ -95,9 +99,10 @@
 	b.refreshPools()
 }
 
-// serverDueFirstRequest gives a server that was enabled and is unused since, if the request may go there; else
-// nil. A server in slow start is drawn seldom, and in light traffic its operators would wait long to see
-// whether it works. One attempt at a time is none too many for it.
+// serverDueFirstRequest returns a server that has been unused since it was enabled, is due its first request
+// and may serve this one, or nil if there is none. A server in slow start is chosen rarely, and in light
+// traffic its operators would wait long to see whether it works. It gets one attempt at a time, which does
+// not overload even a cold server.
 func (b *Balancer) serverDueFirstRequest(r *request) *server {
 	for _, s := range r.class.pool.inService {
 		due := s.firstRequestDue > 0 && b.now >= s.firstRequestDue
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,51 +1,52 @@
-// Admission window: how many own attempts a pool of the first tier may have in flight.
+// Admission window: how many of its attempts a Balancer may have in flight in a pool of the first tier.
 
 package balancer
 
 import "math"
 
 const (
-	// initialWindowPerServer is how many attempts a server are admitted before anything is known.
+	// initialWindowPerServer is how many attempts per server are admitted before any latency is known.
 	initialWindowPerServer = 5.0
-	// minWindowPerServer is how many attempts a server are always admitted: with fewer, a single slow
-	// answer would close the window, and nothing would be learned that opens it again.
+	// minWindowPerServer is how many attempts per server are always admitted: with fewer, a single slow
+	// answer would close the window, and no further answers would arrive to open it again.
 	minWindowPerServer = 5.0
-	// minWindow is the least window: with none, no answer would ever open it again.
+	// minWindow is the smallest window: with a window of zero, no answer would arrive to open it again.
 	minWindow = 1
 
-	// targetLoadRatio is the mean latency, over the latency objective, that the window steers to. Half of
-	// the objective is left for the spread of latencies.
+	// targetLoadRatio is the load ratio, the mean latency over the latency objective, that the window is
+	// steered to. Half of the objective is left for the spread of latencies.
 	targetLoadRatio = 0.5
-	// unloadedRatioMultiplier raises the target to so many times the ratio without overload, where that is
-	// more: work that takes most of the objective by itself is no overload.
+	// unloadedRatioMultiplier raises the target to this multiple of the unloaded ratio (pool.unloadedRatio),
+	// if that is higher: work that takes most of the objective by itself is not an overload.
 	unloadedRatioMultiplier = 1.4
-	// maxTargetLoadRatio is the highest target: above it too many answers would miss the objective.
+	// maxTargetLoadRatio is the highest target: above it, too many answers would miss the objective.
 	maxTargetLoadRatio = 0.7
-	// maxUnloadedShedShare is the share of shed requests above which answers tell of an overload rather
-	// than of the time that the work takes by itself.
+	// maxUnloadedShedShare is the share of shed requests above which latencies show an overload rather than
+	// the time that the work takes by itself.
 	maxUnloadedShedShare = 0.02
 
-	// maxWindowIncrement is the attempts by which an answer in good time raises the window, times the free part of
-	// the target.
+	// maxWindowIncrement is the number of attempts by which an answer below the target raises the window
+	// while the load ratio is 0. The increment falls to 0 as the load ratio approaches the target.
 	maxWindowIncrement = 1.0
-	// windowDecrement is the attempts by which an answer lowers the window while the mean is above the target: a
-	// tenth of the window by as many answers as it holds. Answers to attempts that were sent before the
-	// first step come late too; larger steps would punish one overload many times.
+	// windowDecrement is the number of attempts by which an answer lowers the window while the load ratio is
+	// above the target: as many answers as the window holds lower it by a tenth. Attempts that were sent
+	// before the first step are answered late as well, and larger steps would react to one overload many
+	// times.
 	windowDecrement = 0.1
-	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns
-	// nothing of what the tiers below can take.
+	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns nothing
+	// about the capacity of deeper tiers.
 	minWindowUse = 0.8
 
-	// An answer moves the load ratio by the weight loadWeightNumerator/(window+loadWeightOffset), which is
-	// 2/(window+16): answers of a larger window come faster, and each tells less.
+	// An answer moves the load ratio with the weight loadWeightNumerator/(window+loadWeightOffset), which is
+	// 2/(window+16): with a larger window, answers arrive faster and each one shows less.
 	loadWeightNumerator = 2
-	// loadWeightOffset, in attempts, keeps a single answer in a small window from moving the load ratio by
+	// loadWeightOffset, in attempts, keeps a single answer from moving the load ratio of a small window by
 	// much.
 	loadWeightOffset = 16
 )
 
-// windowFull says that a pool has as many attempts out as the tiers below answer in good time, or no
-// server. Only tier 0 holds back: a request rejected further down wastes the work done above it.
+// windowFull reports whether a pool has no server, or has as many attempts in flight as its window admits.
+// Only tier 0 limits them: rejecting a request at a deeper tier wastes the work already done for it.
 func (b *Balancer) windowFull(p *pool) bool {
 	if len(p.inService) == 0 {
 		return true
@@ -53,10 +54,11 @@
 	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.roundingDraw)
 }
 
-// removeFromWindow ends the count of an attempt in the window, once. A streamed message is slow for its
-// client's sake: its server does nothing before it has all of a request, and no more while a response is
-// read. Were these counted, a few slow clients would cause the rejection of all others. As attempts at their
-// servers they count to the end.
+// removeFromWindow stops counting an attempt in the window: at its end, or earlier if its body or its
+// response is streamed. Repeated calls change nothing. A streamed message is slow because of its client: the
+// server does nothing before it has received the whole request, and nothing more while the client reads the
+// response. If such attempts counted, a few slow clients would cause the rejection of all others. They still
+// count as attempts in flight at their servers until they end.
 func (a *attempt) removeFromWindow() {
 	if !a.outsideWindow {
 		a.outsideWindow = true
@@ -64,13 +66,13 @@
 	}
 }
 
-// adjustWindow moves the window so that the mean latency stays at a part of the latency objective. Input:
-// the end of an attempt, which no longer counts (removeFromWindow). Output: the window, in attempts.
+// adjustWindow moves the window so that the load ratio stays at its target. Input: the end of an attempt,
+// which no longer counts in the window (removeFromWindow). Output: the window, in attempts.
 //
-// Servers that are sent more than they can work on answer all of it late, and clients that time out ask
-// again: an overload that feeds itself. So the excess must wait or be shed here, before it costs the tiers
-// below anything. It shows as latencies at the objective with all servers busy and few answers in time.
-// Outcomes that tell nothing of the load are left out.
+// Servers that are sent more than they can process answer all of it late, and clients that time out retry,
+// which makes the overload worse. The excess must therefore wait or be shed here, before it costs deeper
+// tiers anything. Without this, latencies reach the objective, all servers are busy and few answers are in
+// time. Outcomes that show nothing about the load are ignored.
 func (b *Balancer) adjustWindow(r *request, e AttemptEnded) {
 	if b.settings.Tier > 0 || e.Outcome == Canceled || e.Outcome == NotSent || e.Outcome == Failure {
 		return
@@ -81,7 +83,8 @@
 	p.enforceWindowFloor()
 }
 
-// latencyRatio is how long an attempt took, over the latency objective; at least 1 if it did not succeed.
+// latencyRatio returns how long an attempt took, relative to the latency objective. It is at least 1 if the
+// attempt did not succeed.
 func (b *Balancer) latencyRatio(r *request, e AttemptEnded) float64 {
 	ratio := float64(b.attemptLatency(r, r.attempts[e.Attempt], e)) / float64(r.class.LatencyObjective)
 	if e.Outcome != Success {
@@ -90,8 +93,8 @@
 	return ratio
 }
 
-// updateLoadRatio takes the latency ratio of an attempt into the load ratio and, if it succeeded while next to
-// nothing was shed, into the ratio without overload.
+// updateLoadRatio updates the load ratio with the latency ratio of an attempt. If the attempt succeeded while
+// hardly any load was shed, it also updates the unloaded ratio.
 func (p *pool) updateLoadRatio(ratio float64, outcome Outcome) {
 	moveTowards(&p.loadRatio, min(ratio, 1), loadWeightNumerator/(p.window+loadWeightOffset))
 	if outcome == Success && p.shedShare < maxUnloadedShedShare {
@@ -100,9 +103,9 @@
 	}
 }
 
-// raiseOrLowerWindow lowers the window while the load ratio is above the target, and raises it by an answer in good
-// time that has found the window in use. Its attempt no longer counts in the window (removeFromWindow): +1
-// puts it back.
+// raiseOrLowerWindow lowers the window while the load ratio is above the target. It raises the window if the
+// attempt took less than the target and the window was in use. The attempt no longer counts in the window
+// (removeFromWindow), so that +1 adds it back.
 func (b *Balancer) raiseOrLowerWindow(p *pool, ratio float64) {
 	target := min(max(targetLoadRatio, unloadedRatioMultiplier*p.unloadedRatio), maxTargetLoadRatio)
 	p.roundingDraw = 0
@@ -113,27 +116,28 @@
 	}
 }
 
-// lowerWindow lowers a window. Where replicas outnumber servers, windows of an attempt or two that are
-// rounded up at every replica would overload the servers: while the window falls, a draw rounds it up or
-// down (windowFull), so that all replicas together hold to it. At other times the draw is 0 and the window
-// is rounded up, which lets bursts through.
+// lowerWindow lowers a window by one step. Where replicas outnumber servers, a window is one or two attempts,
+// and if every replica rounded it up, they would together overload the servers. While the window falls, a
+// random draw therefore rounds it up or down (windowFull), so that all replicas together stay within their
+// windows. At other times the draw is 0 and the window is rounded up, which admits bursts.
 func (b *Balancer) lowerWindow(p *pool) {
 	p.window -= windowDecrement
 	p.roundingDraw = b.rng.Float64()
 }
 
-// raiseWindow raises a window by the free part of the target: a fixed step would leave servers idle, or
-// overshoot.
+// raiseWindow raises a window in proportion to the distance of the load ratio from the target: a fixed step
+// would leave servers idle far from the target, or overshoot near it.
 func (p *pool) raiseWindow(target float64) {
 	gain := maxWindowIncrement * (1 - p.loadRatio/target)
 	p.window += gain
 	p.floorServers += gain / minWindowPerServer
 }
 
-// enforceWindowFloor keeps a window at its floor. The floor follows the list of servers down at once, and up
-// only by answers in good time: a list that grows in a surge says nothing of the tiers below, which a floor
-// that grew with it would overload. floorServers is fractional: it is a replica's part of the servers, and
-// grows with the window by parts of an attempt.
+// enforceWindowFloor keeps a window at or above its floor. The floor falls with the endpoint list
+// immediately, but rises only with answers below the target: a list that grows in a surge of traffic says
+// nothing about the capacity of deeper tiers, and a floor that grew with it would overload them. floorServers
+// is fractional: it is this replica's share of the servers, and grows with the window by fractions of an
+// attempt.
 func (p *pool) enforceWindowFloor() {
 	p.floorServers = min(p.floorServers, p.serversPerReplica)
 	p.window = max(p.window, minWindow, minWindowPerServer*p.floorServers)
--- a/balancer/attempttimeout.go
+++ b/balancer/attempttimeout.go
@@ -5,24 +5,25 @@
 import "time"
 
 const (
-	// attemptTimeoutDeviations is how many deviations above the mean latency an attempt is given up for a
-	// retry.
+	// attemptTimeoutDeviations is the number of deviations above the mean latency after which an attempt is
+	// abandoned for a retry.
 	attemptTimeoutDeviations = 5.0
-	// minTimeoutSamples is how many successes of a class must be known before its latency bounds an
-	// attempt: as many as its moving averages rest on.
+	// minTimeoutSamples is how many successes of a class must be known before its latency limits an attempt:
+	// as many as count in its moving averages.
 	minTimeoutSamples = 1 / sampleWeight
-	// maxErrorRateToRetryEarly is the share of failed attempts above which none is given up early.
+	// maxErrorRateToRetryEarly is the share of failed attempts above which no attempt is abandoned early.
 	maxErrorRateToRetryEarly = 0.03
 )
 
-// attemptTimeout is how long an attempt that starts now is waited for. All but Idempotent classes wait for
-// the whole time that the request has left. Input: that time, the class's latencies, the retry budget and
-// the share of failures. Output: the time left, or less where a retry may follow.
+// attemptTimeout returns how long to wait for an attempt that starts now. Requests of all classes except
+// Idempotent ones wait for all of their remaining time. Input: that time, the latencies of the class, the
+// retry budget and the share of failed attempts. Output: the remaining time, or less if a retry may follow.
 //
-// A machine that is cut off takes requests and says nothing: one that waits there to the end has no time
-// left for a retry, and fails. But where many attempts take long the cause is load: what is given up is
-// worked on all the same, and sent again adds to it. So it takes a class that may run twice, a known
-// latency, budget for a retry, few failures, and enough time for the retry.
+// Requests sent to a machine that is cut off from the network are neither rejected nor answered: one that
+// waits there until its deadline has no time left for a retry, and fails. But if many attempts take long, the
+// cause is load: servers keep working on abandoned attempts, and retries add to that load. An attempt is
+// therefore abandoned early only if its class may run twice, the latency of the class is known, the budget
+// covers a retry, few attempts fail, and enough time remains for the retry.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	c, left := r.class, r.deadline-b.now
 	timeout := c.latencyBound(attemptTimeoutDeviations)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-// The Balancer's own state and the events that it takes.
+// The state of a Balancer and the events that it handles.
 
 package balancer
 
@@ -10,46 +10,46 @@
 const (
 	// sampleWeight is the weight of a new sample in moving averages: about the last 16 samples count.
 	sampleWeight = 0.06
-	// slowSampleWeight is that of averages over the requests of a pool, which come faster than what is
-	// learned of one class: about the last 66 samples count.
+	// slowSampleWeight is the weight in averages over the requests of a pool, whose samples arrive faster
+	// than those of a single class: about the last 66 samples count.
 	slowSampleWeight = sampleWeight / 4
-	// initialErrorRate is the share of failed attempts assumed before there are any.
+	// initialErrorRate is the share of failed attempts that is assumed before the first attempt.
 	initialErrorRate = 0.02
-	// rngStream is the second half of every seed: it keeps the draws apart from those of other uses of a
-	// seed.
+	// rngStream is the second half of every seed. It separates these draws from those of other uses of the
+	// same seed.
 	rngStream = 0x51a7e
 )
 
-// Balancer decides for one node. See the package comment for its contract.
+// Balancer makes the decisions of one node. See the package comment for its contract.
 type Balancer struct {
 	settings  Settings
-	rngSource *rand.PCG // of rng
+	rngSource *rand.PCG // source of rng
 	rng       *rand.Rand
 	now       time.Duration // clock time of the current event
-	actions   []Action      // what the current event has led to
+	actions   []Action      // actions of the current event
 	servers   map[string]*server
 	requests  map[string]*request
 	classes   map[string]*class
-	classList []*class             // all classes in the order of the settings, then that of unknown names
-	pools     []*pool              // in the order of the classes that are placed in them
+	classList []*class             // in the order of the settings; the last one is for unknown names
+	pools     []*pool              // in the order of their first classes
 	keyQueues map[uint64]*keyQueue // by key
-	overrides map[string]override  // what operators said of servers, by ID
+	overrides map[string]override  // by server ID
 
-	settingsVersion int               // count of changes of the settings
-	previousClasses map[string]*class // the classes before the last change
+	settingsVersion int               // number of SettingsChanged events so far
+	previousClasses map[string]*class // the classes before the last change of settings
 
 	errorRate    float64 // share of attempts that fail, over all servers
 	lastSuccess  time.Duration
 	retryBalance float64 // retries that the retry budget still allows
-	pollFailures int     // polls of discovery that failed, one after another
+	pollFailures int     // consecutive failed polls of discovery
 	nextPoll     time.Duration
-	leaseExpired bool // the lease on the endpoint list
+	leaseExpired bool // the lease on the endpoint list has expired
 
 	faults               *faultInjector // nil: no fault injections are configured
 	faultInjectionsEnded bool
 }
 
-// New returns a Balancer that knows no servers yet. All its draws follow from the seed. The error is a
+// New returns a Balancer that knows no servers yet. The seed determines all its random draws. The error is a
 // *SettingsError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
@@ -72,14 +72,15 @@
 	return b, nil
 }
 
-// MaxAttempts is how many attempts a request that comes now may have.
+// MaxAttempts returns how many attempts a request that arrives now may have.
 func (b *Balancer) MaxAttempts() int { return max(1, b.settings.MaxAttempts) }
 
-// SlowStartDuration is how long after its start a server is in slow start.
+// SlowStartDuration returns how long a server is in slow start after its start.
 func (b *Balancer) SlowStartDuration() time.Duration { return b.settings.SlowStartDuration }
 
-// Handle takes one event at the clock time now and returns what to do, in order. After every event it also
-// sends what is queued and may go now (dispatchQueued): no event needs to do that by itself.
+// Handle processes one event at the clock time now and returns the actions to carry out, in order. After
+// every event it also sends the queued requests that can now be sent (dispatchQueued), so that no event
+// handler needs to.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -115,7 +116,7 @@
 	return b.actions
 }
 
-// emit adds an action to what the current event leads to.
+// emit adds an action to those of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // moveTowards moves an exponentially weighted moving average towards a sample.
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// capacityLimitLatencies is how long a capacity limit holds, in mean latencies of the class that was
+	// capacityLimitLatencies is how long a capacity limit lasts, in mean latencies of the class that was
 	// rejected: long enough for a queue to drain.
 	capacityLimitLatencies = 12
-	// minCapacityJitter is the least factor on that time. The factor is drawn from here to one more, so
-	// that replicas which were rejected together do not come back together.
+	// minCapacityJitter is the smallest factor by which this duration is multiplied. The factor is drawn
+	// between minCapacityJitter and minCapacityJitter+1, so that replicas that were rejected together do not
+	// return together.
 	minCapacityJitter = 0.5
 )
 
-// capacityLimit is the number of own attempts at which a server is passed over because it rejected one
-// more. Input: what learnRejection and learnCapacity have learned of the server. Output: attempts at once,
-// math.MaxInt for no limit.
+// capacityLimit returns the number of this Balancer's attempts in flight at which a server is not eligible,
+// because it rejected an attempt when it had that many. Input: what recordRejection and relaxCapacityLimit
+// have learned about the server. Output: concurrent attempts, math.MaxInt for no limit.
 //
-// The queue or the connections of such a server are full, and rejections, being quick, drain its count:
-// without the limit it would win most draws and reject them all. That shows as a burst of Overloaded or
-// Unreachable outcomes from a few servers while others have capacity. The server is not an outlier, and
-// maxExcludedShare does not bind: all servers may be at their limits.
+// The queue or the connections of such a server are full. Because it rejects quickly, it has few attempts in
+// flight: without the limit it would win most draws and reject them all. The symptom is a burst of Overloaded
+// or Unreachable outcomes from a few servers while others have capacity. Such a server is not an outlier, and
+// maxExcludedShare does not apply: all servers may be at their limits.
 func (b *Balancer) capacityLimit(s *server) int {
 	if b.now < s.capacityLimitUntil {
 		return s.capacityLimit
@@ -31,8 +32,8 @@
 	return math.MaxInt
 }
 
-// recordRejection limits a server that has rejected an attempt, or could not be reached, to the attempts
-// that it has. The time doubles with each rejection in a row.
+// recordRejection limits a server that has rejected an attempt, or could not be reached, to the attempts that
+// it still has in flight. The duration of the limit doubles with each consecutive rejection.
 func (b *Balancer) recordRejection(s *server, c *class) {
 	s.capacityLimit = s.inFlightCount()
 	jitter := minCapacityJitter + b.rng.Float64()
@@ -41,8 +42,8 @@
 	s.consecutiveRejections = min(s.consecutiveRejections+1, maxBackoffLevel)
 }
 
-// relaxCapacityLimit raises the limit of a server that has answered while it had all the attempts of its limit:
-// its queue has moved on.
+// relaxCapacityLimit raises the limit of a server that has answered while it had as many attempts as its
+// limit allows, which shows that its queue has moved on. It also ends the server's run of rejections.
 func (s *server) relaxCapacityLimit() {
 	if s.inFlightCount()+1 >= s.capacityLimit {
 		s.capacityLimit++
--- a/balancer/checkpoint.go
+++ b/balancer/checkpoint.go
@@ -6,12 +6,12 @@
 	"fmt"
 )
 
-// ErrInvalidCheckpoint is in the error of a Restore from what is no checkpoint of a Balancer with these
-// settings. A node that gets it starts with nothing learned.
+// ErrInvalidCheckpoint is wrapped by the error of Restore if the data is not a checkpoint of a Balancer with
+// these settings. A node that gets this error starts without learned state.
 var ErrInvalidCheckpoint = errors.New("not a checkpoint of a Balancer with these settings")
 
-// Checkpoint returns all that a Balancer has learned and holds, as JSON. A Balancer that Restore makes of
-// it goes on as this one does.
+// Checkpoint returns all that a Balancer has learned and all its open requests as JSON. A Balancer that
+// Restore creates from it continues as this one does.
 func (b *Balancer) Checkpoint() ([]byte, error) {
 	saved, err := newCheckpointWriter(b).write()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return text, nil
 }
 
-// Restore returns a Balancer that goes on from a checkpoint of one with the same settings. The error is a
-// *SettingsError or holds ErrInvalidCheckpoint.
+// Restore returns a Balancer that continues from a checkpoint of one with the same settings. The error is a
+// *SettingsError or wraps ErrInvalidCheckpoint.
 func Restore(settings Settings, checkpoint []byte) (*Balancer, error) {
 	var saved savedBalancer
 	if err := json.Unmarshal(checkpoint, &saved); err != nil {
--- a/balancer/checkpointformat.go
+++ b/balancer/checkpointformat.go
@@ -1,17 +1,18 @@
-// The stored form of a Balancer's state. Checkpoints stand in captures on disk, and pass from one process
-// of a node to the next, which may be of another build: the JSON keys stay as they are.
+// Stored format of the state of a Balancer. Checkpoints are stored in captures on disk and are passed from
+// one process of a node to the next, which may be another build, so the JSON keys must not change.
 
 package balancer
 
 import "time"
 
-// savedBalancer is the whole state of a Balancer. Servers, requests and classes stand in lists; what refers
-// to one has its index there instead.
+// savedBalancer is the whole state of a Balancer. Servers, requests and classes are stored in lists, and
+// references to them as indexes into these lists. The first KnownServers of Servers are known to the
+// Balancer; only ended attempts refer to the others.
 type savedBalancer struct {
 	Now                  time.Duration       `json:"Now"`
 	RNGState             []byte              `json:"Random"`
 	Servers              []savedServer       `json:"Servers"`
-	KnownServers         int                 `json:"Mapped"` // the first of Servers; others: ended attempts
+	KnownServers         int                 `json:"Mapped"`
 	Requests             []savedRequest      `json:"Requests"`
 	Classes              []savedClass        `json:"Classes"`
 	Pools                []savedPool         `json:"Pools"`
@@ -25,11 +26,11 @@
 	LeaseExpired         bool                `json:"Expired,omitempty"`
 	Overrides            []savedOverride     `json:"Hands,omitempty"`
 	SettingsVersion      int                 `json:"Rules"`
-	PreviousClasses      []int               `json:"Before,omitempty"` // indexes of Classes
+	PreviousClasses      []int               `json:"Before,omitempty"` // indexes into Classes
 	FaultInjector        *savedFaultInjector `json:"Drills,omitempty"`
 }
 
-// savedServer is a server and what was learned of it.
+// savedServer is a server and what was learned about it.
 type savedServer struct {
 	Server
 	Listed                bool          `json:"Listed"`
@@ -46,16 +47,16 @@
 	FirstRequestDue       time.Duration `json:"Hungry,omitempty"`
 }
 
-// savedOverride is what operators said of a server.
+// savedOverride is the last instruction of operators for a server.
 type savedOverride struct {
 	ID        string        `json:"ID"`
 	Disabled  bool          `json:"Out"`
 	EnabledAt time.Duration `json:"Back"`
 }
 
-// savedRequest is an open request, or an answered one with attempts out.
+// savedRequest is an open request, or an answered one that still has attempts in flight.
 type savedRequest struct {
-	ID           []byte         `json:"ID"` // may be no UTF-8, which JSON would replace
+	ID           []byte         `json:"ID"` // may be invalid UTF-8, which JSON would replace
 	Class        int            `json:"Class"`
 	FirstAskedAt time.Duration  `json:"Arrived"`
 	Deadline     time.Duration  `json:"Deadline"`
@@ -82,7 +83,7 @@
 	OutsideWindow bool          `json:"Outside,omitempty"`
 }
 
-// savedClass is what was learned of a class. The first are those of the settings, in their order.
+// savedClass is what was learned about a class. The classes of the settings come first, in their order.
 type savedClass struct {
 	MeanLatency      float64       `json:"Mean"`
 	LatencyDeviation float64       `json:"Dev"`
@@ -91,10 +92,10 @@
 	Served           float64       `json:"Serve"`
 	TypicalBudget    time.Duration `json:"UsualTry"`
 	PreviousClass    *Class        `json:"Old,omitempty"`  // nil: as in the settings
-	Pool             int           `json:"Pool,omitempty"` // index, of a previous class
+	Pool             int           `json:"Pool,omitempty"` // index into Pools, for a previous class
 }
 
-// savedPool is a pool and what was learned of it.
+// savedPool is a pool and what was learned about it.
 type savedPool struct {
 	InService         []int    `json:"Ready"`
 	Preferred         []int    `json:"Near"`
@@ -117,7 +118,7 @@
 	AllowedKinds      []string `json:"Kinds"` // nil: all
 }
 
-// savedKeyQueue is the open requests of one key.
+// savedKeyQueue holds the open requests of one key.
 type savedKeyQueue struct {
 	Key        uint64        `json:"Key"`
 	Requests   []int         `json:"Queue"`
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// Why a stored form is no checkpoint of a Balancer with given settings.
+// Reasons why stored data is not a checkpoint of a Balancer with the given settings.
 var (
-	errSettingsMismatch = errors.New("it lacks classes, pools or fault injections of the settings")
-	errPreviousClass    = errors.New("a previous class lacks its settings or its pool")
-	errUnknownKeyQueue  = errors.New("a request waits in the queue of a key that has none")
+	errSettingsMismatch = errors.New("classes, pools or fault injections do not match the settings")
+	errPreviousClass    = errors.New("a previous class has no settings or no pool")
+	errUnknownKeyQueue  = errors.New("a request refers to a key queue that does not exist")
 )
 
-// checkpointReader fills a new Balancer from its stored form. References are resolved last: each list must
-// be there before another one refers to it. The first reference that leads nowhere is kept as the error.
+// checkpointReader fills a new Balancer from its stored state. References are resolved last, because each
+// list must be complete before another one refers to it. The first reference that is out of range is kept as
+// the error.
 type checkpointReader struct {
 	balancer *Balancer
 	saved    *savedBalancer
@@ -28,7 +29,7 @@
 	return &checkpointReader{balancer: b, saved: saved}
 }
 
-// read takes all steps.
+// read restores the whole state.
 func (r *checkpointReader) read() error {
 	if err := r.balancer.rngSource.UnmarshalBinary(r.saved.RNGState); err != nil {
 		return err
@@ -53,7 +54,8 @@
 	return r.err
 }
 
-// checkMatchesSettings checks that the stored form has what the settings ask for.
+// checkMatchesSettings checks that the stored state has the classes, pools and fault injections of the
+// settings.
 func (r *checkpointReader) checkMatchesSettings() error {
 	b, saved := r.balancer, r.saved
 	if len(saved.Classes) < len(b.classList) || len(saved.Pools) < len(b.pools) ||
@@ -61,7 +63,8 @@
 		return errSettingsMismatch
 	}
 	if saved.KnownServers < 0 || saved.KnownServers > len(saved.Servers) {
-		return fmt.Errorf("%d of its %d servers are known", saved.KnownServers, len(saved.Servers))
+		return fmt.Errorf("known server count %d is out of range for %d servers",
+			saved.KnownServers, len(saved.Servers))
 	}
 	return nil
 }
@@ -85,7 +88,7 @@
 	}
 }
 
-// addPools adds the pools that no class of the settings has any more.
+// addPools adds the stored pools that no class of the settings uses any more.
 func (r *checkpointReader) addPools() {
 	b := r.balancer
 	for _, saved := range r.saved.Pools[len(b.pools):] {
@@ -93,7 +96,7 @@
 	}
 }
 
-// readClasses reads what was learned of the classes of the settings, and all of the previous ones.
+// readClasses restores what was learned about the classes of the settings, and the previous classes in full.
 func (r *checkpointReader) readClasses() error {
 	b := r.balancer
 	r.classes = slices.Clone(b.classList)
@@ -152,7 +155,7 @@
 	}
 }
 
-// request makes a request of its stored form, without its queues.
+// request returns a request made from its stored state, without its queues.
 func (r *checkpointReader) request(saved savedRequest) *request {
 	q := &request{
 		id:           string(saved.ID),
@@ -203,7 +206,7 @@
 	}
 }
 
-// readInFlight gives the servers their attempts.
+// readInFlight restores the attempts in flight of each server.
 func (r *checkpointReader) readInFlight() {
 	for i, saved := range r.saved.Servers {
 		for _, at := range saved.InFlight {
@@ -267,11 +270,12 @@
 	}
 }
 
-// resolve finds what indexes refer to, nil for none and if one leads nowhere.
+// resolve returns the entries of a list that indexes refer to. It returns nil if there are no indexes, and
+// records an error and returns nil if one is out of range.
 func resolve[T any](r *checkpointReader, kind string, list []T, indexes []int) (found []T) {
 	for _, i := range indexes {
 		if i < 0 || i >= len(list) {
-			r.recordError(fmt.Errorf("%s %d of %d is referred to", kind, i, len(list)))
+			r.recordError(fmt.Errorf("%s index %d is out of range for %d entries", kind, i, len(list)))
 			return nil
 		}
 		found = append(found, list[i])
@@ -279,7 +283,8 @@
 	return found
 }
 
-// resolveOne finds what an index refers to, the zero value if it leads nowhere.
+// resolveOne returns the entry of a list that an index refers to. It records an error and returns the zero
+// value if the index is out of range.
 func resolveOne[T any](r *checkpointReader, kind string, list []T, index int) (found T) {
 	if all := resolve(r, kind, list, []int{index}); len(all) == 1 {
 		return all[0]
--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// checkpointWriter makes the stored form of a Balancer. Servers, requests and classes are numbered in the
-// order in which they are first met, which is that of the stored lists: the order of the steps is part of
-// the form.
+// checkpointWriter builds the stored state of a Balancer. Servers, requests and classes get their indexes in
+// the order in which they are first encountered, which is the order of the stored lists. The order of the
+// steps is therefore part of the format.
 type checkpointWriter struct {
 	balancer *Balancer
 	saved    *savedBalancer
@@ -16,7 +16,7 @@
 	classes  indexTable[*class]
 }
 
-// newCheckpointWriter begins with what stands for itself.
+// newCheckpointWriter starts with the values that refer to nothing else.
 func newCheckpointWriter(b *Balancer) *checkpointWriter {
 	return &checkpointWriter{balancer: b, saved: &savedBalancer{
 		Now:                  b.now,
@@ -31,7 +31,7 @@
 	}}
 }
 
-// write takes all steps. The error is that of a random source.
+// write returns the whole stored state. An error comes from marshaling a random source.
 func (w *checkpointWriter) write() (*savedBalancer, error) {
 	w.assignIndexes()
 	w.writeOverrides()
@@ -46,7 +46,7 @@
 	return w.saved, nil
 }
 
-// assignIndexes numbers what the Balancer knows, in the order of IDs and names.
+// assignIndexes assigns indexes to all that the Balancer knows, in the order of IDs and names.
 func (w *checkpointWriter) assignIndexes() {
 	b := w.balancer
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// writeOverrides writes what operators said, in the order of IDs.
+// writeOverrides writes the overrides in the order of server IDs.
 func (w *checkpointWriter) writeOverrides() {
 	for _, id := range slices.Sorted(maps.Keys(w.balancer.overrides)) {
 		o := w.balancer.overrides[id]
@@ -109,7 +109,7 @@
 	return saved
 }
 
-// writeServers writes all servers, also those that only attempts refer to.
+// writeServers writes all servers, including those that only attempts refer to.
 func (w *checkpointWriter) writeServers() {
 	for _, s := range w.servers.list {
 		saved := savedServer{
@@ -133,7 +133,7 @@
 	}
 }
 
-// writeClasses writes what was learned of the classes, and previous classes in full.
+// writeClasses writes what was learned about the classes, and previous classes in full.
 func (w *checkpointWriter) writeClasses() {
 	b := w.balancer
 	for i, c := range w.classes.list {
@@ -178,7 +178,7 @@
 	}
 }
 
-// writeKeyQueues writes the queues, in the order of keys.
+// writeKeyQueues writes the key queues in the order of their keys.
 func (w *checkpointWriter) writeKeyQueues() {
 	for _, key := range slices.Sorted(maps.Keys(w.balancer.keyQueues)) {
 		queue := w.balancer.keyQueues[key]
@@ -190,7 +190,7 @@
 	}
 }
 
-// writeRandomSources writes where the random streams are, and the state of the fault injections.
+// writeRandomSources writes the states of the random sources and of the fault injections.
 func (w *checkpointWriter) writeRandomSources() (err error) {
 	if w.saved.RNGState, err = w.balancer.rngSource.MarshalBinary(); err != nil {
 		return err
@@ -207,13 +207,14 @@
 	return err
 }
 
-// indexTable numbers values in the order in which it is first asked for them. The zero value is empty.
+// indexTable assigns indexes to values in the order in which they are first looked up. The zero value is
+// empty.
 type indexTable[T comparable] struct {
 	list    []T
 	indexes map[T]int // in list
 }
 
-// indexOf is the indexOf of a value, a new one if it has none.
+// indexOf returns the index of a value, and assigns a new one if it has none.
 func (t *indexTable[T]) indexOf(value T) int {
 	i, ok := t.indexes[value]
 	if !ok {
@@ -227,7 +228,7 @@
 	return i
 }
 
-// indexesOf are the indexesOf of values, nil for none.
+// indexesOf returns the indexes of values, nil if there are none.
 func (t *indexTable[T]) indexesOf(values []T) (indexes []int) {
 	for _, v := range values {
 		indexes = append(indexes, t.indexOf(v))
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// What is assumed of a class's latency before the first answer.
+// Assumptions about the latency of a class before its first answer.
 const (
 	// initialLatencyDivisor: the mean is assumed to be a quarter of the latency objective.
 	initialLatencyDivisor = 4
 	// initialDeviationDivisor: the deviation is assumed to be an eighth of the latency objective.
 	initialDeviationDivisor = 8
-	// firstDeviationDivisor: the first answer sets the deviation to half its latency, as TCP does with its
+	// firstDeviationDivisor: the first answer sets the deviation to half of its latency, as TCP does with its
 	// first round trip.
 	firstDeviationDivisor = 2
 )
 
-// countDecay is what is left of a class's counts of arrivals and answers after each request of any class:
-// about the last hundred requests count.
+// countDecay is the factor by which each request of any class reduces the counts of arrivals and answers of
+// all classes: about the last hundred requests count.
 const countDecay = 0.99
 
-// class holds what was learned of a class.
+// class holds the settings of a class and what was learned about it.
 type class struct {
 	Class
 	pool             *pool
 	meanLatency      float64       // of successes, in nanoseconds
-	latencyDeviation float64       // their mean deviation, in nanoseconds
-	samples          float64       // successes that they rest on
+	latencyDeviation float64       // mean deviation of successes, in nanoseconds
+	samples          float64       // number of successes in these averages
 	arrivals, served float64       // decayed counts of requests and of answers in time
-	typicalBudget    time.Duration // about the median of the time that requests come with
+	typicalBudget    time.Duration // approximate median of the time that requests have on arrival
 }
 
-// newClass returns a class of which nothing is known but its settings.
+// newClass returns a class about which nothing is known but its settings.
 func newClass(c Class) *class {
 	return &class{
 		Class:            c,
@@ -40,8 +40,8 @@
 	}
 }
 
-// recordLatency takes the latency of a success, in nanoseconds, into the mean and the deviation. The first
-// answers weigh more than later ones, in place of the assumption.
+// recordLatency adds the latency of a success, in nanoseconds, to the mean and the deviation. The first
+// answers weigh more than later ones, so that they soon replace the initial assumption.
 func (c *class) recordLatency(latency float64) {
 	if c.samples++; c.samples == 1 {
 		c.meanLatency, c.latencyDeviation = latency, latency/firstDeviationDivisor
@@ -51,7 +51,8 @@
 	moveTowards(&c.meanLatency, latency, weight)
 }
 
-// latencyBound is a wait that most answers of the class stay well under: the mean and so many deviations.
+// latencyBound returns a duration that most answers of the class stay well below: the mean plus a number of
+// deviations.
 func (c *class) latencyBound(deviations float64) time.Duration {
 	return time.Duration(c.meanLatency + deviations*c.latencyDeviation)
 }
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -5,23 +5,24 @@
 import "time"
 
 const (
-	// shortBudgetShare is the part of the typical budget under which a request is taken for a retry. The
-	// rest covers the time that a first try spends on its way.
+	// shortBudgetShare is the part of the typical budget below which a request counts as a retry. The rest
+	// covers the time that a first try spends in transit.
 	shortBudgetShare = 0.95
 	// budgetStepDivisor: the typical budget moves by a hundredth of itself with each request.
 	budgetStepDivisor = 100
 )
 
-// detectClientRetry finds out whether a request is a retry by its client, and if so when the client asked
-// first. Input: the time that the request came with, and the client's mark where clients mark their
-// retries. Output: clientRetry and firstAskedAt. A retry's latency objective runs from the first try and is
-// mostly over: where load must be shed, the first tries of others are worth more.
+// detectClientRetry determines whether a request is a retry by its client, and if so, when the client made
+// its first try. Input: the time that the request has on arrival, and the client's mark if clients mark their
+// retries. Output: clientRetry and firstAskedAt. The latency objective of a retry starts at the first try and
+// is mostly over: where load must be shed, the first tries of other clients are worth more.
 //
-// Clients give each try the same time, unless the class's deadline, which runs over all of them, ends
-// sooner: a shorter budget tells how much of the deadline is over. Where clients mark retries only the mark
-// counts, for a last try may be given more time than the first. Only tier 0 hears clients; elsewhere
-// budgets are what is left at the tier above. firstAskedAt is an estimate: the class's Deadline
-// before the deadline of the request, as if the client had set that with its first try.
+// Clients give each try the same time, unless the deadline of the class, which covers all of them, ends
+// sooner: a shorter budget shows how much of the deadline has passed. If clients mark retries, only the mark
+// counts, because a last try may be given more time than the first. Only tier 0 receives requests from
+// clients; at other tiers, a budget is what is left at the tier above. firstAskedAt is an estimate: the
+// Deadline of the class before the deadline of the request, as if the client had set that deadline with its
+// first try.
 func (b *Balancer) detectClientRetry(r *request) {
 	budget, c := r.deadline-b.now, r.class
 	c.updateTypicalBudget(budget)
@@ -32,9 +33,9 @@
 	}
 }
 
-// updateTypicalBudget moves the typical budget towards the median of the budgets that come, by as much for each. A
-// mean would be raised by one client's long budgets, and everybody else's first tries would look like
-// retries.
+// updateTypicalBudget moves the typical budget towards the median of the budgets of requests, by the same
+// step for each request. A mean would be raised by the long budgets of one client, and the first tries of all
+// other clients would look like retries.
 func (c *class) updateTypicalBudget(budget time.Duration) {
 	switch {
 	case c.typicalBudget == 0:
--- a/balancer/discoverypoll.go
+++ b/balancer/discoverypoll.go
@@ -1,26 +1,26 @@
 // Polls of discovery, for hosts whose discovery sends an endpoint list only after a Subscribe.
 //
-// That is the simulator. In service internal/endpointlease schedules the polls of discovery, and the first
-// Subscribe is all that counts: it lets the first poll begin, and those that follow change nothing.
+// Only the simulator is such a host. In service, internal/endpointlease schedules the polls of discovery: the
+// first Subscribe lets its first poll begin, and later ones change nothing.
 
 package balancer
 
 import "time"
 
 const (
-	// pollsPerInterval is how many polls must fit into MaxPollInterval, so that a failed one can be
-	// followed by others within it.
+	// pollsPerInterval is how many polls must fit into MaxPollInterval, so that others can follow a failed
+	// one within it.
 	pollsPerInterval = 4
-	// firstPollDivisor: the first wait is at most this part of the longest one.
+	// firstPollDivisor: the first wait is at most the longest wait divided by this.
 	firstPollDivisor = 16
-	// maxPollBackoff is how many times the wait doubles: from the first wait to the longest.
+	// maxPollBackoff is how many times the wait doubles, from the first wait to the longest.
 	maxPollBackoff = 4
 )
 
-// schedulePoll plans a Subscribe, where PollDiscovery is set. Input: the number of failures in a row.
+// schedulePoll schedules a Subscribe if PollDiscovery is set. Input: the number of consecutive failures.
 // Output: a timer at a random time between now and a wait that doubles with each failure, up to a part of
-// MaxPollInterval. The jitter keeps replicas that lost discovery together from all coming back to it
-// together, which would overload it again.
+// MaxPollInterval. The jitter keeps replicas that lost discovery at the same time from all returning to it at
+// the same time, which would overload it again.
 func (b *Balancer) schedulePoll() {
 	if !b.settings.PollDiscovery {
 		return
@@ -31,14 +31,14 @@
 	b.emit(SetTimer{At: b.nextPoll, Token: pollTimer})
 }
 
-// handleWatchFailed plans the next poll after one that failed.
+// handleWatchFailed schedules the next poll after a failed one.
 func (b *Balancer) handleWatchFailed() {
 	b.pollFailures++
 	b.schedulePoll()
 }
 
-// handlePollTimer polls discovery if that is due: an earlier timer may belong to a poll that was planned
-// anew.
+// handlePollTimer polls discovery if a poll is due. A timer that fires earlier belongs to a poll that was
+// rescheduled.
 func (b *Balancer) handlePollTimer() {
 	if b.nextPoll > 0 && b.isDue(b.nextPoll) {
 		b.nextPoll = 0
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -1,4 +1,4 @@
-// Eligibility: which servers may be drawn for a request.
+// Eligibility: which servers may be chosen for a request.
 
 package balancer
 
@@ -7,10 +7,11 @@
 	"slices"
 )
 
-// eligibleServers gives those of each group that may be drawn for a request: neither excluded as outliers
-// nor tried before, within the deduplication scope, admitted by slow start, and with capacity. While any
-// are, only those under the concurrency cap; as a last resort, also those at their capacity limit: a server
-// that has rejected an attempt may have capacity again, and the request has nowhere else to go.
+// eligibleServers returns the servers of each group that may be drawn for a request: they are not excluded as
+// outliers, have not been tried before, are within the deduplication scope, are admitted by slow start, and
+// have capacity. If any of them are below the concurrency cap, only these are returned. As a last resort,
+// servers at their capacity limit are also eligible: a server that has rejected an attempt may have capacity
+// again, and the request has nowhere else to go.
 func (b *Balancer) eligibleServers(r *request, left, right []*server, lastResort bool) (
 	eligibleLeft, eligibleRight []*server) {
 	list := slices.Concat(left, right)
@@ -22,7 +23,8 @@
 	busy := busyShare(list)
 	for _, limit := range limits {
 		for i, s := range list {
-			// The draw of slow start comes last: a server that is passed over anyway draws nothing.
+			// Slow start is checked last, because it uses a random number: none is drawn for a server that is
+			// not eligible anyway.
 			atLimit := s.inFlightCount() >= limit(s)
 			if excluded[i] || atLimit || !b.mayServe(r, s) || !b.slowStartAdmits(s, busy) {
 				continue
@@ -40,10 +42,10 @@
 	return eligibleLeft, eligibleRight
 }
 
-// unlimited is the limit of a server without one.
+// unlimited returns the limit of a server that has none.
 func unlimited(*server) int { return math.MaxInt }
 
-// busyShare is the share of servers, from 0 to 1, that have own attempts in flight.
+// busyShare returns the share of servers, from 0 to 1, at which this Balancer has attempts in flight.
 func busyShare(list []*server) float64 {
 	share := 0.0
 	for _, s := range list {
@@ -54,8 +56,9 @@
 	return share
 }
 
-// concurrencyCap gives the number of own attempts at which a server is passed over: one more than the mean
-// of the list. Draws that happen to meet one server twice would choke it while others idle.
+// concurrencyCap returns a function that gives the number of this Balancer's attempts in flight at which a
+// server is not eligible: one more than the mean of the list, or its capacity limit if that is lower. Without
+// it, random draws that hit the same server twice would overload it while others are idle.
 func (b *Balancer) concurrencyCap(list []*server) func(*server) int {
 	attempts := 0
 	for _, s := range list {
@@ -64,15 +67,16 @@
 	return func(s *server) int { return min(b.capacityLimit(s), 1+attempts/len(list)) }
 }
 
-// mayServe keeps a request from servers that it was tried at before. One that is idempotent with a key, and
-// may have run, stays within the scope whose servers discard its duplicates: outside it would run twice.
+// mayServe reports whether server s may get the next attempt of a request: the request has not been tried
+// there before and, if it is IdempotentWithKey and may have run, s is within the scope whose servers discard
+// its duplicates. Outside that scope it would run twice.
 func (b *Balancer) mayServe(r *request, s *server) bool {
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		return a.server == s || r.class.Effect == IdempotentWithKey && !a.neverRan && !a.sharesScope(s)
 	})
 }
 
-// sharesScope says that a server discards duplicates of an attempt.
+// sharesScope reports whether a server discards duplicates of an attempt.
 func (a *attempt) sharesScope(s *server) bool {
 	switch a.request.class.DedupScope {
 	case ScopeAll:
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,4 +1,4 @@
-// The endpoint list: what discovery says of the servers, and which of them each pool may use.
+// The endpoint list: what discovery reports about the servers, and which of them each pool may use.
 
 package balancer
 
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// applyEndpointUpdate takes in the endpoint list or a change of it. A server that has started anew is a new
-// one: what was learned of its earlier process is dropped.
+// applyEndpointUpdate applies an endpoint list or a change of it. A server that has restarted is treated as a
+// new one: what was learned about its previous process is dropped.
 func (b *Balancer) applyEndpointUpdate(e EndpointUpdate) {
 	if e.Complete {
 		for _, s := range b.servers {
@@ -34,9 +34,9 @@
 	}
 }
 
-// refreshPools finds the servers in service of every pool: listed as ready, and not disabled. A window
-// shrinks with its pool, for the attempts that a lost server took must not overload those that stay; it does
-// not grow with the pool.
+// refreshPools updates the servers in service of every pool: those listed as ready and not disabled. A window
+// shrinks with its pool, because the attempts that a lost server handled must not overload the remaining
+// ones. It does not grow with the pool.
 func (b *Balancer) refreshPools() {
 	inService, disabled := b.serversInService()
 	for _, p := range b.pools {
@@ -52,8 +52,9 @@
 	}
 }
 
-// serversInService forgets servers that have left, and returns those in service, and those that only an
-// operator keeps out. The first are in the order of their IDs, which is the same at every replica.
+// serversInService drops servers that have left the list and have no attempts in flight. It returns the
+// servers in service, and those that are out of service only because an operator disabled them. The servers
+// in service are sorted by ID, so that the order is the same at every replica.
 func (b *Balancer) serversInService() (inService, disabled []*server) {
 	for id, s := range b.servers {
 		switch {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// ServerState is what discovery says of a server.
+// ServerState is the state of a server as discovery reports it.
 type ServerState int
 
-// Server states, as discovery knows them. A server that is listed as Ready is in service unless an operator
-// has disabled it; all states of a server within a Balancer are at the type server.
+// Server states, as discovery reports them. A server that is listed as Ready is in service unless an operator
+// has disabled it. The type server describes all states of a server within a Balancer.
 const (
-	Ready    ServerState = iota // takes new requests
-	Draining                    // finishes what it has
+	Ready    ServerState = iota // accepts new requests
+	Draining                    // finishes its open requests and accepts no others
 	Removed                     // no longer on the list
 )
 
@@ -26,7 +26,7 @@
 	StartTime time.Duration `json:"Boot"` // clock time of its last start; 0: long ago
 }
 
-// Outcome says how an attempt ended.
+// Outcome is the way in which an attempt ended.
 type Outcome int
 
 // Outcomes. Overloaded, Unreachable and NotSent prove that the attempt never ran.
@@ -35,43 +35,43 @@
 	Failure                       // answered with an error
 	Overloaded                    // rejected by the server
 	TimedOut                      // no answer within its time-out
-	Unreachable                   // no connection
+	Unreachable                   // no connection could be made
 	ConnectionLost                // the connection was lost before the answer was complete
-	Canceled                      // given up by the host, as when the client has gone
+	Canceled                      // given up by the host, for example because the client disconnected
 	NotSent                       // given up by the host before anything was sent
 )
 
-// NeverRan says that an outcome proves that the attempt never ran.
+// NeverRan reports whether an outcome proves that the attempt never ran.
 func (o Outcome) NeverRan() bool { return o == Overloaded || o == Unreachable || o == NotSent }
 
-// Event is something that happened: one of the types below.
+// Event is something that happened. It has one of the types below.
 type Event interface{ event() }
 
 type (
-	// EndpointUpdate brings the endpoint list or a change of it.
+	// EndpointUpdate carries the endpoint list or a change of it.
 	EndpointUpdate struct {
-		Complete bool // the whole list: servers that it lacks are removed; else only changed entries
-		Cached   bool // kept from before a restart, possibly out of date
+		Complete bool // the whole list: other servers are removed; if false, only changed entries
+		Cached   bool // stored before a restart, possibly out of date
 		Servers  []Server
 	}
-	// WatchFailed says that a Subscribe failed or that the watch which it began has ended.
+	// WatchFailed reports that a Subscribe failed, or that the watch that it started has ended.
 	WatchFailed struct{}
-	// LeaseChanged says that the lease on the endpoint list has expired, or is in force again. lease.go says
-	// what that means.
+	// LeaseChanged reports that the lease on the endpoint list has expired or is valid again. See lease.go
+	// for the effect.
 	LeaseChanged struct{ Expired bool }
-	// Request is a client's request; the Balancer owes it one final answer by Deadline.
+	// Request is a request of a client. The Balancer must give it one final answer by Deadline.
 	Request struct {
 		ID              string
-		Class           string        // one that is not in the settings is taken as NonIdempotent
+		Class           string        // a class that is not in the settings is treated as NonIdempotent
 		Deadline        time.Duration // clock time
 		ClientRetry     bool          // the client marked it as a retry
-		Key             uint64        // what it is about, where HasKey
+		Key             uint64        // requests with the same key are about the same object; set if HasKey
 		HasKey          bool
-		Client          netip.Addr // where it comes from, where an AccessList is set
-		SettingsVersion int        // count of SettingsChanged that its ingress had seen
-		StreamedBody    bool       // its body is forwarded as it comes: attempts are timed from its last byte
+		Client          netip.Addr // address of the client; needed if an AccessList is set
+		SettingsVersion int        // number of SettingsChanged events that its ingress had seen
+		StreamedBody    bool       // its body is forwarded as it arrives; attempts are timed from its end
 	}
-	// AttemptEnded ends one attempt.
+	// AttemptEnded reports the end of one attempt.
 	AttemptEnded struct {
 		ID          string
 		Attempt     int // from 0
@@ -80,27 +80,27 @@
 		Latency     time.Duration // of a stream: from the last byte sent to the first received
 		RequestDone bool          // the request has its final answer
 	}
-	// ResponseStarted says that a streamed response has begun: the client has part of it, so that the
-	// request can neither be tried again nor rejected.
+	// ResponseStarted reports that a streamed response has begun. The client has part of it, so the request
+	// can be neither retried nor rejected.
 	ResponseStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientGone says that the client has gone; no answer is owed any more.
+	// ClientGone reports that the client has disconnected. Its request needs no final answer any more.
 	ClientGone struct{ ID string }
-	// TimerFired is a SetTimer come due.
+	// TimerFired reports that a timer set by SetTimer has fired.
 	TimerFired struct{ Token string }
-	// StartFaultInjection starts the fault injection of this name, or its time anew.
+	// StartFaultInjection starts the fault injection of this name, or restarts its duration if it is active.
 	StartFaultInjection struct{ Name string }
-	// EndFaultInjections ends all fault injections for good, because the node is about to stop. It has no other
-	// effect, and hosts that have no fault injections need not give it.
+	// EndFaultInjections ends all fault injections permanently, because the node is about to stop. It has no
+	// other effect, and hosts without fault injections need not send it.
 	EndFaultInjections struct{}
-	// AdminOverride disables a server or enables it again, as an operator said.
+	// AdminOverride disables a server or enables it again, as an operator has instructed.
 	AdminOverride struct {
 		Server   string
 		Disabled bool
 	}
-	// SettingsChanged brings other settings, for the requests that come from now on.
+	// SettingsChanged replaces the settings for the requests that arrive from now on.
 	SettingsChanged struct{ Settings Settings }
 )
 
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -1,5 +1,6 @@
-// Fault injection: delays and errors that operators inject into a share of one class's requests, to see how
-// clients cope. The host decides who may start one. Settings and operators call it a drill.
+// Fault injection: delays and errors that operators inject into a share of the requests of one class, to see
+// how clients cope. The host decides who may start a fault injection. The settings and the operators'
+// interface call it a drill.
 
 package balancer
 
@@ -12,33 +13,34 @@
 const (
 	// faultRNGStream is the second half of the seed of fault injections.
 	faultRNGStream = 0xd2111
-	// fractionToPercent turns a share of a class's requests into percent.
+	// fractionToPercent converts a fraction of the requests of a class to percent.
 	fractionToPercent = 100
-	// delayDeviations is how many deviations above the mean latency an injected delay leaves for the
-	// answer.
+	// delayDeviations: an injected delay leaves time for an answer that takes the mean latency and this many
+	// deviations.
 	delayDeviations = 2
 )
 
-// FaultInjection is a fault that StartFaultInjection can start.
+// FaultInjection is a fault injection that StartFaultInjection can start.
 type FaultInjection struct {
 	Name        string        `json:"Name"`
 	Class       string        `json:"Class"`
 	Percent     float64       `json:"Share"`       // percent of the class's requests
-	Delay       time.Duration `json:"Delay"`       // before the first attempt; none for the aborted
-	AbortStatus int           `json:"AbortStatus"` // answered at once, not sent: 503 or 500; 0: none
-	Duration    time.Duration `json:"Duration"`    // from the last start
+	Delay       time.Duration `json:"Delay"`       // before the first attempt; not used for aborted requests
+	AbortStatus int           `json:"AbortStatus"` // answered without an attempt: 503 or 500; 0: none
+	Duration    time.Duration `json:"Duration"`    // counted from the last start
 }
 
-// faultInjector is the state of the fault injections. A Balancer without any has none. It draws from a
-// stream of its own: with the ordinary one, a fault would shift all draws of the requests that it spares.
+// faultInjector is the state of the fault injections. A Balancer without fault injections has none. It draws
+// from a random stream of its own: if it drew from the ordinary one, a fault would shift all draws for the
+// requests that it does not affect.
 type faultInjector struct {
-	rngSource   *rand.PCG // of rng
+	rngSource   *rand.PCG // source of rng
 	rng         *rand.Rand
-	activeUntil []time.Duration // of each fault injection, as in the settings: when it ends
-	delayed     []*request      // in the order of their arrival
+	activeUntil []time.Duration // end of each fault injection, in the order of the settings
+	delayed     []*request      // in order of arrival
 }
 
-// newFaultInjector returns nil where there are no fault injections.
+// newFaultInjector returns nil if there are no fault injections.
 func newFaultInjector(faults []FaultInjection, seed uint64) *faultInjector {
 	if len(faults) == 0 {
 		return nil
@@ -51,8 +53,8 @@
 	}
 }
 
-// startFaultInjection lets a fault injection run for its whole duration from now, also one that runs
-// already. A node that shuts down starts none (endFaultInjections).
+// startFaultInjection starts a fault injection for its whole duration from now, even if it is active already.
+// A node that is shutting down starts none (endFaultInjections).
 func (b *Balancer) startFaultInjection(name string) {
 	for i, fault := range b.settings.FaultInjections {
 		if fault.Name == name && !b.faultInjectionsEnded {
@@ -61,8 +63,9 @@
 	}
 }
 
-// drawFaultInjection draws whether a fault is injected into a request: the first active one of its class
-// that hits, or nil. One that is not active draws nothing.
+// drawFaultInjection decides at random whether a fault is injected into a request. It returns the first
+// active fault injection of the request's class that is drawn, or nil. An inactive one draws no random
+// number.
 func (b *Balancer) drawFaultInjection(e Request) *FaultInjection {
 	if b.faults == nil {
 		return nil
@@ -78,8 +81,8 @@
 	return nil
 }
 
-// abortRequest answers a request with an injected error. It leaves no trace in what is learned of the
-// class: the requests that the fault spares must be served as if there were none.
+// abortRequest answers a request with an injected error. The request has no effect on what is learned about
+// its class: requests without a fault must be served as if there were no fault injection.
 func (b *Balancer) abortRequest(e Request, fault *FaultInjection) {
 	abort := Abort{ID: e.ID, Status: fault.AbortStatus}
 	if abort.Status == http.StatusServiceUnavailable {
@@ -88,8 +91,8 @@
 	b.emit(abort)
 }
 
-// delayRequest keeps a request for an injected delay, but leaves time for an answer. False: there is none
-// for a delay.
+// delayRequest holds a request for an injected delay, but leaves time for an answer. It returns false if
+// there is no time for a delay.
 func (b *Balancer) delayRequest(r *request, fault *FaultInjection) bool {
 	latest := r.deadline - max(r.class.latencyBound(delayDeviations), b.deadlineMargin())
 	r.delayedUntil = min(b.now+fault.Delay, latest)
@@ -102,7 +105,7 @@
 	return true
 }
 
-// handleDelayTimer goes on with a delayed request when its timer is due, or sets another if it fired early.
+// handleDelayTimer resumes a delayed request when its timer is due, or sets another timer if it fired early.
 func (b *Balancer) handleDelayTimer(r *request) {
 	switch {
 	case r == nil || !r.delayed:
@@ -113,7 +116,7 @@
 	}
 }
 
-// resumeRequest goes on with a delayed request.
+// resumeRequest ends the delay of a request and sends or queues it.
 func (b *Balancer) resumeRequest(r *request) {
 	b.removeDelayed(r)
 	b.sendOrQueue(r)
@@ -127,10 +130,10 @@
 	}
 }
 
-// endFaultInjections ends all fault injections for good, because the node shuts down. It must not spend its
-// last seconds on injected delays, or it would be killed before its requests are answered. Nothing else
-// changes: until the host stops, requests are accepted, sent and answered as before, so that clients that
-// have not been notified yet are served.
+// endFaultInjections ends all fault injections permanently, because the node is shutting down. If the node
+// spent its last seconds on injected delays, it would be killed before its requests are answered. Nothing
+// else changes: until the host stops, requests are accepted, sent and answered as before, so that clients
+// that have not been notified yet are served.
 func (b *Balancer) endFaultInjections() {
 	b.faultInjectionsEnded = true
 	if b.faults == nil {
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -1,4 +1,4 @@
-// Per-key order: requests of one key run one at a time, in the order of their arrival.
+// Per-key order: requests with the same key run one at a time, in order of arrival.
 
 package balancer
 
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// keyQueue is the open requests of one key, of all classes that keep their order, as they arrived. The
-// first is the head of the queue. It is kept until it is empty and its quiet period is over.
+// keyQueue holds the open requests of one key, of all classes that are ordered by key, in order of arrival.
+// The first request is the head of the queue. The queue is kept until it is empty and its quiet period is
+// over.
 type keyQueue struct {
 	key        uint64
 	requests   []*request
-	quietUntil time.Duration // an earlier attempt may still run: no other request starts before this
+	quietUntil time.Duration // an earlier attempt may still be running: no other request starts before
 }
 
-// joinKeyQueue puts a request behind the earlier ones of its key. False: the queue is so long that, by the
-// mean latency of the class, its turn would come after its queue deadline. Waiting would only keep its
-// client from what else it can do.
+// joinKeyQueue appends a request to the queue of its key. It returns false if the queue is so long that, by
+// the mean latency of the class, the request's turn would come after its queue deadline. Waiting would then
+// only keep the client from other options.
 func (b *Balancer) joinKeyQueue(r *request, key uint64) bool {
 	queue := b.keyQueues[key]
 	if queue == nil {
@@ -32,18 +33,18 @@
 	return true
 }
 
-// keyOrderAllows says that the order of its key lets a request be sent: it is the head of its queue, and
-// the quiet period is over. So the next request goes only when the one before is answered and has no
-// attempt out. The head may be tried again at once, for it overtakes no other request. Without the order,
-// two changes of one thing could be applied the wrong way round, at servers that know nothing of each
-// other; that shows only in the data.
+// keyOrderAllows reports whether the order of its key allows a request to be sent: it has no key, or it is
+// the head of its queue and the quiet period is over. The next request is therefore sent only after the
+// previous one is answered and has no attempt in flight. The head may be retried immediately, because it
+// overtakes no other request. Without this order, two changes of the same object could be applied in the
+// wrong order by servers that do not know of each other, and only the data would show it.
 func (b *Balancer) keyOrderAllows(r *request) bool {
 	queue := r.keyQueue
 	return queue == nil || queue.requests[0] == r && (len(r.attempts) > 0 || b.now >= queue.quietUntil)
 }
 
-// startQuietPeriod makes a key pause after an attempt that may still run at its server, although it has
-// ended here: the next request would overtake it.
+// startQuietPeriod starts the quiet period of a key after an attempt that may still be running at its server
+// although it has ended here: without it, the next request could overtake that attempt.
 func (b *Balancer) startQuietPeriod(r *request, outcome Outcome) {
 	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled
 	if r.keyQueue != nil && mayStillRun {
@@ -51,9 +52,9 @@
 	}
 }
 
-// dropOrRearmKeyQueue asks for a timer at the end of a key's quiet period, or drops its queue if that is
-// over and the queue is empty. It sends nothing: the key's next request goes by dispatchQueued, which
-// follows every event, also that of the timer.
+// dropOrRearmKeyQueue sets a timer for the end of a key's quiet period, or drops its queue if the period is
+// over and the queue is empty. It sends nothing: dispatchQueued, which runs after every event including that
+// of the timer, sends the key's next request.
 func (b *Balancer) dropOrRearmKeyQueue(queue *keyQueue) {
 	switch {
 	case queue == nil:
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -1,4 +1,4 @@
-// What the end of an attempt teaches.
+// What is learned from the end of an attempt.
 
 package balancer
 
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// attemptLatency is how long an attempt took; of a streamed body or response, from its last byte until the
-// first of the response, as the host has measured.
+// attemptLatency returns how long an attempt took. If the body or the response is streamed, it is the time
+// from the last byte of the body to the first byte of the response, as measured by the host.
 func (b *Balancer) attemptLatency(r *request, a *attempt, e AttemptEnded) time.Duration {
 	if r.streaming || r.streamedBody {
 		return e.Latency
@@ -18,12 +18,12 @@
 }
 
 // recordOutcome learns from the end of an attempt: the latency of its class and zone, and the health and
-// capacity of its server. An attempt sent to an earlier process of the server says nothing of the present
-// one.
+// capacity of its server. An attempt that was sent to a previous process of the server says nothing about the
+// current one.
 func (b *Balancer) recordOutcome(a *attempt, e AttemptEnded) {
 	s, c := a.server, a.request.class
 	if a.serverStart != s.startedAt() {
-		s = &server{} // thrown away with what is learned of it
+		s = &server{} // discarded, with everything recorded in it
 	}
 	latency := float64(b.attemptLatency(a.request, a, e))
 	if e.Outcome == Success || e.Outcome == TimedOut {
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordSuccess learns from an answer and its latency in nanoseconds.
+// recordSuccess learns from a success and its latency in nanoseconds.
 func (b *Balancer) recordSuccess(s *server, c *class, latency float64) {
 	b.refillRetryBudget()
 	b.lastSuccess, s.lastSuccess = b.now, b.now
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// maxTimeoutRunProbability: a run of time-outs that is likelier than this, by the share of failures at all
-	// servers, is taken for chance.
+	// maxTimeoutRunProbability: a run of time-outs that is more probable than this, given the share of
+	// failures at all servers, is attributed to chance.
 	maxTimeoutRunProbability = 0.08
-	// maxErrorRunProbability is the same for a run that ends in an error or a lost connection. These are often
-	// passed on from below the server and say less of it.
+	// maxErrorRunProbability is the same for a run that ends in an error or a lost connection. These are
+	// often passed on from a deeper tier and say less about the server itself.
 	maxErrorRunProbability = 0.001
-	// minErrorRate is the share of failures that is assumed at least: below it a single error would seem
-	// too unlikely for chance.
+	// minErrorRate is the lowest share of failures that is assumed: below it, a single error would seem too
+	// improbable to be chance.
 	minErrorRate = 0.01
-	// probationSuccesses is how many successes in a row take back one level of ejection.
+	// probationSuccesses is how many consecutive successes lower the ejection level of a server by one.
 	probationSuccesses = 3
-	// maxExcludedShare is the share of a list that may be excluded. Where more look bad to one node, the
-	// fault is likelier its own or in the tier below, and excluding them would overload the others.
+	// maxExcludedShare is the share of a list that may be excluded. If more servers look bad to one node, the
+	// fault is more likely in that node or in a deeper tier, and excluding them would overload the others.
 	maxExcludedShare = 0.2
 	// ejectionLatencies is how long a first ejection lasts, in mean latencies of the class that failed:
-	// longer than a pause of the server, short enough that a sound one is not missed.
+	// longer than a pause of the server, but short enough that the loss of a healthy server does no harm.
 	ejectionLatencies = 12
-	// maxBackoffLevel is how many times the time of an ejection or of a capacity limit doubles: up to 32
-	// times.
+	// maxBackoffLevel is how many times the duration of an ejection or of a capacity limit can double: it
+	// grows to at most 32 times the first duration.
 	maxBackoffLevel = 5
-	// unresponsiveDeviations is how many deviations above the mean latency an attempt must be unanswered for
-	// its server to count as unresponsive.
+	// unresponsiveDeviations is the number of deviations above the mean latency after which an unanswered
+	// attempt can make its server count as unresponsive.
 	unresponsiveDeviations = 3.0
-	// answeredSinceDivisor: since half of that wait another server must have answered and this one not,
-	// which shows that the fault is the server's alone.
+	// answeredSinceDivisor: another server must have answered after half of that wait had passed, and this
+	// one must not have, which shows that the fault is in this server alone.
 	answeredSinceDivisor = 2
 )
 
-// excludeOutliers marks the servers of a list that are kept out for their health. Input: the servers that a
-// request could go to, and the share of requests shed. Output: true for the outliers with the most failures
-// in a row, up to maxExcludedShare of the list. Time-outs and errors count there, a long wait does not: an
-// unresponsive server may have none in a row, and is then the first to stay in where there are too many.
+// excludeOutliers marks the servers of a list that are excluded because of their health. Input: the servers
+// that a request could be sent to, and the share of requests shed. Output: true for the outliers with the
+// most consecutive failures, up to maxExcludedShare of the list. Time-outs and errors count as failures, a
+// long wait does not: an unresponsive server may have no failures, and is then the first to remain if there
+// are too many outliers.
 //
-// The share falls as more load is shed, for time-outs in an overload show load rather than ill health. One
-// may always be excluded: a server that fails at once drains its count and would win most draws; one that
-// is cut off would hold its attempts to their time-outs, fill the window, and so cause the shedding that
-// kept it in.
+// The limit falls as more load is shed, because time-outs in an overload show load rather than bad health.
+// One server may always be excluded. A server that fails quickly has few attempts in flight and would win
+// most draws. A server that is cut off from the network would hold its attempts until they time out, fill the
+// window, and so cause the very shedding that would keep it from being excluded.
 func (b *Balancer) excludeOutliers(r *request, list []*server) []bool {
 	excluded := make([]bool, len(list))
 	var outliers []int
@@ -64,11 +65,11 @@
 	return excluded
 }
 
-// isOutlier says that a server should not be drawn for a request because of its health: it is ejected,
-// unresponsive, or on probation and not open to this request. On probation one request at a time decides,
-// and not a NonIdempotent one: a bad server must not fail many, nor one that can't be tried again. Where no
-// other comes for as long as a first ejection, reckoned by the class of this request, a NonIdempotent one
-// must do, or the server would never come back.
+// isOutlier reports whether a server should not be chosen for a request because of its health: it is ejected
+// or unresponsive, or it is on probation and may not get this request. On probation a server gets one request
+// at a time, and not a NonIdempotent one: a bad server must not fail many requests, nor one that cannot be
+// retried. If no other request arrives for the duration of a first ejection, computed with the mean latency
+// of this request's class, a NonIdempotent one is allowed, or the server might never return.
 func (b *Balancer) isOutlier(s *server, r *request) bool {
 	if b.now < s.ejectedUntil || b.isUnresponsive(s) {
 		return true
@@ -81,9 +82,10 @@
 	return nonIdempotentTooEarly || s.inFlightCount() > 0
 }
 
-// isUnresponsive says that an old attempt at the server is unanswered while a younger one was answered
-// elsewhere. A machine that hangs, pauses or is cut off shows nothing else until time-outs end; meanwhile
-// it would be sent more. Streamed attempts don't count: their clients may be what is slow.
+// isUnresponsive reports whether an old attempt at a server is unanswered although another server has
+// answered since. A machine that hangs, pauses or is cut off from the network shows nothing else until
+// attempts time out, and would be sent more requests meanwhile. Streamed attempts do not count: their clients
+// may be the slow part.
 func (b *Balancer) isUnresponsive(s *server) bool {
 	oldest := slices.IndexFunc(s.inFlight, func(a *attempt) bool {
 		return a.serverStart == s.startedAt() && !a.request.streamedBody && !a.request.streaming
@@ -97,13 +99,13 @@
 	return b.now-a.sentAt > wait && b.lastSuccess > since && s.lastSuccess < since
 }
 
-// recordFailure counts a failure of a server and ejects the server when its run of failures is too long for
+// recordFailure counts a failure of a server and ejects the server if its run of failures is too long to be
 // chance. Input: the length of the run and the share of failures at all servers. Output: the clock time
-// until which the server is ejected. A bad server that stays in shows as a steady share of failures, about
-// one over the number of servers, and more if it fails quickly.
+// until which the server is ejected. The symptom of a bad server that is not ejected is a steady share of
+// failures, about one over the number of servers, and more if it fails quickly.
 //
-// Errors that strike everywhere come from the tier below, and ejecting on them would leave nobody. So a run
-// of n failures counts only if share^n is below the limit of the last one's kind. That gives:
+// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. A run
+// of n failures therefore counts only if share^n is below the limit for the kind of its last failure:
 //
 //	share of failures   ejected by a time-out as    ejected by an error as
 //	before the last     the failure in a row of     the failure in a row of
@@ -113,9 +115,9 @@
 //	20 %                number 2                    number 5
 //	50 %                number 4                    number 10
 //
-// Each failure raises the share by 0.06 of what it lacks to 1, each success at any server takes 0.06 of it:
-// where nothing succeeds between them, it takes four or five errors rather than two. The time of an
-// ejection doubles while requests on probation fail.
+// Each failure raises the share by 0.06 of its distance from 1, and each success at any server lowers it by
+// 0.06 of its value: if nothing succeeds between them, it takes four or five errors rather than two. The
+// duration of an ejection doubles while requests on probation fail.
 func (b *Balancer) recordFailure(s *server, c *class, outcome Outcome) {
 	s.consecutiveFailures++
 	s.consecutiveSuccesses = 0
@@ -130,7 +132,8 @@
 	moveTowards(&b.errorRate, 1, sampleWeight)
 }
 
-// endFailureRun ends a run of failures. Each full run of successes takes one level of ejection back.
+// endFailureRun ends a run of failures after a success. Each full run of successes lowers the ejection level
+// by one.
 func (b *Balancer) endFailureRun(s *server) {
 	s.consecutiveFailures = 0
 	moveTowards(&b.errorRate, 0, sampleWeight)
