--- a/balancer/accesslist_test.go
+++ b/balancer/accesslist_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Who is admitted: ranges of both address families, of IPv4 in IPv6, Deny before Allow, and clients whose
-// address is not known.
+// Covers ranges of both address families, IPv4 addresses mapped to IPv6, Deny before Allow, and clients whose
+// address is unknown.
 func TestAccessListAllows(t *testing.T) {
 	empty, allowAndDeny := &AccessList{}, &AccessList{Allow: parsePrefixes("10.4.0.0/16", "fd00:12::/48"), Deny: parsePrefixes("10.4.9.0/24")}
 	denyOnly := &AccessList{Deny: parsePrefixes("10.4.9.0/24", "::1/128")}
@@ -34,8 +34,8 @@
 	}
 }
 
-// Only a trusted proxy may name the clients of its connections: else anybody could choose the address by
-// which it is admitted.
+// Only a trusted proxy may state the addresses of its clients; otherwise anyone could choose the address by
+// which they are admitted.
 func TestAccessListTrustsProxy(t *testing.T) {
 	list := &AccessList{TrustedProxies: parsePrefixes("127.0.0.2/32", "fd00::/64")}
 	for addr, want := range map[string]bool{"127.0.0.2": true, "::ffff:127.0.0.2": true, "127.0.0.1": false, "fd00::9": true, "fd01::9": false} {
@@ -44,12 +44,12 @@
 		}
 	}
 	if (*AccessList)(nil).TrustsProxy(netip.MustParseAddr("::1")) || (&AccessList{}).TrustsProxy(netip.Addr{}) {
-		t.Error("without a list somebody is trusted")
+		t.Error("a proxy is trusted without a list")
 	}
 }
 
-// A client outside the access list is denied before anything is learned of its request, also with an ID
-// that is in use.
+// A client outside the access list is denied before anything is learned from its request, even if its request
+// ID is in use.
 func TestClientsOutsideTheAccessListAreDenied(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.AccessList = &AccessList{Allow: parsePrefixes("10.4.0.0/16")} })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
--- a/balancer/adminoverride_test.go
+++ b/balancer/adminoverride_test.go
@@ -8,21 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-// An operator disables a server. It stays disabled whatever discovery says, and is enabled by one call
-// however many disabled it.
+// An operator disables a server. It stays disabled whatever discovery reports, and one call enables it
+// however many calls disabled it.
 func TestOverridePersistsAcrossEndpointUpdates(t *testing.T) {
 	boot := func(s Server, at time.Duration) Server { s.StartTime = at; return s }
-	gone, moved := servers(1)[0], servers(1)[0]
-	gone.State, moved.Zone = Removed, "elsewhere"
+	removed, moved := servers(1)[0], servers(1)[0]
+	removed.State, moved.Zone = Removed, "elsewhere"
 	for name, events := range map[string][]Event{
-		"nothing":           nil,
-		"the whole list":    {completeList(2)},
-		"a restart":         {EndpointUpdate{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
-		"gone and back":     {EndpointUpdate{Servers: []Server{gone}}, completeList(2)},
-		"left out and back": {EndpointUpdate{Complete: true, Servers: servers(2)[1:]}, completeList(2)},
-		"moved":             {EndpointUpdate{Servers: []Server{moved}}},
-		"new settings":      {SettingsChanged{Settings: testSettings()}, completeList(2)},
-		"out again":         {AdminOverride{Server: "s00", Disabled: true}, AdminOverride{Server: "s00", Disabled: true}},
+		"no event":                 nil,
+		"complete list":            {completeList(2)},
+		"server restarted":         {EndpointUpdate{Servers: []Server{boot(servers(1)[0], 30*time.Second)}}},
+		"removed and listed again": {EndpointUpdate{Servers: []Server{removed}}, completeList(2)},
+		"omitted and listed again": {EndpointUpdate{Complete: true, Servers: servers(2)[1:]}, completeList(2)},
+		"zone changed":             {EndpointUpdate{Servers: []Server{moved}}},
+		"settings changed":         {SettingsChanged{Settings: testSettings()}, completeList(2)},
+		"disabled again":           {AdminOverride{Server: "s00", Disabled: true}, AdminOverride{Server: "s00", Disabled: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBalancer(t, nil)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Only listed and disabled servers are known, and nothing is remembered beyond the bound: else wrong IDs
-// would fill the memory.
+// Only listed and disabled servers can be overridden, and the number of overrides is limited; otherwise
+// unknown IDs would fill the memory.
 func TestCheckOverride(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(MaxOverrides+2))
@@ -70,7 +70,7 @@
 		t.Errorf("one more than can be remembered: %v", err)
 	}
 	b.Handle(0, AdminOverride{Server: "s00"})
-	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is warming up, and so remembered
+	if err := b.CheckOverride(over); err != ErrTooManyOverrides { // it is warming up, so its override is remembered
 		t.Errorf("just after one was enabled: %v", err)
 	}
 	b.Handle(b.settings.SlowStartDuration, TimerFired{})
@@ -83,8 +83,8 @@
 	}
 }
 
-// A server is enabled after repair, often right after its restart. It is warming up from the call on; a
-// start before the call, heard of later, changes nothing, one after it begins anew.
+// A server is enabled after repair, often right after its restart. It is warming up from the call on. A start
+// before the call that is reported later changes nothing; a start after the call begins slow start again.
 func TestEnabledServerIsInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
@@ -111,8 +111,8 @@
 	}
 }
 
-// Operators who enable a server wait to see it work. It has a request within 5 s, though one comes a second
-// and none may be sent twice; never two at once.
+// Operators who enable a server wait to see it work. It gets a request within 5 s even if only one request a
+// second arrives and none may be sent twice, and it never gets two at once.
 func TestEnabledServerGetsARequestSoonInLightTraffic(t *testing.T) {
 	for seed := range uint64(40) {
 		b, err := New(testSettings(), seed)
@@ -138,15 +138,15 @@
 	}
 }
 
-// All servers are disabled. A request is rejected at once, one that waits too, and told when to come back:
-// nothing it could wait for will happen in time.
+// While all servers are disabled, requests are rejected immediately with a Retry-After, including those that
+// are queued: nothing that they could wait for will happen in time.
 func TestRequestsAreRejectedWhenAllServersAreDisabled(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(2))
 	b.Handle(0, AdminOverride{Server: "s00", Disabled: true})
-	b.pools[0].window, b.pools[0].inFlight = 1, 5 // so that a request waits
+	b.pools[0].window, b.pools[0].inFlight = 1, 5 // so that the request is queued
 	if acts := b.Handle(0, newRequest("queued", "pay", 0, time.Second)); len(sends(acts)) > 0 {
-		t.Fatal("it does not wait")
+		t.Fatal("the request is not queued")
 	}
 	acts := b.Handle(millisecond, AdminOverride{Server: "s01", Disabled: true})
 	if len(acts) != 1 || acts[0].(Reject).ID != "queued" || acts[0].(Reject).RetryAfter <= 0 {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Whatever operators and discovery say of servers in whatever order, nothing goes to a disabled one, and a
+// In whatever order operators and discovery change servers, no request is sent to a disabled one, and a
 // checkpoint in between changes nothing.
 func TestDisabledServersGetNoRequestsInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -193,7 +193,7 @@
 			default:
 				for _, s := range sends(b.Handle(now, newRequest(now.String(), "get", now, time.Second))) {
 					if disabled[s.Server] {
-						t.Fatalf("%s is disabled", s.Server)
+						t.Fatalf("a request was sent to %s, which is disabled", s.Server)
 					}
 				}
 			}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Half of the servers leave. The rest must not take the attempts of all: the window shrinks with the list,
-// and grows again by answers alone.
+// Half of the servers leave. The remaining ones must not get the attempts of all: the window shrinks with the
+// list and grows again only with answers.
 func TestWindowShrinksWithTheEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(20)})
 	b.pools[0].window = 100
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(10)})
 	if b.pools[0].window != 50 {
-		t.Errorf("window %v after half of the list went, want 50", b.pools[0].window)
+		t.Errorf("window %v after half of the servers left, want 50", b.pools[0].window)
 	}
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(20)})
 	if b.pools[0].window != 50 {
-		t.Errorf("window %v after the list grew, want 50: it grows by answers alone", b.pools[0].window)
+		t.Errorf("window %v after the list grew, want 50: it grows only with answers", b.pools[0].window)
 	}
 }
 
-// A fleet that is enlarged in a surge stands on tiers below that did not grow. Late answers must not find a
-// floor of the window that grew with the list; answers in good time must raise it.
+// Servers that are added in a surge of traffic depend on deeper tiers that did not grow. Late answers must
+// not meet a floor of the window that grew with the list; quick answers must raise it.
 func TestWindowFloorGrowsWithAnswersNotWithTheEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -33,9 +33,9 @@
 	answers := func(n int, after time.Duration) {
 		for i := range n {
 			id := fmt.Sprint(now, i)
-			todo := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*millisecond}))
-			b.pools[0].inFlight += 1000 // a window in full use
-			for _, s := range todo {
+			sent := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*millisecond}))
+			b.pools[0].inFlight += 1000 // the window is fully used
+			for _, s := range sent {
 				endAttempt(b, now+after, id, s, Success)
 			}
 			b.pools[0].inFlight -= 1000
@@ -49,11 +49,11 @@
 	before := b.pools[0].floorServers
 	answers(300, 5*millisecond)
 	if b.pools[0].floorServers <= before || b.pools[0].floorServers > b.pools[0].serversPerReplica {
-		t.Errorf("base %v after answers in good time, %v before", b.pools[0].floorServers, before)
+		t.Errorf("floorServers %v after quick answers, %v before", b.pools[0].floorServers, before)
 	}
 }
 
-// In an overload answers come late: the window must shrink, never under its floor. With quick answers it
+// In an overload answers are late: the window must shrink, but never below its floor. With quick answers it
 // must grow.
 func TestWindowFollowsLatency(t *testing.T) {
 	for _, tc := range []struct {
@@ -81,8 +81,8 @@
 	}
 }
 
-// After a quiet time, servers with capacity to spare must not see requests rejected for half a minute while
-// a full window creeps up; near the target it must creep, or it overshoots.
+// After a quiet time, servers with spare capacity must not have requests rejected for half a minute while a
+// full window grows slowly. Near the target the window must grow slowly, or it overshoots.
 func TestWindowGrowsInProportionToTheDistanceFromTheTarget(t *testing.T) {
 	grown := func(loadRatio float64) float64 {
 		b := newBalancer(t, nil)
@@ -93,7 +93,7 @@
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: time.Second - sent}}}
 		b.now = time.Second
 		for range 40 {
-			p.inFlight = int(p.window) // in full use
+			p.inFlight = int(p.window) // fully used
 			b.adjustWindow(r, AttemptEnded{Outcome: Success})
 		}
 		return p.window - 20
@@ -104,14 +104,15 @@
 	}
 }
 
-// Work that takes half of the latency objective while no load is shed is no overload, and the window must
-// not fall for it. The same latency after quicker answers is one, and so is one near the whole objective.
+// Work that takes half of the latency objective while no load is shed is not an overload, and the window must
+// not fall because of it. The same latency after quicker answers is an overload, and so is a latency near the
+// whole objective.
 func TestUnloadedLatencyIsNotTreatedAsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		before, now float64 // latency over the objective
 		falls       bool
-	}{{"long from the start", 0.55, 0.55, false}, {"long by an overload", 0.2, 0.55, true}, {"near the objective", 0.8, 0.8, true}} {
+	}{{"slow from the start", 0.55, 0.55, false}, {"slow because of an overload", 0.2, 0.55, true}, {"near the objective", 0.8, 0.8, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
 		p, objective := b.pools[0], float64(b.settings.Classes[0].LatencyObjective)
@@ -131,8 +132,9 @@
 	}
 }
 
-// While load is shed, quick answers must not lower the latency that the window steers to: under what the
-// work takes by itself the window could only fall, and would keep up the shedding that lowered it.
+// While load is shed, quick answers must not lower the target of the load ratio. With a target below the time
+// that the work takes by itself, the window could only fall, which would continue the shedding that lowered
+// the target.
 func TestSheddingDoesNotLowerTheTarget(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
@@ -152,12 +154,12 @@
 		b.adjustWindow(a.request, AttemptEnded{Outcome: Success})
 	}
 	if p.window <= 100 {
-		t.Errorf("window from 100 to %.1f while answers took 0.4 of the objective on the whole", p.window)
+		t.Errorf("window from 100 to %.1f while answers took 0.4 of the objective on average", p.window)
 	}
 }
 
-// Many replicas have windows of one and a half attempts. When answers come late, they must not all round up
-// and let two out: together that is a third more than the servers take.
+// Many replicas have windows of one and a half attempts. When answers are late, they must not all round up
+// and admit two: together that is a third more than the servers can take.
 func TestFallingWindowIsRoundedAtRandom(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(12)}) // a floor of 1.5 attempts
@@ -173,7 +175,7 @@
 		}
 	}
 	if closed < 160 || closed > 240 {
-		t.Errorf("closed to a second attempt %d times in 400, want about half", closed)
+		t.Errorf("full at one attempt %d times in 400, want about half", closed)
 	}
 	if fullAfter(0, Success) {
 		t.Error("a window that does not fall must be rounded up")
@@ -181,17 +183,18 @@
 }
 
 // Two pools overlap. If both counted a shared server in the floors of their windows, it would be sent twice
-// what it takes.
+// what it can take.
 func TestOverlappingPoolsCountSharedServersOnce(t *testing.T) {
 	b, _ := boundToSlow(t, 12)
 	unrestricted, restricted := b.classes["get"].pool, b.classes["post"].pool
 	if restricted.serversPerReplica != 2 || unrestricted.serversPerReplica != 4 {
-		t.Errorf("12 servers for 2 replicas: %v for each of the bound pool, %v for the free one; want 2 and 4", restricted.serversPerReplica, unrestricted.serversPerReplica)
+		t.Errorf("12 servers for 2 replicas: %v per replica in the restricted pool, %v in the unrestricted one; want 2 and 4", restricted.serversPerReplica, unrestricted.serversPerReplica)
 	}
 }
 
-// Clients that leave early and ask again in an overload make it worse if their places become free at once:
-// servers still work on what they left. Their attempts fill the window until each has its outcome.
+// Clients that disconnect early and retry make an overload worse if their places in the window become free
+// immediately: servers still work on their attempts. These attempts count in the window until each of them
+// has its outcome.
 func TestAttemptsOfDisconnectedClientsCountInTheWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
@@ -201,21 +204,21 @@
 		id := fmt.Sprint(i)
 		sent = append(sent, sends(b.Handle(millisecond, Request{ID: id, Class: "get", Deadline: time.Second}))...)
 		if acts := b.Handle(millisecond, ClientGone{ID: id}); len(acts) > 0 {
-			t.Fatalf("%v after a client left", acts)
+			t.Fatalf("%v after a client disconnected", acts)
 		}
 	}
 	if len(sent) != 4 {
-		t.Fatalf("%d attempts out in a window of 4", len(sent))
+		t.Fatalf("%d attempts in flight in a window of 4", len(sent))
 	}
 	b.Handle(100*millisecond, AttemptEnded{ID: sent[0].ID, Server: sent[0].Server, Outcome: Success, RequestDone: true})
 	if got := sends(b.Handle(100*millisecond, Request{ID: "next", Class: "get", Deadline: time.Second})); len(got) != 1 {
-		t.Errorf("%d attempts sent when an outcome has freed a place, want 1", len(got))
+		t.Errorf("%d attempts sent after an outcome has freed a place, want 1", len(got))
 	}
 }
 
-// A few clients that send or read slowly must not fill the window: a streamed body never counts, a streamed
-// response not from its beginning on. Its end frees no place twice, and its latency is what the host
-// measured.
+// A few clients that send or read slowly must not fill the window. An attempt with a streamed body never
+// counts in it, and one with a streamed response only until the response begins. Its end does not free a
+// place twice, and its latency is what the host measured.
 func TestStreamedMessagesDoNotCountInTheWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(4))
@@ -225,14 +228,14 @@
 	first := sends(b.Handle(0, up))
 	second := sends(b.Handle(0, newRequest("down", "pay", 0, time.Second)))
 	if p.inFlight != 1 {
-		t.Fatalf("%d in flight beside a body that comes", p.inFlight)
+		t.Fatalf("%d attempts count in the window, want 1: a streamed body does not count", p.inFlight)
 	}
 	b.Handle(10*millisecond, ResponseStarted{ID: "down"})
 	b = restoreFromCheckpoint(t, b.settings, b)
 	p = b.pools[0]
 	for i, id := range []string{"up", "down"} {
 		if calls := b.servers[[]string{first[0].Server, second[0].Server}[i]].inFlightCount(); p.inFlight != 0 || calls == 0 {
-			t.Fatalf("%d in flight, %d at its server", p.inFlight, calls)
+			t.Fatalf("%d attempts count in the window, %d are in flight at the server", p.inFlight, calls)
 		}
 		b.Handle(time.Minute, AttemptEnded{ID: id, Server: "s", Outcome: Success, Latency: 20 * millisecond, RequestDone: true})
 	}
--- a/balancer/attempttimeout_test.go
+++ b/balancer/attempttimeout_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A machine that is cut off takes requests and says nothing. What may be sent again must not wait there
-// until its time is up; what must never run twice has nothing else to wait for.
+// A machine that is cut off from the network neither rejects nor answers requests. A request that may run
+// again must not wait there until its deadline; one that must never run twice has nothing else to wait for.
 func TestIdempotentAttemptsLeaveTimeForARetry(t *testing.T) {
 	for class, retriesEarly := range map[string]bool{"get": true, "pay": false} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
@@ -17,7 +17,7 @@
 			return sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second}))[0]
 		}
 		if s := send("first"); s.Timeout != time.Second {
-			t.Errorf("%s: waited for %v on an assumption, want to the deadline", class, s.Timeout)
+			t.Errorf("%s: time-out of %v while the latency is unknown, want all of the remaining time", class, s.Timeout)
 		}
 		for i := range 20 {
 			s := send(fmt.Sprint(i))
@@ -26,7 +26,7 @@
 		}
 		s := send("cut off")
 		if got := s.Timeout < 500*millisecond; got != retriesEarly {
-			t.Fatalf("%s: waited for %v of a second, answers take 20 ms", class, s.Timeout)
+			t.Fatalf("%s: time-out of %v with one second left, answers take 20 ms", class, s.Timeout)
 		}
 		now += s.Timeout
 		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); retriesEarly && (len(next) != 1 || next[0].Server == s.Server) {
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A rejection tells of a queue at one moment. A server that goes on answering with all the attempts that it
-// then had must be given more again, or those that never rejected take all the load.
+// A rejection shows that a queue was full at one moment. A server that keeps answering while it has as many
+// attempts as its limit allows must be given more again, or the servers that never rejected get all the load.
 func TestCapacityLimitGrowsWithAnswers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -18,7 +18,7 @@
 	if b.capacityLimit(s) != 2 {
 		t.Fatalf("a limit of %d attempts after a rejection at 2", b.capacityLimit(s))
 	}
-	s.inFlight = nil // both are answered, the second with the server idle but for it
+	s.inFlight = nil // both are answered, the second while no other attempt is in flight
 	b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: Success})
 	if b.capacityLimit(s) != 2 {
 		t.Errorf("a limit of %d attempts after an answer below the limit, want 2", b.capacityLimit(s))
@@ -32,8 +32,9 @@
 	}
 }
 
-// Connection tables filled by other replicas reject at once, and so look idle. A server that rejected gets
-// no more own attempts than it had, however many others reject too, and is tried again later.
+// A server whose connection table is filled by other replicas rejects immediately, and therefore looks idle.
+// A server that rejected an attempt gets no more attempts than it had then, however many other servers reject
+// too, and is tried again later.
 func TestRejectingServerIsLimitedToItsAttemptsInFlight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(10)})
@@ -45,15 +46,15 @@
 		for range n {
 			now += 5 * millisecond
 			id++
-			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
-			for try := 0; len(todo) > 0; try++ {
+			sent := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			for try := 0; len(sent) > 0; try++ {
 				end := Success
-				if fullServers[todo[0].Server] {
+				if fullServers[sent[0].Server] {
 					end = Unreachable
 					count++
 				}
 				now += 2 * millisecond
-				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
+				sent = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Server: sent[0].Server,
 					Outcome: end, RequestDone: end == Success}))
 			}
 		}
@@ -64,7 +65,7 @@
 		t.Fatalf("only %d rejections, want the full servers found", first)
 	}
 	if got := countRejections(20); got > first/2 {
-		t.Errorf("%d rejections after %d: full servers are still drawn", got, first)
+		t.Errorf("%d rejections after %d: full servers are still chosen", got, first)
 	}
 	now += time.Minute
 	if countRejections(20) == 0 {
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// checker follows the events given to one Balancer and its actions, and notes every broken rule. It shares
-// no code with the module.
+// checker follows the events given to one Balancer and its actions, and records every violation of a rule. It
+// shares no code with the Balancer.
 type checker struct {
 	settings          Settings
 	deadlineTolerance time.Duration
@@ -18,24 +18,24 @@
 	zones             map[string]string
 	kinds             map[string]string
 	requests          map[string]*trackedRequest
-	orderedRequests   []*trackedRequest // of classes that keep their order, as they came
+	orderedRequests   []*trackedRequest // of classes that are ordered by key, in order of arrival
 	violations        []string
-	keepEvents        bool         // the events that it was given, in events
-	events            []timedEvent // events
+	keepEvents        bool         // whether checkEvent records its events
+	events            []timedEvent // recorded if keepEvents is set
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is what the checker knows about a request.
 type trackedRequest struct {
 	class      Class
 	deadline   time.Duration
 	id         string
 	key        uint64
 	ended      bool
-	quietUntil time.Duration // an attempt may run on: the key rests until then
+	quietUntil time.Duration // an attempt may still be running: the quiet period of the key ends then
 	attempts   []*trackedAttempt
 }
 
-// trackedAttempt is what the checker knows of an attempt.
+// trackedAttempt is what the checker knows about an attempt.
 type trackedAttempt struct {
 	server  string
 	sentAt  time.Duration
@@ -62,7 +62,7 @@
 
 func (c *checker) checkEvent(now time.Duration, e Event) {
 	if c.keepEvents {
-		if l, ok := e.(EndpointUpdate); ok { // its list is used again
+		if l, ok := e.(EndpointUpdate); ok { // the caller reuses the slice
 			l.Servers = slices.Clone(l.Servers)
 			e = l
 		}
@@ -110,7 +110,7 @@
 	c.checkDeadlines(now)
 }
 
-// checkDeadlines wants an answer for each request whose deadline is over.
+// checkDeadlines records a violation for each request that has no answer after its deadline.
 func (c *checker) checkDeadlines(now time.Duration) {
 	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+c.deadlineTolerance {
@@ -130,7 +130,7 @@
 				for _, t := range r.attempts {
 					mayRunAgain := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
 					if t.mayHaveRun() && !mayRunAgain {
-						c.addViolation("rule 2: %s rejected though it may have run", a.ID)
+						c.addViolation("rule 2: %s rejected although it may have run", a.ID)
 					}
 				}
 			}
@@ -147,7 +147,7 @@
 func (c *checker) checkFinalAnswer(id string) *trackedRequest {
 	r := c.requests[id]
 	if r == nil || r.ended {
-		c.addViolation("rule 1: final answer for %s, which is over or unknown", id)
+		c.addViolation("rule 1: final answer for %s, which has ended or is unknown", id)
 		return nil
 	}
 	r.ended = true
@@ -157,12 +157,12 @@
 func (c *checker) checkSend(now time.Duration, a Send) {
 	r := c.requests[a.ID]
 	if r == nil || r.ended {
-		c.addViolation("rule 1: sent %s, which is over or unknown", a.ID)
+		c.addViolation("rule 1: sent %s, which has ended or is unknown", a.ID)
 		return
 	}
 	state, known := c.states[a.Server]
 	if !known || state != Ready {
-		c.addViolation("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.addViolation("rule 3: sent to %s, which is draining, removed or unknown", a.Server)
 	}
 	if len(r.attempts) >= c.settings.MaxAttempts {
 		c.addViolation("more than %d attempts", c.settings.MaxAttempts)
@@ -170,7 +170,7 @@
 	if slices.Contains(c.orderedRequests, r) {
 		for _, o := range c.orderedRequests[:slices.Index(c.orderedRequests, r)] {
 			if o.key == r.key && (!o.ended || o.hasAttemptInFlight() || now < o.quietUntil) {
-				c.addViolation("rule 5: %s sent before %s, which has its key, was over", a.ID, o.id)
+				c.addViolation("rule 5: %s sent before %s, which has the same key, had ended", a.ID, o.id)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	for _, t := range r.attempts {
 		if !t.ended {
-			c.addViolation("second attempt of %s while one is out", a.ID)
+			c.addViolation("second attempt of %s while another is in flight", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
@@ -192,18 +192,19 @@
 			c.addViolation("rule 2: non-idempotent %s sent again", a.ID)
 		case IdempotentWithKey:
 			if now > t.sentAt+r.class.DedupWindow {
-				c.addViolation("rule 2: %s sent again outside its window", a.ID)
+				c.addViolation("rule 2: %s sent again outside its deduplication window", a.ID)
 			}
 			if r.class.DedupScope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
 				r.class.DedupScope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
-				c.addViolation("rule 2: %s sent again outside its scope", a.ID)
+				c.addViolation("rule 2: %s sent again outside its deduplication scope", a.ID)
 			}
 		}
 	}
 	r.attempts = append(r.attempts, &trackedAttempt{server: a.Server, sentAt: now})
 }
 
-// The checker must itself be able to fail: it is given a trace that breaks each rule.
+// A checker that never fails checks nothing: each case is a sequence of events and actions that violates a
+// rule.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	list := EndpointUpdate{Complete: true, Servers: []Server{{ID: "a", Cell: 0, Zone: "z"},
 		{ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
@@ -226,12 +227,12 @@
 		{"rule 6: r sent to kind", []any{list, req("kin"), Send{ID: "r", Server: "b"}}},
 		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, TimerFired{}}},
 		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
+		{"rule 1: sent r, which has ended", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: non-idempotent", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
 		{"rule 2: r rejected", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * millisecond, timedOut,
+		{"outside its deduplication window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * millisecond, timedOut,
 			Send{ID: "r", Server: "a"}}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
+		{"outside its deduplication scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
 		{"second attempt", []any{list, req("get"), Send{ID: "r", Server: "a"}, Send{ID: "r", Server: "b"}}},
 	} {
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// A capture begins with a checkpoint, and its replay with what is restored. A Balancer that is made anew
-// from checkpoints, again and again in the middle of random events, does just what one does that runs
-// through.
+// A capture begins with a checkpoint, and its replay starts with a restored Balancer. A Balancer that is
+// restored from a checkpoint again and again in the middle of random events must make the same decisions as
+// one that is never restored.
 func TestRestoredBalancerMakesTheSameDecisions(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		set := ruleSettings()
@@ -39,7 +39,7 @@
 		if !reflect.DeepEqual(got, want) {
 			for i := range want {
 				if i >= len(got) || got[i] != want[i] {
-					t.Errorf("seed %d: action %d of %d was to be %s", seed, i, len(want), want[i])
+					t.Errorf("seed %d: action %d of %d differs, want %s", seed, i, len(want), want[i])
 					break
 				}
 			}
@@ -47,7 +47,8 @@
 	}
 }
 
-// restoreFromCheckpoint makes a Balancer anew, and wants its checkpoint to be the one that it was made from.
+// restoreFromCheckpoint restores a Balancer from its checkpoint, and requires the checkpoint of the restored
+// one to be identical.
 func restoreFromCheckpoint(t *testing.T, set Settings, b *Balancer) *Balancer {
 	t.Helper()
 	text, err := b.Checkpoint()
@@ -60,24 +61,24 @@
 	}
 	again, err := n.Checkpoint()
 	if err != nil || !bytes.Equal(again, text) {
-		t.Fatalf("a checkpoint of what was restored differs, %v", err)
+		t.Fatalf("the checkpoint of the restored Balancer differs, error %v", err)
 	}
 	return n
 }
 
-// A field that a checkpoint lacks is lost without an error. Whoever adds a field must say here that the
-// checkpoint has it, or that it need not.
+// A field that is missing from the checkpoint is lost without an error. Whoever adds a field must change the
+// number here after adding it to the checkpoint, unless it need not be stored.
 func TestCheckpointCoversEveryField(t *testing.T) {
 	for v, want := range map[any]int{&Balancer{}: 22, &pool{}: 19, &keyQueue{}: 3, &class{}: 8, &server{}: 13,
 		&request{}: 15, &attempt{}: 10, &faultInjector{}: 4} {
 		if n := reflect.TypeOf(v).Elem().NumField(); n != want {
-			t.Errorf("%T has %d fields, and the checkpoint was written for %d", v, n, want)
+			t.Errorf("%T has %d fields, but the checkpoint was written for %d", v, n, want)
 		}
 	}
 }
 
-// A damaged checkpoint, or one of other settings, must be an error by which the caller knows it, never a
-// Balancer in an odd state.
+// A damaged checkpoint, or one taken with other settings, must lead to an error that the caller can identify,
+// never to a Balancer in an inconsistent state.
 func TestInvalidCheckpointsAreRejected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
@@ -93,12 +94,12 @@
 			t.Errorf("no %s in %s", change[0], text)
 		}
 		if _, err := Restore(testSettings(), []byte(broken)); !errors.Is(err, ErrInvalidCheckpoint) {
-			t.Errorf("with %s for %s it gave %v", change[1], change[0], err)
+			t.Errorf("%s in place of %s: error %v", change[1], change[0], err)
 		}
 	}
 	set := testSettings()
 	set.Classes = set.Classes[:1]
 	if _, err := Restore(set, text); !errors.Is(err, ErrInvalidCheckpoint) {
-		t.Errorf("with other settings it gave %v", err)
+		t.Errorf("other settings: error %v", err)
 	}
 }
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -13,9 +13,8 @@
 	errUnknownKeyQueue  = errors.New("a request refers to a key queue that does not exist")
 )
 
-// checkpointReader fills a new Balancer from its stored state. References are resolved last, because each
-// list must be complete before another one refers to it. The first reference that is out of range is kept as
-// the error.
+// checkpointReader fills a new Balancer from its stored state. Each list is restored before any other that
+// refers to it. The first reference that is out of range is kept as the error.
 type checkpointReader struct {
 	balancer *Balancer
 	saved    *savedBalancer
--- a/balancer/churn_test.go
+++ b/balancer/churn_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// churnHost is what a host knows of the attempts that are out, by server and in all.
+// churnHost is what a host knows about timers and attempts in flight.
 type churnHost struct {
 	inFlight  map[string]int
 	timers    []SetTimer
 	pending   []pendingOutcome
-	maxTimers int // timers at once
+	maxTimers int // most timers at the same time
 }
 
-// apply notes what the module wants; draw gives an attempt its outcome.
+// apply carries out actions. The function draw draws how long an attempt takes and its outcome.
 func (h *churnHost) apply(now time.Duration, b *Balancer, acts []Action, draw func(Send) (time.Duration, Outcome)) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -32,38 +32,39 @@
 	}
 }
 
-// difference says where the module's count of its own attempts is not that of the attempts truly out.
+// difference describes where the Balancer's counts of its attempts in flight differ from those of the host.
+// It returns "" if they are the same.
 func (h *churnHost) difference(b *Balancer) string {
 	for id, n := range h.inFlight {
 		if s := b.servers[id]; n < 0 || s == nil && n > 0 || s != nil && s.inFlightCount() != n {
-			return fmt.Sprintf("%s: %d attempts are out, the module has %+v", id, n, s)
+			return fmt.Sprintf("%s: %d attempts are in flight, the Balancer has %+v", id, n, s)
 		}
 	}
 	all := 0
 	for _, p := range b.pools {
 		if p.inFlight < 0 {
-			return fmt.Sprintf("%d in flight", p.inFlight)
+			return fmt.Sprintf("a pool counts %d attempts in flight", p.inFlight)
 		}
 		all += p.inFlight
 	}
 	for id, s := range b.servers {
 		if s.inFlightCount() > 0 && h.inFlight[id] == 0 {
-			return fmt.Sprintf("%s: none is out, the module has %d", id, s.inFlightCount())
+			return fmt.Sprintf("%s: no attempt is in flight, the Balancer has %d", id, s.inFlightCount())
 		}
 	}
 	for _, n := range h.inFlight {
 		all -= n
 	}
 	if all != 0 {
-		return fmt.Sprintf("the pools have %d more in flight than there are", all)
+		return fmt.Sprintf("the pools count %d more attempts in flight than there are", all)
 	}
 	return ""
 }
 
-// Days go by in which servers, IDs and keys keep changing, servers leave with attempts out, come back,
-// restart and drain, clients leave and give odd deadlines. A node that leaked a little with each would die
-// within weeks. After every event the own attempts in flight are those that are truly out; in the end
-// nothing is kept, and no timer or counter has grown.
+// A node that leaked a little state with each change would fail within weeks. For about two days of clock
+// time, servers, IDs and keys keep changing: servers leave with attempts in flight, return, restart and
+// drain; clients disconnect and give unusual deadlines. After every event the Balancer must count exactly the
+// attempts in flight. At the end it must keep no state, and no timer or counter may have grown.
 func TestChurnDoesNotLeak(t *testing.T) {
 	for seed := range uint64(2) {
 		settings := ruleSettings()
@@ -87,7 +88,7 @@
 	}
 }
 
-// churn is a host whose servers and requests keep changing.
+// churn drives a Balancer with servers and requests that keep changing.
 type churn struct {
 	t       *testing.T
 	b       *Balancer
@@ -111,7 +112,7 @@
 	return took, Success
 }
 
-// handle gives the Balancer an event and compares its counts with the host's.
+// handle gives the Balancer an event and compares its counts with those of the host.
 func (c *churn) handle(e Event) {
 	c.t.Helper()
 	c.host.apply(c.now, c.b, c.b.Handle(c.now, e), c.drawOutcome)
@@ -120,7 +121,7 @@
 	}
 }
 
-// advance lets time go by, in which timers fire and attempts end.
+// advance moves the clock on, fires the timers that are due and ends the attempts that are due.
 func (c *churn) advance(step time.Duration) {
 	c.now += step
 	for _, w := range takeDue(&c.host.timers, func(w SetTimer) bool { return w.At <= c.now }) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// addRequests gives some requests, of which some clients leave at once.
+// addRequests gives the Balancer one to three requests. Some of their clients disconnect immediately.
 func (c *churn) addRequests(step int) {
 	classes := c.b.settings.Classes
 	for k := range 1 + c.rng.IntN(3) {
@@ -147,23 +148,23 @@
 	}
 }
 
-// changeFleet changes one server now and then.
+// changeFleet occasionally changes one server.
 func (c *churn) changeFleet() {
 	switch s := &c.servers[c.rng.IntN(len(c.servers))]; c.rng.IntN(40) {
-	case 0: // another machine in its place
-		gone := *s
-		gone.State = Removed
-		c.handle(EndpointUpdate{Servers: []Server{gone}})
-		*s = Server{ID: fmt.Sprint("n", c.next), Zone: gone.Zone, StartTime: c.now}
+	case 0: // replaced by another machine
+		removed := *s
+		removed.State = Removed
+		c.handle(EndpointUpdate{Servers: []Server{removed}})
+		*s = Server{ID: fmt.Sprint("n", c.next), Zone: removed.Zone, StartTime: c.now}
 		c.next++
 		c.handle(EndpointUpdate{Servers: []Server{*s}})
-	case 1: // a new process
+	case 1: // restarted
 		s.State, s.StartTime = Ready, c.now
 		c.handle(EndpointUpdate{Servers: []Server{*s}})
 	case 2:
 		s.State = Draining
 		c.handle(EndpointUpdate{Servers: []Server{*s}})
-	case 3: // back, as it was
+	case 3: // ready again without a restart
 		s.State = Ready
 		c.handle(EndpointUpdate{Complete: true, Servers: c.servers})
 	case 4:
@@ -171,12 +172,12 @@
 	}
 }
 
-// checkNoLeaks checks that nothing of all that is kept, and that what was learned is within bounds.
+// checkNoLeaks checks that no state is left, and that what was learned is within bounds.
 func (c *churn) checkNoLeaks() {
 	c.t.Helper()
 	b, t := c.b, c.t
 	if len(b.requests) > 0 || len(b.keyQueues) > 0 || len(b.servers) > len(c.servers) {
-		t.Errorf("seed %d: %d requests, %d key queues, %d servers are kept", c.seed, len(b.requests), len(b.keyQueues), len(b.servers))
+		t.Errorf("seed %d: %d requests, %d key queues, %d servers are left", c.seed, len(b.requests), len(b.keyQueues), len(b.servers))
 	}
 	for _, s := range b.servers {
 		if s.inFlightCount() != 0 || s.ejectionLevel > maxBackoffLevel || s.consecutiveRejections > maxBackoffLevel || s.capacityLimit < 0 {
@@ -194,10 +195,10 @@
 			t.Errorf("seed %d: %d in flight, %d queued", c.seed, p.inFlight, len(p.queued))
 		}
 	}
-	if c.host.maxTimers > 100 || len(c.host.timers) > 1 { // the next poll of discovery
-		t.Errorf("seed %d: %d timers at once, %d in the end", c.seed, c.host.maxTimers, len(c.host.timers))
+	if c.host.maxTimers > 100 || len(c.host.timers) > 1 { // the one left is the next poll of discovery
+		t.Errorf("seed %d: up to %d timers at the same time, %d at the end", c.seed, c.host.maxTimers, len(c.host.timers))
 	}
 	if c.now < 36*time.Hour {
-		t.Errorf("only %v have passed", c.now)
+		t.Errorf("only %v of clock time have passed", c.now)
 	}
 }
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -20,7 +20,7 @@
 // Clients give each try the same time, unless the deadline of the class, which covers all of them, ends
 // sooner: a shorter budget shows how much of the deadline has passed. If clients mark retries, only the mark
 // counts, because a last try may be given more time than the first. Only tier 0 receives requests from
-// clients; at other tiers, a budget is what is left at the tier above. firstAskedAt is an estimate: the
+// clients; at other tiers, a budget is what the previous tier has left. firstAskedAt is an estimate: the
 // Deadline of the class before the deadline of the request, as if the client had set that deadline with its
 // first try.
 func (b *Balancer) detectClientRetry(r *request) {
--- a/balancer/clientretry_test.go
+++ b/balancer/clientretry_test.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Where clients don't mark their retries, one shows by a deadline shorter than that of other requests. Its
-// latency objective runs from the client's first try.
+// If clients do not mark their retries, a retry is identified by a deadline that is shorter than those of
+// other requests. Its latency objective starts at the client's first try.
 func TestShortDeadlineIdentifiesAClientRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * millisecond})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*millisecond})
 	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstAskedAt != 0 {
-		t.Errorf("a first try was taken for a retry: %+v", r)
+		t.Errorf("a first try counts as a retry: %+v", r)
 	}
-	// The objective of 500 ms ended 100 ms before it came.
+	// The objective of 500 ms ended 100 ms before it arrived.
 	r := b.requests["again"]
 	if r == nil || !r.clientRetry || r.firstAskedAt != 5*time.Second-600*millisecond {
-		t.Errorf("the retry was not seen: %+v", r)
+		t.Errorf("the retry was not detected: %+v", r)
 	}
 }
 
-// Where clients mark their retries, a first try with less time than a last one has is still a first try.
+// If clients mark their retries, a first try with less time than the last try of another request is still a
+// first try.
 func TestRetryMarksTakePrecedenceOverShortDeadlines(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
 	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * millisecond, ClientRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * millisecond})
 	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstAskedAt != time.Second {
-		t.Errorf("a first try was taken for a retry: %+v", r)
+		t.Errorf("a first try counts as a retry: %+v", r)
 	}
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * millisecond, ClientRetry: true})
 	if r := b.requests["again"]; r == nil || !r.clientRetry || r.firstAskedAt != 4900*millisecond {
-		t.Errorf("the marked retry was not dated back: %+v", r)
+		t.Errorf("the marked retry has a wrong time of its first try: %+v", r)
 	}
 }
 
-// Where clients mark no retries, one client with longer deadlines than all others must not make these look
-// like retries, which are shed first.
+// If clients do not mark their retries, one client with longer deadlines than all others must not make the
+// requests of the others look like retries, which are shed first.
 func TestLongDeadlinesOfOneClientMarkNoRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -58,6 +59,6 @@
 		}
 	}
 	if retries > 8 {
-		t.Errorf("%d of 800 first tries are taken for retries", retries)
+		t.Errorf("%d of 800 first tries count as retries", retries)
 	}
 }
--- a/balancer/eligibility_test.go
+++ b/balancer/eligibility_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Two draws can meet the same busy server several times while others idle. Below the first tier nothing
-// else bounds its load: a server with more than the mean and one is passed over.
+// Random draws can hit the same busy server several times while others are idle. After the first tier nothing
+// else limits its load: a server with one attempt in flight more than the mean is not chosen.
 func TestServerAtItsConcurrencyCapIsNotChosen(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,8 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// A Balancer and its host: a list, a request, an attempt that never ran, and its answer.
+// A host gives a Balancer the endpoint list and a request. The first attempt never ran, and the second one
+// succeeds.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, DedupScope: balancer.ScopeAll,
@@ -36,11 +37,11 @@
 	now += 20 * time.Millisecond
 	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 1, Server: second.Server,
 		Outcome: balancer.Success, Latency: 20 * time.Millisecond, RequestDone: true})
-	fmt.Println("left to do:", len(acts))
+	fmt.Println("remaining actions:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 1s
 	// sent again to another server: true
-	// left to do: 0
+	// remaining actions: 0
 }
 
 func BenchmarkHandle(bench *testing.B) {
--- a/balancer/faultinjection_test.go
+++ b/balancer/faultinjection_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// payFault is a fault injection named stall, of class pay unless the given one names another.
+// payFault returns a fault injection named stall, of class pay unless the given one names another class.
 func payFault(fault FaultInjection) []FaultInjection {
 	fault.Name, fault.Duration = "stall", time.Minute
 	if fault.Class == "" {
@@ -16,7 +16,7 @@
 	return []FaultInjection{fault}
 }
 
-// newBalancerWithFault is a Balancer with servers and the fault injection active from time 0.
+// newBalancerWithFault returns a Balancer with servers and a fault injection that is active from time 0.
 func newBalancerWithFault(t *testing.T, fault FaultInjection) *Balancer {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(fault) })
@@ -25,8 +25,8 @@
 	return b
 }
 
-// A fault injection hits its share of its class, and no other class: operators who test one class must not
-// hurt others.
+// A fault injection affects its share of its class and no other class: operators who test one class must not
+// harm others.
 func TestFaultInjectionAffectsItsShareOfItsClass(t *testing.T) {
 	b := newBalancerWithFault(t, FaultInjection{Percent: 10})
 	injected := map[string]int{}
@@ -36,7 +36,7 @@
 			acts := b.Handle(now, newRequest(id, class, now, time.Second))
 			if d, ok := acts[0].(FaultInjected); ok {
 				if d.FaultInjection != "stall" || d.ID != id {
-					t.Fatalf("marked %+v", d)
+					t.Fatalf("injected %+v", d)
 				}
 				injected[class]++
 			}
@@ -46,12 +46,12 @@
 		}
 	}
 	if injected["pay"] < 70 || injected["pay"] > 130 || injected["get"] != 0 {
-		t.Errorf("marked %v of 1000 each, want about 100 of pay and none of get", injected)
+		t.Errorf("faults injected into %v of 1000 requests each, want about 100 of pay and none of get", injected)
 	}
 }
 
-// What a fault injection draws must not shift the draws of the requests around it: with nothing but marks,
-// all else stays.
+// The random draws of a fault injection must not shift the draws for other requests: a fault injection that
+// neither delays nor aborts requests changes no other action.
 func TestFaultInjectionDoesNotShiftOtherRandomDraws(t *testing.T) {
 	otherActions := func(faults []FaultInjection) (rest []Action) {
 		b := newBalancer(t, func(s *Settings) { s.FaultInjections = faults })
@@ -75,7 +75,7 @@
 	}
 	want := otherActions(nil)
 	if got := otherActions(payFault(FaultInjection{Percent: 40})); !reflect.DeepEqual(got, want) {
-		t.Error("a fault injection without delay changed what was done")
+		t.Error("a fault injection without delay changed other actions")
 	}
 }
 
@@ -84,12 +84,12 @@
 	t.Helper()
 	acts := b.Handle(now, r)
 	if len(acts) != 2 || acts[0] != (FaultInjected{ID: r.ID, FaultInjection: "stall"}) {
-		t.Fatalf("got %v, want a mark and a timer", acts)
+		t.Fatalf("got %v, want a FaultInjected and a SetTimer", acts)
 	}
 	return acts[1].(SetTimer)
 }
 
-// A delayed request is sent when its timer is due, not when the timer fires early, and once.
+// A delayed request is sent once, when its timer is due, not when the timer fires early.
 func TestDelayEndsWithItsTimer(t *testing.T) {
 	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	w := handleDelayed(t, b, 0, newRequest("r", "pay", 0, 1500*millisecond))
@@ -97,7 +97,7 @@
 		t.Errorf("delayed until %v", w.At)
 	}
 	if acts := b.Handle(100*millisecond, TimerFired{Token: w.Token}); len(acts) != 1 || acts[0] != Action(w) {
-		t.Errorf("a timer that came early led to %v, want another", acts)
+		t.Errorf("a timer that fired early led to %v, want another timer", acts)
 	}
 	acts := b.Handle(w.At, TimerFired{Token: w.Token})
 	if s := sends(acts); len(s) != 1 || s[0].Timeout != 1200*millisecond {
@@ -108,7 +108,7 @@
 	}
 }
 
-// A delay that would use up the client's time ends while an answer can still come: an injected delay must
+// A delay that would use up the client's time ends while an answer is still possible: an injected delay must
 // not become a failure.
 func TestDelayIsLimitedByTheDeadline(t *testing.T) {
 	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: time.Hour})
@@ -121,11 +121,12 @@
 	}
 	acts := b.Handle(time.Second, newRequest("short", "pay", time.Second, 100*millisecond))
 	if len(acts) != 2 || len(sends(acts)) != 1 {
-		t.Errorf("with no time for a delay: %v, want a mark and a send", acts)
+		t.Errorf("with no time for a delay: %v, want a FaultInjected and a Send", acts)
 	}
 }
 
-// An injected error is answered at once, with Retry-After for a 503, and nothing of the request is kept.
+// An injected error is answered immediately, with a Retry-After for a 503, and no state of the request is
+// kept.
 func TestAbortedRequestIsAnsweredImmediately(t *testing.T) {
 	for status, retryAfter := range map[int]time.Duration{503: 50 * millisecond, 500: 0} {
 		b := newBalancerWithFault(t, FaultInjection{Percent: 100, AbortStatus: status, Delay: time.Second})
@@ -134,13 +135,13 @@
 			t.Errorf("got %v, want %v", acts, want)
 		}
 		if len(b.requests) != 0 {
-			t.Error("it is kept")
+			t.Error("the request is kept")
 		}
 	}
 }
 
-// A fault injection runs only when it was started by its name, and ends by itself a while after the last
-// start: a forgotten one must not go on.
+// A fault injection is active only after it was started by its name, and ends a fixed time after its last
+// start: a forgotten one must not continue.
 func TestFaultInjectionEndsAndRestarts(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.FaultInjections = payFault(FaultInjection{Percent: 100, AbortStatus: 500}) })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -151,31 +152,31 @@
 		return ok
 	}
 	if isActive(0) {
-		t.Error("it ran before it was started")
+		t.Error("it was active before it was started")
 	}
 	b.Handle(0, StartFaultInjection{Name: "another"})
 	if isActive(0) {
 		t.Error("another name started it")
 	}
 	b.Handle(time.Second, StartFaultInjection{Name: "stall"})
-	b.Handle(31*time.Second, StartFaultInjection{Name: "stall"}) // a minute from here
+	b.Handle(31*time.Second, StartFaultInjection{Name: "stall"}) // it ends a minute after this
 	if !isActive(90*time.Second) || isActive(91*time.Second) {
 		t.Error("it did not end a minute after the second start")
 	}
 }
 
-// A client leaves while its request is delayed: nothing is sent, and nothing of it is kept.
+// A client disconnects while its request is delayed: nothing is sent, and no state of the request is kept.
 func TestDelayEndsWhenTheClientDisconnects(t *testing.T) {
 	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	w := handleDelayed(t, b, 0, newRequest("r", "pay", 0, time.Second))
 	b.Handle(10*millisecond, ClientGone{ID: "r"})
 	if acts := b.Handle(w.At, TimerFired{Token: w.Token}); len(acts) != 0 || len(b.requests) != 0 || len(b.faults.delayed) != 0 {
-		t.Errorf("it left, and yet: %v", acts)
+		t.Errorf("the client disconnected, but the request was sent or kept: %v", acts)
 	}
 }
 
-// A node that shuts down sends what is delayed at once, in order, and injects nothing more: its last
-// seconds are for answers.
+// A node that is shutting down sends delayed requests immediately and in order, and injects no more faults:
+// its last seconds are for answers.
 func TestShutdownEndsFaultInjection(t *testing.T) {
 	b := newBalancerWithFault(t, FaultInjection{Percent: 100, Delay: 300 * millisecond})
 	handleDelayed(t, b, 0, newRequest("1", "pay", 0, time.Second))
@@ -185,7 +186,7 @@
 	}
 	b.Handle(3*millisecond, StartFaultInjection{Name: "stall"})
 	if acts := b.Handle(4*millisecond, newRequest("3", "pay", 0, time.Second)); len(acts) != 1 || len(sends(acts)) != 1 {
-		t.Errorf("after that: %v", acts)
+		t.Errorf("a request after the shutdown began: %v", acts)
 	}
 	plain := newBalancer(t, nil)
 	if acts := plain.Handle(0, EndFaultInjections{}); len(acts) != 0 {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,19 +11,20 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// Checkpoints stand in captures on disk, and a successor state goes from one process of a node to the next, which may be
-// of another build. Settings stand beside both. If a key of these forms changed, a new build could not replay an older
-// capture, and a node would lose on an upgrade what it has learned, without an error: a key that is not known is passed
-// over. So the golden files in testdata must not change. Whoever changes a form on purpose raises the version of what
-// holds it (capture.Version, hotrestart.Version) and writes the files anew with -update.
+// Checkpoints are stored in captures on disk, and a successor state is passed from one process of a node to the next,
+// which may be another build. Settings are stored with both. If a key of these formats changed, a new build could not
+// replay an older capture, and a node would lose what it has learned when it is upgraded, without an error, because
+// unknown keys are ignored. The golden files in testdata must therefore not change. Whoever changes a format on purpose
+// raises the version of the file or message that contains it (capture.Version, hotrestart.Version) and writes the golden
+// files again with -update.
 
-// checkOrUpdateGolden checks that a text is that of a checkOrUpdateGolden file. The flag -update writes the file anew.
+// checkOrUpdateGolden compares a text with a golden file. With the flag -update it writes the file instead.
 func checkOrUpdateGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	goldentest.CheckBytes(t, goldenPath(name), got)
 }
 
-// checkGolden checks that a text, made of the golden file itself, is that of the file. It never writes it.
+// checkGolden compares a text that was made from a golden file with that file. It never writes the file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	goldentest.CompareBytes(t, goldenPath(name), got)
@@ -36,7 +37,8 @@
 
 func goldenPath(name string) string { return filepath.Join("testdata", name) }
 
-// recordFields notes every exported struct field that is reached from a value, and whether it is ever other than zero.
+// recordFields records every exported struct field that can be reached from a value, and whether it is
+// non-zero anywhere.
 func recordFields(v reflect.Value, nonZero map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -58,8 +60,8 @@
 	}
 }
 
-// checkEveryField checks that the examples of a form reach at least so many fields, and that each is other than zero
-// in one of them: a golden file that leaves a field out would not notice when its key changes.
+// checkEveryField checks that the examples of a format contain at least minFields fields, and that each field
+// is non-zero in one of them: a golden file without a field would not detect a change of its key.
 func checkEveryField(t *testing.T, minFields int, examples ...any) {
 	t.Helper()
 	nonZero := map[string]bool{}
@@ -72,18 +74,18 @@
 		}
 	}
 	if len(nonZero) < minFields {
-		t.Errorf("the golden files reach %d fields, want at least %d", len(nonZero), minFields)
+		t.Errorf("the golden files contain %d fields, want at least %d", len(nonZero), minFields)
 	}
 }
 
-// goldenCheckpoints are the golden files of checkpoints, and the Balancers that write them.
+// goldenCheckpoints maps the golden files of checkpoints to the functions that create their Balancers.
 var goldenCheckpoints = map[string]func(*testing.T) *goldenSimulation{
 	"checkpoint.json":        goldenBusyBalancer,
 	"checkpoint_ending.json": goldenStoppingBalancer,
 }
 
-// The same events lead to the same bytes. The golden files are of amd64: other machines may round sums of products
-// otherwise.
+// The same events lead to the same bytes. The golden files were written on amd64: other architectures may
+// round sums of products differently.
 func TestCheckpointsMatchTheGoldenFiles(t *testing.T) {
 	for name, run := range goldenCheckpoints {
 		text, err := run(t).Checkpoint()
@@ -99,7 +101,7 @@
 	checkOrUpdateGolden(t, "successor.json", text)
 }
 
-// A checkpoint of an earlier build is read without loss: the Balancer made of it writes the same bytes.
+// A checkpoint of an earlier build is restored without loss: the restored Balancer writes the same bytes.
 func TestGoldenCheckpointsAreRestoredWithoutLoss(t *testing.T) {
 	for name, run := range goldenCheckpoints {
 		b, err := Restore(run(t).settings, readGolden(t, name))
@@ -114,7 +116,8 @@
 	}
 }
 
-// A successor state of an earlier build is read without loss, but for the successor's own draws.
+// A successor state of an earlier build is restored without loss, except that the successor draws from its
+// own seed.
 func TestGoldenSuccessorStateIsRestoredWithoutLoss(t *testing.T) {
 	settings, state := goldenBusyBalancer(t).settings, readGolden(t, "successor.json")
 	var s savedBalancer
@@ -126,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if text, err := b.SuccessorState(); err != nil || bytes.Equal(text, state) {
-		t.Errorf("the successor draws as the one before it, %v", err)
+		t.Errorf("the successor has the random state of its predecessor, error %v", err)
 	}
 	if err := b.rngSource.UnmarshalBinary(s.RNGState); err != nil {
 		t.Fatal(err)
@@ -138,7 +141,7 @@
 	checkGolden(t, "successor.json", text)
 }
 
-// A field that no golden file has could change its key unnoticed.
+// The key of a field that is in no golden file could change unnoticed.
 func TestGoldenCheckpointsCoverEveryField(t *testing.T) {
 	var all []any
 	for name := range goldenCheckpoints {
@@ -148,13 +151,13 @@
 		}
 		all = append(all, &s)
 		if s.KnownServers == len(s.Servers) {
-			t.Errorf("%s: no attempt was at a server that has left", name)
+			t.Errorf("%s: no attempt refers to a server that has left", name)
 		}
 	}
 	checkEveryField(t, 100, all...)
 }
 
-// Settings are compared as bytes by the process that takes over, and stand in the heads of captures.
+// A process that takes over compares settings as bytes, and captures store them in their headers.
 func TestSettingsMatchTheGoldenFile(t *testing.T) {
 	set := goldenSettings()
 	set.Tier = 1
@@ -168,7 +171,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, set) {
-		t.Errorf("read as %+v", read)
+		t.Errorf("settings read from the golden file: %+v", read)
 	}
 	checkEveryField(t, 40, &read)
 	// Constants are stored as numbers.
--- a/balancer/goldensimulation_test.go
+++ b/balancer/goldensimulation_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// goldenSettings have each field, and each effect and scope.
+// goldenSettings sets every field, and uses every effect and scope.
 func goldenSettings() Settings {
 	objective, deadline := 500*millisecond, 1500*millisecond
 	prefix := netip.MustParsePrefix
@@ -72,7 +72,7 @@
 	}
 }
 
-// advance lets time go by, in which what is due happens.
+// advance moves the clock on, fires the timers that are due and ends the attempts that are due.
 func (g *goldenSimulation) advance(step time.Duration) {
 	g.now += step
 	for _, w := range takeDue(&g.timers, func(w SetTimer) bool { return w.At <= g.now }) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// endAttempts ends those attempts that are out before their time.
+// endAttempts ends the selected attempts in flight early, with the given outcome.
 func (g *goldenSimulation) endAttempts(outcome Outcome, selected func(*attempt) bool) {
 	for _, d := range takeDue(&g.pending, func(d pendingOutcome) bool { return selected(g.requests[d.event.ID].attempts[d.event.Attempt]) }) {
 		d.event.Outcome, d.event.RequestDone = outcome, false
@@ -91,7 +91,7 @@
 	}
 }
 
-// request gives a request, each fifth with bytes in its ID that are no UTF-8.
+// request gives the Balancer a request. Every fifth request has a byte in its ID that is not valid UTF-8.
 func (g *goldenSimulation) request(class string, r Request) {
 	g.requestCount++
 	r.ID, r.Class, r.SettingsVersion = fmt.Sprint("r", g.requestCount), class, g.settingsVersion
@@ -105,7 +105,7 @@
 	}
 }
 
-// overload gives so many requests of all classes, more than the servers take.
+// overload gives the Balancer n requests of random classes, more than the servers can serve.
 func (g *goldenSimulation) overload(n int, interval time.Duration) {
 	for range n {
 		g.advance(interval)
@@ -114,8 +114,8 @@
 	}
 }
 
-// goldenBusyBalancer is a Balancer in the middle of everything that a checkpoint can hold, but for the two things of
-// goldenStoppingBalancer.
+// goldenBusyBalancer returns a Balancer whose state has everything that a checkpoint can contain, except for
+// the two parts that goldenStoppingBalancer adds.
 func goldenBusyBalancer(t *testing.T) *goldenSimulation {
 	t.Helper()
 	b, err := New(goldenSettings(), 7)
@@ -133,7 +133,7 @@
 	g.handle(EndpointUpdate{Complete: true, Cached: true, Servers: list})
 	g.handle(EndpointUpdate{Complete: true, Servers: list})
 	g.overload(600, 4*millisecond)
-	g.handle(AdminOverride{Server: "far", Disabled: true}) // the only one of its zone
+	g.handle(AdminOverride{Server: "far", Disabled: true}) // the only server of its zone
 	g.handle(AdminOverride{Server: "s3", Disabled: true})
 	g.handle(AdminOverride{Server: "s4", Disabled: true})
 	g.overload(200, 4*millisecond)
@@ -143,13 +143,13 @@
 	g.handle(SettingsChanged{Settings: set})
 	g.handle(StartFaultInjection{Name: "stall"})
 	g.overload(30, 4*millisecond)
-	gone := list[2]
-	gone.State = Removed
+	removed := list[2]
+	removed.State = Removed
 	g.overload(100, millisecond)
-	g.handle(EndpointUpdate{Servers: []Server{gone}})
-	g.endAttempts(Overloaded, func(a *attempt) bool { return a.server.ID == gone.ID })
+	g.handle(EndpointUpdate{Servers: []Server{removed}})
+	g.endAttempts(Overloaded, func(a *attempt) bool { return a.server.ID == removed.ID })
 	g.endAttempts(Overloaded, func(a *attempt) bool { return a.server.ID == "s5" })
-	first := true // its key rests after it
+	first := true // one request of an ordered class times out, which starts the quiet period of its key
 	g.endAttempts(TimedOut, func(a *attempt) bool {
 		ends := first && a.request.keyQueue != nil
 		first = first && !ends
@@ -157,7 +157,7 @@
 	})
 	g.handle(WatchFailed{})
 	g.handle(WatchFailed{})
-	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // the first client that waits for an attempt leaves
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // a client with an attempt in flight disconnects
 		if r := g.requests[id]; r.hasAttemptOut() && !r.streaming {
 			g.handle(ClientGone{ID: id})
 			break
@@ -166,8 +166,8 @@
 	return g
 }
 
-// goldenStoppingBalancer is that Balancer when its list has expired and its node shuts down. Then neither is a request
-// queued nor does a fault injection delay one.
+// goldenStoppingBalancer returns the same Balancer after its lease has expired and its node has begun to shut
+// down. In that state no request is queued or delayed by a fault injection.
 func goldenStoppingBalancer(t *testing.T) *goldenSimulation {
 	t.Helper()
 	g := goldenBusyBalancer(t)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// newBalancer makes a Balancer of the test settings, changed by change if that is given.
+// newBalancer returns a Balancer with the test settings, changed by change unless that is nil.
 func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -39,10 +39,10 @@
 	return b
 }
 
-// disableSubsetting makes a replica draw from all servers for some hundred requests, as a busy one does.
+// disableSubsetting makes a replica draw from all servers for some hundred requests, as a busy replica does.
 func disableSubsetting(b *Balancer) { b.pools[0].peakInFlight = 1e9 }
 
-// attemptsInFlight are n attempts that have just been sent.
+// attemptsInFlight returns n attempts that have just been sent.
 func attemptsInFlight(n int) (open []*attempt) {
 	for range n {
 		open = append(open, &attempt{request: &request{class: &class{meanLatency: 1e18}}})
@@ -50,7 +50,7 @@
 	return open
 }
 
-// servers are n servers in one zone.
+// servers returns n servers in one zone.
 func servers(n int) []Server {
 	var l []Server
 	for i := range n {
@@ -59,10 +59,10 @@
 	return l
 }
 
-// completeList is a complete list of n servers.
+// completeList returns an update with a complete list of n servers.
 func completeList(n int) EndpointUpdate { return EndpointUpdate{Complete: true, Servers: servers(n)} }
 
-// sends are the Send actions of a list of actions.
+// sends returns the Send actions of a list of actions.
 func sends(acts []Action) []Send {
 	var l []Send
 	for _, a := range acts {
@@ -78,8 +78,8 @@
 	return b.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: e, RequestDone: e == Success})
 }
 
-// traffic sends n requests one after another; fate decides how attempts at a server end. It returns how
-// many first attempts each server got in the second half.
+// traffic gives the Balancer n requests one after another; outcomeOf decides how attempts at a server end. It
+// returns how many first attempts each server got in the second half.
 func traffic(b *Balancer, n int, class string, outcomeOf func(server string) Outcome) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -102,15 +102,15 @@
 	return got
 }
 
-// newRequest is a request with so much time left.
+// newRequest returns a request whose deadline is budget after now.
 func newRequest(id, class string, now, budget time.Duration) Request {
 	return Request{ID: id, Class: class, Deadline: now + budget}
 }
 
-// sentTo is the server of a request's first attempt.
+// sentTo returns the server of a request's first attempt.
 func sentTo(b *Balancer, id string) string { return b.requests[id].attempts[0].server.ID }
 
-// finalAnswer is the first of a list of actions that ends a request, nil if none does.
+// finalAnswer returns the first action of a list that ends a request, nil if there is none.
 func finalAnswer(acts []Action) Action {
 	for _, a := range acts {
 		switch a.(type) {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// firstSendOrAnswer gives a request and plays its timers. It returns its first send or final answer, and when
-// that came.
+// firstSendOrAnswer gives a request to a Balancer and fires its timers. It returns the first Send or final
+// answer, and the time of it.
 func firstSendOrAnswer(b *Balancer, now time.Duration, e Request) (at time.Duration, answer Action) {
 	acts := b.Handle(now, e)
 	for range 100 {
@@ -144,13 +144,13 @@
 	return now, nil
 }
 
-// pendingOutcome is the end of an attempt that is still to come.
+// pendingOutcome is the end of an attempt at a time to come.
 type pendingOutcome struct {
 	at    time.Duration
 	event AttemptEnded
 }
 
-// takeDue removes what is due from a list and returns it.
+// takeDue removes the entries that are due from a list and returns them.
 func takeDue[T any](list *[]T, due func(T) bool) (out []T) {
 	keep := (*list)[:0:0]
 	for _, v := range *list {
--- a/balancer/keyorder_test.go
+++ b/balancer/keyorder_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Requests of one key must run in order. The next goes when the one before is over and the quiet period has
-// passed; a hot key rejects who would wait in vain, and holds up no other key.
+// Requests with the same key must run in order. The next one is sent when the previous one has ended and the
+// quiet period is over. A busy key rejects requests that would wait in vain, and does not delay other keys.
 func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[2].OrderedByKey, s.KeyQuietPeriod = true, 50*millisecond })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(6)})
@@ -34,6 +34,6 @@
 		}
 	}
 	if rejected < 40 {
-		t.Errorf("%d of 50 were rejected behind a hot key, want most", rejected)
+		t.Errorf("%d of 50 requests of a busy key were rejected, want most", rejected)
 	}
 }
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Discovery is away for so long that the lease on the list expires; servers may have left it meanwhile.
-// Nothing is sent, neither first nor again: what waits and what comes is answered at once, as a rejection
-// where a retry does no harm. Before there is a list its arrival is waited for.
+// Discovery is unavailable for so long that the lease on the endpoint list expires; servers may have left the
+// list meanwhile. Nothing is sent, neither a first attempt nor a retry: queued and new requests are answered
+// immediately, with a rejection if a retry does no harm. Before there is a list, requests wait for it.
 func TestRequestsAreRejectedAfterTheLeaseExpires(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, LeaseChanged{Expired: true})
@@ -20,7 +20,7 @@
 	b.Handle(0, LeaseChanged{})
 	for _, id := range []string{"ran", "unsent"} {
 		if acts := b.Handle(0, Request{ID: id, Class: "pay", Deadline: time.Second}); len(sends(acts)) != 1 {
-			t.Fatalf("on a list with a lease: %v", acts)
+			t.Fatalf("on a list with a valid lease: %v", acts)
 		}
 	}
 	b.Handle(0, LeaseChanged{Expired: true})
--- a/balancer/outcome_test.go
+++ b/balancer/outcome_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A replica far down the chain gets few requests a second. What its first answers tell of a class must
-// outweigh the assumption made from the latency objective, which is for all tiers together.
+// A replica at a deep tier gets few requests a second. Its first answers of a class must outweigh the initial
+// estimate from the latency objective, which covers all tiers together.
 func TestFirstAnswersOutweighTheInitialEstimate(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 2 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -19,12 +19,12 @@
 		endAttempt(b, now, id, s[0], Success)
 	}
 	if c := b.classes["get"]; c.latencyBound(unresponsiveDeviations) > 100*millisecond {
-		t.Errorf("after ten answers of 10 ms each, an answer is overlong only after %v", c.latencyBound(unresponsiveDeviations))
+		t.Errorf("after ten answers of 10 ms each, a server counts as unresponsive only after %v", c.latencyBound(unresponsiveDeviations))
 	}
 }
 
-// A client that gives less time than answers take shows that its deadlines are short. Nobody is ejected for
-// it, and the window stays open for the others.
+// A client that gives less time than answers take shows only that its deadlines are short. No server is
+// ejected because of it, and the window stays open for other clients.
 func TestTimeoutsFromShortDeadlinesAreIgnored(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -48,8 +48,8 @@
 	}
 }
 
-// A server restarts with attempts in flight. What becomes of them says nothing of the new process, and yet
-// they are in flight until they end.
+// A server restarts with attempts in flight. Their outcomes say nothing about the new process, but they count
+// as in flight until they end.
 func TestOutcomesOfAnEarlierProcessAreIgnored(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas, s.MaxAttempts = 1, 1 })
 	l := servers(1)
@@ -61,13 +61,13 @@
 	l[0].StartTime = 2 * millisecond
 	b.Handle(3*millisecond, EndpointUpdate{Servers: l})
 	s := b.servers["s00"]
-	b.lastSuccess = 900 * millisecond // others have been answered meanwhile
+	b.lastSuccess = 900 * millisecond // other servers have answered meanwhile
 	if b.now = 950 * millisecond; b.isUnresponsive(s) {
-		t.Error("silent for what the earlier process owes")
+		t.Error("unresponsive because of attempts at the previous process")
 	}
 	for i, o := range sent {
 		if s.inFlightCount() != len(sent)-i {
-			t.Fatalf("%d calls in flight, want %d", s.inFlightCount(), len(sent)-i)
+			t.Fatalf("%d attempts in flight, want %d", s.inFlightCount(), len(sent)-i)
 		}
 		b.Handle(960*millisecond, AttemptEnded{ID: o.ID, Server: o.Server, Outcome: []Outcome{ConnectionLost, TimedOut, Unreachable, ConnectionLost}[i]})
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// A stream may last for hours. Its latency is the time until its first message, which the host has
-// measured; taken for a latency, its length would stretch every bound of the class.
+// A stream may last for hours. Its latency is the time until its first message, which the host has measured;
+// if its whole duration counted, it would raise every latency bound of the class.
 func TestStreamLatencyEndsAtItsFirstMessage(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(2)})
@@ -88,9 +88,9 @@
 		b.Handle(now+time.Hour-millisecond, AttemptEnded{ID: id, Server: s.Server, Outcome: Success, Latency: 20 * millisecond, RequestDone: true})
 	}
 	if mean := time.Duration(b.classes["get"].meanLatency); mean > 21*millisecond {
-		t.Errorf("the class is taken to last %v", mean)
+		t.Errorf("the mean latency of the class is %v", mean)
 	}
 	if p := b.pools[0]; p.loadRatio > 0.1 {
-		t.Errorf("the window sees %.2f of the objective", p.loadRatio)
+		t.Errorf("the load ratio is %.2f", p.loadRatio)
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server that fails at once drains its count, and so would win every draw and fail most requests. It must
-// be ejected, whatever the kind of failure.
+// A server that fails immediately has few attempts in flight, and so would win every draw and fail most
+// requests. It must be ejected, whatever the kind of failure.
 func TestServerWithFastErrorsIsEjected(t *testing.T) {
 	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
@@ -20,13 +20,14 @@
 			return Success
 		})
 		if got["s03"] > 10 {
-			t.Errorf("outcome %d: the bad server got %d of 300 first tries", e, got["s03"])
+			t.Errorf("outcome %d: the bad server got %d of 300 first attempts", e, got["s03"])
 		}
 	}
 }
 
-// In a chain of tiers a single error is mostly passed on from below: ejecting the server for it takes the
-// capacity of a sound one away. Several in a row while its peers serve, or a time-out, tell of the server.
+// In a chain of tiers a single error is mostly passed on from a deeper tier, and ejecting the server for it
+// would remove healthy capacity. Several consecutive errors while its peers succeed, or a time-out, show a
+// fault in the server.
 func TestOneErrorDoesNotEject(t *testing.T) {
 	for _, tc := range []struct {
 		outcomes []Outcome
@@ -35,7 +36,7 @@
 		{[]Outcome{Failure, Failure, Failure}, true}, {[]Outcome{TimedOut}, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-		b.now = 20 * millisecond // what each attempt takes
+		b.now = 20 * millisecond // how long each attempt takes
 		s, r := b.pools[0].inService[0], &request{class: b.classes["get"]}
 		for _, e := range tc.outcomes {
 			for i := range 9 {
@@ -49,8 +50,8 @@
 	}
 }
 
-// In a list so short that the share that may be excluded rounds to nothing, one bad server must still be
-// left out.
+// In a list so short that the share that may be excluded rounds to zero servers, one bad server must still be
+// excluded.
 func TestOneBadServerOfAShortListIsEjected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -61,24 +62,24 @@
 		return Success
 	})
 	if got["s03"] > 10 {
-		t.Errorf("the bad server got %d of 600 first tries", got["s03"])
+		t.Errorf("the bad server got %d of 600 first attempts", got["s03"])
 	}
 }
 
-// When every server fails alike the fault is below them. Ejecting them all would leave nobody to serve what
-// still can be.
+// When all servers fail in the same way, the fault is in a deeper tier. Ejecting them all would leave none
+// for the requests that can still be served.
 func TestFailuresAtAllServersEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
 	disableSubsetting(b)
 	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
 	if len(got) < 8 {
-		t.Errorf("only %d of 10 servers are still used", len(got))
+		t.Errorf("only %d of 10 servers still get requests", len(got))
 	}
 }
 
-// A machine that hangs shows nothing but an old unanswered attempt while others answer. Until its time-outs
-// end it must not be sent request after request.
+// A machine that hangs shows nothing but an old unanswered attempt while other servers answer. It must not be
+// sent request after request until its attempts time out.
 func TestUnresponsiveServerIsNotChosen(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
@@ -96,12 +97,12 @@
 		}
 	}
 	if unanswered == 0 || unanswered > 6 {
-		t.Errorf("the unresponsive server holds %d calls", unanswered)
+		t.Errorf("the unresponsive server got %d requests", unanswered)
 	}
 }
 
-// After an ejection the server may still be bad. The request that finds out must not be one that can't be
-// repeated, while others come.
+// After an ejection the server may still be bad. While other requests arrive, the one that tests it must not
+// be one that cannot be retried.
 func TestProbationRequestIsIdempotentWherePossible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
@@ -121,8 +122,8 @@
 	}
 }
 
-// Where only non-idempotent requests come, one of them must be the probation request after an ejection:
-// else the server is out for good.
+// Where only non-idempotent requests arrive, one of them must be the probation request after an ejection, or
+// the server would never be used again.
 func TestNonIdempotentRequestsCanEndProbation(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -134,7 +135,7 @@
 		id := fmt.Sprint(i)
 		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))[0]
 		if now < 1100*millisecond && s.Server == "s03" {
-			t.Fatalf("a non-idempotent probation request at %v, when an idempotent one might still come", now)
+			t.Fatalf("a non-idempotent probation request at %v, when an idempotent one might still arrive", now)
 		}
 		got[s.Server]++
 		endAttempt(b, now+10*millisecond, id, s, Success)
@@ -145,7 +146,7 @@
 }
 
 // In an overload attempts time out at every server, and all look bad. The more load is shed, the fewer
-// servers may be excluded for their health: excluding them would make the overload worse.
+// servers may be excluded for their health, because excluding them would make the overload worse.
 func TestFewerServersAreExcludedWhileLoadIsShed(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
@@ -169,8 +170,8 @@
 	}
 }
 
-// A dead server fills a short list's window with attempts that nobody answers, so that load is shed. That
-// must not bring the dead server back into the draw.
+// A dead server fills the window of a short list with attempts that are never answered, so that load is shed.
+// That must not make the dead server eligible again.
 func TestDeadServerStaysExcludedWhileLoadIsShed(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
