--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -16,12 +16,12 @@
 	// Reject is a final answer which guarantees that a retry does no harm. Balancer.giveUp lists the reasons.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // advice; 0: none
+		RetryAfter time.Duration // advice to the client; 0: none
 	}
 	// Fail is a final answer without that guarantee: the request may have run.
 	Fail struct{ ID string }
-	// Deny is the final answer to a request whose client is not on the access list. It does not refer to any
-	// other request with the same ID.
+	// Deny is the final answer to a request whose client the access list does not admit. It does not refer to
+	// any other request with the same ID.
 	Deny struct{ ID string }
 	// SetTimer asks for a TimerFired event with this token at the clock time At.
 	SetTimer struct {
@@ -36,7 +36,7 @@
 	Abort struct {
 		ID         string
 		Status     int           // 503, which guarantees that a retry does no harm, or 500
-		RetryAfter time.Duration // advice; 0: none
+		RetryAfter time.Duration // advice to the client; 0: none
 	}
 )
 
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -18,7 +18,7 @@
 )
 
 // capacityLimit returns the number of this Balancer's attempts in flight at which a server is not eligible,
-// because it rejected an attempt when it had that many. Input: what recordRejection and relaxCapacityLimit
+// because it has rejected an attempt beyond that number. Input: what recordRejection and relaxCapacityLimit
 // have learned about the server. Output: concurrent attempts, math.MaxInt for no limit.
 //
 // The queue or the connections of such a server are full. Because it rejects quickly, it has few attempts in
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -42,7 +42,7 @@
 	return eligibleLeft, eligibleRight
 }
 
-// unlimited returns the limit of a server that has none.
+// unlimited is the limit function of servers without a limit.
 func unlimited(*server) int { return math.MaxInt }
 
 // busyShare returns the share of servers, from 0 to 1, at which this Balancer has attempts in flight.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -37,8 +37,8 @@
 	TimedOut                      // no answer within its time-out
 	Unreachable                   // no connection could be made
 	ConnectionLost                // the connection was lost before the answer was complete
-	Canceled                      // given up by the host, for example because the client disconnected
-	NotSent                       // given up by the host before anything was sent
+	Canceled                      // abandoned by the host, for example because the client disconnected
+	NotSent                       // abandoned by the host before anything was sent
 )
 
 // NeverRan reports whether an outcome proves that the attempt never ran.
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -68,8 +68,8 @@
 // isOutlier reports whether a server should not be chosen for a request because of its health: it is ejected
 // or unresponsive, or it is on probation and may not get this request. On probation a server gets one request
 // at a time, and not a NonIdempotent one: a bad server must not fail many requests, nor one that cannot be
-// retried. If no other request arrives for the duration of a first ejection, computed with the mean latency
-// of this request's class, a NonIdempotent one is allowed, or the server might never return.
+// retried. If only NonIdempotent requests arrive for the duration of a first ejection, computed with the mean
+// latency of this request's class, one of them is allowed, or the server might never return.
 func (b *Balancer) isOutlier(s *server, r *request) bool {
 	if b.now < s.ejectedUntil || b.isUnresponsive(s) {
 		return true
@@ -104,16 +104,16 @@
 // until which the server is ejected. The symptom of a bad server that is not ejected is a steady share of
 // failures, about one over the number of servers, and more if it fails quickly.
 //
-// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. A run
-// of n failures therefore counts only if share^n is below the limit for the kind of its last failure:
+// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. A run of n
+// failures therefore counts only if share^n is below the limit for the kind of its last failure:
 //
-//	share of failures   ejected by a time-out as    ejected by an error as
-//	before the last     the failure in a row of     the failure in a row of
-//	1 to 2 %            number 1                    number 2
-//	5 %                 number 1                    number 3
-//	10 %                number 2                    number 4
-//	20 %                number 2                    number 5
-//	50 %                number 4                    number 10
+//	share of failures    consecutive failures that eject a server
+//	before the last      if the last is a time-out    if the last is an error
+//	1 to 2 %             1                            2
+//	5 %                  1                            3
+//	10 %                 2                            4
+//	20 %                 2                            5
+//	50 %                 4                            10
 //
 // Each failure raises the share by 0.06 of its distance from 1, and each success at any server lowers it by
 // 0.06 of its value: if nothing succeeds between them, it takes four or five errors rather than two. The
