--- a/balancer/checkpointwrite.go
+++ b/balancer/checkpointwrite.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// checkpointWriter makes the stored form of a Balancer. Servers, requests and classes are numbered in the
-// order in which they are first met, which is that of the stored lists: the order of the steps is part of
-// the form.
+// checkpointWriter builds the stored state of a Balancer. Servers, requests and classes get their indexes in
+// the order in which they are first encountered, which is the order of the stored lists. The order of the
+// steps is therefore part of the format.
 type checkpointWriter struct {
 	balancer *Balancer
 	saved    *savedBalancer
-	servers  numberTable[*server]
-	requests numberTable[*request]
-	classes  numberTable[*class]
+	servers  indexTable[*server]
+	requests indexTable[*request]
+	classes  indexTable[*class]
 }
 
-// newCheckpointWriter begins with what stands for itself.
+// newCheckpointWriter starts with the values that refer to nothing else.
 func newCheckpointWriter(b *Balancer) *checkpointWriter {
 	return &checkpointWriter{balancer: b, saved: &savedBalancer{
 		Now:                  b.now,
@@ -31,9 +31,9 @@
 	}}
 }
 
-// write takes all steps. The error is that of a random source.
+// write returns the whole stored state. An error comes from marshaling a random source.
 func (w *checkpointWriter) write() (*savedBalancer, error) {
-	w.numberAll()
+	w.assignIndexes()
 	w.writeOverrides()
 	w.writeRequests()
 	w.writeServers()
@@ -46,23 +46,23 @@
 	return w.saved, nil
 }
 
-// numberAll numbers what the Balancer knows, in the order of IDs and names.
-func (w *checkpointWriter) numberAll() {
+// assignIndexes assigns indexes to all that the Balancer knows, in the order of IDs and names.
+func (w *checkpointWriter) assignIndexes() {
 	b := w.balancer
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		w.servers.number(b.servers[id])
+		w.servers.indexOf(b.servers[id])
 	}
 	w.saved.KnownServers = len(w.servers.list)
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		w.requests.number(b.requests[id])
+		w.requests.indexOf(b.requests[id])
 	}
-	w.classes.numbers(b.classList)
+	w.classes.indexesOf(b.classList)
 	for _, name := range slices.Sorted(maps.Keys(b.previousClasses)) {
-		w.saved.PreviousClasses = append(w.saved.PreviousClasses, w.classes.number(b.previousClasses[name]))
+		w.saved.PreviousClasses = append(w.saved.PreviousClasses, w.classes.indexOf(b.previousClasses[name]))
 	}
 }
 
-// writeOverrides writes what operators said, in the order of IDs.
+// writeOverrides writes the overrides in the order of server IDs.
 func (w *checkpointWriter) writeOverrides() {
 	for _, id := range slices.Sorted(maps.Keys(w.balancer.overrides)) {
 		o := w.balancer.overrides[id]
@@ -80,7 +80,7 @@
 func (w *checkpointWriter) savedRequest(r *request) savedRequest {
 	saved := savedRequest{
 		ID:           []byte(r.id),
-		Class:        w.classes.number(r.class),
+		Class:        w.classes.indexOf(r.class),
 		FirstAskedAt: r.firstAskedAt,
 		Deadline:     r.deadline,
 		ClientRetry:  r.clientRetry,
@@ -96,7 +96,7 @@
 	}
 	for _, a := range r.attempts {
 		saved.Attempts = append(saved.Attempts, savedAttempt{
-			Server:        w.servers.number(a.server),
+			Server:        w.servers.indexOf(a.server),
 			SentAt:        a.sentAt,
 			Zone:          a.zone,
 			Cell:          a.cell,
@@ -109,7 +109,7 @@
 	return saved
 }
 
-// writeServers writes all servers, also those that only attempts refer to.
+// writeServers writes all servers, including those that only attempts refer to.
 func (w *checkpointWriter) writeServers() {
 	for _, s := range w.servers.list {
 		saved := savedServer{
@@ -127,13 +127,13 @@
 			FirstRequestDue:       s.firstRequestDue,
 		}
 		for _, a := range s.inFlight {
-			saved.InFlight = append(saved.InFlight, [2]int{w.requests.number(a.request), a.number})
+			saved.InFlight = append(saved.InFlight, [2]int{w.requests.indexOf(a.request), a.number})
 		}
 		w.saved.Servers = append(w.saved.Servers, saved)
 	}
 }
 
-// writeClasses writes what was learned of the classes, and previous classes in full.
+// writeClasses writes what was learned about the classes, and previous classes in full.
 func (w *checkpointWriter) writeClasses() {
 	b := w.balancer
 	for i, c := range w.classes.list {
@@ -155,9 +155,9 @@
 func (w *checkpointWriter) writePools() {
 	for _, p := range w.balancer.pools {
 		w.saved.Pools = append(w.saved.Pools, savedPool{
-			InService:         w.servers.numbers(p.inService),
-			Preferred:         w.servers.numbers(p.preferred),
-			Queued:            w.requests.numbers(p.queued),
+			InService:         w.servers.indexesOf(p.inService),
+			Preferred:         w.servers.indexesOf(p.preferred),
+			Queued:            w.requests.indexesOf(p.queued),
 			InFlight:          p.inFlight,
 			CrossZoneShare:    p.crossZoneShare,
 			PreferredLatency:  p.preferredLatency,
@@ -178,19 +178,19 @@
 	}
 }
 
-// writeKeyQueues writes the queues, in the order of keys.
+// writeKeyQueues writes the key queues in the order of their keys.
 func (w *checkpointWriter) writeKeyQueues() {
 	for _, key := range slices.Sorted(maps.Keys(w.balancer.keyQueues)) {
 		queue := w.balancer.keyQueues[key]
 		w.saved.KeyQueues = append(w.saved.KeyQueues, savedKeyQueue{
 			Key:        key,
-			Requests:   w.requests.numbers(queue.requests),
+			Requests:   w.requests.indexesOf(queue.requests),
 			QuietUntil: queue.quietUntil,
 		})
 	}
 }
 
-// writeRandomSources writes where the random streams are, and the state of the fault injections.
+// writeRandomSources writes the states of the random sources and of the fault injections.
 func (w *checkpointWriter) writeRandomSources() (err error) {
 	if w.saved.RNGState, err = w.balancer.rngSource.MarshalBinary(); err != nil {
 		return err
@@ -201,20 +201,21 @@
 	}
 	w.saved.FaultInjector = &savedFaultInjector{
 		ActiveUntil: faults.activeUntil,
-		Delayed:     w.requests.numbers(faults.delayed),
+		Delayed:     w.requests.indexesOf(faults.delayed),
 	}
 	w.saved.FaultInjector.RNGState, err = faults.rngSource.MarshalBinary()
 	return err
 }
 
-// numberTable numbers values in the order in which it is first asked for them. The zero value is empty.
-type numberTable[T comparable] struct {
+// indexTable assigns indexes to values in the order in which they are first looked up. The zero value is
+// empty.
+type indexTable[T comparable] struct {
 	list    []T
 	indexes map[T]int // in list
 }
 
-// number is the number of a value, a new one if it has none.
-func (t *numberTable[T]) number(value T) int {
+// indexOf returns the index of a value, and assigns a new one if it has none.
+func (t *indexTable[T]) indexOf(value T) int {
 	i, ok := t.indexes[value]
 	if !ok {
 		if t.indexes == nil {
@@ -227,10 +228,10 @@
 	return i
 }
 
-// numbers are the numbers of values, nil for none.
-func (t *numberTable[T]) numbers(values []T) (numbers []int) {
+// indexesOf returns the indexes of values, nil if there are none.
+func (t *indexTable[T]) indexesOf(values []T) (indexes []int) {
 	for _, v := range values {
-		numbers = append(numbers, t.number(v))
+		indexes = append(indexes, t.indexOf(v))
 	}
-	return numbers
+	return indexes
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A server that fails at once drains its count, and so would win every draw and fail most requests. It must
-// be ejected, whatever the kind of failure.
-func TestFastErrorsAreEjected(t *testing.T) {
+// A server that fails immediately has few attempts in flight, and so would win every draw and fail most
+// requests. It must be ejected, whatever the kind of failure.
+func TestServerWithFastErrorsIsEjected(t *testing.T) {
 	for _, e := range []Outcome{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-		drawFromAll(b)
+		disableSubsetting(b)
 		got := traffic(b, 600, "get", func(s string) Outcome {
 			if s == "s03" {
 				return e
@@ -20,38 +20,39 @@
 			return Success
 		})
 		if got["s03"] > 10 {
-			t.Errorf("outcome %d: the bad server got %d of 300 first tries", e, got["s03"])
+			t.Errorf("outcome %d: the bad server got %d of 300 first attempts", e, got["s03"])
 		}
 	}
 }
 
-// In a chain of tiers a single error is mostly passed on from below: ejecting the server for it takes the
-// capacity of a sound one away. Several in a row while its peers serve, or a time-out, tell of the server.
+// In a chain of tiers a single error is mostly passed on from a deeper tier, and ejecting the server for it
+// would remove healthy capacity. Several consecutive errors while its peers succeed, or a time-out, show a
+// fault in the server.
 func TestOneErrorDoesNotEject(t *testing.T) {
 	for _, tc := range []struct {
-		endings []Outcome
-		ejected bool
+		outcomes []Outcome
+		ejected  bool
 	}{{[]Outcome{Failure}, false}, {[]Outcome{ConnectionLost}, false}, {[]Outcome{Failure, Success, Failure}, false},
 		{[]Outcome{Failure, Failure, Failure}, true}, {[]Outcome{TimedOut}, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-		b.now = 20 * millisecond // what each attempt takes
+		b.now = 20 * millisecond // how long each attempt takes
 		s, r := b.pools[0].inService[0], &request{class: b.classes["get"]}
-		for _, e := range tc.endings {
+		for _, e := range tc.outcomes {
 			for i := range 9 {
 				b.recordOutcome(&attempt{request: r, server: b.pools[0].inService[1+i%3]}, AttemptEnded{Outcome: Success})
 			}
 			b.recordOutcome(&attempt{request: r, server: s}, AttemptEnded{Outcome: e})
 		}
 		if got := s.ejectedUntil > b.now; got != tc.ejected {
-			t.Errorf("after outcomes %v: ejected %v, want %v", tc.endings, got, tc.ejected)
+			t.Errorf("after outcomes %v: ejected %v, want %v", tc.outcomes, got, tc.ejected)
 		}
 	}
 }
 
-// In a list so short that the share that may be excluded rounds to nothing, one bad server must still be
-// left out.
-func TestOneOfFourIsEjected(t *testing.T) {
+// In a list so short that the share that may be excluded rounds to zero servers, one bad server must still be
+// excluded.
+func TestOneBadServerOfAShortListIsEjected(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	got := traffic(b, 600, "get", func(s string) Outcome {
@@ -61,51 +62,51 @@
 		return Success
 	})
 	if got["s03"] > 10 {
-		t.Errorf("the bad server got %d of 600 first tries", got["s03"])
+		t.Errorf("the bad server got %d of 600 first attempts", got["s03"])
 	}
 }
 
-// When every server fails alike the fault is below them. Ejecting them all would leave nobody to serve what
-// still can be.
-func TestFailuresEverywhereEjectFew(t *testing.T) {
+// When all servers fail in the same way, the fault is in a deeper tier. Ejecting them all would leave none
+// for the requests that can still be served.
+func TestFailuresAtAllServersEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	got := traffic(b, 800, "get", func(string) Outcome { return Failure })
 	if len(got) < 8 {
-		t.Errorf("only %d of 10 servers are still used", len(got))
+		t.Errorf("only %d of 10 servers still get requests", len(got))
 	}
 }
 
-// A machine that hangs shows nothing but an old unanswered attempt while others answer. Until its time-outs
-// end it must not be sent request after request.
-func TestUnresponsiveServerIsPassedOver(t *testing.T) {
+// A machine that hangs shows nothing but an old unanswered attempt while other servers answer. It must not be
+// sent request after request until its attempts time out.
+func TestUnresponsiveServerIsNotChosen(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
-	stuck, now := 0, time.Duration(0)
+	disableSubsetting(b)
+	unanswered, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		now += 20 * millisecond
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
 			if s.Server == "s03" {
-				stuck++
+				unanswered++
 			} else {
 				endAttempt(b, now+10*millisecond, id, s, Success)
 			}
 		}
 	}
-	if stuck == 0 || stuck > 6 {
-		t.Errorf("the unresponsive server holds %d calls", stuck)
+	if unanswered == 0 || unanswered > 6 {
+		t.Errorf("the unresponsive server got %d requests", unanswered)
 	}
 }
 
-// After an ejection the server may still be bad. The request that finds out must not be one that can't be
-// repeated, while others come.
+// After an ejection the server may still be bad. While other requests arrive, the one that tests it must not
+// be one that cannot be retried.
 func TestProbationRequestIsIdempotentWherePossible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(10)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	s := b.servers["s03"]
 	s.ejectionLevel = 1
 	for range 100 {
@@ -115,18 +116,18 @@
 			t.Fatal("a server on probation got a non-idempotent request")
 		}
 	}
-	drawFromAll(b)
+	disableSubsetting(b)
 	if got := traffic(b, 400, "get", func(string) Outcome { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
 
-// Where only non-idempotent requests come, one of them must be the probation request after an ejection:
-// else the server is out for good.
-func TestNonIdempotentRequestsEndAnEjection(t *testing.T) {
+// Where only non-idempotent requests arrive, one of them must be the probation request after an ejection, or
+// the server would never be used again.
+func TestNonIdempotentRequestsCanEndProbation(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
-	drawFromAll(b)
+	disableSubsetting(b)
 	b.servers["s03"].ejectionLevel, b.servers["s03"].ejectedUntil = 1, time.Second
 	got := map[string]int{}
 	for i := range 400 {
@@ -134,7 +135,7 @@
 		id := fmt.Sprint(i)
 		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))[0]
 		if now < 1100*millisecond && s.Server == "s03" {
-			t.Fatalf("a non-idempotent probation request at %v, when an idempotent one might still come", now)
+			t.Fatalf("a non-idempotent probation request at %v, when an idempotent one might still arrive", now)
 		}
 		got[s.Server]++
 		endAttempt(b, now+10*millisecond, id, s, Success)
@@ -145,8 +146,8 @@
 }
 
 // In an overload attempts time out at every server, and all look bad. The more load is shed, the fewer
-// servers may be excluded for their health: excluding them would make the overload worse.
-func TestSheddingLeavesMoreServersIn(t *testing.T) {
+// servers may be excluded for their health, because excluding them would make the overload worse.
+func TestFewerServersAreExcludedWhileLoadIsShed(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
@@ -157,26 +158,26 @@
 			s.ejectedUntil = time.Minute
 		}
 		b.pools[0].shedShare = c.shed
-		out := 0
+		excluded := 0
 		for _, o := range b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService) {
 			if o {
-				out++
+				excluded++
 			}
 		}
-		if out != c.want {
-			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, out, c.want)
+		if excluded != c.want {
+			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, excluded, c.want)
 		}
 	}
 }
 
-// A dead server fills a short list's window with attempts that nobody answers, so that load is shed. That
-// must not bring the dead server back into the draw.
-func TestSheddingKeepsADeadServerOut(t *testing.T) {
+// A dead server fills the window of a short list with attempts that are never answered, so that load is shed.
+// That must not make the dead server eligible again.
+func TestDeadServerStaysExcludedWhileLoadIsShed(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.pools[0].inService[2].ejectedUntil = time.Minute
 	b.pools[0].shedShare = 0.6
-	if out := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService); fmt.Sprint(out) != "[false false true false]" {
-		t.Errorf("excluded %v, want the third alone", out)
+	if excluded := b.excludeOutliers(&request{class: b.classes["get"]}, b.pools[0].inService); fmt.Sprint(excluded) != "[false false true false]" {
+		t.Errorf("excluded %v, want the third alone", excluded)
 	}
 }
