--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -34,8 +34,8 @@
 	// requestTimeout is the time within which a connection must bring a complete request: until then it takes one of
 	// MaxConnections from operators.
 	requestTimeout = 1500 * time.Millisecond
-	// effectTimeout is for the node to do what a call wants. An answer is owed within 1 s; the rest is for writing it.
-	effectTimeout = 900 * time.Millisecond
+	// callTimeout is for the node to do what a call wants. An answer is owed within 1 s; the rest is for writing it.
+	callTimeout = 900 * time.Millisecond
 	// responseTimeout is for the caller to read the response.
 	responseTimeout = 2 * time.Second
 	// maxHeaderBytes is enough for any call of operators, and bounds the memory of the others.
@@ -98,7 +98,7 @@
 
 // ServeHTTP answers one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	noteRequest(r.Context())
+	markRequestReceived(r.Context())
 	if r.URL.EscapedPath() == "/control/sites" && r.Method == http.MethodGet {
 		s.serveSites(w)
 		return
@@ -118,7 +118,7 @@
 // serveCall makes a call to the node and answers with what came of it. A caller that leaves meanwhile wanted the effect all
 // the same, so the call is carried out without it.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request, call func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), effectTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), callTimeout)
 	defer cancel()
 	err := call(ctx)
 	if r.Method != http.MethodGet {
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -84,7 +84,7 @@
 
 // Each row is what a caller sends, the status of the answer, and the call to the node that comes of it. Only what is a call
 // of operators, with its method, reaches the node.
-func TestCallsReachTheNodeAndAnswer(t *testing.T) {
+func TestCallsAndResponses(t *testing.T) {
 	f := &fakeNode{}
 	addr := startServer(t, f)
 	request := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
@@ -135,7 +135,7 @@
 
 // Somebody opens many connections and never sends a complete request. Operators must be served all the same: the oldest of
 // these connections are closed for them, and each is closed at the latest when its time is over.
-func TestIncompleteRequestsKeepNobodyOut(t *testing.T) {
+func TestIncompleteRequestsDoNotBlockOperators(t *testing.T) {
 	addr := startServer(t, &fakeNode{})
 	began := time.Now()
 	var incomplete []net.Conn
@@ -182,7 +182,7 @@
 }
 
 // A caller leaves before the answer. What it wanted is done all the same.
-func TestCallerLeaves(t *testing.T) {
+func TestCallCompletesAfterCallerDisconnects(t *testing.T) {
 	f := &fakeNode{}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/adminapi/connections.go
+++ b/internal/adminapi/connections.go
@@ -15,14 +15,14 @@
 // Connections with a request are never closed: they end by themselves, within effectTimeout and responseTimeout.
 type limitedListener struct {
 	net.Listener
-	taken chan struct{} // holds a value for each open connection
+	slots chan struct{} // holds a value for each open connection
 
-	mu      sync.Mutex
-	waiting []*conn // without a complete request, the oldest first
+	mu         sync.Mutex
+	incomplete []*conn // without a complete request, the oldest first
 }
 
 func newLimitedListener(ln net.Listener) *limitedListener {
-	return &limitedListener{Listener: ln, taken: make(chan struct{}, MaxConnections)}
+	return &limitedListener{Listener: ln, slots: make(chan struct{}, MaxConnections)}
 }
 
 // Accept waits for a connection, and for its place among the open ones.
@@ -32,24 +32,24 @@
 		return nil, err
 	}
 	select {
-	case l.taken <- struct{}{}:
+	case l.slots <- struct{}{}:
 	default:
-		l.closeOldestWaiting()
-		l.taken <- struct{}{}
+		l.closeOldestIncomplete()
+		l.slots <- struct{}{}
 	}
 	c := &conn{Conn: accepted, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, c)
+	l.incomplete = append(l.incomplete, c)
 	return c, nil
 }
 
-// closeOldestWaiting closes the oldest connection without a complete request, if there is one.
-func (l *limitedListener) closeOldestWaiting() {
+// closeOldestIncomplete closes the oldest connection without a complete request, if there is one.
+func (l *limitedListener) closeOldestIncomplete() {
 	l.mu.Lock()
 	var oldest *conn
-	if len(l.waiting) > 0 {
-		oldest = l.waiting[0]
+	if len(l.incomplete) > 0 {
+		oldest = l.incomplete[0]
 	}
 	l.mu.Unlock() // Close takes the lock
 	if oldest != nil {
@@ -57,11 +57,11 @@
 	}
 }
 
-// stopWaiting notes that a connection has brought a request, or is closed.
-func (l *limitedListener) stopWaiting(c *conn) {
+// removeIncomplete notes that a connection has brought a request, or is closed.
+func (l *limitedListener) removeIncomplete(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = slices.DeleteFunc(l.waiting, func(other *conn) bool { return other == c })
+	l.incomplete = slices.DeleteFunc(l.incomplete, func(other *conn) bool { return other == c })
 }
 
 // conn is a connection that gives its place back once it is closed.
@@ -75,8 +75,8 @@
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() {
-		c.listener.stopWaiting(c)
-		<-c.listener.taken
+		c.listener.removeIncomplete(c)
+		<-c.listener.slots
 	})
 	return err
 }
@@ -89,9 +89,9 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// noteRequest notes that the connection of a request's context has brought it.
-func noteRequest(ctx context.Context) {
+// markRequestReceived notes that the connection of a request's context has brought it.
+func markRequestReceived(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
-		c.listener.stopWaiting(c)
+		c.listener.removeIncomplete(c)
 	}
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -28,9 +28,9 @@
 	Timeout  time.Duration // how long the balancer waits for it
 	Started  time.Duration // when the Sender got it, by the engine's clock
 
-	streaming bool           // the loop's own
-	lease     *leaseDeadline // on the endpoint list that has the target; nil: it has no end
-	guard     *invariants.Guard
+	streaming  bool           // the loop's own
+	lease      *leaseDeadline // on the endpoint list that has the target; nil: it has no end
+	violations *invariants.Recorder
 }
 
 // Result is how an attempt ended.
@@ -47,37 +47,37 @@
 	ConnectionIdle time.Duration
 
 	// For the log and the capture: what the outcome rests on, and how far the attempt came.
-	Ground     Ground
+	Reason     Reason
 	Connection uint64 // its number in this process; 0: the attempt had none
 	Written    bool   // the request's last byte was written
 	ClosedBy   string // who or what closed the connection; "": it is open
 }
 
-// Ground is what an outcome rests on: for one that allows a retry, why the server can't have run the request, or that its
+// Reason is what an outcome rests on: for one that allows a retry, why the server can't have run the request, or that its
 // class allows a second run. Its text is what logs and captures have.
-type Ground string
+type Reason string
 
 // The grounds.
 const (
-	GroundResponse       Ground = "response"               // to this request, on a connection without anything else on its way
-	GroundRejection      Ground = "marked rejection"       // such a response that says that the request did not run
-	GroundDoubt          Ground = "rejection in doubt"     // it may be the response to another request
-	GroundOver           Ground = "nothing written: over"  // the call is over, its server gets nothing new, or the list has expired
-	GroundNoDescriptor   Ground = "no descriptor"          // nothing was written
-	GroundBodyUsed       Ground = "body not complete"      // at the client's side; the last byte was not written
-	GroundNoConnection   Ground = "no connection"          // none came up, or it had ended before the first byte
-	GroundNotWritten     Ground = "last byte not written"  // the server can't have run it
-	GroundEnded          Ground = "ended without response" // after the last byte: it may have run
-	GroundDeadline       Ground = "deadline"               // likewise
-	GroundNotPassedOn    Ground = "response not passed on" // the client has gone
-	GroundStreamFinished Ground = "streamed to its end"    // a response that was passed on as it came
-	GroundStreamBroken   Ground = "stream broken off"      // by the server or by the client
+	ReasonResponse             Reason = "response"               // to this request, on a connection without anything else on its way
+	ReasonMarkedRejection      Reason = "marked rejection"       // such a response that says that the request did not run
+	ReasonRejectionInDoubt     Reason = "rejection in doubt"     // it may be the response to another request
+	ReasonSendNotAllowed       Reason = "nothing written: over"  // the call is over, its server gets nothing new, or the list has expired
+	ReasonNoDescriptor         Reason = "no descriptor"          // nothing was written
+	ReasonBodyIncomplete       Reason = "body not complete"      // at the client's side; the last byte was not written
+	ReasonNoConnection         Reason = "no connection"          // none came up, or it had ended before the first byte
+	ReasonLastByteNotWritten   Reason = "last byte not written"  // the server can't have run it
+	ReasonNoResponse           Reason = "ended without response" // after the last byte: it may have run
+	ReasonDeadline             Reason = "deadline"               // likewise
+	ReasonResponseNotForwarded Reason = "response not passed on" // the client has gone
+	ReasonStreamFinished       Reason = "streamed to its end"    // a response that was passed on as it came
+	ReasonStreamBroken         Reason = "stream broken off"      // by the server or by the client
 )
 
-// trace is what the capture has of an attempt's end beside the balancer's event.
-func (r Result) trace() capture.AttemptTrace {
+// captureTrace is what the capture has of an attempt's end beside the balancer's event.
+func (r Result) captureTrace() capture.AttemptTrace {
 	return capture.AttemptTrace{Connection: r.Connection, Use: r.ConnectionUses, Idle: r.ConnectionIdle, Written: r.Written,
-		ClosedBy: r.ClosedBy, Ground: string(r.Ground)}
+		ClosedBy: r.ClosedBy, Ground: string(r.Reason)}
 }
 
 // Sender carries attempts to servers. The event loop calls its methods, which must not block.
@@ -100,20 +100,20 @@
 	return !c.Request.StreamedBody || c.ClientGone == nil || !c.ClientGone()
 }
 
-// Sent notes that the attempt's first byte was written at a time of the engine's clock, with announced as the time-out
+// CheckSend notes that the attempt's first byte was written at a time of the engine's clock, with announced as the time-out
 // that its server was told; 0: one that doesn't run from the first byte. Broken invariants are counted and logged. The
 // Sender calls it from the attempt's own goroutine.
-func (a *Attempt) Sent(began, announced time.Duration) {
+func (a *Attempt) CheckSend(began, announced time.Duration) {
 	c := a.Call
 	send := invariants.Send{
 		Began:            began,
 		Stopped:          time.Duration(a.Target.stoppedAt.Load()),
-		ListExpires:      a.lease.until(),
+		ListExpires:      a.lease.expiresAt(),
 		ClientGone:       time.Duration(c.clientGoneAt.Load()),
 		Deadline:         c.Request.Deadline,
 		AnnouncedTimeout: announced,
 	}
-	a.guard.Note(send.Check(), a.logAttrs()...)
+	a.violations.Record(send.Check(), a.logAttrs()...)
 }
 
 // logAttrs are the log attributes that name an attempt.
@@ -129,10 +129,10 @@
 // retried. It is for a Sender that has a way to the client of its own. It blocks as AttemptEnded does.
 func (e *Engine) ResponseStarted(a *Attempt) { e.responses <- responseStart{attempt: a} }
 
-// PassResponse says that the response to an attempt has begun and can be passed on as it comes: reply is the call's final
+// ForwardResponse says that the response to an attempt has begun and can be passed on as it comes: reply is the call's final
 // answer. It says whether the call was still open; if not, nobody takes the response. The attempt's Result is owed when the
 // response has ended. It blocks as AttemptEnded does.
-func (e *Engine) PassResponse(a *Attempt, reply any) bool {
+func (e *Engine) ForwardResponse(a *Attempt, reply any) bool {
 	accepted := make(chan bool, 1)
 	e.responses <- responseStart{attempt: a, reply: reply, accepted: accepted}
 	return <-accepted
@@ -153,13 +153,13 @@
 		return
 	}
 	attempt := &Attempt{
-		Call:     c,
-		Number:   c.attempts,
-		Target:   e.targets[a.Server],
-		Deadline: min(now+a.Timeout, c.Request.Deadline),
-		Timeout:  a.Timeout,
-		lease:    e.lease,
-		guard:    e.Guard,
+		Call:       c,
+		Number:     c.attempts,
+		Target:     e.targets[a.Server],
+		Deadline:   min(now+a.Timeout, c.Request.Deadline),
+		Timeout:    a.Timeout,
+		lease:      e.lease,
+		violations: e.Violations,
 	}
 	if c.Request.StreamedBody {
 		attempt.Deadline = now + c.BodyTimeout + a.Timeout
@@ -168,7 +168,7 @@
 		attempt.Target = &Target{ID: a.Server}
 		attempt.Target.StopSending(now)
 	}
-	e.checkStart(now, attempt)
+	e.checkAttemptStart(now, attempt)
 	c.attempts++
 	c.outstanding++
 	attempt.Target.outstanding++
@@ -214,7 +214,7 @@
 	if latency == 0 {
 		latency = e.Clock.Now() - r.Attempt.Started
 	}
-	e.eventContext.Attempt = r.trace()
+	e.eventContext.Attempt = r.captureTrace()
 	e.dispatch(balancer.AttemptEnded{
 		ID:          c.Request.ID,
 		Attempt:     r.Attempt.Number,
@@ -223,5 +223,5 @@
 		Latency:     latency,
 		RequestDone: c.Closed(),
 	})
-	e.forget(c)
+	e.removeIfDone(c)
 }
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -9,7 +9,7 @@
 
 // The response to an attempt streams to the client, then the connection to the server breaks. The client has seen a part, so
 // there is no retry, also of an idempotent call: the call fails, and nothing of it is kept. Once such calls were kept for ever.
-func TestBrokenStreamEndsItsCall(t *testing.T) {
+func TestBrokenStreamFailsCall(t *testing.T) {
 	for _, outcome := range []balancer.Outcome{balancer.ConnectionLost, balancer.Failure, balancer.Overloaded, balancer.TimedOut} {
 		withEngine(t, 3, func(t *testing.T, e *Engine, s *manualSender) {
 			got := doAsync(t.Context(), e, newCall(e, "1", "idempotent"))
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -156,7 +156,7 @@
 	}
 	e.counters.clientGone++
 	e.dispatch(balancer.ClientGone{ID: c.Request.ID})
-	e.forget(c)
+	e.removeIfDone(c)
 }
 
 // deny answers the arriving call, whose client the access list denies. It is not looked up by its ID, which may be that of
@@ -169,7 +169,7 @@
 	e.counters.denied++
 	e.Log.Info("denied", append([]any{"id", a.ID, "class", c.Request.Class}, clientAttr(c.Request.Client)...)...)
 	c.answer <- Answer{Verdict: Denied}
-	e.forget(c)
+	e.removeIfDone(c)
 }
 
 // answer gives a call the final answer that the balancer decided on, any but Served and Denied. It does nothing if the call
@@ -190,7 +190,7 @@
 	}
 	e.checkAnswer(c, a.rejects())
 	c.answer <- a
-	e.forget(c)
+	e.removeIfDone(c)
 }
 
 // serve gives a call the answer of an attempt that succeeded. The caller has claimed the answer.
@@ -199,8 +199,8 @@
 	c.answer <- Answer{Verdict: Served, Reply: reply}
 }
 
-// forget drops a call that is closed and has no attempt out; from then on its ID is free.
-func (e *Engine) forget(c *Call) {
+// removeIfDone drops a call that is closed and has no attempt out; from then on its ID is free.
+func (e *Engine) removeIfDone(c *Call) {
 	if c.Closed() && c.outstanding == 0 && e.calls[c.Request.ID] == c {
 		delete(e.calls, c.Request.ID)
 	}
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -12,7 +12,7 @@
 
 // The outcomes of a call's attempts, one after the other, and the answer that its client gets: a retry only of what never ran
 // or may run twice, and three attempts at most.
-func TestOutcomesOfACall(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class    string
 		outcomes []balancer.Outcome
@@ -52,7 +52,7 @@
 
 // A server takes a request and never responds. The call fails when its attempt ends, at the call's deadline; until then its
 // ID is in use, and a second call with it is told so.
-func TestUnansweredCallFailsAtItsDeadline(t *testing.T) {
+func TestUnansweredCallFailsAtDeadline(t *testing.T) {
 	withEngine(t, 3, func(t *testing.T, e *Engine, s *manualSender) {
 		c := newCall(e, "1", "non-idempotent")
 		got := doAsync(t.Context(), e, c)
@@ -82,7 +82,7 @@
 // A client cancels its call: nothing more is sent for it, and the call is forgotten. Another client that uses the same ID at
 // that moment must not be taken for the one that has gone: once, its cancellation ended the first client's call, which then had
 // no answer.
-func TestNothingIsSentAfterTheClientIsGone(t *testing.T) {
+func TestNoSendAfterClientGone(t *testing.T) {
 	withEngine(t, 3, func(t *testing.T, e *Engine, s *manualSender) {
 		first := doAsync(t.Context(), e, newCall(e, "1", "non-idempotent"))
 		attempt := receive(t, s.started)
@@ -123,7 +123,7 @@
 
 // A hundred clients go away while the loop is busy with a command. Their attempts wait for connections, so the Sender must not
 // write them even before the loop hears of it; and when it does, no retry follows.
-func TestClientsGoneWhileTheLoopIsBusy(t *testing.T) {
+func TestNoSendAfterClientsGoneWhileLoopBusy(t *testing.T) {
 	withEngine(t, 10, func(t *testing.T, e *Engine, s *manualSender) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var ended []<-chan Answer
--- a/internal/engine/commands.go
+++ b/internal/engine/commands.go
@@ -59,9 +59,9 @@
 
 // ChangeSettings has the balancer take over settings, which must have passed balancer.Settings.Validate. Open calls keep
 // the settings with which they arrived. Errors: ErrStopped, or that of ctx; then the old settings stay.
-func (e *Engine) ChangeSettings(ctx context.Context, set balancer.Settings) error {
+func (e *Engine) ChangeSettings(ctx context.Context, settings balancer.Settings) error {
 	return e.runCommand(ctx, func() error {
-		e.dispatch(balancer.SettingsChanged{Settings: set})
+		e.dispatch(balancer.SettingsChanged{Settings: settings})
 		return nil
 	})
 }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -56,17 +56,17 @@
 	if *c == zero {
 		return
 	}
-	var features []any // of features that may be off: only where there is something to tell
+	var optionalAttrs []any // of features that may be off: only where there is something to tell
 	if c.faultInjected > 0 {
-		features = append(features, "hookwalk.drill.applied", c.faultInjected)
+		optionalAttrs = append(optionalAttrs, "hookwalk.drill.applied", c.faultInjected)
 	}
 	if c.denied > 0 {
-		features = append(features, "denied", c.denied)
+		optionalAttrs = append(optionalAttrs, "denied", c.denied)
 	}
 	if c.rejectedLeaseExpired > 0 {
-		features = append(features, "rejected_list_expired", c.rejectedLeaseExpired)
+		optionalAttrs = append(optionalAttrs, "rejected_list_expired", c.rejectedLeaseExpired)
 	}
-	log.With(features...).Info("counts",
+	log.With(optionalAttrs...).Info("counts",
 		"received", c.received, "served", c.served, "client_gone", c.clientGone,
 		"rejected_unsent", c.rejected[beforeAttempt], "rejected_sent", c.rejected[afterAttempt],
 		"failed_unsent", c.failed[beforeAttempt], "failed_sent", c.failed[afterAttempt],
@@ -88,7 +88,7 @@
 	log.Warn("attempt without an answer", append([]any{"server", r.Attempt.Target.ID, "err", r.Err,
 		"elapsed", now - r.Attempt.Started, "connection_uses", r.ConnectionUses,
 		"connection_age", r.ConnectionAge, "connection_idle", r.ConnectionIdle,
-		"id", r.Attempt.Call.Request.ID, "attempt", r.Attempt.Number, "outcome", outcomeNames[r.Outcome], "ground", r.Ground,
+		"id", r.Attempt.Call.Request.ID, "attempt", r.Attempt.Number, "outcome", outcomeNames[r.Outcome], "ground", r.Reason,
 		"connection", r.Connection, "written", r.Written, "closed_by", r.ClosedBy},
 		clientAttr(r.Attempt.Call.Request.Client)...)...)
 }
--- a/internal/engine/counters_test.go
+++ b/internal/engine/counters_test.go
@@ -13,13 +13,13 @@
 
 // Every attempt fails for a while. The log has one line of a failed attempt for each second with some, with the history of its
 // connection, and all outcomes in the next line of counters; a line of counters without anything counted is left out.
-func TestCountersLogOutcomesAndBoundTheirLines(t *testing.T) {
+func TestCountersLogOutcomesAtLimitedRate(t *testing.T) {
 	var out bytes.Buffer
 	log, c := slog.New(slog.NewTextHandler(&out, nil)), &counters{}
 	attempt := &Attempt{Call: &Call{attempts: 1}, Target: &Target{ID: "s-1"}, Started: failureInterval / 2}
 	for i := range 10 { // ten in one interval
 		c.addResult(log, failureInterval+failureInterval/10*time.Duration(i), Result{Attempt: attempt, Outcome: balancer.ConnectionLost, Err: errors.New("reset"), ConnectionUses: 3,
-			Ground: GroundEnded, Connection: 7, Written: true, ClosedBy: "server"})
+			Reason: ReasonNoResponse, Connection: 7, Written: true, ClosedBy: "server"})
 	}
 	c.addResult(log, 3*failureInterval, Result{Attempt: attempt, Outcome: balancer.Unreachable, Err: errors.New("refused")})
 	c.addResult(log, 9*failureInterval, Result{Attempt: attempt, Outcome: balancer.Success})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -24,8 +24,8 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// noEventWait is how long the loop waits when neither a timer nor the endpoint lease comes due. Any long span would do.
-const noEventWait = time.Hour
+// maxLoopWait is how long the loop waits when neither a timer nor the endpoint lease comes due. Any long span would do.
+const maxLoopWait = time.Hour
 
 // ErrStopped says that the engine's loop has ended, as it does when the node shuts down: what was handed in has not been
 // and will not be done. A successor process serves on, or the node has to be started again.
@@ -39,10 +39,10 @@
 	Sender   Sender
 	// Subscribe asks the source for the endpoint list and its changes. The first call lets a source begin that polls by
 	// itself, as internal/discovery does; later ones change nothing there. It is called in the loop and must not block.
-	Subscribe func()
-	Metrics   *metrics.Reporter
-	Capture   *capture.Writer
-	Guard     *invariants.Guard // counts and logs broken invariants
+	Subscribe  func()
+	Metrics    *metrics.Reporter
+	Capture    *capture.Writer
+	Violations *invariants.Recorder // counts and logs broken invariants
 }
 
 // Engine is the host of one Balancer. Its methods may be called from any goroutine; unless they say otherwise, they block
@@ -51,16 +51,16 @@
 	Options
 
 	// What is handed to the loop.
-	updates            chan Update
-	commands           chan command
-	arrivals           chan *Call
-	clientsGone        chan *Call
-	results            chan Result
-	responses          chan responseStart
-	faultInjections    chan FaultInjectionStart
-	dumps              chan struct{} // buffers one request, so that DumpCapture need not block
-	endFaultInjections chan struct{} // closed by EndFaultInjections
-	stopped            chan struct{} // closed by Stop
+	updates              chan Update
+	commands             chan command
+	arrivals             chan *Call
+	clientsGone          chan *Call
+	results              chan Result
+	responses            chan responseStart
+	faultInjectionStarts chan FaultInjectionStart
+	captureDumps         chan struct{} // buffers one request, so that DumpCapture need not block
+	endFaultInjections   chan struct{} // closed by EndFaultInjections
+	stopped              chan struct{} // closed by Stop
 
 	// The loop's own state.
 	calls        map[string]*Call    // by request ID: those that are open or have an attempt out
@@ -86,22 +86,22 @@
 func New(o Options) *Engine {
 	endFaultInjections := make(chan struct{})
 	return &Engine{
-		Options:            o,
-		updates:            make(chan Update),
-		commands:           make(chan command),
-		arrivals:           make(chan *Call),
-		clientsGone:        make(chan *Call),
-		results:            make(chan Result),
-		responses:          make(chan responseStart),
-		faultInjections:    make(chan FaultInjectionStart),
-		dumps:              make(chan struct{}, 1),
-		endFaultInjections: endFaultInjections,
-		endPending:         endFaultInjections,
-		stopped:            make(chan struct{}),
-		calls:              map[string]*Call{},
-		endpoints:          map[string]Endpoint{},
-		targets:            map[string]*Target{},
-		lease:              newLeaseDeadline(),
+		Options:              o,
+		updates:              make(chan Update),
+		commands:             make(chan command),
+		arrivals:             make(chan *Call),
+		clientsGone:          make(chan *Call),
+		results:              make(chan Result),
+		responses:            make(chan responseStart),
+		faultInjectionStarts: make(chan FaultInjectionStart),
+		captureDumps:         make(chan struct{}, 1),
+		endFaultInjections:   endFaultInjections,
+		endPending:           endFaultInjections,
+		stopped:              make(chan struct{}),
+		calls:                map[string]*Call{},
+		endpoints:            map[string]Endpoint{},
+		targets:              map[string]*Target{},
+		lease:                newLeaseDeadline(),
 	}
 }
 
@@ -113,7 +113,7 @@
 // capture. It doesn't block; a request while another one waits is merged with it.
 func (e *Engine) DumpCapture() {
 	select {
-	case e.dumps <- struct{}{}:
+	case e.captureDumps <- struct{}{}:
 	default:
 	}
 }
@@ -125,7 +125,7 @@
 // Run is the event loop; it handles events until Stop. It must be called once, from a goroutine of its own. As it ends it
 // logs the last counters.
 func (e *Engine) Run() {
-	timer := time.NewTimer(noEventWait)
+	timer := time.NewTimer(maxLoopWait)
 	defer timer.Stop()
 	report := time.NewTicker(countersInterval)
 	defer report.Stop()
@@ -176,9 +176,9 @@
 		e.handleResult(r)
 	case r := <-e.responses:
 		e.handleResponseStart(r)
-	case s := <-e.faultInjections:
+	case s := <-e.faultInjectionStarts:
 		e.handleFaultInjectionStart(s)
-	case <-e.dumps:
+	case <-e.captureDumps:
 		e.Capture.Dump()
 	case <-e.endPending:
 		e.endPending = nil
@@ -196,11 +196,11 @@
 // nextDue is how long it takes until the next timer fires or the endpoint lease expires.
 func (e *Engine) nextDue() time.Duration {
 	now := e.Clock.Now()
-	wait := noEventWait
+	wait := maxLoopWait
 	if len(e.timers) > 0 {
 		wait = e.timers[0].At - now
 	}
-	if until := e.lease.until(); !e.leaseExpired && until-now < wait {
+	if until := e.lease.expiresAt(); !e.leaseExpired && until-now < wait {
 		wait = until - now
 	}
 	return wait
@@ -222,12 +222,12 @@
 		e.eventContext = capture.EventContext{}
 	}
 	for _, action := range actions {
-		e.carryOut(now, action)
+		e.execute(now, action)
 	}
 }
 
-// carryOut carries out one action of the balancer, which decided on it at a time of the engine's clock.
-func (e *Engine) carryOut(now time.Duration, action balancer.Action) {
+// execute carries out one action of the balancer, which decided on it at a time of the engine's clock.
+func (e *Engine) execute(now time.Duration, action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Send:
 		e.startAttempt(now, a)
@@ -238,7 +238,7 @@
 	case balancer.Deny:
 		e.deny(a)
 	case balancer.FaultInjected:
-		e.noteFaultInjected(a)
+		e.recordFaultInjected(a)
 	case balancer.Abort:
 		e.answer(a.ID, Answer{Verdict: Aborted, Status: a.Status, RetryAfter: a.RetryAfter})
 	case balancer.SetTimer:
--- a/internal/engine/faultinjection.go
+++ b/internal/engine/faultinjection.go
@@ -17,7 +17,7 @@
 // ErrStopped.
 func (e *Engine) StartFaultInjection(s FaultInjectionStart) error {
 	select {
-	case e.faultInjections <- s:
+	case e.faultInjectionStarts <- s:
 		return nil
 	case <-e.stopped:
 		return ErrStopped
@@ -30,8 +30,8 @@
 	e.dispatch(balancer.StartFaultInjection{Name: s.Name})
 }
 
-// noteFaultInjected counts and logs a call into which the balancer has injected a fault.
-func (e *Engine) noteFaultInjected(a balancer.FaultInjected) {
+// recordFaultInjected counts and logs a call into which the balancer has injected a fault.
+func (e *Engine) recordFaultInjected(a balancer.FaultInjected) {
 	c := e.calls[a.ID]
 	if c == nil {
 		return
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -10,7 +10,7 @@
 // written any more; new calls are rejected at once, with a Retry-After; and once discovery has confirmed the list, which
 // renews the lease, both the old attempt and new calls may be sent. Nodes had sent to draining servers for
 // seconds, because only the log heard of the expiry.
-func TestNothingIsSentOnAnExpiredList(t *testing.T) {
+func TestNoSendOnExpiredEndpointList(t *testing.T) {
 	withEngine(t, 10, func(t *testing.T, e *Engine, s *manualSender) {
 		const remaining = 300 * time.Millisecond
 		e.RenewLease(Lease{Until: time.Now().Add(remaining)})
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -44,7 +44,7 @@
 			return
 		}
 		if message.AckID > 0 {
-			c.acknowledged(message.AckID)
+			c.handleAck(message.AckID)
 			continue
 		}
 		receive(message)
@@ -54,8 +54,8 @@
 	}
 }
 
-// acknowledged ends the wait of the Send with an ID, if it still waits.
-func (c *Conn) acknowledged(id int) {
+// handleAck ends the wait of the Send with an ID, if it still waits.
+func (c *Conn) handleAck(id int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if acked := c.pending[id]; acked != nil {
@@ -74,13 +74,13 @@
 	if err := c.write(message); err != nil {
 		return err
 	}
-	late := time.NewTimer(timeout)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-acked:
 		return nil
 	case <-c.closed:
-	case <-late.C:
+	case <-timer.C:
 	}
 	return ErrOtherProcessGone
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -34,8 +34,8 @@
 const (
 	// handoverTimeout bounds each step of a handover and each write: a process that hangs must not hold up its successor.
 	handoverTimeout = time.Second
-	// maxSocketPath is how many bytes the path of the socket may have: the system takes 107, and Listen appends a process ID.
-	maxSocketPath = 100
+	// maxSocketPathLength is how many bytes the path of the socket may have: the system takes 107, and Listen appends a process ID.
+	maxSocketPathLength = 100
 )
 
 // HandoverState is what the old process hands to the new one.
@@ -77,7 +77,7 @@
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s\n%s", node, listen)
 	path := filepath.Join(dir, fmt.Sprintf("hookwalk-%016x.sock", hash.Sum64()))
-	if len(path) > maxSocketPath {
+	if len(path) > maxSocketPathLength {
 		return path, ErrSocketPathTooLong
 	}
 	return path, nil
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -166,7 +166,7 @@
 
 // A node finds again what operators said to it. A file of another node that shares the folder must not be used, and neither
 // must one with more servers than operators may disable.
-func TestStoreIsOfOneNode(t *testing.T) {
+func TestStoreBelongsToOneNode(t *testing.T) {
 	path := socketPath(t)
 	mine := NewStore(path, "n0", "a:1", func() {})
 	if got, found := mine.Read(); found.Body != nil || found.Errors != nil || !reflect.DeepEqual(got, OperatorState{}) {
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -12,16 +12,16 @@
 // Listen opens the socket at a path, in place of whoever listened there before. It is made under another name and renamed:
 // a process that connects in between finds the old socket or the new one, never none.
 func Listen(path string) (*Listener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh) // of a killed process with the same ID
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary) // of a killed process with the same ID
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false) // by then another process may listen at the path
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		ln.Close()
-		os.Remove(fresh)
+		os.Remove(temporary)
 		return nil, err
 	}
 	return &Listener{ln}, nil
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -21,8 +21,8 @@
 
 // NewStore keeps a file beside the path of SocketPath. onBusy is called when another process does not release the file's
 // lock in time.
-func NewStore(path, node, listen string, onBusy func()) *Store {
-	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnBusy: onBusy}}
+func NewStore(path, node, listen string, onLockTimeout func()) *Store {
+	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnLockTimeout: onLockTimeout}}
 }
 
 // Save has on disk what current returns. current is called while no other process writes. See state.Store.
--- a/internal/hotrestart/takeover.go
+++ b/internal/hotrestart/takeover.go
@@ -65,32 +65,32 @@
 	return state, nil
 }
 
-// noListener is ErrNoListener with what is wrong, if that is known.
-func noListener(err error) error {
+// noListenerError is ErrNoListener with what is wrong, if that is known.
+func noListenerError(err error) error {
 	if err == nil {
 		return ErrNoListener
 	}
 	return fmt.Errorf("%w: %w", ErrNoListener, err)
 }
 
-// descriptorBytes is the size of a descriptor in a control message.
-const descriptorBytes = 4
+// descriptorSize is the size of a descriptor in a control message.
+const descriptorSize = 4
 
 // receiveListener reads the one byte that carries the listening socket. It is the very socket of the old process, so that
 // connections that wait in its queue are not lost.
 func receiveListener(socket *net.UnixConn) (net.Listener, error) {
-	data, control := make([]byte, 1), make([]byte, syscall.CmsgSpace(descriptorBytes))
+	data, control := make([]byte, 1), make([]byte, syscall.CmsgSpace(descriptorSize))
 	_, n, _, _, err := socket.ReadMsgUnix(data, control)
 	if err != nil {
 		return nil, err
 	}
 	messages, err := syscall.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) != 1 {
-		return nil, noListener(err)
+		return nil, noListenerError(err)
 	}
 	descriptors, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(descriptors) != 1 {
-		return nil, noListener(err)
+		return nil, noListenerError(err)
 	}
 	syscall.CloseOnExec(descriptors[0])
 	f := os.NewFile(uintptr(descriptors[0]), "listener")
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -54,10 +54,10 @@
 
 func (a *attemptRun) run() *engine.Result {
 	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.unsendable()) {
-		return a.ended(balancer.NotSent, engine.GroundBodyUsed)
+		return a.ended(balancer.NotSent, engine.ReasonBodyIncomplete)
 	}
 	if !a.att.MaySend(a.pool.clock.Now()) {
-		return a.ended(balancer.NotSent, engine.GroundOver)
+		return a.ended(balancer.NotSent, engine.ReasonSendNotAllowed)
 	}
 	if failure := a.connect(); failure != nil {
 		return failure
@@ -70,13 +70,13 @@
 }
 
 // ended is the result of an attempt that ended without an error worth logging.
-func (a *attemptRun) ended(outcome balancer.Outcome, ground engine.Ground) *engine.Result {
-	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground})
+func (a *attemptRun) ended(outcome balancer.Outcome, ground engine.Reason) *engine.Result {
+	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Reason: ground})
 }
 
 // failed is the result of an attempt without a response.
-func (a *attemptRun) failed(outcome balancer.Outcome, ground engine.Ground, err error) *engine.Result {
-	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground, Err: err})
+func (a *attemptRun) failed(outcome balancer.Outcome, ground engine.Reason, err error) *engine.Result {
+	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Reason: ground, Err: err})
 }
 
 // describe adds what is logged of the attempt's connection to a result.
@@ -99,22 +99,22 @@
 	for {
 		c, fresh, err := a.pool.acquireOrDial(a.att)
 		if errors.Is(err, errNoDescriptor) {
-			return a.ended(balancer.NotSent, engine.GroundNoDescriptor)
+			return a.ended(balancer.NotSent, engine.ReasonNoDescriptor)
 		}
 		if a.conn = c; err != nil {
-			return a.failed(balancer.Unreachable, engine.GroundNoConnection, err)
+			return a.failed(balancer.Unreachable, engine.ReasonNoConnection, err)
 		}
 		// Connecting takes time: the request may be over by now, or the server may have begun to drain.
 		if !a.att.MaySend(a.pool.clock.Now()) {
 			a.conn = nil
 			a.pool.release(c)
-			return a.ended(balancer.NotSent, engine.GroundOver)
+			return a.ended(balancer.NotSent, engine.ReasonSendNotAllowed)
 		}
 		if a.pool.markRequestSent(c) {
 			return nil
 		}
 		if fresh {
-			return a.failed(balancer.Unreachable, engine.GroundNoConnection, errClosedBeforeRequest)
+			return a.failed(balancer.Unreachable, engine.ReasonNoConnection, errClosedBeforeRequest)
 		}
 	}
 }
@@ -129,17 +129,17 @@
 	left := a.att.Deadline - writeBegan
 	request := encodeRequest(a.req, left)
 	written, err := a.conn.Write(request)
-	a.att.Sent(writeBegan, left)
+	a.att.CheckSend(writeBegan, left)
 	a.written = written == len(request)
 	switch {
 	case err == nil:
 		return a.att.Started, nil
 	case a.written:
 		a.pool.close(a.conn, closedForRequest)
-		return 0, a.failed(balancer.ConnectionLost, engine.GroundEnded, err)
+		return 0, a.failed(balancer.ConnectionLost, engine.ReasonNoResponse, err)
 	}
 	a.pool.close(a.conn, closedForRequest)
-	return 0, a.failed(balancer.Unreachable, engine.GroundNotWritten, err)
+	return 0, a.failed(balancer.Unreachable, engine.ReasonLastByteNotWritten, err)
 }
 
 // sendStreamed writes a request whose body is streamed. The server's time counts from the last byte.
@@ -152,14 +152,14 @@
 	outcome := a.conn.incompleteSendOutcome()
 	a.pool.close(a.conn, closedForRequest)
 	if a.req.remaining.unsendable() {
-		return 0, a.ended(balancer.NotSent, engine.GroundBodyUsed) // the client's fault: it says nothing of the server
+		return 0, a.ended(balancer.NotSent, engine.ReasonBodyIncomplete) // the client's fault: it says nothing of the server
 	}
-	return 0, a.failed(outcome, engine.GroundNotWritten, err)
+	return 0, a.failed(outcome, engine.ReasonLastByteNotWritten, err)
 }
 
 func (a *attemptRun) writeStreamed() error {
 	began := a.pool.clock.Now()
-	defer a.att.Sent(began, notFromFirstByte)
+	defer a.att.CheckSend(began, notFromFirstByte)
 	out := upstreamRequest(a.req, a.att.Timeout)
 	out.ContentLength = a.req.contentLength
 	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.req.body), remainingBody{a.req.remaining}))
@@ -202,12 +202,12 @@
 	response := <-a.conn.responses
 	switch {
 	case errors.Is(response.err, os.ErrDeadlineExceeded):
-		return a.failed(balancer.TimedOut, engine.GroundDeadline, errResponseTimeout) // readLoop has closed the connection
+		return a.failed(balancer.TimedOut, engine.ReasonDeadline, errResponseTimeout) // readLoop has closed the connection
 	case response.err != nil:
-		return a.failed(balancer.ConnectionLost, engine.GroundEnded, response.err)
+		return a.failed(balancer.ConnectionLost, engine.ReasonNoResponse, response.err)
 	}
 	outcome, ground := a.outcomeOf(response)
-	result := &engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground, Reply: response}
+	result := &engine.Result{Attempt: a.att, Outcome: outcome, Reason: ground, Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
 		result.Latency = max(a.pool.clock.Now()-began, 1)
 	}
@@ -234,15 +234,15 @@
 
 // outcomeOf is the outcome of an attempt that a response has ended. A rejection on a connection that may have another
 // request's response on it does not say that this one did not run.
-func (a *attemptRun) outcomeOf(response *upstreamResponse) (balancer.Outcome, engine.Ground) {
+func (a *attemptRun) outcomeOf(response *upstreamResponse) (balancer.Outcome, engine.Reason) {
 	outcome := responseOutcome(response.head)
 	switch {
 	case outcome != balancer.Overloaded:
-		return outcome, engine.GroundResponse
+		return outcome, engine.ReasonResponse
 	case a.conn.uses > 1 && a.conn.idleBefore < suspectReuseDelay && a.pool.isSuspect(a.conn.target):
-		return balancer.Failure, engine.GroundDoubt
+		return balancer.Failure, engine.ReasonRejectionInDoubt
 	}
-	return outcome, engine.GroundRejection
+	return outcome, engine.ReasonMarkedRejection
 }
 
 // passStream has a streamed response passed to its client and waits for the end. It returns false if the response was not
@@ -254,7 +254,7 @@
 		close(stream.released)
 		result.Reply = nil
 		if result.Outcome == balancer.Success { // nobody waits for it
-			result.Outcome, result.Ground = balancer.Canceled, engine.GroundNotPassedOn
+			result.Outcome, result.Reason = balancer.Canceled, engine.ReasonResponseNotForwarded
 		}
 		return false
 	}
@@ -264,9 +264,9 @@
 	}
 	response.unaskedBytes = a.conn.reader.Buffered() > 0
 	close(stream.released)
-	result.Outcome, result.Ground, result.Err = end.outcome, engine.GroundStreamFinished, end.err
+	result.Outcome, result.Reason, result.Err = end.outcome, engine.ReasonStreamFinished, end.err
 	if end.outcome != balancer.Success {
-		result.Ground = engine.GroundStreamBroken
+		result.Reason = engine.ReasonStreamBroken
 	}
 	return true
 }
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -46,7 +46,7 @@
 	faultKeys       *faultinjection.Keys
 	metrics         *metrics.Reporter    // nil: off
 	accessList      *balancer.AccessList // nil: every client is admitted
-	guard           *invariants.Guard
+	guard           *invariants.Recorder
 	ready           func() bool
 	endsConnections func() bool          // every response ends its connection
 	hardDeadline    func() time.Duration // the clock time by which every request is answered; 0: the node is not shutting down
@@ -97,7 +97,7 @@
 	}
 	if err != nil { // the client has gone, or the node ends and this connection was closed
 		closed := invariants.RequestEnd{ClientGone: errors.Is(err, engine.ErrClientGone)}
-		h.guard.Note(closed.Check(), "id", req.Request.ID, "err", err)
+		h.guard.Record(closed.Check(), "id", req.Request.ID, "err", err)
 		return statusClientGone
 	}
 	return h.writeResponse(w, conn, answer)
--- a/internal/node/lateanswer_test.go
+++ b/internal/node/lateanswer_test.go
@@ -93,7 +93,7 @@
 	att.Call.Payload.(*clientRequest).header.Set("X-Call-Id", id)
 	r := p.runAttempt(att)
 	if r.Outcome != balancer.Success {
-		t.Errorf("%s ended %v (%s)", id, r.Outcome, r.Ground)
+		t.Errorf("%s ended %v (%s)", id, r.Outcome, r.Reason)
 		return
 	}
 	switch body := responseBody(r); {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,12 +101,12 @@
 	n.lifecycle.Store(&lifecycle.Machine{})
 	n.balancerSettings.Store(&settings)
 	n.classes.Store(newClassTable(settings, nil, 0))
-	n.engine = engine.New(engine.Options{Clock: n.clock, Log: logger, Balancer: bal, Guard: invariants.NewGuard(logger)})
-	n.engine.Guard.Counted = func(invariants.Rule) { n.engine.Metrics.Count(metrics.Tags(0), metrics.Violations) }
+	n.engine = engine.New(engine.Options{Clock: n.clock, Log: logger, Balancer: bal, Violations: invariants.NewRecorder(logger)})
+	n.engine.Violations.OnViolation = func(invariants.Rule) { n.engine.Metrics.Count(metrics.Tags(0), metrics.Violations) }
 
 	available := cfg.Sockets - cfg.reservedDescriptors()
 	n.maxClientConns = available * clientDescriptorShare / descriptorShares
-	n.pool = newConnPool(n.clock, cfg, available-n.maxClientConns, n.engine.AttemptEnded, n.engine.PassResponse)
+	n.pool = newConnPool(n.clock, cfg, available-n.maxClientConns, n.engine.AttemptEnded, n.engine.ForwardResponse)
 	n.pool.log = logger
 	n.pool.count = func(c metrics.Counter) { n.engine.Metrics.Count(metrics.Tags(0), c) }
 	n.discovery = discovery.New(discovery.Config{Addr: cfg.Discovery, Polled: cfg.Settings.PollDiscovery,
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -108,7 +108,7 @@
 			faultKeys:       faultinjection.NewKeys(n.cfg.Features.FaultInjections),
 			metrics:         n.engine.Metrics,
 			accessList:      n.accessList,
-			guard:           n.engine.Guard,
+			guard:           n.engine.Violations,
 			endsConnections: func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) },
 			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() },
 		},
--- a/internal/node/suspicion_test.go
+++ b/internal/node/suspicion_test.go
@@ -173,8 +173,8 @@
 	p.historyOf(att.Target).suspectedUntil = p.clock.Now() + suspicionTime
 	p.mu.Unlock()
 	close(release)
-	if r := <-ended; r.Outcome != balancer.Failure || r.Ground != engine.GroundDoubt {
-		t.Errorf("ended %v (%s), want Failure", r.Outcome, r.Ground)
+	if r := <-ended; r.Outcome != balancer.Failure || r.Reason != engine.ReasonRejectionInDoubt {
+		t.Errorf("ended %v (%s), want Failure", r.Outcome, r.Reason)
 	}
 	// On a new connection nothing else can have been on its way, and on one that has been idle for long it would have come.
 	if r := p.runAttempt(again(att)); r.Outcome != balancer.Overloaded {
--- a/internal/state/lock.go
+++ b/internal/state/lock.go
@@ -16,8 +16,8 @@
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// ErrBusy says that the lock was not released within LockTimeout.
-var ErrBusy = fmt.Errorf("state: another process did not release the lock within %v: look at the processes of this node", LockTimeout)
+// ErrLockTimeout says that the lock was not released within LockTimeout.
+var ErrLockTimeout = fmt.Errorf("state: another process did not release the lock within %v: look at the processes of this node", LockTimeout)
 
 // Lock keeps other processes and goroutines from what is at path until release, which may be called after an error too. The
 // error is ErrBusy where the holder hangs or is slow. The system releases the lock of a process that is killed.
@@ -30,7 +30,7 @@
 	case locked:
 		return func() { lock.Close() }, nil
 	case errors.Is(err, context.DeadlineExceeded):
-		return func() {}, ErrBusy
+		return func() {}, ErrLockTimeout
 	}
 	return func() {}, fmt.Errorf("state: %w", err)
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// writesVariable names the file that the test binary, started as a child process, writes again and again.
-const writesVariable = "STATE_WRITES"
+// writerPathVariable names the file that the test binary, started as a child process, writes again and again.
+const writerPathVariable = "STATE_WRITES"
 
 // TestMain lets the test binary stand in for a process that writes until it is killed.
 func TestMain(m *testing.M) {
-	path := os.Getenv(writesVariable)
+	path := os.Getenv(writerPathVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
@@ -38,8 +38,8 @@
 	return json.RawMessage(`{"n":` + strconv.Itoa(n) + `,"fill":"` + strings.Repeat(strconv.Itoa(n%10), 40000) + `"}`)
 }
 
-// number is the n of a body, which must be complete.
-func number(t testing.TB, text json.RawMessage) int {
+// bodyNumber is the n of a body, which must be complete.
+func bodyNumber(t testing.TB, text json.RawMessage) int {
 	t.Helper()
 	var b struct{ N int }
 	if err := json.Unmarshal(text, &b); err != nil || string(text) != string(body(b.N)) {
@@ -50,12 +50,12 @@
 
 // A node is killed while it writes its state. Whichever step of Write that hits, the file that it leaves is complete and no
 // older than the last of which Write said that it is on disk; and the next Write removes what was left half written.
-func TestFileSurvivesAKillDuringWrite(t *testing.T) {
+func TestFileSurvivesKillDuringWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
 	for kill := range 25 {
 		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), writesVariable+"="+path)
+		child.Env = append(os.Environ(), writerPathVariable+"="+path)
 		out, err := child.StdoutPipe()
 		if err == nil {
 			err = child.Start()
@@ -74,7 +74,7 @@
 		}
 		child.Wait()
 		got := Read(path, "me")
-		if n := number(t, got.Body); n < written || n > written+1 || got.Previous || len(got.Errors) > 0 || got.Age == UnknownAge || got.Age > time.Minute {
+		if n := bodyNumber(t, got.Body); n < written || n > written+1 || got.Previous || len(got.Errors) > 0 || got.Age == UnknownAge || got.Age > time.Minute {
 			t.Fatalf("%d was written, found %d, age %v, previous %v, errors %v", written, n, got.Age, got.Previous, got.Errors)
 		}
 	}
@@ -89,7 +89,7 @@
 // A node is killed after the present file got its second name and before the new one took its place, so that both names are
 // of one file. The next Write leaves nothing beside the file and the previous one: renaming one name of a file to another
 // name of it does nothing, and leaves both.
-func TestWriteAfterAKillBetweenItsRenames(t *testing.T) {
+func TestWriteAfterKillBetweenLinkAndRename(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
 	if err := errors.Join(Write(path, "me", body(0)), os.Link(path, previousPath(path)), Write(path, "me", body(1))); err != nil {
@@ -101,13 +101,13 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if got := Read(path, "me"); number(t, got.Body) != 0 || !got.Previous {
+	if got := Read(path, "me"); bodyNumber(t, got.Body) != 0 || !got.Previous {
 		t.Errorf("previous file: %.40s, errors %v", got.Body, got.Errors)
 	}
 }
 
-// put makes a file of this node that is good but for the change.
-func put(path string, change func(*file)) error {
+// writeModifiedFile makes a file of this node that is good but for the change.
+func writeModifiedFile(path string, change func(*file)) error {
 	f := file{Version: Version, Owner: "me", Body: body(1)}
 	f.BootID, f.SinceBoot = BootClock()
 	change(&f)
@@ -130,21 +130,21 @@
 		reason func(error) bool
 		damage func(path string) error
 	}{
-		"empty":          {is(ErrDamaged), func(p string) error { return os.WriteFile(p, nil, 0o600) }},
-		"truncated":      {is(ErrDamaged), func(p string) error { return os.Truncate(p, 900) }},
-		"not JSON":       {is(ErrDamaged), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
-		"a byte changed": {is(ErrChecksum), func(p string) error { return put(p, func(f *file) { f.Checksum = f.checksum() ^ 1 }) }},
+		"empty":          {wraps(ErrDamaged), func(p string) error { return os.WriteFile(p, nil, 0o600) }},
+		"truncated":      {wraps(ErrDamaged), func(p string) error { return os.Truncate(p, 900) }},
+		"not JSON":       {wraps(ErrDamaged), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
+		"a byte changed": {wraps(ErrChecksum), func(p string) error { return writeModifiedFile(p, func(f *file) { f.Checksum = f.checksum() ^ 1 }) }},
 		"of another owner": {func(err error) bool {
 			var owner *OwnerError
 			return errors.As(err, &owner) && owner.Owner == "you"
-		}, func(p string) error { return put(p, func(f *file) { f.Owner = "you" }) }},
+		}, func(p string) error { return writeModifiedFile(p, func(f *file) { f.Owner = "you" }) }},
 		"of a later version": {func(err error) bool {
 			var version *VersionError
 			return errors.As(err, &version) && version.Version == Version+1
-		}, func(p string) error { return put(p, func(f *file) { f.Version = Version + 1 }) }},
-		"too large": {is(ErrTooLarge), func(p string) error { return os.Truncate(p, 1<<40) }},
-		"a folder":  {is(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
-		"a pipe":    {is(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
+		}, func(p string) error { return writeModifiedFile(p, func(f *file) { f.Version = Version + 1 }) }},
+		"too large": {wraps(ErrTooLarge), func(p string) error { return os.Truncate(p, 1<<40) }},
+		"a folder":  {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
+		"a pipe":    {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "[s")
@@ -158,7 +158,7 @@
 					t.Fatal(err)
 				}
 				got := Read(path, "me")
-				if n := number(t, got.Body); n > 1 || !got.Previous || len(got.Errors) != 1 || !tc.reason(got.Errors[0]) || !strings.HasPrefix(got.Errors[0].Error(), path+": ") {
+				if n := bodyNumber(t, got.Body); n > 1 || !got.Previous || len(got.Errors) != 1 || !tc.reason(got.Errors[0]) || !strings.HasPrefix(got.Errors[0].Error(), path+": ") {
 					t.Errorf("found %d, previous %v, errors %v", n, got.Previous, got.Errors)
 				}
 				if name == "a folder" { // which Write does not replace
@@ -178,14 +178,14 @@
 	}
 }
 
-// is makes a check that an error wraps another.
-func is(target error) func(error) bool {
+// wraps makes a check that an error wraps another.
+func wraps(target error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, target) }
 }
 
 // A node uses the age of what it finds to judge how much it is worth. A wrong age is worse than none: a file of another run
 // of the machine, or from the future, has none, and neither has one of version 1, which is read all the same.
-func TestAgeIsMeasuredByTheBootClock(t *testing.T) {
+func TestAgeUsesBootClock(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change   func(*file)
 		from, to time.Duration
@@ -197,10 +197,10 @@
 		"of version 1":    {func(f *file) { *f = file{Version: 1, Body: f.Body, Checksum: checksumVersion1(f.Body)} }, UnknownAge, UnknownAge},
 	} {
 		path := filepath.Join(t.TempDir(), "s")
-		if err := put(path, tc.change); err != nil {
+		if err := writeModifiedFile(path, tc.change); err != nil {
 			t.Fatal(err)
 		}
-		if got := Read(path, "me"); number(t, got.Body) != 1 || got.Age < tc.from || got.Age > tc.to {
+		if got := Read(path, "me"); bodyNumber(t, got.Body) != 1 || got.Age < tc.from || got.Age > tc.to {
 			t.Errorf("%s: age %v, errors %v", name, got.Age, got.Errors)
 		}
 	}
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -13,7 +13,7 @@
 
 // Two processes of a node have a Store of one path, and operators call both at once. An operator who was answered relies on
 // it that the change is on disk: when a call of Save returns, what its caller changed before is there.
-func TestEachCallersChangeIsOnDisk(t *testing.T) {
+func TestSavePersistsChangesOfConcurrentCallers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	var set [64]atomic.Bool // known to both, as the processes notify each other before they write
 	current := func() (json.RawMessage, error) {
@@ -26,7 +26,7 @@
 		return json.Marshal(on)
 	}
 	var callers sync.WaitGroup
-	stores := []*Store{{Path: path, Owner: "me", OnBusy: func() {}}, {Path: path, Owner: "me", OnBusy: func() {}}}
+	stores := []*Store{{Path: path, Owner: "me", OnLockTimeout: func() {}}, {Path: path, Owner: "me", OnLockTimeout: func() {}}}
 	for i := range set {
 		callers.Go(func() {
 			set[i].Store(true)
@@ -42,8 +42,8 @@
 
 // Many callers wait while one writes. They share the next write, or each would cost a sync of the disk. Where that fails, the
 // caller that made it has the error, and the others write anew: none is told of success that was not.
-func TestWaitingCallersShareAWrite(t *testing.T) {
-	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() {}}
+func TestWaitingCallersShareWrite(t *testing.T) {
+	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnLockTimeout: func() {}}
 	resume, writing, writes, failed := make(chan struct{}), make(chan struct{}), 0, errors.New("no")
 	current := func() (json.RawMessage, error) {
 		writes++
@@ -80,9 +80,9 @@
 
 // A process hangs while it holds the lock, and another is started to replace it. What operators say must still be kept: Save
 // waits for LockTimeout, reports it through OnBusy, and writes. Once the lock is released there is no wait and no report.
-func TestSaveBesideAHungLockHolder(t *testing.T) {
+func TestSaveWithHungLockHolder(t *testing.T) {
 	busy := 0
-	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnBusy: func() { busy++ }}
+	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnLockTimeout: func() { busy++ }}
 	save := func(n int) {
 		t.Helper()
 		if err := store.Save(t.Context(), func() (json.RawMessage, error) { return json.Marshal(n) }); err != nil || busy != 1 {
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -56,21 +56,21 @@
 func replace(path, owner string, text []byte) error {
 	dir := filepath.Dir(path)
 	removeLeftovers(path)
-	fresh, err := renameio.NewPendingFile(path, renameio.WithTempDir(dir), renameio.WithStaticPermissions(filePermissions))
+	pending, err := renameio.NewPendingFile(path, renameio.WithTempDir(dir), renameio.WithStaticPermissions(filePermissions))
 	if err != nil {
 		return err
 	}
-	defer fresh.Cleanup()
-	if _, err := fresh.Write(text); err != nil {
+	defer pending.Cleanup()
+	if _, err := pending.Write(text); err != nil {
 		return err
 	}
 	if err := keepPrevious(path, owner); err != nil {
 		return err
 	}
-	if err := fresh.CloseAtomicallyReplace(); err != nil { // syncs the file first
+	if err := pending.CloseAtomicallyReplace(); err != nil { // syncs the file first
 		return err
 	}
-	return syncFolder(dir)
+	return syncDir(dir)
 }
 
 // keepPrevious gives the present file its second name. A file that can't be used never takes the place of the last one
@@ -91,9 +91,9 @@
 // linkPath is the name that the present file has until it is renamed to previousPath.
 func linkPath(path string) string { return previousPath(path) + ".new" }
 
-// syncFolder puts the names of a folder's files on disk: without it a loss of power may bring the old file back after the
+// syncDir puts the names of a folder's files on disk: without it a loss of power may bring the old file back after the
 // caller was told that the new one is there.
-func syncFolder(dir string) error {
+func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/invariants/checks.go
+++ b/invariants/checks.go
@@ -33,13 +33,13 @@
 	if s.Stopped <= 0 {
 		return nil
 	}
-	return exceeds(Drain, "a request was sent to a server that is out of service", s.Began-s.Stopped-DrainGrace)
+	return timeLimitViolation(Drain, "a request was sent to a server that is out of service", s.Began-s.Stopped-DrainGrace)
 }
 
 // checkLease: nothing is sent later than DrainGrace after the endpoint list expired. Discovery may have announced long ago
 // that the server drains, with this node cut off from it.
 func (s Send) checkLease() *Violation {
-	return exceeds(Drain, "a request was sent on an endpoint list that had expired", s.Began-s.ListExpires-DrainGrace)
+	return timeLimitViolation(Drain, "a request was sent on an endpoint list that had expired", s.Began-s.ListExpires-DrainGrace)
 }
 
 // checkClient: nothing is sent later than ClientGoneGrace after the client has gone.
@@ -47,7 +47,7 @@
 	if s.ClientGone <= 0 {
 		return nil
 	}
-	return exceeds(Lost, "a request was sent for a client that had gone", s.Began-s.ClientGone-ClientGoneGrace)
+	return timeLimitViolation(Lost, "a request was sent for a client that had gone", s.Began-s.ClientGone-ClientGoneGrace)
 }
 
 // checkBudget: the server is told at most the time that the client has left, and BudgetSlack.
@@ -56,7 +56,7 @@
 		return nil
 	}
 	remaining := s.Deadline - s.Began
-	return exceeds(Budget, "a server was told more time than its client has left", s.AnnouncedTimeout-remaining-BudgetSlack)
+	return timeLimitViolation(Budget, "a server was told more time than its client has left", s.AnnouncedTimeout-remaining-BudgetSlack)
 }
 
 // Retry is a further attempt of a request that is about to start.
@@ -73,11 +73,11 @@
 func (r Retry) Check() *Violation {
 	switch {
 	case r.Outstanding > 0:
-		return &Violation{Rule: Duplicate, What: "a request was retried while an attempt was outstanding"}
+		return &Violation{Rule: Duplicate, Description: "a request was retried while an attempt was outstanding"}
 	case r.MayHaveRun && !r.Retryable:
-		return &Violation{Rule: Duplicate, What: "a request that may have run and must not run twice was retried"}
+		return &Violation{Rule: Duplicate, Description: "a request that may have run and must not run twice was retried"}
 	case r.Attempts >= r.MaxAttempts:
-		return &Violation{Rule: Duplicate, What: "a request was retried more often than the settings allow"}
+		return &Violation{Rule: Duplicate, Description: "a request was retried more often than the settings allow"}
 	}
 	return nil
 }
@@ -99,11 +99,11 @@
 func (c RequestEnd) Check() *Violation {
 	switch {
 	case c.Rejected && c.MayHaveRun && !c.Retryable:
-		return &Violation{Rule: Duplicate, What: "a request that may have run and must not run twice was rejected"}
+		return &Violation{Rule: Duplicate, Description: "a request that may have run and must not run twice was rejected"}
 	case !c.Answered && !c.ClientGone:
-		return &Violation{Rule: Lost, What: "a request was closed without an answer"}
+		return &Violation{Rule: Lost, Description: "a request was closed without an answer"}
 	case c.Answered:
-		return exceeds(Lost, "an answer came after its deadline", c.At-c.Deadline-AnswerSlack)
+		return timeLimitViolation(Lost, "an answer came after its deadline", c.At-c.Deadline-AnswerSlack)
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 // Check returns the violation of SlowStart by the start of an attempt, if any.
 func (s SlowStartSend) Check() *Violation {
 	if s.WarmingUp && s.Outstanding > 0 {
-		return &Violation{Rule: SlowStart, What: "a server in slow start got a second attempt of this node at once"}
+		return &Violation{Rule: SlowStart, Description: "a server in slow start got a second attempt of this node at once"}
 	}
 	return nil
 }
--- a/invariants/checks_test.go
+++ b/invariants/checks_test.go
@@ -8,7 +8,7 @@
 const ms = time.Millisecond
 
 // Each limit is tried at its last allowed value and right behind it.
-func TestRulesAtTheirLimits(t *testing.T) {
+func TestChecksAtLimits(t *testing.T) {
 	allowed := Send{Began: 1000 * ms, ListExpires: 2000 * ms, Deadline: 3000 * ms, AnnouncedTimeout: 2000 * ms}
 	send := func(change func(*Send)) *Violation {
 		s := allowed
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -62,24 +62,24 @@
 
 // Violation says which rule was broken, how, and by how much.
 type Violation struct {
-	Rule   Rule
-	What   string
-	Excess time.Duration // over the rule's limit; 0 where the rule has no limit in time
+	Rule        Rule
+	Description string
+	Excess      time.Duration // over the rule's limit; 0 where the rule has no limit in time
 }
 
 // Error describes the violation and says what an operator can do.
 func (v *Violation) Error() string {
-	text := fmt.Sprintf("invariant %v broken: %s", v.Rule, v.What)
+	text := fmt.Sprintf("invariant %v broken: %s", v.Rule, v.Description)
 	if v.Excess > 0 {
 		text += fmt.Sprintf(", by %v", v.Excess)
 	}
 	return text + "; keep the node's log and capture, and report it"
 }
 
-// exceeds is the violation of a limit in time: nil unless excess, the time over the limit, is positive.
-func exceeds(rule Rule, what string, excess time.Duration) *Violation {
+// timeLimitViolation is the violation of a limit in time: nil unless excess, the time over the limit, is positive.
+func timeLimitViolation(rule Rule, what string, excess time.Duration) *Violation {
 	if excess <= 0 {
 		return nil
 	}
-	return &Violation{Rule: rule, What: what, Excess: excess}
+	return &Violation{Rule: rule, Description: what, Excess: excess}
 }
