--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -8,37 +8,37 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// Attempt is one send of a call to a server.
+// Attempt is one attempt of a call: it sends the call's request to one server.
 //
-// An attempt is in one of these states. The Sender that has it carries it from one to the next; the event loop takes note:
+// An attempt is in one of the following states. Its Sender makes the transitions and notifies the event loop:
 //
-//   - started: the loop has handed it to Sender.Start. Nothing has been written; it may still wait for a connection.
-//     MaySend says whether it may go on.
-//   - sent: its first byte has been written (Sent), and its server may run it. It is never recalled; it ends with its
-//     response, a broken connection or its Deadline.
-//   - streaming: its response has begun and is the client's (ResponseStarted, PassResponse).
-//   - ended: its one Result has been handed in (AttemptEnded). An attempt may end from any state, also unsent.
+//   - started: the loop has passed the attempt to Sender.Start. Nothing has been written; the attempt may still wait for a
+//     connection. MaySend reports whether it may be sent.
+//   - sent: the first byte has been written (CheckSend), so the server may run the request. A sent request can't be
+//     withdrawn: the attempt ends with the response, a broken connection or the Deadline.
+//   - streaming: the response has begun and is being forwarded to the client (ResponseStarted, ForwardResponse).
+//   - ended: the Result has been delivered (AttemptEnded). An attempt may end in any state, even before it is sent.
 type Attempt struct {
 	Call   *Call
-	Number int // of the call's attempts, from 0
+	Number int // index among the call's attempts, from 0
 	Target *Target
-	// Deadline is when the attempt must have ended, by the engine's clock. Of a call with a streamed body it is only an
-	// upper bound: Timeout runs from the body's last byte.
+	// Deadline is when the attempt must have ended, on the engine's clock. For a call with a streamed body it is only an
+	// upper bound: Timeout starts at the body's last byte.
 	Deadline time.Duration
-	Timeout  time.Duration // how long the balancer waits for it
-	Started  time.Duration // when the Sender got it, by the engine's clock
+	Timeout  time.Duration // how long the balancer waits for the response
+	Started  time.Duration // when the attempt was passed to the Sender, on the engine's clock
 
-	streaming  bool           // the loop's own
-	lease      *leaseDeadline // on the endpoint list that has the target; nil: it has no end
+	streaming  bool           // accessed only by the event loop
+	lease      *leaseDeadline // on the endpoint list that contains the target; nil: the lease never expires
 	violations *invariants.Recorder
 }
 
-// Result is how an attempt ended.
+// Result says how an attempt ended.
 type Result struct {
 	Attempt *Attempt
 	Outcome balancer.Outcome
-	Reply   any           // of a success; goes into the answer
-	Latency time.Duration // of a stream: until its first message; 0: until the loop takes the result
+	Reply   any           // of a success: the response, which becomes Answer.Reply
+	Latency time.Duration // of a stream: until the first message; 0: the engine measures until it receives the result
 
 	// For the log: why there was no response, and the history of the attempt's connection.
 	Err            error
@@ -46,52 +46,53 @@
 	ConnectionAge  time.Duration
 	ConnectionIdle time.Duration
 
-	// For the log and the capture: what the outcome rests on, and how far the attempt came.
+	// For the log and the capture: the reason for the outcome, and how far the attempt progressed.
 	Reason     Reason
-	Connection uint64 // its number in this process; 0: the attempt had none
+	Connection uint64 // number of the connection in this process; 0: the attempt had none
 	Written    bool   // the request's last byte was written
 	ClosedBy   string // who or what closed the connection; "": it is open
 }
 
-// Reason is what an outcome rests on: for one that allows a retry, why the server can't have run the request, or that its
-// class allows a second run. Its text is what logs and captures have.
+// Reason explains the outcome of an attempt, in particular whether the server can have run the request. Logs and captures
+// contain its text.
 type Reason string
 
-// The grounds.
+// The reasons for an outcome.
 const (
-	ReasonResponse             Reason = "response"               // to this request, on a connection without anything else on its way
-	ReasonMarkedRejection      Reason = "marked rejection"       // such a response that says that the request did not run
+	ReasonResponse             Reason = "response"               // to this request: no other response is due on the connection
+	ReasonMarkedRejection      Reason = "marked rejection"       // the response says that the request did not run
 	ReasonRejectionInDoubt     Reason = "rejection in doubt"     // it may be the response to another request
-	ReasonSendNotAllowed       Reason = "nothing written: over"  // the call is over, its server gets nothing new, or the list has expired
+	ReasonSendNotAllowed       Reason = "nothing written: over"  // MaySend returned false
 	ReasonNoDescriptor         Reason = "no descriptor"          // nothing was written
-	ReasonBodyIncomplete       Reason = "body not complete"      // at the client's side; the last byte was not written
-	ReasonNoConnection         Reason = "no connection"          // none came up, or it had ended before the first byte
-	ReasonLastByteNotWritten   Reason = "last byte not written"  // the server can't have run it
-	ReasonNoResponse           Reason = "ended without response" // after the last byte: it may have run
-	ReasonDeadline             Reason = "deadline"               // likewise
-	ReasonResponseNotForwarded Reason = "response not passed on" // the client has gone
-	ReasonStreamFinished       Reason = "streamed to its end"    // a response that was passed on as it came
+	ReasonBodyIncomplete       Reason = "body not complete"      // the client did not send all of it
+	ReasonNoConnection         Reason = "no connection"          // connecting failed, or the server closed before the first byte
+	ReasonLastByteNotWritten   Reason = "last byte not written"  // the server can't have run the request
+	ReasonNoResponse           Reason = "ended without response" // after the last byte: the request may have run
+	ReasonDeadline             Reason = "deadline"               // after the last byte: the request may have run
+	ReasonResponseNotForwarded Reason = "response not passed on" // the client is gone
+	ReasonStreamFinished       Reason = "streamed to its end"    // all of the response was forwarded
 	ReasonStreamBroken         Reason = "stream broken off"      // by the server or by the client
 )
 
-// captureTrace is what the capture has of an attempt's end beside the balancer's event.
+// captureTrace returns the data about the end of an attempt that a capture records in addition to the event.
 func (r Result) captureTrace() capture.AttemptTrace {
 	return capture.AttemptTrace{Connection: r.Connection, Use: r.ConnectionUses, Idle: r.ConnectionIdle, Written: r.Written,
 		ClosedBy: r.ClosedBy, Ground: string(r.Reason)}
 }
 
-// Sender carries attempts to servers. The event loop calls its methods, which must not block.
+// Sender sends attempts to servers. The event loop calls its methods, which must not block.
 type Sender interface {
-	// Start begins an attempt. The Sender owes the engine one Result for it (Engine.AttemptEnded), whatever happens.
+	// Start starts an attempt. The Sender must deliver exactly one Result for it (Engine.AttemptEnded), whatever happens.
 	Start(*Attempt)
-	// Retire closes what is kept for a target that gets no new attempts, as idle connections. Attempts that are out go on.
+	// Retire releases the resources kept for a target that gets no new attempts, such as idle connections. Outstanding
+	// attempts continue.
 	Retire(*Target)
 }
 
-// MaySend says whether the attempt may still be written at a time of the engine's clock. A Sender calls it right before it
-// writes the first byte, from the attempt's own goroutine. What was true when the balancer chose the server may have changed
-// during a connect: the server has begun to drain, the endpoint list has expired, the client has gone. Without this check
-// such requests show as broken invariants "drain" and "lost".
+// MaySend reports whether the attempt may be sent at the time now of the engine's clock. The Sender calls it in the
+// attempt's goroutine immediately before it writes the first byte. While the Sender was connecting, the server may have
+// started to drain, the endpoint list may have expired, or the client may have gone. Without this check, such requests
+// violate the invariants "drain" and "lost".
 func (a *Attempt) MaySend(now time.Duration) bool {
 	c := a.Call
 	if a.lease.expired(now) || c.Closed() || c.clientGoneAt.Load() != 0 || a.Target.Stopped() || now >= a.Deadline {
@@ -100,9 +101,9 @@
 	return !c.Request.StreamedBody || c.ClientGone == nil || !c.ClientGone()
 }
 
-// CheckSend notes that the attempt's first byte was written at a time of the engine's clock, with announced as the time-out
-// that its server was told; 0: one that doesn't run from the first byte. Broken invariants are counted and logged. The
-// Sender calls it from the attempt's own goroutine.
+// CheckSend checks the invariants of an attempt that was sent, and counts and logs violations. began is the time
+// immediately before the first byte was written, on the engine's clock. announced is the timeout that was sent to the
+// server; 0 means that the timeout does not start at the first byte. The Sender calls it in the attempt's goroutine.
 func (a *Attempt) CheckSend(began, announced time.Duration) {
 	c := a.Call
 	send := invariants.Send{
@@ -116,40 +117,41 @@
 	a.violations.Record(send.Check(), a.logAttrs()...)
 }
 
-// logAttrs are the log attributes that name an attempt.
+// logAttrs returns the log attributes that identify an attempt.
 func (a *Attempt) logAttrs() []any {
 	return []any{"id", a.Call.Request.ID, "server", a.Target.ID, "attempt", a.Number}
 }
 
-// AttemptEnded hands in the result of an attempt. It blocks until the loop has taken it, so a Sender calls it from the
-// attempt's own goroutine. Engine.Stop must come after the results of all attempts.
+// AttemptEnded delivers the result of an attempt. It blocks until the event loop receives the result, so the Sender calls
+// it in the attempt's goroutine. It must return for all attempts before Engine.Stop is called.
 func (e *Engine) AttemptEnded(r Result) { e.results <- r }
 
-// ResponseStarted says that the streamed response to an attempt is passed on to the client from here on: its call is not
-// retried. It is for a Sender that has a way to the client of its own. It blocks as AttemptEnded does.
+// ResponseStarted notifies the engine that the streamed response to an attempt is forwarded to the client from now on, so
+// the call is not retried. It is for a Sender that forwards responses to the client without the ingress. It blocks like
+// AttemptEnded.
 func (e *Engine) ResponseStarted(a *Attempt) { e.responses <- responseStart{attempt: a} }
 
-// ForwardResponse says that the response to an attempt has begun and can be passed on as it comes: reply is the call's final
-// answer. It says whether the call was still open; if not, nobody takes the response. The attempt's Result is owed when the
-// response has ended. It blocks as AttemptEnded does.
+// ForwardResponse notifies the engine that the response to an attempt has begun and can be forwarded while it arrives.
+// reply becomes the final answer to the call. It reports whether the call was still open; if not, nobody reads the
+// response. The Sender must still deliver the attempt's Result when the response has ended. It blocks like AttemptEnded.
 func (e *Engine) ForwardResponse(a *Attempt, reply any) bool {
 	accepted := make(chan bool, 1)
 	e.responses <- responseStart{attempt: a, reply: reply, accepted: accepted}
 	return <-accepted
 }
 
-// responseStart is what a Sender hands in when the response to an attempt begins.
+// responseStart notifies the event loop that the response to an attempt has begun.
 type responseStart struct {
 	attempt  *Attempt
-	reply    any       // the call's final answer
-	accepted chan bool // buffers whether the call was open; nil: the client has its answer already
+	reply    any       // the final answer to the call, for ForwardResponse
+	accepted chan bool // buffers whether the call was still open; nil for ResponseStarted
 }
 
-// startAttempt hands an attempt to the Sender.
+// startAttempt creates an attempt and passes it to the Sender.
 func (e *Engine) startAttempt(now time.Duration, a balancer.Send) {
 	c := e.calls[a.ID]
 	if c == nil {
-		e.Log.Error("send for an unknown request", "id", a.ID)
+		e.Log.Error("balancer sent an unknown request", "id", a.ID, "server", a.Server)
 		return
 	}
 	attempt := &Attempt{
@@ -164,7 +166,7 @@
 	if c.Request.StreamedBody {
 		attempt.Deadline = now + c.BodyTimeout + a.Timeout
 	}
-	if attempt.Target == nil { // the server has left the list meanwhile: the attempt ends unsent
+	if attempt.Target == nil { // the server has left the list since: the attempt ends without being sent
 		attempt.Target = &Target{ID: a.Server}
 		attempt.Target.StopSending(now)
 	}
@@ -176,7 +178,7 @@
 	e.Sender.Start(attempt)
 }
 
-// handleResponseStart marks an attempt as streaming, and gives its call its final answer where the Sender asks for that.
+// handleResponseStart marks an attempt as streaming. For ForwardResponse, it also gives the call its final answer.
 func (e *Engine) handleResponseStart(r responseStart) {
 	c := r.attempt.Call
 	if r.accepted != nil {
@@ -191,12 +193,12 @@
 	e.dispatch(balancer.ResponseStarted{ID: c.Request.ID, Attempt: r.attempt.Number})
 }
 
-// handleResult takes up how an attempt ended: a success is its call's answer; of all else the balancer decides whether the
-// call is retried, rejected or failed.
+// handleResult handles the end of an attempt. A success becomes the answer to the call. For any other outcome, the balancer
+// decides whether to retry the call, reject it or fail it.
 func (e *Engine) handleResult(r Result) {
 	c := r.Attempt.Call
 	if c.clientGoneAt.Load() != 0 {
-		e.handleClientGone(c) // before the balancer decides on a retry for which there is no client
+		e.handleClientGone(c) // first, so that the balancer does not retry a call whose client is gone
 	}
 	c.outstanding--
 	r.Attempt.Target.outstanding--
@@ -207,7 +209,7 @@
 		e.checkAnswer(c, false)
 		e.serve(c, r.Reply)
 	}
-	if r.Attempt.streaming { // a stream is not retried: when it breaks its call is over, as its client has seen
+	if r.Attempt.streaming { // no retry of a streamed response: the client has already received a part of it
 		e.answer(c.Request.ID, Answer{Verdict: Failed})
 	}
 	latency := r.Latency
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -7,8 +7,9 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// The response to an attempt streams to the client, then the connection to the server breaks. The client has seen a part, so
-// there is no retry, also of an idempotent call: the call fails, and nothing of it is kept. Once such calls were kept for ever.
+// The connection to the server breaks while the response is streamed to the client. The client has received a part of the
+// response, so not even an idempotent call may be retried: the call must fail and be removed. A bug kept such calls in
+// Engine.calls forever.
 func TestBrokenStreamFailsCall(t *testing.T) {
 	for _, outcome := range []balancer.Outcome{balancer.ConnectionLost, balancer.Failure, balancer.Overloaded, balancer.TimedOut} {
 		withEngine(t, 3, func(t *testing.T, e *Engine, s *manualSender) {
@@ -17,11 +18,11 @@
 			e.ResponseStarted(a)
 			e.AttemptEnded(Result{Attempt: a, Outcome: outcome})
 			if answer := receive(t, got); answer.Verdict != Failed {
-				t.Errorf("outcome %v: answered %+v", outcome, answer)
+				t.Errorf("outcome %v: got answer %+v, want Failed", outcome, answer)
 			}
 			synctest.Wait()
 			if len(e.calls) > 0 || len(s.started) > 0 {
-				t.Errorf("outcome %v: %d calls kept, %d more attempts", outcome, len(e.calls), len(s.started))
+				t.Errorf("outcome %v: %d calls not removed, %d further attempts started", outcome, len(e.calls), len(s.started))
 			}
 		})
 	}
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,96 +12,99 @@
 	"hookwalk.example/hookwalk/internal/metrics"
 )
 
-// ErrClientGone says that a call has no answer because its client has closed or cancelled it. Nothing more is sent for it,
-// and there is nobody to answer.
-var ErrClientGone = errors.New("the client has gone: the call was closed or canceled before its answer")
+// ErrClientGone means that a call has no answer because its client closed the connection or canceled the call. Nothing more
+// is sent for the call.
+var ErrClientGone = errors.New("the client is gone: it closed the connection or canceled the call before the final answer")
 
-// Call is one request of a client. The ingress fills the exported fields and hands it in once (Do); it must not change
-// them afterwards.
+// Call is one request of a client. The ingress sets the exported fields and submits the call once (Do). It must not change
+// the fields afterwards.
 //
-// A call is in one of these states. All changes are the event loop's but for the one to "client gone", which Do records
-// first (clientGoneAt) and the loop takes up later:
+// A call is in one of the following states. The event loop makes all transitions, except that Do records first that the
+// client is gone (clientGoneAt), and the loop handles that later.
 //
-//   - arriving: Do waits for the loop to take the call. The balancer does not know it yet.
-//   - queued: the balancer holds it before its first attempt, or for an injected delay. A retry never waits: it is sent as
-//     the attempt before it ends, or not at all.
-//   - attempt out: one attempt is with the Sender (outstanding is 1). It can still end so that a retry follows.
-//   - streaming: the response to its attempt is passed on to the client as it comes (Attempt.streaming). No retry can
-//     follow: the client has seen a part of it. With PassResponse the start of the response is the final answer, so the
-//     call is answered as well; with ResponseStarted it is answered when the attempt ends.
-//   - answered: closed, and Do returns the one final answer. An attempt may still be out, whose result is owed to the
-//     balancer; the call is forgotten when that has come.
-//   - client gone: closed without an answer; Do returns ErrClientGone. As with answered, an attempt may still be out.
+//   - arriving: Do waits until the loop receives the call. The balancer does not know the call yet.
+//   - queued: the balancer queues the call before its first attempt, or because of an injected delay. A retry is never
+//     queued: it is sent when the previous attempt ends, or not at all.
+//   - attempt outstanding: the Sender handles one attempt (outstanding is 1). A retry can still follow.
+//   - streaming: the response to the attempt is forwarded to the client while it arrives (Attempt.streaming). No retry can
+//     follow, because the client has received a part of the response. With ForwardResponse, the start of the response is
+//     the final answer, so the call is also answered. With ResponseStarted, the call is answered when the attempt ends.
+//   - answered: the call is closed, and Do returns the final answer. An attempt may still be outstanding. The balancer
+//     must still be notified of its result; only then is the call removed.
+//   - client gone: the call is closed without an answer, and Do returns ErrClientGone. An attempt may still be
+//     outstanding, as in the state answered.
 //
-// Denied calls and those with a duplicate ID go from arriving to answered at once, and are never in Engine.calls.
+// A denied call and a call with a duplicate ID change from arriving directly to answered, and are never in Engine.calls.
 type Call struct {
 	Request      balancer.Request
 	Tenant       string
-	Budget       time.Duration // as the client gave it
-	BodyTimeout  time.Duration // of a call with a streamed body: the longest that its body may take
+	Budget       time.Duration // the timeout that the client sent
+	BodyTimeout  time.Duration // for a call with a streamed body: the maximum time for receiving the body
 	Tags         metrics.Tags
-	Retryable    bool // its class allows that it runs more than once
-	AccessDenied bool // the access list denies its client; Request has only the ID
-	Payload      any  // what the Sender needs of it; the engine does not look at it
-	// ClientGone, if not nil, says that the client of a call with a streamed body has gone, before reading the body shows
-	// it. Senders' goroutines call it; it must not block.
+	Retryable    bool // the class allows the request to run more than once
+	AccessDenied bool // the access list denies the client; Request contains only the ID
+	Payload      any  // data for the Sender; not used by the engine
+	// ClientGone, if not nil, reports whether the client of a call with a streamed body is gone. It detects that earlier
+	// than an error from reading the body. The Sender's goroutines call it; it must not block.
 	ClientGone func() bool
 
-	closed atomic.Bool // answered or client gone: nothing more may be sent for it
-	// clientGoneAt is when the client has gone, by the engine's clock; 0: it has not. Do sets it and senders read it, so
-	// that nothing is sent for the call while a busy loop has not heard of it yet.
+	closed atomic.Bool // answered, or the client is gone: nothing more may be sent for the call
+	// clientGoneAt is when the client was found to be gone, on the engine's clock; 0 if it is not. Do sets it and Senders
+	// read it, so that nothing is sent for the call before a busy loop handles the event.
 	clientGoneAt atomic.Int64
-	answer       chan Answer // buffers the one final answer, so that the loop need not wait for Do
+	answer       chan Answer // buffers the final answer, so that the loop does not wait for Do
 
-	// The loop's own state.
-	attempts    int  // that have been started
-	maxAttempts int  // by the settings in force when it arrived
-	outstanding int  // attempts that have not ended: 0 or 1
-	mayHaveRun  bool // an attempt that has ended may have run at its server
+	// State that only the event loop accesses.
+	attempts    int  // number of attempts started
+	maxAttempts int  // from the settings in force when the call arrived
+	outstanding int  // number of attempts that have not ended: 0 or 1
+	mayHaveRun  bool // a server may have run the request in an attempt that has ended
 }
 
-// ClaimAnswer claims the right to give the call its one final answer, and marks the call as closed. It says whether the right was
-// still to be had: who gets true must answer the call, unless its client has gone; who gets false must not.
+// ClaimAnswer marks the call as closed and claims the right to give it the final answer. It reports whether the call was
+// still open. A caller that gets true must answer the call, unless the client is gone; a caller that gets false must not
+// answer it.
 func (c *Call) ClaimAnswer() bool { return !c.closed.Swap(true) }
 
-// Closed says that the call has its answer or its client has gone: nothing more may be sent for it.
+// Closed reports whether the call has its answer or its client is gone. Nothing more may be sent for a closed call.
 func (c *Call) Closed() bool { return c.closed.Load() }
 
-// Verdict is what a final answer says.
+// Verdict is the kind of a final answer.
 type Verdict int
 
-// The verdicts.
+// The kinds of final answers.
 const (
-	// Served: an attempt succeeded, and Reply has what came back.
+	// Served: an attempt succeeded. Reply is its response.
 	Served Verdict = iota
-	// Rejected: it did not run, or its class allows another run. The client may retry after RetryAfter.
+	// Rejected: the request did not run, or its class allows it to run again. The client may retry after RetryAfter.
 	Rejected
-	// Failed: it may have run and can't be retried, or its deadline has passed. Its client must not send it again.
+	// Failed: the request may have run and can't be retried, or its deadline has passed. The client must not send it again.
 	Failed
-	// Denied: the access list denies its client.
+	// Denied: the access list denies the client.
 	Denied
-	// DuplicateID: another open call has its ID.
+	// DuplicateID: another open call has the same ID.
 	DuplicateID
-	// Aborted: a fault injection ended it with Status.
+	// Aborted: a fault injection ended the call with Status.
 	Aborted
 )
 
-// statusUnavailable is the status with which a fault injection rejects a call. Balancers give such statuses in HTTP's terms.
+// statusUnavailable is the HTTP status with which a fault injection rejects a call. The balancer uses HTTP statuses for all
+// protocols.
 const statusUnavailable = 503
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	Status     int           // of an aborted call: the fault injection's, as an HTTP status
+	Status     int           // of an aborted call: the HTTP status from the fault injection
 	RetryAfter time.Duration // of a rejected or aborted call
-	Reply      any           // of a served call: what the Sender got
+	Reply      any           // of a served call: the response from the Sender
 }
 
-// rejects says whether an answer tells its client that the request has not run, so that sending it again is harmless.
+// rejects reports whether the answer means that the client can safely send the request again.
 func (a Answer) rejects() bool { return a.Verdict == Rejected || a.Status == statusUnavailable }
 
-// Do hands in a call and waits for its final answer. If ctx ends first, the client counts as gone: nothing more is sent
-// for the call, and the error is ErrClientGone. It is ErrStopped if the engine stops before it has taken the call.
+// Do submits a call and waits for its final answer. If ctx is done first, the client counts as gone: nothing more is sent
+// for the call, and Do returns ErrClientGone. Do returns ErrStopped if the engine stops before it receives the call.
 func (e *Engine) Do(ctx context.Context, c *Call) (Answer, error) {
 	c.answer = make(chan Answer, 1)
 	if ctx.Err() != nil {
@@ -119,7 +122,7 @@
 		return a, nil
 	case <-ctx.Done():
 	}
-	// Senders see this at once. Were it only for the channel below, a busy loop would let an attempt leave meanwhile.
+	// Senders see this immediately. With the channel below alone, an attempt could be sent before a busy loop receives it.
 	c.clientGoneAt.Store(int64(e.Clock.Now()))
 	select {
 	case e.clientsGone <- c:
@@ -128,8 +131,8 @@
 	return Answer{}, ErrClientGone
 }
 
-// handleArrival gives a call to the balancer. One whose ID another open call has is answered at once: the balancer would
-// take it for the request that it has, and never answer it.
+// handleArrival passes a new call to the balancer. A call with the ID of another open call is answered immediately: the
+// balancer would mistake it for the request that it already has, and never answer it.
 func (e *Engine) handleArrival(c *Call) {
 	e.arriving = c
 	if c.AccessDenied {
@@ -149,7 +152,7 @@
 	e.dispatch(c.Request)
 }
 
-// handleClientGone closes a call whose client has gone, and notifies the balancer.
+// handleClientGone closes a call whose client is gone, and notifies the balancer.
 func (e *Engine) handleClientGone(c *Call) {
 	if !c.ClaimAnswer() {
 		return
@@ -159,8 +162,8 @@
 	e.removeIfDone(c)
 }
 
-// deny answers the arriving call, whose client the access list denies. It is not looked up by its ID, which may be that of
-// another client's call.
+// deny answers the arriving call, whose client is denied by the access list. It does not look up the call by ID, because
+// another client's call may have the same ID.
 func (e *Engine) deny(a balancer.Deny) {
 	c := e.arriving
 	if !c.ClaimAnswer() {
@@ -172,8 +175,7 @@
 	e.removeIfDone(c)
 }
 
-// answer gives a call the final answer that the balancer decided on, any but Served and Denied. It does nothing if the call
-// is closed already.
+// answer gives a call a final answer other than Served and Denied. It does nothing if the call is already closed.
 func (e *Engine) answer(id string, a Answer) {
 	c := e.calls[id]
 	if c == nil || !c.ClaimAnswer() {
@@ -193,25 +195,25 @@
 	e.removeIfDone(c)
 }
 
-// serve gives a call the answer of an attempt that succeeded. The caller has claimed the answer.
+// serve answers a call with the reply of a successful attempt. The caller must have claimed the answer.
 func (e *Engine) serve(c *Call, reply any) {
 	e.counters.served++
 	c.answer <- Answer{Verdict: Served, Reply: reply}
 }
 
-// removeIfDone drops a call that is closed and has no attempt out; from then on its ID is free.
+// removeIfDone removes a call that is closed and has no outstanding attempt. From then on its ID can be used again.
 func (e *Engine) removeIfDone(c *Call) {
 	if c.Closed() && c.outstanding == 0 && e.calls[c.Request.ID] == c {
 		delete(e.calls, c.Request.ID)
 	}
 }
 
-// eventContext is what a capture records of a call beside the event that the balancer gets.
+// eventContext returns the data about a call that a capture records in addition to the event.
 func (c *Call) eventContext() capture.EventContext {
 	return capture.EventContext{Tenant: c.Tenant, Budget: c.Budget}
 }
 
-// clientAttr is the log attribute of a client's address; nothing where that is not known.
+// clientAttr returns the log attribute for a client's address, or nothing if the address is unknown.
 func clientAttr(client netip.Addr) []any {
 	if !client.IsValid() {
 		return nil
--- a/internal/engine/commands.go
+++ b/internal/engine/commands.go
@@ -8,18 +8,18 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// command is an operator's command or query that the loop carries out ahead of all client traffic; why ahead, see
-// handleUrgent.
+// command is an operator's command or query. The event loop runs it before all pending client traffic; handleUrgent says
+// why.
 type command struct {
-	execute func() error // called in the loop
-	result  chan error   // buffers what execute returned, so that the loop need not wait
+	execute func() error // called in the event loop
+	result  chan error   // buffers the result of execute, so that the loop does not wait
 }
 
-// run carries out a command. The loop calls it.
+// run executes a command in the event loop.
 func (c command) run() { c.result <- c.execute() }
 
-// runCommand has the loop carry out a command, and waits until that is done. Errors: that of execute, ErrStopped, and that of
-// ctx if it ends before the loop has taken the command; with the latter two nothing was done.
+// runCommand calls execute in the event loop and returns its error. It returns ErrStopped if the engine stops, or the error
+// of ctx if ctx is done, before the loop receives the command; execute is not called then.
 func (e *Engine) runCommand(ctx context.Context, execute func() error) error {
 	c := command{execute: execute, result: make(chan error, 1)}
 	select {
@@ -32,10 +32,10 @@
 	}
 }
 
-// SetServerDisabled sets or ends an administrative override: a disabled server gets nothing, whatever the endpoint list
-// says. When it returns nil nothing new goes to the server, also no attempt that was chosen before and waits for a
-// connection. With an error nothing has changed: balancer.ErrTooManyOverrides and others of Balancer.CheckOverride,
-// ErrStopped, or that of ctx.
+// SetServerDisabled sets or removes an administrative override. A disabled server gets no requests, whatever the endpoint
+// list says. Once SetServerDisabled has returned nil for a disabled server, no new request is sent to it, including
+// attempts that were started earlier and still wait for a connection. On error nothing has changed. The error is one from
+// Balancer.CheckOverride (such as balancer.ErrTooManyOverrides), ErrStopped, or that of ctx.
 func (e *Engine) SetServerDisabled(ctx context.Context, id string, disabled bool) error {
 	return e.runCommand(ctx, func() error {
 		if err := e.Balancer.CheckOverride(id); err != nil {
@@ -57,8 +57,8 @@
 	})
 }
 
-// ChangeSettings has the balancer take over settings, which must have passed balancer.Settings.Validate. Open calls keep
-// the settings with which they arrived. Errors: ErrStopped, or that of ctx; then the old settings stay.
+// ChangeSettings applies new settings, which must have passed balancer.Settings.Validate. Open calls keep the settings that
+// were in force when they arrived. On error, which is ErrStopped or that of ctx, the old settings remain in force.
 func (e *Engine) ChangeSettings(ctx context.Context, settings balancer.Settings) error {
 	return e.runCommand(ctx, func() error {
 		e.dispatch(balancer.SettingsChanged{Settings: settings})
@@ -66,8 +66,8 @@
 	})
 }
 
-// Servers returns the servers that are listed as ready, also those disabled by an operator, sorted by ID. Errors:
-// ErrStopped, or that of ctx.
+// Servers returns the servers that are listed as ready, including those disabled by an operator, sorted by ID. The error is
+// ErrStopped or that of ctx.
 func (e *Engine) Servers(ctx context.Context) (servers []balancer.Server, err error) {
 	err = e.runCommand(ctx, func() error {
 		for _, id := range slices.Sorted(maps.Keys(e.endpoints)) {
@@ -78,10 +78,10 @@
 	return servers, err
 }
 
-// SuccessorState returns what the process that takes over from this one has to know: the balancer's state, the endpoints
-// listed as ready, and the IDs of disabled servers. commit is called in the loop, with no event between it and the state
-// that is returned; it must not block. Errors: that of Balancer.SuccessorState, ErrStopped, or that of ctx; commit was not
-// called then.
+// SuccessorState returns the state for the process that takes over from this one: the balancer's state, the endpoints
+// listed as ready, and the IDs of disabled servers. It calls commit in the event loop after it has read the state, with no
+// event in between; commit must not block. On error, which is that of Balancer.SuccessorState, ErrStopped, or that of ctx,
+// commit is not called.
 func (e *Engine) SuccessorState(ctx context.Context, commit func()) (
 	state []byte, endpoints []Endpoint, disabled []string, err error,
 ) {
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -7,24 +7,25 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Bounds on what the engine logs: a node at full load, and one whose servers all fail, must not drown its own log.
+// Limits on the rate of log lines, so that neither full load nor the failure of all servers floods the log.
 const (
 	countersInterval = 5 * time.Second // between two log lines of counters
-	failureInterval  = time.Second     // between two log lines of attempts without a response, at least
+	failureInterval  = time.Second     // minimum between two log lines of attempts without a response
 )
 
-// attemptStage splits the counts of rejected and failed calls: overload shows before the attempt, faults of servers after.
-// Why the balancer rejected a call is counted only for an expired endpoint list; balancer.giveUp lists the other reasons.
+// attemptStage separates the counts of rejected and failed calls: overload shows before the first attempt, and faults of
+// servers show after it. The reason of a rejection is counted only for an expired endpoint list; Balancer.giveUp lists the
+// other reasons.
 type attemptStage int
 
 // The stages.
 const (
-	beforeAttempt attemptStage = iota // the call was never sent
-	afterAttempt                      // it was sent once or more
-	attemptStages                     // how many there are
+	beforeAttempt attemptStage = iota // no attempt was started
+	afterAttempt                      // at least one attempt was started
+	attemptStages                     // number of stages
 )
 
-// attemptStage says whether an attempt has been made for a call.
+// attemptStage returns the stage of a call.
 func (c *Call) attemptStage() attemptStage {
 	if c.attempts == 0 {
 		return beforeAttempt
@@ -32,31 +33,31 @@
 	return afterAttempt
 }
 
-// counters count what became of calls and attempts since the last log line of counters. They are the loop's own.
+// counters counts the results of calls and attempts since the last log line of counters. Only the event loop accesses it.
 type counters struct {
 	received, served, clientGone int
 	faultInjected, denied        int
 	rejected, failed             [attemptStages]int
-	rejectedLeaseExpired         int                       // of the rejected: while the endpoint list had expired
-	outcomes                     [balancer.NotSent + 1]int // of attempts
-	nextFailureLog               time.Duration             // by the engine's clock; until then no failed attempt is logged
+	rejectedLeaseExpired         int                       // calls rejected while the endpoint list had expired
+	outcomes                     [balancer.NotSent + 1]int // attempts by outcome
+	nextFailureLog               time.Duration             // on the engine's clock; no failed attempt is logged before
 }
 
-// outcomeNames are the outcomes in the log.
+// outcomeNames are the names of the outcomes in the log.
 var outcomeNames = [balancer.NotSent + 1]string{balancer.Success: "success", balancer.Failure: "failure",
 	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
 	balancer.ConnectionLost: "connection_lost", balancer.Canceled: "canceled", balancer.NotSent: "not_sent"}
 
-// logCounters logs the counters, if anything was counted, and starts anew.
+// logCounters logs the counters, if anything was counted, and resets them.
 func (e *Engine) logCounters() { e.counters.log(e.Log, len(e.calls)) }
 
-// log is logCounters with the number of open calls.
+// log implements logCounters; open is the number of open calls.
 func (c *counters) log(log *slog.Logger, open int) {
 	zero := counters{nextFailureLog: c.nextFailureLog}
 	if *c == zero {
 		return
 	}
-	var optionalAttrs []any // of features that may be off: only where there is something to tell
+	var optionalAttrs []any // counters of optional features, logged only if they are not zero
 	if c.faultInjected > 0 {
 		optionalAttrs = append(optionalAttrs, "hookwalk.drill.applied", c.faultInjected)
 	}
@@ -78,7 +79,8 @@
 	*c = zero
 }
 
-// addResult counts the outcome of an attempt, and logs one without a response if none was logged in the failureInterval before.
+// addResult counts the outcome of an attempt. It logs an attempt that ended without a response, at most once in
+// failureInterval.
 func (c *counters) addResult(log *slog.Logger, now time.Duration, r Result) {
 	c.outcomes[r.Outcome]++
 	if r.Err == nil || now < c.nextFailureLog {
--- a/internal/engine/counters_test.go
+++ b/internal/engine/counters_test.go
@@ -11,8 +11,9 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Every attempt fails for a while. The log has one line of a failed attempt for each second with some, with the history of its
-// connection, and all outcomes in the next line of counters; a line of counters without anything counted is left out.
+// All attempts fail for a while. The log must have one line about a failed attempt for each second in which some failed,
+// with the history of its connection, and the next line of counters must have all outcomes. If nothing was counted, there
+// is no line of counters.
 func TestCountersLogOutcomesAtLimitedRate(t *testing.T) {
 	var out bytes.Buffer
 	log, c := slog.New(slog.NewTextHandler(&out, nil)), &counters{}
@@ -24,13 +25,13 @@
 	c.addResult(log, 3*failureInterval, Result{Attempt: attempt, Outcome: balancer.Unreachable, Err: errors.New("refused")})
 	c.addResult(log, 9*failureInterval, Result{Attempt: attempt, Outcome: balancer.Success})
 	if n := strings.Count(out.String(), "attempt without an answer"); n != 2 {
-		t.Errorf("%d lines of failed attempts, want one for each interval with some, 2:\n%s", n, out.String())
+		t.Errorf("%d lines about failed attempts, want 2, one for each interval with failures:\n%s", n, out.String())
 	}
 	if !strings.Contains(out.String(), "server=s-1 err=reset elapsed=500ms connection_uses=3") {
-		t.Errorf("the connection is not described:\n%s", out.String())
+		t.Errorf("the log does not describe the connection:\n%s", out.String())
 	}
 	if !strings.Contains(out.String(), `outcome=connection_lost ground="ended without response" connection=7 written=true closed_by=server`) {
-		t.Errorf("the outcome is not explained:\n%s", out.String())
+		t.Errorf("the log does not explain the outcome:\n%s", out.String())
 	}
 	out.Reset()
 	c.rejected[attempt.Call.attemptStage()]++
@@ -43,6 +44,6 @@
 	}
 	out.Reset()
 	if c.log(log, 4); out.Len() > 0 {
-		t.Errorf("nothing was counted, but logged: %s", out.String())
+		t.Errorf("nothing was counted, but the log has %s", out.String())
 	}
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,42 +8,43 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Endpoint is a server of the endpoint list and its address.
+// Endpoint is a server in the endpoint list, with its address.
 type Endpoint struct {
 	balancer.Server
 	Addr string `json:"Addr"`
 }
 
-// Update is what a source of endpoints hands in: a list, changes of one, or that its watch failed.
+// Update is an update from an endpoint source: a complete list, changes to the list, or the failure of the source's watch.
 type Update struct {
-	Version   int64 // as the source counts; the engine does not look at it
+	Version   int64 // the source's version of the list; not used by the engine
 	Endpoints []Endpoint
-	Complete  bool // Endpoints are all that there are; what is not among them has left the list
-	Cached    bool // Endpoints were kept from an earlier run of the node
-	// WatchFailed says that the source's polls and watches have failed or ended, and none is left; there are no Endpoints. The
-	// balancer answers with Options.Subscribe after a backoff, which changes nothing at a source that polls by itself.
+	Complete  bool // Endpoints is the complete list: servers that are not in it have been removed
+	Cached    bool // Endpoints were persisted by an earlier process of the node
+	// WatchFailed means that all polls and watches of the source have failed or ended. Endpoints is empty then. After a
+	// backoff, the balancer requests Options.Subscribe, which has no effect on a source that polls on its own.
 	WatchFailed bool
 }
 
-// Target is a server that may be sent to: at one address, and from one start of the server to the next. A server that moved
-// or restarted is another target, for it shares no connection with the one before.
+// Target is a server that may receive attempts, at one address and in one run of its process. A server that moves or
+// restarts becomes a new target, because it can't share connections with the old one.
 type Target struct {
 	ID        string
 	Addr      string
-	StartTime time.Duration // as discovery gives it: when its process started, by the engine's clock; 0: long ago
+	StartTime time.Duration // when the server's process started, from discovery, on the engine's clock; 0: long ago
 
-	stoppedAt   atomic.Int64 // when sends had to stop, by the engine's clock; 0: they need not
-	outstanding int          // attempts that have not ended; the loop's own
+	stoppedAt   atomic.Int64 // the time from which nothing new may be sent, on the engine's clock; 0 if sends are allowed
+	outstanding int          // attempts that have not ended; accessed only by the event loop
 }
 
-// StopSending says that the server gets nothing new from a time of the engine's clock on; only the first call counts.
+// StopSending forbids new sends to the server from now on, a time of the engine's clock. Only the first call has an effect.
 func (t *Target) StopSending(now time.Duration) { t.stoppedAt.CompareAndSwap(0, int64(now)) }
 
-// Stopped says that the server drains, has left the list or is disabled by an operator: nothing new may go to it.
+// Stopped reports whether new sends to the server are forbidden because it is draining, has left the endpoint list or is
+// disabled by an operator.
 func (t *Target) Stopped() bool { return t.stoppedAt.Load() != 0 }
 
-// ApplyUpdate hands in an update of the endpoint list. When it returns nil, the update goes ahead of all calls and results
-// that are handed in later. Errors: ErrStopped, and that of ctx if it ends first; then the update was not taken.
+// ApplyUpdate delivers an update of the endpoint list. When it returns nil, the update is handled before all calls and
+// results that are delivered later. On error, which is ErrStopped or that of ctx, the update is not applied.
 func (e *Engine) ApplyUpdate(ctx context.Context, u Update) error {
 	select {
 	case e.updates <- u:
@@ -55,14 +56,15 @@
 	}
 }
 
-// HasListedServer says whether some server is listed as ready, be it disabled by an operator. It doesn't block.
+// HasListedServer reports whether at least one server is listed as ready, even if it is disabled by an operator. It doesn't
+// block.
 func (e *Engine) HasListedServer() bool { return e.hasListedServer.Load() }
 
-// HasUsableServer says whether some server is listed as ready and not disabled by an operator. It doesn't block.
+// HasUsableServer reports whether at least one server is listed as ready and not disabled by an operator. It doesn't block.
 func (e *Engine) HasUsableServer() bool { return e.hasUsableServer.Load() }
 
-// handleUpdate takes over an update of the endpoint list. It stops all sends to servers that may get nothing new before it
-// notifies the balancer: the drain grace counts from here.
+// handleUpdate applies an update of the endpoint list. It stops sends to servers that are no longer ready before it
+// notifies the balancer, because the drain grace (invariants.DrainGrace) starts here.
 func (e *Engine) handleUpdate(u Update) {
 	if u.WatchFailed {
 		e.dispatch(balancer.WatchFailed{})
@@ -93,7 +95,7 @@
 	e.hasListedServer.Store(len(e.endpoints) > 0)
 }
 
-// updateEndpoint takes over one server of an update.
+// updateEndpoint applies the update of one server.
 func (e *Engine) updateEndpoint(endpoint Endpoint) {
 	if endpoint.State != balancer.Ready {
 		e.removeEndpoint(endpoint.ID)
@@ -107,20 +109,20 @@
 	e.addTarget(endpoint)
 }
 
-// removeEndpoint forgets a server that is not listed as ready any more, or not as it was.
+// removeEndpoint removes a server that is no longer listed as ready, or whose address or start time has changed.
 func (e *Engine) removeEndpoint(id string) {
 	e.removeTarget(id)
 	delete(e.endpoints, id)
 }
 
-// addTarget lets a listed server get attempts, unless it does already or an operator has disabled it.
+// addTarget allows attempts to a listed server, unless it already has a target or an operator has disabled it.
 func (e *Engine) addTarget(endpoint Endpoint) {
 	if e.targets[endpoint.ID] == nil && !e.Balancer.IsDisabled(endpoint.ID) {
 		e.targets[endpoint.ID] = &Target{ID: endpoint.ID, Addr: endpoint.Addr, StartTime: endpoint.StartTime}
 	}
 }
 
-// removeTarget stops all new sends to a server, also those of attempts that wait for a connection.
+// removeTarget stops all new sends to a server, including those of attempts that wait for a connection.
 func (e *Engine) removeTarget(id string) {
 	if target := e.targets[id]; target != nil {
 		target.StopSending(e.Clock.Now())
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -8,8 +8,8 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// A server drains, leaves the list, moves or restarts while an attempt waits for a connection to it: the attempt may not be
-// sent any more, and what is kept for the old target is retired. What had been sent before ends as usual.
+// A server starts to drain, leaves the list, moves or restarts while an attempt waits for a connection to it. The attempt
+// must not be sent any more, and the old target must be retired. Attempts that were sent before end normally.
 func TestUpdateStopsTargets(t *testing.T) {
 	for name, change := range map[string]func(*Endpoint){
 		"drains":    func(endpoint *Endpoint) { endpoint.State = balancer.Draining },
@@ -28,14 +28,14 @@
 				}
 				synctest.Wait()
 				if attempt.MaySend(e.Clock.Now()) || len(s.retired) != 1 || s.retired[0] != attempt.Target {
-					t.Errorf("may send: %v, retired %v", attempt.MaySend(e.Clock.Now()), s.retired)
+					t.Errorf("MaySend %v, retired targets %v", attempt.MaySend(e.Clock.Now()), s.retired)
 				}
 				if ready := endpoint.State == balancer.Ready; e.HasUsableServer() != ready {
-					t.Errorf("usable: %v", e.HasUsableServer())
+					t.Errorf("HasUsableServer %v, want %v", e.HasUsableServer(), ready)
 				}
-				e.AttemptEnded(Result{Attempt: attempt, Outcome: balancer.Success}) // it had been sent before
+				e.AttemptEnded(Result{Attempt: attempt, Outcome: balancer.Success}) // as if it had been sent before the update
 				if a := receive(t, got); a.Verdict != Served {
-					t.Errorf("the call of the attempt that was out got %+v", a)
+					t.Errorf("the call of the outstanding attempt got %+v, want Served", a)
 				}
 			})
 		})
@@ -47,7 +47,7 @@
 			}
 			synctest.Wait()
 			if len(s.retired) != 2 || len(e.targets) != 1 {
-				t.Errorf("%d targets retired, %d left", len(s.retired), len(e.targets))
+				t.Errorf("%d targets retired, %d remain; want 2 and 1", len(s.retired), len(e.targets))
 			}
 		})
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,14 +1,15 @@
-// Package engine hosts the balancer, the module that decides: one goroutine, the event loop, feeds events to it, carries
-// out its actions, keeps its timers and gives each call one final answer. The engine knows no wire protocol.
+// Package engine runs the balancer, which makes all decisions. One goroutine, the event loop, passes events to the
+// balancer, executes its actions, runs its timers and gives each call one final answer. The engine is independent of any
+// wire protocol.
 //
-// Three kinds of parties use it. An ingress hands in calls (Do) and turns their answers into its protocol's. A Sender
-// starts attempts at servers and reports their outcomes (AttemptEnded). A source of endpoints hands in endpoint lists and
-// their changes (ApplyUpdate) and says how long they may be relied on (RenewLease).
+// Three kinds of components use the engine. An ingress submits calls (Do) and translates the answers to its protocol. A
+// Sender sends attempts to servers and reports their outcomes (AttemptEnded). An endpoint source delivers endpoint lists
+// and changes to them (ApplyUpdate), and says how long the list remains valid (RenewLease).
 //
-// Ownership: the event loop alone touches the balancer and all state of Engine, Call, Target and Attempt that is not
-// atomic. The other parties reach it through unbuffered channels, so that a method that hands something in blocks until
-// the loop takes it; the loop itself never waits for them nor for I/O. The states of a call are written down at Call, those
-// of an attempt at Attempt.
+// Ownership: only the event loop accesses the balancer and the non-atomic state of Engine, Call, Target and Attempt. Other
+// goroutines communicate with it over unbuffered channels, so a method that delivers something blocks until the loop
+// receives it. The loop never waits for other goroutines or for I/O. The type Call documents the states of a call, and the
+// type Attempt those of an attempt.
 package engine
 
 import (
@@ -24,33 +25,36 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// maxLoopWait is how long the loop waits when neither a timer nor the endpoint lease comes due. Any long span would do.
-const maxLoopWait = time.Hour
+// idleWait is how long the event loop waits when no timer is set and the endpoint lease does not expire earlier. Any long
+// duration works.
+const idleWait = time.Hour
 
-// ErrStopped says that the engine's loop has ended, as it does when the node shuts down: what was handed in has not been
-// and will not be done. A successor process serves on, or the node has to be started again.
+// ErrStopped means that the event loop has ended because the node is shutting down. The operation was not performed and
+// will not be. Either a successor process continues to serve, or the node must be started again.
 var ErrStopped = errors.New("the engine has stopped: the node is shutting down")
 
-// Options are an engine's parts. Metrics, Capture and Guard may be nil: off. The others must be set before Run.
+// Options are the components that an engine uses. Metrics, Capture and Violations may be nil, which disables them. All
+// other fields must be set before Run.
 type Options struct {
 	Clock    Clock
 	Log      *slog.Logger
-	Balancer *balancer.Balancer // the loop's own once Run has begun
+	Balancer *balancer.Balancer // accessed only by the event loop once Run has started
 	Sender   Sender
-	// Subscribe asks the source for the endpoint list and its changes. The first call lets a source begin that polls by
-	// itself, as internal/discovery does; later ones change nothing there. It is called in the loop and must not block.
+	// Subscribe asks the endpoint source for the list and its changes. The first call starts a source that polls on its
+	// own, such as internal/discovery; for such a source, later calls have no effect. The event loop calls it, so it must
+	// not block.
 	Subscribe  func()
 	Metrics    *metrics.Reporter
 	Capture    *capture.Writer
-	Violations *invariants.Recorder // counts and logs broken invariants
+	Violations *invariants.Recorder // counts and logs violations of invariants
 }
 
-// Engine is the host of one Balancer. Its methods may be called from any goroutine; unless they say otherwise, they block
-// until the event loop has taken what they hand in.
+// Engine runs one Balancer. Its methods may be called from any goroutine. Unless documented otherwise, they block until the
+// event loop has received what they deliver.
 type Engine struct {
 	Options
 
-	// What is handed to the loop.
+	// Input of the event loop.
 	updates              chan Update
 	commands             chan command
 	arrivals             chan *Call
@@ -58,31 +62,31 @@
 	results              chan Result
 	responses            chan responseStart
 	faultInjectionStarts chan FaultInjectionStart
-	captureDumps         chan struct{} // buffers one request, so that DumpCapture need not block
+	captureDumps         chan struct{} // buffers one request, so that DumpCapture does not block
 	endFaultInjections   chan struct{} // closed by EndFaultInjections
 	stopped              chan struct{} // closed by Stop
 
-	// The loop's own state.
-	calls        map[string]*Call    // by request ID: those that are open or have an attempt out
+	// State that only the event loop accesses.
+	calls        map[string]*Call    // by request ID: calls that are open or have an outstanding attempt
 	arriving     *Call               // the call whose Request event the balancer is handling
-	endpoints    map[string]Endpoint // by server ID: all that are listed as ready, also those disabled by an operator
-	targets      map[string]*Target  // by server ID: those of endpoints that may be sent to
-	timers       timerHeap           // that the balancer has set
-	endPending   <-chan struct{}     // endFaultInjections until the balancer has been notified of it; then nil
-	leaseExpired bool                // as the balancer was last notified
+	endpoints    map[string]Endpoint // by server ID: all that are listed as ready, including disabled ones
+	targets      map[string]*Target  // by server ID: the endpoints that may receive attempts
+	timers       timerHeap           // set by the balancer and not fired yet
+	endPending   <-chan struct{}     // equals endFaultInjections until the balancer has been notified, then nil
+	leaseExpired bool                // whether the lease had expired when the balancer was last notified
 	counters     counters            // for the log
-	// eventContext is what the capture records beside the next event that decide gives to the balancer. Whoever dispatches
-	// an event with a context sets it right before; decide clears it. When dispatch finds that the lease has just changed,
-	// the event of that takes it, and the event behind it is recorded without.
+	// eventContext is recorded by the capture together with the next event that decide passes to the balancer. A caller
+	// of dispatch that has a context for its event sets it immediately before; decide clears it. If dispatch finds that
+	// the lease has just changed, the context is recorded with the LeaseChanged event, and the event itself without one.
 	eventContext capture.EventContext
 
 	// State that other goroutines read at any time.
 	lease           *leaseDeadline
-	hasUsableServer atomic.Bool // some target may be sent to
-	hasListedServer atomic.Bool // some endpoint is listed as ready, be it disabled by an operator
+	hasUsableServer atomic.Bool // at least one server is listed as ready and not disabled
+	hasListedServer atomic.Bool // at least one server is listed as ready, even if it is disabled
 }
 
-// New makes an engine, which does nothing before Run.
+// New returns an engine. Run starts it.
 func New(o Options) *Engine {
 	endFaultInjections := make(chan struct{})
 	return &Engine{
@@ -105,12 +109,13 @@
 	}
 }
 
-// EndFaultInjections ends all fault injections for good: the node shuts down. It has no other effect, and a node without fault
-// injections need not call it. It must be called once at most, and doesn't block. The loop goes on until Stop.
+// EndFaultInjections permanently ends all fault injections, for the shutdown of the node. It has no other effect: a node
+// without fault injections need not call it, and the event loop continues until Stop. It must be called at most once, and
+// doesn't block.
 func (e *Engine) EndFaultInjections() { close(e.endFaultInjections) }
 
-// DumpCapture has the records that the capture holds in memory written to standard error. It must not be called without a
-// capture. It doesn't block; a request while another one waits is merged with it.
+// DumpCapture requests that the records that the capture holds in memory are written to standard error. It must not be
+// called if Options.Capture is nil. It doesn't block. Requests that arrive while one is pending are merged with it.
 func (e *Engine) DumpCapture() {
 	select {
 	case e.captureDumps <- struct{}{}:
@@ -118,14 +123,14 @@
 	}
 }
 
-// Stop ends Run, and doesn't block. It must be called once at most, and after the results of all attempts have been handed
-// in: nothing takes them any more.
+// Stop ends Run, and doesn't block. It must be called at most once, and only after AttemptEnded has returned for all
+// attempts: after Stop nothing receives their results.
 func (e *Engine) Stop() { close(e.stopped) }
 
-// Run is the event loop; it handles events until Stop. It must be called once, from a goroutine of its own. As it ends it
-// logs the last counters.
+// Run is the event loop: it handles events until Stop. It must be called once, in its own goroutine. Before it returns, it
+// logs the remaining counters.
 func (e *Engine) Run() {
-	timer := time.NewTimer(maxLoopWait)
+	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	report := time.NewTicker(countersInterval)
 	defer report.Stop()
@@ -143,12 +148,12 @@
 	}
 }
 
-// handleUrgent handles one endpoint update or administrative command if there is one, and says whether there was.
+// handleUrgent handles one endpoint update or administrative command if one is pending, and reports whether it did.
 //
-// These go ahead of all waiting traffic. From the moment that a node is notified that a server drains, or is told by an
-// operator to disable it, it has a grace of 250 ms (invariants.DrainGrace) until its last request may go there. Behind
-// a queue of calls and results the update could wait for longer than that, while the balancer goes on choosing the
-// server: the rule would be broken exactly when the node is busy.
+// Updates and commands are handled before all pending calls and results. After a node is notified that a server is
+// draining, or an operator disables the server, the node may send requests to it for at most 250 ms
+// (invariants.DrainGrace). If the update had to wait for pending calls and results, that could take longer, and the
+// balancer would continue to choose the server: a busy node would violate the rule.
 func (e *Engine) handleUrgent() bool {
 	select {
 	case u := <-e.updates:
@@ -161,7 +166,7 @@
 	return true
 }
 
-// handleNext waits for one event of any kind and handles it. It says whether the loop goes on.
+// handleNext waits for one event of any kind and handles it. It reports whether the loop should continue.
 func (e *Engine) handleNext(due, report <-chan time.Time) bool {
 	select {
 	case u := <-e.updates:
@@ -183,7 +188,7 @@
 	case <-e.endPending:
 		e.endPending = nil
 		e.dispatch(balancer.EndFaultInjections{})
-	case <-e.lease.changed: // Run begins its next round with checkLease
+	case <-e.lease.changed: // the next iteration of Run starts with checkLease
 	case <-due:
 	case <-report:
 		e.logCounters()
@@ -193,10 +198,10 @@
 	return true
 }
 
-// nextDue is how long it takes until the next timer fires or the endpoint lease expires.
+// nextDue returns the time until the next timer fires or the endpoint lease expires.
 func (e *Engine) nextDue() time.Duration {
 	now := e.Clock.Now()
-	wait := maxLoopWait
+	wait := idleWait
 	if len(e.timers) > 0 {
 		wait = e.timers[0].At - now
 	}
@@ -206,14 +211,15 @@
 	return wait
 }
 
-// dispatch gives one event to the balancer and carries out its actions. The balancer is notified first if the endpoint
-// lease has expired or was renewed meanwhile: no decision may rest on an expired list.
+// dispatch passes one event to the balancer and executes the resulting actions. If the endpoint lease has expired or was
+// renewed since the last event, it notifies the balancer of that first: no decision may be based on an expired list.
 func (e *Engine) dispatch(event balancer.Event) {
 	e.checkLease()
 	e.decide(event)
 }
 
-// decide gives one event to the balancer and carries out its actions, in the balancer's order.
+// decide passes one event to the balancer and executes the resulting actions in order. Unlike dispatch, it does not check
+// the lease.
 func (e *Engine) decide(event balancer.Event) {
 	now := e.Clock.Now()
 	actions := e.Balancer.Handle(now, event)
@@ -226,7 +232,7 @@
 	}
 }
 
-// execute carries out one action of the balancer, which decided on it at a time of the engine's clock.
+// execute executes one action of the balancer. now is the time of the decision on the engine's clock.
 func (e *Engine) execute(now time.Duration, action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Send:
--- a/internal/engine/faultinjection.go
+++ b/internal/engine/faultinjection.go
@@ -7,14 +7,14 @@
 	"hookwalk.example/hookwalk/internal/metrics"
 )
 
-// FaultInjectionStart names a fault injection (a drill, in the settings and the log) to start.
+// FaultInjectionStart is a request to start a fault injection, which the settings and the log call a drill.
 type FaultInjectionStart struct {
 	Name   string
-	Client netip.Addr // who asked for it; invalid: not known
+	Client netip.Addr // the client that requested it; invalid: unknown
 }
 
-// StartFaultInjection has the balancer start a fault injection. It blocks until the loop has taken it, or returns
-// ErrStopped.
+// StartFaultInjection requests that the balancer start a fault injection. It blocks until the event loop receives the
+// request, or returns ErrStopped.
 func (e *Engine) StartFaultInjection(s FaultInjectionStart) error {
 	select {
 	case e.faultInjectionStarts <- s:
@@ -24,13 +24,13 @@
 	}
 }
 
-// handleFaultInjectionStart notifies the balancer.
+// handleFaultInjectionStart logs the start of a fault injection and notifies the balancer.
 func (e *Engine) handleFaultInjectionStart(s FaultInjectionStart) {
 	e.Log.Info("drill started", append([]any{"drill", s.Name}, clientAttr(s.Client)...)...)
 	e.dispatch(balancer.StartFaultInjection{Name: s.Name})
 }
 
-// recordFaultInjected counts and logs a call into which the balancer has injected a fault.
+// recordFaultInjected counts and logs a fault that the balancer has injected into a call.
 func (e *Engine) recordFaultInjected(a balancer.FaultInjected) {
 	c := e.calls[a.ID]
 	if c == nil {
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -21,16 +21,16 @@
 		{Name: "non-idempotent", Effect: balancer.NonIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
 		{Name: "idempotent", Effect: balancer.Idempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}}}
 
-// manualSender is a Sender that passes its attempts on to the test, which hands in their outcomes.
+// manualSender is a Sender that passes its attempts to the test, which delivers their results.
 type manualSender struct {
 	started chan *Attempt
-	retired []*Target // the loop's own
+	retired []*Target // written only by the event loop
 }
 
 func (s *manualSender) Start(a *Attempt) { s.started <- a }
 func (s *manualSender) Retire(t *Target) { s.retired = append(s.retired, t) }
 
-// newEngine makes an engine with a balancer of a fixed seed.
+// newEngine returns an engine whose balancer has a fixed seed.
 func newEngine(t testing.TB, log *slog.Logger) (*Engine, *manualSender) {
 	t.Helper()
 	bal, err := balancer.New(testSettings, 7)
@@ -41,7 +41,7 @@
 	return New(Options{Clock: NewClock(), Log: log, Balancer: bal, Sender: s, Subscribe: func() {}}), s
 }
 
-// completeList is an update with n servers that are ready and have long been warm.
+// completeList returns a complete list of n servers that are ready and no longer in slow start.
 func completeList(n int) Update {
 	l := Update{Complete: true}
 	for i := range n {
@@ -53,8 +53,8 @@
 	return l
 }
 
-// withEngine runs f beside the loop of an engine that has a list of n servers, in a synctest bubble: the clock stands still
-// while any goroutine can go on.
+// withEngine runs f with a running engine that has a list of n servers, in a synctest bubble: the clock advances only when
+// all goroutines are blocked.
 func withEngine(t *testing.T, n int, f func(t *testing.T, e *Engine, s *manualSender)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -68,13 +68,13 @@
 	})
 }
 
-// newCall is a call with as much time as its class has.
+// newCall returns a call with the deadline of its class.
 func newCall(e *Engine, id, class string) *Call {
 	return &Call{Request: balancer.Request{ID: id, Class: class, Deadline: e.Clock.Now() + 4*time.Second}}
 }
 
-// doAsync hands in a call from a goroutine of its own, and sends its answer. The channel is closed without one if the call has
-// none.
+// doAsync submits a call in a separate goroutine and sends its answer on the returned channel. If the call gets no answer,
+// the channel is closed without a value.
 func doAsync(ctx context.Context, e *Engine, c *Call) <-chan Answer {
 	got := make(chan Answer, 1)
 	go func() {
@@ -86,7 +86,8 @@
 	return got
 }
 
-// receive receives what must come before the clock goes on; waiting for it would let the engine's tickers run for ever.
+// receive receives a value that must be available before the clock advances. A blocking receive would keep the engine's
+// ticker running forever.
 func receive[T any](t *testing.T, from <-chan T) (v T) {
 	t.Helper()
 	synctest.Wait()
--- a/internal/engine/invariants.go
+++ b/internal/engine/invariants.go
@@ -6,10 +6,11 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// checkAttemptStart counts and logs the invariants that an attempt breaks as it starts, before it is counted as outstanding.
+// checkAttemptStart checks the invariants of an attempt that is about to start, and counts and logs violations. It must be
+// called before the attempt is counted as outstanding.
 //
-// Slow start is checked from the start of the server's process. The balancer also has a server start slowly after an
-// operator has enabled it again; that is not checked here, as a Target does not know when it was enabled.
+// The check of slow start covers only the time after the start of the server's process. The balancer also applies slow
+// start after an operator has enabled a server again. That is not checked, because a Target does not contain the time.
 func (e *Engine) checkAttemptStart(now time.Duration, attempt *Attempt) {
 	c, target := attempt.Call, attempt.Target
 	attrs := attempt.logAttrs()
@@ -30,7 +31,7 @@
 	e.Violations.Record(slowStart.Check(), attrs...)
 }
 
-// checkAnswer counts and logs the invariants that a final answer breaks.
+// checkAnswer checks the invariants of a final answer, and counts and logs violations.
 func (e *Engine) checkAnswer(c *Call, rejected bool) {
 	end := invariants.RequestEnd{
 		At:         e.Clock.Now(),
@@ -40,7 +41,7 @@
 		MayHaveRun: c.mayHaveRun,
 		Retryable:  c.Retryable,
 	}
-	if c.Request.StreamedBody { // its time runs from its body's last byte, which the engine does not see
+	if c.Request.StreamedBody { // its deadline starts at the body's last byte, which the engine does not see
 		end.Deadline = end.At
 	}
 	e.Violations.Record(end.Check(), "id", c.Request.ID, "attempts", c.attempts)
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -8,31 +8,34 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Lease says until when the endpoint list may be relied on.
+// Lease says until when the endpoint list is valid.
 type Lease struct {
-	Until time.Time // with a reading of the monotonic clock
+	Until time.Time // must have a monotonic clock reading
 }
 
-// noExpiry is when a lease expires that no source of lists has set.
+// noExpiry is the expiry of a lease that no endpoint source has set.
 const noExpiry = time.Duration(math.MaxInt64)
 
-// leaseDeadline is when the lease in force ends. It guards against sends that rest on an expired list: discovery may long have
-// announced that a server drains, and this node not have heard of it. Such sends show as broken invariants "drain". The
-// balancer is notified when the lease expires, but attempts that it decided on earlier may still wait for a connection, and
-// the loop may be busy; so senders read the lease themselves, right before they write. Any goroutine may use it.
+// leaseDeadline holds the expiry of the current lease on the endpoint list. It prevents sends that are based on an expired
+// list: discovery may have announced long ago that a server is draining, without this node receiving the update. Such sends
+// violate the invariant "drain".
+//
+// The balancer is notified when the lease expires. But attempts that it started earlier may still wait for a connection,
+// and the event loop may be busy. Therefore Senders read the lease themselves, immediately before they write. Any goroutine
+// may use it.
 type leaseDeadline struct {
-	expiry  atomic.Int64  // by the engine's clock
-	changed chan struct{} // wakes the loop; buffers one, so that RenewLease need not block
+	expiry  atomic.Int64  // on the engine's clock
+	changed chan struct{} // wakes the event loop; buffers one value, so that RenewLease does not block
 }
 
-// newLeaseDeadline makes a lease without an end, in force until a source says otherwise.
+// newLeaseDeadline returns a lease that does not expire until an endpoint source sets an expiry.
 func newLeaseDeadline() *leaseDeadline {
 	l := &leaseDeadline{changed: make(chan struct{}, 1)}
 	l.expiry.Store(int64(noExpiry))
 	return l
 }
 
-// expiresAt is when the lease expires, by the engine's clock. A nil lease has no end.
+// expiresAt returns when the lease expires, on the engine's clock. A nil lease never expires.
 func (l *leaseDeadline) expiresAt() time.Duration {
 	if l == nil {
 		return noExpiry
@@ -40,11 +43,11 @@
 	return time.Duration(l.expiry.Load())
 }
 
-// expired says that the list may not be relied on at a time of the engine's clock.
+// expired reports whether the lease has expired at the time now of the engine's clock.
 func (l *leaseDeadline) expired(now time.Duration) bool { return now >= l.expiresAt() }
 
-// RenewLease says until when the endpoint list may be relied on. It doesn't block, and holds at once for all that has not
-// been written.
+// RenewLease sets the time until which the endpoint list is valid. It doesn't block. It takes effect immediately for all
+// attempts that have not been sent.
 func (e *Engine) RenewLease(l Lease) {
 	e.lease.expiry.Store(int64(e.Clock.FromTime(l.Until)))
 	select {
@@ -53,7 +56,7 @@
 	}
 }
 
-// checkLease notifies the balancer when the lease has expired, and when it is in force again.
+// checkLease notifies the balancer if the lease has expired, or is valid again, since it was last notified.
 func (e *Engine) checkLease() {
 	expired := e.lease.expired(e.Clock.Now())
 	if expired == e.leaseExpired {
--- a/internal/engine/random_test.go
+++ b/internal/engine/random_test.go
@@ -11,9 +11,9 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Calls, outcomes, endpoint changes and clients that go away come in random order, thirty times over. Whatever the order,
-// each call gets one answer by its deadline and has one attempt out at most; nothing goes to a server that is out of
-// service; and a non-idempotent call that may have run is neither sent again nor rejected.
+// Calls, results of attempts, endpoint updates and disconnecting clients occur in random order, with 30 seeds. Whatever the
+// order, each call gets one answer by its deadline and has at most one outstanding attempt, nothing is sent to a server
+// that is out of service, and a non-idempotent call that may have run is neither retried nor rejected.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		withEngine(t, randomServers, func(t *testing.T, e *Engine, s *manualSender) {
@@ -29,7 +29,7 @@
 			for n := range 200 {
 				r.event(n)
 				r.startAttempts()
-				time.Sleep(time.Duration(r.rng.IntN(100)) * time.Millisecond) // of the bubble's clock
+				time.Sleep(time.Duration(r.rng.IntN(100)) * time.Millisecond) // on the bubble's clock
 				r.checkDeadlines()
 			}
 			time.Sleep(5 * time.Second)
@@ -38,7 +38,7 @@
 			answered := r.checkAnswers()
 			synctest.Wait()
 			if len(e.calls) > 0 || answered < 50 {
-				t.Errorf("seed %d: %d calls kept in the end, %d answered", seed, len(e.calls), answered)
+				t.Errorf("seed %d: %d calls not removed at the end, %d answered", seed, len(e.calls), answered)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 
 const randomServers = 6
 
-// randomEvents makes random events at an engine, and knows what the engine may do after them.
+// randomEvents generates random events for an engine, and tracks which actions of the engine they allow.
 type randomEvents struct {
 	*testing.T
 	engine *Engine
@@ -63,7 +63,7 @@
 	outOfService map[string]bool
 }
 
-// event makes one event; n tells it from the others. Every second one is a call.
+// event generates one event, which is a call with probability 1/2. n is unique to the event and becomes the call's ID.
 func (r *randomEvents) event(n int) {
 	switch k := r.rng.IntN(10); {
 	case k < 5:
@@ -89,7 +89,7 @@
 
 func (r *randomEvents) anyCall() *Call { return r.calls[r.rng.IntN(len(r.calls))] }
 
-// startAttempts takes the attempts that the engine has started, and checks that each is allowed.
+// startAttempts receives the attempts that the engine has started, and checks that each is allowed.
 func (r *randomEvents) startAttempts() {
 	r.Helper()
 	synctest.Wait()
@@ -97,17 +97,17 @@
 		a := <-r.sender.started
 		switch {
 		case r.outstanding[a.Call] != nil || a.Number > 2:
-			r.Fatalf("seed %d: attempt %d while another is out: %v", r.seed, a.Number, r.outstanding[a.Call] != nil)
+			r.Fatalf("seed %d: attempt %d started; another attempt outstanding: %v", r.seed, a.Number, r.outstanding[a.Call] != nil)
 		case r.outOfService[a.Target.ID] && a.MaySend(r.engine.Clock.Now()):
-			r.Fatalf("seed %d: sent to %s, which is out of service", r.seed, a.Target.ID)
+			r.Fatalf("seed %d: an attempt may be sent to %s, which is out of service", r.seed, a.Target.ID)
 		case r.mayHaveRun[a.Call] && a.Call.Request.Class == "non-idempotent":
-			r.Fatalf("seed %d: a non-idempotent call is sent again", r.seed)
+			r.Fatalf("seed %d: a non-idempotent call that may have run was retried", r.seed)
 		}
 		r.outstanding[a.Call] = a
 	}
 }
 
-// endAttempt hands in the result of the attempt that is out.
+// endAttempt delivers the result of a call's outstanding attempt.
 func (r *randomEvents) endAttempt(c *Call, outcome balancer.Outcome) {
 	r.Helper()
 	a := r.outstanding[c]
@@ -120,7 +120,8 @@
 	r.startAttempts()
 }
 
-// checkDeadlines ends the attempts that are out at their deadlines, and checks that each call has its answer by its own.
+// checkDeadlines ends the outstanding attempts whose deadline has passed, and checks that each call whose deadline has
+// passed was answered.
 func (r *randomEvents) checkDeadlines() {
 	r.Helper()
 	for _, c := range r.calls {
@@ -129,12 +130,12 @@
 		}
 		late := r.engine.Clock.Now() > c.Request.Deadline
 		if late && r.outstanding[c] == nil && !r.clientGone[c] && len(r.answers[c]) != 1 {
-			r.Fatalf("seed %d: no answer by the deadline", r.seed)
+			r.Fatalf("seed %d: call %s has no answer by its deadline", r.seed, c.Request.ID)
 		}
 	}
 }
 
-// checkAnswers checks the answers of all calls and counts them.
+// checkAnswers checks the answers to all calls and counts them.
 func (r *randomEvents) checkAnswers() (answered int) {
 	r.Helper()
 	for _, c := range r.calls {
@@ -145,7 +146,7 @@
 		}
 		answered++
 		if a.Verdict == Rejected && r.mayHaveRun[c] && c.Request.Class == "non-idempotent" {
-			r.Fatalf("seed %d: rejected, but may have run", r.seed)
+			r.Fatalf("seed %d: a non-idempotent call that may have run was rejected", r.seed)
 		}
 	}
 	return answered
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,7 +6,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// fireTimers notifies the balancer of each of its timers that is due, the earliest first.
+// fireTimers notifies the balancer of each timer that is due, earliest first.
 func (e *Engine) fireTimers() {
 	for len(e.timers) > 0 && e.timers[0].At <= e.Clock.Now() {
 		timer := heap.Pop(&e.timers).(balancer.SetTimer)
@@ -14,23 +14,23 @@
 	}
 }
 
-// timerHeap holds the timers that the balancer has set and that have not fired, the earliest first. It is a heap.Interface.
-// The balancer never cancels a timer; it passes over one that no longer matters to it.
+// timerHeap is a heap of the timers that the balancer has set and that have not fired, earliest first. It implements
+// heap.Interface. The balancer never cancels a timer; it ignores one that is no longer relevant when it fires.
 type timerHeap []balancer.SetTimer
 
-// Len is the number of timers.
+// Len returns the number of timers.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less says whether timer i fires before timer j.
+// Less reports whether timer i fires before timer j.
 func (h timerHeap) Less(i, j int) bool { return h[i].At < h[j].At }
 
-// Swap exchanges two timers.
+// Swap swaps two timers.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends a timer; for container/heap.
+// Push appends a timer. Only container/heap calls it.
 func (h *timerHeap) Push(timer any) { *h = append(*h, timer.(balancer.SetTimer)) }
 
-// Pop removes the last timer; for container/heap.
+// Pop removes and returns the last timer. Only container/heap calls it.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	timer := (*h)[last]
