--- a/invariants/checks.go
+++ b/invariants/checks.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Send is an attempt whose request has been written to a server. Times are of one monotonic clock; 0 where something has
-// not happened.
+// Send is an attempt whose request has been written to a server. All times are readings of one monotonic clock; 0 means
+// that the event has not occurred.
 type Send struct {
-	Began            time.Duration // right before the first byte was written
-	Stopped          time.Duration // when the node was notified that the server may get nothing new
-	ListExpires      time.Duration // when the endpoint list that has the server expires or expired, as known at Began
-	ClientGone       time.Duration // when the client cancelled or closed
-	Deadline         time.Duration // the client's
-	AnnouncedTimeout time.Duration // how long the server was told that the node waits; 0: not counted from the first byte
+	Began            time.Duration // immediately before the first byte was written
+	Stopped          time.Duration // when the node was notified that the server gets no new requests
+	ListExpires      time.Duration // expiry, as known at Began, of the endpoint list that contains the server
+	ClientGone       time.Duration // when the client canceled or closed
+	Deadline         time.Duration // the client's deadline
+	AnnouncedTimeout time.Duration // the timeout sent to the server; 0 if it does not start at the first byte
 }
 
-// Check returns the first violation of a send: of Drain, then Lost, then Budget.
+// Check returns the first violation by a send, or nil. It checks Drain, then Lost, then Budget.
 func (s Send) Check() *Violation {
 	if v := s.checkStopped(); v != nil {
 		return v
@@ -27,8 +27,8 @@
 	return s.checkBudget()
 }
 
-// checkStopped: nothing is sent to a server later than DrainGrace after the node was notified that it drains, has left the
-// list or is disabled.
+// checkStopped checks that the request was sent at most DrainGrace after the node was notified that the server is draining,
+// has left the list or is disabled.
 func (s Send) checkStopped() *Violation {
 	if s.Stopped <= 0 {
 		return nil
@@ -36,13 +36,13 @@
 	return timeLimitViolation(Drain, "a request was sent to a server that is out of service", s.Began-s.Stopped-DrainGrace)
 }
 
-// checkLease: nothing is sent later than DrainGrace after the endpoint list expired. Discovery may have announced long ago
-// that the server drains, with this node cut off from it.
+// checkLease checks that the request was sent at most DrainGrace after the endpoint list expired. After that, discovery may
+// have announced long ago that the server is draining, without this node receiving the update.
 func (s Send) checkLease() *Violation {
 	return timeLimitViolation(Drain, "a request was sent on an endpoint list that had expired", s.Began-s.ListExpires-DrainGrace)
 }
 
-// checkClient: nothing is sent later than ClientGoneGrace after the client has gone.
+// checkClient checks that the request was sent at most ClientGoneGrace after the client has gone.
 func (s Send) checkClient() *Violation {
 	if s.ClientGone <= 0 {
 		return nil
@@ -50,26 +50,26 @@
 	return timeLimitViolation(Lost, "a request was sent for a client that had gone", s.Began-s.ClientGone-ClientGoneGrace)
 }
 
-// checkBudget: the server is told at most the time that the client has left, and BudgetSlack.
+// checkBudget checks that the timeout sent to the server exceeds the time that the client has left by at most BudgetSlack.
 func (s Send) checkBudget() *Violation {
 	if s.AnnouncedTimeout <= 0 {
 		return nil
 	}
 	remaining := s.Deadline - s.Began
-	return timeLimitViolation(Budget, "a server was told more time than its client has left", s.AnnouncedTimeout-remaining-BudgetSlack)
+	return timeLimitViolation(Budget, "a server was sent a longer timeout than its client has left", s.AnnouncedTimeout-remaining-BudgetSlack)
 }
 
 // Retry is a further attempt of a request that is about to start.
 type Retry struct {
-	Attempts    int  // so far
-	MaxAttempts int  // by the settings
-	Outstanding int  // of those so far, how many have not ended
-	MayHaveRun  bool // one of them
-	Retryable   bool // the request's class allows that it runs again
+	Attempts    int  // number of earlier attempts
+	MaxAttempts int  // maximum from the settings
+	Outstanding int  // number of earlier attempts that have not ended
+	MayHaveRun  bool // a server may have run the request in an earlier attempt
+	Retryable   bool // the request's class allows it to run again
 }
 
-// Check returns the violation of Duplicate by a retry, if any: one attempt is out at a time, what may have run is retried
-// only if its class allows that, and the settings bound the number of attempts.
+// Check returns the violation of Duplicate by a retry, or nil. A request has at most one outstanding attempt; it is retried
+// after it may have run only if its class allows that; and the settings limit the number of attempts.
 func (r Retry) Check() *Violation {
 	switch {
 	case r.Outstanding > 0:
@@ -84,40 +84,40 @@
 
 // RequestEnd is the end of a request at the node.
 type RequestEnd struct {
-	At         time.Duration // of the same clock as Deadline
-	Deadline   time.Duration // the client's
-	Answered   bool          // with a final answer
-	Rejected   bool          // the answer says that sending the request again is harmless
+	At         time.Duration // on the same clock as Deadline
+	Deadline   time.Duration // the client's deadline
+	Answered   bool          // the request got a final answer
+	Rejected   bool          // the answer says that the client can safely send the request again
 	ClientGone bool
-	MayHaveRun bool // an attempt
-	Retryable  bool // the request's class allows that it runs again
+	MayHaveRun bool // a server may have run the request in one of the attempts
+	Retryable  bool // the request's class allows it to run again
 }
 
-// Check returns the violation by the end of a request, if any. Duplicate: what may have run is not rejected, unless its
-// class allows another run, for its client would send it again. Lost: there is an answer, unless nobody is there for it,
-// and it comes within AnswerSlack after the deadline.
-func (c RequestEnd) Check() *Violation {
+// Check returns the violation by the end of a request, or nil. Duplicate: a request that may have run is not rejected,
+// because its client would send it again, unless its class allows that. Lost: the request is answered at most AnswerSlack
+// after its deadline, unless the client is gone.
+func (e RequestEnd) Check() *Violation {
 	switch {
-	case c.Rejected && c.MayHaveRun && !c.Retryable:
+	case e.Rejected && e.MayHaveRun && !e.Retryable:
 		return &Violation{Rule: Duplicate, Description: "a request that may have run and must not run twice was rejected"}
-	case !c.Answered && !c.ClientGone:
+	case !e.Answered && !e.ClientGone:
 		return &Violation{Rule: Lost, Description: "a request was closed without an answer"}
-	case c.Answered:
-		return timeLimitViolation(Lost, "an answer came after its deadline", c.At-c.Deadline-AnswerSlack)
+	case e.Answered:
+		return timeLimitViolation(Lost, "a request was answered after its deadline", e.At-e.Deadline-AnswerSlack)
 	}
 	return nil
 }
 
 // SlowStartSend is an attempt that starts at a server.
 type SlowStartSend struct {
-	WarmingUp   bool // the server has started so lately that it is in slow start
-	Outstanding int  // this node's attempts at it that have not ended, without this one
+	WarmingUp   bool // the server started so recently that it is in slow start
+	Outstanding int  // this node's other attempts at the server that have not ended
 }
 
-// Check returns the violation of SlowStart by the start of an attempt, if any.
+// Check returns the violation of SlowStart by the start of an attempt, or nil.
 func (s SlowStartSend) Check() *Violation {
 	if s.WarmingUp && s.Outstanding > 0 {
-		return &Violation{Rule: SlowStart, Description: "a server in slow start got a second attempt of this node at once"}
+		return &Violation{Rule: SlowStart, Description: "a server in slow start got two concurrent attempts from this node"}
 	}
 	return nil
 }
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -1,12 +1,14 @@
-// Package invariants holds what must never happen at a node, as checks of typed facts. There is one for each moment at which
-// a rule can be broken: a request is written to a server (Send), a request is retried (Retry), an attempt starts at a server
-// in slow start (SlowStartSend), a request ends (RequestEnd). A check takes what is known at that moment and returns the
-// Violation, nil if there is none. The checks are pure and may be called from any goroutine; a Guard counts and logs what
-// the checks of one node found.
+// Package invariants checks that a node never breaks the operators' rules for it
+// (docs/incidents/2026-12-02-sends-on-an-expired-list.md).
 //
-// The engine and the HTTP ingress call a check where the thing itself is done, whatever was decided before: a decision may
-// rest on a state that has changed since. A check prevents nothing; it shows that a guard before it has failed, or that one
-// is missing. The rules are the operators' (docs/incidents/2026-12-02-sends-on-an-expired-list.md).
+// There is one type of check for each operation that can break a rule: a request is written to a server (Send), a request
+// is retried (Retry), an attempt is started at a server (SlowStartSend), or a request ends (RequestEnd). The fields describe
+// the operation, and the method Check returns the Violation, or nil. The checks have no side effects and may be called from
+// any goroutine. A Recorder counts and logs the violations of one node.
+//
+// The engine and the HTTP ingress run a check where the operation takes place, not where it was decided: the state may have
+// changed since the decision. A check does not prevent a violation. It shows that the code that should prevent it failed or
+// is missing.
 package invariants
 
 import (
@@ -17,46 +19,48 @@
 // Rule is one of the operators' rules.
 type Rule int
 
-// The rules. Their names, as String gives them, are in the log.
+// The rules. The log contains their names, as returned by String.
 const (
-	// Drain: nothing is sent to a server that drains, has left the endpoint list or is disabled by an operator, nor on
-	// an endpoint list that has expired. Broken, it shows as requests that end with a server's shutdown or restart.
+	// Drain: no request is sent to a server that is draining, has left the endpoint list or is disabled by an operator,
+	// or when the endpoint list has expired. Violations cause requests to fail when a server shuts down or restarts.
 	Drain Rule = iota
-	// Duplicate: a request that may have run is neither retried nor rejected (which invites its client to retry it),
-	// unless its class allows that it runs twice; and no request has two attempts out, or more than the settings allow.
-	// Broken, it shows as work done twice.
+	// Duplicate: a request that may have run is neither retried nor rejected (a rejection invites the client to retry),
+	// unless its class allows it to run twice. A request has at most one outstanding attempt, and at most as many
+	// attempts as the settings allow. Violations cause work to be done twice.
 	Duplicate
-	// Lost: each request that was read gets one final answer in time, and nothing is sent for a client that has gone.
-	// Broken, it shows as clients that time out, or as work done for nobody.
+	// Lost: each request that was read gets one final answer in time, and nothing is sent for a client that is gone.
+	// Violations cause clients to time out, or servers to work for clients that are gone.
 	Lost
-	// Budget: a server is told at most the time that the client has left. Broken, it shows as servers that work on
-	// requests whose clients have given up, most of all in an overload.
+	// Budget: the timeout that is sent to a server does not exceed the time that the client has left. Violations cause
+	// servers to work on requests whose clients have given up, most of all during an overload.
 	Budget
-	// SlowStart: a server that is warming up has at most one attempt of this node outstanding. Broken, it shows as a
-	// cold server that is overloaded as soon as it is back.
+	// SlowStart: this node has at most one outstanding attempt at a server that is warming up. Violations overload a
+	// server as soon as it has started.
 	SlowStart
-	ruleCount // how many there are
+	ruleCount // number of rules
 )
 
-// Rules are all of them.
+// Rules contains all rules.
 var Rules = [ruleCount]Rule{Drain, Duplicate, Lost, Budget, SlowStart}
 
 var ruleNames = [ruleCount]string{"drain", "duplicate", "lost", "budget", "slow-start"}
 
-// String is the rule's name in the log.
+// String returns the rule's name in the log.
 func (r Rule) String() string { return ruleNames[r] }
 
-// The slack that the operators' rules leave, for what takes its time on the way.
+// The tolerances of the rules.
 const (
-	// DrainGrace is from the moment at which the node is notified that a server may get nothing new, or at which the
-	// endpoint list expires, until the last send: requests that are being written need not be recalled.
+	// DrainGrace is the time for which requests may still be sent after the node is notified that a server gets no new
+	// requests, or after the endpoint list expires: a request that is being written need not be stopped.
 	DrainGrace = 250 * time.Millisecond
-	// ClientGoneGrace is from a client's cancel or close until the last send for it: the node has to notice first.
+	// ClientGoneGrace is the time for which requests may still be sent for a client after it cancels or closes: the node
+	// has to detect that first.
 	ClientGoneGrace = 100 * time.Millisecond
-	// BudgetSlack is by how much the time-out that a server is told may exceed what the client has left: the request
-	// is composed a little before it is written.
+	// BudgetSlack is by how much the timeout sent to a server may exceed the time that the client has left: the request
+	// is encoded shortly before it is written.
 	BudgetSlack = 150 * time.Millisecond
-	// AnswerSlack is from a request's deadline until its final answer at the latest: a time-out has to be noticed.
+	// AnswerSlack is how long after a request's deadline the final answer may be given: the node has to detect first that
+	// the deadline has passed.
 	AnswerSlack = 500 * time.Millisecond
 )
 
@@ -64,10 +68,10 @@
 type Violation struct {
 	Rule        Rule
 	Description string
-	Excess      time.Duration // over the rule's limit; 0 where the rule has no limit in time
+	Excess      time.Duration // time over the rule's limit; 0 if the rule has no time limit
 }
 
-// Error describes the violation and says what an operator can do.
+// Error describes the violation and tells the operator what to do.
 func (v *Violation) Error() string {
 	text := fmt.Sprintf("invariant %v broken: %s", v.Rule, v.Description)
 	if v.Excess > 0 {
@@ -76,7 +80,7 @@
 	return text + "; keep the node's log and capture, and report it"
 }
 
-// timeLimitViolation is the violation of a limit in time: nil unless excess, the time over the limit, is positive.
+// timeLimitViolation returns a violation of a time limit if excess, the time over the limit, is positive; otherwise nil.
 func timeLimitViolation(rule Rule, what string, excess time.Duration) *Violation {
 	if excess <= 0 {
 		return nil
