--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -12,51 +12,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// Version is that of the form of files that Write writes. Files of version 1 are read too: they have no owner and no age.
+// Version is the format version of the files that Write writes. Read also accepts files of version 1, which have no owner
+// and no age.
 const Version = 2
 
-// file is what stands on disk, as JSON.
+// file is the content of a file, encoded as JSON.
 type file struct {
 	Version   int             `json:"Version"`
-	Owner     string          `json:"Owner,omitempty"` // the node whose file it is: another one must not use it
-	BootID    string          `json:"Boot,omitempty"`  // of the machine's run in which it was written
-	SinceBoot time.Duration   `json:"At,omitempty"`    // when, in that run, time asleep included
+	Owner     string          `json:"Owner,omitempty"` // the node that owns the file; other nodes must not use it
+	BootID    string          `json:"Boot,omitempty"`  // the boot of the machine in which the file was written
+	SinceBoot time.Duration   `json:"At,omitempty"`    // when it was written, as time since boot, including suspended time
 	Checksum  uint64          `json:"Sum"`
 	Body      json.RawMessage `json:"Kept"`
 }
 
-// Why a file can't be used. A VersionError and an OwnerError are further reasons.
+// The reasons why a file can't be used. VersionError and OwnerError are further reasons.
 var (
-	// ErrDamaged says that a file is incomplete or was changed: it is no JSON, or its checksum is another.
+	// ErrDamaged means that a file is incomplete or was modified: it is not valid JSON, or its checksum does not match.
 	ErrDamaged = errors.New("torn (incomplete or damaged)")
-	// ErrChecksum says that a file is damaged and is JSON still.
-	ErrChecksum = fmt.Errorf("%w: its checksum is another", ErrDamaged)
-	// ErrTooLarge says that a file has more than MaxFileSize bytes.
-	ErrTooLarge = fmt.Errorf("over %d bytes", MaxFileSize)
-	// ErrNotRegular says that there is a folder, a pipe or the like where the file should be.
+	// ErrChecksum means that a file is valid JSON, but is damaged.
+	ErrChecksum = fmt.Errorf("%w: the checksum does not match", ErrDamaged)
+	// ErrTooLarge means that a file is larger than MaxFileSize.
+	ErrTooLarge = fmt.Errorf("larger than %d bytes", MaxFileSize)
+	// ErrNotRegular means that the path is a directory, a pipe or another special file.
 	ErrNotRegular = errors.New("not a regular file")
 )
 
-// VersionError says that a file has a form that this build does not know: a later build has written it.
+// VersionError means that this build can't read a file's format version, because a later build wrote the file.
 type VersionError struct{ Version int }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("of version %d, and this build reads up to %d", e.Version, Version)
+	return fmt.Sprintf("unsupported file version %d: this build reads versions up to %d", e.Version, Version)
 }
 
-// OwnerError says that a file belongs to another node, which shares the folder and the file's name.
+// OwnerError means that a file belongs to another node, which uses the same directory and file name.
 type OwnerError struct{ Owner string }
 
-func (e *OwnerError) Error() string { return fmt.Sprintf("of another owner, %q", e.Owner) }
+func (e *OwnerError) Error() string {
+	return fmt.Sprintf("the file belongs to another owner, %q", e.Owner)
+}
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// checksum covers all that a file says, so that no part of one file can pass beside a part of another.
+// checksum returns the checksum of all fields of a file, so that a mixture of two files is detected.
 func (f file) checksum() uint64 {
 	return crc64.Checksum(fmt.Appendf(nil, "%d\n%q\n%q\n%d\n%s", f.Version, f.Owner, f.BootID, f.SinceBoot, f.Body), checksumTable)
 }
 
-// parse reads a file of Version or of version 1. The error is ErrDamaged, ErrTooLarge or a *VersionError.
+// parse decodes and checks a file of format version 1 or Version. The error wraps ErrDamaged, ErrTooLarge or a
+// *VersionError.
 func parse(text []byte) (file, error) {
 	var f file
 	if len(text) > MaxFileSize {
@@ -79,9 +83,9 @@
 	return f, nil
 }
 
-// BootClock returns the ID of the machine's run and how long it has been under way, time asleep included. Unlike the wall
-// clock it can't be set, so that a file looks neither younger nor older after a step of that. Where the machine has no such
-// clock, the ID is empty, and no file has an age.
+// BootClock returns the ID of the machine's current boot and the time since that boot, including suspended time. Unlike the
+// wall clock it can't be set, so a step of the wall clock does not change the age of a file. If the machine has no such
+// clock, the ID is empty, and the age of every file is unknown.
 func BootClock() (bootID string, sinceBoot time.Duration) {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	var now unix.Timespec
@@ -91,8 +95,8 @@
 	return strings.TrimSpace(string(id)), time.Duration(now.Nano())
 }
 
-// age is how old a file is by a reading of BootClock. It is UnknownAge for a file of another run of the machine, and for
-// one from the future, as in a copy of another machine's folder.
+// age returns the age of a file at a reading of BootClock. It is UnknownAge for a file that was written in another boot of
+// the machine, or that is from the future, for example in a copied directory.
 func (f file) age(bootID string, sinceBoot time.Duration) time.Duration {
 	if f.BootID == "" || f.BootID != bootID || f.SinceBoot > sinceBoot {
 		return UnknownAge
--- a/internal/state/lock.go
+++ b/internal/state/lock.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// LockTimeout is how long Lock waits. A process that hangs with the lock must not hold up the one that replaces it.
+	// LockTimeout is how long Lock waits. A process that hangs while it holds the lock must not block its replacement.
 	LockTimeout = 300 * time.Millisecond
-	// lockRetryInterval is how often Lock tries: the system can't wait for a file lock with a time-out.
+	// lockRetryInterval is how often Lock retries: the operating system can't wait for a file lock with a timeout.
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// ErrLockTimeout says that the lock was not released within LockTimeout.
-var ErrLockTimeout = fmt.Errorf("state: another process did not release the lock within %v: look at the processes of this node", LockTimeout)
+// ErrLockTimeout means that the lock was not released within LockTimeout.
+var ErrLockTimeout = fmt.Errorf("state: another process did not release the lock within %v: check whether a process of this node hangs", LockTimeout)
 
-// Lock keeps other processes and goroutines from what is at path until release, which may be called after an error too. The
-// error is ErrBusy where the holder hangs or is slow. The system releases the lock of a process that is killed.
+// Lock locks the file at path against other processes and goroutines until release is called, which is also allowed after
+// an error. The error is ErrLockTimeout if the holder of the lock hangs or is slow. The operating system releases the lock
+// of a process that is killed.
 func Lock(ctx context.Context, path string) (release func(), err error) {
 	ctx, cancel := context.WithTimeout(ctx, LockTimeout)
 	defer cancel()
--- a/internal/state/read.go
+++ b/internal/state/read.go
@@ -11,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Snapshot is a file as it was found.
+// Snapshot is the newest usable file, if there is one.
 type Snapshot struct {
-	Body     json.RawMessage // nil: there is no file that can be used
-	Age      time.Duration   // or UnknownAge
-	Previous bool            // it is the file before the last
-	Errors   []error         // why files that are there were not used, each a *FileError
+	Body     json.RawMessage // nil: there is no usable file
+	Age      time.Duration   // may be UnknownAge
+	Previous bool            // this is the previous version of the file
+	Errors   []error         // why existing files were not used, each a *FileError
 }
 
-// FileError says why a file that is there can't be used: ErrDamaged, ErrTooLarge, ErrNotRegular, a *VersionError, an
-// *OwnerError, or an error of the system.
+// FileError says why an existing file can't be used: ErrDamaged, ErrTooLarge, ErrNotRegular, a *VersionError, an
+// *OwnerError, or an error of the operating system.
 type FileError struct {
 	Path string
 	Err  error
@@ -31,8 +31,8 @@
 // Unwrap returns the reason.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Read returns the newest file that can be used: the one at path, or else the one before it. It returns promptly,
-// whatever is there (see load).
+// Read returns the newest usable file: the file at path, or else its previous version. It returns promptly, whatever is
+// at these paths (see load).
 func Read(path, owner string) Snapshot {
 	var found Snapshot
 	bootID, now := BootClock()
@@ -51,15 +51,15 @@
 	return found
 }
 
-// Info is what a file says of itself.
+// Info is the content of one file.
 type Info struct {
 	Version int
 	Owner   string        // empty in a file of version 1
-	Age     time.Duration // or UnknownAge
+	Age     time.Duration // may be UnknownAge
 	Body    json.RawMessage
 }
 
-// Inspect reads one file by itself, whoever owns it. The error wraps a *FileError.
+// Inspect reads one file regardless of its owner, without using its previous version. The error wraps a *FileError.
 func Inspect(path string) (Info, error) {
 	f, err := load(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return Info{Version: f.Version, Owner: f.Owner, Age: f.age(BootClock()), Body: f.Body}, nil
 }
 
-// loadOwned reads a file and checks its owner. One of version 1 names none.
+// loadOwned reads a file and checks its owner. Files of version 1 have no owner and are always accepted.
 func loadOwned(path, owner string) (file, error) {
 	f, err := load(path)
 	if err == nil && f.Version > 1 && f.Owner != owner {
@@ -77,8 +77,8 @@
 	return f, err
 }
 
-// load reads a file. Whatever else is at its place must neither fill the node's memory nor delay its start: a pipe is not
-// waited for, and of a file no more is read than one may have.
+// load reads a file. Anything else at the path must neither exhaust the node's memory nor delay its start: load does not
+// wait for a pipe, and reads at most one byte more than MaxFileSize.
 func load(path string) (file, error) {
 	in, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // opening a pipe without a writer would block
 	if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,23 +1,27 @@
-// Package state keeps on disk what a node must still know after it was ended at any moment: one file for each thing.
+// Package state persists state that a node needs after a restart, even if the node is killed at any moment. Each kind of
+// state has its own file.
 //
-// A file is replaced as a whole, has a checksum, names its owner, and has its previous version beside it (PATH.before), so
-// that a crash at any moment leaves one that can be used. Its age is measured by the machine's boot clock, which neither a
-// step of the wall clock nor a sleep of the machine distorts. The package stores bytes; what they mean is its callers'.
+// A file is always replaced as a whole, contains a checksum and the name of its owner, and its previous version is kept as
+// PATH.before. Therefore a crash at any moment leaves a usable file. The age of a file is measured with the machine's boot
+// clock, which is not affected by steps of the wall clock and includes the time that the machine was suspended. The package
+// stores bytes and does not interpret them.
 //
-//	format.go, version1.go  the form of a file, its checksum and age; the errors of one that can't be used
-//	write.go                replacing a file, and which crash each step survives
-//	read.go                 the newest file that can be used
-//	lock.go                 exclusion of other processes, with a time-out
-//	store.go                one file for many callers at once
+//	format.go, version1.go  file format, checksum and age; the errors for unusable files
+//	write.go                replacing a file, and the state that a crash in each step leaves
+//	read.go                 reading the newest usable file
+//	lock.go                 exclusion of other processes, with a timeout
+//	store.go                one file for concurrent callers
 package state
 
 import "time"
 
-// MaxFileSize is how long a file may be, in bytes. What is longer is not of this program, and would fill the memory.
+// MaxFileSize is the maximum size of a file in bytes. A larger file was not written by this program; reading it would
+// exhaust the memory.
 const MaxFileSize = 8 << 20
 
-// UnknownAge is the age of a file that was not written since the machine booted: how long it was off is not known.
+// UnknownAge is the age of a file that was not written since the machine booted, because it is unknown how long the machine
+// was off.
 const UnknownAge = time.Duration(-1)
 
-// previousPath is where the file before the last is kept.
+// previousPath returns the path of the previous version of the file.
 func previousPath(path string) string { return path + ".before" }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,10 +15,11 @@
 	"time"
 )
 
-// writerPathVariable names the file that the test binary, started as a child process, writes again and again.
+// writerPathVariable is the environment variable with the path of the file that the test binary, started as a child
+// process, writes repeatedly.
 const writerPathVariable = "STATE_WRITES"
 
-// TestMain lets the test binary stand in for a process that writes until it is killed.
+// TestMain lets the test binary also act as a process that writes until it is killed.
 func TestMain(m *testing.M) {
 	path := os.Getenv(writerPathVariable)
 	if path == "" {
@@ -33,23 +34,23 @@
 	}
 }
 
-// body is so long that a part of it differs from the whole.
+// body returns the body with number n. It is long enough that an incomplete write can be detected.
 func body(n int) json.RawMessage {
 	return json.RawMessage(`{"n":` + strconv.Itoa(n) + `,"fill":"` + strings.Repeat(strconv.Itoa(n%10), 40000) + `"}`)
 }
 
-// bodyNumber is the n of a body, which must be complete.
+// bodyNumber returns the number of a body, and checks that the body is complete.
 func bodyNumber(t testing.TB, text json.RawMessage) int {
 	t.Helper()
 	var b struct{ N int }
 	if err := json.Unmarshal(text, &b); err != nil || string(text) != string(body(b.N)) {
-		t.Fatalf("no body: %.40s, %v", text, err)
+		t.Fatalf("not a complete body: %.40s, %v", text, err)
 	}
 	return b.N
 }
 
-// A node is killed while it writes its state. Whichever step of Write that hits, the file that it leaves is complete and no
-// older than the last of which Write said that it is on disk; and the next Write removes what was left half written.
+// A node is killed while it writes its state. Whatever step of Write is interrupted, the remaining file must be complete,
+// and not older than the last file for which Write returned nil. The next Write must remove the temporary files.
 func TestFileSurvivesKillDuringWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
@@ -68,14 +69,14 @@
 			if written, err = strconv.Atoi(lines.Text()); err != nil {
 				t.Fatal(lines.Text())
 			}
-			if written == kill { // the child is at some step of the next write, or of one after it
+			if written == kill { // by now the child is in some step of the next write or a later one
 				child.Process.Kill()
 			}
 		}
 		child.Wait()
 		got := Read(path, "me")
 		if n := bodyNumber(t, got.Body); n < written || n > written+1 || got.Previous || len(got.Errors) > 0 || got.Age == UnknownAge || got.Age > time.Minute {
-			t.Fatalf("%d was written, found %d, age %v, previous %v, errors %v", written, n, got.Age, got.Previous, got.Errors)
+			t.Fatalf("wrote %d, read %d, age %v, previous %v, errors %v", written, n, got.Age, got.Previous, got.Errors)
 		}
 	}
 	if err := Write(path, "me", body(7)); err != nil {
@@ -86,9 +87,9 @@
 	}
 }
 
-// A node is killed after the present file got its second name and before the new one took its place, so that both names are
-// of one file. The next Write leaves nothing beside the file and the previous one: renaming one name of a file to another
-// name of it does nothing, and leaves both.
+// A node is killed after the current file got its second name and before the new file replaced it, so that both names refer
+// to the same file. The next Write must leave no third file: rename(2) between two names of the same file does nothing and
+// keeps both names.
 func TestWriteAfterKillBetweenLinkAndRename(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s")
@@ -102,11 +103,12 @@
 		t.Fatal(err)
 	}
 	if got := Read(path, "me"); bodyNumber(t, got.Body) != 0 || !got.Previous {
-		t.Errorf("previous file: %.40s, errors %v", got.Body, got.Errors)
+		t.Errorf("read %.40s, previous %v, errors %v; want the previous file", got.Body, got.Previous, got.Errors)
 	}
 }
 
-// writeModifiedFile makes a file of this node that is good but for the change.
+// writeModifiedFile writes a file of this node that is valid except for the change. The checksum matches unless change sets
+// it.
 func writeModifiedFile(path string, change func(*file)) error {
 	f := file{Version: Version, Owner: "me", Body: body(1)}
 	f.BootID, f.SinceBoot = BootClock()
@@ -121,10 +123,10 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// A file is damaged on disk, or something else stands in its place. The previous file is used, and the error says why the
-// last one was not. A bad file never takes the place of the previous one, and where there is neither, nothing is used.
-// Nothing that stands there delays a start: opening a pipe would wait for a writer, and reading a huge file would fill the
-// memory.
+// A file is damaged on disk, or something else is at its path. Read must return the previous file, and an error that says
+// why the current one is unusable. An unusable file must never become the previous file. Without any file, Read returns
+// none. Nothing at the path may delay a start: opening a pipe would wait for a writer, and reading a huge file would
+// exhaust the memory.
 func TestPreviousFileIsUsed(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reason func(error) bool
@@ -134,7 +136,7 @@
 		"truncated":      {wraps(ErrDamaged), func(p string) error { return os.Truncate(p, 900) }},
 		"not JSON":       {wraps(ErrDamaged), func(p string) error { return os.WriteFile(p, []byte("x"), 0o600) }},
 		"a byte changed": {wraps(ErrChecksum), func(p string) error { return writeModifiedFile(p, func(f *file) { f.Checksum = f.checksum() ^ 1 }) }},
-		"of another owner": {func(err error) bool {
+		"owned by another node": {func(err error) bool {
 			var owner *OwnerError
 			return errors.As(err, &owner) && owner.Owner == "you"
 		}, func(p string) error { return writeModifiedFile(p, func(f *file) { f.Owner = "you" }) }},
@@ -142,9 +144,9 @@
 			var version *VersionError
 			return errors.As(err, &version) && version.Version == Version+1
 		}, func(p string) error { return writeModifiedFile(p, func(f *file) { f.Version = Version + 1 }) }},
-		"too large": {wraps(ErrTooLarge), func(p string) error { return os.Truncate(p, 1<<40) }},
-		"a folder":  {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
-		"a pipe":    {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
+		"too large":   {wraps(ErrTooLarge), func(p string) error { return os.Truncate(p, 1<<40) }},
+		"a directory": {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), os.Mkdir(p, 0o700)) }},
+		"a pipe":      {wraps(ErrNotRegular), func(p string) error { return errors.Join(os.Remove(p), syscall.Mkfifo(p, 0o600)) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "[s")
@@ -153,15 +155,15 @@
 					t.Fatal(err)
 				}
 			}
-			for range 2 { // the second time after a write over the bad file
+			for range 2 { // the second time after Write has replaced the unusable file
 				if err := tc.damage(path); err != nil {
 					t.Fatal(err)
 				}
 				got := Read(path, "me")
 				if n := bodyNumber(t, got.Body); n > 1 || !got.Previous || len(got.Errors) != 1 || !tc.reason(got.Errors[0]) || !strings.HasPrefix(got.Errors[0].Error(), path+": ") {
-					t.Errorf("found %d, previous %v, errors %v", n, got.Previous, got.Errors)
+					t.Errorf("read %d, previous %v, errors %v", n, got.Previous, got.Errors)
 				}
-				if name == "a folder" { // which Write does not replace
+				if name == "a directory" { // which Write can't replace
 					break
 				}
 				if err := Write(path, "me", body(5)); err != nil {
@@ -172,29 +174,30 @@
 				t.Fatal(err)
 			}
 			if got := Read(path, "me"); got.Body != nil || got.Errors != nil {
-				t.Errorf("without files: %d bytes, errors %v", len(got.Body), got.Errors)
+				t.Errorf("Read without any file returned %d bytes, errors %v", len(got.Body), got.Errors)
 			}
 		})
 	}
 }
 
-// wraps makes a check that an error wraps another.
+// wraps returns a function that reports whether an error wraps target.
 func wraps(target error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, target) }
 }
 
-// A node uses the age of what it finds to judge how much it is worth. A wrong age is worse than none: a file of another run
-// of the machine, or from the future, has none, and neither has one of version 1, which is read all the same.
+// A node decides by the age of the state whether it can use it. A wrong age is worse than an unknown one: the age must be
+// unknown for files that were written in another boot of the machine, that are from the future, or that have version 1.
+// Read must return these files nevertheless.
 func TestAgeUsesBootClock(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change   func(*file)
 		from, to time.Duration
 	}{
-		"an hour ago":     {func(f *file) { f.SinceBoot -= time.Hour }, time.Hour, time.Hour + time.Minute},
+		"one hour old":    {func(f *file) { f.SinceBoot -= time.Hour }, time.Hour, time.Hour + time.Minute},
 		"from the future": {func(f *file) { f.SinceBoot += time.Hour }, UnknownAge, UnknownAge},
 		"another boot":    {func(f *file) { f.BootID = "x" }, UnknownAge, UnknownAge},
 		"no boot clock":   {func(f *file) { f.BootID = "" }, UnknownAge, UnknownAge},
-		"of version 1":    {func(f *file) { *f = file{Version: 1, Body: f.Body, Checksum: checksumVersion1(f.Body)} }, UnknownAge, UnknownAge},
+		"version 1":       {func(f *file) { *f = file{Version: 1, Body: f.Body, Checksum: checksumVersion1(f.Body)} }, UnknownAge, UnknownAge},
 	} {
 		path := filepath.Join(t.TempDir(), "s")
 		if err := writeModifiedFile(path, tc.change); err != nil {
@@ -206,7 +209,7 @@
 	}
 }
 
-// No bytes crash the reader, and a file that is taken has its checksum.
+// No input may crash parse, and any file that it accepts must have a matching checksum.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"Version":1,"Sum":0,"Kept":{}}`))
 	good := file{Version: Version, Owner: "me", Body: json.RawMessage(`{"n":1}`)}
@@ -220,7 +223,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, err := parse(text)
 		if err == nil && (got.Body == nil || got.Version != 1 && got.Checksum != got.checksum()) {
-			t.Errorf("taken: %+v", got)
+			t.Errorf("parse accepted an invalid file: %+v", got)
 		}
 	})
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -8,31 +8,32 @@
 	"sync/atomic"
 )
 
-// Store is one file for callers that come at once, in this process and in another one: what a caller changed before it
-// called Save is on disk when its call returns. Callers that wait together share a write.
+// Store is one file that concurrent callers in this process and other processes save: the changes that a caller made before
+// it called Save are on disk when the call returns without an error. Callers that wait at the same time share one write.
 type Store struct {
 	Path, Owner string
-	// OnLockTimeout is called when another process did not release the lock in time (ErrBusy). The file is written all the same: that
-	// process most likely hangs and does not write, and what an operator said must not be lost for its sake.
+	// OnLockTimeout is called when another process did not release the lock in time (ErrLockTimeout). The file is written
+	// nevertheless: the other process most likely hangs and does not write, and an operator's change must not be lost.
 	OnLockTimeout func()
 
-	requests      atomic.Uint64 // calls of Save so far
+	requests      atomic.Uint64 // number of calls of Save so far
 	mu            sync.Mutex    // held while the file is written
-	savedRequests uint64        // of requests, how many are on disk
+	savedRequests uint64        // the changes of this many of the requests are on disk
 }
 
-// Save has on disk what current returns. current is called while nobody else writes, here or in another process, so that
-// it sees all that callers up to now have changed. It fails with the error of current, of the lock, or of Write.
+// Save writes the result of current to disk, or returns once a write by another caller includes the change. current is
+// called while no other goroutine or process writes, so its result includes all changes that callers have made by then. The
+// error is that of current, Lock or Write.
 func (s *Store) Save(ctx context.Context, current func() (json.RawMessage, error)) error {
 	request := s.requests.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.savedRequests >= request {
-		return nil // the write of another caller, which began after this request
+		return nil // another caller's write, which began after this request, includes the change
 	}
-	included := s.requests.Load() // current will see what all these have changed
+	included := s.requests.Load() // the result of current will include the changes of all these requests
 	if err := s.write(ctx, current); err != nil {
-		return err // covered stays: callers that wait try by themselves, for the error may be this caller's context's
+		return err // waiting callers write again themselves: the error may come from this caller's context
 	}
 	s.savedRequests = included
 	return nil
@@ -53,5 +54,5 @@
 	return Write(s.Path, s.Owner, body)
 }
 
-// Read returns the newest file that can be used.
+// Read returns the newest usable file.
 func (s *Store) Read() Snapshot { return Read(s.Path, s.Owner) }
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// Two processes of a node have a Store of one path, and operators call both at once. An operator who was answered relies on
-// it that the change is on disk: when a call of Save returns, what its caller changed before is there.
+// Two processes of a node have a Store with the same path, and operators call both concurrently. An operator whose call was
+// answered relies on the change being on disk: when Save returns, the changes that its caller made before must be there.
 func TestSavePersistsChangesOfConcurrentCallers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	var set [64]atomic.Bool // known to both, as the processes notify each other before they write
+	var set [64]atomic.Bool // shared, because the processes notify each other of changes before they write
 	current := func() (json.RawMessage, error) {
 		on := []int{}
 		for i := range set {
@@ -33,15 +33,16 @@
 			err := stores[i%2].Save(t.Context(), current)
 			var on []int
 			if err = errors.Join(err, json.Unmarshal(stores[i%2].Read().Body, &on)); err != nil || !slices.Contains(on, i) {
-				t.Errorf("%d is not among %v, %v", i, on, err)
+				t.Errorf("change %d is not on disk: %v, error %v", i, on, err)
 			}
 		})
 	}
 	callers.Wait()
 }
 
-// Many callers wait while one writes. They share the next write, or each would cost a sync of the disk. Where that fails, the
-// caller that made it has the error, and the others write anew: none is told of success that was not.
+// Many callers wait while one writes. They must share the next write, because each write costs a sync of the disk. If that
+// write fails, only the caller that performed it gets the error, and the others write again: no caller may be told that a
+// failed write succeeded.
 func TestWaitingCallersShareWrite(t *testing.T) {
 	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnLockTimeout: func() {}}
 	resume, writing, writes, failed := make(chan struct{}), make(chan struct{}), 0, errors.New("no")
@@ -63,7 +64,7 @@
 	for range 8 {
 		go save()
 	}
-	for store.requests.Load() < 9 { // all of them have come
+	for store.requests.Load() < 9 { // until all callers have called Save
 		runtime.Gosched()
 	}
 	close(resume)
@@ -74,19 +75,20 @@
 		}
 	}
 	if got := store.Read(); failures != 1 || writes != 3 || string(got.Body) != "3" {
-		t.Errorf("%d writes for 9 callers, %d had the error of the one that failed, found %s", writes, failures, got.Body)
+		t.Errorf("%d writes for 9 callers, want 3; %d callers got an error, want 1; read %s", writes, failures, got.Body)
 	}
 }
 
-// A process hangs while it holds the lock, and another is started to replace it. What operators say must still be kept: Save
-// waits for LockTimeout, reports it through OnBusy, and writes. Once the lock is released there is no wait and no report.
+// A process hangs while it holds the lock, and another process is started to replace it. Operators' changes must still be
+// saved: Save waits for LockTimeout, calls OnLockTimeout and writes. After the lock is released, Save must neither wait nor
+// call OnLockTimeout.
 func TestSaveWithHungLockHolder(t *testing.T) {
-	busy := 0
-	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnLockTimeout: func() { busy++ }}
+	timeouts := 0
+	store := &Store{Path: filepath.Join(t.TempDir(), "s"), Owner: "me", OnLockTimeout: func() { timeouts++ }}
 	save := func(n int) {
 		t.Helper()
-		if err := store.Save(t.Context(), func() (json.RawMessage, error) { return json.Marshal(n) }); err != nil || busy != 1 {
-			t.Errorf("%v, reported %d times", err, busy)
+		if err := store.Save(t.Context(), func() (json.RawMessage, error) { return json.Marshal(n) }); err != nil || timeouts != 1 {
+			t.Errorf("Save returned %v; OnLockTimeout was called %d times, want 1", err, timeouts)
 		}
 	}
 	release, err := Lock(t.Context(), store.Path)
@@ -97,6 +99,6 @@
 	release()
 	save(2)
 	if got := store.Read(); string(got.Body) != "2" {
-		t.Errorf("found %s", got.Body)
+		t.Errorf("read %s, want 2", got.Body)
 	}
 }
--- a/internal/state/version1.go
+++ b/internal/state/version1.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// checksumVersion1 is the checksum of a file of version 1, which covers its body alone. The first builds wrote such files,
-// and a node that is upgraded from one finds it.
+// checksumVersion1 returns the checksum of a file of version 1, which covers only the body. Early builds wrote such files;
+// a node that is upgraded from an early build reads one.
 func checksumVersion1(body []byte) uint64 {
 	hash := fnv.New64a()
 	hash.Write(body)
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -10,22 +10,23 @@
 	"github.com/google/renameio/v2"
 )
 
-// filePermissions: what operators said is nobody else's to read or change.
+// filePermissions prevents other users from reading or changing the persisted state.
 const filePermissions = 0o600
 
-// Write replaces the file at path. When it returns nil, the new one is on disk. It must not run beside another Write of the
-// same path: see Lock. A process that is killed, or a machine that loses power, in or after a step leaves this:
+// Write replaces the file at path. When it returns nil, the new file is on disk. Concurrent calls for the same path must be
+// excluded with Lock. The steps, and the files that remain if the process is killed or the machine loses power during or
+// after each of them:
 //
-//  1. Leftovers of killed processes are removed, and the new text is written to a temporary file in the same folder.
-//     The file at path is untouched; the temporary file is removed by the next Write.
-//  2. The present file gets a second name, PATH.before, if it can be used (keepPrevious).
-//     The file at path is still the present one.
+//  1. Write removes leftovers of killed processes, and writes the new content to a temporary file in the same directory.
+//     The file at path is unchanged. The next Write removes the temporary file.
+//  2. If the current file is usable, it gets a second name, PATH.before (keepPrevious).
+//     The file at path is still the current one.
 //  3. The temporary file is synced to disk, then renamed to path.
-//     At path is the old file or the new one, whole: no text is renamed that is not on disk.
-//  4. The folder is synced.
-//     The new name itself survives the loss of power from here on. Only now is the caller told of success.
+//     The file at path is either the old or the new one, and complete: the content is on disk before the rename.
+//  4. The directory is synced.
+//     From now on, the new name survives a loss of power. Only then does Write return nil.
 //
-// Should the disk damage the file at path later, Read finds the previous one.
+// If the disk damages the file at path later, Read returns the previous version.
 func Write(path, owner string, body json.RawMessage) error {
 	text, err := encode(path, owner, body)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// encode makes the text of a file of now.
+// encode returns the content of a file that is written now.
 func encode(path, owner string, body json.RawMessage) ([]byte, error) {
 	f := file{Version: Version, Owner: owner, Body: body}
 	f.BootID, f.SinceBoot = BootClock()
@@ -47,12 +48,12 @@
 		return nil, err
 	}
 	if len(text) > MaxFileSize {
-		return nil, fmt.Errorf("%d bytes for %s: %w", len(text), path, ErrTooLarge)
+		return nil, fmt.Errorf("can't write %d bytes to %s: %w", len(text), path, ErrTooLarge)
 	}
 	return text, nil
 }
 
-// replace does the steps of Write.
+// replace performs the steps of Write.
 func replace(path, owner string, text []byte) error {
 	dir := filepath.Dir(path)
 	removeLeftovers(path)
@@ -73,9 +74,9 @@
 	return syncDir(dir)
 }
 
-// keepPrevious gives the present file its second name. A file that can't be used never takes the place of the last one
-// that can: else a damaged file and a crash in the next write would leave none. The second name is made under a third one
-// and renamed, so that a crash in between leaves the file before it.
+// keepPrevious makes the current file the previous version. An unusable file never replaces the last usable one: otherwise
+// a damaged file and a crash in the next write would leave no usable file. The link is created under a temporary name and
+// then renamed, so that a crash in between leaves the old previous version.
 func keepPrevious(path, owner string) error {
 	if _, err := loadOwned(path, owner); err != nil {
 		return nil
@@ -84,15 +85,15 @@
 	if err := os.Link(path, link); err != nil {
 		return err
 	}
-	defer os.Remove(link) // rename(2) leaves it if the previous file is the present one already
+	defer os.Remove(link) // rename(2) does not remove it if both names already refer to the same file
 	return os.Rename(link, previousPath(path))
 }
 
-// linkPath is the name that the present file has until it is renamed to previousPath.
+// linkPath returns the temporary name of the link that keepPrevious renames to previousPath.
 func linkPath(path string) string { return previousPath(path) + ".new" }
 
-// syncDir puts the names of a folder's files on disk: without it a loss of power may bring the old file back after the
-// caller was told that the new one is there.
+// syncDir syncs the entries of a directory to disk. Without it, the old file could reappear after a loss of power, although
+// Write has returned nil.
 func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
@@ -102,18 +103,18 @@
 	return folder.Sync()
 }
 
-// removeLeftovers removes the temporary files and names of processes that were killed as they wrote: a process that is
-// killed again and again would fill the disk.
+// removeLeftovers removes temporary files and links of processes that were killed during a write. Otherwise a process that
+// is killed repeatedly would fill the disk.
 func removeLeftovers(path string) {
 	os.Remove(linkPath(path))
 	dir, prefix := filepath.Dir(path), "."+filepath.Base(path)
-	entries, err := os.ReadDir(dir) // not filepath.Glob, which takes a [ in the path for a pattern
+	entries, err := os.ReadDir(dir) // not filepath.Glob, which interprets a [ in the path as a pattern
 	if err != nil {
 		return
 	}
 	for _, entry := range entries {
 		if strings.HasPrefix(entry.Name(), prefix) {
-			os.Remove(filepath.Join(dir, entry.Name())) // one that can't be removed costs some space, no more
+			os.Remove(filepath.Join(dir, entry.Name())) // a file that can't be removed only takes up space
 		}
 	}
 }
