--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// ErrOtherProcessGone says that the other process has ended, or did not answer in time.
-var ErrOtherProcessGone = errors.New("the other process is gone")
+// ErrOtherProcessGone means that the other process has ended, or did not acknowledge a message in time.
+var ErrOtherProcessGone = errors.New("the other process has ended, or did not acknowledge the message in time")
 
-// Conn is the connection between two processes of a node. Run must run for Send to have its answers. All methods but Run and
-// HandOver may be called from any goroutine.
+// Conn is the connection between two processes of a node. Run must be running for Send to receive acknowledgements. All
+// methods except Run and HandOver may be called from any goroutine.
 type Conn struct {
 	socket  *net.UnixConn
 	decoder *json.Decoder
 
-	mu      sync.Mutex            // of writes and of what follows
-	lastID  int                   // of the Messages sent
-	pending map[int]chan struct{} // by ID; closed as the acknowledgement comes
+	mu      sync.Mutex            // serializes writes and guards lastID and pending
+	lastID  int                   // ID of the last message sent
+	pending map[int]chan struct{} // by message ID; closed when the acknowledgement is received
 
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -34,8 +34,8 @@
 	}
 }
 
-// Run hands each Message of the other process to receive, in order, and acknowledges it after that, until the connection
-// ends. It closes the connection.
+// Run calls receive for each message of the other process, in order, and acknowledges the message when receive has
+// returned. It returns when the connection ends, and closes it.
 func (c *Conn) Run(receive func(Message)) {
 	defer c.Close()
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleAck ends the wait of the Send with an ID, if it still waits.
+// handleAck wakes the Send call that waits for the acknowledgement of a message, if there is one.
 func (c *Conn) handleAck(id int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,9 +64,9 @@
 	}
 }
 
-// Send sends a Message and waits until the other process has taken it. It fails with ErrOtherProcessGone when the connection ends or
-// the timeout passes before, and with the connection's error when it can't be written. An operator is owed an answer in 1 s,
-// so a process that hangs must not hold up the call.
+// Send sends a message and waits until the other process has acknowledged it. It returns ErrOtherProcessGone if the
+// connection ends or timeout passes first, or the connection's error if the message can't be written. The timeout is needed
+// because an operator must get an answer within 1 s, even if the other process hangs.
 func (c *Conn) Send(message Message, timeout time.Duration) error {
 	id, acked := c.register()
 	defer c.unregister(id)
@@ -85,7 +85,7 @@
 	return ErrOtherProcessGone
 }
 
-// register makes an ID whose acknowledgement is awaited.
+// register returns a new message ID, and a channel that is closed when the message is acknowledged.
 func (c *Conn) register() (id int, acked <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,11 +104,11 @@
 func (c *Conn) write(message Message) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.socket.SetWriteDeadline(time.Now().Add(handoverTimeout)) // the other process may hang and read nothing
+	c.socket.SetWriteDeadline(time.Now().Add(handoverTimeout)) // the other process may hang and not read
 	return json.NewEncoder(c.socket).Encode(message)
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.closed }
 
 // Close ends the connection.
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -17,30 +17,30 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// The two processes of a hot restart may be of different builds: that is how a node is upgraded. What one writes the other
-// must read, key by key. A key that is not known is ignored without an error, so a key that changed would lose the
-// endpoints, what operators said, or what was learned. So the golden files in testdata must not change while Version is the
-// same. Whoever changes the form on purpose raises Version and writes them anew with -update.
+// The two processes of a hot restart may run different builds, because a node is upgraded in this way. Each must be able to
+// read every key that the other writes. An unknown key is ignored without an error, so a renamed key would lose endpoints,
+// operators' changes or learned state. Therefore the golden files in testdata must not change while Version is the same. To
+// change the encoding intentionally, increment Version and update the files with -update.
 
-// The golden files: the handover state, the messages of both processes, and the body of the file of Store.
+// The golden files contain the handover state, the messages of both processes, and the body of the file of Store.
 var (
 	goldenStateFile    = filepath.Join("testdata", "estate.json")
 	goldenMessagesFile = filepath.Join("testdata", "messages.jsonl")
 	goldenStoreFile    = filepath.Join("testdata", "kept.json")
 )
 
-// checkGolden checks that what was written is a golden file, byte for byte.
+// checkGolden checks that got is identical to a golden file.
 func checkGolden(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if goldentest.Updating() {
 		goldentest.Write(t, path, got)
 	}
 	if want := goldentest.Text(t, path); !bytes.Equal(got, want) {
-		t.Errorf("%s has another form:\n got %s\nwant %s", path, got, want)
+		t.Errorf("the output differs from %s:\n got %s\nwant %s", path, got, want)
 	}
 }
 
-// goldenState has a value in each field.
+// goldenState returns a HandoverState in which every field is set.
 func goldenState() HandoverState {
 	return HandoverState{Version: Version, Node: "n0", Listen: "127.0.0.1:5000", Settings: json.RawMessage(`{"Classes":[]}`),
 		BalancerState: json.RawMessage(`{"Now":5}`), ListVersion: 41, ListAge: 3e9,
@@ -50,14 +50,14 @@
 		OperatorState: OperatorState{DisabledServers: []string{"s-2", "s-3"}, OutOfService: true}}
 }
 
-// goldenMessages are the kinds of messages that the processes of a node send.
+// goldenMessages returns one message of each kind that the processes of a node send.
 func goldenMessages() []Message {
 	out, back := true, false
 	return []Message{{ID: 1, Serving: true}, {AckID: 1}, {ID: 2, Server: "s-1", Disabled: true}, {ID: 3, Server: "s-1"}, {ID: 4, OutOfService: &out},
 		{ID: 5, OutOfService: &back}}
 }
 
-// No field of the examples is zero, or a golden file would not show it when its key changes.
+// Every field must be set in an example. Otherwise the golden files would not detect a change of its key.
 func TestGoldenExamplesHaveEveryField(t *testing.T) {
 	state := goldenState()
 	for _, v := range []any{state, state.OperatorState, state.Endpoints[0], state.Endpoints[0].Server} {
@@ -74,7 +74,7 @@
 	}
 }
 
-// A new process of any build finds these bytes behind the byte with the descriptor.
+// The old process must write the golden state after the byte with the descriptor, so that any build can read it.
 func TestGoldenStateIsWritten(t *testing.T) {
 	path, ln := socketPath(t), clientListener(t)
 	state := goldenState()
@@ -101,7 +101,7 @@
 	checkGolden(t, goldenStateFile, written.Bytes())
 }
 
-// The state that a process of an earlier build hands over is read, each field of it.
+// A process must read every field of the state that an earlier build hands over.
 func TestGoldenStateIsRead(t *testing.T) {
 	path, ln := socketPath(t), clientListener(t)
 	text := goldentest.Text(t, goldenStateFile)
@@ -134,7 +134,7 @@
 	}
 }
 
-// connected returns a Conn and the socket at its other end.
+// connected returns a Conn and the socket at the other end of the connection.
 func connected(t *testing.T) (*Conn, *net.UnixConn) {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
@@ -152,7 +152,7 @@
 	return <-accepted, socket
 }
 
-// A process of any build reads these bytes as the messages of the other one.
+// A process must write the golden messages, so that any build can read them.
 func TestGoldenMessagesAreWritten(t *testing.T) {
 	conn, socket := connected(t)
 	for _, message := range goldenMessages() {
@@ -168,7 +168,7 @@
 	checkGolden(t, goldenMessagesFile, written.Bytes())
 }
 
-// Each message of an earlier build is received and acknowledged, and its acknowledgements are taken for such.
+// A process must receive and acknowledge each message of an earlier build, and recognize its acknowledgements.
 func TestGoldenMessagesAreRead(t *testing.T) {
 	conn, socket := connected(t)
 	if _, err := socket.Write(goldentest.Text(t, goldenMessagesFile)); err != nil {
@@ -192,19 +192,19 @@
 	select {
 	case <-acked:
 	default:
-		t.Error("the acknowledgement was not taken for one")
+		t.Error("the acknowledgement was not recognized")
 	}
 	var acks bytes.Buffer
 	if _, err := acks.ReadFrom(socket); err != nil {
 		t.Fatal(err)
 	}
 	if want := "{\"ack\":1}\n{\"ack\":2}\n{\"ack\":3}\n{\"ack\":4}\n{\"ack\":5}\n"; acks.String() != want {
-		t.Errorf("acknowledged with %q, want %q", acks.String(), want)
+		t.Errorf("got acknowledgements %q, want %q", acks.String(), want)
 	}
 }
 
-// What operators said is on disk over an upgrade, in the body of a file of package state. A new build that read it by other
-// names would send to servers that operators disabled.
+// The OperatorState is persisted across an upgrade, in the body of a file of package state. A new build that used other
+// keys would send requests to servers that operators have disabled.
 func TestGoldenOperatorState(t *testing.T) {
 	newStore := func() *Store { return NewStore(socketPath(t), "n0", "127.0.0.1:5000", func() {}) }
 	store := newStore()
@@ -218,6 +218,6 @@
 		t.Fatal(err)
 	}
 	if got, found := store.Read(); !reflect.DeepEqual(got, goldenState().OperatorState) {
-		t.Errorf("read %+v, %v", got, found.Errors)
+		t.Errorf("read %+v, errors %v", got, found.Errors)
 	}
 }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// descriptorByte is the byte with which the listening socket goes: a descriptor can't be sent without one.
+// descriptorByte is the byte that is sent together with the descriptor of the listening socket: a descriptor can't be sent
+// without data.
 const descriptorByte = 'h'
 
-// HandOver hands the state and the listening socket to the process that was accepted. Messages that are sent during it must
-// follow it: the caller holds Send back until it returns. After an error the caller closes the connection.
+// HandOver sends the listening socket and the state to the process that has connected. The caller must not call Send until
+// HandOver returns, because messages must follow the state. After an error, the caller must close the connection.
 func (c *Conn) HandOver(state HandoverState, ln *net.TCPListener) error {
 	c.socket.SetDeadline(time.Now().Add(handoverTimeout))
 	if err := c.sendListener(ln); err != nil {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,20 +1,21 @@
-// Package hotrestart lets a new process of a node take over from the old one while both run, as Envoy's hot restart does:
-// clients see no refused connection, and nothing that the node has learned or that operators said is lost.
+// Package hotrestart lets a new process of a node take over from the old one while both run, like Envoy's hot restart. No
+// client connection is refused, and neither the state that the node has learned nor operators' changes are lost.
 //
-// The two processes meet at a Unix socket. The protocol, of which Version is the version:
+// The two processes communicate over a Unix socket. The protocol, whose version is Version, is:
 //
 //  1. The new process connects (TakeOver).
-//  2. The old one sends one byte with the descriptor of the clients' listening socket, then the HandoverState as one JSON
-//     object (Conn.HandOver).
-//  3. From then on both send Messages, one JSON object each: what operators say at one of them, and from the new process
-//     once that it serves. Each is answered after the other side has taken it (Conn.Send, Conn.Run).
-//  4. The connection ends as one of the processes does.
+//  2. The old process sends one byte together with the descriptor of the clients' listening socket, and then the
+//     HandoverState as one JSON object (Conn.HandOver).
+//  3. From then on, both processes send Messages, each as one JSON object: both forward operators' changes, and the new
+//     process says once that it serves clients. The receiver acknowledges each message after it has handled it (Conn.Send,
+//     Conn.Run).
+//  4. The connection ends when one of the processes ends.
 //
-// The processes may be of different builds: that is how a node is upgraded. So the forms must not change while Version is
-// the same; golden tests hold them.
+// The two processes may run different builds, because a node is upgraded in this way. Therefore the encoding must not
+// change unless Version does; golden tests verify that.
 //
-// The package carries; what the content means is the node's (internal/node). What operators said is also kept on disk
-// (Store), for a process that starts when none is there to hand over.
+// The package transfers the state; the package internal/node interprets it. Operators' changes are also persisted on disk
+// (Store), for a process that starts when there is no other process to take over from.
 package hotrestart
 
 import (
@@ -28,51 +29,53 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// Version is that of the protocol. A process takes nothing over from one of another version.
+// Version is the protocol version. A process does not take over from a process with a different version.
 const Version = 1
 
 const (
-	// handoverTimeout bounds each step of a handover and each write: a process that hangs must not hold up its successor.
+	// handoverTimeout limits each step of a handover and each write: a process that hangs must not delay its successor.
 	handoverTimeout = time.Second
-	// maxSocketPathLength is how many bytes the path of the socket may have: the system takes 107, and Listen appends a process ID.
+	// maxSocketPathLength is the maximum length of the socket's path in bytes. The operating system allows 107, and Listen
+	// appends a process ID.
 	maxSocketPathLength = 100
 )
 
-// HandoverState is what the old process hands to the new one.
+// HandoverState is the state that the old process sends to the new one.
 type HandoverState struct {
 	Version       int               `json:"Version"`  // set by HandOver
-	Node          string            `json:"Node"`     // the name of the node: another one must not take over
-	Listen        string            `json:"Listen"`   // its address for clients, likewise
-	Settings      json.RawMessage   `json:"Settings"` // the decision module's, under which BalancerState was made
-	BalancerState json.RawMessage   `json:"Module"`   // as balancer.RestoreSuccessor takes it
-	Endpoints     []engine.Endpoint `json:"Boxes"`    // the endpoint list held
-	ListVersion   int64             `json:"Seq"`      // discovery's version of that list; 0: the next one begins from none
-	ListAge       time.Duration     `json:"ListAge"`  // since the list was last confirmed; 0 from builds that do not say
+	Node          string            `json:"Node"`     // the node's name; another node must not take over
+	Listen        string            `json:"Listen"`   // the node's address for clients; must also be the same
+	Settings      json.RawMessage   `json:"Settings"` // the balancer's settings when BalancerState was made
+	BalancerState json.RawMessage   `json:"Module"`   // input of balancer.RestoreSuccessor
+	Endpoints     []engine.Endpoint `json:"Boxes"`    // the current endpoint list
+	ListVersion   int64             `json:"Seq"`      // discovery's version of the list; 0: no version to resume from
+	ListAge       time.Duration     `json:"ListAge"`  // since the list was last confirmed; 0 from builds that do not send it
 	OperatorState
 }
 
-// OperatorState is what operators said that holds until they say otherwise.
+// OperatorState is the state that operators set. It stays in force until operators change it.
 type OperatorState struct {
 	DisabledServers []string `json:"Out"`     // IDs of servers that operators disabled
 	OutOfService    bool     `json:"Drained"` // operators took the node out of service
 }
 
-// Message is what one process sends to the other. It is an acknowledgement (AckID), or says one of: the sender serves
-// clients (Serving), a server was disabled or enabled (Server, Disabled), the node went out of service or back (OutOfService).
+// Message is a message between the two processes. It is either an acknowledgement (AckID) or one of these notifications:
+// the sender serves clients (Serving), a server was disabled or enabled (Server, Disabled), or the node was put out of
+// service or back in service (OutOfService).
 type Message struct {
 	ID           int    `json:"n,omitempty"`      // set by Send; the receiver acknowledges it
-	AckID        int    `json:"ack,omitempty"`    // the ID that is acknowledged
-	Serving      bool   `json:"serves,omitempty"` // the new process takes clients: the old one may go
+	AckID        int    `json:"ack,omitempty"`    // the ID of the acknowledged message
+	Serving      bool   `json:"serves,omitempty"` // the new process serves clients: the old one may shut down
 	Server       string `json:"server,omitempty"` // the ID of a server
 	Disabled     bool   `json:"out,omitempty"`    // whether an operator disabled it
 	OutOfService *bool  `json:"drain,omitempty"`  // nil: the message is about something else
 }
 
-// ErrSocketPathTooLong says that the processes of a node can't meet, so that no process can take over from another.
-var ErrSocketPathTooLong = errors.New("the path of $TMPDIR is too long for a socket: set one that is shorter")
+// ErrSocketPathTooLong means that the socket can't be created, so that no process can take over from another.
+var ErrSocketPathTooLong = errors.New("the path of $TMPDIR is too long for a Unix socket: set $TMPDIR to a shorter path")
 
-// SocketPath is where the processes of a node meet, and beside which Store keeps its file. With ErrSocketPathTooLong they
-// can't meet there; the path is good for Store all the same.
+// SocketPath returns the path of the socket of a node's processes. NewStore derives the path of its file from it. With
+// ErrSocketPathTooLong, the path can't be used for the socket, but is still valid for NewStore.
 func SocketPath(dir, node, listen string) (string, error) {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s\n%s", node, listen)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,7 +16,7 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// socketPath is where the processes of a test meet.
+// socketPath returns the path of the socket for the processes of a test.
 func socketPath(t *testing.T) string {
 	t.Helper()
 	path, err := SocketPath(t.TempDir(), "n0", "127.0.0.1:5000")
@@ -26,7 +26,7 @@
 	return path
 }
 
-// clientListener is a listening socket of clients.
+// clientListener returns a listening socket for clients.
 func clientListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// acceptOne listens at a path, and answers the first process that connects with handle.
+// acceptOne listens at a path and calls handle with the first connection.
 func acceptOne(t *testing.T, path string, handle func(*Conn)) {
 	t.Helper()
 	ln, err := Listen(path)
@@ -58,9 +58,9 @@
 	})
 }
 
-// A new process takes over while clients connect. It has the state and the very socket of the old process: a connection that
-// waits in its queue is not lost, even once the old process has closed its copy. Messages come in order, each acknowledged
-// after it was received.
+// A new process takes over while clients connect. It must get the state and the listening socket of the old process: a
+// connection in the accept queue must not be lost, even after the old process has closed its copy of the socket. Messages
+// must arrive in order, and each must be acknowledged after it was received.
 func TestTakeOver(t *testing.T) {
 	path, ln := socketPath(t), clientListener(t)
 	state := HandoverState{Node: "n0", Listen: "127.0.0.1:5000", BalancerState: json.RawMessage(`{}`), Settings: json.RawMessage(`{"a":1}`),
@@ -90,26 +90,27 @@
 	ln.Close()
 	client, err := inherited.Accept()
 	if err != nil || client.RemoteAddr().String() != waiting.LocalAddr().String() {
-		t.Errorf("accepted %v, %v, and %v had waited", client, err, waiting.LocalAddr())
+		t.Errorf("accepted %v, %v; want the queued connection from %v", client, err, waiting.LocalAddr())
 	}
 	running.Go(func() { conn.Run(func(Message) {}) })
 	for i := range 3 {
 		if err := conn.Send(Message{Server: "s", Disabled: i%2 == 0}, 10*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if len(received) != i+1 || received[i].Disabled != (i%2 == 0) { // acknowledged, so it was received
+		if len(received) != i+1 || received[i].Disabled != (i%2 == 0) { // Send returns only after the message was received
 			t.Errorf("received %v", received)
 		}
 	}
 	conn.Close()
 	running.Wait()
 	if conn.Send(Message{}, time.Second) == nil {
-		t.Error("sent to nobody")
+		t.Error("Send succeeded on a closed connection")
 	}
 }
 
-// What is at the path is no process that can hand over: it has ended, hangs, sends half of its state, or is of another node.
-// The new process must find that out soon, and start by itself: meanwhile nobody may serve the clients.
+// There is no process at the path that can hand over: it has ended, hangs, sends only a part of its state, or belongs to
+// another node. TakeOver must fail soon, so that the new process can start without it: until then, possibly no process
+// serves the clients.
 func TestTakeOverFails(t *testing.T) {
 	good := HandoverState{Node: "n0", Listen: "l"}
 	for name, start := range map[string]func(t *testing.T, path string){
@@ -129,7 +130,7 @@
 		"no listener": func(t *testing.T, path string) {
 			acceptOne(t, path, func(old *Conn) { old.socket.Write([]byte("h{}\n")) })
 		},
-		"half of a state": func(t *testing.T, path string) {
+		"part of the state": func(t *testing.T, path string) {
 			acceptOne(t, path, func(old *Conn) {
 				long := good
 				long.BalancerState = json.RawMessage(`"` + strings.Repeat("x", 1<<20) + `"`)
@@ -140,7 +141,7 @@
 					old.HandOver(long, ln)
 					close(handedOver)
 				}()
-				old.socket.SetReadDeadline(time.Now()) // the new process reads nothing of it before it is cut off
+				old.socket.SetReadDeadline(time.Now()) // the connection is closed before the new process has read the state
 				old.Close()
 				<-handedOver
 			})
@@ -158,19 +159,19 @@
 				t.Errorf("got %v, %v, %v", ln, conn, err)
 			}
 			if took := time.Since(begin); took > 3*handoverTimeout {
-				t.Errorf("it took %v", took)
+				t.Errorf("TakeOver took %v", took)
 			}
 		})
 	}
 }
 
-// A node finds again what operators said to it. A file of another node that shares the folder must not be used, and neither
-// must one with more servers than operators may disable.
+// A node must read back the OperatorState that it saved. It must not use a file of another node in the same directory, or a
+// file that disables more servers than allowed.
 func TestStoreBelongsToOneNode(t *testing.T) {
 	path := socketPath(t)
 	mine := NewStore(path, "n0", "a:1", func() {})
 	if got, found := mine.Read(); found.Body != nil || found.Errors != nil || !reflect.DeepEqual(got, OperatorState{}) {
-		t.Errorf("without a file: %v, %v", got, found)
+		t.Errorf("Read without a file returned %v, %v", got, found)
 	}
 	for _, want := range []OperatorState{{}, {DisabledServers: []string{"s-1", "s-2"}, OutOfService: true}} {
 		if err := mine.Save(t.Context(), func() (OperatorState, error) { return want, nil }); err != nil {
@@ -182,7 +183,7 @@
 	}
 	for _, other := range []*Store{NewStore(path, "n1", "a:1", func() {}), NewStore(path, "n0", "a:2", func() {})} {
 		if got, found := other.Read(); len(found.Errors) != 2 || !reflect.DeepEqual(got, OperatorState{}) {
-			t.Errorf("another node got %v, %v", got, found)
+			t.Errorf("Read of another node returned %v, %v", got, found)
 		}
 	}
 	many := OperatorState{DisabledServers: make([]string, balancer.MaxOverrides+1)}
@@ -191,6 +192,6 @@
 	}
 	if got, found := mine.Read(); found.Body != nil || len(found.Errors) != 1 || !reflect.DeepEqual(got, OperatorState{}) ||
 		!errors.As(found.Errors[0], new(*TooManyOverridesError)) {
-		t.Errorf("too many: %v", found.Errors)
+		t.Errorf("Read of a file with too many disabled servers returned %v, errors %v", got, found.Errors)
 	}
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -6,19 +6,19 @@
 	"os"
 )
 
-// Listener accepts processes that want to take over.
+// Listener accepts connections from processes that want to take over.
 type Listener struct{ ln *net.UnixListener }
 
-// Listen opens the socket at a path, in place of whoever listened there before. It is made under another name and renamed:
-// a process that connects in between finds the old socket or the new one, never none.
+// Listen opens the socket at a path and replaces the socket of an earlier process. It creates the socket under a temporary
+// name and renames it, so that a process that connects meanwhile finds either the old or the new socket.
 func Listen(path string) (*Listener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(temporary) // of a killed process with the same ID
+	os.Remove(temporary) // may be left over from a killed process with the same ID
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then another process may listen at the path
+	ln.SetUnlinkOnClose(false) // when it is closed, another process may already listen at the path
 	if err := os.Rename(temporary, path); err != nil {
 		ln.Close()
 		os.Remove(temporary)
@@ -27,7 +27,7 @@
 	return &Listener{ln}, nil
 }
 
-// Accept waits for a process that wants to take over, until Close.
+// Accept waits until a process that wants to take over connects. It fails after Close.
 func (l *Listener) Accept() (*Conn, error) {
 	socket, err := l.ln.AcceptUnix()
 	if err != nil {
@@ -36,5 +36,5 @@
 	return newConn(socket), nil
 }
 
-// Close ends Accept. The path stays, and connections to it are refused.
+// Close closes the listener and ends Accept. The socket file remains, and connections to it are refused.
 func (l *Listener) Close() error { return l.ln.Close() }
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -9,23 +9,23 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// Store keeps what operators said on disk, for a process that starts when no other is there to hand over.
+// Store persists the OperatorState, for a process that starts when there is no other process to take over from.
 type Store struct{ state.Store }
 
-// TooManyOverridesError says that a file disables more servers than operators may: it was not written by this program.
+// TooManyOverridesError means that a file disables more servers than allowed: it was not written by this program.
 type TooManyOverridesError struct{ Servers int }
 
 func (e *TooManyOverridesError) Error() string {
-	return fmt.Sprintf("it disables %d servers, and operators may disable %d", e.Servers, balancer.MaxOverrides)
+	return fmt.Sprintf("the file disables %d servers, more than the limit of %d", e.Servers, balancer.MaxOverrides)
 }
 
-// NewStore keeps a file beside the path of SocketPath. onBusy is called when another process does not release the file's
-// lock in time.
+// NewStore returns the Store of a node. Its file is next to the socket; path is the result of SocketPath. onLockTimeout is
+// called when another process does not release the file's lock in time.
 func NewStore(path, node, listen string, onLockTimeout func()) *Store {
 	return &Store{state.Store{Path: path + ".kept", Owner: node + " at " + listen, OnLockTimeout: onLockTimeout}}
 }
 
-// Save has on disk what current returns. current is called while no other process writes. See state.Store.
+// Save writes the result of current to disk. It calls current while no other process writes; see state.Store.Save.
 func (s *Store) Save(ctx context.Context, current func() (OperatorState, error)) error {
 	return s.Store.Save(ctx, func() (json.RawMessage, error) {
 		operators, err := current()
@@ -36,7 +36,8 @@
 	})
 }
 
-// Read returns what stands on disk: nothing if no file can be used, and found.Errors says why not.
+// Read returns the persisted state. If no file is usable, it returns the zero OperatorState, and found.Errors says why
+// existing files were not used.
 func (s *Store) Read() (operators OperatorState, found state.Snapshot) {
 	found = s.Store.Read()
 	if found.Body == nil {
@@ -50,7 +51,7 @@
 	return operators, found
 }
 
-// parseOperatorState reads the body of a file.
+// parseOperatorState decodes and checks the body of a file.
 func parseOperatorState(body json.RawMessage) (OperatorState, error) {
 	var operators OperatorState
 	if err := json.Unmarshal(body, &operators); err != nil {
--- a/internal/hotrestart/takeover.go
+++ b/internal/hotrestart/takeover.go
@@ -9,34 +9,36 @@
 	"time"
 )
 
-// ErrNoListener says that a process sent no listening socket: it is none of this program, or ended as it handed over.
+// ErrNoListener means that the other process did not send a listening socket: it runs another program, or ended during the
+// handover.
 var ErrNoListener = errors.New("no listening socket was handed over")
 
-// MismatchError says that the process at a socket hands over what this one can't use: it is of another version of the
-// protocol, or of another node whose name and address have the same hash.
+// MismatchError means that this process can't use the handover state of the other one: it uses another protocol version, or
+// belongs to another node whose name and address have the same hash.
 type MismatchError struct {
 	Version      int
 	Node, Listen string
 }
 
 func (e *MismatchError) Error() string {
-	advice := "another node has the same socket: give one of the two another $TMPDIR"
+	advice := "another node uses the same socket: set a different $TMPDIR for one of the two nodes"
 	if e.Version != Version {
-		advice = "start a build of the same protocol version, or stop the old process first"
+		advice = "start a build with the same protocol version, or stop the old process first"
 	}
-	return fmt.Sprintf("handover state of version %d, node %q at %q: %s", e.Version, e.Node, e.Listen, advice)
+	return fmt.Sprintf("can't use handover state of protocol version %d from node %q at %q: %s", e.Version, e.Node, e.Listen, advice)
 }
 
-// TakeOver asks the process that listens at a path for its state and its listening socket. The caller closes the listener,
-// and runs and closes the connection. The error wraps fs.ErrNotExist where there is no other process, and is ErrNoListener,
-// a *MismatchError, or that of the connection else. It returns within a few handoverTimeouts, whatever is at the path.
+// TakeOver gets the state and the listening socket of the process that listens at a path. The caller must close the
+// listener, call Conn.Run and close the connection. The error wraps fs.ErrNotExist if there is no other process; otherwise
+// it is ErrNoListener, a *MismatchError or an error of the connection. TakeOver returns after at most a few times
+// handoverTimeout, whatever is at the path.
 func TakeOver(path, node, listen string) (HandoverState, net.Listener, *Conn, error) {
 	dialed, err := net.DialTimeout("unix", path, handoverTimeout)
 	if err != nil {
 		return HandoverState{}, nil, nil, err
 	}
 	socket := dialed.(*net.UnixConn)
-	socket.SetDeadline(time.Now().Add(handoverTimeout)) // a process that hangs accepts connections and sends nothing
+	socket.SetDeadline(time.Now().Add(handoverTimeout)) // the system accepts connections even for a process that hangs
 	ln, err := receiveListener(socket)
 	if err != nil {
 		socket.Close()
@@ -53,7 +55,7 @@
 	return state, ln, conn, nil
 }
 
-// receiveState reads the state of this node.
+// receiveState reads the state, and checks that its version and node match.
 func (c *Conn) receiveState(node, listen string) (HandoverState, error) {
 	var state HandoverState
 	if err := c.decoder.Decode(&state); err != nil {
@@ -65,7 +67,7 @@
 	return state, nil
 }
 
-// noListenerError is ErrNoListener with what is wrong, if that is known.
+// noListenerError returns ErrNoListener, with the cause err if it is not nil.
 func noListenerError(err error) error {
 	if err == nil {
 		return ErrNoListener
@@ -73,11 +75,11 @@
 	return fmt.Errorf("%w: %w", ErrNoListener, err)
 }
 
-// descriptorSize is the size of a descriptor in a control message.
+// descriptorSize is the size in bytes of a descriptor in a control message.
 const descriptorSize = 4
 
-// receiveListener reads the one byte that carries the listening socket. It is the very socket of the old process, so that
-// connections that wait in its queue are not lost.
+// receiveListener receives the listening socket. It is the same socket as that of the old process, so connections in its
+// accept queue are not lost.
 func receiveListener(socket *net.UnixConn) (net.Listener, error) {
 	data, control := make([]byte, 1), make([]byte, syscall.CmsgSpace(descriptorSize))
 	_, n, _, _, err := socket.ReadMsgUnix(data, control)
@@ -94,6 +96,6 @@
 	}
 	syscall.CloseOnExec(descriptors[0])
 	f := os.NewFile(uintptr(descriptors[0]), "listener")
-	defer f.Close() // net.FileListener has a copy
+	defer f.Close() // net.FileListener duplicates the descriptor
 	return net.FileListener(f)
 }
