--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,18 +1,18 @@
 // Package adminapi serves the HTTP calls that operators make to a running node:
 //
-//	GET  /control/ready                    whether the process is well; also yes while out of service, unlike /ready on the
-//	                                       clients' address
-//	POST /control/out-of-service           send the clients away
-//	POST /control/in-service               take clients again
-//	POST /control/servers/SERVER/offline   disable a server: no requests to it
-//	POST /control/servers/SERVER/online    enable it again
-//	GET  /control/sites                    what the node knows of its peers, as JSON
+//	GET  /control/ready                    whether the process can serve clients; also "yes" while the node is out of
+//	                                       service, unlike /ready on the clients' address
+//	POST /control/out-of-service           put the node out of service: clients are sent away
+//	POST /control/in-service               put the node back in service
+//	POST /control/servers/SERVER/offline   disable a server: it gets no requests
+//	POST /control/servers/SERVER/online    enable a server again
+//	GET  /control/sites                    what the node knows about its peers, as JSON
 //
-// An answer is "yes" with status 200 once the effect holds, or "no: REASON" with status 404 for something unknown and 503
-// for what can't be done now. The node is known by one small interface.
+// The response is "yes" with status 200 once the call has taken effect, or "no: REASON" with status 404 if something is
+// unknown, or with status 503 if the call is not possible now. The package accesses the node through the interface Node.
 //
-// The package has a listener and a bound on connections of its own (connections.go), so that no number of clients, at the
-// node or here, keeps an operator out.
+// The package has its own listener and its own limit on connections (connections.go), so that operators can always connect,
+// however many clients connect to the node or to this listener.
 package adminapi
 
 import (
@@ -31,32 +31,34 @@
 )
 
 const (
-	// requestTimeout is the time within which a connection must bring a complete request: until then it takes one of
-	// MaxConnections from operators.
+	// requestTimeout is the time in which a connection must deliver a complete request. Until then the connection occupies
+	// one of MaxConnections.
 	requestTimeout = 1500 * time.Millisecond
-	// callTimeout is for the node to do what a call wants. An answer is owed within 1 s; the rest is for writing it.
+	// callTimeout is the time in which the node must carry out a call. An operator must get a response within 1 s; the
+	// remaining time is for writing it.
 	callTimeout = 900 * time.Millisecond
-	// responseTimeout is for the caller to read the response.
+	// responseTimeout is the time in which the caller must read the response.
 	responseTimeout = 2 * time.Second
-	// maxHeaderBytes is enough for any call of operators, and bounds the memory of the others.
+	// maxHeaderBytes is sufficient for any valid call, and limits the memory that other requests can use.
 	maxHeaderBytes = 8 << 10
-	// closeTimeout is for calls that are open when the node ends.
+	// closeTimeout is how long Close waits for open calls.
 	closeTimeout = time.Second
 )
 
-// Node is what operators can ask of a node. A nil error says that the effect holds; after another nothing has changed.
+// Node is the interface of a node for operators. A nil error means that the call has taken effect; after an error, nothing
+// has changed.
 type Node interface {
-	// CheckReady says why the process is not well; nil: it serves whoever comes, in service or not.
+	// CheckReady returns why the process can't serve clients, or nil if it can. Being out of service is not an error.
 	CheckReady() error
-	// SetServerDisabled disables or enables a server. The error wraps balancer.ErrUnknownServer for one that is not known.
+	// SetServerDisabled disables or enables a server. If the server is unknown, the error wraps balancer.ErrUnknownServer.
 	SetServerDisabled(ctx context.Context, server string, disabled bool) error
-	// SetInService puts the node in service or out of it.
+	// SetInService puts the node in service or out of service.
 	SetInService(ctx context.Context, inService bool) error
-	// Peers is what the node knows of its peers, for JSON; nil: it has none.
+	// Peers returns what the node knows about its peers, as a value to encode as JSON, or nil if the node has no peers.
 	Peers() any
 }
 
-// Server answers calls on one listener.
+// Server serves operators' calls on one listener.
 type Server struct {
 	node     Node
 	log      *slog.Logger
@@ -64,7 +66,7 @@
 	listener *limitedListener
 }
 
-// New makes a Server for a listener, which it closes; Run starts it.
+// New returns a Server for a listener. Run starts the Server, and Close closes the listener.
 func New(ln net.Listener, node Node, log *slog.Logger) *Server {
 	s := &Server{node: node, log: log, listener: newLimitedListener(ln)}
 	s.http = &http.Server{
@@ -79,7 +81,7 @@
 	return s
 }
 
-// Run answers calls until Close. The error is that of the listener; nil after Close.
+// Run serves calls until Close. It returns the error of the listener, or nil after Close.
 func (s *Server) Run() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("control: %w", err)
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// Close closes the listener, and returns once open calls are answered, or after closeTimeout.
+// Close closes the listener. It returns when all open calls are answered, or after closeTimeout.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -96,7 +98,7 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	markRequestReceived(r.Context())
 	if r.URL.EscapedPath() == "/control/sites" && r.Method == http.MethodGet {
@@ -115,8 +117,8 @@
 	}
 }
 
-// serveCall makes a call to the node and answers with what came of it. A caller that leaves meanwhile wanted the effect all
-// the same, so the call is carried out without it.
+// serveCall passes a call to the node and responds with the result. If the caller disconnects, the call still completes,
+// because the caller wanted its effect.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request, call func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), callTimeout)
 	defer cancel()
@@ -134,7 +136,7 @@
 	}
 }
 
-// serveSites answers with what the node knows of its peers. It changes nothing.
+// serveSites responds with what the node knows about its peers.
 func (s *Server) serveSites(w http.ResponseWriter) {
 	sites := s.node.Peers()
 	if sites == nil {
@@ -142,17 +144,17 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(sites) // an error is of a caller that has left
+	json.NewEncoder(w).Encode(sites) // fails only if the caller has disconnected
 }
 
-// The calls about one server have the path serversPath SERVER / ACTION, with the ID of the server escaped.
+// The path of a call about one server is serversPath SERVER / ACTION, with the server's ID escaped.
 const (
-	serversPath   = "/control/servers/" // before the ID
-	actionOffline = "offline"           // disable the server
-	actionOnline  = "online"            // enable it
+	serversPath   = "/control/servers/"
+	actionOffline = "offline" // disable the server
+	actionOnline  = "online"  // enable the server
 )
 
-// route finds the call of an escaped path, and its method. call is nil if there is none.
+// route returns the HTTP method and the call for an escaped path. call is nil if the path is unknown.
 func (s *Server) route(path string) (method string, call func(context.Context) error) {
 	switch path {
 	case "/control/ready":
@@ -171,7 +173,7 @@
 	}
 }
 
-// parseServerPath reads the path of a call about one server.
+// parseServerPath parses the escaped path of a call about one server.
 func parseServerPath(path string) (server, action string, ok bool) {
 	name, found := strings.CutPrefix(path, serversPath)
 	if !found {
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -19,7 +19,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// fakeNode is a Node that records the calls to it and answers all with err.
+// fakeNode is a Node that records calls and returns err from all of them.
 type fakeNode struct {
 	sites any
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 	return f.record("in service %v", inService)
 }
 
-// startServer runs a Server for a node until the test ends, and returns its address.
+// startServer runs a Server until the test ends, and returns its address.
 func startServer(t *testing.T, node *fakeNode) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return ln.Addr().String()
 }
 
-// send writes a text on a connection of its own and reads the response; nil: there is none.
+// send writes text to a new connection and returns the response, or nil if there is none.
 func send(t *testing.T, addr, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -82,8 +82,8 @@
 	return resp
 }
 
-// Each row is what a caller sends, the status of the answer, and the call to the node that comes of it. Only what is a call
-// of operators, with its method, reaches the node.
+// Each case has the text that a caller sends, the expected status, and the expected call to the node. Only a valid path with
+// the right method may result in a call.
 func TestCallsAndResponses(t *testing.T) {
 	f := &fakeNode{}
 	addr := startServer(t, f)
@@ -115,7 +115,7 @@
 		f.calls = nil
 		resp := send(t, addr, c.text)
 		if resp == nil || resp.StatusCode != c.status || !resp.Close {
-			t.Errorf("%.60q: %v, want %d and the end of the connection", c.text, resp, c.status)
+			t.Errorf("%.60q: got response %v, want status %d and Connection: close", c.text, resp, c.status)
 			continue
 		}
 		if allow := resp.Header.Get("Allow"); (allow != "") != (c.status == 405) {
@@ -123,18 +123,18 @@
 		}
 		f.mu.Lock()
 		if got := strings.Join(f.calls, ","); got != c.call {
-			t.Errorf("%.60q: called %q, want %q", c.text, got, c.call)
+			t.Errorf("%.60q: got calls %q, want %q", c.text, got, c.call)
 		}
 		f.mu.Unlock()
 	}
 	f.err = errors.New("not now")
 	if resp := send(t, addr, request("POST", "/control/in-service")); resp == nil || resp.StatusCode != 503 {
-		t.Errorf("a call that the node can't carry out: %v", resp)
+		t.Errorf("a call that failed at the node: got response %v, want status 503", resp)
 	}
 }
 
-// Somebody opens many connections and never sends a complete request. Operators must be served all the same: the oldest of
-// these connections are closed for them, and each is closed at the latest when its time is over.
+// Somebody opens many connections and never sends a complete request on them. Operators must still be served: the oldest of
+// these connections are closed to make room, and the others are closed after requestTimeout.
 func TestIncompleteRequestsDoNotBlockOperators(t *testing.T) {
 	addr := startServer(t, &fakeNode{})
 	began := time.Now()
@@ -149,7 +149,7 @@
 		incomplete = append(incomplete, c)
 		if i%8 == 0 {
 			if resp := send(t, addr, "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp == nil || resp.StatusCode != 200 {
-				t.Fatalf("beside %d incomplete requests: %v", i+1, resp)
+				t.Fatalf("with %d incomplete requests: got response %v, want status 200", i+1, resp)
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// Any path names one call or none, and none makes more than one call to the node.
+// Any path corresponds to at most one call, which calls the node at most once.
 func FuzzRoute(f *testing.F) {
 	for _, p := range []string{"/control/ready", "/control/servers/s-1/offline", "/control/servers/%2F/online", "/", ""} {
 		f.Add(p)
@@ -170,18 +170,18 @@
 		node := &fakeNode{}
 		method, call := (&Server{node: node}).route(path)
 		if (call == nil) != (method == "") {
-			t.Fatalf("%q: method %q", path, method)
+			t.Fatalf("%q: got method %q and call %v", path, method, call != nil)
 		}
 		if call == nil {
 			return
 		}
 		if call(t.Context()); len(node.calls) > 1 || !slices.Contains([]string{"GET", "POST"}, method) {
-			t.Fatalf("%q called %v", path, node.calls)
+			t.Fatalf("%q: got method %q and calls %v", path, method, node.calls)
 		}
 	})
 }
 
-// A caller leaves before the answer. What it wanted is done all the same.
+// A caller disconnects before the response. The call must still be carried out.
 func TestCallCompletesAfterCallerDisconnects(t *testing.T) {
 	f := &fakeNode{}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/adminapi/connections.go
+++ b/internal/adminapi/connections.go
@@ -7,25 +7,27 @@
 	"sync"
 )
 
-// MaxConnections is how many connections are open at once. With the listener that is what the package costs in descriptors.
+// MaxConnections is the maximum number of open connections. The package uses that many descriptors, and one for the
+// listener.
 const MaxConnections = 16
 
-// limitedListener accepts at most MaxConnections. When all are taken, the oldest connection that has not brought a complete
-// request is closed for the next one. Without that, whoever opens connections and sends nothing keeps operators out.
-// Connections with a request are never closed: they end by themselves, within effectTimeout and responseTimeout.
+// limitedListener limits the number of open connections to MaxConnections. At the limit, it closes the oldest connection
+// that has not delivered a complete request, to accept a new one. Otherwise, somebody who opens connections and sends
+// nothing would lock operators out. It never closes connections that have delivered a request: these end on their own,
+// after at most callTimeout and responseTimeout.
 type limitedListener struct {
 	net.Listener
-	slots chan struct{} // holds a value for each open connection
+	slots chan struct{} // contains one value for each open connection
 
 	mu         sync.Mutex
-	incomplete []*conn // without a complete request, the oldest first
+	incomplete []*conn // connections without a complete request, oldest first
 }
 
 func newLimitedListener(ln net.Listener) *limitedListener {
 	return &limitedListener{Listener: ln, slots: make(chan struct{}, MaxConnections)}
 }
 
-// Accept waits for a connection, and for its place among the open ones.
+// Accept waits for a connection and, at the limit, until another connection is closed.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -51,20 +53,20 @@
 	if len(l.incomplete) > 0 {
 		oldest = l.incomplete[0]
 	}
-	l.mu.Unlock() // Close takes the lock
+	l.mu.Unlock() // Close acquires the lock
 	if oldest != nil {
 		oldest.Close()
 	}
 }
 
-// removeIncomplete notes that a connection has brought a request, or is closed.
+// removeIncomplete removes a connection that has delivered a complete request, or that is closed, from l.incomplete.
 func (l *limitedListener) removeIncomplete(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.incomplete = slices.DeleteFunc(l.incomplete, func(other *conn) bool { return other == c })
 }
 
-// conn is a connection that gives its place back once it is closed.
+// conn is a connection that releases its slot of the listener when it is closed.
 type conn struct {
 	net.Conn
 	listener *limitedListener
@@ -81,15 +83,15 @@
 	return err
 }
 
-// connKey is the key of the connection in the context of its requests.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn is the context of a connection's requests.
+// withConn returns the context for the requests of a connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// markRequestReceived notes that the connection of a request's context has brought it.
+// markRequestReceived marks the connection in a request's context as one that has delivered a complete request.
 func markRequestReceived(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
 		c.listener.removeIncomplete(c)
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -48,9 +48,7 @@
 // OwnerError means that a file belongs to another node, which uses the same directory and file name.
 type OwnerError struct{ Owner string }
 
-func (e *OwnerError) Error() string {
-	return fmt.Sprintf("the file belongs to another owner, %q", e.Owner)
-}
+func (e *OwnerError) Error() string { return fmt.Sprintf("the file has another owner: %q", e.Owner) }
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
