--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -62,7 +62,7 @@
 	ReasonResponse             Reason = "response"               // to this request: no other response is due on the connection
 	ReasonMarkedRejection      Reason = "marked rejection"       // the response says that the request did not run
 	ReasonRejectionInDoubt     Reason = "rejection in doubt"     // it may be the response to another request
-	ReasonSendNotAllowed       Reason = "nothing written: over"  // MaySend returned false
+	ReasonSendNotAllowed       Reason = "nothing written: over"  // MaySend returned false: call closed, server stopped, lease expired
 	ReasonNoDescriptor         Reason = "no descriptor"          // nothing was written
 	ReasonBodyIncomplete       Reason = "body not complete"      // the client did not send all of it
 	ReasonNoConnection         Reason = "no connection"          // connecting failed, or the server closed before the first byte
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -36,7 +36,7 @@
 	outstanding int          // attempts that have not ended; accessed only by the event loop
 }
 
-// StopSending forbids new sends to the server from now on, a time of the engine's clock. Only the first call has an effect.
+// StopSending forbids new sends to the server from the time now of the engine's clock. Only the first call has an effect.
 func (t *Target) StopSending(now time.Duration) { t.stoppedAt.CompareAndSwap(0, int64(now)) }
 
 // Stopped reports whether new sends to the server are forbidden because it is draining, has left the endpoint list or is
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -77,7 +77,7 @@
 	counters     counters            // for the log
 	// eventContext is recorded by the capture together with the next event that decide passes to the balancer. A caller
 	// of dispatch that has a context for its event sets it immediately before; decide clears it. If dispatch finds that
-	// the lease has just changed, the context is recorded with the LeaseChanged event, and the event itself without one.
+	// the lease has just changed, the context is used up by the LeaseChanged event, and the dispatched event has none.
 	eventContext capture.EventContext
 
 	// State that other goroutines read at any time.
--- a/internal/engine/random_test.go
+++ b/internal/engine/random_test.go
@@ -72,7 +72,7 @@
 		r.answers[c], r.cancels[c] = doAsync(ctx, r.engine, c), cancel
 		r.calls = append(r.calls, c)
 	case k < 8 && len(r.calls) > 0:
-		if c := r.anyCall(); r.outstanding[c] != nil {
+		if c := r.randomCall(); r.outstanding[c] != nil {
 			r.endAttempt(c, balancer.Outcome(r.rng.IntN(int(balancer.NotSent)+1)))
 		}
 	case k == 8:
@@ -81,13 +81,13 @@
 		r.engine.ApplyUpdate(r.Context(), Update{Endpoints: []Endpoint{endpoint}})
 		r.outOfService[endpoint.ID] = endpoint.State != balancer.Ready
 	case k == 9 && len(r.calls) > 0 && r.rng.IntN(4) == 0:
-		c := r.anyCall()
+		c := r.randomCall()
 		r.clientGone[c] = true
 		r.cancels[c]()
 	}
 }
 
-func (r *randomEvents) anyCall() *Call { return r.calls[r.rng.IntN(len(r.calls))] }
+func (r *randomEvents) randomCall() *Call { return r.calls[r.rng.IntN(len(r.calls))] }
 
 // startAttempts receives the attempts that the engine has started, and checks that each is allowed.
 func (r *randomEvents) startAttempts() {
