--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -30,7 +30,7 @@
 var (
 	// ErrDamaged means that a file is incomplete or was modified: it is not valid JSON, or its checksum does not match.
 	ErrDamaged = errors.New("torn (incomplete or damaged)")
-	// ErrChecksum means that a file is valid JSON, but is damaged.
+	// ErrChecksum means that a file is valid JSON, but its checksum does not match. It wraps ErrDamaged.
 	ErrChecksum = fmt.Errorf("%w: the checksum does not match", ErrDamaged)
 	// ErrTooLarge means that a file is larger than MaxFileSize.
 	ErrTooLarge = fmt.Errorf("larger than %d bytes", MaxFileSize)
@@ -94,7 +94,7 @@
 }
 
 // age returns the age of a file at a reading of BootClock. It is UnknownAge for a file that was written in another boot of
-// the machine, or that is from the future, for example in a copied directory.
+// the machine, or that is from the future, as in a directory copied from another machine.
 func (f file) age(bootID string, sinceBoot time.Duration) time.Duration {
 	if f.BootID == "" || f.BootID != bootID || f.SinceBoot > sinceBoot {
 		return UnknownAge
