--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -17,7 +17,7 @@
 		return
 	}
 	s.addr = addr
-	s.tracker.DiscoveryChanged(s.now())
+	s.tracker.AddressChanged(s.now())
 	s.notifyLease()
 	s.log.Info("discovery address changed", "addr", addr, "version", s.Version())
 	signal(s.addressChanges)
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -22,16 +22,16 @@
 // deadline, counted from when discovery had it: alone, and as one of 30 and of 300 at a discovery that takes 1.9 s for 300
 // polls in turn and rejects those that wait for 2 s. Nodes that know that they share it make up for one lost poll in time,
 // and open parallel polls no sooner. HOOKWALK_FIGURES=1 plays 300 nodes with every fault, and prints the worst.
-func TestChangeIsKnownBeforeTheDeadline(t *testing.T) {
-	for _, c := range deadlineCases(printFigures()) {
+func TestChangeArrivesBeforeNotificationDeadline(t *testing.T) {
+	for _, c := range deadlineCases(reportTimings()) {
 		t.Run(c.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkDeadline(t, c) })
 		})
 	}
 }
 
-// printFigures says whether all cases are played, and their figures printed.
-func printFigures() bool { return os.Getenv("HOOKWALK_FIGURES") != "" }
+// reportTimings says whether all cases are played, and their figures printed.
+func reportTimings() bool { return os.Getenv("HOOKWALK_FIGURES") != "" }
 
 // deadlineCase is one way in which watches and polls fail.
 type deadlineCase struct {
@@ -83,15 +83,15 @@
 	if c.shared {
 		pollers = n
 	}
-	q := newQueue(1900*time.Millisecond/300, 2*time.Second)
+	q := newSerialDiscovery(1900*time.Millisecond/300, 2*time.Second)
 	q.fault = pollFaults[c.fault]
 	var mu sync.Mutex
-	at, lists := make([]time.Time, n), 0
-	startNodes(t, n, pollers, c.mode, piped(t, q), func(i int, version int64) {
+	changedAt, lists := make([]time.Time, n), 0
+	startNodes(t, n, pollers, c.mode, withPipe(t, q), func(i int, version int64) {
 		mu.Lock()
 		defer mu.Unlock()
-		if lists++; version == 100 && at[i].IsZero() {
-			at[i] = time.Now()
+		if lists++; version == 100 && changedAt[i].IsZero() {
+			changedAt[i] = time.Now()
 		}
 	})
 	time.Sleep(10 * time.Second)
@@ -108,18 +108,18 @@
 	worst := time.Duration(0)
 	mu.Lock()
 	defer mu.Unlock()
-	for i := range at {
-		if at[i].IsZero() {
+	for i := range changedAt {
+		if changedAt[i].IsZero() {
 			t.Fatalf("node %d never had the change", i)
 		}
-		worst = max(worst, at[i].Sub(begin))
+		worst = max(worst, changedAt[i].Sub(begin))
 	}
 	if worst > endpointlease.NotificationDeadline {
 		t.Errorf("the last node had the change after %v", worst)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if printFigures() {
+	if reportTimings() {
 		t.Logf("worst %v, polls a node %.2f", worst, float64(q.polls-pollsBefore)/float64(n))
 	}
 }
@@ -131,7 +131,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			agent := discoverytest.NewAgent(discoverytest.CompleteList)
 			back := make(chan struct{})
-			_, updates := startSource(t, "agent:1", "pushed", piped(t, agent), func(source *Source) {
+			_, updates := startSource(t, "agent:1", "pushed", withPipe(t, agent), func(source *Source) {
 				transport := source.Client.Transport.(*http.Transport)
 				dial := transport.DialContext
 				transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -146,7 +146,7 @@
 			time.Sleep(12*time.Second + rand.N(time.Second))
 			begin := time.Now()
 			close(back)
-			agent.WantCall(t, "watch 1")
+			agent.WantPoll(t, "watch 1")
 			agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 			<-updates
 			if after := time.Since(begin); after > 200*time.Millisecond {
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -14,29 +14,29 @@
 
 // Agent is a discovery that answers from a script.
 type Agent struct {
-	Calls    chan string   // of each poll that came, "watch FROM" or "list"
+	Polls    chan string   // of each poll that came, "watch FROM" or "list"
 	Lines    chan string   // each is written to the one watch that takes it
 	EndWatch chan struct{} // ends the one watch that takes it
 
 	completeList string
 }
 
-// maxCalls is how many polls may come before the test looks at them.
-const maxCalls = 100
+// maxBufferedPolls is how many polls may come before the test looks at them.
+const maxBufferedPolls = 100
 
 // NewAgent makes an Agent that answers a poll without a watch with the complete list.
 func NewAgent(completeList string) *Agent {
-	return &Agent{completeList: completeList, Calls: make(chan string, maxCalls), Lines: make(chan string), EndWatch: make(chan struct{})}
+	return &Agent{completeList: completeList, Polls: make(chan string, maxBufferedPolls), Lines: make(chan string), EndWatch: make(chan struct{})}
 }
 
 // ServeHTTP answers one poll. A watch brings what Lines has, until EndWatch or the client ends it.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
-		a.Calls <- "list"
+		a.Polls <- "list"
 		fmt.Fprintln(w, a.completeList)
 		return
 	}
-	a.Calls <- "watch " + r.URL.Query().Get("from")
+	a.Polls <- "watch " + r.URL.Query().Get("from")
 	w.(http.Flusher).Flush()
 	for {
 		select {
@@ -51,10 +51,10 @@
 	}
 }
 
-// WantCall waits for the next poll, and fails the test if it is not as wanted, in the form of Calls.
-func (a *Agent) WantCall(t testing.TB, want string) {
+// WantPoll waits for the next poll, and fails the test if it is not as wanted, in the form of Calls.
+func (a *Agent) WantPoll(t testing.TB, want string) {
 	t.Helper()
-	if got := <-a.Calls; got != want {
+	if got := <-a.Polls; got != want {
 		t.Fatalf("discovery was polled for %q, want %q", got, want)
 	}
 }
--- a/internal/discovery/discoverytest/pipes.go
+++ b/internal/discovery/discoverytest/pipenetwork.go
@@ -10,22 +10,22 @@
 	"testing"
 )
 
-// Pipes is a network without sockets, for tests with the virtual time of testing/synctest. It is a net.Listener.
-type Pipes struct {
+// PipeNetwork is a network without sockets, for tests with the virtual time of testing/synctest. It is a net.Listener.
+type PipeNetwork struct {
 	conns chan net.Conn
 	done  chan struct{} // closed by Close
 	close func()        // closes done, once
 }
 
-// NewPipes makes a network without connections.
-func NewPipes() *Pipes {
-	p := &Pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+// NewPipeNetwork makes a network without connections.
+func NewPipeNetwork() *PipeNetwork {
+	p := &PipeNetwork{conns: make(chan net.Conn), done: make(chan struct{})}
 	p.close = sync.OnceFunc(func() { close(p.done) })
 	return p
 }
 
 // Accept waits for a connection, until Close.
-func (p *Pipes) Accept() (net.Conn, error) {
+func (p *PipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -35,16 +35,16 @@
 }
 
 // Close ends Accept. Connections that are open stay so.
-func (p *Pipes) Close() error {
+func (p *PipeNetwork) Close() error {
 	p.close()
 	return nil
 }
 
 // Addr is an address without meaning.
-func (p *Pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *PipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Dial connects to whoever accepts here, whatever the address.
-func (p *Pipes) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *PipeNetwork) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
 	case p.conns <- server:
@@ -59,10 +59,10 @@
 // Dial opens a connection, as the field DialContext of http.Transport does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pipe serves a handler within a bubble of testing/synctest until the test ends, and returns how to dial it.
-func Pipe(t testing.TB, h http.Handler) Dial {
+// ServePipe serves a handler within a bubble of testing/synctest until the test ends, and returns how to dial it.
+func ServePipe(t testing.TB, h http.Handler) Dial {
 	t.Helper()
-	p := NewPipes()
+	p := NewPipeNetwork()
 	server := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
 	done := make(chan struct{})
 	go func() {
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -22,7 +22,7 @@
 func (s *Source) ResumeVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tracker.DiscoveryChanging() {
+	if s.tracker.AddressChangePending() {
 		return 0
 	}
 	return s.Version()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -7,10 +7,10 @@
 
 // track notes an event with the tracker, and passes the lease on if it has changed. Every event goes through here or
 // through a method that does the same: the incident of 2 December 2026 was a lease that was known and passed to nobody.
-func (s *Source) track(note func(*endpointlease.Tracker)) {
+func (s *Source) track(recordEvent func(*endpointlease.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	note(&s.tracker)
+	recordEvent(&s.tracker)
 	s.notifyLease()
 }
 
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -22,8 +22,8 @@
 func TestInheritedListKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := discoverytest.NewAgent(discoverytest.CompleteList)
-		source, updates := startSource(t, "agent:1", "on_request", piped(t, agent), func(source *Source) { source.RequestPoll() })
-		agent.WantCall(t, "watch 1")
+		source, updates := startSource(t, "agent:1", "on_request", withPipe(t, agent), func(source *Source) { source.RequestPoll() })
+		agent.WantPoll(t, "watch 1")
 		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-updates
 		<-time.After(4 * time.Second)
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		agent := discoverytest.NewAgent(discoverytest.CompleteList)
 		leases := make(chan engine.Lease, 100)
-		_, updates := startSource(t, "agent:1", "on_request", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, updates := startSource(t, "agent:1", "on_request", withPipe(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-agent.EndWatch: // closed: down
 				select {
@@ -77,7 +77,7 @@
 			}
 			return last
 		}
-		agent.WantCall(t, "watch 1")
+		agent.WantPoll(t, "watch 1")
 		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-updates
 		if l := newest(); time.Until(l.Until) != endpointlease.NotificationDeadline {
@@ -103,12 +103,12 @@
 
 // A discovery that answered no poll counted as one that can notify nobody 10 s after the lease, and the node served again on an
 // expired list. However its polls end, a new process has what is left of the lease on the list that it was given, and no more.
-func TestUnansweredPollsRenewNoLease(t *testing.T) {
+func TestUnansweredPollsDoNotRenewLease(t *testing.T) {
 	const remaining = endpointlease.NotificationDeadline - 3*time.Second // a list that a process was given counts as 3 s old
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
-	ends := map[string][]func(http.ResponseWriter){"503": {reject}, "reset": {reset}, "503 and reset": {reject, reset}, "nothing": nil}
-	for name, ends := range ends {
+	responses := map[string][]func(http.ResponseWriter){"503": {reject}, "reset": {reset}, "503 and reset": {reject, reset}, "nothing": nil}
+	for name, responses := range responses {
 		for _, wait := range []time.Duration{1100 * time.Millisecond, 2 * time.Second, 3 * time.Second} {
 			for _, mode := range []string{"on_request", "pushed"} {
 				t.Run(fmt.Sprintf("%s/%s after %v", mode, name, wait), func(t *testing.T) {
@@ -120,13 +120,13 @@
 							case <-r.Context().Done():
 								return
 							}
-							if len(ends) == 0 {
+							if len(responses) == 0 {
 								<-r.Context().Done()
 								return
 							}
-							ends[int(polls.Add(1))%len(ends)](w)
+							responses[int(polls.Add(1))%len(responses)](w)
 						})
-						if last := lastLease(t, mode, piped(t, discovery)); last > remaining {
+						if last := lastLeaseEnd(t, mode, withPipe(t, discovery)); last > remaining {
 							t.Errorf("the lease was renewed until %v after the start", last)
 						}
 					})
@@ -143,8 +143,8 @@
 			refuse := func(context.Context, string, string) (net.Conn, error) {
 				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 			}
-			last := lastLease(t, mode, func(source *Source) { source.Client.Transport.(*http.Transport).DialContext = refuse })
-			if last <= unansweredTime {
+			last := lastLeaseEnd(t, mode, func(source *Source) { source.Client.Transport.(*http.Transport).DialContext = refuse })
+			if last <= timeWithoutList {
 				t.Errorf("%s: the lease ended %v after the start", mode, last)
 			}
 		})
@@ -153,7 +153,7 @@
 
 // A discovery that closes its watches is up, and may do so in place of a change. Polls that it rejects after a wait were taken
 // for an outage all the same, and renewed the lease without an end.
-func TestClosedWatchIsNoOutage(t *testing.T) {
+func TestClosedWatchIsNotAnOutage(t *testing.T) {
 	const watchTime = time.Second
 	for _, mode := range []string{"on_request", "pushed"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -172,19 +172,19 @@
 				case <-r.Context().Done():
 				}
 			})
-			if last := lastLease(t, mode, piped(t, discovery)); last > watchTime+endpointlease.NotificationDeadline {
+			if last := lastLeaseEnd(t, mode, withPipe(t, discovery)); last > watchTime+endpointlease.NotificationDeadline {
 				t.Errorf("%s: the lease was renewed until %v after the start", mode, last)
 			}
 		})
 	}
 }
 
-// unansweredTime is how long lastLease has a process run.
-const unansweredTime = 5 * time.Minute
+// timeWithoutList is how long lastLease has a process run.
+const timeWithoutList = 5 * time.Minute
 
-// lastLease runs a new process for a while, in which discovery brings no list, and returns the latest end of its lease, counted
+// lastLeaseEnd runs a new process for a while, in which discovery brings no list, and returns the latest end of its lease, counted
 // from its start.
-func lastLease(t *testing.T, mode string, discovery func(*Source)) (last time.Duration) {
+func lastLeaseEnd(t *testing.T, mode string, discovery func(*Source)) (last time.Duration) {
 	t.Helper()
 	began := time.Now()
 	source, _ := startSource(t, "agent:1", mode, discovery, func(source *Source) {
@@ -193,7 +193,7 @@
 		source.RenewLease = func(l engine.Lease) { last = max(last, l.Until.Sub(began)) }
 		source.RequestPoll()
 	})
-	<-time.After(unansweredTime)
+	<-time.After(timeWithoutList)
 	source.mu.Lock() // RenewLease is called under it
 	defer source.mu.Unlock()
 	return last
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -18,25 +18,25 @@
 // fall silent or end at once. If each node opened many polls, discovery would work for polls that nobody waits for, and
 // serve nobody. So each node has its list again within little more than one poll from each takes, and there are not many
 // more polls than nodes.
-func TestOverloadedDiscoveryServesAll(t *testing.T) {
+func TestOverloadedDiscoveryServesAllNodes(t *testing.T) {
 	for _, nodes := range []int{16, 22, 26, 60, 300} {
 		for _, ended := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d nodes/ended=%v", nodes, ended), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					queue := newQueue(200*time.Millisecond, 1500*time.Millisecond)
+					queue := newSerialDiscovery(200*time.Millisecond, 1500*time.Millisecond)
 					last, polls, lists := breakAllWatches(t, queue, nodes, ended)
-					inTurn := time.Duration(nodes) * queue.pollTime
-					if most := inTurn + inTurn/5 + 2*time.Second; last > most {
+					serialTime := time.Duration(nodes) * queue.pollTime
+					if most := serialTime + serialTime/5 + 2*time.Second; last > most {
 						t.Errorf("the last node had its list after %v, want %v at most", last, most)
 					}
 					if lists > nodes {
 						t.Errorf("%d lists for %d nodes: some of its work was for nobody", lists, nodes)
 					}
 					// A node must know within 6 s that discovery is back, so it polls every few seconds for as long as it takes.
-					if most := nodes * max(4, int(inTurn/(4*time.Second))); polls > most {
+					if most := nodes * max(4, int(serialTime/(4*time.Second))); polls > most {
 						t.Errorf("%d polls, want %d at most", polls, most)
 					}
-					t.Logf("last list after %v, %.2f polls and %.2f lists a node, in turn %v", last, float64(polls)/float64(nodes), float64(lists)/float64(nodes), inTurn)
+					t.Logf("last list after %v, %.2f polls and %.2f lists a node, in turn %v", last, float64(polls)/float64(nodes), float64(lists)/float64(nodes), serialTime)
 				})
 			})
 		}
@@ -45,7 +45,7 @@
 
 // breakAllWatches has nodes watch a discovery, breaks all watches at once, and returns after how long the last node had its
 // list, and how many polls and lists there were until then.
-func breakAllWatches(t *testing.T, queue *queue, nodes int, ended bool) (last time.Duration, polls, lists int) {
+func breakAllWatches(t *testing.T, queue *serialDiscovery, nodes int, ended bool) (last time.Duration, polls, lists int) {
 	t.Helper()
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -73,7 +73,7 @@
 			}
 			return nil
 		}
-		piped(t, queue)(source)
+		withPipe(t, queue)(source)
 		source.RequestPoll()
 		running.Go(func() {
 			<-time.After(time.Duration(i) * queue.pollTime) // each starts when discovery is free for it
@@ -102,23 +102,23 @@
 
 // A discovery takes up to 7 s for each poll. A node that gives a poll up and makes another never has its list. So the list
 // is there with the answer to the first poll.
-func TestSlowDiscoveryIsWaitedFor(t *testing.T) {
+func TestNodeWaitsForSlowDiscovery(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
-		for _, takes := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second} {
+		for _, answerDelay := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second} {
 			for _, ended := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%v/ended=%v", mode, takes, ended), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/ended=%v", mode, answerDelay, ended), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						s := &slowDiscovery{broken: make(chan struct{})}
-						_, updates := startSource(t, "agent:1", mode, piped(t, s), func(source *Source) { source.RequestPoll() })
+						_, updates := startSource(t, "agent:1", mode, withPipe(t, s), func(source *Source) { source.RequestPoll() })
 						<-updates
 						began := time.Now()
-						s.set(takes, ended)
+						s.set(answerDelay, ended)
 						for u := range updates {
 							if u.WatchFailed {
 								continue
 							}
 							// A watch that fell silent is noticed within 2.8 s; after one that ended discovery is polled within 0.2 s.
-							if after, most := time.Since(began), takes+3*time.Second; after > most {
+							if after, most := time.Since(began), answerDelay+3*time.Second; after > most {
 								t.Errorf("updated after %v, want %v at most", after, most)
 							}
 							return
@@ -132,27 +132,27 @@
 
 // slowDiscovery answers each poll on its own, after a while.
 type slowDiscovery struct {
-	mu     sync.Mutex
-	takes  time.Duration
-	broken chan struct{} // closed: open watches are silent, or end
-	ended  bool
+	mu          sync.Mutex
+	answerDelay time.Duration
+	broken      chan struct{} // closed: open watches are silent, or end
+	ended       bool
 }
 
 // set has the open watches fall silent or end, and each poll from now on take a while.
-func (s *slowDiscovery) set(takes time.Duration, ended bool) {
+func (s *slowDiscovery) set(answerDelay time.Duration, ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.takes, s.ended = takes, ended
+	s.answerDelay, s.ended = answerDelay, ended
 	close(s.broken)
 	s.broken = make(chan struct{})
 }
 
 func (s *slowDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	takes, broken := s.takes, s.broken
+	answerDelay, broken := s.answerDelay, s.broken
 	s.mu.Unlock()
 	select {
-	case <-time.After(takes):
+	case <-time.After(answerDelay):
 	case <-r.Context().Done():
 		return
 	}
--- a/internal/discovery/queue_test.go
+++ b/internal/discovery/serialdiscovery_test.go
@@ -14,12 +14,12 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// queue is a discovery that works through its polls one after another, rejects those that wait too long, and has faults.
-type queue struct {
+// serialDiscovery is a discovery that works through its polls one after another, rejects those that wait too long, and has faults.
+type serialDiscovery struct {
 	pollTime, maxWait time.Duration // for the work on a poll, and for its turn
 
 	mu     sync.Mutex
-	free   time.Time
+	idleAt time.Time
 	faults map[string]int // of each node, by host: how many of its next polls meet the fault
 	fault  func(w http.ResponseWriter, r *http.Request)
 	polls  int
@@ -30,13 +30,13 @@
 	change chan struct{} // closed: there is a newer version
 }
 
-// newQueue is a discovery without faults.
-func newQueue(pollTime, maxWait time.Duration) *queue {
-	return &queue{pollTime: pollTime, maxWait: maxWait, faults: map[string]int{},
+// newSerialDiscovery is a discovery without faults.
+func newSerialDiscovery(pollTime, maxWait time.Duration) *serialDiscovery {
+	return &serialDiscovery{pollTime: pollTime, maxWait: maxWait, faults: map[string]int{},
 		silent: make(chan struct{}), ended: make(chan struct{}), change: make(chan struct{})}
 }
 
-func (q *queue) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *serialDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q.mu.Lock()
 	q.polls++
 	if q.faults[r.Host] > 0 {
@@ -46,17 +46,17 @@
 		return
 	}
 	now := time.Now()
-	if q.free.Before(now) {
-		q.free = now
+	if q.idleAt.Before(now) {
+		q.idleAt = now
 	}
-	if q.free.Sub(now) > q.maxWait {
+	if q.idleAt.Sub(now) > q.maxWait {
 		q.mu.Unlock()
 		time.Sleep(q.maxWait)
 		http.Error(w, "too busy", http.StatusServiceUnavailable)
 		return
 	}
-	q.free = q.free.Add(q.pollTime)
-	turn := q.free.Sub(now)
+	q.idleAt = q.idleAt.Add(q.pollTime)
+	turn := q.idleAt.Sub(now)
 	q.mu.Unlock()
 	time.Sleep(turn)
 	q.mu.Lock()
@@ -99,7 +99,7 @@
 }
 
 // breakWatches has all open watches fall silent, or end, gives each node's next polls the fault, and makes a change.
-func (q *queue) breakWatches(end bool, faults int) {
+func (q *serialDiscovery) breakWatches(end bool, faults int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := range 300 {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -52,14 +52,14 @@
 	version        atomic.Int64 // of the list held; see Version
 
 	// Of the goroutine of Run.
-	streams              map[int]*stream // by the tracker's ID
-	heldGeneration       int             // of the address from which the list held came
-	needComplete         bool            // the list held can't be built on: the complete list comes first
-	olderLists           int             // consecutive complete lists that were older than the one held
-	loggedState          endpointlease.State
-	loggedUnavailable    bool // whether discovery was unavailable as the log has it
-	lastEndLogged        time.Time
-	streamsEndedSinceLog int // since lastEndLogged
+	streams               map[int]*stream // by the tracker's ID
+	heldGeneration        int             // of the address from which the list held came
+	needCompleteList      bool            // the list held can't be built on: the complete list comes first
+	consecutiveOlderLists int             // consecutive complete lists that were older than the one held
+	loggedState           endpointlease.State
+	loggedUnavailable     bool // whether discovery was unavailable as the log has it
+	lastEndLogged         time.Time
+	streamsEndedSinceLog  int // since lastEndLogged
 
 	mu             sync.Mutex // of what follows
 	addr           string
@@ -156,7 +156,7 @@
 			opened = s.newStream(now)
 		}
 		lease := s.tracker.AdvanceLease(now)
-		unavailable, found := s.tracker.Unavailable(), s.tracker.Found()
+		unavailable, found := s.tracker.Unavailable(), s.tracker.AvailabilityName()
 		s.notifyLease()
 		s.mu.Unlock()
 		s.logLease(lease.State, unavailable, found)
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -21,10 +21,10 @@
 	return agent, discoverytest.Serve(t, agent)
 }
 
-// piped has a source poll a handler within a bubble of testing/synctest.
-func piped(t *testing.T, h http.Handler) func(*Source) {
+// withPipe has a source poll a handler within a bubble of testing/synctest.
+func withPipe(t *testing.T, h http.Handler) func(*Source) {
 	t.Helper()
-	dial := discoverytest.Pipe(t, h)
+	dial := discoverytest.ServePipe(t, h)
 	return func(source *Source) {
 		source.Client.Transport.(*http.Transport).DialContext = dial
 	}
@@ -67,14 +67,14 @@
 func TestWatchFollowsAndReconnects(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	_, updates := startSource(t, addr, "pushed")
-	agent.WantCall(t, "watch 1")
+	agent.WantPoll(t, "watch 1")
 	agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 	if u := <-updates; u.Version != 43 || u.WatchFailed {
 		t.Fatalf("updated to %+v", u)
 	}
 	agent.Lines <- ""
 	agent.EndWatch <- struct{}{}
-	agent.WantCall(t, "watch 43")
+	agent.WantPoll(t, "watch 43")
 }
 
 // A new configuration names another discovery. It is polled at once, even while the old watch is open or requested. The
@@ -87,9 +87,9 @@
 			agent, addr := newAgent(t, discoverytest.CompleteList)
 			source, updates := startSource(t, oldAddr, mode)
 			source.RequestPoll()
-			old.WantCall(t, "watch 1")
+			old.WantPoll(t, "watch 1")
 			source.SetAddress(addr)
-			agent.WantCall(t, "watch 0")
+			agent.WantPoll(t, "watch 0")
 			agent.Lines <- `{"seq":7,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 			if u := <-updates; u.Version != 7 || !u.Complete || u.WatchFailed {
 				t.Fatalf("updated to %+v", u)
@@ -104,7 +104,7 @@
 				t.Fatalf("updated to %+v", u)
 			}
 			source.SetAddress(oldAddr)
-			old.WantCall(t, "watch 0")
+			old.WantPoll(t, "watch 0")
 		})
 	}
 }
@@ -114,11 +114,11 @@
 func TestSilentWatchIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent, begin := discoverytest.NewAgent(discoverytest.CompleteList), time.Now()
-		_, updates := startSource(t, "agent:1", "pushed", piped(t, agent))
-		agent.WantCall(t, "watch 1")
+		_, updates := startSource(t, "agent:1", "pushed", withPipe(t, agent))
+		agent.WantPoll(t, "watch 1")
 		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-updates
-		agent.WantCall(t, "watch 43")
+		agent.WantPoll(t, "watch 43")
 		if at := time.Since(begin); at < 2*time.Second || at > 3*time.Second {
 			t.Errorf("polled again after %v", at)
 		}
@@ -131,28 +131,28 @@
 
 // Where lists are polled, the decision module requests the first poll and is told when the last stream has ended. Its later
 // requests make no second poll beside the one that the tracker schedules.
-func TestPolledListFailuresReachTheModule(t *testing.T) {
+func TestPollFailuresReachDecisionModule(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	source, updates := startSource(t, addr, "on_request")
 	for range 2 {
 		source.RequestPoll()
-		agent.WantCall(t, "watch 1")
+		agent.WantPoll(t, "watch 1")
 		agent.EndWatch <- struct{}{}
 		if u := <-updates; !u.WatchFailed {
 			t.Fatalf("updated to %+v", u)
 		}
 	}
-	if len(agent.Calls) != 0 {
+	if len(agent.Polls) != 0 {
 		t.Error("the node polled by itself")
 	}
 }
 
 // An agent is silent in an outage, and goes on afterwards on the watch that it has. If the node had closed that watch, it
 // would miss the change: polls that were opened meanwhile are never answered here.
-func TestSilentWatchIsHeardAgain(t *testing.T) {
+func TestSilentWatchResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lines, polls := make(chan string), atomic.Int32{}
-		_, updates := startSource(t, "agent:1", "pushed", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, updates := startSource(t, "agent:1", "pushed", withPipe(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if polls.Add(1) > 1 {
 				<-r.Context().Done()
 				return
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -55,7 +55,7 @@
 // openStream begins a poll. After an address change it asks for all changes from the first version on: polling the complete
 // list and then the watch would double the queue at a discovery to which all nodes turn at once.
 func (s *Source) openStream(ctx context.Context, opened *stream, readers *sync.WaitGroup) {
-	opened.pollOnly = s.needComplete
+	opened.pollOnly = s.needCompleteList
 	query := "?watch=1&from=" + strconv.FormatInt(s.baseVersion(opened), 10)
 	if opened.pollOnly {
 		query = ""
@@ -67,8 +67,8 @@
 }
 
 // endStream ends the reading of a stream. What it still brings is ignored.
-func (s *Source) endStream(id int, why error) {
-	s.streams[id].cancel(why)
+func (s *Source) endStream(id int, cause error) {
+	s.streams[id].cancel(cause)
 	delete(s.streams, id)
 }
 
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// olderListsUntilBelieved is how many complete lists in a row must be older than the one held for the last of them to be
+	// olderListsUntilAccepted is how many complete lists in a row must be older than the one held for the last of them to be
 	// applied. A single one may be a late answer, and would bring endpoints back that have drained; a discovery that has lost
 	// its state counts its versions anew, and each of its lists is older.
-	olderListsUntilBelieved = 3
+	olderListsUntilAccepted = 3
 	// endLogInterval is the least time between two log lines of polls that ended without a list: while discovery is down, a
 	// node's polls end several times a second.
 	endLogInterval = time.Second
@@ -60,9 +60,9 @@
 		return // ctx has ended
 	}
 	st.listsReceived++
-	s.heldGeneration, s.olderLists = st.generation, 0
+	s.heldGeneration, s.consecutiveOlderLists = st.generation, 0
 	s.version.Store(list.Version)
-	s.needComplete = s.needComplete && !list.Complete
+	s.needCompleteList = s.needCompleteList && !list.Complete
 	if st.pollOnly {
 		s.endStream(st.id, errNotNeeded)
 	}
@@ -85,8 +85,8 @@
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrNoEndpoints}
 	case !list.Complete && list.Version < base:
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrVersionGap}
-	case list.Complete && list.Version < base && s.olderLists < olderListsUntilBelieved-1:
-		s.olderLists++
+	case list.Complete && list.Version < base && s.consecutiveOlderLists < olderListsUntilAccepted-1:
+		s.consecutiveOlderLists++
 		return &discoveryapi.UnreadableError{Err: discoveryapi.ErrOlderVersion}
 	}
 	return nil
@@ -98,7 +98,7 @@
 func (s *Source) streamFailed(ctx context.Context, st *stream, err error) {
 	s.endStream(st.id, err)
 	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
-	s.needComplete = s.needComplete || unreadable
+	s.needCompleteList = s.needCompleteList || unreadable
 	s.track(func(t *endpointlease.Tracker) { noteFailure(t, st.id, s.now(), err) })
 	if unreadable {
 		for id := range s.streams {
--- a/internal/discovery/updates_test.go
+++ b/internal/discovery/updates_test.go
@@ -23,14 +23,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				agent := discoverytest.NewAgent(discoverytest.CompleteList)
-				_, updates := startSource(t, "agent:1", "pushed", piped(t, agent))
-				agent.WantCall(t, "watch 1")
+				_, updates := startSource(t, "agent:1", "pushed", withPipe(t, agent))
+				agent.WantPoll(t, "watch 1")
 				agent.Lines <- line
-				agent.WantCall(t, "list")
+				agent.WantPoll(t, "list")
 				if u := <-updates; u.Version != 50 || !u.Complete || len(u.Endpoints) != 1 {
 					t.Fatalf("updated to %+v", u)
 				}
-				agent.WantCall(t, "watch 50")
+				agent.WantPoll(t, "watch 50")
 			})
 		})
 	}
@@ -67,7 +67,7 @@
 	}
 	agent, addr := newAgent(t, complete)
 	_, updates := startSource(t, addr, "pushed")
-	<-agent.Calls
+	<-agent.Polls
 	agent.Lines <- `{"seq":44,"whole":true}`
 	if u := <-updates; u.Version != 42 || len(u.Endpoints) != 1 {
 		t.Errorf("updated to %+v", u)
@@ -79,7 +79,7 @@
 func TestIndentedLists(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	_, updates := startSource(t, addr, "pushed")
-	agent.WantCall(t, "watch 1")
+	agent.WantPoll(t, "watch 1")
 	for seq := 43; seq < 46; seq++ {
 		for _, line := range []string{"{", fmt.Sprintf(`  "seq": %d,`, seq), "", `  "hosts": [`, `    {"host": "s-9",`, `     "health": "terminating"}`, "  ]", "}", ""} {
 			agent.Lines <- line
@@ -88,18 +88,18 @@
 			t.Fatalf("updated to %+v", u)
 		}
 	}
-	if len(agent.Calls) != 0 {
-		t.Errorf("polled for %q besides", <-agent.Calls)
+	if len(agent.Polls) != 0 {
+		t.Errorf("polled for %q besides", <-agent.Polls)
 	}
 }
 
 // A discovery writes changes that can't be read. Polled for the complete list each time, thirteen times a second by each of
 // 300 nodes, it would go down. So after the first complete list it is polled ever more slowly.
-func TestMalformedListsAreBackedOff(t *testing.T) {
+func TestPollsBackOffAfterMalformedLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const span = 20 * time.Second
 		polls := make(chan struct{}, 1000)
-		_, updates := startSource(t, "agent:1", "pushed", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, updates := startSource(t, "agent:1", "pushed", withPipe(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			polls <- struct{}{}
 			if r.URL.Query().Get("watch") == "" {
 				fmt.Fprintln(w, discoverytest.CompleteList)
@@ -138,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				polls := atomic.Int32{}
-				_, updates := startSource(t, "agent:1", "on_request", piped(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				_, updates := startSource(t, "agent:1", "on_request", withPipe(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					seq := c.seqs[min(int(polls.Add(1)), len(c.seqs))-1]
 					fmt.Fprintf(w, `{"seq":%d,"whole":true,"hosts":[]}`+"\n", seq)
 					w.(http.Flusher).Flush()
--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -94,7 +94,7 @@
 	f.Add([]byte(`{"seq":1,`), 1)
 	f.Add([]byte("\n\n]"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		r := NewReader(&pieces{text, 1 + (piece&0x7fffffff)%7}, &countingWatchdog{})
+		r := NewReader(&chunkReader{text, 1 + (piece&0x7fffffff)%7}, &countingWatchdog{})
 		for n := 0; ; n++ {
 			list, err := r.Next()
 			if err != nil {
@@ -115,13 +115,13 @@
 	})
 }
 
-// pieces is a stream that comes in pieces of one size.
-type pieces struct {
+// chunkReader is a stream that comes in chunkReader of one size.
+type chunkReader struct {
 	remaining []byte
 	size      int
 }
 
-func (p *pieces) Read(buf []byte) (int, error) {
+func (p *chunkReader) Read(buf []byte) (int, error) {
 	if len(p.remaining) == 0 {
 		return 0, io.EOF
 	}
--- a/internal/endpointlease/availability.go
+++ b/internal/endpointlease/availability.go
@@ -33,8 +33,8 @@
 	return [...]string{"available", "unreachable", "down behind a proxy"}[a]
 }
 
-// Found says what polls have found of discovery, for the log.
-func (t *Tracker) Found() string { return t.availability.String() }
+// AvailabilityName says what polls have found of discovery, for the log.
+func (t *Tracker) AvailabilityName() string { return t.availability.String() }
 
 // Unavailable says whether the node may serve on its list without discovery: unreachable or downBehindProxy. Any activity
 // ends that.
@@ -66,7 +66,7 @@
 	t.overloaded = now-s.openedAt <= immediateRejection
 	switch {
 	case t.overloaded:
-		t.noteAlive()
+		t.noteAvailable()
 	case t.lateRejectionMeansDown && now < t.Expires():
 		t.noteUnavailable(downBehindProxy, id)
 	default:
@@ -74,14 +74,14 @@
 	}
 }
 
-// noteAlive notes that discovery has sent something.
-func (t *Tracker) noteAlive() { t.availability, t.reachedSinceConfirmed = available, true }
+// noteAvailable notes that discovery has sent something.
+func (t *Tracker) noteAvailable() { t.availability, t.reachedSinceConfirmed = available, true }
 
 // noteUnavailable notes that discovery was unavailable when a poll began. Each such poll renews the lease, unless discovery
 // may have had a change before the outage: then the lease keeps the end that it had.
-func (t *Tracker) noteUnavailable(how availability, id int) {
+func (t *Tracker) noteUnavailable(found availability, id int) {
 	s, _ := t.find(id)
-	if t.availability == available || t.mayHaveReturned(id) {
+	if t.availability == available || t.mayHaveRecovered(id) {
 		outageBegan := s.openedAt
 		if t.Pushed { // its watch ended as it went down
 			outageBegan = min(outageBegan, t.lastWatchEndedAt)
@@ -91,7 +91,7 @@
 			t.expiryFixedByOutage = max(expires, 1) // 0 means that there is none
 		}
 	}
-	t.availability, t.unavailablePollAt = how, s.openedAt
+	t.availability, t.unavailablePollAt = found, s.openedAt
 }
 
 // changeMayPredateOutage says whether discovery may have had a change before an outage that a poll has found, and could have
@@ -112,9 +112,9 @@
 	return t.reachedSinceConfirmed || t.otherPollConnected(id) || expires <= outageBegan
 }
 
-// mayHaveReturned says whether discovery may have been back since polls were rejected after a wait: a poll that is older than
+// mayHaveRecovered says whether discovery may have been back since polls were rejected after a wait: a poll that is older than
 // the one that was rejected now still waits, so that something other than the proxy may have it.
-func (t *Tracker) mayHaveReturned(id int) bool {
+func (t *Tracker) mayHaveRecovered(id int) bool {
 	return t.availability == downBehindProxy &&
 		slices.ContainsFunc(t.streams, func(s stream) bool { return s.id < id && !s.isWatch() && s.connected })
 }
--- a/internal/endpointlease/availability_test.go
+++ b/internal/endpointlease/availability_test.go
@@ -37,13 +37,13 @@
 		},
 		"down behind a proxy: late rejections after the watch ended": {
 			options: polled,
-			events:  func(tracker *Tracker) { watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s) },
+			events:  func(tracker *Tracker) { endWatchThenRejectLate(tracker, 0, 3*s, 6*s) },
 			at:      7 * s, wakeAt: 8100*ms + watchEndBackoff*4/10, expires: 12 * s, state: Aging,
 		},
 		"an immediate rejection after late ones": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
+				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
 				tracker.StreamOpened(9*s, 0)
 				tracker.PollRejected(4, 9*s+ms)
 				tracker.StreamEnded(4, 9*s+ms)
@@ -55,12 +55,12 @@
 
 // A discovery that is slow or overloaded may have a change that the node does not know: nothing renews the lease but a list or
 // a heartbeat. Renewed, the node would send to endpoints that drain, as in the incident of 2 December 2026.
-func TestSlowDiscoveryRenewsNoLease(t *testing.T) {
+func TestSlowDiscoveryDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"a poll that is reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0)
+				endWatchThenRejectLate(tracker, 0)
 				tracker.StreamOpened(3*s, 0)
 				tracker.StreamFailed(2)
 				tracker.StreamEnded(2, 5*s)
@@ -70,7 +70,7 @@
 		"polls that are reset renew no lease": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0)
+				endWatchThenRejectLate(tracker, 0)
 				tracker.StreamOpened(3*s, 0)
 				tracker.StreamFailed(2)
 				tracker.StreamEnded(2, 5*s)
@@ -83,8 +83,8 @@
 		"immediate rejections are of an overloaded discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
-				rejectAtOnce(tracker, 9*s)
+				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
+				rejectImmediately(tracker, 9*s)
 			},
 			at: 11 * s, wakeAt: 0, expires: 12 * s, state: Aging,
 		},
@@ -102,7 +102,7 @@
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 				tracker.StreamEnded(1, 3*s)
 				rejectPoll(tracker, 3*s, 5*s)
 				rejectPoll(tracker, 5*s, 7*s)
@@ -114,7 +114,7 @@
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.StreamEnded(1, 2*s)
-				rejectAtOnce(tracker, 3*s)
+				rejectImmediately(tracker, 3*s)
 				tracker.StreamOpened(7500*ms, 0)
 				tracker.Unreachable(3)
 				tracker.StreamEnded(3, 7500*ms)
@@ -139,7 +139,7 @@
 
 // A discovery that rejected polls after a wait, and is no proof of an outage, was reached and may have had a change. Nodes forgot
 // that: as it refused connections later the lease was renewed, in turn with further rejections without an end.
-func TestLateRejectionThenRefusalRenewsNoLease(t *testing.T) {
+func TestRefusalAfterLateRejectionDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"in a new process": {
 			options: polled,
@@ -174,7 +174,7 @@
 
 // A late rejection is no proof of an outage that a node may serve through: it brings no expired list back, and shows nothing
 // where discovery closed the watch, or where that had fallen silent before it ended: discovery may have had a change then.
-func TestLateRejectionBringsNoExpiredListBack(t *testing.T) {
+func TestLateRejectionDoesNotRenewLeaseWithoutOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"pushed, after the grace of the watch": {
 			options: pushed,
@@ -183,7 +183,7 @@
 				tracker.StreamEnded(1, 2*s)
 				rejectPoll(tracker, 2150*ms, 4150*ms)
 			},
-			at: 4150 * ms, wakeAt: 4150*ms + watchEndBackoff*2/10, expires: 2*s + pushedGrace, state: Expired,
+			at: 4150 * ms, wakeAt: 4150*ms + watchEndBackoff*2/10, expires: 2*s + pushedGracePeriod, state: Expired,
 		},
 		"of a poll that was begun within the lease": {
 			options: polled,
@@ -218,12 +218,12 @@
 
 // A discovery that was down behind a proxy may have been back for a moment, with a change that it could not send: what comes
 // instead of a rejection, or stays open beside one, shows it. The next rejection renews no lease then.
-func TestReturnBetweenOutagesRenewsNoLease(t *testing.T) {
+func TestRecoveryBetweenOutagesPreventsRenewal(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"a poll is reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				tracker.StreamFailed(3)
@@ -235,7 +235,7 @@
 		"a poll that was opened before still waits": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				rejectPoll(tracker, 6*s, 8*s)
@@ -245,7 +245,7 @@
 		"a poll that was opened later waits": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				tracker.Connected(tracker.StreamOpened(7*s, 0))
@@ -259,7 +259,7 @@
 
 // A new process has no watch that ended: a poll that is rejected after a wait shows no outage there, for a discovery with more
 // pollers than it can serve does the same. Its list, of unknown age, counts as confirmed for less than one from discovery.
-func TestNewProcessTakesNoRejectionForAnOutage(t *testing.T) {
+func TestNewProcessDoesNotTreatRejectionAsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"late rejections": {
 			options: polled,
@@ -302,7 +302,7 @@
 
 // What was known of discovery is of the address that it had: where the configuration names another one, the node counts as
 // notified of what that has 4 s later, whatever became of the address before.
-func TestOutageEndsWithTheAddress(t *testing.T) {
+func TestAddressChangeDiscardsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"down behind a proxy": {
 			options: polled,
@@ -310,7 +310,7 @@
 				openWatch(tracker, 0, s)
 				tracker.StreamEnded(1, 2*s)
 				rejectPoll(tracker, 3*s, 4100*ms)
-				tracker.DiscoveryChanged(4200 * ms)
+				tracker.AddressChanged(4200 * ms)
 				tracker.Connected(tracker.StreamOpened(4200*ms, 0))
 			},
 			at: 4500 * ms, wakeAt: 6700 * ms, expires: 8200 * ms, state: Aging,
@@ -320,7 +320,7 @@
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.AdvanceLease(17 * s)
-				tracker.DiscoveryChanged(18 * s)
+				tracker.AddressChanged(18 * s)
 				tracker.Connected(tracker.StreamOpened(18*s, 0))
 			},
 			at: 18 * s, wakeAt: 20500 * ms, expires: 7 * s, state: Expired,
@@ -330,7 +330,7 @@
 
 // A discovery that rejects polls after a wait is not silent: the node must not count it as unresponsive, and serve again on a list
 // that has expired.
-func TestLateRejectionsAreNoSilence(t *testing.T) {
+func TestRepeatedLateRejectionsDoNotRenewExpiredLease(t *testing.T) {
 	tracker := &Tracker{Options: polled}
 	tracker.HoldBootstrapList(0)
 	for at := s; at < 14*s; at += 2500 * ms {
--- a/internal/endpointlease/backoff.go
+++ b/internal/endpointlease/backoff.go
@@ -12,8 +12,8 @@
 	maxBackoff = 2500 * time.Millisecond
 	// maxBackoffDoublings keeps the wait from overflowing; maxBackoff is reached before.
 	maxBackoffDoublings = 8
-	// minBackoffShare is the least part of the wait that a node draws: nodes whose watches ended together poll apart.
-	minBackoffShare = 0.1
+	// minBackoffFraction is the least part of the wait that a node draws: nodes whose watches ended together poll apart.
+	minBackoffFraction = 0.1
 	// maxBackoffUnavailable bounds the wait while discovery is unavailable: a poll that finds it so renews the lease, and the
 	// next one must be over before that lease expires.
 	maxBackoffUnavailable = 1500 * time.Millisecond
@@ -23,26 +23,26 @@
 	// once of what the agent has.
 	maxBackoffPushedUnavailable = 200 * time.Millisecond
 
-	// freeMalformedLists is how many malformed lists cost no further wait: after the first the complete list is polled at
+	// malformedListsWithoutDelay is how many malformed lists cost no further wait: after the first the complete list is polled at
 	// once, for a single fault of a watch is mended by it.
-	freeMalformedLists = 1
+	malformedListsWithoutDelay = 1
 	// maxMalformedBackoff: a discovery that writes what can't be read must not be swamped by polls for complete lists.
 	maxMalformedBackoff = 2 * time.Second
-	// healthyWatchAge is how long a watch has to be read without fault for earlier malformed lists to be forgotten.
-	healthyWatchAge = 2 * maxMalformedBackoff
+	// malformedResetAge is how long a watch has to be read without fault for earlier malformed lists to be forgotten.
+	malformedResetAge = 2 * maxMalformedBackoff
 )
 
 // backoff is the wait before the next poll after a stream has ended. The jitter, from 0 to 1, says where in the range this
 // node acts: from minBackoffShare to all of the wait, and from half of it where the least wait matters.
 func (t *Tracker) backoff(jitter float64) time.Duration {
-	wait := min(exponential(watchEndBackoff, t.consecutiveFailures), t.maxBackoff())
+	wait := min(exponentialDelay(watchEndBackoff, t.consecutiveFailures), t.maxBackoff())
 	if t.Pushed && t.Unavailable() {
-		return halfJittered(min(wait, maxBackoffPushedUnavailable), jitter)
+		return equalJitter(min(wait, maxBackoffPushedUnavailable), jitter)
 	}
-	if t.malformedLists > freeMalformedLists {
-		return halfJittered(max(wait, min(exponential(watchEndBackoff, t.malformedLists), maxMalformedBackoff)), jitter)
+	if t.malformedLists > malformedListsWithoutDelay {
+		return equalJitter(max(wait, min(exponentialDelay(watchEndBackoff, t.malformedLists), maxMalformedBackoff)), jitter)
 	}
-	return time.Duration((minBackoffShare + (1-minBackoffShare)*jitter) * float64(wait))
+	return time.Duration((minBackoffFraction + (1-minBackoffFraction)*jitter) * float64(wait))
 }
 
 // maxBackoff is the longest wait for a discovery in its present state.
@@ -56,12 +56,12 @@
 	return maxBackoff
 }
 
-// exponential is the wait after so many failures, without a limit.
-func exponential(first time.Duration, failures int) time.Duration {
+// exponentialDelay is the wait after so many failures, without a limit.
+func exponentialDelay(first time.Duration, failures int) time.Duration {
 	return first << min(failures, maxBackoffDoublings)
 }
 
-// halfJittered is between half of the wait and all of it.
-func halfJittered(wait time.Duration, jitter float64) time.Duration {
+// equalJitter is between half of the wait and all of it.
+func equalJitter(wait time.Duration, jitter float64) time.Duration {
 	return time.Duration((1 + jitter) / 2 * float64(wait))
 }
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -82,7 +82,7 @@
 	// The poll schedule: see Step, parallelPollAt and backoff.
 	nextPollAt          time.Duration // no poll before this where none is open
 	pollingStarted      bool          // the first poll was requested or made: later ones need no request
-	parallelPolls       int           // consecutive polls without an answer that another was opened beside
+	hedgedPolls         int           // consecutive polls without an answer that another was opened beside
 	afterSilentWatch    bool          // the poll that began them was made because a watch missed its heartbeat
 	consecutiveFailures int           // polls that failed since the last list
 	overloaded          bool          // the last poll was rejected at once: discovery is up, with too many pollers
--- a/internal/endpointlease/events.go
+++ b/internal/endpointlease/events.go
@@ -19,11 +19,11 @@
 // Activity notes a sign of life on a stream: the head of an answer, a heartbeat, or a part of a list. One on a stream that
 // was dropped shows all the same that discovery is available.
 func (t *Tracker) Activity(id int, now time.Duration) {
-	t.noteAlive()
+	t.noteAvailable()
 	s, _ := t.find(id)
 	s.lastByteAt = now
 	if s.isWatch() && s.listBeganAt == 0 {
-		t.confirm(now) // a heartbeat: the watch holds no newer list back
+		t.confirmList(now) // a heartbeat: the watch holds no newer list back
 	}
 }
 
@@ -37,23 +37,23 @@
 
 // ListComplete notes that a watch has brought a complete list or complete changes: the node holds what discovery had.
 func (t *Tracker) ListComplete(id int, now time.Duration) {
-	t.noteAlive()
+	t.noteAvailable()
 	s, _ := t.find(id)
 	s.lastByteAt, s.listBeganAt = now, 0
 	if !s.isWatch() {
 		s.firstListAt = max(now, 1) // 0 means that none was complete
 	}
-	t.confirm(now)
+	t.confirmList(now)
 	t.pendingAddressChanges = slices.DeleteFunc(t.pendingAddressChanges, func(c addressChange) bool { return c.generation <= s.generation })
 	if s.generation == t.generation {
-		t.parallelPolls, t.consecutiveFailures, t.overloaded, t.lateRejectionMeansDown = 0, 0, false, false
+		t.hedgedPolls, t.consecutiveFailures, t.overloaded, t.lateRejectionMeansDown = 0, 0, false, false
 	}
 }
 
 // PollAnswered notes that a poll without a watch has brought the complete list. A watch is opened at once after it.
 func (t *Tracker) PollAnswered(id int, now time.Duration) {
 	t.ListComplete(id, now)
-	t.forget(id, now)
+	t.removeStream(id, now)
 	t.nextPollAt = now
 }
 
@@ -76,13 +76,13 @@
 func (t *Tracker) StreamClosed(id int) {
 	t.StreamFailed(id)
 	s, _ := t.find(id)
-	s.closedInOrder = true
+	s.closedCleanly = true
 }
 
 // MalformedList notes, before StreamEnded, that a stream brought something that can't be read or built on. A watch that
 // was read without fault for healthyWatchAge is a new case: what was malformed before it no longer counts.
 func (t *Tracker) MalformedList(id int, now time.Duration) {
-	if s, _ := t.find(id); s.isWatch() && now-s.firstListAt > healthyWatchAge {
+	if s, _ := t.find(id); s.isWatch() && now-s.firstListAt > malformedResetAge {
 		t.malformedLists = 0
 	}
 	t.malformedLists++
@@ -91,21 +91,21 @@
 // StreamEnded notes that a stream is over: rejected, reset, or at its end. A stream to an earlier address does not change
 // the schedule of polls to the present one.
 func (t *Tracker) StreamEnded(id int, now time.Duration) {
-	s := t.forget(id, now)
+	s := t.removeStream(id, now)
 	if s.id == 0 || s.generation != t.generation {
 		return
 	}
 	if !s.isWatch() {
-		t.parallelPolls = 0     // it was answered, even if with a rejection
+		t.hedgedPolls = 0       // it was answered, even if with a rejection
 		t.consecutiveFailures++ // before backoff, which is 300 ms and not 150 ms after the first failed poll
 	} else if !t.hasWatch() {
-		t.lateRejectionMeansDown = now < s.heartbeatDeadline() && !s.closedInOrder
+		t.lateRejectionMeansDown = now < s.heartbeatDeadline() && !s.closedCleanly
 	}
 	t.nextPollAt = now + t.backoff(s.jitter)
 }
 
-// confirm notes that the list held is all that discovery has: the lease begins anew.
-func (t *Tracker) confirm(now time.Duration) {
+// confirmList notes that the list held is all that discovery has: the lease begins anew.
+func (t *Tracker) confirmList(now time.Duration) {
 	t.confirmedAt, t.reachedSinceConfirmed = now, false
 	t.expiryFixedByOutage = 0
 }
@@ -127,13 +127,13 @@
 	at         time.Duration
 }
 
-// DiscoveryChanged notes that the configuration names another discovery. It is polled at once. Open streams are of earlier
+// AddressChanged notes that the configuration names another discovery. It is polled at once. Open streams are of earlier
 // addresses: they are read until a list has come from the new one, for until then they may be the last to report a change.
-func (t *Tracker) DiscoveryChanged(now time.Duration) {
+func (t *Tracker) AddressChanged(now time.Duration) {
 	t.generation++
-	t.forgetOutageBehindProxy()
+	t.clearOutageBehindProxy()
 	t.nextPollAt, t.pollingStarted = now, true
-	t.parallelPolls, t.consecutiveFailures, t.malformedLists, t.overloaded = 0, 0, 0, false
+	t.hedgedPolls, t.consecutiveFailures, t.malformedLists, t.overloaded = 0, 0, 0, false
 	t.lateRejectionMeansDown = false // the new discovery is reached by all its nodes at once, and may be slow
 	if len(t.pendingAddressChanges) == maxPendingAddressChanges {
 		t.pendingAddressChanges[maxPendingAddressChanges-1].generation = t.generation
@@ -142,16 +142,16 @@
 	t.pendingAddressChanges = append(t.pendingAddressChanges, addressChange{generation: t.generation, at: now})
 }
 
-// forgetOutageBehindProxy drops what was found of the address before: that it is down behind a proxy says nothing of the new
+// clearOutageBehindProxy drops what was found of the address before: that it is down behind a proxy says nothing of the new
 // one. The first poll shows whether the new address is unreachable, so that this is left to it.
-func (t *Tracker) forgetOutageBehindProxy() {
+func (t *Tracker) clearOutageBehindProxy() {
 	if t.availability == downBehindProxy {
 		t.availability = available
 	}
 }
 
-// DiscoveryChanging says whether no list has come yet from the present address.
-func (t *Tracker) DiscoveryChanging() bool { return len(t.pendingAddressChanges) > 0 }
+// AddressChangePending says whether no list has come yet from the present address.
+func (t *Tracker) AddressChangePending() bool { return len(t.pendingAddressChanges) > 0 }
 
 // Generation counts the changes of address so far: it is that of streams that are opened now.
 func (t *Tracker) Generation() int { return t.generation }
--- a/internal/endpointlease/expiry_test.go
+++ b/internal/endpointlease/expiry_test.go
@@ -10,25 +10,25 @@
 // was rejected late. Whatever happens, in any order, only discovery's own word brings an expired list back, a list or a
 // heartbeat, or a connection that was begun within the lease and did not come up: while none does no node is notified.
 // Where nothing is open and lists are polled, the next poll begins MaxPollInterval anew.
-func TestOnlyDiscoveryBringsAnExpiredListBack(t *testing.T) {
+func TestOnlyDiscoveryRenewsExpiredLease(t *testing.T) {
 	const histories, events = 20_000, 40
 	for seed := range uint64(histories) {
 		h := newRandomHistory(seed)
 		for range events {
 			h.now += time.Duration(h.rng.IntN(3000)) * ms
-			h.check(t, seed, "time passes", false)
-			event, excused := h.happen()
-			h.check(t, seed, event, excused)
+			h.checkLease(t, seed, "time passes", false)
+			event, renewalAllowed := h.applyRandomEvent()
+			h.checkLease(t, seed, event, renewalAllowed)
 		}
 	}
 }
 
-// check carries out what is due after an event, and fails the test if an expired list came back without an excuse.
-func (h *randomHistory) check(t *testing.T, seed uint64, event string, excused bool) {
-	excused = excused || !h.tracker.Pushed && len(h.tracker.streams) == 0
-	h.settle()
+// checkLease carries out what is due after an event, and fails the test if an expired list came back without an excuse.
+func (h *randomHistory) checkLease(t *testing.T, seed uint64, event string, renewalAllowed bool) {
+	renewalAllowed = renewalAllowed || !h.tracker.Pushed && len(h.tracker.streams) == 0
+	h.applyDecisions()
 	state := h.tracker.State(h.now)
-	if h.expired && state != Expired && !excused {
+	if h.expired && state != Expired && !renewalAllowed {
 		t.Fatalf("seed %d, %+v: after the event %q at %v the expired list is %v again, until %v", seed, h.tracker.Options, event,
 			h.now, state, h.tracker.Expires())
 	}
@@ -49,12 +49,12 @@
 	h := &randomHistory{rng: rng, tracker: &Tracker{Options: []Options{polled, rarelyPolled, pushed}[rng.IntN(3)]}}
 	h.tracker.HoldBootstrapList(0)
 	h.tracker.RequestPoll()
-	h.settle()
+	h.applyDecisions()
 	return h
 }
 
-// settle carries out what is due.
-func (h *randomHistory) settle() {
+// applyDecisions carries out what is due.
+func (h *randomHistory) applyDecisions() {
 	for {
 		switch decision := h.tracker.Step(h.now); decision.Action {
 		case NoAction:
@@ -69,11 +69,11 @@
 	}
 }
 
-// happen has something happen to one of the open streams, and says whether that may bring an expired list back.
-func (h *randomHistory) happen() (event string, excused bool) {
+// applyRandomEvent has something applyRandomEvent to one of the open streams, and says whether that may bring an expired list back.
+func (h *randomHistory) applyRandomEvent() (event string, renewalAllowed bool) {
 	t, now := h.tracker, h.now
 	if h.rng.IntN(20) == 0 {
-		t.DiscoveryChanged(now)
+		t.AddressChanged(now)
 		return "address change", false
 	}
 	if len(t.streams) == 0 {
@@ -96,14 +96,14 @@
 		t.PollRejected(s.id, now)
 		t.StreamEnded(s.id, now)
 	case "unreachable":
-		excused = t.Pushed || s.openedAt < t.Expires() // an agent is down from the end of its watch on
+		renewalAllowed = t.Pushed || s.openedAt < t.Expires() // an agent is down from the end of its watch on
 		t.Unreachable(s.id)
 		t.StreamEnded(s.id, now)
 	case "reset":
 		t.StreamFailed(s.id)
 		t.StreamEnded(s.id, now)
 	}
-	return event, excused
+	return event, renewalAllowed
 }
 
 // drawEvent draws what may happen to a stream in its state.
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// pushedGrace is how long the lease outlives the last watch where lists are pushed: a node counts as notified at once
+	// pushedGracePeriod is how long the lease outlives the last watch where lists are pushed: a node counts as notified at once
 	// of what the agent has. Of the 250 ms within which a node must stop sending to an endpoint that it was notified of,
 	// 150 ms are left for a node that is held up between its check and its write.
-	pushedGrace = 100 * time.Millisecond
+	pushedGracePeriod = 100 * time.Millisecond
 
 	// bootstrapListAge is how old the list counts as that a new process was given. Nobody says how old it is, and a change
 	// made before the process began counts as known to it NotificationDeadline later like any other. What is left of the lease
 	// is the time that a new process needs to have its list from a discovery with many pollers.
 	bootstrapListAge = 3 * time.Second
 
-	// freshWithin is how long after its last line a watch counts as up to date: one heartbeat, and a quarter for its way.
-	freshWithin = HeartbeatInterval + HeartbeatInterval/4
+	// freshTimeout is how long after its last line a watch counts as up to date: one heartbeat, and a quarter for its way.
+	freshTimeout = HeartbeatInterval + HeartbeatInterval/4
 )
 
 // State is what a node may say of its endpoint list. Fresh and Aging lists may be used. A list becomes Aging as its watch
@@ -61,7 +61,7 @@
 	switch {
 	case t.hasWatch(): // any open watch, even a silent one: what is left is NotificationDeadline
 	case t.Pushed:
-		expires = min(expires, t.lastWatchEndedAt+pushedGrace)
+		expires = min(expires, t.lastWatchEndedAt+pushedGracePeriod)
 	case len(t.streams) == 0:
 		expires = min(expires, max(t.lastPollAt, t.unavailablePollAt)+t.MaxPollInterval)
 	}
@@ -71,8 +71,8 @@
 	return expires
 }
 
-// LeaseCheck is what AdvanceLease finds.
-type LeaseCheck struct {
+// LeaseStatus is what AdvanceLease finds.
+type LeaseStatus struct {
 	State   State
 	Expires time.Duration
 	CheckAt time.Duration // when to check again if no event comes before
@@ -81,11 +81,11 @@
 // AdvanceLease moves availability on when the lease has expired, and says what the list is worth then. The lease has ended in
 // spite of an outage where no later poll has confirmed that, or where a change may have come before it. The outage excuses no
 // further serving then: discovery counts as available, though silent.
-func (t *Tracker) AdvanceLease(now time.Duration) LeaseCheck {
+func (t *Tracker) AdvanceLease(now time.Duration) LeaseStatus {
 	if now >= t.Expires() {
 		t.availability = available
 	}
-	lease := LeaseCheck{State: t.State(now), Expires: t.Expires(), CheckAt: t.Expires()}
+	lease := LeaseStatus{State: t.State(now), Expires: t.Expires(), CheckAt: t.Expires()}
 	if now >= lease.Expires {
 		lease.CheckAt = never // only an event can change it
 	}
@@ -95,7 +95,7 @@
 // State says what the list is worth at a time.
 func (t *Tracker) State(now time.Duration) State {
 	watch := t.healthyWatch(now)
-	if watch != nil && watch.listBeganAt == 0 && !t.DiscoveryChanging() && now-watch.lastByteAt <= freshWithin {
+	if watch != nil && watch.listBeganAt == 0 && !t.AddressChangePending() && now-watch.lastByteAt <= freshTimeout {
 		return Fresh
 	}
 	if now < t.Expires() {
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -4,7 +4,7 @@
 
 // Each line of a watch renews the lease. A watch that is silent, a list that is never complete and polls without a list do
 // not.
-func TestLeaseOfWatches(t *testing.T) {
+func TestOnlyListsAndHeartbeatsRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"a watch with heartbeats": {
 			options: polled,
@@ -33,7 +33,7 @@
 				tracker.StreamOpened(0, 0)
 				tracker.Activity(1, 500*ms)
 			},
-			at: 700 * ms, wakeAt: parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+			at: 700 * ms, wakeAt: hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
 		"a list that begins and is never complete": {
 			options: polled,
@@ -92,14 +92,14 @@
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 			},
 			at: 6 * s, wakeAt: 0, expires: 6 * s, state: Expired,
 		},
 		"an address change, and the list of the new address": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 				openWatch(tracker, 2*s, 3*s)
 			},
 			at: 4 * s, wakeAt: 5*s + 300*ms, expires: 9 * s, state: Fresh,
@@ -109,17 +109,17 @@
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.Activity(1, 2*s)
-				tracker.DiscoveryChanged(2 * s)
-				tracker.DiscoveryChanged(4 * s)
+				tracker.AddressChanged(2 * s)
+				tracker.AddressChanged(4 * s)
 			},
 			at: 5 * s, wakeAt: 0, expires: 6 * s, state: Aging,
 		},
 		"a list from the address before the last": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 				tracker.StreamOpened(2*s, 0)
-				tracker.DiscoveryChanged(3 * s)
+				tracker.AddressChanged(3 * s)
 				tracker.ListComplete(1, 4*s)
 			},
 			at: 5 * s, wakeAt: 0, expires: 7 * s, state: Aging,
@@ -128,7 +128,7 @@
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 				tracker.Activity(1, 5*s)
 			},
 			at: 5 * s, wakeAt: 0, expires: 6 * s, state: Aging,
@@ -143,7 +143,7 @@
 		"pushed, no watch yet": {
 			options: pushed,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
-			at:      s, wakeAt: s + parallelDelayAfterEnd, expires: pushedGrace, state: Expired,
+			at:      s, wakeAt: s + hedgeDelayAfterEnd, expires: pushedGracePeriod, state: Expired,
 		},
 		"pushed, a watch": {
 			options: pushed,
@@ -156,7 +156,7 @@
 				openWatch(tracker, s, s)
 				tracker.StreamEnded(1, 2*s)
 			},
-			at: 2*s + pushedGrace, wakeAt: 0, expires: 2*s + pushedGrace, state: Expired,
+			at: 2*s + pushedGracePeriod, wakeAt: 0, expires: 2*s + pushedGracePeriod, state: Expired,
 		},
 		"pushed, a watch that ended": {
 			options: pushed,
@@ -164,7 +164,7 @@
 				openWatch(tracker, s, s)
 				tracker.StreamEnded(1, 2*s)
 			},
-			at: 2 * s, wakeAt: 2*s + watchEndBackoff/10, expires: 2*s + pushedGrace, state: Aging,
+			at: 2 * s, wakeAt: 2*s + watchEndBackoff/10, expires: 2*s + pushedGracePeriod, state: Aging,
 		},
 		"pushed, an unreachable agent": {
 			options: pushed,
@@ -180,7 +180,7 @@
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, s)
 				tracker.Activity(1, 4*s)
-				tracker.DiscoveryChanged(5 * s)
+				tracker.AddressChanged(5 * s)
 			},
 			at: 8 * s, wakeAt: 0, expires: 9 * s, state: Aging,
 		},
@@ -199,7 +199,7 @@
 }
 
 // A list that is handed over in a hot restart is as old as it was: a restart renews no lease.
-func TestLeaseOfInheritedList(t *testing.T) {
+func TestInheritedListKeepsItsAge(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"a list inherited 5 s old": {
 			options: polled,
@@ -207,7 +207,7 @@
 				tracker.InheritAge(0, 5*s)
 				tracker.StreamOpened(0, 0)
 			},
-			at: s, wakeAt: parallelDelayAfterEnd, expires: s, state: Expired,
+			at: s, wakeAt: hedgeDelayAfterEnd, expires: s, state: Expired,
 		},
 		"pushed, an inherited list": {
 			options: pushed,
@@ -215,7 +215,7 @@
 				tracker.InheritAge(0, 0)
 				tracker.StreamOpened(0, 0)
 			},
-			at: 50 * ms, wakeAt: parallelDelayAfterEnd, expires: pushedGrace, state: Aging,
+			at: 50 * ms, wakeAt: hedgeDelayAfterEnd, expires: pushedGracePeriod, state: Aging,
 		},
 	})
 }
--- a/internal/endpointlease/schedule.go
+++ b/internal/endpointlease/schedule.go
@@ -31,7 +31,7 @@
 //  4. While polls are open, another is opened beside them after parallelPollAt, maxOpenPolls at most.
 //  5. Else discovery is polled at nextPollAt; where lists are polled, the first time only after RequestPoll.
 func (t *Tracker) Step(now time.Duration) Decision {
-	open := t.openStreams(now)
+	open := t.summarizeStreams(now)
 	watch := t.healthyWatch(now)
 	switch {
 	case open.stalled != nil:
@@ -41,13 +41,13 @@
 	case open.earlier > maxOpenPolls:
 		return t.drop(open.oldestEarlier, now)
 	case open.polls > 0:
-		return t.stepParallelPoll(open, now)
+		return t.stepHedgedPoll(open, now)
 	}
 	return t.stepFirstPoll(open, now)
 }
 
-// openStreams is what Step needs to know of the streams.
-type openStreams struct {
+// streamSummary is what Step needs to know of the streams.
+type streamSummary struct {
 	stalled          *stream       // a list on it is past its transferDeadline
 	transferDeadline time.Duration // the next one of any list that is arriving
 	polls            int           // of the present address, without a list
@@ -57,8 +57,8 @@
 	oldestEarlier    *stream
 }
 
-func (t *Tracker) openStreams(now time.Duration) openStreams {
-	open := openStreams{transferDeadline: never}
+func (t *Tracker) summarizeStreams(now time.Duration) streamSummary {
+	open := streamSummary{transferDeadline: never}
 	for i := range t.streams {
 		s := &t.streams[i]
 		if now >= s.transferDeadline() {
@@ -92,7 +92,7 @@
 }
 
 // stepFirstPoll polls discovery where no poll is open. A watch may be, that is silent or of an earlier address.
-func (t *Tracker) stepFirstPoll(open openStreams, now time.Duration) Decision {
+func (t *Tracker) stepFirstPoll(open streamSummary, now time.Duration) Decision {
 	at := t.nextPollAt
 	if !t.Pushed && !t.pollingStarted {
 		at = never // until RequestPoll
@@ -106,6 +106,6 @@
 
 func (t *Tracker) drop(s *stream, now time.Duration) Decision {
 	id := s.id // forget moves the streams behind s
-	t.forget(id, now)
+	t.removeStream(id, now)
 	return Decision{Action: DropStream, StreamID: id}
 }
--- a/internal/endpointlease/schedule_test.go
+++ b/internal/endpointlease/schedule_test.go
@@ -17,17 +17,17 @@
 		"a poll without an answer": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
-			at:      s + parallelDelayAfterEnd - 1, wakeAt: s + parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+			at:      s + hedgeDelayAfterEnd - 1, wakeAt: s + hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
 		"a poll without an answer has another beside it": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
-			at:      s + parallelDelayAfterEnd, wakeAt: 0, expires: 6 * s, state: Aging,
+			at:      s + hedgeDelayAfterEnd, wakeAt: 0, expires: 6 * s, state: Aging,
 		},
 		"the parallel poll is later by the jitter": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 1) },
-			at:      s + parallelDelayAfterEnd, wakeAt: s + parallelDelayAfterEnd*9/8, expires: 6 * s, state: Aging,
+			at:      s + hedgeDelayAfterEnd, wakeAt: s + hedgeDelayAfterEnd*9/8, expires: 6 * s, state: Aging,
 		},
 		"the parallel poll is sooner after a silent watch": {
 			options: polled,
@@ -36,7 +36,7 @@
 				tracker.Step(4 * s)
 				tracker.StreamOpened(4*s, 0)
 			},
-			at: 4 * s, wakeAt: 4*s + parallelDelayAfterSilence, expires: 7 * s, state: Aging,
+			at: 4 * s, wakeAt: 4*s + hedgeDelayAfterSilence, expires: 7 * s, state: Aging,
 		},
 		"a poll that failed": {
 			options: rarelyPolled,
@@ -67,7 +67,7 @@
 				tracker.StreamOpened(s, 0)
 				tracker.RequestPoll()
 			},
-			at: s, wakeAt: s + parallelDelayAfterEnd, expires: 6 * s, state: Aging,
+			at: s, wakeAt: s + hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
 		"a complete list without a watch": {
 			options: polled,
@@ -81,17 +81,17 @@
 }
 
 // A discovery that writes what can't be read is polled for the complete list at once, and then with backoff.
-func TestMalformedListSchedule(t *testing.T) {
+func TestMalformedListBackoff(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"a second malformed list": {
 			options: polled,
-			events:  func(tracker *Tracker) { bringMalformed(tracker, 2, s) },
+			events:  func(tracker *Tracker) { receiveMalformedLists(tracker, 2, s) },
 			at:      s, wakeAt: s + 2*watchEndBackoff, expires: 6 * s, state: Aging,
 		},
 		"a second malformed list, and a poll requested": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				bringMalformed(tracker, 2, s)
+				receiveMalformedLists(tracker, 2, s)
 				tracker.RequestPoll()
 			},
 			at: s, wakeAt: s + 2*watchEndBackoff, expires: 6 * s, state: Aging,
@@ -116,7 +116,7 @@
 // A watch falls silent, and the next three polls are lost: refused, left without an answer, or with the head of an answer
 // and no list. If the fourth went out too late, the lease would expire at a discovery that is healthy again. So whatever the
 // jitter, it goes out with half a second left before the notification deadline, counted from the last line of the watch.
-func TestFourthPollIsInTimeAfterThreeLostOnes(t *testing.T) {
+func TestFourthPollMeetsDeadlineAfterThreeLostPolls(t *testing.T) {
 	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
 		for jitter := 0.0; jitter <= 1; jitter += 0.1 {
 			for name, fault := range map[string]func(tracker *Tracker, id int, at time.Duration){
@@ -143,7 +143,7 @@
 // A discovery that is slow by nature answers no poll for many seconds. Polls that were given up early would lose the work
 // that it has done for them, and many parallel polls would make it slower still. So an unanswered node polls ever more
 // slowly, up to a limit, few polls are open at once, each stays open for long enough, and one answer ends the slow pace.
-func TestUnansweredPollsSlowDown(t *testing.T) {
+func TestUnansweredPollsReducePollRate(t *testing.T) {
 	tracker := &Tracker{Options: Options{Pushed: true}}
 	open, polls, longest, openedAt := 0, []time.Duration(nil), time.Duration(0), map[int]time.Duration{}
 	for at := time.Duration(0); at < 60*s; {
@@ -161,21 +161,21 @@
 			longest = max(longest, at-openedAt[decision.StreamID])
 		}
 	}
-	if n := len(polls); polls[1]-polls[0] != parallelDelayAfterEnd || polls[n-1]-polls[n-2] != maxParallelDelay || n > 25 || longest < 10*s {
+	if n := len(polls); polls[1]-polls[0] != hedgeDelayAfterEnd || polls[n-1]-polls[n-2] != maxHedgeDelay || n > 25 || longest < 10*s {
 		t.Errorf("polls at %v, the longest open for %v", polls, longest)
 	}
 	last := tracker.StreamOpened(60*s, 0)
 	tracker.StreamEnded(last, 60*s) // a rejection is an answer
-	tracker.DiscoveryChanged(61 * s)
+	tracker.AddressChanged(61 * s)
 	tracker.StreamOpened(61*s, 0)
-	if at := tracker.parallelPollAt(&tracker.streams[len(tracker.streams)-1]); at != 61*s+parallelDelayAfterEnd {
+	if at := tracker.hedgedPollAt(&tracker.streams[len(tracker.streams)-1]); at != 61*s+hedgeDelayAfterEnd {
 		t.Errorf("after an answer a poll has another beside it at %v", at)
 	}
 }
 
 // One poll hangs, and those opened beside it are rejected at once. A node that did not back off between them made 640
 // polls a second. So they wait as they would alone.
-func TestRejectedPollsBesideAHungOneBackOff(t *testing.T) {
+func TestRejectedPollsBackOffWhileOnePollHangs(t *testing.T) {
 	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
 		tracker, polls := &Tracker{Options: options}, 0
 		tracker.StreamOpened(0, 0.5)
--- a/internal/endpointlease/stream.go
+++ b/internal/endpointlease/stream.go
@@ -32,7 +32,7 @@
 	jitter      float64       // from 0 to 1: when this node acts within the time that all nodes share
 	connected   bool
 
-	closedInOrder bool // by discovery, which was up then
+	closedCleanly bool // by discovery, which was up then
 }
 
 // isWatch says whether the poll was answered with a list, so that heartbeats are due.
@@ -63,15 +63,15 @@
 	return &stream{}, false
 }
 
-// forget removes a stream. Where it was the last watch, the node is without one from now on.
-func (t *Tracker) forget(id int, now time.Duration) stream {
+// removeStream removes a stream. Where it was the last watch, the node is without one from now on.
+func (t *Tracker) removeStream(id int, now time.Duration) stream {
 	found, _ := t.find(id)
-	forgotten := *found
+	removed := *found
 	t.streams = slices.DeleteFunc(t.streams, func(s stream) bool { return s.id == id })
-	if forgotten.isWatch() && !t.hasWatch() {
+	if removed.isWatch() && !t.hasWatch() {
 		t.lastWatchEndedAt = now
 	}
-	return forgotten
+	return removed
 }
 
 // hasWatch says whether any watch is open, even if it is silent or of an earlier address.
--- a/internal/endpointlease/tracker_test.go
+++ b/internal/endpointlease/tracker_test.go
@@ -50,8 +50,8 @@
 	tracker.ListComplete(tracker.StreamOpened(openedAt, 0), listedAt)
 }
 
-// watchEndsThenRejectedLate opens a watch that ends, and after it polls that are rejected 2.1 s after they began.
-func watchEndsThenRejectedLate(tracker *Tracker, at time.Duration, polls ...time.Duration) {
+// endWatchThenRejectLate opens a watch that ends, and after it polls that are rejected 2.1 s after they began.
+func endWatchThenRejectLate(tracker *Tracker, at time.Duration, polls ...time.Duration) {
 	openWatch(tracker, at, s)
 	tracker.StreamEnded(1, 2*s)
 	for _, at := range polls {
@@ -76,11 +76,11 @@
 	tracker.StreamEnded(id, at)
 }
 
-// rejectAtOnce makes a poll that is rejected immediately.
-func rejectAtOnce(tracker *Tracker, at time.Duration) { rejectPoll(tracker, at, at+ms) }
+// rejectImmediately makes a poll that is rejected immediately.
+func rejectImmediately(tracker *Tracker, at time.Duration) { rejectPoll(tracker, at, at+ms) }
 
-// bringMalformed makes so many polls in a row whose answers can't be read.
-func bringMalformed(tracker *Tracker, n int, at time.Duration) {
+// receiveMalformedLists makes so many polls in a row whose answers can't be read.
+func receiveMalformedLists(tracker *Tracker, n int, at time.Duration) {
 	for range n {
 		id := tracker.StreamOpened(at, 0)
 		tracker.MalformedList(id, at)
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -22,7 +22,7 @@
 	options.Timeout = time.Minute
 	options.Queue.MaxQueueTime = discoveryMaxQueueTime
 	synctest.Test(t, func(t *testing.T) {
-		network := discoverytest.NewPipes()
+		network := discoverytest.NewPipeNetwork()
 		defer network.Close()
 		result, err := MeasureDiscovery(t.Context(), network, network.Dial, options)
 		if err != nil {
@@ -35,7 +35,7 @@
 // completeListLength is the length of a complete list as the stand-in writes it, in bytes.
 func completeListLength(t *testing.T, servers int) int64 {
 	t.Helper()
-	q := NewDiscoveryQueue(discoverytest.NewPipes(), DiscoveryQueueOptions{Servers: servers})
+	q := NewDiscoveryQueue(discoverytest.NewPipeNetwork(), DiscoveryQueueOptions{Servers: servers})
 	text, err := json.Marshal(q.changesSince(0).list)
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 // measures nothing else.
 func TestDiscoveryTooSlowForAnyNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := discoverytest.NewPipes()
+		network := discoverytest.NewPipeNetwork()
 		defer network.Close()
 		result, err := MeasureDiscovery(t.Context(), network, network.Dial, DiscoveryOptions{Nodes: 3, Timeout: 10 * time.Second,
 			Queue: DiscoveryQueueOptions{Servers: 10, ServiceTime: 3 * time.Second, MaxQueueTime: discoveryMaxQueueTime}})
--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -6,25 +6,25 @@
 // 200 ms after a no. 4 s after a node was taken out of service it may hold no connection without a request, nor one
 // that brought a request within the last 2 s.
 const (
-	// noticedAfter is when the load balancer in front of the node has noticed that the node is not ready, and sends it no more
+	// notReadyNoticeDelay is when the load balancer in front of the node has noticed that the node is not ready, and sends it no more
 	// connections: both times above, and 50 ms for the answer. Responses that close their connections before it would send
 	// clients back to this node.
-	noticedAfter = 350 * time.Millisecond
-	// closeIdleAfter is when connections without a request are closed, out of service: responses have closed those in use by
+	notReadyNoticeDelay = 350 * time.Millisecond
+	// closeIdleDelay is when connections without a request are closed, out of service: responses have closed those in use by
 	// then, and the 4 s above are not over.
-	closeIdleAfter = 1200 * time.Millisecond
-	// minIdle is how long a connection must have been idle for that. A client sends as it connects, and a request that is
+	closeIdleDelay = 1200 * time.Millisecond
+	// minIdleTime is how long a connection must have been idle for that. A client sends as it connects, and a request that is
 	// under way as its connection is closed is lost.
-	minIdle = 250 * time.Millisecond
+	minIdleTime = 250 * time.Millisecond
 	// acceptAfterSignal is how long the load balancer may still send connections after SIGTERM: noticedAfter and 100 ms more.
 	acceptAfterSignal = 450 * time.Millisecond
 )
 
 // The stages of a shutdown, each by the time that is left until the process may be killed.
 const (
-	responsesCloseLeft = 900 * time.Millisecond // responses close their connections, so that no request comes on them
-	closeIdleLeft      = 750 * time.Millisecond // idle connections are closed
-	lastResponseLeft   = 150 * time.Millisecond // the last response is due: it still has to be written
+	responsesCloseBeforeKill = 900 * time.Millisecond // responses close their connections, so that no request comes on them
+	closeIdleBeforeKill      = 750 * time.Millisecond // idle connections are closed
+	lastResponseBeforeKill   = 150 * time.Millisecond // the last response is due: it still has to be written
 )
 
 // ResponsesCloseConnections says whether responses close the connections that they go on: the clients are to come back elsewhere.
@@ -33,7 +33,7 @@
 	case outOfService:
 		return m.notReadyNoticed(now)
 	case shuttingDown:
-		return m.hasSuccessor || m.isOut && m.notReadyNoticed(now) || now >= max(m.since+acceptAfterSignal, m.killAt-responsesCloseLeft)
+		return m.hasSuccessor || m.outOfServiceRequested && m.notReadyNoticed(now) || now >= max(m.since+acceptAfterSignal, m.killAt-responsesCloseBeforeKill)
 	}
 	return false
 }
@@ -42,9 +42,9 @@
 func (m Machine) ClosesIdleConnections(now time.Duration) (idle time.Duration, closes bool) {
 	switch m.state {
 	case outOfService:
-		return minIdle, now >= m.since+closeIdleAfter
+		return minIdleTime, now >= m.since+closeIdleDelay
 	case shuttingDown:
-		return minIdle, m.isOut && now >= m.since+closeIdleAfter || now >= m.killAt-closeIdleLeft
+		return minIdleTime, m.outOfServiceRequested && now >= m.since+closeIdleDelay || now >= m.killAt-closeIdleBeforeKill
 	}
 	return 0, false
 }
@@ -54,23 +54,23 @@
 	if m.state != shuttingDown {
 		return 0
 	}
-	return m.killAt - lastResponseLeft
+	return m.killAt - lastResponseBeforeKill
 }
 
-// AcceptsFor is for how much longer, from now on, a node that shuts down accepts connections:
+// RemainingAcceptTime is for how much longer, from now on, a node that shuts down accepts connections:
 //
 //   - not at all if its successor accepts them,
 //   - for acceptAfterSignal if the load balancer had noticed before that it is out of service,
 //   - else until idle connections are closed: clients may have no other node to go to.
-func (m Machine) AcceptsFor(now time.Duration) time.Duration {
+func (m Machine) RemainingAcceptTime(now time.Duration) time.Duration {
 	switch {
 	case m.hasSuccessor:
 		return 0
-	case m.isOut && m.notReadyNoticed(now):
+	case m.outOfServiceRequested && m.notReadyNoticed(now):
 		return acceptAfterSignal
 	}
-	return max(acceptAfterSignal, m.killAt-closeIdleLeft-now)
+	return max(acceptAfterSignal, m.killAt-closeIdleBeforeKill-now)
 }
 
 // notReadyNoticed says whether the load balancer in front of the node has noticed that it is not ready, since m.since.
-func (m Machine) notReadyNoticed(now time.Duration) bool { return now >= m.since+noticedAfter }
+func (m Machine) notReadyNoticed(now time.Duration) bool { return now >= m.since+notReadyNoticeDelay }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -58,16 +58,16 @@
 
 // Machine is the state of a node. The zero Machine is that of one that starts.
 type Machine struct {
-	state        state
-	since        time.Duration // when it went out of service or, if it was in service, began to shut down
-	isOut        bool          // what an operator said last
-	killAt       time.Duration // shutting down: from then on the process may be killed
-	hasSuccessor bool          // shutting down: another process of the node takes new connections
+	state                 state
+	since                 time.Duration // when it went out of service or, if it was in service, began to shut down
+	outOfServiceRequested bool          // what an operator said last
+	killAt                time.Duration // shutting down: from then on the process may be killed
+	hasSuccessor          bool          // shutting down: another process of the node takes new connections
 }
 
 // Step returns the machine after an event. The last two arguments belong to Terminate, and are ignored with other events: in
 // how long the process may be killed, and whether another process of the node accepts the connections that come from now on.
-func (m Machine) Step(now time.Duration, event Event, killIn time.Duration, hasSuccessor bool) Machine {
+func (m Machine) Step(now time.Duration, event Event, killDelay time.Duration, hasSuccessor bool) Machine {
 	if m.state == shuttingDown {
 		return m // there is no way back
 	}
@@ -79,7 +79,7 @@
 	case InService:
 		return m.putInService()
 	case Terminate:
-		return m.terminated(now, killIn, hasSuccessor)
+		return m.terminated(now, killDelay, hasSuccessor)
 	}
 	return m
 }
@@ -89,7 +89,7 @@
 		return m
 	}
 	m.state = serving
-	if m.isOut {
+	if m.outOfServiceRequested {
 		m.state = outOfService
 	}
 	return m
@@ -97,10 +97,10 @@
 
 // takenOutOfService keeps the time of the first call: a second one must not put off what is owed.
 func (m Machine) takenOutOfService(now time.Duration) Machine {
-	if !m.isOut {
+	if !m.outOfServiceRequested {
 		m.since = now
 	}
-	m.isOut = true
+	m.outOfServiceRequested = true
 	if m.state == serving {
 		m.state = outOfService
 	}
@@ -108,7 +108,7 @@
 }
 
 func (m Machine) putInService() Machine {
-	m.isOut = false
+	m.outOfServiceRequested = false
 	if m.state == outOfService {
 		m.state = serving
 	}
@@ -116,11 +116,11 @@
 }
 
 // terminated keeps the time at which a node went out of service: its clients have been leaving since then.
-func (m Machine) terminated(now, killIn time.Duration, hasSuccessor bool) Machine {
+func (m Machine) terminated(now, killDelay time.Duration, hasSuccessor bool) Machine {
 	if m.state != outOfService {
 		m.since = now
 	}
-	m.state, m.killAt, m.hasSuccessor = shuttingDown, now+killIn, hasSuccessor
+	m.state, m.killAt, m.hasSuccessor = shuttingDown, now+killDelay, hasSuccessor
 	return m
 }
 
@@ -134,4 +134,4 @@
 func (m Machine) ShuttingDown() bool { return m.state == shuttingDown }
 
 // IsOutOfService says whether an operator has taken the node out of service.
-func (m Machine) IsOutOfService() bool { return m.isOut }
+func (m Machine) IsOutOfService() bool { return m.outOfServiceRequested }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// untilKilled is how long a process has after SIGTERM.
-const untilKilled = 3700 * time.Millisecond
+// testKillDelay is how long a process has after SIGTERM.
+const testKillDelay = 3700 * time.Millisecond
 
-// after is the Machine of a node that has had events at time 0.
-func after(events ...Event) Machine {
+// machineAfter is the Machine of a node that has had events at time 0.
+func machineAfter(events ...Event) Machine {
 	var m Machine
 	for _, event := range events {
-		m = m.Step(0, event, untilKilled, false)
+		m = m.Step(0, event, testKillDelay, false)
 	}
 	return m
 }
@@ -24,33 +24,33 @@
 func TestConnectionsCloseByState(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		name                    string
-		machine                 Machine
-		at                      time.Duration
-		ready, ends, closesIdle bool
+		name                              string
+		machine                           Machine
+		at                                time.Duration
+		ready, responsesClose, closesIdle bool
 	}{
-		{"starting", after(), 0, false, false, false},
-		{"serving", after(Started), time.Hour, true, false, false},
-		{"just out of service", after(Started, OutOfService), 0, false, false, false},
-		{"the load balancer has noticed", after(Started, OutOfService), 400 * ms, false, true, false},
-		{"idle connections are closed", after(Started, OutOfService), 1300 * ms, false, true, true},
-		{"out of service twice", after(Started, OutOfService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, true, true},
-		{"back", after(Started, OutOfService, InService), 1300 * ms, true, false, false},
-		{"back twice", after(Started, OutOfService, InService, InService), 1300 * ms, true, false, false},
-		{"out of service again", after(Started, OutOfService, InService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, false, false},
-		{"out of service as it starts", after(OutOfService, Started), 0, false, false, false},
-		{"terminated", after(Started, Terminate), 0, false, false, false},
-		{"in service again as it shuts down", after(Started, Terminate, InService), 0, false, false, false},
-		{"900 ms before it may be killed", after(Started, Terminate), 2900 * ms, false, true, false},
-		{"750 ms before it may be killed", after(Started, Terminate), 3000 * ms, false, true, true},
-		{"terminated while out of service", after(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
-		{"terminated with a successor", after(Started).Step(0, Terminate, untilKilled, true), 0, false, true, false},
+		{"starting", machineAfter(), 0, false, false, false},
+		{"serving", machineAfter(Started), time.Hour, true, false, false},
+		{"just out of service", machineAfter(Started, OutOfService), 0, false, false, false},
+		{"the load balancer has noticed", machineAfter(Started, OutOfService), 400 * ms, false, true, false},
+		{"idle connections are closed", machineAfter(Started, OutOfService), 1300 * ms, false, true, true},
+		{"out of service twice", machineAfter(Started, OutOfService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, true, true},
+		{"back", machineAfter(Started, OutOfService, InService), 1300 * ms, true, false, false},
+		{"back twice", machineAfter(Started, OutOfService, InService, InService), 1300 * ms, true, false, false},
+		{"out of service again", machineAfter(Started, OutOfService, InService).Step(time.Second, OutOfService, 0, false), 1300 * ms, false, false, false},
+		{"out of service as it starts", machineAfter(OutOfService, Started), 0, false, false, false},
+		{"terminated", machineAfter(Started, Terminate), 0, false, false, false},
+		{"in service again as it shuts down", machineAfter(Started, Terminate, InService), 0, false, false, false},
+		{"900 ms before it may be killed", machineAfter(Started, Terminate), 2900 * ms, false, true, false},
+		{"750 ms before it may be killed", machineAfter(Started, Terminate), 3000 * ms, false, true, true},
+		{"terminated while out of service", machineAfter(Started, OutOfService, Terminate), 1300 * ms, false, true, true},
+		{"terminated with a successor", machineAfter(Started).Step(0, Terminate, testKillDelay, true), 0, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ready, ends := c.machine.TakesNewClients(), c.machine.ResponsesCloseConnections(c.at)
+			ready, responsesClose := c.machine.TakesNewClients(), c.machine.ResponsesCloseConnections(c.at)
 			_, closesIdle := c.machine.ClosesIdleConnections(c.at)
-			if ready != c.ready || ends != c.ends || closesIdle != c.closesIdle {
-				t.Errorf("ready %v, ends connections %v, closes idle ones %v", ready, ends, closesIdle)
+			if ready != c.ready || responsesClose != c.responsesClose || closesIdle != c.closesIdle {
+				t.Errorf("ready %v, ends connections %v, closes idle ones %v", ready, responsesClose, closesIdle)
 			}
 		})
 	}
@@ -58,13 +58,13 @@
 
 // Operators call in any order, at any state. Of OutOfService and InService the last one counts, until the shutdown begins;
 // from that there is no way back.
-func TestAnyOrderOfCalls(t *testing.T) {
+func TestEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m Machine
 		started, out, terminated := false, false, false
 		for now := range time.Duration(30) {
 			event := Event(rapid.IntRange(0, 3).Draw(t, "event"))
-			m = m.Step(now*time.Second/4, event, untilKilled, false)
+			m = m.Step(now*time.Second/4, event, testKillDelay, false)
 			switch event {
 			case Started:
 				started = true
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -123,7 +123,7 @@
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- n.serve(ctx, ln, nil) }()
-	a.WantCall(t, "watch 1")
+	a.WantPoll(t, "watch 1")
 	statuses, read := make(chan int, 8), make(chan struct{}, 8)
 	for i := range cap(statuses) {
 		req := newRequest(t, "http://"+ln.Addr().String(), "unsafe", fmt.Sprint(i), "x")
@@ -181,13 +181,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				n.discovery.Client.Transport.(*http.Transport).DialContext = discoverytest.Pipe(t, http.HandlerFunc(c.agent))
+				n.discovery.Client.Transport.(*http.Transport).DialContext = discoverytest.ServePipe(t, http.HandlerFunc(c.agent))
 				if c.refused {
 					n.discovery.Client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 						return nil, syscall.ECONNREFUSED
 					}
 				}
-				p := discoverytest.NewPipes()
+				p := discoverytest.NewPipeNetwork()
 				ctx, end := context.WithCancel(t.Context())
 				done := make(chan error, 1)
 				go func() { done <- n.serve(ctx, p, nil) }()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -52,7 +52,7 @@
 	if len(n.cfg.Features.FaultInjections) > 0 { // without any, the balancer's capture would have an event of no effect
 		n.engine.EndFaultInjections()
 	}
-	time.Sleep(machine.AcceptsFor(n.clock.Now()))
+	time.Sleep(machine.RemainingAcceptTime(n.clock.Now()))
 	n.drainClients(machine)
 	n.clientListener.stopReadingIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), n.classes.Load().maxDeadline+shutdownMargin)
--- a/internal/watchstream/watchstream.go
+++ b/internal/watchstream/watchstream.go
@@ -62,7 +62,7 @@
 // it ended within one, an *UnreadableError, or the stream's own between two objects.
 func (r *Reader[T]) Next() (T, error) {
 	var object T
-	r.in.between, r.in.remaining = true, r.limit
+	r.in.betweenObjects, r.in.remaining = true, r.limit
 	if r.decoder.More() { // its first bytes may have come with the object before
 		r.in.enterObject()
 	}
@@ -71,7 +71,7 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &failed): // the stream's own error
-		if !r.in.between {
+		if !r.in.betweenObjects {
 			return object, &TruncatedError{failed.Err}
 		}
 		return object, failed.Err
@@ -93,17 +93,17 @@
 // objectStream passes on what it reads, but for space between two objects: heartbeats would pile up in the decoder while
 // nothing changes for days.
 type objectStream struct {
-	in        io.Reader
-	watchdog  Watchdog
-	limit     int
-	between   bool // no byte of the next object has come
-	remaining int  // bytes that the object may still have
+	in             io.Reader
+	watchdog       Watchdog
+	limit          int
+	betweenObjects bool // no byte of the next object has come
+	remaining      int  // bytes that the object may still have
 }
 
 // enterObject notes that an object has begun.
 func (s *objectStream) enterObject() {
-	if s.between {
-		s.between = false
+	if s.betweenObjects {
+		s.betweenObjects = false
 		s.watchdog.ObjectBegan()
 	}
 }
@@ -113,11 +113,11 @@
 	for {
 		n, err := s.in.Read(buf)
 		got := buf[:n]
-		if s.between {
+		if s.betweenObjects {
 			got = bytes.TrimLeft(got, " \t\r\n")
 		}
 		switch {
-		case len(got) > 0 && s.between:
+		case len(got) > 0 && s.betweenObjects:
 			s.enterObject()
 		case len(got) > 0:
 			s.watchdog.Progress()
--- a/internal/watchstream/watchstream_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -105,7 +105,7 @@
 	f.Add([]byte(`{"number":1,`), 1)
 	f.Add([]byte("\n\n]"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		r := NewReader[object](&pieces{text, 1 + (piece&0x7fffffff)%7}, limit, &countingWatchdog{})
+		r := NewReader[object](&chunkReader{text, 1 + (piece&0x7fffffff)%7}, limit, &countingWatchdog{})
 		for n := 0; ; n++ {
 			read, err := r.Next()
 			if err != nil {
@@ -126,17 +126,17 @@
 	})
 }
 
-// pieces is a stream that comes in pieces of one size.
-type pieces struct {
-	rest []byte
-	size int
+// chunkReader is a stream that comes in chunkReader of one size.
+type chunkReader struct {
+	remaining []byte
+	size      int
 }
 
-func (p *pieces) Read(buf []byte) (int, error) {
-	if len(p.rest) == 0 {
+func (p *chunkReader) Read(buf []byte) (int, error) {
+	if len(p.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(buf, p.rest[:min(p.size, len(p.rest))])
-	p.rest = p.rest[n:]
+	n := copy(buf, p.remaining[:min(p.size, len(p.remaining))])
+	p.remaining = p.remaining[n:]
 	return n, nil
 }
