--- a/internal/endpointlease/availability_test.go
+++ b/internal/endpointlease/availability_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// A discovery that is down can notify nobody: each poll that finds it so renews the lease, whether it refuses connections or a
-// proxy before it rejects polls after a wait.
+// A discovery that is down cannot notify any node: each poll that finds it down renews the lease, whether discovery
+// refuses connections or a proxy in front of it rejects polls after a wait.
 func TestUnavailableDiscoveryRenewsTheLease(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"an unreachable discovery": {
+		"unreachable discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -20,7 +20,7 @@
 			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
 			at:      60 * s, wakeAt: 0, expires: 65 * s, state: Aging,
 		},
-		"unreachable, and polls have stopped": {
+		"unreachable, and polling has stopped": {
 			options: polled,
 			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
 			at:      65 * s, wakeAt: 0, expires: 65 * s, state: Expired,
@@ -35,12 +35,12 @@
 			},
 			at: 52 * s, wakeAt: 53*s + 300*ms, expires: 57 * s, state: Fresh,
 		},
-		"down behind a proxy: late rejections after the watch ended": {
+		"down behind a proxy: late rejections after the watch has ended": {
 			options: polled,
 			events:  func(tracker *Tracker) { endWatchThenRejectLate(tracker, 0, 3*s, 6*s) },
 			at:      7 * s, wakeAt: 8100*ms + watchEndBackoff*4/10, expires: 12 * s, state: Aging,
 		},
-		"an immediate rejection after late ones": {
+		"immediate rejection after late ones": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
@@ -53,11 +53,12 @@
 	})
 }
 
-// A discovery that is slow or overloaded may have a change that the node does not know: nothing renews the lease but a list or
-// a heartbeat. Renewed, the node would send to endpoints that drain, as in the incident of 2 December 2026.
+// A discovery that is slow or overloaded may have a change that the node has not received: only a list or a heartbeat
+// renews the lease. If anything else did, the node would send to draining endpoints, as in the incident of 2 December
+// 2026.
 func TestSlowDiscoveryDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a poll that is reset": {
+		"poll reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0)
@@ -67,7 +68,7 @@
 			},
 			at: 5 * s, wakeAt: 5*s + watchEndBackoff*2/10, expires: 7 * s, state: Aging,
 		},
-		"polls that are reset renew no lease": {
+		"several polls reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0)
@@ -80,7 +81,7 @@
 			},
 			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"immediate rejections are of an overloaded discovery": {
+		"immediate rejections by an overloaded discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
@@ -88,7 +89,7 @@
 			},
 			at: 11 * s, wakeAt: 0, expires: 12 * s, state: Aging,
 		},
-		"late rejections beside a silent watch renew no lease": {
+		"late rejections while a silent watch is open": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -98,7 +99,7 @@
 			},
 			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"late rejections after an address change renew no lease": {
+		"late rejections after an address change": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -121,7 +122,7 @@
 			},
 			at: 9 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"slow, then unreachable: the lease keeps its end": {
+		"slow, then unreachable": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -137,8 +138,9 @@
 	})
 }
 
-// A discovery that rejected polls after a wait, and is no proof of an outage, was reached and may have had a change. Nodes forgot
-// that: as it refused connections later the lease was renewed, in turn with further rejections without an end.
+// A discovery that rejected polls after a wait was reached and may have had a change, unless the rejections show an
+// outage. Guards against a fault in which nodes forgot this: connections that were refused later renewed the lease,
+// without end if refusals and late rejections alternated.
 func TestRefusalAfterLateRejectionDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"in a new process": {
@@ -150,7 +152,7 @@
 			},
 			at: 9 * s, wakeAt: 0, expires: 3 * s, state: Expired,
 		},
-		"beside a silent watch": {
+		"while a silent watch is open": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -159,7 +161,7 @@
 			},
 			at: 9 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"refused before and after": {
+		"refusals before and after": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -172,11 +174,12 @@
 	})
 }
 
-// A late rejection is no proof of an outage that a node may serve through: it brings no expired list back, and shows nothing
-// where discovery closed the watch, or where that had fallen silent before it ended: discovery may have had a change then.
+// A late rejection does not prove an outage during which a node may serve. It does not make an expired list usable again,
+// and proves nothing if discovery closed the watch or if the watch had fallen silent before it ended: discovery may have
+// had a change then.
 func TestLateRejectionDoesNotRenewLeaseWithoutOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"pushed, after the grace of the watch": {
+		"pushed, after the watch's grace period": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -185,7 +188,7 @@
 			},
 			at: 4150 * ms, wakeAt: 4150*ms + watchEndBackoff*2/10, expires: 2*s + pushedGracePeriod, state: Expired,
 		},
-		"of a poll that was begun within the lease": {
+		"poll begun within the lease": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -194,7 +197,7 @@
 			},
 			at: 8500 * ms, wakeAt: 8500*ms + watchEndBackoff*2/10, expires: 7 * s, state: Expired,
 		},
-		"discovery had closed the watch": {
+		"watch closed by discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -204,7 +207,7 @@
 			},
 			at: 4100 * ms, wakeAt: 4100*ms + watchEndBackoff*2/10, expires: 7 * s, state: Aging,
 		},
-		"the watch had fallen silent": {
+		"watch silent before it ended": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -216,11 +219,12 @@
 	})
 }
 
-// A discovery that was down behind a proxy may have been back for a moment, with a change that it could not send: what comes
-// instead of a rejection, or stays open beside one, shows it. The next rejection renews no lease then.
+// A discovery that was down behind a proxy may have recovered for a moment and had a change that it could not send. A
+// poll that is reset instead of rejected, or that stays open while another one is rejected, shows this. After that, the
+// next rejection does not renew the lease.
 func TestRecoveryBetweenOutagesPreventsRenewal(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a poll is reset": {
+		"poll reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0, 3*s)
@@ -232,7 +236,7 @@
 			},
 			at: 8 * s, wakeAt: 8*s + watchEndBackoff*8/10, expires: 9 * s, state: Aging,
 		},
-		"a poll that was opened before still waits": {
+		"earlier poll still waiting": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0, 3*s)
@@ -242,7 +246,7 @@
 			},
 			at: 8 * s, wakeAt: 8*s + watchEndBackoff*4/10, expires: 9 * s, state: Aging,
 		},
-		"a poll that was opened later waits": {
+		"later poll still waiting": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				endWatchThenRejectLate(tracker, 0, 3*s)
@@ -257,8 +261,9 @@
 	})
 }
 
-// A new process has no watch that ended: a poll that is rejected after a wait shows no outage there, for a discovery with more
-// pollers than it can serve does the same. Its list, of unknown age, counts as confirmed for less than one from discovery.
+// In a new process no watch has ended yet, so a poll that is rejected after a wait does not show an outage: a discovery
+// with more pollers than it can serve does the same. The list of a new process has an unknown age, and counts as older
+// than one from discovery.
 func TestNewProcessDoesNotTreatRejectionAsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"late rejections": {
@@ -278,7 +283,7 @@
 			},
 			at: 4 * s, wakeAt: 0, expires: 6100 * ms, state: Aging,
 		},
-		"late rejections after a watch of its own": {
+		"late rejections after the process had a watch": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -288,7 +293,7 @@
 			},
 			at: 5100 * ms, wakeAt: 5100*ms + watchEndBackoff*2/10, expires: 9 * s, state: Aging,
 		},
-		"a list that another process handed over": {
+		"list handed over by another process": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -300,8 +305,8 @@
 	})
 }
 
-// What was known of discovery is of the address that it had: where the configuration names another one, the node counts as
-// notified of what that has 4 s later, whatever became of the address before.
+// What was known about discovery applies to its previous address. When the configuration names another address, the node
+// counts as notified 4 s later of what that discovery has, whatever the state of the previous one.
 func TestAddressChangeDiscardsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"down behind a proxy": {
@@ -315,7 +320,7 @@
 			},
 			at: 4500 * ms, wakeAt: 6700 * ms, expires: 8200 * ms, state: Aging,
 		},
-		"silent for long: the list had expired": {
+		"silent until the list expired": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -328,8 +333,8 @@
 	})
 }
 
-// A discovery that rejects polls after a wait is not silent: the node must not count it as unresponsive, and serve again on a list
-// that has expired.
+// A discovery that rejects polls after a wait is not silent: the node must not treat it as unresponsive and serve again
+// on a list that has expired.
 func TestRepeatedLateRejectionsDoNotRenewExpiredLease(t *testing.T) {
 	tracker := &Tracker{Options: polled}
 	tracker.HoldBootstrapList(0)
@@ -338,6 +343,6 @@
 		tracker.AdvanceLease(at + 2*s)
 	}
 	if got := tracker.AdvanceLease(14 * s); got.State != Expired {
-		t.Errorf("the list is %v again, until %v", got.State, got.Expires)
+		t.Errorf("the expired list is %v again, until %v", got.State, got.Expires)
 	}
 }
--- a/internal/endpointlease/backoff.go
+++ b/internal/endpointlease/backoff.go
@@ -2,38 +2,42 @@
 
 import "time"
 
-// The wait after a poll that failed or a watch that ended. An overloaded discovery spends on each rejection some of what
-// it could serve: 300 nodes that polled again within 0.8 s kept it from serving any of them for 15 s.
+// The delay after a poll has failed or a watch has ended. An overloaded discovery spends part of its capacity on each
+// rejection: 300 nodes that polled again within 0.8 s kept it from serving any of them for 15 s.
 const (
-	// watchEndBackoff is the wait after a watch's end. It doubles with each poll that failed since the last list, and a failed
-	// poll counts before its wait is computed: 150 ms after a watch's end, 300 ms after the first failed poll.
+	// watchEndBackoff is the delay after a watch has ended. It doubles with each failed poll since the last list. A
+	// failed poll is counted before its delay is computed, so the delay is 150 ms after a watch has ended and 300 ms
+	// after the first failed poll.
 	watchEndBackoff = 150 * time.Millisecond
-	// maxBackoff bounds the wait: a node must find within NotificationDeadline that discovery is back.
+	// maxBackoff limits the delay: a node must find out within NotificationDeadline that discovery is back.
 	maxBackoff = 2500 * time.Millisecond
-	// maxBackoffDoublings keeps the wait from overflowing; maxBackoff is reached before.
+	// maxBackoffDoublings keeps the delay from overflowing; maxBackoff is reached first.
 	maxBackoffDoublings = 8
-	// minBackoffFraction is the least part of the wait that a node draws: nodes whose watches ended together poll apart.
+	// minBackoffFraction is the smallest fraction of the delay that a node may draw. Nodes whose watches ended together
+	// draw different fractions, so that their polls are spread.
 	minBackoffFraction = 0.1
-	// maxBackoffUnavailable bounds the wait while discovery is unavailable: a poll that finds it so renews the lease, and the
-	// next one must be over before that lease expires.
+	// maxBackoffUnavailable limits the delay while discovery is unavailable: each poll that finds it unavailable renews
+	// the lease, and the next poll must be over before that lease expires.
 	maxBackoffUnavailable = 1500 * time.Millisecond
-	// overloadBackoffPerPoller raises maxBackoff where discovery rejects polls at once: all pollers take turns.
+	// overloadBackoffPerPoller raises maxBackoff, by the number of pollers, while discovery rejects polls immediately:
+	// the pollers take turns.
 	overloadBackoffPerPoller = 25 * time.Millisecond
-	// maxBackoffPushedUnavailable is the bound where lists are pushed: once the agent is back, a node counts as notified at
-	// once of what the agent has.
+	// maxBackoffPushedUnavailable limits the delay while an agent that pushes lists is unavailable: once the agent is
+	// back, a node counts as notified immediately of the changes that the agent has.
 	maxBackoffPushedUnavailable = 200 * time.Millisecond
 
-	// malformedListsWithoutDelay is how many malformed lists cost no further wait: after the first the complete list is polled at
-	// once, for a single fault of a watch is mended by it.
+	// malformedListsWithoutDelay is how many malformed lists cause no extra delay: after the first one the complete list
+	// is polled at once, which repairs a single fault of a watch.
 	malformedListsWithoutDelay = 1
-	// maxMalformedBackoff: a discovery that writes what can't be read must not be swamped by polls for complete lists.
+	// maxMalformedBackoff limits the extra delay, which protects a discovery that writes malformed lists from being
+	// swamped by polls for complete lists.
 	maxMalformedBackoff = 2 * time.Second
-	// malformedResetAge is how long a watch has to be read without fault for earlier malformed lists to be forgotten.
+	// malformedResetAge is how long a watch must be read without a fault before earlier malformed lists no longer count.
 	malformedResetAge = 2 * maxMalformedBackoff
 )
 
-// backoff is the wait before the next poll after a stream has ended. The jitter, from 0 to 1, says where in the range this
-// node acts: from minBackoffShare to all of the wait, and from half of it where the least wait matters.
+// backoff returns the delay before the next poll after a stream has ended. The jitter, from 0 to 1, selects a point
+// between minBackoffFraction and all of the delay, or between half and all of it where a minimum delay matters.
 func (t *Tracker) backoff(jitter float64) time.Duration {
 	wait := min(exponentialDelay(watchEndBackoff, t.consecutiveFailures), t.maxBackoff())
 	if t.Pushed && t.Unavailable() {
@@ -45,7 +49,7 @@
 	return time.Duration((minBackoffFraction + (1-minBackoffFraction)*jitter) * float64(wait))
 }
 
-// maxBackoff is the longest wait for a discovery in its present state.
+// maxBackoff returns the longest delay in discovery's present state.
 func (t *Tracker) maxBackoff() time.Duration {
 	switch {
 	case t.Unavailable():
@@ -56,12 +60,12 @@
 	return maxBackoff
 }
 
-// exponentialDelay is the wait after so many failures, without a limit.
+// exponentialDelay returns the delay after a number of failures, before any limit is applied.
 func exponentialDelay(first time.Duration, failures int) time.Duration {
 	return first << min(failures, maxBackoffDoublings)
 }
 
-// equalJitter is between half of the wait and all of it.
+// equalJitter returns a duration between half of the delay and all of it.
 func equalJitter(wait time.Duration, jitter float64) time.Duration {
 	return time.Duration((1 + jitter) / 2 * float64(wait))
 }
--- a/internal/endpointlease/endpointlease.go
+++ b/internal/endpointlease/endpointlease.go
@@ -1,106 +1,112 @@
-// Package endpointlease has the rules for polling discovery and for the lease on the endpoint list: until when a node may
-// send to the endpoints that it holds without hearing from discovery.
+// Package endpointlease implements the rules for polling discovery and the lease on the endpoint list: how long a node
+// may send to the endpoints that it holds while it hears nothing from discovery.
 //
-// A Tracker is the state of one node's list. It is pure: the caller notes each event with its time, Step says what to do
-// next, and nothing here waits, reads a clock or does I/O. All times are durations since one moment of the caller's
-// choosing, on a monotonic clock, so that a step of the wall clock neither expires a lease nor prolongs it. The caller
-// (internal/discovery) serializes all calls.
+// A Tracker is the state of one node's list. It is deterministic: the caller reports each event with its time, Step
+// returns what to do next, and nothing in this package waits, reads a clock or does I/O. All times are durations since a
+// moment that the caller chooses, on a monotonic clock, so that a step of the wall clock neither expires a lease nor
+// extends it. The caller (internal/discovery) serializes all calls.
 //
-// What happens to a node that holds a list when discovery goes away, by the time since the list was last confirmed. A
-// discovery that refuses connections can notify nobody, so that the node serves on. One that accepts them and stays silent
-// may be notifying others, so that the node first stops:
+// The table shows what a node that holds a list does when discovery becomes unavailable, by the time since the list was
+// last confirmed. A discovery that refuses connections cannot notify any node, so the node keeps serving. A discovery
+// that accepts connections and stays silent may be notifying other nodes, so the node stops serving when its lease
+// expires.
 //
-//	           refuses connections, or they do       accepts connections and sends nothing
-//	           not come up (unreachable)
-//	0 s        the watch ends and polls begin: each  the watch falls silent; the node serves until the lease
-//	           that is refused renews the lease, to  expires
-//	           6 s after the poll's begin
-//	2.3-2.8 s  the node serves on                    the watch counts as silent, and polls begin
-//	6 s        the node serves on                    the lease expires: requests are rejected for as long as
-//	                                                 nothing comes
-//	back       as a connection comes up the lease    requests are rejected until a list is complete or a watch has
-//	           ends 6 s after the begin of the       a heartbeat
-//	           last refused poll
+//	           connections are refused or time out   connections are accepted, but nothing is sent
+//	           (unreachable)
+//	0 s        the watch ends and polls begin; each  the watch falls silent; the node serves until the lease
+//	           refused poll extends the lease to     expires
+//	           6 s after the start of that poll
+//	2.3-2.8 s  the node keeps serving                the watch counts as silent, and polls begin
+//	6 s        the node keeps serving                the lease expires: requests are rejected while discovery
+//	                                                 sends nothing
+//	recovery   once a connection succeeds, the       requests are rejected until a list is complete or a watch
+//	           lease ends 6 s after the start of     receives a heartbeat
+//	           the last refused poll
 //
-// Where an agent pushes lists, the lease ends 100 ms after its last watch (pushedGrace), but while polls are refused: in the
-// right column at once if the watch has ended, and in the left one as soon as a connection comes up.
+// Where an agent pushes lists, the lease ends 100 ms after the last watch ended (pushedGracePeriod), except while polls
+// are refused. In the right column it therefore ends as soon as the watch has ended, and in the left column as soon as a
+// connection succeeds.
 //
-// A new process holds a list of unknown age: bootstrapListAge of its lease have gone as it starts.
+// A new process holds a list of unknown age, so bootstrapListAge of its lease has already passed when it starts.
 //
-// A change that discovery may have had before it became unavailable is an exception: see changeMayPredateOutage.
+// There is one exception: if discovery may have had a change before it became unavailable, refused polls do not extend
+// the lease (see changeMayPredateOutage).
 //
-// The rules, and where they stand:
+// The rules and where they are implemented:
 //
-//	lease expiry                        lease.go         Expires, AdvanceLease, State
-//	lease of a new process              events.go        HoldBootstrapList, InheritAge
-//	no renewal by an outage             availability.go  changeMayPredateOutage, mayHaveReturned
-//	unavailable or slow                 availability.go  PollRejected, Unreachable
-//	when to poll                        schedule.go      Step
-//	parallel polls                      parallel.go      parallelPollAt
-//	heartbeat time-out                  stream.go        heartbeatDeadline
-//	list transfer time-out              stream.go        transferDeadline
-//	backoff, limit on malformed lists   backoff.go       backoff
-//	address change                      events.go        DiscoveryChanged, forgetOutageBehindProxy
+//	lease expiry                           lease.go         Expires, AdvanceLease, State
+//	lease of a new process                 events.go        HoldBootstrapList, InheritAge
+//	outages that do not extend the lease   availability.go  changeMayPredateOutage, mayHaveRecovered
+//	unavailable discovery or a slow one    availability.go  PollRejected, Unreachable
+//	when to poll                           schedule.go      Step
+//	hedged polls                           hedging.go       hedgedPollAt
+//	heartbeat timeout                      stream.go        heartbeatDeadline
+//	list transfer timeout                  stream.go        transferDeadline
+//	backoff, also after malformed lists    backoff.go       backoff
+//	address change                         events.go        AddressChanged, clearOutageBehindProxy
 //
-// The incident that this package answers to is docs/incidents/2026-12-02-sends-on-an-expired-list.md; the alternatives
-// that were weighed are in docs/design/endpoint-lease.md.
+// The incident that led to this package is described in docs/incidents/2026-12-02-sends-on-an-expired-list.md. The
+// alternatives that were considered are in docs/design/endpoint-lease.md.
 package endpointlease
 
 import "time"
 
-// The limits that discovery's protocol sets. The lab's checker holds nodes to them.
+// The limits of the discovery protocol. The lab checks that nodes comply with them.
 const (
-	// HeartbeatInterval is the longest time between two lines of a healthy watch; an empty line is a heartbeat.
+	// HeartbeatInterval is the longest time between two lines of a healthy watch. An empty line is a heartbeat.
 	HeartbeatInterval = 2 * time.Second
-	// NotificationDeadline is how long after discovery had a change, and could be reached, a node counts as notified of it.
+	// NotificationDeadline is how long after discovery has a change a node counts as notified of it, if discovery is
+	// reachable.
 	NotificationDeadline = 6 * time.Second
-	// NotificationDeadlineAfterChange is the same for what a new discovery has, counted from the SIGHUP that named it.
+	// NotificationDeadlineAfterChange is the same limit for the contents of a newly configured discovery, counted from
+	// the SIGHUP that configured it.
 	NotificationDeadlineAfterChange = 4 * time.Second
-	// ListTransferTimeout is the time from the first byte of a list to its last. Without it a discovery that stops in the
-	// middle of a list, and sends a byte now and then, would look alive for ever.
+	// ListTransferTimeout limits the time from the first byte of a list to its last. Without it, a discovery that stops
+	// in the middle of a list but sends a byte now and then would look alive forever.
 	ListTransferTimeout = 4500 * time.Millisecond
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(1<<63 - 1)
 
-// Options are what the settings say about the endpoint list.
+// Options are the settings that concern the endpoint list.
 type Options struct {
-	Pushed          bool          // an agent pushes changes, and a node counts as notified of what the agent has at once
-	MaxPollInterval time.Duration // where lists are polled: the lease of a list without a watch ends so long after the last poll
-	Pollers         int           // nodes that poll the same discovery, this one included; 0 or 1: it is alone
+	Pushed          bool          // an agent pushes changes, and a node counts as notified as soon as the agent has them
+	MaxPollInterval time.Duration // for polled lists: while no stream is open, the lease ends this long after the last poll
+	Pollers         int           // number of nodes that poll the same discovery, including this one; 0 or 1: only this one
 }
 
-// Tracker is the state of one node's endpoint list: the polls and watches that are open, what is known of discovery, and
-// the lease. The zero Tracker with Options has polled nothing and heard nothing.
+// Tracker is the state of one node's endpoint list: the open polls and watches, what is known about discovery, and the
+// lease. A Tracker with nothing but Options set has polled nothing and received nothing.
 type Tracker struct {
 	Options
-	streams      []stream // open polls and watches, the oldest first
+	streams      []stream // open polls and watches, oldest first
 	lastStreamID int
-	generation   int // how many times the configuration named another discovery
+	generation   int // number of times that the configuration has named another discovery
 
-	// The poll schedule: see Step, parallelPollAt and backoff.
-	nextPollAt          time.Duration // no poll before this where none is open
-	pollingStarted      bool          // the first poll was requested or made: later ones need no request
-	hedgedPolls         int           // consecutive polls without an answer that another was opened beside
-	afterSilentWatch    bool          // the poll that began them was made because a watch missed its heartbeat
-	consecutiveFailures int           // polls that failed since the last list
-	overloaded          bool          // the last poll was rejected at once: discovery is up, with too many pollers
+	// The poll schedule: see Step, hedgedPollAt and backoff.
+	nextPollAt          time.Duration // no poll starts before this time
+	pollingStarted      bool          // the first poll was requested or made; later polls need no request
+	hedgedPolls         int           // number of hedged polls since a poll was last answered
+	afterSilentWatch    bool          // the open polls were started because a watch missed its heartbeat
+	consecutiveFailures int           // polls that have failed since the last list
+	overloaded          bool          // the last rejection was immediate: discovery is up but has too many pollers
 	malformedLists      int           // consecutive answers that could not be read
 
-	// What is known of discovery: see availability.go.
+	// What is known about discovery: see availability.go.
 	availability      availability
-	unavailablePollAt time.Duration // the begin of the last poll that found discovery unavailable
-	// lateRejectionMeansDown: a poll that is rejected after a wait shows that discovery is down, for the last watch has ended,
-	// within its heartbeat and not in order. While a watch is open, after one that had fallen silent or that discovery closed,
-	// after a change of the address and in a new process it does not: a slow discovery, or one with too many pollers, may have rejected it.
+	unavailablePollAt time.Duration // start of the last poll that found discovery unavailable
+	// lateRejectionMeansDown says that a poll that is rejected after a wait shows that discovery is down. This holds
+	// after the last watch ended within its heartbeat timeout without being closed by discovery. It does not hold while a
+	// watch is open, after a watch that had fallen silent or that discovery closed, after an address change, or in a new
+	// process: there the rejection may come from a slow discovery, or from one with too many pollers.
 	lateRejectionMeansDown bool
-	reachedSinceConfirmed  bool // discovery could be reached since the list was last confirmed, and sent nothing
+	reachedSinceConfirmed  bool // discovery was reachable since the list was last confirmed, but has not confirmed it again
 	pendingAddressChanges  []addressChange
 
 	// The lease: see Expires.
-	confirmedAt         time.Duration // when the list held was last known to be all that discovery had
-	lastPollAt          time.Duration // the begin of the last poll
-	lastWatchEndedAt    time.Duration // when the last watch ended, where none is open
-	expiryFixedByOutage time.Duration // the end that the lease had as an outage began, which the outage does not put off; 0: none
+	confirmedAt         time.Duration // when the list held was last known to be current
+	lastPollAt          time.Duration // start of the last poll
+	lastWatchEndedAt    time.Duration // when the last watch ended, if none is open
+	expiryFixedByOutage time.Duration // end of the lease that the present outage must not extend; 0: none
 }
--- a/internal/endpointlease/expiry_test.go
+++ b/internal/endpointlease/expiry_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Nodes served again on lists that had expired, and sent to servers that drain: after a while of silence, and after a poll that
-// was rejected late. Whatever happens, in any order, only discovery's own word brings an expired list back, a list or a
-// heartbeat, or a connection that was begun within the lease and did not come up: while none does no node is notified.
-// Where nothing is open and lists are polled, the next poll begins MaxPollInterval anew.
+// Nodes served again on lists that had expired, and sent to draining servers: after a period of silence, and after a poll
+// that was rejected late. Whatever events happen, and in any order, only a list or a heartbeat from discovery may make an
+// expired list usable again. There are two exceptions. A connection attempt that began within the lease and failed may do
+// so, because a discovery that cannot be reached notifies no node. And where lists are polled and no stream is open, the
+// next poll restarts MaxPollInterval.
 func TestOnlyDiscoveryRenewsExpiredLease(t *testing.T) {
 	const histories, events = 20_000, 40
 	for seed := range uint64(histories) {
@@ -23,7 +24,8 @@
 	}
 }
 
-// checkLease carries out what is due after an event, and fails the test if an expired list came back without an excuse.
+// checkLease carries out what is due after an event, and fails the test if an expired list became usable without
+// permission.
 func (h *randomHistory) checkLease(t *testing.T, seed uint64, event string, renewalAllowed bool) {
 	renewalAllowed = renewalAllowed || !h.tracker.Pushed && len(h.tracker.streams) == 0
 	h.applyDecisions()
@@ -35,15 +37,15 @@
 	h.expired = state == Expired
 }
 
-// randomHistory has random events happen to a Tracker, and carries out its decisions.
+// randomHistory reports random events to a Tracker and carries out its decisions.
 type randomHistory struct {
 	rng     *rand.Rand
 	tracker *Tracker
 	now     time.Duration
-	expired bool // the list was, after the last event
+	expired bool // whether the list was expired after the last event
 }
 
-// newRandomHistory begins as a new process does.
+// newRandomHistory starts in the state of a new process.
 func newRandomHistory(seed uint64) *randomHistory {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	h := &randomHistory{rng: rng, tracker: &Tracker{Options: []Options{polled, rarelyPolled, pushed}[rng.IntN(3)]}}
@@ -53,7 +55,7 @@
 	return h
 }
 
-// applyDecisions carries out what is due.
+// applyDecisions carries out the Tracker's decisions until none is due.
 func (h *randomHistory) applyDecisions() {
 	for {
 		switch decision := h.tracker.Step(h.now); decision.Action {
@@ -69,7 +71,8 @@
 	}
 }
 
-// applyRandomEvent has something applyRandomEvent to one of the open streams, and says whether that may bring an expired list back.
+// applyRandomEvent reports a random event of an open stream, and returns whether the event may make an expired list
+// usable.
 func (h *randomHistory) applyRandomEvent() (event string, renewalAllowed bool) {
 	t, now := h.tracker, h.now
 	if h.rng.IntN(20) == 0 {
@@ -96,7 +99,7 @@
 		t.PollRejected(s.id, now)
 		t.StreamEnded(s.id, now)
 	case "unreachable":
-		renewalAllowed = t.Pushed || s.openedAt < t.Expires() // an agent is down from the end of its watch on
+		renewalAllowed = t.Pushed || s.openedAt < t.Expires() // an agent counts as down from the end of its watch
 		t.Unreachable(s.id)
 		t.StreamEnded(s.id, now)
 	case "reset":
@@ -106,7 +109,7 @@
 	return event, renewalAllowed
 }
 
-// drawEvent draws what may happen to a stream in its state.
+// drawEvent draws an event that is possible in the state of a stream.
 func (h *randomHistory) drawEvent(s stream) string {
 	events := []string{"connection", "unreachable"}
 	switch {
--- a/internal/endpointlease/hedging.go
+++ b/internal/endpointlease/hedging.go
@@ -2,53 +2,57 @@
 
 import "time"
 
-// How long a poll without an answer is waited for before another is opened beside it (a hedged request). The first list
-// that comes ends all of them.
+// Delays before a hedged poll, that is, before another poll is opened beside one that is not answered. The first list
+// that arrives ends all other streams.
 //
-// A node alone recovers from three lost polls in a row within NotificationDeadline. At the latest, after the last line of
-// a watch that falls silent:
+// A single node recovers from three lost polls in a row within NotificationDeadline. These are the latest times after the
+// last line of a watch that falls silent:
 //
-//	2.8 s  the watch counts as silent (heartbeatTimeout 2.3 s, its jitter 0.5 s): the first poll
-//	5.5 s  the fourth poll, three times 0.9 s later (parallelDelayAfterSilence 0.8 s, its jitter an eighth)
-//	6.0 s  its answer has come
+//	2.8 s  the watch counts as silent (heartbeatTimeout 2.3 s, plus jitter 0.5 s): the first poll
+//	5.5 s  the fourth poll, three times 0.9 s later (hedgeDelayAfterSilence 0.8 s, plus an eighth of it as jitter)
+//	6.0 s  the answer to the fourth poll has arrived
 //
-// Nodes that share a discovery lose their watches together, and parallel polls keep a discovery that works through its polls
-// in turn from serving anybody: there one lost poll is made up for in time, and a node that loses more rejects requests until
-// it has its list.
+// Nodes that share a discovery lose their watches together, and their hedged polls can keep a working discovery that
+// handles polls one after another from serving any node. Such nodes make up for one lost poll in time. A node that loses
+// more rejects requests until it has its list.
 const (
-	// hedgeDelayAfterSilence: where a watch fell silent, 2.3 s and more of NotificationDeadline have gone.
+	// hedgeDelayAfterSilence applies after a watch fell silent: at least 2.3 s of NotificationDeadline have already
+	// passed.
 	hedgeDelayAfterSilence = 800 * time.Millisecond
-	// hedgeDelayAfterEnd: where a watch ended or a poll was rejected, all nodes poll at once, and more polls would only
-	// lengthen the queue at discovery.
+	// hedgeDelayAfterEnd applies after a watch ended or a poll was rejected: all nodes poll at once, and more polls would
+	// only lengthen the queue at discovery.
 	hedgeDelayAfterEnd = 2500 * time.Millisecond
-	// hedgeDelayAfterLoss: what discovery has not answered after parallelDelayAfterEnd is lost, so the next is due soon.
+	// hedgeDelayAfterLoss applies to the hedged polls that follow: a poll that is not answered within hedgeDelayAfterEnd
+	// is lost, so the next one is due soon.
 	hedgeDelayAfterLoss = 500 * time.Millisecond
-	// quickHedgedPolls is how many times in a row these delays hold. A discovery that has answered none of so many polls
-	// is slow, and is polled ever more slowly.
+	// quickHedgedPolls is how many hedged polls in a row use these delays. A discovery that has answered none of them is
+	// slow, and is polled at increasing intervals.
 	quickHedgedPolls = 3
-	// maxHedgeDelay bounds the delay: a discovery that is back must be found.
+	// maxHedgeDelay limits the delay, so that a node notices when discovery is back.
 	maxHedgeDelay = 3200 * time.Millisecond
-	// maxHedgeDelayDoublings keeps the delay from overflowing; maxParallelDelay is reached before.
+	// maxHedgeDelayDoublings keeps the delay from overflowing; maxHedgeDelay is reached first.
 	maxHedgeDelayDoublings = 4
-	// sharedHedgeDelay is the first delay where other nodes poll the same discovery: it rejects a poll after 2 s.
+	// sharedHedgeDelay is the first delay where other nodes poll the same discovery: a shared discovery rejects a poll
+	// after 2 s.
 	sharedHedgeDelay = 2200 * time.Millisecond
-	// maxSharedHedgeDelayDoublings: after one lost poll a shared discovery is polled at maxParallelDelay.
+	// maxSharedHedgeDelayDoublings lets the delay for a shared discovery reach maxHedgeDelay after one lost poll.
 	maxSharedHedgeDelayDoublings = 1
-	// hedgeDelayJitter is the part of the delay by which nodes differ, so that they don't poll in step.
+	// hedgeDelayJitter is the largest fraction of the delay that is added as jitter, so that nodes do not poll in step.
 	hedgeDelayJitter = 0.125
 
-	// maxOpenPolls bounds what one node costs a slow discovery: so many polls without an answer, and as many streams to
+	// maxOpenPolls limits the load of one node on a slow discovery: this many unanswered polls, and as many streams to
 	// earlier addresses.
 	maxOpenPolls = 4
-	// minPollDuration is how long a poll stays open at least: the slowest discovery known takes 7 s for an answer.
+	// minPollDuration is how long a poll stays open at least: the slowest known discovery takes 7 s to answer.
 	minPollDuration = 10 * time.Second
 )
 
-// stepHedgedPoll opens a poll beside those that are open once the youngest has waited long enough. Of too many the oldest
-// gives way, after minPollTime: a slow discovery answers it first, so that dropping it sooner would lose its work.
+// stepHedgedPoll opens a hedged poll once the youngest open poll has waited long enough. If too many polls are open, the
+// oldest one is dropped, but not before minPollDuration: a slow discovery answers the oldest poll first, so dropping it
+// sooner would waste the work that discovery has done for it.
 func (t *Tracker) stepHedgedPoll(open streamSummary, now time.Duration) Decision {
-	// A poll that was rejected beside one that nobody answers is backed off as well: without that a node made 640 polls a
-	// second.
+	// A hedged poll that is rejected while the first poll is unanswered is backed off as well: without this a node made
+	// 640 polls a second.
 	at := max(t.hedgedPollAt(open.youngestPoll), t.nextPollAt)
 	full := open.polls == maxOpenPolls
 	if full {
@@ -64,7 +68,8 @@
 	return Decision{Action: OpenStream}
 }
 
-// hedgedPollAt is when a poll has another opened beside it. A list that has begun to arrive is waited for.
+// hedgedPollAt returns when another poll is opened beside a given one. A list that has begun to arrive has until its
+// transfer deadline.
 func (t *Tracker) hedgedPollAt(s *stream) time.Duration {
 	if s.listBeganAt > 0 {
 		return s.transferDeadline()
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -3,50 +3,53 @@
 import "time"
 
 const (
-	// pushedGracePeriod is how long the lease outlives the last watch where lists are pushed: a node counts as notified at once
-	// of what the agent has. Of the 250 ms within which a node must stop sending to an endpoint that it was notified of,
-	// 150 ms are left for a node that is held up between its check and its write.
+	// pushedGracePeriod is how long the lease lasts after the last watch has ended where lists are pushed: a node counts
+	// as notified as soon as the agent has a change. A node must stop sending to an endpoint within 250 ms of being
+	// notified. The other 150 ms are for a node that is delayed between its check and its write.
 	pushedGracePeriod = 100 * time.Millisecond
 
-	// bootstrapListAge is how old the list counts as that a new process was given. Nobody says how old it is, and a change
-	// made before the process began counts as known to it NotificationDeadline later like any other. What is left of the lease
-	// is the time that a new process needs to have its list from a discovery with many pollers.
+	// bootstrapListAge is the assumed age of the list that a new process is given; its real age is unknown. A change made
+	// before the process started counts as known to it NotificationDeadline later, like any other. The rest of the lease
+	// is the time that a new process needs to receive its list from a discovery with many pollers.
 	bootstrapListAge = 3 * time.Second
 
-	// freshTimeout is how long after its last line a watch counts as up to date: one heartbeat, and a quarter for its way.
+	// freshTimeout is how long after its last line a watch counts as up to date: one heartbeat interval, plus a quarter
+	// for network delay.
 	freshTimeout = HeartbeatInterval + HeartbeatInterval/4
 )
 
-// State is what a node may say of its endpoint list. Fresh and Aging lists may be used. A list becomes Aging as its watch
-// misses a heartbeat or ends, Expired as the lease ends, and Fresh with a list or line of the present discovery.
+// State says how current a node's endpoint list is. Fresh and Aging lists may be used. A list becomes Aging when its
+// watch misses a heartbeat or ends, Expired when the lease ends, and Fresh when the current discovery sends a list or a
+// line.
 type State int
 
 const (
-	// Fresh says that a watch keeps its heartbeat: the list held is what discovery has.
+	// Fresh means that a watch receives its heartbeats: the list held is the one that discovery has.
 	Fresh State = iota
-	// Aging says that nothing is heard at present, and the lease has not expired.
+	// Aging means that nothing is being received, but the lease has not expired.
 	Aging
-	// Expired says that the lease is over: there may be a change that the node should know and does not. Nothing may be
-	// sent on the list.
+	// Expired means that the lease has ended: there may be a change that the node should know but does not. The list must
+	// not be used to send anything.
 	Expired
 )
 
-// String returns the state as the log has it.
+// String returns the state's name in the log.
 func (s State) String() string { return [...]string{"fresh", "aging", "expired"}[s] }
 
-// Expires is when the lease on the list ends: from then on the node counts as notified of changes that it may not have,
-// and must send nothing on the list. It may be in the past.
+// Expires returns when the lease on the list ends. From then on the node counts as notified of changes that it may not
+// have received, and must not use the list to send anything. The result may be in the past.
 //
-// The lease ends NotificationDeadline after the list was last confirmed, whatever becomes of polls. It ends sooner where
-//   - an agent pushed the list and no watch is open: pushedGrace after the last one ended,
-//   - the list is polled and nothing is open: MaxPollInterval after the last poll,
-//   - the configuration named another discovery: NotificationDeadlineAfterChange after the first such SIGHUP.
+// The lease ends NotificationDeadline after the list was last confirmed, whatever happens to polls. It ends sooner if
+//   - an agent pushes the list and no watch is open: pushedGracePeriod after the last watch ended,
+//   - the list is polled and no stream is open: MaxPollInterval after the last poll,
+//   - the configuration has named another discovery: NotificationDeadlineAfterChange after the first such SIGHUP.
 //
-// While discovery is unavailable it can notify nobody: each poll that finds it so puts the end off to NotificationDeadline
-// after that poll's begin, unless a change may have come before the outage (expiryFixedByOutage). Time alone puts no end
-// off: a discovery that answers no poll may have notified others.
+// An unavailable discovery cannot notify any node, so each poll that finds it unavailable extends the lease to
+// NotificationDeadline after the start of that poll, unless a change may have preceded the outage (expiryFixedByOutage).
+// Time alone never extends the lease: a discovery that answers no poll may have notified other nodes.
 //
-// Without this rule a node goes on sending to a drained endpoint while discovery is slow: the incident of 2 December 2026.
+// Without this rule a node keeps sending to a drained endpoint while discovery is slow, as in the incident of 2 December
+// 2026.
 func (t *Tracker) Expires() time.Duration {
 	switch {
 	case t.expiryFixedByOutage > 0:
@@ -59,7 +62,7 @@
 		expires = max(expires, t.unavailablePollAt+NotificationDeadline)
 	}
 	switch {
-	case t.hasWatch(): // any open watch, even a silent one: what is left is NotificationDeadline
+	case t.hasWatch(): // only NotificationDeadline applies, even if the watch is silent
 	case t.Pushed:
 		expires = min(expires, t.lastWatchEndedAt+pushedGracePeriod)
 	case len(t.streams) == 0:
@@ -71,16 +74,16 @@
 	return expires
 }
 
-// LeaseStatus is what AdvanceLease finds.
+// LeaseStatus is the result of AdvanceLease.
 type LeaseStatus struct {
 	State   State
 	Expires time.Duration
-	CheckAt time.Duration // when to check again if no event comes before
+	CheckAt time.Duration // when to check again if no event happens before
 }
 
-// AdvanceLease moves availability on when the lease has expired, and says what the list is worth then. The lease has ended in
-// spite of an outage where no later poll has confirmed that, or where a change may have come before it. The outage excuses no
-// further serving then: discovery counts as available, though silent.
+// AdvanceLease returns the status of the lease. If the lease has expired, it first resets the availability. A lease
+// expires during an outage if no later poll has confirmed the outage, or if a change may have preceded it. In both cases
+// the outage no longer justifies serving, and discovery counts as available but silent.
 func (t *Tracker) AdvanceLease(now time.Duration) LeaseStatus {
 	if now >= t.Expires() {
 		t.availability = available
@@ -92,7 +95,7 @@
 	return lease
 }
 
-// State says what the list is worth at a time.
+// State returns the state of the list at a given time.
 func (t *Tracker) State(now time.Duration) State {
 	watch := t.healthyWatch(now)
 	if watch != nil && watch.listBeganAt == 0 && !t.AddressChangePending() && now-watch.lastByteAt <= freshTimeout {
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -2,11 +2,10 @@
 
 import "testing"
 
-// Each line of a watch renews the lease. A watch that is silent, a list that is never complete and polls without a list do
-// not.
+// Each line of a watch renews the lease. A silent watch, a list that is never complete and polls without a list do not.
 func TestOnlyListsAndHeartbeatsRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a watch with heartbeats": {
+		"watch with heartbeats": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -14,7 +13,7 @@
 			},
 			at: 5 * s, wakeAt: 5*s + 300*ms, expires: 9 * s, state: Fresh,
 		},
-		"a watch that missed a heartbeat": {
+		"watch that missed a heartbeat": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(0, 1)
@@ -22,12 +21,12 @@
 			},
 			at: 3*s + 700*ms, wakeAt: 3*s + 800*ms, expires: 7 * s, state: Aging,
 		},
-		"a watch silent for the notification deadline": {
+		"watch silent until the notification deadline": {
 			options: polled,
 			events:  func(tracker *Tracker) { openWatch(tracker, 0, s) },
 			at:      7 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"the head of an answer and no list": {
+		"head of a response without a list": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(0, 0)
@@ -35,7 +34,7 @@
 			},
 			at: 700 * ms, wakeAt: hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
-		"a list that begins and is never complete": {
+		"list that begins and is never complete": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(0, 1)
@@ -46,7 +45,7 @@
 			},
 			at: 5 * s, wakeAt: s + ListTransferTimeout, expires: 6 * s, state: Aging,
 		},
-		"a watch that ended": {
+		"watch that ended": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, 2*s)
@@ -54,7 +53,7 @@
 			},
 			at: 3 * s, wakeAt: 3*s + watchEndBackoff/10, expires: 8 * s, state: Aging,
 		},
-		"a shorter poll interval": {
+		"short poll interval": {
 			options: Options{MaxPollInterval: 2 * s},
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, 2*s)
@@ -62,7 +61,7 @@
 			},
 			at: 3 * s, wakeAt: 3*s + watchEndBackoff/10, expires: 3 * s, state: Expired,
 		},
-		"a silent watch that is heard again": {
+		"silent watch that resumes": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -72,7 +71,7 @@
 			},
 			at: 5 * s, wakeAt: 5*s + heartbeatTimeout, expires: 11 * s, state: Fresh,
 		},
-		"the watch that replaced a silent one": {
+		"watch that replaced a silent one": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -84,11 +83,12 @@
 	})
 }
 
-// The lease is short after an address change: what the new discovery has counts as known soon. A list of the new address ends
-// that; one of an earlier address, or a further change, does not put it off.
+// The lease is short after an address change, because the node soon counts as notified of what the new discovery has. A
+// list of the new address restores the usual lease. A list of an earlier address, or a further change, does not extend
+// it.
 func TestLeaseAfterAddressChange(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"an address change": {
+		"address change": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -96,7 +96,7 @@
 			},
 			at: 6 * s, wakeAt: 0, expires: 6 * s, state: Expired,
 		},
-		"an address change, and the list of the new address": {
+		"address change, then a list of the new address": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.AddressChanged(2 * s)
@@ -114,7 +114,7 @@
 			},
 			at: 5 * s, wakeAt: 0, expires: 6 * s, state: Aging,
 		},
-		"a list from the address before the last": {
+		"list from the address before the last": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.AddressChanged(2 * s)
@@ -124,7 +124,7 @@
 			},
 			at: 5 * s, wakeAt: 0, expires: 7 * s, state: Aging,
 		},
-		"a heartbeat from an earlier address": {
+		"heartbeat from an earlier address": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -136,21 +136,21 @@
 	})
 }
 
-// Where an agent pushes lists, the node counts as notified at once of what the agent has: the lease ends soon after the watch,
-// unless the agent is down.
+// Where an agent pushes lists, the node counts as notified as soon as the agent has a change: the lease ends soon after
+// the watch, unless the agent is down.
 func TestLeaseOfPushedLists(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"pushed, no watch yet": {
+		"no watch yet": {
 			options: pushed,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
 			at:      s, wakeAt: s + hedgeDelayAfterEnd, expires: pushedGracePeriod, state: Expired,
 		},
-		"pushed, a watch": {
+		"open watch": {
 			options: pushed,
 			events:  func(tracker *Tracker) { openWatch(tracker, s, s) },
 			at:      2 * s, wakeAt: s + heartbeatTimeout, expires: 7 * s, state: Fresh,
 		},
-		"pushed, the grace after a watch is over": {
+		"watch ended, grace period over": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, s)
@@ -158,7 +158,7 @@
 			},
 			at: 2*s + pushedGracePeriod, wakeAt: 0, expires: 2*s + pushedGracePeriod, state: Expired,
 		},
-		"pushed, a watch that ended": {
+		"watch ended, within the grace period": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, s)
@@ -166,7 +166,7 @@
 			},
 			at: 2 * s, wakeAt: 2*s + watchEndBackoff/10, expires: 2*s + pushedGracePeriod, state: Aging,
 		},
-		"pushed, an unreachable agent": {
+		"unreachable agent": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -175,7 +175,7 @@
 			},
 			at: s, wakeAt: s + maxBackoffPushedUnavailable/2, expires: 7 * s, state: Aging,
 		},
-		"pushed, an address change": {
+		"address change": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, s)
@@ -184,7 +184,7 @@
 			},
 			at: 8 * s, wakeAt: 0, expires: 9 * s, state: Aging,
 		},
-		"pushed, unreachable as the watch ends": {
+		"agent unreachable when the watch ends": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -198,10 +198,10 @@
 	})
 }
 
-// A list that is handed over in a hot restart is as old as it was: a restart renews no lease.
+// A list that is handed over in a hot restart keeps its age: a restart does not renew the lease.
 func TestInheritedListKeepsItsAge(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a list inherited 5 s old": {
+		"list inherited at the age of 5 s": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.InheritAge(0, 5*s)
@@ -209,7 +209,7 @@
 			},
 			at: s, wakeAt: hedgeDelayAfterEnd, expires: s, state: Expired,
 		},
-		"pushed, an inherited list": {
+		"pushed list, inherited": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				tracker.InheritAge(0, 0)
--- a/internal/endpointlease/schedule.go
+++ b/internal/endpointlease/schedule.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Action is what a Decision wants done.
+// Action is what the caller of Step has to do.
 type Action int
 
 const (
-	// NoAction: nothing before Decision.WakeAt.
+	// NoAction: nothing is due before Decision.WakeAt.
 	NoAction Action = iota
-	// OpenStream: begin a poll, and note it with StreamOpened.
+	// OpenStream: begin a poll, and report it with StreamOpened.
 	OpenStream
-	// DropStream: end the stream, which the Tracker has forgotten. It is not needed any more, or gives way to another.
+	// DropStream: end a stream that is no longer needed or has to make room for another. The Tracker has already removed
+	// it.
 	DropStream
-	// AbortStalledStream: end the stream as failed. A list has begun on it and is not complete in time.
+	// AbortStalledStream: end a stream as failed, because a list on it was not complete in time.
 	AbortStalledStream
 )
 
-// Decision is what Step wants done.
+// Decision is the result of Step.
 type Decision struct {
 	Action   Action
-	StreamID int           // of DropStream and AbortStalledStream
-	WakeAt   time.Duration // of NoAction: when to call Step again if no event comes before
+	StreamID int           // for DropStream and AbortStalledStream
+	WakeAt   time.Duration // for NoAction: when to call Step again if no event happens before
 }
 
-// Step says what to do at a time. The caller carries it out and calls Step again until there is NoAction. In order:
+// Step returns what to do at a given time. The caller carries it out and calls Step again until it returns NoAction. The
+// rules, in order of precedence:
 //
-//  1. A list that is not complete within ListTransferTimeout ends its stream.
-//  2. While a watch keeps its heartbeat, it is the only stream: all others are dropped.
-//  3. Of streams to earlier addresses at most maxOpenPolls are kept.
-//  4. While polls are open, another is opened beside them after parallelPollAt, maxOpenPolls at most.
-//  5. Else discovery is polled at nextPollAt; where lists are polled, the first time only after RequestPoll.
+//  1. A stream whose list is not complete within ListTransferTimeout is aborted.
+//  2. While a watch receives its heartbeats, it is the only stream: all others are dropped.
+//  3. At most maxOpenPolls streams to earlier addresses are kept.
+//  4. While polls are open, a hedged poll is opened at hedgedPollAt, up to maxOpenPolls polls.
+//  5. Otherwise discovery is polled at nextPollAt. Where lists are polled, the first poll also waits for RequestPoll.
 func (t *Tracker) Step(now time.Duration) Decision {
 	open := t.summarizeStreams(now)
 	watch := t.healthyWatch(now)
@@ -46,14 +48,14 @@
 	return t.stepFirstPoll(open, now)
 }
 
-// streamSummary is what Step needs to know of the streams.
+// streamSummary is what Step needs to know about the open streams.
 type streamSummary struct {
-	stalled          *stream       // a list on it is past its transferDeadline
-	transferDeadline time.Duration // the next one of any list that is arriving
-	polls            int           // of the present address, without a list
+	stalled          *stream       // its list is past the transferDeadline
+	transferDeadline time.Duration // the earliest one of all lists that are arriving
+	polls            int           // number of polls of the present address without a list
 	oldestPoll       *stream
 	youngestPoll     *stream
-	earlier          int // of earlier addresses
+	earlier          int // number of streams to earlier addresses
 	oldestEarlier    *stream
 }
 
@@ -81,7 +83,7 @@
 	return open
 }
 
-// keepOnly drops all streams but a watch that keeps its heartbeat: each further one costs discovery work for nobody.
+// keepOnly drops all streams but a watch that receives its heartbeats: further streams only cost discovery work.
 func (t *Tracker) keepOnly(watch *stream, wakeAt, now time.Duration) Decision {
 	for i := range t.streams {
 		if t.streams[i].id != watch.id {
@@ -91,11 +93,12 @@
 	return Decision{WakeAt: wakeAt}
 }
 
-// stepFirstPoll polls discovery where no poll is open. A watch may be, that is silent or of an earlier address.
+// stepFirstPoll polls discovery while no poll is open. A watch may be open that is silent or belongs to an earlier
+// address.
 func (t *Tracker) stepFirstPoll(open streamSummary, now time.Duration) Decision {
 	at := t.nextPollAt
 	if !t.Pushed && !t.pollingStarted {
-		at = never // until RequestPoll
+		at = never // wait for RequestPoll
 	}
 	if now < at {
 		return Decision{WakeAt: min(open.transferDeadline, at)}
@@ -105,7 +108,7 @@
 }
 
 func (t *Tracker) drop(s *stream, now time.Duration) Decision {
-	id := s.id // forget moves the streams behind s
+	id := s.id // removeStream shifts the streams after s, so that s then points to another one
 	t.removeStream(id, now)
 	return Decision{Action: DropStream, StreamID: id}
 }
--- a/internal/endpointlease/schedule_test.go
+++ b/internal/endpointlease/schedule_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// A poll that is answered too late, or not at all, must not cost the lease: when the next one is due, and when one is opened
-// beside it.
+// When the next poll is due, and when a hedged poll is: a poll that is answered too late, or not at all, must not cost
+// the node its lease.
 func TestPollSchedule(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a new process has polled nothing": {
+		"new process, nothing polled": {
 			options: polled,
 			events:  func(tracker *Tracker) {},
 			at:      s, wakeAt: never, expires: 6 * s, state: Aging,
 		},
-		"a poll without an answer": {
+		"unanswered poll, before the hedged poll is due": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
 			at:      s + hedgeDelayAfterEnd - 1, wakeAt: s + hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
-		"a poll without an answer has another beside it": {
+		"unanswered poll, hedged poll due": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 0) },
 			at:      s + hedgeDelayAfterEnd, wakeAt: 0, expires: 6 * s, state: Aging,
 		},
-		"the parallel poll is later by the jitter": {
+		"hedged poll delayed by jitter": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.StreamOpened(s, 1) },
 			at:      s + hedgeDelayAfterEnd, wakeAt: s + hedgeDelayAfterEnd*9/8, expires: 6 * s, state: Aging,
 		},
-		"the parallel poll is sooner after a silent watch": {
+		"hedged poll due sooner after a silent watch": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -38,7 +38,7 @@
 			},
 			at: 4 * s, wakeAt: 4*s + hedgeDelayAfterSilence, expires: 7 * s, state: Aging,
 		},
-		"a poll that failed": {
+		"failed poll": {
 			options: rarelyPolled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -46,7 +46,7 @@
 			},
 			at: 2 * s, wakeAt: 2*s + watchEndBackoff/5, expires: 6 * s, state: Aging,
 		},
-		"a poll that failed after a list": {
+		"failed poll after a list": {
 			options: rarelyPolled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, s, s)
@@ -56,12 +56,12 @@
 			},
 			at: 5 * s, wakeAt: 0, expires: 7 * s, state: Aging,
 		},
-		"a poll requested by the module": {
+		"poll requested by the decision module": {
 			options: polled,
 			events:  func(tracker *Tracker) { tracker.RequestPoll() },
 			at:      s, wakeAt: 0, expires: 6 * s, state: Aging,
 		},
-		"a poll requested while one is open": {
+		"poll requested while one is open": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -69,7 +69,7 @@
 			},
 			at: s, wakeAt: s + hedgeDelayAfterEnd, expires: 6 * s, state: Aging,
 		},
-		"a complete list without a watch": {
+		"complete list without a watch": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -80,15 +80,15 @@
 	})
 }
 
-// A discovery that writes what can't be read is polled for the complete list at once, and then with backoff.
+// After a malformed list the complete list is polled immediately, after further ones with backoff.
 func TestMalformedListBackoff(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a second malformed list": {
+		"second malformed list": {
 			options: polled,
 			events:  func(tracker *Tracker) { receiveMalformedLists(tracker, 2, s) },
 			at:      s, wakeAt: s + 2*watchEndBackoff, expires: 6 * s, state: Aging,
 		},
-		"a second malformed list, and a poll requested": {
+		"second malformed list, then a requested poll": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				receiveMalformedLists(tracker, 2, s)
@@ -99,7 +99,7 @@
 	})
 }
 
-// runSchedule carries out what the Tracker decides until a time, and hands each poll that it opens to onPoll.
+// runSchedule carries out the Tracker's decisions until a given time, and calls onPoll with each poll that it opens.
 func runSchedule(tracker *Tracker, from, until time.Duration, jitter float64, onPoll func(id int, at time.Duration)) {
 	for at := from; at < until; {
 		switch decision := tracker.Step(at); decision.Action {
@@ -113,16 +113,16 @@
 	}
 }
 
-// A watch falls silent, and the next three polls are lost: refused, left without an answer, or with the head of an answer
-// and no list. If the fourth went out too late, the lease would expire at a discovery that is healthy again. So whatever the
-// jitter, it goes out with half a second left before the notification deadline, counted from the last line of the watch.
+// A watch falls silent, and the next three polls are lost: refused, left unanswered, or answered with a head and no list.
+// If the fourth poll started too late, the lease would expire although discovery is healthy again. Whatever the jitter,
+// it must start at least half a second before the notification deadline, counted from the last line of the watch.
 func TestFourthPollMeetsDeadlineAfterThreeLostPolls(t *testing.T) {
 	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
 		for jitter := 0.0; jitter <= 1; jitter += 0.1 {
 			for name, fault := range map[string]func(tracker *Tracker, id int, at time.Duration){
 				"refused":   func(tracker *Tracker, id int, at time.Duration) { tracker.StreamEnded(id, at) },
 				"no answer": func(*Tracker, int, time.Duration) {},
-				"a head":    func(tracker *Tracker, id int, at time.Duration) { tracker.Activity(id, at) },
+				"head only": func(tracker *Tracker, id int, at time.Duration) { tracker.Activity(id, at) },
 			} {
 				tracker := &Tracker{Options: options}
 				tracker.StreamOpened(0, jitter)
@@ -140,9 +140,9 @@
 	}
 }
 
-// A discovery that is slow by nature answers no poll for many seconds. Polls that were given up early would lose the work
-// that it has done for them, and many parallel polls would make it slower still. So an unanswered node polls ever more
-// slowly, up to a limit, few polls are open at once, each stays open for long enough, and one answer ends the slow pace.
+// A discovery that is always slow answers no poll for many seconds. Abandoning polls early would waste the work that it
+// has done for them, and many hedged polls would make it slower still. So a node without an answer polls at increasing
+// intervals up to a limit, few polls are open at once, each stays open long enough, and one answer resets the interval.
 func TestUnansweredPollsReducePollRate(t *testing.T) {
 	tracker := &Tracker{Options: Options{Pushed: true}}
 	open, polls, longest, openedAt := 0, []time.Duration(nil), time.Duration(0), map[int]time.Duration{}
@@ -162,19 +162,19 @@
 		}
 	}
 	if n := len(polls); polls[1]-polls[0] != hedgeDelayAfterEnd || polls[n-1]-polls[n-2] != maxHedgeDelay || n > 25 || longest < 10*s {
-		t.Errorf("polls at %v, the longest open for %v", polls, longest)
+		t.Errorf("polls at %v, the longest was open for %v", polls, longest)
 	}
 	last := tracker.StreamOpened(60*s, 0)
-	tracker.StreamEnded(last, 60*s) // a rejection is an answer
+	tracker.StreamEnded(last, 60*s) // a rejection counts as an answer
 	tracker.AddressChanged(61 * s)
 	tracker.StreamOpened(61*s, 0)
 	if at := tracker.hedgedPollAt(&tracker.streams[len(tracker.streams)-1]); at != 61*s+hedgeDelayAfterEnd {
-		t.Errorf("after an answer a poll has another beside it at %v", at)
+		t.Errorf("after an answer the hedged poll is due at %v", at)
 	}
 }
 
-// One poll hangs, and those opened beside it are rejected at once. A node that did not back off between them made 640
-// polls a second. So they wait as they would alone.
+// One poll hangs, and the hedged polls are rejected immediately. A node that did not back off between them made 640 polls
+// a second. So rejected polls are backed off just as if no other poll were open.
 func TestRejectedPollsBackOffWhileOnePollHangs(t *testing.T) {
 	for _, options := range []Options{{MaxPollInterval: 60 * s}, {Pushed: true}} {
 		tracker, polls := &Tracker{Options: options}, 0
--- a/internal/endpointlease/tracker_test.go
+++ b/internal/endpointlease/tracker_test.go
@@ -10,24 +10,24 @@
 	ms = time.Millisecond
 )
 
-// The settings of most tests.
+// Options of most tests.
 var (
 	polled       = Options{MaxPollInterval: 10 * s}
 	rarelyPolled = Options{MaxPollInterval: 60 * s}
 	pushed       = Options{Pushed: true, MaxPollInterval: 10 * s}
 )
 
-// history is what has happened to a Tracker, and what it then says.
+// history is a sequence of events for a Tracker, and the state that the Tracker must then be in.
 type history struct {
 	options Options
-	events  func(tracker *Tracker) // the events; streams have the IDs 1, 2, ... in the order in which they are opened
-	at      time.Duration          // the time of what follows
-	wakeAt  time.Duration          // when Step is due again; 0: there is something to do now
+	events  func(tracker *Tracker) // streams have the IDs 1, 2, ... in the order in which they are opened
+	at      time.Duration          // when the state is checked
+	wakeAt  time.Duration          // when Step is due next; 0: something is due now
 	expires time.Duration
 	state   State
 }
 
-// checkHistories checks each of the histories by name.
+// checkHistories runs each history as a subtest.
 func checkHistories(t *testing.T, histories map[string]history) {
 	t.Helper()
 	for name, row := range histories {
@@ -36,21 +36,21 @@
 			row.events(tracker)
 			decision := tracker.Step(row.at)
 			if due := row.wakeAt == 0; due != (decision.Action != NoAction) || decision.WakeAt != row.wakeAt {
-				t.Errorf("decides %+v, want to wake at %v", decision, row.wakeAt)
+				t.Errorf("decision %+v, want WakeAt %v", decision, row.wakeAt)
 			}
 			if expires, state := tracker.Expires(), tracker.State(row.at); expires != row.expires || state != row.state {
-				t.Errorf("expires at %v, is %v; want %v, %v", expires, state, row.expires, row.state)
+				t.Errorf("expires at %v, state %v; want %v, %v", expires, state, row.expires, row.state)
 			}
 		})
 	}
 }
 
-// openWatch opens a stream that has its first list at a time.
+// openWatch opens a stream that receives its first list at a given time.
 func openWatch(tracker *Tracker, openedAt, listedAt time.Duration) {
 	tracker.ListComplete(tracker.StreamOpened(openedAt, 0), listedAt)
 }
 
-// endWatchThenRejectLate opens a watch that ends, and after it polls that are rejected 2.1 s after they began.
+// endWatchThenRejectLate opens a watch that ends, followed by polls that are each rejected 2.1 s after they began.
 func endWatchThenRejectLate(tracker *Tracker, at time.Duration, polls ...time.Duration) {
 	openWatch(tracker, at, s)
 	tracker.StreamEnded(1, 2*s)
@@ -59,7 +59,7 @@
 	}
 }
 
-// pollUnreachable polls every 2 s a discovery that refuses connections.
+// pollUnreachable polls a discovery that refuses connections, every 2 s.
 func pollUnreachable(tracker *Tracker, from, until time.Duration) {
 	for at := from; at < until; at += 2 * s {
 		id := tracker.StreamOpened(at, 0)
@@ -68,7 +68,7 @@
 	}
 }
 
-// rejectPoll begins a poll that is rejected at a time.
+// rejectPoll begins a poll that is rejected at a given time.
 func rejectPoll(tracker *Tracker, from, at time.Duration) {
 	id := tracker.StreamOpened(from, 0)
 	tracker.Connected(id)
@@ -76,10 +76,10 @@
 	tracker.StreamEnded(id, at)
 }
 
-// rejectImmediately makes a poll that is rejected immediately.
+// rejectImmediately makes a poll that is rejected after 1 ms.
 func rejectImmediately(tracker *Tracker, at time.Duration) { rejectPoll(tracker, at, at+ms) }
 
-// receiveMalformedLists makes so many polls in a row whose answers can't be read.
+// receiveMalformedLists makes n polls in a row whose answers cannot be read.
 func receiveMalformedLists(tracker *Tracker, n int, at time.Duration) {
 	for range n {
 		id := tracker.StreamOpened(at, 0)
