--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -1,15 +1,16 @@
 package discovery
 
-// Addr is the address that is polled.
+// Addr returns the address that is polled.
 func (s *Source) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// SetAddress has another discovery polled, at once: the old one may be about to close, and the node counts as notified
-// soon of what the new one has. Until a list has come from the new one, the endpoints held stay and streams of the old
-// address are read. The first poll of the new address asks for no version of the old one (see baseVersion).
+// SetAddress switches to another discovery, which is polled immediately: the old one may be about to shut down, and the
+// node soon counts as notified of what the new one has. Until a list has arrived from the new one, the node keeps its
+// endpoints and reads the streams of the old address. The first poll of the new address does not resume from a version of
+// the old one (see baseVersion).
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/convert.go
+++ b/internal/discovery/convert.go
@@ -8,13 +8,14 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// The values of an endpoint's health, on discovery's wire, that are no reason to drain it.
+// The health values in discovery's lists that do not mean draining.
 const (
-	healthInService  = "in_service" // it takes requests
-	healthTerminated = "terminated" // it has gone
+	healthInService  = "in_service" // it accepts requests
+	healthTerminated = "terminated" // it no longer exists
 )
 
-// ToServer is an endpoint as the decision module knows it. An endpoint in a state that is not known gets no requests.
+// ToServer converts an endpoint to the form of the decision module. An endpoint whose health value is unknown counts as
+// draining, and receives no new requests.
 func ToServer(endpoint discoveryapi.Endpoint) balancer.Server {
 	server := balancer.Server{
 		ID:        endpoint.ID,
@@ -33,7 +34,7 @@
 	return server
 }
 
-// ToUpdate is a list as the engine takes it.
+// ToUpdate converts a list to the form of the engine.
 func ToUpdate(list discoveryapi.List) engine.Update {
 	update := engine.Update{Version: list.Version, Complete: list.Complete, Endpoints: make([]engine.Endpoint, len(list.Endpoints))}
 	for i, endpoint := range list.Endpoints {
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -17,11 +17,12 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// All watches fall silent or end, and of each node the first poll after that, or the first three, are lost in one way or
-// another. Discovery has a change meanwhile, say an endpoint that drains. Each node must have it within the notification
-// deadline, counted from when discovery had it: alone, and as one of 30 and of 300 at a discovery that takes 1.9 s for 300
-// polls in turn and rejects those that wait for 2 s. Nodes that know that they share it make up for one lost poll in time,
-// and open parallel polls no sooner. HOOKWALK_FIGURES=1 plays 300 nodes with every fault, and prints the worst.
+// All watches fall silent or end, and the first poll or the first three polls of each node after that are lost in various
+// ways. Meanwhile discovery has a change, for example a draining endpoint. Each node must receive the change within the
+// notification deadline, counted from when discovery had it. This holds for a single node, and for one of 30 or of 300
+// nodes at a discovery that takes 1.9 s to handle 300 polls one after another and rejects those that wait for 2 s. Nodes
+// that know that they share discovery recover in time from one lost poll, and do not open hedged polls any sooner.
+// HOOKWALK_FIGURES=1 runs 300 nodes with every fault and prints the worst time.
 func TestChangeArrivesBeforeNotificationDeadline(t *testing.T) {
 	for _, c := range deadlineCases(reportTimings()) {
 		t.Run(c.String(), func(t *testing.T) {
@@ -30,15 +31,15 @@
 	}
 }
 
-// reportTimings says whether all cases are played, and their figures printed.
+// reportTimings reports whether all cases run and their measurements are printed.
 func reportTimings() bool { return os.Getenv("HOOKWALK_FIGURES") != "" }
 
-// deadlineCase is one way in which watches and polls fail.
+// deadlineCase is one combination of lost watches and lost polls.
 type deadlineCase struct {
 	mode       string
-	fault      string // of pollFaults
-	lostPolls  int    // of each node, how many polls meet the fault
-	watchesEnd bool   // else they fall silent
+	fault      string // key of pollFaults
+	lostPolls  int    // number of polls of each node that meet the fault
+	watchesEnd bool   // the watches end; otherwise they fall silent
 	nodes      int
 	shared     bool // the nodes know that they share discovery
 }
@@ -46,12 +47,12 @@
 func (c deadlineCase) String() string {
 	name := fmt.Sprintf("%s/%s x%d/ended=%v/%d nodes", c.mode, c.fault, c.lostPolls, c.watchesEnd, c.nodes)
 	if c.shared {
-		name += " that share"
+		name += " that know of each other"
 	}
 	return name
 }
 
-// deadlineCases are all cases, or those that are quick.
+// deadlineCases returns all cases, or only those that run quickly.
 func deadlineCases(all bool) (cases []deadlineCase) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		for name, fault := range pollFaults {
@@ -76,7 +77,7 @@
 	return cases
 }
 
-// checkDeadline plays a case and checks that each node has the change before the deadline.
+// checkDeadline runs a case and checks that each node receives the change before the deadline.
 func checkDeadline(t *testing.T, c deadlineCase) {
 	t.Helper()
 	n, pollers := c.nodes, 0
@@ -110,22 +111,22 @@
 	defer mu.Unlock()
 	for i := range changedAt {
 		if changedAt[i].IsZero() {
-			t.Fatalf("node %d never had the change", i)
+			t.Fatalf("node %d never received the change", i)
 		}
 		worst = max(worst, changedAt[i].Sub(begin))
 	}
 	if worst > endpointlease.NotificationDeadline {
-		t.Errorf("the last node had the change after %v", worst)
+		t.Errorf("the last node received the change after %v", worst)
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if reportTimings() {
-		t.Logf("worst %v, polls a node %.2f", worst, float64(q.polls-pollsBefore)/float64(n))
+		t.Logf("worst time %v, polls per node %.2f", worst, float64(q.polls-pollsBefore)/float64(n))
 	}
 }
 
-// An agent that pushes lists comes back after an outage in which it refused connections. A node counts as notified at once
-// of what the agent has, so it must be there within the time that a drain leaves for sends.
+// An agent that pushes lists is available again after an outage in which it refused connections. A node counts as
+// notified as soon as the agent has a change, so the node must receive it within the time that a drain leaves for sends.
 func TestPushedListAfterAnOutage(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
@@ -150,7 +151,7 @@
 			agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 			<-updates
 			if after := time.Since(begin); after > 200*time.Millisecond {
-				t.Errorf("updated %v after the return", after)
+				t.Errorf("updated %v after the end of the outage", after)
 			}
 		})
 	}
--- a/internal/discovery/discoverytest/pipenetwork.go
+++ b/internal/discovery/discoverytest/pipenetwork.go
@@ -10,21 +10,22 @@
 	"testing"
 )
 
-// PipeNetwork is a network without sockets, for tests with the virtual time of testing/synctest. It is a net.Listener.
+// PipeNetwork is a network without sockets, for tests that use the virtual time of testing/synctest. It is a
+// net.Listener.
 type PipeNetwork struct {
 	conns chan net.Conn
 	done  chan struct{} // closed by Close
 	close func()        // closes done, once
 }
 
-// NewPipeNetwork makes a network without connections.
+// NewPipeNetwork returns a network without connections.
 func NewPipeNetwork() *PipeNetwork {
 	p := &PipeNetwork{conns: make(chan net.Conn), done: make(chan struct{})}
 	p.close = sync.OnceFunc(func() { close(p.done) })
 	return p
 }
 
-// Accept waits for a connection, until Close.
+// Accept waits for a connection or for Close.
 func (p *PipeNetwork) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
@@ -34,32 +35,33 @@
 	}
 }
 
-// Close ends Accept. Connections that are open stay so.
+// Close ends Accept. Open connections stay open.
 func (p *PipeNetwork) Close() error {
 	p.close()
 	return nil
 }
 
-// Addr is an address without meaning.
+// Addr returns an empty address, which only completes the net.Listener interface.
 func (p *PipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Dial connects to whoever accepts here, whatever the address.
+// Dial connects to the goroutine that calls Accept, whatever the address.
 func (p *PipeNetwork) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
 	case p.conns <- server:
 		return client, nil
-	case <-p.done: // http.Transport may go on dialing after its caller has left
+	case <-p.done: // http.Transport may keep dialing after its caller has returned
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Dial opens a connection, as the field DialContext of http.Transport does.
+// Dial opens a connection; it has the type of http.Transport's field DialContext.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ServePipe serves a handler within a bubble of testing/synctest until the test ends, and returns how to dial it.
+// ServePipe serves a handler in a testing/synctest bubble until the test ends, and returns a function that connects to
+// it.
 func ServePipe(t testing.TB, h http.Handler) Dial {
 	t.Helper()
 	p := NewPipeNetwork()
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -6,19 +6,19 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// What one process of a node hands to the next, and takes from the one before.
+// What a process of a node hands to its successor, and takes over from its predecessor.
 
-// ResumeFrom has Run begin from a version that another process of the node held. It must be called before Run.
+// ResumeFrom makes Run begin from a version that another process of the node held. It must be called before Run.
 func (s *Source) ResumeFrom(version int64) { s.version.Store(version) }
 
-// InheritAge has the list held be as old as it was in the process that handed it over. It must be called before Run.
-// Without it a restart would renew the lease of a list that nobody has confirmed.
+// InheritAge gives the held list the age that it had in the process that handed it over. It must be called before Run.
+// Without it, a restart would renew the lease of a list that discovery has not confirmed.
 func (s *Source) InheritAge(age time.Duration) {
 	s.track(func(t *endpointlease.Tracker) { t.InheritAge(s.now(), age) })
 }
 
-// ResumeVersion is the version from which another process of the node may poll at the present address; 0 where the list
-// held came from an earlier one, for each discovery may count its versions in its own way.
+// ResumeVersion returns the version from which another process of the node may poll the present address. It is 0 if the
+// held list came from an earlier address, because each discovery may number its versions independently.
 func (s *Source) ResumeVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +28,7 @@
 	return s.Version()
 }
 
-// Age is how long ago the list held was last known to be all that discovery had, as far as that shortens its lease: from 0
+// Age returns the time since the held list was last known to be current, as far as this time shortens the lease: from 0
 // to endpointlease.NotificationDeadline.
 func (s *Source) Age() time.Duration {
 	s.mu.Lock()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -5,8 +5,8 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// track notes an event with the tracker, and passes the lease on if it has changed. Every event goes through here or
-// through a method that does the same: the incident of 2 December 2026 was a lease that was known and passed to nobody.
+// track records an event in the tracker, and passes the lease on if it has changed. Every event must be recorded here or
+// by a method that does the same: in the incident of 2 December 2026, a lease had changed but was not passed on.
 func (s *Source) track(recordEvent func(*endpointlease.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,7 +14,7 @@
 	s.notifyLease()
 }
 
-// notifyLease passes the lease on, if it has changed. The caller holds the lock.
+// notifyLease passes the lease to RenewLease if it has changed. The caller holds the lock.
 func (s *Source) notifyLease() {
 	expires := s.tracker.Expires()
 	if s.RenewLease == nil || expires == s.notifiedExpiry {
@@ -24,18 +24,19 @@
 	s.RenewLease(engine.Lease{Until: s.epoch.Add(expires)})
 }
 
-// logLease logs changes of the lease and of discovery: an operator sees when a node began to reject requests, and why.
+// logLease logs changes of the lease and of discovery's availability, so that an operator sees when a node began to
+// reject requests, and why.
 func (s *Source) logLease(state endpointlease.State, unavailable bool, found string) {
 	if expired := state == endpointlease.Expired; expired != (s.loggedState == endpointlease.Expired) {
 		if expired {
 			s.log.Warn("endpoint list expired: requests are rejected until discovery answers", "version", s.Version(),
 				"addr", s.Addr(), "open_streams", len(s.streams))
 		} else {
-			s.log.Info("endpoint list may be used again", "version", s.Version(), "list", state, "unavailable", unavailable, "found", found)
+			s.log.Info("endpoint list is usable again", "version", s.Version(), "list", state, "unavailable", unavailable, "found", found)
 		}
 	}
 	if unavailable != s.loggedUnavailable {
-		s.log.Warn("discovery", "unavailable", unavailable, "found", found, "addr", s.Addr(), "version", s.Version())
+		s.log.Warn("discovery availability changed", "unavailable", unavailable, "found", found, "addr", s.Addr(), "version", s.Version())
 	}
 	s.loggedState, s.loggedUnavailable = state, unavailable
 }
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -16,9 +16,9 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// A process hands its list to the next one. If the lease began anew there, a node that is upgraded while discovery is slow
-// would go on sending on an expired list. So a list that was confirmed 4 s ago may be relied on for 2 s more. Its version
-// is handed over only where it came from the present address.
+// A process hands its list over to the next one. If that renewed the lease, a node that is upgraded while discovery is
+// slow would keep sending on an expired list. So a list that was confirmed 4 s ago may be relied on for 2 s more. Its
+// version is handed over only if it came from the present address.
 func TestInheritedListKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := discoverytest.NewAgent(discoverytest.CompleteList)
@@ -28,7 +28,7 @@
 		<-updates
 		<-time.After(4 * time.Second)
 		if source.Age() != 4*time.Second || source.ResumeVersion() != 43 {
-			t.Errorf("hands over a list %v old, version %d", source.Age(), source.ResumeVersion())
+			t.Errorf("hands over a list of age %v, version %d", source.Age(), source.ResumeVersion())
 		}
 		source.SetAddress("agent:2")
 		if source.ResumeVersion() != 0 {
@@ -41,20 +41,20 @@
 		next.RenewLease = func(l engine.Lease) { lease = l }
 		next.InheritAge(source.Age())
 		if left := time.Until(lease.Until); left != endpointlease.NotificationDeadline-4*time.Second {
-			t.Errorf("the next process may use it for %v more", left)
+			t.Errorf("the next process may use the list for %v more", left)
 		}
 	})
 }
 
-// Each line of a watch renews the lease, and so does each poll that finds discovery down: a node must neither send on a list
-// that may be out of date, nor reject requests for as long as discovery is down.
+// Each line of a watch renews the lease, and so does each poll that finds discovery down. A node must neither send on a
+// list that may be out of date, nor reject requests throughout an outage of discovery.
 func TestLeaseIsRenewedByHeartbeatsAndOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := discoverytest.NewAgent(discoverytest.CompleteList)
 		leases := make(chan engine.Lease, 100)
 		_, updates := startSource(t, "agent:1", "on_request", withPipe(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case <-agent.EndWatch: // closed: down
+			case <-agent.EndWatch: // closed: discovery is down
 				select {
 				case <-time.After(2 * time.Second):
 					w.WriteHeader(http.StatusServiceUnavailable)
@@ -62,7 +62,7 @@
 				}
 			default:
 				agent.ServeHTTP(w, r)
-				panic(http.ErrAbortHandler) // as it goes down its connections are reset
+				panic(http.ErrAbortHandler) // connections are reset when discovery goes down
 			}
 		})), func(source *Source) {
 			source.tracker.MaxPollInterval = 10 * time.Second
@@ -81,30 +81,31 @@
 		agent.Lines <- `{"seq":43,"whole":false,"hosts":[]}`
 		<-updates
 		if l := newest(); time.Until(l.Until) != endpointlease.NotificationDeadline {
-			t.Errorf("after a list: %+v", l)
+			t.Errorf("lease after a list: %+v", l)
 		}
 		<-time.After(2 * time.Second)
 		agent.Lines <- ""
 		if l := newest(); time.Until(l.Until) != endpointlease.NotificationDeadline {
-			t.Errorf("after a line: %+v", l)
+			t.Errorf("lease after a heartbeat: %+v", l)
 		}
 		close(agent.EndWatch)
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 			select {
-			case <-updates: // that all polls have failed
+			case <-updates: // reports that all polls have failed
 			case <-time.After(100 * time.Millisecond):
 			}
 			if l := newest(); time.Until(l.Until) <= 0 {
-				t.Fatalf("in an outage: %+v", l)
+				t.Fatalf("lease during the outage: %+v", l)
 			}
 		}
 	})
 }
 
-// A discovery that answered no poll counted as one that can notify nobody 10 s after the lease, and the node served again on an
-// expired list. However its polls end, a new process has what is left of the lease on the list that it was given, and no more.
+// A discovery that answered no poll was once considered unable to notify any node 10 s after the lease had ended, and the
+// node served again on an expired list. However its polls end, a new process may use only the rest of the lease on the
+// list that it was given.
 func TestUnansweredPollsDoNotRenewLease(t *testing.T) {
-	const remaining = endpointlease.NotificationDeadline - 3*time.Second // a list that a process was given counts as 3 s old
+	const remaining = endpointlease.NotificationDeadline - 3*time.Second // the list given to a new process counts as 3 s old
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 	responses := map[string][]func(http.ResponseWriter){"503": {reject}, "reset": {reset}, "503 and reset": {reject, reset}, "nothing": nil}
@@ -136,7 +137,7 @@
 	}
 }
 
-// Nobody can be notified by a discovery that refuses connections: a new process serves on for as long as that lasts.
+// A discovery that refuses connections cannot notify any node: a new process keeps serving while this lasts.
 func TestRefusedConnectionsRenewTheLease(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// A discovery that closes its watches is up, and may do so in place of a change. Polls that it rejects after a wait were taken
-// for an outage all the same, and renewed the lease without an end.
+// A discovery that closes its watches is up, and may close one instead of sending a change. The fault guarded against:
+// polls that such a discovery rejected after a wait were treated as an outage, and renewed the lease without end.
 func TestClosedWatchIsNotAnOutage(t *testing.T) {
 	const watchTime = time.Second
 	for _, mode := range []string{"on_request", "pushed"} {
@@ -179,11 +180,11 @@
 	}
 }
 
-// timeWithoutList is how long lastLease has a process run.
+// timeWithoutList is how long lastLeaseEnd runs a process.
 const timeWithoutList = 5 * time.Minute
 
-// lastLeaseEnd runs a new process for a while, in which discovery brings no list, and returns the latest end of its lease, counted
-// from its start.
+// lastLeaseEnd runs a new process for a while during which discovery sends no list. It returns the latest end of the
+// lease, counted from the start of the process.
 func lastLeaseEnd(t *testing.T, mode string, discovery func(*Source)) (last time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -194,7 +195,7 @@
 		source.RequestPoll()
 	})
 	<-time.After(timeWithoutList)
-	source.mu.Lock() // RenewLease is called under it
+	source.mu.Lock() // RenewLease is called with the lock held
 	defer source.mu.Unlock()
 	return last
 }
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -14,10 +14,10 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// An overloaded discovery handles one poll after another and answers 503 to those that would wait too long. All open watches
-// fall silent or end at once. If each node opened many polls, discovery would work for polls that nobody waits for, and
-// serve nobody. So each node has its list again within little more than one poll from each takes, and there are not many
-// more polls than nodes.
+// An overloaded discovery handles one poll after another, and answers 503 to polls that would wait too long. All open
+// watches fall silent or end at once. If each node opened many polls, discovery would work on polls that no node waits
+// for, and serve no node. So every node must have its list again within little more than the time of one poll from each
+// node, with not many more polls than nodes.
 func TestOverloadedDiscoveryServesAllNodes(t *testing.T) {
 	for _, nodes := range []int{16, 22, 26, 60, 300} {
 		for _, ended := range []bool{false, true} {
@@ -26,25 +26,25 @@
 					queue := newSerialDiscovery(200*time.Millisecond, 1500*time.Millisecond)
 					last, polls, lists := breakAllWatches(t, queue, nodes, ended)
 					serialTime := time.Duration(nodes) * queue.pollTime
-					if most := serialTime + serialTime/5 + 2*time.Second; last > most {
-						t.Errorf("the last node had its list after %v, want %v at most", last, most)
+					if maxTime := serialTime + serialTime/5 + 2*time.Second; last > maxTime {
+						t.Errorf("the last node received its list after %v, want %v at most", last, maxTime)
 					}
 					if lists > nodes {
-						t.Errorf("%d lists for %d nodes: some of its work was for nobody", lists, nodes)
+						t.Errorf("%d lists for %d nodes: discovery prepared lists that no node waited for", lists, nodes)
 					}
-					// A node must know within 6 s that discovery is back, so it polls every few seconds for as long as it takes.
-					if most := nodes * max(4, int(serialTime/(4*time.Second))); polls > most {
-						t.Errorf("%d polls, want %d at most", polls, most)
+					// A node must find out within 6 s that discovery is back, so it keeps polling every few seconds.
+					if maxPolls := nodes * max(4, int(serialTime/(4*time.Second))); polls > maxPolls {
+						t.Errorf("%d polls, want %d at most", polls, maxPolls)
 					}
-					t.Logf("last list after %v, %.2f polls and %.2f lists a node, in turn %v", last, float64(polls)/float64(nodes), float64(lists)/float64(nodes), serialTime)
+					t.Logf("last list after %v, %.2f polls and %.2f lists per node, one poll from each takes %v", last, float64(polls)/float64(nodes), float64(lists)/float64(nodes), serialTime)
 				})
 			})
 		}
 	}
 }
 
-// breakAllWatches has nodes watch a discovery, breaks all watches at once, and returns after how long the last node had its
-// list, and how many polls and lists there were until then.
+// breakAllWatches lets nodes watch a discovery and then breaks all watches at once. It returns the time until the last
+// node received its list, and the number of polls and lists until then.
 func breakAllWatches(t *testing.T, queue *serialDiscovery, nodes int, ended bool) (last time.Duration, polls, lists int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -76,7 +76,7 @@
 		withPipe(t, queue)(source)
 		source.RequestPoll()
 		running.Go(func() {
-			<-time.After(time.Duration(i) * queue.pollTime) // each starts when discovery is free for it
+			<-time.After(time.Duration(i) * queue.pollTime) // each node starts when discovery is idle
 			source.Run(ctx)
 		})
 	}
@@ -96,12 +96,12 @@
 	queue.mu.Unlock()
 	cancel()
 	running.Wait()
-	<-time.After(time.Hour) // the stand-in works on for nodes that have gone
+	<-time.After(time.Hour) // the stand-in finishes its work for nodes that have stopped
 	return last, polls, lists
 }
 
-// A discovery takes up to 7 s for each poll. A node that gives a poll up and makes another never has its list. So the list
-// is there with the answer to the first poll.
+// A discovery takes up to 7 s for each poll. A node that abandoned a poll and made another would never receive its list.
+// So the list must arrive with the answer to the first poll.
 func TestNodeWaitsForSlowDiscovery(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		for _, answerDelay := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second} {
@@ -117,9 +117,9 @@
 							if u.WatchFailed {
 								continue
 							}
-							// A watch that fell silent is noticed within 2.8 s; after one that ended discovery is polled within 0.2 s.
-							if after, most := time.Since(began), answerDelay+3*time.Second; after > most {
-								t.Errorf("updated after %v, want %v at most", after, most)
+							// A silent watch is noticed within 2.8 s; after the end of a watch, discovery is polled within 0.2 s.
+							if after, maxTime := time.Since(began), answerDelay+3*time.Second; after > maxTime {
+								t.Errorf("updated after %v, want %v at most", after, maxTime)
 							}
 							return
 						}
@@ -130,15 +130,15 @@
 	}
 }
 
-// slowDiscovery answers each poll on its own, after a while.
+// slowDiscovery answers polls concurrently, each after a delay.
 type slowDiscovery struct {
 	mu          sync.Mutex
 	answerDelay time.Duration
-	broken      chan struct{} // closed: open watches are silent, or end
+	broken      chan struct{} // closed: open watches fall silent or end
 	ended       bool
 }
 
-// set has the open watches fall silent or end, and each poll from now on take a while.
+// set makes the open watches fall silent or end, and delays the answers to later polls.
 func (s *slowDiscovery) set(answerDelay time.Duration, ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -13,16 +13,16 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// StatusError says that discovery answered a poll with another status than 200: it is down behind a proxy, or overloaded.
-// The tracker tells the two apart by how long the answer took.
+// StatusError is returned when discovery answers a poll with a status other than 200. Discovery is then overloaded, or a
+// proxy answers while discovery is down. The tracker distinguishes the two by the time that the answer took.
 type StatusError struct{ Status string }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("discovery answered %s: if it goes on, it is down or has more pollers than it can serve", e.Status)
+	return fmt.Sprintf("discovery answered %s: if this continues, discovery is down or has more pollers than it can serve", e.Status)
 }
 
-// get polls discovery and returns the body of a good answer, which the caller closes. The error is a *StatusError, or that
-// of the connection.
+// get polls discovery and returns the body of a successful response, which the caller closes. The error is a *StatusError
+// or an error of the connection.
 func (s *Source) get(ctx context.Context, id int, addr, query string) (io.ReadCloser, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { s.track(func(t *endpointlease.Tracker) { t.Connected(id) }) }})
@@ -41,14 +41,14 @@
 	return resp.Body, nil
 }
 
-// unreachableErrors are what the system says of a dial that fails at the other end or on the way there.
+// unreachableErrors are the system errors of a dial that fails at the remote end or on the way there.
 var unreachableErrors = []syscall.Errno{
 	syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EHOSTDOWN,
 }
 
-// isUnreachable says whether a poll failed because discovery can't be reached: its machine refuses connections, or answers
-// nothing to those who want one. A dial that fails on this machine, as for want of descriptors, says nothing about
-// discovery, and must not renew the lease.
+// isUnreachable reports whether a poll failed because discovery cannot be reached: its machine refuses connections or
+// does not respond to connection attempts. A dial that fails on this machine, for example because it is out of file
+// descriptors, says nothing about discovery and must not renew the lease.
 func isUnreachable(err error) bool {
 	var dial *net.OpError
 	if !errors.As(err, &dial) || dial.Op != "dial" {
--- a/internal/discovery/serialdiscovery_test.go
+++ b/internal/discovery/serialdiscovery_test.go
@@ -14,23 +14,24 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// serialDiscovery is a discovery that works through its polls one after another, rejects those that wait too long, and has faults.
+// serialDiscovery is a discovery that handles its polls one after another, rejects those that would wait too long, and
+// can have faults.
 type serialDiscovery struct {
-	pollTime, maxWait time.Duration // for the work on a poll, and for its turn
+	pollTime, maxWait time.Duration // time to handle one poll; longest time that a poll may wait for its turn
 
 	mu     sync.Mutex
 	idleAt time.Time
-	faults map[string]int // of each node, by host: how many of its next polls meet the fault
+	faults map[string]int // by the host of a node: how many of its next polls meet the fault
 	fault  func(w http.ResponseWriter, r *http.Request)
 	polls  int
-	lists  int // polls answered with one
+	lists  int // polls that were answered with a list
 
-	silent chan struct{} // closed: open watches bring nothing any more
+	silent chan struct{} // closed: open watches send nothing more
 	ended  chan struct{} // closed: open watches end
 	change chan struct{} // closed: there is a newer version
 }
 
-// newSerialDiscovery is a discovery without faults.
+// newSerialDiscovery returns a discovery without faults.
 func newSerialDiscovery(pollTime, maxWait time.Duration) *serialDiscovery {
 	return &serialDiscovery{pollTime: pollTime, maxWait: maxWait, faults: map[string]int{},
 		silent: make(chan struct{}), ended: make(chan struct{}), change: make(chan struct{})}
@@ -98,7 +99,8 @@
 	}
 }
 
-// breakWatches has all open watches fall silent, or end, gives each node's next polls the fault, and makes a change.
+// breakWatches makes all open watches fall silent or end, gives the next polls of each node the fault, and makes a
+// change.
 func (q *serialDiscovery) breakWatches(end bool, faults int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -114,10 +116,10 @@
 	close(q.change)
 }
 
-// nodeHost is the host by which a node polls, so that discovery tells the nodes apart.
+// nodeHost returns the host that a node polls, by which discovery distinguishes the nodes.
 func nodeHost(i int) string { return fmt.Sprintf("n%d:1", i) }
 
-// pollFaults are what may become of a poll.
+// pollFaults are the faults that a poll can meet, by name.
 var pollFaults = map[string]func(http.ResponseWriter, *http.Request){
 	"none":      nil,
 	"503":       func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
@@ -133,8 +135,8 @@
 	},
 }
 
-// startNodes runs the sources of n nodes at one discovery, within a bubble of testing/synctest. onList is called with each
-// list of a node.
+// startNodes runs the sources of n nodes that poll one discovery, in a testing/synctest bubble. It calls onList with each
+// list that a node receives.
 func startNodes(t *testing.T, n, pollers int, mode string, option func(*Source), onList func(node int, version int64)) {
 	t.Helper()
 	for i := range n {
@@ -142,7 +144,7 @@
 		config.Pollers = pollers
 		source := New(config, slog.New(slog.DiscardHandler), nil)
 		source.ApplyUpdate = func(ctx context.Context, u engine.Update) error {
-			if u.WatchFailed { // the module asks for a poll: its request changes nothing, the tracker polls by itself
+			if u.WatchFailed { // as the decision module does; the tracker also polls without this request
 				time.AfterFunc(rand.N(300*time.Millisecond), source.RequestPoll)
 			} else {
 				onList(i, u.Version)
@@ -155,7 +157,7 @@
 		source.RequestPoll()
 		go func() {
 			defer close(done)
-			time.Sleep(rand.N(2 * time.Second)) // the heartbeats of the watches are apart
+			time.Sleep(rand.N(2 * time.Second)) // spreads the heartbeats of the watches
 			source.Run(ctx)
 		}()
 		t.Cleanup(func() {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -1,9 +1,9 @@
-// Package discovery keeps a node's endpoint list up to date: it polls discovery, keeps a watch open, and passes each
-// complete list or change on, in order.
+// Package discovery keeps a node's endpoint list up to date. It polls discovery, keeps a watch open, and passes on each
+// complete list or change, in order.
 //
-// It does the I/O and owns the goroutines, the connections and their ends. The rules of when to poll and until when the
-// list may be relied on are internal/endpointlease's; the form of the lists is internal/discoveryapi's. The node gives it a
-// Config, a function that applies updates, and a context that ends it.
+// It does the I/O, and owns the goroutines and the connections. The rules for when to poll and how long the list may be
+// relied on are in internal/endpointlease, the format of the lists is in internal/discoveryapi. The node supplies a
+// Config, a function that applies updates, and a context that stops it.
 package discovery
 
 import (
@@ -19,55 +19,56 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// dialTimeout is how long a connection to discovery may take to come up: the system sends its first packet again after 1 s.
+// dialTimeout limits the time to connect to discovery. It leaves room for one retransmission of the first packet, which
+// the operating system sends after 1 s.
 const dialTimeout = 2 * time.Second
 
-// Config says which discovery is polled, how, and what the node holds from before.
+// Config says which discovery is polled and how, and which list the node already holds.
 type Config struct {
 	Addr            string        // HOST:PORT
-	Polled          bool          // lists are polled, the first time after Subscribe; else an agent pushes them
-	MaxPollInterval time.Duration // where lists are polled: the lease of a list without a watch ends so long after the last poll
-	Pollers         int           // nodes that poll the same discovery; 0: not known
-	Version         int64         // of the list held; 0: none
+	Polled          bool          // lists are polled, the first time after RequestPoll; otherwise an agent pushes them
+	MaxPollInterval time.Duration // for polled lists: while no stream is open, the lease ends this long after the last poll
+	Pollers         int           // number of nodes that poll the same discovery; 0: unknown
+	Version         int64         // version of the list that the node already holds; 0: none
 }
 
-// Source is a node's source of endpoint lists. Run owns it: each stream has a goroutine that reads, and hands what it
-// reads to the goroutine of Run, which alone changes what the list is and applies updates. The exported methods may be
-// called from any goroutine, unless they say otherwise.
+// Source is a node's source of endpoint lists. Each stream has a goroutine that reads it and sends what it reads to the
+// goroutine of Run. Only the goroutine of Run changes the list and applies updates. The exported methods may be called
+// from any goroutine unless they say otherwise.
 type Source struct {
-	// Client polls discovery. It may be replaced before Run.
+	// Client is used to poll discovery. It may be replaced before Run.
 	Client *http.Client
-	// ApplyUpdate passes an update to the engine. It fails only as its context ends. It may be replaced before Run.
+	// ApplyUpdate passes an update to the engine, and fails only if its context ends. It may be replaced before Run.
 	ApplyUpdate func(context.Context, engine.Update) error
-	// RenewLease, if it is set, is given the lease on the list whenever that changes. It must not block.
+	// RenewLease, if set, is called with the lease on the list whenever the lease changes. It must not block.
 	RenewLease func(engine.Lease)
 
 	log    *slog.Logger
 	polled bool
-	epoch  time.Time // of the tracker's times
+	epoch  time.Time // start of the tracker's time
 
-	pollRequests   chan struct{} // Subscribe was called
-	addressChanges chan struct{} // SetAddress has changed addr
+	pollRequests   chan struct{} // signals that RequestPoll was called
+	addressChanges chan struct{} // signals that SetAddress has changed addr
 	events         chan streamEvent
 	version        atomic.Int64 // of the list held; see Version
 
-	// Of the goroutine of Run.
-	streams               map[int]*stream // by the tracker's ID
-	heldGeneration        int             // of the address from which the list held came
-	needCompleteList      bool            // the list held can't be built on: the complete list comes first
-	consecutiveOlderLists int             // consecutive complete lists that were older than the one held
+	// The following fields belong to the goroutine of Run.
+	streams               map[int]*stream // by the tracker's stream ID
+	heldGeneration        int             // generation of the address that the held list came from
+	needCompleteList      bool            // the complete list must be polled before changes can be applied again
+	consecutiveOlderLists int             // complete lists in a row that were older than the held one
 	loggedState           endpointlease.State
-	loggedUnavailable     bool // whether discovery was unavailable as the log has it
+	loggedUnavailable     bool // the last logged value of Unavailable
 	lastEndLogged         time.Time
-	streamsEndedSinceLog  int // since lastEndLogged
+	streamsEndedSinceLog  int // streams that have ended since lastEndLogged
 
-	mu             sync.Mutex // of what follows
+	mu             sync.Mutex // protects the fields below
 	addr           string
 	tracker        endpointlease.Tracker
-	notifiedExpiry time.Duration // the end of the lease that RenewLease was given last
+	notifiedExpiry time.Duration // the end of the lease that was last passed to RenewLease
 }
 
-// New makes a Source that polls nothing yet. Run does.
+// New returns a Source, which polls nothing until Run is called.
 func New(cfg Config, log *slog.Logger, applyUpdate func(context.Context, engine.Update) error) *Source {
 	s := &Source{
 		Client: &http.Client{Transport: &http.Transport{
@@ -92,38 +93,38 @@
 	return s
 }
 
-// now is the tracker's time. It is monotonic: a step of the wall clock changes no lease.
+// now returns the tracker's time. It is monotonic: a step of the wall clock does not change a lease.
 func (s *Source) now() time.Duration { return time.Since(s.epoch) }
 
-// RequestPoll requests the first poll, where lists are polled. Further calls change nothing: the tracker schedules all later
-// polls by itself.
+// RequestPoll requests the first poll where lists are polled. Further calls have no effect: the tracker schedules all
+// later polls.
 func (s *Source) RequestPoll() { signal(s.pollRequests) }
 
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it is signaled already
+	default: // already signaled
 	}
 }
 
-// Version is that of the list held.
+// Version returns the version of the held list.
 func (s *Source) Version() int64 { return s.version.Load() }
 
-// State says whether the list that the node holds may be used.
+// State reports whether the held list may be used.
 func (s *Source) State() endpointlease.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.State(s.now())
 }
 
-// Unavailable says whether discovery was found to be down, so that it can notify nobody.
+// Unavailable reports whether discovery was found to be down, so that it cannot notify any node.
 func (s *Source) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.Unavailable()
 }
 
-// Run polls and watches until ctx ends. It returns after all of its goroutines.
+// Run polls and watches discovery until ctx ends. It returns after all of its goroutines have ended.
 func (s *Source) Run(ctx context.Context) {
 	var readers sync.WaitGroup
 	defer readers.Wait()
@@ -137,7 +138,7 @@
 		case <-wake.C:
 		case <-s.pollRequests:
 			s.track((*endpointlease.Tracker).RequestPoll)
-		case <-s.addressChanges: // SetAddress has noted it with the tracker
+		case <-s.addressChanges: // SetAddress has already recorded the change in the tracker
 		case event := <-s.events:
 			s.handle(ctx, event)
 		case <-ctx.Done():
@@ -145,7 +146,7 @@
 	}
 }
 
-// step carries out what the tracker decides now, and returns how long nothing more is due.
+// step carries out what the tracker decides now, and returns the time until the next step is due.
 func (s *Source) step(ctx context.Context, readers *sync.WaitGroup) time.Duration {
 	for {
 		s.mu.Lock()
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,36 +12,36 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// Why a stream was ended from this side, as the cause of its context.
+// Reasons why this process ended a stream, used as the cause of the stream's context.
 var (
-	errSuperseded = errors.New("a list of a later address of discovery is held")
-	errNotNeeded  = errors.New("the stream is not needed: another one serves, or its one list has come")
+	errSuperseded = errors.New("the node holds a list from a newer address of discovery")
+	errNotNeeded  = errors.New("the stream is no longer needed: another watch is healthy, or its only list has arrived")
 )
 
-// errStalled ends a stream whose list has begun and is not complete in time.
+// errStalled ends a stream on which a list began and was not complete in time.
 var errStalled = &discoveryapi.UnreadableError{Err: discoveryapi.ErrIncomplete}
 
-// stream is a poll of discovery and the watch that it becomes. Its states, and the rules for them, are the tracker's.
+// stream is a poll of discovery and the watch that the poll becomes. The tracker holds its state and the rules for it.
 type stream struct {
 	source        *Source
-	id            int // the tracker's
-	generation    int // of its address
+	id            int // assigned by the tracker
+	generation    int // of the stream's address
 	addr          string
 	openedAt      time.Duration
-	pollOnly      bool // it asks for the complete list and for no watch
+	pollOnly      bool // it requests the complete list without a watch
 	listsReceived int
 	cancel        context.CancelCauseFunc
 }
 
-// streamEvent is what a stream has read: a list, or its end.
+// streamEvent is what a stream has read: a list, or the end of the stream.
 type streamEvent struct {
 	stream  *stream
 	list    discoveryapi.List
-	err     error         // not nil: its end
-	handled chan struct{} // closed once a list is handled: the next one is read after it
+	err     error         // if not nil, the stream has ended
+	handled chan struct{} // closed once the list is handled; only then is the next one read
 }
 
-// newStream has the tracker note a poll. The caller holds the lock.
+// newStream records a poll in the tracker and returns its stream. The caller holds the lock.
 func (s *Source) newStream(now time.Duration) *stream {
 	return &stream{
 		source:     s,
@@ -52,8 +52,8 @@
 	}
 }
 
-// openStream begins a poll. After an address change it asks for all changes from the first version on: polling the complete
-// list and then the watch would double the queue at a discovery to which all nodes turn at once.
+// openStream begins a poll. After an address change it requests a watch with all changes from version 0 on, rather than
+// the complete list and then a watch: two polls would double the queue at a discovery that all nodes poll at once.
 func (s *Source) openStream(ctx context.Context, opened *stream, readers *sync.WaitGroup) {
 	opened.pollOnly = s.needCompleteList
 	query := "?watch=1&from=" + strconv.FormatInt(s.baseVersion(opened), 10)
@@ -66,13 +66,13 @@
 	readers.Go(func() { opened.read(streamCtx, query) })
 }
 
-// endStream ends the reading of a stream. What it still brings is ignored.
+// endStream stops reading a stream. Its later events are ignored.
 func (s *Source) endStream(id int, cause error) {
 	s.streams[id].cancel(cause)
 	delete(s.streams, id)
 }
 
-// read polls, and hands on each list of the answer, until that ends or can't be read.
+// read polls discovery and emits each list of the response, until the response ends or cannot be read.
 func (st *stream) read(ctx context.Context, query string) {
 	defer st.cancel(nil)
 	body, err := st.source.get(ctx, st.id, st.addr, query)
@@ -101,7 +101,7 @@
 	}
 }
 
-// emit hands an event to Run, unless the stream has been ended.
+// emit sends an event to Run, unless the stream has been ended.
 func (st *stream) emit(ctx context.Context, event streamEvent) error {
 	select {
 	case st.source.events <- event:
@@ -111,15 +111,15 @@
 	}
 }
 
-// Heartbeat notes a heartbeat.
+// Heartbeat records a heartbeat.
 func (st *stream) Heartbeat() {
 	st.source.track(func(t *endpointlease.Tracker) { t.Activity(st.id, st.source.now()) })
 }
 
-// ObjectBegan notes the first bytes of a list.
+// ObjectBegan records the first bytes of a list.
 func (st *stream) ObjectBegan() {
 	st.source.track(func(t *endpointlease.Tracker) { t.ListBegan(st.id, st.source.now()) })
 }
 
-// Progress notes the head of an answer, or a part of a list.
+// Progress records the head of a response or a part of a list.
 func (st *stream) Progress() { st.Heartbeat() }
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// olderListsUntilAccepted is how many complete lists in a row must be older than the one held for the last of them to be
-	// applied. A single one may be a late answer, and would bring endpoints back that have drained; a discovery that has lost
-	// its state counts its versions anew, and each of its lists is older.
+	// olderListsUntilAccepted is how many complete lists in a row must be older than the held one for the last of them to
+	// be applied. A single older list may be a delayed answer, and would bring back endpoints that have drained. A
+	// discovery that has lost its state restarts its version numbers, so that each of its lists is older.
 	olderListsUntilAccepted = 3
-	// endLogInterval is the least time between two log lines of polls that ended without a list: while discovery is down, a
-	// node's polls end several times a second.
+	// endLogInterval is the minimum interval between log lines about polls that ended without a list: while discovery is
+	// down, a node's polls end several times a second.
 	endLogInterval = time.Second
 )
 
-// handle takes what a stream has read, if the stream still counts.
+// handle processes what a stream has read, unless the stream has already been ended.
 func (s *Source) handle(ctx context.Context, event streamEvent) {
 	if event.handled != nil {
 		defer close(event.handled)
 	}
 	st := event.stream
 	switch {
-	case s.streams[st.id] != st: // it was ended meanwhile
+	case s.streams[st.id] != st: // the stream has been ended meanwhile
 	case event.err != nil:
 		s.streamFailed(ctx, st, event.err)
 	case st.generation < s.heldGeneration:
@@ -39,7 +39,7 @@
 	}
 }
 
-// handleList applies a list that can be built on.
+// handleList applies a list if it is valid.
 func (s *Source) handleList(ctx context.Context, st *stream, list discoveryapi.List) {
 	if st.pollOnly {
 		list.Complete = true
@@ -48,7 +48,7 @@
 		s.streamFailed(ctx, st, err)
 		return
 	}
-	// The lease is renewed before the update is applied: requests that waited for the list would be rejected otherwise.
+	// The lease is renewed before the update is applied. Otherwise requests that waited for the list would be rejected.
 	s.track(func(t *endpointlease.Tracker) {
 		if st.pollOnly {
 			t.PollAnswered(st.id, s.now())
@@ -68,8 +68,8 @@
 	}
 }
 
-// baseVersion is the version on which what a stream brings builds: 0 after an address change, for each discovery may count
-// its versions in its own way.
+// baseVersion returns the version to which a stream's changes apply. It is 0 after an address change, because each
+// discovery may number its versions independently.
 func (s *Source) baseVersion(st *stream) int64 {
 	if st.generation != s.heldGeneration {
 		return 0
@@ -77,7 +77,7 @@
 	return s.Version()
 }
 
-// checkList says why a list can't be built on: a *discoveryapi.UnreadableError, or nil.
+// checkList returns why a list cannot be applied, as a *discoveryapi.UnreadableError, or nil.
 func (s *Source) checkList(st *stream, list discoveryapi.List) error {
 	base := s.baseVersion(st)
 	switch {
@@ -92,9 +92,10 @@
 	return nil
 }
 
-// streamFailed ends a stream that has failed. After something that can't be read the complete list is polled next, and all
-// streams end: what the others bring would build on it too. Where lists are polled, the decision module is told when no
-// stream is left. In response it calls Subscribe, which changes nothing here: the tracker schedules the next poll by itself.
+// streamFailed ends a stream that has failed. If the stream sent something that cannot be read or applied, all other
+// streams end as well, because the changes on them build on the one that is missing, and the complete list is polled
+// next. Where lists are polled, the decision module is notified when no stream is left. It responds by requesting a poll,
+// which has no effect here: the tracker schedules the next poll.
 func (s *Source) streamFailed(ctx context.Context, st *stream, err error) {
 	s.endStream(st.id, err)
 	unreadable := errors.As(err, new(*discoveryapi.UnreadableError))
@@ -108,11 +109,11 @@
 	}
 	s.logEnd(st, err, unreadable)
 	if s.polled && len(s.streams) == 0 {
-		s.ApplyUpdate(ctx, engine.Update{WatchFailed: true}) // fails only as ctx ends
+		s.ApplyUpdate(ctx, engine.Update{WatchFailed: true}) // returns an error only if ctx ends
 	}
 }
 
-// noteFailure notes with the tracker that a stream has ended, and what its error says about discovery.
+// noteFailure records in the tracker that a stream has ended, and what its error says about discovery.
 func noteFailure(t *endpointlease.Tracker, id int, now time.Duration, err error) {
 	switch {
 	case errors.As(err, new(*discoveryapi.UnreadableError)):
@@ -129,8 +130,8 @@
 	t.StreamEnded(id, now)
 }
 
-// logEnd logs the end of a stream that brought a list or something unreadable. Of polls that ended without a list it logs one
-// in endLogInterval, with how many streams ended since the last line.
+// logEnd logs the end of a stream that sent a list or something unreadable. The ends of polls without a list are logged
+// at most once in endLogInterval, with the number of streams that ended since the last line.
 func (s *Source) logEnd(st *stream, err error, unreadable bool) {
 	s.streamsEndedSinceLog++
 	if st.listsReceived == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
--- a/internal/discovery/updates_test.go
+++ b/internal/discovery/updates_test.go
@@ -11,14 +11,14 @@
 	"hookwalk.example/hookwalk/internal/discovery/discoverytest"
 )
 
-// A watch brings a change that can't be read, or one whose version goes back. What comes after it can't be built on, so the
-// complete list is polled, and the watch begins again from there.
+// A watch sends a change that cannot be read, or one with an older version. Later changes cannot be applied to it, so the
+// complete list is polled, and the next watch begins from there.
 func TestMalformedChangeIsFollowedByTheCompleteList(t *testing.T) {
 	for name, line := range map[string]string{
 		"unreadable":     `{"seq":44,}`,
-		"no list":        `null`,
+		"null value":     `null`,
 		"never complete": `{"seq":44,`,
-		"gone back":      `{"seq":0,"whole":false,"hosts":[]}`,
+		"older version":  `{"seq":0,"whole":false,"hosts":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -28,7 +28,7 @@
 				agent.Lines <- line
 				agent.WantPoll(t, "list")
 				if u := <-updates; u.Version != 50 || !u.Complete || len(u.Endpoints) != 1 {
-					t.Fatalf("updated to %+v", u)
+					t.Fatalf("got the update %+v", u)
 				}
 				agent.WantPoll(t, "watch 50")
 			})
@@ -37,13 +37,13 @@
 }
 
 // A connection ends within a list, at any byte. A truncated list must change nothing, or a node would drop the endpoints
-// that were cut off: what is held stays, and the next watch begins from the same version, without a complete list in
-// between. A list that is complete but has no hosts is not believed either.
+// that were cut off. The node keeps its list, and the next watch begins from the same version, without polling the
+// complete list in between. A complete list without the key for its endpoints is rejected as well.
 func TestTruncatedListChangesNothing(t *testing.T) {
 	complete := `{"seq":42,"whole":true,"hosts":[{"host":"s-2","dial":"127.0.0.1:2","health":"in_service"}]}`
 	for cut := 1; cut < len(complete); cut += 7 {
 		if cut+7 >= len(complete) {
-			cut = len(complete) - 1 // all but the last brace
+			cut = len(complete) - 1 // everything but the last brace
 		}
 		from := make(chan string, 100)
 		addr := discoverytest.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -59,10 +59,10 @@
 		}))
 		_, updates := startSource(t, addr, "pushed")
 		if u := <-updates; u.Version != 43 || u.Complete {
-			t.Fatalf("cut at %d: updated to %+v", cut, u)
+			t.Fatalf("cut at %d: got the update %+v", cut, u)
 		}
 		if a, b := <-from, <-from; a != b || a == "" {
-			t.Errorf("cut at %d: asked for %q, then for %q", cut, a, b)
+			t.Errorf("cut at %d: polled with %q, then with %q", cut, a, b)
 		}
 	}
 	agent, addr := newAgent(t, complete)
@@ -70,12 +70,12 @@
 	<-agent.Polls
 	agent.Lines <- `{"seq":44,"whole":true}`
 	if u := <-updates; u.Version != 42 || len(u.Endpoints) != 1 {
-		t.Errorf("updated to %+v", u)
+		t.Errorf("got the update %+v", u)
 	}
 }
 
-// Discovery may write a list on many lines. A reader that takes each line for a list would fail at the first one, and every
-// node would poll again and again. So such a list is read as it comes, on one watch.
+// Discovery may write a list on several lines. A reader that treated each line as a list would fail at the first one, and
+// every node would poll again and again. Such a list is read as one, and the watch stays open.
 func TestIndentedLists(t *testing.T) {
 	agent, addr := newAgent(t, discoverytest.CompleteList)
 	_, updates := startSource(t, addr, "pushed")
@@ -85,16 +85,17 @@
 			agent.Lines <- line
 		}
 		if u := <-updates; u.Version != int64(seq) || len(u.Endpoints) != 1 || u.Complete {
-			t.Fatalf("updated to %+v", u)
+			t.Fatalf("got the update %+v", u)
 		}
 	}
 	if len(agent.Polls) != 0 {
-		t.Errorf("polled for %q besides", <-agent.Polls)
+		t.Errorf("extra poll %q", <-agent.Polls)
 	}
 }
 
-// A discovery writes changes that can't be read. Polled for the complete list each time, thirteen times a second by each of
-// 300 nodes, it would go down. So after the first complete list it is polled ever more slowly.
+// A discovery writes changes that cannot be read. If 300 nodes each polled the complete list thirteen times a second,
+// after every such change, discovery would go down. So after the first complete list it is polled at increasing
+// intervals.
 func TestPollsBackOffAfterMalformedLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const span = 20 * time.Second
@@ -123,17 +124,17 @@
 	})
 }
 
-// A complete list comes that is older than the one held. Applied, it would bring endpoints back that have drained: it is
-// ignored, and the complete list is polled again. A discovery that has lost its state counts anew: three such lists in a
-// row are believed.
+// A complete list arrives that is older than the held one. It would bring back endpoints that have drained, so it is
+// ignored, and the complete list is polled again. A discovery that has lost its state restarts its version numbers, so
+// three such lists in a row are accepted.
 func TestOlderListIsIgnored(t *testing.T) {
 	for name, c := range map[string]struct {
-		seqs []int // of the answers, one after another
+		seqs []int // versions of the answers, in order
 		want int64
 	}{
-		"a late answer":         {[]int{40, 70}, 70},
-		"two late answers":      {[]int{40, 41, 70}, 70},
-		"versions counted anew": {[]int{3, 3, 3}, 3},
+		"one delayed answer":        {[]int{40, 70}, 70},
+		"two delayed answers":       {[]int{40, 41, 70}, 70},
+		"version numbers restarted": {[]int{3, 3, 3}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -151,7 +152,7 @@
 						continue
 					}
 					if u.Version != c.want {
-						t.Errorf("updated to version %d", u.Version)
+						t.Errorf("got version %d", u.Version)
 					}
 					return
 				}
