--- a/internal/discoveryapi/discoveryapi_test.go
+++ b/internal/discoveryapi/discoveryapi_test.go
@@ -11,14 +11,14 @@
 	"testing/iotest"
 )
 
-// countingWatchdog counts what it observes.
+// countingWatchdog counts the calls of its methods.
 type countingWatchdog struct{ heartbeats, objects, progress int }
 
 func (w *countingWatchdog) Heartbeat()   { w.heartbeats++ }
 func (w *countingWatchdog) ObjectBegan() { w.objects++ }
 func (w *countingWatchdog) Progress()    { w.progress++ }
 
-// twoLists is a complete list on one line and changes on several, with heartbeats between.
+// twoLists is a complete list on one line and changes on several lines, with heartbeats between them.
 const twoLists = "\n\n" + `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"in_service"}]}` + "\n\r\n" + `{
   "seq": 2,
   "hosts": [
@@ -26,10 +26,10 @@
   ]
 }` + "\n"
 
-// Lists on one line or many, in pieces of any size, are read alike; heartbeats are observed as such.
+// Lists on one line or on several lines, read in pieces of any size, give the same result, and heartbeats are recognized.
 func TestListsInAnyForm(t *testing.T) {
 	for name, in := range map[string]io.Reader{"in one piece": strings.NewReader(twoLists), "byte by byte": iotest.OneByteReader(strings.NewReader(twoLists)),
-		"halves": iotest.HalfReader(strings.NewReader(twoLists)), "no last line end": strings.NewReader(strings.TrimSpace(twoLists))} {
+		"halves": iotest.HalfReader(strings.NewReader(twoLists)), "no final newline": strings.NewReader(strings.TrimSpace(twoLists))} {
 		watchdog := &countingWatchdog{}
 		r := NewReader(in, watchdog)
 		first, firstErr := r.Next()
@@ -45,13 +45,14 @@
 			t.Errorf("%s: ended with %v", name, end)
 		}
 		if watchdog.objects != 2 || name == "byte by byte" && watchdog.heartbeats != 6 {
-			t.Errorf("%s: observed %+v", name, watchdog)
+			t.Errorf("%s: watchdog counted %+v", name, watchdog)
 		}
 	}
 }
 
-// What is no list is told apart: after a truncated one the node polls from its version again, after an unreadable one it needs
-// the complete list. Confused, the first would cost discovery too much, and the second would have the node build on a gap.
+// The Reader distinguishes truncated lists from unreadable ones. After a truncated list the node polls from its version
+// again; after an unreadable one it needs the complete list. Mistaking the first for the second would cost discovery
+// needless work, and the reverse would let the node apply changes across a gap.
 func TestTruncatedAndUnreadableLists(t *testing.T) {
 	reset := errors.New("reset")
 	for text, want := range map[string]any{
@@ -79,7 +80,7 @@
 	}
 }
 
-// A watch in which nothing changes for days brings heartbeats alone. They must not pile up in the memory.
+// A watch without changes sends nothing but heartbeats for days. They must not accumulate in memory.
 func TestHeartbeatsAreNotBuffered(t *testing.T) {
 	heartbeats := bytes.Repeat([]byte("\n"), 2*MaxListBytes)
 	r := NewReader(io.MultiReader(iotest.HalfReader(bytes.NewReader(heartbeats)), strings.NewReader(`{"seq":3}`)), &countingWatchdog{})
@@ -88,7 +89,7 @@
 	}
 }
 
-// Whatever comes, reading ends, and a list that is taken reads the same again.
+// Whatever the input, reading ends, and a list that is accepted can be encoded and read again with the same result.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(twoLists), 3)
 	f.Add([]byte(`{"seq":1,`), 1)
@@ -115,7 +116,7 @@
 	})
 }
 
-// chunkReader is a stream that comes in chunkReader of one size.
+// chunkReader returns its data in chunks of one size.
 type chunkReader struct {
 	remaining []byte
 	size      int
--- a/internal/discoveryapi/golden_test.go
+++ b/internal/discoveryapi/golden_test.go
@@ -9,15 +9,15 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// noWatchdog ignores what comes.
+// noWatchdog ignores all calls.
 type noWatchdog struct{}
 
 func (noWatchdog) Heartbeat()   {}
 func (noWatchdog) ObjectBegan() {}
 func (noWatchdog) Progress()    {}
 
-// Discovery writes the lists, so no build of a node may read them by other names: a field that is not found would be zero,
-// without an error.
+// Discovery writes the lists, so every build of a node must read them by the same names: a field that is not found would
+// be zero, without an error.
 func TestGoldenList(t *testing.T) {
 	path := filepath.Join("testdata", "list.json")
 	want := List{Version: 5, Complete: true, Endpoints: []Endpoint{{ID: "server-1", Addr: "127.0.0.1:9000", Zone: "north-a", Kind: "big", Cell: 3,
--- a/internal/watchstream/watchstream.go
+++ b/internal/watchstream/watchstream.go
@@ -1,7 +1,7 @@
-// Package watchstream reads a watch: a stream of JSON objects of one type, each on one line or many, with empty lines
-// between them as heartbeats. It decides nothing: an object is returned complete, or there is an error that says whether it
-// was truncated, too large or unreadable. internal/discoveryapi reads discovery's lists with it, internal/configwatch the
-// updates of a controller, each from the goroutine of its watch.
+// Package watchstream reads a watch: a stream of JSON objects of one type, each on one line or several, with empty lines
+// between them as heartbeats. It makes no decisions: it returns a complete object, or an error that says whether the
+// object was truncated, too large or unreadable. internal/discoveryapi uses it for the lists of discovery, and
+// internal/configwatch for the updates of a controller, each from the goroutine of its watch.
 package watchstream
 
 import (
@@ -12,65 +12,66 @@
 	"io"
 )
 
-// TruncatedError says that the stream ended within an object. The objects that came before it are good.
+// TruncatedError is returned when the stream ends within an object. The objects before it are valid.
 type TruncatedError struct{ Err error }
 
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("an object of a watch was truncated (%v): look at what lies between the two ends if it goes on", e.Err)
+	return fmt.Sprintf("an object of a watch was truncated (%v): if this continues, check the network between the two ends", e.Err)
 }
 
-// Unwrap returns how the stream ended.
+// Unwrap returns the error with which the stream ended.
 func (e *TruncatedError) Unwrap() error { return e.Err }
 
-// UnreadableError says that what came is not an object of the type that is read.
+// UnreadableError is returned when the received text is not an object of the expected type.
 type UnreadableError struct{ Err error }
 
 func (e *UnreadableError) Error() string {
-	return fmt.Sprintf("an object of a watch can't be read (%v): look at what the other end writes if it goes on", e.Err)
+	return fmt.Sprintf("an object of a watch is invalid (%v): if this continues, check what the other end sends", e.Err)
 }
 
 // Unwrap returns what is wrong with the text.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// TooLargeError makes an object unreadable: it has more than Limit bytes.
+// TooLargeError says that an object has more than Limit bytes. It is wrapped in an UnreadableError.
 type TooLargeError struct{ Limit int }
 
-func (e TooLargeError) Error() string { return fmt.Sprintf("over %d bytes", e.Limit) }
+func (e TooLargeError) Error() string { return fmt.Sprintf("larger than %d bytes", e.Limit) }
 
-// Watchdog observes what comes while objects are read, so that its owner can time out a stream that is silent, or that stalls
-// within an object. It is called from the goroutine that reads.
+// Watchdog is notified of what is received while objects are read, so that its owner can time out a stream that is silent
+// or that stalls within an object. It is called from the goroutine that reads.
 type Watchdog interface {
-	Heartbeat()   // a heartbeat: nothing but space between two objects
+	Heartbeat()   // whitespace between two objects
 	ObjectBegan() // the first bytes of an object
 	Progress()    // more bytes of an object
 }
 
-// Reader reads one object of type T after another from a stream. It is for one goroutine.
+// Reader reads one object of type T after another from a stream. It must not be used by several goroutines at once.
 type Reader[T any] struct {
 	in      *objectStream
 	decoder *json.Decoder
 	limit   int
 }
 
-// NewReader reads from r objects of at most limit bytes each. The Watchdog observes all that comes.
+// NewReader returns a Reader of r that accepts objects of at most limit bytes each. It notifies the Watchdog of
+// everything that it reads.
 func NewReader[T any](r io.Reader, limit int, watchdog Watchdog) *Reader[T] {
 	in := &objectStream{in: r, watchdog: watchdog, limit: limit}
 	return &Reader[T]{in, json.NewDecoder(in), limit}
 }
 
-// Next returns the next object. The error is io.EOF where the stream has ended between two objects, a *TruncatedError where
-// it ended within one, an *UnreadableError, or the stream's own between two objects.
+// Next returns the next object. The error is io.EOF if the stream has ended between two objects, a *TruncatedError if it
+// ended within one, an *UnreadableError, or an error of the stream between two objects.
 func (r *Reader[T]) Next() (T, error) {
 	var object T
 	r.in.betweenObjects, r.in.remaining = true, r.limit
-	if r.decoder.More() { // its first bytes may have come with the object before
+	if r.decoder.More() { // its first bytes may have been read together with the previous object
 		r.in.enterObject()
 	}
 	err := r.decoder.Decode(&object)
 	var failed *readError
 	switch {
 	case err == nil:
-	case errors.As(err, &failed): // the stream's own error
+	case errors.As(err, &failed): // an error of the stream, not of its text
 		if !r.in.betweenObjects {
 			return object, &TruncatedError{failed.Err}
 		}
@@ -85,22 +86,22 @@
 	return object, err
 }
 
-// readError keeps an error of the stream apart from one of its text.
+// readError marks an error of the stream, as opposed to an error in its text.
 type readError struct{ Err error }
 
 func (e *readError) Error() string { return e.Err.Error() }
 
-// objectStream passes on what it reads, but for space between two objects: heartbeats would pile up in the decoder while
-// nothing changes for days.
+// objectStream passes on what it reads, except whitespace between two objects: while nothing changes for days, heartbeats
+// would accumulate in the decoder.
 type objectStream struct {
 	in             io.Reader
 	watchdog       Watchdog
 	limit          int
-	betweenObjects bool // no byte of the next object has come
-	remaining      int  // bytes that the object may still have
+	betweenObjects bool // no byte of the next object has been read
+	remaining      int  // number of bytes that the object may still have
 }
 
-// enterObject notes that an object has begun.
+// enterObject records that an object has begun.
 func (s *objectStream) enterObject() {
 	if s.betweenObjects {
 		s.betweenObjects = false
@@ -108,7 +109,8 @@
 	}
 }
 
-// Read reads for the decoder. Errors other than io.EOF are of type *readError, to be told from those of the text.
+// Read reads for the decoder. Errors other than io.EOF and TooLargeError are of type *readError, to distinguish them from
+// errors in the text.
 func (s *objectStream) Read(buf []byte) (int, error) {
 	for {
 		n, err := s.in.Read(buf)
--- a/internal/watchstream/watchstream_test.go
+++ b/internal/watchstream/watchstream_test.go
@@ -10,35 +10,36 @@
 	"testing/iotest"
 )
 
-// limit is in bytes of an object.
+// limit is the maximum size of an object, in bytes.
 const limit = 1 << 10
 
-// object is what the streams of these tests are made of.
+// object is the type of the objects in the streams of these tests.
 type object struct {
 	Number int    `json:"number"`
 	Text   string `json:"text,omitempty"`
 }
 
-// countingWatchdog counts what it observes.
+// countingWatchdog counts the calls of its methods.
 type countingWatchdog struct{ heartbeats, objects, progress int }
 
 func (w *countingWatchdog) Heartbeat()   { w.heartbeats++ }
 func (w *countingWatchdog) ObjectBegan() { w.objects++ }
 func (w *countingWatchdog) Progress()    { w.progress++ }
 
-// twoObjects is an object on one line and one on several, with heartbeats between.
+// twoObjects is an object on one line and one on several lines, with heartbeats between them.
 const twoObjects = "\n\n" + `{"number":1}` + "\n\r\n" + `{
   "number": 2,
   "text": "b\n{", "later": [1, {}]
 }` + "\n"
 
-// Objects on one line or many, in pieces of any size, are read alike; heartbeats are observed as such.
+// Objects on one line or on several lines, read in pieces of any size, give the same result, and heartbeats are
+// recognized.
 func TestObjectsInAnyForm(t *testing.T) {
 	for name, in := range map[string]io.Reader{
 		"in one piece":     strings.NewReader(twoObjects),
 		"byte by byte":     iotest.OneByteReader(strings.NewReader(twoObjects)),
 		"halves":           iotest.HalfReader(strings.NewReader(twoObjects)),
-		"no last line end": strings.NewReader(strings.TrimSpace(twoObjects)),
+		"no final newline": strings.NewReader(strings.TrimSpace(twoObjects)),
 	} {
 		observed := &countingWatchdog{}
 		r := NewReader[object](in, limit, observed)
@@ -55,12 +56,12 @@
 			t.Errorf("%s: ended with %v", name, end)
 		}
 		if observed.objects != 2 || name == "byte by byte" && observed.heartbeats != 6 {
-			t.Errorf("%s: observed %+v", name, observed)
+			t.Errorf("%s: watchdog counted %+v", name, observed)
 		}
 	}
 }
 
-// What is no object is told apart: whether it was truncated, is unreadable, or the stream ended between two objects.
+// The errors distinguish a truncated object, an unreadable one, and a stream that ended between two objects.
 func TestErrors(t *testing.T) {
 	reset := errors.New("reset")
 	for name, c := range map[string]struct {
@@ -76,7 +77,7 @@
 		"end within an object":   {in: strings.NewReader(`{"number":1,"te`), truncated: true},
 		"reset within an object": {in: io.MultiReader(strings.NewReader(`{"number":1,`), iotest.ErrReader(reset)), truncated: true, is: reset},
 		"reset between objects":  {in: io.MultiReader(strings.NewReader("\n"), iotest.ErrReader(reset)), is: reset},
-		"ended between objects":  {in: strings.NewReader("\n"), is: io.EOF},
+		"end between objects":    {in: strings.NewReader("\n"), is: io.EOF},
 	} {
 		_, err := NewReader[object](c.in, limit, &countingWatchdog{}).Next()
 		if errors.As(err, new(*TruncatedError)) != c.truncated || errors.As(err, new(*UnreadableError)) != c.unreadable {
@@ -88,7 +89,7 @@
 	}
 }
 
-// Objects that follow one another each have the whole limit, and space between them costs nothing of it.
+// The limit applies to each object separately, and whitespace between objects does not count.
 func TestEachObjectHasItsLimit(t *testing.T) {
 	text := `{"text":"` + strings.Repeat("x", limit/2) + `"}` + strings.Repeat("\n", 4*limit)
 	r := NewReader[object](iotest.HalfReader(strings.NewReader(strings.Repeat(text, 5))), limit, &countingWatchdog{})
@@ -99,7 +100,7 @@
 	}
 }
 
-// Whatever comes, reading ends, and an object that is taken reads the same again.
+// Whatever the input, reading ends, and an object that is accepted can be encoded and read again with the same result.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte(twoObjects), 3)
 	f.Add([]byte(`{"number":1,`), 1)
@@ -126,7 +127,7 @@
 	})
 }
 
-// chunkReader is a stream that comes in chunkReader of one size.
+// chunkReader returns its data in chunks of one size.
 type chunkReader struct {
 	remaining []byte
 	size      int
