--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// The load balancer in front of the node asks every 100 ms whether the node is ready, and may send it connections for up to
-// 200 ms after a no. 4 s after a node was taken out of service it may hold no connection without a request, nor one
-// that brought a request within the last 2 s.
+// The load balancer in front of the node asks every 100 ms whether the node is ready, and may send it connections for up
+// to 200 ms after the answer was no. 4 s after a node was taken out of service, it may have no connection left that is
+// without a request, and none on which a request arrived within the last 2 s.
 const (
-	// notReadyNoticeDelay is when the load balancer in front of the node has noticed that the node is not ready, and sends it no more
-	// connections: both times above, and 50 ms for the answer. Responses that close their connections before it would send
-	// clients back to this node.
+	// notReadyNoticeDelay is the time after which the load balancer in front of the node has noticed that the node is not
+	// ready and sends it no more connections: both times above, plus 50 ms for the answer. Responses that close their
+	// connections earlier would make clients connect to this node again.
 	notReadyNoticeDelay = 350 * time.Millisecond
-	// closeIdleDelay is when connections without a request are closed, out of service: responses have closed those in use by
-	// then, and the 4 s above are not over.
+	// closeIdleDelay is how long after a node was taken out of service its connections without a request are closed. By
+	// then responses have closed the connections in use, and the 4 s above have not passed.
 	closeIdleDelay = 1200 * time.Millisecond
-	// minIdleTime is how long a connection must have been idle for that. A client sends as it connects, and a request that is
-	// under way as its connection is closed is lost.
+	// minIdleTime is how long a connection must have been idle before it is closed. A client sends a request as soon as
+	// it connects, and a request that is in transit when its connection is closed is lost.
 	minIdleTime = 250 * time.Millisecond
-	// acceptAfterSignal is how long the load balancer may still send connections after SIGTERM: noticedAfter and 100 ms more.
+	// acceptAfterSignal is how long the load balancer may still send connections after SIGTERM: notReadyNoticeDelay plus
+	// 100 ms.
 	acceptAfterSignal = 450 * time.Millisecond
 )
 
-// The stages of a shutdown, each by the time that is left until the process may be killed.
+// The stages of a shutdown, as the time that remains until the process may be killed.
 const (
-	responsesCloseBeforeKill = 900 * time.Millisecond // responses close their connections, so that no request comes on them
+	responsesCloseBeforeKill = 900 * time.Millisecond // responses close their connections: no further request arrives on them
 	closeIdleBeforeKill      = 750 * time.Millisecond // idle connections are closed
-	lastResponseBeforeKill   = 150 * time.Millisecond // the last response is due: it still has to be written
+	lastResponseBeforeKill   = 150 * time.Millisecond // the last response is due; it still has to be written
 )
 
-// ResponsesCloseConnections says whether responses close the connections that they go on: the clients are to come back elsewhere.
+// ResponsesCloseConnections reports whether responses close their connections, so that clients connect to other nodes.
 func (m Machine) ResponsesCloseConnections(now time.Duration) bool {
 	switch m.state {
 	case outOfService:
@@ -38,7 +39,7 @@
 	return false
 }
 
-// ClosesIdleConnections says whether connections without a request are closed, and how long they must have been idle.
+// ClosesIdleConnections reports whether connections without a request are closed, and how long they must have been idle.
 func (m Machine) ClosesIdleConnections(now time.Duration) (idle time.Duration, closes bool) {
 	switch m.state {
 	case outOfService:
@@ -49,7 +50,7 @@
 	return 0, false
 }
 
-// HardDeadline is when the last response is due; 0: the process does not shut down.
+// HardDeadline returns when the last response is due, or 0 if the process is not shutting down.
 func (m Machine) HardDeadline() time.Duration {
 	if m.state != shuttingDown {
 		return 0
@@ -57,11 +58,11 @@
 	return m.killAt - lastResponseBeforeKill
 }
 
-// RemainingAcceptTime is for how much longer, from now on, a node that shuts down accepts connections:
+// RemainingAcceptTime returns for how much longer a node that is shutting down accepts connections:
 //
 //   - not at all if its successor accepts them,
-//   - for acceptAfterSignal if the load balancer had noticed before that it is out of service,
-//   - else until idle connections are closed: clients may have no other node to go to.
+//   - for acceptAfterSignal if the load balancer had already noticed that the node is out of service,
+//   - otherwise until idle connections are closed, because clients may have no other node to connect to.
 func (m Machine) RemainingAcceptTime(now time.Duration) time.Duration {
 	switch {
 	case m.hasSuccessor:
@@ -72,5 +73,6 @@
 	return max(acceptAfterSignal, m.killAt-closeIdleBeforeKill-now)
 }
 
-// notReadyNoticed says whether the load balancer in front of the node has noticed that it is not ready, since m.since.
+// notReadyNoticed reports whether the load balancer in front of the node has had time, since m.since, to notice that the
+// node is not ready.
 func (m Machine) notReadyNoticed(now time.Duration) bool { return now >= m.since+notReadyNoticeDelay }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,9 +1,10 @@
-// Package lifecycle has the states of a node and what it owes its clients in each: whether it is ready for new connections,
-// whether responses close their connections, when idle connections are closed, and by when the last response is due.
+// Package lifecycle defines the states of a node and its duties to clients in each state: whether it is ready for new
+// connections, whether responses close their connections, when idle connections are closed, and by when the last response
+// is due.
 //
-// It is pure: a Machine is a value, the time is passed in, and Step returns the next Machine. The node (internal/node) holds
-// the present one, alone calls Step, and carries out what it says. Times are durations since one moment of the caller's
-// choosing, on a monotonic clock.
+// It has no side effects: a Machine is a value, the time is an argument, and Step returns the next Machine. The node
+// (internal/node) holds the current Machine, is the only caller of Step, and acts on the results. Times are durations
+// since a moment that the caller chooses, on a monotonic clock.
 //
 //	state           ready  entered by                              left by
 //	starting        no     (the zero Machine)                      Started, Terminate
@@ -11,23 +12,25 @@
 //	out of service  no     OutOfService, or Started after it       InService, Terminate
 //	shutting down   no     Terminate                               never: the process ends
 //
-// An operator's OutOfService and InService are remembered in every state but shutting down: a node that is taken out of
-// service as it starts does not serve once it has started.
+// The last OutOfService or InService of an operator is remembered in every state except shutting down: a node that is
+// taken out of service while it is starting does not serve once it has started.
 //
-// A shutdown without a successor, with SIGTERM at 0 and the process killed at K at the earliest. K is the longest deadline of
-// a class, 3 s at most, plus 700 ms (maxCountedDeadline and killMargin in internal/node):
+// A shutdown without a successor has the following stages. SIGTERM arrives at 0, and the process is killed at K at the
+// earliest. K is the longest deadline of a class, at most 3 s, plus 700 ms (maxCountedDeadline and killMargin in
+// internal/node):
 //
-//	0                        not ready: the load balancer in front of the node is to send it no more connections; those that
-//	                         still come are accepted and served
+//	0                        not ready: the load balancer in front of the node should send it no more connections; those
+//	                         that still arrive are accepted and served
 //	K - 900 ms, min. 450 ms  responses close their connections (ResponsesCloseConnections)
-//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (AcceptsFor)
+//	K - 750 ms, min. 450 ms  the node accepts no more connections, and closes idle ones (RemainingAcceptTime)
 //	K - 150 ms               the last response is due (HardDeadline)
-//	K                        SIGKILL may come
+//	K                        SIGKILL may arrive
 //
-// A node that was out of service for 350 ms and more accepts for 450 ms only, and its responses close their connections from
-// the start. One with a successor accepts nothing more: its responses close their connections at once, and idle connections
-// stay open until K - 750 ms. After the stage in which it accepts, internal/node waits for open requests for as long as the
-// longest deadline of a class, uncapped, plus 20 ms: it relies on HardDeadline to have answered them by then.
+// A node that has been out of service for at least 350 ms accepts connections for only 450 ms, and its responses close
+// their connections from the start. A node with a successor accepts no more connections: its responses close their
+// connections at once, and idle connections stay open until K - 750 ms. After the node has stopped accepting connections,
+// internal/node waits for open requests as long as the longest deadline of a class, without the limit of 3 s, plus 20 ms.
+// It relies on HardDeadline: all requests have been answered by then.
 package lifecycle
 
 import "time"
@@ -36,40 +39,40 @@
 type Event int
 
 const (
-	// Started: the node has all that it needs to serve.
+	// Started: the node has everything that it needs to serve.
 	Started Event = iota
-	// OutOfService: an operator has taken the node out of service. Its clients are sent away.
+	// OutOfService: an operator has taken the node out of service. Its clients are moved to other nodes.
 	OutOfService
 	// InService: an operator has put the node back in service.
 	InService
-	// Terminate: the process is to end.
+	// Terminate: the process must end.
 	Terminate
 )
 
-// state is where a node stands; the package comment has the transitions. Only Step changes it.
+// state is the state of a node; the package comment lists the transitions. Only Step changes it.
 type state int
 
 const (
 	starting     state = iota // not ready yet
 	serving                   // ready
-	outOfService              // by an operator: it serves who is still connected
+	outOfService              // taken out by an operator; clients that are still connected are served
 	shuttingDown              // until the process ends
 )
 
-// Machine is the state of a node. The zero Machine is that of one that starts.
+// Machine is the state of a node. The zero Machine is the state of a node that is starting.
 type Machine struct {
 	state                 state
-	since                 time.Duration // when it went out of service or, if it was in service, began to shut down
-	outOfServiceRequested bool          // what an operator said last
-	killAt                time.Duration // shutting down: from then on the process may be killed
-	hasSuccessor          bool          // shutting down: another process of the node takes new connections
+	since                 time.Duration // when the node went out of service or, if it was in service, began to shut down
+	outOfServiceRequested bool          // whether the operator's last call was OutOfService
+	killAt                time.Duration // while shutting down: the process may be killed from then on
+	hasSuccessor          bool          // while shutting down: another process of the node accepts new connections
 }
 
-// Step returns the machine after an event. The last two arguments belong to Terminate, and are ignored with other events: in
-// how long the process may be killed, and whether another process of the node accepts the connections that come from now on.
+// Step returns the Machine after an event. The last two arguments are used only with Terminate: the time until the
+// process may be killed, and whether another process of the node accepts new connections.
 func (m Machine) Step(now time.Duration, event Event, killDelay time.Duration, hasSuccessor bool) Machine {
 	if m.state == shuttingDown {
-		return m // there is no way back
+		return m // a shutdown is final
 	}
 	switch event {
 	case Started:
@@ -95,7 +98,7 @@
 	return m
 }
 
-// takenOutOfService keeps the time of the first call: a second one must not put off what is owed.
+// takenOutOfService keeps the time of the first call: a second call must not postpone the deadlines.
 func (m Machine) takenOutOfService(now time.Duration) Machine {
 	if !m.outOfServiceRequested {
 		m.since = now
@@ -115,7 +118,7 @@
 	return m
 }
 
-// terminated keeps the time at which a node went out of service: its clients have been leaving since then.
+// terminated keeps the time at which the node went out of service, because its clients have been leaving since then.
 func (m Machine) terminated(now, killDelay time.Duration, hasSuccessor bool) Machine {
 	if m.state != outOfService {
 		m.since = now
@@ -124,14 +127,14 @@
 	return m
 }
 
-// TakesNewClients says whether new clients are to be sent to the node.
+// TakesNewClients reports whether new clients should be sent to the node.
 func (m Machine) TakesNewClients() bool { return m.state == serving }
 
-// Running says whether the process serves whoever comes: it has started, and does not shut down.
+// Running reports whether the process has started and is not shutting down, and so serves all clients that connect.
 func (m Machine) Running() bool { return m.state == serving || m.state == outOfService }
 
-// ShuttingDown says whether the process is to end.
+// ShuttingDown reports whether the process is shutting down.
 func (m Machine) ShuttingDown() bool { return m.state == shuttingDown }
 
-// IsOutOfService says whether an operator has taken the node out of service.
+// IsOutOfService reports whether an operator has taken the node out of service.
 func (m Machine) IsOutOfService() bool { return m.outOfServiceRequested }
