--- a/internal/endpointlease/availability_test.go
+++ b/internal/endpointlease/availability_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// A discovery that is down can notify nobody: each poll that finds it so renews the lease, whether it refuses connections or a
-// proxy before it rejects polls after a wait.
+// A discovery that is down cannot notify any node: each poll that finds it down renews the lease, whether discovery
+// refuses connections or a proxy in front of it rejects polls after a wait.
 func TestUnavailableDiscoveryRenewsTheLease(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"an unreachable discovery": {
+		"unreachable discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.StreamOpened(s, 0)
@@ -20,7 +20,7 @@
 			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
 			at:      60 * s, wakeAt: 0, expires: 65 * s, state: Aging,
 		},
-		"unreachable, and polls have stopped": {
+		"unreachable, and polling has stopped": {
 			options: polled,
 			events:  func(tracker *Tracker) { pollUnreachable(tracker, s, 60*s) },
 			at:      65 * s, wakeAt: 0, expires: 65 * s, state: Expired,
@@ -35,15 +35,15 @@
 			},
 			at: 52 * s, wakeAt: 53*s + 300*ms, expires: 57 * s, state: Fresh,
 		},
-		"down behind a proxy: late rejections after the watch ended": {
+		"down behind a proxy: late rejections after the watch has ended": {
 			options: polled,
-			events:  func(tracker *Tracker) { watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s) },
+			events:  func(tracker *Tracker) { endWatchThenRejectLate(tracker, 0, 3*s, 6*s) },
 			at:      7 * s, wakeAt: 8100*ms + watchEndBackoff*4/10, expires: 12 * s, state: Aging,
 		},
-		"an immediate rejection after late ones": {
+		"immediate rejection after late ones": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
+				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
 				tracker.StreamOpened(9*s, 0)
 				tracker.PollRejected(4, 9*s+ms)
 				tracker.StreamEnded(4, 9*s+ms)
@@ -53,24 +53,25 @@
 	})
 }
 
-// A discovery that is slow or overloaded may have a change that the node does not know: nothing renews the lease but a list or
-// a heartbeat. Renewed, the node would send to endpoints that drain, as in the incident of 2 December 2026.
-func TestSlowDiscoveryRenewsNoLease(t *testing.T) {
+// A discovery that is slow or overloaded may have a change that the node has not received: only a list or a heartbeat
+// renews the lease. If anything else did, the node would send to draining endpoints, as in the incident of 2 December
+// 2026.
+func TestSlowDiscoveryDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a poll that is reset": {
+		"poll reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0)
+				endWatchThenRejectLate(tracker, 0)
 				tracker.StreamOpened(3*s, 0)
 				tracker.StreamFailed(2)
 				tracker.StreamEnded(2, 5*s)
 			},
 			at: 5 * s, wakeAt: 5*s + watchEndBackoff*2/10, expires: 7 * s, state: Aging,
 		},
-		"polls that are reset renew no lease": {
+		"several polls reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0)
+				endWatchThenRejectLate(tracker, 0)
 				tracker.StreamOpened(3*s, 0)
 				tracker.StreamFailed(2)
 				tracker.StreamEnded(2, 5*s)
@@ -80,15 +81,15 @@
 			},
 			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"immediate rejections are of an overloaded discovery": {
+		"immediate rejections by an overloaded discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s, 6*s)
-				rejectAtOnce(tracker, 9*s)
+				endWatchThenRejectLate(tracker, 0, 3*s, 6*s)
+				rejectImmediately(tracker, 9*s)
 			},
 			at: 11 * s, wakeAt: 0, expires: 12 * s, state: Aging,
 		},
-		"late rejections beside a silent watch renew no lease": {
+		"late rejections while a silent watch is open": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -98,11 +99,11 @@
 			},
 			at: 8 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"late rejections after an address change renew no lease": {
+		"late rejections after an address change": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
-				tracker.DiscoveryChanged(2 * s)
+				tracker.AddressChanged(2 * s)
 				tracker.StreamEnded(1, 3*s)
 				rejectPoll(tracker, 3*s, 5*s)
 				rejectPoll(tracker, 5*s, 7*s)
@@ -114,14 +115,14 @@
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.StreamEnded(1, 2*s)
-				rejectAtOnce(tracker, 3*s)
+				rejectImmediately(tracker, 3*s)
 				tracker.StreamOpened(7500*ms, 0)
 				tracker.Unreachable(3)
 				tracker.StreamEnded(3, 7500*ms)
 			},
 			at: 9 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"slow, then unreachable: the lease keeps its end": {
+		"slow, then unreachable": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -137,9 +138,10 @@
 	})
 }
 
-// A discovery that rejected polls after a wait, and is no proof of an outage, was reached and may have had a change. Nodes forgot
-// that: as it refused connections later the lease was renewed, in turn with further rejections without an end.
-func TestLateRejectionThenRefusalRenewsNoLease(t *testing.T) {
+// A discovery that rejected polls after a wait was reached and may have had a change, unless the rejections show an
+// outage. Guards against a fault in which nodes forgot this: connections that were refused later renewed the lease,
+// without end if refusals and late rejections alternated.
+func TestRefusalAfterLateRejectionDoesNotRenewLease(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"in a new process": {
 			options: polled,
@@ -150,7 +152,7 @@
 			},
 			at: 9 * s, wakeAt: 0, expires: 3 * s, state: Expired,
 		},
-		"beside a silent watch": {
+		"while a silent watch is open": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -159,7 +161,7 @@
 			},
 			at: 9 * s, wakeAt: 0, expires: 7 * s, state: Expired,
 		},
-		"refused before and after": {
+		"refusals before and after": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -172,20 +174,21 @@
 	})
 }
 
-// A late rejection is no proof of an outage that a node may serve through: it brings no expired list back, and shows nothing
-// where discovery closed the watch, or where that had fallen silent before it ended: discovery may have had a change then.
-func TestLateRejectionBringsNoExpiredListBack(t *testing.T) {
+// A late rejection does not prove an outage during which a node may serve. It does not make an expired list usable again,
+// and proves nothing if discovery closed the watch or if the watch had fallen silent before it ended: discovery may have
+// had a change then.
+func TestLateRejectionDoesNotRenewLeaseWithoutOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"pushed, after the grace of the watch": {
+		"pushed, after the watch's grace period": {
 			options: pushed,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.StreamEnded(1, 2*s)
 				rejectPoll(tracker, 2150*ms, 4150*ms)
 			},
-			at: 4150 * ms, wakeAt: 4150*ms + watchEndBackoff*2/10, expires: 2*s + pushedGrace, state: Expired,
+			at: 4150 * ms, wakeAt: 4150*ms + watchEndBackoff*2/10, expires: 2*s + pushedGracePeriod, state: Expired,
 		},
-		"of a poll that was begun within the lease": {
+		"poll begun within the lease": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -194,7 +197,7 @@
 			},
 			at: 8500 * ms, wakeAt: 8500*ms + watchEndBackoff*2/10, expires: 7 * s, state: Expired,
 		},
-		"discovery had closed the watch": {
+		"watch closed by discovery": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -204,7 +207,7 @@
 			},
 			at: 4100 * ms, wakeAt: 4100*ms + watchEndBackoff*2/10, expires: 7 * s, state: Aging,
 		},
-		"the watch had fallen silent": {
+		"watch silent before it ended": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
@@ -216,14 +219,15 @@
 	})
 }
 
-// A discovery that was down behind a proxy may have been back for a moment, with a change that it could not send: what comes
-// instead of a rejection, or stays open beside one, shows it. The next rejection renews no lease then.
-func TestReturnBetweenOutagesRenewsNoLease(t *testing.T) {
+// A discovery that was down behind a proxy may have recovered for a moment and had a change that it could not send. A
+// poll that is reset instead of rejected, or that stays open while another one is rejected, shows this. After that, the
+// next rejection does not renew the lease.
+func TestRecoveryBetweenOutagesPreventsRenewal(t *testing.T) {
 	checkHistories(t, map[string]history{
-		"a poll is reset": {
+		"poll reset": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				tracker.StreamFailed(3)
@@ -232,20 +236,20 @@
 			},
 			at: 8 * s, wakeAt: 8*s + watchEndBackoff*8/10, expires: 9 * s, state: Aging,
 		},
-		"a poll that was opened before still waits": {
+		"earlier poll still waiting": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				rejectPoll(tracker, 6*s, 8*s)
 			},
 			at: 8 * s, wakeAt: 8*s + watchEndBackoff*4/10, expires: 9 * s, state: Aging,
 		},
-		"a poll that was opened later waits": {
+		"later poll still waiting": {
 			options: polled,
 			events: func(tracker *Tracker) {
-				watchEndsThenRejectedLate(tracker, 0, 3*s)
+				endWatchThenRejectLate(tracker, 0, 3*s)
 				tracker.StreamOpened(5500*ms, 0)
 				tracker.Connected(3)
 				tracker.Connected(tracker.StreamOpened(7*s, 0))
@@ -257,9 +261,10 @@
 	})
 }
 
-// A new process has no watch that ended: a poll that is rejected after a wait shows no outage there, for a discovery with more
-// pollers than it can serve does the same. Its list, of unknown age, counts as confirmed for less than one from discovery.
-func TestNewProcessTakesNoRejectionForAnOutage(t *testing.T) {
+// In a new process no watch has ended yet, so a poll that is rejected after a wait does not show an outage: a discovery
+// with more pollers than it can serve does the same. The list of a new process has an unknown age, and counts as older
+// than one from discovery.
+func TestNewProcessDoesNotTreatRejectionAsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"late rejections": {
 			options: polled,
@@ -278,7 +283,7 @@
 			},
 			at: 4 * s, wakeAt: 0, expires: 6100 * ms, state: Aging,
 		},
-		"late rejections after a watch of its own": {
+		"late rejections after the process had a watch": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -288,7 +293,7 @@
 			},
 			at: 5100 * ms, wakeAt: 5100*ms + watchEndBackoff*2/10, expires: 9 * s, state: Aging,
 		},
-		"a list that another process handed over": {
+		"list handed over by another process": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				tracker.HoldBootstrapList(0)
@@ -300,9 +305,9 @@
 	})
 }
 
-// What was known of discovery is of the address that it had: where the configuration names another one, the node counts as
-// notified of what that has 4 s later, whatever became of the address before.
-func TestOutageEndsWithTheAddress(t *testing.T) {
+// What was known about discovery applies to its previous address. When the configuration names another address, the node
+// counts as notified 4 s later of what that discovery has, whatever the state of the previous one.
+func TestAddressChangeDiscardsOutage(t *testing.T) {
 	checkHistories(t, map[string]history{
 		"down behind a proxy": {
 			options: polled,
@@ -310,17 +315,17 @@
 				openWatch(tracker, 0, s)
 				tracker.StreamEnded(1, 2*s)
 				rejectPoll(tracker, 3*s, 4100*ms)
-				tracker.DiscoveryChanged(4200 * ms)
+				tracker.AddressChanged(4200 * ms)
 				tracker.Connected(tracker.StreamOpened(4200*ms, 0))
 			},
 			at: 4500 * ms, wakeAt: 6700 * ms, expires: 8200 * ms, state: Aging,
 		},
-		"silent for long: the list had expired": {
+		"silent until the list expired": {
 			options: polled,
 			events: func(tracker *Tracker) {
 				openWatch(tracker, 0, s)
 				tracker.AdvanceLease(17 * s)
-				tracker.DiscoveryChanged(18 * s)
+				tracker.AddressChanged(18 * s)
 				tracker.Connected(tracker.StreamOpened(18*s, 0))
 			},
 			at: 18 * s, wakeAt: 20500 * ms, expires: 7 * s, state: Expired,
@@ -328,9 +333,9 @@
 	})
 }
 
-// A discovery that rejects polls after a wait is not silent: the node must not count it as unresponsive, and serve again on a list
-// that has expired.
-func TestLateRejectionsAreNoSilence(t *testing.T) {
+// A discovery that rejects polls after a wait is not silent: the node must not treat it as unresponsive and serve again
+// on a list that has expired.
+func TestRepeatedLateRejectionsDoNotRenewExpiredLease(t *testing.T) {
 	tracker := &Tracker{Options: polled}
 	tracker.HoldBootstrapList(0)
 	for at := s; at < 14*s; at += 2500 * ms {
@@ -338,6 +343,6 @@
 		tracker.AdvanceLease(at + 2*s)
 	}
 	if got := tracker.AdvanceLease(14 * s); got.State != Expired {
-		t.Errorf("the list is %v again, until %v", got.State, got.Expires)
+		t.Errorf("the expired list is %v again, until %v", got.State, got.Expires)
 	}
 }
--- a/internal/endpointlease/expiry_test.go
+++ b/internal/endpointlease/expiry_test.go
@@ -6,55 +6,57 @@
 	"time"
 )
 
-// Nodes served again on lists that had expired, and sent to servers that drain: after a while of silence, and after a poll that
-// was rejected late. Whatever happens, in any order, only discovery's own word brings an expired list back, a list or a
-// heartbeat, or a connection that was begun within the lease and did not come up: while none does no node is notified.
-// Where nothing is open and lists are polled, the next poll begins MaxPollInterval anew.
-func TestOnlyDiscoveryBringsAnExpiredListBack(t *testing.T) {
+// Nodes served again on lists that had expired, and sent to draining servers: after a period of silence, and after a poll
+// that was rejected late. Whatever events happen, and in any order, only a list or a heartbeat from discovery may make an
+// expired list usable again. There are two exceptions. A connection attempt that began within the lease and failed may do
+// so, because a discovery that cannot be reached notifies no node. And where lists are polled and no stream is open, the
+// next poll restarts MaxPollInterval.
+func TestOnlyDiscoveryRenewsExpiredLease(t *testing.T) {
 	const histories, events = 20_000, 40
 	for seed := range uint64(histories) {
 		h := newRandomHistory(seed)
 		for range events {
 			h.now += time.Duration(h.rng.IntN(3000)) * ms
-			h.check(t, seed, "time passes", false)
-			event, excused := h.happen()
-			h.check(t, seed, event, excused)
+			h.checkLease(t, seed, "time passes", false)
+			event, renewalAllowed := h.applyRandomEvent()
+			h.checkLease(t, seed, event, renewalAllowed)
 		}
 	}
 }
 
-// check carries out what is due after an event, and fails the test if an expired list came back without an excuse.
-func (h *randomHistory) check(t *testing.T, seed uint64, event string, excused bool) {
-	excused = excused || !h.tracker.Pushed && len(h.tracker.streams) == 0
-	h.settle()
+// checkLease carries out what is due after an event, and fails the test if an expired list became usable without
+// permission.
+func (h *randomHistory) checkLease(t *testing.T, seed uint64, event string, renewalAllowed bool) {
+	renewalAllowed = renewalAllowed || !h.tracker.Pushed && len(h.tracker.streams) == 0
+	h.applyDecisions()
 	state := h.tracker.State(h.now)
-	if h.expired && state != Expired && !excused {
+	if h.expired && state != Expired && !renewalAllowed {
 		t.Fatalf("seed %d, %+v: after the event %q at %v the expired list is %v again, until %v", seed, h.tracker.Options, event,
 			h.now, state, h.tracker.Expires())
 	}
 	h.expired = state == Expired
 }
 
-// randomHistory has random events happen to a Tracker, and carries out its decisions.
+// randomHistory reports random events to a Tracker and carries out its decisions.
 type randomHistory struct {
 	rng     *rand.Rand
 	tracker *Tracker
 	now     time.Duration
-	expired bool // the list was, after the last event
+	expired bool // whether the list was expired after the last event
 }
 
-// newRandomHistory begins as a new process does.
+// newRandomHistory starts in the state of a new process.
 func newRandomHistory(seed uint64) *randomHistory {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	h := &randomHistory{rng: rng, tracker: &Tracker{Options: []Options{polled, rarelyPolled, pushed}[rng.IntN(3)]}}
 	h.tracker.HoldBootstrapList(0)
 	h.tracker.RequestPoll()
-	h.settle()
+	h.applyDecisions()
 	return h
 }
 
-// settle carries out what is due.
-func (h *randomHistory) settle() {
+// applyDecisions carries out the Tracker's decisions until none is due.
+func (h *randomHistory) applyDecisions() {
 	for {
 		switch decision := h.tracker.Step(h.now); decision.Action {
 		case NoAction:
@@ -69,11 +71,12 @@
 	}
 }
 
-// happen has something happen to one of the open streams, and says whether that may bring an expired list back.
-func (h *randomHistory) happen() (event string, excused bool) {
+// applyRandomEvent reports a random event of an open stream, and returns whether the event may make an expired list
+// usable.
+func (h *randomHistory) applyRandomEvent() (event string, renewalAllowed bool) {
 	t, now := h.tracker, h.now
 	if h.rng.IntN(20) == 0 {
-		t.DiscoveryChanged(now)
+		t.AddressChanged(now)
 		return "address change", false
 	}
 	if len(t.streams) == 0 {
@@ -96,17 +99,17 @@
 		t.PollRejected(s.id, now)
 		t.StreamEnded(s.id, now)
 	case "unreachable":
-		excused = t.Pushed || s.openedAt < t.Expires() // an agent is down from the end of its watch on
+		renewalAllowed = t.Pushed || s.openedAt < t.Expires() // an agent counts as down from the end of its watch
 		t.Unreachable(s.id)
 		t.StreamEnded(s.id, now)
 	case "reset":
 		t.StreamFailed(s.id)
 		t.StreamEnded(s.id, now)
 	}
-	return event, excused
+	return event, renewalAllowed
 }
 
-// drawEvent draws what may happen to a stream in its state.
+// drawEvent draws an event that is possible in the state of a stream.
 func (h *randomHistory) drawEvent(s stream) string {
 	events := []string{"connection", "unreachable"}
 	switch {
