--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -183,7 +183,7 @@
 // Two pools overlap. If both counted a shared server in the floors of their windows, it would be sent twice
 // what it takes.
 func TestFloorsOfOverlappingPoolsDoNotAddUp(t *testing.T) {
-	b, _ := boundToSlow(t, 12)
+	b, _ := newBalancerWithRestrictedClass(t, 12)
 	free, bound := b.classes["get"].pool, b.classes["post"].pool
 	if bound.serversPerReplica != 2 || free.serversPerReplica != 4 {
 		t.Errorf("12 servers for 2 replicas: %v for each of the bound pool, %v for the free one; want 2 and 4", bound.serversPerReplica, free.serversPerReplica)
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -235,7 +235,7 @@
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
 		{"second attempt", []any{list, req("get"), Send{ID: "r", Server: "a"}, Send{ID: "r", Server: "b"}}},
 	} {
-		c := newChecker(ruleSettings())
+		c := newChecker(randomTestSettings())
 		var now time.Duration
 		for _, s := range tc.steps {
 			switch s := s.(type) {
--- a/balancer/checkpoint_test.go
+++ b/balancer/checkpoint_test.go
@@ -15,14 +15,14 @@
 // through.
 func TestRestoredBalancerDecidesAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		set := ruleSettings()
+		set := randomTestSettings()
 		set.Tier, set.PollDiscovery = int(seed%2), seed%3 == 0
 		if seed%2 == 0 {
-			set.FaultInjections = ruleFaultInjections
+			set.FaultInjections = randomTestFaultInjections
 		}
 		c := newChecker(set)
 		c.keepEvents = true
-		want, _ := run(t, set, seed, 3000, c)
+		want, _ := runRandomEvents(t, set, seed, 3000, c)
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -157,7 +157,7 @@
 	q := &request{
 		id:           string(saved.ID),
 		class:        resolveOne(r, "class", r.classes, saved.Class),
-		firstAskedAt: saved.FirstAskedAt,
+		firstTriedAt: saved.FirstAskedAt,
 		deadline:     saved.Deadline,
 		clientRetry:  saved.ClientRetry,
 		answered:     saved.Answered,
@@ -226,8 +226,8 @@
 		}
 		p.inFlight = saved.InFlight
 		p.crossZoneShare = saved.CrossZoneShare
-		p.preferredLatency = saved.PreferredLatency
-		p.otherLatency = saved.OtherLatency
+		p.preferredLogLatency = saved.PreferredLatency
+		p.otherLogLatency = saved.OtherLatency
 		p.serversPerReplica = saved.ServersPerReplica
 		p.window = saved.Window
 		p.loadRatio = saved.LoadRatio
--- a/balancer/churn_test.go
+++ b/balancer/churn_test.go
@@ -66,7 +66,7 @@
 // nothing is kept, and no timer or counter has grown.
 func TestChurnLeavesNothingBehind(t *testing.T) {
 	for seed := range uint64(2) {
-		settings := ruleSettings()
+		settings := randomTestSettings()
 		settings.Tier, settings.PollDiscovery = int(seed%2), seed%2 == 0
 		b, err := New(settings, seed)
 		if err != nil {
@@ -185,7 +185,7 @@
 	}
 	for _, p := range b.pools {
 		for _, v := range []float64{p.window, p.loadRatio, p.unloadedRatio, p.peakInFlight, p.floorServers, p.shedShare,
-			p.crossZoneShare, p.preferredLatency, p.otherLatency, b.retryBalance, b.errorRate} {
+			p.crossZoneShare, p.preferredLogLatency, p.otherLogLatency, b.retryBalance, b.errorRate} {
 			if math.IsNaN(v) || math.Abs(v) > 1000 {
 				t.Errorf("seed %d: %+v", c.seed, p)
 			}
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -27,7 +27,7 @@
 	c.learnBudget(budget)
 	short := float64(budget) < shortBudgetShare*float64(c.typicalBudget)
 	if b.settings.Tier == 0 && (r.clientRetry || short && !b.settings.ClientsMarkRetries) {
-		r.firstAskedAt = min(b.now, r.deadline-r.class.Deadline)
+		r.firstTriedAt = min(b.now, r.deadline-r.class.Deadline)
 		r.clientRetry = true
 	}
 }
--- a/balancer/clientretry_test.go
+++ b/balancer/clientretry_test.go
@@ -13,12 +13,12 @@
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * millisecond})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*millisecond})
-	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstAskedAt != 0 {
+	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstTriedAt != 0 {
 		t.Errorf("a first try was taken for a retry: %+v", r)
 	}
 	// The objective of 500 ms ended 100 ms before it came.
 	r := b.requests["again"]
-	if r == nil || !r.clientRetry || r.firstAskedAt != 5*time.Second-600*millisecond {
+	if r == nil || !r.clientRetry || r.firstTriedAt != 5*time.Second-600*millisecond {
 		t.Errorf("the retry was not seen: %+v", r)
 	}
 }
@@ -28,11 +28,11 @@
 	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
 	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * millisecond, ClientRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * millisecond})
-	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstAskedAt != time.Second {
+	if r := b.requests["first"]; r == nil || r.clientRetry || r.firstTriedAt != time.Second {
 		t.Errorf("a first try was taken for a retry: %+v", r)
 	}
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * millisecond, ClientRetry: true})
-	if r := b.requests["again"]; r == nil || !r.clientRetry || r.firstAskedAt != 4900*millisecond {
+	if r := b.requests["again"]; r == nil || !r.clientRetry || r.firstTriedAt != 4900*millisecond {
 		t.Errorf("the marked retry was not dated back: %+v", r)
 	}
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, p := range b.pools {
-		b.preferServers(p)
+		b.updatePreferredServers(p)
 	}
 }
 
--- a/balancer/faultinjection.go
+++ b/balancer/faultinjection.go
@@ -123,7 +123,7 @@
 func (b *Balancer) removeDelayed(r *request) {
 	if r.delayed {
 		r.delayed = false
-		b.faults.delayed = remove(b.faults.delayed, r)
+		b.faults.delayed = removeRequest(b.faults.delayed, r)
 	}
 }
 
--- a/balancer/goldensimulation_test.go
+++ b/balancer/goldensimulation_test.go
@@ -158,7 +158,7 @@
 	g.handle(WatchFailed{})
 	g.handle(WatchFailed{})
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) { // the first client that waits for an attempt leaves
-		if r := g.requests[id]; r.hasAttemptOut() && !r.streaming {
+		if r := g.requests[id]; r.hasAttemptInFlight() && !r.streaming {
 			g.handle(ClientGone{ID: id})
 			break
 		}
--- a/balancer/pool.go
+++ b/balancer/pool.go
@@ -10,9 +10,9 @@
 	inService                  []*server // listed as ready, not disabled; in the order of their IDs
 	preferred                  []*server // those to use first (zonepreference.go)
 
-	crossZoneShare   float64 // share of requests that may go to servers that are not preferred
-	preferredLatency float64 // mean log of latency over the class mean, at preferred servers
-	otherLatency     float64 // the same at the others
+	crossZoneShare      float64 // share of requests that may go to servers that are not preferred
+	preferredLogLatency float64 // mean log of latency over the class mean, at preferred servers
+	otherLogLatency     float64 // the same at the others
 
 	queued            []*request
 	inFlight          int     // attempts that count in the window
@@ -36,7 +36,7 @@
 		(p.allowedKinds == nil || slices.Contains(p.allowedKinds, s.Kind))
 }
 
-// remove takes a request out of a list of requests.
-func remove(list []*request, r *request) []*request {
+// removeRequest takes a request out of a list of requests.
+func removeRequest(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(o *request) bool { return o == r })
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -8,11 +8,11 @@
 	// deadlineMarginTolerances is how long before a deadline the Balancer acts, in tolerances of the host's
 	// timers: one by which its own timer may be late, and one in which the answer reaches the client.
 	deadlineMarginTolerances = 2
-	// minQueueDivisor: a request may wait for at least a quarter of its latency objective.
-	minQueueDivisor = 4
-	// queueDeviations is how many deviations above the mean latency are left for the answer to a queued
+	// minQueueTimeDivisor: a request may wait for at least a quarter of its latency objective.
+	minQueueTimeDivisor = 4
+	// queueLatencyDeviations is how many deviations above the mean latency are left for the answer to a queued
 	// request.
-	queueDeviations = 2
+	queueLatencyDeviations = 2
 )
 
 // deadlineMargin is the time before a deadline that is left for timers and the way to the client.
@@ -33,8 +33,8 @@
 // once or rejected at once.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
-	wait := max(objective/minQueueDivisor, objective-r.class.latencyBound(queueDeviations))
-	return min(r.deadline-b.deadlineMargin(), r.firstAskedAt+wait)
+	wait := max(objective/minQueueTimeDivisor, objective-r.class.latencyBound(queueLatencyDeviations))
+	return min(r.deadline-b.deadlineMargin(), r.firstTriedAt+wait)
 }
 
 // enqueue keeps a request until a server may take it; its timer makes sure that it is answered. One that
@@ -58,7 +58,7 @@
 	if r.queued {
 		r.queued = false
 		p := r.class.pool
-		p.queued = remove(p.queued, r)
+		p.queued = removeRequest(p.queued, r)
 	}
 }
 
@@ -93,7 +93,7 @@
 			b.giveUp(p.queued[0])
 		}
 		for len(p.queued) > 0 && !b.windowFull(p) {
-			r := b.mostValuable(p.queued)
+			r := b.nextQueued(p.queued)
 			if r == nil {
 				break
 			}
@@ -106,9 +106,9 @@
 	}
 }
 
-// mostValuable is the queued request to send next: that of the highest shedding value whose turn it is. Of
+// nextQueued is the queued request to send next: that of the highest shedding value whose turn it is. Of
 // equal value the youngest goes, for it has most time left; nil if no request may go.
-func (b *Balancer) mostValuable(queued []*request) *request {
+func (b *Balancer) nextQueued(queued []*request) *request {
 	var best *request
 	for _, r := range queued {
 		if b.keyOrderAllows(r) && (best == nil || b.sheddingValue(r) >= b.sheddingValue(best)) {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -7,7 +7,7 @@
 
 // A host rounds times. A timer that fires a fraction early must still lead to an answer in time, or the
 // client waits to its deadline for nothing.
-func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
+func TestQueuedRequestIsAnsweredInTimeWhenTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * millisecond})
 	for now := time.Duration(0); now < 1000*millisecond; {
@@ -31,7 +31,7 @@
 
 // With no server listed, a request waits for no longer than an answer could still be in time, however long
 // its client would wait, and its client is told when to come back.
-func TestWithoutServersRequestsAreRejectedEarly(t *testing.T) {
+func TestRequestsAreRejectedEarlyWhenNoServerIsListed(t *testing.T) {
 	for _, class := range []string{"get", "pay"} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true})
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// ruleFaultInjections delay and abort requests of all kinds of classes.
-var ruleFaultInjections = []FaultInjection{
+// randomTestFaultInjections delay and abort requests of all kinds of classes.
+var randomTestFaultInjections = []FaultInjection{
 	{Name: "slow", Class: "seq", Percent: 30, Delay: 200 * millisecond, Duration: time.Second},
 	{Name: "slower", Class: "pay", Percent: 50, Delay: time.Second, Duration: time.Second},
 	{Name: "away", Class: "seq2", Percent: 20, AbortStatus: 503, Duration: time.Second},
 	{Name: "odd", Class: "kin", Percent: 100, Delay: 50 * millisecond, Duration: 2 * time.Second},
 }
 
-// ruleSettings adds classes that keep their order or are bound to some servers.
-func ruleSettings() Settings {
+// randomTestSettings adds classes that keep their order or are bound to some servers.
+func randomTestSettings() Settings {
 	set := testSettings()
 	set.KeyQuietPeriod = 30 * millisecond
 	for _, c := range []Class{
@@ -38,45 +38,45 @@
 	return set
 }
 
-// run drives a Balancer with random legal events and odd ones, and returns all its actions.
-func run(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
+// runRandomEvents drives a Balancer with random legal events and odd ones, and returns all its actions.
+func runRandomEvents(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
 	t.Helper()
 	b, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &randomHost{b: b, rng: rand.New(rand.NewPCG(seed, 1)), checker: c, fleet: servers(8), ended: map[string]bool{}}
+	h := &randomHost{b: b, rng: rand.New(rand.NewPCG(seed, 1)), checker: c, fleet: servers(8), answered: map[string]bool{}}
 	for i := range h.fleet {
 		h.fleet[i].Kind, h.fleet[i].Zone = fmt.Sprint("k", i%3), []string{"z", "y"}[i/4]
 	}
-	h.give(EndpointUpdate{Complete: true, Cached: true, Servers: h.fleet})
+	h.handle(EndpointUpdate{Complete: true, Cached: true, Servers: h.fleet})
 	for i := range steps {
 		h.now += 2 * millisecond
 		h.fireTimers()
 		h.endAttempts()
 		if i < steps*3/4 && h.rng.IntN(3) == 0 {
-			h.ask(fmt.Sprint("r", i))
+			h.sendRequest(fmt.Sprint("r", i))
 		}
 		if h.rng.IntN(60) == 0 {
-			h.changeFleet()
+			h.changeServer()
 		}
-		h.giveOddEvents()
+		h.sendUnexpectedEvents()
 	}
 	return h.log, b
 }
 
 // randomHost is a host that does what a Balancer asks for, and draws what happens besides.
 type randomHost struct {
-	b       *Balancer
-	rng     *rand.Rand
-	checker *checker // nil: none
-	now     time.Duration
-	fleet   []Server
-	out     []randomAttempt
-	timers  []SetTimer
-	ids     []string        // of all requests
-	ended   map[string]bool // requests that have their answer
-	log     []string        // all actions
+	b        *Balancer
+	rng      *rand.Rand
+	checker  *checker // nil: none
+	now      time.Duration
+	fleet    []Server
+	inFlight []randomAttempt
+	timers   []SetTimer
+	ids      []string        // of all requests
+	answered map[string]bool // requests that have their answer
+	log      []string        // all actions
 }
 
 // randomAttempt is an attempt that is out.
@@ -88,8 +88,8 @@
 	timeout bool
 }
 
-// give gives the Balancer an event and notes what it asks for.
-func (h *randomHost) give(e Event) {
+// handle gives the Balancer an event and notes what it asks for.
+func (h *randomHost) handle(e Event) {
 	if h.checker != nil {
 		h.checker.event(h.now, e)
 	}
@@ -101,17 +101,17 @@
 		h.log = append(h.log, fmt.Sprintf("%v %T%v", h.now, a, a))
 		switch a := a.(type) {
 		case Send:
-			h.send(a)
+			h.startAttempt(a)
 		case SetTimer:
 			h.timers = append(h.timers, a)
 		}
 	}
 }
 
-// send draws how long an attempt takes.
-func (h *randomHost) send(a Send) {
+// startAttempt draws how long an attempt takes.
+func (h *randomHost) startAttempt(a Send) {
 	number := 0
-	for _, p := range h.out {
+	for _, p := range h.inFlight {
 		if p.id == a.ID && p.number >= number {
 			number = p.number + 1
 		}
@@ -124,18 +124,18 @@
 	if h.rng.IntN(8) == 0 || took > a.Timeout {
 		attempt.due, attempt.timeout = h.now+a.Timeout, true
 	}
-	h.out = append(h.out, attempt)
+	h.inFlight = append(h.inFlight, attempt)
 }
 
 // fireTimers fires the timers that are due, some of them twice.
 func (h *randomHost) fireTimers() {
 	for k := 0; k < len(h.timers); k++ {
-		if w := h.timers[k]; w.At <= h.now {
+		if timer := h.timers[k]; timer.At <= h.now {
 			h.timers = append(h.timers[:k], h.timers[k+1:]...)
 			k--
-			h.give(TimerFired{Token: w.Token})
+			h.handle(TimerFired{Token: timer.Token})
 			if h.rng.IntN(20) == 0 {
-				h.give(TimerFired{Token: w.Token})
+				h.handle(TimerFired{Token: timer.Token})
 			}
 		}
 	}
@@ -143,12 +143,12 @@
 
 // endAttempts ends the attempts that are due with drawn outcomes, some of them twice, and lets some clients leave.
 func (h *randomHost) endAttempts() {
-	for k := 0; k < len(h.out); k++ {
-		p := h.out[k]
+	for k := 0; k < len(h.inFlight); k++ {
+		p := h.inFlight[k]
 		if p.due > h.now {
 			continue
 		}
-		h.out = append(h.out[:k], h.out[k+1:]...)
+		h.inFlight = append(h.inFlight[:k], h.inFlight[k+1:]...)
 		k--
 		e := AttemptEnded{ID: p.id, Attempt: p.number, Server: p.server, Outcome: Success}
 		switch {
@@ -158,30 +158,30 @@
 			e.Outcome = Outcome(1 + h.rng.IntN(int(NotSent)))
 		}
 		if r := h.b.requests[p.id]; e.Outcome == Success || r == nil || r.answered {
-			h.ended[p.id] = true
+			h.answered[p.id] = true
 		}
-		e.RequestDone = h.ended[p.id]
-		h.give(e)
+		e.RequestDone = h.answered[p.id]
+		h.handle(e)
 		if h.rng.IntN(10) == 0 {
-			h.give(e)
+			h.handle(e)
 		}
 		if h.rng.IntN(30) == 0 {
-			h.give(ClientGone{ID: p.id})
-			h.ended[p.id] = true
+			h.handle(ClientGone{ID: p.id})
+			h.answered[p.id] = true
 		}
 	}
 }
 
-// ask gives a request of a drawn class.
-func (h *randomHost) ask(id string) {
+// sendRequest gives a request of a drawn class.
+func (h *randomHost) sendRequest(id string) {
 	class := []string{"get", "post", "pay", "odd", "seq", "seq", "seq2", "kin", "both", "none"}[h.rng.IntN(10)]
 	h.ids = append(h.ids, id)
-	h.give(Request{ID: id, Class: class, Deadline: h.now + time.Duration(1+h.rng.IntN(1500))*millisecond,
+	h.handle(Request{ID: id, Class: class, Deadline: h.now + time.Duration(1+h.rng.IntN(1500))*millisecond,
 		Key: h.rng.Uint64N(6), HasKey: h.rng.IntN(4) > 0})
 }
 
-// changeFleet changes a server, or restarts it, and announces that in one of several ways.
-func (h *randomHost) changeFleet() {
+// changeServer changes a server, or restarts it, and announces that in one of several ways.
+func (h *randomHost) changeServer() {
 	s := &h.fleet[h.rng.IntN(len(h.fleet))]
 	s.State = ServerState(h.rng.IntN(3))
 	if h.rng.IntN(2) == 0 {
@@ -195,44 +195,44 @@
 				list = append(list, s)
 			}
 		}
-		h.give(EndpointUpdate{Complete: true, Servers: list})
+		h.handle(EndpointUpdate{Complete: true, Servers: list})
 	case 1:
-		h.give(WatchFailed{})
-		h.give(EndpointUpdate{Servers: []Server{*s}})
+		h.handle(WatchFailed{})
+		h.handle(EndpointUpdate{Servers: []Server{*s}})
 	default:
-		h.give(EndpointUpdate{Servers: []Server{*s}})
+		h.handle(EndpointUpdate{Servers: []Server{*s}})
 	}
 }
 
-// giveOddEvents starts fault injections, gives events of unknown requests, and lets clients leave at any time.
-func (h *randomHost) giveOddEvents() {
+// sendUnexpectedEvents starts fault injections, gives events of unknown requests, and lets clients leave at any time.
+func (h *randomHost) sendUnexpectedEvents() {
 	if faults := h.b.settings.FaultInjections; len(faults) > 0 && h.rng.IntN(100) == 0 {
-		h.give(StartFaultInjection{Name: faults[h.rng.IntN(len(faults))].Name})
+		h.handle(StartFaultInjection{Name: faults[h.rng.IntN(len(faults))].Name})
 	}
 	if h.rng.IntN(40) == 0 {
-		h.give(AttemptEnded{ID: "nobody", Attempt: 3, Outcome: Success})
-		h.give(TimerFired{Token: "r:nobody"})
-		h.give(TimerFired{Token: "x"})
-		h.give(ClientGone{ID: "nobody"})
+		h.handle(AttemptEnded{ID: "nobody", Attempt: 3, Outcome: Success})
+		h.handle(TimerFired{Token: "r:nobody"})
+		h.handle(TimerFired{Token: "x"})
+		h.handle(ClientGone{ID: "nobody"})
 	}
 	if h.rng.IntN(50) == 0 && len(h.ids) > 0 {
 		id := h.ids[h.rng.IntN(len(h.ids))]
-		h.give(ClientGone{ID: id})
-		h.ended[id] = true
+		h.handle(ClientGone{ID: id})
+		h.answered[id] = true
 	}
 }
 
 // Random events, among them doubled and unknown ones, must break no rule and leave nothing behind.
-func TestRulesHoldOnRandomSequences(t *testing.T) {
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		set := ruleSettings()
+		set := randomTestSettings()
 		set.Tier = int(seed % 2)
 		set.PollDiscovery = seed%4 == 0
 		if seed%3 == 0 {
-			set.FaultInjections = ruleFaultInjections
+			set.FaultInjections = randomTestFaultInjections
 		}
 		c := newChecker(set)
-		log, b := run(t, set, seed, 6000, c)
+		log, b := runRandomEvents(t, set, seed, 6000, c)
 		for i, s := range c.violations {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, s)
@@ -259,11 +259,11 @@
 
 // Captures are replayed, and a change is judged by replays: the same events and seed must give the same
 // actions, whatever else the process does.
-func TestSameEventsSameActions(t *testing.T) {
-	a, _ := run(t, ruleSettings(), 5, 3000, nil)
+func TestSameEventsAndSeedGiveSameActions(t *testing.T) {
+	a, _ := runRandomEvents(t, randomTestSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
 	other.Handle(0, EndpointUpdate{Complete: true, Servers: servers(3)})
-	b, _ := run(t, ruleSettings(), 5, 3000, nil)
+	b, _ := runRandomEvents(t, randomTestSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
 	}
@@ -275,7 +275,7 @@
 // Map order and hash seeds differ between processes; the actions must not, or a capture could not be
 // replayed. The test runs itself twice more and compares what the same events led to.
 func TestSameActionsInSeveralProcesses(t *testing.T) {
-	log, _ := run(t, ruleSettings(), 8, 2000, nil)
+	log, _ := runRandomEvents(t, randomTestSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
 	if os.Getenv("BALANCER_TEST_CHILD") != "" {
 		fmt.Println(own)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -21,7 +21,7 @@
 type request struct {
 	id           string
 	class        *class
-	firstAskedAt time.Duration // its arrival; of a client's retry, an estimate of the first try's
+	firstTriedAt time.Duration // its arrival; of a client's retry, an estimate of the first try's
 	deadline     time.Duration
 	attempts     []*attempt
 	clientRetry  bool      // the client has asked before
@@ -50,8 +50,8 @@
 	outsideWindow bool // it no longer counts in the admission window
 }
 
-// hasAttemptOut says that an attempt of a request has no outcome yet.
-func (r *request) hasAttemptOut() bool {
+// hasAttemptInFlight says that an attempt of a request has no outcome yet.
+func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
 }
 
@@ -104,7 +104,7 @@
 	r := &request{
 		id:           e.ID,
 		class:        c,
-		firstAskedAt: b.now,
+		firstTriedAt: b.now,
 		deadline:     min(e.Deadline, b.now+c.Deadline),
 		clientRetry:  e.ClientRetry,
 		streamedBody: e.StreamedBody,
@@ -145,7 +145,7 @@
 	}
 	p := r.class.pool
 	if a.number == 0 {
-		p.countAdmitted()
+		p.recordAdmitted()
 	}
 	r.attempts = append(r.attempts, a)
 	b.dequeue(r)
@@ -184,12 +184,12 @@
 	a.neverRan = e.Outcome.NeverRan()
 	a.removeFromWindow()
 	b.startQuietPeriod(r, e.Outcome)
-	tooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
-	if !tooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
+	budgetTooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
+	if !budgetTooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
 		b.adjustWindow(r, e)
 	}
 	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
-	if !tooShort {
+	if !budgetTooShort {
 		b.recordOutcome(a, e)
 	}
 	if !a.server.listed && a.server.inFlightCount() == 0 && b.servers[a.server.ID] == a.server {
@@ -197,19 +197,19 @@
 	}
 	switch {
 	case e.RequestDone:
-		if e.Outcome == Success && !r.answered && b.inTime(a, e) {
+		if e.Outcome == Success && !r.answered && b.metLatencyObjective(a, e) {
 			r.class.served++
 		}
 		b.closeRequest(r)
-	case !r.answered && !r.hasAttemptOut():
+	case !r.answered && !r.hasAttemptInFlight():
 		b.retryOrGiveUp(r)
 	}
-	b.forgetIfDone(r)
+	b.removeIfDone(r)
 }
 
-// inTime says that an answer met the latency objective. Of a stream that is its first message.
-func (b *Balancer) inTime(a *attempt, e AttemptEnded) bool {
-	objective := a.request.firstAskedAt + a.request.class.LatencyObjective
+// metLatencyObjective says that an answer met the latency objective. Of a stream that is its first message.
+func (b *Balancer) metLatencyObjective(a *attempt, e AttemptEnded) bool {
+	objective := a.request.firstTriedAt + a.request.class.LatencyObjective
 	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
 }
 
@@ -232,7 +232,7 @@
 		return
 	}
 	if len(r.attempts) == 0 {
-		r.class.pool.countShed()
+		r.class.pool.recordShed()
 	}
 	anyServerDeduplicates := r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
 	if r.class.Effect == Idempotent || anyServerDeduplicates || !r.mayHaveRun() {
@@ -253,17 +253,17 @@
 	r.answered = true
 	b.dequeue(r)
 	b.removeDelayed(r)
-	b.forgetIfDone(r)
+	b.removeIfDone(r)
 }
 
-// forgetIfDone drops a request once nothing of it is left.
-func (b *Balancer) forgetIfDone(r *request) {
-	if !r.answered || r.hasAttemptOut() || b.requests[r.id] != r {
+// removeIfDone drops a request once nothing of it is left.
+func (b *Balancer) removeIfDone(r *request) {
+	if !r.answered || r.hasAttemptInFlight() || b.requests[r.id] != r {
 		return
 	}
 	delete(b.requests, r.id)
 	if queue := r.keyQueue; queue != nil {
-		queue.requests = remove(queue.requests, r)
+		queue.requests = removeRequest(queue.requests, r)
 		b.dropOrRearmKeyQueue(queue)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -7,7 +7,7 @@
 
 // A request that has used up its attempts is answered in the same event, with Retry-After where it is
 // rejected. Its client must not wait for its deadline to learn of it.
-func TestExhaustedRequestIsAnsweredAtOnce(t *testing.T) {
+func TestRequestWithoutAttemptsLeftIsAnsweredImmediately(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
 	for class, want := range map[string]Action{"get": Reject{ID: "get", RetryAfter: 50 * millisecond}, "pay": Fail{ID: "pay"}} {
--- a/balancer/retryafter_test.go
+++ b/balancer/retryafter_test.go
@@ -7,7 +7,7 @@
 
 // A rejected client that stays away for long comes back when its latency objective is mostly over; one that
 // comes back at once uses up its tries on the overload that it was rejected for.
-func TestRejectedClientsRetrySoon(t *testing.T) {
+func TestRetryAfterIsAFractionOfTheLatencyObjective(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(2)})
 	b.pools[0].window, b.pools[0].inFlight = 1, 1
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -7,8 +7,8 @@
 package balancer
 
 const (
-	// retryRefill is the retries that a success pays for: about one request in seven may be tried again.
-	retryRefill = 0.15
+	// retriesPerSuccess is the retries that a success pays for: about one request in seven may be tried again.
+	retriesPerSuccess = 0.15
 	// maxRetryBalance is the retries that can be saved up, for a burst of failures as when a server dies.
 	maxRetryBalance = 10
 	// initialRetryBalance is the retries allowed before there is any success.
@@ -22,7 +22,7 @@
 
 // refillRetryBudget pays for a success.
 func (b *Balancer) refillRetryBudget() {
-	b.retryBalance = min(maxRetryBalance, b.retryBalance+retryRefill)
+	b.retryBalance = min(maxRetryBalance, b.retryBalance+retriesPerSuccess)
 }
 
 // costOfRetry is what a retry of a request with at least one attempt takes from the balance.
--- a/balancer/serverchoice_test.go
+++ b/balancer/serverchoice_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// serversWithCalls are servers with so many own attempts in flight.
-func serversWithCalls(calls ...int) (list []*server) {
+// serversWithAttempts are servers with so many own attempts in flight.
+func serversWithAttempts(calls ...int) (list []*server) {
 	for i, n := range calls {
 		list = append(list, &server{Server: Server{ID: fmt.Sprint(i, n)}, inFlight: attemptsInFlight(n)})
 	}
@@ -36,13 +36,13 @@
 		left, right []*server
 		want        float64
 	}{
-		{"fewer left", serversWithCalls(1), serversWithCalls(2), 1},
-		{"fewer right", serversWithCalls(2), serversWithCalls(1), 0},
-		{"zero beats one", serversWithCalls(1), serversWithCalls(0), 0},
-		{"nonzero tie goes left", serversWithCalls(3), serversWithCalls(3), 1},
-		{"zero tie by shares", serversWithCalls(0, 0, 0), serversWithCalls(0), 0.75},
-		{"left empty", nil, serversWithCalls(1), 0},
-		{"right empty", serversWithCalls(5), nil, 1},
+		{"fewer left", serversWithAttempts(1), serversWithAttempts(2), 1},
+		{"fewer right", serversWithAttempts(2), serversWithAttempts(1), 0},
+		{"zero beats one", serversWithAttempts(1), serversWithAttempts(0), 0},
+		{"nonzero tie goes left", serversWithAttempts(3), serversWithAttempts(3), 1},
+		{"zero tie by shares", serversWithAttempts(0, 0, 0), serversWithAttempts(0), 0.75},
+		{"left empty", nil, serversWithAttempts(1), 0},
+		{"right empty", serversWithAttempts(5), nil, 1},
 	} {
 		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
 			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
@@ -51,7 +51,7 @@
 	if b.pickFromGroups(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := serversWithCalls(0, 0, 0, 0), map[*server]int{}
+	left, count := serversWithAttempts(0, 0, 0, 0), map[*server]int{}
 	for range n {
 		count[b.pickFromGroups(left, nil)]++
 	}
@@ -64,7 +64,7 @@
 
 // Replicas that learn of the servers in different ways must have them in the same order: else their groups
 // and subsets differ, and the load is uneven.
-func TestReplicasShareTheOrder(t *testing.T) {
+func TestServerOrderIsTheSameAtAllReplicas(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
 	a.Handle(0, EndpointUpdate{Complete: true, Servers: l})
--- a/balancer/settingschange.go
+++ b/balancer/settingschange.go
@@ -60,7 +60,7 @@
 	} else if p != nil && p.samples > 0 {
 		c.meanLatency, c.latencyDeviation, c.samples = p.meanLatency, p.latencyDeviation, p.samples
 	}
-	c.pool = findPool(slices.Concat(b.pools, pools), settings)
+	c.pool = findOrCreatePool(slices.Concat(b.pools, pools), settings)
 	if !slices.Contains(b.pools, c.pool) {
 		b.pools = append(b.pools, c.pool)
 	}
@@ -68,8 +68,8 @@
 	b.classList = append(b.classList, c)
 }
 
-// findPool returns the first pool with the placement of a class, or a new one.
-func findPool(pools []*pool, c Class) *pool {
+// findOrCreatePool returns the first pool with the placement of a class, or a new one.
+func findOrCreatePool(pools []*pool, c Class) *pool {
 	placement := [][]string{c.AllowedZones, c.AllowedKinds}
 	for _, p := range pools {
 		if reflect.DeepEqual([][]string{p.allowedZones, p.allowedKinds}, placement) {
--- a/balancer/settingschange_test.go
+++ b/balancer/settingschange_test.go
@@ -9,15 +9,15 @@
 // came with, whatever its class becomes: else one that must not run twice might be sent again. The next has
 // the new ones. A checkpoint in between changes nothing.
 func TestOpenRequestsKeepTheirSettings(t *testing.T) {
-	unsafe := func(s *Settings) { s.Classes[0].Effect = NonIdempotent }
+	nonIdempotent := func(s *Settings) { s.Classes[0].Effect = NonIdempotent }
 	for name, c := range map[string]struct {
-		change     func(*Settings)
-		rules      int // that the request's ingress had seen
-		before     bool
-		old, fresh bool // whether an attempt that may have run is followed by another
+		change                 func(*Settings)
+		settingsVersion        int // that the request's ingress had seen
+		before                 bool
+		oldRetried, newRetried bool // whether an attempt that may have run is followed by another
 	}{
-		"another effect":                {unsafe, 1, true, true, false},
-		"ingress not notified yet":      {unsafe, 0, true, true, true},
+		"another effect":                {nonIdempotent, 1, true, true, false},
+		"ingress not notified yet":      {nonIdempotent, 0, true, true, true},
 		"fewer attempts":                {func(s *Settings) { s.MaxAttempts = 1 }, 1, true, true, false},
 		"dropped":                       {func(s *Settings) { s.Classes = s.Classes[1:] }, 1, true, true, false},
 		"dropped, ingress not notified": {func(s *Settings) { s.Classes = s.Classes[1:] }, 0, true, true, true},
@@ -32,13 +32,13 @@
 			c.change(&set)
 			b.Handle(millisecond, SettingsChanged{Settings: set})
 			b = restored(t, b.settings, b)
-			if got := len(sends(endAttempt(b, 2*millisecond, "old", first[0], Failure))) > 0; got != c.old {
+			if got := len(sends(endAttempt(b, 2*millisecond, "old", first[0], Failure))) > 0; got != c.oldRetried {
 				t.Errorf("the open request was sent again: %v", got)
 			}
 			r := newRequest("new", "get", 3*millisecond, time.Second)
-			r.SettingsVersion = c.rules
+			r.SettingsVersion = c.settingsVersion
 			second := sends(b.Handle(3*millisecond, r))
-			if got := len(sends(endAttempt(b, 4*millisecond, "new", second[0], Failure))) > 0; got != c.fresh {
+			if got := len(sends(endAttempt(b, 4*millisecond, "new", second[0], Failure))) > 0; got != c.newRetried {
 				t.Errorf("the next request was sent again: %v", got)
 			}
 		})
@@ -48,7 +48,7 @@
 // A change of settings must not make the node forget how long work takes: it would time out or shed wrongly
 // until it has learned again. Classes that stay keep what was learned; one with other settings keeps how
 // long its work takes.
-func TestSettingsChangeKeepsWhatWasLearned(t *testing.T) {
+func TestSettingsChangeKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, completeList(4))
 	b.classes["get"].samples, b.classes["get"].meanLatency = 100, 7
@@ -73,7 +73,7 @@
 
 // A request waits in a pool that the new settings no longer have. It must still be sent when the pool's
 // attempt ends.
-func TestRequestQueuedInADroppedPoolIsSent(t *testing.T) {
+func TestRequestQueuedInARemovedPoolIsSent(t *testing.T) {
 	bound := func(s *Settings) { s.Classes[0].AllowedZones = []string{"z"} }
 	b := newBalancer(t, bound)
 	b.Handle(0, completeList(2))
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -52,8 +52,8 @@
 	return worst
 }
 
-// countAdmitted notes that a request was sent.
-func (p *pool) countAdmitted() { moveTowards(&p.shedShare, 0, slowSampleWeight) }
+// recordAdmitted notes that a request was sent.
+func (p *pool) recordAdmitted() { moveTowards(&p.shedShare, 0, slowSampleWeight) }
 
-// countShed notes that a request was answered without an attempt.
-func (p *pool) countShed() { moveTowards(&p.shedShare, 1, slowSampleWeight) }
+// recordShed notes that a request was answered without an attempt.
+func (p *pool) recordShed() { moveTowards(&p.shedShare, 1, slowSampleWeight) }
--- a/balancer/shedding_test.go
+++ b/balancer/shedding_test.go
@@ -7,7 +7,7 @@
 
 // In an overload clients retry, and a retry's answer is mostly late already. While there is little
 // capacity, first tries go first, or all answers are late.
-func TestFirstTriesGoBeforeClientRetries(t *testing.T) {
+func TestFirstTriesAreSentBeforeClientRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(1)})
 	b.pools[0].window = 1
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,9 +2,9 @@
 
 package balancer
 
-// burstReserve is the overload multiple below which a server that is warming up is sent less: half of the
+// fullShareOverloadMultiple is the overload multiple below which a server that is warming up is sent less: half of the
 // multiple is kept free for bursts, as of several replicas that draw it at once.
-const burstReserve = 2
+const fullShareOverloadMultiple = 2
 
 // slowStartAdmits says whether a server may be drawn with regard to its age. Input: the time since its
 // start, and the share of its peers that are busy. Output: true when SlowStartDuration is over; before, a
@@ -21,10 +21,10 @@
 	if s.startedAt() <= 0 || age >= b.settings.SlowStartDuration {
 		return true
 	}
-	grown := max(0, float64(age)/float64(b.settings.SlowStartDuration))
-	share := (b.settings.SlowStartMinShare + (1-b.settings.SlowStartMinShare)*grown) / (1 + busy)
+	progress := max(0, float64(age)/float64(b.settings.SlowStartDuration))
+	share := (b.settings.SlowStartMinShare + (1-b.settings.SlowStartMinShare)*progress) / (1 + busy)
 	if multiple := b.settings.OverloadMultiple; multiple > 0 {
-		share *= min(1, multiple/burstReserve)
+		share *= min(1, multiple/fullShareOverloadMultiple)
 	}
 	return s.inFlightCount() == 0 && b.rng.Float64() < share
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,7 +10,7 @@
 
 // Servers that fail at less than twice their capacity leave no reserve for bursts: while it warms up, such
 // a server is drawn less often.
-func TestSmallOverloadMultipleAdmitsLess(t *testing.T) {
+func TestLowOverloadMultipleReducesTheSlowStartShare(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, multiple := range []float64{0, 1, 2, 3} {
 		b := newBalancer(t, func(s *Settings) { s.SlowStartMinShare, s.OverloadMultiple = 0.5, multiple })
@@ -33,9 +33,9 @@
 // fallFor is the span over which a server's load is summed.
 const overloadSpan = 2 * time.Second
 
-// overBudget names the first span of fallFor in which a server that started at boot was sent more than
+// slowStartViolation names the first span of fallFor in which a server that started at boot was sent more than
 // OverloadMultiple times what it could do, or nothing. The capacity is a warm server's requests a second.
-func overBudget(set Settings, boot time.Duration, capacity float64, sent []time.Duration) string {
+func slowStartViolation(set Settings, startedAt time.Duration, capacity float64, sent []time.Duration) string {
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -43,8 +43,8 @@
 				n++
 			}
 		}
-		grown := min(1, float64(from-boot+overloadSpan/2)/float64(set.SlowStartDuration)) // in the middle of the span
-		limit := set.OverloadMultiple * capacity * (set.SlowStartMinShare + (1-set.SlowStartMinShare)*grown) * overloadSpan.Seconds()
+		progress := min(1, float64(from-startedAt+overloadSpan/2)/float64(set.SlowStartDuration)) // in the middle of the span
+		limit := set.OverloadMultiple * capacity * (set.SlowStartMinShare + (1-set.SlowStartMinShare)*progress) * overloadSpan.Seconds()
 		if float64(n) > limit {
 			return fmt.Sprintf("rule 4: %d calls in %v from %v, limit %.0f", n, overloadSpan, from, limit)
 		}
@@ -53,16 +53,16 @@
 }
 
 // The check of slow start must itself be able to fail.
-func TestOverBudgetCanFail(t *testing.T) {
+func TestSlowStartViolationIsDetected(t *testing.T) {
 	set := testSettings() // 3 times 50 a second times 0.28, on average, for two seconds: 84
 	var burst []time.Duration
 	for i := range 85 {
 		burst = append(burst, time.Second+time.Duration(i)*millisecond)
 	}
-	if got := overBudget(set, time.Second, 50, burst); !strings.HasPrefix(got, "rule 4") {
+	if got := slowStartViolation(set, time.Second, 50, burst); !strings.HasPrefix(got, "rule 4") {
 		t.Errorf("a burst of 85 is over budget, got %q", got)
 	}
-	if got := overBudget(set, time.Second, 50, burst[:84]); got != "" {
+	if got := slowStartViolation(set, time.Second, 50, burst[:84]); got != "" {
 		t.Errorf("84 are within the budget, got %q", got)
 	}
 }
@@ -90,14 +90,14 @@
 			if f.now < start+2*time.Second {
 				rate *= tc.burst
 			}
-			f.pass(time.Duration(float64(time.Second) / rate))
+			f.advance(time.Duration(float64(time.Second) / rate))
 			f.send(fmt.Sprint(i), class)
 		}
 		if len(f.sentToStarting) < 20 {
 			t.Errorf("%+v: the server in slow start got only %d requests", tc, len(f.sentToStarting))
 		}
-		if fault := overBudget(settings, start, capacity, f.sentToStarting); fault != "" {
-			t.Errorf("%+v: %s", tc, fault)
+		if violation := slowStartViolation(settings, start, capacity, f.sentToStarting); violation != "" {
+			t.Errorf("%+v: %s", tc, violation)
 		}
 	}
 }
@@ -136,8 +136,8 @@
 	return f
 }
 
-// pass lets time go by, in which attempts end.
-func (f *startingFleet) pass(step time.Duration) {
+// advance lets time go by, in which attempts end.
+func (f *startingFleet) advance(step time.Duration) {
 	f.now += step
 	for len(f.pending) > 0 && f.pending[0].at <= f.now {
 		p := f.pending[0]
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -30,11 +30,11 @@
 // ringSegment is a part of a group, taken as a ring. The replica's index says where it starts, so that the
 // segments of all replicas cover the servers evenly; a change of the list moves it by little.
 func (b *Balancer) ringSegment(group []*server, share float64) []*server {
-	_, at := math.Modf(ringStep * float64(b.settings.ReplicaIndex))
-	start := int(at * float64(len(group)))
+	_, offset := math.Modf(ringStep * float64(b.settings.ReplicaIndex))
+	start := int(offset * float64(len(group)))
 	end := start + int(math.Ceil(share*float64(len(group))))
-	if over := end - len(group); over > 0 {
-		return slices.Concat(group[start:], group[:over])
+	if wrapped := end - len(group); wrapped > 0 {
+		return slices.Concat(group[start:], group[:wrapped])
 	}
 	return group[start:end]
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -39,16 +39,16 @@
 
 // All servers of a replica's subset have rejected attempts. The replica must draw from the rest of the list
 // rather than fail requests that others could serve.
-func TestSubsetWithoutCapacityFallsBackToTheList(t *testing.T) {
+func TestSubsetWithoutCapacityFallsBackToAllServers(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(80)})
-	own := traffic(b, 400, "get", func(string) Outcome { return Success })
-	for id := range own {
+	subset := traffic(b, 400, "get", func(string) Outcome { return Success })
+	for id := range subset {
 		b.servers[id].capacityLimitUntil, b.servers[id].capacityLimit = time.Hour, 0
 	}
 	got := traffic(b, 100, "get", func(string) Outcome { return Success })
 	for id := range got {
-		if own[id] > 0 {
+		if subset[id] > 0 {
 			t.Errorf("%s was drawn though it is at its limit", id)
 		}
 	}
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("balancer: %s %s: %s", e.Path, e.Problem, e.Remedy)
 }
 
-// invalid is the error of a setting of an entry, or of the Settings themselves where entry is "".
-func invalid(entry, key, problem, remedy string) *SettingsError {
+// invalidSetting is the error of a setting of an entry, or of the Settings themselves where entry is "".
+func invalidSetting(entry, key, problem, remedy string) *SettingsError {
 	path := key
 	if entry != "" {
 		path = entry + ": " + key
@@ -39,7 +39,7 @@
 // Validate returns a *SettingsError for the first setting that no Balancer can work with, or nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return invalid("", "Classes", "is empty", "configure at least one class")
+		return invalidSetting("", "Classes", "is empty", "configure at least one class")
 	}
 	for i := range s.Classes {
 		if err := s.validateClass(i); err != nil {
@@ -47,7 +47,7 @@
 		}
 	}
 	if !isShare(s.SlowStartMinShare) {
-		return invalid("", "ColdFrom", "is out of range", remedyShare)
+		return invalidSetting("", "ColdFrom", "is out of range", remedyShare)
 	}
 	for _, d := range []struct {
 		key   string
@@ -55,7 +55,7 @@
 	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.TimerTolerance}, {"MaxRetryAfter", s.MaxRetryAfter},
 		{"OrderSettle", s.KeyQuietPeriod}, {"WarmAfter", s.SlowStartDuration}} {
 		if d.value < 0 {
-			return invalid("", d.key, "is negative", remedyNotNegative)
+			return invalidSetting("", d.key, "is negative", remedyNotNegative)
 		}
 	}
 	for _, n := range []struct {
@@ -64,7 +64,7 @@
 	}{{"Tier", float64(s.Tier)}, {"Balancers", float64(s.Replicas)}, {"Self", float64(s.ReplicaIndex)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"FallMultiple", s.OverloadMultiple}} {
 		if !(n.value >= 0) { // also not a number
-			return invalid("", n.key, "is negative or not a number", remedyNotNegative)
+			return invalidSetting("", n.key, "is negative or not a number", remedyNotNegative)
 		}
 	}
 	for i := range s.FaultInjections {
@@ -85,15 +85,15 @@
 	path = fmt.Sprintf("%s (%s)", path, c.Name)
 	switch {
 	case c.LatencyObjective <= 0:
-		return invalid(path, "Aim", "is not positive", remedyPositive)
+		return invalidSetting(path, "Aim", "is not positive", remedyPositive)
 	case c.Deadline <= 0:
-		return invalid(path, "Deadline", "is not positive", remedyPositive)
+		return invalidSetting(path, "Deadline", "is not positive", remedyPositive)
 	case c.DedupWindow < 0:
-		return invalid(path, "Window", "is negative", remedyNotNegative)
+		return invalidSetting(path, "Window", "is negative", remedyNotNegative)
 	case !(c.PriorityWeight >= 0):
-		return invalid(path, "Worth", "is negative or not a number", remedyNotNegative)
+		return invalidSetting(path, "Worth", "is negative or not a number", remedyNotNegative)
 	case !isShare(c.LateCredit):
-		return invalid(path, "LateShare", "is out of range", remedyShare)
+		return invalidSetting(path, "LateShare", "is out of range", remedyShare)
 	}
 	return nil
 }
@@ -113,14 +113,14 @@
 	}
 	switch {
 	case !(f.Percent >= 0 && f.Percent <= 100):
-		return invalid(path, "Share", "is out of range", "set it to a percentage from 0 to 100")
+		return invalidSetting(path, "Share", "is out of range", "set it to a percentage from 0 to 100")
 	case f.Delay < 0:
-		return invalid(path, "Delay", "is negative", remedyNotNegative)
+		return invalidSetting(path, "Delay", "is negative", remedyNotNegative)
 	case f.Duration <= 0:
-		return invalid(path, "Duration", "is not positive", remedyPositive)
+		return invalidSetting(path, "Duration", "is not positive", remedyPositive)
 	case f.AbortStatus != 0 && f.AbortStatus != http.StatusServiceUnavailable &&
 		f.AbortStatus != http.StatusInternalServerError:
-		return invalid(path, "AbortStatus", "is out of range", "set it to 503 or 500, or to 0")
+		return invalidSetting(path, "AbortStatus", "is out of range", "set it to 503 or 500, or to 0")
 	}
 	return nil
 }
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -8,7 +8,7 @@
 )
 
 // Whoever wrote a wrong setting must find it by the error, and what to do about it.
-func TestSettingsErrorsNameTheField(t *testing.T) {
+func TestSettingsErrorsNameTheSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes is empty":  func(s *Settings) { s.Classes = nil },
 		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
@@ -27,9 +27,9 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
-		var wrong *SettingsError
-		if !errors.As(err, &wrong) || wrong.Path == "" || wrong.Key == "" || wrong.Problem == "" || wrong.Remedy == "" {
-			t.Errorf("%v does not say where, what and what to do: %+v", err, wrong)
+		var settingsErr *SettingsError
+		if !errors.As(err, &settingsErr) || settingsErr.Path == "" || settingsErr.Key == "" || settingsErr.Problem == "" || settingsErr.Remedy == "" {
+			t.Errorf("%v does not say where, what and what to do: %+v", err, settingsErr)
 		}
 	}
 }
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -8,23 +8,23 @@
 	// minCrossZoneShare is the share of requests that leave the preferred servers anyway, so that the
 	// replica knows how long the others take and notices when they have become faster.
 	minCrossZoneShare = 0.03
-	// crossZoneGain is the difference of mean log latency by which the preferred servers must be slower
+	// crossZoneLogLatencyGap is the difference of mean log latency by which the preferred servers must be slower
 	// before more requests leave them: a quarter is about 28 % of the latency. Less would not pay for
 	// crossing zones.
-	crossZoneGain = 0.25
+	crossZoneLogLatencyGap = 0.25
 	// crossZoneWeight is the weight of one answer in the cross-zone share: half that of the latencies it
 	// follows, so that requests don't swing between zones together.
 	crossZoneWeight = sampleWeight / 2
 )
 
-// preferServers finds the servers that a pool's classes use first: those of the own zone, if any, and of
+// updatePreferredServers finds the servers that a pool's classes use first: those of the own zone, if any, and of
 // these the ones that no narrower pool depends on, if any. Crossing zones costs latency and money, and the
 // classes of a narrower pool have nowhere else to go: were its servers filled by others, these classes
 // alone would fail, while other servers idle.
 //
 // Servers that are left to narrower pools are not counted in serversPerReplica either: else the floors of
 // two windows would admit twice what one server takes.
-func (b *Balancer) preferServers(p *pool) {
+func (b *Balancer) updatePreferredServers(p *pool) {
 	neededByNarrowerPool := func(s *server) bool {
 		return slices.ContainsFunc(b.pools, func(narrower *pool) bool {
 			return len(narrower.inService) < len(p.inService) && narrower.allows(s)
@@ -64,12 +64,12 @@
 // that has lost half of its servers would choke while others have capacity; it shows as time-outs and
 // rejections in one zone only.
 func (p *pool) learnZoneLatency(preferred bool, logRatio float64) {
-	average := &p.otherLatency
+	average := &p.otherLogLatency
 	if preferred {
-		average = &p.preferredLatency
+		average = &p.preferredLogLatency
 	}
 	moveTowards(average, logRatio, sampleWeight)
-	if p.preferredLatency > p.otherLatency+crossZoneGain {
+	if p.preferredLogLatency > p.otherLogLatency+crossZoneLogLatencyGap {
 		moveTowards(&p.crossZoneShare, 1, crossZoneWeight)
 	} else {
 		moveTowards(&p.crossZoneShare, 0, crossZoneWeight)
--- a/balancer/zonepreference_test.go
+++ b/balancer/zonepreference_test.go
@@ -9,7 +9,7 @@
 // Crossing zones costs latency and money: a replica keeps to its own zone while that is as good as the
 // others. When its zone becomes slow, as after half of its servers have died, more requests cross; when it
 // recovers, they come back.
-func TestSameZoneFirstAndCrossZoneByLatency(t *testing.T) {
+func TestSameZoneIsPreferredWhileItIsNotSlower(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Zone = "y" })
 	list := servers(12)
 	for i := range list {
@@ -17,23 +17,23 @@
 	}
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: list})
 	n := 0
-	crossed := func(home time.Duration) float64 {
-		far, all := 0, 0
+	crossed := func(sameZoneLatency time.Duration) float64 {
+		crossZone, all := 0, 0
 		for range 1200 {
 			n++
 			now, id := b.now+20*millisecond, fmt.Sprint(n)
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
 				took := 20 * millisecond
 				if b.servers[s.Server].Zone == "y" {
-					took = home
+					took = sameZoneLatency
 				} else {
-					far++
+					crossZone++
 				}
 				all++
 				endAttempt(b, now+took, id, s, Success)
 			}
 		}
-		return float64(far) / float64(all)
+		return float64(crossZone) / float64(all)
 	}
 	if got := crossed(20 * millisecond); got > 0.1 {
 		t.Errorf("%.2f crossed though all zones are alike", got)
@@ -47,9 +47,9 @@
 	}
 }
 
-// boundToSlow is a Balancer over n servers of three kinds, of which the class post may use the slow one
+// newBalancerWithRestrictedClass is a Balancer over n servers of three kinds, of which the class post may use the slow one
 // alone.
-func boundToSlow(t *testing.T, n int) (*Balancer, []Server) {
+func newBalancerWithRestrictedClass(t *testing.T, n int) (*Balancer, []Server) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[1].AllowedKinds = []string{"slow"} })
 	list := servers(n)
 	for i := range list {
@@ -61,16 +61,16 @@
 
 // A class that may go anywhere leaves the servers that a bound class depends on alone, while it has others:
 // else the bound class fails in an overload that concerns it little.
-func TestServersOfANarrowerPoolAreLeftToIt(t *testing.T) {
-	b, list := boundToSlow(t, 9)
-	bound := 0
+func TestServersOfANarrowerPoolAreReservedForIt(t *testing.T) {
+	b, list := newBalancerWithRestrictedClass(t, 9)
+	toRestricted := 0
 	for id, n := range traffic(b, 1000, "get", func(string) Outcome { return Success }) {
 		if b.servers[id].Kind == "slow" {
-			bound += n
+			toRestricted += n
 		}
 	}
-	if bound > 25 {
-		t.Errorf("%d of 500 free requests went to the servers of a bound class", bound)
+	if toRestricted > 25 {
+		t.Errorf("%d of 500 free requests went to the servers of a bound class", toRestricted)
 	}
 	b.Handle(b.now, EndpointUpdate{Complete: true, Servers: []Server{list[0], list[3]}})
 	if n := len(sends(b.Handle(b.now, Request{ID: "x", Class: "get", Deadline: b.now + time.Second}))); n != 1 {
@@ -79,7 +79,7 @@
 }
 
 // All servers of one class are down. Its requests wait or end; those of other classes go on.
-func TestDeadPoolStopsNobodyElse(t *testing.T) {
+func TestUnavailablePoolDoesNotAffectOtherClasses(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[0].AllowedKinds = []string{"x"} })
 	list := servers(6)
 	list[0].Kind, list[1].Kind = "x", "x"
--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// hello starts an instance with one class.
-const hello = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
+// startInstance starts an instance with one class.
+const startInstance = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
 // A batch of events is answered with what the Balancers decide.
 func TestRunAnswersABatch(t *testing.T) {
-	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + hello + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
+	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + startInstance + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -25,7 +25,7 @@
 }
 
 // Input that can't be read ends the program, and the simulator must not take half a reply for a whole one.
-func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
+func TestRunStopsAtBadInputWithoutAPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
@@ -40,10 +40,10 @@
 
 // A killed instance forgets all: what comes after its fresh start for an old request is ignored,
 // and with an empty list a new request is queued.
-func TestKillAndFreshStart(t *testing.T) {
+func TestKilledInstanceKeepsNoState(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
-	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
-		"sync\t4\nabout\t0\ncrash_now\n" + hello + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
+	in := "sync\t2\nabout\t0\n" + startInstance + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
+		"sync\t4\nabout\t0\ncrash_now\n" + startInstance + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
 		"outcome\told\ts:1\t2\t0\t0\tfailure\t-\njob_in\tnew\t900\t-\tget\t0\t-\t-\neob\n" +
 		"sync\t890\nabout\t0\nring\tr:old\neob\nsync\t898\nabout\t0\nring\tr:new\neob\n"
 	var out bytes.Buffer
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	readBufferBytes = 1 << 20 // holds most batches, which come at once
-	endpointLists   = 16      // lists that a batch may define, numbered from 0
-	maxQuotedBytes  = 40      // of an unknown name in an error
-	noInstance      = -1      // no message has named an instance yet
+	readBufferBytes  = 1 << 20 // holds most batches, which come at once
+	maxEndpointLists = 16      // lists that a batch may define, numbered from 0
+	maxQuotedBytes   = 40      // of an unknown name in an error
+	noInstance       = -1      // no message has named an instance yet
 )
 
 // Names of the messages on the wire, and their values in order, numbered from 0 as fields does. Values in parentheses are
 // not read.
 const (
-	nameBatchStart    = "sync"             // clock time
-	nameBatchEnd      = "eob"              // a reply is due
-	nameInstance      = "about"            // instance of the messages that follow
-	nameList          = "list"             // number and length of an endpoint list
-	nameListItem      = "item"             // ID, zone, kind, cell, state, (size), start time
-	nameHello         = "hello"            // seed and settings of a new instance
-	nameKilled        = "crash_now"        // the instance is killed
-	nameEndpoints     = "announce"         // mode, number of an endpoint list, (version)
-	nameRequest       = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
-	nameTimer         = "ring"             // token of a timer that fired
-	nameAttemptEnded  = "outcome"          // ID, server, latency, request done, attempt, outcome, (load report)
-	nameClientGone    = "timed_out_client" // ID of a request whose client has given up
-	nameStreamStarted = "flowing"          // ID, (server), (latency), attempt
-	nameChecked       = "checked"          // ignored: result of a health check
-	nameMail          = "mail"             // ignored: message of another instance
+	nameBatchStart      = "sync"             // clock time
+	nameBatchEnd        = "eob"              // a reply is due
+	nameSelectInstance  = "about"            // instance of the messages that follow
+	nameEndpointList    = "list"             // number and length of an endpoint list
+	nameEndpoint        = "item"             // ID, zone, kind, cell, state, (size), start time
+	nameInstanceStarted = "hello"            // seed and settings of a new instance
+	nameInstanceKilled  = "crash_now"        // the instance is killed
+	nameEndpointUpdate  = "announce"         // mode, number of an endpoint list, (version)
+	nameRequest         = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
+	nameTimerFired      = "ring"             // token of a timer that fired
+	nameAttemptEnded    = "outcome"          // ID, server, latency, request done, attempt, outcome, (load report)
+	nameClientGone      = "timed_out_client" // ID of a request whose client has given up
+	nameResponseStarted = "flowing"          // ID, (server), (latency), attempt
+	nameHealthChecked   = "checked"          // ignored: result of a health check
+	namePeerMessage     = "mail"             // ignored: message of another instance
 )
 
 // Modes of an announcement of endpoints.
@@ -70,7 +70,7 @@
 	line     int // read so far
 	inBatch  bool
 	instance int // that messages are for
-	lists    [endpointLists][]balancer.Server
+	lists    [maxEndpointLists][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -135,10 +135,10 @@
 	case nameBatchEnd:
 		d.inBatch = false
 		return Message{Kind: BatchEnded, Instance: d.instance}, true, nil
-	case nameInstance:
-		return message, false, d.readInstance(f)
-	case nameList:
-		return message, false, d.readList(f)
+	case nameSelectInstance:
+		return message, false, d.selectInstance(f)
+	case nameEndpointList:
+		return message, false, d.readEndpointList(f)
 	}
 	if d.instance < 0 {
 		return message, false, fmt.Errorf("%s before any about", quote(name))
@@ -151,14 +151,14 @@
 func (d *Decoder) decodeForInstance(f *fields, values string) (Message, error) {
 	message := Message{Kind: EventReceived, Instance: d.instance}
 	switch f.message {
-	case nameHello:
-		return d.decodeHello(values)
-	case nameKilled:
+	case nameInstanceStarted:
+		return d.decodeInstanceStarted(values)
+	case nameInstanceKilled:
 		message.Kind = InstanceKilled
-	case nameChecked, nameMail:
+	case nameHealthChecked, namePeerMessage:
 		message.Kind = Ignored
-	case nameEndpoints:
-		message.Event = d.decodeEndpoints(f)
+	case nameEndpointUpdate:
+		message.Event = d.decodeEndpointUpdate(f)
 	case nameRequest:
 		message.Event = balancer.Request{
 			ID:          f.text(0),
@@ -166,9 +166,9 @@
 			Class:       f.text(3),
 			ClientRetry: f.optionalInteger(4)&clientRetryFlag != 0,
 			Key:         f.optionalUint64(2),
-			HasKey:      f.optional(2) != "",
+			HasKey:      f.optionalText(2) != "",
 		}
-	case nameTimer:
+	case nameTimerFired:
 		message.Event = balancer.TimerFired{Token: f.text(0)}
 	case nameAttemptEnded:
 		message.Event = balancer.AttemptEnded{
@@ -181,7 +181,7 @@
 		}
 	case nameClientGone:
 		message.Event = balancer.ClientGone{ID: f.text(0)}
-	case nameStreamStarted:
+	case nameResponseStarted:
 		message.Event = balancer.ResponseStarted{ID: f.text(0), Attempt: f.integer(3)}
 	default:
 		return message, fmt.Errorf("unknown message %s", quote(f.message))
@@ -189,13 +189,13 @@
 	return message, f.err
 }
 
-// decodeHello reads the start of an instance: a seed, and the settings object, which may have tabs in it.
-func (d *Decoder) decodeHello(values string) (Message, error) {
+// decodeInstanceStarted reads the start of an instance: a seed, and the settings object, which may have tabs in it.
+func (d *Decoder) decodeInstanceStarted(values string) (Message, error) {
 	seed, settings, ok := strings.Cut(values, "\t")
 	if !ok {
 		return Message{}, errNoSettings
 	}
-	f := newFields(nameHello, seed)
+	f := newFields(nameInstanceStarted, seed)
 	message := Message{Kind: InstanceStarted, Instance: d.instance, Seed: f.uint64(0)}
 	if f.err != nil {
 		return message, f.err
@@ -205,8 +205,8 @@
 	return message, err
 }
 
-// decodeEndpoints reads an announcement, which refers to one of the batch's lists.
-func (d *Decoder) decodeEndpoints(f *fields) balancer.Event {
+// decodeEndpointUpdate reads an announcement, which refers to one of the batch's lists.
+func (d *Decoder) decodeEndpointUpdate(f *fields) balancer.Event {
 	mode := f.integer(0)
 	switch mode {
 	case watchFailed:
@@ -230,8 +230,8 @@
 	}
 }
 
-// readInstance reads which instance the next messages are for.
-func (d *Decoder) readInstance(f *fields) error {
+// selectInstance reads which instance the next messages are for.
+func (d *Decoder) selectInstance(f *fields) error {
 	instance := f.integer(0)
 	if f.err == nil && instance < 0 {
 		f.fail(0, "is negative")
@@ -240,8 +240,8 @@
 	return f.err
 }
 
-// readList reads a list of endpoints, whose items are the lines that follow.
-func (d *Decoder) readList(f *fields) error {
+// readEndpointList reads a list of endpoints, whose items are the lines that follow.
+func (d *Decoder) readEndpointList(f *fields) error {
 	number, length := f.integer(0), f.integer(1)
 	if f.err != nil {
 		return f.err
@@ -256,7 +256,7 @@
 			return fmt.Errorf("list ends after %d of %d items", i, length)
 		}
 		name, values, _ := strings.Cut(text, "\t")
-		if name != nameListItem {
+		if name != nameEndpoint {
 			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
 		}
 		item := newFields(name, values)
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -14,7 +14,7 @@
 
 // Names of the actions on the wire, and their values in order.
 const (
-	nameActingInstance = "instance"       // instance of the actions that follow
+	nameActionInstance = "instance"       // instance of the actions that follow
 	nameSend           = "forward"        // ID, server, time-out
 	nameReject         = "turn_away"      // ID, Retry-After
 	nameFail           = "report_failure" // ID
@@ -41,7 +41,7 @@
 // neither access lists nor fault injections, and its wire has no such actions.
 func (e *Encoder) Action(instance int, action balancer.Action) {
 	if instance != e.instance {
-		e.write(nameActingInstance, strconv.Itoa(instance))
+		e.write(nameActionInstance, strconv.Itoa(instance))
 		e.instance = instance
 	}
 	switch a := action.(type) {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// absent stands for a value that is not given.
-const absent = "-"
+// absentValue stands for a value that is not given.
+const absentValue = "-"
 
 // maxMilliseconds bounds times on the wire: some thirty years, which a time.Duration holds.
 const maxMilliseconds = 1e12
@@ -45,16 +45,16 @@
 	}
 }
 
-// optional is a text, "" if it is absent.
-func (f *fields) optional(i int) string {
-	if i >= len(f.values) || f.values[i] == absent {
+// optionalText is a text, "" if it is absent.
+func (f *fields) optionalText(i int) string {
+	if i >= len(f.values) || f.values[i] == absentValue {
 		return ""
 	}
 	return f.values[i]
 }
 
 func (f *fields) text(i int) string {
-	s := f.optional(i)
+	s := f.optionalText(i)
 	if s == "" {
 		f.fail(i, "is missing")
 	}
@@ -71,7 +71,7 @@
 
 // optionalInteger is an integer, 0 if it is absent.
 func (f *fields) optionalInteger(i int) int {
-	if f.optional(i) == "" {
+	if f.optionalText(i) == "" {
 		return 0
 	}
 	return f.integer(i)
@@ -92,7 +92,7 @@
 
 // optionalUint64 is a number of 64 bits, 0 if it is absent.
 func (f *fields) optionalUint64(i int) uint64 {
-	if f.optional(i) == "" {
+	if f.optionalText(i) == "" {
 		return 0
 	}
 	return f.uint64(i)
@@ -109,7 +109,7 @@
 
 // optionalMilliseconds is a time, 0 if it is absent.
 func (f *fields) optionalMilliseconds(i int) time.Duration {
-	if f.optional(i) == "" {
+	if f.optionalText(i) == "" {
 		return 0
 	}
 	return f.milliseconds(i)
@@ -128,7 +128,7 @@
 	return balancer.Server{
 		ID:        f.text(0),
 		Zone:      f.text(1),
-		Kind:      f.optional(2),
+		Kind:      f.optionalText(2),
 		Cell:      f.integer(3),
 		StartTime: f.optionalMilliseconds(6),
 		State:     f.serverState(4),
--- a/internal/simwire/settingskeys_test.go
+++ b/internal/simwire/settingskeys_test.go
@@ -12,7 +12,7 @@
 
 // An operator has written a value that the balancer rejects. The balancer names the setting by the key of the stored form,
 // which the operator has never seen: the error must have the key that the operator wrote as well.
-func TestErrorsNameTheKeyOfTheSettingsObject(t *testing.T) {
+func TestSettingsErrorsNameTheObjectKey(t *testing.T) {
 	const valid = `"name":"get","target-ms":500,"deadline-ms":900`
 	for text, want := range map[string]string{
 		`{}`:             "lanes",
@@ -50,7 +50,7 @@
 }
 
 // What operators did not write in the settings object gets no key of it, and no error stays none.
-func TestOtherErrorsKeepTheirText(t *testing.T) {
+func TestOtherErrorsAreReturnedUnchanged(t *testing.T) {
 	other := errors.New("other")
 	fault := error(&balancer.SettingsError{Path: "Drills[0].Name", Key: "Name", Problem: "is wrong", Remedy: "set it"})
 	for _, err := range []error{nil, other, fault} {
@@ -61,7 +61,7 @@
 }
 
 // Each key that an error may name is one that the settings object has.
-func TestObjectKeysAreThoseOfTheObject(t *testing.T) {
+func TestObjectKeysExistInTheSettingsObject(t *testing.T) {
 	object := string(goldentest.Text(t, filepath.Join("testdata", "settings.json")))
 	for stored, key := range objectKeys {
 		if !strings.Contains(object, `"`+key+`":`) {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -34,7 +34,7 @@
 }
 
 // The words of the wire become the types of the decision module.
-func TestDecode(t *testing.T) {
+func TestDecodeMapsLinesToEvents(t *testing.T) {
 	l, err := decodeAll(t, sampleBatch)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 
 // The simulator and this program may speak different versions of the protocol. Whoever looks into that must find the line
 // and the value.
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameTheLineAndTheValue(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
 		"sync\tx\n":                            "line 1: sync: value 1 is no time",
@@ -80,7 +80,7 @@
 }
 
 // Where clients mark their retries, no others may be taken for retries.
-func TestClientsMarkRetries(t *testing.T) {
+func TestParseSettingsReadsClientsMarkRetries(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
 		if s, err := ParseSettings([]byte(text)); err != nil || s.ClientsMarkRetries != want {
 			t.Errorf("%s: ClientsMarkRetries %v, %v", text, s.ClientsMarkRetries, err)
@@ -97,7 +97,7 @@
 }
 
 // The actions of the decision module become the words of the wire, by instance.
-func TestEncode(t *testing.T) {
+func TestEncodeMapsActionsToLines(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
@@ -126,7 +126,7 @@
 }
 
 // A placement that is not given must set no bound, and key 0 is a key.
-func TestPlacementOrderAndKeyZero(t *testing.T) {
+func TestAbsentPlacementAndKeyZero(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},` +
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`))
 	if err != nil || s.KeyQuietPeriod != 40*time.Millisecond {
