--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -1,45 +1,46 @@
-// Queue discipline: requests that wait for a server or for their turn.
+// Queue discipline: how long requests wait for a server or for their turn, and which is sent first.
 
 package balancer
 
 import "time"
 
 const (
-	// deadlineMarginTolerances is how long before a deadline the Balancer acts, in tolerances of the host's
-	// timers: one by which its own timer may be late, and one in which the answer reaches the client.
+	// deadlineMarginTolerances is how long before a deadline the Balancer acts, in multiples of the host's
+	// timer tolerance: one because the Balancer's timer may fire late, and one for the answer to reach the
+	// client.
 	deadlineMarginTolerances = 2
 	// minQueueTimeDivisor: a request may wait for at least a quarter of its latency objective.
 	minQueueTimeDivisor = 4
-	// queueLatencyDeviations is how many deviations above the mean latency are left for the answer to a queued
-	// request.
+	// queueLatencyDeviations is how many deviations above the mean latency are reserved for the answer to a
+	// queued request.
 	queueLatencyDeviations = 2
 )
 
-// deadlineMargin is the time before a deadline that is left for timers and the way to the client.
+// deadlineMargin returns how long before a deadline the Balancer acts.
 func (b *Balancer) deadlineMargin() time.Duration {
 	return deadlineMarginTolerances * b.settings.TimerTolerance
 }
 
-// queueDeadline is the clock time until which it makes sense to queue a request. Input: its latency
-// objective, its deadline and the latencies of its class. Output: the time from which its answer may well
-// miss the objective. Then the client is rejected and told when to come back, also where there is no server
-// at all.
+// queueDeadline returns the clock time until which a request may stay queued. Input: the request's latency
+// objective, its deadline and the latencies of its class. Output: the time after which its answer would
+// probably miss the latency objective. The request is then rejected with a Retry-After. The queue deadline
+// also applies while no server is in service.
 //
-// Late answers take the capacity of those in time. Waiting to the request's own deadline would fill the
-// queue with requests whose clients are about to give up and ask again, which is how an overload feeds
-// itself: it shows as full queues, busy servers, and answers that all come late.
+// Late answers use capacity that answers within the objective need. Queueing each request until its deadline
+// would fill the queue with requests whose clients are about to time out and retry, and these retries would
+// sustain the overload. The symptoms are full queues, busy servers and nothing but late answers.
 //
-// It counts from the client's first try. Of a client's retry it is mostly over; then the request is sent at
-// once or rejected at once.
+// The latency objective is measured from the client's first try. For a client's retry it is mostly over, so
+// the retry is usually either sent or rejected immediately.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
 	wait := max(objective/minQueueTimeDivisor, objective-r.class.latencyBound(queueLatencyDeviations))
 	return min(r.deadline-b.deadlineMargin(), r.firstTriedAt+wait)
 }
 
-// enqueue keeps a request until a server may take it; its timer makes sure that it is answered. One that
-// waits in vain is answered at once: past its queue deadline, without a list to rely on, or with all
-// servers disabled.
+// enqueue queues a request until a server may take it, and sets a timer so that it is answered even if none
+// does. It answers the request immediately if waiting is useless: the queue deadline has passed, the lease
+// on the endpoint list has expired, or operators have disabled all servers of the pool.
 func (b *Balancer) enqueue(r *request) {
 	p := r.class.pool
 	if b.now >= b.queueDeadline(r) || p.allDisabled || b.listUnreliable() {
@@ -53,7 +54,7 @@
 	b.setQueueTimer(r, b.queueDeadline(r))
 }
 
-// dequeue takes a request out of the queue, if it is in it.
+// dequeue removes a request from its pool's queue, if it is queued.
 func (b *Balancer) dequeue(r *request) {
 	if r.queued {
 		r.queued = false
@@ -62,7 +63,7 @@
 	}
 }
 
-// setQueueTimer asks for a look at a queued request, unless one is due by then already.
+// setQueueTimer sets a timer that checks a queued request, unless an earlier timer is already pending.
 func (b *Balancer) setQueueTimer(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.timerAt > b.now && r.timerAt <= at {
@@ -72,7 +73,7 @@
 	b.emit(SetTimer{At: at, Token: timerToken(queueTimer, r)})
 }
 
-// handleQueueTimer answers a queued request that has waited long enough, or sets its timer anew.
+// handleQueueTimer answers a queued request whose queue deadline has passed, or sets its timer again.
 func (b *Balancer) handleQueueTimer(r *request) {
 	if r == nil {
 		return
@@ -85,8 +86,8 @@
 	}
 }
 
-// dispatchQueued sends queued requests after every event, while their pools' windows and servers have
-// capacity.
+// dispatchQueued sends queued requests while the window and the servers of their pool have capacity. It also
+// answers queued requests once waiting has become useless (enqueue). Handle calls it after every event.
 func (b *Balancer) dispatchQueued() {
 	for _, p := range b.pools {
 		for (p.allDisabled || b.listUnreliable()) && len(p.queued) > 0 {
@@ -106,8 +107,9 @@
 	}
 }
 
-// nextQueued is the queued request to send next: that of the highest shedding value whose turn it is. Of
-// equal value the youngest goes, for it has most time left; nil if no request may go.
+// nextQueued returns the queued request to send next: of those that the order of their keys allows, the one
+// with the highest shedding value. Of several with that value it returns the one queued last, which has the
+// most time left. It returns nil if no request may be sent.
 func (b *Balancer) nextQueued(queued []*request) *request {
 	var best *request
 	for _, r := range queued {
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// randomTestFaultInjections delay and abort requests of all kinds of classes.
+// randomTestFaultInjections delay and abort requests of several classes.
 var randomTestFaultInjections = []FaultInjection{
 	{Name: "slow", Class: "seq", Percent: 30, Delay: 200 * millisecond, Duration: time.Second},
 	{Name: "slower", Class: "pay", Percent: 50, Delay: time.Second, Duration: time.Second},
@@ -20,7 +20,7 @@
 	{Name: "odd", Class: "kin", Percent: 100, Delay: 50 * millisecond, Duration: 2 * time.Second},
 }
 
-// randomTestSettings adds classes that keep their order or are bound to some servers.
+// randomTestSettings adds classes that are ordered by key or restricted to some servers.
 func randomTestSettings() Settings {
 	set := testSettings()
 	set.KeyQuietPeriod = 30 * millisecond
@@ -38,7 +38,7 @@
 	return set
 }
 
-// runRandomEvents drives a Balancer with random legal events and odd ones, and returns all its actions.
+// runRandomEvents gives a Balancer random events, both legal and unexpected ones, and returns all its actions.
 func runRandomEvents(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
 	t.Helper()
 	b, err := New(set, seed)
@@ -65,21 +65,21 @@
 	return h.log, b
 }
 
-// randomHost is a host that does what a Balancer asks for, and draws what happens besides.
+// randomHost is a host that carries out the actions of a Balancer and draws all other events at random.
 type randomHost struct {
 	b        *Balancer
 	rng      *rand.Rand
-	checker  *checker // nil: none
+	checker  *checker // nil: the invariants are not checked
 	now      time.Duration
 	fleet    []Server
 	inFlight []randomAttempt
 	timers   []SetTimer
 	ids      []string        // of all requests
-	answered map[string]bool // requests that have their answer
+	answered map[string]bool // requests that have their final answer
 	log      []string        // all actions
 }
 
-// randomAttempt is an attempt that is out.
+// randomAttempt is an attempt in flight.
 type randomAttempt struct {
 	id      string
 	number  int
@@ -88,7 +88,7 @@
 	timeout bool
 }
 
-// handle gives the Balancer an event and notes what it asks for.
+// handle gives the Balancer an event and records its actions.
 func (h *randomHost) handle(e Event) {
 	if h.checker != nil {
 		h.checker.event(h.now, e)
@@ -108,7 +108,7 @@
 	}
 }
 
-// startAttempt draws how long an attempt takes.
+// startAttempt draws how long an attempt takes, and whether it times out.
 func (h *randomHost) startAttempt(a Send) {
 	number := 0
 	for _, p := range h.inFlight {
@@ -141,7 +141,7 @@
 	}
 }
 
-// endAttempts ends the attempts that are due with drawn outcomes, some of them twice, and lets some clients leave.
+// endAttempts ends the attempts that are due, with random outcomes, some of them twice, and makes some clients leave.
 func (h *randomHost) endAttempts() {
 	for k := 0; k < len(h.inFlight); k++ {
 		p := h.inFlight[k]
@@ -172,7 +172,7 @@
 	}
 }
 
-// sendRequest gives a request of a drawn class.
+// sendRequest gives the Balancer a request of a random class.
 func (h *randomHost) sendRequest(id string) {
 	class := []string{"get", "post", "pay", "odd", "seq", "seq", "seq2", "kin", "both", "none"}[h.rng.IntN(10)]
 	h.ids = append(h.ids, id)
@@ -180,7 +180,7 @@
 		Key: h.rng.Uint64N(6), HasKey: h.rng.IntN(4) > 0})
 }
 
-// changeServer changes a server, or restarts it, and announces that in one of several ways.
+// changeServer changes the state of a random server or restarts it, and announces that in one of several ways.
 func (h *randomHost) changeServer() {
 	s := &h.fleet[h.rng.IntN(len(h.fleet))]
 	s.State = ServerState(h.rng.IntN(3))
@@ -204,7 +204,7 @@
 	}
 }
 
-// sendUnexpectedEvents starts fault injections, gives events of unknown requests, and lets clients leave at any time.
+// sendUnexpectedEvents starts fault injections, gives events of unknown requests, and makes clients leave at any time.
 func (h *randomHost) sendUnexpectedEvents() {
 	if faults := h.b.settings.FaultInjections; len(faults) > 0 && h.rng.IntN(100) == 0 {
 		h.handle(StartFaultInjection{Name: faults[h.rng.IntN(len(faults))].Name})
@@ -222,7 +222,8 @@
 	}
 }
 
-// Random events, among them doubled and unknown ones, must break no rule and leave nothing behind.
+// Random events, among them repeated ones and events of unknown requests, must violate no invariant. When all requests
+// have ended, none of their state may remain.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := randomTestSettings()
@@ -239,41 +240,41 @@
 			}
 		}
 		if len(log) < 1000 {
-			t.Errorf("seed %d: only %d actions", seed, len(log))
+			t.Errorf("seed %d: only %d actions, want at least 1000", seed, len(log))
 		}
 		if len(b.requests) > 0 || len(b.keyQueues) > 0 {
-			t.Errorf("seed %d: %d requests and %d key queues are left over", seed, len(b.requests), len(b.keyQueues))
+			t.Errorf("seed %d: %d requests and %d key queues remain", seed, len(b.requests), len(b.keyQueues))
 		}
 		for i, p := range b.pools {
 			if len(p.queued) > 0 || p.inFlight != 0 {
-				t.Errorf("seed %d: %d queued and %d attempts of pool %d are left over", seed, len(p.queued), p.inFlight, i)
+				t.Errorf("seed %d: %d queued requests and %d attempts remain in pool %d", seed, len(p.queued), p.inFlight, i)
 			}
 		}
 		for id, s := range b.servers {
 			if !s.listed || s.inFlightCount() != 0 {
-				t.Errorf("seed %d: server %s is left over", seed, id)
+				t.Errorf("seed %d: server %s remains: not listed, or with attempts in flight", seed, id)
 			}
 		}
 	}
 }
 
-// Captures are replayed, and a change is judged by replays: the same events and seed must give the same
-// actions, whatever else the process does.
+// Changes are checked by replaying captures: the same events and seed must give the same actions, whatever else
+// the process does.
 func TestSameEventsAndSeedGiveSameActions(t *testing.T) {
 	a, _ := runRandomEvents(t, randomTestSettings(), 5, 3000, nil)
-	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
+	other, _ := New(testSettings(), 99) // a second Balancer in the process must not affect the first
 	other.Handle(0, EndpointUpdate{Complete: true, Servers: servers(3)})
 	b, _ := runRandomEvents(t, randomTestSettings(), 5, 3000, nil)
 	if len(a) < 500 {
-		t.Fatalf("only %d actions", len(a))
+		t.Fatalf("only %d actions, want at least 500", len(a))
 	}
 	if strings.Join(a, "\n") != strings.Join(b, "\n") {
-		t.Fatal("the same events and seed gave other actions")
+		t.Fatal("the same events and seed gave different actions")
 	}
 }
 
-// Map order and hash seeds differ between processes; the actions must not, or a capture could not be
-// replayed. The test runs itself twice more and compares what the same events led to.
+// Map order and hash seeds differ between processes. The actions must not, or a capture could not be replayed. The test
+// runs itself in two more processes and compares the actions for the same events.
 func TestSameActionsInSeveralProcesses(t *testing.T) {
 	log, _ := runRandomEvents(t, randomTestSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
@@ -289,12 +290,12 @@
 			t.Fatal(err)
 		}
 		if got := regexp.MustCompile(`actions [0-9a-f]+`).FindString(string(out)); got != own {
-			t.Errorf("another process gave %q, this one %q", got, own)
+			t.Errorf("another process gave %q, this process %q", got, own)
 		}
 	}
 }
 
-// Events in any order and with any numbers must not stop the Balancer.
+// No order of events, and no number in an event, may make the Balancer panic.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{1, 1, 1, 0, 2, 2, 2, 250, 3, 17, 5, 5})
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,4 +1,4 @@
-// A request's way from its arrival to its one final answer.
+// The lifecycle of a request, from its arrival to its only final answer.
 
 package balancer
 
@@ -7,60 +7,61 @@
 	"time"
 )
 
-// request is an accepted request. Its states, and who changes them:
+// request is an accepted request. Its states, and the functions that change them:
 //
-//	delayed      by an injected fault, until delayedUntil (delayRequest, removeDelayed)
-//	queued       waits for a server, the window or its turn among those of its key (enqueue, dequeue)
-//	attempt out  an attempt has no outcome yet: hasAttemptOut (send, handleAttemptEnded)
-//	streaming    the client has part of the response: no other answer is possible (handleResponseStarted)
-//	answered     it has its final answer, or its client has gone (closeRequest); attempts may still be out
-//	forgotten    answered and without attempts out (forgetIfDone)
+//	delayed    by an injected fault, until delayedUntil (delayRequest, removeDelayed)
+//	queued     waits for a server, the window or the earlier requests of its key (enqueue, dequeue)
+//	in flight  an attempt has no outcome yet: hasAttemptInFlight (send, handleAttemptEnded)
+//	streaming  the client has part of the response: no other answer is possible (handleResponseStarted)
+//	answered   it has its final answer, or its client has gone (closeRequest); attempts may be in flight
+//	removed    answered, and no attempt is in flight (removeIfDone)
 //
-// From delayed or queued it goes to attempt out; from there to answered, or to the next attempt by a retry,
-// which is sent at once or not at all. So a request is never queued again, nor is an answered one sent.
+// A delayed or queued request is sent, or answered without an attempt. When an attempt ends, the request is
+// retried immediately or answered. So a request is never queued again after an attempt, and an answered
+// request is never sent.
 type request struct {
 	id           string
 	class        *class
-	firstTriedAt time.Duration // its arrival; of a client's retry, an estimate of the first try's
+	firstTriedAt time.Duration // its arrival; for a client's retry, the estimated arrival of the first try
 	deadline     time.Duration
 	attempts     []*attempt
-	clientRetry  bool      // the client has asked before
-	keyQueue     *keyQueue // nil: it keeps no order
+	clientRetry  bool      // the client has sent it before
+	keyQueue     *keyQueue // nil: the request need not run in the order of a key
 	queued       bool
 	answered     bool
 	streaming    bool
 	timerAt      time.Duration // when its queue timer fires
 	streamedBody bool
-	maxAttempts  int // by the settings that it came with
+	maxAttempts  int // by the settings in force when it arrived
 	delayed      bool
 	delayedUntil time.Duration
 }
 
-// attempt is one send of a request. It is out until it has ended.
+// attempt is one transmission of a request to a server. It is in flight until it has ended.
 type attempt struct {
 	request       *request
 	server        *server
 	number        int // from 0
 	sentAt        time.Duration
-	zone          string // of the server, when it was sent
-	cell          int
+	zone          string // of the server, when the attempt was sent
+	cell          int    // likewise
 	serverStart   time.Duration
 	ended         bool
-	neverRan      bool // proven by its outcome
+	neverRan      bool // its outcome proves that it never ran
 	outsideWindow bool // it no longer counts in the admission window
 }
 
-// hasAttemptInFlight says that an attempt of a request has no outcome yet.
+// hasAttemptInFlight reports whether an attempt of a request has no outcome yet.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-// mayHaveRun says that an attempt of a request may have run, or may run yet.
+// mayHaveRun reports whether an attempt of a request may have run, or may still run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// findAttempt returns the attempt of a number of a request, nil if either is unknown.
+// findAttempt returns an attempt by the ID of its request and its number, or nil if it is unknown.
 func (b *Balancer) findAttempt(id string, number int) *attempt {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -69,9 +70,9 @@
 	return r.attempts[number]
 }
 
-// acceptRequest takes a request in. It is denied by the access list, aborted or delayed by a fault
-// injection, rejected for the length of its key's queue, sent or queued. A request whose ID is known is
-// ignored.
+// acceptRequest handles the arrival of a request. The request is denied by the access list, aborted or
+// delayed by a fault injection, rejected because the queue of its key is too long, sent, or queued. A request
+// whose ID is already known is ignored.
 func (b *Balancer) acceptRequest(e Request) {
 	if !b.settings.AccessList.Allows(e.Client) {
 		b.emit(Deny{ID: e.ID})
@@ -96,9 +97,9 @@
 	b.sendOrQueue(r)
 }
 
-// addRequest makes a request known and counts it. It has the time that its client gives, but no more than
-// its class has: one that claimed an hour would hold its place in the window for as long, and outlive a
-// node that shuts down.
+// addRequest creates a request and counts it. Its deadline is the one that the client gave, but no later than
+// its class allows: a request with an hour to wait could hold its place in the window for that long, and
+// outlive a node that shuts down.
 func (b *Balancer) addRequest(e Request) *request {
 	c := b.classOf(e)
 	r := &request{
@@ -120,7 +121,8 @@
 	return r
 }
 
-// sendOrQueue sends a request, or queues it while no server may take it.
+// sendOrQueue sends a request if the order of its key, the window and a server allow that now, and queues it
+// otherwise.
 func (b *Balancer) sendOrQueue(r *request) {
 	if b.keyOrderAllows(r) && !b.windowFull(r.class.pool) {
 		if s := b.chooseServer(r); s != nil {
@@ -131,8 +133,8 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server. Its time-out is no shorter than the host's timers can
-// keep.
+// send starts an attempt of a request at a server. The time-out is at least the tolerance of the host's
+// timers, which can't keep a shorter one.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
 		request:     r,
@@ -163,7 +165,7 @@
 	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(b.attemptTimeout(r), b.settings.TimerTolerance)})
 }
 
-// handleResponseStarted notes that a response is streamed to the client.
+// handleResponseStarted records that the response is being streamed to the client.
 func (b *Balancer) handleResponseStarted(e ResponseStarted) {
 	if a := b.findAttempt(e.ID, e.Attempt); a != nil {
 		a.request.streaming = true
@@ -171,9 +173,9 @@
 	}
 }
 
-// handleAttemptEnded takes in the end of an attempt: what it teaches, and what becomes of its request. A
-// client that gave less time than answers take has timed out by its own choice: that says nothing of the
-// server or its load.
+// handleAttemptEnded learns from the end of an attempt, and then retries or answers its request. An attempt
+// that timed out after less than the mean latency of its class had too short a deadline from its client: the
+// time-out is no evidence about the server or its load.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -185,7 +187,7 @@
 	a.removeFromWindow()
 	b.startQuietPeriod(r, e.Outcome)
 	budgetTooShort := e.Outcome == TimedOut && b.now-a.sentAt < time.Duration(r.class.meanLatency)
-	if !budgetTooShort && !b.isUnresponsive(a.server) { // waits at a hung server say nothing of the load
+	if !budgetTooShort && !b.isUnresponsive(a.server) { // a wait at a hung server is no sign of load
 		b.adjustWindow(r, e)
 	}
 	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
@@ -207,26 +209,28 @@
 	b.removeIfDone(r)
 }
 
-// metLatencyObjective says that an answer met the latency objective. Of a stream that is its first message.
+// metLatencyObjective reports whether an answer met the latency objective. Of a streamed response, only the
+// first message has to meet it.
 func (b *Balancer) metLatencyObjective(a *attempt, e AttemptEnded) bool {
 	objective := a.request.firstTriedAt + a.request.class.LatencyObjective
 	return b.now <= objective || a.sentAt+b.attemptLatency(a.request, a, e) <= objective
 }
 
-// giveUp gives the final answer to a request that gets none from a server: a rejection (503) where a retry
-// by the client is surely harmless, else a failure. A request of which the client has part of a response
-// gets no other answer. The answer does not say why; these are all the reasons:
+// giveUp gives the final answer to a request that gets no answer from a server: a rejection (503) if a retry
+// by the client is certainly harmless, otherwise a failure. If the client already has part of a response, the
+// request gets no other answer. The answer does not state the reason. These are all the reasons, by caller:
 //
-//	acceptRequest   too many requests of its key are queued before it (joinKeyQueue)
-//	enqueue         its queue deadline is over, and no server, window or key queue has let it go
+//	acceptRequest   too many requests of the same key are queued before this one (joinKeyQueue)
+//	enqueue         the queue deadline has passed while the request waited for a server, for the window or
+//	                for the earlier requests of its key
 //	enqueue, dispatchQueued
 //	                the lease on the endpoint list has expired (listUnreliable), or operators have
-//	                disabled all servers that it could go to (pool.allDisabled)
-//	retryOrGiveUp   after an attempt that did not succeed: its class or MaxAttempts allows no other
-//	                (mayRetry), the retry budget is used up, too little time is left for an answer, or no
-//	                server is eligible for it (chooseServer)
+//	                disabled all servers that the request could be sent to (pool.allDisabled)
+//	retryOrGiveUp   an attempt did not succeed, and the class or MaxAttempts allows no other (mayRetry), the
+//	                retry budget is used up, too little time is left for an answer, or no server is eligible
+//	                (chooseServer)
 //
-// A fault injection may answer 503 as well (abortRequest), as Abort rather than Reject.
+// A fault injection can also answer 503 (abortRequest). That action is an Abort, not a Reject.
 func (b *Balancer) giveUp(r *request) {
 	if r.answered || r.streaming {
 		return
@@ -243,9 +247,9 @@
 	b.closeRequest(r)
 }
 
-// closeRequest ends a request. Attempts that are still out are not called off and count until they end:
-// servers may work on regardless, and their capacity is not there for clients that leave early and ask
-// again.
+// closeRequest ends a request. Attempts still in flight are not canceled, and they count until they end: the
+// servers may still be working on them, so that their capacity is not available to clients that leave early
+// and try again.
 func (b *Balancer) closeRequest(r *request) {
 	if r.answered {
 		return
@@ -256,7 +260,7 @@
 	b.removeIfDone(r)
 }
 
-// removeIfDone drops a request once nothing of it is left.
+// removeIfDone removes an answered request, also from the queue of its key, if no attempt of it is in flight.
 func (b *Balancer) removeIfDone(r *request) {
 	if !r.answered || r.hasAttemptInFlight() || b.requests[r.id] != r {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,17 +1,17 @@
-// Retry eligibility: which requests may be tried again.
+// Retry eligibility: which requests may be retried.
 
 package balancer
 
 import "slices"
 
-// minRetryTimeDivisor: a retry needs at least half of the class's mean latency, or its answer would nearly
-// always come after the deadline.
+// minRetryTimeDivisor: a retry needs at least half of the class's mean latency before the deadline. With less
+// time its answer would nearly always be too late.
 const minRetryTimeDivisor = 2
 
-// mayRetry says that the effect of a request's class and the limits allow one more attempt now. Input: the
-// attempts so far and their outcomes. A request that may have run must not run again, unless its class is
-// idempotent, or its servers still discard duplicates: a payment would be made twice, which shows only in
-// the data. Once the client has part of a response there is nothing to retry.
+// mayRetry reports whether the effect of a request's class and the limit on attempts allow another attempt
+// now. Input: the attempts so far and their outcomes. A request that may have run must not run again, unless
+// its class is idempotent or the servers still discard duplicates of it. Otherwise a payment could be made
+// twice, which only the stored data would show. A request whose client has part of a response is not retried.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || len(r.attempts) >= r.maxAttempts {
 		return false
@@ -24,8 +24,9 @@
 	})
 }
 
-// retryOrGiveUp decides what follows when no attempt of a request is out any more: a retry, where one may
-// follow, the budget covers it and there is time for its answer; else the final answer.
+// retryOrGiveUp handles an unanswered request that has no attempt in flight. It retries the request if
+// mayRetry allows that, the retry budget covers it, enough time is left for an answer and a server is
+// eligible. Otherwise it gives the final answer.
 func (b *Balancer) retryOrGiveUp(r *request) {
 	left := float64(r.deadline - b.now)
 	cost := costOfRetry(r)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request that has used up its attempts is answered in the same event, with Retry-After where it is
-// rejected. Its client must not wait for its deadline to learn of it.
+// A request that has used up its attempts is answered in the same event, and a rejection has a Retry-After. Its client
+// must not have to wait until the deadline.
 func TestRequestWithoutAttemptsLeftIsAnsweredImmediately(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(4)})
@@ -14,7 +14,7 @@
 		s := sends(b.Handle(millisecond, Request{ID: class, Class: class, Deadline: time.Second}))[0]
 		acts := b.Handle(2*millisecond, AttemptEnded{ID: class, Server: s.Server, Outcome: ConnectionLost})
 		if len(acts) != 1 || acts[0] != want {
-			t.Errorf("%s: %+v", class, acts)
+			t.Errorf("%s: got %+v, want %+v", class, acts, want)
 		}
 	}
 }
--- a/balancer/retryafter.go
+++ b/balancer/retryafter.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// retryAfterDivisor is the part of the latency objective after which a rejected client should come back.
+// retryAfterDivisor: a rejected client is asked to retry after a tenth of its latency objective.
 const retryAfterDivisor = 10
 
-// RetryAfter is the time after which a rejected client of a class is asked to come back: a part of the
-// latency objective, at most MaxRetryAfter. Hosts ask for it too, for a stream that a server rejected.
-// Zero: no advice.
+// RetryAfter returns the time after which a rejected client of a class is asked to retry: a fraction of the
+// latency objective, at most MaxRetryAfter. Zero means that no Retry-After is sent. Hosts also call it for a
+// stream that a server has rejected.
 //
-// A client that is kept away for long comes back when its latency objective is mostly over, and its late
-// answer takes the capacity of one in time. One that comes back at once finds the same overload and uses up
-// its few tries.
+// A client that waits for long retries when its latency objective is mostly over, and its late answer uses
+// capacity that an answer within the objective needs. A client that retries at once meets the same overload
+// and uses up its few tries.
 func (s Settings) RetryAfter(c Class) time.Duration {
 	return min(s.MaxRetryAfter, c.LatencyObjective/retryAfterDivisor)
 }
--- a/balancer/retryafter_test.go
+++ b/balancer/retryafter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A rejected client that stays away for long comes back when its latency objective is mostly over; one that
-// comes back at once uses up its tries on the overload that it was rejected for.
+// A rejected client that waits too long retries when its latency objective is mostly over. A client that retries at
+// once uses up its tries in the overload that caused its rejection.
 func TestRetryAfterIsAFractionOfTheLatencyObjective(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(millisecond, EndpointUpdate{Complete: true, Servers: servers(2)})
@@ -21,5 +21,5 @@
 			return
 		}
 	}
-	t.Error("not rejected")
+	t.Error("the request was not rejected")
 }
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// server is a listed server, or one that has left with attempts of ours still out. Its states, several of
-// which hold at once, and who changes them:
+// server is a server on the endpoint list, or one that has left the list while attempts of this replica are
+// in flight at it. Its states, several of which can hold at once, and the functions that change them:
 //
 //	listed          on the endpoint list: listed is true (applyEndpointUpdate)
-//	draining        listed as Draining: finishes its attempts, is sent no other (applyEndpointUpdate)
-//	disabled        by an operator: in Balancer.overrides, whatever discovery says (applyOverride)
+//	draining        listed as Draining: finishes its attempts and is sent no others (applyEndpointUpdate)
+//	disabled        by an operator, whatever discovery says: in Balancer.overrides (applyOverride)
 //	in service      listed, Ready and not disabled: in the pools that allow it (refreshPools)
 //	ejected         an outlier until ejectedUntil (recordFailure)
-//	on probation    ejected before, with no success since: ejectionLevel > 0 and consecutiveSuccesses is 0
-//	                (isOutlier); each full run of successes takes one level back (recordHealthy)
+//	on probation    ejected before, without a success since: ejectionLevel > 0 and consecutiveSuccesses is 0
+//	                (isOutlier); each full run of successes lowers ejectionLevel by one (recordHealthy)
 //	warming up      started less than SlowStartDuration ago (slowStartAdmits)
-//	at capacity     has rejected an attempt: takes capacityLimit attempts at once until capacityLimitUntil
-//	                (learnRejection)
-//	forgotten       neither listed nor with attempts out (refreshPools, handleAttemptEnded)
+//	at capacity     has rejected an attempt: is given at most capacityLimit attempts at once until
+//	                capacityLimitUntil (learnRejection)
+//	removed         not listed, and without attempts in flight (refreshPools, handleAttemptEnded)
 //
-// A new start, and being enabled by an operator, resets all but the attempts in flight.
+// A restart, or an operator enabling the server, resets all of this except the attempts in flight.
 type server struct {
 	Server
 	listed   bool
-	inFlight []*attempt // own attempts that are out, in order of sending
+	inFlight []*attempt // own attempts in flight, in the order in which they were sent
 
 	consecutiveFailures  int
-	ejectionLevel        int // doublings of the next ejection
+	ejectionLevel        int // how many times the duration of the next ejection is doubled
 	consecutiveSuccesses int
 	ejectedUntil         time.Duration
 	lastSuccess          time.Duration
 
-	capacityLimit         int           // own attempts that it had when it rejected one more
-	capacityLimitUntil    time.Duration // until then no more than capacityLimit are sent at once
+	capacityLimit         int           // own attempts in flight when it rejected one more
+	capacityLimitUntil    time.Duration // until then at most capacityLimit own attempts are in flight
 	consecutiveRejections int
 
-	enabledAt       time.Duration // when an operator enabled it again
-	firstRequestDue time.Duration // unused since it was enabled: when it is given a request; 0: it is in use
+	enabledAt       time.Duration // when an operator last enabled it
+	firstRequestDue time.Duration // when to send it a request if unused since enabledAt; 0: it is in use
 }
 
-// startedAt is when a server began to serve: its process's start, or when it was enabled, if that was
-// later.
+// startedAt returns when a server began to serve: the start of its process, or the time at which an operator
+// enabled it, whichever is later.
 func (s *server) startedAt() time.Duration { return max(s.StartTime, s.enabledAt) }
 
-// inFlightCount is how many own attempts are out at a server.
+// inFlightCount returns the number of own attempts in flight at a server.
 func (s *server) inFlightCount() int { return len(s.inFlight) }
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -1,24 +1,25 @@
-// The choice of a server.
+// Server choice: which server is sent the next attempt of a request.
 
 package balancer
 
 import "math"
 
-// leftGroupShare is the part of the shared order that is the left group. Halves give both draws the same
-// choice.
+// leftGroupShare is the share of the servers that forms the left group. Two halves give both draws the same
+// number of candidates.
 const leftGroupShare = 0.5
 
-// chooseServer chooses a server for the next attempt of a request, or nil if none may take it now.
+// chooseServer chooses a server for the next attempt of a request. It returns nil if no server may take the
+// attempt now.
 //
-// Input: the request and what is known of the servers. Rule: the servers in service, in an order that all
-// replicas share, are cut into two groups. One server is drawn from each, and the one with fewer own
-// attempts in flight wins (pickFromGroups). Two draws spread the load nearly as well as a full comparison,
-// and avoid what that would lead to: all replicas sending to the one server that looks least loaded. Own
-// counts are used because they are exact and at once up to date.
+// Input: the request and the state of the servers. Rule: the servers in service, in an order that all
+// replicas share, are divided into two groups. One server is drawn from each group, and the one with fewer
+// own attempts in flight is chosen (pickFromGroups). Comparing all servers would make all replicas send to
+// the one server that looks least loaded; two draws avoid that, and spread the load nearly as well. A replica
+// counts only its own attempts, because that count is exact and always up to date.
 //
-// The candidates are, one list after another until one has an eligible server: this replica's subset of the
-// preferred servers, unless the request crosses zones; its subset of all servers; all servers, where also
-// capacity limits no longer bind.
+// The candidates are those of the first list that has an eligible server: this replica's subset of the
+// preferred servers, unless the request crosses zones; its subset of all servers; all servers, without regard
+// to capacity limits.
 func (b *Balancer) chooseServer(r *request) *server {
 	if b.listUnreliable() {
 		return nil
@@ -38,21 +39,22 @@
 	return b.chooseFrom(r, p.inService, 1, true)
 }
 
-// chooseFrom chooses among the eligible servers of a share of both groups of a list, nil if there are none.
+// chooseFrom chooses among the eligible servers in a share of each group of a list. It returns nil if there
+// are none. As a last resort, servers at their capacity limit are eligible too.
 func (b *Balancer) chooseFrom(r *request, list []*server, share float64, lastResort bool) *server {
 	left, right := b.splitGroups(list, share)
 	return b.pickFromGroups(b.eligibleServers(r, left, right, lastResort))
 }
 
-// splitGroups are the left and the right group of a list, or this replica's share of each.
+// splitGroups returns the left and the right group of a list, or this replica's share of each.
 func (b *Balancer) splitGroups(list []*server, share float64) (left, right []*server) {
 	cut := int(math.Ceil(leftGroupShare * float64(len(list))))
 	return b.ringSegment(list[:cut], share), b.ringSegment(list[cut:], share)
 }
 
-// pickFromGroups draws one server uniformly from each group. The fewer own attempts in flight win, equal
-// counts above zero go left, and at zero the side is drawn by the sizes of the groups. An empty group
-// leaves the draw to the other.
+// pickFromGroups draws one server uniformly from each group, and returns the one with fewer own attempts in
+// flight. If both have the same number, it returns the left one; if both have none, it draws the group with
+// probabilities in proportion to the group sizes. If one group is empty, it draws from the other.
 func (b *Balancer) pickFromGroups(left, right []*server) *server {
 	if len(left) == 0 || len(right) == 0 {
 		return b.drawServer(append(left, right...))
@@ -69,7 +71,7 @@
 	return r
 }
 
-// drawServer draws one of a group uniformly, nil from an empty one.
+// drawServer draws one server of a group uniformly. It returns nil if the group is empty.
 func (b *Balancer) drawServer(group []*server) *server {
 	if len(group) == 0 {
 		return nil
--- a/balancer/settingschange.go
+++ b/balancer/settingschange.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// changeSettings takes over other settings, or none of them if they are invalid. Classes that stay as they
-// were keep what was learned. Open requests keep the class that they came with, also one that is gone: its
-// effect decides whether they may be tried again, and was promised when they were accepted.
+// changeSettings replaces the settings, unless the new ones are invalid. Classes that have not changed keep
+// what was learned of them. Open requests keep the class that they arrived with, even one that has been
+// removed: its effect decides whether they may be retried, and was promised when they were accepted.
 func (b *Balancer) changeSettings(settings Settings) {
 	if settings.Validate() != nil {
 		return
@@ -23,9 +23,9 @@
 	b.refreshPools()
 }
 
-// classOf finds the class of a request. An ingress that has not seen the last change of the settings yet
-// has read the request by those before. An unknown class is that of the longest deadline and
-// non-idempotent.
+// classOf returns the class of a request. An ingress that had not yet seen the last change of the settings
+// has read the request by the previous settings, so their class applies. A request of an unknown class is
+// non-idempotent, with the objective, deadline and weight of the class that has the longest deadline.
 func (b *Balancer) classOf(e Request) *class {
 	if previous := b.previousClasses[e.Class]; previous != nil && e.SettingsVersion < b.settingsVersion {
 		return previous
@@ -36,8 +36,8 @@
 	return b.classList[len(b.classList)-1]
 }
 
-// addClasses makes the classes and pools of the settings, of the previous ones where they are the same. The
-// last class is that of requests whose class is not in the settings.
+// addClasses creates the classes and pools of the settings, and reuses previous ones that are the same. The
+// last class is for requests whose class is not in the settings.
 func (b *Balancer) addClasses(previous map[string]*class, pools []*pool) {
 	b.classes = map[string]*class{}
 	longest := b.settings.Classes[0]
@@ -51,8 +51,8 @@
 		PriorityWeight: longest.PriorityWeight}, previous, pools)
 }
 
-// addClass adds one class. One whose settings have changed still does the same work: how long that takes is
-// kept.
+// addClass adds one class. A class whose settings have changed keeps its learned latency, because its
+// requests still do the same work.
 func (b *Balancer) addClass(settings Class, previous map[string]*class, pools []*pool) {
 	c := newClass(settings)
 	if p := previous[settings.Name]; p != nil && reflect.DeepEqual(p.Class, settings) {
@@ -79,7 +79,8 @@
 	return &pool{allowedZones: c.AllowedZones, allowedKinds: c.AllowedKinds}
 }
 
-// keepUsedPools keeps those pools that no class has any more while something may still be placed in them.
+// keepUsedPools keeps the pools that no current class uses while a previous class or an open request still
+// uses them.
 func (b *Balancer) keepUsedPools(pools []*pool) {
 	used := map[*pool]bool{}
 	for _, c := range b.previousClasses {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,20 +2,21 @@
 
 package balancer
 
-// fullShareOverloadMultiple is the overload multiple below which a server that is warming up is sent less: half of the
-// multiple is kept free for bursts, as of several replicas that draw it at once.
+// fullShareOverloadMultiple is the overload multiple below which a server that is warming up is drawn less
+// often. Half of the multiple is reserved for bursts, as when several replicas draw the server at once.
 const fullShareOverloadMultiple = 2
 
-// slowStartAdmits says whether a server may be drawn with regard to its age. Input: the time since its
-// start, and the share of its peers that are busy. Output: true when SlowStartDuration is over; before, a
-// draw with the share of its capacity that it surely has, and no more than one own attempt at a time.
+// slowStartAdmits reports whether slow start allows a server to be drawn. Input: the time since the server's
+// start, and the share of servers that are busy. Output: after SlowStartDuration, true. Before that, true
+// with a probability equal to the share of its capacity that the server certainly has, and only while this
+// replica has no attempt in flight at the server.
 //
-// A server that has just started has cold caches and empty connection pools; sent its full share it falls
-// over, starts again and falls over again, and many replicas that each send a little do the same together.
-// It shows as a server that is ejected right after each start.
+// A server that has just started has cold caches and empty connection pools. If it is sent its full share, it
+// fails, restarts and fails again. Many replicas that each send it a little have the same effect. The symptom
+// is a server that is ejected right after each start.
 //
-// Idle as it is, a drawn server wins against all busy ones, up to twice as often as a warm one does: the
-// share of busy peers takes that back.
+// A server in slow start that is drawn has no own attempt in flight, so it is chosen over every busy one, up
+// to twice as often as a warm server. Dividing by 1+busy compensates for that.
 func (b *Balancer) slowStartAdmits(s *server, busy float64) bool {
 	age := b.now - s.startedAt()
 	if s.startedAt() <= 0 || age >= b.settings.SlowStartDuration {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Servers that fail at less than twice their capacity leave no reserve for bursts: while it warms up, such
-// a server is drawn less often.
+// Servers that fail at less than twice their capacity have no reserve for bursts. While such a server is warming up, it
+// is drawn less often.
 func TestLowOverloadMultipleReducesTheSlowStartShare(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, multiple := range []float64{0, 1, 2, 3} {
@@ -23,18 +23,19 @@
 		}
 	}
 	if n := drawn[1]; n < 400 || n > 600 {
-		t.Errorf("drawn %d times in 2000 with a multiple of 1, want about a quarter", n)
+		t.Errorf("drawn %d times in 2000 with an overload multiple of 1, want about a quarter", n)
 	}
 	if drawn[0] != drawn[2] || drawn[2] != drawn[3] || drawn[3] < 900 {
-		t.Errorf("drawn %v: multiples of two and more, or none, want about half", drawn)
+		t.Errorf("drawn %v times in 2000, by overload multiple: want about half with 0, 2 and 3", drawn)
 	}
 }
 
-// fallFor is the span over which a server's load is summed.
+// overloadSpan is the period over which a server's load is summed.
 const overloadSpan = 2 * time.Second
 
-// slowStartViolation names the first span of fallFor in which a server that started at boot was sent more than
-// OverloadMultiple times what it could do, or nothing. The capacity is a warm server's requests a second.
+// slowStartViolation describes the first overloadSpan in which a server that started at startedAt was sent more than
+// OverloadMultiple times the requests that it could serve. It returns "" if there is none. The capacity is the number
+// of requests per second that a warm server can serve.
 func slowStartViolation(set Settings, startedAt time.Duration, capacity float64, sent []time.Duration) string {
 	for i, from := range sent {
 		n := 0
@@ -46,38 +47,38 @@
 		progress := min(1, float64(from-startedAt+overloadSpan/2)/float64(set.SlowStartDuration)) // in the middle of the span
 		limit := set.OverloadMultiple * capacity * (set.SlowStartMinShare + (1-set.SlowStartMinShare)*progress) * overloadSpan.Seconds()
 		if float64(n) > limit {
-			return fmt.Sprintf("rule 4: %d calls in %v from %v, limit %.0f", n, overloadSpan, from, limit)
+			return fmt.Sprintf("sent %d requests in the %v from %v, limit %.0f", n, overloadSpan, from, limit)
 		}
 	}
 	return ""
 }
 
-// The check of slow start must itself be able to fail.
+// The check that the slow start tests use must report a server that is sent one request too many.
 func TestSlowStartViolationIsDetected(t *testing.T) {
-	set := testSettings() // 3 times 50 a second times 0.28, on average, for two seconds: 84
+	set := testSettings() // limit: 3 times 50 requests per second times 0.28, on average, for two seconds: 84
 	var burst []time.Duration
 	for i := range 85 {
 		burst = append(burst, time.Second+time.Duration(i)*millisecond)
 	}
-	if got := slowStartViolation(set, time.Second, 50, burst); !strings.HasPrefix(got, "rule 4") {
-		t.Errorf("a burst of 85 is over budget, got %q", got)
+	if got := slowStartViolation(set, time.Second, 50, burst); !strings.HasPrefix(got, "sent 85 requests in the 2s from 1s,") {
+		t.Errorf("a burst of 85 exceeds the limit, got %q", got)
 	}
 	if got := slowStartViolation(set, time.Second, 50, burst[:84]); got != "" {
-		t.Errorf("84 are within the budget, got %q", got)
+		t.Errorf("a burst of 84 is within the limit, got %q", got)
 	}
 }
 
-// Many replicas send to servers of which one has just started, and none sees the others. Together they
-// could push it over at once. What all of them send it in any span must keep the budget: at a steady three
-// quarters of capacity, and in a burst of twice that right after its start, with few replicas that have
-// many attempts out and with many that have hardly any.
+// Many replicas send to servers of which one has just started, and no replica knows of the others. Together they could
+// overload the new server at once. What all of them send it in any overloadSpan must stay within the limit: at a steady
+// three quarters of capacity and in a burst of twice that right after its start, both with few replicas that have many
+// attempts in flight and with many replicas that have hardly any.
 func TestSlowStartKeepsServersBelowOverload(t *testing.T) {
 	for _, tc := range []struct {
 		replicas, servers int
-		burst             float64 // times the usual rate, for the first two seconds
+		burst             float64 // factor on the request rate for the first two seconds
 		keyed             bool
 	}{{12, 6, 1, false}, {3, 12, 2, false}, {12, 6, 2, false}, {120, 40, 2, false}, {40, 6, 2, true}} {
-		const capacity, start = 50.0, time.Second // a warm server's requests a second
+		const capacity, start = 50.0, time.Second // requests per second that a warm server can serve
 		settings := testSettings()
 		settings.Tier, settings.Replicas = 1, tc.replicas
 		class := "get"
@@ -102,7 +103,7 @@
 	}
 }
 
-// startingFleet is many replicas that send to the same servers, of which one has just started.
+// startingFleet holds replicas that send to the same servers, of which one has just started.
 type startingFleet struct {
 	balancers      []*Balancer
 	rng            *rand.Rand
@@ -112,7 +113,7 @@
 	sentToStarting []time.Duration
 }
 
-// fleetAttempt is an attempt of one of the replicas that is out.
+// fleetAttempt is an attempt in flight of one of the replicas.
 type fleetAttempt struct {
 	balancer *Balancer
 	at       time.Duration
@@ -136,7 +137,7 @@
 	return f
 }
 
-// advance lets time go by, in which attempts end.
+// advance moves the clock forward and ends the attempts that are due by then.
 func (f *startingFleet) advance(step time.Duration) {
 	f.now += step
 	for len(f.pending) > 0 && f.pending[0].at <= f.now {
@@ -146,7 +147,7 @@
 	}
 }
 
-// send gives a request to one of the replicas. Each attempt takes 100 ms.
+// send gives a request to a random replica. Each attempt takes 100 ms.
 func (f *startingFleet) send(id, class string) {
 	b := f.balancers[f.rng.IntN(len(f.balancers))]
 	for _, s := range sends(b.Handle(f.now, newRequest(id, class, f.now, time.Second))) {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,4 +1,4 @@
-// Subsetting: the part of the servers that this replica draws from.
+// Subsetting: which part of the servers this replica draws from.
 
 package balancer
 
@@ -8,27 +8,28 @@
 )
 
 const (
-	// minSubset is how many servers a replica draws from at least: enough that one or two that fail leave
-	// others.
+	// minSubset is the smallest number of servers that a replica draws from: when one or two of them fail,
+	// others are left.
 	minSubset = 4.0
-	// subsetPerAttempt is how many more it draws from for each own attempt in flight, so that a busy replica
-	// does not queue its requests at few servers.
+	// subsetPerAttempt is how many more servers a replica draws from for each own attempt in flight, so that
+	// a busy replica does not queue its requests at few servers.
 	subsetPerAttempt = 0.5
-	// ringStep is where the segment of one replica starts behind that of the one before, as a part of the
-	// ring. The multiples of the golden section lie evenly in a ring, however many replicas there are.
+	// ringStep is the distance between the starts of the segments of consecutive replicas, as a fraction of
+	// the ring. Multiples of the golden ratio spread evenly over a ring, for any number of replicas.
 	ringStep = 0.618
 )
 
-// subsetShare is the part of each group that this replica draws from, from 0 to 1. Input: the servers of a
-// list and the recent peak of own attempts. Were it the whole list, each of many replicas
-// would keep connections to each of many servers until connection tables fill up, and own counts, spread
-// thin, would be zero nearly everywhere and tell nothing of the load.
+// subsetShare returns the share of each group that this replica draws from, from 0 to 1. Input: the servers
+// of a list and the recent peak of own attempts in flight. With many replicas and many servers, draws from
+// the whole list would make each replica keep connections to every server until connection tables fill up.
+// Its own counts would be zero at nearly every server, and would say nothing about the load.
 func (p *pool) subsetShare(list []*server) float64 {
 	return min(1, (minSubset+subsetPerAttempt*p.peakInFlight)/float64(max(1, len(list))))
 }
 
-// ringSegment is a part of a group, taken as a ring. The replica's index says where it starts, so that the
-// segments of all replicas cover the servers evenly; a change of the list moves it by little.
+// ringSegment returns a share of a group, treated as a ring. The replica's index determines where the segment
+// starts, so that the segments of all replicas cover the servers evenly. A change of the list moves the
+// segment only a little.
 func (b *Balancer) ringSegment(group []*server, share float64) []*server {
 	_, offset := math.Modf(ringStep * float64(b.settings.ReplicaIndex))
 	start := int(offset * float64(len(group)))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Many replicas call many servers. If all drew from all, connection tables would fill up; if subsets
-// overlapped by chance, some servers would get twice the load of others. The subsets of all replicas cover
-// the servers about evenly, each has its share of both groups, and an overloaded replica reaches every
-// server.
+// Many replicas call many servers. If every replica drew from all servers, connection tables would fill up; if subsets
+// overlapped by chance, some servers would get twice the load of others. The subsets of all replicas must cover the
+// servers about evenly, each subset must have its share of both groups, and an overloaded replica must reach nearly
+// every server.
 func TestSubsetsCoverTheServersEvenly(t *testing.T) {
 	drawn := map[string]int{}
 	for self := range 60 {
@@ -23,7 +23,7 @@
 			}
 		}
 		if len(got) < minSubset || len(got) > minSubset+2 || left*2 != len(got) {
-			t.Fatalf("replica %d drew %d servers, %d of them left", self, len(got), left)
+			t.Fatalf("replica %d drew %d servers, %d of them from the left group", self, len(got), left)
 		}
 		b.pools[0].inFlight = 160
 		if got := traffic(b, 4000, "get", func(string) Outcome { return Success }); len(got) < 70 {
@@ -37,8 +37,8 @@
 	}
 }
 
-// All servers of a replica's subset have rejected attempts. The replica must draw from the rest of the list
-// rather than fail requests that others could serve.
+// All servers of a replica's subset are at their capacity limit. The replica must draw from the other servers of the
+// list instead of failing requests that these could serve.
 func TestSubsetWithoutCapacityFallsBackToAllServers(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Servers: servers(80)})
@@ -49,10 +49,10 @@
 	got := traffic(b, 100, "get", func(string) Outcome { return Success })
 	for id := range got {
 		if subset[id] > 0 {
-			t.Errorf("%s was drawn though it is at its limit", id)
+			t.Errorf("%s was drawn although it is at its capacity limit", id)
 		}
 	}
 	if len(got) < 20 {
-		t.Errorf("only %d servers of the rest were drawn", len(got))
+		t.Errorf("only %d servers outside the subset were drawn, want at least 20", len(got))
 	}
 }
--- a/balancer/successor.go
+++ b/balancer/successor.go
@@ -1,4 +1,4 @@
-// What the next process of a node needs to know, when it takes over from this one.
+// Successor state: what the next process of a node needs to know when it takes over from this one.
 
 package balancer
 
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// SuccessorState returns what a Balancer in another process of the same node has to know: all that was
-// learned of servers and classes, without the requests, which stay with this process.
+// SuccessorState returns the state for a Balancer in the successor process of the same node, as JSON: all
+// that was learned of servers and classes, without the requests, which stay with this process.
 func (b *Balancer) SuccessorState() ([]byte, error) {
 	saved, err := newCheckpointWriter(b).write()
 	if err != nil {
@@ -22,8 +22,8 @@
 	return text, nil
 }
 
-// RestoreSuccessor returns a Balancer that knows what SuccessorState has of one with the same settings, and
-// draws by a seed of its own. Errors are those of Restore.
+// RestoreSuccessor returns a Balancer with a state from SuccessorState of a Balancer with the same settings.
+// Its draws follow from the given seed, not from that state. The errors are those of Restore.
 func RestoreSuccessor(settings Settings, state []byte, seed uint64) (*Balancer, error) {
 	b, err := Restore(settings, state)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return b, nil
 }
 
-// dropRequests leaves out requests and all that belongs to them or to this process alone.
+// dropRequests removes the requests and everything that belongs to them or only to this process.
 func (s *savedBalancer) dropRequests(classes int) {
 	s.Requests = nil
 	s.KeyQueues = nil
--- a/balancer/successor_test.go
+++ b/balancer/successor_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// In an upgrade two processes of a node serve side by side. Together they send a server that is warming up
-// no more than one process would, within chance, each knowing what is disabled, warming up and draining.
+// During a hot restart two processes of a node serve side by side, and both know which servers are disabled, warming up
+// and draining. Together they must send a server that is warming up no more than one process would, except for chance.
 func TestSuccessorKeepsSlowStart(t *testing.T) {
 	list := completeList(4)
 	list.Servers[1].StartTime = 100 * time.Second
@@ -29,7 +29,7 @@
 				case "s01":
 					n++
 				case "s02", "s03":
-					t.Fatalf("sent to %s", s.Server)
+					t.Fatalf("a request was sent to %s, which is draining or disabled", s.Server)
 				}
 				endAttempt(b, now, id, s, Success)
 			}
@@ -51,6 +51,6 @@
 		together += count(b, successor)
 	}
 	if alone == 0 || float64(together) > 1.1*float64(alone) {
-		t.Errorf("sent %d together, %d alone", together, alone)
+		t.Errorf("two processes sent %d requests, one process sent %d; want at most 1.1 times as many", together, alone)
 	}
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Kinds of timers: the part of a token before its colon. The part behind it names the request or the key.
+// Kinds of timers: the part of a token before its colon. The part after it identifies the request or the key.
 const (
-	pollTimer  = "list" // discovery is polled; nothing follows
-	queueTimer = "r"    // a queued request is looked at again
+	pollTimer  = "list" // discovery is polled; the token has no other part
+	queueTimer = "r"    // a queued request is checked again
 	delayTimer = "d"    // the injected delay of a request ends
 	keyTimer   = "k"    // the quiet period of a key ends
 )
 
-// timerToken names a timer of one request.
+// timerToken returns the token of a timer of one request.
 func timerToken(kind string, r *request) string { return kind + ":" + r.id }
 
-// handleTimer does what has come due. A host may round a time down, so that a timer fires a little early:
-// whoever finds that nothing is due yet sets another.
+// handleTimer does the work of a timer that has fired. A host may round times down, so that a timer fires a
+// little early: a handler whose work is not due yet sets another timer.
 func (b *Balancer) handleTimer(e TimerFired) {
 	switch kind, name, _ := strings.Cut(e.Token, ":"); kind {
 	case pollTimer:
@@ -36,5 +36,5 @@
 	}
 }
 
-// isDue says that a time has come, or comes within the tolerance by which a timer may be early.
+// isDue reports whether a time has been reached, or is so close that its timer may already have fired.
 func (b *Balancer) isDue(at time.Duration) bool { return b.now+b.settings.TimerTolerance >= at }
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// SettingsError says which setting is wrong. Validate, New and Restore return it.
+// SettingsError says which setting is invalid. Validate, New and Restore return it.
 type SettingsError struct {
-	Path    string // the setting and what it is part of, by the keys of the stored form (the json tags)
-	Key     string // the last key of Path; internal/simwire knows that of the settings object
-	Problem string // what is wrong with it
+	Path    string // the setting and the entry that it belongs to, by the stored form's keys (the json tags)
+	Key     string // the last key of Path; internal/simwire maps it to a key of the settings object
+	Problem string // what is wrong with the setting
 	Remedy  string // what the operator can do
 }
 
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("balancer: %s %s: %s", e.Path, e.Problem, e.Remedy)
 }
 
-// invalidSetting is the error of a setting of an entry, or of the Settings themselves where entry is "".
+// invalidSetting returns the error for a setting of an entry, or of the Settings themselves if entry is "".
 func invalidSetting(entry, key, problem, remedy string) *SettingsError {
 	path := key
 	if entry != "" {
@@ -31,12 +31,12 @@
 
 // Remedies that several settings share.
 const (
-	remedyNotNegative = "set it to zero or more"         // of times and counts
-	remedyPositive    = "set it to more than zero"       // of times that something must fit into
-	remedyShare       = "set it to a number from 0 to 1" // of parts of a whole
+	remedyNotNegative = "set it to zero or more"         // for times, counts and weights
+	remedyPositive    = "set it to more than zero"       // for times that something must fit into
+	remedyShare       = "set it to a number from 0 to 1" // for shares
 )
 
-// Validate returns a *SettingsError for the first setting that no Balancer can work with, or nil.
+// Validate returns a *SettingsError for the first setting that a Balancer can't work with, or nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return invalidSetting("", "Classes", "is empty", "configure at least one class")
@@ -63,7 +63,7 @@
 		value float64
 	}{{"Tier", float64(s.Tier)}, {"Balancers", float64(s.Replicas)}, {"Self", float64(s.ReplicaIndex)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"FallMultiple", s.OverloadMultiple}} {
-		if !(n.value >= 0) { // also not a number
+		if !(n.value >= 0) { // true for NaN too
 			return invalidSetting("", n.key, "is negative or not a number", remedyNotNegative)
 		}
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// validateClass checks the class at an index.
+// validateClass checks the class at index i.
 func (s Settings) validateClass(i int) error {
 	c, path := s.Classes[i], fmt.Sprintf("Classes[%d]", i)
 	repeated := slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name })
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// validateFaultInjection checks the fault injection at an index.
+// validateFaultInjection checks the fault injection at index i.
 func (s Settings) validateFaultInjection(i int) error {
 	f, path := s.FaultInjections[i], fmt.Sprintf("Drills[%d]", i)
 	earlier := s.FaultInjections[:i]
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// validateName checks that an entry of a list has a name of its own.
+// validateName checks that an entry of a list has a name, and that no earlier entry has the same name.
 func validateName(path, name string, repeated bool) error {
 	switch {
 	case name == "":
@@ -137,5 +137,5 @@
 	return nil
 }
 
-// isShare says that a number is from 0 to 1.
+// isShare reports whether a number is from 0 to 1.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Whoever wrote a wrong setting must find it by the error, and what to do about it.
+// An operator who wrote an invalid setting must learn from the error which setting it is and how to correct it.
 func TestSettingsErrorsNameTheSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes is empty":  func(s *Settings) { s.Classes = nil },
@@ -25,11 +25,11 @@
 		change(&s)
 		_, err := New(s, 1)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 		var settingsErr *SettingsError
 		if !errors.As(err, &settingsErr) || settingsErr.Path == "" || settingsErr.Key == "" || settingsErr.Problem == "" || settingsErr.Remedy == "" {
-			t.Errorf("%v does not say where, what and what to do: %+v", err, settingsErr)
+			t.Errorf("%v lacks a path, key, problem or remedy: %+v", err, settingsErr)
 		}
 	}
 }
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -5,25 +5,25 @@
 import "slices"
 
 const (
-	// minCrossZoneShare is the share of requests that leave the preferred servers anyway, so that the
-	// replica knows how long the others take and notices when they have become faster.
+	// minCrossZoneShare is the share of requests that may leave the preferred servers in any case, so that
+	// the replica knows the latency of the others and notices when they have become faster.
 	minCrossZoneShare = 0.03
-	// crossZoneLogLatencyGap is the difference of mean log latency by which the preferred servers must be slower
-	// before more requests leave them: a quarter is about 28 % of the latency. Less would not pay for
-	// crossing zones.
+	// crossZoneLogLatencyGap is how much higher the mean log latency of the preferred servers must be than
+	// that of the others before more requests leave them. A quarter is about 28 % of the latency; a smaller
+	// gain is not worth the cost of crossing zones.
 	crossZoneLogLatencyGap = 0.25
-	// crossZoneWeight is the weight of one answer in the cross-zone share: half that of the latencies it
-	// follows, so that requests don't swing between zones together.
+	// crossZoneWeight is the weight of one answer in the cross-zone share. It is half its weight in the
+	// latencies that the share follows, so that requests don't all oscillate between zones together.
 	crossZoneWeight = sampleWeight / 2
 )
 
-// updatePreferredServers finds the servers that a pool's classes use first: those of the own zone, if any, and of
-// these the ones that no narrower pool depends on, if any. Crossing zones costs latency and money, and the
-// classes of a narrower pool have nowhere else to go: were its servers filled by others, these classes
-// alone would fail, while other servers idle.
+// updatePreferredServers finds the servers that a pool's classes use first: the servers in this replica's
+// zone, if there are any, and of these the ones that no narrower pool depends on, if there are any. Crossing
+// zones costs latency and money. The classes of a narrower pool can use no other servers: if other classes
+// filled these, only the classes of the narrower pool would fail, while other servers are idle.
 //
-// Servers that are left to narrower pools are not counted in serversPerReplica either: else the floors of
-// two windows would admit twice what one server takes.
+// Servers that are reserved for narrower pools are not counted in serversPerReplica either. Otherwise the
+// floors of two windows would together admit twice what one server can take.
 func (b *Balancer) updatePreferredServers(p *pool) {
 	neededByNarrowerPool := func(s *server) bool {
 		return slices.ContainsFunc(b.pools, func(narrower *pool) bool {
@@ -42,7 +42,7 @@
 	}
 }
 
-// excludeUnlessAll leaves out what is unwanted, unless that is all.
+// excludeUnlessAll returns the servers of a list that are not unwanted, or the whole list if all are.
 func excludeUnlessAll(list []*server, unwanted func(*server) bool) []*server {
 	if kept := slices.DeleteFunc(slices.Clone(list), unwanted); len(kept) > 0 {
 		return kept
@@ -50,19 +50,19 @@
 	return list
 }
 
-// crossesZones says whether a request may go to all servers of a pool rather than to the preferred ones.
-// Where there is a difference it draws, by the cross-zone share.
+// crossesZones reports whether a request may use all servers of a pool rather than only the preferred ones.
+// If these differ, it draws the result: the cross-zone share is the probability that it is true.
 func (b *Balancer) crossesZones(p *pool) bool {
 	n := len(p.preferred)
 	return n == 0 || n == len(p.inService) || b.rng.Float64() < max(p.crossZoneShare, minCrossZoneShare)
 }
 
-// learnZoneLatency learns from the latency of an attempt whether requests should leave the preferred
-// servers. Input: where it ran, and the log of its latency over the class's mean, so that classes of any
-// length compare. Output: the cross-zone share. While the preferred servers are slower than the others by
-// more than crossZoneGain, more requests leave them, whatever the reason; else fewer. Without this a zone
-// that has lost half of its servers would choke while others have capacity; it shows as time-outs and
-// rejections in one zone only.
+// learnZoneLatency learns from the latency of an attempt whether requests should leave the preferred servers.
+// Input: whether the attempt's server is preferred, and the log of the latency over the class's mean, which
+// makes fast and slow classes comparable. Output: the cross-zone share. While the preferred servers are
+// slower than the others by more than crossZoneLogLatencyGap, for whatever reason, more requests leave them;
+// otherwise fewer do. Without this rule, a zone that has lost half of its servers would be overloaded while
+// others have capacity. The symptom is time-outs and rejections in only one zone.
 func (p *pool) learnZoneLatency(preferred bool, logRatio float64) {
 	average := &p.otherLogLatency
 	if preferred {
