--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,6 +1,6 @@
-// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard input, one reply for each
-// on standard output. It exits with 1, and says why on standard error, when the input can't be read or a Balancer's
-// settings are invalid.
+// Command balancer-sim hosts Balancers for the simulator. It reads batches of events from standard input and writes one
+// reply per batch to standard output. If the input can't be read or the settings of a Balancer are invalid, it writes
+// the cause to standard error and exits with status 1.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written complete or not at all.
+// run answers batches until the input ends. It writes each reply completely or not at all.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	h := newHost(out)
@@ -39,7 +39,7 @@
 	}
 }
 
-// host has the Balancers of the simulated instances and gives them their events.
+// host holds the Balancers of the simulated instances and gives them their events.
 type host struct {
 	out       io.Writer
 	reply     *bytes.Buffer // of the current batch
@@ -58,7 +58,7 @@
 	}
 }
 
-// handle takes one message. Events for an instance that is not there are ignored.
+// handle processes one message. It ignores events for an instance that has not been started or was killed.
 func (h *host) handle(message simwire.Message) error {
 	switch message.Kind {
 	case simwire.BatchStarted:
--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// startInstance starts an instance with one class.
+// startInstance is the message that starts an instance with one class.
 const startInstance = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
-// A batch of events is answered with what the Balancers decide.
+// A batch of events is answered with the actions of the Balancers.
 func TestRunAnswersABatch(t *testing.T) {
 	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + startInstance + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
@@ -24,7 +24,8 @@
 	}
 }
 
-// Input that can't be read ends the program, and the simulator must not take half a reply for a whole one.
+// Input that can't be read ends the program. No partial reply may be written, because the simulator would treat it as a
+// complete one.
 func TestRunStopsAtBadInputWithoutAPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
@@ -38,8 +39,8 @@
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is queued.
+// A killed instance loses all of its state. After its restart, events of an old request are ignored, and a new request
+// is queued because the endpoint list is empty.
 func TestKilledInstanceKeepsNoState(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + startInstance + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	readBufferBytes  = 1 << 20 // holds most batches, which come at once
-	maxEndpointLists = 16      // lists that a batch may define, numbered from 0
-	maxQuotedBytes   = 40      // of an unknown name in an error
+	readBufferBytes  = 1 << 20 // holds most batches, which the simulator writes at once
+	maxEndpointLists = 16      // endpoint lists that a batch may define, numbered from 0
+	maxQuotedBytes   = 40      // how much of an unknown name an error quotes
 	noInstance       = -1      // no message has named an instance yet
 )
 
-// Names of the messages on the wire, and their values in order, numbered from 0 as fields does. Values in parentheses are
-// not read.
+// Names of the messages on the wire, and their values in order, which type fields numbers from 0. Values in parentheses
+// are not read.
 const (
 	nameBatchStart      = "sync"             // clock time
-	nameBatchEnd        = "eob"              // a reply is due
+	nameBatchEnd        = "eob"              // no values; a reply is due
 	nameSelectInstance  = "about"            // instance of the messages that follow
-	nameEndpointList    = "list"             // number and length of an endpoint list
+	nameEndpointList    = "list"             // number of the endpoint list, count of the entries that follow
 	nameEndpoint        = "item"             // ID, zone, kind, cell, state, (size), start time
 	nameInstanceStarted = "hello"            // seed and settings of a new instance
-	nameInstanceKilled  = "crash_now"        // the instance is killed
+	nameInstanceKilled  = "crash_now"        // no values; the instance is killed
 	nameEndpointUpdate  = "announce"         // mode, number of an endpoint list, (version)
 	nameRequest         = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
 	nameTimerFired      = "ring"             // token of a timer that fired
@@ -38,12 +38,12 @@
 	namePeerMessage     = "mail"             // ignored: message of another instance
 )
 
-// Modes of an announcement of endpoints.
+// Modes of an endpoint update.
 const (
 	endpointsChanged  = 0 // only changed entries
 	endpointsComplete = 1 // the whole list
 	endpointsCached   = 2 // the whole list, from before a restart
-	watchFailed       = 3 // no list: the subscription failed
+	watchFailed       = 3 // no list: the watch failed
 )
 
 // States of an endpoint.
@@ -56,20 +56,20 @@
 // clientRetryFlag is the bit in the flags of a request that marks it as a retry by its client.
 const clientRetryFlag = 2
 
-// Why a line can't be read where it stands.
+// Reasons why a line can't be read.
 var (
 	errEndsInBatch    = errors.New("input ends inside a batch")
-	errNestedBatch    = errors.New("sync inside a batch")
-	errNoSettings     = errors.New("hello lacks its settings")
+	errNestedBatch    = errors.New("sync message inside a batch")
+	errNoSettings     = errors.New("hello message has no settings")
 	errListOutOfRange = errors.New("list number or length out of range")
 )
 
 // Decoder reads messages one at a time.
 type Decoder struct {
 	reader   *bufio.Reader
-	line     int // read so far
+	line     int // number of lines read so far
 	inBatch  bool
-	instance int // that messages are for
+	instance int // instance that the following messages are for
 	lists    [maxEndpointLists][]balancer.Server
 }
 
@@ -78,8 +78,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), instance: noInstance}
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and a *LineError for anything
-// else that ends the input or can't be read.
+// Next returns the next message. It returns io.EOF if the input ends outside a batch, and a *LineError if it ends
+// inside a batch or can't be read.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.readLine()
@@ -105,7 +105,8 @@
 	}
 }
 
-// readLine reads a line without its end. It returns io.EOF at the end of the input, io.ErrUnexpectedEOF inside a line.
+// readLine returns the next line without its line ending. It returns io.EOF if the input ends before the line, and
+// io.ErrUnexpectedEOF if it ends inside the line.
 func (d *Decoder) readLine() (string, error) {
 	text, err := d.reader.ReadString('\n')
 	if err == io.EOF {
@@ -118,7 +119,8 @@
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-// decode reads one line; complete is false for lines that only say something of those that follow.
+// decode decodes one line. complete is false if the line is no message by itself, but applies to later lines of the
+// batch.
 func (d *Decoder) decode(text string) (message Message, complete bool, err error) {
 	name, values, _ := strings.Cut(text, "\t")
 	if name == nameBatchStart && d.inBatch {
@@ -141,13 +143,13 @@
 		return message, false, d.readEndpointList(f)
 	}
 	if d.instance < 0 {
-		return message, false, fmt.Errorf("%s before any about", quote(name))
+		return message, false, fmt.Errorf("%s before the first about message", quote(name))
 	}
 	message, err = d.decodeForInstance(f, values)
 	return message, true, err
 }
 
-// decodeForInstance reads a line that is for one instance.
+// decodeForInstance decodes a line that is for the selected instance.
 func (d *Decoder) decodeForInstance(f *fields, values string) (Message, error) {
 	message := Message{Kind: EventReceived, Instance: d.instance}
 	switch f.message {
@@ -189,7 +191,7 @@
 	return message, f.err
 }
 
-// decodeInstanceStarted reads the start of an instance: a seed, and the settings object, which may have tabs in it.
+// decodeInstanceStarted decodes the start of an instance: a seed and the settings object, which may contain tabs.
 func (d *Decoder) decodeInstanceStarted(values string) (Message, error) {
 	seed, settings, ok := strings.Cut(values, "\t")
 	if !ok {
@@ -205,7 +207,7 @@
 	return message, err
 }
 
-// decodeEndpointUpdate reads an announcement, which refers to one of the batch's lists.
+// decodeEndpointUpdate decodes an endpoint update, which refers to one of the endpoint lists of the batch.
 func (d *Decoder) decodeEndpointUpdate(f *fields) balancer.Event {
 	mode := f.integer(0)
 	switch mode {
@@ -214,7 +216,7 @@
 	case endpointsChanged, endpointsComplete, endpointsCached:
 		list := f.integer(1)
 		if f.err == nil && (list < 0 || list >= len(d.lists)) {
-			f.fail(1, "is no list number")
+			f.fail(1, "is not a list number")
 		}
 		if f.err != nil {
 			return nil
@@ -225,12 +227,12 @@
 			Servers:  d.lists[list],
 		}
 	default:
-		f.fail(0, "is no mode")
+		f.fail(0, "is not a mode")
 		return nil
 	}
 }
 
-// selectInstance reads which instance the next messages are for.
+// selectInstance reads which instance the following messages are for.
 func (d *Decoder) selectInstance(f *fields) error {
 	instance := f.integer(0)
 	if f.err == nil && instance < 0 {
@@ -240,7 +242,7 @@
 	return f.err
 }
 
-// readEndpointList reads a list of endpoints, whose items are the lines that follow.
+// readEndpointList reads an endpoint list, whose entries are the lines that follow.
 func (d *Decoder) readEndpointList(f *fields) error {
 	number, length := f.integer(0), f.integer(1)
 	if f.err != nil {
@@ -257,7 +259,7 @@
 		}
 		name, values, _ := strings.Cut(text, "\t")
 		if name != nameEndpoint {
-			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
+			return fmt.Errorf("got %s instead of item %d of %d", quote(name), i+1, length)
 		}
 		item := newFields(name, values)
 		servers = append(servers, item.server())
@@ -269,7 +271,7 @@
 	return nil
 }
 
-// quote quotes the beginning of a text of the input.
+// quote quotes a text of the input, and shortens it to maxQuotedBytes.
 func quote(text string) string {
 	if len(text) > maxQuotedBytes {
 		text = text[:maxQuotedBytes] + "..."
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// writeBufferBytes holds most replies, so that they are written at once.
+// writeBufferBytes is enough for most replies, so that each is written at once.
 const writeBufferBytes = 1 << 16
 
 // Names of the actions on the wire, and their values in order.
@@ -22,14 +22,14 @@
 	nameSubscribe      = "subscribe"      // subscribeOn
 	nameReplyEnd       = "yield"          // ends the reply
 
-	// subscribeOn begins a subscription.
+	// subscribeOn is the value that starts a subscription.
 	subscribeOn = "1"
 )
 
 // Encoder writes replies.
 type Encoder struct {
 	writer   *bufio.Writer
-	instance int // that the last action was of
+	instance int // instance of the last action
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -37,8 +37,8 @@
 	return &Encoder{writer: bufio.NewWriterSize(w, writeBufferBytes), instance: noInstance}
 }
 
-// Action adds one action of an instance to the reply. Deny, Abort and FaultInjected are left out: the simulator configures
-// neither access lists nor fault injections, and its wire has no such actions.
+// Action adds an action of an instance to the reply. It omits Deny, Abort and FaultInjected: the simulator configures
+// neither access lists nor fault injections, and its wire format has no such actions.
 func (e *Encoder) Action(instance int, action balancer.Action) {
 	if instance != e.instance {
 		e.write(nameActionInstance, strconv.Itoa(instance))
@@ -58,14 +58,14 @@
 	}
 }
 
-// Flush ends the reply and sends it. The error is that of the writer, for any part of the reply.
+// Flush ends the reply and sends it. It returns the first error of the underlying writer for any part of the reply.
 func (e *Encoder) Flush() error {
 	e.instance = noInstance
 	e.write(nameReplyEnd)
 	return e.writer.Flush()
 }
 
-// write writes one line. The bufio.Writer keeps its first error until Flush.
+// write writes one line. Flush returns the first error of the bufio.Writer.
 func (e *Encoder) write(name string, values ...string) {
 	e.writer.WriteString(name)
 	for _, value := range values {
@@ -75,7 +75,7 @@
 	e.writer.WriteByte('\n')
 }
 
-// milliseconds writes a time with all of its digits.
+// milliseconds formats a time in milliseconds, with all of its decimal places.
 func milliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -9,13 +9,13 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// absentValue stands for a value that is not given.
+// absentValue is written in place of a value that is not given.
 const absentValue = "-"
 
-// maxMilliseconds bounds times on the wire: some thirty years, which a time.Duration holds.
+// maxMilliseconds limits times on the wire to about thirty years, which fit into a time.Duration.
 const maxMilliseconds = 1e12
 
-// outcomes are the ends of attempts on the wire.
+// outcomes maps the names of outcomes on the wire.
 var outcomes = map[string]balancer.Outcome{
 	"success":     balancer.Success,
 	"failure":     balancer.Failure,
@@ -29,23 +29,23 @@
 
 // fields reads the values of one message, numbered from 0, and keeps the first error.
 type fields struct {
-	message string // its name
+	message string // name of the message
 	values  []string
-	err     error // a *ValueError
+	err     error // a *ValueError, or nil
 }
 
 func newFields(message, values string) *fields {
 	return &fields{message: message, values: strings.Split(values, "\t")}
 }
 
-// fail keeps the first problem.
+// fail records a problem with value i, unless there has been an earlier problem.
 func (f *fields) fail(i int, problem string) {
 	if f.err == nil {
 		f.err = &ValueError{Message: f.message, Value: i + 1, Problem: problem}
 	}
 }
 
-// optionalText is a text, "" if it is absent.
+// optionalText returns a text, or "" if it is absent.
 func (f *fields) optionalText(i int) string {
 	if i >= len(f.values) || f.values[i] == absentValue {
 		return ""
@@ -64,12 +64,12 @@
 func (f *fields) integer(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is not an integer")
 	}
 	return v
 }
 
-// optionalInteger is an integer, 0 if it is absent.
+// optionalInteger returns an integer, or 0 if it is absent.
 func (f *fields) optionalInteger(i int) int {
 	if f.optionalText(i) == "" {
 		return 0
@@ -77,7 +77,7 @@
 	return f.integer(i)
 }
 
-// uint64 is a number of 64 bits, which the simulator writes with or without a sign.
+// uint64 returns a 64-bit number, which the simulator writes as a signed or an unsigned integer.
 func (f *fields) uint64(i int) uint64 {
 	s := f.text(i)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -85,12 +85,12 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is not an integer")
 	}
 	return uint64(v)
 }
 
-// optionalUint64 is a number of 64 bits, 0 if it is absent.
+// optionalUint64 returns a 64-bit number, or 0 if it is absent.
 func (f *fields) optionalUint64(i int) uint64 {
 	if f.optionalText(i) == "" {
 		return 0
@@ -101,13 +101,13 @@
 func (f *fields) milliseconds(i int) time.Duration {
 	v, err := strconv.ParseFloat(f.text(i), 64)
 	if err != nil || math.IsNaN(v) || math.Abs(v) > maxMilliseconds {
-		f.fail(i, "is no time in milliseconds")
+		f.fail(i, "is not a time in milliseconds")
 		return 0
 	}
 	return fromMilliseconds(v)
 }
 
-// optionalMilliseconds is a time, 0 if it is absent.
+// optionalMilliseconds returns a time, or 0 if it is absent.
 func (f *fields) optionalMilliseconds(i int) time.Duration {
 	if f.optionalText(i) == "" {
 		return 0
@@ -118,12 +118,12 @@
 func (f *fields) outcome(i int) balancer.Outcome {
 	o, ok := outcomes[f.text(i)]
 	if !ok {
-		f.fail(i, "is no ending")
+		f.fail(i, "is not an outcome")
 	}
 	return o
 }
 
-// server is the endpoint of a list's item.
+// server returns the server that an entry of an endpoint list describes.
 func (f *fields) server() balancer.Server {
 	return balancer.Server{
 		ID:        f.text(0),
@@ -144,11 +144,11 @@
 	case stateRemoved:
 		return balancer.Removed
 	}
-	f.fail(i, "is no state")
+	f.fail(i, "is not a server state")
 	return balancer.Ready
 }
 
-// fromMilliseconds rounds to the nanosecond.
+// fromMilliseconds converts a time in milliseconds, rounded to the nanosecond.
 func fromMilliseconds(v float64) time.Duration {
 	return time.Duration(math.Round(v * float64(time.Millisecond)))
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// Operators' configuration files and published documents have settings in this form: no build may read them by other
-// names. The golden file has the names of the published form, in the order of the fields.
+// Operators' configuration files and published documents contain settings in this form, so no build may change the
+// names of the keys. The golden file has the published names, in the order of the fields.
 func TestGoldenSettings(t *testing.T) {
 	path := filepath.Join("testdata", "settings.json")
 	goldentest.Read[settingsObject](t, path)
@@ -23,6 +23,6 @@
 			LatencyObjective: 8 * time.Millisecond, Deadline: 7 * time.Millisecond, LateCredit: 0.1, PriorityWeight: 6, Stream: true, OrderedByKey: true,
 			AllowedZones: []string{"north-a"}, AllowedKinds: []string{"big"}}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -54,25 +54,25 @@
 	AllowedZones []string `json:"confined-to"`
 }
 
-// pollDiscoveryMode is the mode of discovery in which the endpoint list comes only when it is asked for.
+// pollDiscoveryMode is the discovery mode in which the endpoint list is sent only on request.
 const pollDiscoveryMode = "on_request"
 
-// scopes are the scopes of deduplication on the wire.
+// scopes maps the names of deduplication scopes on the wire.
 var scopes = map[string]balancer.Scope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
 }
 
-// effects are the effects on the wire, but for the non-idempotent one.
+// effects maps the names of effects on the wire. Every other name is NonIdempotent.
 var effects = map[string]balancer.Effect{
 	"read_like":       balancer.Idempotent,
 	"idempotency_key": balancer.IdempotentWithKey,
 }
 
-// ParseSettings reads the settings object, and checks no values: balancer.Settings.Validate does. Unknown keys are
-// ignored, an unknown effect is NonIdempotent and an unknown scope is the narrowest. The error is that of a text that is
-// no JSON or has other types, and holds that of encoding/json.
+// ParseSettings reads the settings object. It does not check the values; balancer.Settings.Validate does that. Unknown
+// keys are ignored, an unknown effect is read as NonIdempotent, and an unknown scope as the narrowest one. If the text
+// is not valid JSON or has values of other types, the returned error wraps that of encoding/json.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -81,7 +81,7 @@
 	return object.settings(), nil
 }
 
-// settings maps the object to the terms of the decision module.
+// settings converts the object to balancer.Settings.
 func (o *settingsObject) settings() balancer.Settings {
 	settings := balancer.Settings{
 		Replicas:           o.Replicas,
@@ -109,7 +109,7 @@
 	return settings
 }
 
-// class maps a class to the terms of the decision module.
+// class converts a class to a balancer.Class.
 func (c *classObject) class() balancer.Class {
 	return balancer.Class{
 		Name:             c.Name,
--- a/internal/simwire/settingskeys.go
+++ b/internal/simwire/settingskeys.go
@@ -8,10 +8,11 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// faultInjectionsPath begins the path of a fault injection in a balancer.SettingsError. They are not in the settings object.
+// faultInjectionsPath is the prefix of a fault injection's path in a balancer.SettingsError. The settings object has no
+// fault injections.
 const faultInjectionsPath = "Drills"
 
-// objectKeys are the keys of the settings object by those of the stored form, in which a balancer.SettingsError names them.
+// objectKeys maps the keys of the stored form, which a balancer.SettingsError uses, to the keys of the settings object.
 var objectKeys = map[string]string{
 	"Classes":   "lanes",
 	"Name":      "name",
@@ -34,8 +35,9 @@
 	"WarmAfter":     "warm-after-ms",
 }
 
-// WithObjectKey adds to a *balancer.SettingsError the key under which operators write the setting in the settings object. It
-// returns other errors as they are, also nil and those of fault injections, which the settings object does not have.
+// WithObjectKey adds to a *balancer.SettingsError the key that operators use for the setting in the settings object. It
+// returns all other errors unchanged, including nil and errors of fault injections, which the settings object does not
+// have.
 func WithObjectKey(err error) error {
 	var invalid *balancer.SettingsError
 	if !errors.As(err, &invalid) || strings.HasPrefix(invalid.Path, faultInjectionsPath) {
--- a/internal/simwire/settingskeys_test.go
+++ b/internal/simwire/settingskeys_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// An operator has written a value that the balancer rejects. The balancer names the setting by the key of the stored form,
-// which the operator has never seen: the error must have the key that the operator wrote as well.
+// An operator has written a value that the balancer rejects. The balancer names the setting by its key in the stored
+// form, which operators never see, so the error must also contain the key that the operator wrote.
 func TestSettingsErrorsNameTheObjectKey(t *testing.T) {
 	const valid = `"name":"get","target-ms":500,"deadline-ms":900`
 	for text, want := range map[string]string{
@@ -41,15 +41,15 @@
 		}
 		err = WithObjectKey(settings.Validate())
 		if err == nil || !strings.HasSuffix(err.Error(), " ("+want+" in the settings)") {
-			t.Errorf("%s: %v, want the key %s", text, err, want)
+			t.Errorf("%s: got %v, want an error with the key %s", text, err, want)
 		}
 		if !errors.As(err, new(*balancer.SettingsError)) {
-			t.Errorf("%s: %v holds no SettingsError", text, err)
+			t.Errorf("%s: %v wraps no SettingsError", text, err)
 		}
 	}
 }
 
-// What operators did not write in the settings object gets no key of it, and no error stays none.
+// Errors about something other than a value of the settings object get no key, and nil stays nil.
 func TestOtherErrorsAreReturnedUnchanged(t *testing.T) {
 	other := errors.New("other")
 	fault := error(&balancer.SettingsError{Path: "Drills[0].Name", Key: "Name", Problem: "is wrong", Remedy: "set it"})
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each key that an error may name is one that the settings object has.
+// Every key that an error may name must exist in the settings object.
 func TestObjectKeysExistInTheSettingsObject(t *testing.T) {
 	object := string(goldentest.Text(t, filepath.Join("testdata", "settings.json")))
 	for stored, key := range objectKeys {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -12,7 +12,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// sampleBatch has a list, its announcement, a request and an outcome.
+// sampleBatch contains an endpoint list, an update that refers to it, a request and the outcome of an attempt.
 const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// The words of the wire become the types of the decision module.
+// The lines of the wire format become the events of package balancer.
 func TestDecodeMapsLinesToEvents(t *testing.T) {
 	l, err := decodeAll(t, sampleBatch)
 	if err != nil {
@@ -54,13 +54,13 @@
 	}
 }
 
-// The simulator and this program may speak different versions of the protocol. Whoever looks into that must find the line
-// and the value.
+// The simulator and this program may use different versions of the protocol. To find the difference, an operator needs
+// the line and the value in the error.
 func TestErrorsNameTheLineAndTheValue(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
-		"sync\tx\n":                            "line 1: sync: value 1 is no time",
-		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before any about",
+		"sync\tx\n":                            "line 1: sync: value 1 is not a time in milliseconds",
+		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before the first about message",
 		"sync\t1\nabout\t1\nhuh\t1\n":          "line 3: unknown message \"huh\"",
 		"sync\t1\nabout\t1\njob_in\ta\n":       "line 3: job_in: value 2",
 		"sync\t1\nlist\t0\t2\nitem\ta\tb\n":    "value 4 is missing",
@@ -74,12 +74,12 @@
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 		if line := new(LineError); !errors.As(err, &line) || line.Line < 1 {
-			t.Errorf("%q: %v names no line", text, err)
+			t.Errorf("%q: %v does not name the line", text, err)
 		}
 	}
 }
 
-// Where clients mark their retries, no others may be taken for retries.
+// If clients mark their retries, no other request may be treated as a retry.
 func TestParseSettingsReadsClientsMarkRetries(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
 		if s, err := ParseSettings([]byte(text)); err != nil || s.ClientsMarkRetries != want {
@@ -88,7 +88,8 @@
 	}
 }
 
-// A class with an effect of a later protocol must not be sent twice.
+// A request must not be sent twice if a later version of the protocol gives its class an effect that this one does not
+// know.
 func TestUnknownEffectIsNonIdempotent(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
 	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
@@ -96,7 +97,7 @@
 	}
 }
 
-// The actions of the decision module become the words of the wire, by instance.
+// The actions of package balancer become lines of the wire format, grouped by instance.
 func TestEncodeMapsActionsToLines(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
@@ -111,7 +112,7 @@
 	}
 }
 
-// No input may stop the program but by an error.
+// No input may make the decoder panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
@@ -125,7 +126,7 @@
 	})
 }
 
-// A placement that is not given must set no bound, and key 0 is a key.
+// An absent placement must not restrict the servers of a class, and a request may have the key 0.
 func TestAbsentPlacementAndKeyZero(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},` +
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`))
@@ -134,10 +135,10 @@
 	}
 	a, b := s.Classes[0], s.Classes[1]
 	if !a.OrderedByKey || len(a.AllowedKinds) != 1 || len(a.AllowedZones) != 1 {
-		t.Errorf("bounds lost: %+v", a)
+		t.Errorf("the order or the placement of a class was lost: %+v", a)
 	}
 	if b.OrderedByKey || b.AllowedKinds != nil || b.AllowedZones != nil {
-		t.Errorf("an absent list must set no bound: %+v", b)
+		t.Errorf("got %+v, want a class without order and placement", b)
 	}
 	l, err := decodeAll(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
 	if r := l[1].Event.(balancer.Request); err != nil || !r.HasKey || r.Key != 0 {
