--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -26,9 +26,9 @@
 // probably miss the latency objective. The request is then rejected with a Retry-After. The queue deadline
 // also applies while no server is in service.
 //
-// Late answers use capacity that answers within the objective need. Queueing each request until its deadline
-// would fill the queue with requests whose clients are about to time out and retry, and these retries would
-// sustain the overload. The symptoms are full queues, busy servers and nothing but late answers.
+// Late answers use up the capacity for timely ones. Queueing each request until its deadline would fill the
+// queue with requests whose clients are about to time out and retry, and these retries would sustain the
+// overload. The symptoms are full queues, busy servers and nothing but late answers.
 //
 // The latency objective is measured from the client's first try. For a client's retry it is mostly over, so
 // the retry is usually either sent or rejected immediately.
@@ -63,7 +63,7 @@
 	}
 }
 
-// setQueueTimer sets a timer that checks a queued request, unless an earlier timer is already pending.
+// setQueueTimer sets a timer to check a queued request at a time, unless one that fires by then is pending.
 func (b *Balancer) setQueueTimer(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.timerAt > b.now && r.timerAt <= at {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,4 +1,4 @@
-// The lifecycle of a request, from its arrival to its only final answer.
+// The lifecycle of a request, from its arrival to its one final answer.
 
 package balancer
 
@@ -30,7 +30,7 @@
 	queued       bool
 	answered     bool
 	streaming    bool
-	timerAt      time.Duration // when its queue timer fires
+	timerAt      time.Duration // when its queue timer fires; 0: it has none
 	streamedBody bool
 	maxAttempts  int // by the settings in force when it arrived
 	delayed      bool
@@ -43,9 +43,9 @@
 	server        *server
 	number        int // from 0
 	sentAt        time.Duration
-	zone          string // of the server, when the attempt was sent
-	cell          int    // likewise
-	serverStart   time.Duration
+	zone          string        // the server's, when the attempt was sent
+	cell          int           // the server's, when the attempt was sent
+	serverStart   time.Duration // the server's startedAt, when the attempt was sent
 	ended         bool
 	neverRan      bool // its outcome proves that it never ran
 	outsideWindow bool // it no longer counts in the admission window
@@ -98,8 +98,8 @@
 }
 
 // addRequest creates a request and counts it. Its deadline is the one that the client gave, but no later than
-// its class allows: a request with an hour to wait could hold its place in the window for that long, and
-// outlive a node that shuts down.
+// its class allows: a request whose deadline is an hour away could hold its place in the window until then,
+// and outlive a node that shuts down.
 func (b *Balancer) addRequest(e Request) *request {
 	c := b.classOf(e)
 	r := &request{
@@ -133,8 +133,8 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server. The time-out is at least the tolerance of the host's
-// timers, which can't keep a shorter one.
+// send starts an attempt of a request at a server. The time-out is at least the host's timer tolerance,
+// because its timers can't keep a shorter one.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
 		request:     r,
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// server is a server on the endpoint list, or one that has left the list while attempts of this replica are
-// in flight at it. Its states, several of which can hold at once, and the functions that change them:
+// server is a server on the endpoint list, or one that has left the list but still has attempts of this
+// replica in flight. Its states, several of which can hold at once, and the functions that change them:
 //
 //	listed          on the endpoint list: listed is true (applyEndpointUpdate)
 //	draining        listed as Draining: finishes its attempts and is sent no others (applyEndpointUpdate)
@@ -21,7 +21,7 @@
 type server struct {
 	Server
 	listed   bool
-	inFlight []*attempt // own attempts in flight, in the order in which they were sent
+	inFlight []*attempt // own attempts (those of this replica) in flight, in the order of sending
 
 	consecutiveFailures  int
 	ejectionLevel        int // how many times the duration of the next ejection is doubled
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -47,11 +47,11 @@
 	Replicas         int     `json:"Balancers"`   // balancers that send to the same tier
 	ReplicaIndex     int     `json:"Self"`        // this replica's number among them, from 0
 	Zone             string  `json:"Zone"`        // this replica's zone; "": unknown, none is preferred
-	Tier             int     `json:"Tier"`        // tier that requests are sent to; 0: first after clients
+	Tier             int     `json:"Tier"`        // tier of the servers; 0 is the first after the clients
 	TotalValueWeight float64 `json:"WholeWeight"` // weight of the value over all classes when shedding load
 	WorstClassWeight float64 `json:"ClassWeight"` // weight of the worst-served class when shedding load
 
-	ClientsMarkRetries bool `json:"MarksRepeats"` // clients mark retries; if not, short deadlines show them
+	ClientsMarkRetries bool `json:"MarksRepeats"` // clients mark retries; else detected by short deadlines
 
 	MaxAttempts     int           `json:"MaxAttempts"`   // attempts per request
 	PollDiscovery   bool          `json:"AskDiscovery"`  // the endpoint list is sent only after a Subscribe
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -18,7 +18,7 @@
 //	(TotalValueWeight*PriorityWeight/totalOfferedValue + WorstClassWeight/arrivals) * LateCredit / latency
 //
 // The first term is the request's share of the value of all recent requests. The second term applies only to
-// the class that is served worst: an answer raises the share of its requests that are answered by 1/arrivals.
+// the class that is served worst: one answer raises the answered share of its requests by 1/arrivals.
 // With priority weights alone, the cheapest class would get no answers at all in a long overload. LateCredit
 // applies only to a client's retry, whose answer counts as late because its latency objective is mostly over.
 func (b *Balancer) sheddingValue(r *request) float64 {
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -13,7 +13,7 @@
 	// gain is not worth the cost of crossing zones.
 	crossZoneLogLatencyGap = 0.25
 	// crossZoneWeight is the weight of one answer in the cross-zone share. It is half its weight in the
-	// latencies that the share follows, so that requests don't all oscillate between zones together.
+	// latencies that the share follows, so that requests don't all swing between zones at the same time.
 	crossZoneWeight = sampleWeight / 2
 )
 
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -259,7 +259,7 @@
 		}
 		name, values, _ := strings.Cut(text, "\t")
 		if name != nameEndpoint {
-			return fmt.Errorf("got %s instead of item %d of %d", quote(name), i+1, length)
+			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
 		}
 		item := newFields(name, values)
 		servers = append(servers, item.server())
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -30,8 +30,8 @@
 	Event    balancer.Event
 }
 
-// LineError reports input that can't be read. The simulator and this program then use different versions of the
-// protocol, or the simulator was stopped inside a batch.
+// LineError reports input that can't be read. Its cause is that the simulator and this program use different versions
+// of the protocol, or that the simulator was stopped inside a batch.
 type LineError struct {
 	Line int // line at which reading stopped, from 1
 	Err  error
