--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -185,7 +185,7 @@
 // Two pools overlap. If both counted a shared server in the floors of their windows, it would be sent twice
 // what it can take.
 func TestOverlappingPoolsCountSharedServersOnce(t *testing.T) {
-	b, _ := boundToSlow(t, 12)
+	b, _ := newBalancerWithRestrictedClass(t, 12)
 	unrestricted, restricted := b.classes["get"].pool, b.classes["post"].pool
 	if restricted.serversPerReplica != 2 || unrestricted.serversPerReplica != 4 {
 		t.Errorf("12 servers for 2 replicas: %v per replica in the restricted pool, %v in the unrestricted one; want 2 and 4", restricted.serversPerReplica, unrestricted.serversPerReplica)
--- a/balancer/churn_test.go
+++ b/balancer/churn_test.go
@@ -67,7 +67,7 @@
 // attempts in flight. At the end it must keep no state, and no timer or counter may have grown.
 func TestChurnDoesNotLeak(t *testing.T) {
 	for seed := range uint64(2) {
-		settings := ruleSettings()
+		settings := randomTestSettings()
 		settings.Tier, settings.PollDiscovery = int(seed%2), seed%2 == 0
 		b, err := New(settings, seed)
 		if err != nil {
@@ -186,7 +186,7 @@
 	}
 	for _, p := range b.pools {
 		for _, v := range []float64{p.window, p.loadRatio, p.unloadedRatio, p.peakInFlight, p.floorServers, p.shedShare,
-			p.crossZoneShare, p.preferredLatency, p.otherLatency, b.retryBalance, b.errorRate} {
+			p.crossZoneShare, p.preferredLogLatency, p.otherLogLatency, b.retryBalance, b.errorRate} {
 			if math.IsNaN(v) || math.Abs(v) > 1000 {
 				t.Errorf("seed %d: %+v", c.seed, p)
 			}
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// SettingsError says which setting is wrong. Validate, New and Restore return it.
+// SettingsError says which setting is invalid. Validate, New and Restore return it.
 type SettingsError struct {
-	Path    string // the setting and what it is part of, by the keys of the stored form (the json tags)
-	Key     string // the last key of Path; internal/simwire knows that of the settings object
-	Problem string // what is wrong with it
+	Path    string // the setting and the entry that it belongs to, by the stored form's keys (the json tags)
+	Key     string // the last key of Path; internal/simwire maps it to a key of the settings object
+	Problem string // what is wrong with the setting
 	Remedy  string // what the operator can do
 }
 
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("balancer: %s %s: %s", e.Path, e.Problem, e.Remedy)
 }
 
-// invalid is the error of a setting of an entry, or of the Settings themselves where entry is "".
-func invalid(entry, key, problem, remedy string) *SettingsError {
+// invalidSetting returns the error for a setting of an entry, or of the Settings themselves if entry is "".
+func invalidSetting(entry, key, problem, remedy string) *SettingsError {
 	path := key
 	if entry != "" {
 		path = entry + ": " + key
@@ -31,15 +31,15 @@
 
 // Remedies that several settings share.
 const (
-	remedyNotNegative = "set it to zero or more"         // of times and counts
-	remedyPositive    = "set it to more than zero"       // of times that something must fit into
-	remedyShare       = "set it to a number from 0 to 1" // of parts of a whole
+	remedyNotNegative = "set it to zero or more"         // for times, counts and weights
+	remedyPositive    = "set it to more than zero"       // for times that something must fit into
+	remedyShare       = "set it to a number from 0 to 1" // for shares
 )
 
-// Validate returns a *SettingsError for the first setting that no Balancer can work with, or nil.
+// Validate returns a *SettingsError for the first setting that a Balancer can't work with, or nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return invalid("", "Classes", "is empty", "configure at least one class")
+		return invalidSetting("", "Classes", "is empty", "configure at least one class")
 	}
 	for i := range s.Classes {
 		if err := s.validateClass(i); err != nil {
@@ -47,7 +47,7 @@
 		}
 	}
 	if !isShare(s.SlowStartMinShare) {
-		return invalid("", "ColdFrom", "is out of range", remedyShare)
+		return invalidSetting("", "ColdFrom", "is out of range", remedyShare)
 	}
 	for _, d := range []struct {
 		key   string
@@ -55,7 +55,7 @@
 	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.TimerTolerance}, {"MaxRetryAfter", s.MaxRetryAfter},
 		{"OrderSettle", s.KeyQuietPeriod}, {"WarmAfter", s.SlowStartDuration}} {
 		if d.value < 0 {
-			return invalid("", d.key, "is negative", remedyNotNegative)
+			return invalidSetting("", d.key, "is negative", remedyNotNegative)
 		}
 	}
 	for _, n := range []struct {
@@ -63,8 +63,8 @@
 		value float64
 	}{{"Tier", float64(s.Tier)}, {"Balancers", float64(s.Replicas)}, {"Self", float64(s.ReplicaIndex)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"FallMultiple", s.OverloadMultiple}} {
-		if !(n.value >= 0) { // also not a number
-			return invalid("", n.key, "is negative or not a number", remedyNotNegative)
+		if !(n.value >= 0) { // true for NaN too
+			return invalidSetting("", n.key, "is negative or not a number", remedyNotNegative)
 		}
 	}
 	for i := range s.FaultInjections {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// validateClass checks the class at an index.
+// validateClass checks the class at index i.
 func (s Settings) validateClass(i int) error {
 	c, path := s.Classes[i], fmt.Sprintf("Classes[%d]", i)
 	repeated := slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == c.Name })
@@ -85,20 +85,20 @@
 	path = fmt.Sprintf("%s (%s)", path, c.Name)
 	switch {
 	case c.LatencyObjective <= 0:
-		return invalid(path, "Aim", "is not positive", remedyPositive)
+		return invalidSetting(path, "Aim", "is not positive", remedyPositive)
 	case c.Deadline <= 0:
-		return invalid(path, "Deadline", "is not positive", remedyPositive)
+		return invalidSetting(path, "Deadline", "is not positive", remedyPositive)
 	case c.DedupWindow < 0:
-		return invalid(path, "Window", "is negative", remedyNotNegative)
+		return invalidSetting(path, "Window", "is negative", remedyNotNegative)
 	case !(c.PriorityWeight >= 0):
-		return invalid(path, "Worth", "is negative or not a number", remedyNotNegative)
+		return invalidSetting(path, "Worth", "is negative or not a number", remedyNotNegative)
 	case !isShare(c.LateCredit):
-		return invalid(path, "LateShare", "is out of range", remedyShare)
+		return invalidSetting(path, "LateShare", "is out of range", remedyShare)
 	}
 	return nil
 }
 
-// validateFaultInjection checks the fault injection at an index.
+// validateFaultInjection checks the fault injection at index i.
 func (s Settings) validateFaultInjection(i int) error {
 	f, path := s.FaultInjections[i], fmt.Sprintf("Drills[%d]", i)
 	earlier := s.FaultInjections[:i]
@@ -113,19 +113,19 @@
 	}
 	switch {
 	case !(f.Percent >= 0 && f.Percent <= 100):
-		return invalid(path, "Share", "is out of range", "set it to a percentage from 0 to 100")
+		return invalidSetting(path, "Share", "is out of range", "set it to a percentage from 0 to 100")
 	case f.Delay < 0:
-		return invalid(path, "Delay", "is negative", remedyNotNegative)
+		return invalidSetting(path, "Delay", "is negative", remedyNotNegative)
 	case f.Duration <= 0:
-		return invalid(path, "Duration", "is not positive", remedyPositive)
+		return invalidSetting(path, "Duration", "is not positive", remedyPositive)
 	case f.AbortStatus != 0 && f.AbortStatus != http.StatusServiceUnavailable &&
 		f.AbortStatus != http.StatusInternalServerError:
-		return invalid(path, "AbortStatus", "is out of range", "set it to 503 or 500, or to 0")
+		return invalidSetting(path, "AbortStatus", "is out of range", "set it to 503 or 500, or to 0")
 	}
 	return nil
 }
 
-// validateName checks that an entry of a list has a name of its own.
+// validateName checks that an entry of a list has a name, and that no earlier entry has the same name.
 func validateName(path, name string, repeated bool) error {
 	switch {
 	case name == "":
@@ -137,5 +137,5 @@
 	return nil
 }
 
-// isShare says that a number is from 0 to 1.
+// isShare reports whether a number is from 0 to 1.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	readBufferBytes = 1 << 20 // holds most batches, which come at once
-	endpointLists   = 16      // lists that a batch may define, numbered from 0
-	maxQuotedBytes  = 40      // of an unknown name in an error
-	noInstance      = -1      // no message has named an instance yet
+	readBufferBytes  = 1 << 20 // holds most batches, which the simulator writes at once
+	maxEndpointLists = 16      // endpoint lists that a batch may define, numbered from 0
+	maxQuotedBytes   = 40      // how much of an unknown name an error quotes
+	noInstance       = -1      // no message has named an instance yet
 )
 
-// Names of the messages on the wire, and their values in order, numbered from 0 as fields does. Values in parentheses are
-// not read.
+// Names of the messages on the wire, and their values in order, which type fields numbers from 0. Values in parentheses
+// are not read.
 const (
-	nameBatchStart    = "sync"             // clock time
-	nameBatchEnd      = "eob"              // a reply is due
-	nameInstance      = "about"            // instance of the messages that follow
-	nameList          = "list"             // number and length of an endpoint list
-	nameListItem      = "item"             // ID, zone, kind, cell, state, (size), start time
-	nameHello         = "hello"            // seed and settings of a new instance
-	nameKilled        = "crash_now"        // the instance is killed
-	nameEndpoints     = "announce"         // mode, number of an endpoint list, (version)
-	nameRequest       = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
-	nameTimer         = "ring"             // token of a timer that fired
-	nameAttemptEnded  = "outcome"          // ID, server, latency, request done, attempt, outcome, (load report)
-	nameClientGone    = "timed_out_client" // ID of a request whose client has given up
-	nameStreamStarted = "flowing"          // ID, (server), (latency), attempt
-	nameChecked       = "checked"          // ignored: result of a health check
-	nameMail          = "mail"             // ignored: message of another instance
+	nameBatchStart      = "sync"             // clock time
+	nameBatchEnd        = "eob"              // no values; a reply is due
+	nameSelectInstance  = "about"            // instance of the messages that follow
+	nameEndpointList    = "list"             // number of the endpoint list, count of the entries that follow
+	nameEndpoint        = "item"             // ID, zone, kind, cell, state, (size), start time
+	nameInstanceStarted = "hello"            // seed and settings of a new instance
+	nameInstanceKilled  = "crash_now"        // no values; the instance is killed
+	nameEndpointUpdate  = "announce"         // mode, number of an endpoint list, (version)
+	nameRequest         = "job_in"           // ID, deadline, key, class, flags, (tenant), (expected work)
+	nameTimerFired      = "ring"             // token of a timer that fired
+	nameAttemptEnded    = "outcome"          // ID, server, latency, request done, attempt, outcome, (load report)
+	nameClientGone      = "timed_out_client" // ID of a request whose client has given up
+	nameResponseStarted = "flowing"          // ID, (server), (latency), attempt
+	nameHealthChecked   = "checked"          // ignored: result of a health check
+	namePeerMessage     = "mail"             // ignored: message of another instance
 )
 
-// Modes of an announcement of endpoints.
+// Modes of an endpoint update.
 const (
 	endpointsChanged  = 0 // only changed entries
 	endpointsComplete = 1 // the whole list
 	endpointsCached   = 2 // the whole list, from before a restart
-	watchFailed       = 3 // no list: the subscription failed
+	watchFailed       = 3 // no list: the watch failed
 )
 
 // States of an endpoint.
@@ -56,21 +56,21 @@
 // clientRetryFlag is the bit in the flags of a request that marks it as a retry by its client.
 const clientRetryFlag = 2
 
-// Why a line can't be read where it stands.
+// Reasons why a line can't be read.
 var (
 	errEndsInBatch    = errors.New("input ends inside a batch")
-	errNestedBatch    = errors.New("sync inside a batch")
-	errNoSettings     = errors.New("hello lacks its settings")
+	errNestedBatch    = errors.New("sync message inside a batch")
+	errNoSettings     = errors.New("hello message has no settings")
 	errListOutOfRange = errors.New("list number or length out of range")
 )
 
 // Decoder reads messages one at a time.
 type Decoder struct {
 	reader   *bufio.Reader
-	line     int // read so far
+	line     int // number of lines read so far
 	inBatch  bool
-	instance int // that messages are for
-	lists    [endpointLists][]balancer.Server
+	instance int // instance that the following messages are for
+	lists    [maxEndpointLists][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -78,8 +78,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), instance: noInstance}
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and a *LineError for anything
-// else that ends the input or can't be read.
+// Next returns the next message. It returns io.EOF if the input ends outside a batch, and a *LineError if it ends
+// inside a batch or can't be read.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.readLine()
@@ -105,7 +105,8 @@
 	}
 }
 
-// readLine reads a line without its end. It returns io.EOF at the end of the input, io.ErrUnexpectedEOF inside a line.
+// readLine returns the next line without its line ending. It returns io.EOF if the input ends before the line, and
+// io.ErrUnexpectedEOF if it ends inside the line.
 func (d *Decoder) readLine() (string, error) {
 	text, err := d.reader.ReadString('\n')
 	if err == io.EOF {
@@ -118,7 +119,8 @@
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-// decode reads one line; complete is false for lines that only say something of those that follow.
+// decode decodes one line. complete is false if the line is no message by itself, but applies to later lines of the
+// batch.
 func (d *Decoder) decode(text string) (message Message, complete bool, err error) {
 	name, values, _ := strings.Cut(text, "\t")
 	if name == nameBatchStart && d.inBatch {
@@ -135,30 +137,30 @@
 	case nameBatchEnd:
 		d.inBatch = false
 		return Message{Kind: BatchEnded, Instance: d.instance}, true, nil
-	case nameInstance:
-		return message, false, d.readInstance(f)
-	case nameList:
-		return message, false, d.readList(f)
+	case nameSelectInstance:
+		return message, false, d.selectInstance(f)
+	case nameEndpointList:
+		return message, false, d.readEndpointList(f)
 	}
 	if d.instance < 0 {
-		return message, false, fmt.Errorf("%s before any about", quote(name))
+		return message, false, fmt.Errorf("%s before the first about message", quote(name))
 	}
 	message, err = d.decodeForInstance(f, values)
 	return message, true, err
 }
 
-// decodeForInstance reads a line that is for one instance.
+// decodeForInstance decodes a line that is for the selected instance.
 func (d *Decoder) decodeForInstance(f *fields, values string) (Message, error) {
 	message := Message{Kind: EventReceived, Instance: d.instance}
 	switch f.message {
-	case nameHello:
-		return d.decodeHello(values)
-	case nameKilled:
+	case nameInstanceStarted:
+		return d.decodeInstanceStarted(values)
+	case nameInstanceKilled:
 		message.Kind = InstanceKilled
-	case nameChecked, nameMail:
+	case nameHealthChecked, namePeerMessage:
 		message.Kind = Ignored
-	case nameEndpoints:
-		message.Event = d.decodeEndpoints(f)
+	case nameEndpointUpdate:
+		message.Event = d.decodeEndpointUpdate(f)
 	case nameRequest:
 		message.Event = balancer.Request{
 			ID:          f.text(0),
@@ -166,9 +168,9 @@
 			Class:       f.text(3),
 			ClientRetry: f.optionalInteger(4)&clientRetryFlag != 0,
 			Key:         f.optionalUint64(2),
-			HasKey:      f.optional(2) != "",
+			HasKey:      f.optionalText(2) != "",
 		}
-	case nameTimer:
+	case nameTimerFired:
 		message.Event = balancer.TimerFired{Token: f.text(0)}
 	case nameAttemptEnded:
 		message.Event = balancer.AttemptEnded{
@@ -181,7 +183,7 @@
 		}
 	case nameClientGone:
 		message.Event = balancer.ClientGone{ID: f.text(0)}
-	case nameStreamStarted:
+	case nameResponseStarted:
 		message.Event = balancer.ResponseStarted{ID: f.text(0), Attempt: f.integer(3)}
 	default:
 		return message, fmt.Errorf("unknown message %s", quote(f.message))
@@ -189,13 +191,13 @@
 	return message, f.err
 }
 
-// decodeHello reads the start of an instance: a seed, and the settings object, which may have tabs in it.
-func (d *Decoder) decodeHello(values string) (Message, error) {
+// decodeInstanceStarted decodes the start of an instance: a seed and the settings object, which may contain tabs.
+func (d *Decoder) decodeInstanceStarted(values string) (Message, error) {
 	seed, settings, ok := strings.Cut(values, "\t")
 	if !ok {
 		return Message{}, errNoSettings
 	}
-	f := newFields(nameHello, seed)
+	f := newFields(nameInstanceStarted, seed)
 	message := Message{Kind: InstanceStarted, Instance: d.instance, Seed: f.uint64(0)}
 	if f.err != nil {
 		return message, f.err
@@ -205,8 +207,8 @@
 	return message, err
 }
 
-// decodeEndpoints reads an announcement, which refers to one of the batch's lists.
-func (d *Decoder) decodeEndpoints(f *fields) balancer.Event {
+// decodeEndpointUpdate decodes an endpoint update, which refers to one of the endpoint lists of the batch.
+func (d *Decoder) decodeEndpointUpdate(f *fields) balancer.Event {
 	mode := f.integer(0)
 	switch mode {
 	case watchFailed:
@@ -214,7 +216,7 @@
 	case endpointsChanged, endpointsComplete, endpointsCached:
 		list := f.integer(1)
 		if f.err == nil && (list < 0 || list >= len(d.lists)) {
-			f.fail(1, "is no list number")
+			f.fail(1, "is not a list number")
 		}
 		if f.err != nil {
 			return nil
@@ -225,13 +227,13 @@
 			Servers:  d.lists[list],
 		}
 	default:
-		f.fail(0, "is no mode")
+		f.fail(0, "is not a mode")
 		return nil
 	}
 }
 
-// readInstance reads which instance the next messages are for.
-func (d *Decoder) readInstance(f *fields) error {
+// selectInstance reads which instance the following messages are for.
+func (d *Decoder) selectInstance(f *fields) error {
 	instance := f.integer(0)
 	if f.err == nil && instance < 0 {
 		f.fail(0, "is negative")
@@ -240,8 +242,8 @@
 	return f.err
 }
 
-// readList reads a list of endpoints, whose items are the lines that follow.
-func (d *Decoder) readList(f *fields) error {
+// readEndpointList reads an endpoint list, whose entries are the lines that follow.
+func (d *Decoder) readEndpointList(f *fields) error {
 	number, length := f.integer(0), f.integer(1)
 	if f.err != nil {
 		return f.err
@@ -256,7 +258,7 @@
 			return fmt.Errorf("list ends after %d of %d items", i, length)
 		}
 		name, values, _ := strings.Cut(text, "\t")
-		if name != nameListItem {
+		if name != nameEndpoint {
 			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(name))
 		}
 		item := newFields(name, values)
@@ -269,7 +271,7 @@
 	return nil
 }
 
-// quote quotes the beginning of a text of the input.
+// quote quotes a text of the input, and shortens it to maxQuotedBytes.
 func quote(text string) string {
 	if len(text) > maxQuotedBytes {
 		text = text[:maxQuotedBytes] + "..."
