--- a/internal/node/accesscontrol.go
+++ b/internal/node/accesscontrol.go
@@ -16,54 +16,57 @@
 	"hookwalk.example/hookwalk/internal/proxyproto"
 )
 
-// proxyHeaderBuffer is the size in bytes of the read buffer of a connection that may begin with a PROXY header. The
-// signatures of both versions must fit, for they are looked at before anything is taken.
+// proxyHeaderBuffer is the size in bytes of the read buffer for a connection that may begin with a PROXY header. It must
+// hold the signatures of both versions, because they are peeked at before any byte is consumed.
 const proxyHeaderBuffer = 256
 
-// errUntrustedProxy is logged for a connection that begins with a PROXY header though its address is not that of a
-// trusted proxy. The operator either adds the address to proxy_from, or has found somebody who forges client addresses.
+// errUntrustedProxy is logged when a connection begins with a PROXY header but does not come from a trusted proxy. Either
+// the proxy's address is missing in proxy_from, or somebody forges client addresses.
 var errUntrustedProxy = errors.New("PROXY header from an address that is not in proxy_from")
 
-// accessControl identifies the client of each connection and judges it by the access list.
+// accessControl determines the client address of each connection, to which the access list is applied.
 type accessControl struct {
 	accessList         *balancer.AccessList
 	proxyHeaderTimeout time.Duration // from accepting a connection to the end of its PROXY header
 	log                *slog.Logger
 }
 
-// identifiedConn is a connection whose client is known: by the PROXY header that a trusted proxy must send, or by the
-// address of the connection.
+// identifiedConn is a connection whose client address is known. A trusted proxy must send it in a PROXY header; for any
+// other connection it is the remote address.
 //
-// The header is read by the goroutine that serves the connection, never by the one that accepts: a slow proxy holds up
-// nobody else. A connection that breaks the protocol is logged and closed; net/http sees it end.
+// The header is read by the goroutine that serves the connection, never by the one that accepts connections, so that a slow
+// proxy delays no other client. A connection that violates the PROXY protocol is logged and closed, and net/http reads
+// io.EOF.
 type identifiedConn struct {
 	net.Conn
-	access     *accessControl
-	acceptedAt time.Time
-	remoteAddr netip.Addr
-	fromProxy  bool // remoteAddr is that of a trusted proxy
+	access           *accessControl
+	acceptedAt       time.Time
+	remoteAddr       netip.Addr
+	fromTrustedProxy bool // remoteAddr is the address of a trusted proxy
 
 	once       sync.Once
 	clientAddr netip.Addr
-	closeErr   error // what every Read returns once the connection was closed for breaking the protocol
+	closeErr   error // returned by every Read after the connection was closed for a protocol violation
 
-	// Used by the reading goroutine only.
-	buffered         *bufio.Reader // what came with a header, or may be one; nil: everything of it is taken
-	headerChecked    bool          // the connection has, or does not have, a PROXY header
-	firstDeadlineSet bool          // the deadline of the first request's head is set
+	// Used only by the goroutine that reads the connection.
+	bufferedReader   *bufio.Reader // holds the bytes read while looking for a header; nil: all of them have been consumed
+	headerChecked    bool          // it is known whether the connection begins with a PROXY header
+	firstDeadlineSet bool          // the deadline for the first request's head has been set
 }
 
-// identify wraps a connection that was just accepted. It does not read.
+// identify wraps a newly accepted connection. It does not read from it.
 func (a *accessControl) identify(nc net.Conn) *identifiedConn {
-	c := &identifiedConn{Conn: nc, access: a, acceptedAt: time.Now(), buffered: bufio.NewReaderSize(nc, proxyHeaderBuffer)}
+	c := &identifiedConn{Conn: nc, access: a, acceptedAt: time.Now(),
+		bufferedReader: bufio.NewReaderSize(nc, proxyHeaderBuffer)}
 	if addr, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		c.remoteAddr = addr.AddrPort().Addr().Unmap().WithZone("")
 	}
-	c.fromProxy = a.accessList.TrustsProxy(c.remoteAddr)
+	c.fromTrustedProxy = a.accessList.TrustsProxy(c.remoteAddr)
 	return c
 }
 
-// RemoteAddr is the client's address. net/http asks for it first of all, in the connection's goroutine.
+// RemoteAddr returns the client's address. net/http calls it before anything else, in the goroutine that serves the
+// connection.
 func (c *identifiedConn) RemoteAddr() net.Addr {
 	c.resolveClient()
 	if c.clientAddr == c.remoteAddr || !c.clientAddr.IsValid() {
@@ -72,19 +75,19 @@
 	return &net.TCPAddr{IP: c.clientAddr.AsSlice()}
 }
 
-// resolveClient finds the client's address, once. On a connection from a trusted proxy it waits for the PROXY header, for no
-// longer than the proxy header timeout.
+// resolveClient determines the client's address, once. On a connection from a trusted proxy it waits for the PROXY header,
+// until proxyHeaderTimeout at most.
 func (c *identifiedConn) resolveClient() {
 	c.once.Do(func() {
 		c.clientAddr = c.remoteAddr
-		if !c.fromProxy {
+		if !c.fromTrustedProxy {
 			return
 		}
 		c.headerChecked = true
 		c.Conn.SetReadDeadline(c.acceptedAt.Add(c.access.proxyHeaderTimeout))
-		source, err := proxyproto.Read(c.buffered)
+		source, err := proxyproto.Read(c.bufferedReader)
 		if err != nil {
-			c.closeWith(err)
+			c.closeWithError(err)
 			return
 		}
 		c.Conn.SetReadDeadline(time.Time{})
@@ -94,8 +97,8 @@
 	})
 }
 
-// closeWith logs why the connection broke the PROXY protocol and closes it. net/http reads its end.
-func (c *identifiedConn) closeWith(err error) {
+// closeWithError logs how the connection violated the PROXY protocol and closes it. net/http then reads io.EOF.
+func (c *identifiedConn) closeWithError(err error) {
 	c.access.log.Warn("connection closed", "client", c.remoteAddr, "err", err)
 	c.closeErr = io.EOF
 	c.Conn.Close()
@@ -107,28 +110,28 @@
 		return 0, c.closeErr
 	}
 	if !c.headerChecked {
-		if err := c.refuseUntrustedHeader(); err != nil {
+		if err := c.rejectUntrustedHeader(); err != nil {
 			return 0, err
 		}
 	}
-	if c.buffered != nil && c.buffered.Buffered() > 0 {
-		return c.buffered.Read(b)
+	if c.bufferedReader != nil && c.bufferedReader.Buffered() > 0 {
+		return c.bufferedReader.Read(b)
 	}
-	c.buffered = nil
+	c.bufferedReader = nil
 	return c.Conn.Read(b)
 }
 
-// refuseUntrustedHeader waits until it is clear whether the connection begins with a PROXY header, and closes one that
-// does: only a trusted proxy may name another client.
-func (c *identifiedConn) refuseUntrustedHeader() error {
+// rejectUntrustedHeader reads until it is certain whether the connection begins with a PROXY header, and closes the
+// connection if it does: only a trusted proxy may name another client.
+func (c *identifiedConn) rejectUntrustedHeader() error {
 	for n := 1; !c.headerChecked; n++ {
-		head, err := c.buffered.Peek(n)
+		head, err := c.bufferedReader.Peek(n)
 		if err != nil {
 			return err
 		}
 		isHeader, mayBecomeHeader := proxyproto.Starts(head)
 		if isHeader {
-			c.closeWith(errUntrustedProxy)
+			c.closeWithError(errUntrustedProxy)
 			return c.closeErr
 		}
 		c.headerChecked = !mayBecomeHeader
@@ -136,17 +139,17 @@
 	return nil
 }
 
-// SetReadDeadline bounds the head of the first request from accepting on: the time that a PROXY header took is not given
-// again, else a silent client could hold its connection for both timeouts.
+// SetReadDeadline limits the first deadline to requestHeadTimeout after accepting the connection. The time spent on a PROXY
+// header counts towards it. Otherwise a silent client could hold its connection for both timeouts.
 func (c *identifiedConn) SetReadDeadline(t time.Time) error {
-	if last := c.acceptedAt.Add(requestHeadTimeout); !c.firstDeadlineSet && t.After(last) {
-		t = last
+	if latest := c.acceptedAt.Add(requestHeadTimeout); !c.firstDeadlineSet && t.After(latest) {
+		t = latest
 	}
 	c.firstDeadlineSet = true
 	return c.Conn.SetReadDeadline(t)
 }
 
-// deniedClient reports whether the access list denies the client of a request, and who that is.
+// deniedClient returns the address of a request's client, and reports whether the access list denies it.
 func (h *ingressHandler) deniedClient(r *http.Request) (client netip.Addr, denied bool) {
 	c := connOf(r)
 	if h.accessList == nil || c == nil {
@@ -156,7 +159,7 @@
 	return client, !h.accessList.Allows(client)
 }
 
-// clientAddr is the address that the access list judges; without an access list it is unknown.
+// clientAddr returns the address to which the access list is applied. It is the zero Addr if there is no access list.
 func (c *clientConn) clientAddr() netip.Addr {
 	if identified, ok := c.Conn.(*identifiedConn); ok {
 		identified.resolveClient()
@@ -165,7 +168,7 @@
 	return netip.Addr{}
 }
 
-// deniedRequest is the request of a denied client, for the log and the counters: nothing more of it is read.
+// deniedRequest returns the request of a denied client, with only the headers that the log and the counters need.
 func deniedRequest(r *http.Request, client netip.Addr) *clientRequest {
 	return &clientRequest{Call: engine.Call{Tenant: r.Header.Get(headerTenant), AccessDenied: true,
 		Request: balancer.Request{ID: r.Header.Get(headerRequestID), Class: r.Header.Get(headerClass), Client: client}}}
--- a/internal/node/accesscontrol_test.go
+++ b/internal/node/accesscontrol_test.go
@@ -16,23 +16,24 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// trustedProxy is an address that the tests' nodes trust.
+// trustedProxy is the address of the proxy that the nodes in these tests trust.
 const trustedProxy = "127.0.0.2"
 
+// accessListFeatures returns features with an access list that trusts trustedProxy, modified by change.
 func accessListFeatures(change func(*settings.AccessList)) settings.File {
 	a := settings.AccessList{TrustedProxies: []netip.Prefix{netip.MustParsePrefix(trustedProxy + "/32")}, ProxyTimeout: 20 * time.Second}
 	change(&a)
 	return settings.File{AccessList: &a}
 }
 
-func prefixes(list ...string) (all []netip.Prefix) {
+func parsePrefixes(list ...string) (all []netip.Prefix) {
 	for _, s := range list {
 		all = append(all, netip.MustParsePrefix(s))
 	}
 	return all
 }
 
-// dialFrom connects to a node from an address of this machine.
+// dialFrom connects to a node from the given loopback address.
 func dialFrom(t *testing.T, n *testNode, addr string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}}
@@ -49,7 +50,8 @@
 	return "POST /api HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\nContent-Length: 1\r\n\r\nx"
 }
 
-// exchangeStatuses sends texts one by one and returns the status of each response; 0 is a close without one.
+// exchangeStatuses sends texts one after another and returns the status of each response. A status of 0 means that the
+// connection was closed without a response.
 func exchangeStatuses(t *testing.T, c net.Conn, texts ...string) (statuses []int) {
 	t.Helper()
 	br := bufio.NewReader(c)
@@ -58,7 +60,7 @@
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
-				t.Fatalf("neither an answer nor a close: %v", err)
+				t.Fatalf("got neither a response nor a close: %v", err)
 			}
 			return append(statuses, 0)
 		}
@@ -68,7 +70,7 @@
 	return statuses
 }
 
-// proxyHeaderV2 is a PROXY header of version 2 for an IPv4 client, with a TLV.
+// proxyHeaderV2 returns a PROXY header of version 2 for an IPv4 client, with a TLV.
 func proxyHeaderV2(client string) string {
 	b := append([]byte("\r\n\r\n\x00\r\nQUIT\n"), 0x21, 0x11)
 	b = binary.BigEndian.AppendUint16(b, 12+4)
@@ -76,12 +78,13 @@
 	return string(append(b, 127, 0, 0, 1, 0, 80, 0, 80, 4, 0, 1, 'x'))
 }
 
-// A client must not choose the address that it is judged by. Headers of both versions count from trusted proxies only;
-// from any other address they end the connection, and so does a missing or malformed header from a proxy.
-func TestProxyHeadersOfTrustedAndUntrusted(t *testing.T) {
+// A client must not be able to choose the address to which the access list is applied. PROXY headers of both versions are
+// accepted only from trusted proxies. A header from any other address closes the connection, and so does a missing or
+// malformed header from a trusted proxy.
+func TestProxyHeadersFromTrustedAndUntrustedAddresses(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n, out := startLogged(t, accessListFeatures(func(a *settings.AccessList) {
-		a.Allow, a.Deny = prefixes("10.4.0.0/16", "fd00:12::/48", "127.0.0.1/32"), prefixes("10.4.9.0/24")
+	n, out := startWithFeatures(t, accessListFeatures(func(a *settings.AccessList) {
+		a.Allow, a.Deny = parsePrefixes("10.4.0.0/16", "fd00:12::/48", "127.0.0.1/32"), parsePrefixes("10.4.9.0/24")
 	}), b)
 	for i, c := range []struct {
 		source, header string
@@ -94,7 +97,7 @@
 		{trustedProxy, proxyHeaderV2("10.4.1.1"), 200, "10.4.1.1"},
 		{trustedProxy, "PROXY TCP4 10.4.9.1 127.0.0.1 5000 80\r\n", 403, "10.4.9.1"},
 		{trustedProxy, proxyHeaderV2("10.5.0.1"), 403, "10.5.0.1"},
-		{trustedProxy, "PROXY UNKNOWN\r\n", 403, trustedProxy}, // its own address stands
+		{trustedProxy, "PROXY UNKNOWN\r\n", 403, trustedProxy}, // the proxy's own address is used
 		{trustedProxy, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00", 403, trustedProxy},
 		{trustedProxy, "", 0, trustedProxy},
 		{trustedProxy, "PROXY TCP4 10.4.1.1\r\n", 0, trustedProxy},
@@ -106,14 +109,14 @@
 		{"127.0.0.3", proxyHeaderV2("10.4.1.1"), 0, "127.0.0.3"},
 	} {
 		before, id := b.requests(), fmt.Sprint("id-", i)
-		// What follows the header at once must not be lost, and the connection is kept.
+		// Bytes sent together with the header must not be lost, and the connection is kept open.
 		want := []int{c.status}
 		texts := []string{c.header + requestText(id)}
 		if c.status == 200 {
 			texts, want = append(texts, requestText(id+"-2")), append(want, 200)
 		}
 		if got := exchangeStatuses(t, dialFrom(t, n, c.source), texts...); fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s, %q: answered %v, want %v", c.source, c.header, got, want)
+			t.Errorf("%s, %q: statuses %v, want %v", c.source, c.header, got, want)
 		}
 		if sent := b.requests() - before; c.status != 200 && sent != 0 || c.status == 200 && sent != 2 {
 			t.Errorf("%s, %q: %d attempts", c.source, c.header, sent)
@@ -121,19 +124,19 @@
 		switch c.status {
 		case 403:
 			if len(out.lines("msg=denied id="+id+" class=unsafe client="+c.client+"\n")) != 1 {
-				t.Errorf("%s is not logged as denied: %s", id, out)
+				t.Errorf("request %s is not logged as denied: %s", id, out)
 			}
 		case 0:
 			if got := out.lines(`msg="connection closed" client=` + c.client + " "); len(got) == 0 {
-				t.Errorf("%s, %q: its close is not logged: %s", c.source, c.header, out)
+				t.Errorf("%s, %q: the close is not logged: %s", c.source, c.header, out)
 			}
 		}
 	}
 }
 
-// A proxy's header may come byte by byte. The request behind it is judged by that header all the same.
+// A PROXY header may arrive byte by byte. The access list is still applied to the address in that header.
 func TestProxyHeaderInPieces(t *testing.T) {
-	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.Allow = prefixes("10.4.0.0/16") }), newBackend(t, respondOK))
+	n, _ := startWithFeatures(t, accessListFeatures(func(a *settings.AccessList) { a.Allow = parsePrefixes("10.4.0.0/16") }), newBackend(t, respondOK))
 	for _, header := range []string{"PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n", proxyHeaderV2("10.4.1.1")} {
 		c := dialFrom(t, n, trustedProxy)
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -145,15 +148,15 @@
 			}
 		}
 		if got := exchangeStatuses(t, c, requestText("1")); got[0] != 200 {
-			t.Errorf("%q: answered %v", header, got)
+			t.Errorf("%q: statuses %v", header, got)
 		}
 	}
 }
 
-// A proxy that is slow with its header must not delay others: were the header read where connections are accepted, 50 such
-// connections would stop the node. Each is closed at the timeout.
+// A proxy that sends its header slowly must not delay other clients. If the accepting goroutine read the header, 50 such
+// connections would block the node. Each of them is closed at the timeout.
 func TestLateProxyHeader(t *testing.T) {
-	n, out := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, respondOK))
+	n, out := startWithFeatures(t, accessListFeatures(func(a *settings.AccessList) { a.ProxyTimeout = 200 * time.Millisecond }), newBackend(t, respondOK))
 	var slow []net.Conn
 	for i := range 50 {
 		c := dialFrom(t, n, trustedProxy)
@@ -162,7 +165,7 @@
 	}
 	begin := time.Now()
 	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), requestText("1")); got[0] != 200 {
-		t.Errorf("beside slow proxies: answered %v", got)
+		t.Errorf("with slow proxies connected: statuses %v", got)
 	}
 	for _, c := range slow {
 		if got := exchangeStatuses(t, c, ""); got[0] != 0 {
@@ -173,14 +176,14 @@
 		t.Errorf("closed after %v", took)
 	}
 	if got := out.lines(`msg="connection closed" client=` + trustedProxy + " "); len(got) != 50 {
-		t.Errorf("%d closes are logged", len(got))
+		t.Errorf("%d closes are logged, want 50", len(got))
 	}
 }
 
-// With a header that comes late but in time, the peer still gets its response or close within 3 s of connecting: a silent
-// client must not get both timeouts.
+// If the header arrives late but in time, and no complete request follows, the client still gets a response or a close within
+// 3 s of connecting. The timeouts of the header and of the request must not add up.
 func TestLateProxyHeaderWithoutRequest(t *testing.T) {
-	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) {}), newBackend(t, respondOK))
+	n, _ := startWithFeatures(t, accessListFeatures(func(a *settings.AccessList) {}), newBackend(t, respondOK))
 	begin := time.Now()
 	c := dialFrom(t, n, trustedProxy)
 	if got := exchangeStatuses(t, c, "PROXY UNKNOWN\r\nPOST /api HTTP/1.1\r\n"); got[0] != 0 && got[0] < 400 {
@@ -191,15 +194,15 @@
 	}
 }
 
-// A denied client gets 403 whatever it sends, but for the readiness check; it starts no fault injection. Other clients are
-// served, and the log names the client in each case.
-func TestDeniedClientMayOnlyCheckReady(t *testing.T) {
-	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+// A denied client gets a 403 for everything except the readiness check, and cannot start a fault injection. Other clients
+// are served. The log names the client in each case.
+func TestDeniedClientMayOnlyCheckReadiness(t *testing.T) {
+	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = parsePrefixes("127.0.0.3/32") })
 	features.FaultInjections = faultInjectionFeatures(func(*settings.FaultInjection) {}).FaultInjections
-	n, out := startLogged(t, features, newBackend(t, respondOK))
+	n, out := startWithFeatures(t, features, newBackend(t, respondOK))
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n" }
-	start := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
-	for text, want := range map[string]int{get("/ready"): 200, get("/api"): 403, start: 403,
+	startDrill := "POST /drills HTTP/1.1\r\nHost: n\r\n" + faultinjection.Header + ": " + secret + "\r\nContent-Length: 0\r\n\r\n"
+	for text, want := range map[string]int{get("/ready"): 200, get("/api"): 403, startDrill: 403,
 		strings.Replace(requestText("1"), "unsafe", "new", 1):        403,
 		"POST /api HTTP/1.1\r\nHost: n\r\nContent-Length: 9\r\n\r\n": 403} {
 		if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), text); got[0] != want {
@@ -207,54 +210,53 @@
 		}
 	}
 	if got := out.lines("msg=denied "); len(got) != 4 {
-		t.Errorf("%d are logged as denied: %s", len(got), out)
+		t.Errorf("%d requests are logged as denied, want 4: %s", len(got), out)
 	}
 	if len(out.lines("drill started")) != 0 {
 		t.Error("a denied client started a fault injection")
 	}
-	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), start, requestText("2")); got[0] != 200 || got[1] != 200 {
-		t.Errorf("others were answered %v", got)
+	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.1"), startDrill, requestText("2")); got[0] != 200 || got[1] != 200 {
+		t.Errorf("an admitted client got statuses %v", got)
 	}
 	started := func() []string { return out.lines(`msg="drill started" drill=stall client=127.0.0.1`) }
-	eventually(t, "the start is logged, be it after its response", func() bool { return len(started()) >= 1 })
+	eventually(t, "the start is logged, possibly after its response", func() bool { return len(started()) >= 1 })
 	if len(started()) != 1 {
-		t.Errorf("who started the drill is not logged: %s", out)
+		t.Errorf("the client that started the fault injection is not logged: %s", out)
 	}
 	if len(out.lines("msg=drilled id=2 class=unsafe drill=stall client=127.0.0.1\n")) != 1 {
-		t.Errorf("the drilled request's client is not logged: %s", out)
+		t.Errorf("the client of the affected request is not logged: %s", out)
 	}
 }
 
-// A denied client that uses the ID of another client's open request gets its own response, and the other request is left
-// alone.
-func TestDeniedClientWithAnothersID(t *testing.T) {
+// A denied client that uses the ID of another client's open request gets a 403, and the open request is not affected.
+func TestDeniedClientWithDuplicateID(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n, _ := startLogged(t, accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") }), b)
+	n, _ := startWithFeatures(t, accessListFeatures(func(a *settings.AccessList) { a.Deny = parsePrefixes("127.0.0.3/32") }), b)
 	got := make(chan []int, 1)
 	c := dialFrom(t, n, "127.0.0.1")
 	go func() { got <- exchangeStatuses(t, c, requestText("1")) }()
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the request has reached the server", func() bool { return b.requests() == 1 })
 	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), requestText("1")); got[0] != 403 {
-		t.Errorf("the denied client was answered %v", got)
+		t.Errorf("the denied client got statuses %v", got)
 	}
 	close(release)
 	if got := <-got; got[0] != 200 {
-		t.Errorf("the other one was answered %v", got)
+		t.Errorf("the admitted client got statuses %v", got)
 	}
 }
 
-// An operator who looks for a client finds it in the log lines about attempts too.
-func TestLostAttemptNamesItsClient(t *testing.T) {
+// The log line of a failed attempt contains the client's address, so that operators can find a client's attempts.
+func TestFailedAttemptLogsClient(t *testing.T) {
 	b := newBackend(t, func(int, net.Conn, *http.Request) bool { return false })
-	n, out := startLogged(t, accessListFeatures(func(*settings.AccessList) {}), b)
+	n, out := startWithFeatures(t, accessListFeatures(func(*settings.AccessList) {}), b)
 	if got := exchangeStatuses(t, dialFrom(t, n, trustedProxy), "PROXY TCP4 10.4.1.1 127.0.0.1 5000 80\r\n"+requestText("1")); got[0] != 502 {
 		t.Errorf("answered %v", got)
 	}
 	if got := out.lines("attempt without an answer"); len(got) != 1 || !strings.HasSuffix(got[0], " client=10.4.1.1\n") {
-		t.Errorf("said %q", got)
+		t.Errorf("logged %q", got)
 	}
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -7,7 +7,7 @@
 	"hookwalk.example/hookwalk/internal/hotrestart"
 )
 
-// Why a process does not take clients, as operators read it.
+// Reasons why a process does not accept clients, as the admin API reports them.
 var (
 	errNotSynced      = errors.New("it has not all that the process before it knows")
 	errShuttingDown   = errors.New("the process is about to end")
@@ -15,11 +15,11 @@
 	errNoListedServer = errors.New("it knows no server in service")
 )
 
-// adminService is a node as its operators can call it. It implements adminapi.Node.
+// adminService provides the operations of the admin API on a node. It implements adminapi.Node.
 type adminService struct{ node *Node }
 
-// CheckReady returns why the process does not take clients, or nil. A process that is out of service takes whoever comes
-// all the same: that it is out of service is for the load balancer in front of the nodes to know, from /ready.
+// CheckReady returns the reason why the process does not accept clients, or nil. Being out of service is not such a reason:
+// the process still accepts clients then, and /ready tells the load balancer in front of the nodes to send no more.
 func (s adminService) CheckReady() error {
 	if !s.node.otherProcess.isSynced() {
 		return errNotSynced
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Peers is what the node knows of its peers, to be written as JSON; nil: it has none.
+// Peers returns what the node knows about its peers, in a form that can be encoded as JSON, or nil if it has no peers.
 func (s adminService) Peers() any {
 	if s.node.PeersView == nil {
 		return nil
@@ -43,7 +43,8 @@
 	return s.node.PeersView()
 }
 
-// SetServerDisabled takes a server out of use, or puts it back.
+// SetServerDisabled disables a server or enables it again. The change also goes to the other process of the node and to the
+// persisted operator state.
 func (s adminService) SetServerDisabled(ctx context.Context, id string, disabled bool) error {
 	if err := s.node.engine.SetServerDisabled(ctx, id, disabled); err != nil {
 		return err
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// SetInService takes clients again, or sends them away.
+// SetInService puts the node in service or takes it out of service. The change also goes to the other process of the node
+// and to the persisted operator state.
 func (s adminService) SetInService(ctx context.Context, inService bool) error {
 	s.node.setInService(inService)
 	outOfService := !inService
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -53,7 +53,7 @@
 }
 
 func (a *attemptRun) run() *engine.Result {
-	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.unsendable()) {
+	if a.req.remaining != nil && (a.req.remaining.remainderStarted.Load() || a.req.remaining.unsendable()) {
 		return a.ended(balancer.NotSent, engine.GroundBodyUsed)
 	}
 	if !a.att.MaySend(a.pool.clock.Now()) {
@@ -135,10 +135,10 @@
 	case err == nil:
 		return a.att.Started, nil
 	case a.written:
-		a.pool.close(a.conn, closedForRequest)
+		a.pool.close(a.conn, closedForUnsentRequest)
 		return 0, a.failed(balancer.ConnectionLost, engine.GroundEnded, err)
 	}
-	a.pool.close(a.conn, closedForRequest)
+	a.pool.close(a.conn, closedForUnsentRequest)
 	return 0, a.failed(balancer.Unreachable, engine.GroundNotWritten, err)
 }
 
@@ -150,7 +150,7 @@
 		return a.pool.clock.Now(), nil
 	}
 	outcome := a.conn.incompleteSendOutcome()
-	a.pool.close(a.conn, closedForRequest)
+	a.pool.close(a.conn, closedForUnsentRequest)
 	if a.req.remaining.unsendable() {
 		return 0, a.ended(balancer.NotSent, engine.GroundBodyUsed) // the client's fault: it says nothing of the server
 	}
@@ -224,7 +224,7 @@
 	switch {
 	case response.unaskedBytes:
 		a.pool.closeUnasked(a.conn)
-		return closedForUnasked
+		return closedForUnsolicited
 	case response.head.Close:
 		a.pool.close(a.conn, closedForResponse)
 		return closedForResponse
@@ -250,7 +250,7 @@
 func (a *attemptRun) passStream(response *upstreamResponse, result *engine.Result) (passed bool) {
 	stream := response.stream
 	if result.Outcome != balancer.Success || !a.pool.passResponse(a.att, response) {
-		a.pool.close(a.conn, closedForStream)
+		a.pool.close(a.conn, closedForBrokenStream)
 		close(stream.released)
 		result.Reply = nil
 		if result.Outcome == balancer.Success { // nobody waits for it
@@ -260,7 +260,7 @@
 	}
 	end := <-stream.result
 	if end.outcome != balancer.Success {
-		a.pool.close(a.conn, closedForStream)
+		a.pool.close(a.conn, closedForBrokenStream)
 	}
 	response.unaskedBytes = a.conn.reader.Buffered() > 0
 	close(stream.released)
@@ -278,7 +278,7 @@
 	switch {
 	case head.StatusCode == http.StatusOK:
 		return balancer.Success
-	case unavailable && head.Header.Get(headerRejected) == flagSet:
+	case unavailable && head.Header.Get(headerRejected) == headerFlagSet:
 		return balancer.Overloaded
 	}
 	return balancer.Failure
--- a/internal/node/capture_test.go
+++ b/internal/node/capture_test.go
@@ -20,9 +20,9 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A capture must show how a decision came about, and give nothing away. What a node on real sockets records replays
-// without a difference: servers that fail, a list that changes, a fault injection, denied clients and the shutdown are all
-// in it, and no body, key or secret is.
+// A capture must explain each decision without exposing secrets. The capture of a node on real sockets replays without a
+// difference. It covers failing servers, a changing endpoint list, a fault injection, denied clients and the shutdown, and
+// contains no body, key or secret.
 func TestCaptureReplays(t *testing.T) {
 	faulty := func(n int, c net.Conn, r *http.Request) bool {
 		switch {
@@ -35,12 +35,12 @@
 		}
 		return respond(c, "200 OK", "done")
 	}
-	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = prefixes("127.0.0.3/32") })
+	features := accessListFeatures(func(a *settings.AccessList) { a.Deny = parsePrefixes("127.0.0.3/32") })
 	features.FaultInjections = faultInjectionFeatures(func(d *settings.FaultInjection) { d.Percent, d.Delay = 30, 5*time.Millisecond }).FaultInjections
 	features.Capture = &settings.Capture{FileBytes: 512 << 10}
-	cfg, out := configWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty)), &logBuffer{}
+	cfg, out := configWithBackends(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty)), &logBuffer{}
 	cfg.Features = features
-	n := start(t, cfg, withLog(out), func(n *Node) { n.stderr = out })
+	n := startNode(t, cfg, withLog(out), func(n *Node) { n.stderr = out })
 	postFaultInjection(t, n.url, secret)
 	hosts := cfg.BootstrapList.Endpoints
 	var wg sync.WaitGroup
@@ -56,7 +56,7 @@
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
-				if caller == 0 && i%5 == 0 { // the list changes beside it
+				if caller == 0 && i%5 == 0 { // the endpoint list changes meanwhile
 					hosts[0].StartedAtMillis++
 					n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: hosts[:1]}))
 				}
@@ -65,34 +65,34 @@
 	}
 	wg.Wait()
 	if got := exchangeStatuses(t, dialFrom(t, n, "127.0.0.3"), requestText("stranger")); got[0] != 403 {
-		t.Errorf("a denied client was answered %v", got)
+		t.Errorf("a denied client got statuses %v", got)
 	}
 	n.stop()
 	if err := <-n.ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node ended with %v", err)
 	}
-	var said strings.Builder
-	result, err := capture.Replay("node.log", strings.NewReader(out.String()), &said, func(format string, args ...any) {
-		t.Errorf("warned "+format, args...)
+	var output strings.Builder
+	result, err := capture.Replay("node.log", strings.NewReader(out.String()), &output, func(format string, args ...any) {
+		t.Errorf("the replay warned: "+format, args...)
 	})
-	if err != nil || said.Len() > 0 || result.Compared < 400 || result.Differences+result.Skipped != 0 {
-		t.Errorf("%+v, %v, said %.500s", result, err, &said)
+	if err != nil || output.Len() > 0 || result.Compared < 400 || result.Differences+result.Skipped != 0 {
+		t.Errorf("replay: %+v, %v, output %.500s", result, err, &output)
 	}
 	text := captureRecords(t, out.String())
-	for _, never := range []string{"the body", "k-0-0", secret, faultinjection.Header} {
-		if strings.Contains(text, never) || strings.Contains(out.String(), never) {
-			t.Errorf("%q is in it", never)
+	for _, forbidden := range []string{"the body", "k-0-0", secret, faultinjection.Header} {
+		if strings.Contains(text, forbidden) || strings.Contains(out.String(), forbidden) {
+			t.Errorf("the capture or the log contains %q", forbidden)
 		}
 	}
 	for _, want := range []string{`"tenant":"okanagan-ridge","budget":30000000000`, `"addr":"` + hosts[0].Addr + `"`, `"kind":"drill"`,
 		`"do":"deny"`, `"answer":200`, `"kind":"leaving"`} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %s in it", want)
+			t.Errorf("the capture does not contain %s", want)
 		}
 	}
 }
 
-// captureRecords is the text of all capture records in a log.
+// captureRecords returns the text of all capture records in a log.
 func captureRecords(t *testing.T, log string) string {
 	t.Helper()
 	var all strings.Builder
@@ -110,22 +110,21 @@
 	return all.String()
 }
 
-// Nobody reads standard error, and the pipe is full: a blocked write must not stop the node. Requests are served all the
-// same.
-func TestServesThoughCaptureIsNotRead(t *testing.T) {
+// Nobody reads standard error, and its pipe is full. A blocked write must not stop the node: requests are still served.
+func TestServesWhenCaptureWriterBlocks(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	defer r.Close() // what waits ends
+	defer r.Close() // ends the blocked write
 	if _, err := w.Write(make([]byte, 64<<10)); err != nil {
 		t.Fatal(err)
 	}
-	cfg := configWith(t, newBackend(t, respondOK))
+	cfg := configWithBackends(t, newBackend(t, respondOK))
 	cfg.Features.Capture = &settings.Capture{}
 	full := asyncwriter.New(w)
-	n := start(t, cfg, withLog(full), func(n *Node) { n.stderr = full })
+	n := startNode(t, cfg, withLog(full), func(n *Node) { n.stderr = full })
 	for i := range 20 {
 		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x")); status != http.StatusOK {
 			t.Fatalf("answered %d", status)
--- a/internal/node/classtable.go
+++ b/internal/node/classtable.go
@@ -6,27 +6,27 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// removedClassGrace is how long a class that new settings dropped is still served by the settings before: clients learn
-// of settings later than the node does. After that its requests are answered with 400.
+// removedClassGrace is how long a class that is missing in new settings is still served under the previous settings,
+// because clients learn of new settings later than the node. After that its requests are answered with 400.
 const removedClassGrace = 3 * time.Second
 
-// classTable is what the ingress knows of the request classes under one version of the settings. It is immutable. A
-// request is read by the table of its arrival; the balancer is told which version that was.
+// classTable has the properties of the request classes that the ingress needs, for one version of the settings. It is
+// immutable. A request is read with the table that is current when it arrives, and the balancer is given that version.
 type classTable struct {
-	effects         map[string]balancer.Effect // by name of the class
-	settingsVersion int                        // counts the settings since the start
-	maxDeadline     time.Duration              // the longest deadline of a class
-	previous        *classTable                // the table before, without its own previous; nil: none
-	previousUntil   time.Duration              // clock time until which classes are also looked up there
+	effects         map[string]balancer.Effect // by class name
+	settingsVersion int                        // 0 at startup, incremented with each change of the settings
+	maxDeadline     time.Duration              // the longest deadline of any class
+	previous        *classTable                // the preceding table, with previous set to nil; nil: none
+	previousUntil   time.Duration              // clock time until which lookup falls back to previous
 }
 
-// classRule is what holds for a request by its class.
-type classRule struct {
+// classSettings has the properties that a request gets from its class.
+type classSettings struct {
 	effect          balancer.Effect
-	settingsVersion int // the settings that the effect is from
+	settingsVersion int // version of the settings that define the effect
 }
 
-// newClassTable returns the table of new settings that replace those of previous (nil: none) at a clock time.
+// newClassTable returns the table for new settings, which replace those of previous (nil: none) at clock time now.
 func newClassTable(settings balancer.Settings, previous *classTable, now time.Duration) *classTable {
 	t := &classTable{effects: map[string]balancer.Effect{}}
 	for _, class := range settings.Classes {
@@ -41,12 +41,13 @@
 	return t
 }
 
-// lookup returns the rule of a class. One that was dropped less than removedClassGrace ago is the previous table's.
-func (t *classTable) lookup(class string, now time.Duration) (rule classRule, known bool) {
+// lookup returns the settings of a class. It takes them from the previous table if the class was removed less than
+// removedClassGrace ago.
+func (t *classTable) lookup(class string, now time.Duration) (settings classSettings, known bool) {
 	effect, known := t.effects[class]
 	if known || t.previous == nil || now >= t.previousUntil {
-		return classRule{effect, t.settingsVersion}, known
+		return classSettings{effect, t.settingsVersion}, known
 	}
 	effect, known = t.previous.effects[class]
-	return classRule{effect, t.previous.settingsVersion}, known
+	return classSettings{effect, t.previous.settingsVersion}, known
 }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -14,74 +14,75 @@
 	"hookwalk.example/hookwalk/internal/requesthead"
 )
 
-// clientConn is a connection from a client. Its states are those of clientListener.
+// clientConn is a connection from a client. The comment on clientListener describes its states.
 //
-// Reads pass through three layers: readAhead (the socket, and what was read beyond the open request), head (framing; no
-// read goes beyond a request), and Read (the state of the connection).
+// A read passes through three layers: readAhead reads the socket and buffers bytes that follow the open request; head
+// follows the framing, so that no read crosses the end of a request; and Read tracks the state of the connection.
 type clientConn struct {
 	net.Conn
-	listener     *clientListener
-	idleElement  *list.Element // in listener.idleConns; nil: a request is open
-	idleSince    time.Time
-	readClosedAt time.Time     // no request may begin on it since then; zero: one may
-	readEnded    bool          // and its reader has taken note: nothing is read any more
-	lingers      bool          // its sending side is closed first, and the rest after halfCloseTimeout
-	closedSignal chan struct{} // closed by Close
-	tags         metrics.Tags  // of its last request
-	closed       bool
+	listener             *clientListener
+	idleElement          *list.Element // in listener.idleConns; nil: a request is open
+	idleSince            time.Time
+	readCloseRequestedAt time.Time     // when the listener asked the reader to close it; zero: it has not
+	readClosed           bool          // the reader has confirmed the request to close: nothing more is read
+	halfCloseFirst       bool          // close the sending side first, and the rest after halfCloseTimeout
+	closedSignal         chan struct{} // closed by Close
+	tags                 metrics.Tags  // of its last request
+	closed               bool
 
-	// Used by the reading goroutine only; readAhead has a lock of its own.
+	// Used only by the goroutine that reads the connection, except readAhead, which has its own lock.
 	acceptedAt time.Time
 	head       *requesthead.Reader // reads from readAhead
 	readAhead  *readAheadBuffer
 }
 
-// Read marks the connection as active with the first byte of a request: net/http reports the state only after the whole
-// head, and a connection closed in between would lose a request that was begun.
+// Read marks the connection as active on the first byte of a request. net/http reports StateActive only after the complete
+// head; a connection closed in between would lose a request that was partly read.
 //
-// What a read is for follows from the state of the request alone. While a request is open of which everything has come,
-// net/http reads only to notice that the client leaves. Any other read is for a head or a body, and ends by its deadline.
+// The purpose of a read follows only from the state of the request. While a completely received request is open, a read is
+// net/http's background read, which detects that the client leaves. Any other read is for a head or a body and has a
+// deadline.
 //
-// A connection that is to be closed is closed by its reader, or left unread: so no byte of a request is read from it and
-// the request not served.
+// When the listener asks for a close, the reader closes the connection without reading any more from it, unless it already
+// has bytes of a request. So no request is read and then left without a response.
 func (c *clientConn) Read(b []byte) (int, error) {
-	watching := c.head.Complete() && c.listener.requestOpen(c)
-	c.readAhead.beginRead(watching)
-	if !c.holdsBytes() && c.listener.endReading(c) {
-		return 0, c.endByReader()
+	backgroundRead := c.head.Complete() && c.listener.requestOpen(c)
+	c.readAhead.beginRead(backgroundRead)
+	if !c.hasPendingInput() && c.listener.confirmReadClose(c) {
+		return 0, c.closeFromReader()
 	}
-	if !watching && c.head.HeadBegun() {
-		c.readAhead.limitHead(requestHeadTimeout)
+	if !backgroundRead && c.head.HeadBegun() {
+		c.readAhead.startHeadDeadline(requestHeadTimeout)
 	}
 	n, err := c.head.Read(b)
-	for watching && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.outlivesDeadline() {
+	for backgroundRead && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.readAhead.clearExpiredDeadline() {
 		n, err = c.head.Read(b)
 	}
 	if !c.head.HeadBegun() {
-		c.readAhead.endHead()
+		c.readAhead.clearHeadDeadline()
 	}
-	c.readAhead.setBytesBehind(c.head.Buffered())
+	c.readAhead.setHasPipelinedBytes(c.head.Buffered())
 	switch {
 	case n > 0 && !c.listener.markActive(c):
 		return 0, io.EOF
-	case n == 0 && err != nil && !c.holdsBytes() && c.listener.endReading(c):
-		return 0, c.endByReader()
-	case watching && n > 0:
-		c.readAhead.httpReadByte()
+	case n == 0 && err != nil && !c.hasPendingInput() && c.listener.confirmReadClose(c):
+		return 0, c.closeFromReader()
+	case backgroundRead && n > 0:
+		c.readAhead.markHTTPHasByte()
 	}
 	return n, err
 }
 
-// holdsBytes reports whether bytes of a request have been read from the connection that is not open yet.
-func (c *clientConn) holdsBytes() bool {
-	return c.head.HeadBegun() || c.head.Buffered() || c.readAhead.buffered()
+// hasPendingInput reports whether bytes have been read that belong to a request which is not open yet.
+func (c *clientConn) hasPendingInput() bool {
+	return c.head.HeadBegun() || c.head.Buffered() || c.readAhead.hasBuffered()
 }
 
-// endByReader closes the sending side of a connection that lingers, and waits for the rest. It returns io.EOF, by which
-// net/http closes the connection. A request that comes now stays unread in the kernel, which resets the connection: its
-// client knows that it may send it again.
-func (c *clientConn) endByReader() error {
-	if c.lingers {
+// closeFromReader returns io.EOF, on which net/http closes the connection. If halfCloseFirst is set, it first closes the
+// sending side and waits for halfCloseTimeout. A request that arrives now stays unread in the kernel, which resets the
+// connection, so that the client knows that it may send the request again.
+func (c *clientConn) closeFromReader() error {
+	if c.halfCloseFirst {
 		c.CloseWrite()
 		select {
 		case <-c.closedSignal:
@@ -91,10 +92,10 @@
 	return io.EOF
 }
 
-// SetReadDeadline sets net/http's deadline.
+// SetReadDeadline sets the read deadline of net/http.
 func (c *clientConn) SetReadDeadline(t time.Time) error { return c.readAhead.setReadDeadline(t) }
 
-// CloseWrite closes the sending side. net/http also calls it where it leaves something unread.
+// CloseWrite closes the sending side. net/http also calls it when it leaves input unread.
 func (c *clientConn) CloseWrite() error {
 	nc := c.Conn
 	if identified, ok := nc.(*identifiedConn); ok {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Close closes the connection and gives its slot back, once.
+// Close closes the connection. The first call releases its slot.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.listener.mu.Lock()
@@ -117,12 +118,12 @@
 		close(c.closedSignal)
 		c.listener.metrics.Add(c.tags, metrics.OpenConnections, -1)
 		c.listener.openConns--
-		c.listener.signalSlot()
+		c.listener.signalSlotFreed()
 	}
 	return err
 }
 
-// setTags counts the connection under the tags of its last request.
+// setTags moves the connection, in the metric of open connections, to the tags of its latest request.
 func (c *clientConn) setTags(tags metrics.Tags) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -134,17 +135,18 @@
 	c.tags = tags
 }
 
-// newClientConn wraps a connection that was just accepted.
+// newClientConn wraps a newly accepted connection.
 func newClientConn(nc net.Conn, listener *clientListener) *clientConn {
 	readAhead := newReadAheadBuffer(nc)
-	return &clientConn{Conn: nc, listener: listener, acceptedAt: time.Now(), closedSignal: make(chan struct{}), readAhead: readAhead,
-		head: requesthead.NewReader(readAhead)}
+	return &clientConn{Conn: nc, listener: listener, acceptedAt: time.Now(), closedSignal: make(chan struct{}),
+		readAhead: readAhead, head: requesthead.NewReader(readAhead)}
 }
 
-// connKey is the context key of the connection that a request came on.
+// connKey is the context key for the connection on which a request arrived.
 type connKey struct{}
 
-// withConn lets requests find their connection. The context ends for all requests on it when the client has gone.
+// withConn returns a context from which requests can retrieve their connection. When the client has gone, it is canceled for
+// all requests on the connection.
 func withConn(ctx context.Context, nc net.Conn) context.Context {
 	if c, ok := nc.(*clientConn); ok {
 		ctx, c.readAhead.clientGone = context.WithCancel(ctx)
@@ -152,7 +154,7 @@
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// connOf returns the connection of a request, or nil in tests that use none.
+// connOf returns the connection of a request. It is nil in tests without a connection.
 func connOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	return c
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -16,19 +16,19 @@
 	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
-// departingClient is a client that has sent a request and leaves.
+// departingClient is a client that sends a request and then closes its connection.
 type departingClient struct {
-	sentBehind string // sent behind its request
-	reset      bool
+	trailing string // sent after the request
+	reset    bool   // close with a reset
 }
 
 var departingClients = map[string]departingClient{
-	"closed":                          {},
-	"reset":                           {reset: true},
-	"closed behind a further request": {sentBehind: rawRequest("unsafe", "again")},
-	"reset behind a further request":  {sentBehind: rawRequest("unsafe", "again"), reset: true},
-	"closed behind stray bytes":       {sentBehind: "\x00\x01 stray"},
-	"closed behind a great many":      {sentBehind: strings.Repeat("stray ", 7<<10)},
+	"closed":                        {},
+	"reset":                         {reset: true},
+	"closed after another request":  {trailing: rawRequest("unsafe", "again")},
+	"reset after another request":   {trailing: rawRequest("unsafe", "again"), reset: true},
+	"closed after stray bytes":      {trailing: "\x00\x01 stray"},
+	"closed after many stray bytes": {trailing: strings.Repeat("stray ", 7<<10)},
 }
 
 func rawRequest(class, id string) string {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if _, err := c.Write([]byte(rawRequest("unsafe", id) + strings.ReplaceAll(l.sentBehind, "again", id+"-again"))); err != nil {
+	if _, err := c.Write([]byte(rawRequest("unsafe", id) + strings.ReplaceAll(l.trailing, "again", id+"-again"))); err != nil {
 		t.Fatal(err)
 	}
 	return c.(*net.TCPConn)
@@ -55,7 +55,7 @@
 	c.Close()
 }
 
-// dialGate lets connections to servers come up only when it is opened, and signals each that waits.
+// dialGate blocks dials to servers until it is opened, and signals each dial that waits.
 type dialGate struct {
 	waiting chan struct{}
 	opened  chan struct{}
@@ -67,42 +67,43 @@
 	return nil
 }
 
-// departureMoments are the moments at which a client leaves. Each returns two functions: one waits until the request is
-// there, the other lets it go on, after the node has had all the time that it wanted to see the client leave.
-var departureMoments = map[string]func(t *testing.T, n *testNode, b *backend, ids int) (arrive func(), goOn func()){
-	"queued": func(t *testing.T, n *testNode, b *backend, ids int) (func(), func()) {
-		h := inService("s-0", b.addr())
-		h.Health = "terminating"
-		n.applyEndpoint(t, h)
+// departureMoments are the states of a request in which its client leaves. Each function returns two others: awaitRequests
+// waits until the node has that many requests in this state, and proceed lets them continue. The test calls proceed after
+// the node has noticed that the client has left.
+var departureMoments = map[string]func(t *testing.T, n *testNode, b *backend, requests int) (awaitRequests, proceed func()){
+	"queued": func(t *testing.T, n *testNode, b *backend, requests int) (func(), func()) {
+		endpoint := inServiceEndpoint("s-0", b.addr())
+		endpoint.Health = "terminating"
+		n.applyEndpoint(t, endpoint)
 		return func() {
-				eventually(t, "queued", func() bool { return n.openRequests() == ids })
+				eventually(t, "the requests are queued", func() bool { return n.openRequests() == requests })
 			}, func() {
-				n.applyEndpoint(t, inService("s-0", b.addr()))
+				n.applyEndpoint(t, inServiceEndpoint("s-0", b.addr()))
 			}
 	},
-	"connecting": func(t *testing.T, n *testNode, b *backend, ids int) (func(), func()) {
-		g := dialGate{make(chan struct{}, 2*ids), make(chan struct{})}
+	"connecting": func(t *testing.T, n *testNode, b *backend, requests int) (func(), func()) {
+		g := dialGate{make(chan struct{}, 2*requests), make(chan struct{})}
 		n.pool.mu.Lock()
 		n.pool.dialer.ControlContext = g.control
 		n.pool.mu.Unlock()
 		return func() {
-			for range ids {
+			for range requests {
 				<-g.waiting
 			}
 		}, func() { close(g.opened) }
 	},
 }
 
-// applyEndpoint tells the node of a server, and returns when the engine has it.
+// applyEndpoint sends the node an update of one endpoint, and returns when the engine has applied it.
 func (r *testNode) applyEndpoint(t *testing.T, h discoveryapi.Endpoint) {
 	t.Helper()
 	if err := r.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 		t.Fatal(err)
 	}
-	r.engine.SuccessorState(t.Context(), func() {}) // is answered only when the update has been dealt with
+	r.engine.SuccessorState(t.Context(), func() {}) // returns only after the engine has handled the update
 }
 
-// openRequests counts the open requests, by the balancer's own account.
+// openRequests returns the number of open requests in the balancer's checkpoint.
 func (r *testNode) openRequests() int {
 	var saved struct{ Requests []any }
 	r.engine.SuccessorState(context.Background(), func() {
@@ -113,11 +114,11 @@
 	return len(saved.Requests)
 }
 
-// observedListener is a listener that shows each connection to the test, and gives it to the node when it may go on.
+// observedListener passes each accepted connection to the test, and to the node only after proceed is closed.
 type observedListener struct {
 	net.Listener
 	accepted chan *net.TCPConn
-	goOn     chan struct{}
+	proceed  chan struct{}
 }
 
 func newObservedListener(t *testing.T) *observedListener {
@@ -133,33 +134,33 @@
 	c, err := s.Listener.Accept()
 	if err == nil {
 		s.accepted <- c.(*net.TCPConn)
-		<-s.goOn
+		<-s.proceed
 	}
 	return c, err
 }
 
-// A client leaves while its request waits, behind bytes that nobody has read: net/http no longer notices. Its request would
-// be forwarded and run though nobody takes the response, and the client would send it again elsewhere. So its connection
-// is closed, its request is forgotten, and no server gets it.
-func TestNothingIsSentForGoneClients(t *testing.T) {
-	for moment, bring := range departureMoments {
-		for how, l := range departingClients {
+// A client leaves while its request waits, and unread bytes precede the end of its connection, so that net/http does not
+// notice. The request would be forwarded and run although nobody receives the response, and the client would send it again
+// elsewhere. So the node closes the connection and drops the request, and no server gets it.
+func TestNoRequestIsForwardedForGoneClients(t *testing.T) {
+	for moment, setUp := range departureMoments {
+		for how, client := range departingClients {
 			t.Run(moment+"/"+how, func(t *testing.T) {
 				b := newBackend(t, respondOK)
 				ln := newObservedListener(t)
-				close(ln.goOn)
-				n := serveOn(t, configWith(t, b), ln)
-				arrive, goOn := bring(t, n, b, 1)
-				c := l.connect(t, ln.Addr().String(), "1")
-				there := <-ln.accepted
-				arrive()
+				close(ln.proceed)
+				n := startNodeOn(t, configWithBackends(t, b), ln)
+				awaitRequests, proceed := setUp(t, n, b, 1)
+				c := client.connect(t, ln.Addr().String(), "1")
+				accepted := <-ln.accepted
+				awaitRequests()
 				begin := time.Now()
-				l.leave(c)
-				eventually(t, "the client's leaving is noticed", func() bool { return there.SetDeadline(time.Time{}) != nil })
-				if after := time.Since(begin); after > 3*time.Second { // a queued request is answered after 5 s and more
-					t.Errorf("noticed %v later, with the response", after)
+				client.leave(c)
+				eventually(t, "the node has noticed that the client left", func() bool { return accepted.SetDeadline(time.Time{}) != nil })
+				if after := time.Since(begin); after > 3*time.Second { // a queued request is answered after 5 s at the earliest
+					t.Errorf("noticed only after %v, with the response", after)
 				}
-				goOn()
+				proceed()
 				stopAndCheckIdle(t, n)
 				if got := b.requests(); got != 0 {
 					t.Errorf("the server got %d requests", got)
@@ -169,18 +170,18 @@
 	}
 }
 
-// The same for a client that left before its connection was accepted, or before the node read what it sent.
-func TestClientGoneBeforeItWasRead(t *testing.T) {
-	for how, l := range departingClients {
+// The same as TestNoRequestIsForwardedForGoneClients, but the client leaves before the node reads its request.
+func TestClientGoneBeforeRequestIsRead(t *testing.T) {
+	for how, client := range departingClients {
 		t.Run(how, func(t *testing.T) {
 			b := newBackend(t, respondOK)
 			ln := newObservedListener(t)
-			n := serveOn(t, configWith(t, b), ln)
-			l.leave(l.connect(t, ln.Addr().String(), "1"))
-			there := <-ln.accepted
-			eventually(t, "its end is there", func() bool { return peerHasClosed(there) })
-			close(ln.goOn)
-			eventually(t, "closed", func() bool { return there.SetDeadline(time.Time{}) != nil })
+			n := startNodeOn(t, configWithBackends(t, b), ln)
+			client.leave(client.connect(t, ln.Addr().String(), "1"))
+			accepted := <-ln.accepted
+			eventually(t, "the end of the connection has arrived", func() bool { return peerHasClosed(accepted) })
+			close(ln.proceed)
+			eventually(t, "the node has closed the connection", func() bool { return accepted.SetDeadline(time.Time{}) != nil })
 			stopAndCheckIdle(t, n)
 			if got := b.requests(); got != 0 {
 				t.Errorf("the server got %d requests", got)
@@ -190,26 +191,26 @@
 }
 
 // peerHasClosed reports whether a connection's peer has closed it.
-func peerHasClosed(c *net.TCPConn) (yes bool) {
+func peerHasClosed(c *net.TCPConn) (closed bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		yes = err == nil && info.State != 1
+		closed = err == nil && info.State != 1
 	})
-	return yes
+	return closed
 }
 
-// A client closes its connection in the middle of a streamed body. What it has sent lies unread in front of the end, so
-// reading does not show that it has gone. The server must get nothing.
-func TestClientGoneWithinBody(t *testing.T) {
+// A client closes its connection in the middle of a streamed body. Unread bytes of the body precede the end of the
+// connection, so that reading does not show that the client has gone. The server must get nothing.
+func TestClientGoneDuringBody(t *testing.T) {
 	b := newBackend(t, respondOK)
 	ln := newObservedListener(t)
-	close(ln.goOn)
-	n := serveOn(t, configWith(t, b), ln)
-	h := inService("s-0", b.addr())
+	close(ln.proceed)
+	n := startNodeOn(t, configWithBackends(t, b), ln)
+	h := inServiceEndpoint("s-0", b.addr())
 	h.Health = "terminating"
 	n.applyEndpoint(t, h)
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -220,11 +221,11 @@
 	if _, err := c.Write([]byte(head + strings.Repeat("x", 100<<10))); err != nil {
 		t.Fatal(err)
 	}
-	there := <-ln.accepted
-	eventually(t, "queued", func() bool { return n.openRequests() == 1 })
+	accepted := <-ln.accepted
+	eventually(t, "the request is queued", func() bool { return n.openRequests() == 1 })
 	c.Close()
-	eventually(t, "its end is there", func() bool { return peerHasClosed(there) })
-	n.applyEndpoint(t, inService("s-0", b.addr()))
+	eventually(t, "the end of the connection has arrived", func() bool { return peerHasClosed(accepted) })
+	n.applyEndpoint(t, inServiceEndpoint("s-0", b.addr()))
 	stopAndCheckIdle(t, n)
 	if b.requests() != 0 || b.accepted() > 0 {
 		t.Errorf("the server got %d requests on %d connections", b.requests(), b.accepted())
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -12,49 +12,51 @@
 )
 
 const (
-	// minIdleBeforeEviction is how long a connection without an open request is left alone when slots run short. A client
-	// sends right after it has connected, so what it sent has come by then.
+	// minIdleBeforeEviction is how long a connection must be without an open request before it may be evicted for its slot.
+	// Clients send right after connecting, so a new connection's first request has arrived by then.
 	minIdleBeforeEviction = 50 * time.Millisecond
 
-	// halfCloseTimeout is how long a connection whose sending side was closed waits for its client to close it too. Then the
-	// node closes it completely.
+	// halfCloseTimeout is how long the node waits for the client to close a connection whose sending side the node has
+	// closed. Then the node closes the connection completely.
 	halfCloseTimeout = 200 * time.Millisecond
 
-	// waitForSignal is the wait for a slot when no connection is idle: only the signal that one is free ends it.
-	waitForSignal = time.Hour
+	// signalOnlyWait is how long to wait for a slot when no connection is idle. It is long enough that only slotFreed ends
+	// the wait.
+	signalOnlyWait = time.Hour
 )
 
-// clientListener accepts client connections within a number of slots, each of which costs one descriptor.
+// clientListener accepts client connections up to a number of slots. Each connection occupies a slot and uses one
+// descriptor.
 //
-// It guards against descriptor exhaustion: clients may keep connections for good, and some never send a request. When
-// all slots are taken, the connection that has been idle longest is closed for the next one. A request that crosses that
-// close is not read, so its client may safely send it again. Connections with an open request are never evicted: with
-// all slots in use new clients wait in the kernel's queue.
+// It protects against descriptor exhaustion, since clients may keep connections open indefinitely, and some never send a
+// request. When all slots are taken, the connection that has been idle longest is closed for the next one. A request that
+// arrives during that close is not read, so the client may safely send it again. Connections with an open request are
+// never evicted: if all of them have one, new clients wait in the kernel's accept queue.
 //
-// States of a client connection. clientListener.mu guards them:
+// A client connection has these states, guarded by clientListener.mu:
 //
-//	idle         no open request; in idleConns. New connections begin here (markIdle).
+//	idle         no open request; the connection is in idleConns. New connections are idle (markIdle).
 //	active       from the first byte of a request until its response is written (markActive).
-//	read-closed  idle, and no request may begin on it: readClosedAt is set. Its reader is interrupted. If it had bytes of a
-//	             request by then, the connection is active again; else readEnded is set, and there is no way back.
-//	closed       clientConn.Close has given its slot back.
+//	read-closed  idle, and readCloseRequestedAt is set: no request may begin. The reader is interrupted. If it already has
+//	             bytes of a request, the connection becomes active again. Otherwise it sets readClosed, which is final.
+//	closed       clientConn.Close has released the slot.
 //
-// net/http owns each connection and closes it, but for those whose reader does not take note in time: closeIdle and acquireSlot
-// close these.
+// net/http owns and closes each connection. If its reader does not react to the request to close in time, closeIdle or
+// acquireSlot closes it.
 type clientListener struct {
 	net.Listener
-	maxConns     int               // slots
+	maxConns     int               // number of slots
 	metrics      *metrics.Reporter // nil: off
 	access       *accessControl    // nil: every client is admitted
-	slotFreed    chan struct{}     // signals that a slot may be free, or a connection may be evicted
+	slotFreed    chan struct{}     // signals that a slot may be free, or that a connection may be evicted
 	closed       chan struct{}
 	signalClosed func()
-	handedOver   atomic.Bool // the listener is closed, and connections go on: a successor accepts
+	handedOver   atomic.Bool // a successor accepts now: the listener is closed, open connections are still served
 
 	mu           sync.Mutex
-	openConns    int        // slots that are taken, also by an Accept under way
-	idleConns    *list.List // of *clientConn, the one that has been idle longest first
-	shuttingDown bool       // connections that become idle are read-closed
+	openConns    int        // slots taken, including that of a pending Accept
+	idleConns    *list.List // of *clientConn, longest idle first
+	shuttingDown bool       // connections that become idle are asked to close
 }
 
 func newClientListener(ln net.Listener, maxConns int, reporter *metrics.Reporter) *clientListener {
@@ -87,7 +89,7 @@
 	return c, nil
 }
 
-// waitForSlot returns when a slot is taken for the next connection, or net.ErrClosed after Close.
+// waitForSlot takes a slot for the next connection and waits for it if necessary. It returns net.ErrClosed after Close.
 func (l *clientListener) waitForSlot() error {
 	for {
 		wait, ok := l.acquireSlot()
@@ -109,8 +111,8 @@
 	}
 }
 
-// acquireSlot takes a free slot. If there is none it has the connection closed that has been idle longest, provided that it
-// has been so for minIdleBeforeEviction, and returns how long to wait before the next try.
+// acquireSlot takes a free slot. If there is none, it starts to close the connection that has been idle longest, provided
+// that it has been idle for minIdleBeforeEviction, and returns how long to wait before the next attempt.
 func (l *clientListener) acquireSlot() (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	if l.openConns < l.maxConns {
@@ -121,48 +123,48 @@
 	longestIdle := l.idleConns.Front()
 	if longestIdle == nil {
 		l.mu.Unlock()
-		return waitForSignal, false
+		return signalOnlyWait, false
 	}
 	c := longestIdle.Value.(*clientConn)
 	wait = minIdleBeforeEviction - time.Since(c.idleSince)
-	if wait <= 0 && c.readClosedAt.IsZero() {
-		l.closeReading(c, false)
+	if wait <= 0 && c.readCloseRequestedAt.IsZero() {
+		l.requestReadClose(c, false)
 	}
-	if !c.readClosedAt.IsZero() {
-		wait = minIdleBeforeEviction - time.Since(c.readClosedAt)
+	if !c.readCloseRequestedAt.IsZero() {
+		wait = minIdleBeforeEviction - time.Since(c.readCloseRequestedAt)
 	}
 	l.mu.Unlock()
-	if wait <= 0 { // its reader has not closed it
+	if wait <= 0 { // the reader has not closed it in time
 		c.Close()
 	}
 	return max(wait, 0), false
 }
 
-// Close ends Accept, also while it waits for a slot.
+// Close closes the listener and ends Accept, even while it waits for a slot.
 func (l *clientListener) Close() error {
 	l.signalClosed()
 	return l.Listener.Close()
 }
 
-// stopAccepting closes the listener, of which the successor has a copy. Accept returns only after Close: an error from
-// it would end net/http's server and with it the connections that are still served.
+// stopAccepting closes the listener, of which the successor has a copy. Accept still does not return until Close is called:
+// an error from it would end net/http's server, and with it the connections that are still served.
 func (l *clientListener) stopAccepting() {
 	l.handedOver.Store(true)
 	l.Listener.Close()
 }
 
-// connCount is how many connections are open.
+// connCount returns the number of open connections.
 func (l *clientListener) connCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.openConns
 }
 
-// connStateChanged is told by net/http which state a connection has come to, by the goroutine that reads it.
+// connStateChanged implements http.Server.ConnState. net/http calls it in the goroutine that reads the connection.
 func (l *clientListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	switch c := nc.(*clientConn); state {
 	case http.StateIdle:
-		if !c.holdsBytes() { // else the next request has begun, and the connection is not to be closed
+		if !c.hasPendingInput() { // otherwise the next request has begun, and the connection must not be closed
 			l.markIdle(c)
 		}
 	case http.StateActive:
@@ -170,48 +172,50 @@
 	}
 }
 
-// markIdle notes that no request is open on a connection.
+// markIdle records that no request is open on a connection.
 func (l *clientListener) markIdle(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.idleElement == nil && !c.closed {
 		c.idleSince, c.idleElement = time.Now(), l.idleConns.PushBack(c)
 		if l.shuttingDown {
-			l.closeReading(c, false)
+			l.requestReadClose(c, false)
 		}
-		l.signalSlot()
+		l.signalSlotFreed()
 	}
 }
 
-// markActive notes that bytes of a request were read. It returns false where the connection's reader has ended.
+// markActive records that bytes of a request were read. It returns false if the reader has already confirmed a request to
+// close: the bytes must not be used then.
 func (l *clientListener) markActive(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.readEnded {
+	if c.readClosed {
 		return false
 	}
-	if !c.readClosedAt.IsZero() { // the bytes came before the reader was interrupted
-		c.readClosedAt = time.Time{}
+	if !c.readCloseRequestedAt.IsZero() { // the bytes arrived before the reader was interrupted
+		c.readCloseRequestedAt = time.Time{}
 		c.readAhead.setInterrupted(false)
 	}
 	l.removeIdle(c)
 	return true
 }
 
-// closeReading has no request begin on an idle connection any more, and its reader close it. The caller holds l.mu.
-func (l *clientListener) closeReading(c *clientConn, lingers bool) {
-	c.readClosedAt, c.lingers = time.Now(), lingers
+// requestReadClose asks the reader of an idle connection to close it without reading another request. The caller holds l.mu.
+func (l *clientListener) requestReadClose(c *clientConn, halfCloseFirst bool) {
+	c.readCloseRequestedAt, c.halfCloseFirst = time.Now(), halfCloseFirst
 	c.readAhead.setInterrupted(true)
 }
 
-// endReading is the reader's word that it has no bytes of a request. It returns true where the connection is to be closed.
-func (l *clientListener) endReading(c *clientConn) bool {
+// confirmReadClose is called by the reader when it has no bytes of a request. It reports whether the connection has to be
+// closed, that is whether requestReadClose was called. After that nothing more may be read.
+func (l *clientListener) confirmReadClose(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.readClosedAt.IsZero() {
+	if c.readCloseRequestedAt.IsZero() {
 		return false
 	}
-	c.readEnded = true
+	c.readClosed = true
 	return true
 }
 
@@ -222,7 +226,7 @@
 	return c.idleElement == nil
 }
 
-// removeIdle takes a connection out of idleConns. The caller holds l.mu.
+// removeIdle removes a connection from idleConns. The caller holds l.mu.
 func (l *clientListener) removeIdle(c *clientConn) {
 	if c.idleElement != nil {
 		l.idleConns.Remove(c.idleElement)
@@ -230,43 +234,43 @@
 	}
 }
 
-// signalSlot wakes an Accept that waits for a slot.
-func (l *clientListener) signalSlot() {
+// signalSlotFreed wakes an Accept that waits for a slot.
+func (l *clientListener) signalSlotFreed() {
 	select {
 	case l.slotFreed <- struct{}{}:
 	default:
 	}
 }
 
-// stopReadingIdle has idle connections, and each that becomes idle from now on, read nothing more: net/http is about to close
-// them, and a request that crosses the close is its client's to send again. Were it read, it could be forwarded and its
-// response lost.
-func (l *clientListener) stopReadingIdle() {
+// stopReadingIdleConns prevents reads from idle connections and from those that become idle later, because net/http is about
+// to close them. A request that arrives during the close stays unread, so that its client may send it again. If it were
+// read, it could be forwarded and its response lost.
+func (l *clientListener) stopReadingIdleConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shuttingDown = true
 	for e := l.idleConns.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*clientConn); c.readClosedAt.IsZero() {
-			l.closeReading(c, false)
+		if c := e.Value.(*clientConn); c.readCloseRequestedAt.IsZero() {
+			l.requestReadClose(c, false)
 		}
 	}
 }
 
-// closeIdle closes connections that have been idle for a time, in two steps: first the sending side, then, after
-// halfCloseTimeout, the rest. The client sees the first step before it sends again. What it sent before was either read, and
-// is answered, or was not, and the end without a response tells it so. A close in one step could send a reset that
-// destroys the response before it. The reader of each connection takes both steps; the next call closes those whose reader
-// did not.
+// closeIdle closes connections that have been idle for minIdle, in two steps: first the sending side and, after
+// halfCloseTimeout, the rest. The client sees the first step before it sends another request. A request that it sent
+// earlier was either read, and is answered, or was not read, which the client learns from the end without a response. A
+// close in one step could send a reset that destroys the preceding response. The reader of each connection performs both
+// steps; the next call of closeIdle closes the connections whose readers did not.
 func (l *clientListener) closeIdle(minIdle time.Duration) {
 	now := time.Now()
 	var overdue []*clientConn
 	l.mu.Lock()
 	for e := l.idleConns.Front(); e != nil; e = e.Next() {
 		switch c := e.Value.(*clientConn); {
-		case !c.readClosedAt.IsZero() && now.Sub(c.readClosedAt) >= halfCloseTimeout:
+		case !c.readCloseRequestedAt.IsZero() && now.Sub(c.readCloseRequestedAt) >= halfCloseTimeout:
 			overdue = append(overdue, c)
-		case c.readClosedAt.IsZero() && now.Sub(c.idleSince) >= minIdle:
-			l.closeReading(c, true)
+		case c.readCloseRequestedAt.IsZero() && now.Sub(c.idleSince) >= minIdle:
+			l.requestReadClose(c, true)
 		}
 	}
 	l.mu.Unlock()
--- a/internal/node/clientlistener_test.go
+++ b/internal/node/clientlistener_test.go
@@ -17,12 +17,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients that send one request and keep their connection, and clients that never send any, must not hold all slots for
-// good: a request on a connection that comes later is served.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// Clients that send one request and keep their connection open, and clients that never send a request, must not hold all
+// slots indefinitely: a request on a later connection is served.
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b, b)
-	for name, first := range map[string]string{"asked once": "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", "never asked": ""} {
+	n := startWithBackends(t, b, b)
+	for name, first := range map[string]string{"one request sent": "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", "no request sent": ""} {
 		t.Run(name, func(t *testing.T) {
 			for range n.maxClientConns + 10 {
 				c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -47,19 +47,18 @@
 	}
 }
 
-// Only a connection without an open request is evicted, the one that has been idle longest first, and its slot is given
-// back once.
+// Only connections without an open request are evicted, longest idle first, and each slot is released once.
 func TestEvictionOfIdleConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newClientListener(ln, 2, nil)
+	listener := newClientListener(ln, 2, nil)
 	accepted := make(chan *clientConn)
 	go func() {
 		defer close(accepted)
 		for {
-			c, err := in.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -85,38 +84,38 @@
 	}
 	conns = append(conns, <-accepted)
 	connect()
-	conns = append(conns, <-accepted) // in place of the second: the first has a request open
+	conns = append(conns, <-accepted) // replaces the second: the first has an open request
 	if _, err := conns[1].Read(make([]byte, 1)); err == nil {
-		t.Error("the second was not closed")
+		t.Error("the second connection was not closed")
 	}
-	in.connStateChanged(conns[2], http.StateActive)
+	listener.connStateChanged(conns[2], http.StateActive)
 	connect()
 	select {
 	case <-accepted:
-		t.Fatal("a connection was accepted though all slots have open requests")
+		t.Fatal("a connection was accepted although all slots have open requests")
 	default:
 	}
 	conns[0].Close()
-	conns[0].Close() // twice gives back one slot only
+	conns[0].Close() // the second call releases no further slot
 	conns = append(conns, <-accepted)
-	in.connStateChanged(conns[3], http.StateActive)
-	in.mu.Lock()
-	if in.openConns > in.maxConns || in.idleConns.Len() != 0 {
-		t.Errorf("%d slots of %d taken, %d connections idle", in.openConns, in.maxConns, in.idleConns.Len())
+	listener.connStateChanged(conns[3], http.StateActive)
+	listener.mu.Lock()
+	if listener.openConns > listener.maxConns || listener.idleConns.Len() != 0 {
+		t.Errorf("%d slots of %d taken, %d connections idle", listener.openConns, listener.maxConns, listener.idleConns.Len())
 	}
-	in.mu.Unlock()
-	in.Close() // ends Accept, which waits for a slot
+	listener.mu.Unlock()
+	listener.Close() // ends Accept, which waits for a slot
 	if _, more := <-accepted; more {
-		t.Error("another one was accepted")
+		t.Error("a connection was accepted after Close")
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// A client that sends half a request, or none, must not hold its slot for good: its connection is closed.
-func TestSilentClientsAreClosed(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+// A client that sends no request, or only a part of one, must not hold its slot indefinitely: its connection is closed.
+func TestConnectionsOfSilentClientsAreClosed(t *testing.T) {
+	n := startWithBackends(t, newBackend(t, respondOK))
 	for name, text := range map[string]string{
 		"nothing":   "",
 		"half head": "POST /api HTTP/1.1\r\nHost:",
@@ -129,75 +128,75 @@
 	}
 }
 
-// crossingConn is a client's connection on which a request comes in the very moment of its close.
-type crossingConn struct {
+// racingRequestConn is a client connection on which a request arrives at the moment of its close.
+type racingRequestConn struct {
 	net.Conn
 	close func()
 }
 
-func (c *crossingConn) Read(b []byte) (int, error) { return copy(b, "G"), nil }
+func (c *racingRequestConn) Read(b []byte) (int, error) { return copy(b, "G"), nil }
 
-func (c *crossingConn) Close() error {
+func (c *racingRequestConn) Close() error {
 	c.close()
 	return nil
 }
 
-func (c *crossingConn) SetReadDeadline(time.Time) error { return nil }
+func (c *racingRequestConn) SetReadDeadline(time.Time) error { return nil }
 
-// A request crosses the close of its idle connection: its client sends it again. If the first were read and forwarded it
-// would run twice, or have no response. So whatever closes an idle connection, the request stays unread.
-func TestRequestCrossingCloseIsUnread(t *testing.T) {
-	for name, closes := range map[string]func(in *clientListener, c *clientConn){
-		"for its slot": func(in *clientListener, _ *clientConn) {
-			wait, _ := in.acquireSlot()
+// A request arrives while its idle connection is being closed, and its client sends it again. If the node read and forwarded
+// the first one, it would run twice or get no response. So the request must stay unread, whatever the reason for the close.
+func TestRequestRacingWithCloseIsNotRead(t *testing.T) {
+	for name, closes := range map[string]func(listener *clientListener, c *clientConn){
+		"evicted for its slot": func(listener *clientListener, _ *clientConn) {
+			wait, _ := listener.acquireSlot()
 			<-time.After(wait)
-			in.acquireSlot()
+			listener.acquireSlot()
 		},
-		"out of service": func(in *clientListener, _ *clientConn) {
-			in.closeIdle(0)
+		"out of service": func(listener *clientListener, _ *clientConn) {
+			listener.closeIdle(0)
 			<-time.After(halfCloseTimeout)
-			in.closeIdle(0)
+			listener.closeIdle(0)
 		},
-		"in shutdown": func(in *clientListener, c *clientConn) { in.stopReadingIdle(); c.Close() },
+		"at shutdown": func(listener *clientListener, c *clientConn) { listener.stopReadingIdleConns(); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				in := newClientListener(nil, 1, nil)
-				conn := &crossingConn{}
-				c := newClientConn(conn, in)
+				listener := newClientListener(nil, 1, nil)
+				conn := &racingRequestConn{}
+				c := newClientConn(conn, listener)
 				read := make(chan error, 1)
 				conn.close = func() {
 					_, err := c.Read(make([]byte, 1))
 					read <- err
 				}
-				in.openConns = 1
-				in.markIdle(c)
+				listener.openConns = 1
+				listener.markIdle(c)
 				<-time.After(minIdleBeforeEviction)
-				closes(in, c)
+				closes(listener, c)
 				if err := <-read; err != io.EOF {
-					t.Errorf("what crossed the close was read: %v", err)
+					t.Errorf("a request that arrived during the close was read: %v", err)
 				}
 			})
 		})
 	}
 }
 
-// The deadline of a request's body is over with the body. net/http's background read, which watches for the client's
-// leaving, may begin just before that deadline is taken back, on a node that is busy. Meeting the deadline must not end
-// the request: its client has not gone, would see its connection close, and send the request again while it runs.
-func TestBodyDeadlineIsNotClientGone(t *testing.T) {
+// The deadline of a request's body ends with the body. On a busy node, net/http's background read, which detects that the
+// client leaves, may begin just before that deadline is cleared. If the read exceeds the deadline, the request must not be
+// canceled: its client is still there, would see its connection close, and would send the request again while it runs.
+func TestBodyDeadlineDoesNotCancelRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newClientListener(ln, 1, nil)
-	defer in.Close()
+	listener := newClientListener(ln, 1, nil)
+	defer listener.Close()
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	c, err := in.Accept()
+	c, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,83 +221,83 @@
 		t.Fatal(err)
 	}
 	read := backgroundRead()
-	c.SetReadDeadline(time.Unix(1, 0)) // as net/http ends its background read
+	c.SetReadDeadline(time.Unix(1, 0)) // this is how net/http ends its background read
 	if got := <-read; !errors.Is(got.err, os.ErrDeadlineExceeded) {
-		t.Errorf("a background read that is ended gives %d, %v", got.n, got.err)
+		t.Errorf("a background read ended by net/http returned %d, %v", got.n, got.err)
 	}
-	c.SetReadDeadline(time.Now().Add(-time.Millisecond)) // the body's
+	c.SetReadDeadline(time.Now().Add(-time.Millisecond)) // the deadline of the body
 	read = backgroundRead()
 	if _, err := client.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-read; got.n != 1 || got.err != nil {
-		t.Errorf("read %d, %v", got.n, got.err)
+		t.Errorf("after the deadline of the body, a background read returned %d, %v", got.n, got.err)
 	}
-	c.SetReadDeadline(time.Now().Add(-time.Millisecond)) // of the head that has begun with that byte
+	c.SetReadDeadline(time.Now().Add(-time.Millisecond)) // the deadline of the head that begins with that byte
 	if got := <-backgroundRead(); !errors.Is(got.err, os.ErrDeadlineExceeded) {
-		t.Errorf("a read of one byte of a head gives %d, %v", got.n, got.err)
+		t.Errorf("a read of one byte of a head returned %d, %v", got.n, got.err)
 	}
 }
 
-// A request that crosses the close of its connection would run though its client sends it again. So a connection that is
-// half closed reads nothing more, and one whose request has begun is not closed.
-func TestCloseIdleSparesOpenRequests(t *testing.T) {
+// A request that arrives while its connection is being closed would run although its client sends it again. So a
+// half-closed connection reads nothing more, and a connection on which a request has begun is not closed.
+func TestCloseIdleKeepsOpenRequests(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := newClientListener(ln, 4, nil)
-	defer in.Close()
+	listener := newClientListener(ln, 4, nil)
+	defer listener.Close()
 	pair := func() (client net.Conn, server *clientConn) {
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { client.Close() })
-		c, err := in.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return client, c.(*clientConn)
 	}
-	crossing, c := pair()
-	begun, d := pair()
-	io.WriteString(begun, "P")
-	if _, err := d.Read(make([]byte, 1)); err != nil {
+	lateClient, halfClosed := pair()
+	activeClient, active := pair()
+	io.WriteString(activeClient, "P")
+	if _, err := active.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	in.closeIdle(0)
-	io.WriteString(crossing, "POST")
-	if n, err := c.Read(make([]byte, 9)); n != 0 || err != io.EOF {
-		t.Errorf("read %d bytes, %v, of a connection that is half closed", n, err)
+	listener.closeIdle(0)
+	io.WriteString(lateClient, "POST")
+	if n, err := halfClosed.Read(make([]byte, 9)); n != 0 || err != io.EOF {
+		t.Errorf("a read of a half-closed connection returned %d bytes, %v", n, err)
 	}
-	crossing.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := bufio.NewReader(crossing).ReadByte(); err != io.EOF {
-		t.Errorf("its client sees %v, want an end", err)
+	lateClient.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := bufio.NewReader(lateClient).ReadByte(); err != io.EOF {
+		t.Errorf("the client of the half-closed connection reads %v, want EOF", err)
 	}
-	io.WriteString(begun, "OST")
-	if _, err := io.ReadFull(d, make([]byte, 3)); err != nil {
-		t.Errorf("a request that has begun: %v", err)
+	io.WriteString(activeClient, "OST")
+	if _, err := io.ReadFull(active, make([]byte, 3)); err != nil {
+		t.Errorf("reading the rest of a request that has begun: %v", err)
 	}
 }
 
-// A request comes on a kept connection as its idle connection is closed. Either all of it stays in the kernel, which resets the
-// connection, so that its client may send it again, or it is answered: a request that was read and closed on is lost. The
-// moments of the close are drawn around that of the request.
-func TestClosingNeverReadsARequest(t *testing.T) {
+// A request arrives on an idle connection while the node closes it. Either the complete request stays in the kernel, which
+// resets the connection, so that the client may send it again, or the request is answered. A request that was read before
+// its connection is closed would be lost. The test runs the close and the request concurrently.
+func TestNoRequestIsReadAndLostOnClose(t *testing.T) {
 	for name, closes := range map[string]func(l *clientListener){
 		"out of service": func(l *clientListener) { l.closeIdle(0) },
-		"in shutdown":    func(l *clientListener) { l.stopReadingIdle() },
+		"at shutdown":    func(l *clientListener) { l.stopReadingIdleConns() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := startWith(t, newBackend(t, respondOK))
+			n := startWithBackends(t, newBackend(t, respondOK))
 			const rounds = 40
 			for i := range rounds {
 				c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				eventually(t, "it is idle", func() bool {
+				eventually(t, "the connection is idle", func() bool {
 					n.clientListener.mu.Lock()
 					defer n.clientListener.mu.Unlock()
 					return n.clientListener.idleConns.Len() == 1
@@ -310,22 +309,23 @@
 					_, err = http.ReadResponse(bufio.NewReader(c), nil)
 				}
 				<-closing
-				if err != nil && !endedUnread(t, c, err) {
-					t.Fatalf("round %d: read, and closed without an answer: %v", i, err)
+				if err != nil && !resetByPeerKernel(t, c, err) {
+					t.Fatalf("round %d: the request was read, and its connection closed without a response: %v", i, err)
 				}
 				c.Close()
 				n.clientListener.mu.Lock()
 				n.clientListener.shuttingDown = false
 				n.clientListener.mu.Unlock()
-				eventually(t, "it is closed", func() bool { return n.clientListener.connCount() <= 1 }) // one that waits to be accepted
+				// One slot stays taken, by the pending Accept.
+				eventually(t, "the connection is closed", func() bool { return n.clientListener.connCount() <= 1 })
 			}
 		})
 	}
 }
 
-// endedUnread reports whether a connection that ended with an error was reset by the node's kernel, as one is on which bytes
-// were left unread.
-func endedUnread(t *testing.T, c net.Conn, err error) bool {
+// resetByPeerKernel reports whether a connection that ended with an error was reset by the node's kernel. The kernel does so
+// if the connection is closed with unread bytes.
+func resetByPeerKernel(t *testing.T, c net.Conn, err error) bool {
 	t.Helper()
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -1,20 +1,20 @@
 package node
 
-// closeReason says why a connection to a server was closed, and by whom, for the log and the capture.
+// closeReason is the reason why a connection to a server was closed, for the log and the capture.
 type closeReason string
 
-// The reasons. All but closedByServer are the node's own.
+// Reasons for closing a connection. In all cases but closedByServer the node closed it.
 const (
-	notClosed              closeReason = ""                     // it is open
-	closedByServer         closeReason = "server"               // it ended or reset the connection
-	closedAtDeadline       closeReason = "deadline"             // of the attempt
+	notClosed              closeReason = ""                     // the connection is open
+	closedByServer         closeReason = "server"               // the server closed or reset the connection
+	closedAtDeadline       closeReason = "deadline"             // the deadline of the attempt was exceeded
 	closedForIdleTime      closeReason = "idle"                 // the connection was idle for idleTimeout
-	closedForRoom          closeReason = "room"                 // another connection needed its descriptor
-	closedForRetiredServer closeReason = "server retired"       // its server gets nothing new
-	closedForUnasked       closeReason = "unasked bytes"        // the server sent what nobody asked for
-	closedForSuspicion     closeReason = "suspicion"            // the server did so on another connection
-	closedForResponse      closeReason = "response"             // the response ends the connection, or its end can't be trusted
-	closedForRequest       closeReason = "request not sent"     // the request could not be written whole
-	closedForStream        closeReason = "stream not passed on" // the client, or the server, broke off a streamed response
+	closedForDescriptor    closeReason = "room"                 // another connection needed the descriptor
+	closedForRetiredServer closeReason = "server retired"       // the server gets no new requests
+	closedForUnsolicited   closeReason = "unasked bytes"        // the server sent bytes that belong to no request
+	closedForSuspicion     closeReason = "suspicion"            // the server sent such bytes on another connection
+	closedForResponse      closeReason = "response"             // the response ends the connection, or its end is uncertain
+	closedForUnsentRequest closeReason = "request not sent"     // the request could not be written completely
+	closedForBrokenStream  closeReason = "stream not passed on" // a streamed response was not passed on to its end
 	closedForShutdown      closeReason = "shutdown"             // the process ends
 )
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -155,7 +155,7 @@
 // connections that have been idle longest make room, whatever their target. The caller holds p.mu.
 func (p *connPool) reserveDial() (net.Dialer, error) {
 	for len(p.conns)+p.dialing >= p.maxConns && p.idle.Len() > 0 {
-		p.closeLocked(p.idle.Front().Value.(*upstreamConn), closedForRoom)
+		p.closeLocked(p.idle.Front().Value.(*upstreamConn), closedForDescriptor)
 	}
 	if len(p.conns)+p.dialing >= p.maxConns {
 		return net.Dialer{}, errNoDescriptor
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -19,7 +19,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// logBuffer takes what a node logs.
+// logBuffer collects the log of a node.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -37,7 +37,7 @@
 	return l.text.String()
 }
 
-// lines are the lines that contain a text.
+// lines returns the lines that contain a text.
 func (l *logBuffer) lines(with string) (found []string) {
 	for line := range strings.Lines(l.String()) {
 		if strings.Contains(line, with) {
@@ -47,7 +47,7 @@
 	return found
 }
 
-// withLog makes a node log to out.
+// withLog returns a function that makes a node log to out.
 func withLog(out io.Writer) func(*Node) {
 	return func(n *Node) {
 		n.log = slog.New(slog.NewTextHandler(out, nil))
@@ -55,24 +55,25 @@
 	}
 }
 
-// startLogged runs a node with features switched on, before the backends.
-func startLogged(t *testing.T, features settings.File, backends ...*backend) (*testNode, *logBuffer) {
+// startWithFeatures starts a node with features enabled and the backends in its bootstrap list. It also returns the node's
+// log.
+func startWithFeatures(t *testing.T, features settings.File, backends ...*backend) (*testNode, *logBuffer) {
 	t.Helper()
-	cfg, out := configWith(t, backends...), &logBuffer{}
+	cfg, out := configWithBackends(t, backends...), &logBuffer{}
 	cfg.Features = features
-	return start(t, cfg, withLog(out)), out
+	return startNode(t, cfg, withLog(out)), out
 }
 
 const secret = "crush-pad-7"
 
-// faultInjectionFeatures are features with one fault injection, which affects all requests of its class, after a change.
+// faultInjectionFeatures returns features with one fault injection that affects all requests of its class, modified by change.
 func faultInjectionFeatures(change func(*settings.FaultInjection)) settings.File {
 	d := settings.FaultInjection{Name: "stall", Secret: secret, Class: "unsafe", Percent: 100, Duration: 10 * time.Minute}
 	change(&d)
 	return settings.File{FaultInjections: []settings.FaultInjection{d}}
 }
 
-// postFaultInjection asks for the start of a fault injection with some keys and returns the status.
+// postFaultInjection sends a request to start a fault injection, with the given keys, and returns the status.
 func postFaultInjection(t *testing.T, url string, keys ...string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+faultinjection.Path, nil)
@@ -86,10 +87,12 @@
 	return status
 }
 
-// Operators rehearse a fault on a tenth of the requests: of 1,000 about 100 are affected and logged, and each of the 1,000
-// is answered.
+// With a fault injection on 10 percent of the requests, about 100 of 1,000 requests are affected and logged, and all 1,000 are
+// answered.
 func TestFaultInjectionPercent(t *testing.T) {
-	n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Percent, d.Delay = 10, 20*time.Millisecond }), newBackend(t, respondOK))
+	n, out := startWithFeatures(t, faultInjectionFeatures(func(d *settings.FaultInjection) {
+		d.Percent, d.Delay = 10, 20*time.Millisecond
+	}), newBackend(t, respondOK))
 	if status := postFaultInjection(t, n.url, secret); status != http.StatusOK {
 		t.Fatalf("started with %d", status)
 	}
@@ -114,19 +117,19 @@
 		}()
 	}
 	wg.Wait()
-	marked := out.lines("msg=drilled")
-	if len(marked) < 70 || len(marked) > 130 {
-		t.Errorf("%d of 1000 were affected, want about 100", len(marked))
+	affected := out.lines("msg=drilled")
+	if len(affected) < 70 || len(affected) > 130 {
+		t.Errorf("%d of 1000 were affected, want about 100", len(affected))
 	}
-	for _, line := range marked {
+	for _, line := range affected {
 		if !strings.HasSuffix(line, " drill=stall\n") || !strings.Contains(line, " class=unsafe ") {
-			t.Errorf("said %q", line)
+			t.Errorf("logged %q", line)
 		}
 	}
 	n.stop()
 	<-n.ended
-	if want := fmt.Sprintf("hookwalk.drill.applied=%d ", len(marked)); len(out.lines(want)) == 0 {
-		// the counts of a slow run may lie in two lines
+	if want := fmt.Sprintf("hookwalk.drill.applied=%d ", len(affected)); len(out.lines(want)) == 0 {
+		// in a slow run the counts may be split over two lines
 		if len(out.lines("hookwalk.drill.applied=")) < 2 {
 			t.Errorf("want %q in %v", want, out.lines("msg=counts"))
 		}
@@ -136,71 +139,72 @@
 	}
 }
 
-// Only the key in the settings file starts a fault injection: without it a client could take the node out of service.
-func TestWhoMayStartFaultInjection(t *testing.T) {
+// Only the secret from the settings file starts a fault injection. Otherwise any client could take the node out of service.
+func TestOnlySecretStartsFaultInjection(t *testing.T) {
 	b := newBackend(t, respondOK)
-	none := startWith(t, b)
-	if status := postFaultInjection(t, none.url, secret); status != http.StatusNotFound {
+	unconfigured := startWithBackends(t, b)
+	if status := postFaultInjection(t, unconfigured.url, secret); status != http.StatusNotFound {
 		t.Errorf("without fault injections: %d", status)
 	}
-	if status := postFaultInjection(t, none.url); status != http.StatusBadRequest {
-		t.Errorf("without fault injections and a key it is any request without an ID, and got %d", status)
+	if status := postFaultInjection(t, unconfigured.url); status != http.StatusBadRequest {
+		t.Errorf("without fault injections and without a key, it is a request without an ID, but was answered %d", status)
 	}
-	locked, _ := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Secret = "" }), b)
+	withoutSecret, _ := startWithFeatures(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Secret = "" }), b)
 	for _, keys := range [][]string{nil, {""}, {secret}} {
-		if status := postFaultInjection(t, locked.url, keys...); status != http.StatusNotFound {
+		if status := postFaultInjection(t, withoutSecret.url, keys...); status != http.StatusNotFound {
 			t.Errorf("without a secret, keys %q: %d", keys, status)
 		}
 	}
-	n, out := startLogged(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), b)
+	n, out := startWithFeatures(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), b)
 	for _, keys := range [][]string{nil, {""}, {"crush-pad-"}, {secret + "7"}, {secret, secret}} {
 		if status := postFaultInjection(t, n.url, keys...); status != http.StatusForbidden {
 			t.Errorf("keys %q: %d", keys, status)
 		}
 	}
 	if len(out.lines("drill started")) != 0 {
-		t.Error("a wrong key started it")
+		t.Error("a wrong key started the fault injection")
 	}
 	for range 2 {
 		if status := postFaultInjection(t, n.url, secret); status != http.StatusOK {
-			t.Errorf("the key: %d", status)
+			t.Errorf("the right key: %d", status)
 		}
 	}
-	// The engine's loop logs a start after it has accepted it, so the line may come after the response.
+	// The engine's loop logs a start after accepting it, so the line may be written after the response.
 	started := func() []string { return out.lines(`msg="drill started" drill=stall`) }
 	eventually(t, "both starts are logged", func() bool { return len(started()) >= 2 })
 	if got := started(); len(got) != 2 {
-		t.Errorf("said %q", got)
+		t.Errorf("logged %q", got)
 	}
 	if b.requests() != 0 {
-		t.Error("a start went to a server")
+		t.Error("a request to start a fault injection was forwarded to a server")
 	}
 }
 
-// An aborted request is answered with the status that is configured, at once, and reaches no server.
+// An aborted request is answered at once with the configured status, and reaches no server.
 func TestAbortedRequestsReachNoServer(t *testing.T) {
-	for status, advice := range map[int]string{503: "1.2", 500: ""} {
+	for status, retryAfter := range map[int]string{503: "1.2", 500: ""} {
 		b := newBackend(t, respondOK)
-		n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.AbortStatus, d.Delay = status, time.Hour }), b)
+		n, out := startWithFeatures(t, faultInjectionFeatures(func(d *settings.FaultInjection) {
+			d.AbortStatus, d.Delay = status, time.Hour
+		}), b)
 		postFaultInjection(t, n.url, secret)
 		got, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
-		if got != status || header.Get("Retry-After") != advice || b.requests() != 0 {
+		if got != status || header.Get("Retry-After") != retryAfter || b.requests() != 0 {
 			t.Errorf("answered %d, Retry-After %q, %d attempts", got, header.Get("Retry-After"), b.requests())
 		}
 		if len(out.lines("id=1 class=unsafe drill=stall")) != 1 {
-			t.Errorf("said %s", out)
+			t.Errorf("logged %s", out)
 		}
 		if got, _, _ := sendRequest(t, newRequest(t, n.url, "keyed", "2", "x")); got != http.StatusOK {
-			t.Errorf("another class was answered %d", got)
+			t.Errorf("a request of another class was answered %d", got)
 		}
 	}
 }
 
-// A delayed request ends like any other: it is forgotten when its client leaves, and served at once when the node shuts
-// down.
-func TestDelayedRequestsAtTheirEnd(t *testing.T) {
+// A delayed request ends like any other: it is dropped when its client leaves, and served at once when the node shuts down.
+func TestDelayedRequestIsCanceledOrServedAtShutdown(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n, out := startLogged(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
+	n, out := startWithFeatures(t, faultInjectionFeatures(func(d *settings.FaultInjection) { d.Delay = time.Hour }), b)
 	postFaultInjection(t, n.url, secret)
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan struct{})
@@ -208,10 +212,10 @@
 		defer close(left)
 		http.DefaultClient.Do(newRequest(t, n.url, "unsafe", "leaves", "x").WithContext(ctx))
 	}()
-	eventually(t, "it is delayed", func() bool { return len(out.lines("id=leaves")) == 1 })
+	eventually(t, "the request is delayed", func() bool { return len(out.lines("id=leaves")) == 1 })
 	leave()
 	<-left
-	eventually(t, "its id is free", func() bool { // 409 as long as it is not
+	eventually(t, "the request ID is free", func() bool { // until then the answer is 409
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", "leaves", "x").WithContext(ctx))
@@ -222,34 +226,38 @@
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
-	eventually(t, "it is delayed", func() bool { return len(out.lines("id=held")) == 1 })
+	eventually(t, "the request is delayed", func() bool { return len(out.lines("id=held")) == 1 })
 	if b.requests() != 0 {
-		t.Error("a delayed request was sent")
+		t.Error("a delayed request was forwarded before its delay was over")
 	}
 	n.stop()
 	if status := <-held; status != http.StatusOK {
-		t.Errorf("when the node left it was answered %d", status)
+		t.Errorf("at shutdown the delayed request was answered %d", status)
 	}
 	if err := <-n.ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node ended with %v", err)
 	}
 }
 
-// The key is a secret: servers must not get it.
+// The key is a secret, so it is not forwarded to servers.
 func TestFaultInjectionKeyIsNotForwarded(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
 	r.Header.Set(faultinjection.Header, secret)
-	if status, _, _ := sendRequest(t, r); status != http.StatusOK || b.seen[0].Header.Get(faultinjection.Header) != "" {
-		t.Errorf("answered %d, the server got %v", status, b.seen[0].Header)
+	if status, _, _ := sendRequest(t, r); status != http.StatusOK || b.received[0].Header.Get(faultinjection.Header) != "" {
+		t.Errorf("answered %d, the server got %v", status, b.received[0].Header)
 	}
 }
 
 // A node that shuts down starts no fault injection.
 func TestNoFaultInjectionDuringShutdown(t *testing.T) {
-	h := &ingressHandler{faultKeys: faultinjection.NewKeys(faultInjectionFeatures(func(*settings.FaultInjection) {}).FaultInjections), endsConnections: func() bool { return false },
-		hardDeadline: func() time.Duration { return 1 }}
+	h := &ingressHandler{
+		faultKeys: faultinjection.NewKeys(faultInjectionFeatures(func(*settings.FaultInjection) {}).FaultInjections),
+
+		responsesCloseConnections: func() bool { return false },
+		hardDeadline:              func() time.Duration { return 1 },
+	}
 	r, w := httptest.NewRequest(http.MethodPost, faultinjection.Path, nil), httptest.NewRecorder()
 	r.Header.Set(faultinjection.Header, secret)
 	if h.startFaultInjection(w, r, netip.Addr{}); w.Code != http.StatusServiceUnavailable {
@@ -257,18 +265,19 @@
 	}
 }
 
-// A misspelt class ends the node at its start, with the position in the file, not when an operator needs the fault.
+// A misspelled class makes the node fail at startup, with the position in the settings file, rather than when an operator
+// starts the fault injection.
 func TestFaultInjectionOfUnknownClass(t *testing.T) {
 	cfg := testConfig(t, "pushed")
 	cfg.Features = faultInjectionFeatures(func(d *settings.FaultInjection) { d.Class, d.Pos = "new", "a.hcl:3" })
 	if _, err := New(cfg, discardLogger()); err == nil || !strings.Contains(err.Error(), `a.hcl:3: drill stall: class "new"`) {
-		t.Errorf("said %v", err)
+		t.Errorf("got error %v", err)
 	}
 }
 
-// A start whose body does not come is answered all the same, and its connection closed.
+// A request to start a fault injection is answered even if its body does not arrive completely. Its connection is closed.
 func TestFaultInjectionStartWithBody(t *testing.T) {
-	n, _ := startLogged(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), newBackend(t, respondOK))
+	n, _ := startWithFeatures(t, faultInjectionFeatures(func(*settings.FaultInjection) {}), newBackend(t, respondOK))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -25,16 +25,16 @@
  "lanes":[{"name":"keyed","effect":"idempotency_key","key-scope":"cell","window-ms":60000,"target-ms":20000,"deadline-ms":60000,"worth":2},
   {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,"target-ms":20000,"deadline-ms":60000,"worth":3}]}`
 
-// testConfig is a configuration whose discovery works in a mode, with a bootstrap list.
+// testConfig returns a configuration with a discovery mode ("pushed" or "on_request") and a bootstrap list.
 func testConfig(t *testing.T, mode string, known ...discoveryapi.Endpoint) Config {
 	t.Helper()
-	k, err := json.Marshal(discoveryapi.List{Version: 1, Complete: true, Endpoints: known})
+	knownJSON, err := json.Marshal(discoveryapi.List{Version: 1, Complete: true, Endpoints: known})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
 	 "seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		k, fmt.Sprintf(platformSettings, mode)))
+		knownJSON, fmt.Sprintf(platformSettings, mode)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,31 +43,32 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// inService is a server on the list that takes requests.
-func inService(id, addr string) discoveryapi.Endpoint {
+// inServiceEndpoint returns an entry of the endpoint list for a server that accepts requests.
+func inServiceEndpoint(id, addr string) discoveryapi.Endpoint {
 	return discoveryapi.Endpoint{ID: id, Addr: addr, Zone: "z", Health: "in_service"}
 }
 
-// eventually waits for what the node does by itself in the background.
+// eventually waits until a condition holds that the node brings about in the background. what names the condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("did not happen within 20 s: %s", what)
 		}
 	}
 }
 
-// backend is a server whose every request is handled by a function.
+// backend is a server that passes each request to a function and records it.
 type backend struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	seen  []*http.Request
-	body  []string
-	conns []net.Conn
+	ln       net.Listener
+	mu       sync.Mutex
+	received []*http.Request
+	bodies   []string
+	conns    []net.Conn
 }
 
-// newBackend serves until the test ends. serve returns false to close the connection.
+// newBackend starts a backend that serves until the test ends. serve writes the response to request number n (from 1) and
+// returns false to close the connection.
 func newBackend(t *testing.T, serve func(n int, c net.Conn, r *http.Request) bool) *backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,9 +106,9 @@
 						return
 					}
 					b.mu.Lock()
-					b.seen = append(b.seen, r)
-					b.body = append(b.body, string(body))
-					n := len(b.seen)
+					b.received = append(b.received, r)
+					b.bodies = append(b.bodies, string(body))
+					n := len(b.received)
 					b.mu.Unlock()
 					if !serve(n, c, r) {
 						return
@@ -124,7 +125,7 @@
 func (b *backend) requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen)
+	return len(b.received)
 }
 
 func (b *backend) accepted() int {
@@ -133,17 +134,17 @@
 	return len(b.conns)
 }
 
-// respond writes a response and reports whether the connection took it.
+// respond writes a response and reports whether the write succeeded.
 func respond(c net.Conn, status, body string, headers ...string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
 		strings.Join(append(headers, ""), "\r\n"), body)
 	return err == nil
 }
 
-// respondOK serves a request.
+// respondOK answers a request with 200.
 func respondOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
-// silentDiscovery is a discovery that keeps its watches open and has nothing new.
+// silentDiscovery starts a discovery server that keeps its watches open without sending updates.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +156,7 @@
 
 func newDiscoveryServer(t *testing.T, f http.HandlerFunc) string { return discoverytest.Serve(t, f) }
 
-// testNode is a node that serves on loopback.
+// testNode is a node that serves on a loopback address.
 type testNode struct {
 	*Node
 	url   string
@@ -163,33 +164,33 @@
 	ended chan error
 }
 
-// start runs a node on a listener of its own and waits until it is ready. adjust changes it before.
-func start(t *testing.T, cfg Config, adjust ...func(*Node)) *testNode {
+// startNode starts a node on a new listener and waits until it is ready. The adjust functions change it before it serves.
+func startNode(t *testing.T, cfg Config, adjust ...func(*Node)) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := serveOn(t, cfg, ln, adjust...)
-	eventually(t, "ready", func() bool {
-		resp, err := http.Get(r.url + "/ready")
+	n := startNodeOn(t, cfg, ln, adjust...)
+	eventually(t, "the node answers /ready with 200", func() bool {
+		resp, err := http.Get(n.url + "/ready")
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	return r
+	return n
 }
 
-// serveOn runs a node on a listener of the test's.
-func serveOn(t *testing.T, cfg Config, ln net.Listener, adjust ...func(*Node)) *testNode {
+// startNodeOn starts a node on a listener that the test provides.
+func startNodeOn(t *testing.T, cfg Config, ln net.Listener, adjust ...func(*Node)) *testNode {
 	t.Helper()
 	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.maxCountedDeadline = 0 // no test waits for a late SIGKILL, but those that set it again
+	n.maxCountedDeadline = 0 // shortens the shutdown; tests of the shutdown restore it
 	for _, f := range adjust {
 		f(n)
 	}
@@ -204,29 +205,29 @@
 		cancel()
 		<-ended
 	})
-	eventually(t, "a list", n.ready)
+	eventually(t, "the node has an endpoint list", n.ready)
 	return r
 }
 
-// startWith runs a node that knows the backends and gets no further list.
-func startWith(t *testing.T, backends ...*backend) *testNode {
+// startWithBackends starts a node with the backends in its bootstrap list and no further endpoint updates.
+func startWithBackends(t *testing.T, backends ...*backend) *testNode {
 	t.Helper()
-	return start(t, configWith(t, backends...))
+	return startNode(t, configWithBackends(t, backends...))
 }
 
-// configWith is a configuration with the backends in its bootstrap list.
-func configWith(t *testing.T, backends ...*backend) Config {
+// configWithBackends returns a configuration with the backends in its bootstrap list.
+func configWithBackends(t *testing.T, backends ...*backend) Config {
 	t.Helper()
 	var hosts []discoveryapi.Endpoint
 	for i, b := range backends {
-		hosts = append(hosts, inService(fmt.Sprintf("s-%d", i), b.addr()))
+		hosts = append(hosts, inServiceEndpoint(fmt.Sprintf("s-%d", i), b.addr()))
 	}
 	cfg := testConfig(t, "pushed", hosts...)
 	cfg.Discovery = silentDiscovery(t)
 	return cfg
 }
 
-// newRequest is a request of a class, with 30 s to answer it.
+// newRequest returns a request of a class with a budget of 30 s.
 func newRequest(t *testing.T, url, class, id, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/api/x%2Fy?q=1&r=%20", strings.NewReader(body))
@@ -257,7 +258,7 @@
 	return resp.StatusCode, resp.Header, string(body)
 }
 
-// stopAndCheckIdle ends a node and checks that nothing is in flight then, by the balancer's own account.
+// stopAndCheckIdle stops a node and checks that neither the balancer nor the connection pool has anything left in flight.
 func stopAndCheckIdle(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
@@ -268,30 +269,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var c struct {
+	var checkpoint struct {
 		Servers  []struct{ Open [][2]int }
 		Requests []any
 		Pools    []struct{ InFlight int }
 	}
-	if err := json.Unmarshal(text, &c); err != nil {
+	if err := json.Unmarshal(text, &checkpoint); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range c.Servers {
+	for _, s := range checkpoint.Servers {
 		if len(s.Open) > 0 {
-			t.Errorf("attempts in flight at a server: %v", s.Open)
+			t.Errorf("attempts in flight at a server after the stop: %v", s.Open)
 		}
 	}
-	for _, p := range c.Pools {
+	for _, p := range checkpoint.Pools {
 		if p.InFlight != 0 {
-			t.Errorf("%d attempts of a pool in flight", p.InFlight)
+			t.Errorf("%d attempts of a pool in flight after the stop", p.InFlight)
 		}
 	}
-	if len(c.Requests) > 0 || len(n.pool.conns) > 0 || n.pool.dialing != 0 || len(n.pool.idleByTarget) > 1 {
-		t.Errorf("kept: %d requests, %d connections, %d coming up, %d targets", len(c.Requests), len(n.pool.conns), n.pool.dialing, len(n.pool.idleByTarget))
+	if len(checkpoint.Requests) > 0 || len(n.pool.conns) > 0 || n.pool.dialing != 0 || len(n.pool.idleByTarget) > 1 {
+		t.Errorf("after the stop: %d requests, %d connections, %d being dialed, %d targets", len(checkpoint.Requests),
+			len(n.pool.conns), n.pool.dialing, len(n.pool.idleByTarget))
 	}
 }
 
-// rawServer hands each connection to a function, which has it to itself.
+// rawServer starts a server that passes each connection to a function in its own goroutine.
 func rawServer(t *testing.T, serve func(c *net.TCPConn)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -314,13 +316,13 @@
 	return ln.Addr().String()
 }
 
-// resetConn ends a connection with a reset, whatever has come on it.
+// resetConn closes a connection with a reset.
 func resetConn(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// readWholeRequest reads one complete request.
+// readWholeRequest reads one complete request and reports whether it succeeded.
 func readWholeRequest(c net.Conn) bool {
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err == nil {
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -14,42 +14,42 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// Deadlines of client connections. A client that sends nothing sound is owed a close within 3 s of connecting; they
-// guard against slow clients (slow loris), which would hold slots and memory for as long as they like.
+// Timeouts and limits of client connections. They protect against slow clients (slow loris), which would otherwise hold
+// slots and memory indefinitely. A client that sends no valid request must be disconnected within 3 s of connecting.
 const (
-	// requestHeadTimeout bounds a request's head, counted from accepting the connection if it is the first one. Some
-	// clients take 2 s.
+	// requestHeadTimeout bounds the time for reading a request's head. For the first request it runs from accepting the
+	// connection. Some clients take 2 s.
 	requestHeadTimeout = 2700 * time.Millisecond
 
-	// unreadBodyTimeout is how long a client may still send a body that is not read, before its connection is closed.
+	// unreadBodyTimeout is how long a client may continue to send a body that is not read, before its connection is closed.
 	unreadBodyTimeout = 1200 * time.Millisecond
 
-	// responseWriteTimeout bounds the writing of a response that is buffered: one that a client does not take fails.
+	// responseWriteTimeout bounds the time for writing a buffered response to a client.
 	responseWriteTimeout = 5 * time.Second
 
-	// clientIdleTimeout is how long a client's connection stays open between requests.
+	// clientIdleTimeout is how long a client connection stays open between requests.
 	clientIdleTimeout = time.Minute
 
-	// maxRequestHead bounds a request's head, in bytes.
+	// maxRequestHead is the maximum size of a request's head in bytes.
 	maxRequestHead = 16 << 10
 )
 
-// ingressHandler answers the requests of clients. net/http runs it in one goroutine a connection.
+// ingressHandler answers the requests of clients. net/http calls it in one goroutine per connection.
 //
-// What a client is owed: one final response for each request that was read, or the end of its connection when it has
-// gone, when the response can't be completed, or when this process is forced to end.
+// Each request that was read gets exactly one final response. Its connection is closed without a complete response only if
+// the client has gone, if the response can't be completed, or if this process is forced to end.
 type ingressHandler struct {
-	engine          *engine.Engine
-	clock           engine.Clock
-	classes         func() *classTable
-	bufferLimit     int // of a request's body, in bytes
-	faultKeys       *faultinjection.Keys
-	metrics         *metrics.Reporter    // nil: off
-	accessList      *balancer.AccessList // nil: every client is admitted
-	guard           *invariants.Guard
-	ready           func() bool
-	endsConnections func() bool          // every response ends its connection
-	hardDeadline    func() time.Duration // the clock time by which every request is answered; 0: the node is not shutting down
+	engine                    *engine.Engine
+	clock                     engine.Clock
+	classes                   func() *classTable
+	bufferLimit               int // buffered bytes of a request's body
+	faultKeys                 *faultinjection.Keys
+	metrics                   *metrics.Reporter    // nil: off
+	accessList                *balancer.AccessList // nil: every client is admitted
+	guard                     *invariants.Guard
+	ready                     func() bool
+	responsesCloseConnections func() bool          // every response closes its connection
+	hardDeadline              func() time.Duration // clock time by which all requests must be answered; 0: not shutting down
 }
 
 // ServeHTTP answers the readiness check, starts a fault injection, or serves a request.
@@ -66,8 +66,8 @@
 		h.startFaultInjection(w, r, client)
 		return
 	}
-	if status := h.serveMeasured(w, r); status == statusClientGone || status == statusTruncated {
-		panic(http.ErrAbortHandler) // else net/http would answer 200 to a client that only closed its sending side
+	if status := h.serveWithMetrics(w, r); status == statusClientGone || status == statusTruncated {
+		panic(http.ErrAbortHandler) // otherwise net/http would send a 200 to a client that only closed its sending side
 	}
 }
 
@@ -75,7 +75,7 @@
 func (h *ingressHandler) serveRequest(w http.ResponseWriter, r *http.Request, tags metrics.Tags) (status int) {
 	req, notAccepted := h.readOrMarkDenied(w, r)
 	if notAccepted != nil {
-		endConnection(w) // the body may not have been read to its end
+		closeAfterResponse(w) // the body may not have been read to its end
 		http.Error(w, notAccepted.Reason, notAccepted.Status)
 		return notAccepted.Status
 	}
@@ -89,27 +89,27 @@
 	}
 	answer, err := h.engine.Do(r.Context(), &req.Call)
 	if conn != nil && conn.readAhead.endRequest() {
-		endConnection(w) // bytes behind the request were dropped
+		closeAfterResponse(w) // bytes that followed the request were discarded
 	}
 	if bodyFailed := req.finishBody(w, err); bodyFailed {
 		http.Error(w, errRequestBody.Error(), http.StatusBadRequest)
 		return http.StatusBadRequest
 	}
-	if err != nil { // the client has gone, or the node ends and this connection was closed
-		closed := invariants.RequestEnd{ClientGone: errors.Is(err, engine.ErrClientGone)}
-		h.guard.Note(closed.Check(), "id", req.Request.ID, "err", err)
+	if err != nil { // the client has gone, or the node ends and has closed this connection
+		end := invariants.RequestEnd{ClientGone: errors.Is(err, engine.ErrClientGone)}
+		h.guard.Note(end.Check(), "id", req.Request.ID, "err", err)
 		return statusClientGone
 	}
 	return h.writeResponse(w, conn, answer)
 }
 
-// readOrMarkDenied reads and validates a request. notAccepted is the answer to one that breaks the protocol: a 4xx or 505
-// that the engine never sees. Of a client that the access list denies only the head is read. Its request is accepted here
-// and goes to the engine marked as denied: the rejection is the engine's, which logs and counts it.
+// readOrMarkDenied reads and validates a request. The error is the 4xx or 505 answer to a request that violates the
+// protocol; such a request never reaches the engine. For a client that the access list denies, only the head is read, and
+// the request is passed to the engine marked as denied, because the engine logs and counts the rejection.
 func (h *ingressHandler) readOrMarkDenied(w http.ResponseWriter, r *http.Request) (*clientRequest, *requestError) {
 	client, denied := h.deniedClient(r)
 	if denied {
-		closeWithoutReading(w)
+		closeWithoutReadingBody(w)
 		return deniedRequest(r, client), nil
 	}
 	req, notAccepted := h.readRequest(w, r)
@@ -120,34 +120,34 @@
 	return req, nil
 }
 
-// finishBody ends the reading of a streamed body and reports whether the body is to blame that the request has no
-// answer. answerErr is what the engine gave in place of one.
+// finishBody ends the reading of a streamed body. It reports whether the request failed because its body did not arrive
+// completely. answerErr is the engine's error, or nil if the engine gave an answer.
 func (req *clientRequest) finishBody(w http.ResponseWriter, answerErr error) (failed bool) {
 	complete, broken := true, false
 	if req.remaining != nil {
 		complete, broken = req.remaining.close()
 	}
 	if req.contentLength < 0 || !complete {
-		endConnection(w) // where the body ends is not known here, or there is more of it
+		closeAfterResponse(w) // the end of the body is not known here, or a part of it is unread
 	}
-	// net/http reports a body that stalls as a client that has gone, at times before the reader does.
+	// For a stalled body, net/http may report that the client has gone before the reader reports the error.
 	return broken || answerErr != nil && !complete
 }
 
-// endConnection has net/http close the connection after the response.
-func endConnection(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+// closeAfterResponse makes net/http close the connection after the response.
+func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// closeWithoutReading ends the connection with the response: the body is not read, and what still comes of it is waited
-// for no longer than unreadBodyTimeout.
-func closeWithoutReading(w http.ResponseWriter) {
-	endConnection(w)
+// closeWithoutReadingBody makes net/http close the connection after the response. The body is not read, and the client may
+// continue to send it for unreadBodyTimeout at most.
+func closeWithoutReadingBody(w http.ResponseWriter) {
+	closeAfterResponse(w)
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 }
 
-// startFaultInjection starts the fault injection whose key a request has.
+// startFaultInjection starts the fault injection whose key is in a request's header.
 func (h *ingressHandler) startFaultInjection(w http.ResponseWriter, r *http.Request, client netip.Addr) {
-	if r.ContentLength != 0 || h.endsConnections() {
-		closeWithoutReading(w)
+	if r.ContentLength != 0 || h.responsesCloseConnections() {
+		closeWithoutReadingBody(w)
 	}
 	name, err := h.faultKeys.Match(r.Header)
 	switch {
--- a/internal/node/ingress_test.go
+++ b/internal/node/ingress_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// A request reaches a server as it came, but for hop-by-hop headers, and its response the client.
+// A request reaches a server unchanged except for hop-by-hop headers and its budget, and the response reaches the client.
 func TestRequestIsServed(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	r := newRequest(t, n.url, "keyed", "id-1", "payload")
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
 	if status, _, body := sendRequest(t, r); status != http.StatusOK || body != "done" {
 		t.Fatalf("got %d %q", status, body)
 	}
-	got := b.seen[0]
-	if got.RequestURI != "/api/x%2Fy?q=1&r=%20" || b.body[0] != "payload" || got.Header.Get("X-Call-Id") != "id-1" ||
+	got := b.received[0]
+	if got.RequestURI != "/api/x%2Fy?q=1&r=%20" || b.bodies[0] != "payload" || got.Header.Get("X-Call-Id") != "id-1" ||
 		got.Header.Get("Idempotency-Key") != "k-id-1" || got.Header.Get("X-Hop") != "" {
-		t.Errorf("the server got %s %q %v", got.RequestURI, b.body[0], got.Header)
+		t.Errorf("the server got %s %q %v", got.RequestURI, b.bodies[0], got.Header)
 	}
 	if left, err := parseBudget(got.Header.Get("X-Budget")); err != nil || left > 30*time.Second {
 		t.Errorf("X-Budget %v, %v", left, err)
@@ -36,33 +36,33 @@
 // A malformed request gets a 4xx and reaches no server.
 func TestMalformedRequests(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
-	for name, spoil := range map[string]func(*http.Request){
-		"no id":         func(r *http.Request) { r.Header.Del("X-Call-Id") },
-		"an id of 9 KB": func(r *http.Request) { r.Header.Set("X-Call-Id", strings.Repeat("x", 9000)) },
-		"no class":      func(r *http.Request) { r.Header.Del("X-Call-Class") },
-		"no budget":     func(r *http.Request) { r.Header.Del("X-Budget") },
-		"no unit":       func(r *http.Request) { r.Header.Set("X-Budget", "480") },
-		"unknown unit":  func(r *http.Request) { r.Header.Set("X-Budget", "480s") },
-		"no number":     func(r *http.Request) { r.Header.Set("X-Budget", "m") },
-		"not a number":  func(r *http.Request) { r.Header.Set("X-Budget", "nanm") },
-		"negative":      func(r *http.Request) { r.Header.Set("X-Budget", "-1m") },
-		"nothing left":  func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
-		"exponent":      func(r *http.Request) { r.Header.Set("X-Budget", "1e3m") },
-		"hexadecimal":   func(r *http.Request) { r.Header.Set("X-Budget", "0x1fm") },
-		"unknown class": func(r *http.Request) { r.Header.Set("X-Call-Class", "new") },
-		"two ids":       func(r *http.Request) { r.Header.Add("X-Call-Id", "other") },
-		"two budgets":   func(r *http.Request) { r.Header.Add("X-Budget", "500m") },
-		"keyed, no key": func(r *http.Request) { r.Header.Del("Idempotency-Key") },
-		"unsafe, key":   func(r *http.Request) { r.Header.Set("X-Call-Class", "unsafe") },
-		"GET":           func(r *http.Request) { r.Method = http.MethodGet },
-		"chunked GET":   func(r *http.Request) { r.Method, r.ContentLength = http.MethodGet, -1 },
-		"endless":       func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
-		"method":        func(r *http.Request) { r.Method = http.MethodDelete },
+	n := startWithBackends(t, b)
+	for name, mutate := range map[string]func(*http.Request){
+		"no id":                   func(r *http.Request) { r.Header.Del("X-Call-Id") },
+		"ID of 9 KB":              func(r *http.Request) { r.Header.Set("X-Call-Id", strings.Repeat("x", 9000)) },
+		"no class":                func(r *http.Request) { r.Header.Del("X-Call-Class") },
+		"no budget":               func(r *http.Request) { r.Header.Del("X-Budget") },
+		"no unit":                 func(r *http.Request) { r.Header.Set("X-Budget", "480") },
+		"unknown unit":            func(r *http.Request) { r.Header.Set("X-Budget", "480s") },
+		"no number":               func(r *http.Request) { r.Header.Set("X-Budget", "m") },
+		"not a number":            func(r *http.Request) { r.Header.Set("X-Budget", "nanm") },
+		"negative":                func(r *http.Request) { r.Header.Set("X-Budget", "-1m") },
+		"zero budget":             func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
+		"exponent":                func(r *http.Request) { r.Header.Set("X-Budget", "1e3m") },
+		"hexadecimal":             func(r *http.Request) { r.Header.Set("X-Budget", "0x1fm") },
+		"unknown class":           func(r *http.Request) { r.Header.Set("X-Call-Class", "new") },
+		"two ids":                 func(r *http.Request) { r.Header.Add("X-Call-Id", "other") },
+		"two budgets":             func(r *http.Request) { r.Header.Add("X-Budget", "500m") },
+		"keyed class without key": func(r *http.Request) { r.Header.Del("Idempotency-Key") },
+		"unsafe class with key":   func(r *http.Request) { r.Header.Set("X-Call-Class", "unsafe") },
+		"GET":                     func(r *http.Request) { r.Method = http.MethodGet },
+		"chunked GET":             func(r *http.Request) { r.Method, r.ContentLength = http.MethodGet, -1 },
+		"endless":                 func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
+		"method":                  func(r *http.Request) { r.Method = http.MethodDelete },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRequest(t, n.url, "keyed", "id-"+name, "payload")
-			spoil(r)
+			mutate(r)
 			if status, _, _ := sendRequest(t, r); status < 400 || status > 499 {
 				t.Errorf("answered %d", status)
 			}
@@ -82,20 +82,20 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, text) // may fail: the node need not wait for the end
+	io.WriteString(c, text) // may fail: the node may close the connection before it has read everything
 	got, err := io.ReadAll(c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("left open after %q", got)
+		t.Fatalf("the node left the connection open after %q", got)
 	}
 	return string(got)
 }
 
 // Request smuggling: with two lengths, or lines that end in LF alone, a proxy and the node could see different requests in
-// the same bytes, and a server could get as a request what a client wrote as a body. Any request whose end is ambiguous
-// gets one 4xx or 5xx and a close, and what follows on its connection is never read.
+// the same bytes, and a server could receive a part of a client's body as a request. Any request whose end is ambiguous
+// gets one 4xx or 5xx and a close, and the bytes that follow it on its connection are never read.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	request := func(id, version, framing string) string {
 		return "POST /api HTTP/" + version + "\r\nHost: h\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\n" +
 			"X-Budget: 30000m\r\n" + framing + "\r\n\r\n"
@@ -103,28 +103,28 @@
 	inner := request("inner", "1.1", "Content-Length: 0")
 	both := fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked", 5+len(inner))
 	for name, text := range map[string]string{
-		"both":               request("1", "1.1", both) + "0\r\n\r\n" + inner,
-		"both, 1.0":          request("2", "1.0", "Connection: keep-alive\r\n"+both) + "0\r\n\r\n" + inner,
-		"coding, 1.0":        request("2", "1.0", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
-		"coding, 0.1":        request("2", "0.1", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
-		"both, other way":    request("3", "1.1", "Transfer-Encoding: chunked\r\nContent-Length: 0") + "0\r\n\r\n" + inner,
-		"both, spaced":       request("3", "1.1", "Transfer-Encoding:  chunked\r\ncontent-LENGTH:\t 5 ") + "0\r\n\r\n" + inner,
-		"bare LF":            strings.Replace(request("3", "1.1", "Content-Length: 0"), "h\r\n", "h\n", 1) + inner,
-		"bare LF at the end": strings.TrimSuffix(request("3", "1.1", "Content-Length: 0"), "\r\n") + "\n" + inner,
-		"a CR in a line":     request("3", "1.1", "X: a\rContent-Length: 5\r\nContent-Length: 0") + inner,
-		"folded length":      request("3", "1.1", "Content-Length:\r\n 5") + inner,
-		"folded coding":      request("3", "1.1", "Transfer-Encoding:\r\n chunked") + "0\r\n\r\n" + inner,
-		"two codings":        request("3", "1.1", "Transfer-Encoding: gzip, chunked") + "0\r\n\r\n" + inner,
-		"chunk of no size":   request("3", "1.1", "Transfer-Encoding: chunked") + "x\r\n\r\n" + inner,
-		"identity":           request("4", "1.1", "Transfer-Encoding: identity") + inner,
-		"negative":           request("5", "1.1", "Content-Length: -1") + inner,
-		"signed":             request("6", "1.1", "Content-Length: +0") + inner,
-		"two":                request("7", "1.1", "Content-Length: 0\r\nContent-Length: 5") + inner,
-		"a list":             request("8", "1.1", "Content-Length: 0, 0") + inner,
-		"huge":               request("9", "1.1", "Content-Length: 99999999999999999999") + inner,
-		"90 MB":              request("10", "1.1", "Content-Length: 90000000") + inner,
-		"no request":         "\x16\x03\x01\x02\x00\x01\r\n\r\n" + inner,
-		"long head":          request("11", "1.1", "X-Long: "+strings.Repeat("x", 40<<10)) + inner,
+		"both":                    request("1", "1.1", both) + "0\r\n\r\n" + inner,
+		"both, 1.0":               request("2", "1.0", "Connection: keep-alive\r\n"+both) + "0\r\n\r\n" + inner,
+		"coding, 1.0":             request("2", "1.0", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
+		"coding, 0.1":             request("2", "0.1", "Connection: keep-alive\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + inner,
+		"both, coding first":      request("3", "1.1", "Transfer-Encoding: chunked\r\nContent-Length: 0") + "0\r\n\r\n" + inner,
+		"both, with extra spaces": request("3", "1.1", "Transfer-Encoding:  chunked\r\ncontent-LENGTH:\t 5 ") + "0\r\n\r\n" + inner,
+		"bare LF":                 strings.Replace(request("3", "1.1", "Content-Length: 0"), "h\r\n", "h\n", 1) + inner,
+		"bare LF at the end":      strings.TrimSuffix(request("3", "1.1", "Content-Length: 0"), "\r\n") + "\n" + inner,
+		"CR within a line":        request("3", "1.1", "X: a\rContent-Length: 5\r\nContent-Length: 0") + inner,
+		"folded length":           request("3", "1.1", "Content-Length:\r\n 5") + inner,
+		"folded coding":           request("3", "1.1", "Transfer-Encoding:\r\n chunked") + "0\r\n\r\n" + inner,
+		"two codings":             request("3", "1.1", "Transfer-Encoding: gzip, chunked") + "0\r\n\r\n" + inner,
+		"chunk without a size":    request("3", "1.1", "Transfer-Encoding: chunked") + "x\r\n\r\n" + inner,
+		"identity":                request("4", "1.1", "Transfer-Encoding: identity") + inner,
+		"negative":                request("5", "1.1", "Content-Length: -1") + inner,
+		"signed":                  request("6", "1.1", "Content-Length: +0") + inner,
+		"two":                     request("7", "1.1", "Content-Length: 0\r\nContent-Length: 5") + inner,
+		"list of lengths":         request("8", "1.1", "Content-Length: 0, 0") + inner,
+		"huge":                    request("9", "1.1", "Content-Length: 99999999999999999999") + inner,
+		"90 MB":                   request("10", "1.1", "Content-Length: 90000000") + inner,
+		"TLS handshake":           "\x16\x03\x01\x02\x00\x01\r\n\r\n" + inner,
+		"long head":               request("11", "1.1", "X-Long: "+strings.Repeat("x", 40<<10)) + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := exchange(t, n, text)
@@ -134,47 +134,48 @@
 		})
 	}
 	if n := b.requests(); n != 0 {
-		t.Errorf("%d of them reached a server", n)
+		t.Errorf("%d ambiguous requests reached a server", n)
 	}
 }
 
-// A request that the balancer gives up on is answered at once, long before its deadline: a rejection with a Retry-After, a
-// failure, which may have run, without.
-func TestFinalAnswers(t *testing.T) {
-	full := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
+// A request that the balancer gives up on is answered at once, long before its deadline. A rejection has a Retry-After; a
+// failure, after which the request may have run, has none.
+func TestRejectionAndFailureResponses(t *testing.T) {
+	rejecting := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
 	})
-	broken := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	failing := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "500 Internal Server Error", "")
 	})
 	begin := time.Now()
-	status, header, _ := sendRequest(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
+	status, header, _ := sendRequest(t, newRequest(t, startWithBackends(t, rejecting).url, "unsafe", "1", "x"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.2" {
-		t.Errorf("refused with %d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("rejected with %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	status, header, _ = sendRequest(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
+	status, header, _ = sendRequest(t, newRequest(t, startWithBackends(t, failing).url, "unsafe", "1", "x"))
 	if status != http.StatusBadGateway || header.Get("Retry-After") != "" {
 		t.Errorf("failed with %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	if took := time.Since(begin); took > 15*time.Second { // of 30 s that each had
+	if took := time.Since(begin); took > 15*time.Second { // each request has a budget of 30 s
 		t.Errorf("answered after %v", took)
 	}
 }
 
-// The balancer knows a request by its ID: a second one with the same ID would never be answered. It is rejected with 409.
+// The balancer identifies a request by its ID. A second open request with the same ID would never be answered, so it is
+// rejected with 409.
 func TestDuplicateIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		first <- status
 	}()
-	eventually(t, "the first is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the first request has reached the server", func() bool { return b.requests() == 1 })
 	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusConflict {
 		t.Errorf("answered %d, want 409", status)
 	}
@@ -182,21 +183,21 @@
 	select {
 	case status := <-first:
 		if status != http.StatusOK {
-			t.Errorf("the first was answered %d", status)
+			t.Errorf("the first request was answered %d", status)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the first was never answered")
+		t.Error("the first request was not answered")
 	}
 }
 
-// A client leaves while its request is at a server. Its ID must become free again.
-func TestGoneClientIsForgotten(t *testing.T) {
+// A client leaves while its request is at a server. The request ID must become free again.
+func TestRequestIDIsFreeAfterClientLeaves(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
 		return respond(c, "200 OK", "done")
 	})
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	r := newRequest(t, n.url, "unsafe", "1", "x").WithContext(ctx)
@@ -204,14 +205,14 @@
 		_, err := http.DefaultClient.Do(r)
 		left <- err
 	}()
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the request has reached the server", func() bool { return b.requests() == 1 })
 	leave()
 	if err := <-left; err == nil {
-		t.Fatal("it was answered")
+		t.Fatal("the request was answered, although its client left")
 	}
 	close(release)
-	// Its id is free again only when the loop has let go of the call and of its attempt.
-	eventually(t, "its id is free", func() bool {
+	// The ID is free again after the engine's loop has removed the call and its attempt.
+	eventually(t, "the request ID is free", func() bool {
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		return status == http.StatusOK
 	})
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -34,7 +34,7 @@
 	})
 	cfg := testConfig(t, "on_request")
 	cfg.Discovery = addr
-	n := start(t, cfg) // becomes ready only with the list
+	n := startNode(t, cfg) // becomes ready only with the list
 	if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
@@ -46,10 +46,10 @@
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
 	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
-	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
+	cfg := testConfig(t, "pushed", inServiceEndpoint("s-1", first.addr()), inServiceEndpoint("s-2", second.addr()))
 	cfg.Discovery = addr
 	heard := make(chan struct{}, 10)
-	n := start(t, cfg, func(n *Node) {
+	n := startNode(t, cfg, func(n *Node) {
 		applyUpdate := n.discovery.ApplyUpdate
 		n.discovery.ApplyUpdate = func(ctx context.Context, w engine.Update) error {
 			err := applyUpdate(ctx, w)
@@ -110,7 +110,7 @@
 	a := discoverytest.NewAgent(discoverytest.CompleteList)
 	addr := discoverytest.Serve(t, a)
 	old, sound := newBackend(t, respondOK), newBackend(t, respondOK)
-	cfg := testConfig(t, "pushed", inService("s-1", old.addr()), inService("s-2", sound.addr()))
+	cfg := testConfig(t, "pushed", inServiceEndpoint("s-1", old.addr()), inServiceEndpoint("s-2", sound.addr()))
 	cfg.Discovery = addr
 	n, err := New(cfg, discardLogger())
 	if err != nil {
@@ -176,7 +176,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cfg := testConfig(t, "pushed", inService("s-1", "127.0.0.1:1"))
+				cfg := testConfig(t, "pushed", inServiceEndpoint("s-1", "127.0.0.1:1"))
 				n, err := New(cfg, discardLogger())
 				if err != nil {
 					t.Fatal(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,16 +1,17 @@
-// Package node runs the balancer as a daemon: it takes requests from clients over HTTP, hands them to the engine, carries
-// attempts to servers, watches discovery, answers operators and hands over to a successor process.
+// Package node runs the balancer as a daemon. It accepts HTTP requests from clients, passes them to the engine, sends
+// attempts to servers, watches discovery, serves the admin API and hands over to a successor process.
 //
-// By subject:
+// Files by subject:
 //
-//   - node.go, serve.go, shutdown.go: the Node, its start, and its end
-//   - initiallist.go: the endpoint list that the node begins with
-//   - config.go, configcompat.go, override.go, reload.go, classtable.go: the configuration, and its changes while it runs
+//   - node.go, serve.go, shutdown.go: the Node, its startup and its shutdown
+//   - initiallist.go: the first endpoint list
+//   - config.go, configcompat.go, override.go, reload.go, classtable.go: the configuration, and changes to it at run time
 //   - ingress.go, request.go, headers.go, response.go, requestmetrics.go: requests from clients and their responses
 //   - clientlistener.go, clientconn.go, accesscontrol.go, readahead.go: client connections
 //   - requestbody.go, responsestream.go: bodies that are too large to be buffered
-//   - connpool.go, connreuse.go, suspicion.go, closereason.go, upstreamconn.go, attempt.go: connections to servers and attempts on them
-//   - admin.go: operators' calls
+//   - connpool.go, connreuse.go, suspicion.go, closereason.go, upstreamconn.go, attempt.go: connections to servers, and
+//     the attempts sent on them
+//   - admin.go: the admin API
 //   - handover.go, otherprocess.go: hot restart
 package node
 
@@ -32,58 +33,66 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// Descriptors. A process that runs out of them can accept nobody and reach no server, so each use has a bound.
+// Limits on file descriptors. A process without a free descriptor can neither accept a client nor connect to a server, so
+// each kind of use is bounded.
 const (
 	reservedDescriptors    = 32   // for the listener, discovery, logs and the runtime
-	defaultDescriptorLimit = 1024 // where the platform sets no limit
+	defaultDescriptorLimit = 1024 // used when the platform sets no limit
 
-	// minDescriptorLimit is the lowest limit with which a node starts: below it too little is left beside the reserve.
+	// minDescriptorLimit is the lowest limit with which a node starts. A lower one leaves too few descriptors after the
+	// reserved ones.
 	minDescriptorLimit = 4 * reservedDescriptors
 
-	// clientDescriptorShare of descriptorShares is the part of the descriptors that are not reserved which is for clients.
-	// The rest is for servers. A client's connection may be idle, and then needs none to a server.
+	// clientDescriptorShare / descriptorShares is the fraction of the unreserved descriptors that client connections may
+	// use. The rest is for connections to servers. Clients get the larger part because an idle client connection needs no
+	// connection to a server.
 	clientDescriptorShare = 5
-	descriptorShares      = 8 // see clientDescriptorShare
+	descriptorShares      = 8 // denominator of clientDescriptorShare
 )
 
 // Node is one balancer process.
 //
-// New opens nothing. Run owns all goroutines and connections, and returns when they have ended.
+// New opens no files or connections. Run owns all goroutines and connections, and returns when they have ended.
 type Node struct {
-	cfg            Config // that of the start
+	cfg            Config // the configuration at startup
 	log            *slog.Logger
 	clock          engine.Clock
 	engine         *engine.Engine
 	pool           *connPool
 	discovery      *discovery.Source
 	accessList     *balancer.AccessList // nil: every client is admitted
-	stderr         io.Writer            // takes metrics and captures
-	maxClientConns int                  // at once
+	stderr         io.Writer            // receives metrics and captures
+	maxClientConns int                  // limit on concurrent client connections
 	clientListener *clientListener      // set by serve
 
-	lifecycle          atomic.Pointer[lifecycle.Machine] // replaced by transition only
-	maxCountedDeadline time.Duration                     // as the constant; less in tests
+	lifecycle          atomic.Pointer[lifecycle.Machine] // only transition replaces it
+	maxCountedDeadline time.Duration                     // the constant of this name; lower in tests
 	idleClosers        sync.WaitGroup                    // goroutines of closeIdleConnections
 	stopped            chan struct{}                     // closed when clients are no longer served
 
-	initialListSettled atomic.Bool // from discovery or the process before, or discovery had its time
+	// initialListSettled is set when the first endpoint list has been received from discovery or from the previous process,
+	// or when the wait for discovery has timed out.
+	initialListSettled atomic.Bool
 	initialList        initialList
 	otherProcess       otherProcess
-	inheritedEndpoints []engine.Endpoint // handed over by the process before; nil: none
+	inheritedEndpoints []engine.Endpoint // handed over by the previous process; nil: none
 
-	// PeersView returns what this node knows of its peers, for operators; nil: nothing. To be set before Run.
+	// PeersView returns what this node knows about its peers, for the admin API. It is nil if the node has no peers. Set it
+	// before Run.
 	PeersView func() any
-	// ReloadKeys reads the peers' keys again, at SIGHUP; nil: there are none. To be set before Run.
+	// ReloadKeys rereads the keys that the peers use. It is called on SIGHUP, and nil if there are no keys. Set it before
+	// Run.
 	ReloadKeys func() error
 
-	reloadMu sync.Mutex // over current; held while settings are applied
+	reloadMu sync.Mutex // guards current; held while settings are applied
 	current  Config     // the configuration in force
 
-	classes          atomic.Pointer[classTable]        // of the settings in force
-	balancerSettings atomic.Pointer[balancer.Settings] // in force; written with reloadMu held
+	classes          atomic.Pointer[classTable]        // the classes of the settings in force
+	balancerSettings atomic.Pointer[balancer.Settings] // the settings in force; written with reloadMu held
 }
 
-// New wires a node. It opens nothing yet. The error says what in the settings the balancer does not accept.
+// New creates a node from its configuration, without opening files or connections. It returns an error if the balancer
+// does not accept the settings.
 func New(cfg Config, logger *slog.Logger) (*Node, error) {
 	settings, err := cfg.balancerSettings()
 	if err != nil {
@@ -117,20 +126,20 @@
 	return n, nil
 }
 
-// reservedDescriptors is how many descriptors are neither for clients nor for servers.
+// reservedDescriptors returns the number of descriptors that are used neither for clients nor for servers.
 func (c Config) reservedDescriptors() int {
 	if c.AdminAddress == "" {
 		return reservedDescriptors
 	}
-	return reservedDescriptors + adminapi.MaxConnections + 1 // and the admin listener
+	return reservedDescriptors + adminapi.MaxConnections + 1 // 1 for the admin listener
 }
 
-// DumpCapture has what the capture holds in memory written to standard error, if capturing is on. Calls while one
-// waits to be carried out are dropped.
+// DumpCapture requests that the records which the capture holds in memory are written to standard error. It does nothing
+// if capturing is off, or while an earlier request is pending.
 func (n *Node) DumpCapture() { n.engine.DumpCapture() }
 
-// ready reports whether clients are to be sent here: the node knows a usable server, from discovery itself if that
-// answers, and is in service.
+// ready reports whether load balancers should send clients to this node: it is in service, its initial endpoint list is
+// settled, and it knows a usable server.
 func (n *Node) ready() bool {
 	return n.initialListSettled.Load() && n.engine.HasUsableServer() && n.lifecycle.Load().TakesNewClients()
 }
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -27,7 +27,7 @@
 // configWithDiscovery is a configuration whose file names a discovery that answers.
 func configWithDiscovery(t *testing.T, backends ...*backend) Config {
 	t.Helper()
-	return changedConfig(t, configWith(t, backends...), `127.0.0.1:1"`, silentDiscovery(t)+`"`)
+	return changedConfig(t, configWithBackends(t, backends...), `127.0.0.1:1"`, silentDiscovery(t)+`"`)
 }
 
 // statusOfRequest sends a request and returns the status of its response.
@@ -40,7 +40,7 @@
 // An override holds for the requests that come after it, a later one replaces it, and the node's own settings stay.
 func TestOverride(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK))
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	first := Override{Settings: changedSettings(t, cfg, `"name":"unsafe"`, `"name":"fresh"`, `"zone":"z"`, `"zone":"elsewhere"`, `"me":0`, `"me":7`)}
 	if err := n.Override(t.Context(), first, nil); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 // An override that is rejected changes nothing, and the error says of what kind it is.
 func TestOverrideRejected(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK))
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	stays := errors.New("not this one")
 	for name, c := range map[string]struct {
 		override   Override
@@ -103,7 +103,7 @@
 // The check sees the classes before and after, and the servers in service.
 func TestOverrideCheckSeesClassesAndServers(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK), newBackend(t, respondOK))
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	override := Override{Settings: changedSettings(t, cfg, `"name":"unsafe"`, `"name":"fresh","bound-to":["k"]`)}
 	seen := ""
 	err := n.Override(t.Context(), override, func(now, next []balancer.Class, servers []balancer.Server) error {
@@ -119,7 +119,7 @@
 // is not complete changes nothing.
 func TestReloadUnderAnOverride(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK))
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	override := Override{Settings: changedSettings(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)}
 	if err := n.Override(t.Context(), override, nil); err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := start(t, with)
+	n := startNode(t, with)
 	if got := statusOfRequest(t, n, "fresh", "1"); got != http.StatusOK {
 		t.Errorf("its class is answered %d", got)
 	}
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -13,56 +13,57 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes of reads beyond the open request, in bytes.
+// Sizes in bytes for reading beyond the open request.
 const (
-	maxReadAhead          = 16 << 10 // kept behind an open request: as much as the head of the next one may have
-	maxDiscardedReadAhead = 1 << 20  // read and dropped beyond that: a client that sends without end costs no more
-	readAheadChunk        = 2 << 10  // of one read
-	peekSize              = 64       // looked at without waiting: enough to reach a client's FIN behind little data
+	maxReadAhead          = 16 << 10 // buffered after an open request: the maximum size of the next request's head
+	maxDiscardedReadAhead = 1 << 20  // read and discarded beyond that; bounds the cost of a client that sends without end
+	readAheadChunk        = 2 << 10  // size of one read
+	peekSize              = 64       // size of a non-blocking read: enough to reach a client's FIN after a little data
 )
 
-// pastDeadlineUnix is a read deadline in the past, in seconds of Unix time. net/http sets this one to end its own
-// background read, and beginRead uses it for the same: it tells such a deadline from one that a request body has met.
+// pastDeadlineUnix is a read deadline in the past, in seconds of Unix time. net/http sets this value to end its background
+// read, and beginRead uses it for the same purpose. It distinguishes such a deadline from the expired deadline of a request
+// body.
 const pastDeadlineUnix = 1
 
-// Kernel numbers of the TCP states in which the client has closed its side.
+// Numbers that the kernel uses for the TCP states in which the client has closed its side.
 const (
 	tcpClose     = 7 // reset, or closed in both directions
-	tcpCloseWait = 8 // a FIN has come
+	tcpCloseWait = 8 // a FIN was received
 )
 
-// readAheadBuffer reads a client connection beyond the open request, so that the client's leaving is noticed behind
-// bytes that nobody has read.
+// readAheadBuffer reads a client connection beyond the open request, so that the node detects that the client has closed
+// the connection even if unread bytes precede its end.
 //
-// It guards against work for clients that are gone: net/http reads one byte ahead of an open request, and once it has
-// that byte it no longer notices when the client closes. A client that pipelined a request, or sent stray bytes, and
-// left would have its request forwarded and run. Here a goroutine keeps reading, keeps up to maxReadAhead bytes for
-// net/http, and calls clientGone when the connection ends.
+// It prevents work for clients that have gone. net/http reads one byte beyond an open request, and after that byte it no
+// longer detects a close. If a client pipelined another request or sent stray bytes and then left, its request would still
+// be forwarded and run. Therefore a goroutine continues to read, buffers up to maxReadAhead bytes for net/http, and calls
+// clientGone when the connection ends.
 //
-// Ownership: at any time one goroutine reads the socket. Between requests, and while a body is read, that is net/http's
-// goroutine by Read. While a request is open and net/http holds its one byte, it is the goroutine started by
-// startReader; beginRead takes the socket back before net/http reads again. The connection is closed by clientConn.
+// At any time one goroutine reads the socket. Between requests, and while a body is read, this is net/http's goroutine,
+// through Read. While a request is open and net/http holds its one byte, it is the goroutine started by startReader;
+// beginRead ends that goroutine before net/http reads again. clientConn closes the connection.
 type readAheadBuffer struct {
 	conn       net.Conn
 	raw        syscall.RawConn    // nil: not a socket
 	clientGone context.CancelFunc // cancels the contexts of all requests on the connection
 
-	mu           sync.Mutex
-	buf          []byte // read from the socket, not taken by net/http yet
-	err          error  // how the connection ended, behind buf
-	drained      bool   // the socket had nothing more when it was last looked at
-	requestOpen  bool   // a request is open and its body has been read
-	httpHasByte  bool   // net/http holds a byte that came behind that request, and reads no more
-	bytesBehind  bool   // bytes behind that request were read with it, and wait for net/http
-	watching     bool   // net/http reads only to notice that the client of the open request leaves
-	discarded    int    // bytes that were not kept: the connection has to end with this response
-	readerDone   chan struct{}
-	stopping     bool
-	deadline     time.Time // the read deadline that net/http has set
-	headDeadline time.Time // by which the head that has begun must have come; zero: none has
-	interrupted  bool      // reads are to end at once: the connection is about to be closed
-	scratch      [peekSize]byte
-	peekSocket   func(fd uintptr) bool
+	mu                sync.Mutex
+	buf               []byte // read from the socket, but not yet by net/http
+	err               error  // how the connection ended, after the bytes in buf
+	socketEmpty       bool   // the last non-blocking read found nothing to read
+	requestOpen       bool   // a request is open, and its body has been read
+	httpHasByte       bool   // net/http holds one byte that follows that request, and does not read on
+	hasPipelinedBytes bool   // bytes that follow that request were read with it; net/http has not taken them
+	inBackgroundRead  bool   // net/http reads only to detect that the client of the open request leaves
+	discardedBytes    int    // bytes that were not buffered; if above 0, the connection must be closed after this response
+	readerDone        chan struct{}
+	stopping          bool
+	deadline          time.Time // the read deadline that net/http has set
+	headDeadline      time.Time // when a head that is partly read must be complete; zero: there is none
+	interrupted       bool      // reads end at once, because the connection is about to be closed
+	scratch           [peekSize]byte
+	peekSocket        func(fd uintptr) bool
 }
 
 func newReadAheadBuffer(nc net.Conn) *readAheadBuffer {
@@ -77,7 +78,7 @@
 	return a
 }
 
-// readSocketOnce reads what the socket has, without waiting. It always reports true: the read is not to be repeated.
+// readSocketOnce does one non-blocking read of the socket. It always returns true, so that RawConn.Read does not repeat it.
 func (a *readAheadBuffer) readSocketOnce(fd uintptr) bool {
 	n, err := syscall.Read(int(fd), a.scratch[:])
 	a.mu.Lock()
@@ -88,14 +89,14 @@
 	case err == nil:
 		a.err = io.EOF
 	case err == syscall.EAGAIN:
-		a.drained = true
+		a.socketEmpty = true
 	case err != syscall.EINTR:
 		a.err = err
 	}
 	return true
 }
 
-// Read reads for net/http: first what was read ahead, then from the connection.
+// Read reads for net/http: first the buffered bytes, then from the connection.
 func (a *readAheadBuffer) Read(b []byte) (n int, err error) {
 	a.mu.Lock()
 	if n = copy(b, a.buf); n > 0 {
@@ -104,114 +105,114 @@
 		err = a.err
 	}
 	more := len(a.buf) == 0 && a.err == nil
-	a.drained = false
-	peeks := !a.watching // net/http's background read must meet the end itself: it reports it to the open request
+	a.socketEmpty = false
+	mayPeek := !a.inBackgroundRead // net/http's background read must see the end itself, to cancel the open request
 	a.mu.Unlock()
 	if n == 0 && err == nil {
 		n, err = a.conn.Read(b)
 		more = n < len(b) && err == nil
 	}
-	if more && peeks {
+	if more && mayPeek {
 		a.peek()
 	}
 	return n, err
 }
 
-// peek looks, without waiting, whether more data or the end of the connection has come. A connection that lay unread
-// for a while may have both.
+// peek checks, without blocking, whether more data or the end of the connection has arrived. Both may have, if the
+// connection was not read for a while.
 func (a *readAheadBuffer) peek() {
 	if a.raw == nil {
 		return
 	}
-	if identified, ok := a.conn.(*identifiedConn); ok && identified.buffered != nil {
-		return // what it has buffered comes first
+	if identified, ok := a.conn.(*identifiedConn); ok && identified.bufferedReader != nil {
+		return // its buffered bytes precede those of the socket
 	}
 	a.raw.Read(a.peekSocket)
 }
 
-// httpReadByte notes that net/http holds a byte of what comes behind the open request.
-func (a *readAheadBuffer) httpReadByte() {
+// markHTTPHasByte records that net/http holds one byte that follows the open request.
+func (a *readAheadBuffer) markHTTPHasByte() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.httpHasByte = true
 	a.startReader()
 }
 
-// setBytesBehind notes whether bytes behind the request that is being read were read with it.
-func (a *readAheadBuffer) setBytesBehind(held bool) {
+// setHasPipelinedBytes records whether bytes that follow the current request were read together with it.
+func (a *readAheadBuffer) setHasPipelinedBytes(pipelined bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.bytesBehind = held
+	a.hasPipelinedBytes = pipelined
 }
 
-// nextBegun reports whether bytes of the next request have been read while one is open. Were the connection closed with its
-// response, the next request would have been read and have none.
-func (a *readAheadBuffer) nextBegun() bool {
+// nextRequestBegun reports whether bytes of the next request have been read while one is open. If the response to the open
+// one closed the connection, the next request would have been read but get no response.
+func (a *readAheadBuffer) nextRequestBegun() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.httpHasByte || a.bytesBehind || len(a.buf) > 0
+	return a.httpHasByte || a.hasPipelinedBytes || len(a.buf) > 0
 }
 
-// beginRequest notes that a request is open of which everything has been read, and reports whether its client has
-// already gone.
+// beginRequest records that a completely read request is open, and reports whether its client has already gone.
 func (a *readAheadBuffer) beginRequest() (gone bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requestOpen = true
 	a.startReader()
-	return a.err != nil || !a.drained && a.clientClosed() // the end may lie behind more than was looked at
+	return a.err != nil || !a.socketEmpty && a.clientClosed() // the end may follow more bytes than peek has read
 }
 
-// endRequest notes that the request is answered, and reports whether the connection has to end with the response
-// because bytes behind the request were dropped.
-func (a *readAheadBuffer) endRequest() (last bool) {
+// endRequest records that the request has its answer. It reports whether the connection must be closed after the response
+// because bytes that followed the request were discarded.
+func (a *readAheadBuffer) endRequest() (mustClose bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requestOpen = false
-	return a.discarded > 0
+	return a.discardedBytes > 0
 }
 
-// startReader starts the goroutine that reads on, if a request is open and nobody else reads. The caller holds a.mu.
-// The goroutine ends by beginRead, by the end of the connection, or when it has dropped maxDiscardedReadAhead bytes.
+// startReader starts the goroutine that reads ahead, if a request is open and no other goroutine reads. The caller holds
+// a.mu. The goroutine ends on beginRead, at the end of the connection, or after discarding maxDiscardedReadAhead bytes.
 func (a *readAheadBuffer) startReader() {
 	if a.requestOpen && a.httpHasByte && a.readerDone == nil && a.err == nil {
 		a.readerDone = make(chan struct{})
-		go a.readOn(a.readerDone)
+		go a.runReader(a.readerDone)
 	}
 }
 
-func (a *readAheadBuffer) readOn(done chan struct{}) {
+func (a *readAheadBuffer) runReader(done chan struct{}) {
 	defer close(done)
 	b := make([]byte, readAheadChunk)
 	for {
 		n, err := a.conn.Read(b)
-		if a.store(b[:n], err) {
+		if a.storeRead(b[:n], err) {
 			return
 		}
 	}
 }
 
-// store takes what one read of the goroutine gave, and reports whether it has to stop reading.
-func (a *readAheadBuffer) store(b []byte, err error) (stop bool) {
+// storeRead stores the result of one read of the read-ahead goroutine, and reports whether the goroutine must stop.
+func (a *readAheadBuffer) storeRead(b []byte, err error) (stop bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.buf)+len(b) <= maxReadAhead && a.discarded == 0 {
+	if len(a.buf)+len(b) <= maxReadAhead && a.discardedBytes == 0 {
 		a.buf = append(a.buf, b...)
 	} else {
-		a.discarded += len(b)
+		a.discardedBytes += len(b)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		a.err = err
 		a.clientGone()
 	}
-	return err != nil || a.stopping || a.discarded > maxDiscardedReadAhead
+	return err != nil || a.stopping || a.discardedBytes > maxDiscardedReadAhead
 }
 
-// beginRead ends the goroutine that reads on, if there is one, and leaves the connection to net/http.
-func (a *readAheadBuffer) beginRead(watching bool) {
+// beginRead prepares a read by net/http: it ends the read-ahead goroutine, if there is one. backgroundRead says that
+// net/http reads only to detect that the client leaves.
+func (a *readAheadBuffer) beginRead(backgroundRead bool) {
 	a.mu.Lock()
 	a.httpHasByte = false
-	a.watching = watching
+	a.inBackgroundRead = backgroundRead
 	done := a.readerDone
 	if done != nil {
 		a.stopping = true
@@ -228,7 +229,8 @@
 	a.applyDeadline()
 }
 
-// setReadDeadline sets net/http's deadline. While the goroutine reads on it is only noted: it is not meant for that.
+// setReadDeadline sets the deadline for reads by net/http. While the read-ahead goroutine runs, the deadline is only stored,
+// because it does not apply to that goroutine.
 func (a *readAheadBuffer) setReadDeadline(t time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -239,8 +241,8 @@
 	return a.applyDeadline()
 }
 
-// applyDeadline sets the socket's read deadline, the earlier of net/http's and the head's, or one that is over. The caller
-// holds a.mu.
+// applyDeadline sets the socket's read deadline: the earlier of net/http's deadline and the head's, or a past one if reads
+// are interrupted. The caller holds a.mu.
 func (a *readAheadBuffer) applyDeadline() error {
 	deadline := a.deadline
 	if a.interrupted {
@@ -252,8 +254,8 @@
 	return a.conn.SetReadDeadline(deadline)
 }
 
-// setInterrupted ends a read that waits, and keeps later ones from beginning, or takes that back. The read that a goroutine
-// does on behalf of an open request is left alone.
+// setInterrupted, with true, ends a blocked read and makes later reads fail; with false, it allows reads again. It does not
+// affect the read-ahead goroutine of an open request.
 func (a *readAheadBuffer) setInterrupted(interrupted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -263,17 +265,17 @@
 	}
 }
 
-// buffered reports whether bytes were read ahead that net/http has not taken.
-func (a *readAheadBuffer) buffered() bool {
+// hasBuffered reports whether there are bytes that were read ahead and that net/http has not read yet.
+func (a *readAheadBuffer) hasBuffered() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.buf) > 0
 }
 
-// limitHead bounds the time of a head of which the first bytes have come, once for each head. It guards against a client
-// that sends some bytes of a further request and stays silent: net/http gives the first four as long as an idle connection
-// has, and the connection would hold its slot for all of that.
-func (a *readAheadBuffer) limitHead(timeout time.Duration) {
+// startHeadDeadline sets the deadline of a head whose first bytes have arrived, unless it is already set. It protects against
+// a client that sends a few bytes of another request and then nothing: for the first four bytes net/http applies the idle
+// timeout, and the connection would hold its slot for that long.
+func (a *readAheadBuffer) startHeadDeadline(timeout time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.headDeadline.IsZero() {
@@ -282,18 +284,19 @@
 	}
 }
 
-// endHead takes the bound of a head back. The socket's deadline stays until net/http sets the next one, after each head.
-func (a *readAheadBuffer) endHead() {
+// clearHeadDeadline removes the deadline of a head. The socket's deadline stays until net/http sets the next one, which it
+// does after each head.
+func (a *readAheadBuffer) clearHeadDeadline() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.headDeadline = time.Time{}
 }
 
-// outlivesDeadline reports whether net/http's background read goes on past the deadline that it met, and clears that
-// deadline. The deadline may be that of the request body, which is over: taken for the client's leaving it would cancel
-// a request whose client waits, and who would send it again while it runs. A deadline at pastDeadlineUnix is net/http's
-// own, by which it ends the read.
-func (a *readAheadBuffer) outlivesDeadline() bool {
+// clearExpiredDeadline clears a deadline that net/http's background read has exceeded, and reports whether that read should
+// be repeated. The deadline may be left over from the request body, which is complete. If net/http saw the error, it would
+// assume that the client has gone and cancel the request; the client, which still waits, would send it again while it runs.
+// For a deadline at pastDeadlineUnix, by which net/http ends the read, it returns false.
+func (a *readAheadBuffer) clearExpiredDeadline() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.deadline.IsZero() && a.deadline.Unix() <= pastDeadlineUnix {
@@ -303,8 +306,9 @@
 	return a.conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// clientClosed asks the kernel whether the client has closed its side, whatever is still unread. It is needed where the
-// rest of a body waits to be read: the end lies behind it. It reports false where that can't be known.
+// clientClosed reports whether the client has closed its side of the connection, according to the kernel, even if there are
+// unread bytes. It is needed while a part of a body is unread, because the end of the connection follows that part. It
+// returns false if the state is unknown.
 func (a *readAheadBuffer) clientClosed() (closed bool) {
 	if a.raw == nil {
 		return false
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -43,8 +43,8 @@
 // address, which is sound.
 func TestReload(t *testing.T) {
 	b := newBackend(t, respondOK)
-	cfg := configWith(t, b)
-	n := start(t, cfg)
+	cfg := configWithBackends(t, b)
+	n := startNode(t, cfg)
 	moved := silentDiscovery(t)
 	for name, change := range map[string][]string{
 		"no attempts":             {`"max-attempts":6`, `"max-attempts":0`},
@@ -92,7 +92,7 @@
 // A file may be read while the platform writes it. One that is cut at any byte is rejected, and so is one that lacks any
 // one key.
 func TestTruncatedFilesAreRejected(t *testing.T) {
-	cfg := testConfig(t, "pushed", inService("s-1", "127.0.0.1:1"))
+	cfg := testConfig(t, "pushed", inServiceEndpoint("s-1", "127.0.0.1:1"))
 	text := configText(t, cfg)
 	follows := func(s string) error {
 		c, err := parseConfig([]byte(s))
@@ -158,7 +158,7 @@
 // SIGHUP may come while the node is about to serve. The reload waits for the engine, and the node must not wait for the
 // reload: with the capture on both once hung for good. The settings are applied once the engine runs.
 func TestReloadBeforeServing(t *testing.T) {
-	cfg := configWith(t, newBackend(t, respondOK))
+	cfg := configWithBackends(t, newBackend(t, respondOK))
 	cfg.Features.Capture = &settings.Capture{FileBytes: 64 << 10}
 	n, err := New(cfg, discardLogger())
 	if err != nil {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// maxBudget is the longest time that a client may give a request.
+	// maxBudget is the longest time that a client may allow for a request.
 	maxBudget = time.Hour
 
-	// maxRequestIDBytes bounds request IDs: every timer and log record of a request holds its ID.
+	// maxRequestIDBytes is the maximum length of a request ID. Every timer and log record of a request contains the ID.
 	maxRequestIDBytes = 256
 )
 
-// clientRequest is a client's request: what the engine knows of it, and what goes to a server.
+// clientRequest is a client's request: the engine's Call, and the HTTP request that is sent to a server.
 type clientRequest struct {
 	engine.Call
 	method        string
 	url           *url.URL
 	host          string
 	header        http.Header
-	body          []byte      // all of the body, or its beginning
-	remaining     *bodyReader // the rest of a body that is streamed; nil: body is all of it
-	contentLength int64       // of all of the body, in bytes; -1: unknown
+	body          []byte      // the complete body, or its first part
+	remaining     *bodyReader // the rest of a streamed body; nil: body is complete
+	contentLength int64       // of the complete body, in bytes; -1: unknown
 }
 
-// requestError says why a request is not accepted, and with which HTTP status it is answered.
+// requestError is the reason why a request is not accepted, with the HTTP status of the answer.
 type requestError struct {
 	Status int
 	Reason string // the body of the response
@@ -47,36 +47,36 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// validate checks a request's head against the protocol, before its body is read. It returns the rule of its class.
-func (h *ingressHandler) validate(r *http.Request) (classRule, *requestError) {
+// validate checks a request's head against the protocol, before its body is read. It returns the settings of its class.
+func (h *ingressHandler) validate(r *http.Request) (classSettings, *requestError) {
 	if err := validateFraming(r); err != nil {
-		return classRule{}, err
+		return classSettings{}, err
 	}
 	for _, name := range singleValueHeaders {
 		if len(r.Header[name]) > 1 {
-			return classRule{}, badRequest("%s comes twice", name)
+			return classSettings{}, badRequest("%s comes twice", name)
 		}
 	}
 	switch id := r.Header.Get(headerRequestID); {
 	case id == "":
-		return classRule{}, badRequest("%s is missing", headerRequestID)
+		return classSettings{}, badRequest("%s is missing", headerRequestID)
 	case len(id) > maxRequestIDBytes:
-		return classRule{}, badRequest("%s is over %d bytes", headerRequestID, maxRequestIDBytes)
+		return classSettings{}, badRequest("%s is over %d bytes", headerRequestID, maxRequestIDBytes)
 	}
-	rule, known := h.classes().lookup(r.Header.Get(headerClass), h.clock.Now())
+	class, known := h.classes().lookup(r.Header.Get(headerClass), h.clock.Now())
 	if !known {
-		return classRule{}, badRequest("%s is not one of the classes", headerClass)
+		return classSettings{}, badRequest("%s is not one of the classes", headerClass)
 	}
-	return rule, validateMethod(r, rule.effect)
+	return class, validateMethod(r, class.effect)
 }
 
-// validateFraming checks that it is certain where the request ends. See package requesthead.
+// validateFraming checks that the end of the request is unambiguous. See package requesthead.
 func validateFraming(r *http.Request) *requestError {
-	if !r.ProtoAtLeast(1, 1) { // net/http ignores a Transfer-Encoding there
+	if !r.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding in these versions
 		return &requestError{http.StatusHTTPVersionNotSupported, "the version is HTTP/1.1"}
 	}
-	// With two lengths net/http believes one, and what a client wrote as the end of its body would run as a request of
-	// its own.
+	// If a request has two lengths, net/http uses one of them. Bytes that the client sent as the end of its body could then
+	// be read and run as a separate request.
 	if c := connOf(r); c != nil && c.head.Findings().Fault != "" {
 		return badRequest("%s", c.head.Findings().Fault)
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// validateMethod checks that the method, the idempotency key and the body go with the effect of the request's class.
+// validateMethod checks that the method, the idempotency key and the body match the effect of the request's class.
 func validateMethod(r *http.Request, effect balancer.Effect) *requestError {
 	want := http.MethodPost
 	if effect == balancer.Idempotent {
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// readRequest validates an HTTP request and reads it, but for the part of its body that is streamed.
+// readRequest validates and reads an HTTP request, except the part of its body that is streamed.
 func (h *ingressHandler) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, *requestError) {
-	rule, rejected := h.validate(r)
+	class, rejected := h.validate(r)
 	if rejected != nil {
 		return nil, rejected
 	}
@@ -115,13 +115,13 @@
 		return nil, badRequest("%s: %v", headerBudget, err)
 	}
 	req := &clientRequest{method: r.Method, url: r.URL, host: r.Host}
-	req.Retryable = rule.effect != balancer.NonIdempotent
+	req.Retryable = class.effect != balancer.NonIdempotent
 	req.Tenant = r.Header.Get(headerTenant)
 	req.Request.ID = r.Header.Get(headerRequestID)
 	req.Request.Class = r.Header.Get(headerClass)
-	req.Request.SettingsVersion = rule.settingsVersion
-	req.Request.ClientRetry = r.Header.Get(headerClientRetry) == flagSet
-	if key := r.Header.Get(headerKey); key != "" {
+	req.Request.SettingsVersion = class.settingsVersion
+	req.Request.ClientRetry = r.Header.Get(headerClientRetry) == headerFlagSet
+	if key := r.Header.Get(headerOrderingKey); key != "" {
 		sum := fnv.New64a() // the balancer only compares keys
 		sum.Write([]byte(key))
 		req.Request.Key, req.Request.HasKey = sum.Sum64(), true
@@ -129,13 +129,13 @@
 	if err := req.readBody(w, r, h.bufferLimit); err != nil {
 		return nil, badRequest("%v", err)
 	}
-	if r.Method == http.MethodGet && len(req.body) > 0 { // chunked: the head did not tell
+	if r.Method == http.MethodGet && len(req.body) > 0 { // chunked: the head does not contain the length
 		return nil, badRequest("a GET has no body")
 	}
 	if req.remaining != nil {
 		req.Request.StreamedBody, req.BodyTimeout = true, maxBodyDuration
 	}
-	req.header = forwardable(r.Header)
+	req.header = forwardableHeaders(r.Header)
 	req.Budget = budget
 	req.Request.Deadline = h.clock.Now() + budget
 	if end := h.hardDeadline(); end > 0 {
@@ -144,30 +144,30 @@
 	return req, nil
 }
 
-// readBody reads a body, or its first bufferLimit bytes if it is larger: the rest is then streamed.
+// readBody reads the body, or its first bufferLimit bytes if it is larger. The rest is streamed later.
 func (req *clientRequest) readBody(w http.ResponseWriter, r *http.Request, bufferLimit int) error {
 	req.contentLength = r.ContentLength
 	if req.contentLength == 0 {
 		return nil
 	}
-	in := newBodyReader(w, r)
+	reader := newBodyReader(w, r)
 	size := int64(bufferLimit)
 	if req.contentLength > 0 {
 		size = min(size, req.contentLength)
 	}
 	req.body = make([]byte, size)
-	n, err := io.ReadFull(in, req.body)
+	n, err := io.ReadFull(reader, req.body)
 	req.body = req.body[:n]
 	switch {
 	case req.contentLength > 0 && int64(n) == req.contentLength:
-		in.Read(make([]byte, 1)) // its end
+		reader.Read(make([]byte, 1)) // reads io.EOF
 		return nil
-	case req.contentLength < 0 && in.err == io.EOF:
+	case req.contentLength < 0 && reader.err == io.EOF:
 		return nil
 	case err != nil:
 		return errRequestBody
 	}
-	req.remaining = in
+	req.remaining = reader
 	return nil
 }
 
@@ -176,7 +176,7 @@
 	errBudgetRange  = errors.New("out of range")
 )
 
-// parseBudget reads a number with its unit, m for milliseconds or u for microseconds.
+// parseBudget parses a number with a unit: m for milliseconds or u for microseconds.
 func parseBudget(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -187,7 +187,7 @@
 		}
 	}
 	value, err := strconv.ParseFloat(number, 64)
-	if err != nil || strings.Trim(number, "0123456789.") != "" { // ParseFloat also takes signs, exponents, hex, Inf
+	if err != nil || strings.Trim(number, "0123456789.") != "" { // ParseFloat also accepts signs, exponents, hex and Inf
 		return 0, errBudgetSyntax
 	}
 	if value *= float64(unit); !(value >= 1 && value <= float64(maxBudget)) {
@@ -196,7 +196,7 @@
 	return time.Duration(value), nil
 }
 
-// formatBudget is what a server is told of the time that is left for a request, at least a microsecond.
+// formatBudget returns the budget header that a server gets for the time left, which is at least one microsecond.
 func formatBudget(left time.Duration) string {
 	return strconv.FormatInt(max(left.Microseconds(), 1), 10) + "u"
 }
--- a/internal/node/requestbody.go
+++ b/internal/node/requestbody.go
@@ -9,69 +9,70 @@
 	"time"
 )
 
-// Sizes of bodies, in bytes. What is larger than the buffer limit is streamed in chunks.
+// Sizes of bodies in bytes. A body larger than the buffer limit is streamed in chunks.
 const (
-	minBuffered     = 4 << 10  // buffered of a body or a response, however little memory there is
-	maxBuffered     = 64 << 10 // buffered of a body or a response at most
-	maxStreamedBody = 64 << 20 // of a request's body: twice the size that the node is asked to carry
-	streamChunk     = 32 << 10 // of one step in streaming
+	minBuffered     = 4 << 10  // lowest buffer limit of a body or response, however little memory there is
+	maxBuffered     = 64 << 10 // highest buffer limit of a body or response
+	maxStreamedBody = 64 << 20 // maximum request body: twice the size that the node is required to forward
+	streamChunk     = 32 << 10 // maximum size of one read while streaming
 )
 
-// Parts of the node's memory that buffered data may take in all, as divisors. The rest is for the program itself and for
-// the buffers of streams.
+// Fractions of the node's memory that all buffered data together may use, as divisors. The rest is for the program itself
+// and for the buffers of streams.
 const (
 	requestBodyMemoryDivisor = 4 // a quarter for request bodies
 	responseMemoryDivisor    = 6 // a sixth for responses
 )
 
-// Times that guard against bodies that trickle in (slow loris): each would hold a slot, and a connection to a server,
-// for as long as its client likes.
+// Timeouts that protect against bodies sent very slowly (slow loris). Without them such a body would hold a slot, and a
+// connection to a server, indefinitely.
 const (
-	// bodyTimeAllowance is given to every body, beside the time that its bytes take at minBodyRate.
+	// bodyTimeAllowance is the time that every body has in addition to the time that its bytes take at minBodyRate.
 	bodyTimeAllowance = 800 * time.Millisecond
 
-	// minBodyRate is the rate in bytes a second that a body has to keep to. Clients have twice that.
+	// minBodyRate is the minimum rate of a body in bytes per second. Clients reach twice that.
 	minBodyRate = 32 << 10
 
-	// firstBodyDeadline is the time after accepting a connection by which the body of its first request has to have
-	// begun: a client that sends nothing sound is owed an answer or a close within 3 s of connecting.
+	// firstBodyDeadline is the time after accepting a connection by which the body of its first request must have begun. A
+	// client that sends no valid request must get an answer or be disconnected within 3 s of connecting.
 	firstBodyDeadline = 2900 * time.Millisecond
 
-	// maxBodyTimeLeft caps the time that a body gains by coming faster than minBodyRate: else a client could send most
-	// of it at once and be silent for minutes.
+	// maxBodyTimeLeft caps the time that a body gains by arriving faster than minBodyRate. Otherwise a client could send most
+	// of it at once and then nothing for minutes.
 	maxBodyTimeLeft = stallTimeout
 
-	// maxBodyDuration bounds the time for a whole body. None that keeps to minBodyRate takes longer.
+	// maxBodyDuration bounds the time for a complete body. No body that keeps to minBodyRate takes longer.
 	maxBodyDuration = maxStreamedBody / minBodyRate * time.Second
 )
 
-// errRequestBody says that a client's body did not come, came too slowly or was too long. It is the client's fault.
+// errRequestBody means that a client's body did not arrive, arrived too slowly or was too long. The client is at fault.
 var errRequestBody = errors.New("the body could not be read")
 
-// bufferLimit is how many bytes of one body or response are buffered, where so many may be at once: at most maxBuffered,
-// and all together no more than a share of the node's memory (0: no limit is set). Nothing has to be counted, and no
-// request waits or is rejected for memory: what does not fit is streamed.
-func bufferLimit(memoryMB, memoryDivisor, atOnce int) int {
+// bufferLimit returns how many bytes of one body or response are buffered if up to maxConcurrent exist at once. It is at
+// most maxBuffered, and all of them together use at most a fraction of the node's memory (0: no memory limit is set). With
+// a fixed limit no memory accounting is needed, and no request waits or is rejected for lack of memory: larger bodies are
+// streamed.
+func bufferLimit(memoryMB, memoryDivisor, maxConcurrent int) int {
 	if memoryMB == 0 {
 		return maxBuffered
 	}
-	return min(max(memoryMB<<20/memoryDivisor/max(atOnce, 1), minBuffered), maxBuffered)
+	return min(max(memoryMB<<20/memoryDivisor/max(maxConcurrent, 1), minBuffered), maxBuffered)
 }
 
-// bodyReader reads a client's body and holds it to minBodyRate. Only the time that is spent waiting for the client counts.
+// bodyReader reads a client's body and enforces minBodyRate. Only the time spent waiting for the client counts.
 //
-// One goroutine reads at a time: first the one that serves the request, then that of the attempt that sends the body.
-// The request's goroutine calls close when it has the answer, which also ends a read that waits.
+// One goroutine reads at a time: first the one that serves the request, then that of the attempt that sends the body. The
+// request's goroutine calls close when it has the answer, which also ends a blocked read.
 type bodyReader struct {
-	body            io.Reader
-	setReadDeadline func(time.Time) error
-	timeLeft        time.Duration // until the next byte has to come; grows with what has come
-	bytesRead       int64
-	remainderUsed   atomic.Bool // the part that is not buffered was begun: the body can't be sent again
+	body             io.Reader
+	setReadDeadline  func(time.Time) error
+	timeLeft         time.Duration // until the next byte must arrive; grows with the bytes received
+	bytesRead        int64
+	remainderStarted atomic.Bool // the unbuffered part has been read from: the body can't be sent again
 
-	mu     sync.Mutex // over the deadline and what follows
+	mu     sync.Mutex // guards the read deadline and the fields below
 	closed bool
-	err    error // how the body ended; io.EOF: completely
+	err    error // how the body ended; io.EOF: it is complete
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
@@ -82,8 +83,8 @@
 	return reader
 }
 
-// Read reads the next bytes of the body. It returns io.EOF at its end, errRequestBody when it is too long or the reader
-// was closed, else the error of the connection.
+// Read reads the next bytes of the body. It returns io.EOF at the end, errRequestBody if the body is too long or the reader
+// is closed, or the error of the connection.
 func (r *bodyReader) Read(b []byte) (int, error) {
 	begin := time.Now()
 	if err := r.setDeadline(begin); err != nil {
@@ -91,7 +92,7 @@
 	}
 	n, err := r.body.Read(b[:min(len(b), streamChunk)])
 	r.timeLeft = min(r.timeLeft+time.Duration(n)*time.Second/minBodyRate-time.Since(begin), maxBodyTimeLeft)
-	if r.bytesRead += int64(n); r.bytesRead > maxStreamedBody { // chunked: its length was not announced
+	if r.bytesRead += int64(n); r.bytesRead > maxStreamedBody { // a chunked body does not announce its length
 		err = errRequestBody
 	}
 	if err != nil {
@@ -100,7 +101,7 @@
 	return n, err
 }
 
-// setDeadline sets the deadline of the next read, or returns why there is none.
+// setDeadline sets the deadline of the next read. It returns an error if the body has ended or the reader is closed.
 func (r *bodyReader) setDeadline(now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,12 +123,12 @@
 		return
 	}
 	if r.err = err; err == io.EOF {
-		r.setReadDeadline(time.Time{}) // from here on reads only watch for the client's leaving
+		r.setReadDeadline(time.Time{}) // further reads only detect that the client leaves
 	}
 }
 
-// close ends reading, also a read that waits. It reports whether the body came completely, and whether it broke. The
-// connection's deadline is net/http's again.
+// close ends reading, including a blocked read. It reports whether the body was received completely, and whether reading it
+// failed. Afterwards only net/http sets the connection's deadline.
 func (r *bodyReader) close() (complete, broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,18 +139,18 @@
 	return r.err == io.EOF, r.err != nil && r.err != io.EOF
 }
 
-// unsendable reports whether the body can't be sent to its end any more: the client ended it or held it back, or the
-// request is over. A body of which more is to come is not unsendable.
+// unsendable reports whether the body can no longer be sent completely: reading it has failed, or the request is over. It
+// returns false while more of the body is expected.
 func (r *bodyReader) unsendable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closed || r.err != nil && r.err != io.EOF
 }
 
-// remainingBody is the part of a body that is not buffered, for the one attempt that sends it.
+// remainingBody reads the unbuffered part of a body, for the one attempt that sends it.
 type remainingBody struct{ *bodyReader }
 
 func (r remainingBody) Read(b []byte) (int, error) {
-	r.remainderUsed.Store(true)
+	r.remainderStarted.Store(true)
 	return r.bodyReader.Read(b)
 }
--- a/internal/node/requestmetrics.go
+++ b/internal/node/requestmetrics.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/metrics"
 )
 
-// serveMeasured serves a request, counts it and returns its status.
-func (h *ingressHandler) serveMeasured(w http.ResponseWriter, r *http.Request) (status int) {
+// serveWithMetrics serves a request, records its metrics and returns its status.
+func (h *ingressHandler) serveWithMetrics(w http.ResponseWriter, r *http.Request) (status int) {
 	reporter, begin := h.metrics, h.clock.Now()
 	tags := reporter.Tags(r.Header.Get(headerClass), r.Header.Get(headerTenant))
 	reporter.Count(tags, metrics.Requests)
@@ -18,22 +18,22 @@
 	}
 	status = h.serveRequest(w, r, tags)
 	reporter.Add(tags, metrics.OpenRequests, -1)
-	reporter.Count(tags, counterOf(status))
+	reporter.Count(tags, counterForStatus(status))
 	h.recordLatency(tags, status, h.clock.Now()-begin)
 	return status
 }
 
-// recordLatency records how long a final answer took. Requests that are not accepted are left out: they take no time and
-// would hide the others' latency.
+// recordLatency records the latency of a final answer. Requests that are not accepted are left out, because they are
+// answered at once and would distort the latency of the others.
 func (h *ingressHandler) recordLatency(tags metrics.Tags, status int, latency time.Duration) {
-	switch counterOf(status) {
+	switch counterForStatus(status) {
 	case metrics.Served, metrics.Rejected, metrics.Failed:
 		h.metrics.Latency(tags, latency)
 	}
 }
 
-// counterOf returns the counter of requests that ended with a status.
-func counterOf(status int) metrics.Counter {
+// counterForStatus returns the metric that counts requests that ended with a status.
+func counterForStatus(status int) metrics.Counter {
 	switch {
 	case status == statusClientGone:
 		return metrics.ClientGone
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -45,8 +45,8 @@
 	status := statusOf(answer)
 	response, _ := answer.Reply.(*upstreamResponse)
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	if h.endsConnections() && (conn == nil || !conn.readAhead.nextBegun()) {
-		endConnection(w)
+	if h.responsesCloseConnections() && (conn == nil || !conn.readAhead.nextRequestBegun()) {
+		closeAfterResponse(w)
 	}
 	if answer.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(answer.RetryAfter.Seconds(), 'f', -1, 64))
