--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -17,39 +17,41 @@
 	"hookwalk.example/hookwalk/internal/metrics"
 )
 
-// Run serves until ctx ends, then shuts down: it accepts what still comes while the load balancer in front of it
-// notices, answers what is open and returns nil. Any error is why it could not begin, or not go on.
+// Run serves clients until ctx ends, then shuts down and returns nil. During the shutdown it still accepts connections until
+// the load balancer in front of the node has noticed, and answers the open requests. An error says why the node could not
+// start, or could not continue to serve.
 func (n *Node) Run(ctx context.Context) error {
 	clients, err := n.listenOrTakeOver(ctx)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("client listener: %w", err)
 	}
 	var admin net.Listener
 	if n.cfg.AdminAddress != "" {
 		if admin, err = net.Listen("tcp", n.cfg.AdminAddress); err != nil {
 			clients.Close()
-			return fmt.Errorf("control: %w", err)
+			return fmt.Errorf("admin listener: %w", err)
 		}
 	}
 	return n.serve(ctx, clients, admin)
 }
 
-// serve serves clients on one listener and operators on the other (nil: none), until ctx ends or serving clients fails.
+// serve serves clients on one listener and the admin API on the other (nil: no admin API), until ctx ends or serving
+// clients fails.
 //
-// Its goroutines: the engine's loop, discovery's watch, the admin API and those of the other process (in owned); one for
-// each attempt and each connection to a server (the pool's); closeIdleConnections; the writers of metrics and captures. All
-// of these have ended when it returns. The goroutines of client connections are net/http's: they end in shutDown, but for
-// those that it closes at its deadline, which end soon after.
+// It starts these goroutines, all of which have ended when it returns: the engine's loop, discovery's watch, the admin API
+// and the connection to the other process (all in owned); one for each attempt and each connection to a server (owned by
+// the pool); closeIdleConnections; the writers of metrics and captures. The goroutines of client connections belong to
+// net/http. They end in shutDown, except those whose connections are closed at the deadline: these end shortly after it.
 //
-// It ends in an order that loses nothing: clients first, then operators, whose calls must reach the other process; then
-// the other process, discovery and the connections to servers; the engine, which may still report results of attempts;
-// at last metrics and the capture, which record all that.
+// The shutdown order ensures that nothing is lost. Clients are first. The admin API follows, because its calls must reach
+// the other process. Then the other process, discovery and the connections to servers are closed. The engine is next, since
+// it may still receive results of attempts. Metrics and the capture are last, since they record all of this.
 func (n *Node) serve(ctx context.Context, clients, admin net.Listener) error {
-	var owned sync.WaitGroup // of all goroutines that serve the node
+	var owned sync.WaitGroup // goroutines that end before serve returns
 	n.startFeatures()
 	owned.Go(n.engine.Run)
-	watching, stopWatching := context.WithCancel(context.Background())
-	stopWaiting := n.startDiscovery(watching, &owned)
+	watchCtx, stopWatching := context.WithCancel(context.Background())
+	stopWaiting := n.startDiscovery(watchCtx, &owned)
 	defer stopWaiting()
 
 	n.clientListener = newClientListener(clients, n.maxClientConns, n.engine.Metrics)
@@ -82,35 +84,35 @@
 	return err
 }
 
-// waitForEnd returns when clients are no longer served: after a shutdown with nil, else with the error.
+// waitForEnd returns when clients are no longer served: nil after a shutdown, or the error that ended serving.
 func (n *Node) waitForEnd(ctx context.Context, server *http.Server, serveErr <-chan error) error {
 	select {
 	case err := <-serveErr:
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients: %w", err)
 	case <-ctx.Done():
 	}
 	n.shutDown(server)
 	if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients: %w", err)
 	}
 	return nil
 }
 
-// newHTTPServer is the server of clients.
+// newHTTPServer returns the HTTP server for clients.
 func (n *Node) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler: &ingressHandler{
-			engine:          n.engine,
-			clock:           n.clock,
-			classes:         n.classes.Load,
-			ready:           n.ready,
-			bufferLimit:     bufferLimit(n.cfg.MemoryMB, requestBodyMemoryDivisor, n.maxClientConns),
-			faultKeys:       faultinjection.NewKeys(n.cfg.Features.FaultInjections),
-			metrics:         n.engine.Metrics,
-			accessList:      n.accessList,
-			guard:           n.engine.Guard,
-			endsConnections: func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) },
-			hardDeadline:    func() time.Duration { return n.lifecycle.Load().HardDeadline() },
+			engine:                    n.engine,
+			clock:                     n.clock,
+			classes:                   n.classes.Load,
+			ready:                     n.ready,
+			bufferLimit:               bufferLimit(n.cfg.MemoryMB, requestBodyMemoryDivisor, n.maxClientConns),
+			faultKeys:                 faultinjection.NewKeys(n.cfg.Features.FaultInjections),
+			metrics:                   n.engine.Metrics,
+			accessList:                n.accessList,
+			guard:                     n.engine.Guard,
+			responsesCloseConnections: func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) },
+			hardDeadline:              func() time.Duration { return n.lifecycle.Load().HardDeadline() },
 		},
 		ReadHeaderTimeout: requestHeadTimeout,
 		ConnState:         n.clientListener.connStateChanged,
@@ -121,7 +123,7 @@
 	}
 }
 
-// startFeatures starts what the settings file has switched on and the engine takes part in.
+// startFeatures starts the metrics and the capture that the settings file enables.
 func (n *Node) startFeatures() {
 	if f := n.cfg.Features.Metrics; f != nil {
 		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
@@ -131,7 +133,8 @@
 	}
 }
 
-// startMetrics writes metrics, if they are on, until the function that it returns is called; that one writes the last.
+// startMetrics starts a goroutine that writes metrics, if they are enabled. The returned function stops it after a final
+// write.
 func (n *Node) startMetrics() (stop func()) {
 	reporter := n.engine.Metrics
 	if reporter == nil {
@@ -145,8 +148,8 @@
 	}
 }
 
-// startAdmin answers operators' calls on a listener (nil: there are none) until the function that it returns is called.
-// A failure there does not end the node: it serves clients on.
+// startAdmin serves the admin API on a listener (nil: no admin API) until the returned function is called. If the admin API
+// fails, the node continues to serve clients.
 func (n *Node) startAdmin(ln net.Listener, owned *sync.WaitGroup) (stop func()) {
 	if ln == nil {
 		return func() {}
@@ -154,7 +157,7 @@
 	server := adminapi.New(ln, adminService{n}, n.log)
 	owned.Go(func() {
 		if err := server.Run(); err != nil {
-			n.log.Error("the admin API has failed", "err", err)
+			n.log.Error("admin API server failed", "err", err)
 		}
 	})
 	return server.Close
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -54,7 +54,7 @@
 	}
 	time.Sleep(machine.AcceptsFor(n.clock.Now()))
 	n.drainClients(machine)
-	n.clientListener.stopReadingIdle()
+	n.clientListener.stopReadingIdleConns()
 	ctx, cancel := context.WithTimeout(context.Background(), n.classes.Load().maxDeadline+shutdownMargin)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -22,7 +22,7 @@
 		}
 		return respond(c, "200 OK", "done")
 	})
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	held := make(chan int, 1)
 	go func() {
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
@@ -90,7 +90,7 @@
 }
 
 func playRequestBegunBeforeLastAccept(t *testing.T) (late bool) {
-	n := start(t, configWith(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
+	n := startNode(t, configWithBackends(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	address := strings.TrimPrefix(n.url, "http://")
 	n.stop()
 	eventually(t, "responses close their connections", func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) })
@@ -140,7 +140,7 @@
 func TestPipelinedRequestsAreAnsweredInShutdown(t *testing.T) { inTime(t, playPipelinedInShutdown) }
 
 func playPipelinedInShutdown(t *testing.T) (late bool) {
-	n := start(t, configWith(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
+	n := startNode(t, configWithBackends(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	n.stop()
 	eventually(t, "responses close their connections", func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) })
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -181,7 +181,7 @@
 		}
 		return respond(c, "200 OK", "done")
 	})
-	n := start(t, configWith(t, b), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
+	n := startNode(t, configWithBackends(t, b), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	begin := time.Now()
 	n.stop()
 	eventually(t, "shutting down", func() bool { return n.lifecycle.Load().ShuttingDown() })
@@ -227,12 +227,12 @@
 func TestLongBudgetOnSIGTERM(t *testing.T) {
 	came := make(chan struct{})
 	addr := rawServer(t, func(c *net.TCPConn) { readWholeRequest(c); close(came); io.Copy(io.Discard, c) })
-	cfg := testConfig(t, "pushed", inService("s-0", addr))
+	cfg := testConfig(t, "pushed", inServiceEndpoint("s-0", addr))
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 300*time.Millisecond, time.Second
 	}
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	got := make(chan string, 1)
 	go func() {
 		r := newRequest(t, n.url, "unsafe", "1", "x")
@@ -256,7 +256,7 @@
 // Out of service, responses end their connections and idle connections are closed; the second call undoes all of it, twice
 // in a row, and no listener closes.
 func TestOutOfServiceAndBack(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+	n := startWithBackends(t, newBackend(t, respondOK))
 	o := adminService{n.Node}
 	for round := range 2 {
 		idle, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
--- a/internal/node/slowclients_test.go
+++ b/internal/node/slowclients_test.go
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// A known fault: one client that sends its request heads slowly holds every slot, and others wait until the first of its
-// connections is closed, 2.7 s later. Each is closed in time; slots are not shared fairly among clients. The test fails if
-// that gets worse, and also when it is mended, so that it gets rewritten.
+// A known fault: slots are not shared fairly among clients. One client that sends its request heads slowly can hold all
+// slots, and other clients wait until the first of its connections is closed, 2.7 s later. Each connection is closed in
+// time. The test fails if this gets worse, and also if the fault is fixed, so that the test is then rewritten.
 func TestOneClientHoldsAllSlots(t *testing.T) {
-	cfg := configWith(t, newBackend(t, respondOK))
+	cfg := configWithBackends(t, newBackend(t, respondOK))
 	cfg.Sockets = 4 * reservedDescriptors
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	http.DefaultClient.CloseIdleConnections()
-	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // one that was just used may not be idle yet
+	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // a recently used connection may not be idle yet
 	addr := strings.TrimPrefix(n.url, "http://")
 	for range n.maxClientConns {
 		c, err := net.Dial("tcp", addr)
@@ -45,30 +45,30 @@
 		t.Errorf("answered %d", response.StatusCode)
 	}
 	if took := time.Since(begin); took < requestHeadTimeout/3 {
-		t.Errorf("served after %v: the fault is mended, and this test should say so", took)
+		t.Errorf("served after %v: the fault is fixed, so this test must be rewritten", took)
 	} else if took > 2*requestHeadTimeout+time.Second {
-		t.Errorf("served after %v: the slots are not given back", took)
+		t.Errorf("served after %v: the slots are not released", took)
 	}
 }
 
 const (
-	slowClients   = 60                    // connections of the slow client at once
-	slowStep      = 20 * time.Millisecond // between two bytes of a slow client
-	otherRequests = 2000                  // sent beside it, one after another
+	slowConnections    = 60                    // concurrent connections of the slow client
+	slowClientInterval = 20 * time.Millisecond // between two bytes sent or read by a slow client
+	otherRequests      = 2000                  // sent meanwhile by another client, one after another
 )
 
-// slowClient is how one of a slow client's connections behaves until stop is closed.
+// slowClient implements the behavior of one connection of a slow client. It returns after stop is closed, or earlier.
 type slowClient func(i int, c net.Conn, stop <-chan struct{})
 
 const slowClientHead = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Class: unsafe\r\nX-Budget: 3000m\r\n"
 
-// repeatSlowly takes a step every slowStep until it fails or stop is closed.
+// repeatSlowly calls step every slowClientInterval until it fails or stop is closed.
 func repeatSlowly(stop <-chan struct{}, step func() error) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(slowStep):
+		case <-time.After(slowClientInterval):
 			if err := step(); err != nil {
 				return
 			}
@@ -76,6 +76,7 @@
 	}
 }
 
+// sendBodySlowly sends a request whose body arrives one byte at a time.
 func sendBodySlowly(i int, c net.Conn, stop <-chan struct{}) {
 	fmt.Fprintf(c, "%sX-Call-Id: t%d\r\nContent-Length: 60000\r\n\r\n", slowClientHead, i)
 	repeatSlowly(stop, func() error {
@@ -84,6 +85,7 @@
 	})
 }
 
+// readResponseSlowly sends a request and reads the response one byte at a time.
 func readResponseSlowly(i int, c net.Conn, stop <-chan struct{}) {
 	c.(*net.TCPConn).SetReadBuffer(2048)
 	fmt.Fprintf(c, "%sX-Call-Id: slow%d\r\nContent-Length: 0\r\n\r\n", slowClientHead, i)
@@ -93,6 +95,7 @@
 	})
 }
 
+// reconnectWithNewIDs sends each request on a new connection with a new request ID.
 func reconnectWithNewIDs(i int, c net.Conn, stop <-chan struct{}) {
 	for k := range 20 {
 		fresh, err := net.Dial("tcp", c.RemoteAddr().String())
@@ -106,12 +109,12 @@
 	<-stop
 }
 
-// startSlowClients opens the connections of a slow client and returns a function that waits for their end, once stop is
-// closed.
+// startSlowClients opens the connections of a slow client. The returned function waits until they have ended, which they do
+// after stop is closed.
 func startSlowClients(t *testing.T, n *testNode, act slowClient, stop <-chan struct{}) (wait func()) {
 	t.Helper()
 	var running sync.WaitGroup
-	for i := range slowClients {
+	for i := range slowConnections {
 		c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -122,10 +125,10 @@
 	return running.Wait
 }
 
-// One client sends its bodies slowly, takes its responses a byte at a time, or comes on a new connection with a new ID each
-// time. All other requests are served, beside it as without it.
-func TestSlowClientsDelayNobodyElse(t *testing.T) {
-	large := strings.Repeat("x", 200_000) // more than the kernel takes of a response that nobody reads
+// One client sends its bodies slowly, reads its responses byte by byte, or opens a new connection with a new request ID each
+// time. All requests of other clients are served, as they are without that client.
+func TestSlowClientsDoNotDelayOthers(t *testing.T) {
+	large := strings.Repeat("x", 200_000) // more than the kernel buffers of a response that nobody reads
 	serve := func(_ int, c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.Header.Get("X-Call-Id"), "slow") {
 			return respond(c, "200 OK", large)
@@ -136,20 +139,20 @@
 		name string
 		act  slowClient
 	}{
-		{"nobody", nil},
+		{"no slow client", nil},
 		{"slow bodies", sendBodySlowly},
 		{"slow reads", readResponseSlowly},
 		{"new connections and ids", reconnectWithNewIDs},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newBackend(t, serve)
-			n := startWith(t, b)
+			n := startWithBackends(t, b)
 			stop, wait := make(chan struct{}), func() {}
 			if tc.act != nil {
 				wait = startSlowClients(t, n, tc.act, stop)
 			}
 			if tc.name == "slow reads" {
-				eventually(t, "all of them have a response to take", func() bool { return b.requests() == slowClients })
+				eventually(t, "all slow clients have a response to read", func() bool { return b.requests() == slowConnections })
 			}
 			var latencies []time.Duration
 			for i := range otherRequests {
@@ -167,9 +170,9 @@
 	}
 }
 
-// Clients that don't read their large responses, or send large bodies slowly, delay nobody else, even if there are more of
-// them than the admission window admits.
-func TestSlowStreamsDelayNobodyElse(t *testing.T) {
+// Clients that don't read their large responses, or send large bodies slowly, do not delay other clients, even if there are
+// more of them than the admission window admits.
+func TestSlowStreamsDoNotDelayOthers(t *testing.T) {
 	want := pattern(8 << 20)
 	b := newBackend(t, func(i int, c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.Header.Get("X-Call-Id"), "big") {
@@ -177,7 +180,7 @@
 		}
 		return respondOK(i, c, r)
 	})
-	n := startWith(t, b, b)
+	n := startWithBackends(t, b, b)
 	var held []*http.Response
 	for i := range 24 {
 		resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", fmt.Sprint("big", i), "x"))
@@ -197,7 +200,7 @@
 	}
 	for i := range 20 {
 		if got, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint("small", i), "x")); got != http.StatusOK {
-			t.Errorf("beside them one is answered %d", got)
+			t.Errorf("with slow streams open, another request was answered %d", got)
 		}
 	}
 	for _, resp := range held {
@@ -207,11 +210,11 @@
 	}
 }
 
-// A client sends the beginning of a head and stays silent. It is owed an answer or a close within 3 s, however much it has
-// sent. With 4095 bytes one byte is left in net/http's buffer of 4096, and the read of it looks like net/http's background
-// read, whose deadline is lifted: the connection stays, and holds its slot.
-func TestEndlessHeadIsEnded(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+// A client sends the beginning of a head and then nothing. It must get an answer or be disconnected within 3 s, however much
+// it has sent. With 4095 bytes, one byte of net/http's buffer of 4096 is left, and a read into it looks like net/http's
+// background read, whose deadline is cleared: the connection would stay open and hold its slot.
+func TestIncompleteHeadTimesOut(t *testing.T) {
+	n := startWithBackends(t, newBackend(t, respondOK))
 	for _, size := range []int{4000, 4094, 4095, 4096} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
 			t.Parallel()
@@ -233,20 +236,21 @@
 	}
 }
 
-// silentClientCase is what a client sends before it stays silent.
+// silentClientCase describes what a client sends before it becomes silent.
 type silentClientCase struct {
-	name    string
-	request string // whole, and answered, before the text; "": none
-	text    string
+	name             string
+	precedingRequest string // a complete request that is answered before text is sent; "": none
+	text             string
 }
 
-// httpBufferSize is the size in bytes of net/http's read buffer, into which heads and chunk sizes are read.
+// httpBufferSize is the size in bytes of net/http's read buffer for heads and chunk sizes.
 const httpBufferSize = 4096
 
-// silentClientCases draws lengths of all kinds of text over four of net/http's buffers, beside those that leave one byte.
+// silentClientCases returns cases for each kind of text: short lengths, lengths that leave one byte of net/http's buffer, and
+// random lengths of up to four buffers.
 func silentClientCases(rng *rand.Rand) (cases []silentClientCase) {
-	whole := "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: %d\r\nX-Call-Class: unsafe\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n"
-	beginnings := map[string]string{
+	completeRequest := "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: %d\r\nX-Call-Class: unsafe\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n"
+	prefixes := map[string]string{
 		"request line": "GET /",
 		"header":       "GET / HTTP/1.1\r\nHost: h\r\nX-Long: ",
 		"chunk": "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Budget: 1000m\r\n" +
@@ -259,26 +263,27 @@
 	for range 20 {
 		lengths = append(lengths, 1+rng.IntN(4*httpBufferSize))
 	}
-	for kind, beginning := range beginnings {
+	for kind, prefix := range prefixes {
 		for _, length := range lengths {
-			text := (beginning + strings.Repeat("a", max(length-len(beginning), 0)))[:length]
+			text := (prefix + strings.Repeat("a", max(length-len(prefix), 0)))[:length]
 			name := fmt.Sprintf("%s of %d bytes", kind, length)
-			cases = append(cases, silentClientCase{name, "", text}, silentClientCase{name + " behind a request", fmt.Sprintf(whole, len(cases)), text})
+			cases = append(cases, silentClientCase{name, "", text}, silentClientCase{name + " after a request", fmt.Sprintf(completeRequest, len(cases)), text})
 		}
 	}
 	return cases
 }
 
-// A client sends the beginning of a head or a body, and stays silent: at once, or after a request that was answered. It is
-// owed an answer or a close within 3 s, whatever it has sent: where a read's size stood for the state of the request, some
-// lengths held their slots without end, and up to three bytes behind a request held theirs for a minute.
-func TestSilentClientIsEnded(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+// A client sends the beginning of a head or a body and then nothing, either as its first bytes or after a request that was
+// answered. It must get an answer or be disconnected within 3 s, whatever it has sent. When the state of a request was
+// inferred from the size of a read, connections with some lengths held their slots indefinitely, and connections with up to
+// three bytes after a request held them for a minute.
+func TestSilentClientTimesOut(t *testing.T) {
+	n := startWithBackends(t, newBackend(t, respondOK))
 	const seed = 7
 	var clients sync.WaitGroup
 	for _, tc := range silentClientCases(rand.New(rand.NewPCG(seed, seed))) {
 		clients.Go(func() {
-			if err := tc.play(strings.TrimPrefix(n.url, "http://")); err != nil {
+			if err := tc.run(strings.TrimPrefix(n.url, "http://")); err != nil {
 				t.Errorf("%s: %v", tc.name, err)
 			}
 		})
@@ -286,22 +291,22 @@
 	clients.Wait()
 }
 
-// play connects, sends what the case has, and returns an error unless the client is answered or closed in time.
-func (tc silentClientCase) play(address string) error {
+// run connects and sends the bytes of the case. It returns an error unless the client is answered or disconnected in time.
+func (tc silentClientCase) run(address string) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	responses := bufio.NewReader(c)
-	if tc.request != "" {
-		io.WriteString(c, tc.request)
+	if tc.precedingRequest != "" {
+		io.WriteString(c, tc.precedingRequest)
 		response, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			return err
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
-			return fmt.Errorf("the request before: %d, %w", response.StatusCode, err)
+			return fmt.Errorf("the preceding request was answered %d: %w", response.StatusCode, err)
 		}
 	}
 	if err := c.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
--- a/internal/node/streamedbody_test.go
+++ b/internal/node/streamedbody_test.go
@@ -16,7 +16,7 @@
 	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
-// pattern is a text whose every part differs, so that lost or swapped bytes show.
+// pattern returns a text of n bytes without repeated parts, so that lost or reordered bytes are detected.
 func pattern(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -27,10 +27,10 @@
 
 func hash(s string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(s))) }
 
-// Bodies of any size and framing reach a server unchanged, once, whether they are buffered or streamed.
+// Bodies of any size and framing reach a server unchanged and once, whether they are buffered or streamed.
 func TestBodiesOfAnySize(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	for i, size := range []int{1, maxBuffered - 1, maxBuffered, maxBuffered + 1, 3 << 20} {
 		for _, chunked := range []bool{false, true} {
 			want := pattern(size)
@@ -44,8 +44,8 @@
 				continue
 			}
 			b.mu.Lock()
-			if last := b.body[len(b.body)-1]; hash(last) != hash(want) {
-				t.Errorf("%d bytes, chunked %v: the server got %d others", size, chunked, len(last))
+			if last := b.bodies[len(b.bodies)-1]; hash(last) != hash(want) {
+				t.Errorf("%d bytes, chunked %v: the server got %d bytes that differ", size, chunked, len(last))
 			}
 			b.mu.Unlock()
 		}
@@ -55,11 +55,11 @@
 	}
 }
 
-// The end of a chunked body is not known to the head reader. Its connection ends with the response, and what follows the
-// body is never read: it could be a smuggled request.
-func TestNothingFollowsAChunkedBody(t *testing.T) {
+// The node does not rely on the end of a chunked body to find the next request. It closes the connection after the response,
+// and never reads the bytes that follow the body, which could be a smuggled request.
+func TestConnectionClosesAfterChunkedBody(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	request := func(id, framing string) string {
 		return "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n" +
 			framing + "\r\n\r\n"
@@ -70,7 +70,8 @@
 	}
 }
 
-// largeResponse responds with a text, framed one way or another; the second half waits for hold.
+// largeResponse returns a handler that responds with a text. framing is "length", "chunked" or "end" (the response ends with
+// the connection). If hold is not nil, the second half is sent after hold is closed.
 func largeResponse(framing, want string, hold <-chan struct{}) func(int, net.Conn, *http.Request) bool {
 	return func(_ int, c net.Conn, _ *http.Request) bool {
 		halves := []string{want[:len(want)/2], want[len(want)/2:]}
@@ -94,8 +95,8 @@
 	}
 }
 
-// Responses of any size and framing reach the client unchanged, and the first bytes of a large one before the server has
-// sent the last.
+// Responses of any size and framing reach the client unchanged. The first bytes of a large response reach it before the
+// server has sent the last.
 func TestResponsesOfAnySize(t *testing.T) {
 	for _, framing := range []string{"length", "chunked", "end"} {
 		for _, size := range []int{2, maxBuffered, maxBuffered + 1, 4 << 20} {
@@ -105,7 +106,7 @@
 				if size > 4*maxBuffered {
 					hold = make(chan struct{})
 				}
-				n := startWith(t, newBackend(t, largeResponse(framing, want, hold)))
+				n := startWithBackends(t, newBackend(t, largeResponse(framing, want, hold)))
 				for i := range 2 {
 					resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x"))
 					if err != nil {
@@ -129,8 +130,8 @@
 	}
 }
 
-// A server truncates a large response. The client must be able to tell: its connection ends before the message does. The
-// request is not retried, and the connection not used again.
+// A server truncates a large response. The client must be able to detect this: its connection ends before the response is
+// complete. The request is not retried, and the connection is not used again.
 func TestTruncatedResponses(t *testing.T) {
 	for _, framing := range []string{"length", "chunked"} {
 		t.Run(framing, func(t *testing.T) {
@@ -146,34 +147,34 @@
 				}
 				return false
 			})
-			n := startWith(t, b)
+			n := startWithBackends(t, b)
 			resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", "1", "x"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Error("the client can't tell")
+				t.Error("the client can't detect that the response is truncated")
 			}
 			resp.Body.Close()
 			if got, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "2", "x")); got != http.StatusOK || b.requests() != 2 {
-				t.Errorf("the next is answered %d, %d requests ran", got, b.requests())
+				t.Errorf("the next request was answered %d; %d requests ran", got, b.requests())
 			}
 		})
 	}
 }
 
-// A streamed body is not kept, so it can't be sent again once a part was read from the client. Before that the request can
-// be retried; after it the client is rejected, for nothing ran, and gets a Retry-After.
-func TestLargeBodiesAreSentOnce(t *testing.T) {
-	var tries atomic.Int64
-	early, err := net.Listen("tcp", "127.0.0.1:0")
+// A streamed body is not stored, so it can't be sent again after a part of it has been read from the client. Before that, the
+// request can be retried. After that, it is rejected with a Retry-After, because it did not run.
+func TestStreamedBodyIsSentOnce(t *testing.T) {
+	var attempts atomic.Int64
+	rejecting, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer early.Close()
+	defer rejecting.Close()
 	go func() {
 		for {
-			c, err := early.Accept()
+			c, err := rejecting.Accept()
 			if err != nil {
 				return
 			}
@@ -183,41 +184,41 @@
 				if _, err := http.ReadRequest(br); err != nil {
 					return
 				}
-				io.CopyN(io.Discard, br, 200_000) // into the rest
-				tries.Add(1)
+				io.CopyN(io.Discard, br, 200_000) // more than the buffered part
+				attempts.Add(1)
 				respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
 			}()
 		}
 	}()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	startKnowing := func(hosts ...discoveryapi.Endpoint) *testNode {
+	closed.Close()
+	startWithEndpoints := func(hosts ...discoveryapi.Endpoint) *testNode {
 		cfg := testConfig(t, "pushed", hosts...)
 		cfg.Discovery = silentDiscovery(t)
-		return start(t, cfg)
+		return startNode(t, cfg)
 	}
-	n := startKnowing(inService("s-0", early.Addr().String()), inService("s-1", early.Addr().String()))
+	n := startWithEndpoints(inServiceEndpoint("s-0", rejecting.Addr().String()), inServiceEndpoint("s-1", rejecting.Addr().String()))
 	status, header, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "1", pattern(8<<20)))
-	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || tries.Load() != 1 {
-		t.Errorf("answered %d, %v; %d servers were asked", status, header, tries.Load())
+	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || attempts.Load() != 1 {
+		t.Errorf("answered %d, %v; %d attempts", status, header, attempts.Load())
 	}
 	b := newBackend(t, respondOK)
-	n = startKnowing(inService("s-0", gone.Addr().String()), inService("s-1", b.addr()))
+	n = startWithEndpoints(inServiceEndpoint("s-0", closed.Addr().String()), inServiceEndpoint("s-1", b.addr()))
 	for i := range 4 {
 		if status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), pattern(1<<20))); status != http.StatusOK {
-			t.Errorf("with a server gone it is answered %d", status)
+			t.Errorf("with one server unreachable, a request was answered %d", status)
 		}
 	}
 }
 
-// A client holds back the rest of its body. It gets an error and a close, and no server gets its request complete: one that
-// got the announced length would run a part of it.
+// A client does not send the rest of its body. It gets an error and a close, and no server gets a complete request. A server
+// that got the announced number of bytes would run a partial request.
 func TestStalledBody(t *testing.T) {
 	b := newBackend(t, respondOK)
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	for name, framing := range map[string]string{"length": "Content-Length: 300000\r\n\r\n" + pattern(200_000),
 		"chunked": "Transfer-Encoding: chunked\r\n\r\n493e0\r\n" + pattern(200_000)} {
 		t.Run(name, func(t *testing.T) {
@@ -229,50 +230,50 @@
 		})
 	}
 	if got := b.requests(); got != 0 {
-		t.Errorf("%d requests reached the server whole", got)
+		t.Errorf("%d complete requests reached the server", got)
 	}
 }
 
-// A body that comes too slowly is given up, but only the time spent waiting for the client counts: a slow server must not
-// make a client's body late.
-func TestBodyRate(t *testing.T) {
+// A body that arrives too slowly is aborted. Only the time spent waiting for the client counts, so that a slow server does
+// not make a client's body late.
+func TestMinBodyRate(t *testing.T) {
 	var deadline time.Time
-	p := &bodyReader{body: strings.NewReader(pattern(10 * streamChunk)), timeLeft: bodyTimeAllowance,
+	reader := &bodyReader{body: strings.NewReader(pattern(10 * streamChunk)), timeLeft: bodyTimeAllowance,
 		setReadDeadline: func(at time.Time) error { deadline = at; return nil }}
 	for range 10 {
-		if n, err := p.Read(make([]byte, streamChunk)); n != streamChunk || err != nil {
+		if n, err := reader.Read(make([]byte, streamChunk)); n != streamChunk || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if p.timeLeft < stallTimeout-time.Second || p.timeLeft > stallTimeout {
-		t.Errorf("after ten pieces at once there are %v left", p.timeLeft)
+	if reader.timeLeft < stallTimeout-time.Second || reader.timeLeft > stallTimeout {
+		t.Errorf("after ten chunks at once, the time left is %v", reader.timeLeft)
 	}
 	begin := time.Now()
-	p.timeLeft = time.Second
-	p.body = io.MultiReader(strings.NewReader("x"), strings.NewReader("yz"))
-	if p.Read(make([]byte, 9)); deadline.Sub(begin) < time.Second || deadline.Sub(begin) > 2*time.Second {
-		t.Errorf("a read with 1 s left ends %v on", deadline.Sub(begin))
+	reader.timeLeft = time.Second
+	reader.body = io.MultiReader(strings.NewReader("x"), strings.NewReader("yz"))
+	if reader.Read(make([]byte, 9)); deadline.Sub(begin) < time.Second || deadline.Sub(begin) > 2*time.Second {
+		t.Errorf("a read with 1 s left has a deadline after %v", deadline.Sub(begin))
 	}
-	p.bytesRead = maxStreamedBody
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !p.unsendable() {
-		t.Errorf("beyond the bound it ends with %v", err)
+	reader.bytesRead = maxStreamedBody
+	if _, err := reader.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !reader.unsendable() {
+		t.Errorf("a body over the maximum size ends with %v", err)
 	}
-	p.err = nil
-	p.close()
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !deadline.Before(time.Now().Add(time.Millisecond)) {
-		t.Errorf("closed, a read ends with %v", err)
+	reader.err = nil
+	reader.close()
+	if _, err := reader.Read(make([]byte, 1)); !errors.Is(err, errRequestBody) || !deadline.Before(time.Now().Add(time.Millisecond)) {
+		t.Errorf("a read after close ends with %v", err)
 	}
 }
 
-// All that is buffered at once stays within its share of the memory, also on the smallest nodes.
+// All bodies that are buffered at once stay within their fraction of the memory, even on the smallest nodes.
 func TestBufferLimit(t *testing.T) {
-	for _, c := range []struct{ memory, places, part, want int }{
+	for _, c := range []struct{ memoryMB, bodies, divisor, want int }{
 		{0, 1000, 4, maxBuffered}, {64, 209, requestBodyMemoryDivisor, maxBuffered}, {32, 129, requestBodyMemoryDivisor, 65027}, {32, 609, requestBodyMemoryDivisor, 13774},
 		{192, 365, responseMemoryDivisor, maxBuffered}, {32, 365, responseMemoryDivisor, 15321}, {32, 1 << 20, 4, minBuffered},
 	} {
-		got := bufferLimit(c.memory, c.part, c.places)
-		if got != c.want || c.memory > 0 && got > minBuffered && got*c.places > c.memory<<20/c.part {
-			t.Errorf("%d MB, %d places: %d, want %d", c.memory, c.places, got, c.want)
+		got := bufferLimit(c.memoryMB, c.divisor, c.bodies)
+		if got != c.want || c.memoryMB > 0 && got > minBuffered && got*c.bodies > c.memoryMB<<20/c.divisor {
+			t.Errorf("%d MB, %d bodies at once: limit %d, want %d", c.memoryMB, c.bodies, got, c.want)
 		}
 	}
 }
--- a/internal/node/suspicion.go
+++ b/internal/node/suspicion.go
@@ -39,7 +39,7 @@
 
 // noteUnasked closes a connection for bytes that nobody asked for, and counts them. The caller holds p.mu.
 func (p *connPool) noteUnasked(c *upstreamConn) {
-	p.closeLocked(c, closedForUnasked)
+	p.closeLocked(c, closedForUnsolicited)
 	p.count(metrics.UnaskedResponses)
 	p.count(metrics.ConnectionsGivenUp)
 }
--- a/internal/node/suspicion_test.go
+++ b/internal/node/suspicion_test.go
@@ -140,7 +140,7 @@
 	})
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	for _, closed := range []closeReason{closedForUnasked, notClosed, notClosed} {
+	for _, closed := range []closeReason{closedForUnsolicited, notClosed, notClosed} {
 		if r := p.runAttempt(att); r.Outcome != balancer.Success || r.ClosedBy != string(closed) {
 			t.Errorf("ended %v, closed by %q, want %q", r.Outcome, r.ClosedBy, closed)
 		}
--- a/internal/node/upstreamfaults_test.go
+++ b/internal/node/upstreamfaults_test.go
@@ -44,7 +44,7 @@
 		}
 		return respond(c, "200 OK", "done")
 	}
-	n := startWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty))
+	n := startWithBackends(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty))
 
 	const callers, each = 12, 40
 	answered := map[int]int{}
@@ -98,7 +98,7 @@
 		close(left)
 		return false
 	})
-	n := startWith(t, b)
+	n := startWithBackends(t, b)
 	r := newRequest(t, n.url, "unsafe", "1", "x")
 	r.Header.Set("X-Budget", "2000m")
 	if status, _, _ := sendRequest(t, r); status != http.StatusBadGateway {
@@ -112,7 +112,7 @@
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
 	})
-	status, _, _ := sendRequest(t, newRequest(t, startWith(t, b).url, "unsafe", "1", strings.Repeat("x", maxBuffered)))
+	status, _, _ := sendRequest(t, newRequest(t, startWithBackends(t, b).url, "unsafe", "1", strings.Repeat("x", maxBuffered)))
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", status)
 	}
@@ -157,9 +157,9 @@
 			if got := p.runAttempt(testAttempt(p, addr, wait)).Outcome; !slices.Contains(tc.want, got) {
 				t.Errorf("ended %v, want one of %v", got, tc.want)
 			}
-			cfg := testConfig(t, "pushed", inService("s-0", addr))
+			cfg := testConfig(t, "pushed", inServiceEndpoint("s-0", addr))
 			cfg.Discovery = silentDiscovery(t)
-			n := start(t, cfg)
+			n := startNode(t, cfg)
 			for i := range 3 {
 				r := newRequest(t, n.url, "unsafe", fmt.Sprint(name, i), "x")
 				r.Header.Set("X-Budget", "300m")
@@ -191,16 +191,16 @@
 		return respond(c, "200 OK", "done")
 	})
 	other := newBackend(t, respondOK)
-	n := start(t, configWith(t, b))
+	n := startNode(t, configWithBackends(t, b))
 	held := make(chan int, 1)
 	go func() {
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
 	<-came
-	moved := inService("s-0", other.addr())
+	moved := inServiceEndpoint("s-0", other.addr())
 	moved.StartedAtMillis = 1000
-	for _, h := range []discoveryapi.Endpoint{{ID: "s-0", Health: "terminating"}, {ID: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
+	for _, h := range []discoveryapi.Endpoint{{ID: "s-0", Health: "terminating"}, {ID: "s-0", Health: "terminated"}, inServiceEndpoint("s-0", b.addr()), moved} {
 		if err := n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 			t.Fatal(err)
 		}
