--- a/internal/node/accesscontrol_test.go
+++ b/internal/node/accesscontrol_test.go
@@ -46,6 +46,7 @@
 	return c
 }
 
+// requestText returns the bytes of a complete request with a body of one byte.
 func requestText(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: n\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\nContent-Length: 1\r\n\r\nx"
 }
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -31,25 +31,28 @@
 	"closed after many stray bytes": {trailing: strings.Repeat("stray ", 7<<10)},
 }
 
+// rawRequest returns the bytes of a complete request with a body of one byte.
 func rawRequest(class, id string) string {
 	return "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + class + "\r\nX-Budget: 20000m\r\nContent-Length: 1\r\n\r\nx"
 }
 
-func (l departingClient) connect(t *testing.T, addr, id string) *net.TCPConn {
+// connect opens a connection and sends the request with the given ID, followed by the trailing bytes.
+func (d departingClient) connect(t *testing.T, addr, id string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if _, err := c.Write([]byte(rawRequest("unsafe", id) + strings.ReplaceAll(l.trailing, "again", id+"-again"))); err != nil {
+	if _, err := c.Write([]byte(rawRequest("unsafe", id) + strings.ReplaceAll(d.trailing, "again", id+"-again"))); err != nil {
 		t.Fatal(err)
 	}
 	return c.(*net.TCPConn)
 }
 
-func (l departingClient) leave(c *net.TCPConn) {
-	if l.reset {
+// leave closes the connection in the way of this client.
+func (d departingClient) leave(c *net.TCPConn) {
+	if d.reset {
 		c.SetLinger(0)
 	}
 	c.Close()
@@ -61,6 +64,7 @@
 	opened  chan struct{}
 }
 
+// control implements net.Dialer.ControlContext.
 func (g dialGate) control(context.Context, string, string, syscall.RawConn) error {
 	g.waiting <- struct{}{}
 	<-g.opened
@@ -95,19 +99,19 @@
 }
 
 // applyEndpoint sends the node an update of one endpoint, and returns when the engine has applied it.
-func (r *testNode) applyEndpoint(t *testing.T, h discoveryapi.Endpoint) {
+func (n *testNode) applyEndpoint(t *testing.T, h discoveryapi.Endpoint) {
 	t.Helper()
-	if err := r.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
+	if err := n.engine.ApplyUpdate(t.Context(), discovery.ToUpdate(discoveryapi.List{Endpoints: []discoveryapi.Endpoint{h}})); err != nil {
 		t.Fatal(err)
 	}
-	r.engine.SuccessorState(t.Context(), func() {}) // returns only after the engine has handled the update
+	n.engine.SuccessorState(t.Context(), func() {}) // returns only after the engine has handled the update
 }
 
 // openRequests returns the number of open requests in the balancer's checkpoint.
-func (r *testNode) openRequests() int {
+func (n *testNode) openRequests() int {
 	var saved struct{ Requests []any }
-	r.engine.SuccessorState(context.Background(), func() {
-		if text, err := r.engine.Balancer.Checkpoint(); err == nil {
+	n.engine.SuccessorState(context.Background(), func() {
+		if text, err := n.engine.Balancer.Checkpoint(); err == nil {
 			json.Unmarshal(text, &saved)
 		}
 	})
@@ -130,11 +134,11 @@
 	return &observedListener{ln, make(chan *net.TCPConn, 1), make(chan struct{})}
 }
 
-func (s *observedListener) Accept() (net.Conn, error) {
-	c, err := s.Listener.Accept()
+func (l *observedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err == nil {
-		s.accepted <- c.(*net.TCPConn)
-		<-s.proceed
+		l.accepted <- c.(*net.TCPConn)
+		<-l.proceed
 	}
 	return c, err
 }
--- a/internal/node/faultinjection_test.go
+++ b/internal/node/faultinjection_test.go
@@ -64,6 +64,7 @@
 	return startNode(t, cfg, withLog(out)), out
 }
 
+// secret is the key that starts the fault injection in these tests.
 const secret = "crush-pad-7"
 
 // faultInjectionFeatures returns features with one fault injection that affects all requests of its class, modified by change.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -122,12 +122,14 @@
 
 func (b *backend) addr() string { return b.ln.Addr().String() }
 
+// requests returns the number of requests received.
 func (b *backend) requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.received)
 }
 
+// accepted returns the number of connections accepted.
 func (b *backend) accepted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,18 +197,18 @@
 		f(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testNode{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	node := &testNode{Node: n, url: "http://" + ln.Addr().String(), stop: cancel, ended: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.ended <- n.serve(ctx, ln, nil)
+		node.ended <- n.serve(ctx, ln, nil)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
 	})
 	eventually(t, "the node has an endpoint list", n.ready)
-	return r
+	return node
 }
 
 // startWithBackends starts a node with the backends in its bootstrap list and no further endpoint updates.
@@ -218,11 +220,11 @@
 // configWithBackends returns a configuration with the backends in its bootstrap list.
 func configWithBackends(t *testing.T, backends ...*backend) Config {
 	t.Helper()
-	var hosts []discoveryapi.Endpoint
+	var endpoints []discoveryapi.Endpoint
 	for i, b := range backends {
-		hosts = append(hosts, inServiceEndpoint(fmt.Sprintf("s-%d", i), b.addr()))
+		endpoints = append(endpoints, inServiceEndpoint(fmt.Sprintf("s-%d", i), b.addr()))
 	}
-	cfg := testConfig(t, "pushed", hosts...)
+	cfg := testConfig(t, "pushed", endpoints...)
 	cfg.Discovery = silentDiscovery(t)
 	return cfg
 }
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -180,6 +180,7 @@
 	}
 }
 
+// runReader reads ahead until storeRead tells it to stop, and then closes done.
 func (a *readAheadBuffer) runReader(done chan struct{}) {
 	defer close(done)
 	b := make([]byte, readAheadChunk)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -43,9 +43,10 @@
 // the pool); closeIdleConnections; the writers of metrics and captures. The goroutines of client connections belong to
 // net/http. They end in shutDown, except those whose connections are closed at the deadline: these end shortly after it.
 //
-// The shutdown order ensures that nothing is lost. Clients are first. The admin API follows, because its calls must reach
-// the other process. Then the other process, discovery and the connections to servers are closed. The engine is next, since
-// it may still receive results of attempts. Metrics and the capture are last, since they record all of this.
+// The shutdown order ensures that nothing is lost. Serving clients ends first. Then the admin API is closed, before the
+// connection to the other process, because its calls must reach that process. Discovery and the connections to servers
+// follow. The engine stops after them, because attempts report their results to it. Metrics and the capture, which record
+// all of this, are closed last.
 func (n *Node) serve(ctx context.Context, clients, admin net.Listener) error {
 	var owned sync.WaitGroup // goroutines that end before serve returns
 	n.startFeatures()
@@ -123,7 +124,7 @@
 	}
 }
 
-// startFeatures starts the metrics and the capture that the settings file enables.
+// startFeatures creates the metrics reporter and the capture, if the settings file enables them.
 func (n *Node) startFeatures() {
 	if f := n.cfg.Features.Metrics; f != nil {
 		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
--- a/internal/node/streamedbody_test.go
+++ b/internal/node/streamedbody_test.go
@@ -25,6 +25,7 @@
 	return b.String()[:n]
 }
 
+// hash returns the SHA-256 of a text in hexadecimal.
 func hash(s string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(s))) }
 
 // Bodies of any size and framing reach a server unchanged and once, whether they are buffered or streamed.
