--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -49,7 +49,7 @@
 	w := &channelResolver{plugin: b.plugin, tier: t, clientConn: cc, pending: make(chan []Endpoint, 1), done: make(chan struct{})}
 	go w.deliver()
 	t.mu.Lock()
-	t.watchers[w] = true
+	t.resolvers[w] = true
 	w.update(t.readyEndpoints())
 	t.mu.Unlock()
 	b.plugin.channelOpened(t, nil)
@@ -67,39 +67,39 @@
 }
 
 // update leaves a list for the channel, in place of one that is not delivered yet. The caller holds the tier's lock.
-func (w *channelResolver) update(l []Endpoint) {
+func (r *channelResolver) update(l []Endpoint) {
 	select {
-	case <-w.pending:
+	case <-r.pending:
 	default:
 	}
-	w.pending <- l
+	r.pending <- l
 }
 
 // deliver hands lists to the channel until the resolver is closed.
-func (w *channelResolver) deliver() {
+func (r *channelResolver) deliver() {
 	for {
 		select {
-		case l := <-w.pending:
+		case l := <-r.pending:
 			// The library requires an address; the balancer uses the attribute in its place.
-			_ = w.clientConn.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: "hookwalk"}},
+			_ = r.clientConn.UpdateState(resolver.State{Addresses: []resolver.Address{{Addr: "hookwalk"}},
 				Attributes: attributes.New(endpointsKey{}, endpointsAttribute{l})})
-		case <-w.done:
+		case <-r.done:
 			return
 		}
 	}
 }
 
 // ResolveNow does nothing: the source reports changes by itself.
-func (w *channelResolver) ResolveNow(resolver.ResolveNowOptions) {}
+func (r *channelResolver) ResolveNow(resolver.ResolveNowOptions) {}
 
 // Close releases the tier.
-func (w *channelResolver) Close() {
-	close(w.done)
-	w.plugin.channelClosed()
-	w.tier.mu.Lock()
-	delete(w.tier.watchers, w)
-	w.tier.mu.Unlock()
-	w.tier.release()
+func (r *channelResolver) Close() {
+	close(r.done)
+	r.plugin.channelClosed()
+	r.tier.mu.Lock()
+	delete(r.tier.resolvers, r)
+	r.tier.mu.Unlock()
+	r.tier.release()
 }
 
 // balancerBuilder builds the balancer of each channel.
@@ -190,7 +190,7 @@
 func (p *picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a, ok := info.Ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
-		return balancer.PickResult{}, errStopped
+		return balancer.PickResult{}, errSendNotAllowed
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,8 +199,8 @@
 		return balancer.PickResult{}, errStreamRefused
 	}
 	if !a.MaySend(a.tier.engine.Clock.Now()) {
-		a.stopped = true
-		return balancer.PickResult{}, errStopped
+		a.sendDenied = true
+		return balancer.PickResult{}, errSendNotAllowed
 	}
 	p.balancer.mu.RLock()
 	k := p.balancer.connections[endpointKey{a.Target.ID, a.Target.Addr, int64(a.Target.StartTime)}]
--- a/grpcbalancer/bench_test.go
+++ b/grpcbalancer/bench_test.go
@@ -43,20 +43,20 @@
 		for s := cc.GetState(); s != connectivity.Ready; s = cc.GetState() {
 			cc.WaitForStateChange(b.Context(), s)
 		}
-		one := func() {
+		call := func() {
 			ctx, cancel := context.WithTimeout(b.Context(), 2*time.Second)
 			defer cancel()
 			var reply wrapperspb.StringValue
-			if err := cc.Invoke(ctx, weighIn, wrapperspb.String("grapes"), &reply); err != nil {
+			if err := cc.Invoke(ctx, nonIdempotentMethod, wrapperspb.String("grapes"), &reply); err != nil {
 				b.Fatal(err)
 			}
 		}
 		for range 3000 { // every server that is used has its connection by then
-			one()
+			call()
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			one()
+			call()
 		}
 	}
 	for _, n := range []int{10, 1000} {
@@ -80,7 +80,7 @@
 			})
 		}
 		b.Run(fmt.Sprintf("hookwalk/%d", n), func(b *testing.B) {
-			cfg := Config{Tier: b.Name(), Source: list, Seed: 7, Deadline: time.Second, Methods: map[string]string{weighIn: "bin-weighin"},
+			cfg := Config{Tier: b.Name(), Source: list, Seed: 7, Deadline: time.Second, Methods: map[string]string{nonIdempotentMethod: "bin-weighin"},
 				Settings: settings}
 			opts, err := DialOptions(cfg)
 			if err != nil {
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -33,11 +33,11 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	weighIn = "/harvest.Log/WeighIn"
-	view    = "/harvest.Log/View"
+	nonIdempotentMethod = "/harvest.Log/WeighIn"
+	idempotentMethod    = "/harvest.Log/View"
 )
 
-var served = func() []byte {
+var replyMessage = func() []byte {
 	b, err := proto.Marshal(wrapperspb.String("done"))
 	if err != nil {
 		panic(err)
@@ -74,7 +74,7 @@
 
 func config(t *testing.T, s Source) Config {
 	return Config{Tier: t.Name(), Source: s, Seed: 7, Deadline: 10 * time.Second, Settings: settings,
-		Methods: map[string]string{weighIn: "bin-weighin", view: "block-view"}}
+		Methods: map[string]string{nonIdempotentMethod: "bin-weighin", idempotentMethod: "block-view"}}
 }
 
 var settings = balancer.Settings{Replicas: 1, MaxAttempts: 3, MaxRetryAfter: time.Second, OverloadMultiple: 3, SlowStartMinShare: 0.2,
@@ -105,7 +105,7 @@
 }
 
 // What proves that an attempt never ran lets an non-idempotent call go to another server.
-func TestNeverRan(t *testing.T) {
+func TestUnprocessedCallIsRetried(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway before the stream":      func(k *grpcserver.Call) { k.GoAway(true) },
@@ -120,10 +120,10 @@
 					fault(k)
 					return
 				}
-				k.Answer(served)
+				k.Answer(replyMessage)
 			})
 			cc := dial(t, config(t, StaticSource(f.list())))
-			if got, err := invoke(t.Context(), cc, weighIn); err != nil || got != "done" {
+			if got, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil || got != "done" {
 				t.Errorf("got %q, %v", got, err)
 			}
 			if n := f.calls.Load(); n != 2 {
@@ -132,11 +132,11 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
+		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 		f.servers[0].Close()
 		cc := dial(t, config(t, StaticSource(f.list())))
 		for range 20 {
-			if _, err := invoke(t.Context(), cc, weighIn); err != nil {
+			if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -147,7 +147,7 @@
 }
 
 // What may have run ends an non-idempotent call, with a code that nobody retries; a safe one goes to another server.
-func TestMayHaveRun(t *testing.T) {
+func TestOnlyIdempotentCallIsRetriedAfterItMayHaveRun(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"unavailable":               func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) },
 		"internal":                  func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal)) },
@@ -157,8 +157,8 @@
 		"turned away, oddly":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "yes") },
 		"reset, cancelled":          func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
 		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
-		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.ResetConnection() },
-		"half a message, then over": func(k *grpcserver.Call) { k.Header(); k.Data(served, 7); k.Status(0) },
+		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.ResetConnection() },
+		"half a message, then over": func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.Status(0) },
 		"no message":                func(k *grpcserver.Call) { k.Header(); k.Status(0) },
 		"cut":                       func(k *grpcserver.Call) { k.ResetConnection() },
 		"goaway after, then cut":    func(k *grpcserver.Call) { k.GoAway(false); k.ResetConnection() },
@@ -168,13 +168,13 @@
 			for method, want := range map[string]struct {
 				code  codes.Code
 				calls int64
-			}{weighIn: {codes.Internal, 1}, view: {codes.OK, 2}} {
+			}{nonIdempotentMethod: {codes.Internal, 1}, idempotentMethod: {codes.OK, 2}} {
 				f := newFleet(t, 3, 0, func(n int, k *grpcserver.Call) {
 					if n == 0 {
 						fault(k)
 						return
 					}
-					k.Answer(served)
+					k.Answer(replyMessage)
 				})
 				cfg := config(t, StaticSource(f.list()))
 				cfg.Tier += method
@@ -191,11 +191,11 @@
 }
 
 // A server that says nothing costs a call its time; a weigh-in is not sent again.
-func TestSilentServer(t *testing.T) {
+func TestServerWithoutResponse(t *testing.T) {
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := invoke(ctx, dial(t, config(t, StaticSource(f.list()))), weighIn); status.Code(err) != codes.DeadlineExceeded {
+	if _, err := invoke(ctx, dial(t, config(t, StaticSource(f.list()))), nonIdempotentMethod); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("got %v", err)
 	}
 	if n := f.calls.Load(); n != 1 {
@@ -204,11 +204,11 @@
 }
 
 // What a server has found out is its client's, as it is.
-func TestApplicationErrorsPass(t *testing.T) {
+func TestApplicationErrorsAreReturnedUnchanged(t *testing.T) {
 	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) {
 		k.FailWithoutHeader(int(codes.NotFound), "grpc-message", "no such bin")
 	})
-	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), view)
+	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), idempotentMethod)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
 		t.Errorf("got %v after %d calls", err, f.calls.Load())
 	}
@@ -234,7 +234,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 5, 0, func(_ int, k *grpcserver.Call) { fault(k) })
-			_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), weighIn)
+			_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), nonIdempotentMethod)
 			if status.Code(err) != codes.Unavailable || retryDelay(err) <= 0 {
 				t.Errorf("got %v, advice %v", err, retryDelay(err))
 			}
@@ -247,7 +247,7 @@
 
 // A retry policy of the application's service config sends nothing again; a method that no table has is unsafe.
 func TestLibraryDoesNotRetry(t *testing.T) {
-	for _, method := range []string{weighIn, "/harvest.Log/Other"} {
+	for _, method := range []string{nonIdempotentMethod, "/harvest.Log/Other"} {
 		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) })
 		cfg := config(t, StaticSource(f.list()))
 		cfg.Tier += method
@@ -278,12 +278,12 @@
 
 // A server that drains gets nothing new, though its connection is up; one that returns with a new boot time gets a new
 // connection.
-func TestDrainAndReturn(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
+func TestServerDrainsAndRestarts(t *testing.T) {
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	source, list := make(scriptedSource), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
-	if _, err := invoke(t.Context(), cc, weighIn); err != nil {
+	if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil {
 		t.Fatal(err)
 	}
 	list[0].State = balancer.Draining
@@ -291,13 +291,13 @@
 	source <- EndpointList{} // is taken only when the one before has been dealt with
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if _, err := invoke(ctx, cc, weighIn); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
+	if _, err := invoke(ctx, cc, nonIdempotentMethod); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
 		t.Errorf("with the only server draining: %v after %d calls", err, f.calls.Load())
 	}
 	list[0].State, list[0].StartTime = balancer.Ready, time.Second
 	source <- EndpointList{Endpoints: list}
 	source <- EndpointList{}
-	if _, err := invoke(t.Context(), cc, weighIn); err != nil {
+	if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil {
 		t.Error(err)
 	}
 	if conns, calls := f.servers[0].Counts(); conns != 2 || calls != 2 {
@@ -307,19 +307,19 @@
 
 // Channels to one tier have one engine, others their own; the last to close ends it, and a call on a closed channel
 // ends at once.
-func TestChannelsShareATier(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
+func TestChannelsShareTier(t *testing.T) {
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	cfg := config(t, StaticSource(f.list()))
 	a, b := dial(t, cfg), dial(t, cfg)
 	cfg.Tier = "other"
 	c := dial(t, cfg)
 	for _, cc := range []*grpc.ClientConn{a, b, c} {
-		if _, err := invoke(t.Context(), cc, weighIn); err != nil {
+		if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil {
 			t.Fatal(err)
 		}
 	}
 	cfg.Settings.MaxAttempts = 2
-	if _, err := invoke(t.Context(), dial(t, cfg), weighIn); status.Code(err) != codes.FailedPrecondition {
+	if _, err := invoke(t.Context(), dial(t, cfg), nonIdempotentMethod); status.Code(err) != codes.FailedPrecondition {
 		t.Errorf("with other settings than those in use: %v", err)
 	}
 	inUse := func() (n int) {
@@ -331,10 +331,10 @@
 		t.Errorf("%d tiers, want 2", n)
 	}
 	a.Close()
-	if _, err := invoke(t.Context(), b, weighIn); err != nil {
+	if _, err := invoke(t.Context(), b, nonIdempotentMethod); err != nil {
 		t.Errorf("with the other channel closed: %v", err)
 	}
-	if _, err := invoke(t.Context(), a, weighIn); status.Code(err) != codes.Canceled {
+	if _, err := invoke(t.Context(), a, nonIdempotentMethod); status.Code(err) != codes.Canceled {
 		t.Errorf("on a closed channel: %v", err)
 	}
 	b.Close()
@@ -346,36 +346,36 @@
 
 // Calls that are given up, or whose channel closes under them, end at once and leave nothing out.
 func TestCanceledCalls(t *testing.T) {
-	came := make(chan struct{}, 20)
-	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) { came <- struct{}{} })
+	received := make(chan struct{}, 20)
+	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) { received <- struct{}{} })
 	cfg := config(t, StaticSource(f.list()))
 	cc := dial(t, cfg)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if _, err := invoke(ctx, cc, view); status.Code(err) != codes.Canceled {
+		if _, err := invoke(ctx, cc, idempotentMethod); status.Code(err) != codes.Canceled {
 			t.Errorf("given up: %v", err)
 		}
 	}()
-	<-came
-	leave()
+	<-received
+	cancel()
 	wg.Wait()
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if _, err := invoke(t.Context(), cc, weighIn); err == nil || status.Code(err) == codes.Unavailable {
+		if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err == nil || status.Code(err) == codes.Unavailable {
 			t.Errorf("closed under it: %v", err)
 		}
 	}()
-	<-came
+	<-received
 	cc.Close()
 	wg.Wait()
 }
 
 // Whatever a fleet does to them, thousands of weigh-ins run once at most and are refused only if they never ran.
-func TestWeighInsRunOnce(t *testing.T) {
+func TestNonIdempotentCallsRunAtMostOnce(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
 	f := newFleet(t, 6, 4, func(n int, k *grpcserver.Call) {
@@ -399,18 +399,18 @@
 		case 17:
 			ran()
 			k.Header()
-			k.Data(served, 6)
+			k.Data(replyMessage, 6)
 			k.ResetConnection()
 		case 19:
 			ran()
 			k.GoAway(false)
-			k.Answer(served)
+			k.Answer(replyMessage)
 		case 23:
 			ran()
 			k.ResetConnection()
 		default:
 			ran()
-			k.Answer(served)
+			k.Answer(replyMessage)
 		}
 	})
 	cc := dial(t, config(t, StaticSource(f.list())))
@@ -422,7 +422,7 @@
 			defer wg.Done()
 			for i := range 150 {
 				bin := fmt.Sprintf("%d-%d", caller, i)
-				_, err := invoke(metadata.AppendToOutgoingContext(t.Context(), "bin", bin), cc, weighIn)
+				_, err := invoke(metadata.AppendToOutgoingContext(t.Context(), "bin", bin), cc, nonIdempotentMethod)
 				mu.Lock()
 				got[status.Code(err)]++
 				n := runs[bin]
@@ -440,11 +440,11 @@
 	t.Logf("ends by code: %v", got)
 }
 
-var watching = &grpc.StreamDesc{StreamName: "Watch", ServerStreams: true}
+var watchDesc = &grpc.StreamDesc{StreamName: "Watch", ServerStreams: true}
 
 // watch opens a stream, sends its one message and receives until it ends.
 func watch(ctx context.Context, cc *grpc.ClientConn) (messages int, err error) {
-	s, err := cc.NewStream(ctx, watching, view)
+	s, err := cc.NewStream(ctx, watchDesc, idempotentMethod)
 	if err != nil {
 		return 0, err
 	}
@@ -470,18 +470,23 @@
 		messages int
 		want     codes.Code
 	}{
-		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, -1); k.Status(0) }, 2, codes.OK},
+		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, -1); k.Data(replyMessage, -1); k.Status(0) }, 2, codes.OK},
 		"not found":      {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound)) }, 0, codes.NotFound},
 		"turned away":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
 		"unavailable":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) }, 0, codes.Internal},
 		"turned away late": {func(k *grpcserver.Call) {
 			k.Header()
-			k.Data(served, -1)
+			k.Data(replyMessage, -1)
 			k.Status(int(codes.Unavailable), RejectedKey, "1")
 		}, 1, codes.Internal},
-		"cut half-way":        {func(k *grpcserver.Call) { k.Header(); k.Data(served, -1); k.Data(served, 6); k.ResetConnection() }, 1, codes.Internal},
-		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(served, -1); k.Status(0) }, 1, codes.OK},
+		"cut half-way": {func(k *grpcserver.Call) {
+			k.Header()
+			k.Data(replyMessage, -1)
+			k.Data(replyMessage, 6)
+			k.ResetConnection()
+		}, 1, codes.Internal},
+		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(replyMessage, -1); k.Status(0) }, 1, codes.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { tc.script(k) })
@@ -512,21 +517,21 @@
 }
 
 // A drain lets a stream finish and starts no new one; a client that leaves its stream takes it off the engine.
-func TestStreamsAndDrains(t *testing.T) {
-	finish, left := make(chan struct{}), make(chan struct{}, 1)
+func TestStreamsDuringDrain(t *testing.T) {
+	finish, secondEnded := make(chan struct{}), make(chan struct{}, 1)
 	f := newFleet(t, 1, 0, func(n int, k *grpcserver.Call) {
 		k.Header()
-		k.Data(served, -1)
+		k.Data(replyMessage, -1)
 		if n == 0 {
 			<-finish
-			k.Data(served, -1)
+			k.Data(replyMessage, -1)
 			k.Status(0)
 		}
 	})
 	source, list := make(scriptedSource), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
-	s, err := cc.NewStream(t.Context(), watching, view)
+	s, err := cc.NewStream(t.Context(), watchDesc, idempotentMethod)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -534,12 +539,12 @@
 	if err := errors.Join(s.SendMsg(&m), s.CloseSend(), s.RecvMsg(&m)); err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancelSecond := context.WithCancel(t.Context())
 	go func() {
 		if _, err := watch(ctx, cc); status.Code(err) != codes.Canceled {
 			t.Errorf("left: %v", err)
 		}
-		left <- struct{}{}
+		secondEnded <- struct{}{}
 	}()
 	for _, calls := f.servers[0].Counts(); calls < 2; _, calls = f.servers[0].Counts() {
 		runtime.Gosched()
@@ -557,8 +562,8 @@
 	if err := errors.Join(s.RecvMsg(&m), s.RecvMsg(&m)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one under way: %v", err)
 	}
-	leave()
-	<-left
+	cancelSecond()
+	<-secondEnded
 	cc.Close()
 	if _, calls := f.servers[0].Counts(); calls != 2 {
 		t.Errorf("%d streams came", calls)
@@ -566,21 +571,21 @@
 }
 
 // A call that waits for one of the streams that a server allows has not been sent: it is refused, not failed.
-func TestNoFreeStream(t *testing.T) {
-	came := make(chan struct{}, 2)
-	f := newFleet(t, 1, 1, func(int, *grpcserver.Call) { came <- struct{}{} })
+func TestServerStreamLimit(t *testing.T) {
+	received := make(chan struct{}, 2)
+	f := newFleet(t, 1, 1, func(int, *grpcserver.Call) { received <- struct{}{} })
 	cc := dial(t, config(t, StaticSource(f.list())))
 	first, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		_, _ = invoke(first, cc, weighIn) // takes the one stream and is never answered
+		_, _ = invoke(first, cc, nonIdempotentMethod) // takes the one stream and is never answered
 	}()
-	<-came
+	<-received
 	ctx, cancelSecond := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancelSecond()
-	if _, err := invoke(ctx, cc, weighIn); status.Code(err) != codes.Unavailable {
+	if _, err := invoke(ctx, cc, nonIdempotentMethod); status.Code(err) != codes.Unavailable {
 		t.Errorf("got %v", err)
 	}
 	cancel()
@@ -598,7 +603,7 @@
 	}
 	cc := dial(t, config(t, StaticSource(f.list())))
 	begin := time.Now()
-	err := cc.Invoke(t.Context(), weighIn, wrapperspb.String("grapes"), new(wrapperspb.StringValue), grpc.WaitForReady(true))
+	err := cc.Invoke(t.Context(), nonIdempotentMethod, wrapperspb.String("grapes"), new(wrapperspb.StringValue), grpc.WaitForReady(true))
 	if took := time.Since(begin); status.Code(err) != codes.Unavailable || took > 5*time.Second { // of the 10 that the call has
 		t.Errorf("got %v after %v", err, took)
 	}
@@ -607,30 +612,30 @@
 // All of 10,000 servers start anew in one update while calls go on: none fails, and only those are connected to that were
 // chosen.
 func TestManyServersRestartAtOnce(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(served) })
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	source := make(scriptedSource)
 	cc := dial(t, config(t, source), grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", f.servers[0].Addr())
 	}))
 	list := make([]Endpoint, 10000)
-	const asked = 40
-	for boot := range 2 {
+	const callsPerUpdate = 40
+	for startTime := range 2 {
 		for i := range list {
-			list[i] = Endpoint{Server: balancer.Server{ID: strconv.Itoa(i), StartTime: time.Duration(boot)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
+			list[i] = Endpoint{Server: balancer.Server{ID: strconv.Itoa(i), StartTime: time.Duration(startTime)}, Addr: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)}
 		}
-		taken := make(chan struct{})
+		applied := make(chan struct{})
 		go func() {
-			defer close(taken)
+			defer close(applied)
 			source <- EndpointList{Endpoints: slices.Clone(list), Complete: true}
 		}()
-		for range asked {
-			if _, err := invoke(t.Context(), cc, weighIn); err != nil {
+		for range callsPerUpdate {
+			if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil {
 				t.Fatal(err)
 			}
 		}
-		<-taken
+		<-applied
 	}
-	if conns, calls := f.servers[0].Counts(); calls != 2*asked || conns > calls {
+	if conns, calls := f.servers[0].Counts(); calls != 2*callsPerUpdate || conns > calls {
 		t.Errorf("%d connections, %d calls", conns, calls)
 	}
 }
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -68,7 +68,7 @@
 			k.ResetConnection()
 		case 2:
 			k.Header()
-			k.Data(served, 3)
+			k.Data(replyMessage, 3)
 			k.ResetConnection()
 		case 3:
 			k.GoAway(true)
@@ -78,7 +78,7 @@
 			k.FailWithoutHeader(int(codes.Internal))
 		default:
 			k.Header()
-			k.Data(served, -1)
+			k.Data(replyMessage, -1)
 			k.Status(0)
 		}
 	})
@@ -96,9 +96,9 @@
 			for k := range 4 {
 				switch (i + k) % 3 {
 				case 0:
-					invoke(ctx, cc, weighIn)
+					invoke(ctx, cc, nonIdempotentMethod)
 				case 1:
-					invoke(ctx, cc, view)
+					invoke(ctx, cc, idempotentMethod)
 				default:
 					watch(ctx, cc)
 				}
@@ -109,16 +109,16 @@
 	tiers.mu.Lock()
 	log.engine.Store(tiers.byName[cfg.Tier].engine)
 	tiers.mu.Unlock()
-	invoke(t.Context(), cc, view) // so that there is something to say in the end
+	invoke(t.Context(), cc, idempotentMethod) // so that there is something to say in the end
 	cc.Close()
-	late := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
 		case c := <-log.checkpoints: // one that came in the middle of the last call is followed by another
 			if nothingInFlight(t, c) {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatal("something stays in flight")
 		}
 	}
--- a/grpcbalancer/outcomes.go
+++ b/grpcbalancer/outcomes.go
@@ -17,9 +17,9 @@
 
 // Errors of the picker: the server can't be reached, nothing new may be sent to it, the library tried to send once more.
 var (
-	errUnreachable   = status.Error(codes.Unavailable, "hookwalk: the server can't be reached")
-	errStopped       = status.Error(codes.Unavailable, "hookwalk: nothing new may be sent to the server")
-	errStreamRefused = status.Error(codes.Unavailable, "hookwalk: the server refused the stream unprocessed")
+	errUnreachable    = status.Error(codes.Unavailable, "hookwalk: the server can't be reached")
+	errSendNotAllowed = status.Error(codes.Unavailable, "hookwalk: nothing new may be sent to the server")
+	errStreamRefused  = status.Error(codes.Unavailable, "hookwalk: the server refused the stream unprocessed")
 )
 
 // outcomeOf is the outcome of an attempt, from what its picker and the library saw of it. The order of the cases matters:
@@ -31,7 +31,7 @@
 	switch {
 	case err == nil:
 		return balancer.Success
-	case a.stopped:
+	case a.sendDenied:
 		return balancer.NotSent // nothing was sent, and it says nothing of the server
 	case a.picks == 0 && errors.Is(a.call.ctx.Err(), context.Canceled):
 		return balancer.NotSent // the client canceled before a connection was up
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -38,12 +38,12 @@
 // TenantKey is the metadata key of the tenant that a call is for.
 const TenantKey = "hookwalk-tenant"
 
-// answerMargin is the most that a final answer is given ahead of a call's deadline. A rejection must come before the
+// deadlineMargin is the most that a final answer is given ahead of a call's deadline. A rejection must come before the
 // client stops listening: only the rejection says that nothing ran.
-const answerMargin = 20 * time.Millisecond
+const deadlineMargin = 20 * time.Millisecond
 
-// answerMarginDivisor: of a short budget, the margin is the 50th part.
-const answerMarginDivisor = 50
+// deadlineMarginDivisor: of a short budget, the margin is the 50th part.
+const deadlineMarginDivisor = 50
 
 // plugin is the state that the channels of one DialOptions share.
 type plugin struct {
@@ -112,7 +112,7 @@
 	if end, ok := ctx.Deadline(); ok {
 		r.Budget = time.Until(end)
 	}
-	r.Budget -= min(r.Budget/answerMarginDivisor, answerMargin)
+	r.Budget -= min(r.Budget/deadlineMarginDivisor, deadlineMargin)
 	md, _ := metadata.FromOutgoingContext(ctx)
 	r.Tenant = firstValue(md, TenantKey)
 	r.Request = balancer.Request{ID: strconv.FormatUint(t.lastCallID.Add(1), 10), Class: p.config.Methods[method],
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -41,7 +41,7 @@
 
 	mu        sync.Mutex
 	endpoints map[string]Endpoint
-	watchers  map[*channelResolver]bool
+	resolvers map[*channelResolver]bool
 }
 
 // acquireTier returns the tier of a configuration, and starts it for its first user, with that user's source and seed.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, &ConfigError{cfg.Tier, "Settings", err}
 	}
-	t := &tier{config: cfg, users: 1, ready: make(chan struct{}), endpoints: map[string]Endpoint{}, watchers: map[*channelResolver]bool{}}
+	t := &tier{config: cfg, users: 1, ready: make(chan struct{}), endpoints: map[string]Endpoint{}, resolvers: map[*channelResolver]bool{}}
 	t.engine = engine.New(engine.Options{Clock: engine.NewClock(), Log: cfg.Log, Balancer: bal, Sender: t, Subscribe: func() {}})
 	ctx, stop := context.WithCancel(context.Background())
 	t.stopSource = stop
@@ -120,7 +120,7 @@
 		}
 	}
 	list := t.readyEndpoints()
-	for w := range t.watchers {
+	for w := range t.resolvers {
 		w.update(list)
 	}
 }
@@ -145,11 +145,11 @@
 	call *rpc
 	tier *tier
 
-	mu       sync.Mutex
-	picks    int  // how often the library was given a connection, or asked for one again
-	stopped  bool // the engine no longer allows it to be sent
-	sent     bool // it has a stream: bytes may have been sent
-	received bool // something came back from the server
+	mu         sync.Mutex
+	picks      int  // how often the library was given a connection, or asked for one again
+	sendDenied bool // the engine no longer allows it to be sent
+	sent       bool // it has a stream: bytes may have been sent
+	received   bool // something came back from the server
 }
 
 type attemptKey struct{}
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -42,8 +42,8 @@
 // memberlist holds its lock during the call, so nothing that holds mu may call memberlist: both would wait for each other.
 type eventDelegate struct{ cluster *Cluster }
 
-// detected is a live node as the failure detector has it.
-type detected struct {
+// liveNode is a live node as the failure detector has it.
+type liveNode struct {
 	address string
 	meta    []byte
 }
@@ -66,7 +66,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if live {
-		c.live[n.Name] = detected{n.Address(), slices.Clone(n.Meta)}
+		c.live[n.Name] = liveNode{n.Address(), slices.Clone(n.Meta)}
 	} else {
 		delete(c.live, n.Name)
 	}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -48,7 +48,7 @@
 }
 
 // A node that has not met its peers yet says so with a view of which most is empty; the names are all there.
-func TestGoldenViewOfJoining(t *testing.T) {
+func TestGoldenViewWhileJoining(t *testing.T) {
 	path := filepath.Join("testdata", "view-joining.json")
 	text := goldentest.Lines(t, View{Self: membership.Joining.String(), Site: "north"})
 	if goldentest.Updating() {
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -24,11 +24,11 @@
 // malformedLogInterval is the shortest time between two log lines about messages that can't be read.
 const malformedLogInterval = time.Minute
 
-// Reasons to drop a message. errName also stands for a list of newer incarnations that is too long.
+// Reasons to drop a message. errInvalidName also stands for a list of newer incarnations that is too long.
 var (
-	errTooLong = errors.New("too long")
-	errVersion = errors.New("of another version")
-	errName    = errors.New("without a name that can be")
+	errTooLong     = errors.New("too long")
+	errVersion     = errors.New("of another version")
+	errInvalidName = errors.New("without a name that can be")
 )
 
 // MalformedError says that a peer has sent a message that can't be read. It was dropped.
@@ -84,11 +84,11 @@
 	}
 	a := m.Announcement
 	if !validName(a.From.Name) || !validName(a.Site) || len(a.Newer) > membership.MaxNewer {
-		return m, errName
+		return m, errInvalidName
 	}
 	for _, newer := range a.Newer {
 		if !validName(newer.Name) {
-			return m, errName
+			return m, errInvalidName
 		}
 	}
 	return m, nil
@@ -103,7 +103,7 @@
 		return m, err
 	}
 	if !validName(m.Site) {
-		return m, errName
+		return m, errInvalidName
 	}
 	return m, nil
 }
@@ -132,14 +132,14 @@
 	}
 }
 
-// enqueueFarewell announces that this node leaves. Later announcements are not sent: in the queues, here and at the nodes
+// enqueueLeaveMessage announces that this node leaves. Later announcements are not sent: in the queues, here and at the nodes
 // that forward messages, they would replace the farewell, and the others would call this node failed. The channel is
 // closed when the farewell has been sent often enough.
-func (c *Cluster) enqueueFarewell() (sent <-chan struct{}) {
+func (c *Cluster) enqueueLeaveMessage() (sent <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	farewell := membership.Announcement{From: c.members.Local(), Site: c.cfg.Site}
-	sent = c.enqueue(message{Leaving: true, Announcement: farewell})
+	announcement := membership.Announcement{From: c.members.Local(), Site: c.cfg.Site}
+	sent = c.enqueue(message{Leaving: true, Announcement: announcement})
 	c.leaving = true
 	return sent
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -91,7 +91,7 @@
 
 	mu           sync.Mutex
 	members      *membership.Members
-	live         map[string]detected               // by name, as the failure detector has them, without this node
+	live         map[string]liveNode               // by name, as the failure detector has them, without this node
 	reported     map[string]membership.Incarnation // by name, as package membership was notified last
 	addresses    map[string]string                 // by name, last known
 	left         map[membership.Incarnation]bool   // that announced that they leave
@@ -134,7 +134,7 @@
 		log:          logger,
 		started:      time.Now(),
 		members:      members,
-		live:         map[string]detected{},
+		live:         map[string]liveNode{},
 		reported:     map[string]membership.Incarnation{},
 		addresses:    map[string]string{},
 		left:         map[membership.Incarnation]bool{},
@@ -233,7 +233,7 @@
 // Leave announces that this node leaves, so that the others do not suspect it, and waits at most for the given time. After
 // an error the others may call this node failed.
 func (c *Cluster) Leave(within time.Duration) error {
-	sent := c.enqueueFarewell()
+	sent := c.enqueueLeaveMessage()
 	select { // it is sent with the next rounds of gossip
 	case <-sent:
 	case <-time.After(within / 2):
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -25,18 +25,18 @@
 	err  error
 }
 
-func (k *memoryStore) Next() (uint64, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.last++
-	return k.last, k.err
+func (s *memoryStore) Next() (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.last++
+	return s.last, s.err
 }
 
-func (k *memoryStore) Save(n uint64) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.last = max(k.last, n)
-	return k.err
+func (s *memoryStore) Save(n uint64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.last = max(s.last, n)
+	return s.err
 }
 
 func keyFile(t *testing.T, keys ...string) string {
@@ -79,20 +79,20 @@
 	*Cluster
 }
 
-func (p *testNode) join(t *testing.T) {
+func (n *testNode) join(t *testing.T) {
 	t.Helper()
 	var err error
-	if p.Cluster, err = Join(p.cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if n.Cluster, err = Join(n.cfg, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// awaitView waits until a node's view is as wanted.
-func awaitView(t *testing.T, r *Cluster, what string, holds func(View) bool) View {
+// waitForView waits until a node's view is as wanted.
+func waitForView(t *testing.T, cluster *Cluster, what string, holds func(View) bool) View {
 	t.Helper()
 	for end := time.After(30 * time.Second); ; {
-		changed := r.Changed()
-		v := r.View()
+		changed := cluster.Changed()
+		v := cluster.View()
 		if holds(v) {
 			return v
 		}
@@ -140,14 +140,14 @@
 		all = append(all, p)
 	}
 	for _, p := range all {
-		awaitView(t, p.Cluster, "agreed", agreedWith(len(all)))
+		waitForView(t, p.Cluster, "agreed", agreedWith(len(all)))
 	}
 	return all
 }
 
 // A key is replaced while all nodes run: for a while the old one and the new one are both valid, then only the new one. A
 // node that lost the others on the way would be called failed.
-func TestKeysAreReplaced(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	const newKey = "fresh-key-fresh-"
 	keys := keyFile(t, key)
 	all := startNodes(t, keys)
@@ -163,7 +163,7 @@
 	late.cfg.Name, late.cfg.Listen, late.cfg.StartStore = "late", freeAddress(t), late.store
 	late.join(t)
 	defer late.Close()
-	awaitView(t, late.Cluster, "agreed", agreedWith(len(all)+1))
+	waitForView(t, late.Cluster, "agreed", agreedWith(len(all)+1))
 	if err := os.WriteFile(keys, []byte("short\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	if err := late.ReloadKeys(); !errors.As(err, &wrong) {
 		t.Errorf("a broken key file: %v", err)
 	}
-	awaitView(t, all[0].Cluster, "agreed", agreedWith(len(all)+1))
+	waitForView(t, all[0].Cluster, "agreed", agreedWith(len(all)+1))
 }
 
 // A node of another installation that shares an address must not join: neither one with another key, nor one with another
@@ -278,26 +278,26 @@
 	second := &testNode{cfg: first.cfg, store: &memoryStore{last: 5}}
 	second.cfg.Listen, second.cfg.StartStore = freeAddress(t), second.store
 	second.join(t)
-	awaitView(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
+	waitForView(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
 	if first.May(membership.Grant) {
 		t.Error("the older of two nodes of a name may grant")
 	}
 	for _, p := range all[:3] {
-		awaitView(t, p.Cluster, "agreed", func(v View) bool { return v.Self == "agreed" })
+		waitForView(t, p.Cluster, "agreed", func(v View) bool { return v.Self == "agreed" })
 	}
 	second.Close()
-	awaitView(t, first.Cluster, "agreed", agreedWith(len(all)))
+	waitForView(t, first.Cluster, "agreed", agreedWith(len(all)))
 }
 
 // A node that leaves was called failed when a later announcement replaced its farewell in the queue: nothing replaces it.
-func TestFarewellStaysQueued(t *testing.T) {
+func TestLeaveMessageStaysQueued(t *testing.T) {
 	c, err := Join(Config{Name: "a", Site: "dc", Tree: tree, Listen: "127.0.0.1:0", KeyFile: keyFile(t, key),
 		StartStore: &memoryStore{}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.enqueueFarewell()
+	c.enqueueLeaveMessage()
 	before := c.View().Digest
 	c.step(membership.NodeAlive{Incarnation: membership.Incarnation{Name: "b", Start: 1, Nonce: 2}, Site: "dc"})
 	if c.View().Digest == before {
