--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// replyInterval is the shortest time between two answers to the same need: announcements of a newer incarnation to one
-// node, and announcements on request.
+// replyInterval is the shortest time between two announcements of a newer incarnation of one node, and between an
+// announcement and the next one sent on request.
 const replyInterval = time.Second
 
-// receivedAnnouncement is the last announcement of a member.
+// receivedAnnouncement is the last announcement received from a member.
 type receivedAnnouncement struct {
 	Announcement
 	at time.Duration
 }
 
-// handleAnnouncement takes an announcement, if it is of the incarnation that is known to run.
+// handleAnnouncement handles an announcement. It stores the announcement if the sender is the known, running incarnation.
 func (m *Members) handleAnnouncement(a Announcement) {
 	for _, newer := range a.Newer[:min(len(a.Newer), MaxNewer)] {
 		m.handleNewer(newer)
@@ -27,7 +27,7 @@
 	member := m.members[a.From.Name]
 	if member != nil && member.detected == a.From && m.now-member.Since >= m.DisputeTimeout &&
 		(!member.hasAnnounced || m.announcementExpired(member)) {
-		// The known incarnation is silent, and the older one that the detector reports is not: the older one runs.
+		// The known incarnation is silent, while the older one that the failure detector reports is not: the older one runs.
 		m.markChanged()
 		*member = Member{Incarnation: a.From, Site: member.Site, State: Alive, Since: m.now}
 		delete(m.minStart, a.From.Name)
@@ -45,7 +45,8 @@
 	m.announcements[a.From.Name] = &receivedAnnouncement{a, m.now}
 }
 
-// handleNewer takes another node's word that an incarnation is known whose start number a node must go above.
+// handleNewer handles another node's report of a known incarnation. The node with that name must use a start number at least
+// as high: if the report is about the local node, it raises its own; otherwise the number becomes the lowest to accept.
 func (m *Members) handleNewer(newer Incarnation) {
 	if newer.Name == m.local.Name {
 		m.handleOwnName(newer)
@@ -61,7 +62,8 @@
 	m.minStart[newer.Name] = max(m.minStart[newer.Name], newer.Start)
 }
 
-// announceNewer tells a node that came back with a stale start number which incarnation is known.
+// announceNewer announces the known incarnation of a node that restarted with a stale start number, so that the node raises
+// its number.
 func (m *Members) announceNewer(known Incarnation) {
 	if at, ok := m.newerSent[known.Name]; ok && m.now-at < replyInterval {
 		return
@@ -83,18 +85,18 @@
 	}})
 }
 
-// announcementDue says that the last announcement is too old, or tells of another view.
+// announcementDue reports whether the last announcement is too old or describes an outdated view.
 func (m *Members) announcementDue() bool {
 	return m.announcedAt == 0 || m.now-m.announcedAt >= m.AnnounceInterval || !maps.Equal(m.announcedDigests, m.digests())
 }
 
-// announcementExpired says that there is no announcement of a member that still counts.
+// announcementExpired reports whether there is no valid announcement from a member.
 func (m *Members) announcementExpired(member *Member) bool {
 	last := m.announcements[member.Name]
 	return last == nil || m.now-last.at >= m.AnnouncementTTL
 }
 
-// concerned are the members of a site and its parent that have not left.
+// concerned returns the members of a site and its parent site, without those that have left and the local node.
 func (m *Members) concerned(site string) (list []*Member) {
 	for _, member := range m.members {
 		if member.State != Left && (member.Site == site || member.Site == m.tree[site]) {
@@ -104,7 +106,8 @@
 	return list
 }
 
-// digests has the digest of the local node's own site and of each site below it, whose members ask for it.
+// digests returns the digests of the local node's site and of its child sites. The members of a child site compare theirs
+// with them.
 func (m *Members) digests() map[string]uint64 {
 	if m.cachedDigests != nil {
 		return m.cachedDigests
@@ -117,7 +120,7 @@
 	return all
 }
 
-// digest is a hash of the incarnations that run in a site and its parent.
+// digest returns a hash of the running incarnations of a site and its parent site.
 func (m *Members) digest(site string) uint64 {
 	running := []Incarnation{}
 	if m.site == site || m.site == m.tree[site] {
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// quorum counts the members that concern the local node, itself included.
+// quorum counts the members that concern the local node, including itself.
 type quorum struct {
-	known   int // that have not left
+	known   int // members that have not left
 	running int
-	agreed  int // that announced the local node's digest
+	agreed  int // running members that announced the same digest as the local node
 }
 
-// reachable says that more than half of the known members run.
+// reachable reports whether more than half of the known members run.
 func (q quorum) reachable() bool { return 2*q.running > q.known }
 
-// agrees says that more than half of the known members have the local node's view.
+// agrees reports whether more than half of the known members have the same view as the local node.
 func (q quorum) agrees() bool { return 2*q.agreed > q.known }
 
-// evaluate draws the conclusions of a step: what is due is done, and the local state follows from the view.
+// evaluate emits the reconnects and announcements that are due, ends a name conflict that is not reported any more, and then
+// derives the local state from the view.
 func (m *Members) evaluate() {
 	m.retryFailed()
 	if m.announcementDue() {
 		m.announce()
 	}
-	if m.inConflict() && m.now-m.conflictSeen > m.AnnounceInterval { // nobody reports the other node any more
+	if m.inConflict() && m.now-m.conflictSeen > m.AnnounceInterval { // the other node is not reported any more
 		m.conflicting = Incarnation{}
 	}
 	q := m.countQuorum()
@@ -38,11 +39,11 @@
 	m.setLocalState(m.nextLocalState(q))
 }
 
-// reconnectJitterDivisor sets the most jitter of a reconnect delay, as a fraction of ReconnectMin: nodes that lost a member
-// together do not call it together.
+// reconnectJitterDivisor divides ReconnectMin to give the maximum jitter of a reconnect delay. The jitter keeps nodes that
+// lost a member at the same time from dialing it at the same time.
 const reconnectJitterDivisor = 4
 
-// retryFailed reconnects to failed members, ever more rarely, and forgets those that ended long ago.
+// retryFailed reconnects to failed members with increasing delays, and forgets members that failed or left FailedTTL ago.
 func (m *Members) retryFailed() {
 	for _, name := range slices.Sorted(maps.Keys(m.members)) {
 		member := m.members[name]
@@ -58,7 +59,7 @@
 	}
 }
 
-// inConflict says that another running node uses the local node's name.
+// inConflict reports whether another running node uses the local node's name.
 func (m *Members) inConflict() bool { return m.conflicting.Name != "" }
 
 func (m *Members) countQuorum() quorum {
@@ -81,14 +82,14 @@
 	return q
 }
 
-// nextLocalState is the local state that follows from the members counted.
+// nextLocalState returns the local state that follows from the counted members.
 func (m *Members) nextLocalState(q quorum) LocalState {
 	switch {
 	case q.running == 1 && q.known > 1:
 		return Isolated
 	case !q.reachable():
 		return Minority
-	case q.known == 1 && m.state == Joining: // there may be others, which it has not met yet
+	case q.known == 1 && m.state == Joining: // there may be others that have not been found yet
 		return Joining
 	case q.known == 1:
 		return Isolated
@@ -102,7 +103,7 @@
 	return Disputed
 }
 
-// setLocalState moves the local node to another state and reports the change.
+// setLocalState sets the state of the local node and reports a change.
 func (m *Members) setLocalState(state LocalState) {
 	if state == Agreed {
 		m.agreedOnce = true
@@ -113,5 +114,5 @@
 	}
 }
 
-// nonZero is a time that is to be stored where 0 stands for unset: an event at time 0 counts as one at 1 ns.
+// nonZero converts a time for a field in which 0 means unset: time 0 becomes 1 ns.
 func nonZero(t time.Duration) time.Duration { return max(t, 1) }
--- a/membership/limits.go
+++ b/membership/limits.go
@@ -2,25 +2,36 @@
 
 import "time"
 
-// Limits are the timeouts and bounds of a view. All must be set; DefaultLimits has values that fit.
+// Limits are the timeouts and bounds of a membership view. All must be set; see DefaultLimits.
 type Limits struct {
-	DisputeTimeout   time.Duration // how long views may differ before the local node counts as disputed, and a member is silent before the older incarnation that the detector reports counts
-	StallThreshold   time.Duration // the shortest stall of the local process after which others may have called it failed: a suspicion from before runs out during it
-	AnnounceInterval time.Duration // the longest time between two announcements; a name conflict that is not seen for longer is over
-	AnnouncementTTL  time.Duration // how long a received announcement counts
-	FailedTTL        time.Duration // how long a member that failed or left is remembered
-	ReconnectMin     time.Duration // the wait before the first attempt to reach a failed member; it doubles up to
-	ReconnectMax     time.Duration // this, plus a jitter of up to a quarter of ReconnectMin
-	MaxMembers       int           // beyond this many, the member that failed or left first is forgotten
+	// DisputeTimeout is how long the local node may lack the agreement of a majority before its state becomes Disputed. It
+	// is also the shortest time before a silent member is replaced by the older incarnation that the failure detector reports.
+	DisputeTimeout time.Duration
+	// StallThreshold is the shortest stall of the local process that invalidates its agreement: if peers suspected this node
+	// before the stall, the suspicion may expire during it, and they report this node as failed.
+	StallThreshold time.Duration
+	// AnnounceInterval is the longest time between two announcements. A name conflict ends when it has not been reported
+	// for longer than this.
+	AnnounceInterval time.Duration
+	// AnnouncementTTL is how long a received announcement counts.
+	AnnouncementTTL time.Duration
+	// FailedTTL is how long a member that failed or left is remembered.
+	FailedTTL time.Duration
+	// ReconnectMin is the delay before the first attempt to reconnect to a failed member. The delay doubles with each
+	// attempt, up to ReconnectMax. A jitter of up to a quarter of ReconnectMin is added.
+	ReconnectMin time.Duration
+	ReconnectMax time.Duration
+	// MaxMembers bounds the number of members. Above it, the member that failed or left first is forgotten.
+	MaxMembers int
 }
 
-// DefaultLimits fit a detector that notices a death within 2 s.
+// DefaultLimits returns limits for a failure detector that detects a failure within 2 s.
 func DefaultLimits() Limits {
 	return Limits{
 		DisputeTimeout:   2 * time.Second,
 		StallThreshold:   300 * time.Millisecond,
 		AnnounceInterval: 5 * time.Second,
-		AnnouncementTTL:  16 * time.Second, // three AnnounceIntervals and a margin: two announcements in a row may be lost
+		AnnouncementTTL:  16 * time.Second, // three AnnounceIntervals and a margin: two consecutive announcements may be lost
 		FailedTTL:        time.Hour,
 		ReconnectMin:     time.Second,
 		ReconnectMax:     15 * time.Second,
--- a/membership/members.go
+++ b/membership/members.go
@@ -1,11 +1,14 @@
-// Package membership is the membership view of one node: it turns the reports of a failure detector and the announcements of
-// other nodes into who is alive, whether a majority agrees on that, and what the local node may therefore do.
+// Package membership maintains one node's view of the cluster membership. From the reports of a failure detector and the
+// announcements of other nodes it derives which nodes are alive, whether a majority agrees with that view, and which
+// operations the local node may therefore carry out.
 //
-// It is a pure state machine, like raft's Step: events go in with the time at which they happened, actions come out. It
-// does no I/O, reads no clock and starts no goroutine. The host (internal/peers) feeds it and carries out its actions.
+// The view is a pure state machine, like raft's Step: it takes events, each with the time at which it happened, and returns
+// actions. It does no I/O, reads no clock and starts no goroutine. The host (internal/peers) passes events to it and carries
+// out its actions.
 //
-// Its rule is one-sided: a node that does not agree with a majority of the members that concern it may take on less and
-// give up what it granted, never more. The members that concern a node are those of its own site and of its parent site.
+// A view only ever restricts a node. Without the agreement of a majority of the members that concern it, a node may keep or
+// withdraw what it granted, but must not grant or take on anything new. The members that concern a node are those of its own
+// site and of its parent site.
 package membership
 
 import (
@@ -16,14 +19,14 @@
 	"time"
 )
 
-// maxStartGap is how far above the known start number another one is believed. Without a bound, one false message could
-// use up the numbers, or keep a node out for good.
+// maxStartGap is the largest accepted difference between a new start number and the known one. Without a bound, one false
+// message could exhaust the numbers or exclude a node forever.
 const maxStartGap = 1 << 20
 
-// ErrNoSite says that the local node's own site is not in the tree.
-var ErrNoSite = errors.New("the node's own site is not one of the sites")
+// ErrNoSite means that the site of the local node is not in the tree.
+var ErrNoSite = errors.New("the site of the local node is not in the site tree")
 
-// Members is the view of one node. Make one with New. It belongs to one goroutine.
+// Members is the membership view of one node. Create it with New. It is not safe for concurrent use.
 type Members struct {
 	local Incarnation
 	site  string
@@ -35,29 +38,29 @@
 	actions []Action
 
 	members       map[string]*Member               // by name, without the local node
-	minStart      map[string]uint64                // by name: the least start number to accept, from announcements
-	announcements map[string]*receivedAnnouncement // by name: the last one of the incarnation that is known
-	newerSent     map[string]time.Duration         // by name: when the node was last told that its start number is stale
+	minStart      map[string]uint64                // by name: the lowest start number to accept, from announcements
+	announcements map[string]*receivedAnnouncement // by name: the last one from the known incarnation
+	newerSent     map[string]time.Duration         // by name: when a stale start number of the node was last answered
 
 	state         LocalState
 	agreedOnce    bool          // in this incarnation
-	disputedSince time.Duration // when the majority was lost; 0: there is one
-	needsReplies  bool          // no announcements to go by, since the start or since a stall
+	disputedSince time.Duration // when the majority was lost; 0: a majority agrees
+	needsReplies  bool          // announcements are requested from the others, after the start or a stall
 
-	announcedAt      time.Duration // when the last announcement was sent; 0: one is due
+	announcedAt      time.Duration // when the last announcement was sent; 0: send one now
 	announcedDigests map[string]uint64
 
-	conflicting  Incarnation // another running node of the local node's name; zero: none
+	conflicting  Incarnation // another running node with the local node's name; zero: none
 	conflictSeen time.Duration
 
-	cachedDigests map[string]uint64 // nil: a member has changed since
+	cachedDigests map[string]uint64 // nil: out of date, because a member has changed
 	revision      uint64
 	failures      uint64
 
-	disabled guard // by tests
+	disabled guard // guards that a test has disabled
 }
 
-// New returns the view of a node that starts: it knows only itself. The seed spreads the times of reconnects.
+// New returns the view of a node that has just started and knows only itself. The seed determines the jitter of reconnects.
 func New(local Incarnation, site string, tree Tree, limits Limits, seed uint64) (*Members, error) {
 	if err := tree.Check(); err != nil {
 		return nil, err
@@ -79,7 +82,7 @@
 	}, nil
 }
 
-// Step takes one event that happened at the time now, and returns what to do, in order.
+// Step handles one event that happened at the time now, and returns the actions to carry out, in order.
 func (m *Members) Step(now time.Duration, event Event) []Action {
 	m.now = max(m.now, now)
 	m.actions = nil
@@ -87,7 +90,7 @@
 	case NodeAlive:
 		before := m.revision
 		m.handleAlive(e)
-		if m.revision == before { // most reports of a large installation change nothing: they need no evaluation
+		if m.revision == before { // most reports in a large installation change nothing, and need no evaluation
 			return m.actions
 		}
 	case NodeSuspect:
@@ -105,7 +108,7 @@
 
 func (m *Members) emit(a Action) { m.actions = append(m.actions, a) }
 
-// handleAlive takes the detector's report that an incarnation runs.
+// handleAlive handles the failure detector's report that an incarnation runs.
 func (m *Members) handleAlive(e NodeAlive) {
 	if e.Name == m.local.Name {
 		m.handleOwnName(e.Incarnation)
@@ -128,7 +131,7 @@
 			m.markChanged()
 			member.Site = e.Site
 		}
-		if member.State != Alive && member.State != Left { // a node that has left comes back as another incarnation
+		if member.State != Alive && member.State != Left { // a node that has left can return only as another incarnation
 			m.setState(member, Alive)
 		}
 	case m.enabled(guardImplausible) && e.Start > member.Start && e.Start-member.Start > maxStartGap:
@@ -136,22 +139,22 @@
 		m.markChanged()
 		*member = Member{Incarnation: e.Incarnation, Site: e.Site, State: Alive, Since: m.now}
 		delete(m.announcements, e.Name)
-	default: // its start number is stale or another incarnation's: it must refute with a higher one
+	default: // the start number is stale, or equal to that of another incarnation: the node must raise it
 		member.detected = e.Incarnation
 		known := Incarnation{Name: e.Name, Start: max(member.Start, m.minStart[e.Name]), Nonce: member.Nonce}
 		m.announceNewer(known)
 	}
 }
 
-// handleOwnName takes news of another incarnation of the local node's name: an earlier one as others remember it, or a
-// second node that runs under the name.
+// handleOwnName handles a report of another incarnation with the local node's name: an earlier incarnation that other nodes
+// still know, or a second running node with the same name.
 func (m *Members) handleOwnName(other Incarnation) {
 	switch {
-	case other.Nonce == m.local.Nonce: // the local one, under an earlier start number or one that was garbled
-	case other.Start < m.local.Start: // stale: the local one is newer
-	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap: // not believed
-	case !m.enabled(guardRefute): // only in tests: it does not refute
-	case !m.agreedOnce || !m.enabled(guardNameConflict): // nobody has agreed with the local one yet: it gives way
+	case other.Nonce == m.local.Nonce: // the local incarnation itself, with an earlier or a corrupted start number
+	case other.Start < m.local.Start: // stale: the local incarnation is newer
+	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap: // implausible
+	case !m.enabled(guardRefute): // only in tests
+	case !m.agreedOnce || !m.enabled(guardNameConflict): // no majority has agreed yet: the start number may be raised
 		stale := m.local.Start
 		m.markChanged()
 		m.local.Start = other.Start + 1
@@ -166,7 +169,7 @@
 	}
 }
 
-// handleSuspect takes the detector's suspicion of an incarnation.
+// handleSuspect handles the failure detector's suspicion of an incarnation.
 func (m *Members) handleSuspect(e NodeSuspect) {
 	member := m.members[e.Name]
 	if member != nil && member.Incarnation == e.Incarnation && member.State == Alive {
@@ -174,7 +177,7 @@
 	}
 }
 
-// handleDead takes the end of an incarnation. One that is not the known one says nothing of it.
+// handleDead handles the end of an incarnation. A member is affected only if the report is about its known incarnation.
 func (m *Members) handleDead(e NodeDead) {
 	if e.Name == m.conflicting.Name && e.Nonce == m.conflicting.Nonce {
 		m.conflicting = Incarnation{}
@@ -196,19 +199,20 @@
 	m.setState(member, Failed)
 }
 
-// handleStall drops what others announced before the local process stood still: they may have taken it for failed since.
+// handleStall discards all announcements received before a stall of the local process: during the stall, the other nodes may
+// have marked this node as failed.
 func (m *Members) handleStall(e Stalled) {
 	if e.Duration < m.StallThreshold || !m.enabled(guardStall) {
 		return
 	}
 	clear(m.announcements)
-	m.disputedSince = nonZero(m.now - m.DisputeTimeout) // the time to settle a dispute is over already
+	m.disputedSince = nonZero(m.now - m.DisputeTimeout) // as if DisputeTimeout had already passed
 	m.needsReplies = true
 	m.announcedAt = 0
 	m.setLocalState(Disputed)
 }
 
-// setState moves a member to another state.
+// setState changes the state of a member.
 func (m *Members) setState(member *Member, state State) {
 	m.markChanged()
 	member.State = state
@@ -220,13 +224,13 @@
 	}
 }
 
-// markChanged notes that a member, or the local incarnation, has changed.
+// markChanged records that a member or the local incarnation has changed.
 func (m *Members) markChanged() {
 	m.cachedDigests = nil
 	m.revision++
 }
 
-// evictOldest keeps the number of members within MaxMembers: the one that failed or left first is forgotten.
+// evictOldest keeps the number of members within MaxMembers by forgetting those that failed or left first.
 func (m *Members) evictOldest() {
 	for len(m.members) > m.MaxMembers {
 		var oldest *Member
@@ -243,7 +247,7 @@
 	}
 }
 
-// forget drops all that is known of a name.
+// forget deletes everything that is known about a name.
 func (m *Members) forget(name string) {
 	m.markChanged()
 	delete(m.members, name)
--- a/membership/mutate_test.go
+++ b/membership/mutate_test.go
@@ -11,145 +11,152 @@
 	"time"
 )
 
-// simulation plays several nodes' views in virtual time: announcements go over a network of links that can be cut, and the
-// detector's reports come from who runs and who reaches whom. Every message has a number; one of them may be changed.
+// simulation runs the views of several nodes in virtual time. Announcements travel over links that can be cut. The reports of
+// the failure detectors follow from which nodes run and which links work. Messages are numbered, and one may be mutated.
 type simulation struct {
 	now                    time.Duration
 	nodes                  map[string]*node
 	names                  []string
 	queue                  []delivery
-	sent                   int // messages so far
-	sentUntilMutationEnd   int // and so many by changedBy
+	sent                   int // number of messages so far
+	sentUntilMutationEnd   int // number of messages up to lastMutationStep
 	rejoinedInTime         bool
 	mutation               mutation
 	cutLinks               map[string]bool
 	violations             []string
 	disabledGuards         guard
 	detectorRounds         int
-	reportedDeadByMutation Incarnation              // the one whose end, as it was, is the message that is changed: it may be believed until the detector speaks again
-	lastUnreachable        map[string]time.Duration // when one was last out of another's reach
+	reportedDeadByMutation Incarnation              // incarnation of the mutated NodeDead message: it may be considered failed
+	lastUnreachable        map[string]time.Duration // by the names of two nodes: when the first last could not reach the second
 }
 
+// node is a simulated node.
 type node struct {
 	*Members
 	name, site                  string
-	process                     int // number of the process
+	process                     int // counts the starts of the node
 	storedStart                 uint64
 	running                     bool
-	stalledUntil                time.Duration // until then
-	resumedAt                   time.Duration // the last time; no announcement has come since while >0
+	stalledUntil                time.Duration // end of the current stall
+	resumedAt                   time.Duration // end of the last stall; negative once an announcement has been received after it
 	refutations                 int
-	reportedAlive, reportedDead map[string]Incarnation // what it has been told by the detector of each other node
-	highestStart                map[string]uint64
+	reportedAlive, reportedDead map[string]Incarnation // by name: the last reports of the failure detector
+	knownStart                  map[string]uint64      // by name: the start number in the view after the last step
 }
 
+// delivery is a message in transit.
 type delivery struct {
 	deliverAt time.Duration
 	to        string
-	process   int
+	process   int // of the receiver; 0: whichever runs at deliverAt
 	event     Event
 	number    int
 }
 
-// mutation is what becomes of one message.
+// mutation describes how one message is changed. The zero value changes none.
 type mutation struct {
-	number int
-	kind   string
+	number int    // of the message
+	kind   string // one of mutationKinds
 }
 
-var mutationKinds = []string{"dropped", "doubled", "doubled late", "held past the next", "held past a restart", "to another", "of the incarnation before",
-	"of an incarnation to come", "of another site", "of no site", "number at its end", "other views", "no views", "claims the receiver", "claims another", "cut short"}
+// mutationKinds are the ways to change a message. A kind that does not apply to a message leaves it as it is.
+var mutationKinds = []string{"dropped", "duplicated", "duplicated with a delay", "delayed past the next message", "delayed past a restart",
+	"sent to another node", "of an earlier incarnation", "of a later incarnation", "of another site", "of an unknown site",
+	"highest start number", "other digests", "no digests", "newer incarnation of the receiver", "newer incarnations of other nodes",
+	"sender only"}
 
 var tree = Tree{"dc": "", "okanagan": "dc"}
 
-func newSimulation(change mutation, off guard) *simulation {
-	w := &simulation{nodes: map[string]*node{}, mutation: change, cutLinks: map[string]bool{}, lastUnreachable: map[string]time.Duration{}, disabledGuards: off}
+func newSimulation(m mutation, disabled guard) *simulation {
+	s := &simulation{nodes: map[string]*node{}, mutation: m, cutLinks: map[string]bool{}, lastUnreachable: map[string]time.Duration{}, disabledGuards: disabled}
 	for name, site := range map[string]string{"r1": "dc", "r2": "dc", "r3": "dc", "a1": "okanagan", "a2": "okanagan", "a3": "okanagan"} {
-		w.nodes[name] = &node{name: name, site: site, storedStart: 0}
-		w.names = append(w.names, name)
+		s.nodes[name] = &node{name: name, site: site, storedStart: 0}
+		s.names = append(s.names, name)
 	}
-	slices.Sort(w.names)
-	return w
+	slices.Sort(s.names)
+	return s
 }
 
-func (w *simulation) start(name string, disk uint64) {
-	n := w.nodes[name]
+// start starts a node whose last stored start number is disk.
+func (s *simulation) start(name string, disk uint64) {
+	n := s.nodes[name]
 	n.process++
 	n.storedStart = disk + 1
-	me := Incarnation{name, n.storedStart, uint64(n.process)*1000 + uint64(slices.Index(w.names, name))}
-	m, err := New(me, n.site, tree, DefaultLimits(), uint64(n.process))
+	local := Incarnation{name, n.storedStart, uint64(n.process)*1000 + uint64(slices.Index(s.names, name))}
+	m, err := New(local, n.site, tree, DefaultLimits(), uint64(n.process))
 	if err != nil {
 		panic(err)
 	}
-	m.disabled = w.disabledGuards
-	n.Members, n.running, n.refutations, n.highestStart, n.resumedAt = m, true, 0, map[string]uint64{}, 0
+	m.disabled = s.disabledGuards
+	n.Members, n.running, n.refutations, n.knownStart, n.resumedAt = m, true, 0, map[string]uint64{}, 0
 	n.reportedAlive, n.reportedDead = map[string]Incarnation{}, map[string]Incarnation{}
-	w.step(n, Tick{})
+	s.step(n, Tick{})
 }
 
-// step gives an event to a node and carries out what it answers.
-func (w *simulation) step(n *node, e Event) {
+// step passes an event to a node, carries out the actions, and checks the rules that hold at all times.
+func (s *simulation) step(n *node, e Event) {
 	if h, ok := e.(AnnouncementReceived); ok && n.resumedAt > 0 && h.From.Name != n.name {
 		n.resumedAt = -n.resumedAt
 	}
-	for _, a := range n.Step(w.now, e) {
+	for _, a := range n.Step(s.now, e) {
 		switch a := a.(type) {
 		case Broadcast:
-			for _, to := range w.names {
-				if to != n.name && w.linkUp(n.name, to) {
-					w.send(delivery{w.now + time.Duration(20+7*len(to)+3*slices.Index(w.names, to))*time.Millisecond, to, w.nodes[to].process, AnnouncementReceived(a), 0})
+			for _, to := range s.names {
+				if to != n.name && s.canReach(n.name, to) {
+					s.send(delivery{s.now + time.Duration(20+7*len(to)+3*slices.Index(s.names, to))*time.Millisecond, to, s.nodes[to].process, AnnouncementReceived(a), 0})
 				}
 			}
 		case Refute:
 			n.storedStart = a.Start
 			n.refutations++
 			if n.refutations > 3 {
-				w.addViolation("%s has raised its number %d times", n.name, n.refutations)
+				s.addViolation("%s has raised its start number %d times", n.name, n.refutations)
 			}
 		}
 	}
 	for name, h := range n.announcements {
 		if k := n.members[name]; k == nil || k.Incarnation != h.From {
-			w.addViolation("%s counts an announcement of %s, start %d, which does not run", n.name, name, h.From.Start)
+			s.addViolation("%s counts an announcement of %s with start number %d, which is not its known incarnation", n.name, name, h.From.Start)
 		}
 	}
 	if n.LocalState() == Agreed && n.resumedAt > 0 {
-		w.addViolation("%s agrees though it has heard nobody since it woke", n.name)
+		s.addViolation("%s is in agreement, but has received no announcement since its stall", n.name)
 		n.resumedAt = 0
 	}
 	for _, k := range n.members {
-		if k.Start < n.highestStart[k.Name] && n.highestStart[k.Name] <= w.nodes[k.Name].Local().Start { // one that never was is no start
-			w.addViolation("%s takes %s back from start %d to %d", n.name, k.Name, n.highestStart[k.Name], k.Start)
+		if k.Start < n.knownStart[k.Name] && n.knownStart[k.Name] <= s.nodes[k.Name].Local().Start { // a start number that never existed does not count
+			s.addViolation("%s replaces its known incarnation of %s, start number %d, by an older one with %d", n.name, k.Name, n.knownStart[k.Name], k.Start)
 		}
-		n.highestStart[k.Name] = k.Start
-		if o := w.nodes[k.Name]; k.State == Failed && k.Incarnation == o.Local() && k.Incarnation != w.reportedDeadByMutation && o.running && w.now >= o.stalledUntil && w.now-w.lastUnreachable[n.name+k.Name] > 3*time.Second {
-			w.addViolation("%s calls %s failed, which it reaches", n.name, k.Name)
+		n.knownStart[k.Name] = k.Start
+		if o := s.nodes[k.Name]; k.State == Failed && k.Incarnation == o.Local() && k.Incarnation != s.reportedDeadByMutation && o.running && s.now >= o.stalledUntil && s.now-s.lastUnreachable[n.name+k.Name] > 3*time.Second {
+			s.addViolation("%s reports %s as failed, although it can reach it", n.name, k.Name)
 		}
 	}
 }
 
-func (w *simulation) addViolation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (s *simulation) addViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) linkUp(a, b string) bool {
-	return w.nodes[a].running && w.nodes[b].running && !w.cutLinks[a+b]
+// canReach reports whether both nodes run and messages from a reach b.
+func (s *simulation) canReach(a, b string) bool {
+	return s.nodes[a].running && s.nodes[b].running && !s.cutLinks[a+b]
 }
 
-// send puts a message under way, changed if it is the one.
-func (w *simulation) send(d delivery) {
-	w.sent++
-	d.number = w.sent
-	if d.number != w.mutation.number {
-		w.queue = append(w.queue, d)
+// send queues a message, and mutates it if its number is that of the mutation.
+func (s *simulation) send(d delivery) {
+	s.sent++
+	d.number = s.sent
+	if d.number != s.mutation.number {
+		s.queue = append(s.queue, d)
 		return
 	}
 	later := func(d delivery, by time.Duration) {
 		d.deliverAt += by
-		w.queue = append(w.queue, d)
+		s.queue = append(s.queue, d)
 	}
 	if lost, ok := d.event.(NodeDead); ok {
-		w.reportedDeadByMutation = lost.Incarnation
+		s.reportedDeadByMutation = lost.Incarnation
 	}
 	announcement, isAnnouncement := d.event.(AnnouncementReceived)
 	incarnation := func(f func(*Incarnation)) {
@@ -165,31 +172,31 @@
 			d.event = e
 		}
 	}
-	switch w.mutation.kind {
+	switch s.mutation.kind {
 	case "dropped":
 		return
-	case "doubled":
+	case "duplicated":
 		later(d, 0)
-	case "doubled late":
+	case "duplicated with a delay":
 		later(d, 4*time.Second)
-	case "held past the next":
+	case "delayed past the next message":
 		later(d, 1500*time.Millisecond)
 		return
-	case "held past a restart":
-		d.process = 0 // whichever runs then
+	case "delayed past a restart":
+		d.process = 0
 		later(d, 4*time.Second)
 		return
-	case "to another":
-		d.to = w.names[(slices.Index(w.names, d.to)+1)%len(w.names)]
+	case "sent to another node":
+		d.to = s.names[(slices.Index(s.names, d.to)+1)%len(s.names)]
 		d.process = 0
-	case "of the incarnation before":
+	case "of an earlier incarnation":
 		incarnation(func(l *Incarnation) { l.Start, l.Nonce = l.Start-1, l.Nonce-1000 })
-	case "of an incarnation to come":
+	case "of a later incarnation":
 		incarnation(func(l *Incarnation) { l.Start, l.Nonce = l.Start+1, l.Nonce+1000 })
-	case "number at its end":
+	case "highest start number":
 		incarnation(func(l *Incarnation) { l.Start = 1<<64 - 1 })
-	case "of another site", "of no site":
-		site := map[string]string{"of another site": "okanagan", "of no site": "nowhere"}[w.mutation.kind]
+	case "of another site", "of an unknown site":
+		site := map[string]string{"of another site": "okanagan", "of an unknown site": "nowhere"}[s.mutation.kind]
 		switch e := d.event.(type) {
 		case AnnouncementReceived:
 			e.Site = site
@@ -198,263 +205,266 @@
 			e.Site = site
 			d.event = e
 		}
-	case "other views", "no views", "claims the receiver", "claims another", "cut short":
+	case "other digests", "no digests", "newer incarnation of the receiver", "newer incarnations of other nodes", "sender only":
 		if !isAnnouncement {
 			break
 		}
-		switch w.mutation.kind {
-		case "other views":
+		switch s.mutation.kind {
+		case "other digests":
 			announcement.Digests = map[string]uint64{"dc": 1, "okanagan": 2}
-		case "no views":
+		case "no digests":
 			announcement.Digests = nil
-		case "claims the receiver":
+		case "newer incarnation of the receiver":
 			announcement.Newer = []Incarnation{{d.to, 1<<64 - 1, 7}}
-		case "claims another":
+		case "newer incarnations of other nodes":
 			announcement.Newer = []Incarnation{{"a2", 1<<64 - 1, 7}, {"r1", 1 << 40, 7}}
 		default:
 			announcement.Announcement = Announcement{From: announcement.From}
 		}
 		d.event = announcement
 	}
-	w.queue = append(w.queue, d)
+	s.queue = append(s.queue, d)
 }
 
-// runDetectors has each node told by its detector of whom it reaches, and, after a while, whom it does not.
-func (w *simulation) runDetectors() {
-	w.detectorRounds++
-	for _, a := range w.names {
-		n := w.nodes[a]
-		if !n.running || w.now < n.stalledUntil {
+// runDetectors sends each running node the reports of its failure detector: nodes that it reaches, and, with a delay, nodes
+// that it does not reach any more. Every fourth round repeats the reports.
+func (s *simulation) runDetectors() {
+	s.detectorRounds++
+	for _, a := range s.names {
+		n := s.nodes[a]
+		if !n.running || s.now < n.stalledUntil {
 			continue
 		}
-		for _, b := range w.names {
-			o := w.nodes[b]
+		for _, b := range s.names {
+			o := s.nodes[b]
 			if a == b || o.Members == nil {
 				continue
 			}
 			known, met := n.reportedAlive[b]
-			reached := w.linkUp(a, b) && w.linkUp(b, a) && w.now >= o.stalledUntil
+			reached := s.canReach(a, b) && s.canReach(b, a) && s.now >= o.stalledUntil
 			if !reached {
-				w.lastUnreachable[a+b] = w.now
+				s.lastUnreachable[a+b] = s.now
 			}
 			switch {
-			case reached && (!met || known != o.Local() || w.detectorRounds%4 == 0): // and again, as it stands
+			case reached && (!met || known != o.Local() || s.detectorRounds%4 == 0):
 				n.reportedAlive[b] = o.Local()
-				w.send(delivery{w.now + 30*time.Millisecond, a, n.process, NodeAlive{o.Local(), o.site}, 0})
+				s.send(delivery{s.now + 30*time.Millisecond, a, n.process, NodeAlive{o.Local(), o.site}, 0})
 			case !reached && met:
 				delete(n.reportedAlive, b)
 				n.reportedDead[b] = known
-				w.send(delivery{w.now + 1500*time.Millisecond, a, n.process, NodeDead{known, false}, 0})
-			case !reached && n.reportedDead[b].Name != "" && w.detectorRounds%4 == 0:
-				w.send(delivery{w.now + 30*time.Millisecond, a, n.process, NodeDead{n.reportedDead[b], false}, 0})
+				s.send(delivery{s.now + 1500*time.Millisecond, a, n.process, NodeDead{known, false}, 0})
+			case !reached && n.reportedDead[b].Name != "" && s.detectorRounds%4 == 0:
+				s.send(delivery{s.now + 30*time.Millisecond, a, n.process, NodeDead{n.reportedDead[b], false}, 0})
 			}
 		}
 	}
 }
 
-// applyStep is what happens to the world, by half seconds: a death, a return with a number that has gone back, a node that is
-// cut off, a stall.
-func (w *simulation) applyStep(step int) {
+// applyStep applies the scenario's changes for one step of half a second: a node fails and restarts with a start number that
+// was reset, a node is cut off, and a process stalls.
+func (s *simulation) applyStep(step int) {
 	switch step {
 	case 0, 1, 2, 3, 4, 5:
-		w.start(w.names[step], 5)
+		s.start(s.names[step], 5)
 	case 8:
-		w.nodes["a2"].running = false
+		s.nodes["a2"].running = false
 	case 14:
-		w.start("a2", 3) // the disk went back by two
+		s.start("a2", 3) // its stored start number was reset by two
 	case 20, 28:
-		for _, o := range w.names {
-			w.cutLinks["a1"+o], w.cutLinks[o+"a1"] = step == 20, step == 20
+		for _, o := range s.names {
+			s.cutLinks["a1"+o], s.cutLinks[o+"a1"] = step == 20, step == 20
 		}
 	case 32:
-		n := w.nodes["r1"]
-		n.stalledUntil = w.now + 3*time.Second
+		n := s.nodes["r1"]
+		n.stalledUntil = s.now + 3*time.Second
 	case 38:
-		n := w.nodes["r1"]
-		n.stalledUntil, n.resumedAt = 0, w.now
-		w.step(n, Stalled{3 * time.Second})
+		n := s.nodes["r1"]
+		n.stalledUntil, n.resumedAt = 0, s.now
+		s.step(n, Stalled{3 * time.Second})
 	}
 }
 
 const (
-	stepCount        = 65 // half seconds
-	rejoinStep       = 19 // who came back at 14 with an old number agrees, if no message is changed
-	lastMutationStep = 42 // messages until then are changed, one in each course,
-	convergenceStep  = 64 // and all is well again by then
+	stepCount        = 65 // steps of half a second
+	rejoinStep       = 19 // the node that restarted at step 14 with a stale start number agrees, if no message is mutated
+	lastMutationStep = 42 // the mutated message is one of those sent up to this step
+	convergenceStep  = 64 // all views agree and are correct again
 )
 
-// run plays the course and says what was broken.
-func (w *simulation) run() []string {
+// run runs the scenario and returns the violations.
+func (s *simulation) run() []string {
 	for half := range stepCount {
 		until := time.Duration(half+1) * 500 * time.Millisecond
-		w.now = time.Duration(half) * 500 * time.Millisecond
-		w.applyStep(half)
-		w.runDetectors()
-		for _, name := range w.names {
-			if n := w.nodes[name]; n.running && w.now >= n.stalledUntil {
-				w.step(n, Tick{})
+		s.now = time.Duration(half) * 500 * time.Millisecond
+		s.applyStep(half)
+		s.runDetectors()
+		for _, name := range s.names {
+			if n := s.nodes[name]; n.running && s.now >= n.stalledUntil {
+				s.step(n, Tick{})
 			}
 		}
 		for {
 			next := -1
-			for i, d := range w.queue {
-				if d.deliverAt < until && (next < 0 || d.deliverAt < w.queue[next].deliverAt) {
+			for i, d := range s.queue {
+				if d.deliverAt < until && (next < 0 || d.deliverAt < s.queue[next].deliverAt) {
 					next = i
 				}
 			}
 			if next < 0 {
 				break
 			}
-			d := w.queue[next]
-			w.queue = slices.Delete(w.queue, next, next+1)
-			w.now = max(w.now, d.deliverAt)
-			n := w.nodes[d.to]
+			d := s.queue[next]
+			s.queue = slices.Delete(s.queue, next, next+1)
+			s.now = max(s.now, d.deliverAt)
+			n := s.nodes[d.to]
 			if n.Members == nil || !n.running || d.process != 0 && d.process != n.process {
 				continue
 			}
-			if w.now < n.stalledUntil { // it is read when it wakes
+			if s.now < n.stalledUntil { // read after the stall
 				d.deliverAt = n.stalledUntil
-				w.queue = append(w.queue, d)
+				s.queue = append(s.queue, d)
 				continue
 			}
-			w.step(n, d.event)
+			s.step(n, d.event)
 		}
-		if half >= 27 && half < 28 && w.nodes["a1"].LocalState() == Agreed {
-			w.addViolation("a1 agrees while it is cut off")
+		if half >= 27 && half < 28 && s.nodes["a1"].LocalState() == Agreed {
+			s.addViolation("a1 is in agreement while it is cut off")
 		}
 		switch half {
 		case rejoinStep:
-			w.rejoinedInTime = w.nodes["a2"].LocalState() == Agreed
+			s.rejoinedInTime = s.nodes["a2"].LocalState() == Agreed
 		case lastMutationStep:
-			w.sentUntilMutationEnd = w.sent
+			s.sentUntilMutationEnd = s.sent
 		case convergenceStep:
-			w.checkConverged()
+			s.checkConverged()
 		}
 	}
-	return w.violations
+	return s.violations
 }
 
-// checkConverged wants all of one mind, and nobody called what it is not.
-func (w *simulation) checkConverged() {
-	for _, a := range w.names {
-		n := w.nodes[a]
+// checkConverged checks that all nodes agree and that every view has the right state and incarnation of each other node.
+func (s *simulation) checkConverged() {
+	for _, a := range s.names {
+		n := s.nodes[a]
 		if n.LocalState() != Agreed {
-			w.addViolation("%s is %v at the end", a, n.LocalState())
+			s.addViolation("%s is %v at the end", a, n.LocalState())
 		}
 		list := n.List()
-		if len(list) != len(w.names)-1 {
-			w.addViolation("%s knows %d others", a, len(list))
+		if len(list) != len(s.names)-1 {
+			s.addViolation("%s knows %d other nodes", a, len(list))
 		}
 		for _, k := range list {
-			if o := w.nodes[k.Name]; o == nil || k.State != Alive || k.Incarnation != o.Local() {
-				w.addViolation("%s has %s as %v, start %d", a, k.Name, k.State, k.Start)
+			if o := s.nodes[k.Name]; o == nil || k.State != Alive || k.Incarnation != o.Local() {
+				s.addViolation("%s has %s in state %v with start number %d", a, k.Name, k.State, k.Start)
 			}
 		}
 	}
 }
 
-// The course as it is keeps all that is promised.
+// Without a mutation, the scenario violates no rule, and a node that restarts with a stale start number rejoins quickly.
 func TestScenarioWithoutMutation(t *testing.T) {
-	w := newSimulation(mutation{}, 0)
-	for _, b := range w.run() {
+	s := newSimulation(mutation{}, 0)
+	for _, b := range s.run() {
 		t.Error(b)
 	}
-	if !w.rejoinedInTime {
-		t.Error("who came back with an old number does not agree 2.5 s later")
+	if !s.rejoinedInTime {
+		t.Error("the node that restarted with a stale start number is not in agreement 2.5 s later")
 	}
-	if w.sent < 200 {
-		t.Errorf("%d messages", w.sent)
+	if s.sent < 200 {
+		t.Errorf("%d messages were sent, want at least 200", s.sent)
 	}
-	if n := w.nodes["a2"]; n.refutations != 1 || n.Local().Start != 7 {
-		t.Errorf("a2 came back with an old number and is start %d after %d raises", n.Local().Start, n.refutations)
+	if n := s.nodes["a2"]; n.refutations != 1 || n.Local().Start != 7 {
+		t.Errorf("a2 restarted with a stale start number: it has start number %d after %d refutations, want 7 after 1", n.Local().Start, n.refutations)
 	}
 }
 
-// runMutations plays the course once for each message and each way to change it, and gives those that broke something.
-func runMutations(off guard, stop bool) (played int, broken []string) {
-	base := newSimulation(mutation{}, off)
-	if b := base.run(); len(b) > 0 {
-		return 1, []string{"unchanged: " + b[0]}
+// runMutations runs the scenario once for each message and each kind of mutation, and returns the mutations that caused a
+// violation. By default it mutates every fifth message; with HOOKWALK_MUTANTS=all in the environment, every message.
+func runMutations(disabled guard, stopAtFirst bool) (runs int, failures []string) {
+	baseline := newSimulation(mutation{}, disabled)
+	if b := baseline.run(); len(b) > 0 {
+		return 1, []string{"without a mutation: " + b[0]}
 	}
 	type job struct{ mutation }
 	jobs, found := make(chan job), make(chan string, 1<<16)
-	var over atomic.Bool
-	var all sync.WaitGroup
+	var stopped atomic.Bool
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for j := range jobs {
-				w := newSimulation(j.mutation, off)
-				if b := w.run(); len(b) > 0 {
+				s := newSimulation(j.mutation, disabled)
+				if b := s.run(); len(b) > 0 {
 					found <- fmt.Sprintf("message %d %s: %s", j.number, j.kind, b[0])
-					over.Store(stop)
+					stopped.Store(stopAtFirst)
 				}
 			}
 		})
 	}
-	stride := 5 // what CI plays, with the race detector
+	stride := 5 // keeps the run short enough for CI, with the race detector
 	if os.Getenv("HOOKWALK_MUTANTS") == "all" {
 		stride = 1
 	}
-	for n := 1; n <= base.sentUntilMutationEnd && !over.Load(); n += stride {
+	for n := 1; n <= baseline.sentUntilMutationEnd && !stopped.Load(); n += stride {
 		for _, how := range mutationKinds {
 			jobs <- job{mutation{n, how}}
-			played++
+			runs++
 		}
 	}
 	close(jobs)
-	all.Wait()
+	workers.Wait()
 	close(found)
 	for f := range found {
-		broken = append(broken, f)
+		failures = append(failures, f)
 	}
-	slices.Sort(broken)
-	return played, broken
+	slices.Sort(failures)
+	return runs, failures
 }
 
-// No single message, whatever becomes of it, makes a view go back, keeps nodes from agreeing, or has one agree too early.
+// No mutation of a single message makes a view return to an older incarnation, prevents agreement, or makes a node agree too
+// early.
 func TestScenarioWithOneMutatedMessage(t *testing.T) {
-	played, broken := runMutations(0, false)
-	t.Logf("%d courses, each with one message changed", played)
-	if played < 1000 {
-		t.Errorf("%d courses", played)
+	runs, failures := runMutations(0, false)
+	t.Logf("%d runs, each with one mutated message", runs)
+	if runs < 1000 {
+		t.Errorf("%d runs, want at least 1000", runs)
 	}
-	for _, b := range broken[:min(len(broken), 12)] {
+	for _, b := range failures[:min(len(failures), 12)] {
 		t.Error(b)
 	}
-	if len(broken) > 12 {
-		t.Errorf("and %d more", len(broken)-12)
+	if len(failures) > 12 {
+		t.Errorf("and %d more", len(failures)-12)
 	}
 }
 
-// Each guard is there for something: without it some message, changed, does harm; or the course of its own below.
+// Each guard is needed: with the guard disabled, a mutated message or the guard's dedicated scenario causes a violation.
 func TestEachGuardIsNeeded(t *testing.T) {
-	own := map[guard]func(guard) bool{guardExpired: agreesOnExpiredAnnouncements, guardRefute: func(off guard) bool {
-		w := newSimulation(mutation{}, off)
-		w.run()
-		return !w.rejoinedInTime // its peers wait until they take the incarnation before for failed
+	dedicated := map[guard]func(guard) bool{guardExpired: agreesOnExpiredAnnouncements, guardRefute: func(disabled guard) bool {
+		s := newSimulation(mutation{}, disabled)
+		s.run()
+		return !s.rejoinedInTime // the peers wait until they consider the previous incarnation failed
 	}}
 	for n := range guards {
 		g := guard(1) << n
-		if course := own[g]; course != nil {
-			if course(0) || !course(g) {
-				t.Errorf("guard %d: its course shows nothing", n)
+		if scenario := dedicated[g]; scenario != nil {
+			if scenario(0) || !scenario(g) {
+				t.Errorf("guard %d: its dedicated scenario does not show that it is needed", n)
 			}
 		} else if _, broken := runMutations(g, true); len(broken) == 0 {
-			t.Errorf("guard %d: no course shows what it is for", n)
+			t.Errorf("guard %d: no mutation shows that it is needed", n)
 		} else {
 			t.Logf("guard %d: %s", n, broken[0])
 		}
 	}
 }
 
-// agreesOnExpiredAnnouncements says that a node goes on to agree by the announcements of others that the detector still has, but that have long
-// been silent: what their view is by now, nobody knows.
-func agreesOnExpiredAnnouncements(off guard) bool {
+// agreesOnExpiredAnnouncements reports whether a node still agrees on the basis of expired announcements: the failure detector
+// still reports the other nodes as alive, but they have been silent for so long that their views are unknown.
+func agreesOnExpiredAnnouncements(disabled guard) bool {
 	m, err := New(Incarnation{"r1", 1, 1}, "dc", tree, DefaultLimits(), 1)
 	if err != nil {
 		panic(err)
 	}
-	m.disabled = off
+	m.disabled = disabled
 	for n, name := range []string{"r2", "r3"} {
 		l := Incarnation{name, 1, uint64(n + 2)}
 		m.Step(0, NodeAlive{l, "dc"})
--- a/membership/stall_test.go
+++ b/membership/stall_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Peers that suspected a node before it stood still call it failed while it does: 0.79 s after the stop in a run with lost
-// packets. Awake after 0.99 s, it took itself for agreed with them. It has to doubt itself until they have replied.
+// Peers that suspect a node just before its process stalls report it as failed during the stall: after 0.79 s in a run with
+// packet loss. When the process resumed after 0.99 s, the node still considered itself agreed with its peers. After a stall,
+// a node must be Disputed until its peers have replied.
 func TestShortStallEndsAgreement(t *testing.T) {
 	tree := Tree{"dc": ""}
 	local, peer := Incarnation{Name: "a", Start: 1, Nonce: 1}, Incarnation{Name: "b", Start: 1, Nonce: 2}
@@ -45,11 +46,11 @@
 		}
 	}
 	if state != Agreed {
-		t.Fatalf("before its stall it is %v", state)
+		t.Fatalf("local state before the stall: %v, want %v", state, Agreed)
 	}
 	now += 987 * time.Millisecond
 	step(a, Stalled{Duration: 887 * time.Millisecond})
 	if state != Disputed {
-		t.Errorf("after its stall it is %v", state)
+		t.Errorf("local state after the stall: %v, want %v", state, Disputed)
 	}
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Incarnation is one run of a node. A node that restarts is another incarnation, and reports of the one before are stale.
+// Incarnation is one run of a node, from a start to the next. Reports about an earlier incarnation are stale.
 type Incarnation struct {
 	Name  string `json:"Name"`
-	Start uint64 `json:"Start"` // the number of the start, kept on disk: it rises with each start and with each refutation
-	Nonce uint64 `json:"Nonce"` // drawn at each start: it tells incarnations apart that claim the same number
+	Start uint64 `json:"Start"` // start number, stored on disk; increases with each start and each refutation
+	Nonce uint64 `json:"Nonce"` // random for each start: distinguishes incarnations with the same start number
 }
 
-// NewerThan says that an incarnation has a higher start number than another one of its name.
+// NewerThan reports whether an incarnation has a higher start number than another one with the same name.
 func (i Incarnation) NewerThan(other Incarnation) bool { return i.Start > other.Start }
 
 // State is the state of a member in the local node's view.
@@ -17,67 +17,73 @@
 
 // States of a member.
 const (
-	Alive   State = iota // printed "here": the detector gets answers
-	Suspect              // printed "suspected": the detector had no answer and waits for a refutation
-	Failed               // printed "failed": the detector has given it up
-	Left                 // printed "left": it announced that it leaves
+	Alive   State = iota // printed "here": the member answers the failure detector
+	Suspect              // printed "suspected": the member did not answer, and the failure detector waits for a refutation
+	Failed               // printed "failed": the failure detector has declared the member failed
+	Left                 // printed "left": the member announced that it leaves
 )
 
-// String is the word that commands print, in which an alive member is "here".
+// String returns the word that commands print.
 func (s State) String() string { return [...]string{"here", "suspected", "failed", "left"}[s] }
 
-// running says that a member counts as running.
+// running reports whether a member in this state counts as running.
 func (s State) running() bool { return s == Alive || s == Suspect }
 
-// Member is what the local node knows of another one.
+// Member is what the local node knows about another node.
 type Member struct {
 	Incarnation
 	Site  string
 	State State
-	Since time.Duration // when it came to be in this state
+	Since time.Duration // when the member entered this state
 
-	lastReconnect  time.Duration // of a failed one
-	reconnectDelay time.Duration
-	hasAnnounced   bool        // this incarnation has sent an announcement itself
-	detected       Incarnation // the one that the detector reports instead, with a start number that is not higher
+	lastReconnect  time.Duration // when the last reconnect was requested, or when the member failed
+	reconnectDelay time.Duration // until the next reconnect
+	hasAnnounced   bool          // this incarnation has sent an announcement itself
+	detected       Incarnation   // another incarnation that the failure detector reports, with a start number that is not accepted
 }
 
-// LocalState is how the local node stands among the members that concern it.
+// LocalState says whether, and how, the local node agrees with the members that concern it.
 type LocalState int
 
 // States of the local node.
 const (
-	Joining  LocalState = iota // printed "joining": it has not agreed with anybody yet
-	Agreed                     // printed "agreed": a majority of the known members of its own site and its parent has the same view
-	Disputed                   // printed "disputed": a majority is reachable but has another view, or the local process stood still
-	Minority                   // printed "cut off": it reaches half of them or fewer
-	Isolated                   // printed "alone": it reaches none of them
+	// Joining means that no majority has agreed with the local node yet. It is printed "joining".
+	Joining LocalState = iota
+	// Agreed means that a majority of the known members of the node's site and its parent site has the same view. It is
+	// printed "agreed".
+	Agreed
+	// Disputed means that a majority is reachable but does not agree, that the local process has stalled, or that another
+	// running node uses the same name. It is printed "disputed".
+	Disputed
+	// Minority means that at most half of the known members run. It is printed "cut off".
+	Minority
+	// Isolated means that no other member runs. It is printed "alone".
+	Isolated
 )
 
-// String is the word that commands and logs print.
+// String returns the word that commands and logs print.
 func (s LocalState) String() string {
 	return [...]string{"joining", "agreed", "disputed", "cut off", "alone"}[s]
 }
 
-// Operation is something that a node may do on the strength of its view. Failover chains are not built yet: nothing but
-// tests asks May for an operation today.
+// Operation is an operation that a node's local state may forbid. Failover chains do not exist yet, so only tests call May.
 type Operation int
 
-// Operations, from the most harmless to those that need agreement.
+// Operations, from those that are always allowed to those that need agreement.
 const (
-	Keep     Operation = iota // leave in force what was adopted before
-	Withdraw                  // take back a grant, make a share smaller
-	Redirect                  // send clients where a grant still lets them go
-	Grant                     // promise, or take on, something new
-	Adopt                     // put another version of the chains in force
+	Keep     Operation = iota // continue to use what was adopted before
+	Withdraw                  // withdraw a grant or reduce a share
+	Redirect                  // send clients to where an existing grant allows them
+	Grant                     // grant or accept something new
+	Adopt                     // activate another version of the failover chains
 )
 
-// May says whether a node in this state may carry out an operation.
+// May reports whether a node in this state may carry out an operation.
 func (s LocalState) May(operation Operation) bool {
 	switch operation {
 	case Keep, Withdraw:
 		return true
-	case Redirect: // the load on others stays within what they granted; a node that joins has no grants yet
+	case Redirect: // the load on other nodes stays within their grants; a joining node has no grants yet
 		return s != Joining
 	}
 	return s == Agreed
--- a/membership/tree.go
+++ b/membership/tree.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Tree has each site's parent; the root's is "".
+// Tree maps each site to its parent. The parent of the root is "".
 type Tree map[string]string
 
-// Check says what is wrong with a tree.
+// Check returns an error if a parent is not a site of the tree, or if the parents form a cycle.
 func (t Tree) Check() error {
 	for site := range t {
 		seen := map[string]bool{}
 		for at := site; at != ""; at = t[at] {
 			if _, ok := t[at]; !ok {
-				return fmt.Errorf("site %s has the parent %q, which is no site", site, at)
+				return fmt.Errorf("site %s has the parent %q, which is not a site", site, at)
 			}
 			if seen[at] {
-				return fmt.Errorf("site %s is its own parent's parent", site)
+				return fmt.Errorf("site %s is its own ancestor", site)
 			}
 			seen[at] = true
 		}
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// children are the sites directly below one, sorted.
+// children returns the sites whose parent is the given site, sorted.
 func (t Tree) children(site string) (list []string) {
 	for child, parent := range t {
 		if parent == site {
--- a/membership/view.go
+++ b/membership/view.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// LocalState is how the local node stands among the members that concern it.
+// LocalState returns whether, and how, the local node agrees with the members that concern it.
 func (m *Members) LocalState() LocalState { return m.state }
 
-// Local is the local incarnation.
+// Local returns the local incarnation.
 func (m *Members) Local() Incarnation { return m.local }
 
-// Count is how many of a site's known members run, the local node among them. The names in JSON are those of the control's
-// answer.
+// Count is the number of known members of a site, and how many of them run. Both include the local node. The JSON names are
+// part of the admin API.
 type Count struct {
 	Running int `json:"There"`
 	Known   int `json:"Known"`
 }
 
-// Sites counts each site's members, without those that have left.
+// Sites returns the member count of each site. Members that have left are not counted.
 func (m *Members) Sites() map[string]Count {
 	all := map[string]Count{}
 	for site := range m.tree {
@@ -41,7 +41,7 @@
 	return all
 }
 
-// List is all members but the local node, sorted by name.
+// List returns all members except the local node, sorted by name.
 func (m *Members) List() (list []Member) {
 	for _, name := range slices.Sorted(maps.Keys(m.members)) {
 		list = append(list, *m.members[name])
@@ -49,11 +49,11 @@
 	return list
 }
 
-// Digest is a hash of the incarnations that run in the local node's site and its parent.
+// Digest returns a hash of the running incarnations of the local node's site and its parent site.
 func (m *Members) Digest() uint64 { return m.digests()[m.site] }
 
-// Failures counts how often a member was taken for failed since the start.
+// Failures returns how often a member has changed to the state Failed since the start.
 func (m *Members) Failures() uint64 { return m.failures }
 
-// Revision rises with each change of a member or of the local incarnation.
+// Revision returns a number that increases with each change of a member or of the local incarnation.
 func (m *Members) Revision() uint64 { return m.revision }
