--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -9,10 +9,10 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// delegate is what memberlist calls for this node's data, and with the messages that it receives.
+// delegate implements memberlist.Delegate: memberlist gets this node's data from it and passes received messages to it.
 type delegate struct{ cluster *Cluster }
 
-// NodeMeta returns the meta data that memberlist spreads with this node.
+// NodeMeta returns the meta data of this node, which memberlist spreads. If it exceeds limit bytes, it returns nil.
 func (d delegate) NodeMeta(limit int) []byte {
 	d.cluster.mu.Lock()
 	defer d.cluster.mu.Unlock()
@@ -24,40 +24,42 @@
 	return b
 }
 
-// NotifyMsg receives a message.
+// NotifyMsg handles a received message.
 func (d delegate) NotifyMsg(b []byte) { d.cluster.receive(slices.Clone(b)) }
 
-// GetBroadcasts returns the messages to send with the next gossip, within a limit of bytes.
+// GetBroadcasts returns messages to send with the next round of gossip, up to limit bytes in total.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.cluster.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is empty: memberlist exchanges its own state, and this package has none to add.
+// LocalState returns nothing: memberlist exchanges its own state, and this package has none to add.
 func (d delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState has nothing to merge.
+// MergeRemoteState does nothing, because LocalState sends nothing.
 func (d delegate) MergeRemoteState([]byte, bool) {}
 
-// eventDelegate keeps a copy of the failure detector's list of nodes, which may be read only while memberlist calls here.
-// memberlist holds its lock during the call, so nothing that holds mu may call memberlist: both would wait for each other.
+// eventDelegate implements memberlist.EventDelegate. It maintains a copy of the failure detector's list of live nodes, because
+// a *memberlist.Node may be read only during a callback. memberlist holds its own lock during a callback, which acquires mu.
+// Code that holds mu must therefore not call memberlist, or the two could deadlock.
 type eventDelegate struct{ cluster *Cluster }
 
-// liveNode is a live node as the failure detector has it.
+// liveNode is a node that the failure detector considers alive.
 type liveNode struct {
 	address string
 	meta    []byte
 }
 
-// NotifyJoin reports a node that is live.
+// NotifyJoin handles a node that has become alive.
 func (e eventDelegate) NotifyJoin(n *memberlist.Node) { e.update(n, true) }
 
-// NotifyUpdate reports that a node's meta data has changed.
+// NotifyUpdate handles a change of a node's meta data.
 func (e eventDelegate) NotifyUpdate(n *memberlist.Node) { e.update(n, true) }
 
-// NotifyLeave reports a node that has left or failed. memberlist does not say which: a node that leaves sends a message of
-// its own.
+// NotifyLeave handles a node that has left or failed. memberlist does not tell which of the two, so a node that leaves
+// announces it with a message.
 func (e eventDelegate) NotifyLeave(n *memberlist.Node) { e.update(n, false) }
 
+// update records whether a node is alive and triggers reconcile.
 func (e eventDelegate) update(n *memberlist.Node, live bool) {
 	c := e.cluster
 	if n.Name == c.cfg.Name {
@@ -77,11 +79,11 @@
 	}
 }
 
-// conflictDelegate is called when two live nodes use one name.
+// conflictDelegate implements memberlist.ConflictDelegate: memberlist calls it when two live nodes use the same name.
 type conflictDelegate struct{ cluster *Cluster }
 
-// NotifyConflict reports another incarnation of a live name. memberlist goes on with the one that it has; package membership
-// is notified of both.
+// NotifyConflict handles another live incarnation of a known node. memberlist continues with the one that it has; package
+// membership is notified of both.
 func (d conflictDelegate) NotifyConflict(_, other *memberlist.Node) {
 	c := d.cluster
 	meta, err := parseMeta(other.Meta)
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Nodes of two builds are members of one cluster while a build is rolled out: what they send to each other must not
-// change with the names of Go fields.
+// While a new build is rolled out, nodes of two builds are members of one cluster. Renaming a Go field must not change the
+// messages between them.
 func TestGoldenMessage(t *testing.T) {
 	path := filepath.Join("testdata", "message.json")
 	want := message{Version: messageVersion, Sequence: 12, Leaving: true, Announcement: membership.Announcement{
@@ -21,24 +21,24 @@
 	goldentest.Check(t, path, want)
 	text := bytes.TrimSpace(goldentest.Text(t, path))
 	if got, err := parseMessage(text); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 	if got, err := encode(want); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("written as %s, %v", got, err)
+		t.Errorf("encoded as %s, %v", got, err)
 	}
 }
 
-// The meta data is what the failure detector spreads of each node: nodes of another build learn its incarnation from it.
+// The failure detector spreads the meta data of each node, and nodes of another build take the node's incarnation from it.
 func TestGoldenMeta(t *testing.T) {
 	path := filepath.Join("testdata", "meta.json")
 	want := nodeMeta{Start: 5, Nonce: 18446744073709551615, Site: "north"}
 	goldentest.Check(t, path, want)
 	if got, err := parseMeta(goldentest.Text(t, path)); err != nil || got != want {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
 
-// Operators' scripts, and commands of another build, read a node's view of its peers from its control.
+// Operators' scripts and commands of another build read a node's view of its peers from its admin API.
 func TestGoldenView(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "view.json"), View{Self: membership.Agreed.String(),
 		Me: membership.Incarnation{Name: "node-1", Start: 5, Nonce: 9}, Site: "north", Digest: "00000000000000ff",
@@ -47,7 +47,7 @@
 		Sent:    1000, Packets: 10, Streams: 2000, Bad: 1, Failed: 2})
 }
 
-// A node that has not met its peers yet says so with a view of which most is empty; the names are all there.
+// The view of a node that has not found its peers yet is mostly empty, but contains all JSON names.
 func TestGoldenViewWhileJoining(t *testing.T) {
 	path := filepath.Join("testdata", "view-joining.json")
 	text := goldentest.Lines(t, View{Self: membership.Joining.String(), Site: "north"})
@@ -55,6 +55,6 @@
 		goldentest.Write(t, path, text)
 	}
 	if !bytes.Equal(text, goldentest.Text(t, path)) {
-		t.Errorf("written as %s", text)
+		t.Errorf("encoded as %s", text)
 	}
 }
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -10,18 +10,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxKeys is how many keys may be valid at the same time.
+// maxKeys is the largest number of keys that may be valid at the same time.
 const maxKeys = 8
 
-// KeyError says that a key file can't be used; its text says what a key file must have.
+// KeyError means that a key file can't be used. Its text describes the required format.
 type KeyError struct {
 	File string
 	Err  error
 }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("key file %s: %v: it has one key of 16, 24 or 32 bytes a line, in base64, the one to send with first; the keys that were read before stay in use", e.File, e.Err)
+	return fmt.Sprintf("key file %s: %v: expected one base64 key of 16, 24 or 32 bytes per line, the encryption key first; keys loaded before remain in use", e.File, e.Err)
 }
+
+// Unwrap returns why the key file can't be used.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // ReadKeys reads a key file. The first key encrypts; all of them decrypt.
@@ -44,13 +46,13 @@
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, &KeyError{file, fmt.Errorf("%d keys, from 1 to %d are wanted", len(keys), maxKeys)}
+		return nil, &KeyError{file, fmt.Errorf("found %d keys, want 1 to %d", len(keys), maxKeys)}
 	}
 	return keys, nil
 }
 
-// ReloadKeys reads the key file again: its keys are valid at once, others no longer. After an error, of type *KeyError, the
-// old ones stay valid.
+// ReloadKeys reads the key file again. Its keys replace the current ones immediately. If it returns an error, of type
+// *KeyError, the current keys remain valid.
 func (c *Cluster) ReloadKeys() error {
 	keys, err := ReadKeys(c.cfg.KeyFile)
 	if err != nil {
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -13,65 +13,68 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Form and bounds of messages. All bounds are in bytes.
+// Version and bounds of messages. All bounds are in bytes.
 const (
-	messageVersion = 1    // of the form; messages of another version are dropped
-	maxMessage     = 1200 // leaves room for memberlist's headers in a packet of 1400
+	messageVersion = 1    // of the message format; messages of another version are dropped
+	maxMessage     = 1200 // leaves room for memberlist's headers in a packet of 1400 bytes
 	maxName        = 128  // of a node or a site
-	maxMeta        = 512  // memberlist's own limit for meta data
+	maxMeta        = 512  // memberlist's limit for meta data
 )
 
-// malformedLogInterval is the shortest time between two log lines about messages that can't be read.
+// malformedLogInterval is the shortest time between two log lines about malformed messages.
 const malformedLogInterval = time.Minute
 
-// Reasons to drop a message. errInvalidName also stands for a list of newer incarnations that is too long.
+// Reasons to drop a message or meta data. errTooLong also means that a message can't be encoded within maxMessage bytes.
 var (
-	errTooLong     = errors.New("too long")
-	errVersion     = errors.New("of another version")
-	errInvalidName = errors.New("without a name that can be")
+	errTooLong     = errors.New("message or meta data too long")
+	errVersion     = errors.New("unsupported message version")
+	errInvalidName = errors.New("invalid node or site name, or too many newer incarnations")
 )
 
-// MalformedError says that a peer has sent a message that can't be read. It was dropped.
+// MalformedError means that a malformed message, or malformed meta data, of a peer was dropped.
 type MalformedError struct {
 	Err   error
-	Count int64 // of such messages so far
+	Count int64 // malformed messages and meta data so far
 }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("a peer sent what can't be read (%v; %d so far), and nothing of it was believed: look whether all nodes run builds that fit", e.Err, e.Count)
+	return fmt.Sprintf("malformed data from a peer was dropped (%v; %d so far): check that all nodes run compatible builds", e.Err, e.Count)
 }
+
+// Unwrap returns what is wrong with the message.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// malformedCount is how many messages could not be read.
+// malformedCount counts malformed messages and meta data.
 type malformedCount struct {
 	total  int64
-	logged time.Time // when it was logged last
+	logged time.Time // when one was last logged
 }
 
-// nodeMeta is a node's meta data: what memberlist spreads of it beside its name and address.
+// nodeMeta is a node's meta data, which memberlist spreads along with its name and address.
 type nodeMeta struct {
 	Start uint64 `json:"s"`
 	Nonce uint64 `json:"n"`
 	Site  string `json:"w"`
 }
 
-// incarnation is the incarnation of the node with a name and this meta data.
+// incarnation returns the incarnation of the node that has the given name and this meta data.
 func (m nodeMeta) incarnation(name string) membership.Incarnation {
 	return membership.Incarnation{Name: name, Start: m.Start, Nonce: m.Nonce}
 }
 
-// message carries an announcement. Each node passes on a message that it had not received before.
+// message carries an announcement. Each node forwards a message that it receives for the first time.
 type message struct {
 	Version      int                     `json:"V"`
-	Sequence     uint64                  `json:"Seq"` // rises with each message of an incarnation
-	Leaving      bool                    `json:"Bye"` // the node ends
+	Sequence     uint64                  `json:"Seq"` // increases with each message of an incarnation
+	Leaving      bool                    `json:"Bye"` // the node leaves the cluster
 	Announcement membership.Announcement `json:"Word"`
 }
 
-// validName reports whether a name may be one of a node or a site.
+// validName reports whether a name is a valid name of a node or a site.
 func validName(name string) bool { return name != "" && len(name) <= maxName }
 
-// parseMessage reads a message strictly: one that is too long, of another version or without a name is dropped.
+// parseMessage decodes a message. It returns an error for a message that is too long, of another version, without a valid
+// name, or with too many newer incarnations.
 func parseMessage(b []byte) (m message, err error) {
 	if len(b) > maxMessage {
 		return m, errTooLong
@@ -94,7 +97,7 @@
 	return m, nil
 }
 
-// parseMeta reads meta data strictly, as parseMessage does.
+// parseMeta decodes meta data. It returns an error if the data is too long or has no valid site name.
 func parseMeta(b []byte) (m nodeMeta, err error) {
 	if len(b) > maxMeta {
 		return m, errTooLong
@@ -108,8 +111,8 @@
 	return m, nil
 }
 
-// encode writes a message within its bound. Where there is not enough room, the digests of sites other than the sender's
-// are left out, last by name first.
+// encode returns a message in JSON, with at most maxMessage bytes. If it would be longer, encode omits digests of sites other
+// than the sender's, in descending order of their names.
 func encode(m message) ([]byte, error) {
 	for {
 		b, err := json.Marshal(m)
@@ -132,9 +135,9 @@
 	}
 }
 
-// enqueueLeaveMessage announces that this node leaves. Later announcements are not sent: in the queues, here and at the nodes
-// that forward messages, they would replace the farewell, and the others would call this node failed. The channel is
-// closed when the farewell has been sent often enough.
+// enqueueLeaveMessage queues a message that announces that this node leaves. Later announcements are not sent: they would
+// replace the leave message in the queues of this node and of the nodes that forward it, and the other nodes would declare
+// this node failed. The channel is closed when the message has been sent often enough.
 func (c *Cluster) enqueueLeaveMessage() (sent <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,8 +147,8 @@
 	return sent
 }
 
-// enqueue queues a message of this node; it replaces an earlier one that still waits. The channel is closed when it has been
-// sent often enough. The caller holds mu.
+// enqueue queues a message of this node. It replaces an earlier message that is still queued. The channel is closed when the
+// message has been sent often enough; it is nil if no message was queued. The caller holds mu.
 func (c *Cluster) enqueue(m message) (sent <-chan struct{}) {
 	if c.leaving {
 		return nil
@@ -155,7 +158,7 @@
 	m.Sequence = c.sequence
 	b, err := encode(m)
 	if err != nil {
-		c.log.Error("peers", "err", err)
+		c.log.Error("message to peers not sent", "err", err)
 		return nil
 	}
 	done := make(chan struct{})
@@ -163,19 +166,20 @@
 	return done
 }
 
+// queueBroadcast queues a message and limits the queue to maxQueued messages.
 func (c *Cluster) queueBroadcast(b *broadcast) {
 	c.queue.QueueBroadcast(b)
 	c.queue.Prune(maxQueued)
 }
 
-// receive handles a message, and forwards it if it is new.
+// receive handles a message and forwards it if it is new.
 func (c *Cluster) receive(b []byte) {
 	if event := c.receivedEvent(b); event != nil {
 		c.step(event)
 	}
 }
 
-// receivedEvent is the event of a message for package membership; nil if there is none, or nothing new.
+// receivedEvent queues a new message for forwarding and returns its event for package membership, or nil if it has none.
 func (c *Cluster) receivedEvent(b []byte) membership.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +193,7 @@
 		return nil
 	}
 	if len(c.lastSequence) > 2*c.cfg.Limits.MaxMembers {
-		clear(c.lastSequence) // mostly of incarnations that have ended; messages of the others are forwarded once more
+		clear(c.lastSequence) // most entries are of ended incarnations; messages of running ones may be forwarded once more
 	}
 	c.lastSequence[from] = m.Sequence
 	c.queueBroadcast(&broadcast{from.Name, slices.Clone(b), func() {}})
@@ -206,12 +210,13 @@
 	return membership.NodeDead{Incarnation: from, Left: true}
 }
 
-// countMalformed counts a message that can't be read. The caller holds mu.
+// countMalformed counts a malformed message or malformed meta data, and logs it at most once per malformedLogInterval. The
+// caller holds mu.
 func (c *Cluster) countMalformed(err error) {
 	c.malformed.total++
 	if time.Since(c.malformed.logged) >= malformedLogInterval {
 		c.malformed.logged = time.Now()
-		c.log.Warn("peers", "err", &MalformedError{err, c.malformed.total})
+		c.log.Warn("malformed data from peers", "err", &MalformedError{err, c.malformed.total})
 	}
 }
 
@@ -222,14 +227,14 @@
 	finished func()
 }
 
-// Invalidates reports whether this message replaces an earlier one: both are of the same node.
+// Invalidates reports whether this message replaces an earlier one, which is the case if both are of the same node.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	earlier, ok := other.(*broadcast)
 	return ok && earlier.from == b.from
 }
 
-// Message returns the bytes that are sent.
+// Message returns the encoded message.
 func (b *broadcast) Message() []byte { return b.payload }
 
-// Finished is called when the message is not sent any more.
+// Finished is called when the message will not be sent any more.
 func (b *broadcast) Finished() { b.finished() }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers connects the nodes of an installation. The memberlist library detects failures and spreads messages (SWIM
-// with Lifeguard's extensions); this package passes what it reports to the pure package membership, and broadcasts that
-// package's announcements to the other nodes. It decides nothing itself, and no request waits for it: consumers read a
-// Cluster's View.
+// Package peers connects the nodes of an installation. The memberlist library (SWIM with the Lifeguard extensions) detects
+// failures and spreads messages. This package passes the library's reports to package membership, which makes the decisions
+// without any I/O, and broadcasts that package's announcements to the other nodes. No request waits for this package:
+// consumers read the View of a Cluster.
 package peers
 
 import (
@@ -23,8 +23,8 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// deadNodeReclaimTime is how long memberlist keeps the name of a dead node from a node at another address. A node that is
-// replaced must get its name back at once, and 0 would mean never.
+// deadNodeReclaimTime is how long after a node's failure memberlist refuses its name to a node at another address. A
+// replacement must be able to use the name immediately; 0 would mean never.
 const deadNodeReclaimTime = time.Millisecond
 
 // Config describes a node and how it reaches its peers.
@@ -34,49 +34,51 @@
 	Listen           string            // HOST:PORT, for packets and streams
 	Seeds            []string          // HOST:PORT of nodes to join through
 	KeyFile          string            // see ReadKeys
-	Label            string            // of the installation: messages with another one are dropped
-	AddressOverrides map[string]string // by peer's address: where it is dialed instead
+	Label            string            // of the installation; messages with another label are dropped
+	AddressOverrides map[string]string // by the peer's address: the address to dial instead
 	StartStore       StartStore
 	Limits           membership.Limits // zero: membership.DefaultLimits
 }
 
-// StartStore keeps the start number of a node.
+// StartStore stores the start number of a node.
 type StartStore interface {
-	// Next returns the stored number plus one, or 1 without one, and stores it without waiting for the disk.
+	// Next returns the stored number plus one, or 1 if none is stored, and stores it without waiting for the disk.
 	Next() (uint64, error)
-	// Save stores a number that a refutation raised.
+	// Save stores a number that was raised by a refutation.
 	Save(start uint64) error
 }
 
-// Settings of memberlist's failure detector (SWIM). Shorter ones detect a failure sooner, cost more traffic, and call live
-// nodes failed while a machine is busy.
+// Settings of memberlist's failure detector (SWIM). Shorter times detect a failure sooner, but cause more traffic, and live
+// nodes are declared failed while a machine is busy.
 const (
 	probeInterval       = 250 * time.Millisecond // between two probes of a node
-	probeTimeout        = 150 * time.Millisecond // for an answer, before others are asked to probe
+	probeTimeout        = 150 * time.Millisecond // wait for an answer before other nodes are asked to probe
 	gossipInterval      = 100 * time.Millisecond // between two rounds of messages
-	suspicionMultiplier = 4                      // a suspicion lasts at least this times log10 of the nodes times probeInterval
+	suspicionMultiplier = 4                      // a suspicion lasts at least suspicionMultiplier * log10(nodes) * probeInterval
 	pushPullInterval    = 5 * time.Second        // between two exchanges of the complete state, which make up for lost messages
-	gossipToDead        = 10 * time.Second       // how long a failed node is still sent messages, so that it can refute
-	joinTimeout         = 2 * time.Second        // of one exchange over TCP
+	gossipToDead        = 10 * time.Second       // how long messages are still sent to a failed node, so that it can refute
+	joinTimeout         = 2 * time.Second        // for one exchange over TCP
 )
 
-// Intervals and bounds of this package's own work.
+// Intervals and bounds of this package itself.
 const (
-	reconcileInterval    = 100 * time.Millisecond // between two steps of package membership without an event
-	retransmitMultiplier = 3                      // a message is sent on this often, times log10 of the nodes
-	maxQueued            = 2048                   // messages that wait to be sent
-	maxReconnects        = 64                     // that wait in the queue
+	reconcileInterval    = 100 * time.Millisecond // between two calls of reconcile, if no event triggers one earlier
+	retransmitMultiplier = 3                      // each node sends a message retransmitMultiplier * log10(nodes) times
+	maxQueued            = 2048                   // messages waiting to be sent
+	maxReconnects        = 64                     // reconnect attempts waiting in the queue
 )
 
-// JoinError says that a node could not listen for its peers; its text says what to change.
+// JoinError means that a node can't listen for its peers. Its text says what to change.
 type JoinError struct {
 	Listen string
 	Err    error
 }
 
 func (e *JoinError) Error() string {
-	return fmt.Sprintf("peers: can't listen at %s: %v: name an address of this machine that nobody uses, for TCP and UDP", e.Listen, e.Err)
+	return fmt.Sprintf("peers: can't listen on %s: %v: choose an address of this machine that is free for TCP and UDP", e.Listen, e.Err)
 }
+
+// Unwrap returns why the node can't listen.
 func (e *JoinError) Unwrap() error { return e.Err }
 
 // Cluster is a node's membership in its installation, from Join to Close. Its methods may be called from any goroutine.
@@ -87,28 +89,29 @@
 	transport *transport
 	detector  *memberlist.Memberlist
 	keyring   *memberlist.Keyring
-	liveCount atomic.Int64 // of live
+	liveCount atomic.Int64 // number of entries in live, readable without mu
 
 	mu           sync.Mutex
 	members      *membership.Members
-	live         map[string]liveNode               // by name, as the failure detector has them, without this node
-	reported     map[string]membership.Incarnation // by name, as package membership was notified last
-	addresses    map[string]string                 // by name, last known
-	left         map[membership.Incarnation]bool   // that announced that they leave
-	lastSequence map[membership.Incarnation]uint64 // of the messages received
-	sequence     uint64                            // of the messages sent
+	live         map[string]liveNode               // by name: nodes that the failure detector considers alive, without this node
+	reported     map[string]membership.Incarnation // by name: incarnations last reported to package membership as alive
+	addresses    map[string]string                 // by name: last known address
+	left         map[membership.Incarnation]bool   // incarnations that have announced that they leave
+	lastSequence map[membership.Incarnation]uint64 // sequence number of the last message received
+	sequence     uint64                            // of the last message sent
 	queue        memberlist.TransmitLimitedQueue
-	leaving      bool // the farewell is queued: no message may replace it
+	leaving      bool // the leave message is queued: no later message may replace it
 	malformed    malformedCount
 	changed      chan struct{} // closed and replaced at each change of the view
 
 	reconcileNow chan struct{}
-	reconnects   chan string // addresses
+	reconnects   chan string // addresses of failed members to connect to
 	stop         context.CancelFunc
 	tasks        sync.WaitGroup
 }
 
-// Join begins to listen and to look for the seeds. It returns at once; the View shows who has been found.
+// Join starts to listen for peers and to connect to the seeds. It returns without waiting for them: the View shows which
+// nodes have been found.
 func Join(cfg Config, logger *slog.Logger) (*Cluster, error) {
 	host, port, err := splitListen(cfg.Listen)
 	if err != nil {
@@ -163,7 +166,8 @@
 	return host, port, err
 }
 
-// tryListen returns why an address can't be listened on. memberlist's own error does not say that one is in use.
+// tryListen returns an error if the address can't be listened on. memberlist's own error does not tell whether the address
+// is in use.
 func tryListen(listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -172,12 +176,12 @@
 	return listener.Close()
 }
 
-// newIncarnation returns a new incarnation of the local node. If its start number can't be read, it claims one that may be
-// stale: peers that know a higher one make it refute that.
+// newIncarnation returns a new incarnation of the local node. If the stored start number can't be read, the incarnation may
+// have a stale one. Peers that know a higher number then make the node raise its own.
 func newIncarnation(cfg Config, logger *slog.Logger) membership.Incarnation {
 	start, err := cfg.StartStore.Next()
 	if err != nil {
-		logger.Warn("peers: the number of this start is not known", "err", err)
+		logger.Warn("start number not known; peers correct it if it is stale", "start", start, "err", err)
 	}
 	var nonce [8]byte
 	rand.Read(nonce[:])
@@ -186,7 +190,7 @@
 
 // startDetector starts memberlist.
 func (c *Cluster) startDetector(host string, port int, keys [][]byte) error {
-	quiet := log.New(io.Discard, "", 0) // what an operator needs of memberlist's log is in the view
+	quiet := log.New(io.Discard, "", 0) // the View has what an operator needs to know
 	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: quiet})
 	if err != nil {
 		return &JoinError{c.cfg.Listen, err}
@@ -227,24 +231,25 @@
 	return nil
 }
 
-// Addr is where this node listens for its peers.
+// Addr returns the address on which this node listens for its peers.
 func (c *Cluster) Addr() string { return c.detector.LocalNode().Address() }
 
-// Leave announces that this node leaves, so that the others do not suspect it, and waits at most for the given time. After
-// an error the others may call this node failed.
+// Leave announces that this node leaves, so that the other nodes do not suspect it. It waits at most half of the given time
+// until the announcement is sent, and then at most the given time until memberlist has left. After an error, the other nodes
+// may declare this node failed.
 func (c *Cluster) Leave(within time.Duration) error {
 	sent := c.enqueueLeaveMessage()
-	select { // it is sent with the next rounds of gossip
+	select { // the message is sent with the next rounds of gossip
 	case <-sent:
 	case <-time.After(within / 2):
 	}
 	if err := c.detector.Leave(within); err != nil {
-		return fmt.Errorf("peers: the others may take this node for failed: %w", err)
+		return fmt.Errorf("peers: leaving was not confirmed, other nodes may declare this node failed: %w", err)
 	}
 	return nil
 }
 
-// Close ends the membership without an announcement.
+// Close ends the membership without announcing it.
 func (c *Cluster) Close() {
 	c.stop()
 	c.detector.Shutdown()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,7 +18,7 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// memoryStore is a StartStore without a disk.
+// memoryStore is a StartStore in memory.
 type memoryStore struct {
 	mu   sync.Mutex
 	last uint64
@@ -39,6 +39,7 @@
 	return s.err
 }
 
+// keyFile writes a new key file and returns its name.
 func keyFile(t *testing.T, keys ...string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "key")
@@ -61,7 +62,7 @@
 
 var tree = membership.Tree{"dc": "", "okanagan": "dc"}
 
-// freeAddress is an address on loopback that nobody listens on.
+// freeAddress returns an unused address on loopback.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +73,7 @@
 	return ln.Addr().String()
 }
 
-// testNode is a node of a test's cluster.
+// testNode is a node of a test cluster.
 type testNode struct {
 	cfg   Config
 	store *memoryStore
@@ -87,7 +88,7 @@
 	}
 }
 
-// waitForView waits until a node's view is as wanted.
+// waitForView waits until the view of a node satisfies a condition.
 func waitForView(t *testing.T, cluster *Cluster, what string, holds func(View) bool) View {
 	t.Helper()
 	for end := time.After(30 * time.Second); ; {
@@ -105,7 +106,7 @@
 	}
 }
 
-// agreedWith wants a node to agree with n nodes, itself among them.
+// agreedWith returns the condition that a node agrees, and that n nodes including itself are alive in its view.
 func agreedWith(n int) func(View) bool {
 	return func(v View) bool {
 		alive := 1
@@ -118,7 +119,7 @@
 	}
 }
 
-// startNodes starts six nodes of two sites, and waits until all agree.
+// startNodes starts six nodes in two sites and waits until all agree.
 func startNodes(t *testing.T, keys string) []*testNode {
 	t.Helper()
 	var all []*testNode
@@ -145,8 +146,8 @@
 	return all
 }
 
-// A key is replaced while all nodes run: for a while the old one and the new one are both valid, then only the new one. A
-// node that lost the others on the way would be called failed.
+// A key is replaced while all nodes run: first the old and the new key are both valid, then only the new one. A node that
+// could not decrypt the others' messages in between would be declared failed.
 func TestKeyRotation(t *testing.T) {
 	const newKey = "fresh-key-fresh-"
 	keys := keyFile(t, key)
@@ -169,34 +170,33 @@
 	}
 	var wrong *KeyError
 	if err := late.ReloadKeys(); !errors.As(err, &wrong) {
-		t.Errorf("a broken key file: %v", err)
+		t.Errorf("reload of an invalid key file: %v", err)
 	}
 	waitForView(t, all[0].Cluster, "agreed", agreedWith(len(all)+1))
 }
 
-// A node of another installation that shares an address must not join: neither one with another key, nor one with another
-// label.
+// A node of another installation that dials an address of this one must not join. It has another key or another label.
 func TestOtherKeyOrLabelIsRejected(t *testing.T) {
 	all := startNodes(t, keyFile(t, key))
 	for what, change := range map[string]func(*Config){
-		"another key":          func(c *Config) { c.KeyFile = keyFile(t, "fedcba9876543210") },
-		"another installation": func(c *Config) { c.Label = "elsewhere" },
+		"another key":   func(c *Config) { c.KeyFile = keyFile(t, "fedcba9876543210") },
+		"another label": func(c *Config) { c.Label = "elsewhere" },
 	} {
 		p := &testNode{cfg: all[1].cfg, store: &memoryStore{}}
 		p.cfg.Name, p.cfg.Listen, p.cfg.StartStore = "outsider", freeAddress(t), p.store
 		change(&p.cfg)
 		p.join(t)
 		if n, err := p.detector.Join([]string{all[0].cfg.Listen}); n > 0 || err == nil {
-			t.Errorf("with %s it joined", what)
+			t.Errorf("node with %s has joined", what)
 		}
 		p.Close()
 	}
 	if v := all[0].View(); len(v.Members) != len(all)-1 {
-		t.Errorf("%d members are known", len(v.Members))
+		t.Errorf("%d members are known, want those of the cluster", len(v.Members))
 	}
 }
 
-// An operator who starts a node with a wrong address or key needs the reason: errors have types and say what to do.
+// Join with an invalid address or key file returns a typed error that says what to change.
 func TestInvalidConfig(t *testing.T) {
 	good := Config{Name: "n", Site: "dc", Tree: tree, Listen: "127.0.0.1:0", KeyFile: keyFile(t, key), StartStore: &memoryStore{}}
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,11 +207,11 @@
 	for what, tc := range map[string]struct {
 		change func(*Config)
 		as     any
-		says   string
+		says   string // part of the error text
 	}{
-		"no port":       {func(c *Config) { c.Listen = "127.0.0.1" }, new(*JoinError), "name an address"},
-		"a port in use": {func(c *Config) { c.Listen = taken.Addr().String() }, new(*JoinError), "name an address"},
-		"no key file":   {func(c *Config) { c.KeyFile = "/nowhere/key" }, new(*KeyError), "one key of"},
+		"no port":       {func(c *Config) { c.Listen = "127.0.0.1" }, new(*JoinError), "choose an address"},
+		"a port in use": {func(c *Config) { c.Listen = taken.Addr().String() }, new(*JoinError), "choose an address"},
+		"no key file":   {func(c *Config) { c.KeyFile = "/nowhere/key" }, new(*KeyError), "one base64 key of"},
 		"a short key":   {func(c *Config) { c.KeyFile = keyFile(t, "short") }, new(*KeyError), "line 2"},
 		"an empty file": {func(c *Config) { c.KeyFile = keyFile(t) }, new(*KeyError), "0 keys"},
 	} {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Nodes of an earlier build read what this one sends: the names in JSON are part of the protocol.
+// Nodes of an earlier build decode the messages of this one, so the JSON names are part of the protocol.
 func TestProtocolNames(t *testing.T) {
 	sent := message{Version: messageVersion, Sequence: 3, Leaving: true, Announcement: membership.Announcement{
 		From:    membership.Incarnation{Name: "a", Start: 1, Nonce: 2},
@@ -244,7 +244,7 @@
 	}
 	read, err := parseMessage([]byte(want))
 	if err != nil || !reflect.DeepEqual(read, sent) {
-		t.Errorf("read %+v, %v; want %+v", read, err, sent)
+		t.Errorf("decoded %+v, %v; want %+v", read, err, sent)
 	}
 	meta, err := json.Marshal(nodeMeta{1, 2, "dc"})
 	if err != nil || string(meta) != `{"s":1,"n":2,"w":"dc"}` {
@@ -256,7 +256,7 @@
 	}
 }
 
-// A peer may send anything, also a faulty or hostile one: a message is read or counted, and what is read is within bounds.
+// A faulty or hostile peer may send anything. A message that is accepted must be within the bounds.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte(`{"V":1,"Seq":1,"Word":{"From":{"Name":"a","Start":1,"Nonce":2},"Site":"dc","Views":{"dc":7},"Claims":[{"Name":"b"}]}}`))
 	f.Add([]byte(`{"V":2}`))
@@ -270,17 +270,18 @@
 	})
 }
 
-// Two machines are configured with one name: the others go on with the newer incarnation, as with a node that was moved. The
-// older one must not grant anything meanwhile, or both would hold the same lease; it agrees again when the other has ended.
+// Two machines are configured with the same name. The other nodes continue with the newer incarnation, as if the node had been
+// moved. The older one must not grant anything in the meantime, or both could hold the same lease. It agrees again after the
+// newer one has ended.
 func TestTwoNodesWithOneName(t *testing.T) {
 	all := startNodes(t, keyFile(t, key))
 	first := all[3]
 	second := &testNode{cfg: first.cfg, store: &memoryStore{last: 5}}
 	second.cfg.Listen, second.cfg.StartStore = freeAddress(t), second.store
 	second.join(t)
-	waitForView(t, first.Cluster, "in doubt", func(v View) bool { return v.Self == "disputed" })
+	waitForView(t, first.Cluster, "disputed", func(v View) bool { return v.Self == "disputed" })
 	if first.May(membership.Grant) {
-		t.Error("the older of two nodes of a name may grant")
+		t.Error("the older of two nodes with the same name may grant")
 	}
 	for _, p := range all[:3] {
 		waitForView(t, p.Cluster, "agreed", func(v View) bool { return v.Self == "agreed" })
@@ -289,7 +290,8 @@
 	waitForView(t, first.Cluster, "agreed", agreedWith(len(all)))
 }
 
-// A node that leaves was called failed when a later announcement replaced its farewell in the queue: nothing replaces it.
+// Nothing may replace a leave message in the queue. When a later announcement replaced it, the other nodes declared the node
+// failed.
 func TestLeaveMessageStaysQueued(t *testing.T) {
 	c, err := Join(Config{Name: "a", Site: "dc", Tree: tree, Listen: "127.0.0.1:0", KeyFile: keyFile(t, key),
 		StartStore: &memoryStore{}}, slog.New(slog.DiscardHandler))
@@ -301,14 +303,14 @@
 	before := c.View().Digest
 	c.step(membership.NodeAlive{Incarnation: membership.Incarnation{Name: "b", Start: 1, Nonce: 2}, Site: "dc"})
 	if c.View().Digest == before {
-		t.Fatal("the view has not changed: there is nothing to announce")
+		t.Fatal("the view has not changed, so no announcement was attempted")
 	}
 	const packetBytes = 1400
 	queued := c.queue.GetBroadcasts(0, packetBytes)
 	if len(queued) != 1 {
-		t.Fatalf("%d messages are queued", len(queued))
+		t.Fatalf("%d messages are queued, want 1", len(queued))
 	}
 	if m, err := parseMessage(queued[0]); err != nil || !m.Leaving {
-		t.Errorf("%+v, %v is sent in place of the farewell", m, err)
+		t.Errorf("%+v, %v is queued instead of the leave message", m, err)
 	}
 }
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -7,21 +7,21 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// Waits of connect: a backoff, so that the nodes of an installation that starts do not all dial the seeds at once.
+// Delays of connect. The backoff keeps the nodes of an installation that starts from all dialing the seeds at once.
 const (
-	minSeedWait   = 100 * time.Millisecond // after the first attempt to join all seeds; doubled after each further one
-	maxSeedWait   = 2 * time.Second        // at most, so that a node joins soon after a seed has come up
-	connectedWait = time.Second            // between two checks that there is still another node
+	minSeedWait   = 100 * time.Millisecond // after the first attempt to join through the seeds; doubled after each further attempt
+	maxSeedWait   = 2 * time.Second        // upper bound, so that a node joins soon after a seed has started
+	connectedWait = time.Second            // between two checks that another node is still alive
 )
 
-// nodeCount is how many live nodes the failure detector has, this one among them.
+// nodeCount returns the number of nodes that the failure detector considers alive, including this node.
 func (c *Cluster) nodeCount() int { return int(c.liveCount.Load()) + 1 }
 
-// now is the clock of package membership. It is monotonic: a change of the machine's wall clock does not move it.
+// now returns the time that is passed to package membership. It is monotonic: changes of the wall clock do not affect it.
 func (c *Cluster) now() time.Duration { return time.Since(c.started) }
 
-// run ticks, reconciles package membership with the failure detector, and notices stalls of this process: after one, what
-// the node believes of its peers is out of date.
+// run periodically reconciles package membership with the failure detector and passes it ticks. It also detects stalls of
+// this process: after a stall, the node's view of its peers is out of date.
 func (c *Cluster) run(ctx context.Context) {
 	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
@@ -35,7 +35,7 @@
 		}
 		now := c.now()
 		if stalled := now - last - reconcileInterval; stalled >= c.cfg.Limits.StallThreshold {
-			c.log.Info("this process stood still among its peers", "for", stalled)
+			c.log.Info("this process was stalled; its view of the peers may be out of date", "for", stalled)
 			c.step(membership.Stalled{Duration: stalled})
 		}
 		last = now
@@ -44,15 +44,16 @@
 	}
 }
 
-// reconcile notifies package membership of all that the failure detector has by now. A report that was lost, or raced
-// another one, is made up for by the next.
+// reconcile passes the complete current state of the failure detector to package membership. It thereby makes up for reports
+// that were lost or arrived out of order.
 func (c *Cluster) reconcile() {
 	for _, event := range c.detectorEvents() {
 		c.step(event)
 	}
 }
 
-// detectorEvents are the nodes that the failure detector has, and those reported earlier that it does not have any more.
+// detectorEvents returns an event for each node that the failure detector considers alive, and for each node that was
+// reported as alive before and is not any more.
 func (c *Cluster) detectorEvents() (events []membership.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +70,7 @@
 	}
 	for name, incarnation := range c.reported {
 		if _, live := c.live[name]; !live {
-			c.log.Info("the detector has lost a peer", "name", name, "start", incarnation.Start, "left", c.left[incarnation])
+			c.log.Info("failure detector removed a peer", "name", name, "start", incarnation.Start, "left", c.left[incarnation])
 			events = append(events, membership.NodeDead{Incarnation: incarnation, Left: c.left[incarnation]})
 			delete(c.reported, name)
 		}
@@ -94,9 +95,9 @@
 			refuted = &a.Incarnation
 		case membership.LocalStateChanged:
 			changed = true
-			c.log.Info("among its peers this node", "was", a.From.String(), "is", a.To.String())
+			c.log.Info("membership state of this node changed", "was", a.From.String(), "is", a.To.String())
 		case membership.Warn:
-			c.log.Warn("peers", "err", a.Err)
+			c.log.Warn("membership problem", "err", a.Err)
 		}
 	}
 	if changed {
@@ -105,19 +106,20 @@
 	}
 	c.mu.Unlock()
 	if refuted != nil {
-		c.tasks.Go(func() { c.refute(refuted.Start) }) // a step must not wait for the disk or for peers
+		c.tasks.Go(func() { c.refute(refuted.Start) }) // separate goroutine: step must not wait for the disk or for peers
 	}
 }
 
-// refute stores the raised start number and has memberlist spread it.
+// refute stores the raised start number and lets memberlist spread it.
 func (c *Cluster) refute(start uint64) {
 	if err := c.cfg.StartStore.Save(start); err != nil {
-		c.log.Warn("peers: the number of this start is not on disk", "err", err)
+		c.log.Warn("raised start number not saved", "start", start, "err", err)
 	}
-	c.detector.UpdateNode(joinTimeout) // an error means that no peer has confirmed it yet; gossip goes on
+	c.detector.UpdateNode(joinTimeout) // an error means that no peer has confirmed the update yet; gossip continues
 }
 
-// reconnect queues an attempt to reach a failed member. If the queue is full, package membership requests it again later.
+// reconnect queues an attempt to connect to a failed member. If the queue is full, the attempt is skipped: package membership
+// requests another one later. The caller holds mu.
 func (c *Cluster) reconnect(name string) {
 	address := c.addresses[name]
 	if address == "" {
@@ -129,7 +131,7 @@
 	}
 }
 
-// connect joins through the seeds until another node is found, and reconnects to failed members one after another.
+// connect joins through the seeds while no other node is alive, and reconnects to failed members one after another.
 func (c *Cluster) connect(ctx context.Context) {
 	wait := minSeedWait
 	next := time.NewTimer(0)
@@ -137,7 +139,7 @@
 	for {
 		select {
 		case address := <-c.reconnects:
-			c.detector.Join([]string{address}) // an error means that it is still down
+			c.detector.Join([]string{address}) // an error means that the member is still unreachable
 		case <-next.C:
 			if c.nodeCount() > 1 {
 				wait = minSeedWait
@@ -153,14 +155,14 @@
 	}
 }
 
-// joinSeeds tries all seeds but this node itself.
+// joinSeeds tries to join through each seed except this node itself.
 func (c *Cluster) joinSeeds(ctx context.Context) {
 	for _, seed := range c.cfg.Seeds {
 		if ctx.Err() != nil {
 			return
 		}
 		if seed != c.cfg.Listen {
-			c.detector.Join([]string{seed}) // an error means that it is down
+			c.detector.Join([]string{seed}) // an error means that the seed is unreachable
 		}
 	}
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -8,16 +8,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, with address overrides and counts of the traffic.
+// transport extends memberlist's NetTransport with address overrides and traffic counters.
 type transport struct {
 	*memberlist.NetTransport
 	overrides   map[string]string
 	packets     atomic.Int64 // sent
 	packetBytes atomic.Int64 // sent
-	streamBytes atomic.Int64 // both ways, on streams that this node opened
+	streamBytes atomic.Int64 // sent and received, on streams that this node opened
 }
 
-// resolve is where a peer's address is dialed.
+// resolve returns the address to dial for a peer's address.
 func (t *transport) resolve(address string) string {
 	if override, ok := t.overrides[address]; ok {
 		return override
@@ -51,20 +51,20 @@
 	return &countedStream{conn, &t.streamBytes}, nil
 }
 
-// countedStream counts the bytes of a stream, both ways.
+// countedStream counts the bytes sent and received on a stream.
 type countedStream struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read reads from the stream.
+// Read implements net.Conn.
 func (s *countedStream) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
 	s.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes to the stream.
+// Write implements net.Conn.
 func (s *countedStream) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
 	s.bytes.Add(int64(n))
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -6,7 +6,7 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// View is what a node knows of its peers at a moment. Its JSON names are those of the admin API's answer.
+// View is a snapshot of what a node knows about its peers. The JSON names are part of the admin API.
 type View struct {
 	Self    string                      `json:"Self"` // the local state
 	Me      membership.Incarnation      `json:"Me"`
@@ -14,14 +14,14 @@
 	Digest  string                      `json:"Digest"`
 	Sites   map[string]membership.Count `json:"Sites"`
 	Members []MemberView                `json:"Members"`
-	Sent    int64                       `json:"Sent"`    // bytes in packets since the start
-	Packets int64                       `json:"Packets"` // sent since the start
-	Streams int64                       `json:"Streams"` // bytes both ways since the start, on the streams that this node opened
-	Bad     int64                       `json:"Bad"`     // messages that could not be read
-	Failed  uint64                      `json:"Failed"`  // how often a member was called failed
+	Sent    int64                       `json:"Sent"`    // bytes sent in packets since the start
+	Packets int64                       `json:"Packets"` // packets sent since the start
+	Streams int64                       `json:"Streams"` // bytes sent and received since the start, on streams that this node opened
+	Bad     int64                       `json:"Bad"`     // malformed messages and node meta data received since the start
+	Failed  uint64                      `json:"Failed"`  // how often a member was declared failed since the start
 }
 
-// MemberView is one member.
+// MemberView is one member in a View.
 type MemberView struct {
 	Name  string `json:"Name"`
 	Site  string `json:"Site"`
@@ -30,7 +30,7 @@
 	ForMS int64  `json:"ForMS"` // how long it has been in this state
 }
 
-// View returns the present view.
+// View returns the current view.
 func (c *Cluster) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
