--- a/internal/goldentest/bytes.go
+++ b/internal/goldentest/bytes.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// CheckBytes checks that a golden file has these bytes, for forms that are not one JSON value on each line. The flag -update
-// rewrites the file.
+// CheckBytes checks that a golden file has exactly the given bytes. It is for formats other than one JSON value per line. With
+// the flag -update it rewrites the file first.
 func CheckBytes(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if Updating() {
@@ -15,11 +15,11 @@
 	CompareBytes(t, path, got)
 }
 
-// CompareBytes checks that a golden file has these bytes, and never rewrites it: it is for bytes that were made of the
-// golden file itself.
+// CompareBytes checks that a golden file has exactly the given bytes. It never rewrites the file, so it suits bytes that were
+// derived from the golden file itself.
 func CompareBytes(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if want := Text(t, path); !bytes.Equal(got, want) {
-		t.Errorf("%s has another form:\n got %s\nwant %s", path, got, want)
+		t.Errorf("%s has different bytes:\n got %s\nwant %s", path, got, want)
 	}
 }
--- a/internal/goldentest/bytes_test.go
+++ b/internal/goldentest/bytes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// errorCounter counts the errors of a check that has to fail.
+// errorCounter counts the errors that a check reports.
 type errorCounter struct {
 	testing.TB
 	count int
@@ -14,7 +14,7 @@
 func (f *errorCounter) Helper()               {}
 func (f *errorCounter) Errorf(string, ...any) { f.count++ }
 
-// A form that differs in one byte, or ends early, is noticed.
+// CompareBytes reports bytes that differ in one position or end early.
 func TestCompareBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "golden")
 	Write(t, path, []byte("abc"))
@@ -22,7 +22,7 @@
 		f := &errorCounter{TB: t}
 		CompareBytes(f, path, []byte(got))
 		if f.count != want {
-			t.Errorf("%q beside a golden file with abc: %d errors, want %d", got, f.count, want)
+			t.Errorf("%q compared with a golden file of \"abc\": %d errors, want %d", got, f.count, want)
 		}
 	}
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,6 @@
-// Package goldentest checks stored and passed JSON against golden files. A golden file has the bytes that a released
-// program wrote: one JSON value on each line. Programs of another build, and the files that they left, have the same
-// form, so that a golden file must not change when a Go name does. Only tests import this package.
+// Package goldentest compares JSON that the program stores or sends with golden files. A golden file contains bytes as written
+// by a released build, one JSON value per line. Other builds use the same format, and so do the files that they have written,
+// so renaming a Go field must not change a golden file. Only tests import this package.
 package goldentest
 
 import (
@@ -17,8 +17,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Check checks that a golden file is what json.Marshal makes of the values, and that the file is read as the values. No
-// field of any value may be zero, so that the file has all fields of the form. The flag -update rewrites the file.
+// Check checks that json.Marshal encodes the values as the golden file, and that the file decodes to the values. No field of
+// a value may be zero, so that the file covers all fields of the format. With the flag -update, Check rewrites the file first.
 func Check[T any](t testing.TB, path string, values ...T) {
 	t.Helper()
 	if *update {
@@ -26,15 +26,15 @@
 	}
 	read := Read[T](t, path)
 	if !reflect.DeepEqual(read, values) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", path, read, values)
+		t.Errorf("%s decodes to\n%+v, want\n%+v", path, read, values)
 	}
 	if encoded := Lines(t, values...); !bytes.Equal(encoded, Text(t, path)) {
-		t.Errorf("the values of %s are written as\n%s", path, encoded)
+		t.Errorf("the values of %s are encoded as\n%s", path, encoded)
 	}
 }
 
-// Read reads a golden file, and checks that its values have no unknown and no zero fields, and that json.Marshal writes
-// the same bytes again.
+// Read reads a golden file. It checks that the values have no unknown and no zero fields, and that json.Marshal encodes them
+// as the same bytes.
 func Read[T any](t testing.TB, path string) (values []T) {
 	t.Helper()
 	values = decode[T](t, path)
@@ -46,8 +46,8 @@
 	return values
 }
 
-// ReadKinds reads a golden file as Read does, with values of which each has its own kind's fields only. The caller says
-// which part of a value must have no zero field.
+// ReadKinds reads a golden file as Read does, but its values are of several kinds, and each sets only the fields of its kind.
+// The function part returns the part of a value that must have no zero field.
 func ReadKinds[T any](t testing.TB, path string, part func(T) any) (values []T) {
 	t.Helper()
 	values = decode[T](t, path)
@@ -59,12 +59,12 @@
 	return values
 }
 
-// decode reads a golden file and checks that it is written again byte for byte, and that no name in it is that of a Go
-// field only.
+// decode reads a golden file. It checks that the values are encoded as the same bytes, and that each exported field has a tag
+// with its JSON name.
 func decode[T any](t testing.TB, path string) (values []T) {
 	t.Helper()
 	for _, field := range UntaggedFields(reflect.TypeFor[T]()) {
-		t.Errorf("%s: %s needs a tag with its name in JSON: a new name of the field would be another form", path, field)
+		t.Errorf("%s: %s needs a tag with its JSON name: without one, renaming the field changes the format", path, field)
 	}
 	text := Text(t, path)
 	for line := range bytes.Lines(text) {
@@ -77,7 +77,7 @@
 		values = append(values, value)
 	}
 	if again := Lines(t, values...); !bytes.Equal(again, text) {
-		t.Errorf("%s has\n%s, and is written again as\n%s", path, text, again)
+		t.Errorf("%s contains\n%s, but its values are encoded as\n%s", path, text, again)
 	}
 	return values
 }
@@ -92,10 +92,10 @@
 	return text
 }
 
-// Updating says whether the flag -update is set.
+// Updating reports whether the flag -update is set.
 func Updating() bool { return *update }
 
-// Write writes a golden file.
+// Write writes a golden file and creates its folder if needed.
 func Write(t testing.TB, path string, text []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Lines encodes values as a golden file has them.
+// Lines encodes values in the format of a golden file, one JSON value per line.
 func Lines[T any](t testing.TB, values ...T) (text []byte) {
 	t.Helper()
 	for _, value := range values {
@@ -119,8 +119,8 @@
 	return text
 }
 
-// UntaggedFields returns all exported fields within a type, as TYPE.FIELD, to which encoding/json gives their Go names
-// because no tag names them. Embedded structs need no tag: their fields stand in the struct around them.
+// UntaggedFields returns all exported fields within a type, as TYPE.FIELD, that encoding/json encodes under their Go names
+// because they have no tag with a name. Embedded structs need no tag: their fields are encoded as fields of the outer struct.
 func UntaggedFields(within reflect.Type) []string {
 	return untaggedFields(within, map[reflect.Type]bool{})
 }
@@ -149,7 +149,7 @@
 	return untagged
 }
 
-// ZeroFields returns the paths of all exported fields within a value, by Go names, that are zero, nil or empty.
+// ZeroFields returns the paths, made of Go names, of all exported fields within a value that are zero, nil or empty.
 func ZeroFields(value any) []string { return zeroFields("", reflect.ValueOf(value)) }
 
 func zeroFields(path string, value reflect.Value) (zero []string) {
@@ -170,7 +170,7 @@
 			return []string{path}
 		}
 		if value.Type().Elem().Kind() == reflect.Uint8 {
-			return nil // bytes, as of a json.RawMessage
+			return nil // the content of a byte slice, such as a json.RawMessage, may be zero
 		}
 		for n := range value.Len() {
 			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, n), value.Index(n))...)
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -20,7 +20,7 @@
 	hidden  int
 }
 
-// A golden file is worth something only where each field of its form is in it: each that is not is named.
+// A golden file guards only the fields that it contains, so ZeroFields must return every field that is missing in a value.
 func TestZeroFields(t *testing.T) {
 	full := inner{1, map[string]bool{"a": true}}
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 }
 
 type tagged struct {
-	inner `json:",omitzero"`  // stays embedded
+	inner `json:",omitzero"`  // still embedded, because the tag has no name
 	Named []map[string]*mixed `json:"named,omitempty"`
 	Left  inner               `json:"-"`
 }
@@ -50,7 +50,7 @@
 	Bare    string
 }
 
-// A field without a tag gives its Go name to the form, so that a rename would change it: each is named, however deep.
+// Renaming a field without a tag changes the format, so UntaggedFields must return every such field, at any depth.
 func TestUntaggedFields(t *testing.T) {
 	want := []string{"goldentest.inner.Number", "goldentest.inner.Map", "goldentest.mixed.Options", "goldentest.mixed.Bare"}
 	if got := UntaggedFields(reflect.TypeFor[[]tagged]()); !slices.Equal(got, want) {
