--- a/grpcbalancer/bench_test.go
+++ b/grpcbalancer/bench_test.go
@@ -18,7 +18,8 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// BenchmarkUnary is what a call costs its client, server included, with so many servers in the list: all are one server.
+// BenchmarkUnary measures a unary call, client and server together, with lists of different lengths. All listed addresses lead
+// to the same server. The balancers of grpc-go are measured for comparison.
 func BenchmarkUnary(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +52,7 @@
 				b.Fatal(err)
 			}
 		}
-		for range 3000 { // every server that is used has its connection by then
+		for range 3000 { // warm-up: opens the connections
 			call()
 		}
 		b.ReportAllocs()
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -32,11 +32,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// Methods of the test service.
 const (
 	nonIdempotentMethod = "/harvest.Log/WeighIn"
 	idempotentMethod    = "/harvest.Log/View"
 )
 
+// replyMessage is the encoded reply of the test servers.
 var replyMessage = func() []byte {
 	b, err := proto.Marshal(wrapperspb.String("done"))
 	if err != nil {
@@ -45,12 +47,13 @@
 	return b
 }()
 
-// testFleet is some servers with one script; its calls are numbered over all of them.
+// testFleet is a number of servers that run the same script. Calls are numbered across all servers.
 type testFleet struct {
 	servers []*grpcserver.Server
 	calls   atomic.Int64
 }
 
+// newFleet starts n servers. The script gets the number of each call, starting at 0.
 func newFleet(t *testing.T, n int, maxStreams uint32, script func(n int, k *grpcserver.Call)) *testFleet {
 	t.Helper()
 	f := &testFleet{}
@@ -65,6 +68,7 @@
 	return f
 }
 
+// list returns the endpoints of all servers.
 func (f *testFleet) list() (l []Endpoint) {
 	for i, b := range f.servers {
 		l = append(l, Endpoint{Server: balancer.Server{ID: fmt.Sprintf("s-%d", i)}, Addr: b.Addr()})
@@ -104,15 +108,15 @@
 	return reply.GetValue(), err
 }
 
-// What proves that an attempt never ran lets an non-idempotent call go to another server.
+// If it is proven that an attempt has not run, even a non-idempotent call is retried on another server.
 func TestUnprocessedCallIsRetried(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
-		"refused stream":                func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
-		"goaway before the stream":      func(k *grpcserver.Call) { k.GoAway(true) },
-		"turned away, unavailable":      func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
-		"turned away, after a header":   func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), RejectedKey, "1") },
-		"turned away, no resources":     func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.ResourceExhausted), RejectedKey, "1") },
-		"goaway before, then cut short": func(k *grpcserver.Call) { k.GoAway(true); k.ResetConnection() },
+		"refused stream":               func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
+		"goaway before the stream":     func(k *grpcserver.Call) { k.GoAway(true) },
+		"rejected, UNAVAILABLE":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
+		"rejected after a header":      func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), RejectedKey, "1") },
+		"rejected, RESOURCE_EXHAUSTED": func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.ResourceExhausted), RejectedKey, "1") },
+		"goaway before, then reset":    func(k *grpcserver.Call) { k.GoAway(true); k.ResetConnection() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(n int, k *grpcserver.Call) {
@@ -146,23 +150,24 @@
 	})
 }
 
-// What may have run ends an non-idempotent call, with a code that nobody retries; a safe one goes to another server.
+// If an attempt may have run, a non-idempotent call ends with a code that clients do not retry. An idempotent call is retried
+// on another server.
 func TestOnlyIdempotentCallIsRetriedAfterItMayHaveRun(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
 		"unavailable":               func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) },
 		"internal":                  func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal)) },
 		"unknown":                   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unknown)) },
 		"aborted":                   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Aborted)) },
-		"turned away, but ran":      func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal), RejectedKey, "1") },
-		"turned away, oddly":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "yes") },
-		"reset, cancelled":          func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
+		"rejected, INTERNAL":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal), RejectedKey, "1") },
+		"rejected, invalid value":   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "yes") },
+		"reset with CANCEL":         func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
 		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
-		"half a message, then cut":  func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.ResetConnection() },
-		"half a message, then over": func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.Status(0) },
+		"half a message, then lost": func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.ResetConnection() },
+		"half a message, then OK":   func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.Status(0) },
 		"no message":                func(k *grpcserver.Call) { k.Header(); k.Status(0) },
-		"cut":                       func(k *grpcserver.Call) { k.ResetConnection() },
-		"goaway after, then cut":    func(k *grpcserver.Call) { k.GoAway(false); k.ResetConnection() },
-		"a message that is none":    func(k *grpcserver.Call) { k.Answer([]byte{0xff, 0xff}) },
+		"connection reset":          func(k *grpcserver.Call) { k.ResetConnection() },
+		"goaway after, then reset":  func(k *grpcserver.Call) { k.GoAway(false); k.ResetConnection() },
+		"invalid message":           func(k *grpcserver.Call) { k.Answer([]byte{0xff, 0xff}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for method, want := range map[string]struct {
@@ -190,7 +195,7 @@
 	}
 }
 
-// A server that says nothing costs a call its time; a weigh-in is not sent again.
+// If a server does not respond, a non-idempotent call ends at its deadline and is not sent again.
 func TestServerWithoutResponse(t *testing.T) {
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -203,7 +208,7 @@
 	}
 }
 
-// What a server has found out is its client's, as it is.
+// The client gets an application's error unchanged, and the call is not retried.
 func TestApplicationErrorsAreReturnedUnchanged(t *testing.T) {
 	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) {
 		k.FailWithoutHeader(int(codes.NotFound), "grpc-message", "no such bin")
@@ -214,7 +219,7 @@
 	}
 }
 
-// advice is what a refusal says of when to come back; 0: nothing.
+// retryDelay returns the retry delay in the details of a status error, or 0 if there is none.
 func retryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if info, ok := d.(*errdetails.RetryInfo); ok {
@@ -224,11 +229,11 @@
 	return 0
 }
 
-// A refusal says that nothing ran, and when to come back. Three attempts are all: the library, which sends again by
-// itself what a server refused unprocessed, adds none.
+// A rejection means that the call has not run, and has a retry delay. The servers get three attempts: grpc-go, which by itself
+// sends streams again that a server refused unprocessed, must not add any.
 func TestRejectionHasRetryDelay(t *testing.T) {
 	for name, fault := range map[string]func(*grpcserver.Call){
-		"turned away":     func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
+		"rejected":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
 		"refused streams": func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway":          func(k *grpcserver.Call) { k.GoAway(true) },
 	} {
@@ -236,7 +241,7 @@
 			f := newFleet(t, 5, 0, func(_ int, k *grpcserver.Call) { fault(k) })
 			_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), nonIdempotentMethod)
 			if status.Code(err) != codes.Unavailable || retryDelay(err) <= 0 {
-				t.Errorf("got %v, advice %v", err, retryDelay(err))
+				t.Errorf("got %v with retry delay %v", err, retryDelay(err))
 			}
 			if n := f.calls.Load(); n != 3 {
 				t.Errorf("the servers saw %d calls, want 3", n)
@@ -245,7 +250,7 @@
 	}
 }
 
-// A retry policy of the application's service config sends nothing again; a method that no table has is unsafe.
+// A retry policy in the application's service config has no effect. A method without a class counts as non-idempotent.
 func TestLibraryDoesNotRetry(t *testing.T) {
 	for _, method := range []string{nonIdempotentMethod, "/harvest.Log/Other"} {
 		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) })
@@ -262,7 +267,7 @@
 	}
 }
 
-// scriptedSource is a Source whose lists a test sends.
+// scriptedSource is a Source that reports the lists a test sends to it.
 type scriptedSource chan EndpointList
 
 func (c scriptedSource) Watch(ctx context.Context, report func(EndpointList)) {
@@ -276,8 +281,8 @@
 	}
 }
 
-// A server that drains gets nothing new, though its connection is up; one that returns with a new boot time gets a new
-// connection.
+// A draining server gets no new calls, although its connection is ready. When it is listed again with a new start time, it
+// gets a new connection.
 func TestServerDrainsAndRestarts(t *testing.T) {
 	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	source, list := make(scriptedSource), f.list()
@@ -288,7 +293,7 @@
 	}
 	list[0].State = balancer.Draining
 	source <- EndpointList{Endpoints: list}
-	source <- EndpointList{} // is taken only when the one before has been dealt with
+	source <- EndpointList{} // received only after the previous list has been applied
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if _, err := invoke(ctx, cc, nonIdempotentMethod); status.Code(err) != codes.Unavailable || f.calls.Load() != 1 {
@@ -305,8 +310,8 @@
 	}
 }
 
-// Channels to one tier have one engine, others their own; the last to close ends it, and a call on a closed channel
-// ends at once.
+// Channels to the same tier share an engine, channels to different tiers do not. Closing the last channel stops the engine. A
+// call on a closed channel fails immediately.
 func TestChannelsShareTier(t *testing.T) {
 	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	cfg := config(t, StaticSource(f.list()))
@@ -340,11 +345,11 @@
 	b.Close()
 	c.Close()
 	if n := inUse(); n != 0 {
-		t.Errorf("%d tiers outlive their channels", n)
+		t.Errorf("%d tiers are in use after their channels were closed", n)
 	}
 }
 
-// Calls that are given up, or whose channel closes under them, end at once and leave nothing out.
+// A call that the client cancels, or whose channel is closed, ends immediately. TestMain checks that no goroutine remains.
 func TestCanceledCalls(t *testing.T) {
 	received := make(chan struct{}, 20)
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) { received <- struct{}{} })
@@ -356,7 +361,7 @@
 	go func() {
 		defer wg.Done()
 		if _, err := invoke(ctx, cc, idempotentMethod); status.Code(err) != codes.Canceled {
-			t.Errorf("given up: %v", err)
+			t.Errorf("canceled call: %v", err)
 		}
 	}()
 	<-received
@@ -366,7 +371,7 @@
 	go func() {
 		defer wg.Done()
 		if _, err := invoke(t.Context(), cc, nonIdempotentMethod); err == nil || status.Code(err) == codes.Unavailable {
-			t.Errorf("closed under it: %v", err)
+			t.Errorf("call on a channel that is closed during the call: %v", err)
 		}
 	}()
 	<-received
@@ -374,7 +379,7 @@
 	wg.Wait()
 }
 
-// Whatever a fleet does to them, thousands of weigh-ins run once at most and are refused only if they never ran.
+// Whatever faults the servers have, a non-idempotent call runs at most once, and is rejected only if it has not run.
 func TestNonIdempotentCallsRunAtMostOnce(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -390,7 +395,7 @@
 		case 7:
 			k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1")
 		case 11:
-			if !k.GoAway(true) { // a later call of the connection has run
+			if !k.GoAway(true) { // a later call on the connection has already run
 				k.Reset(http2.ErrCodeRefusedStream)
 			}
 		case 13:
@@ -428,21 +433,22 @@
 				n := runs[bin]
 				mu.Unlock()
 				if n > 1 || n == 0 && err == nil || n > 0 && status.Code(err) == codes.Unavailable {
-					t.Errorf("bin %s ran %d times and ended with %v", bin, n, err)
+					t.Errorf("call for bin %s ran %d times and ended with %v", bin, n, err)
 				}
 			}
 		}()
 	}
 	wg.Wait()
 	if got[codes.OK] == 0 || got[codes.Internal] == 0 {
-		t.Errorf("ends by code: %v; the faults or the service did not show", got)
+		t.Errorf("calls by status code: %v; want both successes and faults", got)
 	}
-	t.Logf("ends by code: %v", got)
+	t.Logf("calls by status code: %v", got)
 }
 
+// watchDesc describes a stream of the test service, with one request message and many reply messages.
 var watchDesc = &grpc.StreamDesc{StreamName: "Watch", ServerStreams: true}
 
-// watch opens a stream, sends its one message and receives until it ends.
+// watch opens a stream, sends one message, and receives messages until the stream ends.
 func watch(ctx context.Context, cc *grpc.ClientConn) (messages int, err error) {
 	s, err := cc.NewStream(ctx, watchDesc, idempotentMethod)
 	if err != nil {
@@ -462,8 +468,8 @@
 	}
 }
 
-// A stream is one attempt: whatever becomes of it, it is not moved once it is open, and what may have run ends with a
-// code that nobody retries.
+// A stream is a single attempt: after any fault it is not sent to another server. If it may have run, it ends with a code that
+// clients do not retry.
 func TestStreams(t *testing.T) {
 	for name, tc := range map[string]struct {
 		script   func(*grpcserver.Call)
@@ -472,15 +478,15 @@
 	}{
 		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, -1); k.Data(replyMessage, -1); k.Status(0) }, 2, codes.OK},
 		"not found":      {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound)) }, 0, codes.NotFound},
-		"turned away":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
+		"rejected":       {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
 		"unavailable":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) }, 0, codes.Internal},
-		"turned away late": {func(k *grpcserver.Call) {
+		"rejected after a message": {func(k *grpcserver.Call) {
 			k.Header()
 			k.Data(replyMessage, -1)
 			k.Status(int(codes.Unavailable), RejectedKey, "1")
 		}, 1, codes.Internal},
-		"cut half-way": {func(k *grpcserver.Call) {
+		"connection reset after a message": {func(k *grpcserver.Call) {
 			k.Header()
 			k.Data(replyMessage, -1)
 			k.Data(replyMessage, 6)
@@ -495,17 +501,17 @@
 				err = nil
 			}
 			if messages != tc.messages || status.Code(err) != tc.want {
-				t.Errorf("%d messages, then %v", messages, err)
+				t.Errorf("%d messages, then %v; want %d, then %v", messages, err, tc.messages, tc.want)
 			}
 			if tc.want == codes.Unavailable && retryDelay(err) != settings.MaxRetryAfter/2 {
-				t.Errorf("refused with the advice %v", retryDelay(err))
+				t.Errorf("rejected with retry delay %v", retryDelay(err))
 			}
 			if n := f.calls.Load(); n != 1 {
 				t.Errorf("the servers saw %d calls", n)
 			}
 		})
 	}
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("all servers down", func(t *testing.T) {
 		f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 		for _, b := range f.servers {
 			b.Close()
@@ -516,7 +522,8 @@
 	})
 }
 
-// A drain lets a stream finish and starts no new one; a client that leaves its stream takes it off the engine.
+// A draining server completes its open streams and gets no new ones. A stream that its client cancels ends, so that the engine
+// can stop.
 func TestStreamsDuringDrain(t *testing.T) {
 	finish, secondEnded := make(chan struct{}), make(chan struct{}, 1)
 	f := newFleet(t, 1, 0, func(n int, k *grpcserver.Call) {
@@ -542,7 +549,7 @@
 	ctx, cancelSecond := context.WithCancel(t.Context())
 	go func() {
 		if _, err := watch(ctx, cc); status.Code(err) != codes.Canceled {
-			t.Errorf("left: %v", err)
+			t.Errorf("canceled stream: %v", err)
 		}
 		secondEnded <- struct{}{}
 	}()
@@ -556,21 +563,22 @@
 	ctx2, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := watch(ctx2, cc); status.Code(err) != codes.Unavailable {
-		t.Errorf("a new one: %v", err)
+		t.Errorf("new stream during the drain: %v", err)
 	}
 	close(finish)
 	if err := errors.Join(s.RecvMsg(&m), s.RecvMsg(&m)); !errors.Is(err, io.EOF) {
-		t.Errorf("the one under way: %v", err)
+		t.Errorf("open stream during the drain: %v", err)
 	}
 	cancelSecond()
 	<-secondEnded
 	cc.Close()
 	if _, calls := f.servers[0].Counts(); calls != 2 {
-		t.Errorf("%d streams came", calls)
+		t.Errorf("the server saw %d streams, want 2", calls)
 	}
 }
 
-// A call that waits for one of the streams that a server allows has not been sent: it is refused, not failed.
+// A call that waits because the server's limit of concurrent streams is reached has not been sent. It is rejected and may be
+// retried.
 func TestServerStreamLimit(t *testing.T) {
 	received := make(chan struct{}, 2)
 	f := newFleet(t, 1, 1, func(int, *grpcserver.Call) { received <- struct{}{} })
@@ -580,7 +588,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		_, _ = invoke(first, cc, nonIdempotentMethod) // takes the one stream and is never answered
+		_, _ = invoke(first, cc, nonIdempotentMethod) // occupies the only stream and is never answered
 	}()
 	<-received
 	ctx, cancelSecond := context.WithTimeout(t.Context(), 500*time.Millisecond)
@@ -595,7 +603,7 @@
 	}
 }
 
-// WaitForReady does not make the library wait where the engine has decided.
+// With WaitForReady, grpc-go must not wait for a connection if the engine has decided to reject the call.
 func TestWaitForReady(t *testing.T) {
 	f := newFleet(t, 3, 0, func(int, *grpcserver.Call) {})
 	for _, b := range f.servers {
@@ -604,13 +612,13 @@
 	cc := dial(t, config(t, StaticSource(f.list())))
 	begin := time.Now()
 	err := cc.Invoke(t.Context(), nonIdempotentMethod, wrapperspb.String("grapes"), new(wrapperspb.StringValue), grpc.WaitForReady(true))
-	if took := time.Since(begin); status.Code(err) != codes.Unavailable || took > 5*time.Second { // of the 10 that the call has
+	if took := time.Since(begin); status.Code(err) != codes.Unavailable || took > 5*time.Second { // half of the call's budget of 10 s
 		t.Errorf("got %v after %v", err, took)
 	}
 }
 
-// All of 10,000 servers start anew in one update while calls go on: none fails, and only those are connected to that were
-// chosen.
+// All 10,000 servers restart in one update while calls are made. No call fails, and only the servers that the engine chose get
+// connections.
 func TestManyServersRestartAtOnce(t *testing.T) {
 	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
 	source := make(scriptedSource)
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -16,7 +16,8 @@
 	"hookwalk.example/hookwalk/internal/lab/grpcserver"
 )
 
-// looks is a log that looks at the module whenever the engine's loop writes its counts, as it does when it ends.
+// checkpointLog is a slog.Handler that takes a checkpoint of the decision module whenever the engine logs its counts. The
+// engine also does that when it stops.
 type checkpointLog struct {
 	engine      *atomic.Pointer[engine.Engine]
 	checkpoints chan []byte
@@ -37,7 +38,7 @@
 	return err
 }
 
-// quiet says that a module has nothing in flight and holds no request.
+// nothingInFlight reports whether a checkpoint of the decision module has no attempt in flight and no request.
 func nothingInFlight(t *testing.T, checkpoint []byte) bool {
 	t.Helper()
 	var c struct {
@@ -58,7 +59,7 @@
 	return open == 0
 }
 
-// Whatever becomes of their connections, calls and streams leave nothing in flight behind.
+// After connection and stream faults, no call or stream may remain in flight in the engine.
 func TestFaultsLeaveNothingInFlight(t *testing.T) {
 	f := newFleet(t, 4, 0, func(n int, k *grpcserver.Call) {
 		switch n % 8 {
@@ -109,17 +110,17 @@
 	tiers.mu.Lock()
 	log.engine.Store(tiers.byName[cfg.Tier].engine)
 	tiers.mu.Unlock()
-	invoke(t.Context(), cc, idempotentMethod) // so that there is something to say in the end
+	invoke(t.Context(), cc, idempotentMethod) // so that the engine logs counts when it stops
 	cc.Close()
 	timeout := time.After(30 * time.Second)
 	for {
 		select {
-		case c := <-log.checkpoints: // one that came in the middle of the last call is followed by another
+		case c := <-log.checkpoints: // a checkpoint taken during the last call is followed by another one
 			if nothingInFlight(t, c) {
 				return
 			}
 		case <-timeout:
-			t.Fatal("something stays in flight")
+			t.Fatal("attempts or requests remain in flight")
 		}
 	}
 }
--- a/grpcbalancer/outcomes.go
+++ b/grpcbalancer/outcomes.go
@@ -11,19 +11,20 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// RejectedKey is the trailer by which a server says, with the value 1, that it has not run a call and will not. It goes
-// with UNAVAILABLE or RESOURCE_EXHAUSTED.
+// RejectedKey is the trailer with which a server states that it has not run a call and will not run it. The value is 1, and the
+// status code is UNAVAILABLE or RESOURCE_EXHAUSTED.
 const RejectedKey = "hookwalk-turned-away"
 
-// Errors of the picker: the server can't be reached, nothing new may be sent to it, the library tried to send once more.
+// Errors of the picker. errUnreachable: the connection to the server has failed. errSendNotAllowed: the engine no longer allows
+// the attempt to be sent. errStreamRefused: grpc-go tried a transparent retry.
 var (
 	errUnreachable    = status.Error(codes.Unavailable, "hookwalk: the server can't be reached")
 	errSendNotAllowed = status.Error(codes.Unavailable, "hookwalk: nothing new may be sent to the server")
 	errStreamRefused  = status.Error(codes.Unavailable, "hookwalk: the server refused the stream unprocessed")
 )
 
-// outcomeOf is the outcome of an attempt, from what its picker and the library saw of it. The order of the cases matters:
-// what proves that an attempt never ran comes before what only suggests how it ended.
+// outcomeOf returns the outcome of an attempt, derived from what the picker recorded and what grpc-go returned. The order of
+// the cases matters: conditions that prove that the attempt never ran precede those that only suggest how it ended.
 func outcomeOf(a *attempt, err error, trailer metadata.MD) balancer.Outcome {
 	code := status.Code(err)
 	a.mu.Lock()
@@ -32,20 +33,20 @@
 	case err == nil:
 		return balancer.Success
 	case a.sendDenied:
-		return balancer.NotSent // nothing was sent, and it says nothing of the server
+		return balancer.NotSent // nothing was sent, which tells nothing about the server
 	case a.picks == 0 && errors.Is(a.call.ctx.Err(), context.Canceled):
-		return balancer.NotSent // the client canceled before a connection was up
+		return balancer.NotSent // the client canceled the call before a connection was ready
 	case a.picks == 0:
 		return balancer.Unreachable
 	case errors.Is(a.call.ctx.Err(), context.Canceled) && code == codes.Canceled:
-		return balancer.Canceled // the client canceled: that says nothing of the server
+		return balancer.Canceled // the client canceled the call, which tells nothing about the server
 	case !a.sent && code == codes.DeadlineExceeded:
-		return balancer.Overloaded // it waited for one of the concurrent streams that the server allows
+		return balancer.Overloaded // the attempt waited because the server's limit of concurrent streams was reached
 	case !a.sent:
-		return balancer.Unreachable // the connection ended before its header was written
+		return balancer.Unreachable // the connection ended before the header of the attempt was written
 	case a.picks > 1:
-		// The library asks for a connection once more only where the server refused the stream unprocessed: its
-		// retries by policy are off.
+		// grpc-go asks for a connection again only if the server refused the stream unprocessed: retries by policy are
+		// disabled.
 		return balancer.Overloaded
 	case (code == codes.Unavailable || code == codes.ResourceExhausted) && rejectedByServer(trailer):
 		return balancer.Overloaded
@@ -59,13 +60,13 @@
 	return balancer.ConnectionLost
 }
 
-// rejectedByServer reports whether a trailer says that the call has not run.
+// rejectedByServer reports whether a trailer states that the call has not run.
 func rejectedByServer(trailer metadata.MD) bool {
 	v := trailer.Get(RejectedKey)
 	return len(v) == 1 && v[0] == "1"
 }
 
-// applicationCodes are the codes of errors that are an application's answer: clients get them unchanged.
+// applicationCodes are the status codes that are answers of the application. Clients get them unchanged.
 var applicationCodes = map[codes.Code]bool{codes.InvalidArgument: true, codes.NotFound: true, codes.AlreadyExists: true,
 	codes.PermissionDenied: true, codes.Unauthenticated: true, codes.FailedPrecondition: true, codes.OutOfRange: true,
 	codes.Unimplemented: true}
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -1,14 +1,15 @@
-// Package grpcbalancer puts the decisions of hookwalk under a grpc-go channel: which server a call goes to, whether it is
-// retried, and what is rejected. It has the same engine and the same decision module as the daemon.
+// Package grpcbalancer integrates hookwalk into grpc-go channels. It decides to which server a call is sent, whether the call
+// is retried, and which calls are rejected. It uses the same engine and the same decision module as the daemon.
 //
 //	opts, err := grpcbalancer.DialOptions(grpcbalancer.Config{Tier: "log-logic", Settings: settings, Source: servers, ...})
 //	conn, err := grpc.NewClient("hookwalk:///log-logic", append(opts, credentials)...)
 //
-// A stream is one attempt: admitted, placed and counted like any other call, and never moved once it is open.
+// A stream is a single attempt. It is admitted, assigned to a server and counted like any other call, and never moves to
+// another server once it is open.
 //
-// plugin.go has the interceptors, tier.go the engine that channels share, balancer.go the resolver, balancer and picker of
-// grpc-go, stream.go streams, source.go where the servers of a tier come from, outcomes.go how the library's errors map to
-// outcomes of attempts.
+// The interceptors are in plugin.go, the engine that channels share in tier.go, the implementations of grpc-go's resolver,
+// balancer and picker in balancer.go, and streams in stream.go. Sources of a tier's servers are in source.go, and the mapping
+// of grpc-go's errors to outcomes of attempts is in outcomes.go.
 package grpcbalancer
 
 import (
@@ -32,33 +33,33 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// RetryKey is the metadata key by which a client marks, with the value 1, a call that it has sent before.
+// RetryKey is the metadata key with which a client marks a call that it has sent before. The value is 1.
 const RetryKey = "hookwalk-repeat"
 
-// TenantKey is the metadata key of the tenant that a call is for.
+// TenantKey is the metadata key of a call's tenant.
 const TenantKey = "hookwalk-tenant"
 
-// deadlineMargin is the most that a final answer is given ahead of a call's deadline. A rejection must come before the
-// client stops listening: only the rejection says that nothing ran.
+// deadlineMargin is how long before a call's deadline the engine's own deadline is, at most. A rejection must reach the client
+// before its deadline, because only the rejection tells the client that the call has not run.
 const deadlineMargin = 20 * time.Millisecond
 
-// deadlineMarginDivisor: of a short budget, the margin is the 50th part.
+// deadlineMarginDivisor limits the margin of a short budget to a 50th of the budget.
 const deadlineMarginDivisor = 50
 
-// plugin is the state that the channels of one DialOptions share.
+// plugin is the state that is shared by the channels that use the options of one call of DialOptions.
 type plugin struct {
 	config Config
 
 	mu       sync.Mutex
 	tier     *tier         // nil while no channel is open
 	channels int           // open channels
-	err      error         // why the last channel could not be opened
-	changed  chan struct{} // closed, and replaced, when tier or err changes
+	err      error         // error of the last attempt to open a channel; nil: it succeeded
+	changed  chan struct{} // closed and replaced when tier or err changes
 }
 
-// DialOptions returns the options of a channel to a tier; its target is "hookwalk:///" and any name. A service config
-// that the application sets must name the balancer hookwalk_engine; its retry and hedging policies have no effect. Errors
-// are *ConfigError.
+// DialOptions returns the options for channels to a tier. The target of such a channel is "hookwalk:///" followed by any
+// name. If the application sets a service config, it must name the balancer hookwalk_engine. Retry and hedging policies in the
+// service config have no effect. The errors are of type *ConfigError.
 func DialOptions(cfg Config) ([]grpc.DialOption, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -73,12 +74,12 @@
 	return []grpc.DialOption{
 		grpc.WithResolvers(&resolverBuilder{p}),
 		grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"` + balancerName + `":{}}]}`),
-		// Without the library's own retries and hedging, which would send again what may have run. Its transparent retry
-		// can't be switched off; the picker rejects it.
+		// Disables grpc-go's retries and hedging, which would send again calls that may have run. Its transparent retry
+		// can't be disabled; the picker rejects it.
 		grpc.WithDisableRetry(),
-		// An idle channel would close its resolver, and the tier might stop under its calls.
+		// Disables the idle mode: an idle channel would close its resolver, and the tier might stop while calls use it.
 		grpc.WithIdleTimeout(0),
-		// A short backoff: while the library waits to reconnect, all that the engine sends to the server fails.
+		// The backoff is short, because every attempt sent to a server fails while grpc-go waits to reconnect to it.
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}),
 		grpc.WithChainUnaryInterceptor(p.interceptUnary),
@@ -86,7 +87,8 @@
 	}, nil
 }
 
-// interceptUnary is the interceptor of unary calls: the engine admits, places and retries a call and gives its one final answer.
+// interceptUnary is the interceptor of unary calls. The engine admits the call, assigns its attempts to servers and gives the
+// call one final answer.
 func (p *plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	t, err := p.waitForTier(ctx, cc)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return statusOf(a, r.lastErr)
 }
 
-// newCall describes a call to the engine.
+// newCall returns the engine's representation of a call.
 func (p *plugin) newCall(ctx context.Context, t *tier, method string) *rpc {
 	now := t.engine.Clock.Now()
 	r := &rpc{}
@@ -120,8 +122,9 @@
 	return r
 }
 
-// waitForTier makes a call a user of its channel's tier. A new channel has none before its resolver is built, and a new
-// tier waits for its first list. The library builds no second resolver for a channel whose first failed.
+// waitForTier acquires the tier of a call's channel. It waits until the channel's resolver is built, which provides the tier,
+// and until the tier is ready. If building the resolver failed, the call fails too, because grpc-go does not build another
+// one for the channel.
 func (p *plugin) waitForTier(ctx context.Context, cc *grpc.ClientConn) (*tier, error) {
 	for {
 		p.mu.Lock()
@@ -154,7 +157,7 @@
 	}
 }
 
-// channelOpened counts a channel whose resolver was built, or notes why it could not be. Calls wait for either.
+// channelOpened records that a channel's resolver was built, or why it could not be built. Either wakes waiting calls.
 func (p *plugin) channelOpened(t *tier, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +169,7 @@
 	p.changed = make(chan struct{})
 }
 
-// channelClosed counts a channel that was closed.
+// channelClosed records that a channel was closed.
 func (p *plugin) channelClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +180,7 @@
 	p.changed = make(chan struct{})
 }
 
-// firstValue is the first value of a metadata key, or "".
+// firstValue returns the first value of a metadata key, or "" if there is none.
 func firstValue(md metadata.MD, key string) string {
 	if v := md.Get(key); len(v) > 0 {
 		return v[0]
@@ -185,8 +188,8 @@
 	return ""
 }
 
-// statusOf turns a final answer into a status error of the library. A call that may have run gets a code that clients do
-// not retry.
+// statusOf converts a final answer to a status error of grpc-go. A call that may have run gets a code that clients do not
+// retry.
 func statusOf(a engine.Answer, last error) error {
 	switch a.Verdict {
 	case engine.Served:
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -16,22 +16,24 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// stream is a client's stream and its one attempt. It is placed and counted like any other, and never moved once it is
-// open, because messages that were sent can't be sent again. It counts as in flight until it ends.
+// stream is a client's stream and its only attempt. The attempt is assigned to a server and counted like any other, and is in
+// flight until the stream ends. An open stream is never moved to another server, because messages that were sent can't be
+// sent again.
 type stream struct {
 	grpc.ClientStream
 	desc    *grpc.StreamDesc
 	attempt *attempt
-	done    chan error // takes the error with which it ended, once
+	done    chan error // receives the error with which the stream ended, once
 
 	mu           sync.Mutex
 	firstMessage time.Duration // clock time of the first received message; 0: none
-	ended        bool          // the client has received the end
-	err          error         // as the client received it
+	ended        bool          // the client has received the end of the stream
+	err          error         // the final error that the client received
 	outcome      balancer.Outcome
 }
 
-// interceptStream is the interceptor of streams: the engine admits and places a stream; the client gets it when it is open.
+// interceptStream is the interceptor of streams. The engine admits the stream and chooses its server. The client gets the stream
+// when it is open.
 func (p *plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	t, err := p.waitForTier(ctx, cc)
 	if err != nil {
@@ -61,7 +63,7 @@
 		return s, nil
 	case err := <-rejected:
 		select {
-		case s := <-r.opened: // it was opened, and has ended by now
+		case s := <-r.opened: // the stream was opened and has already ended
 			return s, nil
 		default:
 		}
@@ -69,14 +71,15 @@
 	}
 }
 
-// openStream makes the attempt of a stream and waits for its end.
+// openStream opens the stream of an attempt and waits until the stream ends. It returns a nil stream if the stream could not be
+// opened.
 func (t *tier) openStream(a *attempt) (*stream, error) {
 	clock := t.engine.Clock
 	ctx, cancel := context.WithCancel(context.WithValue(a.call.ctx, attemptKey{}, a))
 	defer cancel()
-	openTimeout := time.AfterFunc(a.Deadline-clock.Now(), cancel) // the deadline is for opening it; a stream may last
+	openTimeout := time.AfterFunc(a.Deadline-clock.Now(), cancel) // the deadline applies only to opening: a stream may last longer
 	s, err := a.call.open(ctx)
-	if err == nil { // its header may have reached the server by now
+	if err == nil { // the header may already have reached the server
 		a.mu.Lock()
 		a.sent = true
 		a.mu.Unlock()
@@ -98,20 +101,20 @@
 	return s, err
 }
 
-// result is the outcome of the attempt, and its latency until the first message.
+// result returns the outcome of the attempt and its latency until the first message, 0 if there was none.
 func (s *stream) result(err error) (outcome balancer.Outcome, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstMessage > 0 {
 		latency = s.firstMessage - s.attempt.Started
 	}
-	if !s.ended { // its context ended before the client received the end
+	if !s.ended { // the context ended before the client received the end of the stream
 		s.outcome = s.outcomeLocked(err, nil)
 	}
 	return s.outcome, latency
 }
 
-// RecvMsg receives a message, or how the stream ended.
+// RecvMsg receives the next message, or returns the error with which the stream ended.
 func (s *stream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	if err == nil {
@@ -133,8 +136,8 @@
 	return s.finish(err)
 }
 
-// finish notes how the stream ended, and returns the error for the client: a code that clients do not retry where the
-// call may have run.
+// finish records how the stream ended and returns the error for the client. If the call may have run, the error has a code
+// that clients do not retry.
 func (s *stream) finish(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +161,8 @@
 	return s.err
 }
 
-// outcomeLocked is the attempt's outcome. A stream that has sent a message back has run, however it ends. The caller holds
-// s.mu.
+// outcomeLocked returns the outcome of the attempt. If the server has sent a message, the call has run, however the stream
+// ends. The caller holds s.mu.
 func (s *stream) outcomeLocked(err error, trailer metadata.MD) balancer.Outcome {
 	switch code := status.Code(err); {
 	case s.firstMessage == 0:
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -18,34 +18,35 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// tiers are those in use, by name. All channels of a process to one tier share one engine: engines that know nothing of
-// each other's calls would overload a server together.
+// tiers are the tiers in use, by name. All channels of a process to one tier share an engine: several engines that do not know
+// of each other's calls could together overload a server.
 var tiers = struct {
 	mu     sync.Mutex
 	byName map[string]*tier
 }{byName: map[string]*tier{}}
 
-// firstListTimeout is how long the first calls wait for a new source before the engine decides without a list: then
-// they are rejected instead of running into their deadlines.
+// firstListTimeout is how long the first calls of a tier wait for the first list. After it the engine decides without a list:
+// it rejects the calls, which would otherwise wait until their deadlines.
 const firstListTimeout = time.Second
 
-// tier is one engine and the channels and calls that use it. It starts with its first user and stops with its last.
+// tier is an engine that is shared by channels and calls, its users. It is started for its first user and stops when the last
+// one releases it.
 type tier struct {
 	config     Config
 	engine     *engine.Engine
-	lastCallID atomic.Uint64 // counts up; the IDs of calls are made of it
-	ready      chan struct{} // closed when the first list has come, or firstListTimeout is over
+	lastCallID atomic.Uint64 // increases with each call, which gets it as its ID
+	ready      chan struct{} // closed when the first list has been applied or firstListTimeout has passed
 
-	stopSource context.CancelFunc // ends the source; called by the last user
-	users      int                // channels and calls in progress; guarded by tiers.mu
+	stopSource context.CancelFunc // stops the source; called when the last user releases the tier
+	users      int                // open channels and calls in progress; guarded by tiers.mu
 
 	mu        sync.Mutex
 	endpoints map[string]Endpoint
 	resolvers map[*channelResolver]bool
 }
 
-// acquireTier returns the tier of a configuration, and starts it for its first user, with that user's source and seed.
-// Each acquireTier or acquire is paired with one release.
+// acquireTier adds a user to the tier of a configuration and returns the tier. The first user starts it, with the source and
+// the seed of its configuration. Each call of acquireTier or acquire needs a call of release.
 func acquireTier(cfg Config) (*tier, error) {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
@@ -78,15 +79,15 @@
 	return t, nil
 }
 
-// acquire adds a user to a tier that is in use.
+// acquire adds a user to a tier that already has one.
 func (t *tier) acquire() {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
 	t.users++
 }
 
-// release removes a user, and stops the tier with the last one. No attempt is in flight then, since each call waits for
-// its own attempts.
+// release removes a user. If it was the last one, release stops the tier. No attempt is in flight at that point, because each
+// call waits for its attempts.
 func (t *tier) release() {
 	tiers.mu.Lock()
 	defer tiers.mu.Unlock()
@@ -98,7 +99,8 @@
 	t.engine.Stop()
 }
 
-// applyList hands a list to the engine first, so that nothing new goes to a draining server, and then to the channels.
+// applyList passes a list to the engine and then to the channels. The engine comes first, so that it sends no new calls to a
+// draining server whose connections the channels close.
 func (t *tier) applyList(ctx context.Context, l EndpointList) {
 	update := engine.Update{Complete: l.Complete}
 	for _, b := range l.Endpoints {
@@ -125,36 +127,38 @@
 	}
 }
 
-// readyEndpoints are the servers that a channel may connect to. The caller holds t.mu.
+// readyEndpoints returns the servers that a channel may connect to. The caller holds t.mu.
 func (t *tier) readyEndpoints() []Endpoint { return slices.Collect(maps.Values(t.endpoints)) }
 
-// rpc is a call with what its attempts need. Its states: queued or in flight in the engine, streaming (opened), done.
+// rpc is a call and the data that its attempts need. It is queued or in flight in the engine; a stream is then open; finally
+// the call is done.
 type rpc struct {
 	engine.Call
 	ctx      context.Context
 	invoke   func(ctx context.Context, trailer *metadata.MD) error
-	open     func(ctx context.Context) (*stream, error) // for a stream, in place of invoke
-	opened   chan *stream                               // takes the open stream, once, without blocking
+	open     func(ctx context.Context) (*stream, error) // opens a stream; nil for a unary call, which uses invoke
+	opened   chan *stream                               // receives the open stream once; buffered, so that sending does not block
 	attempts sync.WaitGroup
 	lastErr  error // of the last attempt; attempts are sequential, so writes are ordered by the engine's loop
 }
 
-// attempt is one attempt of a call; the channel's picker finds it in the context.
+// attempt is one attempt of a call. The context of the attempt passes it to the channel's picker.
 type attempt struct {
 	*engine.Attempt
 	call *rpc
 	tier *tier
 
 	mu         sync.Mutex
-	picks      int  // how often the library was given a connection, or asked for one again
-	sendDenied bool // the engine no longer allows it to be sent
-	sent       bool // it has a stream: bytes may have been sent
-	received   bool // something came back from the server
+	picks      int  // how often the picker chose a connection for the attempt, or rejected a further pick
+	sendDenied bool // the engine no longer allows the attempt to be sent
+	sent       bool // the attempt has an HTTP/2 stream: bytes may have been sent
+	received   bool // bytes were received from the server
 }
 
+// attemptKey is the context key of an attempt.
 type attemptKey struct{}
 
-// Start implements engine.Sender: it makes an attempt in a goroutine that ends with its result.
+// Start implements engine.Sender. It makes an attempt in a new goroutine, which reports the result to the engine.
 func (t *tier) Start(att *engine.Attempt) {
 	call := att.Call.Payload.(*rpc)
 	call.attempts.Add(1)
@@ -193,11 +197,11 @@
 	return outcome, latency, err
 }
 
-// Retire implements engine.Sender. Channels close the connections of servers that have left their list themselves.
+// Retire implements engine.Sender. It does nothing: the channels close the connections of servers that are no longer listed.
 func (t *tier) Retire(*engine.Target) {}
 
-// decide hands a call to the engine and waits until it has its answer and no attempt of it is in flight. The caller is a
-// user of the tier.
+// decide passes a call to the engine, and waits until the call has its answer and none of its attempts is in flight. The caller
+// must have acquired the tier.
 func (t *tier) decide(ctx context.Context, r *rpc) (engine.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.ctx, r.Payload = ctx, r
@@ -210,8 +214,8 @@
 	return a, err
 }
 
-// retryAfter is the advice to the client of a stream that a server rejected. Once a stream has begun, the decision module
-// no longer decides about it.
+// retryAfter returns the retry delay for the client of a stream that a server rejected. It is computed here because the
+// decision module does not decide about a stream that has been opened.
 func (t *tier) retryAfter(class string) time.Duration {
 	all := t.config.Settings.Classes
 	if i := slices.IndexFunc(all, func(c balancer.Class) bool { return c.Name == class }); i >= 0 {
@@ -222,18 +226,18 @@
 
 // Config is the configuration of the channels to one tier.
 type Config struct {
-	Tier     string            // name; channels of one process with the same name share an engine
-	Settings balancer.Settings // the decision module's
-	Seed     uint64            // of the random choices; differs between processes
-	Source   Source            // of the servers
-	Methods  map[string]string // class by full method, "/package.Service/Method"; others are non-idempotent
-	Deadline time.Duration     // of calls whose context has none
-	Log      *slog.Logger      // nil: none
+	Tier     string            // name of the tier; channels of one process with the same name share an engine
+	Settings balancer.Settings // of the decision module
+	Seed     uint64            // of random choices; should differ between processes
+	Source   Source            // provides the servers
+	Methods  map[string]string // class by full method name, "/package.Service/Method"; other methods are non-idempotent
+	Deadline time.Duration     // budget of calls whose context has no deadline
+	Log      *slog.Logger      // nil: no log
 }
 
-// ConfigError says which field of a Config can't be used, and why. The caller of DialOptions has to correct it.
+// ConfigError means that a field of a Config can't be used. The caller of DialOptions must correct it.
 type ConfigError struct {
-	Tier  string // "": the Config names none
+	Tier  string // name of the tier; "": the Config has none
 	Field string
 	Err   error
 }
@@ -242,7 +246,7 @@
 	return fmt.Sprintf("grpcbalancer: tier %q: %s: %v", e.Tier, e.Field, e.Err)
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns why the field can't be used.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 // validate returns a *ConfigError for the first field that can't be used.
@@ -257,7 +261,7 @@
 	}
 	for method, class := range c.Methods {
 		if !slices.ContainsFunc(c.Settings.Classes, func(k balancer.Class) bool { return k.Name == class }) {
-			return &ConfigError{c.Tier, "Methods", fmt.Errorf("method %q has the class %q, which is none of the settings", method, class)}
+			return &ConfigError{c.Tier, "Methods", fmt.Errorf("method %q has the class %q, which the settings do not define", method, class)}
 		}
 	}
 	return nil
