--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -76,6 +76,7 @@
 	return l
 }
 
+// config returns a Config whose tier is named after the test.
 func config(t *testing.T, s Source) Config {
 	return Config{Tier: t.Name(), Source: s, Seed: 7, Deadline: 10 * time.Second, Settings: settings,
 		Methods: map[string]string{nonIdempotentMethod: "bin-weighin", idempotentMethod: "block-view"}}
@@ -87,6 +88,7 @@
 		{Name: "bin-weighin", Effect: balancer.NonIdempotent, LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 3},
 		{Name: "block-view", Effect: balancer.Idempotent, LatencyObjective: 5 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1}}}
 
+// dial opens a channel that is closed at the end of the test.
 func dial(t *testing.T, cfg Config, more ...grpc.DialOption) *grpc.ClientConn {
 	t.Helper()
 	opts, err := DialOptions(cfg)
@@ -102,6 +104,7 @@
 	return cc
 }
 
+// invoke makes a unary call and returns its reply.
 func invoke(ctx context.Context, cc *grpc.ClientConn, method string) (string, error) {
 	var reply wrapperspb.StringValue
 	err := cc.Invoke(ctx, method, wrapperspb.String("grapes"), &reply)
@@ -204,7 +207,7 @@
 		t.Errorf("got %v", err)
 	}
 	if n := f.calls.Load(); n != 1 {
-		t.Errorf("the servers saw %d calls", n)
+		t.Errorf("the servers saw %d calls, want 1", n)
 	}
 }
 
@@ -215,7 +218,7 @@
 	})
 	_, err := invoke(t.Context(), dial(t, config(t, StaticSource(f.list()))), idempotentMethod)
 	if status.Code(err) != codes.NotFound || !strings.Contains(err.Error(), "no such bin") || f.calls.Load() != 1 {
-		t.Errorf("got %v after %d calls", err, f.calls.Load())
+		t.Errorf("got %v after %d calls, want the application's error after 1", err, f.calls.Load())
 	}
 }
 
@@ -251,7 +254,7 @@
 }
 
 // A retry policy in the application's service config has no effect. A method without a class counts as non-idempotent.
-func TestLibraryDoesNotRetry(t *testing.T) {
+func TestServiceConfigRetryPolicyHasNoEffect(t *testing.T) {
 	for _, method := range []string{nonIdempotentMethod, "/harvest.Log/Other"} {
 		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) })
 		cfg := config(t, StaticSource(f.list()))
@@ -262,7 +265,7 @@
 			t.Errorf("%s: got %v", method, err)
 		}
 		if n := f.calls.Load(); n != 1 {
-			t.Errorf("%s: the servers saw %d calls", method, n)
+			t.Errorf("%s: the servers saw %d calls, want 1", method, n)
 		}
 	}
 }
@@ -507,7 +510,7 @@
 				t.Errorf("rejected with retry delay %v", retryDelay(err))
 			}
 			if n := f.calls.Load(); n != 1 {
-				t.Errorf("the servers saw %d calls", n)
+				t.Errorf("the servers saw %d calls, want 1", n)
 			}
 		})
 	}
@@ -599,7 +602,7 @@
 	cancel()
 	wg.Wait()
 	if n := f.calls.Load(); n != 1 {
-		t.Errorf("the server saw %d calls", n)
+		t.Errorf("the server saw %d calls, want 1", n)
 	}
 }
 
--- a/grpcbalancer/tier.go
+++ b/grpcbalancer/tier.go
@@ -103,8 +103,8 @@
 // draining server whose connections the channels close.
 func (t *tier) applyList(ctx context.Context, l EndpointList) {
 	update := engine.Update{Complete: l.Complete}
-	for _, b := range l.Endpoints {
-		update.Endpoints = append(update.Endpoints, engine.Endpoint{Server: b.Server, Addr: b.Addr})
+	for _, endpoint := range l.Endpoints {
+		update.Endpoints = append(update.Endpoints, engine.Endpoint{Server: endpoint.Server, Addr: endpoint.Addr})
 	}
 	if t.engine.ApplyUpdate(ctx, update) != nil {
 		return
@@ -114,16 +114,16 @@
 	if l.Complete {
 		clear(t.endpoints)
 	}
-	for _, b := range l.Endpoints {
-		if b.State == balancer.Ready {
-			t.endpoints[b.ID] = b
+	for _, endpoint := range l.Endpoints {
+		if endpoint.State == balancer.Ready {
+			t.endpoints[endpoint.ID] = endpoint
 		} else {
-			delete(t.endpoints, b.ID)
+			delete(t.endpoints, endpoint.ID)
 		}
 	}
 	list := t.readyEndpoints()
-	for w := range t.resolvers {
-		w.update(list)
+	for r := range t.resolvers {
+		r.update(list)
 	}
 }
 
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -62,6 +62,7 @@
 // inConflict reports whether another running node uses the local node's name.
 func (m *Members) inConflict() bool { return m.conflicting.Name != "" }
 
+// countQuorum counts the members that concern the local node.
 func (m *Members) countQuorum() quorum {
 	q := quorum{known: 1, running: 1, agreed: 1}
 	own := m.announcedDigests[m.site]
--- a/membership/members.go
+++ b/membership/members.go
@@ -106,6 +106,7 @@
 	return m.actions
 }
 
+// emit appends an action to the result of the current step.
 func (m *Members) emit(a Action) { m.actions = append(m.actions, a) }
 
 // handleAlive handles the failure detector's report that an incarnation runs.
@@ -134,7 +135,7 @@
 		if member.State != Alive && member.State != Left { // a node that has left can return only as another incarnation
 			m.setState(member, Alive)
 		}
-	case m.enabled(guardImplausible) && e.Start > member.Start && e.Start-member.Start > maxStartGap:
+	case m.enabled(guardImplausible) && e.Start > member.Start && e.Start-member.Start > maxStartGap: // ignored: implausible
 	case (e.NewerThan(member.Incarnation) && e.Start >= m.minStart[e.Name]) || !m.enabled(guardStaleIncarnation):
 		m.markChanged()
 		*member = Member{Incarnation: e.Incarnation, Site: e.Site, State: Alive, Since: m.now}
@@ -152,7 +153,7 @@
 	switch {
 	case other.Nonce == m.local.Nonce: // the local incarnation itself, with an earlier or a corrupted start number
 	case other.Start < m.local.Start: // stale: the local incarnation is newer
-	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap: // implausible
+	case m.enabled(guardImplausible) && other.Start-m.local.Start > maxStartGap: // ignored: implausible
 	case !m.enabled(guardRefute): // only in tests
 	case !m.agreedOnce || !m.enabled(guardNameConflict): // no majority has agreed yet: the start number may be raised
 		stale := m.local.Start
--- a/membership/mutate_test.go
+++ b/membership/mutate_test.go
@@ -77,11 +77,11 @@
 	return s
 }
 
-// start starts a node whose last stored start number is disk.
-func (s *simulation) start(name string, disk uint64) {
+// start starts a node whose last stored start number is storedStart.
+func (s *simulation) start(name string, storedStart uint64) {
 	n := s.nodes[name]
 	n.process++
-	n.storedStart = disk + 1
+	n.storedStart = storedStart + 1
 	local := Incarnation{name, n.storedStart, uint64(n.process)*1000 + uint64(slices.Index(s.names, name))}
 	m, err := New(local, n.site, tree, DefaultLimits(), uint64(n.process))
 	if err != nil {
@@ -94,11 +94,11 @@
 }
 
 // step passes an event to a node, carries out the actions, and checks the rules that hold at all times.
-func (s *simulation) step(n *node, e Event) {
-	if h, ok := e.(AnnouncementReceived); ok && n.resumedAt > 0 && h.From.Name != n.name {
+func (s *simulation) step(n *node, event Event) {
+	if h, ok := event.(AnnouncementReceived); ok && n.resumedAt > 0 && h.From.Name != n.name {
 		n.resumedAt = -n.resumedAt
 	}
-	for _, a := range n.Step(s.now, e) {
+	for _, a := range n.Step(s.now, event) {
 		switch a := a.(type) {
 		case Broadcast:
 			for _, to := range s.names {
@@ -293,10 +293,10 @@
 
 // run runs the scenario and returns the violations.
 func (s *simulation) run() []string {
-	for half := range stepCount {
-		until := time.Duration(half+1) * 500 * time.Millisecond
-		s.now = time.Duration(half) * 500 * time.Millisecond
-		s.applyStep(half)
+	for step := range stepCount {
+		until := time.Duration(step+1) * 500 * time.Millisecond
+		s.now = time.Duration(step) * 500 * time.Millisecond
+		s.applyStep(step)
 		s.runDetectors()
 		for _, name := range s.names {
 			if n := s.nodes[name]; n.running && s.now >= n.stalledUntil {
@@ -327,10 +327,10 @@
 			}
 			s.step(n, d.event)
 		}
-		if half >= 27 && half < 28 && s.nodes["a1"].LocalState() == Agreed {
+		if step >= 27 && step < 28 && s.nodes["a1"].LocalState() == Agreed {
 			s.addViolation("a1 is in agreement while it is cut off")
 		}
-		switch half {
+		switch step {
 		case rejoinStep:
 			s.rejoinedInTime = s.nodes["a2"].LocalState() == Agreed
 		case lastMutationStep:
@@ -405,8 +405,8 @@
 		stride = 1
 	}
 	for n := 1; n <= baseline.sentUntilMutationEnd && !stopped.Load(); n += stride {
-		for _, how := range mutationKinds {
-			jobs <- job{mutation{n, how}}
+		for _, kind := range mutationKinds {
+			jobs <- job{mutation{n, kind}}
 			runs++
 		}
 	}
