--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -129,8 +129,8 @@
 
 // newStatusReport merges what the controllers answered.
 func newStatusReport(statuses configclient.Statuses) statusReport {
-	report := statusReport{Rollout: configversion.MergeStatuses(statuses.Answers)}
-	for _, answer := range statuses.Answers {
+	report := statusReport{Rollout: configversion.MergeStatuses(statuses.Responses)}
+	for _, answer := range statuses.Responses {
 		answer.Nodes, answer.Controllers = nil, nil
 		report.Controllers = append(report.Controllers, answer)
 	}
--- a/cmd/hookwalk/configwatch.go
+++ b/cmd/hookwalk/configwatch.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		log.Warn("the node starts with its own configuration file: the last known good version can't be used with it",
 			"version", lastKnownGood.Version, "err", err)
-		s.lastKnownGood = configversion.LastKnownGood{Cluster: lastKnownGood.Cluster, Former: lastKnownGood.Former, Controllers: lastKnownGood.Controllers}
+		s.lastKnownGood = configversion.LastKnownGood{Cluster: lastKnownGood.Cluster, FormerClusters: lastKnownGood.FormerClusters, Controllers: lastKnownGood.Controllers}
 		return cfg, s, nil
 	}
 	log.Info("the node starts with its last known good version", "version", lastKnownGood.Version, "cluster", lastKnownGood.Cluster)
--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -74,7 +74,7 @@
 }
 
 func newVersionState(start LastKnownGood) versionState {
-	former := maps.Clone(start.Former)
+	former := maps.Clone(start.FormerClusters)
 	if former == nil {
 		former = map[configapi.Cluster]configapi.Version{}
 	}
@@ -99,18 +99,18 @@
 	return newest
 }
 
-// follows reports whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
+// mayFollow reports whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
 // replaces its own on an operator's confirmation. A cluster that the node has left before needs a newer version than
 // the node knew then, or two clusters that replace each other would pass the node back and forth.
-func (v *versionState) follows(u configapi.Update) bool {
+func (v *versionState) mayFollow(u configapi.Update) bool {
 	if v.cluster == "" || u.Cluster == v.cluster {
 		return true
 	}
 	return slices.Contains(u.Replaces, v.cluster) && u.Version > v.formerClusters[u.Cluster]
 }
 
-// behind reports whether the controller of an update lacks versions that the node has decided.
-func (v *versionState) behind(u configapi.Update) bool {
+// isOutdated reports whether the controller of an update lacks versions that the node has decided.
+func (v *versionState) isOutdated(u configapi.Update) bool {
 	return u.Cluster == v.cluster && u.Version < v.lastDecided
 }
 
@@ -138,7 +138,7 @@
 	if u.Version == 0 || u.Cluster == "" {
 		return
 	}
-	if !v.follows(u) {
+	if !v.mayFollow(u) {
 		s.rejectForeign(w, u)
 		return
 	}
@@ -160,11 +160,11 @@
 
 // rejectForeign rejects a version of another cluster, once.
 func (s *Session) rejectForeign(w *watch, u configapi.Update) {
-	seen := foreignVersion{u.Cluster, u.Version}
-	if s.versions.lastForeign == seen {
+	foreign := foreignVersion{u.Cluster, u.Version}
+	if s.versions.lastForeign == foreign {
 		return
 	}
-	s.versions.lastForeign = seen
+	s.versions.lastForeign = foreign
 	rejection := &configapi.Rejection{Kind: configapi.RejectForeign, Message: fmt.Sprintf(
 		"the node follows cluster %s and stays with its version %d: if cluster %s takes its place, publish there with the old cluster confirmed as replaced",
 		s.versions.cluster, s.versions.applied, u.Cluster)}
--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -8,7 +8,7 @@
 )
 
 // Versions are applied one at a time, the newest pending one next, and acknowledged; older and known ones are ignored.
-func TestNewestVersionIsApplied(t *testing.T) {
+func TestNewestPendingVersionIsAppliedNext(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 3))
 	for _, n := range []int{4, 6, 5, 3, 1, 6} {
@@ -46,7 +46,7 @@
 
 // A version that names other services only is applied at once. After a rejection, a version that leaves the rejected
 // configuration in place is applied with it again, also when the configuration came before.
-func TestVersionsOfOtherServices(t *testing.T) {
+func TestVersionsThatSetOnlyOtherServices(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 1, HasLeaderContact: true})
 	if d.applying != nil || d.session.Applied() != 1 {
@@ -105,23 +105,23 @@
 		t.Errorf("it acknowledged %+v", d.acks)
 	}
 	d.finishAck(true)
-	handed := versionUpdate("y", 10)
-	handed.Replaces = []configapi.Cluster{"x"}
-	d.update(w.Watch, handed)
+	replacement := versionUpdate("y", 10)
+	replacement.Replaces = []configapi.Cluster{"x"}
+	d.update(w.Watch, replacement)
 	d.finishApply(nil)
-	if d.session.Applied() != 10 || d.session.Cluster() != "y" || d.persisted.Former["x"] != 5 {
+	if d.session.Applied() != 10 || d.session.Cluster() != "y" || d.persisted.FormerClusters["x"] != 5 {
 		t.Errorf("%d of %s is in force, persisted %+v", d.session.Applied(), d.session.Cluster(), d.persisted)
 	}
 	d.finishAck(true)
-	back := versionUpdate("x", 5)
-	back.Replaces = []configapi.Cluster{"y"}
-	d.update(w.Watch, back)
+	replacedBack := versionUpdate("x", 5)
+	replacedBack.Replaces = []configapi.Cluster{"y"}
+	d.update(w.Watch, replacedBack)
 	if d.applying != nil || d.session.Cluster() != "y" {
 		t.Error("a version of the cluster that it has left brings it back")
 	}
-	back = versionUpdate("x", 6)
-	back.Replaces = []configapi.Cluster{"y"}
-	d.update(w.Watch, back)
+	replacedBack = versionUpdate("x", 6)
+	replacedBack.Replaces = []configapi.Cluster{"y"}
+	d.update(w.Watch, replacedBack)
 	d.finishApply(nil)
 	if d.session.Cluster() != "x" || d.session.Applied() != 6 {
 		t.Errorf("a new version there that an operator confirms: %d of %s", d.session.Applied(), d.session.Cluster())
--- a/configversion/acknowledgement.go
+++ b/configversion/acknowledgement.go
@@ -52,10 +52,10 @@
 func (s *Session) sendAck() {
 	q := &s.ackQueue
 	for !q.inFlight && len(q.pending) > 0 {
-		first := q.pending[0]
+		next := q.pending[0]
 		target := s.watches.main
-		if first.watchNumber != 0 {
-			if target = s.watches.find(first.watchNumber); target == nil {
+		if next.watchNumber != 0 {
+			if target = s.watches.find(next.watchNumber); target == nil {
 				q.pending = q.pending[1:]
 				continue
 			}
@@ -67,7 +67,7 @@
 			s.wakeAt(q.retryAt)
 			return
 		}
-		ack := first.ack
+		ack := next.ack
 		ack.Node, ack.StartedMS, ack.WatchNumber = s.options.Node, s.options.StartedMS, target.number
 		q.inFlight = true
 		s.emit(SendAck{target.address, ack})
--- a/configversion/class_test.go
+++ b/configversion/class_test.go
@@ -14,9 +14,9 @@
 	big := []string{"big"}
 	none := []string{"huge"}
 	for name, c := range map[string]struct {
-		now, next []Class
-		servers   []Server
-		want      configapi.RejectionKind
+		current, proposed []Class
+		servers           []Server
+		want              configapi.RejectionKind
 	}{
 		"all":                                  {all, all, servers, ""},
 		"fewer, and several":                   {all, class(nil, big), servers, ""},
@@ -37,7 +37,7 @@
 		"the second of two classes is at none": {all, append(class(nil, big), Class{Name: "d", Kinds: none}), servers, configapi.RejectNoServer},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := CheckClasses(c.now, c.next, c.servers)
+			got := CheckClasses(c.current, c.proposed, c.servers)
 			kind := configapi.RejectionKind("")
 			if got != nil {
 				kind = got.Kind
--- a/configversion/controllerchoice.go
+++ b/configversion/controllerchoice.go
@@ -40,9 +40,9 @@
 		return
 	}
 	set.main = w
-	set.consecutiveFailures, set.slowOpens, set.consecutiveRejections, set.redirects = 0, 0, 0, nil
+	set.consecutiveFailures, set.openTimeouts, set.consecutiveRejections, set.redirects = 0, 0, 0, nil
 	delete(set.avoidedUntil, w.address)
-	if w.bringsNewest() {
+	if w.deliversNewest() {
 		set.endSearch()
 	}
 	for _, other := range slices.Clone(set.open) {
@@ -56,10 +56,10 @@
 
 // isBetter reports whether a watch replaces a live main watch.
 func isBetter(w, main *watch, isMigrationTarget bool) bool {
-	if w.bringsNewest() == main.bringsNewest() {
+	if w.deliversNewest() == main.deliversNewest() {
 		return isMigrationTarget
 	}
-	return w.bringsNewest()
+	return w.deliversNewest()
 }
 
 // watchRejected handles a watch that a controller did not admit. One without capacity names alternatives, which are
@@ -75,7 +75,7 @@
 	}
 	set := &s.watches
 	set.remove(w)
-	set.avoidFor(w.address, s.now, avoidAfterRejection)
+	set.avoid(w.address, s.now, avoidAfterRejection)
 	set.consecutiveRejections++
 	set.consecutiveFailures++
 	set.redirects = nil
@@ -119,24 +119,24 @@
 
 // nearestUsable are the addresses of the least distance at which no watch is open, of those that are not avoided.
 func (s *watchSet) nearestUsable(now time.Duration) (nearest []string) {
-	least := distanceUnknown + 1
+	leastDistance := distanceUnknown + 1
 	for _, address := range s.addresses() {
 		if s.isOpenAt(address) || now < s.avoidedUntil[address] {
 			continue
 		}
 		distance := s.distanceTo(address)
-		if distance < least {
-			least, nearest = distance, nil
+		if distance < leastDistance {
+			leastDistance, nearest = distance, nil
 		}
-		if distance == least {
+		if distance == leastDistance {
 			nearest = append(nearest, address)
 		}
 	}
 	return nearest
 }
 
-// avoidFor makes an address no choice for a time, while there are others.
-func (s *watchSet) avoidFor(address string, now, duration time.Duration) {
+// avoid makes an address no choice for a time, while there are others.
+func (s *watchSet) avoid(address string, now, duration time.Duration) {
 	if len(s.avoidedUntil) >= maxAvoided {
 		clear(s.avoidedUntil)
 	}
@@ -145,8 +145,8 @@
 
 // addresses are all controllers that the node knows, those that the cluster named first.
 func (s *watchSet) addresses() (addresses []string) {
-	for _, e := range s.clusterControllers {
-		addresses = append(addresses, e.Address)
+	for _, controller := range s.clusterControllers {
+		addresses = append(addresses, controller.Address)
 	}
 	for _, address := range s.configuredAddresses {
 		if !slices.Contains(addresses, address) {
@@ -167,12 +167,12 @@
 )
 
 func (s *watchSet) distanceTo(address string) distance {
-	for _, e := range s.clusterControllers {
+	for _, controller := range s.clusterControllers {
 		switch {
-		case e.Address != address:
-		case s.location.Region != e.Region || e.Region == "":
+		case controller.Address != address:
+		case s.location.Region != controller.Region || controller.Region == "":
 			return distanceOtherRegion
-		case s.location.Zone != e.Zone || e.Zone == "":
+		case s.location.Zone != controller.Zone || controller.Zone == "":
 			return distanceSameRegion
 		default:
 			return distanceSameZone
--- a/configversion/controllerchoice_test.go
+++ b/configversion/controllerchoice_test.go
@@ -9,7 +9,7 @@
 
 // A node that knows the locations of controllers tries its own zone, then its own region, then the others, and last
 // those that only its settings name.
-func TestNearestControllerComesFirst(t *testing.T) {
+func TestNearestControllerIsTriedFirst(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"old:1"}, Region: "east", Zone: "b", LastKnownGood: LastKnownGood{Cluster: "x", Controllers: threeControllers}})
 	for _, want := range []string{"b:1", "a:1", "c:1", "old:1"} {
 		w := d.nextWatch(3 * time.Second)
--- a/configversion/controllersearch.go
+++ b/configversion/controllersearch.go
@@ -25,17 +25,17 @@
 	searchRoundInterval = 5 * time.Second
 )
 
-// searchPause draws the pause before the next probe, from half of searchInterval up to one and a half of it.
-func (s *Session) searchPause() time.Duration {
+// drawSearchPause draws the pause before the next probe, from half of searchInterval up to one and a half of it.
+func (s *Session) drawSearchPause() time.Duration {
 	return searchInterval/2 + s.jitter(searchInterval)
 }
 
-// searchForCurrent begins the search or takes its next step, if it is due.
-func (s *Session) searchForCurrent() {
+// searchForCurrentController begins the search or takes its next step, if it is due.
+func (s *Session) searchForCurrentController() {
 	set := &s.watches
 	if set.nextSearchAt == 0 {
 		set.nextSearchAt = s.now + searchDelay + s.jitter(searchJitter)
-		set.searchedAddresses = nil
+		set.probedAddresses = nil
 	}
 	if opening := set.opening(); len(opening) > 0 {
 		s.probe(opening[0].address)
@@ -47,25 +47,25 @@
 		s.wakeAt(set.nextSearchAt)
 		return
 	}
-	set.searchedAddresses = append(set.searchedAddresses, set.main.address)
-	candidates := set.unsearchedAddresses()
+	set.probedAddresses = append(set.probedAddresses, set.main.address)
+	candidates := set.unprobedAddresses()
 	if len(candidates) == 0 {
-		set.searchedAddresses = nil
+		set.probedAddresses = nil
 		set.nextSearchAt = s.now + searchRoundInterval + s.jitter(searchRoundInterval)
 		s.wakeAt(set.nextSearchAt)
 		return
 	}
 	address := candidates[s.random.IntN(len(candidates))]
-	set.searchedAddresses = append(set.searchedAddresses, address)
-	set.nextSearchAt = s.now + s.searchPause()
+	set.probedAddresses = append(set.probedAddresses, address)
+	set.nextSearchAt = s.now + s.drawSearchPause()
 	s.probe(address)
 }
 
-// unsearchedAddresses are the controllers that were not probed in this round of the search.
-func (s *watchSet) unsearchedAddresses() []string {
+// unprobedAddresses are the controllers that were not probed in this round of the search.
+func (s *watchSet) unprobedAddresses() []string {
 	return slices.DeleteFunc(s.addresses(), func(address string) bool {
-		return slices.Contains(s.searchedAddresses, address)
+		return slices.Contains(s.probedAddresses, address)
 	})
 }
 
-func (s *watchSet) endSearch() { s.nextSearchAt, s.searchedAddresses = 0, nil }
+func (s *watchSet) endSearch() { s.nextSearchAt, s.probedAddresses = 0, nil }
--- a/configversion/controllersearch_test.go
+++ b/configversion/controllersearch_test.go
@@ -7,13 +7,13 @@
 
 // A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller
 // after a delay and with a bounded number of probes, stay while there is none, and change when there is one.
-func TestSearchForACurrentController(t *testing.T) {
+func TestSearchForCurrentController(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
 	stale.HasLeaderContact = false
 	d.update(first.Watch, stale)
-	began := d.now
-	elections := func() {
+	staleSince := d.now
+	advanceMinuteWithoutLeader := func() {
 		for end := d.now + time.Minute; d.now < end; {
 			d.advance(100 * ms)
 			d.step(WatchActivity{Watch: first.Watch})
@@ -24,9 +24,9 @@
 			}
 		}
 	}
-	elections()
-	if d.openedAt[1]-began < searchDelay || d.openedAt[1]-began > searchDelay+searchJitter+100*ms {
-		t.Errorf("the first probe after %v", d.openedAt[1]-began)
+	advanceMinuteWithoutLeader()
+	if d.openedAt[1]-staleSince < searchDelay || d.openedAt[1]-staleSince > searchDelay+searchJitter+100*ms {
+		t.Errorf("the first probe after %v", d.openedAt[1]-staleSince)
 	}
 	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
 		t.Errorf("%d watches in a minute", n)
--- a/configversion/lastknowngood.go
+++ b/configversion/lastknowngood.go
@@ -12,8 +12,8 @@
 	Cluster configapi.Cluster        `json:"cluster"`
 	Version configapi.Version        `json:"version"`          // in force
 	Config  *configapi.ServiceConfig `json:"config,omitempty"` // of Version; nil: the node's own file is in force
-	// Former are the clusters that the node has left, each with the newest version that the node knew of it.
-	Former map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
+	// FormerClusters are the clusters that the node has left, each with the newest version that the node knew of it.
+	FormerClusters map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
 	// Controllers are the controllers of the cluster, with their locations.
 	Controllers []configapi.ControllerAddress `json:"controllers,omitempty"`
 }
@@ -25,19 +25,19 @@
 	if k.Cluster == other.Cluster {
 		return k.Version > other.Version
 	}
-	left, hasLeft := k.Former[other.Cluster]
-	back, isBack := other.Former[k.Cluster]
-	return hasLeft && left >= other.Version && !(isBack && back >= k.Version)
+	lastKnown, hasLeftOther := k.FormerClusters[other.Cluster]
+	otherLastKnown, otherHasLeft := other.FormerClusters[k.Cluster]
+	return hasLeftOther && lastKnown >= other.Version && !(otherHasLeft && otherLastKnown >= k.Version)
 }
 
 // lastKnownGood is what the node would start with if its process ended now.
 func (s *Session) lastKnownGood() LastKnownGood {
 	v := &s.versions
 	return LastKnownGood{
-		Cluster:     v.cluster,
-		Version:     v.applied,
-		Config:      v.appliedConfig,
-		Former:      maps.Clone(v.formerClusters),
-		Controllers: slices.Clone(s.watches.clusterControllers),
+		Cluster:        v.cluster,
+		Version:        v.applied,
+		Config:         v.appliedConfig,
+		FormerClusters: maps.Clone(v.formerClusters),
+		Controllers:    slices.Clone(s.watches.clusterControllers),
 	}
 }
--- a/configversion/lastknowngood_test.go
+++ b/configversion/lastknowngood_test.go
@@ -28,22 +28,22 @@
 		return map[configapi.Cluster]configapi.Version{c: v}
 	}
 	for name, c := range map[string]struct {
-		k, other LastKnownGood
-		want     bool
+		candidate, other LastKnownGood
+		want             bool
 	}{
 		"newer":                   {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "x", Version: 1}, true},
 		"same":                    {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "x", Version: 2}, false},
 		"older":                   {LastKnownGood{Cluster: "x", Version: 1}, LastKnownGood{Cluster: "x", Version: 2}, false},
 		"of another cluster":      {LastKnownGood{Cluster: "y", Version: 9}, LastKnownGood{Cluster: "x", Version: 2}, false},
-		"of one that replaced it": {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, LastKnownGood{Cluster: "x", Version: 2}, true},
-		"of the one that is left": {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, false},
-		"replaced and back": {LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)},
-			LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)}, true},
-		"before it came back": {LastKnownGood{Cluster: "y", Version: 1, Former: former("x", 2)},
-			LastKnownGood{Cluster: "x", Version: 3, Former: former("y", 1)}, false},
+		"of one that replaced it": {LastKnownGood{Cluster: "y", Version: 1, FormerClusters: former("x", 2)}, LastKnownGood{Cluster: "x", Version: 2}, true},
+		"of the one that is left": {LastKnownGood{Cluster: "x", Version: 2}, LastKnownGood{Cluster: "y", Version: 1, FormerClusters: former("x", 2)}, false},
+		"replaced and back": {LastKnownGood{Cluster: "x", Version: 3, FormerClusters: former("y", 1)},
+			LastKnownGood{Cluster: "y", Version: 1, FormerClusters: former("x", 2)}, true},
+		"before it came back": {LastKnownGood{Cluster: "y", Version: 1, FormerClusters: former("x", 2)},
+			LastKnownGood{Cluster: "x", Version: 3, FormerClusters: former("y", 1)}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.k.Supersedes(c.other); got != c.want {
+			if got := c.candidate.Supersedes(c.other); got != c.want {
 				t.Errorf("%v", got)
 			}
 		})
--- a/configversion/migration.go
+++ b/configversion/migration.go
@@ -76,9 +76,9 @@
 // evenly, it is the share rounded down, so that a controller far below finds some above it; if this controller is above
 // the tolerance, it is the share rounded up.
 func (p *Placement) migrationGoal() int {
-	upper := p.evenShare(0)
-	if p.sessions > upper+shareTolerance(upper) {
-		return upper
+	share := p.evenShare(0)
+	if p.sessions > share+shareTolerance(share) {
+		return share
 	}
 	return p.totalSessions() / p.controllerCount()
 }
@@ -89,12 +89,12 @@
 	rank, donors := p.donorRank(goal)
 	capacity := map[string]int{}
 	for _, other := range p.available() {
-		free := goal - other.estimate()
-		if free <= 0 {
+		freeSessions := goal - other.estimate()
+		if freeSessions <= 0 {
 			continue
 		}
-		quota := free / donors
-		if rank < free%donors {
+		quota := freeSessions / donors
+		if rank < freeSessions%donors {
 			quota++
 		}
 		if quota > 0 {
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -56,15 +56,15 @@
 
 // estimate is the number of sessions that the controller has by now, as far as this one can know; never too low by what
 // this one has sent.
-func (p otherController) estimate() int { return p.Sessions + p.sentSinceReport + p.sentBeforeReport }
+func (o otherController) estimate() int { return o.Sessions + o.sentSinceReport + o.sentBeforeReport }
 
 const (
 	// admissionToleranceDivisor is the part of the even share, one in so many, by which a controller may exceed it with
 	// nodes that were not rejected before. Without it, nodes would be redirected for a difference of a few sessions.
 	admissionToleranceDivisor = 4
-	// freeAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others
+	// unconditionalAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others
 	// have. Nodes that all start at the same time find controllers that do not know each other's load yet.
-	freeAdmissionDivisor = 4
+	unconditionalAdmissionDivisor = 4
 	// shareToleranceDivisor is the part of the even share, one in so many, by which a controller may be above or below
 	// it before sessions are migrated: each migration costs a new connection.
 	shareToleranceDivisor = 10
@@ -85,8 +85,8 @@
 	next := make([]otherController, 0, len(loads))
 	for _, load := range loads {
 		other := otherController{ControllerLoad: load}
-		if at := p.otherIndex(load.Controller.Address); at >= 0 {
-			other.sentBeforeReport = p.otherControllers[at].sentSinceReport
+		if index := p.otherIndex(load.Controller.Address); index >= 0 {
+			other.sentBeforeReport = p.otherControllers[index].sentSinceReport
 		}
 		next = append(next, other)
 	}
@@ -115,8 +115,8 @@
 		return p.MaxSessions
 	}
 	share := p.evenShare(1)
-	tolerated := share + max(share/admissionToleranceDivisor, minShareTolerance)
-	return min(p.MaxSessions, max(tolerated, p.MaxSessions/freeAdmissionDivisor))
+	shareLimit := share + max(share/admissionToleranceDivisor, minShareTolerance)
+	return min(p.MaxSessions, max(shareLimit, p.MaxSessions/unconditionalAdmissionDivisor))
 }
 
 // Redirect returns the other controllers for a node, the best one first, and counts the node as sent to the first.
@@ -157,12 +157,12 @@
 )
 
 func rankController(other otherController, r SessionRequest, share int) controllerRank {
-	switch at := other.Controller; {
+	switch controller := other.Controller; {
 	case other.estimate() >= share:
 		return rankAboveShare
-	case at.Region == r.Region && at.Zone == r.Zone:
+	case controller.Region == r.Region && controller.Zone == r.Zone:
 		return rankSameZone
-	case at.Region == r.Region:
+	case controller.Region == r.Region:
 		return rankSameRegion
 	}
 	return rankOtherRegion
@@ -201,7 +201,7 @@
 
 // recordSent counts a node as sent to a controller.
 func (p *Placement) recordSent(address string) {
-	if at := p.otherIndex(address); at >= 0 {
-		p.otherControllers[at].sentSinceReport++
+	if index := p.otherIndex(address); index >= 0 {
+		p.otherControllers[index].sentSinceReport++
 	}
 }
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -21,7 +21,7 @@
 	sessionCounts        []int // sessions of each controller
 	migrations           int   // asked for since the last reset
 	maxMigrationsInRound int   // by one controller in one round
-	maxSessions          int   // at one controller
+	peakSessions         int   // at one controller
 }
 
 type modelNode struct {
@@ -32,16 +32,16 @@
 }
 
 const (
-	modelLimit              = 600
+	modelMaxSessions        = 600
 	modelMigrationsPerRound = 10
 )
 
-func newPlacementModel(locations []configapi.ControllerAddress, limit int) *placementModel {
+func newPlacementModel(locations []configapi.ControllerAddress, maxSessions int) *placementModel {
 	m := &placementModel{}
 	for i, location := range locations {
 		location.Address = fmt.Sprintf("10.0.0.%d:7400", i+1)
 		m.controllers = append(m.controllers, location)
-		m.placements = append(m.placements, NewPlacement(location, limit, modelMigrationsPerRound))
+		m.placements = append(m.placements, NewPlacement(location, maxSessions, modelMigrationsPerRound))
 		m.down = append(m.down, false)
 		m.sessionCounts = append(m.sessionCounts, 0)
 	}
@@ -56,67 +56,67 @@
 
 func (m *placementModel) sessions(controller int) int { return m.sessionCounts[controller] }
 
-// attach ends a node's session and opens one at another controller; -1: none.
-func (m *placementModel) attach(n *modelNode, controller int) {
+// setController ends a node's session and opens one at another controller; -1: none.
+func (m *placementModel) setController(n *modelNode, controller int) {
 	if n.controller >= 0 {
 		m.sessionCounts[n.controller]--
 	}
 	n.controller = controller
 	if controller >= 0 {
 		m.sessionCounts[controller]++
-		m.maxSessions = max(m.maxSessions, m.sessionCounts[controller])
+		m.peakSessions = max(m.peakSessions, m.sessionCounts[controller])
 	}
 }
 
 func (m *placementModel) index(address string) int {
-	return slices.IndexFunc(m.controllers, func(e configapi.ControllerAddress) bool { return e.Address == address })
+	return slices.IndexFunc(m.controllers, func(controller configapi.ControllerAddress) bool { return controller.Address == address })
 }
 
 // requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next
 // round.
-func (m *placementModel) requestSession(n *modelNode, first int) {
-	target := first
+func (m *placementModel) requestSession(n *modelNode, firstController int) {
+	target := firstController
 	for range 3 {
 		if m.down[target] {
 			target = m.preferredController(n, target+1)
 			continue
 		}
 		m.placements[target].SetSessions(m.sessions(target))
-		admitted, elsewhere := m.placements[target].Admit(SessionRequest{Region: n.region, Zone: n.zone, WatchRejections: n.rejections})
+		admitted, alternatives := m.placements[target].Admit(SessionRequest{Region: n.region, Zone: n.zone, WatchRejections: n.rejections})
 		if admitted {
-			m.attach(n, target)
+			m.setController(n, target)
 			n.rejections = 0
 			return
 		}
 		n.rejections++
-		if len(elsewhere) == 0 {
+		if len(alternatives) == 0 {
 			return
 		}
-		target = m.index(elsewhere[0].Address)
+		target = m.index(alternatives[0].Address)
 	}
 }
 
 // preferredController is the controller that a node asks first: one of its region if there is one, else any; spread
 // picks.
 func (m *placementModel) preferredController(n *modelNode, spread int) int {
-	var own []int
+	var sameRegion []int
 	for i, controller := range m.controllers {
 		if controller.Region == n.region && !m.down[i] {
-			own = append(own, i)
+			sameRegion = append(sameRegion, i)
 		}
 	}
-	if len(own) > 0 {
-		return own[spread%len(own)]
+	if len(sameRegion) > 0 {
+		return sameRegion[spread%len(sameRegion)]
 	}
 	return spread % len(m.controllers)
 }
 
-func (m *placementModel) round() {
+func (m *placementModel) runRound() {
 	for i := range m.nodes {
 		n := &m.nodes[i]
 		switch {
 		case n.controller >= 0 && m.down[n.controller]:
-			m.attach(n, -1)
+			m.setController(n, -1)
 			n.migrateTo = -1
 		case n.controller >= 0 && n.migrateTo >= 0:
 			m.requestSession(n, n.migrateTo) // it opens the new watch before it ends the old one
@@ -130,7 +130,7 @@
 }
 
 func (m *placementModel) exchangeReports() {
-	for i, rules := range m.placements {
+	for i, placement := range m.placements {
 		if m.down[i] {
 			continue
 		}
@@ -140,24 +140,24 @@
 				loads = append(loads, ControllerLoad{Controller: controller, Sessions: m.sessions(j), Available: !m.down[j]})
 			}
 		}
-		rules.SetSessions(m.sessions(i))
-		rules.SetOtherControllers(loads)
+		placement.SetSessions(m.sessions(i))
+		placement.SetOtherControllers(loads)
 	}
-	for i, rules := range m.placements {
+	for i, placement := range m.placements {
 		if m.down[i] {
 			continue
 		}
-		var own []MigrationCandidate
+		var candidates []MigrationCandidate
 		for id, node := range m.nodes {
 			if node.controller == i {
-				own = append(own, MigrationCandidate{ID: uint64(id), Region: node.region, Zone: node.zone})
+				candidates = append(candidates, MigrationCandidate{ID: uint64(id), Region: node.region, Zone: node.zone})
 			}
 		}
-		moves := rules.PlanMigrations(own)
-		m.migrations += len(moves)
-		m.maxMigrationsInRound = max(m.maxMigrationsInRound, len(moves))
-		for _, move := range moves {
-			m.nodes[move.ID].migrateTo = m.index(move.Target.Address)
+		planned := placement.PlanMigrations(candidates)
+		m.migrations += len(planned)
+		m.maxMigrationsInRound = max(m.maxMigrationsInRound, len(planned))
+		for _, migration := range planned {
+			m.nodes[migration.ID].migrateTo = m.index(migration.Target.Address)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 
 // checkEven checks that all running controllers are within the tolerance of the even share.
 func (m *placementModel) checkEven() error {
-	up := 0
+	available := 0
 	for _, down := range m.down {
 		if !down {
-			up++
+			available++
 		}
 	}
-	share := (m.connected() + up - 1) / up
+	share := (m.connected() + available - 1) / available
 	for i := range m.controllers {
 		if m.down[i] {
 			continue
@@ -191,13 +191,13 @@
 	return nil
 }
 
-// fourRegions are seven controllers in four regions, as the target has them.
-func fourRegions() []configapi.ControllerAddress {
+// controllersInFourRegions are seven controllers in four regions, as the target has them.
+func controllersInFourRegions() []configapi.ControllerAddress {
 	return []configapi.ControllerAddress{{Region: "a", Zone: "a1"}, {Region: "a", Zone: "a2"}, {Region: "b", Zone: "b1"}, {Region: "b", Zone: "b2"},
 		{Region: "c", Zone: "c1"}, {Region: "c", Zone: "c2"}, {Region: "d", Zone: "d1"}}
 }
 
-func addFourRegions(m *placementModel, perZone int) {
+func addNodesInFourRegions(m *placementModel, perZone int) {
 	for _, region := range []string{"a", "b", "c", "d"} {
 		for zone := range 4 {
 			m.addNodes(perZone, region, fmt.Sprintf("%s%d", region, zone+1))
@@ -205,11 +205,11 @@
 	}
 }
 
-const settleRounds = 60 // 30 s at two readings a second
+const convergenceRounds = 60 // 30 s at two readings a second
 
-func settle(t interface{ Fatalf(string, ...any) }, m *placementModel) {
-	for range settleRounds {
-		m.round()
+func checkConvergence(t interface{ Fatalf(string, ...any) }, m *placementModel) {
+	for range convergenceRounds {
+		m.runRound()
 	}
 	if m.connected() != len(m.nodes) {
 		t.Fatalf("%d of %d nodes have a session", m.connected(), len(m.nodes))
@@ -219,7 +219,7 @@
 	}
 	m.migrations = 0
 	for range 5 {
-		m.round()
+		m.runRound()
 	}
 	if m.migrations > 0 {
 		t.Fatalf("%d sessions still move after the shares are even", m.migrations)
@@ -228,52 +228,52 @@
 
 // All nodes of a fleet start at the same time, before controllers know each other's load. All have a session after one
 // round, and the shares get even.
-func TestPlacementOfAllNodesArrivingAtOnce(t *testing.T) {
-	m := newPlacementModel(fourRegions(), modelLimit)
+func TestPlacementWhenAllNodesStartAtOnce(t *testing.T) {
+	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
-	addFourRegions(m, 119)
-	m.round()
+	addNodesInFourRegions(m, 119)
+	m.runRound()
 	if m.connected() != len(m.nodes) {
 		t.Errorf("after the first round %d of %d nodes have a session", m.connected(), len(m.nodes))
 	}
-	settle(t, m)
-	if m.maxSessions > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
+	checkConvergence(t, m)
+	if m.peakSessions > modelMaxSessions {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.peakSessions, modelMaxSessions)
 	}
 }
 
 // All nodes know the same single controller. Its limit holds, and the others get their share.
-func TestPlacementWithOneAddressKnown(t *testing.T) {
-	places := make([]configapi.ControllerAddress, 7)
-	places[0] = configapi.ControllerAddress{Region: "a"}
-	m := newPlacementModel(places, modelLimit)
+func TestPlacementWhenNodesKnowOneController(t *testing.T) {
+	locations := make([]configapi.ControllerAddress, 7)
+	locations[0] = configapi.ControllerAddress{Region: "a"}
+	m := newPlacementModel(locations, modelMaxSessions)
 	m.exchangeReports()
 	m.addNodes(1900, "a", "a1")
-	settle(t, m)
-	if m.maxSessions > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
+	checkConvergence(t, m)
+	if m.peakSessions > modelMaxSessions {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.peakSessions, modelMaxSessions)
 	}
 }
 
 // A controller that returns gets its share at a bounded rate. About as many sessions migrate as it gets, not more.
-func TestPlacementAfterAControllerReturns(t *testing.T) {
-	m := newPlacementModel(fourRegions(), modelLimit)
+func TestPlacementAfterControllerRecovers(t *testing.T) {
+	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
-	addFourRegions(m, 119)
-	settle(t, m)
+	addNodesInFourRegions(m, 119)
+	checkConvergence(t, m)
 	m.down[6] = true
-	settle(t, m)
+	checkConvergence(t, m)
 	m.down[6] = false
 	m.migrations, m.maxMigrationsInRound = 0, 0
-	for range settleRounds {
-		m.round()
+	for range convergenceRounds {
+		m.runRound()
 	}
 	if err := m.checkEven(); err != nil {
 		t.Error(err)
 	}
-	got := m.sessions(6)
-	if m.migrations > got*12/10 {
-		t.Errorf("%d sessions moved to give one controller %d", m.migrations, got)
+	recovered := m.sessions(6)
+	if m.migrations > recovered*12/10 {
+		t.Errorf("%d sessions moved to give one controller %d", m.migrations, recovered)
 	}
 	if m.maxMigrationsInRound > modelMigrationsPerRound {
 		t.Errorf("a controller handed %d sessions on in one round, the most is %d", m.maxMigrationsInRound, modelMigrationsPerRound)
@@ -281,27 +281,27 @@
 }
 
 // Three of seven controllers fail. The four others take all nodes within their limits.
-func TestPlacementWithThreeControllersGone(t *testing.T) {
-	m := newPlacementModel(fourRegions(), modelLimit)
+func TestPlacementWithThreeControllersDown(t *testing.T) {
+	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
-	addFourRegions(m, 119)
-	settle(t, m)
+	addNodesInFourRegions(m, 119)
+	checkConvergence(t, m)
 	m.down[1], m.down[3], m.down[6] = true, true, true
 	m.exchangeReports()
-	settle(t, m)
-	if m.maxSessions > modelLimit {
-		t.Errorf("a controller had %d sessions, its limit is %d", m.maxSessions, modelLimit)
+	checkConvergence(t, m)
+	if m.peakSessions > modelMaxSessions {
+		t.Errorf("a controller had %d sessions, its limit is %d", m.peakSessions, modelMaxSessions)
 	}
 }
 
 // Nodes get a controller of their own region as far as the shares allow: regions are often cut off from each other.
-func TestPlacementPrefersTheOwnRegion(t *testing.T) {
-	m := newPlacementModel([]configapi.ControllerAddress{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelLimit)
+func TestPlacementPrefersRegionOfNode(t *testing.T) {
+	m := newPlacementModel([]configapi.ControllerAddress{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelMaxSessions)
 	m.exchangeReports()
 	for _, region := range []string{"a", "b", "c"} {
 		m.addNodes(100, region, region+"1")
 	}
-	settle(t, m)
+	checkConvergence(t, m)
 	for i, node := range m.nodes {
 		if m.controllers[node.controller].Region != node.region {
 			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.controllers[node.controller])
@@ -310,18 +310,18 @@
 }
 
 // A controller that reaches no other one admits nodes up to its limit: there is nowhere to redirect them.
-func TestPlacementAloneAdmitsUpToTheLimit(t *testing.T) {
+func TestIsolatedControllerAdmitsUpToLimit(t *testing.T) {
 	p := NewPlacement(configapi.ControllerAddress{Address: "127.0.0.1:7400"}, 3, 1)
 	p.SetOtherControllers([]ControllerLoad{{Controller: configapi.ControllerAddress{Address: "127.0.0.1:7401"}, Available: false}})
-	for have := range 3 {
-		p.SetSessions(have)
+	for sessions := range 3 {
+		p.SetSessions(sessions)
 		if admitted, _ := p.Admit(SessionRequest{}); !admitted {
-			t.Errorf("rejected with %d sessions of at most 3 and no other controller", have)
+			t.Errorf("rejected with %d sessions of at most 3 and no other controller", sessions)
 		}
 	}
 	p.SetSessions(3)
-	if admitted, elsewhere := p.Admit(SessionRequest{}); admitted || len(elsewhere) > 0 {
-		t.Errorf("with 3 of at most 3 sessions: admitted %v, elsewhere %v", admitted, elsewhere)
+	if admitted, alternatives := p.Admit(SessionRequest{}); admitted || len(alternatives) > 0 {
+		t.Errorf("with 3 of at most 3 sessions: admitted %v, elsewhere %v", admitted, alternatives)
 	}
 }
 
@@ -336,11 +336,11 @@
 		{Controller: configapi.ControllerAddress{Address: "d:1"}, Sessions: 0, Available: false}})
 	sent := map[string]int{}
 	for range 10 {
-		admitted, elsewhere := p.Admit(SessionRequest{})
-		if admitted || len(elsewhere) != 2 {
-			t.Fatalf("admitted %v, elsewhere %v", admitted, elsewhere)
+		admitted, alternatives := p.Admit(SessionRequest{})
+		if admitted || len(alternatives) != 2 {
+			t.Fatalf("admitted %v, elsewhere %v", admitted, alternatives)
 		}
-		sent[elsewhere[0].Address]++
+		sent[alternatives[0].Address]++
 	}
 	if sent["b:1"] != 6 || sent["c:1"] != 4 {
 		t.Errorf("ten nodes were sent to %v; both would have 8 if 6 went to b", sent)
@@ -349,32 +349,32 @@
 
 // For any sizes, also when a controller fails and returns: all nodes get a session if there is capacity, no controller
 // is above the limit, the shares get even, and then no session migrates any more.
-func TestPlacementSettles(t *testing.T) {
-	const limit = 40
+func TestPlacementConverges(t *testing.T) {
+	const maxSessions = 40
 	rapid.Check(t, func(t *rapid.T) {
 		regions := []string{"a", "b", "c", "d"}
 		count := rapid.IntRange(1, 7).Draw(t, "controllers")
-		var places []configapi.ControllerAddress
+		var locations []configapi.ControllerAddress
 		for range count {
-			places = append(places, configapi.ControllerAddress{Region: rapid.SampledFrom(regions).Draw(t, "region")})
+			locations = append(locations, configapi.ControllerAddress{Region: rapid.SampledFrom(regions).Draw(t, "region")})
 		}
-		m := newPlacementModel(places, limit)
+		m := newPlacementModel(locations, maxSessions)
 		m.exchangeReports()
 		for _, region := range regions {
 			m.addNodes(rapid.IntRange(0, 6*count).Draw(t, "nodes"), region, region+"1")
 		}
-		m.nodes = m.nodes[:min(len(m.nodes), (limit-4)*max(1, count-1))] // room with one controller gone
-		settle(t, m)
+		m.nodes = m.nodes[:min(len(m.nodes), (maxSessions-4)*max(1, count-1))] // room with one controller gone
+		checkConvergence(t, m)
 		if count > 1 && rapid.Bool().Draw(t, "one goes and returns") {
-			gone := rapid.IntRange(0, count-1).Draw(t, "gone")
-			m.down[gone] = true
+			failed := rapid.IntRange(0, count-1).Draw(t, "gone")
+			m.down[failed] = true
 			m.exchangeReports()
-			settle(t, m)
-			m.down[gone] = false
-			settle(t, m)
+			checkConvergence(t, m)
+			m.down[failed] = false
+			checkConvergence(t, m)
 		}
-		if m.maxSessions > limit {
-			t.Fatalf("a controller had %d sessions, its limit is %d", m.maxSessions, limit)
+		if m.peakSessions > maxSessions {
+			t.Fatalf("a controller had %d sessions, its limit is %d", m.peakSessions, maxSessions)
 		}
 	})
 }
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -79,17 +79,17 @@
 
 // newestVersion finds the cluster of most controllers (of equals, the first by name) and its newest version.
 func newestVersion(statuses []configapi.ControllerStatus) (configapi.Cluster, configapi.Version) {
-	members := map[configapi.Cluster]int{}
+	controllerCounts := map[configapi.Cluster]int{}
 	versions := map[configapi.Cluster]configapi.Version{}
 	for _, status := range statuses {
 		if status.Cluster != "" {
-			members[status.Cluster]++
+			controllerCounts[status.Cluster]++
 			versions[status.Cluster] = max(versions[status.Cluster], status.Version)
 		}
 	}
 	var best configapi.Cluster
-	for cluster := range members {
-		if order := cmp.Or(cmp.Compare(members[cluster], members[best]), cmp.Compare(best, cluster)); order > 0 {
+	for cluster := range controllerCounts {
+		if order := cmp.Or(cmp.Compare(controllerCounts[cluster], controllerCounts[best]), cmp.Compare(best, cluster)); order > 0 {
 			best = cluster
 		}
 	}
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-func appliedNode(name string, watchNumber uint64, held configapi.Version) configapi.NodeStatus {
-	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: watchNumber, Connected: true, Cluster: "c", LastDecided: held, Applied: held, Outcome: configapi.Applied}
+func appliedNode(name string, watchNumber uint64, decided configapi.Version) configapi.NodeStatus {
+	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: watchNumber, Connected: true, Cluster: "c", LastDecided: decided, Applied: decided, Outcome: configapi.Applied}
 }
 
 // The state of a node follows from its report, in all combinations of cluster, version and outcome.
@@ -23,8 +23,8 @@
 	foreign.Cluster, foreign.Outcome = "other", configapi.Rejected
 	otherCluster := appliedNode("n", 1, 9)
 	otherCluster.Cluster = "other"
-	away := appliedNode("n", 1, 7)
-	away.Connected = false
+	disconnected := appliedNode("n", 1, 7)
+	disconnected.Connected = false
 	for name, c := range map[string]struct {
 		node configapi.NodeStatus
 		want RolloutState
@@ -36,7 +36,7 @@
 		"rejected an older one, lags now":     {rejectedBefore, RolloutLagging},
 		"rejects another cluster":             {foreign, RolloutRejected},
 		"has another cluster, says nothing":   {otherCluster, RolloutLagging},
-		"without a session, whatever it held": {away, RolloutDisconnected},
+		"without a session, whatever it held": {disconnected, RolloutDisconnected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{c.node}}})
@@ -52,7 +52,7 @@
 
 // A node has moved from one controller to another, and the first one saw the end of its session last. The newer session
 // counts.
-func TestRolloutCountsTheNewestSession(t *testing.T) {
+func TestRolloutPrefersNewestSession(t *testing.T) {
 	atFirst, atSecond := appliedNode("n", 3, 5), appliedNode("n", 4, 7)
 	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
 	atSecond.LastSeenMS = 8000
@@ -66,7 +66,7 @@
 
 // A controller that was stalled reads, late, the request of a watch that its node has given up: the node has a higher
 // watch number there, and no session.
-func TestRolloutPrefersTheOpenSession(t *testing.T) {
+func TestRolloutPrefersOpenSession(t *testing.T) {
 	open, givenUp, olderProcess := appliedNode("n", 3, 7), appliedNode("n", 4, 6), appliedNode("n", 9, 6)
 	givenUp.Connected, givenUp.LastSeenMS = false, 9000
 	olderProcess.StartedMS = 0
@@ -81,7 +81,7 @@
 
 // A node that has opened a second watch and closed it acknowledges by the first one; the controller of the second one
 // may not know yet that it was closed.
-func TestRolloutCountsTheGreaterVersionOfAProcess(t *testing.T) {
+func TestRolloutPrefersGreaterVersionOfSameProcess(t *testing.T) {
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
 	second.LastSeenMS = 9000
 	r := MergeStatuses([]configapi.ControllerStatus{
@@ -93,7 +93,7 @@
 }
 
 // A controller lags or has lost its leader, and another one belongs to a second cluster: operators must see which.
-func TestRolloutNamesControllersThatAreBehindOrForeign(t *testing.T) {
+func TestRolloutListsBehindAndForeignControllers(t *testing.T) {
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true},
 		{Name: "c2", Cluster: "c", Version: 6, HasLeaderContact: true},
@@ -115,7 +115,7 @@
 }
 
 // The order in which controllers answer changes nothing, and each node is counted once.
-func TestRolloutDoesNotDependOnTheOrder(t *testing.T) {
+func TestRolloutDoesNotDependOnReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var statuses []configapi.ControllerStatus
 		names := map[string]bool{}
@@ -146,7 +146,7 @@
 }
 
 // A node opens a second watch while its first one is silent, and closes it when the first one sends heartbeats again.
-func TestMergeStatusesOfASecondWatchThatWasClosed(t *testing.T) {
+func TestMergeStatusesAfterSecondWatchWasClosed(t *testing.T) {
 	first := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
 	second := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
 	for name, tc := range map[string]struct {
@@ -155,18 +155,18 @@
 	}{
 		"a version was acknowledged by the first one": {first, second, "one"},
 		"no version has come since": {first, func() configapi.NodeStatus {
-			same := second
-			same.LastDecided, same.Applied = 9, 9
-			return same
+			sameVersion := second
+			sameVersion.LastDecided, sameVersion.Applied = 9, 9
+			return sameVersion
 		}(), "one"},
 		"the node has moved to the second one": {func() configapi.NodeStatus {
-			left := first
-			left.Connected = false
-			return left
+			closed := first
+			closed.Connected = false
+			return closed
 		}(), func() configapi.NodeStatus {
-			there := second
-			there.Connected, there.LastDecided, there.Applied = true, 9, 9
-			return there
+			connected := second
+			connected.Connected, connected.LastDecided, connected.Applied = true, 9, 9
+			return connected
 		}(), "two"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/configversion/sessiondriver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -57,7 +57,7 @@
 			d.opened = append(d.opened, a)
 			d.openedAt = append(d.openedAt, d.now)
 		case CloseWatch:
-			if _, is := d.open[a.Watch]; !is {
+			if _, isOpen := d.open[a.Watch]; !isOpen {
 				d.t.Fatalf("it closes watch %d, which is not open", a.Watch)
 			}
 			delete(d.open, a.Watch)
@@ -85,9 +85,9 @@
 
 // advanceUntil advances the time, with ticks where the session wants them, until a condition holds or the end is
 // reached.
-func (d *driver) advanceUntil(end time.Duration, holds func() bool) bool {
+func (d *driver) advanceUntil(end time.Duration, condition func() bool) bool {
 	d.t.Helper()
-	for !holds() {
+	for !condition() {
 		if d.session.Next() > end {
 			d.now = end
 			return false
@@ -99,28 +99,28 @@
 }
 
 // advance advances the time, with ticks where the session wants them.
-func (d *driver) advance(time time.Duration) {
+func (d *driver) advance(duration time.Duration) {
 	d.t.Helper()
-	d.advanceUntil(d.now+time, func() bool { return false })
+	d.advanceUntil(d.now+duration, func() bool { return false })
 }
 
 // advanceWithHeartbeats advances the time with heartbeats on a watch.
-func (d *driver) advanceWithHeartbeats(watch uint64, time time.Duration) {
+func (d *driver) advanceWithHeartbeats(watch uint64, duration time.Duration) {
 	d.t.Helper()
-	for end := d.now + time; d.now < end; {
+	for end := d.now + duration; d.now < end; {
 		d.advance(min(configapi.HeartbeatInterval, end-d.now))
 		d.step(WatchActivity{Watch: watch})
 	}
 }
 
 // nextWatch advances the time until a watch is opened, and returns it.
-func (d *driver) nextWatch(within time.Duration) OpenWatch {
+func (d *driver) nextWatch(timeout time.Duration) OpenWatch {
 	d.t.Helper()
-	had := len(d.opened)
-	if !d.advanceUntil(d.now+within, func() bool { return len(d.opened) > had }) {
-		d.t.Fatalf("no watch within %v", within)
+	openedBefore := len(d.opened)
+	if !d.advanceUntil(d.now+timeout, func() bool { return len(d.opened) > openedBefore }) {
+		d.t.Fatalf("no watch within %v", timeout)
 	}
-	return d.opened[had]
+	return d.opened[openedBefore]
 }
 
 func (d *driver) update(watch uint64, u configapi.Update) {
@@ -168,8 +168,8 @@
 	{Address: "c:1", Region: "west", Zone: "a"}}
 
 func addressesOf(controllers []configapi.ControllerAddress) (addresses []string) {
-	for _, e := range controllers {
-		addresses = append(addresses, e.Address)
+	for _, controller := range controllers {
+		addresses = append(addresses, controller.Address)
 	}
 	return addresses
 }
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -20,16 +20,16 @@
 
 // watch is one open call for updates.
 type watch struct {
-	number         uint64
-	address        string // of the controller, HOST:PORT
-	openedAt       time.Duration
-	silenceTimeout time.Duration // see watchsilence.go
-	lastActivity   time.Duration // the last byte
-	updateBegan    time.Duration // when the update that is arriving began; 0: none is
-	updated        bool          // its first update has come
-	current        bool          // its last update says that the controller has a leader
-	foreign        bool          // its last update was of a cluster that the node does not follow
-	behind         bool          // its last update was older than what the node has decided
+	number          uint64
+	address         string // of the controller, HOST:PORT
+	openedAt        time.Duration
+	silenceTimeout  time.Duration // see watchsilence.go
+	lastActivityAt  time.Duration // the last byte
+	updateStartedAt time.Duration // when the update that is arriving began; 0: none is
+	updated         bool          // its first update has come
+	current         bool          // its last update says that the controller has a leader
+	foreign         bool          // its last update was of a cluster that the node does not follow
+	outdated        bool          // its last update was older than what the node has decided
 }
 
 // state is the watch's state at a time.
@@ -43,8 +43,8 @@
 	return watchLive
 }
 
-// bringsNewest reports that a watch brings the newest versions of the node's cluster as soon as they are committed.
-func (w *watch) bringsNewest() bool { return w.current && !w.foreign && !w.behind }
+// deliversNewest reports that a watch brings the newest versions of the node's cluster as soon as they are committed.
+func (w *watch) deliversNewest() bool { return w.current && !w.foreign && !w.outdated }
 
 // reconcileWatches opens and closes watches as the rules want it now, and sets the time of the next look.
 func (s *Session) reconcileWatches() {
@@ -61,8 +61,8 @@
 		set.endSearch()
 		s.closeOpeningExcept(set.migrateTo)
 		s.probe(set.migrateTo)
-	case !set.main.bringsNewest():
-		s.searchForCurrent()
+	case !set.main.deliversNewest():
+		s.searchForCurrentController()
 	default:
 		set.endSearch()
 		s.closeOpeningExcept("")
@@ -78,8 +78,8 @@
 	}
 	u := e.Update
 	wasCurrent := w.current
-	w.lastActivity, w.updateBegan = s.now, 0
-	w.current, w.foreign, w.behind = u.HasLeaderContact, !s.versions.follows(u), s.versions.behind(u)
+	w.lastActivityAt, w.updateStartedAt = s.now, 0
+	w.current, w.foreign, w.outdated = u.HasLeaderContact, !s.versions.mayFollow(u), s.versions.isOutdated(u)
 	if !w.foreign && len(u.Controllers) > 0 {
 		s.watches.clusterControllers = slices.Clone(u.Controllers)
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	set.remove(w)
-	set.avoidFor(w.address, s.now, avoidAfterFailure)
+	set.avoid(w.address, s.now, avoidAfterFailure)
 	if w.updated { // it was the main watch
 		set.nextOpenAt = s.now + s.jitter(reconnectJitter)
 		s.emit(ControllerChanged{})
@@ -123,7 +123,7 @@
 		number:         set.lastNumber,
 		address:        address,
 		openedAt:       s.now,
-		lastActivity:   s.now,
+		lastActivityAt: s.now,
 		silenceTimeout: s.drawSilenceTimeout(),
 	}
 	set.open = append(set.open, w)
--- a/configversion/watchmigration_test.go
+++ b/configversion/watchmigration_test.go
@@ -7,7 +7,7 @@
 )
 
 // A node that is asked to migrate has its new watch before it closes the old one.
-func TestMigrationOpensBeforeItCloses(t *testing.T) {
+func TestMigrationOpensNewWatchBeforeClosingOld(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	move := emptyUpdate("x")
 	move.MigrateTo = "m:1"
@@ -17,15 +17,15 @@
 		t.Fatalf("%d open, the last at %s", len(d.open), second.Address)
 	}
 	d.update(second.Watch, emptyUpdate("x"))
-	if _, still := d.open[first.Watch]; still || d.session.Controller() != "m:1" {
+	if _, isOpen := d.open[first.Watch]; isOpen || d.session.Controller() != "m:1" {
 		t.Error("it has not migrated")
 	}
 }
 
 // The target of a migration ends the watch, rejects it or does not answer. The node stays where it is, ignores the next
 // request, and tries again later.
-func TestFailedMigrationIsNotRetriedAtOnce(t *testing.T) {
-	for name, fails := range map[string]func(d *driver, w uint64){
+func TestFailedMigrationIsNotRetriedImmediately(t *testing.T) {
+	for name, fail := range map[string]func(d *driver, w uint64){
 		"ended":     func(d *driver, w uint64) { d.step(WatchEnded{w}) },
 		"rejected":  func(d *driver, w uint64) { d.step(WatchRejected{w, configapi.Error{Kind: configapi.ErrorNoCapacity}}) },
 		"no answer": func(d *driver, _ uint64) { d.advance(openTimeout) },
@@ -35,7 +35,7 @@
 			move := emptyUpdate("x")
 			move.MigrateTo = "m:1"
 			d.update(first.Watch, move)
-			fails(d, d.opened[1].Watch)
+			fail(d, d.opened[1].Watch)
 			d.update(first.Watch, move)
 			if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
 				t.Errorf("%d open, %d opened, at %s", len(d.open), len(d.opened), d.session.Controller())
--- a/configversion/watchopening.go
+++ b/configversion/watchopening.go
@@ -35,7 +35,7 @@
 // currentOpenTimeout is the open timeout: it doubles after each maxOpening watches in a row that exceeded it, up to
 // maxOpenTimeout.
 func (s *watchSet) currentOpenTimeout() time.Duration {
-	doublings := min(s.slowOpens/maxOpening, maxOpenTimeoutDoublings)
+	doublings := min(s.openTimeouts/maxOpening, maxOpenTimeoutDoublings)
 	return min(openTimeout<<doublings, maxOpenTimeout)
 }
 
@@ -56,11 +56,11 @@
 		return
 	}
 	if len(opening) > 0 {
-		set.slowOpens++
+		set.openTimeouts++
 	}
 	if len(opening) >= maxOpening {
 		s.closeWatch(opening[0])
-		set.avoidFor(opening[0].address, s.now, avoidAfterFailure)
+		set.avoid(opening[0].address, s.now, avoidAfterFailure)
 	}
 	w := s.openWatch(s.pickController())
 	s.wakeAt(w.openedAt + set.currentOpenTimeout())
@@ -82,7 +82,7 @@
 		return
 	}
 	s.closeWatch(w)
-	set.avoidFor(w.address, s.now, avoidAfterFailure)
+	set.avoid(w.address, s.now, avoidAfterFailure)
 	s.probeFailed(w)
 }
 
@@ -93,7 +93,7 @@
 		set.migrateTo, set.migrationsAllowedAt = "", s.now+migrationRetryDelay
 	}
 	if set.nextSearchAt > 0 {
-		set.nextSearchAt = s.now + s.searchPause()
+		set.nextSearchAt = s.now + s.drawSearchPause()
 	}
 }
 
--- a/configversion/watchopening_test.go
+++ b/configversion/watchopening_test.go
@@ -34,7 +34,7 @@
 // No controller can be reached for a minute. A node must neither hammer them nor back off for so long that it misses
 // the moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
 func TestOpenBackoffIsBounded(t *testing.T) {
-	for name, ends := range map[string]func(d *driver){
+	for name, fail := range map[string]func(d *driver){
 		"ended at once": func(d *driver) {
 			for id := range d.open {
 				d.step(WatchEnded{id})
@@ -51,7 +51,7 @@
 			d := newDriver(t, SessionOptions{Controllers: addressesOf(threeControllers)})
 			for d.now < time.Minute {
 				d.nextWatch(openMaxBackoff + InitialConnectJitter)
-				ends(d)
+				fail(d)
 				if len(d.open) > maxOpening {
 					t.Fatalf("%d watches are open", len(d.open))
 				}
@@ -78,7 +78,7 @@
 	d, w := newConnectedDriver(t, SessionOptions{})
 	for range 100 {
 		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
-		if _, still := d.open[w.Watch]; still || d.session.Applied() != 0 {
+		if _, isOpen := d.open[w.Watch]; isOpen || d.session.Applied() != 0 {
 			t.Fatal("the watch stays open")
 		}
 		w = d.nextWatch(openMaxBackoff)
--- a/configversion/watchset.go
+++ b/configversion/watchset.go
@@ -24,7 +24,7 @@
 	nextOpenAt            time.Duration            // without a live watch, none is opened before
 	consecutiveFailures   int                      // of watches, since the last that became main
 	consecutiveReopens    int                      // for a missing configuration, since the last decision
-	slowOpens             int                      // watches over their open timeout, since the last that became main
+	openTimeouts          int                      // watches over their open timeout, since the last that became main
 	consecutiveRejections uint64                   // of watches, since the last that became main
 	avoidedUntil          map[string]time.Duration // by address
 	redirects             []string                 // where the last rejection sent the node, the best first
@@ -32,7 +32,7 @@
 	migrateTo           string // address that the main watch's controller asks to migrate to; "": none
 	migrationsAllowedAt time.Duration
 	nextSearchAt        time.Duration // 0: no search is in progress
-	searchedAddresses   []string      // in this round
+	probedAddresses     []string      // in this round
 }
 
 func newWatchSet(options SessionOptions) watchSet {
--- a/configversion/watchsilence.go
+++ b/configversion/watchsilence.go
@@ -26,10 +26,10 @@
 // silenceDeadline is when the watch becomes silent unless another byte comes. An update that began and does not get
 // complete counts from its beginning: a controller that trickles one for ever is no better than a silent one.
 func (w *watch) silenceDeadline() time.Duration {
-	if w.updateBegan > 0 {
-		return min(w.lastActivity, w.updateBegan) + w.silenceTimeout
+	if w.updateStartedAt > 0 {
+		return min(w.lastActivityAt, w.updateStartedAt) + w.silenceTimeout
 	}
-	return w.lastActivity + w.silenceTimeout
+	return w.lastActivityAt + w.silenceTimeout
 }
 
 // watchActivity handles a heartbeat or a fragment of an update.
@@ -38,9 +38,9 @@
 	if w == nil {
 		return
 	}
-	w.lastActivity = s.now
-	if e.UpdateInProgress && w.updateBegan == 0 {
-		w.updateBegan = nonZero(s.now)
+	w.lastActivityAt = s.now
+	if e.UpdateInProgress && w.updateStartedAt == 0 {
+		w.updateStartedAt = nonZero(s.now)
 	}
 }
 
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -35,7 +35,7 @@
 }
 
 // The words of the messages are part of their form, as their names are.
-func TestGoldenWords(t *testing.T) {
+func TestGoldenConstants(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "words.json"), map[string]any{
 		"outcomes":   []any{string(Applied), string(Rejected)},
 		"rejections": []any{string(RejectUnreadable), string(RejectInvalid), string(RejectNoServer), string(RejectOneServer), string(RejectForeign), string(RejectOlder)},
--- a/internal/configclient/publish.go
+++ b/internal/configclient/publish.go
@@ -48,11 +48,11 @@
 
 // publisher is one publish request with its attempts.
 type publisher struct {
-	client     *Client
-	body       []byte
-	targets    []string // addresses; the first one is tried next
-	lastErr    error
-	maybeTaken bool // an earlier attempt may have been written to the log
+	client       *Client
+	body         []byte
+	targets      []string // addresses; the first one is tried next
+	lastErr      error
+	maybeWritten bool // an earlier attempt may have been written to the log
 }
 
 func (p *publisher) attempt(ctx context.Context) (configapi.PublishReply, error) {
@@ -75,7 +75,7 @@
 	p.targets = append(p.targets[1:], failed)
 	var unreachable *UnreachableError
 	if errors.As(err, &unreachable) {
-		p.maybeTaken = p.maybeTaken || unreachable.maybeSent
+		p.maybeWritten = p.maybeWritten || unreachable.maybeSent
 		return publishRetryDelay, true
 	}
 	var apiError *configapi.Error
@@ -84,7 +84,7 @@
 	}
 	switch apiError.Kind {
 	case configapi.ErrorOutcomeUnknown:
-		p.maybeTaken = true
+		p.maybeWritten = true
 		return publishRetryDelay, true
 	case configapi.ErrorNotLeader:
 		if apiError.Leader == "" {
@@ -95,7 +95,7 @@
 	case configapi.ErrorNoQuorum:
 		return publishRetryDelay, true
 	case configapi.ErrorRateLimited:
-		return publishRetryDelay, p.maybeTaken
+		return publishRetryDelay, p.maybeWritten
 	}
 	return 0, false
 }
@@ -108,7 +108,7 @@
 
 // timeoutError is the error when ctx has ended before there was a reply.
 func (p *publisher) timeoutError() error {
-	if !p.maybeTaken {
+	if !p.maybeWritten {
 		return p.lastErr
 	}
 	return &configapi.Error{Kind: configapi.ErrorOutcomeUnknown,
--- a/internal/configclient/status.go
+++ b/internal/configclient/status.go
@@ -16,7 +16,7 @@
 
 // Statuses are the status of the controllers that responded, and those that did not.
 type Statuses struct {
-	Answers     []configapi.ControllerStatus
+	Responses   []configapi.ControllerStatus
 	Unreachable []*UnreachableError
 }
 
@@ -29,17 +29,17 @@
 		for _, address := range next {
 			queried[address] = true
 		}
-		all.Answers = append(all.Answers, round.Answers...)
+		all.Responses = append(all.Responses, round.Responses...)
 		all.Unreachable = append(all.Unreachable, round.Unreachable...)
-		next = newAddresses(round.Answers, queried)
+		next = newAddresses(round.Responses, queried)
 	}
 	return all
 }
 
 // newAddresses are the controllers that answers name and that were not queried, each once.
-func newAddresses(answers []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
-	for _, answer := range answers {
-		for _, controller := range answer.Controllers {
+func newAddresses(responses []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
+	for _, response := range responses {
+		for _, controller := range response.Controllers {
 			if !queried[controller.Address] && !slices.Contains(addresses, controller.Address) {
 				addresses = append(addresses, controller.Address)
 			}
@@ -50,14 +50,14 @@
 
 // queryAll queries some controllers in parallel.
 func (c *Client) queryAll(ctx context.Context, addresses []string) Statuses {
-	answers := make([]configapi.ControllerStatus, len(addresses))
+	responses := make([]configapi.ControllerStatus, len(addresses))
 	failures := make([]error, len(addresses))
 	var calls sync.WaitGroup
 	for i, address := range addresses {
 		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
-			failures[i] = c.call(ctx, http.MethodGet, address, configapi.PathStatus, nil, &answers[i])
+			failures[i] = c.call(ctx, http.MethodGet, address, configapi.PathStatus, nil, &responses[i])
 		})
 	}
 	calls.Wait()
@@ -66,7 +66,7 @@
 		var unreachable *UnreachableError
 		switch err := failures[i]; {
 		case err == nil:
-			all.Answers = append(all.Answers, answers[i])
+			all.Responses = append(all.Responses, responses[i])
 		case errors.As(err, &unreachable):
 			all.Unreachable = append(all.Unreachable, unreachable)
 		default:
--- a/internal/configwatch/fakecontroller_test.go
+++ b/internal/configwatch/fakecontroller_test.go
@@ -121,8 +121,8 @@
 		w.(http.Flusher).Flush()
 		select {
 		case u := <-c.updates:
-			if text, is := u.(string); is {
-				io.WriteString(w, text)
+			if rawText, isText := u.(string); isText {
+				io.WriteString(w, rawText)
 				continue
 			}
 			json.NewEncoder(w).Encode(u)
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -16,12 +16,12 @@
 
 // A node that starts without a controller in reach serves by the version that it stored, which may be of the build before:
 // neither the name of the file nor the form of its body may change.
-func TestGoldenKeptVersion(t *testing.T) {
+func TestGoldenStoredVersion(t *testing.T) {
 	path := filepath.Join("testdata", "kept.json")
 	want := configversion.LastKnownGood{Cluster: "cluster-2", Version: 17,
-		Config:      &configapi.ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"},
-		Former:      map[configapi.Cluster]configapi.Version{"cluster-1": 9},
-		Controllers: []configapi.ControllerAddress{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}}
+		Config:         &configapi.ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"},
+		FormerClusters: map[configapi.Cluster]configapi.Version{"cluster-1": 9},
+		Controllers:    []configapi.ControllerAddress{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}}
 	goldentest.Check(t, path, want)
 	body := bytes.TrimSpace(goldentest.Text(t, path))
 
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	store := newTestStore(folder)
-	if read, err := store.Read(); err != nil || !reflect.DeepEqual(read, want) {
-		t.Errorf("read as %+v, %v", read, err)
+	if stored, err := store.Read(); err != nil || !reflect.DeepEqual(stored, want) {
+		t.Errorf("read as %+v, %v", stored, err)
 	}
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -63,7 +63,7 @@
 // Session is a node's session, from Start to Close.
 type Session struct {
 	options   Options
-	decisions *configversion.Session // of the session's goroutine
+	decider   *configversion.Session // of the session's goroutine
 	startedAt time.Time              // the origin of the decisions' times
 	events    chan configversion.SessionEvent
 	watches   map[uint64]context.CancelFunc // the open ones, by number; of the session's goroutine
@@ -90,7 +90,7 @@
 		acks:      ackClient{options: &options},
 		stop:      stop,
 	}
-	s.decisions = configversion.NewSession(configversion.SessionOptions{
+	s.decider = configversion.NewSession(configversion.SessionOptions{
 		Node:          options.Node,
 		Service:       options.Service,
 		Region:        options.Region,
@@ -119,14 +119,14 @@
 func (s *Session) State() State { return *s.state.Load() }
 
 func (s *Session) updateState() {
-	s.state.Store(&State{Cluster: s.decisions.Cluster(), LastDecided: s.decisions.LastDecided(), Applied: s.decisions.Applied(), Controller: s.decisions.Controller()})
+	s.state.Store(&State{Cluster: s.decider.Cluster(), LastDecided: s.decider.LastDecided(), Applied: s.decider.Applied(), Controller: s.decider.Controller()})
 }
 
 func (s *Session) now() time.Duration { return time.Since(s.startedAt) }
 
 // run passes events to the decisions and executes the actions that they return, until ctx ends.
 func (s *Session) run(ctx context.Context) {
-	timer := time.NewTimer(s.decisions.Next() - s.now())
+	timer := time.NewTimer(s.decider.Next() - s.now())
 	defer timer.Stop()
 	for {
 		var event configversion.SessionEvent
@@ -138,10 +138,10 @@
 			return
 		}
 		s.removeEnded(event)
-		for _, action := range s.decisions.Step(s.now(), event) {
+		for _, action := range s.decider.Step(s.now(), event) {
 			s.execute(ctx, action)
 		}
-		timer.Reset(s.decisions.Next() - s.now())
+		timer.Reset(s.decider.Next() - s.now())
 	}
 }
 
@@ -167,11 +167,11 @@
 func (s *Session) execute(ctx context.Context, action configversion.SessionAction) {
 	switch a := action.(type) {
 	case configversion.OpenWatch:
-		watching, cancel := context.WithCancel(ctx)
+		watchContext, cancel := context.WithCancel(ctx)
 		s.watches[a.Watch] = cancel
 		s.tasks.Go(func() {
 			defer cancel()
-			s.post(watching, s.watch(watching, a))
+			s.post(watchContext, s.watch(watchContext, a))
 		})
 	case configversion.CloseWatch:
 		if cancel, open := s.watches[a.Watch]; open {
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -48,7 +48,7 @@
 
 // A node rejects a configuration: that is acknowledged with the reason. Another one can not be checked, because the
 // node shuts down: that is not acknowledged.
-func TestRejectionIsAcknowledgedInterruptionIsNot(t *testing.T) {
+func TestRejectionIsAcknowledgedButInterruptionIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
 		c := startFakeController(t, n, "a:1")
@@ -74,7 +74,7 @@
 
 // An apply takes a minute. The watch stays open meanwhile, and only the newest of the versions that come is applied
 // next.
-func TestSlowApplyDelaysNothingElse(t *testing.T) {
+func TestSlowApplyKeepsWatchOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
 		c := startFakeController(t, n, "a:1")
@@ -111,7 +111,7 @@
 }
 
 // A controller stalls just as a version is published. The version is in force within 3 s by way of another controller.
-func TestStalledController(t *testing.T) {
+func TestVersionIsAppliedDespiteStalledController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
 		a, b := startFakeController(t, n, "a:1"), startFakeController(t, n, "b:1")
@@ -125,22 +125,22 @@
 		first.updates <- configapi.Update{Cluster: "x", HasLeaderContact: true}
 		advance(time.Second)
 		first.noHeartbeats.Store(true) // it stalls: neither heartbeats nor updates come any more
-		began := time.Now()
+		stalledAt := time.Now()
 		other.updates <- versionUpdate(1)
 		if got := receiveWithin(t, applied, 3*time.Second, "applied"); got != "1" {
 			t.Errorf("applied %s", got)
 		}
-		t.Logf("in force after %v", time.Since(began))
+		t.Logf("in force after %v", time.Since(stalledAt))
 		receiveWithin(t, other.acks, time.Second, "acknowledgement")
 	})
 }
 
 // Acknowledgements share a connection. A controller closes it after each; the next one is sent on a new connection.
 func TestAckConnectionIsReused(t *testing.T) {
-	for _, hangUp := range []bool{false, true} {
+	for _, closeAfterAck := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newPipeNetwork()
-			c := startFakeController(t, n, "a:1", func(c *fakeController) { c.closeAfterAck = hangUp })
+			c := startFakeController(t, n, "a:1", func(c *fakeController) { c.closeAfterAck = closeAfterAck })
 			startSession(t, n, acceptAll(make(chan string, 100)))
 			const versions = 10
 			for i := range versions {
@@ -150,7 +150,7 @@
 				}
 				synctest.Wait()
 			}
-			if !hangUp && n.dials != 2 {
+			if !closeAfterAck && n.dials != 2 {
 				t.Errorf("%d connections", n.dials)
 			}
 		})
@@ -175,14 +175,14 @@
 				n := newPipeNetwork()
 				l := n.listen("a:1")
 				defer l.Close()
-				connections := 0
+				connectionCount := 0
 				go func() {
 					for {
 						conn, err := l.Accept()
 						if err != nil {
 							return
 						}
-						connections++
+						connectionCount++
 						go func() {
 							defer conn.Close()
 							conn.SetDeadline(time.Now().Add(time.Second))
@@ -201,8 +201,8 @@
 				if open := len(s.watches); open > 3 {
 					t.Errorf("%d watches are open after a minute", open)
 				}
-				if connections < 20 || connections > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
-					t.Errorf("%d calls in a minute, %d applied, %+v", connections, len(applied), s.State())
+				if connectionCount < 20 || connectionCount > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
+					t.Errorf("%d calls in a minute, %d applied, %+v", connectionCount, len(applied), s.State())
 				}
 			})
 		})
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -26,8 +26,8 @@
 }
 
 // saveAndFlush saves a version and waits until it is on disk.
-func saveAndFlush(s *Store, k configversion.LastKnownGood) {
-	s.Save(k)
+func saveAndFlush(s *Store, version configversion.LastKnownGood) {
+	s.Save(version)
 	s.flush(time.Minute)
 }
 
@@ -54,7 +54,7 @@
 }
 
 // Many versions are saved in a row. They are written one at a time, and the newest is in the file in the end.
-func TestStoreWritesTheNewest(t *testing.T) {
+func TestStoreWritesNewestVersion(t *testing.T) {
 	s := newTestStore(t.TempDir())
 	for n := range 200 {
 		s.Save(storedVersion(n + 1))
@@ -99,7 +99,7 @@
 }
 
 // The folder can't be written. That is logged, and blocks nobody.
-func TestStoreWithoutAFolder(t *testing.T) {
+func TestStoreLogsUnwritableFolder(t *testing.T) {
 	var logged lockedBuilder
 	s := NewStore(filepath.Join(t.TempDir(), "not", "there"), "n", slog.New(slog.NewTextHandler(&logged, nil)))
 	saveAndFlush(s, storedVersion(1))
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -98,7 +98,7 @@
 		t.Errorf("after a version for its service: %+v", u)
 	}
 	status := tc.client().Status(t.Context())
-	if len(status.Answers) != 1 || len(status.Answers[0].Nodes) != 1 || status.Answers[0].Nodes[0].LastDecided != 1 || !status.Answers[0].Nodes[0].Connected {
+	if len(status.Responses) != 1 || len(status.Responses[0].Nodes) != 1 || status.Responses[0].Nodes[0].LastDecided != 1 || !status.Responses[0].Nodes[0].Connected {
 		t.Errorf("status %+v", status)
 	}
 }
