--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -8,66 +8,68 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Version acceptance: which version of an update the node applies, and which it rejects.
+// Version acceptance: which versions the node applies, and which it rejects.
 //
 // A version of the node's cluster passes through these states; only the Session changes them:
 //
-//	pending       newer than all others known; waits for the one being applied (considerUpdate)
+//	pending       newer than all other known versions; waits until the current apply ends (considerUpdate)
 //	applying      an ApplyConfig is in progress, one at a time (applyPending)
-//	applied       in force, or without a change for this service (recordApplied)
-//	rejected      the node's checks failed, the version before stays in force (applyFinished)
-//	acknowledged  a controller has the node's decision (ackFinished)
+//	applied       in force, or it changes nothing for this service (recordApplied)
+//	rejected      the node's checks failed; the previous version stays in force (applyFinished)
+//	acknowledged  a controller has received the node's decision (ackFinished)
 //
-// A pending version is dropped when a newer one comes, and an applying one when its ApplyConfig is interrupted: then it
-// was never decided, and the next update brings it or a newer one.
+// A pending version is dropped when a newer one arrives. An applying version is dropped when its ApplyConfig is
+// interrupted: the node has not decided on it, and the next update contains it or a newer one.
 //
-// After a rejection each later version tries the same configuration again, also one that changes only another service: its
-// ConfigVersion is the rejected one, which is not in force. So a service may come right without a new publish for it, as
-// when its servers are back.
+// After a rejection, the node tries the rejected configuration again with every later version, even with one that
+// changes only another service: the ConfigVersion of that version is the rejected one, which is not in force. A service
+// can therefore recover without a new publish, for example when its servers return.
 //
-// The rule guards against a configuration that goes back: by a controller that lags, by a cluster that was rebuilt from
-// nothing or restored from a backup, or by a second cluster at the same addresses. Any of them would otherwise silently
-// undo an operator's change. It shows as a rejection of kind "foreign", or as a watch that is not adopted.
+// Only newer versions are applied, so that the configuration never reverts to an older one. Otherwise an operator's
+// change could be undone silently by a controller that lags, by a cluster that was rebuilt from nothing or restored
+// from a backup, or by a second cluster at the same addresses. Such a case is visible as a rejection of kind "foreign",
+// or as a watch that does not become the main watch.
 
-// maxFormerClusters is how many clusters that the node has left are remembered. Each takes an operator's confirmation,
-// so that more than a few are a mistake; the bound keeps the stored file small.
+// maxFormerClusters limits how many of the clusters that the node has left it remembers. Each switch needs an
+// operator's confirmation, so more than a few indicate a mistake. The limit keeps the stored file small.
 const maxFormerClusters = 16
 
-// versionState is what a node has in force, has decided and is about to apply.
+// versionState holds the version that is in force, the last decision, and the versions that are received, pending or
+// being applied.
 type versionState struct {
-	cluster        configapi.Cluster // that the node follows; empty: none yet
+	cluster        configapi.Cluster // the cluster that the node follows; empty: none yet
 	lastDecided    configapi.Version // the newest version applied or rejected
-	applied        configapi.Version // in force
+	applied        configapi.Version // the version in force
 	appliedConfig  *configapi.ServiceConfig
-	minVersion     configapi.Version    // the version at which the node joined the cluster: no earlier one is applied
-	rejection      *configapi.Rejection // why lastDecided was rejected; nil: it was not
+	minVersion     configapi.Version    // the version at which the node joined the cluster; earlier ones are not applied
+	rejection      *configapi.Rejection // why lastDecided was rejected; nil: it was applied
 	formerClusters map[configapi.Cluster]configapi.Version
 
 	received    receivedConfig
-	applying    *candidateVersion // nil: none
-	pending     *candidateVersion // nil: none
+	applying    *candidateVersion // nil: no version is being applied
+	pending     *candidateVersion // nil: no version is pending
 	lastForeign foreignVersion
 }
 
-// receivedConfig is the newest configuration received, with the version that set it. An update may leave the
-// configuration out if the node has it.
+// receivedConfig is the newest configuration that the node has received, with the version that set it. A controller may
+// omit the configuration from an update if the node already has it.
 type receivedConfig struct {
 	cluster configapi.Cluster
 	version configapi.Version
 	config  *configapi.ServiceConfig
 }
 
-// candidateVersion is a version that is newer than all decided before.
+// candidateVersion is a version that is newer than all versions decided so far.
 type candidateVersion struct {
 	cluster       configapi.Cluster
 	version       configapi.Version
 	configVersion configapi.Version // the version that set the service's configuration
 	watchNumber   uint64
 	controller    string                   // HOST:PORT
-	config        *configapi.ServiceConfig // what is being applied; nil: nothing has changed
+	config        *configapi.ServiceConfig // the configuration being applied; nil: it has not changed
 }
 
-// foreignVersion is the newest version of another cluster that was rejected.
+// foreignVersion is the last rejected version of a foreign cluster, which is one that the node does not follow.
 type foreignVersion struct {
 	cluster configapi.Cluster
 	version configapi.Version
@@ -87,8 +89,8 @@
 	}
 }
 
-// newestKnown is the newest version of the node's cluster that was decided, is pending or applying, or is too old to be
-// applied. Only later versions are considered.
+// newestKnown returns the newest version of the node's cluster that is decided, pending, being applied, or older than
+// minVersion. Only later versions are considered.
 func (v *versionState) newestKnown() configapi.Version {
 	newest := max(v.lastDecided, max(v.minVersion, 1)-1)
 	for _, c := range []*candidateVersion{v.applying, v.pending} {
@@ -99,9 +101,10 @@
 	return newest
 }
 
-// mayFollow reports whether the node may apply versions of an update's cluster: its own, any if it has none, and one that
-// replaces its own on an operator's confirmation. A cluster that the node has left before needs a newer version than
-// the node knew then, or two clusters that replace each other would pass the node back and forth.
+// mayFollow reports whether the node may apply versions of an update's cluster. It may if it follows that cluster or
+// none, or if an operator has confirmed that the cluster replaces the node's cluster. A cluster that the node has left
+// before also needs a newer version than the node knew when it left. Otherwise the node would switch back and forth
+// between two clusters that replace each other.
 func (v *versionState) mayFollow(u configapi.Update) bool {
 	if v.cluster == "" || u.Cluster == v.cluster {
 		return true
@@ -109,12 +112,13 @@
 	return slices.Contains(u.Replaces, v.cluster) && u.Version > v.formerClusters[u.Cluster]
 }
 
-// isOutdated reports whether the controller of an update lacks versions that the node has decided.
+// isOutdated reports whether an update is older than the node's last decision, so that its controller lags.
 func (v *versionState) isOutdated(u configapi.Update) bool {
 	return u.Cluster == v.cluster && u.Version < v.lastDecided
 }
 
-// switchCluster makes the node follow an update's cluster. The configuration in force stays until a version changes it.
+// switchCluster makes the node follow an update's cluster. The configuration in force remains until a version of the
+// new cluster changes it.
 func (v *versionState) switchCluster(u configapi.Update) {
 	if u.Cluster == v.cluster {
 		return
@@ -132,7 +136,8 @@
 	v.lastDecided, v.applied, v.rejection, v.pending = 0, 0, nil, nil
 }
 
-// considerUpdate makes an update's version the pending one if the node may apply it and it is newer than all known.
+// considerUpdate makes an update's version the pending one if the node may apply it and it is newer than all known
+// versions.
 func (s *Session) considerUpdate(w *watch, u configapi.Update) {
 	v := &s.versions
 	if u.Version == 0 || u.Cluster == "" {
@@ -158,7 +163,7 @@
 	}
 }
 
-// rejectForeign rejects a version of another cluster, once.
+// rejectForeign rejects a version of a foreign cluster. It reports a version that arrives repeatedly only once.
 func (s *Session) rejectForeign(w *watch, u configapi.Update) {
 	foreign := foreignVersion{u.Cluster, u.Version}
 	if s.versions.lastForeign == foreign {
@@ -169,12 +174,12 @@
 		"the node follows cluster %s and stays with its version %d: if cluster %s takes its place, publish there with the old cluster confirmed as replaced",
 		s.versions.cluster, s.versions.applied, u.Cluster)}
 	s.emit(VersionDecided{u.Cluster, u.Version, configapi.Rejected, rejection, s.versions.applied, w.address})
-	// Applied stays 0: the node has no version of that cluster in force.
+	// Applied is left at 0: no version of that cluster is in force at the node.
 	s.ackQueue.add(queuedAck{watchNumber: w.number, ack: configapi.Acknowledgement{Cluster: u.Cluster, Version: u.Version,
 		Outcome: configapi.Rejected, Rejection: rejection}})
 }
 
-// applyPending starts to apply the pending version, unless another one is being applied.
+// applyPending starts to apply the pending version unless another one is being applied.
 func (s *Session) applyPending() {
 	v := &s.versions
 	c := v.pending
@@ -187,8 +192,8 @@
 		return
 	}
 	if v.received.cluster != c.cluster || v.received.version != c.configVersion {
-		// The controller left the configuration out because it assumed that it was applied. The next watch's request
-		// says what is.
+		// The controller omitted the configuration because it assumed that the node has applied it. The request of the
+		// next watch tells the controller which version is applied.
 		s.reopenForConfig(c.watchNumber)
 		return
 	}
@@ -204,7 +209,7 @@
 	switch {
 	case c == nil || e.Interrupted:
 	case c.cluster != v.cluster:
-		// The node has joined another cluster meanwhile: nobody waits for the decision.
+		// The node has switched to another cluster in the meantime, so that the decision is not acknowledged.
 		if e.Rejection == nil {
 			v.appliedConfig = c.config
 		}
--- a/configversion/acceptance_test.go
+++ b/configversion/acceptance_test.go
@@ -7,7 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Versions are applied one at a time, the newest pending one next, and acknowledged; older and known ones are ignored.
+// Versions are applied one at a time and acknowledged. After each, the newest pending version is applied; older and
+// known versions are ignored.
 func TestNewestPendingVersionIsAppliedNext(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 3))
@@ -16,14 +17,14 @@
 	}
 	d.finishApply(nil)
 	if d.applying == nil || d.applying.Version != 6 || string(d.applying.Config.Settings) != "6" {
-		t.Fatalf("next it applies %+v", d.applying)
+		t.Fatalf("the session applies %+v next", d.applying)
 	}
 	d.finishApply(invalidRejection)
 	for _, n := range []int{3, 5, 6} {
 		d.update(w.Watch, versionUpdate("x", n))
 	}
 	if d.applying != nil {
-		t.Errorf("it applies %+v", d.applying)
+		t.Errorf("the session applies %+v", d.applying)
 	}
 	d.finishAck(true)
 	d.finishAck(true)
@@ -32,64 +33,64 @@
 		{Node: "n", StartedMS: 1, WatchNumber: w.Watch, Cluster: "x", Version: 6, Outcome: configapi.Rejected, Rejection: invalidRejection, Applied: 3},
 	}
 	if !slices.Equal(d.acks, want) {
-		t.Errorf("it acknowledged %+v", d.acks)
+		t.Errorf("the session acknowledged %+v", d.acks)
 	}
 	if d.persisted == nil || d.persisted.Version != 3 || string(d.persisted.Config.Settings) != "3" {
-		t.Errorf("it persists %+v", d.persisted)
+		t.Errorf("the session persisted %+v", d.persisted)
 	}
 	d.step(WatchEnded{w.Watch})
 	next := d.nextWatch(reconnectJitter).Request
 	if next.LastDecided != 6 || next.Applied != 3 || !next.LastRejected || next.RejectionReason != invalidRejection.Error() || next.Cluster != "x" || next.WatchNumber <= w.Watch {
-		t.Errorf("its request is %+v", next)
+		t.Errorf("the next watch has the request %+v", next)
 	}
 }
 
-// A version that names other services only is applied at once. After a rejection, a version that leaves the rejected
-// configuration in place is applied with it again, also when the configuration came before.
+// A version that sets only the configurations of other services is applied immediately. After a rejection, the next
+// such version applies the rejected configuration again, even if that arrived with the earlier update.
 func TestVersionsThatSetOnlyOtherServices(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 1, HasLeaderContact: true})
 	if d.applying != nil || d.session.Applied() != 1 {
-		t.Errorf("%d is in force", d.session.Applied())
+		t.Errorf("version %d is in force", d.session.Applied())
 	}
 	d.update(w.Watch, versionUpdate("x", 2))
 	d.finishApply(nil)
 	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 3, ConfigVersion: 2, HasLeaderContact: true})
 	if d.applying != nil || d.session.Applied() != 3 || string(d.persisted.Config.Settings) != "2" || d.persisted.Version != 3 {
-		t.Errorf("%d is in force, persisted %+v", d.session.Applied(), d.persisted)
+		t.Errorf("version %d is in force, persisted %+v", d.session.Applied(), d.persisted)
 	}
 	d.update(w.Watch, versionUpdate("x", 4))
 	d.finishApply(invalidRejection)
 	d.update(w.Watch, configapi.Update{Cluster: "x", Version: 5, ConfigVersion: 4, HasLeaderContact: true})
 	if d.applying == nil || d.applying.Version != 5 || string(d.applying.Config.Settings) != "4" {
-		t.Errorf("it applies %+v", d.applying)
+		t.Errorf("the session applies %+v", d.applying)
 	}
 	d.finishApply(invalidRejection)
 	if d.session.LastDecided() != 5 || d.session.Applied() != 3 {
-		t.Errorf("decided %d, in force %d", d.session.LastDecided(), d.session.Applied())
+		t.Errorf("last decided version %d, version %d in force", d.session.LastDecided(), d.session.Applied())
 	}
 }
 
-// An apply is interrupted, because the node ends. The version is neither applied nor rejected, and is applied if it comes
-// again.
+// The node shuts down while it applies a version. The version is neither applied nor rejected, and is applied if it
+// arrives again.
 func TestInterruptedApplyIsNotDecided(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 1))
 	d.applying = nil
 	d.step(ApplyFinished{Interrupted: true})
 	if len(d.decisions) != 0 || d.session.LastDecided() != 0 {
-		t.Errorf("it decided %+v", d.decisions)
+		t.Errorf("the session decided %+v", d.decisions)
 	}
 	d.update(w.Watch, versionUpdate("x", 1))
 	d.finishApply(nil)
 	if d.session.Applied() != 1 {
-		t.Errorf("%d is in force", d.session.Applied())
+		t.Errorf("version %d is in force", d.session.Applied())
 	}
 }
 
-// A second cluster serves the same addresses, because one was rebuilt from nothing. Its versions are rejected, each
-// once, until an operator confirms that it replaces the first; then they are applied, and those of the first are
-// rejected.
+// A cluster is rebuilt from nothing, so that a second cluster serves the same addresses. Its versions are rejected,
+// each once, until an operator confirms that it replaces the first cluster. Then they are applied, and those of the
+// first cluster are rejected until an operator confirms the reverse with a newer version.
 func TestForeignClusterNeedsConfirmation(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 5))
@@ -99,10 +100,10 @@
 		d.update(w.Watch, versionUpdate("y", 9))
 	}
 	if d.applying != nil || d.session.Applied() != 5 || d.session.Cluster() != "x" {
-		t.Errorf("it applies %+v, %d of %s is in force", d.applying, d.session.Applied(), d.session.Cluster())
+		t.Errorf("the session applies %+v; version %d of %s is in force", d.applying, d.session.Applied(), d.session.Cluster())
 	}
 	if len(d.acks) != 2 || d.ack.Ack.Cluster != "y" || d.ack.Ack.Rejection.Kind != configapi.RejectForeign || d.ack.Ack.Applied != 0 {
-		t.Errorf("it acknowledged %+v", d.acks)
+		t.Errorf("the session acknowledged %+v", d.acks)
 	}
 	d.finishAck(true)
 	replacement := versionUpdate("y", 10)
@@ -110,20 +111,20 @@
 	d.update(w.Watch, replacement)
 	d.finishApply(nil)
 	if d.session.Applied() != 10 || d.session.Cluster() != "y" || d.persisted.FormerClusters["x"] != 5 {
-		t.Errorf("%d of %s is in force, persisted %+v", d.session.Applied(), d.session.Cluster(), d.persisted)
+		t.Errorf("version %d of %s is in force, persisted %+v", d.session.Applied(), d.session.Cluster(), d.persisted)
 	}
 	d.finishAck(true)
-	replacedBack := versionUpdate("x", 5)
-	replacedBack.Replaces = []configapi.Cluster{"y"}
-	d.update(w.Watch, replacedBack)
+	reverse := versionUpdate("x", 5)
+	reverse.Replaces = []configapi.Cluster{"y"}
+	d.update(w.Watch, reverse)
 	if d.applying != nil || d.session.Cluster() != "y" {
-		t.Error("a version of the cluster that it has left brings it back")
+		t.Error("the session returns to the cluster that it has left without a newer version of it")
 	}
-	replacedBack = versionUpdate("x", 6)
-	replacedBack.Replaces = []configapi.Cluster{"y"}
-	d.update(w.Watch, replacedBack)
+	reverse = versionUpdate("x", 6)
+	reverse.Replaces = []configapi.Cluster{"y"}
+	d.update(w.Watch, reverse)
 	d.finishApply(nil)
 	if d.session.Cluster() != "x" || d.session.Applied() != 6 {
-		t.Errorf("a new version there that an operator confirms: %d of %s", d.session.Applied(), d.session.Cluster())
+		t.Errorf("after a confirmed newer version of x, version %d of %s is in force", d.session.Applied(), d.session.Cluster())
 	}
 }
--- a/configversion/acknowledgement.go
+++ b/configversion/acknowledgement.go
@@ -7,34 +7,37 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Acknowledgements: a decision is sent to the controller of the main watch, the oldest first and one at a time, until a
-// controller accepts it. A lost acknowledgement would make a rollout look incomplete for ever.
+// Acknowledgements: the node sends its decisions to the controller of the main watch, the oldest first and one at a
+// time, and retries each until a controller accepts it. A lost acknowledgement would make a rollout look incomplete
+// forever.
 
 const (
-	// maxQueuedAcks is the length of the queue. The oldest acknowledgement is dropped for a newer one, which covers it:
-	// controllers keep the newest decision of a node only.
+	// maxQueuedAcks is the maximum length of the queue. The oldest acknowledgement is dropped in favour of a newer one,
+	// which supersedes it: controllers keep only the newest decision of a node.
 	maxQueuedAcks = 32
 	// ackInitialBackoff is the delay before the first retry.
 	ackInitialBackoff = 100 * time.Millisecond
-	// ackMaxBackoff is the longest delay between two retries: operators watch a rollout by the second.
+	// ackMaxBackoff is the longest delay between two retries. It is short because operators follow the progress of a
+	// rollout from second to second.
 	ackMaxBackoff = 2 * time.Second
 )
 
 // ackQueue holds the acknowledgements that no controller has accepted yet, the oldest first.
 type ackQueue struct {
 	pending  []queuedAck
-	inFlight bool          // the first one is being sent
-	retryAt  time.Duration // nothing is sent before
-	failures int           // consecutive
+	inFlight bool          // pending[0] is being sent
+	retryAt  time.Duration // the earliest time of the next attempt
+	failures int           // consecutive failed attempts
 }
 
-// queuedAck is an acknowledgement for the controller of the main watch, or for that of a certain watch.
+// queuedAck is an acknowledgement for the controller of the main watch, or of another open watch.
 type queuedAck struct {
 	ack         configapi.Acknowledgement
 	watchNumber uint64 // 0: the main watch
 }
 
-// add appends an acknowledgement. The one in flight is never dropped, so that its result belongs to the first one.
+// add appends an acknowledgement. It never drops the one in flight, so that the result of a SendAck always belongs to
+// pending[0].
 func (q *ackQueue) add(ack queuedAck) {
 	q.pending = append(q.pending, ack)
 	if len(q.pending) <= maxQueuedAcks {
@@ -47,8 +50,8 @@
 	q.pending = slices.Delete(q.pending, oldest, oldest+1)
 }
 
-// sendAck sends the oldest acknowledgement, if there is a watch to send it by and its backoff is over. One for a watch
-// that has closed is dropped: it told a foreign cluster's controller of a rejection.
+// sendAck sends the oldest acknowledgement if its watch is open and the backoff has elapsed. It drops an
+// acknowledgement whose watch has closed: that was a rejection meant for the controller of a foreign cluster.
 func (s *Session) sendAck() {
 	q := &s.ackQueue
 	for !q.inFlight && len(q.pending) > 0 {
@@ -74,7 +77,8 @@
 	}
 }
 
-// ackFinished removes the acknowledgement in flight once it is accepted, and backs off before the next attempt if not.
+// ackFinished handles the result of a SendAck. It removes an accepted acknowledgement from the queue; otherwise it
+// backs off before the next attempt.
 func (s *Session) ackFinished(accepted bool) {
 	q := &s.ackQueue
 	if !q.inFlight {
--- a/configversion/acknowledgement_test.go
+++ b/configversion/acknowledgement_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A controller does not accept an acknowledgement. It is retried with backoff until one does, also at the next
-// controller.
+// A controller does not accept an acknowledgement. The session retries it with backoff, also at the next controller,
+// until one accepts it.
 func TestAcknowledgementsAreRetried(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	d.update(w.Watch, versionUpdate("x", 1))
@@ -14,7 +14,7 @@
 	for range 5 {
 		d.finishAck(false)
 		if !d.advanceUntil(d.now+ackMaxBackoff, func() bool { return d.ack != nil }) {
-			t.Fatal("it is not retried")
+			t.Fatal("the acknowledgement is not retried")
 		}
 		d.step(WatchActivity{Watch: w.Watch})
 	}
@@ -26,11 +26,11 @@
 	}
 	d.update(next.Watch, versionUpdate("x", 1))
 	if d.ack == nil || d.ack.Address != next.Address || d.ack.Ack.WatchNumber != next.Watch || d.ack.Ack.Version != 1 {
-		t.Errorf("at the next controller: %+v", d.ack)
+		t.Errorf("the acknowledgement to the next controller is %+v", d.ack)
 	}
 	d.finishAck(true)
 	d.advanceWithHeartbeats(next.Watch, 10*time.Second)
 	if d.ack != nil {
-		t.Error("it is retried after it was accepted")
+		t.Error("the acknowledgement is retried after it was accepted")
 	}
 }
--- a/configversion/class.go
+++ b/configversion/class.go
@@ -7,11 +7,11 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Class is a class of requests, with the servers that may serve it.
+// Class is a class of requests, and selects the servers that may serve it by zone and kind.
 type Class struct {
 	Name  string
-	Zones []string // nil: all
-	Kinds []string // nil: all
+	Zones []string // nil: all zones
+	Kinds []string // nil: all kinds
 }
 
 // Server is a server in service.
@@ -20,12 +20,13 @@
 	Kind string
 }
 
-// CheckClasses says why a configuration with the proposed classes must not come into force at a node that knows some
-// servers; nil: it may. It must not if it would leave a class without servers, or with a single one where it has
-// several now. It guards against a misspelt zone or kind that takes a class out of service at all nodes at once.
+// CheckClasses returns why a node that knows the given servers must reject a configuration with the proposed classes,
+// or nil if the node may apply it. The node rejects a configuration that leaves a class without servers, or that
+// reduces a class from several servers to one. This guards against a misspelt zone or kind that takes a class out of
+// service at all nodes at once.
 //
-// A class whose servers do not change is never a reason, and without servers there is none either: then the endpoint
-// list is at fault and not the configuration.
+// A class whose zones and kinds do not change is never a reason to reject. If no servers are known, nothing is
+// rejected: the fault is then in the endpoint list, not in the configuration.
 func CheckClasses(current, proposed []Class, servers []Server) *configapi.Rejection {
 	if len(servers) == 0 {
 		return nil
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// check compares the number of a class's servers with the number before the change.
+// check returns why the class must be rejected, given the number of its servers before the change; nil: it is accepted.
 func (c Class) check(before int, servers []Server) *configapi.Rejection {
 	switch after := c.countServers(servers); {
 	case after == 0:
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// countServers is how many of the servers may serve the class.
+// countServers returns how many of the servers may serve the class.
 func (c Class) countServers(servers []Server) (n int) {
 	for _, server := range servers {
 		if c.Zones != nil && !slices.Contains(c.Zones, server.Zone) {
@@ -74,7 +75,7 @@
 	return n
 }
 
-// sameServers reports whether two classes may be served by the same zones and kinds.
+// sameServers reports whether two classes select the same zones and kinds.
 func (c Class) sameServers(other Class) bool {
 	return (c.Zones == nil) == (other.Zones == nil) && (c.Kinds == nil) == (other.Kinds == nil) &&
 		slices.Equal(c.Zones, other.Zones) && slices.Equal(c.Kinds, other.Kinds)
--- a/configversion/controllerchoice.go
+++ b/configversion/controllerchoice.go
@@ -7,28 +7,29 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Controller choice: which controller the node watches. Without a live watch, pickController says where the next one is
-// opened; among watches that bring updates, chooseMain says which one stays.
+// Controller choice: which controller the node watches. While no watch is live, pickController chooses the controller
+// for the next watch. When a watch receives its first update, chooseMain decides which watch to keep.
 //
-// Near controllers come first, so that a node depends on as little of the network as it can. Controllers that failed
-// lately are avoided, so that a node finds one that works within the time budget (see watchsilence.go).
+// The nearest controllers are preferred, so that a node depends on as little of the network as possible. Controllers
+// that failed recently are avoided, so that a node finds a working one within the time budget (see watchsilence.go).
 
 const (
-	// avoidAfterFailure is how long a controller whose watch failed or timed out is not chosen while there are others:
-	// as long as a version may take to be in force everywhere.
+	// avoidAfterFailure is how long a controller is avoided after its watch failed or timed out. It equals the time
+	// within which a version has to be in force everywhere.
 	avoidAfterFailure = 3 * time.Second
-	// avoidAfterRejection is the same for a controller without capacity: sessions that migrate free some soon.
+	// avoidAfterRejection is how long a controller without capacity is avoided. It is shorter, because migrating
+	// sessions soon free capacity.
 	avoidAfterRejection = 2 * time.Second
-	// maxAvoided bounds the memory of avoided addresses; beyond it all are forgotten.
+	// maxAvoided limits the number of avoided addresses in memory. When it is reached, all of them are removed.
 	maxAvoided = 64
-	// redirectJitter is the span within which nodes that were rejected together follow their redirects. It is short:
-	// the controller that redirected them has spread them over the others already.
+	// redirectJitter is the interval over which nodes that were rejected together spread their redirected watches. It
+	// is short because the redirecting controller has already distributed the nodes over the other controllers.
 	redirectJitter = 50 * time.Millisecond
 )
 
-// chooseMain decides about a watch that brought its first update: it becomes the main watch, and all others are closed,
-// or it is closed. It becomes the main watch if there is no live one, if it brings the newest versions and the main
-// watch does not, or if the controller asked the node to migrate there and it is no worse.
+// chooseMain handles the first update of a watch. Either the watch becomes the main watch and all others are closed, or
+// it is closed itself. It becomes the main watch if no main watch is live, if it delivers the newest versions and the
+// main watch does not, or if it is the target of a migration and no worse than the main watch.
 func (s *Session) chooseMain(w *watch) {
 	set := &s.watches
 	isTarget := w.address == set.migrateTo
@@ -40,7 +41,7 @@
 		return
 	}
 	set.main = w
-	set.consecutiveFailures, set.openTimeouts, set.consecutiveRejections, set.redirects = 0, 0, 0, nil
+	set.consecutiveFailures, set.openTimeoutCount, set.consecutiveRejections, set.redirects = 0, 0, 0, nil
 	delete(set.avoidedUntil, w.address)
 	if w.deliversNewest() {
 		set.endSearch()
@@ -54,7 +55,7 @@
 	s.emit(ControllerChanged{w.address, w.current})
 }
 
-// isBetter reports whether a watch replaces a live main watch.
+// isBetter reports whether a watch is to replace a live main watch.
 func isBetter(w, main *watch, isMigrationTarget bool) bool {
 	if w.deliversNewest() == main.deliversNewest() {
 		return isMigrationTarget
@@ -62,8 +63,8 @@
 	return w.deliversNewest()
 }
 
-// watchRejected handles a watch that a controller did not admit. One without capacity names alternatives, which are
-// tried next; any other error counts as a failure.
+// watchRejected handles a watch that a controller did not admit. A controller without capacity names alternatives,
+// which the node tries next; any other error counts as a failure.
 func (s *Session) watchRejected(e WatchRejected) {
 	w := s.watches.find(e.Watch)
 	if w == nil {
@@ -91,8 +92,9 @@
 	s.probeFailed(w)
 }
 
-// pickController is the address at which the next watch is opened while none is live: the next redirect of the last
-// rejection; or one of the nearest controllers that are not avoided, drawn evenly; or any, if all are avoided.
+// pickController returns the address for the next watch while none is live. It prefers the next redirect of the last
+// rejection, then one of the nearest controllers that are not avoided, chosen uniformly at random. If there is no such
+// controller, it chooses among all known controllers.
 func (s *Session) pickController() string {
 	set := &s.watches
 	if address, ok := set.nextRedirect(); ok {
@@ -105,7 +107,7 @@
 	return nearest[s.random.IntN(len(nearest))]
 }
 
-// nextRedirect takes the next redirect at which no watch is open.
+// nextRedirect removes and returns the next redirect to which no watch is open.
 func (s *watchSet) nextRedirect() (address string, ok bool) {
 	for len(s.redirects) > 0 {
 		address = s.redirects[0]
@@ -117,7 +119,7 @@
 	return "", false
 }
 
-// nearestUsable are the addresses of the least distance at which no watch is open, of those that are not avoided.
+// nearestUsable returns the nearest controllers that are not avoided and to which no watch is open.
 func (s *watchSet) nearestUsable(now time.Duration) (nearest []string) {
 	leastDistance := distanceUnknown + 1
 	for _, address := range s.addresses() {
@@ -135,7 +137,7 @@
 	return nearest
 }
 
-// avoid makes an address no choice for a time, while there are others.
+// avoid excludes an address from the choice for a duration, as long as other controllers are available.
 func (s *watchSet) avoid(address string, now, duration time.Duration) {
 	if len(s.avoidedUntil) >= maxAvoided {
 		clear(s.avoidedUntil)
@@ -143,7 +145,8 @@
 	s.avoidedUntil[address] = now + duration
 }
 
-// addresses are all controllers that the node knows, those that the cluster named first.
+// addresses returns the addresses of all controllers that the node knows: first those named by the cluster, then the
+// other configured ones.
 func (s *watchSet) addresses() (addresses []string) {
 	for _, controller := range s.clusterControllers {
 		addresses = append(addresses, controller.Address)
@@ -156,14 +159,14 @@
 	return addresses
 }
 
-// distance is how far a controller is from the node; the least comes first.
+// distance is how far a controller is from the node; the nearest has the least value.
 type distance int
 
 const (
 	distanceSameZone    distance = iota // in the node's region and zone
 	distanceSameRegion                  // in another zone of the node's region
-	distanceOtherRegion                 // in another region, or the region of one of them is not known
-	distanceUnknown                     // configured, but not named by the cluster: its location is not known
+	distanceOtherRegion                 // in another region, or the region of the node or of the controller is unknown
+	distanceUnknown                     // configured, but not named by the cluster: its location is unknown
 )
 
 func (s *watchSet) distanceTo(address string) distance {
--- a/configversion/controllerchoice_test.go
+++ b/configversion/controllerchoice_test.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A node that knows the locations of controllers tries its own zone, then its own region, then the others, and last
-// those that only its settings name.
+// A node that knows the locations of controllers tries those in its zone first, then those in its region, then the
+// others, and finally those that only its settings name.
 func TestNearestControllerIsTriedFirst(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"old:1"}, Region: "east", Zone: "b", LastKnownGood: LastKnownGood{Cluster: "x", Controllers: threeControllers}})
 	for _, want := range []string{"b:1", "a:1", "c:1", "old:1"} {
@@ -20,8 +20,8 @@
 	}
 }
 
-// A controller has no capacity and names alternatives. The node follows them at once, and each request says how often
-// it was rejected, so that it is not passed around for ever.
+// A controller has no capacity and names alternatives. The node tries them immediately. Each request contains the
+// number of rejections so far, so that the node is not redirected forever.
 func TestRejectedWatchFollowsRedirects(t *testing.T) {
 	d := newDriver(t, SessionOptions{Controllers: []string{"a:1"}})
 	first := d.nextWatch(InitialConnectJitter)
@@ -31,11 +31,11 @@
 	d.step(WatchRejected{second.Watch, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: []configapi.ControllerAddress{{Address: "a:1"}, {Address: "e:1"}}}})
 	third := d.nextWatch(redirectJitter)
 	if second.Address != "d:1" || third.Address != "e:1" || second.Request.WatchRejections != 1 || third.Request.WatchRejections != 2 {
-		t.Errorf("the watches are %+v, then %+v", second, third)
+		t.Errorf("the second watch is %+v, the third %+v", second, third)
 	}
 	d.update(third.Watch, emptyUpdate("x"))
 	d.step(WatchEnded{third.Watch})
 	if w := d.nextWatch(reconnectJitter); w.Request.WatchRejections != 0 {
-		t.Errorf("after a session it reports %d rejections", w.Request.WatchRejections)
+		t.Errorf("after a session, the request reports %d rejections", w.Request.WatchRejections)
 	}
 }
--- a/configversion/controllersearch.go
+++ b/configversion/controllersearch.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Search: a node whose main watch is live but does not bring the newest versions looks for a controller that does. It
-// probes the other controllers one after another, in random order, and keeps the main watch meanwhile.
+// Search: if a node's main watch is live but does not deliver the newest versions, the node searches for a controller
+// that does. It probes the other controllers one at a time, in random order, and keeps the main watch in the meantime.
 //
-// It guards against a node that stays with a controller which a partition has cut off from the leader: its heartbeats
-// come, so that it is not silent, but new versions do not. It shows as `current=false` in the node's log line of its
-// watch.
+// Without the search, a node would stay with a controller that a partition has cut off from the leader. That controller
+// still sends heartbeats, so that the watch is not silent, but it sends no new versions. The state is visible as
+// `current=false` in the node's log line about its watch.
 
 const (
-	// searchDelay is how long a search waits before its first probe: most elections are over by then, and nothing has
-	// to move.
+	// searchDelay is how long a search waits before its first probe. Most elections end within this time, so that no
+	// node has to change its controller.
 	searchDelay = 500 * time.Millisecond
-	// searchJitter is the span within which nodes of one controller begin to search: they all lose the leader at once.
+	// searchJitter is the interval over which the nodes of one controller spread the start of their searches. They all
+	// notice the loss of the leader at the same time.
 	searchJitter = 700 * time.Millisecond
-	// searchInterval is the mean pause between two probes of a node; see searchPause.
+	// searchInterval is the mean pause between two probes of a node; see drawSearchPause.
 	searchInterval = 200 * time.Millisecond
-	// searchRoundInterval is the pause after all controllers were probed, and as much again is drawn. If none of them
-	// has a leader, nodes must not load them with watches while they elect one.
+	// searchRoundInterval is the minimum pause after all controllers were probed; a jitter of up to the same length is
+	// added. If no controller has a leader, nodes must not load the controllers with watches during the election.
 	searchRoundInterval = 5 * time.Second
 )
 
-// drawSearchPause draws the pause before the next probe, from half of searchInterval up to one and a half of it.
+// drawSearchPause draws the pause before the next probe: between one half and one and a half of searchInterval.
 func (s *Session) drawSearchPause() time.Duration {
 	return searchInterval/2 + s.jitter(searchInterval)
 }
 
-// searchForCurrentController begins the search or takes its next step, if it is due.
+// searchForCurrentController starts the search, or carries out its next step if that is due.
 func (s *Session) searchForCurrentController() {
 	set := &s.watches
 	if set.nextSearchAt == 0 {
@@ -61,7 +62,7 @@
 	s.probe(address)
 }
 
-// unprobedAddresses are the controllers that were not probed in this round of the search.
+// unprobedAddresses returns the controllers that have not been probed in this round of the search.
 func (s *watchSet) unprobedAddresses() []string {
 	return slices.DeleteFunc(s.addresses(), func(address string) bool {
 		return slices.Contains(s.probedAddresses, address)
--- a/configversion/controllersearch_test.go
+++ b/configversion/controllersearch_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller
-// after a delay and with a bounded number of probes, stay while there is none, and change when there is one.
+// A partition cuts a controller off from the leader, but the controller still sends heartbeats. After a delay, its
+// nodes search for a current controller with a bounded number of probes. They stay while there is none, and switch when
+// they find one.
 func TestSearchForCurrentController(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
@@ -26,15 +27,15 @@
 	}
 	advanceMinuteWithoutLeader()
 	if d.openedAt[1]-staleSince < searchDelay || d.openedAt[1]-staleSince > searchDelay+searchJitter+100*ms {
-		t.Errorf("the first probe after %v", d.openedAt[1]-staleSince)
+		t.Errorf("the first probe started after %v", d.openedAt[1]-staleSince)
 	}
 	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
-		t.Errorf("%d watches in a minute", n)
+		t.Errorf("%d probes in a minute", n)
 	}
 	if d.session.Controller() != first.Address || len(d.open) > 2 {
-		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 	}
-	for id, w := range d.open { // one that it tried may be open
+	for id, w := range d.open { // a probe may still be open
 		if w.Address != first.Address {
 			d.step(WatchEnded{id})
 		}
@@ -50,11 +51,11 @@
 	}
 	d.update(second.Watch, versionUpdate("x", 1))
 	if d.session.Controller() != second.Address || len(d.open) != 1 {
-		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 	}
 }
 
-// A leader election is over within half a second, as most are. No node opens a second watch.
+// A leader election ends within half a second, as most do. No node opens a second watch.
 func TestShortElectionStartsNoSearch(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
--- a/configversion/lastknowngood.go
+++ b/configversion/lastknowngood.go
@@ -7,20 +7,21 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// LastKnownGood is what a node stores of configuration versions for its next start: the last version that it applied.
+// LastKnownGood is what a node stores about configuration versions for its next start: the last version that it
+// applied, and what it knows about clusters and controllers.
 type LastKnownGood struct {
 	Cluster configapi.Cluster        `json:"cluster"`
-	Version configapi.Version        `json:"version"`          // in force
+	Version configapi.Version        `json:"version"`          // the version in force
 	Config  *configapi.ServiceConfig `json:"config,omitempty"` // of Version; nil: the node's own file is in force
-	// FormerClusters are the clusters that the node has left, each with the newest version that the node knew of it.
+	// FormerClusters maps each cluster that the node has left to the newest version that the node knew of it.
 	FormerClusters map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
-	// Controllers are the controllers of the cluster, with their locations.
+	// Controllers lists the controllers of the cluster with their locations.
 	Controllers []configapi.ControllerAddress `json:"controllers,omitempty"`
 }
 
 // Supersedes reports whether k is newer than other: a later version of the same cluster, or a version of a cluster that
-// has replaced other's. It guards against the outgoing process of a node that restarts: it must not overwrite what its
-// successor has stored already.
+// has replaced other's cluster. While a node restarts, this keeps the old process from overwriting what its successor
+// has already stored.
 func (k LastKnownGood) Supersedes(other LastKnownGood) bool {
 	if k.Cluster == other.Cluster {
 		return k.Version > other.Version
@@ -30,7 +31,7 @@
 	return hasLeftOther && lastKnown >= other.Version && !(otherHasLeft && otherLastKnown >= k.Version)
 }
 
-// lastKnownGood is what the node would start with if its process ended now.
+// lastKnownGood returns the state with which the node would start if its process ended now.
 func (s *Session) lastKnownGood() LastKnownGood {
 	v := &s.versions
 	return LastKnownGood{
--- a/configversion/migration.go
+++ b/configversion/migration.go
@@ -9,26 +9,26 @@
 
 // MigrationCandidate is a session that may be migrated.
 type MigrationCandidate struct {
-	ID           uint64 // the caller's, returned in Migration
+	ID           uint64 // chosen by the caller, and returned in Migration
 	Region, Zone string
 }
 
-// Migration is a session whose node is to be asked to move to another controller.
+// Migration is a session whose node the controller asks to move to another controller.
 type Migration struct {
 	ID     uint64
 	Target configapi.ControllerAddress
 }
 
-// PlanMigrations decides which of the controller's sessions are migrated now. It is called once after each round of
-// reports, and may reorder sessions: those farthest from this controller go first.
+// PlanMigrations decides which of the controller's sessions to migrate now. It is called once after each round of
+// reports, and may reorder the given sessions: those farthest from this controller migrate first.
 //
-// Migration begins when this controller is above the even share by more than the tolerance, or another is below it by
-// more; it goes on until this one is at its share or no other has capacity. All controllers decide at the same time
-// without asking each other, so that each takes only its quota of the capacity of the others (see capacityByController), and
-// at most MaxMigrationsPerPlan sessions.
+// Migration starts when this controller is above the even share by more than the tolerance, or another one is below it
+// by more than the tolerance. It continues until this controller is down to its goal or no other one has capacity. All
+// controllers decide at the same time without coordination. Each of them therefore uses only its quota of the capacity
+// of the others (see capacityByController), and migrates at most MaxMigrationsPerPlan sessions.
 //
-// It guards against a controller that has returned and stays empty while the others carry its nodes, and against the
-// opposite failure, sessions that are passed back and forth: hence the tolerance, and the quota.
+// Without migration, a controller that has recovered would stay empty while the others serve its nodes. The tolerance
+// and the quota prevent the opposite failure, sessions that migrate back and forth.
 func (p *Placement) PlanMigrations(sessions []MigrationCandidate) []Migration {
 	goal := p.migrationGoal()
 	excess := p.sessions - goal
@@ -58,7 +58,7 @@
 	return migrations
 }
 
-// isUnbalanced reports whether a controller is outside the tolerance.
+// isUnbalanced reports whether this controller is above the tolerance, or another one below it.
 func (p *Placement) isUnbalanced() bool {
 	share := p.evenShare(0)
 	if p.sessions > share+shareTolerance(share) {
@@ -69,12 +69,12 @@
 	})
 }
 
-// shareTolerance is how far from a share a controller may be, in sessions.
+// shareTolerance returns by how many sessions a controller may differ from the even share.
 func shareTolerance(share int) int { return max(share/shareToleranceDivisor, minShareTolerance) }
 
-// migrationGoal is the number of sessions down to which this controller migrates. Where the sessions can't be divided
-// evenly, it is the share rounded down, so that a controller far below finds some above it; if this controller is above
-// the tolerance, it is the share rounded up.
+// migrationGoal returns the number of sessions at which this controller stops migrating: the even share. If the
+// sessions cannot be divided evenly, the share is rounded down, so that other controllers exceed the goal and can
+// migrate sessions to one that is far below it. It is rounded up if this controller is above the tolerance.
 func (p *Placement) migrationGoal() int {
 	share := p.evenShare(0)
 	if p.sessions > share+shareTolerance(share) {
@@ -83,8 +83,9 @@
 	return p.totalSessions() / p.controllerCount()
 }
 
-// capacityByController is how many sessions this controller may migrate to each of those below the goal. All controllers
-// above the goal (the donors) divide the capacity of each target evenly; the remainder goes to the first of them.
+// capacityByController returns how many sessions this controller may migrate to each controller below the goal. All
+// controllers above the goal (the donors) divide the capacity of each target evenly. If a remainder is left, each of
+// the first donors may migrate one more session.
 func (p *Placement) capacityByController(goal int) map[string]int {
 	rank, donors := p.donorRank(goal)
 	capacity := map[string]int{}
@@ -104,8 +105,8 @@
 	return capacity
 }
 
-// donorRank is this controller's rank among the donors, from 0, and the number of them. The one with the most sessions
-// comes first; all controllers find the same order from the same reports.
+// donorRank returns this controller's rank among the donors, counted from 0, and the number of donors. The donor with
+// the most sessions has rank 0. All controllers derive the same order from the same reports.
 func (p *Placement) donorRank(goal int) (rank, donors int) {
 	donors = 1
 	for _, other := range p.available() {
@@ -120,12 +121,12 @@
 	return rank, donors
 }
 
-// pickTarget chooses the controller for a session among those with capacity: in its own zone or region if it can be,
-// else the one with the fewest sessions.
+// pickTarget chooses a controller with capacity for a session. It prefers the zone and then the region of the session's
+// node, and among equals the controller with the fewest sessions.
 func (p *Placement) pickTarget(s MigrationCandidate, capacity map[string]int) (configapi.ControllerAddress, bool) {
 	best, found := otherController{}, false
 	node := SessionRequest{Region: s.Region, Zone: s.Zone}
-	rank := func(other otherController) controllerRank { return rankController(other, node, other.estimate()+1) } // by location alone
+	rank := func(other otherController) controllerRank { return rankController(other, node, other.estimate()+1) } // ranks by location only
 	for _, other := range p.available() {
 		if capacity[other.Controller.Address] <= 0 {
 			continue
@@ -137,7 +138,7 @@
 	return best.Controller, found
 }
 
-// distanceTo is how far this controller is from a session's node.
+// distanceTo returns how far this controller is from a session's node.
 func (p *Placement) distanceTo(s MigrationCandidate) distance {
 	switch {
 	case s.Region != p.self.Region:
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -7,72 +7,77 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Placement decides at one controller which sessions it admits, where it redirects the others (this file), and which
-// of its own sessions it migrates (migration.go).
+// Placement decides, at one controller, which sessions to admit, where to redirect the others (this file), and which
+// sessions to migrate (migration.go).
 //
-// Its input are the session counts that the controllers read from each other several times a second, plus what this
-// one has itself redirected or migrated to the others since, so that many nodes that arrive between two reports are
-// spread and not all sent to the controller that was the emptiest.
+// It uses the session counts that the controllers read from each other several times a second, plus the nodes that this
+// controller has redirected or migrated to the others since. Nodes that arrive between two reports are therefore spread
+// and not all sent to the controller that had the fewest sessions.
 //
-// Admission, with the even share as the sessions of all controllers divided by their number:
-//   - A node that was not rejected before is admitted up to a quarter above the even share, and in any case up to a
-//     quarter of MaxSessions: when a controller fails, its nodes come before the reports of the others show it.
-//   - A node that was rejected before is admitted up to MaxSessions, so that it is not passed around.
-//   - No node is admitted above MaxSessions: it bounds the controller's memory and connections.
+// Admission depends on the even share, which is the sessions of all controllers divided by the number of controllers:
+//   - A node that was not rejected before is admitted until this controller is a quarter above the even share, and in
+//     any case until it has a quarter of MaxSessions. The latter matters when another controller fails: its nodes
+//     arrive before the reports show the failure.
+//   - A node that was rejected before is admitted until this controller has MaxSessions, so that it is not redirected
+//     again and again.
+//   - No node is admitted above MaxSessions, which bounds the controller's memory and connections.
 //
-// It guards against a controller that is overloaded while others idle, and against nodes that find no controller after
-// several have failed. It shows as uneven numbers of sessions in `hookwalk config status`, and as watches rejected with
-// "full".
+// Placement prevents a controller from being overloaded while others are idle, and nodes from finding no controller
+// after several have failed. Such faults are visible as uneven session counts in `hookwalk config status`, and as
+// watches rejected with "full".
 //
 // A Placement must not be used by several goroutines at once.
 type Placement struct {
-	// MaxSessions is the limit of sessions at each controller.
+	// MaxSessions is the maximum number of sessions at each controller.
 	MaxSessions int
-	// MaxMigrationsPerPlan is how many sessions a call of PlanMigrations returns at most.
+	// MaxMigrationsPerPlan is the maximum number of sessions that a call of PlanMigrations returns.
 	MaxMigrationsPerPlan int
 
 	self             configapi.ControllerAddress
-	sessions         int // own
+	sessions         int // at this controller
 	otherControllers []otherController
 	migrating        bool // see PlanMigrations
 }
 
-// ControllerLoad is what another controller last reported.
+// ControllerLoad is the last report of another controller.
 type ControllerLoad struct {
 	Controller configapi.ControllerAddress
 	Sessions   int
-	// Available is set if the controller answers and serves nodes. One that does not is left out of all decisions.
+	// Available is set if the controller responds and serves nodes. Controllers that are not available are ignored in
+	// all decisions.
 	Available bool
 }
 
-// otherController is a controller's report with the sessions that this controller has sent there.
+// otherController is the report of another controller, with the number of nodes that this controller has sent to it.
 type otherController struct {
 	ControllerLoad
-	sentSinceReport int // after the newest report
-	// sentBeforeReport counts those sent between the two newest reports: they may be in the newest report or still on
-	// their way.
+	sentSinceReport int // nodes sent after the newest report
+	// sentBeforeReport counts the nodes sent between the two newest reports. The newest report may or may not include
+	// them.
 	sentBeforeReport int
 }
 
-// estimate is the number of sessions that the controller has by now, as far as this one can know; never too low by what
-// this one has sent.
+// estimate returns an estimate of the controller's current number of sessions. It includes every node that this
+// controller may have sent without the newest report counting it.
 func (o otherController) estimate() int { return o.Sessions + o.sentSinceReport + o.sentBeforeReport }
 
 const (
-	// admissionToleranceDivisor is the part of the even share, one in so many, by which a controller may exceed it with
-	// nodes that were not rejected before. Without it, nodes would be redirected for a difference of a few sessions.
+	// admissionToleranceDivisor determines how far a controller may exceed the even share with nodes that were not
+	// rejected before: by share/admissionToleranceDivisor. Without this tolerance, nodes would be redirected for a
+	// difference of a few sessions.
 	admissionToleranceDivisor = 4
-	// unconditionalAdmissionDivisor is the part of MaxSessions, one in so many, that a controller admits whatever the others
-	// have. Nodes that all start at the same time find controllers that do not know each other's load yet.
+	// unconditionalAdmissionDivisor determines how many sessions a controller admits regardless of the others:
+	// MaxSessions/unconditionalAdmissionDivisor. When all nodes start at the same time, the controllers do not know
+	// each other's load yet.
 	unconditionalAdmissionDivisor = 4
-	// shareToleranceDivisor is the part of the even share, one in so many, by which a controller may be above or below
-	// it before sessions are migrated: each migration costs a new connection.
+	// shareToleranceDivisor determines how far a controller may be above or below the even share before sessions are
+	// migrated: by share/shareToleranceDivisor. Each migration costs a new connection.
 	shareToleranceDivisor = 10
-	// minShareTolerance is the least tolerance in sessions, for clusters with few nodes.
+	// minShareTolerance is the minimum tolerance in sessions, for clusters with few nodes.
 	minShareTolerance = 2
 )
 
-// NewPlacement makes the Placement of the controller at self.
+// NewPlacement returns the Placement of the controller at self.
 func NewPlacement(self configapi.ControllerAddress, maxSessions, maxMigrationsPerPlan int) *Placement {
 	return &Placement{MaxSessions: maxSessions, MaxMigrationsPerPlan: maxMigrationsPerPlan, self: self}
 }
@@ -93,15 +98,15 @@
 	p.otherControllers = next
 }
 
-// SessionRequest is a node that asks for a session.
+// SessionRequest describes a node that asks for a session.
 type SessionRequest struct {
 	Region, Zone string
 	// WatchRejections is how many controllers have rejected the node since it last had a session.
 	WatchRejections uint64
 }
 
-// Admit decides about a node that asks for a session. If the node is not admitted, alternatives are the other
-// controllers, the best one first; the node is counted as sent to the first.
+// Admit decides whether to admit a node that asks for a session. If it does not, alternatives are the other
+// controllers, the best one first, and the node is counted as sent to the first of them.
 func (p *Placement) Admit(r SessionRequest) (admitted bool, alternatives []configapi.ControllerAddress) {
 	if p.sessions < p.admissionLimit(r) {
 		return true, nil
@@ -109,7 +114,7 @@
 	return false, p.Redirect(r)
 }
 
-// admissionLimit is the number of sessions below which a node is admitted.
+// admissionLimit returns the number of sessions below which a node is admitted.
 func (p *Placement) admissionLimit(r SessionRequest) int {
 	if r.WatchRejections > 0 || !p.othersHaveCapacity() {
 		return p.MaxSessions
@@ -128,8 +133,9 @@
 	return alternatives
 }
 
-// Alternatives returns the other controllers, the best one for a node first: those below the even share in its zone, in
-// its region, elsewhere; then those at or above it. Of equals the least loaded comes first.
+// Alternatives returns the other controllers, the best one for a node first. Controllers below the even share precede
+// those at or above it; among them, the node's zone precedes its region, and its region precedes other regions. Among
+// equals, the one with the fewest sessions is first.
 func (p *Placement) Alternatives(r SessionRequest) []configapi.ControllerAddress {
 	share := p.evenShare(1)
 	others := p.available()
@@ -146,14 +152,14 @@
 	return addresses
 }
 
-// controllerRank orders controllers for a node; the least comes first.
+// controllerRank orders controllers for a node; the best one has the least rank.
 type controllerRank int
 
 const (
 	rankSameZone    controllerRank = iota // below the even share, in the node's zone
-	rankSameRegion                        // below it, in another zone of the node's region
-	rankOtherRegion                       // below it, in another region
-	rankAboveShare                        // at the even share or above
+	rankSameRegion                        // below the even share, in another zone of the node's region
+	rankOtherRegion                       // below the even share, in another region
+	rankAboveShare                        // at or above the even share
 )
 
 func rankController(other otherController, r SessionRequest, share int) controllerRank {
@@ -173,13 +179,14 @@
 	return slices.ContainsFunc(p.available(), func(other otherController) bool { return other.estimate() < p.MaxSessions })
 }
 
-// evenShare is the even share of all known sessions and of some that are arriving, rounded up.
+// evenShare returns the number of sessions per controller, rounded up, including sessions that are about to be
+// admitted.
 func (p *Placement) evenShare(arriving int) int {
 	count := p.controllerCount()
 	return (p.totalSessions() + arriving + count - 1) / count
 }
 
-// totalSessions is the number of all known sessions.
+// totalSessions returns the number of all known sessions.
 func (p *Placement) totalSessions() int {
 	total := p.sessions
 	for _, other := range p.available() {
@@ -188,7 +195,7 @@
 	return total
 }
 
-// controllerCount is the number of available controllers, this one included.
+// controllerCount returns the number of available controllers, including this one.
 func (p *Placement) controllerCount() int { return 1 + len(p.available()) }
 
 func (p *Placement) available() []otherController {
--- a/configversion/placement_test.go
+++ b/configversion/placement_test.go
@@ -10,24 +10,24 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// placementModel is a cluster of controllers and nodes, with time in rounds: in each, nodes without a session request
-// one, nodes that were asked to migrate do, and then all controllers read each other's reports. Reports are out of date
-// by a round.
+// placementModel simulates a cluster of controllers and its nodes in rounds. In each round, nodes without a session
+// request one, and nodes that were asked to migrate do so. Then all controllers read each other's reports. During a
+// round, the reports are those of the round before.
 type placementModel struct {
 	controllers          []configapi.ControllerAddress
 	placements           []*Placement
 	down                 []bool
 	nodes                []modelNode
-	sessionCounts        []int // sessions of each controller
-	migrations           int   // asked for since the last reset
-	maxMigrationsInRound int   // by one controller in one round
-	peakSessions         int   // at one controller
+	sessionCounts        []int // by controller
+	migrations           int   // requested since the last reset
+	maxMigrationsInRound int   // the maximum by one controller in one round
+	peakSessions         int   // the maximum at one controller
 }
 
 type modelNode struct {
 	region, zone string
-	controller   int // controller; -1: none
-	migrateTo    int // -1: nowhere
+	controller   int // index; -1: none
+	migrateTo    int // index of the target controller; -1: none
 	rejections   uint64
 }
 
@@ -56,7 +56,7 @@
 
 func (m *placementModel) sessions(controller int) int { return m.sessionCounts[controller] }
 
-// setController ends a node's session and opens one at another controller; -1: none.
+// setController ends a node's session, if any, and opens one at a controller; -1: none.
 func (m *placementModel) setController(n *modelNode, controller int) {
 	if n.controller >= 0 {
 		m.sessionCounts[n.controller]--
@@ -72,8 +72,8 @@
 	return slices.IndexFunc(m.controllers, func(controller configapi.ControllerAddress) bool { return controller.Address == address })
 }
 
-// requestSession lets a node ask controllers until one admits it or three have not: then it tries again in the next
-// round.
+// requestSession lets a node try up to three controllers until one admits it. If none does, the node tries again in the
+// next round.
 func (m *placementModel) requestSession(n *modelNode, firstController int) {
 	target := firstController
 	for range 3 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// preferredController is the controller that a node asks first: one of its region if there is one, else any; spread
-// picks.
+// preferredController returns the controller that a node tries first: one in its region if any is available, else any
+// controller. Different values of spread select different controllers.
 func (m *placementModel) preferredController(n *modelNode, spread int) int {
 	var sameRegion []int
 	for i, controller := range m.controllers {
@@ -119,7 +119,7 @@
 			m.setController(n, -1)
 			n.migrateTo = -1
 		case n.controller >= 0 && n.migrateTo >= 0:
-			m.requestSession(n, n.migrateTo) // it opens the new watch before it ends the old one
+			m.requestSession(n, n.migrateTo) // a node opens the new watch before it ends the old one
 			n.migrateTo = -1
 		}
 		if n.controller < 0 {
@@ -171,7 +171,7 @@
 	return count
 }
 
-// checkEven checks that all running controllers are within the tolerance of the even share.
+// checkEven returns an error unless all available controllers are within the tolerance of the even share.
 func (m *placementModel) checkEven() error {
 	available := 0
 	for _, down := range m.down {
@@ -185,13 +185,13 @@
 			continue
 		}
 		if n := m.sessions(i); n < share-shareTolerance(share) || n > share+shareTolerance(share) {
-			return fmt.Errorf("controller %d has %d sessions, the share is %d", i, n, share)
+			return fmt.Errorf("controller %d has %d sessions, the even share is %d", i, n, share)
 		}
 	}
 	return nil
 }
 
-// controllersInFourRegions are seven controllers in four regions, as the target has them.
+// controllersInFourRegions returns seven controllers in four regions, the size of the intended deployment.
 func controllersInFourRegions() []configapi.ControllerAddress {
 	return []configapi.ControllerAddress{{Region: "a", Zone: "a1"}, {Region: "a", Zone: "a2"}, {Region: "b", Zone: "b1"}, {Region: "b", Zone: "b2"},
 		{Region: "c", Zone: "c1"}, {Region: "c", Zone: "c2"}, {Region: "d", Zone: "d1"}}
@@ -205,7 +205,8 @@
 	}
 }
 
-const convergenceRounds = 60 // 30 s at two readings a second
+// convergenceRounds is the number of rounds within which the session counts must become even.
+const convergenceRounds = 60 // 30 s at two reports per second
 
 func checkConvergence(t interface{ Fatalf(string, ...any) }, m *placementModel) {
 	for range convergenceRounds {
@@ -222,12 +223,12 @@
 		m.runRound()
 	}
 	if m.migrations > 0 {
-		t.Fatalf("%d sessions still move after the shares are even", m.migrations)
+		t.Fatalf("%d sessions migrate after the session counts are even", m.migrations)
 	}
 }
 
-// All nodes of a fleet start at the same time, before controllers know each other's load. All have a session after one
-// round, and the shares get even.
+// All nodes of a fleet start at the same time, before the controllers know each other's load. All nodes have a session
+// after one round, and the session counts become even.
 func TestPlacementWhenAllNodesStartAtOnce(t *testing.T) {
 	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
@@ -242,7 +243,7 @@
 	}
 }
 
-// All nodes know the same single controller. Its limit holds, and the others get their share.
+// All nodes know only the same single controller. It does not exceed its limit, and the others get their share.
 func TestPlacementWhenNodesKnowOneController(t *testing.T) {
 	locations := make([]configapi.ControllerAddress, 7)
 	locations[0] = configapi.ControllerAddress{Region: "a"}
@@ -255,7 +256,7 @@
 	}
 }
 
-// A controller that returns gets its share at a bounded rate. About as many sessions migrate as it gets, not more.
+// A controller that recovers gets its share at a bounded rate. Not many more sessions migrate than it gets.
 func TestPlacementAfterControllerRecovers(t *testing.T) {
 	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
@@ -273,14 +274,14 @@
 	}
 	recovered := m.sessions(6)
 	if m.migrations > recovered*12/10 {
-		t.Errorf("%d sessions moved to give one controller %d", m.migrations, recovered)
+		t.Errorf("%d sessions migrated to give the recovered controller %d", m.migrations, recovered)
 	}
 	if m.maxMigrationsInRound > modelMigrationsPerRound {
-		t.Errorf("a controller handed %d sessions on in one round, the most is %d", m.maxMigrationsInRound, modelMigrationsPerRound)
+		t.Errorf("a controller migrated %d sessions in one round, the limit is %d", m.maxMigrationsInRound, modelMigrationsPerRound)
 	}
 }
 
-// Three of seven controllers fail. The four others take all nodes within their limits.
+// Three of seven controllers fail. The other four admit all nodes without exceeding their limits.
 func TestPlacementWithThreeControllersDown(t *testing.T) {
 	m := newPlacementModel(controllersInFourRegions(), modelMaxSessions)
 	m.exchangeReports()
@@ -294,7 +295,8 @@
 	}
 }
 
-// Nodes get a controller of their own region as far as the shares allow: regions are often cut off from each other.
+// Nodes get a controller in their region as far as the even share allows, because regions are often cut off from each
+// other.
 func TestPlacementPrefersRegionOfNode(t *testing.T) {
 	m := newPlacementModel([]configapi.ControllerAddress{{Region: "a"}, {Region: "b"}, {Region: "c"}}, modelMaxSessions)
 	m.exchangeReports()
@@ -304,29 +306,29 @@
 	checkConvergence(t, m)
 	for i, node := range m.nodes {
 		if m.controllers[node.controller].Region != node.region {
-			t.Fatalf("node %d of region %s is at %+v, though its region has room", i, node.region, m.controllers[node.controller])
+			t.Fatalf("node %d of region %s is at %+v, although its region has capacity", i, node.region, m.controllers[node.controller])
 		}
 	}
 }
 
-// A controller that reaches no other one admits nodes up to its limit: there is nowhere to redirect them.
+// A controller that can reach no other one admits nodes up to its limit, because it cannot redirect them.
 func TestIsolatedControllerAdmitsUpToLimit(t *testing.T) {
 	p := NewPlacement(configapi.ControllerAddress{Address: "127.0.0.1:7400"}, 3, 1)
 	p.SetOtherControllers([]ControllerLoad{{Controller: configapi.ControllerAddress{Address: "127.0.0.1:7401"}, Available: false}})
 	for sessions := range 3 {
 		p.SetSessions(sessions)
 		if admitted, _ := p.Admit(SessionRequest{}); !admitted {
-			t.Errorf("rejected with %d sessions of at most 3 and no other controller", sessions)
+			t.Errorf("rejected with %d of at most 3 sessions and no other controller available", sessions)
 		}
 	}
 	p.SetSessions(3)
 	if admitted, alternatives := p.Admit(SessionRequest{}); admitted || len(alternatives) > 0 {
-		t.Errorf("with 3 of at most 3 sessions: admitted %v, elsewhere %v", admitted, alternatives)
+		t.Errorf("with 3 of at most 3 sessions: admitted %v, alternatives %v", admitted, alternatives)
 	}
 }
 
-// Many nodes are redirected between two reports. They are spread by the capacity of the others, not all sent to the one
-// that was the emptiest in the report.
+// Many nodes are redirected between two reports. They are spread according to the load of the other controllers, and
+// not all sent to the one that had the fewest sessions in the report.
 func TestPlacementSpreadsRedirectedNodes(t *testing.T) {
 	p := NewPlacement(configapi.ControllerAddress{Address: "a:1"}, 10, 1)
 	p.SetSessions(10)
@@ -338,17 +340,17 @@
 	for range 10 {
 		admitted, alternatives := p.Admit(SessionRequest{})
 		if admitted || len(alternatives) != 2 {
-			t.Fatalf("admitted %v, elsewhere %v", admitted, alternatives)
+			t.Fatalf("admitted %v, alternatives %v", admitted, alternatives)
 		}
 		sent[alternatives[0].Address]++
 	}
 	if sent["b:1"] != 6 || sent["c:1"] != 4 {
-		t.Errorf("ten nodes were sent to %v; both would have 8 if 6 went to b", sent)
+		t.Errorf("the ten nodes were sent to %v; want 6 to b and 4 to c, so that both have 8", sent)
 	}
 }
 
-// For any sizes, also when a controller fails and returns: all nodes get a session if there is capacity, no controller
-// is above the limit, the shares get even, and then no session migrates any more.
+// For any number of nodes and controllers, also after a controller fails and recovers: all nodes get a session if there
+// is capacity, no controller exceeds its limit, the session counts become even, and then no session migrates any more.
 func TestPlacementConverges(t *testing.T) {
 	const maxSessions = 40
 	rapid.Check(t, func(t *rapid.T) {
@@ -363,9 +365,9 @@
 		for _, region := range regions {
 			m.addNodes(rapid.IntRange(0, 6*count).Draw(t, "nodes"), region, region+"1")
 		}
-		m.nodes = m.nodes[:min(len(m.nodes), (maxSessions-4)*max(1, count-1))] // room with one controller gone
+		m.nodes = m.nodes[:min(len(m.nodes), (maxSessions-4)*max(1, count-1))] // leaves enough capacity if one controller fails
 		checkConvergence(t, m)
-		if count > 1 && rapid.Bool().Draw(t, "one goes and returns") {
+		if count > 1 && rapid.Bool().Draw(t, "one fails and recovers") {
 			failed := rapid.IntRange(0, count-1).Draw(t, "gone")
 			m.down[failed] = true
 			m.exchangeReports()
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -8,15 +8,15 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from reports;
-// nothing else changes it.
+// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from the reports of
+// controllers.
 type RolloutState string
 
 // Rollout states.
 const (
-	RolloutCurrent      RolloutState = "current"  // connected, and the newest version is applied
+	RolloutCurrent      RolloutState = "current"  // connected, and has applied the newest version
 	RolloutLagging      RolloutState = "lagging"  // connected, and has not decided on the newest version yet
-	RolloutRejected     RolloutState = "rejected" // connected, and rejected the newest version, or all of another cluster
+	RolloutRejected     RolloutState = "rejected" // connected, and has rejected the newest version or a foreign cluster
 	RolloutDisconnected RolloutState = "away"     // has no session
 )
 
@@ -24,32 +24,32 @@
 type NodeRollout struct {
 	configapi.NodeStatus
 	State      RolloutState `json:"state"`
-	Controller string       `json:"controller"` // name of the one whose report counts
+	Controller string       `json:"controller"` // name of the controller whose report was used
 }
 
-// Rollout says where the newest version is in force.
+// Rollout describes how far the newest version has been rolled out.
 type Rollout struct {
 	Cluster      configapi.Cluster `json:"cluster"`
-	Version      configapi.Version `json:"version"` // the newest of any controller of the cluster
+	Version      configapi.Version `json:"version"` // the newest version that any controller of the cluster has
 	Nodes        []NodeRollout     `json:"nodes"`   // by name
 	Current      int               `json:"current"`
 	Lagging      int               `json:"lagging"`
 	Rejected     int               `json:"rejected"`
 	Disconnected int               `json:"away"`
-	// BehindControllers are the names of controllers that have an older version, or no contact with the leader.
+	// BehindControllers are the names of controllers that have an older version or no contact with the leader.
 	BehindControllers []string `json:"behind,omitempty"`
-	// ForeignControllers are the names of controllers of another cluster than most.
+	// ForeignControllers are the names of controllers that do not belong to Cluster.
 	ForeignControllers []string `json:"foreign,omitempty"`
 }
 
-// Complete reports whether the newest version is in force at all connected nodes, and all controllers have it.
-// Disconnected nodes do not count: nobody knows whether they still exist.
+// Complete reports whether the newest version is in force at all connected nodes and known to all controllers.
+// Disconnected nodes are ignored, because they may no longer exist.
 func (r Rollout) Complete() bool {
 	return r.Lagging == 0 && r.Rejected == 0 && len(r.BehindControllers) == 0 && len(r.ForeignControllers) == 0
 }
 
-// MergeStatuses merges the reports of several controllers. Of a node that more than one of them reports, the report
-// that supersedes the others counts. The result does not depend on the order of the reports.
+// MergeStatuses merges the reports of several controllers. If several controllers report the same node, it uses the
+// report that supersedes the others. The result does not depend on the order of the reports.
 func MergeStatuses(statuses []configapi.ControllerStatus) Rollout {
 	var r Rollout
 	r.Cluster, r.Version = newestVersion(statuses)
@@ -77,7 +77,8 @@
 	return r
 }
 
-// newestVersion finds the cluster of most controllers (of equals, the first by name) and its newest version.
+// newestVersion returns the cluster to which most controllers belong, and its newest version. Among clusters with
+// equally many controllers, it chooses the first by name.
 func newestVersion(statuses []configapi.ControllerStatus) (configapi.Cluster, configapi.Version) {
 	controllerCounts := map[configapi.Cluster]int{}
 	versions := map[configapi.Cluster]configapi.Version{}
@@ -96,13 +97,14 @@
 	return best, versions[best]
 }
 
-// supersedes reports whether report x counts before report y of the same node. In this order:
-//   - the report about the node's newer process;
-//   - of one process, the greater version decided, whatever its session: the version of one cluster never falls, and a
-//     node may open a second watch and close it again because the first one came back to life;
-//   - that of a controller which has a session with the node: a controller that was stalled may read the request of a
-//     watch that was given up long before;
-//   - that of the newer session, and the later one.
+// supersedes reports whether report x is preferred to report y about the same node. These criteria apply in order:
+//   - The report about the newer process of the node is preferred.
+//   - The report with the greater decided version is preferred, regardless of the session. The decided version of a
+//     process never decreases within a cluster, whereas the newer session may be a second watch that the node has
+//     closed again because the first one recovered.
+//   - The report of a controller that has a session with the node is preferred: a controller that was stalled may read
+//     the request of a watch that the node closed long ago.
+//   - The report about the newer session is preferred, then the later report.
 func (r *Rollout) supersedes(x, y configapi.NodeStatus) bool {
 	return cmp.Or(
 		cmp.Compare(x.StartedMS, y.StartedMS),
@@ -112,7 +114,7 @@
 		cmp.Compare(x.LastSeenMS, y.LastSeenMS)) > 0
 }
 
-// decidedVersion is the newest version of the rollout's cluster that a node has decided on.
+// decidedVersion returns the newest version of the rollout's cluster on which a node has decided.
 func (r *Rollout) decidedVersion(node configapi.NodeStatus) configapi.Version {
 	if node.Cluster != r.Cluster {
 		return 0
@@ -131,7 +133,7 @@
 	return -1
 }
 
-// stateOf is the state of a node by the report that counts.
+// stateOf returns the state of a node according to its merged report.
 func (r *Rollout) stateOf(node configapi.NodeStatus) RolloutState {
 	switch {
 	case !node.Connected:
--- a/configversion/rollout_test.go
+++ b/configversion/rollout_test.go
@@ -13,7 +13,7 @@
 	return configapi.NodeStatus{Node: name, StartedMS: 1, WatchNumber: watchNumber, Connected: true, Cluster: "c", LastDecided: decided, Applied: decided, Outcome: configapi.Applied}
 }
 
-// The state of a node follows from its report, in all combinations of cluster, version and outcome.
+// The rollout state of a node follows from the connection, cluster, version and outcome in its report.
 func TestRolloutStates(t *testing.T) {
 	rejected := appliedNode("n", 1, 7)
 	rejected.Outcome, rejected.Applied = configapi.Rejected, 6
@@ -29,19 +29,19 @@
 		node configapi.NodeStatus
 		want RolloutState
 	}{
-		"the newest version in force":         {appliedNode("n", 1, 7), RolloutCurrent},
-		"one version behind":                  {appliedNode("n", 1, 6), RolloutLagging},
-		"nothing said yet":                    {configapi.NodeStatus{Node: "n", Connected: true}, RolloutLagging},
-		"rejected the newest":                 {rejected, RolloutRejected},
-		"rejected an older one, lags now":     {rejectedBefore, RolloutLagging},
-		"rejects another cluster":             {foreign, RolloutRejected},
-		"has another cluster, says nothing":   {otherCluster, RolloutLagging},
-		"without a session, whatever it held": {disconnected, RolloutDisconnected},
+		"newest version in force":                    {appliedNode("n", 1, 7), RolloutCurrent},
+		"one version older":                          {appliedNode("n", 1, 6), RolloutLagging},
+		"no decision yet":                            {configapi.NodeStatus{Node: "n", Connected: true}, RolloutLagging},
+		"rejected the newest version":                {rejected, RolloutRejected},
+		"rejected an older version, lags now":        {rejectedBefore, RolloutLagging},
+		"rejects another cluster":                    {foreign, RolloutRejected},
+		"follows another cluster, rejects nothing":   {otherCluster, RolloutLagging},
+		"without a session, newest version in force": {disconnected, RolloutDisconnected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := MergeStatuses([]configapi.ControllerStatus{{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{c.node}}})
 			if got := r.Nodes[0].State; got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("state %s, want %s", got, c.want)
 			}
 			if want := c.want == RolloutCurrent || c.want == RolloutDisconnected; r.Complete() != want {
 				t.Errorf("complete %v, want %v", r.Complete(), want)
@@ -50,22 +50,22 @@
 	}
 }
 
-// A node has moved from one controller to another, and the first one saw the end of its session last. The newer session
-// counts.
+// A node has moved from one controller to another, and the first controller noticed the end of the old session late.
+// The report about the newer session is used.
 func TestRolloutPrefersNewestSession(t *testing.T) {
 	atFirst, atSecond := appliedNode("n", 3, 5), appliedNode("n", 4, 7)
-	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the older session's end was seen later
+	atFirst.LastSeenMS, atFirst.Connected = 9000, false // the end of the older session was noticed later
 	atSecond.LastSeenMS = 8000
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{atFirst}},
 		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{atSecond}}})
 	if len(r.Nodes) != 1 || r.Nodes[0].Controller != "c2" || r.Nodes[0].State != RolloutCurrent {
-		t.Errorf("merged into %+v", r.Nodes)
+		t.Errorf("the merged report is %+v", r.Nodes)
 	}
 }
 
-// A controller that was stalled reads, late, the request of a watch that its node has given up: the node has a higher
-// watch number there, and no session.
+// A controller that was stalled reads the request of a watch that its node has already closed. Its report has a higher
+// watch number, but the node has no session there.
 func TestRolloutPrefersOpenSession(t *testing.T) {
 	open, givenUp, olderProcess := appliedNode("n", 3, 7), appliedNode("n", 4, 6), appliedNode("n", 9, 6)
 	givenUp.Connected, givenUp.LastSeenMS = false, 9000
@@ -75,12 +75,12 @@
 		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{open}},
 		{Name: "c3", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{olderProcess}}})
 	if len(r.Nodes) != 1 || r.Nodes[0].Controller != "c2" || r.Nodes[0].State != RolloutCurrent {
-		t.Errorf("merged into %+v", r.Nodes)
+		t.Errorf("the merged report is %+v", r.Nodes)
 	}
 }
 
-// A node that has opened a second watch and closed it acknowledges by the first one; the controller of the second one
-// may not know yet that it was closed.
+// A node that has opened and closed a second watch acknowledges to the controller of the first one. The controller of
+// the second watch may not know yet that it was closed.
 func TestRolloutPrefersGreaterVersionOfSameProcess(t *testing.T) {
 	first, second := appliedNode("n", 3, 7), appliedNode("n", 4, 6)
 	second.LastSeenMS = 9000
@@ -88,11 +88,12 @@
 		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{first}},
 		{Name: "c2", Cluster: "c", Version: 7, HasLeaderContact: true, Nodes: []configapi.NodeStatus{second}}})
 	if r.Nodes[0].Controller != "c1" || r.Nodes[0].State != RolloutCurrent {
-		t.Errorf("merged into %+v", r.Nodes)
+		t.Errorf("the merged report is %+v", r.Nodes)
 	}
 }
 
-// A controller lags or has lost its leader, and another one belongs to a second cluster: operators must see which.
+// One controller lags, another has lost contact with the leader, and a third belongs to another cluster. Operators must
+// see which controllers these are.
 func TestRolloutListsBehindAndForeignControllers(t *testing.T) {
 	r := MergeStatuses([]configapi.ControllerStatus{
 		{Name: "c1", Cluster: "c", Version: 7, HasLeaderContact: true},
@@ -110,11 +111,11 @@
 		t.Errorf("foreign: %v, want %v", r.ForeignControllers, want)
 	}
 	if r.Complete() {
-		t.Error("complete though controllers are behind")
+		t.Error("the rollout is complete although controllers are behind")
 	}
 }
 
-// The order in which controllers answer changes nothing, and each node is counted once.
+// The result does not depend on the order of the reports, and each node is counted once.
 func TestRolloutDoesNotDependOnReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var statuses []configapi.ControllerStatus
@@ -128,7 +129,7 @@
 				names[name] = true
 				node := appliedNode(name, uint64(rapid.IntRange(1, 4).Draw(t, "session")), configapi.Version(rapid.IntRange(0, 3).Draw(t, "held")))
 				node.StartedMS = int64(rapid.IntRange(1, 2).Draw(t, "started"))
-				node.LastSeenMS = int64(len(statuses)*10 + len(status.Nodes)) // no two the same
+				node.LastSeenMS = int64(len(statuses)*10 + len(status.Nodes)) // no two are equal
 				node.Connected = rapid.Bool().Draw(t, "connected")
 				status.Nodes = append(status.Nodes, node)
 			}
@@ -140,12 +141,13 @@
 		}
 		reordered := MergeStatuses([]configapi.ControllerStatus{statuses[2], statuses[0], statuses[1]})
 		if !reflect.DeepEqual(r.Nodes, reordered.Nodes) {
-			t.Fatalf("the order matters: %+v and %+v", r.Nodes, reordered.Nodes)
+			t.Fatalf("the result depends on the order: %+v and %+v", r.Nodes, reordered.Nodes)
 		}
 	})
 }
 
-// A node opens a second watch while its first one is silent, and closes it when the first one sends heartbeats again.
+// A node opens a second watch while its first one is silent, and closes the second when the first one receives
+// heartbeats again.
 func TestMergeStatusesAfterSecondWatchWasClosed(t *testing.T) {
 	first := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 1, Connected: true, LastSeenMS: 30, Cluster: "c", LastDecided: 9, Applied: 9, Outcome: configapi.Applied}
 	second := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastSeenMS: 20, Cluster: "c", LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
@@ -153,13 +155,13 @@
 		first, second configapi.NodeStatus
 		want          string
 	}{
-		"a version was acknowledged by the first one": {first, second, "one"},
-		"no version has come since": {first, func() configapi.NodeStatus {
+		"a version was acknowledged on the first watch": {first, second, "one"},
+		"no version was published since": {first, func() configapi.NodeStatus {
 			sameVersion := second
 			sameVersion.LastDecided, sameVersion.Applied = 9, 9
 			return sameVersion
 		}(), "one"},
-		"the node has moved to the second one": {func() configapi.NodeStatus {
+		"the node has moved to the second watch": {func() configapi.NodeStatus {
 			closed := first
 			closed.Connected = false
 			return closed
@@ -175,7 +177,7 @@
 				{Name: "two", Cluster: "c", Version: 9, HasLeaderContact: true, Nodes: []configapi.NodeStatus{tc.second}},
 			})
 			if merged.Current != 1 || len(merged.Nodes) != 1 || merged.Nodes[0].Controller != tc.want {
-				t.Errorf("merged into %+v", merged)
+				t.Errorf("the merged report is %+v", merged)
 			}
 		})
 	}
--- a/configversion/sessiondriver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -11,15 +11,15 @@
 
 const ms = time.Millisecond
 
-// tester is what a driver needs of a test, *rapid.T among them.
+// tester is the part of testing.TB that a driver needs. *rapid.T implements it, too.
 type tester interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// driver runs a session against controllers that a test simulates: it advances the time to where the session wants to
-// be called, and records the session's actions.
+// driver runs a session against controllers that a test simulates. It advances virtual time, calls the session when it
+// is due, and records the session's actions.
 type driver struct {
 	t         tester
 	session   *Session
@@ -41,7 +41,7 @@
 	return &driver{t: t, session: NewSession(options, 0), open: map[uint64]OpenWatch{}}
 }
 
-// step passes an event to the session at the present time.
+// step passes an event to the session at the current virtual time.
 func (d *driver) step(event SessionEvent) {
 	d.t.Helper()
 	switch e := event.(type) {
@@ -58,17 +58,17 @@
 			d.openedAt = append(d.openedAt, d.now)
 		case CloseWatch:
 			if _, isOpen := d.open[a.Watch]; !isOpen {
-				d.t.Fatalf("it closes watch %d, which is not open", a.Watch)
+				d.t.Fatalf("the session closes watch %d, which is not open", a.Watch)
 			}
 			delete(d.open, a.Watch)
 		case ApplyConfig:
 			if d.applying != nil {
-				d.t.Fatal("it applies two versions at once")
+				d.t.Fatal("the session applies two versions at once")
 			}
 			d.applying = &a
 		case SendAck:
 			if d.ack != nil {
-				d.t.Fatal("it sends two acknowledgements at once")
+				d.t.Fatal("the session sends two acknowledgements at once")
 			}
 			d.ack = &a
 			d.acks = append(d.acks, a.Ack)
@@ -79,12 +79,12 @@
 		}
 	}
 	if next := d.session.Next(); next <= d.now {
-		d.t.Fatalf("at %v it wants to be called at %v", d.now, next)
+		d.t.Fatalf("at %v, the session's next wake-up is already due at %v", d.now, next)
 	}
 }
 
-// advanceUntil advances the time, with ticks where the session wants them, until a condition holds or the end is
-// reached.
+// advanceUntil advances the time, with a Tick whenever the session is due, until a condition holds or the end is
+// reached. It reports whether the condition holds.
 func (d *driver) advanceUntil(end time.Duration, condition func() bool) bool {
 	d.t.Helper()
 	for !condition() {
@@ -98,13 +98,13 @@
 	return true
 }
 
-// advance advances the time, with ticks where the session wants them.
+// advance advances the time by a duration, with a Tick whenever the session is due.
 func (d *driver) advance(duration time.Duration) {
 	d.t.Helper()
 	d.advanceUntil(d.now+duration, func() bool { return false })
 }
 
-// advanceWithHeartbeats advances the time with heartbeats on a watch.
+// advanceWithHeartbeats advances the time by a duration, with heartbeats on a watch.
 func (d *driver) advanceWithHeartbeats(watch uint64, duration time.Duration) {
 	d.t.Helper()
 	for end := d.now + duration; d.now < end; {
@@ -118,7 +118,7 @@
 	d.t.Helper()
 	openedBefore := len(d.opened)
 	if !d.advanceUntil(d.now+timeout, func() bool { return len(d.opened) > openedBefore }) {
-		d.t.Fatalf("no watch within %v", timeout)
+		d.t.Fatalf("no watch was opened within %v", timeout)
 	}
 	return d.opened[openedBefore]
 }
@@ -128,21 +128,21 @@
 	d.step(WatchUpdated{watch, u})
 }
 
-// finishApply finishes the apply in progress.
+// finishApply ends the apply in progress; rejection nil: the configuration is applied.
 func (d *driver) finishApply(rejection *configapi.Rejection) {
 	d.t.Helper()
 	if d.applying == nil {
-		d.t.Fatal("nothing is applied")
+		d.t.Fatal("no version is being applied")
 	}
 	d.applying = nil
 	d.step(ApplyFinished{Rejection: rejection})
 }
 
-// finishAck finishes the acknowledgement in flight.
+// finishAck ends the acknowledgement in flight.
 func (d *driver) finishAck(accepted bool) {
 	d.t.Helper()
 	if d.ack == nil {
-		d.t.Fatal("nothing is acknowledged")
+		d.t.Fatal("no acknowledgement is in flight")
 	}
 	d.ack = nil
 	d.step(AckFinished{accepted})
@@ -154,12 +154,12 @@
 	return &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}
 }
 
-// versionUpdate is an update with a version that sets the service's configuration.
+// versionUpdate returns an update with a version that sets the service's configuration.
 func versionUpdate(cluster configapi.Cluster, n int) configapi.Update {
 	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), HasLeaderContact: true}
 }
 
-// emptyUpdate is an update of a cluster without a version.
+// emptyUpdate returns an update of a cluster that has no version yet.
 func emptyUpdate(cluster configapi.Cluster) configapi.Update {
 	return configapi.Update{Cluster: cluster, HasLeaderContact: true}
 }
@@ -174,7 +174,7 @@
 	return addresses
 }
 
-// newConnectedDriver is a driver whose session has a live watch.
+// newConnectedDriver returns a driver whose session has a live watch, and that watch.
 func newConnectedDriver(t testing.TB, options SessionOptions) (*driver, OpenWatch) {
 	t.Helper()
 	if options.Controllers == nil {
--- a/configversion/sessionproperty_test.go
+++ b/configversion/sessionproperty_test.go
@@ -11,18 +11,18 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// clusterHistory is the history of a cluster: which version set the service's configuration, and which clusters it
-// replaces from which version on.
+// clusterHistory is the history of a cluster: for each version, which version last set the service's configuration, and
+// from which version on the cluster replaces other clusters.
 type clusterHistory struct {
 	cluster        configapi.Cluster
-	configVersions []int // by version, from 1: the version that set the service's configuration; 0: none
+	configVersions []int // configVersions[v-1]: which version set the service's configuration as of version v; 0: none
 	invalid        map[int]bool
-	replaces       map[configapi.Cluster]int // from which version on
+	replaces       map[configapi.Cluster]int // the version from which on this cluster replaces the other
 }
 
 func (h *clusterHistory) newest() int { return len(h.configVersions) }
 
-// publish adds a version.
+// publish adds a version. setsConfig: it sets the service's configuration; invalid: nodes reject that configuration.
 func (h *clusterHistory) publish(setsConfig, invalid bool) {
 	configVersion := 0
 	if n := h.newest(); n > 0 {
@@ -35,7 +35,7 @@
 	h.configVersions = append(h.configVersions, configVersion)
 }
 
-// update is the update of a controller that has the first n versions.
+// update returns the update from a controller that has the first n versions.
 func (h *clusterHistory) update(n int, withConfig bool) configapi.Update {
 	u := configapi.Update{Cluster: h.cluster, Version: configapi.Version(n), HasLeaderContact: true}
 	for cluster, fromVersion := range h.replaces {
@@ -57,14 +57,14 @@
 	return &configapi.ServiceConfig{Settings: fmt.Appendf(nil, `"%s%d"`, cluster, configVersion)}
 }
 
-// sessionModel is a session between two clusters whose updates come late, twice and in any order.
+// sessionModel is a session that receives updates of two clusters, late, repeatedly and in any order.
 type sessionModel struct {
 	*driver
 	clusters             []*clusterHistory
-	appliedSettings      string                                  // the settings that the node has
-	newestDecided        map[configapi.Cluster]configapi.Version // the newest version tried or answered
-	followedClusters     []configapi.Cluster                     // those that were followed
-	checkedDecisionCount int                                     // that were checked
+	appliedSettings      string                                  // the settings in force at the node
+	newestDecided        map[configapi.Cluster]configapi.Version // the newest version applied or rejected
+	followedClusters     []configapi.Cluster                     // in the order in which the node followed them
+	checkedDecisionCount int                                     // how many of driver.decisions were checked
 }
 
 func newSessionModel(t *rapid.T) *sessionModel {
@@ -80,13 +80,13 @@
 	return m.clusters[slices.IndexFunc(m.clusters, func(h *clusterHistory) bool { return h.cluster == name })]
 }
 
-// completeApply finishes the apply in progress, as a node would.
+// completeApply ends the apply in progress as a node would: it rejects invalid configurations and applies the others.
 func (m *sessionModel) completeApply() {
 	a := *m.applying
 	history := m.cluster(a.Cluster)
 	configVersion := history.configVersions[a.Version-1]
 	if want := clusterConfig(a.Cluster, configapi.Version(configVersion)); string(a.Config.Settings) != string(want.Settings) {
-		m.t.Fatalf("version %d of %s is tried with %s, want %s", a.Version, a.Cluster, a.Config.Settings, want.Settings)
+		m.t.Fatalf("version %d of %s is applied with settings %s, want %s", a.Version, a.Cluster, a.Config.Settings, want.Settings)
 	}
 	if history.invalid[configVersion] {
 		m.finishApply(invalidRejection)
@@ -96,22 +96,23 @@
 	m.finishApply(nil)
 }
 
-// checkDecisions checks what holds after each event.
+// checkDecisions checks the decisions since the last call and the number of open watches. It is called after each
+// event.
 func (m *sessionModel) checkDecisions() {
 	for _, a := range m.driver.decisions[m.checkedDecisionCount:] {
 		if a.Rejection != nil && a.Rejection.Kind == configapi.RejectForeign {
 			if a.Cluster == m.session.Cluster() && m.session.LastDecided() >= a.Version {
-				m.t.Fatalf("it calls its own cluster %s foreign", a.Cluster)
+				m.t.Fatalf("the session rejects version %d of the cluster that it follows, %s, as foreign", a.Version, a.Cluster)
 			}
 			continue
 		}
 		if a.Version <= m.newestDecided[a.Cluster] {
-			m.t.Fatalf("it goes back from version %d of %s to %d", m.newestDecided[a.Cluster], a.Cluster, a.Version)
+			m.t.Fatalf("after version %d of %s, the session decides on the older version %d", m.newestDecided[a.Cluster], a.Cluster, a.Version)
 		}
 		m.newestDecided[a.Cluster] = a.Version
 		m.checkClusterSwitch(a)
 		if a.Outcome == configapi.Applied && a.Applied != a.Version || a.Outcome == configapi.Rejected && a.Applied >= a.Version {
-			m.t.Fatalf("it answers %+v", a)
+			m.t.Fatalf("outcome and applied version contradict each other: %+v", a)
 		}
 	}
 	m.checkedDecisionCount = len(m.driver.decisions)
@@ -120,12 +121,13 @@
 	}
 }
 
-// joined checks that a cluster is followed only if it is the first, or an operator has handed the one before to it.
+// checkClusterSwitch checks that the session switches to another cluster only after an operator has confirmed that it
+// replaces the current one. The first cluster needs no confirmation.
 func (m *sessionModel) checkClusterSwitch(a VersionDecided) {
 	if n := len(m.followedClusters); n > 0 && m.followedClusters[n-1] != a.Cluster {
 		fromVersion, confirmed := m.cluster(a.Cluster).replaces[m.followedClusters[n-1]]
 		if !confirmed || int(a.Version) < fromVersion {
-			m.t.Fatalf("it leaves %s for %s, which nobody has confirmed", m.followedClusters[n-1], a.Cluster)
+			m.t.Fatalf("the session switches from %s to %s without an operator's confirmation", m.followedClusters[n-1], a.Cluster)
 		}
 	}
 	if n := len(m.followedClusters); n == 0 || m.followedClusters[n-1] != a.Cluster {
@@ -133,7 +135,8 @@
 	}
 }
 
-// deliverUntilIdle sends updates of one cluster until there is nothing left to do.
+// deliverUntilIdle sends the newest update of one cluster repeatedly, and completes applies and acknowledgements, for
+// long enough that nothing is left to do.
 func (m *sessionModel) deliverUntilIdle(history *clusterHistory) {
 	for range 200 {
 		switch {
@@ -153,14 +156,14 @@
 	}
 }
 
-// Updates of two clusters come twice, late and in any order, watches end and acknowledgements get lost. The node never
-// goes back to an older version, follows another cluster only on an operator's confirmation, applies what a version
-// says, and in the end has applied and acknowledged the newest version.
+// Updates of two clusters arrive late, repeatedly and in any order, watches end, and acknowledgements are lost. The
+// node never reverts to an older version, switches to another cluster only on an operator's confirmation, applies the
+// configuration that belongs to a version, and in the end has decided on and acknowledged the newest version.
 func TestSessionNeverAppliesOlderVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newSessionModel(t)
 		anyWatch := func() uint64 {
-			ids := []uint64{0} // a watch that is not there
+			ids := []uint64{0} // a watch that does not exist
 			for id := range m.open {
 				ids = append(ids, id)
 			}
@@ -171,7 +174,7 @@
 			"publish": func(t *rapid.T) {
 				rapid.SampledFrom(m.clusters).Draw(t, "cluster").publish(rapid.Bool().Draw(t, "names"), rapid.IntRange(0, 4).Draw(t, "bad") == 0)
 			},
-			"hand over": func(t *rapid.T) {
+			"operator confirms replacement": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "to")
 				to, from := m.clusters[i], m.clusters[1-i]
 				if _, isConfirmed := to.replaces[from.cluster]; !isConfirmed {
@@ -211,7 +214,8 @@
 	}
 }
 
-// checkFinalState sends updates of the followed cluster alone, and checks that its newest version is decided and acknowledged.
+// checkFinalState sends only updates of the cluster that the node follows, and checks that its newest version is
+// decided and acknowledged.
 func (m *sessionModel) checkFinalState() {
 	m.completeApplyIfAny()
 	history := m.clusters[0]
@@ -223,20 +227,20 @@
 		return
 	}
 	if int(m.session.LastDecided()) != history.newest() {
-		m.t.Fatalf("it has answered %d of %s, the newest is %d", m.session.LastDecided(), history.cluster, history.newest())
+		m.t.Fatalf("the last decided version of %s is %d, the newest is %d", history.cluster, m.session.LastDecided(), history.newest())
 	}
 	if m.ack != nil || len(m.session.ackQueue.pending) > 0 {
-		m.t.Fatalf("%d acknowledgements wait", len(m.session.ackQueue.pending))
+		m.t.Fatalf("%d acknowledgements are still pending", len(m.session.ackQueue.pending))
 	}
 	applied := m.session.Applied()
 	if applied == 0 || history.configVersions[applied-1] == 0 {
 		return
 	}
 	if want := string(clusterConfig(history.cluster, configapi.Version(history.configVersions[applied-1])).Settings); m.appliedSettings != want {
-		m.t.Fatalf("version %d of %s is said to be in force, which has %s; the node has %s", applied, history.cluster, want, m.appliedSettings)
+		m.t.Fatalf("version %d of %s is reported to be in force, which has settings %s; the node has settings %s", applied, history.cluster, want, m.appliedSettings)
 	}
 	if string(m.persisted.Config.Settings) != m.appliedSettings || m.persisted.Version != applied {
-		m.t.Fatalf("persisted %+v, in force is %d with %s", m.persisted, applied, m.appliedSettings)
+		m.t.Fatalf("persisted %+v, but version %d with settings %s is in force", m.persisted, applied, m.appliedSettings)
 	}
 	newest := slices.MaxFunc(m.acks, func(x, y configapi.Acknowledgement) int {
 		return int(x.Version) - int(y.Version) + 1000*(boolInt(x.Cluster == history.cluster)-boolInt(y.Cluster == history.cluster))
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -7,32 +7,32 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// watchState is the state of a watch. The Session changes it: a watch is opening from openWatch on, live from its first
-// update on, and silent or live again by the time of its last byte. A watch that is closed, rejected or ended is
-// removed from the set and has no state.
+// watchState is the state of a watch. A watch is opening until its first update is complete, and then live or silent,
+// depending on the time since its last byte. A watch that was closed or rejected, or that has ended, is removed from
+// the set and has no state.
 type watchState int
 
 const (
-	watchOpening watchState = iota // its first update has not come
-	watchLive                      // it has an update, and bytes keep coming: it is the main watch
-	watchSilent                    // no byte within its silence timeout: others are opened beside it
+	watchOpening watchState = iota // no complete update has arrived yet
+	watchLive                      // updates have arrived, and bytes keep arriving: this is the main watch
+	watchSilent                    // no byte arrived within the silence timeout: other watches are opened in parallel
 )
 
-// watch is one open call for updates.
+// watch is one open watch, which is a long-running call for updates at a controller.
 type watch struct {
 	number          uint64
 	address         string // of the controller, HOST:PORT
 	openedAt        time.Duration
 	silenceTimeout  time.Duration // see watchsilence.go
-	lastActivityAt  time.Duration // the last byte
-	updateStartedAt time.Duration // when the update that is arriving began; 0: none is
-	updated         bool          // its first update has come
-	current         bool          // its last update says that the controller has a leader
-	foreign         bool          // its last update was of a cluster that the node does not follow
-	outdated        bool          // its last update was older than what the node has decided
+	lastActivityAt  time.Duration // when the last byte arrived
+	updateStartedAt time.Duration // when the incomplete update began to arrive; 0: there is none
+	updated         bool          // a complete update has arrived
+	current         bool          // according to the last update, the controller is in contact with a leader
+	foreign         bool          // the last update was from a cluster that the node does not follow
+	outdated        bool          // the last update was older than the node's last decision
 }
 
-// state is the watch's state at a time.
+// state returns the watch's state at time now.
 func (w *watch) state(now time.Duration) watchState {
 	switch {
 	case !w.updated:
@@ -43,10 +43,11 @@
 	return watchLive
 }
 
-// deliversNewest reports that a watch brings the newest versions of the node's cluster as soon as they are committed.
+// deliversNewest reports whether the watch delivers the newest versions of the node's cluster as soon as they are
+// committed.
 func (w *watch) deliversNewest() bool { return w.current && !w.foreign && !w.outdated }
 
-// reconcileWatches opens and closes watches as the rules want it now, and sets the time of the next look.
+// reconcileWatches opens and closes watches as the current state requires, and schedules the next wake-up.
 func (s *Session) reconcileWatches() {
 	set := &s.watches
 	if !set.mainIsLive(s.now) {
@@ -69,8 +70,8 @@
 	}
 }
 
-// watchUpdated handles a complete update: it refreshes the watch, lets a first update choose the main watch, and passes
-// the version on to version acceptance.
+// watchUpdated handles a complete update: it updates the watch, chooses the main watch if this is the watch's first
+// update, and passes the version to version acceptance.
 func (s *Session) watchUpdated(e WatchUpdated) {
 	w := s.watches.find(e.Watch)
 	if w == nil {
@@ -114,7 +115,8 @@
 	s.probeFailed(w)
 }
 
-// openWatch opens a watch at an address. Its request says what the node has decided and has in force.
+// openWatch opens a watch at an address. Its request contains the version that the node has last decided and the one
+// that is in force.
 func (s *Session) openWatch(address string) *watch {
 	set := &s.watches
 	v := &s.versions
@@ -151,7 +153,7 @@
 	s.emit(CloseWatch{w.number})
 }
 
-// closeOpeningExcept closes the watches in state watchOpening, except those at one address.
+// closeOpeningExcept closes all watches in state watchOpening, except those at exceptAddress.
 func (s *Session) closeOpeningExcept(exceptAddress string) {
 	for _, w := range s.watches.opening() {
 		if w.address != exceptAddress {
--- a/configversion/watchmigration_test.go
+++ b/configversion/watchmigration_test.go
@@ -6,7 +6,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A node that is asked to migrate has its new watch before it closes the old one.
+// A node that is asked to migrate closes its old watch only after the new one has received an update.
 func TestMigrationOpensNewWatchBeforeClosingOld(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	move := emptyUpdate("x")
@@ -14,16 +14,16 @@
 	d.update(first.Watch, move)
 	second := d.opened[len(d.opened)-1]
 	if second.Address != "m:1" || len(d.open) != 2 {
-		t.Fatalf("%d open, the last at %s", len(d.open), second.Address)
+		t.Fatalf("%d watches are open, the last one at %s", len(d.open), second.Address)
 	}
 	d.update(second.Watch, emptyUpdate("x"))
 	if _, isOpen := d.open[first.Watch]; isOpen || d.session.Controller() != "m:1" {
-		t.Error("it has not migrated")
+		t.Error("the session has not migrated")
 	}
 }
 
-// The target of a migration ends the watch, rejects it or does not answer. The node stays where it is, ignores the next
-// request, and tries again later.
+// The target of a migration ends the watch, rejects it or does not respond. The node keeps its controller, ignores the
+// next request, and follows a later one.
 func TestFailedMigrationIsNotRetriedImmediately(t *testing.T) {
 	for name, fail := range map[string]func(d *driver, w uint64){
 		"ended":     func(d *driver, w uint64) { d.step(WatchEnded{w}) },
@@ -38,7 +38,7 @@
 			fail(d, d.opened[1].Watch)
 			d.update(first.Watch, move)
 			if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
-				t.Errorf("%d open, %d opened, at %s", len(d.open), len(d.opened), d.session.Controller())
+				t.Errorf("%d watches are open, %d were opened, the main one is at %s", len(d.open), len(d.opened), d.session.Controller())
 			}
 			d.advanceWithHeartbeats(first.Watch, migrationRetryDelay)
 			d.update(first.Watch, move)
--- a/configversion/watchopening.go
+++ b/configversion/watchopening.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// Opening of watches: without a live watch the node opens one, and after the open timeout another one beside it at
-// another controller (a hedged watch), until one of them brings its first update. Jitter and backoff guard against a
-// reconnect storm: nodes that start, or lose a controller, at the same time would overload those that are left, time
-// out together and come back together. It shows as controllers with many rejected watches and few sessions.
+// Opening of watches: without a live watch, the node opens one. If it receives no update within the open timeout, it
+// opens another watch (a hedged watch) at another controller in parallel, and so on until one of them receives its
+// first update. Jitter and backoff prevent a reconnect storm, in which nodes that start or lose a controller at the
+// same time overload the remaining controllers, time out together and reconnect together. Such a storm is visible as
+// controllers with many rejected watches and few sessions.
 
 const (
-	// InitialConnectJitter is the span within which nodes that start together open their first watch.
+	// InitialConnectJitter is the interval over which nodes that start together spread their first watches.
 	InitialConnectJitter = time.Second
-	// reconnectJitter is the span within which nodes that lose a controller together open their next watch.
+	// reconnectJitter is the interval over which nodes that lose a controller together spread their next watches.
 	reconnectJitter = 400 * time.Millisecond
 
-	// openTimeout is how long a watch may take until its first update before another one is opened beside it. See
+	// openTimeout is how long a node waits for the first update of a watch before it opens another one in parallel. See
 	// watchsilence.go for the time budget.
 	openTimeout = 600 * time.Millisecond
-	// maxOpenTimeout is the longest open timeout. Controllers that are slow because they are overloaded must get less
-	// load, not the same watches again; but a version has to arrive within 3 s of the moment when they recover.
+	// maxOpenTimeout is the longest open timeout. The timeout grows so that controllers that are slow because of
+	// overload get less load instead of the same watches again. It is limited because a version has to arrive within 3
+	// s of the controllers' recovery.
 	maxOpenTimeout = 1500 * time.Millisecond
-	// maxOpenTimeoutDoublings bounds the shift in currentOpenTimeout; the maximum is reached long before.
+	// maxOpenTimeoutDoublings bounds the shift in currentOpenTimeout. The maximum is reached after fewer doublings.
 	maxOpenTimeoutDoublings = 8
-	// maxOpening is how many watches are in state watchOpening at once; the oldest is closed for a newer one. It bounds
-	// what one node asks of controllers that accept connections and do not answer.
+	// maxOpening is how many watches may be in state watchOpening at once; the oldest is closed before another one is
+	// opened. It bounds the load that one node puts on controllers that accept connections but do not respond.
 	maxOpening = 3
 
-	// openInitialBackoff is the delay after the first failure in a row.
+	// openInitialBackoff is the delay after the first of several consecutive failures.
 	openInitialBackoff = 100 * time.Millisecond
-	// openMaxBackoff is the longest delay. A partition may end at any moment, and a version has to arrive within 3 s of
-	// that.
+	// openMaxBackoff is the longest delay. A partition may end at any moment, and a version has to arrive within 3 s
+	// after that.
 	openMaxBackoff = 1500 * time.Millisecond
 )
 
-// currentOpenTimeout is the open timeout: it doubles after each maxOpening watches in a row that exceeded it, up to
-// maxOpenTimeout.
+// currentOpenTimeout returns the open timeout. It doubles after every maxOpening consecutive watches that exceeded it,
+// up to maxOpenTimeout.
 func (s *watchSet) currentOpenTimeout() time.Duration {
-	doublings := min(s.openTimeouts/maxOpening, maxOpenTimeoutDoublings)
+	doublings := min(s.openTimeoutCount/maxOpening, maxOpenTimeoutDoublings)
 	return min(openTimeout<<doublings, maxOpenTimeout)
 }
 
-// connect opens a watch while none is live: the first after nextOpenAt, and another one whenever the youngest exceeds
-// the open timeout.
+// connect opens watches while none is live: one as soon as nextOpenAt is reached, and another one whenever the newest
+// exceeds the open timeout.
 func (s *Session) connect() {
 	set := &s.watches
 	opening := set.opening()
@@ -56,7 +58,7 @@
 		return
 	}
 	if len(opening) > 0 {
-		set.openTimeouts++
+		set.openTimeoutCount++
 	}
 	if len(opening) >= maxOpening {
 		s.closeWatch(opening[0])
@@ -66,8 +68,8 @@
 	s.wakeAt(w.openedAt + set.currentOpenTimeout())
 }
 
-// probe opens a watch beside the live main watch, one at a time, and closes it after openTimeout without an update. The
-// node has a watch, so that there is no reason to wait longer for a better one.
+// probe opens a watch in addition to the live main watch, one at a time, and closes it if no update arrives within
+// openTimeout. The node has a live watch, so it has no reason to wait longer for a better one.
 func (s *Session) probe(address string) {
 	set := &s.watches
 	opening := set.opening()
@@ -86,7 +88,8 @@
 	s.probeFailed(w)
 }
 
-// probeFailed postpones the migration, or the next step of the search, that a failed watch was opened for.
+// probeFailed handles a probe that failed. If it was for a migration, the node ignores migration requests for
+// migrationRetryDelay; if it was part of a search, the next step of the search is delayed.
 func (s *Session) probeFailed(w *watch) {
 	set := &s.watches
 	if w.address == set.migrateTo {
@@ -97,9 +100,9 @@
 	}
 }
 
-// reopenForConfig closes a watch whose controller left out a configuration that the node does not have, and lets
-// connect open another one: its request says what the node has. The backoff guards against a controller that never
-// sends it.
+// reopenForConfig closes a watch whose controller omitted a configuration that the node does not have, so that connect
+// opens another one. The request of the new watch tells the controller which version the node has. Backoff limits the
+// rate if a controller never sends the configuration.
 func (s *Session) reopenForConfig(number uint64) {
 	set := &s.watches
 	w := set.find(number)
--- a/configversion/watchopening_test.go
+++ b/configversion/watchopening_test.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A whole fleet is restarted at once. If all nodes connected in the same moment, to the same controller, it would
-// reject most of them: their first watches are spread over a second and over the controllers.
+// A whole fleet is restarted at once. If all nodes connected to the same controller at the same moment, it would reject
+// most of them. Their first watches are therefore spread over a second and over the controllers.
 func TestFirstWatchesAreJittered(t *testing.T) {
 	const nodes = 700
 	perController := map[string]int{}
@@ -21,26 +21,26 @@
 	}
 	for address, n := range perController {
 		if n < nodes/3-60 || n > nodes/3+60 {
-			t.Errorf("%d of %d at %s", n, nodes, address)
+			t.Errorf("%d of %d first watches are at %s", n, nodes, address)
 		}
 	}
 	for i, n := range perTenth {
 		if n < nodes/10-35 || n > nodes/10+35 {
-			t.Errorf("%d of %d in tenth %d of the second", n, nodes, i)
+			t.Errorf("%d of %d first watches are in tenth %d of the interval", n, nodes, i)
 		}
 	}
 }
 
-// No controller can be reached for a minute. A node must neither hammer them nor back off for so long that it misses
-// the moment when one comes back: it opens a watch at least every 1.5 s, and not much more often.
+// No controller can be reached for a minute. The node must not overload the controllers with watches, and must notice
+// soon when one recovers: it opens a watch at least every 1.5 s, and not much more often.
 func TestOpenBackoffIsBounded(t *testing.T) {
 	for name, fail := range map[string]func(d *driver){
-		"ended at once": func(d *driver) {
+		"ended immediately": func(d *driver) {
 			for id := range d.open {
 				d.step(WatchEnded{id})
 			}
 		},
-		"no answer at all": func(*driver) {},
+		"no response": func(*driver) {},
 		"no capacity": func(d *driver) {
 			for id := range d.open {
 				d.step(WatchRejected{id, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: threeControllers}})
@@ -63,32 +63,33 @@
 	}
 }
 
-// A controller dies, and its watches end. The next watch opens within 400 ms, at another controller.
+// A controller crashes, and its watches end. The next watch opens within 400 ms, at another controller.
 func TestLostWatchReopensElsewhere(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	d.step(WatchEnded{first.Watch})
 	if w := d.nextWatch(reconnectJitter); w.Address == first.Address {
-		t.Error("the watch is at the controller that was just lost")
+		t.Error("the next watch is at the controller that was just lost")
 	}
 }
 
-// A controller leaves out a configuration because it assumes that it is applied, but the node does not have it. The
-// node reopens the watch, which says what it has, and backs off if that does not help.
+// A controller omits a configuration because it assumes that the node has applied it, but the node does not have it.
+// The node opens a new watch, whose request contains the applied version, and backs off if the configuration still does
+// not arrive.
 func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	for range 100 {
 		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
 		if _, isOpen := d.open[w.Watch]; isOpen || d.session.Applied() != 0 {
-			t.Fatal("the watch stays open")
+			t.Fatalf("the watch is still open, or a version is in force: version %d", d.session.Applied())
 		}
 		w = d.nextWatch(openMaxBackoff)
 	}
 	if d.now < 60*time.Second {
-		t.Errorf("100 watches in %v", d.now)
+		t.Errorf("100 watches were opened within %v", d.now)
 	}
 	d.update(w.Watch, versionUpdate("x", 7))
 	d.finishApply(nil)
 	if d.session.Applied() != 7 {
-		t.Errorf("%d is in force", d.session.Applied())
+		t.Errorf("version %d is in force", d.session.Applied())
 	}
 }
--- a/configversion/watchset.go
+++ b/configversion/watchset.go
@@ -7,29 +7,29 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// location is where a node or a controller stands. Names that are empty are not known.
+// location is the location of a node or a controller. An empty name means unknown.
 type location struct{ Region, Zone string }
 
-// watchSet holds the open watches of a session. The main watch is the one whose controller the node takes versions from
-// and sends acknowledgements to. Others are opened beside it only while it is silent or does not bring the newest
-// versions, or when its controller asks the node to migrate.
+// watchSet holds the open watches of a session. The node receives versions through the main watch, and sends
+// acknowledgements to its controller. It opens further watches only while the main watch is silent or does not deliver
+// the newest versions, or when its controller asks the node to migrate.
 type watchSet struct {
-	location            location // the node's own
+	location            location // of the node
 	configuredAddresses []string
-	clusterControllers  []configapi.ControllerAddress // the cluster's controllers, as it last named them
+	clusterControllers  []configapi.ControllerAddress // the controllers last named by the cluster
 	open                []*watch                      // the oldest first
 	main                *watch                        // nil: none
 	lastNumber          uint64
 
-	nextOpenAt            time.Duration            // without a live watch, none is opened before
-	consecutiveFailures   int                      // of watches, since the last that became main
-	consecutiveReopens    int                      // for a missing configuration, since the last decision
-	openTimeouts          int                      // watches over their open timeout, since the last that became main
-	consecutiveRejections uint64                   // of watches, since the last that became main
+	nextOpenAt            time.Duration            // the earliest time to open a watch while none is live
+	consecutiveFailures   int                      // failed watches since the main watch was last set
+	consecutiveReopens    int                      // watches reopened for a missing configuration since the last decision
+	openTimeoutCount      int                      // watches that exceeded the open timeout since the main watch was last set
+	consecutiveRejections uint64                   // rejected watches since the main watch was last set
 	avoidedUntil          map[string]time.Duration // by address
-	redirects             []string                 // where the last rejection sent the node, the best first
+	redirects             []string                 // alternatives named by the last rejection, the best first
 
-	migrateTo           string // address that the main watch's controller asks to migrate to; "": none
+	migrateTo           string // the target of the requested migration; "": none
 	migrationsAllowedAt time.Duration
 	nextSearchAt        time.Duration // 0: no search is in progress
 	probedAddresses     []string      // in this round
@@ -44,7 +44,7 @@
 	}
 }
 
-// find returns the open watch of a number; nil: there is none.
+// find returns the open watch with a number, or nil.
 func (s *watchSet) find(number uint64) *watch {
 	for _, w := range s.open {
 		if w.number == number {
@@ -58,7 +58,7 @@
 	return slices.ContainsFunc(s.open, func(w *watch) bool { return w.address == address })
 }
 
-// opening are the watches in state watchOpening, the oldest first.
+// opening returns the watches in state watchOpening, the oldest first.
 func (s *watchSet) opening() (opening []*watch) {
 	for _, w := range s.open {
 		if !w.updated {
@@ -68,7 +68,7 @@
 	return opening
 }
 
-// mainIsLive reports whether there is a main watch and it is not silent.
+// mainIsLive reports whether there is a main watch that is not silent.
 func (s *watchSet) mainIsLive(now time.Duration) bool {
 	return s.main != nil && s.main.state(now) == watchLive
 }
--- a/configversion/watchsilence_test.go
+++ b/configversion/watchsilence_test.go
@@ -7,8 +7,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A controller hangs, and its connections stay open. The node opens a second watch beside the silent one after 1.0 to
-// 1.2 s, and closes the silent one when the second brings an update.
+// A controller hangs, and its connections stay open. The node opens a second watch after 1.0 to 1.2 s of silence, and
+// closes the silent one when the second watch receives an update.
 func TestSilentWatchIsHedged(t *testing.T) {
 	for seed := range uint64(50) {
 		d, first := newConnectedDriver(t, SessionOptions{Seed: seed})
@@ -16,14 +16,14 @@
 		silentSince := d.now
 		second := d.nextWatch(configapi.SilenceTimeout)
 		if delay := d.now - silentSince; delay < configapi.SilenceTimeout-silenceJitter {
-			t.Errorf("a second watch after %v", delay)
+			t.Errorf("the second watch opened after %v of silence", delay)
 		}
 		if second.Address == first.Address || len(d.open) != 2 {
-			t.Errorf("a second watch at %s beside %s, %d open", second.Address, first.Address, len(d.open))
+			t.Errorf("the second watch is at %s, the first at %s, and %d are open", second.Address, first.Address, len(d.open))
 		}
 		d.update(second.Watch, versionUpdate("x", 1))
 		if _, isOpen := d.open[first.Watch]; isOpen || len(d.open) != 1 || d.session.Controller() != second.Address {
-			t.Errorf("%d watches open, the main one at %s", len(d.open), d.session.Controller())
+			t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 		}
 		if d.applying == nil {
 			t.Error("the version is not applied")
@@ -31,8 +31,8 @@
 	}
 }
 
-// A version is published just as the controller stalls, and the next controller that the node tries has stalled with
-// it. The version still has to be in force within 3 s: the node starts to apply it within 2.5 s.
+// A version is published just as the node's controller and the next one that it tries stall. The version still has to
+// be in force within 3 s, so the node starts to apply it within 2.5 s.
 func TestTwoStalledControllers(t *testing.T) {
 	const maxDelay = 2500 * ms
 	for seed := range uint64(200) {
@@ -43,23 +43,24 @@
 		third := d.nextWatch(maxDelay)
 		d.update(third.Watch, versionUpdate("x", 1))
 		if delay := d.now - published; d.applying == nil || delay > maxDelay {
-			t.Fatalf("seed %d: applied after %v", seed, delay)
+			t.Fatalf("seed %d: the version arrived after %v, being applied: %v", seed, delay, d.applying != nil)
 		}
 	}
 }
 
-// A controller is silent for a moment and then sends heartbeats again. The node stays with it and closes the watch that
-// it has opened beside it.
+// A controller is silent for a moment and then sends heartbeats again. The node stays with it, and closes the second
+// watch that it has opened in the meantime.
 func TestSilentWatchRecovers(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	second := d.nextWatch(configapi.SilenceTimeout)
 	d.step(WatchActivity{Watch: first.Watch})
 	if _, isOpen := d.open[second.Watch]; isOpen || d.session.Controller() != first.Address {
-		t.Errorf("%d watches open, the main one at %s", len(d.open), d.session.Controller())
+		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 	}
 }
 
-// A controller begins an update and trickles it for ever. Bytes keep coming, but the watch counts as silent.
+// A controller starts an update and sends it byte by byte without ever completing it. The watch counts as silent,
+// although bytes keep arriving.
 func TestIncompleteUpdateCountsAsSilence(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	updateStartedAt := d.now
@@ -68,6 +69,6 @@
 		d.advance(100 * ms)
 	}
 	if len(d.open) < 2 || d.openedAt[1]-updateStartedAt > configapi.SilenceTimeout {
-		t.Errorf("%d watches open", len(d.open))
+		t.Errorf("%d watches are open", len(d.open))
 	}
 }
