--- a/cmd/hookwalk/controller_test.go
+++ b/cmd/hookwalk/controller_test.go
@@ -65,7 +65,7 @@
 	if err := controller.Wait(); err != nil {
 		t.Errorf("the controller's end: %v", err)
 	}
-	if code, said, _ := runToEnd(t, programCommand(t, "", "config", "status", "--controllers", addresses[0])); code != 1 || !strings.Contains(said, "does not answer") {
+	if code, said, _ := runToEnd(t, programCommand(t, "", "config", "status", "--controllers", addresses[0])); code != 1 || !strings.Contains(said, "no valid response from controller "+addresses[0]) {
 		t.Errorf("status without a controller: exit %d, %s", code, said)
 	}
 }
--- a/configversion/sessionproperty_test.go
+++ b/configversion/sessionproperty_test.go
@@ -102,7 +102,7 @@
 	for _, a := range m.driver.decisions[m.checkedDecisionCount:] {
 		if a.Rejection != nil && a.Rejection.Kind == configapi.RejectForeign {
 			if a.Cluster == m.session.Cluster() && m.session.LastDecided() >= a.Version {
-				m.t.Fatalf("the session rejects version %d of the cluster that it follows, %s, as foreign", a.Version, a.Cluster)
+				m.t.Fatalf("the session follows cluster %s and rejects a version of it as foreign", a.Cluster)
 			}
 			continue
 		}
@@ -227,7 +227,7 @@
 		return
 	}
 	if int(m.session.LastDecided()) != history.newest() {
-		m.t.Fatalf("the last decided version of %s is %d, the newest is %d", history.cluster, m.session.LastDecided(), history.newest())
+		m.t.Fatalf("version %d of %s is the last one decided, the newest is %d", m.session.LastDecided(), history.cluster, history.newest())
 	}
 	if m.ack != nil || len(m.session.ackQueue.pending) > 0 {
 		m.t.Fatalf("%d acknowledgements are still pending", len(m.session.ackQueue.pending))
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// Nodes, controllers and operators' commands of two builds talk to each other while a build is rolled out: the form of
-// each message must not change with the names of Go fields.
+// While a build is rolled out, nodes, controllers and operators' commands of two builds communicate with each other.
+// The encoding of a message must not change when a Go field is renamed.
 func TestGoldenMessages(t *testing.T) {
 	config := ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"}
 	controllers := []ControllerAddress{{Address: "127.0.0.1:7400", Region: "north", Zone: "north-a"}}
@@ -34,7 +34,7 @@
 			Outcome: Rejected, Applied: 16, Rejection: rejection}}})
 }
 
-// The words of the messages are part of their form, as their names are.
+// The constant values in messages are part of the protocol, as are the JSON names.
 func TestGoldenConstants(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "words.json"), map[string]any{
 		"outcomes":   []any{string(Applied), string(Rejected)},
@@ -44,22 +44,22 @@
 	})
 }
 
-// A node opens its watch with a query, which a controller of another build reads.
+// A node opens its watch with a query, which a controller of another build may have to decode.
 func TestGoldenWatchRequest(t *testing.T) {
 	const golden = "applied=16&cluster=cluster-2&held=17&node=node-1&reason=no+server&refused=2&region=north&rejected=1&service=front&session=3&started=1700000000000&zone=north-a"
 	want := WatchRequest{Node: "node-1", Service: "front", Region: "north", Zone: "north-a", StartedMS: 1700000000000, WatchNumber: 3,
 		Cluster: "cluster-2", LastDecided: 17, Applied: 16, LastRejected: true, RejectionReason: "no server", WatchRejections: 2}
 	if zero := goldentest.ZeroFields(want); zero != nil {
-		t.Errorf("zero: %v", zero)
+		t.Errorf("zero fields: %v", zero)
 	}
 	if got := want.Query(); got != golden {
-		t.Errorf("written as %s", got)
+		t.Errorf("encoded as %s", got)
 	}
 	query, err := url.ParseQuery(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ParseWatchRequest(query); err != nil || got != want {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -1,6 +1,6 @@
 package configapi
 
-// Load is how many sessions a controller has, and whether it is current (see Update).
+// Load is the number of sessions that a controller has, and whether it is in contact with the leader (see Update).
 type Load struct {
 	Name             string  `json:"name"`
 	Cluster          Cluster `json:"cluster"`
@@ -8,16 +8,16 @@
 	HasLeaderContact bool    `json:"current"`
 }
 
-// ControllerStatus is what one controller knows.
+// ControllerStatus is the status of one controller, with the nodes that it knows.
 type ControllerStatus struct {
 	Name             string       `json:"name"`
 	Cluster          Cluster      `json:"cluster"`
 	Version          Version      `json:"version"`
-	Leader           string       `json:"leader,omitempty"` // HOST:PORT; empty: none is known
+	Leader           string       `json:"leader,omitempty"` // HOST:PORT; empty: unknown
 	HasLeaderContact bool         `json:"current"`          // see Update
 	Sessions         int          `json:"sessions"`
 	Nodes            []NodeStatus `json:"nodes"` // by name
-	// Controllers are all controllers of the cluster, this one among them.
+	// Controllers are all controllers of the cluster, including this one.
 	Controllers []ControllerAddress `json:"controllers,omitempty"`
 }
 
@@ -27,13 +27,13 @@
 	Service     string     `json:"service"`
 	Region      string     `json:"region,omitempty"`
 	Zone        string     `json:"zone,omitempty"`
-	StartedMS   int64      `json:"started"`   // start of the node's process, Unix milliseconds
+	StartedMS   int64      `json:"started"`   // start time of the node's process, Unix milliseconds
 	WatchNumber uint64     `json:"session"`   // of the last watch
-	Connected   bool       `json:"connected"` // the watch is open
-	LastSeenMS  int64      `json:"seen_ms"`   // last request, acknowledgement or end of the watch, Unix milliseconds
+	Connected   bool       `json:"connected"` // the node's watch is open
+	LastSeenMS  int64      `json:"seen_ms"`   // time of the last watch request, acknowledgement or end of the watch, Unix milliseconds
 	Cluster     Cluster    `json:"cluster,omitempty"`
 	LastDecided Version    `json:"held"`
 	Outcome     Outcome    `json:"outcome,omitempty"` // of LastDecided
-	Applied     Version    `json:"applied"`           // in force
+	Applied     Version    `json:"applied"`           // the version in force
 	Rejection   *Rejection `json:"rejection,omitempty"`
 }
--- a/internal/configapi/watch.go
+++ b/internal/configapi/watch.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// WatchRequest is a node's request for a watch. It is sent in the URL's query.
+// WatchRequest is a node's request for a watch. It is sent as the query of the URL.
 type WatchRequest struct {
-	Node            string // the node's name, the same after a restart
+	Node            string // the node's name, which stays the same when it restarts
 	Service         string
 	Region          string
 	Zone            string
-	StartedMS       int64   // start of the process, Unix milliseconds: tells two processes of one node apart
-	WatchNumber     uint64  // rises by 1 with each watch that the process opens
-	Cluster         Cluster // that the node follows; empty: none
+	StartedMS       int64   // start time of the process, Unix milliseconds; distinguishes the processes of a node
+	WatchNumber     uint64  // increases by 1 with each watch that the process opens
+	Cluster         Cluster // the cluster that the node follows; empty: none
 	LastDecided     Version // the newest version applied or rejected; 0: none
-	Applied         Version // the version in force; 0: the configuration that the process was started with
+	Applied         Version // the version in force; 0: the configuration with which the process started
 	LastRejected    bool    // LastDecided was rejected
-	RejectionReason string  // why, if it was
+	RejectionReason string  // why LastDecided was rejected; empty unless LastRejected
 	// WatchRejections is how many controllers have rejected a watch since the node last had one. A controller admits a
-	// node that was rejected before more readily, so that it is not passed around.
+	// rejected node up to a higher limit, so that the node is not redirected again and again.
 	WatchRejections uint64
 }
 
@@ -39,7 +39,7 @@
 	keyRejectionReason = "reason"   // RejectionReason; absent unless rejected
 	keyWatchRejections = "refused"  // WatchRejections, a number; absent: 0
 
-	lastRejectedValue = "1" // of keyLastRejected: true
+	lastRejectedValue = "1" // value of keyLastRejected that means true
 )
 
 // Query encodes the request as a URL query.
@@ -64,7 +64,7 @@
 	return q.Encode()
 }
 
-// ParseWatchRequest decodes a query that Query has encoded. Its error is an *Error of kind ErrorInvalid.
+// ParseWatchRequest decodes a query that was encoded by Query. Its error is an *Error of kind ErrorInvalid.
 func ParseWatchRequest(q url.Values) (WatchRequest, error) {
 	r := WatchRequest{
 		Node:            q.Get(keyNode),
@@ -113,32 +113,32 @@
 	return &Error{Kind: ErrorInvalid, Message: fmt.Sprintf("%s is not a number", key)}
 }
 
-// Update is one object of a watch. The first one comes at once, also when nothing has changed; then one comes with each
-// version and each change of the other fields.
+// Update is one object in the response of a watch. A controller sends the first one immediately, even if nothing has
+// changed, and another one with each version and each change of the other fields.
 type Update struct {
 	Cluster  Cluster   `json:"cluster"`
-	Replaces []Cluster `json:"replaces,omitempty"` // clusters that this one replaces, on an operator's confirmation
-	Version  Version   `json:"version"`            // the newest that this controller has applied
-	// ConfigVersion is the newest version, at most Version, that names the node's service; 0: none does. A node that
-	// has applied ConfigVersion or a later one has the configuration of Version already, and Config is absent.
+	Replaces []Cluster `json:"replaces,omitempty"` // clusters that this one replaces, as confirmed by an operator
+	Version  Version   `json:"version"`            // the newest version that this controller has applied
+	// ConfigVersion is the newest version up to Version that sets the configuration of the node's service; 0: none. If
+	// the node has applied ConfigVersion or a later version, it already has the configuration, and Config is absent.
 	ConfigVersion Version        `json:"changed"`
 	Config        *ServiceConfig `json:"config,omitempty"`
-	// HasLeaderContact is set if the controller was in contact with the leader of a quorum within the last second. A controller
-	// that was not serves the state that it has; a node prefers one that was.
+	// HasLeaderContact is set if the controller was in contact with the leader of a quorum within the last second. A
+	// controller without this contact serves the state that it has; nodes prefer controllers with it.
 	HasLeaderContact bool `json:"current"`
 	// MigrateTo asks the node to open a watch at another controller (HOST:PORT) and then to close this one.
 	MigrateTo string `json:"move_to,omitempty"`
-	// Controllers are all controllers of the cluster; only the first Update of a watch has them.
+	// Controllers are all controllers of the cluster. Only the first Update of a watch contains them.
 	Controllers []ControllerAddress `json:"controllers,omitempty"`
 }
 
-// Outcome is what a node did with a version.
+// Outcome is a node's decision about a version.
 type Outcome string
 
 // Outcomes.
 const (
-	Applied  Outcome = "applied"  // it is in force, or changes nothing for this node
-	Rejected Outcome = "rejected" // the version before stays in force
+	Applied  Outcome = "applied"  // the version is in force, or changes nothing for this node
+	Rejected Outcome = "rejected" // the previous version stays in force
 )
 
 // RejectionKind classifies why a node rejected a version.
@@ -146,18 +146,18 @@
 
 // Rejection kinds.
 const (
-	RejectUnreadable RejectionKind = "unreadable" // not JSON, or not of the form of settings
-	RejectInvalid    RejectionKind = "invalid"    // the checks of a settings file fail
-	RejectNoServer   RejectionKind = "no_server"  // a class would have no server of those known
-	RejectOneServer  RejectionKind = "one_server" // a class would have a single server, where it has several now
-	RejectForeign    RejectionKind = "foreign"    // of another cluster, which no operator has confirmed
-	RejectOlder      RejectionKind = "older"      // older than the last one decided
+	RejectUnreadable RejectionKind = "unreadable" // the settings are not JSON, or not in the format of settings
+	RejectInvalid    RejectionKind = "invalid"    // the settings fail the checks of a settings file
+	RejectNoServer   RejectionKind = "no_server"  // a class would have none of the known servers
+	RejectOneServer  RejectionKind = "one_server" // a class that has several servers now would have only one
+	RejectForeign    RejectionKind = "foreign"    // from another cluster, which no operator has confirmed as a replacement
+	RejectOlder      RejectionKind = "older"      // older than the last decided version
 )
 
-// Rejection is why a node rejected a version. It is an error.
+// Rejection is the reason why a node rejected a version. It implements error.
 type Rejection struct {
 	Kind    RejectionKind `json:"kind"`
-	Message string        `json:"message"` // with what an operator can do
+	Message string        `json:"message"` // includes what an operator can do
 }
 
 func (r *Rejection) Error() string { return fmt.Sprintf("%s: %s", r.Kind, r.Message) }
@@ -171,5 +171,5 @@
 	Version     Version    `json:"version"`
 	Outcome     Outcome    `json:"outcome"`
 	Rejection   *Rejection `json:"rejection,omitempty"`
-	Applied     Version    `json:"applied"` // the version in force after this; 0: the configuration of the start
+	Applied     Version    `json:"applied"` // the version in force after the decision; 0: as in WatchRequest
 }
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -19,13 +19,13 @@
 
 // fakeResponse is the response of a fake controller to a publish request.
 type fakeResponse struct {
-	version        configapi.Version // 0: err
+	version        configapi.Version // of the reply; ignored if err is set
 	err            *configapi.Error
 	dropConnection bool // the connection closes without a response
-	hang           bool // no response before the client gives up; fakeTransport alone has it
+	hang           bool // no response before the client gives up; supported by fakeTransport only
 }
 
-// startFakeController starts a controller that gives its answers one after another, and repeats the last one.
+// startFakeController starts a controller that sends its responses in order, and repeats the last one.
 func startFakeController(t *testing.T, requests *atomic.Int32, responses ...fakeResponse) string {
 	t.Helper()
 	var calls atomic.Int32
@@ -60,7 +60,7 @@
 	return fakeResponse{err: &configapi.Error{Kind: kind}}
 }
 
-// A follower names the leader. The request goes there at once.
+// A follower names the leader. The client sends the request to the leader immediately.
 func TestPublishFollowsRedirectToLeader(t *testing.T) {
 	var requests atomic.Int32
 	leader := startFakeController(t, &requests, fakeResponse{version: 5})
@@ -70,7 +70,8 @@
 	}
 }
 
-// A controller that answers a call twice must not have its second answer taken for that to the next call.
+// If a controller responds twice to a call, the second response must not be mistaken for that to the next call. Each
+// call therefore uses a new connection.
 func TestEachCallUsesNewConnection(t *testing.T) {
 	connections := map[string]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,16 +87,16 @@
 		}
 	}
 	if len(connections) != calls {
-		t.Errorf("%d calls on %d connections", calls, len(connections))
+		t.Errorf("%d calls used %d connections", calls, len(connections))
 	}
 }
 
-// There is no quorum for a moment, or the connection breaks. The request is retried with the same ID.
+// There is temporarily no quorum, or the connection breaks. The client retries the request with the same ID.
 func TestPublishRetries(t *testing.T) {
 	for name, first := range map[string]fakeResponse{
-		"there is no quorum for a moment": errorResponse(configapi.ErrorNoQuorum),
-		"the result is unknown":           errorResponse(configapi.ErrorOutcomeUnknown),
-		"the controller ends meanwhile":   {dropConnection: true},
+		"no quorum temporarily": errorResponse(configapi.ErrorNoQuorum),
+		"outcome unknown":       errorResponse(configapi.ErrorOutcomeUnknown),
+		"connection dropped":    {dropConnection: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
@@ -107,7 +108,7 @@
 	}
 }
 
-// The first controller is down. The next one is tried.
+// The first controller is down. The client tries the next one.
 func TestPublishTriesNextController(t *testing.T) {
 	var requests atomic.Int32
 	address := startFakeController(t, &requests, fakeResponse{version: 3})
@@ -116,7 +117,7 @@
 	}
 }
 
-// The document is wrong, or the rate limit is reached. Another attempt would not help, and there is none.
+// The document is invalid, or the rate limit is reached. The client makes no second attempt, because it would not help.
 func TestPublishDoesNotRetryFinalErrors(t *testing.T) {
 	for _, kind := range []configapi.ErrorKind{configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited} {
 		var requests atomic.Int32
@@ -128,8 +129,8 @@
 	}
 }
 
-// fakeTransport replies to publish requests without a network, so that a test in virtual time decides when each comes. It
-// gives its answers one after another, and repeats the last one.
+// fakeTransport responds to publish requests without a network, so that a test in virtual time controls the time of
+// each response. It sends its responses in order, and repeats the last one.
 type fakeTransport struct {
 	responses []fakeResponse
 	requests  int
@@ -153,19 +154,19 @@
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(bytes.NewReader(text))}, nil
 }
 
-// No attempt gets a reply before the time is up. The outcome is unknown if any of them may have been written; otherwise
-// nothing was published, and the operator is told so. An attempt that the end of the time cuts off may have been written
-// too: that is why this test decides when attempts are made.
+// No attempt receives a reply before the context ends. If any attempt may have been written, the error reports an
+// unknown outcome; otherwise it reports that nothing was published. An attempt that is cut off by the end of the
+// context may have been written, too. The test therefore runs in virtual time, to control when attempts are made.
 func TestPublishDistinguishesUnknownOutcomeFromFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		responses []fakeResponse
 		want      configapi.ErrorKind
 	}{
-		"no quorum all the time":   {[]fakeResponse{errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorNoQuorum},
-		"no quorum behind a cut":   {[]fakeResponse{{dropConnection: true}, errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
-		"no quorum behind unknown": {[]fakeResponse{errorResponse(configapi.ErrorOutcomeUnknown), errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
-		"too many behind unknown":  {[]fakeResponse{errorResponse(configapi.ErrorOutcomeUnknown), errorResponse(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
-		"cut off after no quorum":  {[]fakeResponse{errorResponse(configapi.ErrorNoQuorum), {hang: true}}, configapi.ErrorOutcomeUnknown},
+		"no quorum in every attempt":           {[]fakeResponse{errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorNoQuorum},
+		"no quorum after a dropped connection": {[]fakeResponse{{dropConnection: true}, errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"no quorum after unknown outcome":      {[]fakeResponse{errorResponse(configapi.ErrorOutcomeUnknown), errorResponse(configapi.ErrorNoQuorum)}, configapi.ErrorOutcomeUnknown},
+		"rate limited after unknown outcome":   {[]fakeResponse{errorResponse(configapi.ErrorOutcomeUnknown), errorResponse(configapi.ErrorRateLimited)}, configapi.ErrorOutcomeUnknown},
+		"cut off after no quorum":              {[]fakeResponse{errorResponse(configapi.ErrorNoQuorum), {hang: true}}, configapi.ErrorOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -184,11 +185,12 @@
 	_, err := publishTo(t, time.Second, "127.0.0.1:1")
 	var unreachable *UnreachableError
 	if !errors.As(err, &unreachable) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("without a controller at the address, the error is %v", err)
 	}
 }
 
-// An operator knows the address of one controller. The status of all is collected, and those that are down are listed.
+// An operator knows the address of one controller. The client collects the status of all controllers, and lists those
+// that are down.
 func TestStatusQueriesControllersNamedInResponses(t *testing.T) {
 	serve := func(status configapi.ControllerStatus) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(status) }))
--- a/internal/configclient/publish.go
+++ b/internal/configclient/publish.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// publishTimeout is how long one controller may take to reply to a publish request; then another one is tried, with
-	// the same ID. A quorum's disks take milliseconds; a stalled leader never replies.
+	// publishTimeout is how long the client waits for a controller's reply to a publish request before it tries another
+	// controller with the same ID. A quorum writes to disk within milliseconds; a stalled leader never replies.
 	publishTimeout = time.Second
-	// publishRetryDelay is the pause before another attempt, for an election to end.
+	// publishRetryDelay is the pause before another attempt. It gives an election time to end.
 	publishRetryDelay = 150 * time.Millisecond
 )
 
-// Publish publishes a version. It looks for the leader, and retries with the same ID until there is a reply, an error
-// that another attempt can't change, or the end of ctx.
+// Publish publishes a version. It finds the leader, and retries with the same ID until it receives a reply or an error
+// that another attempt cannot change, or until ctx ends.
 //
-// Its error is a *configapi.Error, or an *UnreachableError if no controller could be reached. An error of kind
-// ErrorOutcomeUnknown reports that the version may still come into force; with any other, it does not.
+// Its error is a *configapi.Error, or an *UnreachableError if the last controller could not be reached. An error of
+// kind ErrorOutcomeUnknown means that the version may still come into force; any other error means that it will not.
 func (c *Client) Publish(ctx context.Context, request configapi.PublishRequest) (configapi.PublishReply, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -46,13 +46,13 @@
 	}
 }
 
-// publisher is one publish request with its attempts.
+// publisher is one publish request with the state of its attempts.
 type publisher struct {
 	client       *Client
 	body         []byte
 	targets      []string // addresses; the first one is tried next
 	lastErr      error
-	maybeWritten bool // an earlier attempt may have been written to the log
+	maybeWritten bool // an attempt may have been written to the log
 }
 
 func (p *publisher) attempt(ctx context.Context) (configapi.PublishReply, error) {
@@ -63,12 +63,12 @@
 	return reply, err
 }
 
-// planRetry decides after an attempt that failed whether there is another one, after which delay, and at which
-// controller (the first of targets): the leader if the error names it, else the next one in turn.
+// planRetry decides after a failed attempt whether to make another one, after which delay, and at which controller
+// (targets[0]): the leader if the error names it, otherwise the next controller in turn.
 //
-// It guards against two mistakes. An operator who is told that nothing was published, although it was, publishes twice:
-// hence maybeTaken. And a rate limit after an attempt that may have been written is no final answer: it may count that
-// very version.
+// It prevents two mistakes. If an operator is told that nothing was published although a version was, the operator
+// publishes it twice; maybeWritten prevents this. Furthermore, a rate limit error after an attempt that may have been
+// written is not final, because the version of that attempt may itself count towards the limit.
 func (p *publisher) planRetry(err error) (delay time.Duration, retry bool) {
 	p.lastErr = err
 	failed := p.targets[0]
@@ -106,16 +106,16 @@
 	p.targets = slices.Insert(p.targets, 0, address)
 }
 
-// timeoutError is the error when ctx has ended before there was a reply.
+// timeoutError returns the error for a context that ended before a reply arrived.
 func (p *publisher) timeoutError() error {
 	if !p.maybeWritten {
 		return p.lastErr
 	}
 	return &configapi.Error{Kind: configapi.ErrorOutcomeUnknown,
-		Message: fmt.Sprintf("the version may or may not come into force; the last answer: %v", p.lastErr)}
+		Message: fmt.Sprintf("the version may or may not come into force; last error: %v", p.lastErr)}
 }
 
-// sleep waits for a delay. It returns false if ctx has ended.
+// sleep waits for a delay. It returns false if ctx ends first.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/configclient/status.go
+++ b/internal/configclient/status.go
@@ -11,16 +11,16 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// statusTimeout is how long one controller may take to send its status.
+// statusTimeout is how long the client waits for the status of one controller.
 const statusTimeout = 2 * time.Second
 
-// Statuses are the status of the controllers that responded, and those that did not.
+// Statuses contains the statuses of the controllers that responded, and the errors of those that did not.
 type Statuses struct {
 	Responses   []configapi.ControllerStatus
 	Unreachable []*UnreachableError
 }
 
-// Status queries all controllers, including those that the first ones name.
+// Status queries the controllers at the client's addresses, and all controllers that their responses name.
 func (c *Client) Status(ctx context.Context) Statuses {
 	var all Statuses
 	queried := map[string]bool{}
@@ -36,7 +36,7 @@
 	return all
 }
 
-// newAddresses are the controllers that answers name and that were not queried, each once.
+// newAddresses returns the addresses of controllers that are named in responses and were not queried yet, each once.
 func newAddresses(responses []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
 	for _, response := range responses {
 		for _, controller := range response.Controllers {
@@ -48,7 +48,7 @@
 	return addresses
 }
 
-// queryAll queries some controllers in parallel.
+// queryAll queries the controllers at some addresses in parallel.
 func (c *Client) queryAll(ctx context.Context, addresses []string) Statuses {
 	responses := make([]configapi.ControllerStatus, len(addresses))
 	failures := make([]error, len(addresses))
--- a/internal/configwatch/ack.go
+++ b/internal/configwatch/ack.go
@@ -14,15 +14,15 @@
 // ackClient sends acknowledgements, one at a time, over a connection that it keeps open.
 type ackClient struct {
 	options    *Options
-	address    string          // of connection
-	connection *controllerConn // nil: none
+	address    string          // of the controller to which connection is open
+	connection *controllerConn // nil: not connected
 }
 
-// send sends an acknowledgement and waits for its response. If the controller does not accept it, the error is a
+// send sends an acknowledgement and waits for the response. If the controller does not accept it, the error is a
 // *configapi.Error.
 //
-// If the open connection fails, it is sent again on a new one: the controller has closed the old one meanwhile, as a
-// rule, and an acknowledgement is idempotent.
+// If the kept connection fails, send repeats the request on a new one. Usually the controller has closed the old
+// connection in the meantime. A repeated acknowledgement is harmless, because acknowledgements are idempotent.
 func (a *ackClient) send(ctx context.Context, address string, ack configapi.Acknowledgement) error {
 	body, err := json.Marshal(ack)
 	if err != nil {
@@ -47,8 +47,7 @@
 	return a.exchange(ctx, text)
 }
 
-// exchange sends a request over the connection and reads the response. It closes the connection unless that can be used
-// again.
+// exchange sends a request over the connection and reads the response. It closes the connection if it cannot be reused.
 func (a *ackClient) exchange(ctx context.Context, text []byte) error {
 	c := a.connection
 	defer context.AfterFunc(ctx, func() { c.Close() })()
@@ -76,7 +75,7 @@
 	return nil
 }
 
-// close closes the open connection.
+// close closes the connection, if any.
 func (a *ackClient) close() {
 	if a.connection != nil {
 		a.connection.Close()
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -13,46 +13,46 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Bounds of a controller's responses. They are a second line of defense: configversion's silence and open timeouts are
-// shorter, and close what they have given up.
+// Limits for calls to controllers and their responses. They are a second safeguard: the silence timeout and the open
+// timeout of configversion are shorter, and close a watch earlier.
 const (
-	// dialTimeout is how long a connection to a controller may take.
+	// dialTimeout limits the time to connect to a controller.
 	dialTimeout = 2 * time.Second
-	// headTimeout is how long a watch's request, and the head of its response, may take.
+	// headTimeout limits the time to write a watch's request, and the time between two reads of the response head.
 	headTimeout = 5 * time.Second
 	// readTimeout is the longest time without a byte on a watch.
 	readTimeout = 10 * time.Second
-	// ackTimeout is how long an acknowledgement and its response may take, each.
+	// ackTimeout limits the time to write an acknowledgement, and the time between two reads of the response.
 	ackTimeout = 2 * time.Second
 
-	// maxHeadBytes bounds the head of a response.
+	// maxHeadBytes limits the head of a response.
 	maxHeadBytes = 16 << 10
-	// maxErrorBytes bounds the body of an error, and of the response to an acknowledgement.
+	// maxErrorBytes limits the body of an error, and the body of the response to an acknowledgement.
 	maxErrorBytes = 64 << 10
-	// maxUpdateBytes bounds an update: a document, and the other fields.
+	// maxUpdateBytes limits an update, which contains a document and other fields.
 	maxUpdateBytes = configapi.MaxDocumentBytes + 64<<10
-	// readerBufferBytes is the read buffer of a connection. It is small, because a process may have hundreds of
-	// sessions; larger updates go through the decoder's own buffer.
+	// readerBufferBytes is the size of a connection's read buffer. It is small because a process may have hundreds of
+	// sessions. The decoder buffers larger updates itself.
 	readerBufferBytes = 1 << 10
 )
 
-// unlimited is the value of controllerConn.headBytesLeft outside of a head.
+// unlimited is the value of controllerConn.headBytesLeft while no response head is being read.
 const unlimited = -1
 
-// controllerConn is a connection to a controller, with a deadline for each read and write.
+// controllerConn is a connection to a controller that sets a deadline for each read and write.
 type controllerConn struct {
 	net.Conn
 	counters      *Counters
 	reader        *bufio.Reader
 	timeout       time.Duration
-	headBytesLeft int // bytes that may still be read; unlimited: any number
+	headBytesLeft int // how many bytes of the response head may still be read, or unlimited
 }
 
-// HeadTooLargeError reports that the head of a controller's response is over a number of bytes.
+// HeadTooLargeError reports that the head of a controller's response exceeds MaxBytes.
 type HeadTooLargeError struct{ MaxBytes int }
 
 func (e *HeadTooLargeError) Error() string {
-	return fmt.Sprintf("the head of the answer is over %d bytes", e.MaxBytes)
+	return fmt.Sprintf("the head of the response exceeds %d bytes", e.MaxBytes)
 }
 
 // connect connects to a controller.
@@ -66,7 +66,7 @@
 	return c, nil
 }
 
-// Read reads within the connection's timeout, and counts the bytes.
+// Read implements io.Reader. It limits the read to the connection's timeout and counts the bytes.
 func (c *controllerConn) Read(buf []byte) (int, error) {
 	if c.headBytesLeft == 0 {
 		return 0, &HeadTooLargeError{maxHeadBytes}
@@ -85,7 +85,7 @@
 	return n, err
 }
 
-// Write writes within the connection's timeout, and counts the bytes.
+// Write implements io.Writer. It limits the write to the connection's timeout and counts the bytes.
 func (c *controllerConn) Write(buf []byte) (int, error) {
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
@@ -95,7 +95,7 @@
 	return n, err
 }
 
-// exchangeHead sends a request and reads the head of its response.
+// exchangeHead sends a request and reads the head of the response.
 func (c *controllerConn) exchangeHead(text []byte, request *http.Request) (*http.Response, error) {
 	if _, err := c.Write(text); err != nil {
 		return nil, err
@@ -106,14 +106,15 @@
 	return response, err
 }
 
-// ResponseError reports that a response which is not 200 has no controller's error in its body.
+// ResponseError reports that a response with a status other than 200 does not contain a controller's error.
 type ResponseError struct{ Status string }
 
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("answered %s without a controller's error: check that the address is a controller's and what lies before it", e.Status)
+	return fmt.Sprintf("the response %s does not contain a controller's error: check that the address belongs to a controller, and check any proxy in front of it", e.Status)
 }
 
-// readError reads a controller's error from a response that is not 200. Its own error is a *ResponseError.
+// readError decodes the controller's error from a response with a status other than 200. If that fails, it returns a
+// *ResponseError.
 func readError(response *http.Response) (*configapi.Error, error) {
 	apiError := &configapi.Error{}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxErrorBytes)).Decode(apiError); err != nil {
--- a/internal/configwatch/doc.go
+++ b/internal/configwatch/doc.go
@@ -1,8 +1,8 @@
-// Package configwatch runs a node's session for configuration versions: it opens the watches that package configversion
-// decides on, reads updates, lets an Applier bring configurations into force, sends acknowledgements and stores the
-// last known good version. It decides nothing itself.
+// Package configwatch runs a node's session for configuration versions. It carries out the decisions of package
+// configversion: it opens watches, reads updates, passes configurations to an Applier, sends acknowledgements and
+// stores the last known good version. It makes no decisions itself.
 //
-// All events meet in one goroutine, which never waits for I/O. Each open watch has a goroutine, and so have an apply,
-// an acknowledgement and a write to disk while they are in progress; Close ends them all. cmd/hookwalk runs one session
-// for its node, the scale rigs hundreds in one process.
+// One goroutine per session handles all events, and never waits for I/O. Further goroutines run the open watches and
+// the apply, the acknowledgement and the write to disk that are in progress; Close waits for them. cmd/hookwalk runs
+// one session for its node, whereas internal/lab/scale runs hundreds in one process.
 package configwatch
--- a/internal/configwatch/fakecontroller_test.go
+++ b/internal/configwatch/fakecontroller_test.go
@@ -17,14 +17,14 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// pipeNetwork connects nodes and controllers by pipes, so that a synctest bubble controls all time.
+// pipeNetwork connects nodes and controllers through pipes, so that all time is virtual in a synctest bubble.
 type pipeNetwork struct {
 	lock      sync.Mutex
 	listeners map[string]*pipeListener
 	dials     int
 }
 
-// pipeListener accepts the ends of pipes.
+// pipeListener is a net.Listener that accepts the controllers' ends of pipes.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -76,15 +76,15 @@
 	}
 }
 
-// fakeController writes what a test sends to updates on its watches, and records requests and acknowledgements.
+// fakeController sends the objects of updates on its watches, and records requests and acknowledgements.
 type fakeController struct {
 	server        http.Server
-	updates       chan any // configapi.Update, or text that is written as it is
+	updates       chan any // each a configapi.Update, or a string that is written unchanged
 	watches       chan configapi.WatchRequest
 	acks          chan configapi.Acknowledgement
-	rejectWith    *configapi.Error // watches
-	noHeartbeats  atomic.Bool      // no heartbeats
-	closeAfterAck bool             // connections of acknowledgements are closed after the response, without a header that says so
+	rejectWith    *configapi.Error // the response to watches; nil: they are admitted
+	noHeartbeats  atomic.Bool
+	closeAfterAck bool // closes the connection after the response to an acknowledgement, without announcing it in a header
 }
 
 func startFakeController(t *testing.T, n *pipeNetwork, address string, adjust ...func(*fakeController)) *fakeController {
@@ -152,7 +152,7 @@
 	}
 }
 
-// fakeApplier is a node's Applier that calls a function.
+// fakeApplier is an Applier that calls a function with the settings.
 type fakeApplier struct {
 	apply func(ctx context.Context, settings string) error
 }
@@ -161,7 +161,7 @@
 	return a.apply(ctx, string(config.Settings))
 }
 
-// acceptAll applies each configuration and records it.
+// acceptAll returns an Applier that accepts each configuration and sends its settings to applied.
 func acceptAll(applied chan string) fakeApplier {
 	return fakeApplier{func(_ context.Context, settings string) error {
 		applied <- settings
@@ -186,10 +186,10 @@
 	return s
 }
 
-// advance advances the time of a bubble.
+// advance advances the virtual time of a synctest bubble.
 func advance(d time.Duration) { <-time.After(d) }
 
-// receiveWithin receives from a channel, and fails the test if nothing comes in time.
+// receiveWithin receives from a channel, and fails the test if nothing arrives within the timeout.
 func receiveWithin[T any](t *testing.T, channel <-chan T, timeout time.Duration, what string) T {
 	t.Helper()
 	timer := time.NewTimer(timeout)
@@ -198,7 +198,7 @@
 	case v := <-channel:
 		return v
 	case <-timer.C:
-		t.Fatalf("%s: not within %v", what, timeout)
+		t.Fatalf("%s: not received within %v", what, timeout)
 		panic("unreachable")
 	}
 }
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -14,8 +14,8 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// A node that starts without a controller in reach serves by the version that it stored, which may be of the build before:
-// neither the name of the file nor the form of its body may change.
+// A node that starts while no controller is reachable uses the stored version, which may have been written by the
+// previous build. Therefore neither the name of the file nor the format of its body may change.
 func TestGoldenStoredVersion(t *testing.T) {
 	path := filepath.Join("testdata", "kept.json")
 	want := configversion.LastKnownGood{Cluster: "cluster-2", Version: 17,
@@ -39,6 +39,6 @@
 	}
 	saveAndFlush(store, want)
 	if found := state.Read(file, "n/0"); !bytes.Equal(found.Body, body) {
-		t.Errorf("written as %s, %v", found.Body, found.Errors)
+		t.Errorf("stored as %s, %v", found.Body, found.Errors)
 	}
 }
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -13,38 +13,39 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Applier brings configurations into force.
+// Applier applies configurations to a node.
 type Applier interface {
-	// Apply checks a configuration and brings it into force, completely or not at all. A *configapi.Rejection says why
-	// it is not in force; any other error says that it was not checked, because the node ends, and nothing is
-	// acknowledged. Calls come one at a time.
+	// Apply checks a configuration and applies it, completely or not at all. A *configapi.Rejection is the reason why
+	// the configuration was rejected. Any other error means that it was not checked because the node is shutting down;
+	// then nothing is acknowledged. Apply is called once at a time.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
-// Options identify the node of a session, and what it works with.
+// Options identify the node of a session and contain the session's dependencies.
 type Options struct {
 	Node          string
 	Service       string
 	Region        string
 	Zone          string
 	Controllers   []string  // HOST:PORT, at least one
-	Seed          uint64    // of the random numbers that spread nodes over time and controllers
-	Started       time.Time // of the process
+	Seed          uint64    // of the random numbers that spread nodes over time and over controllers
+	Started       time.Time // start time of the process
 	LastKnownGood configversion.LastKnownGood
 	Applier       Applier
-	Store         *Store // nil: the version in force is not stored
+	Store         *Store // nil: the last known good version is not stored
 	Log           *slog.Logger
-	// Dial connects to a controller; nil: by TCP.
+	// Dial connects to a controller; nil: over TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Counters count what the session sends and receives; nil: nothing does. Sessions may share them.
+	// Counters count what the session sends and receives; nil: not counted. Sessions may share them.
 	Counters *Counters
-	// Observe is called with each decision about a version, from the session's goroutine; it must not block. nil: none.
+	// Observe is called with each decision about a version, or not at all if it is nil. The session's goroutine calls
+	// it, so it must not block.
 	Observe func(configversion.VersionDecided)
 }
 
 // Counters count what sessions send and receive.
 type Counters struct {
-	BytesRead    atomic.Int64 // from connections, without the headers of TCP and IP
+	BytesRead    atomic.Int64 // payload bytes, without TCP and IP headers
 	BytesWritten atomic.Int64
 	Watches      atomic.Int64 // opened
 	Heartbeats   atomic.Int64
@@ -55,25 +56,25 @@
 // State is the state of a session.
 type State struct {
 	Cluster     configapi.Cluster
-	LastDecided configapi.Version // the newest applied or rejected; 0: none
-	Applied     configapi.Version // in force; 0: the configuration that the process was started with
-	Controller  string            // HOST:PORT of the main watch's controller; "": none
+	LastDecided configapi.Version // the newest version applied or rejected; 0: none
+	Applied     configapi.Version // the version in force; 0: the configuration with which the process started
+	Controller  string            // HOST:PORT of the main watch's controller; "": there is no main watch
 }
 
-// Session is a node's session, from Start to Close.
+// Session is a node's session for configuration versions. It runs from Start to Close.
 type Session struct {
 	options   Options
-	decider   *configversion.Session // of the session's goroutine
-	startedAt time.Time              // the origin of the decisions' times
+	decider   *configversion.Session // used only by the session's goroutine
+	startedAt time.Time              // the origin of all times that are passed to decider
 	events    chan configversion.SessionEvent
-	watches   map[uint64]context.CancelFunc // the open ones, by number; of the session's goroutine
-	acks      ackClient                     // of the one acknowledgement in flight
+	watches   map[uint64]context.CancelFunc // cancels each open watch, by number; used only by the session's goroutine
+	acks      ackClient                     // used only for the acknowledgement in flight
 	state     atomic.Pointer[State]
 	stop      context.CancelFunc
-	tasks     sync.WaitGroup // all goroutines
+	tasks     sync.WaitGroup // waits for all goroutines of the session
 }
 
-// Start starts a session. It does not block; the caller must call Close.
+// Start starts a session and returns without waiting for a connection. The caller must call Close.
 func Start(options Options) *Session {
 	if options.Counters == nil {
 		options.Counters = &Counters{}
@@ -105,7 +106,8 @@
 	return s
 }
 
-// Close ends the session, its watches and all that is in progress. A write to disk is given storeCloseTimeout.
+// Close ends the session, its watches and all calls in progress. It waits at most storeCloseTimeout for a write to
+// disk.
 func (s *Session) Close() {
 	s.stop()
 	s.tasks.Wait()
@@ -124,7 +126,7 @@
 
 func (s *Session) now() time.Duration { return time.Since(s.startedAt) }
 
-// run passes events to the decisions and executes the actions that they return, until ctx ends.
+// run passes events to decider and executes the returned actions, until ctx ends.
 func (s *Session) run(ctx context.Context) {
 	timer := time.NewTimer(s.decider.Next() - s.now())
 	defer timer.Stop()
@@ -145,7 +147,7 @@
 	}
 }
 
-// removeEnded forgets a watch that has ended by itself.
+// removeEnded removes a watch that has ended or was rejected from the open watches.
 func (s *Session) removeEnded(event configversion.SessionEvent) {
 	switch e := event.(type) {
 	case configversion.WatchEnded:
@@ -163,7 +165,7 @@
 	}
 }
 
-// execute carries out an action, in a goroutine if it takes time.
+// execute carries out an action. Actions that may block run in their own goroutines.
 func (s *Session) execute(ctx context.Context, action configversion.SessionAction) {
 	switch a := action.(type) {
 	case configversion.OpenWatch:
@@ -207,7 +209,7 @@
 	case errors.As(err, &rejection):
 		return configversion.ApplyFinished{Rejection: rejection}
 	}
-	s.options.Log.Warn("configuration version interrupted", "version", a.Version, "cluster", a.Cluster, "err", err)
+	s.options.Log.Warn("apply of configuration version interrupted", "version", a.Version, "cluster", a.Cluster, "err", err)
 	return configversion.ApplyFinished{Interrupted: true}
 }
 
--- a/internal/configwatch/session_test.go
+++ b/internal/configwatch/session_test.go
@@ -15,7 +15,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A version is applied, acknowledged and reported; the controller learns who opens the watch.
+// A version is applied, acknowledged and reported to Observe. The watch request identifies the node.
 func TestVersionIsAppliedAndAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -25,7 +25,7 @@
 		s := startSession(t, n, acceptAll(applied), func(o *Options) { o.Observe = func(a configversion.VersionDecided) { observed <- a } })
 		request := receiveWithin(t, c.watches, configversion.InitialConnectJitter, "watch")
 		if want := (configapi.WatchRequest{Node: "n", Service: "s", Region: "r", Zone: "z", StartedMS: request.StartedMS, WatchNumber: 1}); request != want {
-			t.Errorf("asked with %+v", request)
+			t.Errorf("the request is %+v", request)
 		}
 		c.updates <- versionUpdate(1)
 		if got := receiveWithin(t, applied, time.Second, "applied"); got != "1" {
@@ -46,8 +46,8 @@
 	})
 }
 
-// A node rejects a configuration: that is acknowledged with the reason. Another one can not be checked, because the
-// node shuts down: that is not acknowledged.
+// A node rejects a configuration, and acknowledges this with the reason. It does not acknowledge a second
+// configuration, which it cannot check because it is shutting down.
 func TestRejectionIsAcknowledgedButInterruptionIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -57,7 +57,7 @@
 			if settings == "1" {
 				return fmt.Errorf("node: %w", rejection)
 			}
-			return errors.New("the node ends")
+			return errors.New("the node is shutting down")
 		}})
 		c.updates <- versionUpdate(1)
 		ack := receiveWithin(t, c.acks, 2*time.Second, "acknowledgement")
@@ -72,8 +72,8 @@
 	})
 }
 
-// An apply takes a minute. The watch stays open meanwhile, and only the newest of the versions that come is applied
-// next.
+// An apply takes a minute. The watch stays open in the meantime. After the apply, only the newest of the versions that
+// have arrived is applied.
 func TestSlowApplyKeepsWatchOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -102,15 +102,16 @@
 			t.Errorf("acknowledged %d and %d", a.Version, b.Version)
 		}
 		if !slices.Equal(applied, []string{"1", "5"}) {
-			t.Errorf("tried %v", applied)
+			t.Errorf("applied %v", applied)
 		}
 		c.updates <- versionUpdate(6)
 		synctest.Wait()
-		s.Close() // while it is tried
+		s.Close() // while version 6 is being applied
 	})
 }
 
-// A controller stalls just as a version is published. The version is in force within 3 s by way of another controller.
+// A controller stalls just as a version is published. The version arrives through another controller, and is in force
+// within 3 s.
 func TestVersionIsAppliedDespiteStalledController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -124,7 +125,7 @@
 		}
 		first.updates <- configapi.Update{Cluster: "x", HasLeaderContact: true}
 		advance(time.Second)
-		first.noHeartbeats.Store(true) // it stalls: neither heartbeats nor updates come any more
+		first.noHeartbeats.Store(true) // a stall: it sends neither heartbeats nor updates any more
 		stalledAt := time.Now()
 		other.updates <- versionUpdate(1)
 		if got := receiveWithin(t, applied, 3*time.Second, "applied"); got != "1" {
@@ -135,7 +136,8 @@
 	})
 }
 
-// Acknowledgements share a connection. A controller closes it after each; the next one is sent on a new connection.
+// Acknowledgements share a connection. If the controller closes it after each of them, the next one is sent on a new
+// connection.
 func TestAckConnectionIsReused(t *testing.T) {
 	for _, closeAfterAck := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -151,19 +153,19 @@
 				synctest.Wait()
 			}
 			if !closeAfterAck && n.dials != 2 {
-				t.Errorf("%d connections", n.dials)
+				t.Errorf("%d connections were opened, want 2", n.dials)
 			}
 		})
 	}
 }
 
-// What answers at a controller's address is no controller, or a broken one. The node retries at a bounded rate, applies
-// nothing and leaks no watch.
+// The server at a controller's address is not a controller, or sends malformed responses. The node retries at a bounded
+// rate, applies nothing and leaks no watch.
 func TestMalformedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing":             "",
-		"no HTTP":             "hello\r\n\r\n",
-		"a head without end":  "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes),
+		"not HTTP":            "hello\r\n\r\n",
+		"an endless head":     "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes),
 		"a malformed error":   "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\n\r\n???",
 		"a malformed update":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":7}",
 		"a truncated update":  "HTTP/1.1 200 OK\r\n\r\n{\"cluster\":\"x\",\"version\":1,\"changed\":1,\"config\":{\"settings\":",
@@ -202,14 +204,14 @@
 					t.Errorf("%d watches are open after a minute", open)
 				}
 				if connectionCount < 20 || connectionCount > 150 || len(applied) > 0 || s.State().LastDecided != 0 {
-					t.Errorf("%d calls in a minute, %d applied, %+v", connectionCount, len(applied), s.State())
+					t.Errorf("%d connections in a minute, %d versions applied, state %+v", connectionCount, len(applied), s.State())
 				}
 			})
 		})
 	}
 }
 
-// A controller has no capacity, and redirects the node to another one.
+// A controller has no capacity and redirects the node to another one. The node opens its next watch there.
 func TestRejectedWatchFollowsRedirects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
@@ -218,13 +220,13 @@
 		})
 		b := startFakeController(t, n, "b:1")
 		startSession(t, n, acceptAll(make(chan string, 10)))
-		if request := receiveWithin(t, b.watches, 2*time.Second, "watch elsewhere"); request.WatchRejections != 1 {
-			t.Errorf("rejected %d times", request.WatchRejections)
+		if request := receiveWithin(t, b.watches, 2*time.Second, "watch at the other controller"); request.WatchRejections != 1 {
+			t.Errorf("the request reports %d rejections, want 1", request.WatchRejections)
 		}
 	})
 }
 
-// Nothing is published for a minute. A watch costs two heartbeats a second, and the node sends nothing.
+// Nothing is published for a minute. The idle watch receives two heartbeats per second, and the node sends nothing.
 func TestTrafficOfAnIdleWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newPipeNetwork()
--- a/internal/configwatch/store.go
+++ b/internal/configwatch/store.go
@@ -14,19 +14,19 @@
 	"hookwalk.example/hookwalk/internal/state"
 )
 
-// storeCloseTimeout is how long a session that closes waits for a write to disk: a disk that hangs must not hold up the
-// node's shutdown.
+// storeCloseTimeout is how long Session.Close waits for a write to disk. A disk that hangs must not delay the node's
+// shutdown.
 const storeCloseTimeout = time.Second
 
-// Store stores a node's last known good version in a file. Writes are in the background: nobody waits for the disk, and
-// of the versions that come during a write only the newest is written.
+// Store stores a node's last known good version in a file. It writes in the background, so that Save does not wait for
+// the disk. If several versions are saved during a write, only the newest of them is written.
 type Store struct {
 	path, node string
 	log        *slog.Logger
 
 	lock    sync.Mutex
-	pending *configversion.LastKnownGood // the newest that is not written yet; nil: none
-	writing chan struct{}                // closed when the writes in progress have ended; nil: there are none
+	pending *configversion.LastKnownGood // the newest version that is not written yet; nil: none
+	writing chan struct{}                // closed when all writes have ended; nil: no write is in progress
 }
 
 // StoreError reports that the last known good version could not be stored or read.
@@ -36,18 +36,19 @@
 }
 
 func (e *StoreError) Error() string {
-	return fmt.Sprintf("the last known good configuration (%s): %v: the node goes on; look at the folder's disk", e.Path, e.Err)
+	return fmt.Sprintf("cannot read or store the last known good configuration (%s): %v: the node continues; check the folder's disk", e.Path, e.Err)
 }
 
-// Unwrap returns the error of the file or of its content.
+// Unwrap returns the error of the file system, or of decoding the file.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// NewStore makes the store of a node in a folder.
+// NewStore returns the store of a node in a folder.
 func NewStore(folder, node string, log *slog.Logger) *Store {
 	return &Store{path: filepath.Join(folder, "hookwalk-config."+url.PathEscape(node)), node: node, log: log}
 }
 
-// Read reads what was stored last. Without a file it returns the zero value and no error; its errors are *StoreErrors.
+// Read returns the version that was stored last. If there is no file, it returns the zero value and no error. Its error
+// is a *StoreError.
 func (s *Store) Read() (configversion.LastKnownGood, error) {
 	var saved configversion.LastKnownGood
 	found := state.Read(s.path, s.node)
@@ -63,7 +64,8 @@
 	return saved, nil
 }
 
-// Save writes a version in the background, unless a newer one comes first.
+// Save writes a version in the background. If Save is called again before the write starts, only the later version is
+// written.
 func (s *Store) Save(lastKnownGood configversion.LastKnownGood) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// writeAll writes the pending versions until there is none.
+// writeAll writes pending versions until none is left.
 func (s *Store) writeAll(done chan struct{}) {
 	defer close(done)
 	for {
@@ -88,7 +90,8 @@
 	}
 }
 
-// takePending takes the pending version. If there is none, it returns nil, and the next Save starts to write again.
+// takePending removes and returns the pending version. If there is none, it returns nil, and the next Save starts a new
+// writeAll.
 func (s *Store) takePending() *configversion.LastKnownGood {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -100,7 +103,7 @@
 	return version
 }
 
-// write replaces the file, unless another process of the node has stored a newer version there.
+// write replaces the file unless another process of the node has stored a newer version in it.
 func (s *Store) write(lastKnownGood configversion.LastKnownGood) error {
 	release, err := state.Lock(context.Background(), s.path)
 	if err != nil {
@@ -117,7 +120,7 @@
 	return state.Write(s.path, s.node, body)
 }
 
-// flush waits until all is written, at most for a time.
+// flush waits until all versions are written, or until the timeout elapses.
 func (s *Store) flush(timeout time.Duration) {
 	s.lock.Lock()
 	writing := s.writing
--- a/internal/configwatch/store_test.go
+++ b/internal/configwatch/store_test.go
@@ -31,8 +31,8 @@
 	s.flush(time.Minute)
 }
 
-// A process stores a version and the next one reads it. A process that is about to end must not overwrite a newer
-// version, and each node has a file of its own.
+// A process stores a version, and the next one reads it. A process that is about to end must not overwrite a newer
+// version. Each node has a separate file.
 func TestStoreSavesAndReads(t *testing.T) {
 	folder := t.TempDir()
 	s := newTestStore(folder)
@@ -44,16 +44,17 @@
 	if err != nil || !reflect.DeepEqual(saved, storedVersion(3)) {
 		t.Errorf("read %+v, %v", saved, err)
 	}
-	saveAndFlush(newTestStore(folder), storedVersion(2)) // of the process before
+	saveAndFlush(newTestStore(folder), storedVersion(2)) // saved by the previous process
 	if saved, _ := s.Read(); saved.Version != 3 {
-		t.Errorf("an older version took the place of a newer: %d", saved.Version)
+		t.Errorf("the older version %d replaced a newer one", saved.Version)
 	}
 	if _, err := NewStore(folder, "n/1", slog.New(slog.DiscardHandler)).Read(); err != nil {
-		t.Errorf("another node's: %v", err)
+		t.Errorf("reading another node's version: %v", err)
 	}
 }
 
-// Many versions are saved in a row. They are written one at a time, and the newest is in the file in the end.
+// Many versions are saved in quick succession. They are written one at a time, and the file finally contains the
+// newest.
 func TestStoreWritesNewestVersion(t *testing.T) {
 	s := newTestStore(t.TempDir())
 	for n := range 200 {
@@ -65,7 +66,8 @@
 	}
 }
 
-// A crash or a disk damages the file. The version before is read, or nothing, and the error says where to look.
+// A crash or a disk fault damages the file. The previous version is read. If that is damaged, too, none is read, and
+// the error tells the operator what to check.
 func TestStoreReadsDamagedFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		damage    func(path string)
@@ -91,14 +93,14 @@
 				t.Errorf("read %d, %v", saved.Version, err)
 			}
 			var storeError *StoreError
-			if c.wantError && (!errors.As(err, &storeError) || !strings.Contains(err.Error(), "look at the folder's disk")) {
+			if c.wantError && (!errors.As(err, &storeError) || !strings.Contains(err.Error(), "check the folder's disk")) {
 				t.Errorf("the error is %v", err)
 			}
 		})
 	}
 }
 
-// The folder can't be written. That is logged, and blocks nobody.
+// The folder cannot be written. The store logs this, and does not block.
 func TestStoreLogsUnwritableFolder(t *testing.T) {
 	var logged lockedBuilder
 	s := NewStore(filepath.Join(t.TempDir(), "not", "there"), "n", slog.New(slog.NewTextHandler(&logged, nil)))
--- a/internal/configwatch/watch.go
+++ b/internal/configwatch/watch.go
@@ -11,7 +11,8 @@
 	"hookwalk.example/hookwalk/internal/watchstream"
 )
 
-// watch opens a watch and posts its events until it ends or ctx does. It returns the last event.
+// watch opens a watch and posts its events until the watch or ctx ends. It returns the last event, which the caller
+// posts.
 func (s *Session) watch(ctx context.Context, open configversion.OpenWatch) configversion.SessionEvent {
 	ended := configversion.WatchEnded{Watch: open.Watch}
 	s.options.Counters.Watches.Add(1)
@@ -44,7 +45,7 @@
 	return ended
 }
 
-// readUpdates posts what comes on a watch until it ends or ctx does.
+// readUpdates posts the updates and the activity of a watch until the watch or ctx ends.
 func (s *Session) readUpdates(ctx context.Context, watch uint64, body io.Reader) error {
 	reporter := &activityReporter{session: s, ctx: ctx, watch: watch}
 	reader := watchstream.NewReader[configapi.Update](body, maxUpdateBytes, reporter)
@@ -61,7 +62,7 @@
 	}
 }
 
-// activityReporter posts the activity on a watch, as watchstream reports it.
+// activityReporter posts the activity that watchstream reports for a watch.
 type activityReporter struct {
 	session *Session
 	ctx     context.Context
@@ -74,7 +75,7 @@
 	r.session.post(r.ctx, configversion.WatchActivity{Watch: r.watch})
 }
 
-// ObjectBegan reports the beginning of an update.
+// ObjectBegan reports that an update has begun to arrive.
 func (r *activityReporter) ObjectBegan() { r.Progress() }
 
 // Progress reports a fragment of an update.
