--- a/configversion/acceptance.go
+++ b/configversion/acceptance.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// rejectForeign rejects a version of a foreign cluster. It reports a version that arrives repeatedly only once.
+// rejectForeign rejects a version of a foreign cluster, but only once if the same version arrives repeatedly.
 func (s *Session) rejectForeign(w *watch, u configapi.Update) {
 	foreign := foreignVersion{u.Cluster, u.Version}
 	if s.versions.lastForeign == foreign {
--- a/configversion/controllerchoice.go
+++ b/configversion/controllerchoice.go
@@ -52,7 +52,7 @@
 		}
 	}
 	s.ackQueue.retryAt = 0
-	s.emit(ControllerChanged{w.address, w.current})
+	s.emit(ControllerChanged{w.address, w.hasLeaderContact})
 }
 
 // isBetter reports whether a watch is to replace a live main watch.
--- a/configversion/controllersearch.go
+++ b/configversion/controllersearch.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Search: if a node's main watch is live but does not deliver the newest versions, the node searches for a controller
-// that does. It probes the other controllers one at a time, in random order, and keeps the main watch in the meantime.
+// Search: if a node's main watch is live but does not deliver the newest versions, the node searches for a current
+// controller, which is one that does. It probes the other controllers one at a time, in random order, and keeps the
+// main watch in the meantime.
 //
 // Without the search, a node would stay with a controller that a partition has cut off from the leader. That controller
 // still sends heartbeats, so that the watch is not silent, but it sends no new versions. The state is visible as
--- a/configversion/lastknowngood.go
+++ b/configversion/lastknowngood.go
@@ -12,7 +12,7 @@
 type LastKnownGood struct {
 	Cluster configapi.Cluster        `json:"cluster"`
 	Version configapi.Version        `json:"version"`          // the version in force
-	Config  *configapi.ServiceConfig `json:"config,omitempty"` // of Version; nil: the node's own file is in force
+	Config  *configapi.ServiceConfig `json:"config,omitempty"` // of Version; nil: the node's configuration file is in force
 	// FormerClusters maps each cluster that the node has left to the newest version that the node knew of it.
 	FormerClusters map[configapi.Cluster]configapi.Version `json:"former,omitempty"`
 	// Controllers lists the controllers of the cluster with their locations.
--- a/configversion/placement.go
+++ b/configversion/placement.go
@@ -82,7 +82,7 @@
 	return &Placement{MaxSessions: maxSessions, MaxMigrationsPerPlan: maxMigrationsPerPlan, self: self}
 }
 
-// SetSessions sets the number of the controller's own sessions.
+// SetSessions sets the number of sessions at this controller.
 func (p *Placement) SetSessions(sessions int) { p.sessions = sessions }
 
 // SetOtherControllers replaces the reports of the other controllers.
--- a/configversion/rollout.go
+++ b/configversion/rollout.go
@@ -8,8 +8,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// RolloutState is the state of a node with respect to the newest version. MergeStatuses derives it from the reports of
-// controllers.
+// RolloutState is the state of a node with respect to the newest version. Only MergeStatuses sets it, from the reports
+// of controllers.
 type RolloutState string
 
 // Rollout states.
--- a/configversion/sessionproperty_test.go
+++ b/configversion/sessionproperty_test.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		if a.Version <= m.newestDecided[a.Cluster] {
-			m.t.Fatalf("after version %d of %s, the session decides on the older version %d", m.newestDecided[a.Cluster], a.Cluster, a.Version)
+			m.t.Fatalf("after version %d of %s, the session decides on version %d, which is not newer", m.newestDecided[a.Cluster], a.Cluster, a.Version)
 		}
 		m.newestDecided[a.Cluster] = a.Version
 		m.checkClusterSwitch(a)
--- a/configversion/sessiontypes.go
+++ b/configversion/sessiontypes.go
@@ -84,8 +84,8 @@
 	// ControllerChanged reports that the main watch has another controller, or that the controller's contact with the
 	// leader has changed.
 	ControllerChanged struct {
-		Controller string // of the main watch, HOST:PORT; "": there is no main watch
-		Current    bool   // see HasLeaderContact in configapi.Update
+		Controller       string // of the main watch, HOST:PORT; "": there is no main watch
+		HasLeaderContact bool   // see configapi.Update
 	}
 )
 
--- a/configversion/watch.go
+++ b/configversion/watch.go
@@ -20,16 +20,16 @@
 
 // watch is one open watch, which is a long-running call for updates at a controller.
 type watch struct {
-	number          uint64
-	address         string // of the controller, HOST:PORT
-	openedAt        time.Duration
-	silenceTimeout  time.Duration // see watchsilence.go
-	lastActivityAt  time.Duration // when the last byte arrived
-	updateStartedAt time.Duration // when the incomplete update began to arrive; 0: there is none
-	updated         bool          // a complete update has arrived
-	current         bool          // according to the last update, the controller is in contact with a leader
-	foreign         bool          // the last update was from a cluster that the node does not follow
-	outdated        bool          // the last update was older than the node's last decision
+	number           uint64
+	address          string // of the controller, HOST:PORT
+	openedAt         time.Duration
+	silenceTimeout   time.Duration // see watchsilence.go
+	lastActivityAt   time.Duration // when the last byte arrived
+	updateStartedAt  time.Duration // when the incomplete update began to arrive; 0: there is none
+	updated          bool          // a complete update has arrived
+	hasLeaderContact bool          // according to the last update, the controller is in contact with a leader
+	foreign          bool          // the last update was from a cluster that the node does not follow
+	outdated         bool          // the last update was older than the node's last decision
 }
 
 // state returns the watch's state at time now.
@@ -45,7 +45,7 @@
 
 // deliversNewest reports whether the watch delivers the newest versions of the node's cluster as soon as they are
 // committed.
-func (w *watch) deliversNewest() bool { return w.current && !w.foreign && !w.outdated }
+func (w *watch) deliversNewest() bool { return w.hasLeaderContact && !w.foreign && !w.outdated }
 
 // reconcileWatches opens and closes watches as the current state requires, and schedules the next wake-up.
 func (s *Session) reconcileWatches() {
@@ -78,17 +78,17 @@
 		return
 	}
 	u := e.Update
-	wasCurrent := w.current
+	hadLeaderContact := w.hasLeaderContact
 	w.lastActivityAt, w.updateStartedAt = s.now, 0
-	w.current, w.foreign, w.outdated = u.HasLeaderContact, !s.versions.mayFollow(u), s.versions.isOutdated(u)
+	w.hasLeaderContact, w.foreign, w.outdated = u.HasLeaderContact, !s.versions.mayFollow(u), s.versions.isOutdated(u)
 	if !w.foreign && len(u.Controllers) > 0 {
 		s.watches.clusterControllers = slices.Clone(u.Controllers)
 	}
 	if !w.updated {
 		w.updated = true
 		s.chooseMain(w)
-	} else if w == s.watches.main && w.current != wasCurrent {
-		s.emit(ControllerChanged{w.address, w.current})
+	} else if w == s.watches.main && w.hasLeaderContact != hadLeaderContact {
+		s.emit(ControllerChanged{w.address, w.hasLeaderContact})
 	}
 	s.considerUpdate(w, u)
 	if w == s.watches.main && u.MigrateTo != "" {
--- a/configversion/watchopening.go
+++ b/configversion/watchopening.go
@@ -18,8 +18,8 @@
 	// watchsilence.go for the time budget.
 	openTimeout = 600 * time.Millisecond
 	// maxOpenTimeout is the longest open timeout. The timeout grows so that controllers that are slow because of
-	// overload get less load instead of the same watches again. It is limited because a version has to arrive within 3
-	// s of the controllers' recovery.
+	// overload get less load instead of the same watches again. It is limited because a version has to arrive at the
+	// node within 3 s after the controllers recover.
 	maxOpenTimeout = 1500 * time.Millisecond
 	// maxOpenTimeoutDoublings bounds the shift in currentOpenTimeout. The maximum is reached after fewer doublings.
 	maxOpenTimeoutDoublings = 8
--- a/configversion/watchopening_test.go
+++ b/configversion/watchopening_test.go
@@ -80,7 +80,7 @@
 	for range 100 {
 		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
 		if _, isOpen := d.open[w.Watch]; isOpen || d.session.Applied() != 0 {
-			t.Fatalf("the watch is still open, or a version is in force: version %d", d.session.Applied())
+			t.Fatalf("watch open: %v, version in force: %d; want a closed watch and no version", isOpen, d.session.Applied())
 		}
 		w = d.nextWatch(openMaxBackoff)
 	}
--- a/internal/configwatch/session.go
+++ b/internal/configwatch/session.go
@@ -17,7 +17,7 @@
 type Applier interface {
 	// Apply checks a configuration and applies it, completely or not at all. A *configapi.Rejection is the reason why
 	// the configuration was rejected. Any other error means that it was not checked because the node is shutting down;
-	// then nothing is acknowledged. Apply is called once at a time.
+	// then nothing is acknowledged. Calls do not overlap.
 	Apply(ctx context.Context, config configapi.ServiceConfig) error
 }
 
@@ -227,7 +227,7 @@
 		s.options.Log.Info("configuration watch lost")
 		return
 	}
-	s.options.Log.Info("configuration watch at controller", "controller", a.Controller, "current", a.Current)
+	s.options.Log.Info("configuration watch at controller", "controller", a.Controller, "current", a.HasLeaderContact)
 }
 
 func (s *Session) logDecision(a configversion.VersionDecided) {
