--- a/configversion/controllersearch.go
+++ b/configversion/controllersearch.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Search: a node whose main watch is live but does not bring the newest versions looks for a controller that does. It
-// probes the other controllers one after another, in random order, and keeps the main watch meanwhile.
+// Search: if a node's main watch is live but does not deliver the newest versions, the node searches for a current
+// controller, which is one that does. It probes the other controllers one at a time, in random order, and keeps the
+// main watch in the meantime.
 //
-// It guards against a node that stays with a controller which a partition has cut off from the leader: its heartbeats
-// come, so that it is not silent, but new versions do not. It shows as `current=false` in the node's log line of its
-// watch.
+// Without the search, a node would stay with a controller that a partition has cut off from the leader. That controller
+// still sends heartbeats, so that the watch is not silent, but it sends no new versions. The state is visible as
+// `current=false` in the node's log line about its watch.
 
 const (
-	// searchDelay is how long a search waits before its first probe: most elections are over by then, and nothing has
-	// to move.
+	// searchDelay is how long a search waits before its first probe. Most elections end within this time, so that no
+	// node has to change its controller.
 	searchDelay = 500 * time.Millisecond
-	// searchJitter is the span within which nodes of one controller begin to search: they all lose the leader at once.
+	// searchJitter is the interval over which the nodes of one controller spread the start of their searches. They all
+	// notice the loss of the leader at the same time.
 	searchJitter = 700 * time.Millisecond
-	// searchInterval is the mean pause between two probes of a node; see searchPause.
+	// searchInterval is the mean pause between two probes of a node; see drawSearchPause.
 	searchInterval = 200 * time.Millisecond
-	// searchRoundInterval is the pause after all controllers were probed, and as much again is drawn. If none of them
-	// has a leader, nodes must not load them with watches while they elect one.
+	// searchRoundInterval is the minimum pause after all controllers were probed; a jitter of up to the same length is
+	// added. If no controller has a leader, nodes must not load the controllers with watches during the election.
 	searchRoundInterval = 5 * time.Second
 )
 
-// searchPause draws the pause before the next probe, from half of searchInterval up to one and a half of it.
-func (s *Session) searchPause() time.Duration {
+// drawSearchPause draws the pause before the next probe: between one half and one and a half of searchInterval.
+func (s *Session) drawSearchPause() time.Duration {
 	return searchInterval/2 + s.jitter(searchInterval)
 }
 
-// searchForCurrent begins the search or takes its next step, if it is due.
-func (s *Session) searchForCurrent() {
+// searchForCurrentController starts the search, or carries out its next step if that is due.
+func (s *Session) searchForCurrentController() {
 	set := &s.watches
 	if set.nextSearchAt == 0 {
 		set.nextSearchAt = s.now + searchDelay + s.jitter(searchJitter)
-		set.searchedAddresses = nil
+		set.probedAddresses = nil
 	}
 	if opening := set.opening(); len(opening) > 0 {
 		s.probe(opening[0].address)
@@ -47,25 +49,25 @@
 		s.wakeAt(set.nextSearchAt)
 		return
 	}
-	set.searchedAddresses = append(set.searchedAddresses, set.main.address)
-	candidates := set.unsearchedAddresses()
+	set.probedAddresses = append(set.probedAddresses, set.main.address)
+	candidates := set.unprobedAddresses()
 	if len(candidates) == 0 {
-		set.searchedAddresses = nil
+		set.probedAddresses = nil
 		set.nextSearchAt = s.now + searchRoundInterval + s.jitter(searchRoundInterval)
 		s.wakeAt(set.nextSearchAt)
 		return
 	}
 	address := candidates[s.random.IntN(len(candidates))]
-	set.searchedAddresses = append(set.searchedAddresses, address)
-	set.nextSearchAt = s.now + s.searchPause()
+	set.probedAddresses = append(set.probedAddresses, address)
+	set.nextSearchAt = s.now + s.drawSearchPause()
 	s.probe(address)
 }
 
-// unsearchedAddresses are the controllers that were not probed in this round of the search.
-func (s *watchSet) unsearchedAddresses() []string {
+// unprobedAddresses returns the controllers that have not been probed in this round of the search.
+func (s *watchSet) unprobedAddresses() []string {
 	return slices.DeleteFunc(s.addresses(), func(address string) bool {
-		return slices.Contains(s.searchedAddresses, address)
+		return slices.Contains(s.probedAddresses, address)
 	})
 }
 
-func (s *watchSet) endSearch() { s.nextSearchAt, s.searchedAddresses = 0, nil }
+func (s *watchSet) endSearch() { s.nextSearchAt, s.probedAddresses = 0, nil }
--- a/configversion/controllersearch_test.go
+++ b/configversion/controllersearch_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// A partition cuts a controller off from the leader; its heartbeats go on. Its nodes search for a current controller
-// after a delay and with a bounded number of probes, stay while there is none, and change when there is one.
-func TestSearchForACurrentController(t *testing.T) {
+// A partition cuts a controller off from the leader, but the controller still sends heartbeats. After a delay, its
+// nodes search for a current controller with a bounded number of probes. They stay while there is none, and switch when
+// they find one.
+func TestSearchForCurrentController(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
 	stale.HasLeaderContact = false
 	d.update(first.Watch, stale)
-	began := d.now
-	elections := func() {
+	staleSince := d.now
+	advanceMinuteWithoutLeader := func() {
 		for end := d.now + time.Minute; d.now < end; {
 			d.advance(100 * ms)
 			d.step(WatchActivity{Watch: first.Watch})
@@ -24,17 +25,17 @@
 			}
 		}
 	}
-	elections()
-	if d.openedAt[1]-began < searchDelay || d.openedAt[1]-began > searchDelay+searchJitter+100*ms {
-		t.Errorf("the first probe after %v", d.openedAt[1]-began)
+	advanceMinuteWithoutLeader()
+	if d.openedAt[1]-staleSince < searchDelay || d.openedAt[1]-staleSince > searchDelay+searchJitter+100*ms {
+		t.Errorf("the first probe started after %v", d.openedAt[1]-staleSince)
 	}
 	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
-		t.Errorf("%d watches in a minute", n)
+		t.Errorf("%d probes in a minute", n)
 	}
 	if d.session.Controller() != first.Address || len(d.open) > 2 {
-		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 	}
-	for id, w := range d.open { // one that it tried may be open
+	for id, w := range d.open { // a probe may still be open
 		if w.Address != first.Address {
 			d.step(WatchEnded{id})
 		}
@@ -50,11 +51,11 @@
 	}
 	d.update(second.Watch, versionUpdate("x", 1))
 	if d.session.Controller() != second.Address || len(d.open) != 1 {
-		t.Errorf("%d watches, at %s", len(d.open), d.session.Controller())
+		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
 	}
 }
 
-// A leader election is over within half a second, as most are. No node opens a second watch.
+// A leader election ends within half a second, as most do. No node opens a second watch.
 func TestShortElectionStartsNoSearch(t *testing.T) {
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
--- a/internal/configclient/status.go
+++ b/internal/configclient/status.go
@@ -11,16 +11,16 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// statusTimeout is how long one controller may take to send its status.
+// statusTimeout is how long the client waits for the status of one controller.
 const statusTimeout = 2 * time.Second
 
-// Statuses are the status of the controllers that responded, and those that did not.
+// Statuses contains the statuses of the controllers that responded, and the errors of those that did not.
 type Statuses struct {
-	Answers     []configapi.ControllerStatus
+	Responses   []configapi.ControllerStatus
 	Unreachable []*UnreachableError
 }
 
-// Status queries all controllers, including those that the first ones name.
+// Status queries the controllers at the client's addresses, and all controllers that their responses name.
 func (c *Client) Status(ctx context.Context) Statuses {
 	var all Statuses
 	queried := map[string]bool{}
@@ -29,17 +29,17 @@
 		for _, address := range next {
 			queried[address] = true
 		}
-		all.Answers = append(all.Answers, round.Answers...)
+		all.Responses = append(all.Responses, round.Responses...)
 		all.Unreachable = append(all.Unreachable, round.Unreachable...)
-		next = newAddresses(round.Answers, queried)
+		next = newAddresses(round.Responses, queried)
 	}
 	return all
 }
 
-// newAddresses are the controllers that answers name and that were not queried, each once.
-func newAddresses(answers []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
-	for _, answer := range answers {
-		for _, controller := range answer.Controllers {
+// newAddresses returns the addresses of controllers that are named in responses and were not queried yet, each once.
+func newAddresses(responses []configapi.ControllerStatus, queried map[string]bool) (addresses []string) {
+	for _, response := range responses {
+		for _, controller := range response.Controllers {
 			if !queried[controller.Address] && !slices.Contains(addresses, controller.Address) {
 				addresses = append(addresses, controller.Address)
 			}
@@ -48,16 +48,16 @@
 	return addresses
 }
 
-// queryAll queries some controllers in parallel.
+// queryAll queries the controllers at some addresses in parallel.
 func (c *Client) queryAll(ctx context.Context, addresses []string) Statuses {
-	answers := make([]configapi.ControllerStatus, len(addresses))
+	responses := make([]configapi.ControllerStatus, len(addresses))
 	failures := make([]error, len(addresses))
 	var calls sync.WaitGroup
 	for i, address := range addresses {
 		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 			defer cancel()
-			failures[i] = c.call(ctx, http.MethodGet, address, configapi.PathStatus, nil, &answers[i])
+			failures[i] = c.call(ctx, http.MethodGet, address, configapi.PathStatus, nil, &responses[i])
 		})
 	}
 	calls.Wait()
@@ -66,7 +66,7 @@
 		var unreachable *UnreachableError
 		switch err := failures[i]; {
 		case err == nil:
-			all.Answers = append(all.Answers, answers[i])
+			all.Responses = append(all.Responses, responses[i])
 		case errors.As(err, &unreachable):
 			all.Unreachable = append(all.Unreachable, unreachable)
 		default:
