--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -11,7 +11,7 @@
 )
 
 // The leader shuts down. The others elect a new one and go on publishing; the old leader returns and catches up.
-func TestClusterPublishesAndSurvivesItsLeader(t *testing.T) {
+func TestClusterPublishesAfterLeaderShutdown(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
 	if version := tc.publish("dry"); version != 1 {
@@ -44,15 +44,15 @@
 	}
 	leader := tc.leader()
 	tc.stop(leader)
-	again, err := tc.client().Publish(ctx, request)
-	if err != nil || again != first {
-		t.Errorf("answered %+v and %+v, %v", first, again, err)
+	repeated, err := tc.client().Publish(ctx, request)
+	if err != nil || repeated != first {
+		t.Errorf("answered %+v and %+v, %v", first, repeated, err)
 	}
 }
 
 // A partition cuts the leader off. It keeps serving its state, reports that it is not current, and rejects publish
 // requests. The majority elects another leader; when the partition ends, the old one catches up.
-func TestClusterWithAPartitionedLeader(t *testing.T) {
+func TestClusterPublishesWhileLeaderIsPartitioned(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
 	tc.publish("dry")
@@ -60,10 +60,10 @@
 	leader := tc.leader()
 	tc.disableRaft(leader)
 	tc.waitFor("the leader that is cut off says so", func() bool { return !tc.running[leader].views.load().hasLeaderContact })
-	alone := configclient.New([]string{tc.configOf(leader).Self.Listen})
+	isolatedClient := configclient.New([]string{tc.configOf(leader).Self.Listen})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, err := alone.Publish(ctx, publishRequest("press"))
+	_, err := isolatedClient.Publish(ctx, publishRequest("press"))
 	var apiError *configapi.Error
 	if !errors.As(err, &apiError) || apiError.Kind != configapi.ErrorNoQuorum {
 		t.Errorf("a publish at a controller without a quorum: %v", err)
--- a/internal/controller/clusterdisk_test.go
+++ b/internal/controller/clusterdisk_test.go
@@ -39,7 +39,7 @@
 
 // A controller is started on a copy of another controller's disk. It does not start: two servers with one ID could vote
 // twice.
-func TestClusterMemberRefusesTheDiskOfAnother(t *testing.T) {
+func TestControllerRejectsDiskOfAnotherController(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
 	tc.publish("dry")
@@ -48,8 +48,8 @@
 	tc.stop("c2")
 	replaceFolder(t, tc.configOf("c2").Folder, tc.configOf("c1").Folder)
 	_, err := New(tc.configOf("c2"), slog.New(slog.DiscardHandler))
-	var wrong *FolderError
-	if !errors.As(err, &wrong) || !strings.Contains(err.Error(), "copy of the disk of controller c1") {
+	var folderError *FolderError
+	if !errors.As(err, &folderError) || !strings.Contains(err.Error(), "copy of the disk of controller c1") {
 		t.Errorf("started on a copied disk: %v", err)
 	}
 }
@@ -62,8 +62,8 @@
 	tc.publish("dry")
 	tc.waitForVersion(1)
 	tc.stop("c2")
-	old := filepath.Join(t.TempDir(), "old")
-	replaceFolder(t, old, tc.configOf("c2").Folder)
+	backup := filepath.Join(t.TempDir(), "old")
+	replaceFolder(t, backup, tc.configOf("c2").Folder)
 	tc.start("c2")
 	tc.publish("press")
 	tc.waitForVersion(2)
@@ -71,7 +71,7 @@
 		return tc.running["c1"].views.load().state.Starts["c2"].Start == 2 && tc.running["c3"].views.load().state.Starts["c2"].Start == 2
 	})
 	tc.stop("c2")
-	replaceFolder(t, tc.configOf("c2").Folder, old)
+	replaceFolder(t, tc.configOf("c2").Folder, backup)
 	tc.start("c2")
 	tc.waitForReplacement("c2")
 	tc.publish("mill")
@@ -79,7 +79,7 @@
 }
 
 // All controllers stop and start again. No version is lost, and the next one follows.
-func TestClusterRestartsAsAWhole(t *testing.T) {
+func TestClusterSurvivesFullRestart(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
 	tc.publish("dry")
@@ -121,8 +121,8 @@
 func (tc *testCluster) waitForReplacement(name string) {
 	tc.t.Helper()
 	tc.waitFor(name+" is a member with a new server ID", func() bool {
-		part := tc.running[name].participation.Load()
-		return part.phase == phaseMember && strings.HasPrefix(part.serverID, name+serverIDSeparator)
+		current := tc.running[name].participation.Load()
+		return current.phase == phaseMember && strings.HasPrefix(current.serverID, name+serverIDSeparator)
 	})
 }
 
--- a/internal/controller/clusterharness_test.go
+++ b/internal/controller/clusterharness_test.go
@@ -146,7 +146,7 @@
 
 func (tc *testCluster) leader() string {
 	for name, running := range tc.running {
-		if c := running.consensus.Load(); c != nil && c.isReady() {
+		if c := running.consensus.Load(); c != nil && c.isReadyLeader() {
 			return name
 		}
 	}
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -44,9 +44,9 @@
 	// startConsensus has set raft. nil until then.
 	raftForCallbacks atomic.Pointer[raft.Raft]
 	// readyTerm is the term in which this controller leads and has applied all that was committed before; 0: none.
-	readyTerm   atomic.Uint64
-	leaderCh    <-chan bool
-	publishSlot chan struct{} // held by the publish request that is being proposed
+	readyTerm     atomic.Uint64
+	leaderChanges <-chan bool
+	publishSlot   chan struct{} // held by the publish request that is being proposed
 }
 
 // bootstrapMode is whether a disk begins a new cluster.
@@ -70,10 +70,10 @@
 		Logger:                logger,
 		ServerAddressProvider: c,
 	})
-	transport := &retryingTransport{NetworkTransport: network, shouldRetry: c.replicatesTo, closing: c.stream.closing}
+	transport := &retryingTransport{NetworkTransport: network, shouldRetry: c.shouldReplicateTo, closing: c.stream.closing}
 	leaderChanges := make(chan bool, leaderChangeBuffer)
-	c.leaderCh = leaderChanges
-	options := raftOptions(config, d.identity.ServerID)
+	c.leaderChanges = leaderChanges
+	options := newRaftConfig(config, d.identity.ServerID)
 	options.Logger = logger
 	options.NotifyCh = leaderChanges
 	if bootstrap == bootstrapNew {
@@ -92,7 +92,7 @@
 	return c, nil
 }
 
-func raftOptions(config Config, serverID string) *raft.Config {
+func newRaftConfig(config Config, serverID string) *raft.Config {
 	options := raft.DefaultConfig()
 	options.LocalID = raft.ServerID(serverID)
 	options.HeartbeatTimeout = config.ElectionTimeout
@@ -112,48 +112,48 @@
 func bootstrapConfiguration(config Config) raft.Configuration {
 	var servers []raft.Server
 	for _, member := range config.Members {
-		servers = append(servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(member.Name), Address: logAddress(member)})
+		servers = append(servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(member.Name), Address: configurationAddress(member)})
 	}
 	return raft.Configuration{Servers: servers}
 }
 
-// logAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings,
+// configurationAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings,
 // which may differ, as where a proxy stands between two of them; what is in the log must not.
-func logAddress(member Member) raft.ServerAddress { return raft.ServerAddress(member.Name) }
+func configurationAddress(member Member) raft.ServerAddress { return raft.ServerAddress(member.Name) }
 
 // serverIDSeparator stands between the controller's name and a random text in the server ID of a replaced disk.
 const serverIDSeparator = "/"
 
-// serverIDRandomLength is the length of that random text: long enough that no two replaced disks draw the same.
-const serverIDRandomLength = 12
+// serverIDSuffixLength is the length of that random text: long enough that no two replaced disks draw the same.
+const serverIDSuffixLength = 12
 
-// controllerOf is the name of the controller that has a raft server ID.
-func controllerOf(id raft.ServerID) string {
+// controllerName is the name of the controller that has a raft server ID.
+func controllerName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), serverIDSeparator)
 	return name
 }
 
 // replacementServerID draws the raft server ID of a controller whose disk was lost or is an old copy.
 func replacementServerID(name string) string {
-	return name + serverIDSeparator + randomText()[:serverIDRandomLength]
+	return name + serverIDSeparator + randomText()[:serverIDSuffixLength]
 }
 
-// replicatesTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
+// shouldReplicateTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
 // entries worth another attempt.
-func (c *consensus) replicatesTo(server raft.ServerID, term uint64) bool {
+func (c *consensus) shouldReplicateTo(server raft.ServerID, term uint64) bool {
 	raftServer := c.raftForCallbacks.Load()
 	if raftServer == nil || raftServer.State() != raft.Leader || raftServer.CurrentTerm() != term {
 		return false
 	}
-	servers, err := serversOf(raftServer)
+	servers, err := raftServers(raftServer)
 	if err != nil {
 		return false
 	}
 	return slices.ContainsFunc(servers, func(member raft.Server) bool { return member.ID == server })
 }
 
-// serversOf are the servers of raft's newest configuration.
-func serversOf(raftServer *raft.Raft) ([]raft.Server, error) {
+// raftServers are the servers of raft's newest configuration.
+func raftServers(raftServer *raft.Raft) ([]raft.Server, error) {
 	future := raftServer.GetConfiguration()
 	if err := future.Error(); err != nil {
 		return nil, err
@@ -163,17 +163,17 @@
 
 // ServerAddr finds the address of a raft server in the settings. Its error is an UnknownControllerError.
 func (c *consensus) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	name := controllerOf(id)
+	name := controllerName(id)
 	member, ok := c.config.member(name)
 	if !ok {
 		return "", &UnknownControllerError{name}
 	}
-	return serverAddress(member.Raft, string(id)), nil
+	return dialAddress(member.Raft, string(id)), nil
 }
 
 // isVoter reports whether this server is a voter, as far as it knows.
 func (c *consensus) isVoter() bool {
-	servers, err := serversOf(c.raft)
+	servers, err := raftServers(c.raft)
 	if err != nil {
 		return false
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,12 +17,12 @@
 
 // Bounds of the HTTP server: a client that sends or reads slowly must not hold a connection, nor memory, for long.
 const (
-	headerTimeout  = 5 * time.Second  // to read a request's header
-	bodyTimeout    = 10 * time.Second // to read a request's body
-	replyTimeout   = 10 * time.Second // to write a response that is not a watch
-	idleTimeout    = 60 * time.Second // of a connection without a request
-	writeTimeout   = 3 * time.Second  // of one write to a watch: a node that does not read is disconnected
-	maxHeaderBytes = 16 << 10         // of a request
+	headerTimeout     = 5 * time.Second  // to read a request's header
+	bodyTimeout       = 10 * time.Second // to read a request's body
+	responseTimeout   = 10 * time.Second // to write a response that is not a watch
+	idleTimeout       = 60 * time.Second // of a connection without a request
+	watchWriteTimeout = 3 * time.Second  // of one write to a watch: a node that does not read is disconnected
+	maxHeaderBytes    = 16 << 10         // of a request
 
 	// connectionsPerSession is how many connections a node may have: a watch, and one for acknowledgements.
 	connectionsPerSession = 2
@@ -59,7 +59,7 @@
 
 // New opens a controller's folder and its addresses. Its error is a FolderError or a ListenError.
 func New(config Config, log *slog.Logger) (*Controller, error) {
-	maxMigrations := int(migrationsPerSecond * pollInterval / time.Second)
+	maxMigrations := int(migrationsPerSecond * reportPollInterval / time.Second)
 	placement := configversion.NewPlacement(config.Self.ControllerAddress(), config.MaxSessions, maxMigrations)
 	c := &Controller{
 		config:    config,
@@ -119,7 +119,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	c.log.Info("serving", "listen", c.config.Self.Listen, "raft", c.config.Self.Raft, "folder", c.config.Folder,
 		"region", c.config.Self.Region, "zone", c.config.Self.Zone, "max_sessions", c.config.MaxSessions)
-	work, stop := context.WithCancel(context.Background())
+	taskContext, stop := context.WithCancel(context.Background())
 	defer stop()
 	failed := make(chan error, 2) // one for each task that may fail
 	c.tasks.Go(func() {
@@ -127,9 +127,9 @@
 			failed <- err
 		}
 	})
-	c.tasks.Go(func() { c.pollReports(work) })
+	c.tasks.Go(func() { c.pollReports(taskContext) })
 	c.tasks.Go(func() {
-		if err := c.runConsensus(work); err != nil {
+		if err := c.runConsensus(taskContext); err != nil {
 			failed <- err
 		}
 	})
@@ -173,21 +173,21 @@
 func (c *Controller) waitForSessions() {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
-	for remaining := drainTimeout; remaining > 0 && c.nodes.sessions() > 0; remaining -= monitorInterval {
+	for remaining := drainTimeout; remaining > 0 && c.nodes.sessionCount() > 0; remaining -= monitorInterval {
 		<-tick.C
 	}
 }
 
 // pollReports reads the other controllers' reports until ctx ends, and migrates sessions by them.
 func (c *Controller) pollReports(ctx context.Context) {
-	tick := time.NewTicker(pollInterval)
+	tick := time.NewTicker(reportPollInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		c.reports.poll(ctx, c.participation.Load().serverID)
 		now := time.Now()
 		migrated := c.nodes.setOtherControllers(c.reports.loads(now, c.views.load().hasLeaderContact), now)
 		if migrated > 0 {
-			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessions())
+			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessionCount())
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/controllerreports.go
+++ b/internal/controller/controllerreports.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// pollInterval is how often controllers read each other's reports.
-	pollInterval = 300 * time.Millisecond
-	// pollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
+	// reportPollInterval is how often controllers read each other's reports.
+	reportPollInterval = 300 * time.Millisecond
+	// reportPollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
 	// nodes that leave a stalled controller must not be redirected to it. The first of them leave it 0.5 s after the stall:
 	// SilenceTimeout without its jitter of 0.2 s, less a heartbeat interval. That is 0.05 s before a reading that began
 	// pollInterval after the last one has timed out (docs/open-items.md).
-	pollTimeout = 250 * time.Millisecond
+	reportPollTimeout = 250 * time.Millisecond
 	// reportValidity is how long a report counts in the rules about membership. It is longer than several readings, so
 	// that a single lost one changes nothing.
 	reportValidity = 2 * time.Second
@@ -89,42 +89,42 @@
 }
 
 // poll reads the reports of all other controllers in parallel. server is the own raft server ID.
-func (p *controllerReports) poll(ctx context.Context, server string) {
-	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+func (r *controllerReports) poll(ctx context.Context, server string) {
+	ctx, cancel := context.WithTimeout(ctx, reportPollTimeout)
 	defer cancel()
-	var readings sync.WaitGroup
-	for _, member := range p.config.Members {
-		if member.Name == p.config.Self.Name {
+	var fetches sync.WaitGroup
+	for _, member := range r.config.Members {
+		if member.Name == r.config.Self.Name {
 			continue
 		}
-		readings.Go(func() {
-			report, err := p.fetch(ctx, member, server)
-			p.record(member.Name, report, err)
+		fetches.Go(func() {
+			report, err := r.fetch(ctx, member, server)
+			r.record(member.Name, report, err)
 		})
 	}
-	readings.Wait()
+	fetches.Wait()
 }
 
 // record notes the result of a reading. After one that failed, the last report stays until it is too old.
-func (p *controllerReports) record(name string, report memberReport, err error) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (r *controllerReports) record(name string, report memberReport, err error) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	if err == nil {
-		p.reports[name] = timedReport{memberReport: report, receivedAt: time.Now()}
+		r.reports[name] = timedReport{memberReport: report, receivedAt: time.Now()}
 		return
 	}
-	last := p.reports[name]
+	last := r.reports[name]
 	last.lastFetchFailed = true
-	p.reports[name] = last
+	r.reports[name] = last
 }
 
-func (p *controllerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
+func (r *controllerReports) fetch(ctx context.Context, member Member, server string) (memberReport, error) {
 	address := "http://" + member.Dial + configapi.PathLoad + "?server=" + url.QueryEscape(server)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return memberReport{}, err
 	}
-	response, err := p.client.Do(request)
+	response, err := r.client.Do(request)
 	if err != nil {
 		return memberReport{}, err
 	}
@@ -143,11 +143,11 @@
 }
 
 // valid returns the reports that still count, by the controller's name.
-func (p *controllerReports) valid(now time.Time) map[string]memberReport {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (r *controllerReports) valid(now time.Time) map[string]memberReport {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	valid := map[string]memberReport{}
-	for name, report := range p.reports {
+	for name, report := range r.reports {
 		if report.isValid(now) {
 			valid[name] = report.memberReport
 		}
@@ -157,20 +157,20 @@
 
 // loads is what session placement needs to know of the others. A controller is available if its last reading succeeded,
 // it has a state, and it is in contact with the leader if this one is.
-func (p *controllerReports) loads(now time.Time, hasLeaderContact bool) []configversion.ControllerLoad {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (r *controllerReports) loads(now time.Time, hasLeaderContact bool) []configversion.ControllerLoad {
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	var loads []configversion.ControllerLoad
-	for _, member := range p.config.Members {
-		if member.Name == p.config.Self.Name {
+	for _, member := range r.config.Members {
+		if member.Name == r.config.Self.Name {
 			continue
 		}
-		report := p.reports[member.Name]
-		answers := !report.lastFetchFailed && report.isValid(now)
+		report := r.reports[member.Name]
+		responding := !report.lastFetchFailed && report.isValid(now)
 		loads = append(loads, configversion.ControllerLoad{
 			Controller: member.ControllerAddress(),
 			Sessions:   report.Sessions,
-			Available:  answers && report.Cluster != "" && (report.HasLeaderContact || !hasLeaderContact),
+			Available:  responding && report.Cluster != "" && (report.HasLeaderContact || !hasLeaderContact),
 		})
 	}
 	return loads
--- a/internal/controller/controllerreports_test.go
+++ b/internal/controller/controllerreports_test.go
@@ -15,45 +15,45 @@
 // A controller does not answer one poll. No node is sent to it, but it still counts as a member until its report is too
 // old.
 func TestLoadsOfAnUnresponsiveController(t *testing.T) {
-	p := newControllerReports(configOf("c1", "c2", "c3"))
+	reports := newControllerReports(configOf("c1", "c2", "c3"))
 	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, HasLeaderContact: true}}
-	p.record("c2", report, nil)
-	p.record("c3", report, nil)
-	p.record("c3", memberReport{}, errors.New("no answer"))
+	reports.record("c2", report, nil)
+	reports.record("c3", report, nil)
+	reports.record("c3", memberReport{}, errors.New("no answer"))
 	now := time.Now()
-	loads := p.loads(now, true)
+	loads := reports.loads(now, true)
 	if len(loads) != 2 || !loads[0].Available || loads[1].Available {
 		t.Errorf("loads %+v", loads)
 	}
-	if len(p.valid(now)) != 2 {
-		t.Errorf("members that answered lately: %v", p.valid(now))
+	if len(reports.valid(now)) != 2 {
+		t.Errorf("members that answered lately: %v", reports.valid(now))
 	}
-	p.record("c3", report, nil)
-	if loads := p.loads(now, true); !loads[1].Available {
+	reports.record("c3", report, nil)
+	if loads := reports.loads(now, true); !loads[1].Available {
 		t.Errorf("after it answered again: %+v", loads)
 	}
-	if loads := p.loads(now.Add(reportValidity), true); loads[0].Available {
+	if loads := reports.loads(now.Add(reportValidity), true); loads[0].Available {
 		t.Errorf("without any reading: %+v", loads)
 	}
 }
 
 // A controller that answers a reading twice must not have its second answer taken for that to the next one.
-func TestEachReadingHasAConnectionOfItsOwn(t *testing.T) {
+func TestEachReportIsFetchedOnANewConnection(t *testing.T) {
 	connections := map[string]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		connections[r.RemoteAddr] = true
 		_ = json.NewEncoder(w).Encode(memberReport{Phase: phaseMember, Load: configapi.Load{Name: "c2"}})
 	}))
 	defer server.Close()
-	p := newControllerReports(configOf("c1", "c2"))
+	reports := newControllerReports(configOf("c1", "c2"))
 	other := Member{Name: "c2", Dial: strings.TrimPrefix(server.URL, "http://")}
-	const readings = 3
-	for range readings {
-		if _, err := p.fetch(t.Context(), other, "s1"); err != nil {
+	const fetches = 3
+	for range fetches {
+		if _, err := reports.fetch(t.Context(), other, "s1"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(connections) != readings {
-		t.Errorf("%d readings on %d connections", readings, len(connections))
+	if len(connections) != fetches {
+		t.Errorf("%d readings on %d connections", fetches, len(connections))
 	}
 }
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return &FolderError{d.folder, "is another controller running on it, or is the file " + logFile + " damaged?", err}
 	}
-	cached, err := raft.NewLogCache(logCacheEntries, bolt)
+	logCache, err := raft.NewLogCache(logCacheEntries, bolt)
 	if err != nil {
 		_ = bolt.Close()
 		return &FolderError{d.folder, "", err}
@@ -90,7 +90,7 @@
 		_ = bolt.Close()
 		return &FolderError{d.folder, writableFolderAdvice, err}
 	}
-	d.bolt, d.logs, d.snapshots = bolt, cached, snapshots
+	d.bolt, d.logs, d.snapshots = bolt, logCache, snapshots
 	return nil
 }
 
@@ -98,7 +98,7 @@
 	text, err := os.ReadFile(filepath.Join(d.folder, identityFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return d.newIdentity(name)
+		return d.initIdentity(name)
 	case err != nil:
 		return &FolderError{d.folder, "the controller must be able to read " + identityFile, err}
 	}
@@ -113,13 +113,13 @@
 	return nil
 }
 
-// newIdentity sets the identity of an empty folder.
-func (d *disk) newIdentity(name string) error {
-	used, err := d.hasState()
+// initIdentity sets the identity of an empty folder.
+func (d *disk) initIdentity(name string) error {
+	hasState, err := d.hasState()
 	if err != nil {
 		return &FolderError{d.folder, emptyFolderAdvice, err}
 	}
-	if used {
+	if hasState {
 		return &FolderError{d.folder, "it has a log but no " + identityFile + ": " + emptyFolderAdvice, nil}
 	}
 	d.identity = identity{Name: name}
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -36,7 +36,7 @@
 
 func checkService(name string, service configapi.ServiceConfig) *configapi.Error {
 	if !validName(name) {
-		return invalidError("%q is not a service's name: 1 to %d visible ASCII characters", truncate(name), maxNameBytes)
+		return invalidError("%q is not a service's name: 1 to %d visible ASCII characters", truncateQuoted(name), maxNameBytes)
 	}
 	if len(service.Settings) == 0 {
 		return invalidError("service %s has no settings", name)
--- a/internal/controller/document_test.go
+++ b/internal/controller/document_test.go
@@ -10,9 +10,9 @@
 // The form of a document is checked before it is published: an operator learns of a mistake at once.
 func TestReadDocument(t *testing.T) {
 	for name, c := range map[string]struct {
-		text string
-		kind configapi.ErrorKind // "": accepted
-		says string
+		text     string
+		kind     configapi.ErrorKind // "": accepted
+		wantText string
 	}{
 		"two services":                {`{"services":{"dry":{"settings":{"a":1}},"press":{"settings":{},"discovery":"10.0.0.1:80"}}}`, "", ""},
 		"settings for nodes to judge": {`{"services":{"dry":{"settings":5}}}`, "", ""},
@@ -33,7 +33,7 @@
 			switch {
 			case err == nil && c.kind != "":
 				t.Error("accepted")
-			case err != nil && (err.Kind != c.kind || !strings.Contains(err.Message, c.says)):
+			case err != nil && (err.Kind != c.kind || !strings.Contains(err.Message, c.wantText)):
 				t.Errorf("%v", err)
 			}
 		})
@@ -41,7 +41,7 @@
 }
 
 // The ID and the replaced clusters of a publish request are checked.
-func TestCheckPublish(t *testing.T) {
+func TestCheckPublishRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		request   configapi.PublishRequest
 		wantError bool
@@ -54,7 +54,7 @@
 		"replaces nothing":        {configapi.PublishRequest{ID: "ABC", Replaces: []configapi.Cluster{""}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := checkPublish(c.request); (err != nil) != c.wantError {
+			if err := checkPublishRequest(c.request); (err != nil) != c.wantError {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/controller/handlers.go
+++ b/internal/controller/handlers.go
@@ -40,10 +40,12 @@
 	return mux
 }
 
-func (c *Controller) serveStatus(w http.ResponseWriter, _ *http.Request) { writeReply(w, c.status()) }
+func (c *Controller) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	writeReply(w, c.buildStatus())
+}
 
 func (c *Controller) serveLoad(w http.ResponseWriter, r *http.Request) {
-	writeReply(w, c.report(r.URL.Query().Get("server")))
+	writeReply(w, c.buildReport(r.URL.Query().Get("server")))
 }
 
 func (c *Controller) serveAck(w http.ResponseWriter, r *http.Request) {
@@ -69,10 +71,10 @@
 		return invalidError("outcome must be %s or %s", configapi.Applied, configapi.Rejected)
 	}
 	if ack.Cluster != "" && !validName(string(ack.Cluster)) {
-		return invalidError("%q is not a cluster's identity", truncate(string(ack.Cluster)))
+		return invalidError("%q is not a cluster's identity", truncateQuoted(string(ack.Cluster)))
 	}
 	if ack.Rejection != nil {
-		ack.Rejection.Kind = configapi.RejectionKind(truncate(string(ack.Rejection.Kind)))
+		ack.Rejection.Kind = configapi.RejectionKind(truncateQuoted(string(ack.Rejection.Kind)))
 		ack.Rejection.Message = truncateReason(ack.Rejection.Message)
 	}
 	return nil
@@ -86,7 +88,7 @@
 	}
 	reply, err := c.publish(r, request)
 	if err != nil {
-		c.log.Info("publish rejected", "id", truncate(request.ID), "kind", err.Kind, "err", err.Message)
+		c.log.Info("publish rejected", "id", truncateQuoted(request.ID), "kind", err.Kind, "err", err.Message)
 		writeError(w, err)
 		return
 	}
@@ -95,7 +97,7 @@
 }
 
 func (c *Controller) publish(r *http.Request, request configapi.PublishRequest) (configapi.PublishReply, *configapi.Error) {
-	if err := checkPublish(request); err != nil {
+	if err := checkPublishRequest(request); err != nil {
 		return configapi.PublishReply{}, err
 	}
 	document, err := readDocument(request.Document)
@@ -141,7 +143,7 @@
 }
 
 func writeJSON(w http.ResponseWriter, code int, body any) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(replyTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(body) // fails only if the client has gone
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -13,18 +13,18 @@
 // controller that is not current search for another one.
 const leaderContactTimeout = time.Second
 
-// runLeader does the work of a leader while the controller is one, until ctx ends.
-func (c *Controller) runLeader(ctx context.Context, running *consensus) {
-	tick := time.NewTicker(pollInterval)
+// runLeaderTasks does the work of a leader while the controller is one, until ctx ends.
+func (c *Controller) runLeaderTasks(ctx context.Context, running *consensus) {
+	tick := time.NewTicker(reportPollInterval)
 	defer tick.Stop()
 	for {
-		if running.isLeader() && !running.isReady() {
+		if running.isLeader() && !running.isReadyLeader() {
 			running.prepareLeadership()
 		}
-		running.reconcile(c.reports.valid(time.Now()), c.processID)
+		running.reconcileMembership(c.reports.valid(time.Now()), c.processID)
 		select {
 		case <-tick.C:
-		case <-running.leaderCh:
+		case <-running.leaderChanges:
 		case <-ctx.Done():
 			return
 		}
@@ -57,8 +57,8 @@
 // isLeader reports whether this controller is the leader, as far as it knows.
 func (c *consensus) isLeader() bool { return c.raft.State() == raft.Leader }
 
-// isReady reports whether this controller is the leader and has applied all that was committed before its term.
-func (c *consensus) isReady() bool {
+// isReadyLeader reports whether this controller is the leader and has applied all that was committed before its term.
+func (c *consensus) isReadyLeader() bool {
 	term := c.readyTerm.Load()
 	return term != 0 && c.isLeader() && c.raft.CurrentTerm() == term
 }
@@ -69,12 +69,12 @@
 	if id == "" {
 		return Member{}, false
 	}
-	return c.config.member(controllerOf(id))
+	return c.config.member(controllerName(id))
 }
 
-// isCurrent reports whether the controller is in contact with the leader of a quorum. A leader that loses its quorum
+// hasLeaderContact reports whether the controller is in contact with the leader of a quorum. A leader that loses its quorum
 // steps down by itself when its lease ends.
-func (c *consensus) isCurrent(now time.Time) bool {
+func (c *consensus) hasLeaderContact(now time.Time) bool {
 	if c.views.load().state.Cluster == "" {
 		return false
 	}
--- a/internal/controller/names.go
+++ b/internal/controller/names.go
@@ -15,8 +15,8 @@
 // maxQuotedBytes is how much of a client's text a message quotes: it goes into logs.
 const maxQuotedBytes = 40
 
-// truncate shortens a client's text for a message.
-func truncate(text string) string {
+// truncateQuoted shortens a client's text for a message.
+func truncateQuoted(text string) string {
 	if len(text) <= maxQuotedBytes {
 		return text
 	}
--- a/internal/controller/nodetable.go
+++ b/internal/controller/nodetable.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// minRememberedNodes is the least number of nodes that a controller remembers, with and without a session.
-	minRememberedNodes = 10000
-	// rememberedNodesPerSession is how many nodes it remembers for each session that it may have: after the failure of
+	// minNodeEntries is the least number of nodes that a controller remembers, with and without a session.
+	minNodeEntries = 10000
+	// nodeEntriesPerSession is how many nodes it remembers for each session that it may have: after the failure of
 	// others, its own nodes and those that were there before.
-	rememberedNodesPerSession = 2
-	// forgetAfter is how long a node without a session is remembered: long enough for operators to see that it is gone.
-	forgetAfter = time.Hour
+	nodeEntriesPerSession = 2
+	// disconnectedNodeRetention is how long a node without a session is remembered: long enough for operators to see that it is gone.
+	disconnectedNodeRetention = time.Hour
 	// migrationRetryInterval is how long a node is not asked to migrate again if it did not: it may have tried in vain.
 	migrationRetryInterval = 10 * time.Second
 )
@@ -36,7 +36,7 @@
 	lock         sync.Mutex
 	placement    *configversion.Placement
 	nodes        map[string]*nodeEntry // by name
-	maxNodes     int
+	maxEntries   int
 	openSessions int // their handlers have not ended yet
 	nextID       uint64
 	draining     bool
@@ -44,9 +44,9 @@
 
 func newNodeTable(placement *configversion.Placement) *nodeTable {
 	return &nodeTable{
-		placement: placement,
-		nodes:     map[string]*nodeEntry{},
-		maxNodes:  max(minRememberedNodes, rememberedNodesPerSession*placement.MaxSessions),
+		placement:  placement,
+		nodes:      map[string]*nodeEntry{},
+		maxEntries: max(minNodeEntries, nodeEntriesPerSession*placement.MaxSessions),
 	}
 }
 
@@ -57,17 +57,17 @@
 	defer t.lock.Unlock()
 	entry := t.nodes[request.Node]
 	if entry != nil && entry.session != nil {
-		if isOlder(request, entry.session.request) {
+		if isOlderWatch(request, entry.session.request) {
 			return nil, invalidError("a newer process of node %s has a session: each node needs a name of its own", request.Node)
 		}
 		entry.session.close()
 	} else if err := t.admit(request); err != nil {
 		return nil, err
 	}
-	t.evictDisconnected(request.Node)
+	t.evictLongestDisconnected(request.Node)
 	t.nextID++
 	s := newSession(t.nextID, request)
-	t.nodes[request.Node] = &nodeEntry{status: statusOf(request, now), session: s}
+	t.nodes[request.Node] = &nodeEntry{status: initialNodeStatus(request, now), session: s}
 	t.openSessions++
 	t.placement.SetSessions(t.openSessions)
 	return s, nil
@@ -75,7 +75,7 @@
 
 // admit lets session placement decide about a node; nobody is admitted during a shutdown.
 func (t *nodeTable) admit(request configapi.WatchRequest) *configapi.Error {
-	sessionRequest := sessionRequestOf(request)
+	sessionRequest := placementRequest(request)
 	if t.draining {
 		return &configapi.Error{Kind: configapi.ErrorNoCapacity, Message: "this controller is about to end", Alternatives: t.placement.Alternatives(sessionRequest)}
 	}
@@ -87,8 +87,8 @@
 		Alternatives: alternatives}
 }
 
-// sessionRequestOf is what session placement needs to know of a node that has no session yet.
-func sessionRequestOf(request configapi.WatchRequest) configversion.SessionRequest {
+// placementRequest is what session placement needs to know of a node that has no session yet.
+func placementRequest(request configapi.WatchRequest) configversion.SessionRequest {
 	return configversion.SessionRequest{Region: request.Region, Zone: request.Zone, WatchRejections: request.WatchRejections}
 }
 
@@ -144,7 +144,7 @@
 	byID := map[uint64]*session{}
 	var candidates []configversion.MigrationCandidate
 	for _, entry := range t.nodes {
-		if s := entry.session; s != nil && now.Sub(s.migratedAt) >= migrationRetryInterval {
+		if s := entry.session; s != nil && now.Sub(s.migrationRequestedAt) >= migrationRetryInterval {
 			byID[s.id] = s
 			candidates = append(candidates, configversion.MigrationCandidate{ID: s.id, Region: s.request.Region, Zone: s.request.Zone})
 		}
@@ -186,8 +186,8 @@
 	}
 }
 
-// sessions is the number of open sessions.
-func (t *nodeTable) sessions() int {
+// sessionCount is the number of open sessionCount.
+func (t *nodeTable) sessionCount() int {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.openSessions
@@ -200,11 +200,11 @@
 	return t.placement.Alternatives(configversion.SessionRequest{Region: request.Region, Zone: request.Zone})
 }
 
-// list returns the status of all nodes by name, and forgets those that have been away for forgetAfter.
-func (t *nodeTable) list(now time.Time) []configapi.NodeStatus {
+// listStatuses returns the status of all nodes by name, and forgets those that have been away for forgetAfter.
+func (t *nodeTable) listStatuses(now time.Time) []configapi.NodeStatus {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.forgetDisconnected(now)
+	t.removeExpired(now)
 	list := make([]configapi.NodeStatus, 0, len(t.nodes))
 	for _, entry := range t.nodes {
 		list = append(list, entry.status)
@@ -213,19 +213,19 @@
 	return list
 }
 
-func (t *nodeTable) forgetDisconnected(now time.Time) {
-	oldest := now.Add(-forgetAfter).UnixMilli()
+func (t *nodeTable) removeExpired(now time.Time) {
+	cutoffMS := now.Add(-disconnectedNodeRetention).UnixMilli()
 	for name, entry := range t.nodes {
-		if entry.session == nil && entry.status.LastSeenMS < oldest {
+		if entry.session == nil && entry.status.LastSeenMS < cutoffMS {
 			delete(t.nodes, name)
 		}
 	}
 }
 
-// evictDisconnected forgets the node that has been away for longest if the table is full and a node is new to it.
+// evictLongestDisconnected forgets the node that has been away for longest if the table is full and a node is new to it.
 // Without a bound, nodes that are renamed at each start would fill the memory.
-func (t *nodeTable) evictDisconnected(newNode string) {
-	if _, known := t.nodes[newNode]; known || len(t.nodes) < t.maxNodes {
+func (t *nodeTable) evictLongestDisconnected(newNode string) {
+	if _, known := t.nodes[newNode]; known || len(t.nodes) < t.maxEntries {
 		return
 	}
 	oldest := ""
@@ -237,8 +237,8 @@
 	delete(t.nodes, oldest)
 }
 
-// statusOf is the status of a node as its watch's request states it.
-func statusOf(r configapi.WatchRequest, now time.Time) configapi.NodeStatus {
+// initialNodeStatus is the status of a node as its watch's request states it.
+func initialNodeStatus(r configapi.WatchRequest, now time.Time) configapi.NodeStatus {
 	status := configapi.NodeStatus{
 		Node:        r.Node,
 		Service:     r.Service,
@@ -268,7 +268,7 @@
 	if !found {
 		return &configapi.Rejection{Message: truncateReason(reason)}
 	}
-	return &configapi.Rejection{Kind: configapi.RejectionKind(truncate(kind)), Message: truncateReason(message)}
+	return &configapi.Rejection{Kind: configapi.RejectionKind(truncateQuoted(kind)), Message: truncateReason(message)}
 }
 
 // truncateReason cuts a reason to configapi.MaxReasonBytes.
--- a/internal/controller/nodetable_test.go
+++ b/internal/controller/nodetable_test.go
@@ -43,7 +43,7 @@
 		t.Error("the older session of n1 goes on")
 	}
 	table.closeSession(first, noon)
-	if n := table.sessions(); n != 2 {
+	if n := table.sessionCount(); n != 2 {
 		t.Errorf("%d sessions are open, want 2", n)
 	}
 }
@@ -59,23 +59,23 @@
 }
 
 // Acknowledgements arrive late, of an older session or of an older version. They change nothing.
-func TestAcknowledgementsInAnyOrder(t *testing.T) {
+func TestLateAcknowledgementsAreIgnored(t *testing.T) {
 	table := newTestTable(5)
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, WatchNumber: 2, Cluster: "c", LastDecided: 3, Applied: 3})
 	ack := configapi.Acknowledgement{Node: "n1", StartedMS: 5, WatchNumber: 2, Cluster: "c", Outcome: configapi.Applied}
-	for _, late := range []func(*configapi.Acknowledgement){
+	for _, modify := range []func(*configapi.Acknowledgement){
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 7, 7 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied = 6, 6 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.WatchNumber = 9, 9, 1 },
 		func(a *configapi.Acknowledgement) { a.Version, a.Applied, a.StartedMS = 9, 9, 4 },
 	} {
 		a := ack
-		late(&a)
+		modify(&a)
 		if err := table.acknowledge(a, noon); err != nil {
 			t.Error(err)
 		}
 	}
-	if got := table.list(noon)[0]; got.LastDecided != 7 || got.Applied != 7 || got.Outcome != configapi.Applied {
+	if got := table.listStatuses(noon)[0]; got.LastDecided != 7 || got.Applied != 7 || got.Outcome != configapi.Applied {
 		t.Errorf("node is known as %+v", got)
 	}
 	if s.needsConfig("c", 7) || !s.needsConfig("c", 8) || !s.needsConfig("d", 1) {
@@ -92,13 +92,13 @@
 	table := newTestTable(5)
 	rejection := &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no such class"}
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Cluster: "c", LastDecided: 4, Applied: 3, LastRejected: true, RejectionReason: rejection.Error()})
-	got := table.list(noon)[0]
+	got := table.listStatuses(noon)[0]
 	if got.Outcome != configapi.Rejected || got.Rejection == nil || *got.Rejection != *rejection {
 		t.Errorf("node is known as %+v", got)
 	}
 	long := configapi.WatchRequest{Node: "n2", Service: "dry", LastDecided: 4, LastRejected: true, RejectionReason: strings.Repeat("x", 2*configapi.MaxReasonBytes)}
 	mustOpen(t, table, long)
-	if got := table.list(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
+	if got := table.listStatuses(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
 		t.Errorf("a reason of %d bytes is recorded", len(got))
 	}
 }
@@ -109,10 +109,10 @@
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry"})
 	mustOpen(t, table, configapi.WatchRequest{Node: "n2", Service: "dry"})
 	table.closeSession(s, noon)
-	if list := table.list(noon.Add(forgetAfter)); len(list) != 2 || list[0].Connected || !list[1].Connected {
-		t.Errorf("after %v: %+v", forgetAfter, list)
+	if list := table.listStatuses(noon.Add(disconnectedNodeRetention)); len(list) != 2 || list[0].Connected || !list[1].Connected {
+		t.Errorf("after %v: %+v", disconnectedNodeRetention, list)
 	}
-	if list := table.list(noon.Add(forgetAfter + time.Millisecond)); len(list) != 1 || list[0].Node != "n2" {
+	if list := table.listStatuses(noon.Add(disconnectedNodeRetention + time.Millisecond)); len(list) != 1 || list[0].Node != "n2" {
 		t.Errorf("a moment later: %+v", list)
 	}
 }
@@ -120,19 +120,19 @@
 // Nodes are renamed at each start. The table forgets those that have been away for longest, and does not grow.
 func TestNodeTableIsBounded(t *testing.T) {
 	table := newTestTable(5)
-	table.maxNodes = 3
+	table.maxEntries = 3
 	for i := range 5 {
 		s := mustOpen(t, table, configapi.WatchRequest{Node: fmt.Sprint("n", i), Service: "dry"})
 		table.closeSession(s, noon.Add(time.Duration(i)*time.Second))
 	}
-	list := table.list(noon)
+	list := table.listStatuses(noon)
 	if len(list) != 3 || list[0].Node != "n2" {
 		t.Errorf("known: %+v", list)
 	}
 }
 
 // A controller shuts down. Its nodes are spread over the others, and new ones are rejected.
-func TestDrainAsksAllToMigrate(t *testing.T) {
+func TestDrainAsksAllNodesToMigrate(t *testing.T) {
 	table := newTestTable(5)
 	table.setOtherControllers([]configversion.ControllerLoad{{Controller: configapi.ControllerAddress{Address: "b:1"}, Available: true}, {Controller: configapi.ControllerAddress{Address: "c:1"}, Available: true}}, noon)
 	var sessions []*session
@@ -143,8 +143,8 @@
 	targets := map[string]int{}
 	for _, s := range sessions {
 		select {
-		case to := <-s.migrate:
-			targets[to.Address]++
+		case target := <-s.migrationTarget:
+			targets[target.Address]++
 		default:
 			t.Error("a session was not asked to migrate")
 		}
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -34,12 +34,12 @@
 
 // initParticipation sets the phase as far as the disk tells.
 func (c *Controller) initParticipation() error {
-	used, err := c.disk.hasState()
+	hasState, err := c.disk.hasState()
 	if err != nil {
 		return &FolderError{c.config.Folder, emptyFolderAdvice, err}
 	}
 	switch server := c.disk.identity.ServerID; {
-	case used:
+	case hasState:
 		c.setParticipation(phaseMember, nil)
 	case server != "" && server != c.config.Self.Name:
 		c.setParticipation(phaseJoining, nil)
@@ -49,9 +49,9 @@
 	return nil
 }
 
-func (c *Controller) setParticipation(p phase, founders map[string]string) {
+func (c *Controller) setParticipation(newPhase phase, founders map[string]string) {
 	c.participation.Store(&participation{
-		phase:    p,
+		phase:    newPhase,
 		serverID: c.disk.identity.ServerID,
 		start:    c.disk.identity.Start,
 		founders: founders,
@@ -65,7 +65,7 @@
 		return err
 	}
 	c.tasks.Go(func() { running.snapshotOnChange(ctx.Done()) })
-	c.tasks.Go(func() { c.runLeader(ctx, running) })
+	c.tasks.Go(func() { c.runLeaderTasks(ctx, running) })
 	c.monitor(ctx, running)
 	return nil
 }
@@ -76,19 +76,19 @@
 	case phaseMember:
 		return c.resumeFromDisk(ctx)
 	case phaseJoining:
-		return c.launchJoining()
+		return c.startJoining()
 	}
 	return c.startWithEmptyDisk(ctx)
 }
 
 // startWithEmptyDisk waits until decideEmptyDiskStart has decided, and starts raft accordingly.
 func (c *Controller) startWithEmptyDisk(ctx context.Context) (*consensus, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	decision := startUndecided
 	var reports map[string]memberReport
 	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
 		reports = c.reports.valid(time.Now())
-		waitForAll := time.Since(began) < bootstrapWait
+		waitForAll := time.Since(startedAt) < bootstrapWait
 		decision = decideEmptyDiskStart(c.config, c.processID, reports, waitForAll)
 		return decision != startUndecided
 	})
@@ -99,12 +99,12 @@
 		c.log.Info("the folder is empty, and others have a log: this controller joins with a new server ID and copies it")
 		return c.joinAsReplacement()
 	}
-	founders := foundersOf(c.config, c.processID, reports)
+	founders := foundingProcesses(c.config, c.processID, reports)
 	c.log.Info("beginning a new cluster", "members", len(c.config.Members), "empty", len(founders))
 	if err := c.disk.setServerID(c.config.Self.Name); err != nil {
 		return nil, err
 	}
-	return c.launchConsensus(phaseMember, bootstrapNew, founders)
+	return c.startEnabledConsensus(phaseMember, bootstrapNew, founders)
 }
 
 // joinAsReplacement gives the disk a new server ID, and starts raft with it.
@@ -112,22 +112,22 @@
 	if err := c.disk.setServerID(replacementServerID(c.config.Self.Name)); err != nil {
 		return nil, err
 	}
-	return c.launchJoining()
+	return c.startJoining()
 }
 
-func (c *Controller) launchJoining() (*consensus, error) {
-	return c.launchConsensus(phaseJoining, bootstrapNone, nil)
+func (c *Controller) startJoining() (*consensus, error) {
+	return c.startEnabledConsensus(phaseJoining, bootstrapNone, nil)
 }
 
-// launchConsensus starts raft, and opens it to the others at once.
-func (c *Controller) launchConsensus(p phase, bootstrap bootstrapMode, founders map[string]string) (*consensus, error) {
+// startEnabledConsensus starts raft, and opens it to the others at once.
+func (c *Controller) startEnabledConsensus(initialPhase phase, bootstrap bootstrapMode, founders map[string]string) (*consensus, error) {
 	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrap)
 	if err != nil {
 		return nil, err
 	}
 	running.stream.enabled.Store(true)
 	c.consensus.Store(running)
-	c.setParticipation(p, founders)
+	c.setParticipation(initialPhase, founders)
 	return running, nil
 }
 
@@ -139,15 +139,15 @@
 		return nil, err
 	}
 	c.consensus.Store(running)
-	verdict := diskUndecided
+	freshness := diskFreshnessUnknown
 	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
-		verdict = judgeDisk(c.config, c.disk.identity, c.processID, c.reports.valid(time.Now()))
-		return verdict != diskUndecided
+		freshness = checkDiskFreshness(c.config, c.disk.identity, c.processID, c.reports.valid(time.Now()))
+		return freshness != diskFreshnessUnknown
 	})
 	switch {
 	case err != nil:
 		return nil, nil
-	case verdict == diskStale:
+	case freshness == diskStale:
 		return c.replaceStaleDisk(running)
 	}
 	running.stream.enabled.Store(true)
@@ -171,13 +171,13 @@
 }
 
 // waitUntil checks a condition until it holds, and logs now and then what it waits for. Its error is that of ctx.
-func (c *Controller) waitUntil(ctx context.Context, what string, holds func() bool) error {
+func (c *Controller) waitUntil(ctx context.Context, what string, condition func() bool) error {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
-	for untilLog := time.Duration(0); !holds(); untilLog -= monitorInterval {
-		if untilLog <= 0 {
+	for untilNextLog := time.Duration(0); !condition(); untilNextLog -= monitorInterval {
+		if untilNextLog <= 0 {
 			c.log.Info("waiting: " + what)
-			untilLog = waitLogInterval
+			untilNextLog = waitLogInterval
 		}
 		select {
 		case <-tick.C:
@@ -193,13 +193,13 @@
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
-		if c.views.setLeaderContact(running.isCurrent(time.Now())) {
+		if c.views.setLeaderContact(running.hasLeaderContact(time.Now())) {
 			view := c.views.load()
 			c.log.Info("leader contact", "current", view.hasLeaderContact, "version", view.state.Version)
 		}
-		if own := c.participation.Load(); own.phase == phaseJoining && running.isVoter() {
+		if current := c.participation.Load(); current.phase == phaseJoining && running.isVoter() {
 			c.setParticipation(phaseMember, nil)
-			c.log.Info("this controller is a member of the cluster again", "server", own.serverID)
+			c.log.Info("this controller is a member of the cluster again", "server", current.serverID)
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -50,14 +50,14 @@
 	return result.Reply, result.Err
 }
 
-// checkPublish checks all of a publish request but its document.
-func checkPublish(request configapi.PublishRequest) *configapi.Error {
+// checkPublishRequest checks all of a publish request but its document.
+func checkPublishRequest(request configapi.PublishRequest) *configapi.Error {
 	if request.ID == "" || len(request.ID) > maxPublishIDBytes || !validName(request.ID) {
 		return invalidError("a publish request needs an ID of 1 to %d visible ASCII characters", maxPublishIDBytes)
 	}
 	for _, cluster := range request.Replaces {
 		if !validName(string(cluster)) {
-			return invalidError("%q is not a cluster's identity", truncate(string(cluster)))
+			return invalidError("%q is not a cluster's identity", truncateQuoted(string(cluster)))
 		}
 	}
 	return nil
@@ -66,7 +66,7 @@
 // checkLeadership says why a publish request can't be proposed here, and where to if that is known.
 func (c *consensus) checkLeadership() *configapi.Error {
 	switch leader, known := c.leader(); {
-	case c.isReady():
+	case c.isReadyLeader():
 		return nil
 	case c.isLeader():
 		return &configapi.Error{Kind: configapi.ErrorNoQuorum, Message: "this controller was just elected and reads its log: nothing was taken, repeat it"}
--- a/internal/controller/quorummembership.go
+++ b/internal/controller/quorummembership.go
@@ -14,10 +14,10 @@
 // membershipChangeTimeout is how long one change of raft's configuration may take before it is tried again.
 const membershipChangeTimeout = 5 * time.Second
 
-// reconcile makes the membership changes that the valid reports ask for, at the leader, and records the controllers'
+// reconcileMembership makes the membership changes that the valid reports ask for, at the leader, and records the controllers'
 // starts. It is called after each reading; what can't be done yet is done by a later call.
-func (c *consensus) reconcile(reports map[string]memberReport, processID string) {
-	if !c.isReady() {
+func (c *consensus) reconcileMembership(reports map[string]memberReport, processID string) {
+	if !c.isReadyLeader() {
 		return
 	}
 	c.recordStart(c.disk.identity.ServerID, memberStart{c.disk.identity.Start, processID})
@@ -37,22 +37,22 @@
 // reconcileMember makes the next changes for one controller.
 func (c *consensus) reconcileMember(member Member, report memberReport) error {
 	server := raft.ServerID(report.ServerID)
-	if controllerOf(server) != member.Name {
+	if controllerName(server) != member.Name {
 		return nil
 	}
-	servers, err := serversOf(c.raft)
+	servers, err := raftServers(c.raft)
 	if err != nil {
 		return err
 	}
-	for _, known := range servers {
+	for _, existing := range servers {
 		switch {
-		case known.ID == server && known.Suffrage == raft.Voter:
+		case existing.ID == server && existing.Suffrage == raft.Voter:
 			return nil
-		case known.ID == server:
-			return c.promote(member, report)
-		case controllerOf(known.ID) == member.Name && report.Phase == phaseJoining:
-			c.log.Info("a controller has another disk than before: its old server leaves the cluster", "controller", member.Name, "server", known.ID)
-			if err := c.raft.RemoveServer(known.ID, 0, membershipChangeTimeout).Error(); err != nil {
+		case existing.ID == server:
+			return c.promoteToVoter(member, report)
+		case controllerName(existing.ID) == member.Name && report.Phase == phaseJoining:
+			c.log.Info("a controller has another disk than before: its old server leaves the cluster", "controller", member.Name, "server", existing.ID)
+			if err := c.raft.RemoveServer(existing.ID, 0, membershipChangeTimeout).Error(); err != nil {
 				return err
 			}
 		}
@@ -61,19 +61,19 @@
 		return nil
 	}
 	c.log.Info("a controller joins", "controller", member.Name, "server", server)
-	return c.raft.AddNonvoter(server, logAddress(member), 0, membershipChangeTimeout).Error()
+	return c.raft.AddNonvoter(server, configurationAddress(member), 0, membershipChangeTimeout).Error()
 }
 
 // maxPromotionLag is how many log entries a nonvoter may lack when it becomes a voter: one message brings them.
 const maxPromotionLag = appendBatch
 
-// promote makes a nonvoter a voter once its log is at most maxPromotionLag entries behind.
-func (c *consensus) promote(member Member, report memberReport) error {
+// promoteToVoter makes a nonvoter a voter once its log is at most maxPromotionLag entries behind.
+func (c *consensus) promoteToVoter(member Member, report memberReport) error {
 	if report.AppliedIndex+maxPromotionLag < c.raft.CommitIndex() || report.Cluster != c.views.load().state.Cluster {
 		return nil
 	}
 	c.log.Info("a controller that joined has the log and may vote", "controller", member.Name, "server", report.ServerID)
-	return c.raft.AddVoter(raft.ServerID(report.ServerID), logAddress(member), 0, membershipChangeTimeout).Error()
+	return c.raft.AddVoter(raft.ServerID(report.ServerID), configurationAddress(member), 0, membershipChangeTimeout).Error()
 }
 
 // recordStart writes a controller's start to the log, once for each. judgeDisk compares with these records.
--- a/internal/controller/raftlogger.go
+++ b/internal/controller/raftlogger.go
@@ -13,7 +13,7 @@
 // debug output.
 func raftLogger(log *slog.Logger) hclog.Logger {
 	logger := hclog.NewInterceptLogger(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Info})
-	logger.RegisterSink(&slogSink{log: log, lastLogged: map[string]*repetition{}})
+	logger.RegisterSink(&slogSink{log: log, lastLogged: map[string]*messageRepetition{}})
 	return logger
 }
 
@@ -26,11 +26,11 @@
 	log *slog.Logger
 
 	lock       sync.Mutex
-	lastLogged map[string]*repetition // by the message, of which raft has a few dozen
+	lastLogged map[string]*messageRepetition // by the message, of which raft has a few dozen
 }
 
-// repetition counts how often a message was suppressed since it was last logged.
-type repetition struct {
+// messageRepetition counts how often a message was suppressed since it was last logged.
+type messageRepetition struct {
 	loggedAt   time.Time
 	suppressed int
 }
@@ -64,7 +64,7 @@
 	defer s.lock.Unlock()
 	r := s.lastLogged[message]
 	if r == nil {
-		s.lastLogged[message] = &repetition{loggedAt: now}
+		s.lastLogged[message] = &messageRepetition{loggedAt: now}
 		return 0, false
 	}
 	if now.Sub(r.loggedAt) < repeatLogInterval {
@@ -72,7 +72,7 @@
 		return 0, true
 	}
 	suppressed = r.suppressed
-	*r = repetition{loggedAt: now}
+	*r = messageRepetition{loggedAt: now}
 	return suppressed, false
 }
 
--- a/internal/controller/raftlogger_test.go
+++ b/internal/controller/raftlogger_test.go
@@ -8,12 +8,12 @@
 // A controller is away, and raft logs the same message several times a second. One in ten seconds is passed on, with
 // the number of those that were suppressed.
 func TestRaftLoggerSuppressesRepetitions(t *testing.T) {
-	s := &slogSink{lastLogged: map[string]*repetition{}}
+	s := &slogSink{lastLogged: map[string]*messageRepetition{}}
 	for _, c := range []struct {
-		message string
-		after   time.Duration
-		leftOut int
-		again   bool
+		message    string
+		after      time.Duration
+		suppressed int
+		suppress   bool
 	}{
 		{"failed to heartbeat to", 0, 0, false},
 		{"failed to heartbeat to", time.Second, 0, true},
@@ -22,8 +22,8 @@
 		{"failed to heartbeat to", repeatLogInterval, 2, false},
 		{"failed to heartbeat to", 2 * repeatLogInterval, 0, false},
 	} {
-		if leftOut, again := s.countRepetition(c.message, noon.Add(c.after)); leftOut != c.leftOut || again != c.again {
-			t.Errorf("%q after %v: %d left out, again %v", c.message, c.after, leftOut, again)
+		if suppressed, suppress := s.countRepetition(c.message, noon.Add(c.after)); suppressed != c.suppressed || suppress != c.suppress {
+			t.Errorf("%q after %v: %d left out, again %v", c.message, c.after, suppressed, suppress)
 		}
 	}
 }
--- a/internal/controller/raftstream.go
+++ b/internal/controller/raftstream.go
@@ -34,12 +34,12 @@
 	maxGreetingBytes = 512
 	// greetingProtocol begins a greeting; another version of the protocol has another text.
 	greetingProtocol = "hookwalk-raft/1"
-	// greetingFields are the fields of a greeting: the protocol, the server ID that the connection is for, the cluster.
-	greetingFields = 3
+	// greetingFieldCount are the fields of a greeting: the protocol, the server ID that the connection is for, the cluster.
+	greetingFieldCount = 3
 	// noClusterToken stands for the cluster where a controller has none yet; it matches any.
 	noClusterToken = "-"
-	// serverIDMark stands between the network address and the server ID in a raft.ServerAddress.
-	serverIDMark = "|"
+	// addressSeparator stands between the network address and the server ID in a raft.ServerAddress.
+	addressSeparator = "|"
 )
 
 // GreetingError reports that a raft connection reached another server or cluster than it was for.
@@ -54,13 +54,13 @@
 
 // raftStream is the raft.StreamLayer of a controller: it dials and accepts connections between controllers.
 type raftStream struct {
-	listener net.Listener
-	name     raftAddress
-	serverID string // its own raft server ID
-	cluster  func() configapi.Cluster
-	slots    chan struct{} // one for each accepted connection
-	closing  chan struct{} // closed by Close
-	once     sync.Once
+	listener  net.Listener
+	name      raftAddress
+	serverID  string // its own raft server ID
+	cluster   func() configapi.Cluster
+	slots     chan struct{} // one for each accepted connection
+	closing   chan struct{} // closed by Close
+	closeOnce sync.Once
 	// enabled is set while this controller takes part in the log. While it is false nothing is sent or read, on
 	// connections that are open neither: it is not clear yet whether the disk may vote.
 	enabled atomic.Bool
@@ -80,9 +80,9 @@
 		slots: make(chan struct{}, maxRaftConnections), closing: make(chan struct{})}
 }
 
-// serverAddress appends a server's ID to its network address, so that Dial knows which server it is for.
-func serverAddress(address, id string) raft.ServerAddress {
-	return raft.ServerAddress(address + serverIDMark + id)
+// dialAddress appends a server's ID to its network address, so that Dial knows which server it is for.
+func dialAddress(address, id string) raft.ServerAddress {
+	return raft.ServerAddress(address + addressSeparator + id)
 }
 
 // Dial connects to a server whose address serverAddress made, and sends the greeting.
@@ -90,7 +90,7 @@
 	if !s.enabled.Load() {
 		return nil, errStreamDisabled
 	}
-	address, id, _ := strings.Cut(string(target), serverIDMark)
+	address, id, _ := strings.Cut(string(target), addressSeparator)
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 
 // Close closes the listener.
 func (s *raftStream) Close() error {
-	s.once.Do(func() { close(s.closing) })
+	s.closeOnce.Do(func() { close(s.closing) })
 	return s.listener.Close()
 }
 
@@ -134,7 +134,7 @@
 	fields := strings.Fields(greeting)
 	own := clusterToken(s.cluster())
 	want := strings.Join([]string{greetingProtocol, s.serverID, own}, " ")
-	if !s.enabled.Load() || len(fields) != greetingFields || fields[0] != greetingProtocol || fields[1] != s.serverID {
+	if !s.enabled.Load() || len(fields) != greetingFieldCount || fields[0] != greetingProtocol || fields[1] != s.serverID {
 		return &GreetingError{greeting, want}
 	}
 	if fields[2] != own && fields[2] != noClusterToken && own != noClusterToken {
@@ -178,17 +178,17 @@
 // inboundConn is a connection that another controller has opened.
 type inboundConn struct {
 	guardedConn
-	greeted     bool
-	releaseSlot sync.Once
+	greetingChecked bool
+	releaseSlot     sync.Once
 }
 
 // Read reads what follows the greeting, which it checks first.
 func (c *inboundConn) Read(into []byte) (int, error) {
-	if !c.greeted {
+	if !c.greetingChecked {
 		if err := c.readGreeting(); err != nil {
 			return 0, err
 		}
-		c.greeted = true
+		c.greetingChecked = true
 	}
 	return c.guardedConn.Read(into)
 }
@@ -198,19 +198,19 @@
 func (c *inboundConn) readGreeting() error {
 	_ = c.SetReadDeadline(time.Now().Add(raftMessageTimeout))
 	var line bytes.Buffer
-	one := make([]byte, 1)
+	oneByte := make([]byte, 1)
 	for line.Len() < maxGreetingBytes {
-		if _, err := io.ReadFull(c.Conn, one); err != nil {
+		if _, err := io.ReadFull(c.Conn, oneByte); err != nil {
 			return io.EOF
 		}
-		if one[0] == '\n' {
+		if oneByte[0] == '\n' {
 			_ = c.SetReadDeadline(time.Time{})
 			if err := c.stream.checkGreeting(line.String()); err != nil {
 				return io.EOF
 			}
 			return nil
 		}
-		line.WriteByte(one[0])
+		line.WriteByte(oneByte[0])
 	}
 	return io.EOF
 }
--- a/internal/controller/raftstream_test.go
+++ b/internal/controller/raftstream_test.go
@@ -24,10 +24,10 @@
 // A connection is meant for another server or cluster, as after a disk was emptied. It is closed.
 func TestStreamChecksTheGreeting(t *testing.T) {
 	for name, c := range map[string]struct {
-		server, asked  string
-		cluster, asker configapi.Cluster
-		closed         bool
-		served         bool
+		serverID, dialedID     string
+		cluster, dialerCluster configapi.Cluster
+		disabled               bool
+		accepted               bool
 	}{
 		"the right one":                  {"c1", "c1", "x", "x", false, true},
 		"the cluster is not known yet":   {"c1", "c1", "", "x", false, true},
@@ -37,8 +37,8 @@
 		"not open yet":                   {"c1", "c1", "x", "x", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, dialer := newTestStream(t, c.server, c.cluster), newTestStream(t, "c2", c.asker)
-			server.enabled.Store(!c.closed)
+			server, dialer := newTestStream(t, c.serverID, c.cluster), newTestStream(t, "c2", c.dialerCluster)
+			server.enabled.Store(!c.disabled)
 			read := make(chan string, 1)
 			go func() {
 				conn, err := server.Accept()
@@ -55,14 +55,14 @@
 				}
 				read <- string(buffer[:n])
 			}()
-			conn, err := dialer.Dial(serverAddress(server.listener.Addr().String(), c.asked), time.Minute)
+			conn, err := dialer.Dial(dialAddress(server.listener.Addr().String(), c.dialedID), time.Minute)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := conn.Write([]byte("word")); err != nil {
 				t.Fatal(err)
 			}
-			if got := <-read; (got == "word") != c.served {
+			if got := <-read; (got == "word") != c.accepted {
 				t.Errorf("the server read %q", got)
 			}
 			_ = conn.Close()
@@ -71,9 +71,9 @@
 }
 
 // It is not clear yet whether the disk is an old copy. Nothing is sent or read, so that the controller can not vote.
-func TestDisabledStreamCarriesNothing(t *testing.T) {
+func TestDisabledStreamFailsDialsAndWrites(t *testing.T) {
 	s := newTestStream(t, "c1", "")
-	conn, err := s.Dial(serverAddress(s.listener.Addr().String(), "c1"), time.Minute)
+	conn, err := s.Dial(dialAddress(s.listener.Addr().String(), "c1"), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,13 +82,13 @@
 	if _, err := conn.Write([]byte("word")); err == nil {
 		t.Error("wrote to a stream that is not open")
 	}
-	if _, err := s.Dial(serverAddress(s.listener.Addr().String(), "c1"), time.Minute); err == nil {
+	if _, err := s.Dial(dialAddress(s.listener.Addr().String(), "c1"), time.Minute); err == nil {
 		t.Error("dialled from a stream that is not open")
 	}
 }
 
 // A client that is no controller sends a line without end. The connection is closed.
-func TestStreamClosesOnLongGreetings(t *testing.T) {
+func TestStreamRejectsLongGreeting(t *testing.T) {
 	server := newTestStream(t, "c1", "")
 	failed := make(chan error, 1)
 	go func() {
--- a/internal/controller/rafttransport_test.go
+++ b/internal/controller/rafttransport_test.go
@@ -13,55 +13,55 @@
 	"github.com/hashicorp/raft"
 )
 
-// unreachable is a stream layer whose dials fail at once.
-type unreachable struct {
+// unreachableStream is a stream layer whose dials fail at once.
+type unreachableStream struct {
 	dials  atomic.Int64
 	closed chan struct{}
 }
 
 var errUnreachable = errors.New("unreachable")
 
-func (u *unreachable) Dial(raft.ServerAddress, time.Duration) (net.Conn, error) {
+func (u *unreachableStream) Dial(raft.ServerAddress, time.Duration) (net.Conn, error) {
 	u.dials.Add(1)
 	return nil, errUnreachable
 }
 
-func (u *unreachable) Accept() (net.Conn, error) {
+func (u *unreachableStream) Accept() (net.Conn, error) {
 	<-u.closed
 	return nil, net.ErrClosed
 }
 
-func (u *unreachable) Close() error {
+func (u *unreachableStream) Close() error {
 	close(u.closed)
 	return nil
 }
 
-func (u *unreachable) Addr() net.Addr { return raftAddress("c1") }
+func (u *unreachableStream) Addr() net.Addr { return raftAddress("c1") }
 
 // newRetryingTransport returns a transport that reaches nobody.
-func newRetryingTransport(t *testing.T, wanted func(raft.ServerID, uint64) bool) (*retryingTransport, *unreachable) {
+func newRetryingTransport(t *testing.T, shouldRetry func(raft.ServerID, uint64) bool) (*retryingTransport, *unreachableStream) {
 	t.Helper()
-	layer := &unreachable{closed: make(chan struct{})}
-	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, Timeout: time.Second,
+	stream := &unreachableStream{closed: make(chan struct{})}
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, Timeout: time.Second,
 		Logger: raftLogger(slog.New(slog.DiscardHandler))})
-	return &retryingTransport{NetworkTransport: network, shouldRetry: wanted, closing: layer.closed}, layer
+	return &retryingTransport{NetworkTransport: network, shouldRetry: shouldRetry, closing: stream.closed}, stream
 }
 
-var entries = &raft.AppendEntriesRequest{Term: 7, PrevLogEntry: 3, Entries: []*raft.Log{{Index: 4}}}
+var appendRequest = &raft.AppendEntriesRequest{Term: 7, PrevLogEntry: 3, Entries: []*raft.Log{{Index: 4}}}
 
 // A follower is unreachable during a partition. Log entries are retried at a fixed interval while this server leads.
 func TestEntriesAreRetriedWhileLeading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const minute = int64(time.Minute / appendRetryInterval)
-		asked := int64(0)
+		const attemptsPerMinute = int64(time.Minute / appendRetryInterval)
+		calls := int64(0)
 		transport, layer := newRetryingTransport(t, func(server raft.ServerID, term uint64) bool {
-			asked++
-			return server == "c2" && term == entries.Term && asked < minute
+			calls++
+			return server == "c2" && term == appendRequest.Term && calls < attemptsPerMinute
 		})
 		begin := time.Now()
-		err := transport.AppendEntries("c2", "c2", entries, &raft.AppendEntriesResponse{})
-		if !errors.Is(err, errUnreachable) || layer.dials.Load() != minute || time.Since(begin) != time.Minute {
-			t.Errorf("%d sends in %v, then %v; want %d", layer.dials.Load(), time.Since(begin), err, minute)
+		err := transport.AppendEntries("c2", "c2", appendRequest, &raft.AppendEntriesResponse{})
+		if !errors.Is(err, errUnreachable) || layer.dials.Load() != attemptsPerMinute || time.Since(begin) != time.Minute {
+			t.Errorf("%d sends in %v, then %v; want %d", layer.dials.Load(), time.Since(begin), err, attemptsPerMinute)
 		}
 		_ = transport.Close()
 	})
@@ -84,7 +84,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		transport, _ := newRetryingTransport(t, func(raft.ServerID, uint64) bool { return true })
 		done := make(chan error)
-		go func() { done <- transport.AppendEntries("c2", "c2", entries, &raft.AppendEntriesResponse{}) }()
+		go func() { done <- transport.AppendEntries("c2", "c2", appendRequest, &raft.AppendEntriesResponse{}) }()
 		synctest.Wait()
 		_ = transport.Close()
 		if err := <-done; err == nil || errors.Is(err, io.EOF) {
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -111,9 +111,9 @@
 		case "controllers":
 			reader.Once(clusterSeen)
 			clusterSeen = true
-			config.readCommon(reader)
+			config.readControllersBlock(reader)
 		case "controller":
-			config.readMember(reader)
+			config.readControllerBlock(reader)
 		default:
 			return Config{}, settings.ErrorAt(file, block.Line, "unknown block %s", block.Kind)
 		}
@@ -121,11 +121,11 @@
 			return Config{}, err
 		}
 	}
-	return config.chooseSelf(file, name)
+	return config.selectSelf(file, name)
 }
 
-// readCommon reads the settings that all controllers have in common.
-func (c *Config) readCommon(r *settings.Reader) {
+// readControllersBlock reads the settings that all controllers have in common.
+func (c *Config) readControllersBlock(r *settings.Reader) {
 	c.Folder = r.Text("folder", c.Folder)
 	c.MaxSessions = r.Integer("max_sessions", defaultMaxSessions, 1, maxSessionsLimit)
 	c.HeartbeatInterval = r.Milliseconds("heartbeat_ms", configapi.HeartbeatInterval, minHeartbeatInterval, maxHeartbeatInterval)
@@ -142,8 +142,8 @@
 	}
 }
 
-// readMember reads one controller's block.
-func (c *Config) readMember(r *settings.Reader) {
+// readControllerBlock reads one controller's block.
+func (c *Config) readControllerBlock(r *settings.Reader) {
 	member := Member{Name: r.Label(), Listen: r.Text("listen", ""), Raft: r.Text("raft", ""), Dial: r.Text("dial", ""),
 		Region: r.Text("region", ""), Zone: r.Text("zone", "")}
 	if !validMemberName(member.Name) {
@@ -191,13 +191,13 @@
 	}
 }
 
-// chooseSelf finds the controller that this process is. Its error is a ConfigError.
-func (c Config) chooseSelf(file, name string) (Config, error) {
+// selectSelf finds the controller that this process is. Its error is a ConfigError.
+func (c Config) selectSelf(file, name string) (Config, error) {
 	switch {
 	case len(c.Members) == 0:
 		return Config{}, &ConfigError{file, "no block controller"}
 	case name == "" && len(c.Members) > 1:
-		return Config{}, &ConfigError{file, fmt.Sprintf("it has %d controllers: say with --name which one this is (%s)", len(c.Members), c.names())}
+		return Config{}, &ConfigError{file, fmt.Sprintf("it has %d controllers: say with --name which one this is (%s)", len(c.Members), c.memberNames())}
 	case name == "":
 		name = c.Members[0].Name
 	}
@@ -207,13 +207,13 @@
 		}
 	}
 	if c.Self.Name == "" {
-		return Config{}, &ConfigError{file, fmt.Sprintf("no controller %q: there are %s", name, c.names())}
+		return Config{}, &ConfigError{file, fmt.Sprintf("no controller %q: there are %s", name, c.memberNames())}
 	}
 	c.Folder = filepath.Join(c.Folder, c.Self.Name)
 	return c, nil
 }
 
-func (c Config) names() string {
+func (c Config) memberNames() string {
 	var names []string
 	for _, member := range c.Members {
 		names = append(names, member.Name)
--- a/internal/controller/settings_test.go
+++ b/internal/controller/settings_test.go
@@ -40,7 +40,7 @@
 
 // Mistakes in a settings file are reported with the file and the line.
 func TestParseConfigErrors(t *testing.T) {
-	for name, c := range map[string]struct{ text, name, says string }{
+	for name, c := range map[string]struct{ text, name, wantText string }{
 		"no controller":     {``, "", "x.hcl: no block controller"},
 		"no name":           {threeControllers, "", "say with --name which one this is (c1, c2, c3)"},
 		"an unknown name":   {threeControllers, "c9", `no controller "c9": there are c1, c2, c3`},
@@ -60,14 +60,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseConfig("x.hcl", []byte(c.text), c.name)
-			if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+			if err == nil || !strings.Contains(err.Error(), c.wantText) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v", err)
 			}
 		})
 	}
 }
 
-func TestExampleFile(t *testing.T) {
+func TestExampleSettingsFileIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "controllers.hcl")
 	if _, err := os.Stat(path); err != nil {
 		t.Fatal(err)
--- a/internal/controller/socketoptions_linux.go
+++ b/internal/controller/socketoptions_linux.go
@@ -12,12 +12,12 @@
 
 // setSocketOptions sets a listener's options, which the connections that it accepts inherit.
 func setSocketOptions(_, _ string, conn syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := conn.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
--- a/internal/controller/startupdecisions.go
+++ b/internal/controller/startupdecisions.go
@@ -29,7 +29,7 @@
 // The exception: a member that found this very process empty before it began a cluster counts it as a founder. Such a
 // process has never voted, and begins the same cluster.
 func decideEmptyDiskStart(config Config, processID string, reports map[string]memberReport, waitForAll bool) emptyDiskStart {
-	empty, anyMember := 1, false // this controller is empty
+	emptyCount, anyMember := 1, false // this controller is empty
 	for _, report := range reports {
 		switch report.Phase {
 		case phaseMember:
@@ -38,22 +38,22 @@
 			}
 			anyMember = true
 		case phaseEmpty:
-			empty++
+			emptyCount++
 		}
 	}
 	switch {
 	case anyMember:
 		return startJoin
-	case empty == len(config.Members):
+	case emptyCount == len(config.Members):
 		return startBootstrap
-	case waitForAll || !isMajority(empty, config):
+	case waitForAll || !isMajority(emptyCount, config):
 		return startUndecided
 	}
 	return startBootstrap
 }
 
-// foundersOf are the processes that found each other empty, by the controller's name.
-func foundersOf(config Config, processID string, reports map[string]memberReport) map[string]string {
+// foundingProcesses are the processes that found each other empty, by the controller's name.
+func foundingProcesses(config Config, processID string, reports map[string]memberReport) map[string]string {
 	founders := map[string]string{config.Self.Name: processID}
 	for name, report := range reports {
 		if report.Phase == phaseEmpty {
@@ -63,23 +63,23 @@
 	return founders
 }
 
-// diskVerdict is whether a controller may take part with the log on its disk.
-type diskVerdict int
+// diskFreshness is whether a controller may take part with the log on its disk.
+type diskFreshness int
 
 const (
-	diskUndecided diskVerdict = iota // fewer than a majority have answered
-	diskValid                        // no one knows of a later start
-	diskStale                        // another one knows of a later start: the disk is an old copy
+	diskFreshnessUnknown diskFreshness = iota // fewer than a majority have answered
+	diskFresh                                 // no one knows of a later start
+	diskStale                                 // another one knows of a later start: the disk is an old copy
 )
 
-// judgeDisk compares the start that a disk counts with the starts that the other controllers have recorded for its
+// checkDiskFreshness compares the start that a disk counts with the starts that the other controllers have recorded for its
 // server ID. It waits for a majority, which includes one that has the newest start: it was committed by a quorum.
 //
 // It guards against a disk that was restored from a backup or a snapshot of its volume: votes and log entries that were
 // acknowledged since are missing, and a second leader of one term, or a lost version, could follow. It shows in the log
 // as "the folder is an old copy".
-func judgeDisk(config Config, self identity, processID string, reports map[string]memberReport) diskVerdict {
-	answers := 1 // this controller
+func checkDiskFreshness(config Config, self identity, processID string, reports map[string]memberReport) diskFreshness {
+	responses := 1 // this controller
 	for _, report := range reports {
 		if recorded := report.RecordedStart; recorded != nil {
 			sameStart := recorded.Start == self.Start
@@ -87,12 +87,12 @@
 				return diskStale
 			}
 		}
-		answers++
+		responses++
 	}
-	if !isMajority(answers, config) {
-		return diskUndecided
+	if !isMajority(responses, config) {
+		return diskFreshnessUnknown
 	}
-	return diskValid
+	return diskFresh
 }
 
 // isMajority reports whether a number of controllers is more than half of the cluster's.
--- a/internal/controller/startupdecisions_test.go
+++ b/internal/controller/startupdecisions_test.go
@@ -19,7 +19,7 @@
 func TestDecideEmptyDiskStart(t *testing.T) {
 	empty, member, joining := memberReport{Phase: phaseEmpty}, memberReport{Phase: phaseMember}, memberReport{Phase: phaseJoining}
 	founder := memberReport{Phase: phaseMember, Founders: map[string]string{"c1": "me"}}
-	founderOfEarlier := memberReport{Phase: phaseMember, Founders: map[string]string{"c1": "an earlier process"}}
+	founderOfEarlierProcess := memberReport{Phase: phaseMember, Founders: map[string]string{"c1": "an earlier process"}}
 	for name, c := range map[string]struct {
 		reports    map[string]memberReport
 		waitForAll bool
@@ -32,7 +32,7 @@
 		"one has a log":                           {map[string]memberReport{"c2": empty, "c3": member}, false, startJoin},
 		"all others have a log":                   {map[string]memberReport{"c2": member, "c3": member}, true, startJoin},
 		"one has a log and saw this one empty":    {map[string]memberReport{"c2": empty, "c3": founder}, false, startBootstrap},
-		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlier}, false, startJoin},
+		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlierProcess}, false, startJoin},
 		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, startUndecided},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,26 +48,26 @@
 
 // A controller's disk may be an old copy: another controller then knows of a later start, or of the same start of
 // another process.
-func TestJudgeDisk(t *testing.T) {
+func TestCheckDiskFreshness(t *testing.T) {
 	self := identity{Name: "c1", ServerID: "c1", Start: 5}
-	known := func(start uint64, process string) memberReport {
+	recorded := func(start uint64, process string) memberReport {
 		return memberReport{Phase: phaseMember, RecordedStart: &memberStart{start, process}}
 	}
-	unknown := memberReport{Phase: phaseMember}
+	noRecord := memberReport{Phase: phaseMember}
 	for name, c := range map[string]struct {
 		reports map[string]memberReport
-		want    diskVerdict
+		want    diskFreshness
 	}{
-		"nobody answers":                    {nil, diskUndecided},
-		"the start before is known":         {map[string]memberReport{"c2": known(4, "before")}, diskValid},
-		"a later start is known":            {map[string]memberReport{"c2": known(6, "other")}, diskStale},
-		"the same start of another process": {map[string]memberReport{"c2": known(5, "other")}, diskStale},
-		"the same start of this process":    {map[string]memberReport{"c2": known(5, "me")}, diskValid},
-		"nothing is known":                  {map[string]memberReport{"c2": unknown}, diskValid},
-		"one of two knows of a later start": {map[string]memberReport{"c2": unknown, "c3": known(6, "other")}, diskStale},
+		"nobody answers":                    {nil, diskFreshnessUnknown},
+		"the start before is known":         {map[string]memberReport{"c2": recorded(4, "before")}, diskFresh},
+		"a later start is known":            {map[string]memberReport{"c2": recorded(6, "other")}, diskStale},
+		"the same start of another process": {map[string]memberReport{"c2": recorded(5, "other")}, diskStale},
+		"the same start of this process":    {map[string]memberReport{"c2": recorded(5, "me")}, diskFresh},
+		"nothing is known":                  {map[string]memberReport{"c2": noRecord}, diskFresh},
+		"one of two knows of a later start": {map[string]memberReport{"c2": noRecord, "c3": recorded(6, "other")}, diskStale},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := judgeDisk(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
+			if got := checkDiskFreshness(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
 				t.Errorf("%d, want %d", got, c.want)
 			}
 		})
@@ -75,8 +75,8 @@
 }
 
 // The founders of a cluster are the processes that found each other empty, and no others.
-func TestFoundersOf(t *testing.T) {
-	got := foundersOf(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
+func TestFoundingProcesses(t *testing.T) {
+	got := foundingProcesses(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
 		"c2": {Phase: phaseEmpty, ProcessID: "p2"}, "c3": {Phase: phaseJoining, ProcessID: "p3", Load: configapi.Load{}}})
 	if len(got) != 2 || got["c1"] != "me" || got["c2"] != "p2" {
 		t.Errorf("founders %v", got)
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -183,9 +183,9 @@
 }
 
 // unionClusters returns the union of two lists, in the order in which clusters were added.
-func unionClusters(have, more []configapi.Cluster) []configapi.Cluster {
-	all := slices.Clone(have)
-	for _, c := range more {
+func unionClusters(existing, added []configapi.Cluster) []configapi.Cluster {
+	all := slices.Clone(existing)
+	for _, c := range added {
 		if !slices.Contains(all, c) {
 			all = append(all, c)
 		}
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -110,7 +110,7 @@
 }
 
 // Two leaders in a row propose an identity for a new cluster. The first one stands.
-func TestStateIdentityIsDrawnOnce(t *testing.T) {
+func TestStateClusterIdentityIsSetOnce(t *testing.T) {
 	s, _ := (&state{}).apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"first"}})
 	s, _ = s.apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"second"}})
 	if s.Cluster != "first" {
@@ -119,7 +119,7 @@
 }
 
 // Starts are recorded out of order. The last one counts, for judgeDisk compares with it.
-func TestStateKeepsTheLastStart(t *testing.T) {
+func TestStateKeepsTheLatestStart(t *testing.T) {
 	s := &state{}
 	for _, start := range []memberStartedCommand{{"c1", 2, "b"}, {"c1", 1, "a"}, {"c1", 2, "other"}, {"c2", 7, "x"}} {
 		s, _ = s.apply(command{Kind: commandMemberStarted, MemberStarted: &start})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,22 +6,22 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// report is what this controller reports to another one; server is the raft server ID whose recorded start is asked
+// buildReport is what this controller reports to another one; server is the raft server ID whose recorded start is asked
 // for.
-func (c *Controller) report(server string) memberReport {
-	own, view := c.participation.Load(), c.views.load()
+func (c *Controller) buildReport(server string) memberReport {
+	current, view := c.participation.Load(), c.views.load()
 	r := memberReport{
 		Load: configapi.Load{
 			Name:             c.config.Self.Name,
 			Cluster:          view.state.Cluster,
-			Sessions:         c.nodes.sessions(),
+			Sessions:         c.nodes.sessionCount(),
 			HasLeaderContact: view.hasLeaderContact,
 		},
-		Phase:     own.phase,
-		ServerID:  own.serverID,
-		Start:     own.start,
+		Phase:     current.phase,
+		ServerID:  current.serverID,
+		Start:     current.start,
 		ProcessID: c.processID,
-		Founders:  own.founders,
+		Founders:  current.founders,
 	}
 	if running := c.consensus.Load(); running != nil {
 		r.AppliedIndex = running.raft.AppliedIndex()
@@ -32,16 +32,16 @@
 	return r
 }
 
-// status is what this controller reports to operators.
-func (c *Controller) status() configapi.ControllerStatus {
+// buildStatus is what this controller reports to operators.
+func (c *Controller) buildStatus() configapi.ControllerStatus {
 	view := c.views.load()
 	s := configapi.ControllerStatus{
 		Name:             c.config.Self.Name,
 		Cluster:          view.state.Cluster,
 		Version:          view.state.Version,
 		HasLeaderContact: view.hasLeaderContact,
-		Sessions:         c.nodes.sessions(),
-		Nodes:            c.nodes.list(time.Now()),
+		Sessions:         c.nodes.sessionCount(),
+		Nodes:            c.nodes.listStatuses(time.Now()),
 		Controllers:      c.controllerAddresses(),
 	}
 	if running := c.consensus.Load(); running != nil {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -19,9 +19,9 @@
 
 // updateKey identifies an update that many sessions share.
 type updateKey struct {
-	service    string
-	withConfig bool // with the service's configuration
-	first      bool // the first of a watch, with the addresses of all controllers
+	service      string
+	withConfig   bool // with the service's configuration
+	firstOfWatch bool // the first of a watch, with the addresses of all controllers
 }
 
 // configVersion is the newest version that names a service.
@@ -43,7 +43,7 @@
 	if service, ok := v.state.Services[key.service]; ok && key.withConfig {
 		u.Config = &service.Config
 	}
-	if key.first {
+	if key.firstOfWatch {
 		u.Controllers = controllers
 	}
 	return u
@@ -116,7 +116,7 @@
 
 // replace replaces the view, and wakes all sessions. It is called with the store locked.
 func (vs *viewStore) replace(next *view) {
-	before := vs.latest
+	previous := vs.latest
 	vs.latest = next
-	close(before.superseded)
+	close(previous.superseded)
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,7 +12,7 @@
 
 // serveWatch is a node's session: the first update at once, then one with each change, heartbeats in between.
 func (c *Controller) serveWatch(w http.ResponseWriter, r *http.Request) {
-	request, apiError := c.readWatch(r)
+	request, apiError := c.parseWatchRequest(r)
 	if apiError != nil {
 		writeError(w, apiError)
 		return
@@ -29,33 +29,33 @@
 	defer func() { c.nodes.closeSession(s, time.Now()) }()
 	w.Header().Set("Content-Type", "application/json")
 	writer := &watchWriter{response: w, control: http.NewResponseController(w)}
-	if err := c.watch(r, s, writer); err != nil {
+	if err := c.sendUpdates(r, s, writer); err != nil {
 		c.log.Debug("watch ended", "node", request.Node, "err", err)
 	}
 }
 
-// readWatch reads and checks a watch's request.
-func (c *Controller) readWatch(r *http.Request) (configapi.WatchRequest, *configapi.Error) {
+// parseWatchRequest reads and checks a watch's request.
+func (c *Controller) parseWatchRequest(r *http.Request) (configapi.WatchRequest, *configapi.Error) {
 	request, err := configapi.ParseWatchRequest(r.URL.Query())
 	if err != nil {
 		return request, invalidError("%v", err)
 	}
 	for name, value := range map[string]string{"node": request.Node, "service": request.Service} {
 		if !validName(value) {
-			return request, invalidError("%s: %q is no name: 1 to %d visible ASCII characters", name, truncate(value), maxNameBytes)
+			return request, invalidError("%s: %q is no name: 1 to %d visible ASCII characters", name, truncateQuoted(value), maxNameBytes)
 		}
 	}
 	for name, value := range map[string]string{"region": request.Region, "zone": request.Zone, "cluster": string(request.Cluster)} {
 		if value != "" && !validName(value) {
-			return request, invalidError("%s: %q is no name: at most %d visible ASCII characters", name, truncate(value), maxNameBytes)
+			return request, invalidError("%s: %q is no name: at most %d visible ASCII characters", name, truncateQuoted(value), maxNameBytes)
 		}
 	}
 	return request, nil
 }
 
-// watch writes updates until the node disconnects, the session is closed, or a write fails. A slow node skips the
+// sendUpdates writes updates until the node disconnects, the session is closed, or a write fails. A slow node skips the
 // versions between the last one that it was sent and the newest: it needs no other, and the controller queues none.
-func (c *Controller) watch(r *http.Request, s *session, writer *watchWriter) error {
+func (c *Controller) sendUpdates(r *http.Request, s *session, writer *watchWriter) error {
 	heartbeat := time.NewTicker(c.config.HeartbeatInterval)
 	defer heartbeat.Stop()
 	current := c.views.load()
@@ -73,7 +73,7 @@
 			}
 			line = c.updateLine(current, s, false)
 			heartbeat.Reset(c.config.HeartbeatInterval)
-		case target := <-s.migrate:
+		case target := <-s.migrationTarget:
 			line = migrationLine(current, s, target)
 		case <-heartbeat.C:
 		case <-s.done:
@@ -91,9 +91,9 @@
 func (c *Controller) updateLine(v *view, s *session, first bool) []byte {
 	service := s.request.Service
 	key := updateKey{
-		service:    service,
-		withConfig: s.needsConfig(v.state.Cluster, v.configVersion(service)),
-		first:      first,
+		service:      service,
+		withConfig:   s.needsConfig(v.state.Cluster, v.configVersion(service)),
+		firstOfWatch: first,
 	}
 	return v.encodedUpdate(key, c.controllerAddresses())
 }
@@ -112,7 +112,7 @@
 }
 
 func (w *watchWriter) write(line []byte) error {
-	if err := w.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+	if err := w.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout)); err != nil {
 		return err
 	}
 	if _, err := w.response.Write(line); err != nil {
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -76,7 +76,7 @@
 
 // A node's watch gets an update for each version, with a configuration only if its service's has changed, and
 // heartbeats in between. Its acknowledgement shows in the status.
-func TestWatchFollowsVersions(t *testing.T) {
+func TestWatchSendsVersionsAndHeartbeats(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
 	tc.publish("dry")
@@ -113,8 +113,8 @@
 	tc.waitForVersion(2)
 	cluster := tc.cluster("c1")
 	for name, c := range map[string]struct {
-		request configapi.WatchRequest
-		config  bool
+		request    configapi.WatchRequest
+		wantConfig bool
 	}{
 		"nothing held":           {configapi.WatchRequest{}, true},
 		"the newest in force":    {configapi.WatchRequest{Cluster: cluster, LastDecided: 2, Applied: 2}, false},
@@ -131,7 +131,7 @@
 				request.Service = "dry"
 			}
 			watch := openWatch(t, tc.configOf("c1").Self.Listen, request)
-			if u := watch.update(t); u.Version != 2 || (u.Config != nil) != c.config {
+			if u := watch.update(t); u.Version != 2 || (u.Config != nil) != c.wantConfig {
 				t.Errorf("%+v", u)
 			}
 			watch.cancel()
@@ -156,7 +156,7 @@
 }
 
 // A node opens a second watch, as after a timeout that the controller has not noticed. The first one is closed.
-func TestNewerSessionReplacesTheOlder(t *testing.T) {
+func TestNewerWatchClosesTheOlder(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
 	tc.publish("dry")
