--- a/internal/controller/clusterdisk_test.go
+++ b/internal/controller/clusterdisk_test.go
@@ -11,8 +11,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A controller loses its disk. It joins as a new raft server, because its old votes are lost, copies the log, and votes
-// again.
+// A controller loses its disk. It joins as a new raft server, because its old votes are lost. It copies the log, and
+// can vote again.
 func TestClusterMemberWithAnEmptiedDiskRejoins(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -28,17 +28,17 @@
 	tc.publish("press")
 	tc.waitForVersion(2)
 	if tc.cluster("c2") != cluster {
-		t.Errorf("c2 is of cluster %s, the others are of %s", tc.cluster("c2"), cluster)
+		t.Errorf("c2 belongs to cluster %s, want %s", tc.cluster("c2"), cluster)
 	}
 	tc.stop("c1")
-	if version := tc.publish("mill"); version != 3 { // needs the vote and the disk of c2
-		t.Errorf("with c2 and c3: version %d", version)
+	if version := tc.publish("mill"); version != 3 { // a quorum needs the vote and the disk of c2
+		t.Errorf("version %d with c2 and c3, want 3", version)
 	}
 	tc.waitForVersion(3)
 }
 
-// A controller is started on a copy of another controller's disk. It does not start: two servers with one ID could vote
-// twice.
+// A controller is started on a copy of another controller's disk. It must not start, because two servers with the same
+// ID could vote twice.
 func TestControllerRejectsDiskOfAnotherController(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -50,12 +50,12 @@
 	_, err := New(tc.configOf("c2"), slog.New(slog.DiscardHandler))
 	var folderError *FolderError
 	if !errors.As(err, &folderError) || !strings.Contains(err.Error(), "copy of the disk of controller c1") {
-		t.Errorf("started on a copied disk: %v", err)
+		t.Errorf("starting on a copy of another disk: error %v", err)
 	}
 }
 
-// A controller is started on an old copy of its own disk, as from a backup. It must not vote with it: the folder is
-// emptied, and it joins as a new raft server.
+// A controller is started on an old copy of its own disk, for example from a backup. It must not vote with this disk:
+// it empties the folder, and joins as a new raft server.
 func TestClusterMemberWithAStaleDiskRejoins(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -78,7 +78,7 @@
 	tc.waitForVersion(3)
 }
 
-// All controllers stop and start again. No version is lost, and the next one follows.
+// All controllers stop and start again. No version is lost, and the next publish request gets the next version.
 func TestClusterSurvivesFullRestart(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -92,12 +92,12 @@
 	tc.start("c1", "c2", "c3")
 	tc.waitForVersion(2)
 	if version := tc.publish("mill"); version != 3 || tc.cluster("c1") != cluster {
-		t.Errorf("version %d of cluster %s, before %s", version, tc.cluster("c1"), cluster)
+		t.Errorf("version %d of cluster %s, want version 3 of cluster %s", version, tc.cluster("c1"), cluster)
 	}
 }
 
-// A controller starts while all others are down. It serves its nodes the state of its snapshot, and says that it is
-// not in contact with a leader.
+// A controller starts while all others are down. It serves its nodes the state from its snapshot, and reports that it
+// is not in contact with a leader.
 func TestClusterMemberWithoutAQuorumServesItsSnapshot(t *testing.T) {
 	tc := newTestCluster(t, "c1", "c2", "c3")
 	tc.start("c1", "c2", "c3")
@@ -113,7 +113,7 @@
 	tc.start("c1")
 	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	if u := watch.update(t); u.Version != 1 || u.Config == nil || u.HasLeaderContact {
-		t.Errorf("a controller that is alone says %+v", u)
+		t.Errorf("a controller without a quorum sends %+v", u)
 	}
 }
 
--- a/internal/controller/clusterharness_test.go
+++ b/internal/controller/clusterharness_test.go
@@ -14,13 +14,14 @@
 	"hookwalk.example/hookwalk/internal/configclient"
 )
 
-// clusterTimeout is how long a cluster in one process may take for anything, on a machine that does other work, too.
+// clusterTimeout is how long any step of a cluster in this process may take, on a machine that is also doing other
+// work.
 const clusterTimeout = 60 * time.Second
 
-// testCluster is a cluster of controllers in this process, over loopback.
+// testCluster is a cluster of controllers in this process, connected over loopback.
 type testCluster struct {
 	t       *testing.T
-	config  Config // of no controller
+	config  Config // common to all controllers; Self is not set
 	running map[string]*testController
 }
 
@@ -34,7 +35,7 @@
 	t.Helper()
 	var ports []string
 	var listeners []net.Listener
-	for range 2 * len(names) { // all are held until all are drawn, so that no two are the same
+	for range 2 * len(names) { // all listeners stay open until the last port is allocated, so that all ports differ
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -81,7 +82,7 @@
 	}
 }
 
-// stop ends a controller as SIGTERM does.
+// stop shuts a controller down as SIGTERM does.
 func (tc *testCluster) stop(name string) {
 	tc.t.Helper()
 	running := tc.running[name]
@@ -93,11 +94,11 @@
 			tc.t.Errorf("controller %s: %v", name, err)
 		}
 	case <-time.After(clusterTimeout):
-		tc.t.Fatalf("controller %s does not end", name)
+		tc.t.Fatalf("controller %s does not stop", name)
 	}
 }
 
-// disableRaft cuts a controller off from the others' log, in both directions, as a partition does.
+// disableRaft cuts a controller off from the replicated log in both directions, as a partition does.
 func (tc *testCluster) disableRaft(name string) {
 	tc.running[name].consensus.Load().stream.enabled.Store(false)
 }
@@ -106,7 +107,7 @@
 	tc.running[name].consensus.Load().stream.enabled.Store(true)
 }
 
-// waitFor checks a condition until it holds.
+// waitFor waits until a condition holds.
 func (tc *testCluster) waitFor(what string, condition func() bool) {
 	tc.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -116,7 +117,7 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			tc.t.Fatalf("after %v still not: %s", clusterTimeout, what)
+			tc.t.Fatalf("condition not reached within %v: %s", clusterTimeout, what)
 		}
 	}
 }
@@ -153,10 +154,10 @@
 	return ""
 }
 
-// waitForVersion waits until all running controllers are current and have a version.
+// waitForVersion waits until all running controllers have a version and are in contact with the leader.
 func (tc *testCluster) waitForVersion(version configapi.Version) {
 	tc.t.Helper()
-	tc.waitFor(fmt.Sprintf("version %d everywhere", version), func() bool {
+	tc.waitFor(fmt.Sprintf("all controllers have version %d", version), func() bool {
 		for _, running := range tc.running {
 			if now := running.views.load(); now.state.Version != version || !now.hasLeaderContact {
 				return false
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -13,22 +13,24 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Settings of raft, in its own terms.
+// Raft settings.
 const (
-	// commitInterval is how soon a leader tells followers the commit index when it sends them nothing else: followers
-	// apply a version, and send it to their nodes, only then.
+	// commitInterval is how long an otherwise idle leader waits before it sends followers the commit index. Followers
+	// apply a version, and send it to their nodes, only after they have received that index.
 	commitInterval = 50 * time.Millisecond
-	// appendBatch is the number of log entries in one message; each may have configapi.MaxDocumentBytes.
+	// appendBatch is the maximum number of log entries in one message. Each entry may be as large as
+	// configapi.MaxDocumentBytes.
 	appendBatch = 8
-	// trailingLogs is the number of entries that stay in the log behind a snapshot, for followers that lag: copying
-	// them is cheaper than a snapshot of all services.
+	// trailingLogs is the number of entries that stay in the log after a snapshot, for followers that lag: sending
+	// these entries is cheaper than sending a snapshot of all services.
 	trailingLogs = 256
-	// snapshotEntries is the number of entries after which raft takes a snapshot by itself. It bounds the log that a
-	// restart has to replay.
+	// snapshotEntries is the number of log entries after which raft takes a snapshot on its own, apart from
+	// snapshotOnChange. It bounds the log that a restart has to replay.
 	snapshotEntries = 128
 	// snapshotInterval is how often raft checks snapshotEntries.
 	snapshotInterval = 20 * time.Second
-	// leaderChangeBuffer is how many changes of the leadership may wait for runLeader, which also looks by itself.
+	// leaderChangeBuffer is how many leadership changes may be queued for runLeaderTasks, which also checks the
+	// leadership periodically.
 	leaderChangeBuffer = 16
 )
 
@@ -40,21 +42,22 @@
 	disk   *disk
 	stream *raftStream
 	raft   *raft.Raft
-	// raftForCallbacks is raft once more, for replicatesTo: raft calls it from goroutines of its own, which run before
-	// startConsensus has set raft. nil until then.
+	// raftForCallbacks has the same value as raft, for shouldReplicateTo: the goroutines of raft may call it before
+	// startConsensus has set raft. It is nil until then.
 	raftForCallbacks atomic.Pointer[raft.Raft]
-	// readyTerm is the term in which this controller leads and has applied all that was committed before; 0: none.
+	// readyTerm is the last term in which this controller, as the leader, has applied all entries committed before that
+	// term. It is 0 if there is none.
 	readyTerm     atomic.Uint64
 	leaderChanges <-chan bool
 	publishSlot   chan struct{} // held by the publish request that is being proposed
 }
 
-// bootstrapMode is whether a disk begins a new cluster.
+// bootstrapMode says whether raft begins a new cluster on the disk.
 type bootstrapMode bool
 
 const (
-	bootstrapNone bootstrapMode = false // the disk has a log, or copies it from the leader
-	bootstrapNew  bootstrapMode = true  // the disk is empty, and so is a majority of the others
+	bootstrapNone bootstrapMode = false // the disk has a log, or the log is copied from the leader
+	bootstrapNew  bootstrapMode = true  // the disk is empty; see decideEmptyDiskStart
 )
 
 // startConsensus starts raft on a disk whose server ID is set.
@@ -79,13 +82,13 @@
 	if bootstrap == bootstrapNew {
 		if err := raft.BootstrapCluster(options, d.logs, d.bolt, d.snapshots, transport, bootstrapConfiguration(config)); err != nil {
 			_ = transport.Close()
-			return nil, &ConsensusError{"a new cluster can't begin", err}
+			return nil, &ConsensusError{"creating a new cluster failed", err}
 		}
 	}
 	server, err := raft.NewRaft(options, newFSM(views), d.logs, d.bolt, d.snapshots, transport)
 	if err != nil {
 		_ = transport.Close()
-		return nil, &ConsensusError{"raft can't start", err}
+		return nil, &ConsensusError{"starting raft failed", err}
 	}
 	c.raft = server
 	c.raftForCallbacks.Store(server)
@@ -108,7 +111,7 @@
 	return options
 }
 
-// bootstrapConfiguration is the raft configuration with which a new cluster begins, the same at each of its members.
+// bootstrapConfiguration returns the raft configuration of a new cluster. It is the same at each member.
 func bootstrapConfiguration(config Config) raft.Configuration {
 	var servers []raft.Server
 	for _, member := range config.Members {
@@ -117,29 +120,30 @@
 	return raft.Configuration{Servers: servers}
 }
 
-// configurationAddress is a controller's address in the log: its name. Where it is reached is in each controller's settings,
-// which may differ, as where a proxy stands between two of them; what is in the log must not.
+// configurationAddress returns the address of a controller in the raft configuration, which is part of the log: its
+// name. Network addresses are in the settings of each controller. They may differ between controllers, for example
+// where a proxy connects two of them; the log must not.
 func configurationAddress(member Member) raft.ServerAddress { return raft.ServerAddress(member.Name) }
 
-// serverIDSeparator stands between the controller's name and a random text in the server ID of a replaced disk.
+// serverIDSeparator separates the controller's name from a random suffix in the server ID of a replaced disk.
 const serverIDSeparator = "/"
 
-// serverIDSuffixLength is the length of that random text: long enough that no two replaced disks draw the same.
+// serverIDSuffixLength is the length of that suffix: long enough that no two replaced disks get the same one.
 const serverIDSuffixLength = 12
 
-// controllerName is the name of the controller that has a raft server ID.
+// controllerName returns the name of the controller that a raft server ID belongs to.
 func controllerName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), serverIDSeparator)
 	return name
 }
 
-// replacementServerID draws the raft server ID of a controller whose disk was lost or is an old copy.
+// replacementServerID returns a new random raft server ID for a controller whose disk was lost or is an old copy.
 func replacementServerID(name string) string {
 	return name + serverIDSeparator + randomText()[:serverIDSuffixLength]
 }
 
-// shouldReplicateTo reports whether this server leads in a term and a server is a member of its cluster: only then are log
-// entries worth another attempt.
+// shouldReplicateTo reports whether this controller is the leader in a term and a server is a member of its cluster.
+// Failed attempts to send log entries to the server are retried only then.
 func (c *consensus) shouldReplicateTo(server raft.ServerID, term uint64) bool {
 	raftServer := c.raftForCallbacks.Load()
 	if raftServer == nil || raftServer.State() != raft.Leader || raftServer.CurrentTerm() != term {
@@ -152,7 +156,7 @@
 	return slices.ContainsFunc(servers, func(member raft.Server) bool { return member.ID == server })
 }
 
-// raftServers are the servers of raft's newest configuration.
+// raftServers returns the servers in the latest raft configuration.
 func raftServers(raftServer *raft.Raft) ([]raft.Server, error) {
 	future := raftServer.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -161,7 +165,7 @@
 	return future.Configuration().Servers, nil
 }
 
-// ServerAddr finds the address of a raft server in the settings. Its error is an UnknownControllerError.
+// ServerAddr returns the address of a raft server from the settings. Its error is an UnknownControllerError.
 func (c *consensus) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	name := controllerName(id)
 	member, ok := c.config.member(name)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,34 +15,35 @@
 	"hookwalk.example/hookwalk/configversion"
 )
 
-// Bounds of the HTTP server: a client that sends or reads slowly must not hold a connection, nor memory, for long.
+// Bounds of the HTTP server: a client that sends or reads slowly must not hold a connection or memory for long.
 const (
 	headerTimeout     = 5 * time.Second  // to read a request's header
 	bodyTimeout       = 10 * time.Second // to read a request's body
 	responseTimeout   = 10 * time.Second // to write a response that is not a watch
-	idleTimeout       = 60 * time.Second // of a connection without a request
-	watchWriteTimeout = 3 * time.Second  // of one write to a watch: a node that does not read is disconnected
-	maxHeaderBytes    = 16 << 10         // of a request
+	idleTimeout       = 60 * time.Second // until a connection without a request is closed
+	watchWriteTimeout = 3 * time.Second  // to write a line of a watch; a node that does not read is disconnected
+	maxHeaderBytes    = 16 << 10         // of the header of a request
 
-	// connectionsPerSession is how many connections a node may have: a watch, and one for acknowledgements.
+	// connectionsPerSession is how many connections a node may have: one for its watch, and one for acknowledgements.
 	connectionsPerSession = 2
-	// extraConnections are those beside the nodes': of operators and of other controllers.
+	// extraConnections is the number of connections beyond those of the nodes, for operators and other controllers.
 	extraConnections = 256
 )
 
 const (
-	// migrationsPerSecond is how many sessions a controller migrates at most: enough to fill a controller that has
-	// returned within half a minute, and few enough that the nodes' new connections are no burst.
+	// migrationsPerSecond is the maximum rate at which a controller migrates sessions. It is high enough to fill a
+	// restarted controller within half a minute, and low enough that the nodes' new connections cause no burst.
 	migrationsPerSecond = 20
-	// drainTimeout is how long a controller that shuts down waits for its nodes to migrate, and then for open requests.
+	// drainTimeout is how long a controller that shuts down waits for its nodes to migrate, and then again for open
+	// requests to complete.
 	drainTimeout = 2 * time.Second
 )
 
-// Controller is one controller. New opens it and Run serves; it is used once.
+// Controller is a member of the control service. New creates it, and Run serves requests. Run must be called only once.
 type Controller struct {
 	config    Config
 	log       *slog.Logger
-	processID string // drawn at random, to tell two processes on copies of one disk apart
+	processID string // random; distinguishes two processes that run on copies of one disk
 	views     *viewStore
 	nodes     *nodeTable
 	reports   *controllerReports
@@ -52,12 +53,12 @@
 	raftListener net.Listener
 	server       *http.Server
 
-	consensus     atomic.Pointer[consensus] // nil: raft does not run
+	consensus     atomic.Pointer[consensus] // nil while raft is not running
 	participation atomic.Pointer[participation]
 	tasks         sync.WaitGroup
 }
 
-// New opens a controller's folder and its addresses. Its error is a FolderError or a ListenError.
+// New opens a controller's folder and listens on its addresses. Its error is a FolderError or a ListenError.
 func New(config Config, log *slog.Logger) (*Controller, error) {
 	maxMigrations := int(migrationsPerSecond * reportPollInterval / time.Second)
 	placement := configversion.NewPlacement(config.Self.ControllerAddress(), config.MaxSessions, maxMigrations)
@@ -114,14 +115,14 @@
 	_ = c.disk.close()
 }
 
-// Run serves until ctx ends, and then shuts down. Its error is what made it end before: the HTTP server's, or why raft
-// could not run.
+// Run serves requests until ctx ends or a task fails, and then shuts the controller down. Its error is that of the
+// failed task: the HTTP server's error, or the reason why raft could not run.
 func (c *Controller) Run(ctx context.Context) error {
 	c.log.Info("serving", "listen", c.config.Self.Listen, "raft", c.config.Self.Raft, "folder", c.config.Folder,
 		"region", c.config.Self.Region, "zone", c.config.Self.Zone, "max_sessions", c.config.MaxSessions)
 	taskContext, stop := context.WithCancel(context.Background())
 	defer stop()
-	failed := make(chan error, 2) // one for each task that may fail
+	failed := make(chan error, 2) // buffers one error for each task that may fail
 	c.tasks.Go(func() {
 		if err := c.server.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
 			failed <- err
@@ -142,8 +143,9 @@
 	return err
 }
 
-// shutdown ends the controller in stages: it transfers the leadership, asks its nodes to migrate and waits a bounded
-// time for them, closes what is still open, and stops raft last, so that nodes are served until they have left.
+// shutdown ends the controller in stages. It transfers the leadership, asks its nodes to migrate and waits for them for
+// a bounded time, and then closes the remaining sessions and requests. It stops raft last, so that nodes are served
+// until they have left.
 func (c *Controller) shutdown(stop context.CancelFunc) {
 	if running := c.consensus.Load(); running != nil {
 		running.transferLeadership()
@@ -178,7 +180,8 @@
 	}
 }
 
-// pollReports reads the other controllers' reports until ctx ends, and migrates sessions by them.
+// pollReports polls the other controllers' reports until ctx ends, and requests the session migrations that follow from
+// them.
 func (c *Controller) pollReports(ctx context.Context) {
 	tick := time.NewTicker(reportPollInterval)
 	defer tick.Stop()
@@ -187,7 +190,7 @@
 		now := time.Now()
 		migrated := c.nodes.setOtherControllers(c.reports.loads(now, c.views.load().hasLeaderContact), now)
 		if migrated > 0 {
-			c.log.Info("sessions asked to migrate to controllers with fewer", "migrated", migrated, "sessions", c.nodes.sessionCount())
+			c.log.Info("asked nodes to migrate to controllers with fewer sessions", "migrated", migrated, "sessions", c.nodes.sessionCount())
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/controllerreports.go
+++ b/internal/controller/controllerreports.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	// reportPollInterval is how often controllers read each other's reports.
+	// reportPollInterval is how often controllers poll each other's reports.
 	reportPollInterval = 300 * time.Millisecond
-	// reportPollTimeout is how long a reading may take. A controller that does not answer in time gets no node until it does:
-	// nodes that leave a stalled controller must not be redirected to it. The first of them leave it 0.5 s after the stall:
-	// SilenceTimeout without its jitter of 0.2 s, less a heartbeat interval. That is 0.05 s before a reading that began
-	// pollInterval after the last one has timed out (docs/open-items.md).
+	// reportPollTimeout is how long a poll may take. A controller that does not answer in time gets no nodes until it
+	// answers again: nodes that leave a stalled controller must not be redirected to it. The first nodes leave 0.5 s
+	// after the controller has stalled: after SilenceTimeout less its jitter of 0.2 s and less a heartbeat interval.
+	// This is 0.05 s before the time-out of a poll that began one reportPollInterval after the last successful one
+	// (docs/open-items.md).
 	reportPollTimeout = 250 * time.Millisecond
-	// reportValidity is how long a report counts in the rules about membership. It is longer than several readings, so
-	// that a single lost one changes nothing.
+	// reportValidity is how long a report is used for membership decisions. It covers several polls, so that a single
+	// lost poll changes nothing.
 	reportValidity = 2 * time.Second
-	// maxReportBytes bounds one report.
+	// maxReportBytes is the maximum size of a report.
 	maxReportBytes = 64 << 10
 
-	// maxReportConnections is how many connections are open to each: polls may overlap after a time-out.
+	// maxReportConnections is the maximum number of connections to each controller: polls may overlap after a time-out.
 	maxReportConnections = 4
 )
 
-// memberReport is a controller's response to GET /v1/load: what nodes need to know, and what the other controllers
-// need.
+// memberReport is a controller's response to GET /v1/load: its Load, and what the other controllers need to decide
+// about membership.
 type memberReport struct {
 	configapi.Load
 	Phase        phase  `json:"phase"`
 	ServerID     string `json:"server,omitempty"` // its raft server ID
-	Start        uint64 `json:"start"`            // of its disk, see identity
-	ProcessID    string `json:"process"`          // drawn at random by each process
-	AppliedIndex uint64 `json:"applied"`          // index of the newest log entry in its state
-	// Founders are the processes that this one found empty before it began a new cluster, by the controller's name.
-	// Each of them has never voted in the cluster, and may begin it, too.
+	Start        uint64 `json:"start"`            // start number of its disk, see identity
+	ProcessID    string `json:"process"`          // random, different for each process
+	AppliedIndex uint64 `json:"applied"`          // index of the last log entry that it has applied
+	// Founders are the IDs of the processes whose disks were empty when this controller began a new cluster, by the
+	// controller's name. None of these processes has voted in the cluster, so each of them may begin it, too.
 	Founders map[string]string `json:"founders,omitempty"`
 	// RecordedStart is the last recorded start of the server that the request names.
 	RecordedStart *memberStart `json:"known,omitempty"`
 }
 
-// ReportError reports that another controller's report is not usable.
+// ReportError reports that another controller's report can't be used.
 type ReportError struct {
 	Address string
 	Reason  string
 }
 
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("controller: the report of %s: %s", e.Address, e.Reason)
+	return fmt.Sprintf("controller: report of %s is unusable: %s", e.Address, e.Reason)
 }
 
-// controllerReports reads and holds the other controllers' reports.
+// controllerReports polls and stores the other controllers' reports.
 type controllerReports struct {
 	config Config
 	client *http.Client
@@ -67,18 +68,18 @@
 	reports map[string]timedReport // by the controller's name
 }
 
-// timedReport is the last report that was read from a controller.
+// timedReport is the last report that was received from a controller.
 type timedReport struct {
 	memberReport
 	receivedAt      time.Time
-	lastFetchFailed bool // a later reading failed
+	lastFetchFailed bool // the last poll failed, and the report is from an earlier one
 }
 
-// isValid reports whether the report still counts.
+// isValid reports whether the report is recent enough to be used.
 func (r timedReport) isValid(now time.Time) bool { return now.Sub(r.receivedAt) < reportValidity }
 
-// newControllerReports returns the reports of controllers that have not been read yet. Each reading has a connection of its
-// own, so that what comes back on it is the answer to that reading.
+// newControllerReports returns a controllerReports without reports. Each poll of a controller uses a new connection, so
+// that the response on it can only belong to that poll.
 func newControllerReports(config Config) *controllerReports {
 	transport := &http.Transport{
 		MaxConnsPerHost:    maxReportConnections,
@@ -88,7 +89,7 @@
 	return &controllerReports{config: config, client: &http.Client{Transport: transport}, reports: map[string]timedReport{}}
 }
 
-// poll reads the reports of all other controllers in parallel. server is the own raft server ID.
+// poll fetches the reports of all other controllers in parallel. server is this controller's raft server ID.
 func (r *controllerReports) poll(ctx context.Context, server string) {
 	ctx, cancel := context.WithTimeout(ctx, reportPollTimeout)
 	defer cancel()
@@ -105,7 +106,7 @@
 	fetches.Wait()
 }
 
-// record notes the result of a reading. After one that failed, the last report stays until it is too old.
+// record stores the result of a poll. If the poll failed, the last report stays until it is too old.
 func (r *controllerReports) record(name string, report memberReport, err error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -130,19 +131,19 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return memberReport{}, &ReportError{member.Dial, "answered " + response.Status}
+		return memberReport{}, &ReportError{member.Dial, "the response has status " + response.Status}
 	}
 	var report memberReport
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report); err != nil {
 		return memberReport{}, err
 	}
 	if report.Name != member.Name {
-		return memberReport{}, &ReportError{member.Dial, fmt.Sprintf("it is controller %q, not %s", report.Name, member.Name)}
+		return memberReport{}, &ReportError{member.Dial, fmt.Sprintf("it comes from controller %q, not from %s", report.Name, member.Name)}
 	}
 	return report, nil
 }
 
-// valid returns the reports that still count, by the controller's name.
+// valid returns the reports that are recent enough to be used, by the controller's name.
 func (r *controllerReports) valid(now time.Time) map[string]memberReport {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -155,8 +156,8 @@
 	return valid
 }
 
-// loads is what session placement needs to know of the others. A controller is available if its last reading succeeded,
-// it has a state, and it is in contact with the leader if this one is.
+// loads returns the load of each other controller, for session placement. A controller is available if its last poll
+// succeeded, its report is recent enough, it has a state, and it is in contact with the leader if this controller is.
 func (r *controllerReports) loads(now time.Time, hasLeaderContact bool) []configversion.ControllerLoad {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/controller/controllerreports_test.go
+++ b/internal/controller/controllerreports_test.go
@@ -12,8 +12,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// A controller does not answer one poll. No node is sent to it, but it still counts as a member until its report is too
-// old.
+// A controller does not answer one poll. No nodes are sent to it, but it still counts as a member until its report is
+// too old.
 func TestLoadsOfAnUnresponsiveController(t *testing.T) {
 	reports := newControllerReports(configOf("c1", "c2", "c3"))
 	report := memberReport{Phase: phaseMember, Load: configapi.Load{Cluster: "c", Sessions: 5, HasLeaderContact: true}}
@@ -26,18 +26,18 @@
 		t.Errorf("loads %+v", loads)
 	}
 	if len(reports.valid(now)) != 2 {
-		t.Errorf("members that answered lately: %v", reports.valid(now))
+		t.Errorf("valid reports: %v, want 2", reports.valid(now))
 	}
 	reports.record("c3", report, nil)
 	if loads := reports.loads(now, true); !loads[1].Available {
-		t.Errorf("after it answered again: %+v", loads)
+		t.Errorf("loads after c3 has answered again: %+v", loads)
 	}
 	if loads := reports.loads(now.Add(reportValidity), true); loads[0].Available {
-		t.Errorf("without any reading: %+v", loads)
+		t.Errorf("loads after the reports have expired: %+v", loads)
 	}
 }
 
-// A controller that answers a reading twice must not have its second answer taken for that to the next one.
+// A controller answers a poll twice. The second response must not be used for the next poll.
 func TestEachReportIsFetchedOnANewConnection(t *testing.T) {
 	connections := map[string]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,6 +54,6 @@
 		}
 	}
 	if len(connections) != fetches {
-		t.Errorf("%d readings on %d connections", fetches, len(connections))
+		t.Errorf("%d polls used %d connections", fetches, len(connections))
 	}
 }
--- a/internal/controller/disk.go
+++ b/internal/controller/disk.go
@@ -21,28 +21,32 @@
 	identityFile = "identity.json"
 	// logFile is the name of the file with raft's log and its stable store.
 	logFile = "raft.db"
-	// snapshotFolder is the name of the folder that raft's snapshot store makes.
+	// snapshotFolder is the name of the folder that raft's snapshot store creates.
 	snapshotFolder = "snapshots"
 
-	// retainedSnapshots is how many snapshots stay on disk: the newest, and the one before in case it is damaged.
+	// retainedSnapshots is how many snapshots stay on disk: the newest, and the previous one in case the newest is
+	// damaged.
 	retainedSnapshots = 2
-	// logCacheEntries is how many log entries stay in memory for followers; each may have configapi.MaxDocumentBytes.
+	// logCacheEntries is how many log entries stay in memory for followers. Each entry may be as large as
+	// configapi.MaxDocumentBytes.
 	logCacheEntries = 16
-	// lockTimeout is how long a start waits for another process that has the folder locked, as for one that shuts down.
+	// lockTimeout is how long a start waits while another process has the folder locked, for example one that is
+	// shutting down.
 	lockTimeout = 2 * time.Second
 )
 
-// identity says whose disk a folder is. It is written before anything of raft.
+// identity states which controller and which raft server a folder belongs to. It is written before any state of raft.
 type identity struct {
-	Name string `json:"name"` // the controller's
-	// ServerID is the raft server ID. A disk of a new cluster has the controller's name; one that replaces a lost or an
-	// old disk has another, so that it is not mistaken for the server that voted before. Empty: not decided yet.
+	Name string `json:"name"` // of the controller
+	// ServerID is the raft server ID. On a disk of a new cluster it is the controller's name. A disk that replaces a
+	// lost or stale one has a new ID, so that it is not mistaken for the server that voted before. Empty: not decided
+	// yet.
 	ServerID string `json:"server"`
-	// Start rises by 1 with each start on the disk; see judgeDisk.
+	// Start is the start number: it rises by 1 with each start on the disk. See checkDiskFreshness.
 	Start uint64 `json:"start"`
 }
 
-// disk is an open folder.
+// disk is the open folder of a controller.
 type disk struct {
 	folder    string
 	identity  identity
@@ -51,8 +55,8 @@
 	snapshots raft.SnapshotStore
 }
 
-// openDisk opens a controller's folder, creates it where there is none, and counts the start. Its error is a
-// FolderError.
+// openDisk opens a controller's folder, creates it if it does not exist, and increments the start number. Its error is
+// a FolderError.
 func openDisk(folder, name string) (*disk, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &FolderError{folder, writableFolderAdvice, err}
@@ -73,12 +77,12 @@
 	return d, nil
 }
 
-// openLog opens the log, which locks the folder against other processes, and the snapshots.
+// openLog opens the log, which locks the folder against other processes, and the snapshot store.
 func (d *disk) openLog() error {
 	bolt, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(d.folder, logFile),
 		BoltOptions: &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}})
 	if err != nil {
-		return &FolderError{d.folder, "is another controller running on it, or is the file " + logFile + " damaged?", err}
+		return &FolderError{d.folder, "another controller may be using the folder, or the file " + logFile + " may be damaged", err}
 	}
 	logCache, err := raft.NewLogCache(logCacheEntries, bolt)
 	if err != nil {
@@ -107,7 +111,7 @@
 		return &FolderError{d.folder, emptyFolderAdvice, err}
 	}
 	if d.identity.Name != name {
-		return &FolderError{d.folder, "it is a copy of the disk of controller " + d.identity.Name + ", and this is " + name +
+		return &FolderError{d.folder, "the folder is a copy of the disk of controller " + d.identity.Name + ", but this is controller " + name +
 			": " + emptyFolderAdvice, nil}
 	}
 	return nil
@@ -120,13 +124,13 @@
 		return &FolderError{d.folder, emptyFolderAdvice, err}
 	}
 	if hasState {
-		return &FolderError{d.folder, "it has a log but no " + identityFile + ": " + emptyFolderAdvice, nil}
+		return &FolderError{d.folder, "the folder has a log but no " + identityFile + ": " + emptyFolderAdvice, nil}
 	}
 	d.identity = identity{Name: name}
 	return nil
 }
 
-// writeIdentity returns once the identity is on disk.
+// writeIdentity writes the identity, and returns once it is on disk.
 func (d *disk) writeIdentity() error {
 	text, err := json.Marshal(d.identity)
 	if err == nil {
@@ -141,7 +145,7 @@
 	return nil
 }
 
-// setServerID sets the ID under which the disk takes part, for its whole life.
+// setServerID stores the raft server ID of the disk, which stays the same until the disk is reset.
 func (d *disk) setServerID(server string) error {
 	d.identity.ServerID = server
 	return d.writeIdentity()
@@ -152,8 +156,8 @@
 
 func (d *disk) close() error { return d.bolt.Close() }
 
-// reset empties the folder and opens it again, for a disk whose content must not be used. Starts are counted from 1
-// again, under another server ID.
+// reset empties a folder whose content must not be used, and opens it again. The start number is 1 again; the caller
+// has to set a new server ID.
 func (d *disk) reset() error {
 	if err := d.bolt.Close(); err != nil {
 		return &FolderError{d.folder, checkDiskAdvice, err}
@@ -180,5 +184,5 @@
 	return f.Sync()
 }
 
-// randomText draws a text that is not drawn twice, of 26 letters and digits.
+// randomText returns a random text of 26 letters and digits, long enough to be unique.
 func randomText() string { return rand.Text() }
--- a/internal/controller/document.go
+++ b/internal/controller/document.go
@@ -11,7 +11,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// readDocument decodes a published document and checks its form. The nodes of a service check what its settings mean.
+// readDocument decodes a published document and checks its form. The content of the settings is checked by the nodes of
+// each service.
 func readDocument(text []byte) (configapi.Document, *configapi.Error) {
 	if len(text) > configapi.MaxDocumentBytes {
 		return configapi.Document{}, &configapi.Error{Kind: configapi.ErrorTooLarge,
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// invalidError is an error of kind ErrorInvalid.
+// invalidError returns an error of kind ErrorInvalid.
 func invalidError(format string, args ...any) *configapi.Error {
 	return &configapi.Error{Kind: configapi.ErrorInvalid, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -5,8 +5,8 @@
 // FolderError reports that a controller's folder can't be used.
 type FolderError struct {
 	Folder string
-	Reason string // with what an operator can do
-	Err    error  // nil: Reason says it all
+	Reason string // the cause, or advice to the operator
+	Err    error  // nil if Reason is the whole cause
 }
 
 func (e *FolderError) Error() string {
@@ -16,51 +16,51 @@
 	return fmt.Sprintf("controller: folder %s: %v: %s", e.Folder, e.Err, e.Reason)
 }
 
-// Unwrap returns the error of the system, if there is one.
+// Unwrap returns the underlying error, or nil.
 func (e *FolderError) Unwrap() error { return e.Err }
 
 // Advice to operators in FolderErrors.
 const (
 	// emptyFolderAdvice is for a folder whose content can't be used.
-	emptyFolderAdvice = "empty the folder, and the controller copies the state from the others"
-	// writableFolderAdvice is for a folder that can't be written.
-	writableFolderAdvice = "name a folder that this process may write"
+	emptyFolderAdvice = "empty the folder; the controller will copy the state from the other controllers"
+	// writableFolderAdvice is for a folder that is not writable.
+	writableFolderAdvice = "specify a folder that this process can write to"
 	// checkDiskAdvice is for a write that failed.
-	checkDiskAdvice = "look at the disk"
+	checkDiskAdvice = "check the disk for errors and free space"
 )
 
-// ListenError reports that a controller can't listen at one of its addresses.
+// ListenError reports that a controller can't listen on one of its addresses.
 type ListenError struct {
 	Address string // HOST:PORT
 	Err     error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("controller: can't listen at %s: %v: is another process there, or is it no address of this machine?", e.Address, e.Err)
+	return fmt.Sprintf("controller: can't listen on %s: %v: use an address of this machine that no other process listens on", e.Address, e.Err)
 }
 
-// Unwrap returns the error of the system.
+// Unwrap returns the underlying system error.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // ConsensusError reports that raft could not run on the controller's folder.
 type ConsensusError struct {
 	Problem string
-	Err     error // raft's
+	Err     error // from raft
 }
 
 func (e *ConsensusError) Error() string { return fmt.Sprintf("controller: %s: %v", e.Problem, e.Err) }
 
-// Unwrap returns raft's error.
+// Unwrap returns the error from raft.
 func (e *ConsensusError) Unwrap() error { return e.Err }
 
-// UnknownControllerError reports that the log has a controller that the settings file does not name.
+// UnknownControllerError reports that the log names a controller that is not in the settings file.
 type UnknownControllerError struct{ Name string }
 
 func (e *UnknownControllerError) Error() string {
-	return fmt.Sprintf("no controller %s in the settings: all controllers need the same settings file", e.Name)
+	return fmt.Sprintf("controller %s is not in the settings file: all controllers need the same file", e.Name)
 }
 
-// ConfigError says what is wrong with a settings file as a whole.
+// ConfigError reports an error that concerns a settings file as a whole, not one of its lines.
 type ConfigError struct {
 	File   string
 	Reason string
--- a/internal/controller/fsm.go
+++ b/internal/controller/fsm.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxSnapshotBytes bounds a snapshot that is read: far above dozens of services of configapi.MaxDocumentBytes.
+	// maxSnapshotBytes is the maximum size of a snapshot that is read. It is far more than dozens of services need, of
+	// configapi.MaxDocumentBytes each.
 	maxSnapshotBytes = 1 << 30
-	// snapshotDelay is the time within which several changes share one snapshot.
+	// snapshotDelay is the time between a change and its snapshot. All changes within it share one snapshot.
 	snapshotDelay = 2 * time.Second
 )
 
-// fsm is the raft.FSM: it applies committed entries to the replicated state, and stores each new state as a view.
+// fsm implements raft.FSM: it applies committed entries to the replicated state, and stores each new state as a view.
 type fsm struct {
-	state *state // of the goroutine that raft runs the FSM on
+	state *state // used only by the goroutine on which raft runs the FSM
 	views *viewStore
 }
 
@@ -42,15 +43,15 @@
 	return result
 }
 
-// Snapshot returns the present state, which is immutable.
+// Snapshot returns the current state, which is immutable.
 func (m *fsm) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state}, nil }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	var restored state
 	if err := json.NewDecoder(io.LimitReader(from, maxSnapshotBytes)).Decode(&restored); err != nil {
-		return fmt.Errorf("controller: a snapshot can't be read: %w", err)
+		return fmt.Errorf("controller: reading a snapshot failed: %w", err)
 	}
 	m.state = &restored
 	m.views.setState(&restored)
@@ -60,20 +61,20 @@
 // snapshot is a state to be written to disk.
 type snapshot struct{ state *state }
 
-// Persist writes the state.
+// Persist writes the state to sink.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s.state); err != nil {
 		_ = sink.Cancel()
-		return fmt.Errorf("controller: a snapshot can't be written: %w", err)
+		return fmt.Errorf("controller: writing a snapshot failed: %w", err)
 	}
 	return sink.Close()
 }
 
-// Release has nothing to release: the state is immutable.
+// Release does nothing: the state is immutable.
 func (s snapshot) Release() {}
 
 // snapshotOnChange takes a snapshot snapshotDelay after each change of the state, until done is closed. A controller
-// that starts without a quorum can't tell which entries behind its snapshot are committed: it serves its nodes the
+// that starts without a quorum does not know which entries after its snapshot are committed, so it serves its nodes the
 // snapshot.
 func (c *consensus) snapshotOnChange(done <-chan struct{}) {
 	for {
@@ -91,7 +92,7 @@
 		}
 		err := c.raft.Snapshot().Error()
 		if err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) && !errors.Is(err, raft.ErrRaftShutdown) {
-			c.log.Debug("no snapshot", "err", err)
+			c.log.Debug("taking a snapshot failed", "err", err)
 		}
 	}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -18,7 +18,7 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// goldenCommands has each kind of command once.
+// goldenCommands returns one command of each kind.
 func goldenCommands() []command {
 	config := configapi.ServiceConfig{Settings: json.RawMessage(`{"tick-ms":5}`), Discovery: "127.0.0.1:7300"}
 	return []command{
@@ -29,9 +29,9 @@
 	}
 }
 
-// The log on a controller's disk and the entries that a leader of another build sends have these forms, and all
-// controllers must make the same state of them, with the same digests: those of the log, of the snapshot and of what a
-// digest covers must not change with the names of Go fields.
+// Controllers read the log from their disks and from leaders of other builds, and must all derive the same state and
+// the same digests from it. Therefore the encoded forms of the log, of the snapshot and of the content that a digest
+// covers must not change when Go fields are renamed.
 func TestGoldenLogAndSnapshot(t *testing.T) {
 	logPath, snapshotPath := filepath.Join("testdata", "commands.jsonl"), filepath.Join("testdata", "snapshot.json")
 	want := goldenCommands()
@@ -40,9 +40,9 @@
 	}
 	commands := goldentest.ReadKinds(t, logPath, commandBody)
 	if !reflect.DeepEqual(commands, want) {
-		t.Errorf("read as %+v", commands)
+		t.Errorf("commands are decoded as %+v", commands)
 	}
-	kinds := map[int]bool{} // the fields of a command that some line sets
+	kinds := map[int]bool{} // by field of command: whether any line sets it
 	for _, c := range commands {
 		for n := range reflect.TypeOf(c).NumField() {
 			kinds[n] = kinds[n] || !reflect.ValueOf(c).Field(n).IsZero()
@@ -50,7 +50,7 @@
 	}
 	for n, set := range kinds {
 		if !set {
-			t.Errorf("no line has a %s", reflect.TypeFor[command]().Field(n).Name)
+			t.Errorf("no line sets the field %s", reflect.TypeFor[command]().Field(n).Name)
 		}
 	}
 
@@ -73,7 +73,7 @@
 	}
 	text := goldentest.Text(t, snapshotPath)
 	if !bytes.Equal(sink.Bytes(), text) {
-		t.Errorf("the log makes the snapshot %s", sink.Bytes())
+		t.Errorf("the snapshot of the log is %s", sink.Bytes())
 	}
 	restored := newFSM(newViewStore())
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
@@ -85,7 +85,7 @@
 	goldentest.Check(t, snapshotPath, *restored.state)
 }
 
-// commandBody is what a command's kind carries.
+// commandBody returns the field of a command that belongs to its kind.
 func commandBody(c command) any {
 	switch c.Kind {
 	case commandCreateCluster:
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// A controller that does not know its own disk again must be given an empty one: the identity on disk keeps its form.
+// If a controller can't read the identity on its disk, an operator must empty the disk. Therefore the encoded form of
+// the identity must not change.
 func TestGoldenIdentity(t *testing.T) {
 	path := filepath.Join("testdata", "identity.json")
 	want := identity{Name: "c1", ServerID: "c1/2", Start: 3}
@@ -110,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if err := d.readIdentity("c1"); err != nil || d.identity != want {
-		t.Errorf("read as %+v, %v", d.identity, err)
+		t.Errorf("the identity is decoded as %+v, error %v", d.identity, err)
 	}
 	if err := os.Remove(onDisk); err != nil {
 		t.Fatal(err)
@@ -119,11 +120,12 @@
 		t.Fatal(err)
 	}
 	if again := goldentest.Text(t, onDisk); !bytes.Equal(again, text) {
-		t.Errorf("written as %s", again)
+		t.Errorf("the identity is encoded as %s", again)
 	}
 }
 
-// Controllers read each other's reports, also those of another build, to decide whether a disk may take part.
+// Controllers use each other's reports, which may come from another build, to decide whether a disk may take part.
+// Therefore the encoded form of the reports must not change.
 func TestGoldenMemberReport(t *testing.T) {
 	goldentest.Check(t, filepath.Join("testdata", "member-report.json"), memberReport{
 		Load:  configapi.Load{Name: "c1", Cluster: "cluster-2", Sessions: 4, HasLeaderContact: true},
@@ -132,17 +134,17 @@
 	goldentest.Check(t, filepath.Join("testdata", "phases.json"), []phase{phaseEmpty, phaseJoining, phaseMember})
 }
 
-// A watch carries an update as one line, which nodes of another build read.
+// A watch sends each update as one line, which nodes of other builds must be able to read.
 func TestGoldenUpdateLine(t *testing.T) {
 	path := filepath.Join("..", "configapi", "testdata", "update.json")
 	update := goldentest.Read[configapi.Update](t, path)[0]
 	if line := encodeLine(update); !bytes.Equal(line, goldentest.Text(t, path)) {
-		t.Errorf("written as %s", line)
+		t.Errorf("the update is encoded as %s", line)
 	}
 }
 
-// The first line of a raft connection names the server and the cluster that it is for. A controller of another build must
-// read it, or the two build no quorum.
+// The first line of a raft connection names the server and the cluster that the connection is for. Controllers of
+// different builds form a quorum only if they understand the same greeting.
 func TestGoldenGreeting(t *testing.T) {
 	const golden = "hookwalk-raft/1 c2/3 cluster-2\n"
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -163,7 +165,7 @@
 	defer accepted.Close()
 	_ = accepted.SetReadDeadline(time.Now().Add(time.Minute))
 	if line, err := bufio.NewReader(accepted).ReadString('\n'); err != nil || line != golden {
-		t.Errorf("greeted with %q, %v", line, err)
+		t.Errorf("the greeting is %q, error %v", line, err)
 	}
 	if err := newTestStream(t, "c2/3", "cluster-2").checkGreeting(golden[:len(golden)-1]); err != nil {
 		t.Error(err)
--- a/internal/controller/handlers.go
+++ b/internal/controller/handlers.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// maxAckBytes bounds an acknowledgement.
+	// maxAckBytes is the maximum size of an acknowledgement.
 	maxAckBytes = 16 << 10
-	// maxPublishBytes bounds a publish request: the document, and the rest of the request around it.
+	// maxPublishBytes is the maximum size of a publish request: the document, and the other fields of the request.
 	maxPublishBytes = configapi.MaxDocumentBytes + 64<<10
 )
 
-// statusCodes are the HTTP status codes of configapi.Errors.
+// statusCodes maps the kind of a configapi.Error to its HTTP status code.
 var statusCodes = map[configapi.ErrorKind]int{
 	configapi.ErrorInvalid:        http.StatusBadRequest,
 	configapi.ErrorTooLarge:       http.StatusRequestEntityTooLarge,
@@ -29,7 +29,7 @@
 	configapi.ErrorNoCapacity:     http.StatusServiceUnavailable,
 }
 
-// routes are the controller's HTTP calls; package configapi documents them.
+// routes returns the handler of the HTTP API, which package configapi documents.
 func (c *Controller) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+configapi.PathWatch, c.serveWatch)
@@ -88,7 +88,7 @@
 	}
 	reply, err := c.publish(r, request)
 	if err != nil {
-		c.log.Info("publish rejected", "id", truncateQuoted(request.ID), "kind", err.Kind, "err", err.Message)
+		c.log.Info("publish request rejected", "id", truncateQuoted(request.ID), "kind", err.Kind, "err", err.Message)
 		writeError(w, err)
 		return
 	}
@@ -136,7 +136,7 @@
 
 func writeReply(w http.ResponseWriter, reply any) { writeJSON(w, http.StatusOK, reply) }
 
-// writeError writes an error and closes the connection: nodes that are rejected must leave none open.
+// writeError writes an error and closes the connection: rejected nodes must not leave connections open.
 func writeError(w http.ResponseWriter, err *configapi.Error) {
 	w.Header().Set("Connection", "close")
 	writeJSON(w, statusCodes[err.Kind], err)
@@ -146,5 +146,5 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(body) // fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -9,11 +9,11 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// leaderContactTimeout is how long ago a follower may have heard from the leader to call itself current. Nodes of a
-// controller that is not current search for another one.
+// leaderContactTimeout is how long after the last message from the leader a follower still counts as in contact with
+// it. Nodes of a controller that has lost this contact search for another controller.
 const leaderContactTimeout = time.Second
 
-// runLeaderTasks does the work of a leader while the controller is one, until ctx ends.
+// runLeaderTasks does the work of the leader while this controller is the leader, until ctx ends.
 func (c *Controller) runLeaderTasks(ctx context.Context, running *consensus) {
 	tick := time.NewTicker(reportPollInterval)
 	defer tick.Stop()
@@ -31,22 +31,22 @@
 	}
 }
 
-// prepareLeadership readies a leader that was just elected: it applies what was committed before, and gives a new
-// cluster its identity. Until then the leader must not answer publish requests: it might not know one that it has
-// committed.
+// prepareLeadership prepares a leader that was just elected: it applies all entries that were committed before, and
+// gives a new cluster its identity. The leader must not answer publish requests before that, because it may not know
+// yet of one that is already committed.
 func (c *consensus) prepareLeadership() {
 	term := c.raft.CurrentTerm()
 	if err := c.raft.Barrier(commitTimeout).Error(); err != nil {
-		c.log.Warn("leadership lost again before the log was applied", "err", err)
+		c.log.Warn("the new leader could not apply the log", "err", err)
 		return
 	}
 	if c.views.load().state.Cluster == "" {
 		identity := configapi.Cluster(randomText())
 		if _, err := c.propose(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{identity}}); err != nil {
-			c.log.Warn("the new cluster has no identity yet", "err", err)
+			c.log.Warn("giving the new cluster an identity failed", "err", err)
 			return
 		}
-		c.log.Info("a new cluster has begun", "cluster", c.views.load().state.Cluster)
+		c.log.Info("new cluster created", "cluster", c.views.load().state.Cluster)
 	}
 	if c.isLeader() && c.raft.CurrentTerm() == term {
 		c.readyTerm.Store(term)
@@ -57,13 +57,14 @@
 // isLeader reports whether this controller is the leader, as far as it knows.
 func (c *consensus) isLeader() bool { return c.raft.State() == raft.Leader }
 
-// isReadyLeader reports whether this controller is the leader and has applied all that was committed before its term.
+// isReadyLeader reports whether this controller is the leader and has applied all entries that were committed before
+// its term.
 func (c *consensus) isReadyLeader() bool {
 	term := c.readyTerm.Load()
 	return term != 0 && c.isLeader() && c.raft.CurrentTerm() == term
 }
 
-// leader is the controller that leads, as far as this one knows.
+// leader returns the current leader, as far as this controller knows.
 func (c *consensus) leader() (Member, bool) {
 	_, id := c.raft.LeaderWithID()
 	if id == "" {
@@ -72,8 +73,8 @@
 	return c.config.member(controllerName(id))
 }
 
-// hasLeaderContact reports whether the controller is in contact with the leader of a quorum. A leader that loses its quorum
-// steps down by itself when its lease ends.
+// hasLeaderContact reports whether this controller is in contact with the leader of a quorum, or is that leader. It is
+// false while the cluster has no identity. A leader that loses its quorum steps down by itself when its lease ends.
 func (c *consensus) hasLeaderContact(now time.Time) bool {
 	if c.views.load().state.Cluster == "" {
 		return false
@@ -85,13 +86,13 @@
 	return known && now.Sub(c.raft.LastContact()) < leaderContactTimeout
 }
 
-// transferLeadership hands the leadership to another controller, if this one leads and there is another: publish
-// requests then need not wait for an election.
+// transferLeadership transfers the leadership to another controller, if this one is the leader and there is another, so
+// that publish requests need not wait for an election.
 func (c *consensus) transferLeadership() {
 	if !c.isLeader() || len(c.config.Members) < 2 {
 		return
 	}
 	if err := c.raft.LeadershipTransfer().Error(); err != nil {
-		c.log.Warn("the leadership transfer failed; the others elect a leader", "err", err)
+		c.log.Warn("leadership transfer failed; the other controllers will elect a leader", "err", err)
 	}
 }
--- a/internal/controller/nodetable.go
+++ b/internal/controller/nodetable.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// minNodeEntries is the least number of nodes that a controller remembers, with and without a session.
+	// minNodeEntries is the minimum capacity of a nodeTable, for nodes with and without a session.
 	minNodeEntries = 10000
-	// nodeEntriesPerSession is how many nodes it remembers for each session that it may have: after the failure of
-	// others, its own nodes and those that were there before.
+	// nodeEntriesPerSession is the capacity of a nodeTable for each session that the controller may have. After other
+	// controllers have failed, the table holds the nodes that now have a session and the nodes that were there before.
 	nodeEntriesPerSession = 2
-	// disconnectedNodeRetention is how long a node without a session is remembered: long enough for operators to see that it is gone.
+	// disconnectedNodeRetention is how long a node without a session stays in the table: long enough for operators to
+	// see that it is disconnected.
 	disconnectedNodeRetention = time.Hour
-	// migrationRetryInterval is how long a node is not asked to migrate again if it did not: it may have tried in vain.
+	// migrationRetryInterval is the minimum time between two requests to a node to migrate, because the node may have
+	// tried to migrate and failed.
 	migrationRetryInterval = 10 * time.Second
 )
 
-// nodeEntry is what the controller knows of a node.
+// nodeEntry is what the controller knows about a node.
 type nodeEntry struct {
 	status  configapi.NodeStatus
-	session *session // nil: none
+	session *session // nil if the node has no session
 }
 
-// nodeTable holds the sessions of a controller, and the last report of each node. It may be used by several
-// goroutines.
+// nodeTable holds the sessions of a controller, and the last report of each node. It is safe for concurrent use.
 type nodeTable struct {
 	lock         sync.Mutex
 	placement    *configversion.Placement
 	nodes        map[string]*nodeEntry // by name
 	maxEntries   int
-	openSessions int // their handlers have not ended yet
+	openSessions int // sessions whose handler has not returned yet
 	nextID       uint64
 	draining     bool
 }
@@ -50,8 +51,8 @@
 	}
 }
 
-// openSession admits a node, or returns why not and where else it may go. A node's newer session replaces its older
-// one, and needs no admission.
+// openSession opens a session for a node. If the node is not admitted, the error has the reason and the alternatives. A
+// newer session of a node replaces its older one, and needs no admission.
 func (t *nodeTable) openSession(request configapi.WatchRequest, now time.Time) (*session, *configapi.Error) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -73,7 +74,7 @@
 	return s, nil
 }
 
-// admit lets session placement decide about a node; nobody is admitted during a shutdown.
+// admit asks session placement whether to admit a node. No node is admitted during shutdown.
 func (t *nodeTable) admit(request configapi.WatchRequest) *configapi.Error {
 	sessionRequest := placementRequest(request)
 	if t.draining {
@@ -87,12 +88,12 @@
 		Alternatives: alternatives}
 }
 
-// placementRequest is what session placement needs to know of a node that has no session yet.
+// placementRequest returns what session placement needs to know about a node that has no session yet.
 func placementRequest(request configapi.WatchRequest) configversion.SessionRequest {
 	return configversion.SessionRequest{Region: request.Region, Zone: request.Zone, WatchRejections: request.WatchRejections}
 }
 
-// closeSession records that a session's handler has ended.
+// closeSession records that a session's handler has returned.
 func (t *nodeTable) closeSession(s *session, now time.Time) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -107,8 +108,9 @@
 	entry.status.LastSeenMS = now.UnixMilli()
 }
 
-// acknowledge records a node's decision about a version. One that comes late changes nothing: of an older session,
-// because the newer one's request has said what is in force, or of a version before the last one.
+// acknowledge records a node's decision about a version. It ignores a late acknowledgement: one of an older session,
+// because the newer session's request states which version is in force, or one of a version before the last decided
+// one.
 func (t *nodeTable) acknowledge(a configapi.Acknowledgement, now time.Time) *configapi.Error {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -132,8 +134,8 @@
 	return nil
 }
 
-// setOtherControllers passes new reports of the other controllers to session placement, and requests the migrations that
-// it plans. Newer sessions come before older ones of the same distance.
+// setOtherControllers passes new reports of the other controllers to session placement, and requests the migrations
+// that placement plans. Of the sessions at the same distance, the newer ones migrate first.
 func (t *nodeTable) setOtherControllers(loads []configversion.ControllerLoad, now time.Time) (migrated int) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -158,7 +160,7 @@
 	return migrated
 }
 
-// drain admits nobody any more, and asks all nodes to migrate.
+// drain stops the admission of nodes, and asks all nodes to migrate.
 func (t *nodeTable) drain(now time.Time) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -186,21 +188,22 @@
 	}
 }
 
-// sessionCount is the number of open sessionCount.
+// sessionCount returns the number of open sessions.
 func (t *nodeTable) sessionCount() int {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.openSessions
 }
 
-// alternatives are the other controllers for a node, the best one first.
+// alternatives returns the other controllers for a node, the best one first.
 func (t *nodeTable) alternatives(request configapi.WatchRequest) []configapi.ControllerAddress {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.placement.Alternatives(configversion.SessionRequest{Region: request.Region, Zone: request.Zone})
 }
 
-// listStatuses returns the status of all nodes by name, and forgets those that have been away for forgetAfter.
+// listStatuses returns the status of all nodes, ordered by name, and removes those that have been disconnected for
+// longer than disconnectedNodeRetention.
 func (t *nodeTable) listStatuses(now time.Time) []configapi.NodeStatus {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -222,8 +225,8 @@
 	}
 }
 
-// evictLongestDisconnected forgets the node that has been away for longest if the table is full and a node is new to it.
-// Without a bound, nodes that are renamed at each start would fill the memory.
+// evictLongestDisconnected removes the node that has been disconnected for the longest time, if the table is full and
+// newNode is not in it. Without a bound, nodes that change their name at each start would fill the memory.
 func (t *nodeTable) evictLongestDisconnected(newNode string) {
 	if _, known := t.nodes[newNode]; known || len(t.nodes) < t.maxEntries {
 		return
@@ -237,7 +240,7 @@
 	delete(t.nodes, oldest)
 }
 
-// initialNodeStatus is the status of a node as its watch's request states it.
+// initialNodeStatus returns the status of a node as its watch request states it.
 func initialNodeStatus(r configapi.WatchRequest, now time.Time) configapi.NodeStatus {
 	status := configapi.NodeStatus{
 		Node:        r.Node,
@@ -271,7 +274,7 @@
 	return &configapi.Rejection{Kind: configapi.RejectionKind(truncateQuoted(kind)), Message: truncateReason(message)}
 }
 
-// truncateReason cuts a reason to configapi.MaxReasonBytes.
+// truncateReason truncates a reason to configapi.MaxReasonBytes.
 func truncateReason(reason string) string {
 	return reason[:min(len(reason), configapi.MaxReasonBytes)]
 }
--- a/internal/controller/nodetable_test.go
+++ b/internal/controller/nodetable_test.go
@@ -25,8 +25,8 @@
 	return s
 }
 
-// A controller is at its limit. It rejects new nodes and names alternatives, but a node that has a session may replace
-// it.
+// A controller is at its session limit. It rejects new nodes and names alternatives, but a node with a session may
+// replace it.
 func TestSessionsAreBounded(t *testing.T) {
 	table := newTestTable(2)
 	table.setOtherControllers([]configversion.ControllerLoad{{Controller: configapi.ControllerAddress{Address: "b:1"}, Sessions: 1, Available: true}}, noon)
@@ -34,13 +34,13 @@
 	mustOpen(t, table, configapi.WatchRequest{Node: "n2", Service: "dry"})
 	_, err := table.openSession(configapi.WatchRequest{Node: "n3", Service: "dry"}, noon)
 	if err == nil || err.Kind != configapi.ErrorNoCapacity || len(err.Alternatives) != 1 || err.Alternatives[0].Address != "b:1" {
-		t.Errorf("the third of at most two: %+v", err)
+		t.Errorf("opening a third session with a limit of two: error %+v", err)
 	}
-	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", WatchNumber: 2}) // replaces its older session
+	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", WatchNumber: 2}) // replaces the older session of n1
 	select {
 	case <-first.done:
 	default:
-		t.Error("the older session of n1 goes on")
+		t.Error("the older session of n1 is still open")
 	}
 	table.closeSession(first, noon)
 	if n := table.sessionCount(); n != 2 {
@@ -48,17 +48,17 @@
 	}
 }
 
-// Two processes use one node name. The older one must not replace the newer one's session.
+// Two processes use the same node name. The older process must not replace the session of the newer one.
 func TestOlderProcessOfANodeIsRejected(t *testing.T) {
 	table := newTestTable(5)
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 2, WatchNumber: 1})
 	_, err := table.openSession(configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 9}, noon)
 	if err == nil || err.Kind != configapi.ErrorInvalid {
-		t.Errorf("an older process: %+v", err)
+		t.Errorf("opening a session for an older process: error %+v", err)
 	}
 }
 
-// Acknowledgements arrive late, of an older session or of an older version. They change nothing.
+// Acknowledgements of an older session or an older version arrive late. They are ignored.
 func TestLateAcknowledgementsAreIgnored(t *testing.T) {
 	table := newTestTable(5)
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 5, WatchNumber: 2, Cluster: "c", LastDecided: 3, Applied: 3})
@@ -76,34 +76,34 @@
 		}
 	}
 	if got := table.listStatuses(noon)[0]; got.LastDecided != 7 || got.Applied != 7 || got.Outcome != configapi.Applied {
-		t.Errorf("node is known as %+v", got)
+		t.Errorf("the status of the node is %+v", got)
 	}
 	if s.needsConfig("c", 7) || !s.needsConfig("c", 8) || !s.needsConfig("d", 1) {
-		t.Error("the session does not know what its node has in force")
+		t.Error("the session has the wrong applied version")
 	}
 	ack.Node = "n9"
 	if err := table.acknowledge(ack, noon); err == nil || err.Kind != configapi.ErrorInvalid {
-		t.Errorf("an acknowledgement of a node without a session: %+v", err)
+		t.Errorf("acknowledgement of a node without a session: error %+v", err)
 	}
 }
 
-// A node that reconnects says why it rejected its version. The reason shows in the status, truncated.
+// A node that reconnects states why it rejected its last version. The reason is part of its status, truncated.
 func TestRejectionIsRecorded(t *testing.T) {
 	table := newTestTable(5)
 	rejection := &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no such class"}
 	mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry", Cluster: "c", LastDecided: 4, Applied: 3, LastRejected: true, RejectionReason: rejection.Error()})
 	got := table.listStatuses(noon)[0]
 	if got.Outcome != configapi.Rejected || got.Rejection == nil || *got.Rejection != *rejection {
-		t.Errorf("node is known as %+v", got)
+		t.Errorf("the status of the node is %+v", got)
 	}
 	long := configapi.WatchRequest{Node: "n2", Service: "dry", LastDecided: 4, LastRejected: true, RejectionReason: strings.Repeat("x", 2*configapi.MaxReasonBytes)}
 	mustOpen(t, table, long)
 	if got := table.listStatuses(noon)[1].Rejection.Message; len(got) != configapi.MaxReasonBytes {
-		t.Errorf("a reason of %d bytes is recorded", len(got))
+		t.Errorf("the recorded reason has %d bytes, want configapi.MaxReasonBytes", len(got))
 	}
 }
 
-// A node that was shut down shows as disconnected for an hour, and is forgotten then.
+// A node that was shut down is listed as disconnected for disconnectedNodeRetention, and is then removed.
 func TestDisconnectedNodesAreForgotten(t *testing.T) {
 	table := newTestTable(5)
 	s := mustOpen(t, table, configapi.WatchRequest{Node: "n1", Service: "dry"})
@@ -113,11 +113,12 @@
 		t.Errorf("after %v: %+v", disconnectedNodeRetention, list)
 	}
 	if list := table.listStatuses(noon.Add(disconnectedNodeRetention + time.Millisecond)); len(list) != 1 || list[0].Node != "n2" {
-		t.Errorf("a moment later: %+v", list)
+		t.Errorf("after the retention time: %+v", list)
 	}
 }
 
-// Nodes are renamed at each start. The table forgets those that have been away for longest, and does not grow.
+// Nodes have a new name at each start. The table removes those that have been disconnected for the longest time, so
+// that it does not grow.
 func TestNodeTableIsBounded(t *testing.T) {
 	table := newTestTable(5)
 	table.maxEntries = 3
@@ -127,11 +128,11 @@
 	}
 	list := table.listStatuses(noon)
 	if len(list) != 3 || list[0].Node != "n2" {
-		t.Errorf("known: %+v", list)
+		t.Errorf("nodes in the table: %+v", list)
 	}
 }
 
-// A controller shuts down. Its nodes are spread over the others, and new ones are rejected.
+// A controller shuts down. Its nodes are distributed over the other controllers, and new nodes are rejected.
 func TestDrainAsksAllNodesToMigrate(t *testing.T) {
 	table := newTestTable(5)
 	table.setOtherControllers([]configversion.ControllerLoad{{Controller: configapi.ControllerAddress{Address: "b:1"}, Available: true}, {Controller: configapi.ControllerAddress{Address: "c:1"}, Available: true}}, noon)
@@ -150,9 +151,9 @@
 		}
 	}
 	if targets["b:1"] != 2 || targets["c:1"] != 2 {
-		t.Errorf("four sessions were sent to %v", targets)
+		t.Errorf("targets of the four sessions: %v, want two each", targets)
 	}
 	if _, err := table.openSession(configapi.WatchRequest{Node: "n9", Service: "dry"}, noon); err == nil || err.Kind != configapi.ErrorNoCapacity {
-		t.Errorf("a node that comes meanwhile: %+v", err)
+		t.Errorf("opening a session during shutdown: error %+v", err)
 	}
 }
--- a/internal/controller/participation.go
+++ b/internal/controller/participation.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// phase is how a controller takes part in the cluster. Only this file changes it: empty at a start without a log,
-// joining when the disk gets a new server ID, member when the leader has made that server a voter, or at once where the
-// disk has a log or begins a new cluster.
+// phase is how a controller takes part in the cluster. Only this file changes it. A controller that starts without a
+// log is empty. It is joining once its disk has a new server ID, and a member once the leader has made that server a
+// voter. If its disk has a log or begins a new cluster, it is a member at once.
 type phase string
 
 const (
-	phaseEmpty   phase = "empty"   // the disk has nothing, and it is not decided yet how the controller starts
+	phaseEmpty   phase = "empty"   // the disk has no log, and how the controller starts is not decided yet
 	phaseJoining phase = "joining" // the controller waits for the leader to make it a voter
 	phaseMember  phase = "member"  // the disk has a log
 )
 
-// participation is how a controller takes part, as it reports it.
+// participation is a controller's phase and the identity of its disk, as the controller reports them.
 type participation struct {
 	phase    phase
-	serverID string // raft server ID; empty: not decided yet
-	start    uint64 // of the disk, see identity
-	founders map[string]string
+	serverID string            // raft server ID; empty: not decided yet
+	start    uint64            // start number of the disk, see identity
+	founders map[string]string // see memberReport
 }
 
 const (
-	// monitorInterval is how often a controller checks its contact with the leader, and conditions that it waits for.
+	// monitorInterval is how often a controller checks its contact with the leader, and the conditions that it waits
+	// for.
 	monitorInterval = 50 * time.Millisecond
-	// waitLogInterval is how often a controller that waits says so in its log.
+	// waitLogInterval is how often a controller that waits logs what it waits for.
 	waitLogInterval = 10 * time.Second
 )
 
-// initParticipation sets the phase as far as the disk tells.
+// initParticipation sets the initial phase from the content of the disk.
 func (c *Controller) initParticipation() error {
 	hasState, err := c.disk.hasState()
 	if err != nil {
@@ -58,7 +59,7 @@
 	})
 }
 
-// runConsensus starts raft and does the work around it until ctx ends.
+// runConsensus starts raft, and runs the tasks that need it until ctx ends.
 func (c *Controller) runConsensus(ctx context.Context) error {
 	running, err := c.startRaft(ctx)
 	if err != nil || running == nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// startRaft starts raft in the way that the disk allows. It returns nil and no error if ctx ends before.
+// startRaft starts raft in the way that the phase requires. It returns nil and no error if ctx ends first.
 func (c *Controller) startRaft(ctx context.Context) (*consensus, error) {
 	switch c.participation.Load().phase {
 	case phaseMember:
@@ -81,12 +82,12 @@
 	return c.startWithEmptyDisk(ctx)
 }
 
-// startWithEmptyDisk waits until decideEmptyDiskStart has decided, and starts raft accordingly.
+// startWithEmptyDisk waits for a decision of decideEmptyDiskStart, and starts raft accordingly.
 func (c *Controller) startWithEmptyDisk(ctx context.Context) (*consensus, error) {
 	startedAt := time.Now()
 	decision := startUndecided
 	var reports map[string]memberReport
-	err := c.waitUntil(ctx, "the folder is empty, and a majority of the controllers must answer before a cluster can begin", func() bool {
+	err := c.waitUntil(ctx, "the folder is empty; a majority of the controllers must answer before a cluster can be created", func() bool {
 		reports = c.reports.valid(time.Now())
 		waitForAll := time.Since(startedAt) < bootstrapWait
 		decision = decideEmptyDiskStart(c.config, c.processID, reports, waitForAll)
@@ -96,11 +97,11 @@
 		return nil, nil
 	}
 	if decision == startJoin {
-		c.log.Info("the folder is empty, and others have a log: this controller joins with a new server ID and copies it")
+		c.log.Info("the folder is empty and another controller has a log: joining with a new server ID and copying the log")
 		return c.joinAsReplacement()
 	}
 	founders := foundingProcesses(c.config, c.processID, reports)
-	c.log.Info("beginning a new cluster", "members", len(c.config.Members), "empty", len(founders))
+	c.log.Info("creating a new cluster", "members", len(c.config.Members), "empty", len(founders))
 	if err := c.disk.setServerID(c.config.Self.Name); err != nil {
 		return nil, err
 	}
@@ -119,7 +120,7 @@
 	return c.startEnabledConsensus(phaseJoining, bootstrapNone, nil)
 }
 
-// startEnabledConsensus starts raft, and opens it to the others at once.
+// startEnabledConsensus starts raft, and enables its connections with the other controllers at once.
 func (c *Controller) startEnabledConsensus(initialPhase phase, bootstrap bootstrapMode, founders map[string]string) (*consensus, error) {
 	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrap)
 	if err != nil {
@@ -132,7 +133,7 @@
 }
 
 // resumeFromDisk starts raft on a disk that has a log. The controller serves its state to nodes at once, and takes part
-// in the cluster when judgeDisk has found that the disk is no old copy.
+// in the cluster after checkDiskFreshness has found that the disk is not an old copy.
 func (c *Controller) resumeFromDisk(ctx context.Context) (*consensus, error) {
 	running, err := startConsensus(c.config, c.disk, c.raftListener, c.views, c.log, bootstrapNone)
 	if err != nil {
@@ -140,7 +141,7 @@
 	}
 	c.consensus.Store(running)
 	freshness := diskFreshnessUnknown
-	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part; it serves what it has", func() bool {
+	err = c.waitUntil(ctx, "a majority of the controllers must answer before this one takes part in the cluster; meanwhile it serves its nodes the state on its disk", func() bool {
 		freshness = checkDiskFreshness(c.config, c.disk.identity, c.processID, c.reports.valid(time.Now()))
 		return freshness != diskFreshnessUnknown
 	})
@@ -154,9 +155,10 @@
 	return running, nil
 }
 
-// replaceStaleDisk empties a disk that is an old copy: the votes that this controller has cast since are not on it.
+// replaceStaleDisk empties a disk that is an old copy, because the votes that this controller has cast since the copy
+// are not on it, and joins the cluster with a new server ID.
 func (c *Controller) replaceStaleDisk(running *consensus) (*consensus, error) {
-	c.log.Warn("the folder is an old copy of this controller's disk: the others know of a later start; it is emptied, and the log copied from them")
+	c.log.Warn("the folder is an old copy of this controller's disk: another controller has recorded a later start; emptying the folder and copying the log from the other controllers")
 	c.consensus.Store(nil)
 	running.close()
 	if err := c.disk.reset(); err != nil {
@@ -170,7 +172,7 @@
 	return c.joinAsReplacement()
 }
 
-// waitUntil checks a condition until it holds, and logs now and then what it waits for. Its error is that of ctx.
+// waitUntil waits until a condition holds, and logs every waitLogInterval what it waits for. Its error is that of ctx.
 func (c *Controller) waitUntil(ctx context.Context, what string, condition func() bool) error {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
@@ -188,18 +190,18 @@
 	return nil
 }
 
-// monitor follows the contact with the leader, and whether a joining controller has become a voter, until ctx ends.
+// monitor tracks the contact with the leader, and whether a joining controller has become a voter, until ctx ends.
 func (c *Controller) monitor(ctx context.Context, running *consensus) {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
 		if c.views.setLeaderContact(running.hasLeaderContact(time.Now())) {
 			view := c.views.load()
-			c.log.Info("leader contact", "current", view.hasLeaderContact, "version", view.state.Version)
+			c.log.Info("leader contact changed", "current", view.hasLeaderContact, "version", view.state.Version)
 		}
 		if current := c.participation.Load(); current.phase == phaseJoining && running.isVoter() {
 			c.setParticipation(phaseMember, nil)
-			c.log.Info("this controller is a member of the cluster again", "server", current.serverID)
+			c.log.Info("this controller has become a voter of the cluster", "server", current.serverID)
 		}
 		select {
 		case <-tick.C:
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// enqueueTimeout is how long a command waits for the leader's loop to take it; nothing is written before.
+	// enqueueTimeout is how long a command waits until raft accepts it. A command that raft has not accepted is not
+	// written.
 	enqueueTimeout = time.Second
-	// commitTimeout is how long a command waits for a quorum before its outcome is called unknown.
+	// commitTimeout is how long a command waits for a quorum before its outcome counts as unknown.
 	commitTimeout = 5 * time.Second
-	// maxPublishIDBytes is the length of a publish request's ID.
+	// maxPublishIDBytes is the maximum length of a publish request's ID.
 	maxPublishIDBytes = 128
 )
 
-// proposeVersion proposes a version, and returns the reply once a quorum has it on disk, or why there is none. With an error
-// of kind ErrorOutcomeUnknown the version may still come into force; with any other, nothing was written. canceled is
-// closed when the requester has gone.
+// proposeVersion proposes a version, and returns the reply once a quorum has the version on disk. After an error of
+// kind ErrorOutcomeUnknown the version may still come into force; after any other error, nothing was written. canceled
+// is closed when the client has disconnected.
 //
-// One publish is proposed at a time: each sees the versions and the rate of those before it.
+// Only one publish request is proposed at a time, so that each one is checked against all versions before it.
 func (c *consensus) proposeVersion(publish publishCommand, canceled <-chan struct{}) (configapi.PublishReply, *configapi.Error) {
 	select {
 	case c.publishSlot <- struct{}{}:
@@ -50,7 +51,7 @@
 	return result.Reply, result.Err
 }
 
-// checkPublishRequest checks all of a publish request but its document.
+// checkPublishRequest checks all fields of a publish request except its document.
 func checkPublishRequest(request configapi.PublishRequest) *configapi.Error {
 	if request.ID == "" || len(request.ID) > maxPublishIDBytes || !validName(request.ID) {
 		return invalidError("a publish request needs an ID of 1 to %d visible ASCII characters", maxPublishIDBytes)
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// checkLeadership says why a publish request can't be proposed here, and where to if that is known.
+// checkLeadership returns an error if publish requests can't be proposed at this controller. The error has the address
+// of the leader if it is known.
 func (c *consensus) checkLeadership() *configapi.Error {
 	switch leader, known := c.leader(); {
 	case c.isReadyLeader():
@@ -77,8 +79,8 @@
 		Message: "no leader is known here: a majority of the controllers must run and reach each other; nothing was taken"}
 }
 
-// publishError tells a proposal that certainly was not written from one that may have been. Leadership that is lost
-// after the entry was written leaves the outcome open: the next leader may or may not have it.
+// publishError distinguishes proposals that were certainly not written from those that may have been. If the leadership
+// is lost after the entry was written, the outcome is unknown: the next leader may or may not have the entry.
 func publishError(err error, id string) *configapi.Error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
@@ -88,11 +90,11 @@
 		Message: fmt.Sprintf("%v: the version may or may not come into force: repeat the request with the same ID, %s", err, id)}
 }
 
-// errCommitTimeout reports that no quorum has answered within commitTimeout.
+// errCommitTimeout reports that no quorum has written the entry within commitTimeout.
 var errCommitTimeout = errors.New("no quorum has written it yet")
 
-// propose writes a command to the log, and returns its result once a quorum has it and it is applied here. Its errors
-// are those of raft, and errCommitTimeout.
+// propose writes a command to the log, and returns its result once a quorum has written it and this controller has
+// applied it. It returns the errors of raft, or errCommitTimeout.
 func (c *consensus) propose(proposal command) (commandResult, error) {
 	text, err := json.Marshal(proposal)
 	if err != nil {
--- a/internal/controller/publishrate.go
+++ b/internal/controller/publishrate.go
@@ -11,12 +11,13 @@
 const publishRateWindowMS = 1000
 
 // checkPublishRate rejects a version at timeMS (the leader's clock, Unix milliseconds) if configapi.MaxPublishRate
-// versions were accepted within the window before it. It guards against a script that publishes in a loop: each version
-// goes to all nodes, and the controllers' disks have to write it. It shows as errors of kind "too_many".
+// versions were accepted within the window before it. The limit guards against a script that publishes in a loop: each
+// version is sent to all nodes, and is written to the disks of the controllers. Such a script receives errors of kind
+// "too_many".
 //
-// The limit is part of the replicated state, so that all controllers decide alike and a change of the leader does not
-// reset it. A time before that of an earlier version, as after a change to a leader whose clock is behind, is not
-// limited.
+// The limit is part of the replicated state, so that all controllers decide the same, and a change of the leader does
+// not reset it. It does not apply to a version whose time is before that of an earlier version, which happens if a new
+// leader's clock is behind.
 func (s *state) checkPublishRate(timeMS int64) *configapi.Error {
 	if len(s.History) < configapi.MaxPublishRate {
 		return nil
--- a/internal/controller/raftlogger.go
+++ b/internal/controller/raftlogger.go
@@ -9,16 +9,16 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLogger makes a logger for raft that writes to slog. Raft's warnings and errors keep their level, the rest becomes
-// debug output.
+// raftLogger returns a logger for raft that writes to slog. Warnings and errors keep their level, informational
+// messages become debug messages, and all others are discarded.
 func raftLogger(log *slog.Logger) hclog.Logger {
 	logger := hclog.NewInterceptLogger(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Info})
 	logger.RegisterSink(&slogSink{log: log, lastLogged: map[string]*messageRepetition{}})
 	return logger
 }
 
-// repeatLogInterval is how often the same message of raft is logged: raft logs several a second for each controller
-// that is away.
+// repeatLogInterval is the least time between two log lines with the same message of raft, which logs several a second
+// for each unreachable controller.
 const repeatLogInterval = 10 * time.Second
 
 // slogSink writes raft's messages to slog.
@@ -26,7 +26,7 @@
 	log *slog.Logger
 
 	lock       sync.Mutex
-	lastLogged map[string]*messageRepetition // by the message, of which raft has a few dozen
+	lastLogged map[string]*messageRepetition // by message; raft has a few dozen different ones
 }
 
 // messageRepetition counts how often a message was suppressed since it was last logged.
@@ -35,8 +35,8 @@
 	suppressed int
 }
 
-// Accept logs a message, unless the same one, with any arguments, was logged within repeatLogInterval. The next one
-// says in said_before how many were suppressed.
+// Accept logs a message, unless the same message, with any arguments, was logged within repeatLogInterval. The next
+// line with this message has the number of suppressed ones as said_before.
 func (s *slogSink) Accept(name string, level hclog.Level, message string, args ...any) {
 	if level < hclog.Info {
 		return
@@ -58,7 +58,8 @@
 	}
 }
 
-// countRepetition says how many messages of this text were suppressed before this one, or that this one is to be.
+// countRepetition reports whether a message is to be suppressed. If not, suppressed is the number of messages with the
+// same text that were suppressed since the last one was logged.
 func (s *slogSink) countRepetition(message string, now time.Time) (suppressed int, suppress bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -76,5 +77,5 @@
 	return suppressed, false
 }
 
-// discardLogger logs nothing.
+// discardLogger returns a logger that discards all messages.
 func discardLogger() hclog.Logger { return hclog.NewNullLogger() }
--- a/internal/controller/raftlogger_test.go
+++ b/internal/controller/raftlogger_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A controller is away, and raft logs the same message several times a second. One in ten seconds is passed on, with
-// the number of those that were suppressed.
+// A controller is unreachable, and raft logs the same message several times a second. One message in ten seconds is
+// logged, with the number of suppressed ones.
 func TestRaftLoggerSuppressesRepetitions(t *testing.T) {
 	s := &slogSink{lastLogged: map[string]*messageRepetition{}}
 	for _, c := range []struct {
@@ -23,7 +23,7 @@
 		{"failed to heartbeat to", 2 * repeatLogInterval, 0, false},
 	} {
 		if suppressed, suppress := s.countRepetition(c.message, noon.Add(c.after)); suppressed != c.suppressed || suppress != c.suppress {
-			t.Errorf("%q after %v: %d left out, again %v", c.message, c.after, suppressed, suppress)
+			t.Errorf("%q after %v: %d suppressed, suppress %v", c.message, c.after, suppressed, suppress)
 		}
 	}
 }
--- a/internal/controller/raftstream.go
+++ b/internal/controller/raftstream.go
@@ -16,63 +16,65 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// The replicated log uses raft's own TCP transport. Raft does not check that a connection reaches the server and the
-// cluster that it means: each connection therefore begins with a greeting that names both, and the other end closes it
-// if they are not its own. It guards against two failures: a controller with an emptied disk, which has another server
-// ID, must not be mistaken for the server that voted before; and two clusters on the same addresses must not mix their
+// The replicated log uses raft's own TCP transport. Raft does not check whether a connection reaches the intended
+// server and cluster. Therefore, each connection begins with a greeting that names both, and the accepting controller
+// closes the connection if they are not its own. Without this check, a controller with an emptied disk, which has a new
+// server ID, could be mistaken for the server that voted before, and two clusters on the same addresses could mix their
 // logs.
 
 const (
-	// raftMessageTimeout is how long one message between controllers, and a greeting, may take.
+	// raftMessageTimeout is how long one message between controllers may take, and how long a greeting may take.
 	raftMessageTimeout = 2 * time.Second
-	// maxRaftConnections is how many connections of other controllers are accepted at the same time.
+	// maxRaftConnections is the maximum number of accepted connections from other controllers that are open at the same
+	// time.
 	maxRaftConnections = 128
-	// raftIdleConnections is how many idle connections stay open to each other controller.
+	// raftIdleConnections is how many idle connections are kept open to each other controller.
 	raftIdleConnections = 3
 
-	// maxGreetingBytes bounds a greeting.
+	// maxGreetingBytes is the maximum length of a greeting.
 	maxGreetingBytes = 512
-	// greetingProtocol begins a greeting; another version of the protocol has another text.
+	// greetingProtocol is the first field of a greeting: the name and the version of the protocol.
 	greetingProtocol = "hookwalk-raft/1"
-	// greetingFieldCount are the fields of a greeting: the protocol, the server ID that the connection is for, the cluster.
+	// greetingFieldCount is the number of fields of a greeting: the protocol, the intended server ID, the cluster.
 	greetingFieldCount = 3
-	// noClusterToken stands for the cluster where a controller has none yet; it matches any.
+	// noClusterToken replaces the cluster if a controller has none yet. It matches any cluster.
 	noClusterToken = "-"
-	// addressSeparator stands between the network address and the server ID in a raft.ServerAddress.
+	// addressSeparator separates the network address from the server ID in a raft.ServerAddress.
 	addressSeparator = "|"
 )
 
-// GreetingError reports that a raft connection reached another server or cluster than it was for.
+// GreetingError reports that a raft connection reached a different server or cluster than intended.
 type GreetingError struct {
-	Got  string // the greeting
-	Want string // this server's
+	Got  string // the received greeting
+	Want string // the greeting that this server expects
 }
 
 func (e *GreetingError) Error() string {
-	return fmt.Sprintf("a raft connection for %q reached %q: do two controllers have one address, or was a cluster built twice?", e.Got, e.Want)
+	return fmt.Sprintf("a raft connection for %q reached %q: two controllers may have the same address, or the cluster may have been created twice", e.Got, e.Want)
 }
 
 // raftStream is the raft.StreamLayer of a controller: it dials and accepts connections between controllers.
 type raftStream struct {
 	listener  net.Listener
 	name      raftAddress
-	serverID  string // its own raft server ID
+	serverID  string // this controller's raft server ID
 	cluster   func() configapi.Cluster
-	slots     chan struct{} // one for each accepted connection
+	slots     chan struct{} // holds one element for each open accepted connection
 	closing   chan struct{} // closed by Close
 	closeOnce sync.Once
-	// enabled is set while this controller takes part in the log. While it is false nothing is sent or read, on
-	// connections that are open neither: it is not clear yet whether the disk may vote.
+	// enabled is set while this controller takes part in the replicated log. While it is false, nothing is sent or
+	// read, not even on connections that are already open, because it is not known yet whether the disk may be used to
+	// vote.
 	enabled atomic.Bool
 }
 
-// raftAddress is a net.Addr of its text.
+// raftAddress is the name of a controller as a net.Addr.
 type raftAddress string
 
-// Network is always tcp.
+// Network returns "tcp".
 func (a raftAddress) Network() string { return "tcp" }
 
-// String returns the text.
+// String returns the name.
 func (a raftAddress) String() string { return string(a) }
 
 func newRaftStream(listener net.Listener, name, server string, cluster func() configapi.Cluster) *raftStream {
@@ -80,12 +82,13 @@
 		slots: make(chan struct{}, maxRaftConnections), closing: make(chan struct{})}
 }
 
-// dialAddress appends a server's ID to its network address, so that Dial knows which server it is for.
+// dialAddress combines the network address and the ID of a server, so that Dial knows which server the connection is
+// for.
 func dialAddress(address, id string) raft.ServerAddress {
 	return raft.ServerAddress(address + addressSeparator + id)
 }
 
-// Dial connects to a server whose address serverAddress made, and sends the greeting.
+// Dial connects to a server at an address from dialAddress, and sends the greeting.
 func (s *raftStream) Dial(target raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	if !s.enabled.Load() {
 		return nil, errStreamDisabled
@@ -104,8 +107,8 @@
 	return &guardedConn{conn, s}, nil
 }
 
-// Accept returns the next connection. Its greeting is read and checked by the first Read, so that a slow one holds up
-// no other.
+// Accept returns the next connection. The first Read on it reads and checks the greeting, so that a slow connection
+// does not delay others.
 func (s *raftStream) Accept() (net.Conn, error) {
 	select {
 	case s.slots <- struct{}{}:
@@ -126,10 +129,11 @@
 	return s.listener.Close()
 }
 
-// Addr is the controller's address in the log.
+// Addr returns the controller's address in the raft configuration.
 func (s *raftStream) Addr() net.Addr { return s.name }
 
-// checkGreeting compares a connection's greeting with what this server is. Its error is a GreetingError.
+// checkGreeting compares the greeting of a connection with the ID and the cluster of this server. Its error is a
+// GreetingError.
 func (s *raftStream) checkGreeting(greeting string) error {
 	fields := strings.Fields(greeting)
 	own := clusterToken(s.cluster())
@@ -143,7 +147,7 @@
 	return nil
 }
 
-// clusterToken is the cluster in a greeting.
+// clusterToken returns a cluster as it is written in a greeting.
 func clusterToken(c configapi.Cluster) string {
 	if c == "" {
 		return noClusterToken
@@ -152,7 +156,7 @@
 }
 
 // errStreamDisabled reports that this controller does not take part in the replicated log yet.
-var errStreamDisabled = errors.New("controller: raft is not open to the others")
+var errStreamDisabled = errors.New("controller: this controller does not take part in the replicated log yet")
 
 // guardedConn is a connection that fails while its stream is not enabled.
 type guardedConn struct {
@@ -182,7 +186,7 @@
 	releaseSlot     sync.Once
 }
 
-// Read reads what follows the greeting, which it checks first.
+// Read returns the data after the greeting. The first call reads and checks the greeting.
 func (c *inboundConn) Read(into []byte) (int, error) {
 	if !c.greetingChecked {
 		if err := c.readGreeting(); err != nil {
@@ -193,8 +197,8 @@
 	return c.guardedConn.Read(into)
 }
 
-// readGreeting reads and checks the greeting. It reads byte by byte, because what follows is raft's. Any fault is
-// io.EOF: raft would log others as errors of its own.
+// readGreeting reads and checks the greeting. It reads byte by byte, because the data after the greeting belongs to
+// raft. It returns io.EOF for any failure, because raft would log other errors as its own.
 func (c *inboundConn) readGreeting() error {
 	_ = c.SetReadDeadline(time.Now().Add(raftMessageTimeout))
 	var line bytes.Buffer
--- a/internal/controller/raftstream_test.go
+++ b/internal/controller/raftstream_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// A connection is meant for another server or cluster, as after a disk was emptied. It is closed.
+// A connection is intended for another server or cluster, for example after a disk was emptied. It is closed.
 func TestStreamChecksTheGreeting(t *testing.T) {
 	for name, c := range map[string]struct {
 		serverID, dialedID     string
@@ -29,12 +29,12 @@
 		disabled               bool
 		accepted               bool
 	}{
-		"the right one":                  {"c1", "c1", "x", "x", false, true},
-		"the cluster is not known yet":   {"c1", "c1", "", "x", false, true},
-		"the asker knows no cluster yet": {"c1", "c1", "x", "", false, true},
-		"an old server of an empty disk": {"c1/new", "c1", "x", "x", false, false},
-		"another cluster":                {"c1", "c1", "x", "y", false, false},
-		"not open yet":                   {"c1", "c1", "x", "x", true, false},
+		"the intended server and cluster":  {"c1", "c1", "x", "x", false, true},
+		"the server has no cluster yet":    {"c1", "c1", "", "x", false, true},
+		"the dialer has no cluster yet":    {"c1", "c1", "x", "", false, true},
+		"the server ID of an emptied disk": {"c1/new", "c1", "x", "x", false, false},
+		"another cluster":                  {"c1", "c1", "x", "y", false, false},
+		"the stream is disabled":           {"c1", "c1", "x", "x", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, dialer := newTestStream(t, c.serverID, c.cluster), newTestStream(t, "c2", c.dialerCluster)
@@ -70,7 +70,8 @@
 	}
 }
 
-// It is not clear yet whether the disk is an old copy. Nothing is sent or read, so that the controller can not vote.
+// A controller does not know yet whether its disk is an old copy. Its stream neither dials nor writes, so that the
+// controller can't vote.
 func TestDisabledStreamFailsDialsAndWrites(t *testing.T) {
 	s := newTestStream(t, "c1", "")
 	conn, err := s.Dial(dialAddress(s.listener.Addr().String(), "c1"), time.Minute)
@@ -80,14 +81,14 @@
 	defer conn.Close()
 	s.enabled.Store(false)
 	if _, err := conn.Write([]byte("word")); err == nil {
-		t.Error("wrote to a stream that is not open")
+		t.Error("writing to a connection of a disabled stream succeeded")
 	}
 	if _, err := s.Dial(dialAddress(s.listener.Addr().String(), "c1"), time.Minute); err == nil {
-		t.Error("dialled from a stream that is not open")
+		t.Error("dialing from a disabled stream succeeded")
 	}
 }
 
-// A client that is no controller sends a line without end. The connection is closed.
+// A client that is not a controller sends a line that does not end. The connection is closed.
 func TestStreamRejectsLongGreeting(t *testing.T) {
 	server := newTestStream(t, "c1", "")
 	failed := make(chan error, 1)
@@ -108,6 +109,6 @@
 		t.Fatal(err)
 	}
 	if err := <-failed; err == nil {
-		t.Error("a connection without a first line was served")
+		t.Error("a connection with an endless greeting was served")
 	}
 }
--- a/internal/controller/rafttransport_test.go
+++ b/internal/controller/rafttransport_test.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// unreachableStream is a stream layer whose dials fail at once.
+// unreachableStream is a raft.StreamLayer that fails each dial at once.
 type unreachableStream struct {
 	dials  atomic.Int64
 	closed chan struct{}
@@ -38,7 +38,7 @@
 
 func (u *unreachableStream) Addr() net.Addr { return raftAddress("c1") }
 
-// newRetryingTransport returns a transport that reaches nobody.
+// newRetryingTransport returns a transport that reaches no server.
 func newRetryingTransport(t *testing.T, shouldRetry func(raft.ServerID, uint64) bool) (*retryingTransport, *unreachableStream) {
 	t.Helper()
 	stream := &unreachableStream{closed: make(chan struct{})}
@@ -49,7 +49,7 @@
 
 var appendRequest = &raft.AppendEntriesRequest{Term: 7, PrevLogEntry: 3, Entries: []*raft.Log{{Index: 4}}}
 
-// A follower is unreachable during a partition. Log entries are retried at a fixed interval while this server leads.
+// A partition makes a follower unreachable. Log entries are retried at a fixed interval while this server leads.
 func TestEntriesAreRetriedWhileLeading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const attemptsPerMinute = int64(time.Minute / appendRetryInterval)
@@ -61,7 +61,7 @@
 		begin := time.Now()
 		err := transport.AppendEntries("c2", "c2", appendRequest, &raft.AppendEntriesResponse{})
 		if !errors.Is(err, errUnreachable) || layer.dials.Load() != attemptsPerMinute || time.Since(begin) != time.Minute {
-			t.Errorf("%d sends in %v, then %v; want %d", layer.dials.Load(), time.Since(begin), err, attemptsPerMinute)
+			t.Errorf("%d attempts in %v, error %v; want %d attempts", layer.dials.Load(), time.Since(begin), err, attemptsPerMinute)
 		}
 		_ = transport.Close()
 	})
@@ -73,13 +73,13 @@
 		transport, layer := newRetryingTransport(t, func(raft.ServerID, uint64) bool { return true })
 		err := transport.AppendEntries("c2", "c2", &raft.AppendEntriesRequest{Term: 7}, &raft.AppendEntriesResponse{})
 		if !errors.Is(err, errUnreachable) || layer.dials.Load() != 1 {
-			t.Errorf("%d sends, then %v", layer.dials.Load(), err)
+			t.Errorf("%d attempts, error %v, want one attempt", layer.dials.Load(), err)
 		}
 		_ = transport.Close()
 	})
 }
 
-// A controller shuts down while a follower is unreachable. The retries end at once.
+// A controller shuts down while a follower is unreachable. The retries stop at once.
 func TestClosingEndsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport, _ := newRetryingTransport(t, func(raft.ServerID, uint64) bool { return true })
@@ -88,7 +88,7 @@
 		synctest.Wait()
 		_ = transport.Close()
 		if err := <-done; err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("AppendEntries returned %v", err)
 		}
 	})
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -10,15 +10,15 @@
 )
 
 // session is a node's open watch. It is open from nodeTable.openSession until its handler (Controller.serveWatch) calls
-// closeSession. Whoever calls close makes the handler end it: a newer session of the node, or a shutdown.
+// closeSession. A newer session of the node, or a shutdown, calls close, which makes the handler return.
 type session struct {
 	id                   uint64
 	request              configapi.WatchRequest
-	applied              atomic.Pointer[appliedVersion]   // of the last acknowledgement
-	migrationTarget      chan configapi.ControllerAddress // the target of a migration that the node is to be asked for; buffers one
+	applied              atomic.Pointer[appliedVersion]   // from the watch request or the last acknowledgement
+	migrationTarget      chan configapi.ControllerAddress // where the node is to be asked to migrate; buffers one target
 	done                 chan struct{}                    // closed when the session must end
 	closeOnce            sync.Once
-	migrationRequestedAt time.Time // when a migration was last requested; guarded by nodeTable
+	migrationRequestedAt time.Time // when a migration was last requested; guarded by nodeTable.lock
 }
 
 // appliedVersion is the version that a node has in force.
@@ -38,17 +38,18 @@
 	return s
 }
 
-// close makes the session's handler end it.
+// close makes the session's handler return.
 func (s *session) close() { s.closeOnce.Do(func() { close(s.done) }) }
 
-// needsConfig reports whether an update must contain the configuration that a version has set.
+// needsConfig reports whether an update must contain the configuration that was set by configVersion, because the node
+// does not have it in force yet.
 func (s *session) needsConfig(cluster configapi.Cluster, configVersion configapi.Version) bool {
 	applied := s.applied.Load()
 	return applied.cluster != cluster || applied.version < configVersion
 }
 
-// requestMigration makes the handler ask the node to migrate. It is called with the table locked, and returns false if
-// an earlier request was not sent yet.
+// requestMigration makes the handler ask the node to migrate. It returns false if an earlier request was not sent yet.
+// The caller must hold the lock of the node table.
 func (s *session) requestMigration(target configapi.ControllerAddress, now time.Time) bool {
 	select {
 	case s.migrationTarget <- target:
@@ -59,7 +60,8 @@
 	}
 }
 
-// isOlderWatch reports whether watch x is of an older process of a node than watch y, or an older one of the same process.
+// isOlderWatch reports whether watch x belongs to an older process of a node than watch y, or is an older watch of the
+// same process.
 func isOlderWatch(x, y configapi.WatchRequest) bool {
 	return cmp.Or(cmp.Compare(x.StartedMS, y.StartedMS), cmp.Compare(x.WatchNumber, y.WatchNumber)) < 0
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -14,28 +14,28 @@
 
 // Defaults of the settings.
 const (
-	// defaultMaxSessions is the limit of sessions at one controller: each costs two connections of the process and their
-	// buffers. It leaves
-	// room for the nodes of controllers that have failed.
+	// defaultMaxSessions is the maximum number of sessions at one controller. Each session uses two connections of the
+	// process and their buffers. The default leaves room for the nodes of controllers that have failed.
 	defaultMaxSessions = 600
-	// defaultElectionTimeout is how long a follower waits for the leader before it asks for an election: long enough
-	// for a slow disk, and short enough that a publish survives the change of the leader.
+	// defaultElectionTimeout is how long a follower waits for the leader before it starts an election: long enough for
+	// a slow disk, and short enough that a publish request survives the change of the leader.
 	defaultElectionTimeout = 400 * time.Millisecond
-	// defaultLeaderLease is how long a leader that hears nothing from a quorum still leads. It ends before another one
-	// can be elected.
+	// defaultLeaderLease is how long a leader remains the leader without hearing from a quorum. It ends before another
+	// leader can be elected.
 	defaultLeaderLease = 300 * time.Millisecond
-	// defaultFolderName is the folder in the system's folder for temporary files.
+	// defaultFolderName is the name of the default folder, in the system's folder for temporary files.
 	defaultFolderName = "hookwalk-controllers"
 )
 
-// Bounds of what a settings file may say. Shorter times than these elect a leader at every pause of a process; longer
-// ones leave nodes without versions for too long.
+// Bounds of the settings. With shorter times than these, every pause of a process would cause an election; longer ones
+// would leave nodes without versions for too long.
 const (
-	// maxSettingsFileBytes bounds the file that is read.
+	// maxSettingsFileBytes is the maximum size of a settings file.
 	maxSettingsFileBytes = 1 << 20
-	// maxMembers is the number of controllers of a cluster: more than a few make each publish slower and no safer.
+	// maxMembers is the maximum number of controllers of a cluster. More than a few make each publish slower and no
+	// safer.
 	maxMembers = 15
-	// maxSessionsLimit is the largest max_sessions: each session takes two connections of the process.
+	// maxSessionsLimit is the largest value of max_sessions. Each session uses two connections of the process.
 	maxSessionsLimit = 20000
 
 	minHeartbeatInterval = 50 * time.Millisecond  // of heartbeat_ms
@@ -45,45 +45,46 @@
 	minLeaderLease       = 50 * time.Millisecond  // of lease_ms
 	maxLeaderLease       = 10 * time.Second       // of lease_ms
 
-	// maxMemberNameBytes is the length of a controller's name.
+	// maxMemberNameBytes is the maximum length of a controller's name.
 	maxMemberNameBytes = 64
 )
 
-// Config are the settings of one controller.
+// Config has the settings of one controller.
 type Config struct {
 	Self              Member
 	Members           []Member // all controllers of the cluster, Self among them, in the file's order
-	Folder            string   // of this controller alone
+	Folder            string   // used by this controller only
 	MaxSessions       int
 	HeartbeatInterval time.Duration // between heartbeats on a watch
-	ElectionTimeout   time.Duration // a follower that hears nothing from the leader for so long asks for an election
-	LeaderLease       time.Duration // a leader that hears nothing from a quorum for so long steps down
+	ElectionTimeout   time.Duration // how long a follower waits for the leader before it starts an election
+	LeaderLease       time.Duration // how long a leader without answers from a quorum remains the leader
 }
 
 // Member is one controller of the cluster.
 type Member struct {
 	Name   string
-	Listen string // HOST:PORT of the calls of nodes, operators and other controllers
+	Listen string // HOST:PORT of the HTTP API, for nodes, operators and other controllers
 	Raft   string // HOST:PORT of the replicated log
-	Dial   string // HOST:PORT at which this process makes calls to it; Listen, if the file does not say otherwise
+	Dial   string // HOST:PORT at which this process reaches its HTTP API; Listen by default
 	Region string
 	Zone   string
 }
 
-// ControllerAddress is where nodes reach the controller.
+// ControllerAddress returns the address at which nodes reach the controller, and its location.
 func (m Member) ControllerAddress() configapi.ControllerAddress {
 	return configapi.ControllerAddress{Address: m.Listen, Region: m.Region, Zone: m.Zone}
 }
 
-// LoadConfig reads a cluster's settings file for the controller of a name. All controllers may share one file; the name
-// may be empty where the file has one controller only. Errors name the file and, where there is one, the line.
+// LoadConfig reads a cluster's settings file, and returns the settings of the controller with this name. All
+// controllers may share one file; the name may be empty if the file has only one controller. Errors name the file and,
+// if they concern one line, that line.
 func LoadConfig(path, name string) (Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("controller: %w", err)
 	}
 	if info.Size() > maxSettingsFileBytes {
-		return Config{}, fmt.Errorf("controller: %w", &ConfigError{path, fmt.Sprintf("it is over %d bytes", maxSettingsFileBytes)})
+		return Config{}, fmt.Errorf("controller: %w", &ConfigError{path, fmt.Sprintf("the file is larger than %d bytes", maxSettingsFileBytes)})
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,8 @@
 	return config, nil
 }
 
-// ParseConfig parses the text of a settings file, as LoadConfig does; errors begin with the file's name and the line.
+// ParseConfig parses the text of a settings file, and returns the settings of the controller with this name, as
+// LoadConfig does. Errors begin with the file's name and, if they concern one line, that line.
 func ParseConfig(file string, text []byte, name string) (Config, error) {
 	blocks, err := settings.ParseBlocks(file, text)
 	if err != nil {
@@ -142,7 +144,7 @@
 	}
 }
 
-// readControllerBlock reads one controller's block.
+// readControllerBlock reads the block of one controller.
 func (c *Config) readControllerBlock(r *settings.Reader) {
 	member := Member{Name: r.Label(), Listen: r.Text("listen", ""), Raft: r.Text("raft", ""), Dial: r.Text("dial", ""),
 		Region: r.Text("region", ""), Zone: r.Text("zone", "")}
@@ -159,19 +161,20 @@
 	c.checkDistinct(r, member)
 	c.Members = append(c.Members, member)
 	if len(c.Members) > maxMembers {
-		r.AddErrorAt(r.Block.Line, "more than %d controllers", maxMembers)
+		r.AddErrorAt(r.Block.Line, "a cluster has at most %d controllers", maxMembers)
 	}
 }
 
-// checkDistinct checks that a controller has a name and addresses of its own.
+// checkDistinct checks that no other controller has the same name or one of the same addresses, and that listen and
+// raft differ.
 func (c *Config) checkDistinct(r *settings.Reader, member Member) {
 	for _, other := range c.Members {
 		if other.Name == member.Name {
-			r.AddErrorAt(r.Block.Line, "controller %s is there already", member.Name)
+			r.AddErrorAt(r.Block.Line, "controller %s is defined twice", member.Name)
 		}
 		for _, taken := range []string{other.Listen, other.Raft} {
 			if taken == member.Listen || taken == member.Raft {
-				r.AddErrorAt(r.Block.Line, "controller %s has the address %s of controller %s", member.Name, taken, other.Name)
+				r.AddErrorAt(r.Block.Line, "controller %s uses the address %s of controller %s", member.Name, taken, other.Name)
 			}
 		}
 	}
@@ -191,13 +194,13 @@
 	}
 }
 
-// selectSelf finds the controller that this process is. Its error is a ConfigError.
+// selectSelf sets Self to the controller that this process is to run. Its error is a ConfigError.
 func (c Config) selectSelf(file, name string) (Config, error) {
 	switch {
 	case len(c.Members) == 0:
-		return Config{}, &ConfigError{file, "no block controller"}
+		return Config{}, &ConfigError{file, "the file has no controller block"}
 	case name == "" && len(c.Members) > 1:
-		return Config{}, &ConfigError{file, fmt.Sprintf("it has %d controllers: say with --name which one this is (%s)", len(c.Members), c.memberNames())}
+		return Config{}, &ConfigError{file, fmt.Sprintf("the file has %d controllers: select one of them with --name (%s)", len(c.Members), c.memberNames())}
 	case name == "":
 		name = c.Members[0].Name
 	}
@@ -207,7 +210,7 @@
 		}
 	}
 	if c.Self.Name == "" {
-		return Config{}, &ConfigError{file, fmt.Sprintf("no controller %q: there are %s", name, c.memberNames())}
+		return Config{}, &ConfigError{file, fmt.Sprintf("the file has no controller %q; it has %s", name, c.memberNames())}
 	}
 	c.Folder = filepath.Join(c.Folder, c.Self.Name)
 	return c, nil
@@ -221,7 +224,7 @@
 	return strings.Join(names, ", ")
 }
 
-// member finds a controller by name.
+// member returns the controller with a name.
 func (c Config) member(name string) (Member, bool) {
 	for _, member := range c.Members {
 		if member.Name == name {
@@ -231,7 +234,8 @@
 	return Member{}, false
 }
 
-// memberNameCharacters are those of a controller's name, which is also the name of its folder.
+// memberNameCharacters are the characters that a controller's name may contain. The name is also the name of its
+// folder.
 const memberNameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 
 func validMemberName(name string) bool {
--- a/internal/controller/socketoptions_linux.go
+++ b/internal/controller/socketoptions_linux.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpUserTimeoutMS is how long sent data may stay unacknowledged before TCP gives a connection up, in milliseconds. A
-// machine that loses power does not close its connections, and its nodes' sessions would count as open until then.
+// tcpUserTimeoutMS is how long sent data may stay unacknowledged before TCP closes the connection, in milliseconds. A
+// machine that loses power does not close its connections, and the sessions of its nodes count as open until this
+// timeout.
 const tcpUserTimeoutMS = 3000
 
 // setSocketOptions sets a listener's options, which the connections that it accepts inherit.
--- a/internal/controller/socketoptions_other.go
+++ b/internal/controller/socketoptions_other.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// setSocketOptions sets no options: connections of machines that are gone end by TCP's own timeouts.
+// setSocketOptions sets no options on this system. Connections of machines that have failed end with the default
+// timeouts of TCP.
 func setSocketOptions(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/controller/startupdecisions_test.go
+++ b/internal/controller/startupdecisions_test.go
@@ -27,13 +27,13 @@
 	}{
 		"nobody answers": {nil, false, startUndecided},
 		"all are empty":  {map[string]memberReport{"c2": empty, "c3": empty}, true, startBootstrap},
-		"a majority is empty, one may still come": {map[string]memberReport{"c2": empty}, true, startUndecided},
-		"a majority is empty for long":            {map[string]memberReport{"c2": empty}, false, startBootstrap},
-		"one has a log":                           {map[string]memberReport{"c2": empty, "c3": member}, false, startJoin},
-		"all others have a log":                   {map[string]memberReport{"c2": member, "c3": member}, true, startJoin},
-		"one has a log and saw this one empty":    {map[string]memberReport{"c2": empty, "c3": founder}, false, startBootstrap},
-		"one saw an earlier process empty":        {map[string]memberReport{"c2": empty, "c3": founderOfEarlierProcess}, false, startJoin},
-		"another one waits to be added":           {map[string]memberReport{"c2": joining}, false, startUndecided},
+		"a majority is empty, and one may still answer": {map[string]memberReport{"c2": empty}, true, startUndecided},
+		"a majority is empty, and the wait is over":     {map[string]memberReport{"c2": empty}, false, startBootstrap},
+		"one has a log":                                     {map[string]memberReport{"c2": empty, "c3": member}, false, startJoin},
+		"all others have a log":                             {map[string]memberReport{"c2": member, "c3": member}, true, startJoin},
+		"one has a log and this process as a founder":       {map[string]memberReport{"c2": empty, "c3": founder}, false, startBootstrap},
+		"one has a log and an earlier process as a founder": {map[string]memberReport{"c2": empty, "c3": founderOfEarlierProcess}, false, startJoin},
+		"another one is joining":                            {map[string]memberReport{"c2": joining}, false, startUndecided},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := decideEmptyDiskStart(configOf("c1", "c2", "c3"), "me", c.reports, c.waitForAll); got != c.want {
@@ -42,11 +42,11 @@
 		})
 	}
 	if got := decideEmptyDiskStart(configOf("c1"), "me", nil, true); got != startBootstrap {
-		t.Errorf("a single controller: %d", got)
+		t.Errorf("a single controller: %d, want startBootstrap", got)
 	}
 }
 
-// A controller's disk may be an old copy: another controller then knows of a later start, or of the same start of
+// A controller's disk may be an old copy. Another controller has then recorded a later start, or the same start by
 // another process.
 func TestCheckDiskFreshness(t *testing.T) {
 	self := identity{Name: "c1", ServerID: "c1", Start: 5}
@@ -58,13 +58,13 @@
 		reports map[string]memberReport
 		want    diskFreshness
 	}{
-		"nobody answers":                    {nil, diskFreshnessUnknown},
-		"the start before is known":         {map[string]memberReport{"c2": recorded(4, "before")}, diskFresh},
-		"a later start is known":            {map[string]memberReport{"c2": recorded(6, "other")}, diskStale},
-		"the same start of another process": {map[string]memberReport{"c2": recorded(5, "other")}, diskStale},
-		"the same start of this process":    {map[string]memberReport{"c2": recorded(5, "me")}, diskFresh},
-		"nothing is known":                  {map[string]memberReport{"c2": noRecord}, diskFresh},
-		"one of two knows of a later start": {map[string]memberReport{"c2": noRecord, "c3": recorded(6, "other")}, diskStale},
+		"nobody answers":                        {nil, diskFreshnessUnknown},
+		"the previous start is recorded":        {map[string]memberReport{"c2": recorded(4, "before")}, diskFresh},
+		"a later start is recorded":             {map[string]memberReport{"c2": recorded(6, "other")}, diskStale},
+		"the same start by another process":     {map[string]memberReport{"c2": recorded(5, "other")}, diskStale},
+		"the same start by this process":        {map[string]memberReport{"c2": recorded(5, "me")}, diskFresh},
+		"no start is recorded":                  {map[string]memberReport{"c2": noRecord}, diskFresh},
+		"one of two has recorded a later start": {map[string]memberReport{"c2": noRecord, "c3": recorded(6, "other")}, diskStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := checkDiskFreshness(configOf("c1", "c2", "c3"), self, "me", c.reports); got != c.want {
@@ -74,7 +74,7 @@
 	}
 }
 
-// The founders of a cluster are the processes that found each other empty, and no others.
+// The founders of a cluster are this process and those that report an empty disk, and no others.
 func TestFoundingProcesses(t *testing.T) {
 	got := foundingProcesses(configOf("c1", "c2", "c3"), "me", map[string]memberReport{
 		"c2": {Phase: phaseEmpty, ProcessID: "p2"}, "c3": {Phase: phaseJoining, ProcessID: "p3", Load: configapi.Load{}}})
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -11,8 +11,9 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// maxHistory is how many versions the state remembers: a publish request that is repeated within as many versions is
-// recognized by its ID. It is more than operators publish in a day, and the history stays small beside the services.
+// maxHistory is the number of versions in the history. A publish request that is repeated within this number of
+// versions is recognized by its ID. It is more than operators publish in a day, and the history stays small compared
+// with the configurations of the services.
 const maxHistory = 1000
 
 // commandKind is the kind of an entry of the replicated log.
@@ -24,10 +25,10 @@
 	commandMemberStarted commandKind = "member_started" // a controller has started on its disk
 )
 
-// digestBytes is how many bytes of its SHA-256 hash identify what was published.
+// digestBytes is how many bytes of its SHA-256 hash identify the published content.
 const digestBytes = 16
 
-// command is one entry of the replicated log; the field of its kind is set.
+// command is one entry of the replicated log. Only the field that belongs to its kind is set.
 type command struct {
 	Kind          commandKind           `json:"kind"`
 	CreateCluster *createClusterCommand `json:"create_cluster,omitempty"`
@@ -35,7 +36,7 @@
 	MemberStarted *memberStartedCommand `json:"member_started,omitempty"`
 }
 
-// createClusterCommand gives the cluster its identity. Only the first one has an effect.
+// createClusterCommand gives the cluster its identity. Only the first such command has an effect.
 type createClusterCommand struct {
 	Cluster configapi.Cluster `json:"cluster"`
 }
@@ -48,12 +49,12 @@
 	TimeMS   int64               `json:"time_ms"` // by the leader's clock, Unix milliseconds
 }
 
-// memberStartedCommand records that a controller's process has started on its disk. A disk that names a lower start, or
-// the same one by another process, is an old copy.
+// memberStartedCommand records that a controller's process has started on its disk. A disk with a lower start number is
+// an old copy, and so is one with the same number that was used by another process.
 type memberStartedCommand struct {
 	ServerID  string `json:"server"`  // the raft server ID
 	Start     uint64 `json:"start"`   // rises by 1 with each start on the disk
-	ProcessID string `json:"process"` // drawn at random by each process
+	ProcessID string `json:"process"` // random, different for each process
 }
 
 // commandResult is the result of applying a command.
@@ -72,7 +73,7 @@
 type historyEntry struct {
 	Version  configapi.Version `json:"version"`
 	ID       string            `json:"id"`     // of the publish request
-	Digest   string            `json:"digest"` // of what was published, to tell a repeated request from another one
+	Digest   string            `json:"digest"` // of the published content, to distinguish a repeated request from another one with the same ID
 	Services []string          `json:"services"`
 	TimeMS   int64             `json:"time_ms"`
 }
@@ -83,8 +84,8 @@
 	ProcessID string `json:"process"`
 }
 
-// state is the replicated state. It is immutable: apply returns another one, which may share parts with the one before.
-// It depends on the log alone, so all controllers that have applied the same entries have equal states.
+// state is the replicated state. It is immutable: apply returns a new state, which may share parts with the old one. It
+// depends only on the log, so all controllers that have applied the same entries have equal states.
 type state struct {
 	Cluster  configapi.Cluster       `json:"cluster"`
 	Replaces []configapi.Cluster     `json:"replaces,omitempty"`
@@ -94,7 +95,7 @@
 	Starts   map[string]memberStart  `json:"starts"`  // by raft server ID
 }
 
-// apply applies one command.
+// apply returns the state after a command, and the result of the command.
 func (s *state) apply(c command) (*state, commandResult) {
 	switch {
 	case c.Kind == commandCreateCluster && c.CreateCluster != nil:
@@ -142,8 +143,8 @@
 	return &next, commandResult{Reply: configapi.PublishReply{Cluster: next.Cluster, Version: next.Version}}
 }
 
-// earlierReply is the reply to a publish request that was applied before under the same ID (idempotency key): a
-// repeated request adds no version. Version is 0 if there was none.
+// earlierReply returns the reply to a publish request that was applied before under the same ID (idempotency key): a
+// repeated request adds no version. The Version of the reply is 0 if there was no such request.
 func (s *state) earlierReply(c publishCommand) (configapi.PublishReply, *configapi.Error) {
 	at := slices.IndexFunc(s.History, func(e historyEntry) bool { return e.ID == c.ID })
 	switch {
@@ -169,7 +170,8 @@
 	return &next
 }
 
-// digest identifies what the command publishes, independent of its ID and time.
+// digest returns a hash of the content that the command publishes. It does not depend on the ID and the time of the
+// command.
 func (c publishCommand) digest() string {
 	text, err := json.Marshal(struct {
 		Document configapi.Document  `json:"Document"`
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -31,7 +31,7 @@
 	return next
 }
 
-// A version that names one service leaves the configuration of the others as it is.
+// A version that names one service does not change the configurations of the others.
 func TestStateKeepsServicesThatAVersionDoesNotName(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry", "press")})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press")})
@@ -40,7 +40,7 @@
 	}
 }
 
-// Sessions read a state while newer ones are applied: applying a command must not change it.
+// Sessions read a state while newer commands are applied, so applying a command must not change the state.
 func TestStateIsImmutable(t *testing.T) {
 	first := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry")})
 	before, err := json.Marshal(first)
@@ -58,14 +58,14 @@
 	}
 }
 
-// A publish request is repeated with the same ID. It adds no version and gets the same reply; with another content it
-// is an error.
+// A publish request is repeated with the same ID. It adds no version, and gets the same reply. A request with the same
+// ID and other content is an error.
 func TestStateRepeatedPublish(t *testing.T) {
 	s := mustPublish(t, &state{Cluster: "c"}, publishCommand{ID: "1", Document: documentOf("dry"), TimeMS: 10})
 	s = mustPublish(t, s, publishCommand{ID: "2", Document: documentOf("press"), TimeMS: 20})
 	next, result := s.apply(command{Kind: commandPublish, Publish: &publishCommand{ID: "1", Document: documentOf("dry"), TimeMS: 5000}})
 	if next != s || result.Err != nil || result.Reply.Version != 1 {
-		t.Errorf("the same request again: %+v, version %d", result, next.Version)
+		t.Errorf("the same request repeated: %+v, version %d", result, next.Version)
 	}
 	next, result = s.apply(command{Kind: commandPublish, Publish: &publishCommand{ID: "1", Document: documentOf("mill"), TimeMS: 5000}})
 	if next != s || result.Err == nil || result.Err.Kind != configapi.ErrorInvalid {
@@ -73,16 +73,17 @@
 	}
 }
 
-// A script publishes in a loop. The rate is limited by the time in the log, also across a leader whose clock is behind.
+// A script publishes in a loop. The rate is limited by the times in the log. A time before the earlier ones, from a
+// leader whose clock is behind, is not limited.
 func TestStatePublishRate(t *testing.T) {
 	for name, c := range map[string]struct {
-		at      int64 // of the publish behind MaxPublishRate ones at 1000, 1001, ...
+		at      int64 // time of the publish request that follows MaxPublishRate others at 1000, 1001, ...
 		limited bool
 	}{
-		"at once":                   {1010, true},
-		"just before a second":      {1999, true},
-		"a second behind the first": {2000, false},
-		"a clock that went back":    {900, false},
+		"immediately after the others":        {1010, true},
+		"just under a second after the first": {1999, true},
+		"a second after the first":            {2000, false},
+		"a time before the first":             {900, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &state{Cluster: "c"}
@@ -109,7 +110,7 @@
 	}
 }
 
-// Two leaders in a row propose an identity for a new cluster. The first one stands.
+// Two successive leaders propose an identity for a new cluster. The first one remains in force.
 func TestStateClusterIdentityIsSetOnce(t *testing.T) {
 	s, _ := (&state{}).apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"first"}})
 	s, _ = s.apply(command{Kind: commandCreateCluster, CreateCluster: &createClusterCommand{"second"}})
@@ -118,7 +119,7 @@
 	}
 }
 
-// Starts are recorded out of order. The last one counts, for judgeDisk compares with it.
+// Starts are recorded out of order. The state keeps the latest one, because checkDiskFreshness compares with it.
 func TestStateKeepsTheLatestStart(t *testing.T) {
 	s := &state{}
 	for _, start := range []memberStartedCommand{{"c1", 2, "b"}, {"c1", 1, "a"}, {"c1", 2, "other"}, {"c2", 7, "x"}} {
@@ -130,16 +131,17 @@
 	}
 }
 
-// A leader of a newer build proposes a command that this one does not know. It changes nothing, and the error says so.
+// A leader of a newer build proposes a command that this build does not know. The state does not change, and the result
+// has an error.
 func TestStateRejectsUnknownCommands(t *testing.T) {
 	s := &state{}
-	next, result := s.apply(command{Kind: "of a later build"})
+	next, result := s.apply(command{Kind: "unknown command"})
 	if next != s || result.Err == nil {
-		t.Errorf("answered %+v", result)
+		t.Errorf("result %+v", result)
 	}
 }
 
-// drawCommand draws any command, some of them twice.
+// drawCommand generates a command of any kind. Some commands repeat an ID or a start.
 func drawCommand(t *rapid.T) command {
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
@@ -156,15 +158,15 @@
 	return command{Kind: commandPublish, Publish: &publish}
 }
 
-// memorySink keeps a snapshot in memory.
+// memorySink is a raft.SnapshotSink in memory.
 type memorySink struct{ bytes.Buffer }
 
 func (*memorySink) ID() string    { return "memory" }
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// A controller that replays the log, and one that restores a snapshot taken anywhere and replays the rest, must have
-// the same state and give the same replies; versions only rise.
+// A controller that replays the whole log, and one that restores a snapshot taken at any position and replays the rest,
+// must have the same state. Each entry raises the version by at most 1, and none lowers it.
 func TestFSMIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []*raft.Log
@@ -175,7 +177,7 @@
 			}
 			log = append(log, &raft.Log{Index: uint64(i + 1), Data: text})
 		}
-		cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot behind")
+		cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot position")
 		replayed, restored := newFSM(newViewStore()), newFSM(newViewStore())
 		var sink memorySink
 		for i, entry := range log {
@@ -201,7 +203,7 @@
 			t.Fatalf("restored:\n%s\nreplayed:\n%s", got, want)
 		}
 		if restored.views.load().state != restored.state {
-			t.Fatal("the hub has another state than the machine")
+			t.Fatal("the view store and the FSM have different states")
 		}
 	})
 }
@@ -224,11 +226,11 @@
 	return string(text)
 }
 
-// An entry of the log is damaged. It changes nothing, and the result says which one it is.
+// An entry of the log is damaged. It does not change the state, and the result has an error.
 func TestFSMRejectsUnreadableEntries(t *testing.T) {
 	m := newFSM(newViewStore())
 	result, ok := m.Apply(&raft.Log{Index: 3, Data: []byte("{")}).(commandResult)
 	if !ok || result.Err == nil {
-		t.Errorf("answered %+v", result)
+		t.Errorf("result %+v", result)
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,8 +6,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// buildReport is what this controller reports to another one; server is the raft server ID whose recorded start is asked
-// for.
+// buildReport returns what this controller reports to another one. server is a raft server ID, whose recorded start is
+// included.
 func (c *Controller) buildReport(server string) memberReport {
 	current, view := c.participation.Load(), c.views.load()
 	r := memberReport{
@@ -32,7 +32,7 @@
 	return r
 }
 
-// buildStatus is what this controller reports to operators.
+// buildStatus returns what this controller reports to operators.
 func (c *Controller) buildStatus() configapi.ControllerStatus {
 	view := c.views.load()
 	s := configapi.ControllerStatus{
@@ -52,7 +52,7 @@
 	return s
 }
 
-// controllerAddresses are the addresses of all controllers of the cluster.
+// controllerAddresses returns the addresses of all controllers of the cluster.
 func (c *Controller) controllerAddresses() []configapi.ControllerAddress {
 	var addresses []configapi.ControllerAddress
 	for _, member := range c.config.Members {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -21,16 +21,16 @@
 type updateKey struct {
 	service      string
 	withConfig   bool // with the service's configuration
-	firstOfWatch bool // the first of a watch, with the addresses of all controllers
+	firstOfWatch bool // the first update of a watch, with the addresses of all controllers
 }
 
-// configVersion is the newest version that names a service.
+// configVersion returns the version that has set the configuration of a service.
 func (v *view) configVersion(service string) configapi.Version {
 	return v.state.Services[service].ConfigVersion
 }
 
-// equalForNodes reports whether another view has the same updates. The start of a controller, for one, changes the
-// state but no update: nodes would be woken for nothing.
+// equalForNodes reports whether another view has the same updates for nodes. For example, the start of a controller
+// changes the state but no update, so nodes need not be sent anything.
 func (v *view) equalForNodes(other *view) bool {
 	return v.state.Cluster == other.state.Cluster && v.state.Version == other.state.Version && v.hasLeaderContact == other.hasLeaderContact &&
 		len(v.state.Replaces) == len(other.state.Replaces)
@@ -49,10 +49,10 @@
 	return u
 }
 
-// encodedUpdate is the update of a service as one line of JSON, encoded once for all sessions.
+// encodedUpdate returns the update of a service as one line of JSON. It is encoded once for all sessions.
 func (v *view) encodedUpdate(key updateKey, controllers []configapi.ControllerAddress) []byte {
 	if _, ok := v.state.Services[key.service]; !ok {
-		key.service = "" // services without a configuration share theirs
+		key.service = "" // services without a configuration share one update
 	}
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -64,7 +64,7 @@
 	return line
 }
 
-// encodeLine encodes an update as one line. It can't fail: settings are JSON that was decoded before.
+// encodeLine encodes an update as one line. Encoding can't fail, because the settings are JSON that was decoded before.
 func encodeLine(u configapi.Update) []byte {
 	text, err := json.Marshal(u)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return append(text, '\n')
 }
 
-// viewStore holds the newest view. The fsm and the monitor replace it; sessions wait for its superseded channel, and a
-// session that is slow skips the views in between.
+// viewStore holds the newest view. The fsm and the monitor replace it. Sessions wait until their view is superseded; a
+// slow session skips the views in between.
 type viewStore struct {
 	lock   sync.Mutex
 	latest *view
@@ -103,7 +103,8 @@
 	vs.replace(newView(s, vs.latest.hasLeaderContact))
 }
 
-// setLeaderContact sets whether the controller is in contact with the leader of a quorum.
+// setLeaderContact records whether the controller is in contact with the leader of a quorum, and reports whether that
+// has changed.
 func (vs *viewStore) setLeaderContact(hasContact bool) (changed bool) {
 	vs.lock.Lock()
 	defer vs.lock.Unlock()
@@ -114,7 +115,7 @@
 	return true
 }
 
-// replace replaces the view, and wakes all sessions. It is called with the store locked.
+// replace replaces the view, and wakes all sessions. The caller must hold the lock.
 func (vs *viewStore) replace(next *view) {
 	previous := vs.latest
 	vs.latest = next
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -7,10 +7,11 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// heartbeatLine is what a watch sends when there is no update: an empty line.
+// heartbeatLine is what a watch sends while there is no update: an empty line.
 var heartbeatLine = []byte("\n")
 
-// serveWatch is a node's session: the first update at once, then one with each change, heartbeats in between.
+// serveWatch serves a node's session. It sends the first update at once, another one after each change, and heartbeats
+// in between.
 func (c *Controller) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request, apiError := c.parseWatchRequest(r)
 	if apiError != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// parseWatchRequest reads and checks a watch's request.
+// parseWatchRequest parses and checks a watch request.
 func (c *Controller) parseWatchRequest(r *http.Request) (configapi.WatchRequest, *configapi.Error) {
 	request, err := configapi.ParseWatchRequest(r.URL.Query())
 	if err != nil {
@@ -53,8 +54,8 @@
 	return request, nil
 }
 
-// sendUpdates writes updates until the node disconnects, the session is closed, or a write fails. A slow node skips the
-// versions between the last one that it was sent and the newest: it needs no other, and the controller queues none.
+// sendUpdates writes updates until the node disconnects, the session is closed, or a write fails. A slow node is not
+// sent the versions between its last one and the newest one: it does not need them, and the controller queues none.
 func (c *Controller) sendUpdates(r *http.Request, s *session, writer *watchWriter) error {
 	heartbeat := time.NewTicker(c.config.HeartbeatInterval)
 	defer heartbeat.Stop()
@@ -87,7 +88,7 @@
 	}
 }
 
-// updateLine is a view's update for a session, encoded.
+// updateLine returns the encoded update of a view for a session.
 func (c *Controller) updateLine(v *view, s *session, first bool) []byte {
 	service := s.request.Service
 	key := updateKey{
@@ -98,14 +99,14 @@
 	return v.encodedUpdate(key, c.controllerAddresses())
 }
 
-// migrationLine is an update, without a configuration, that asks a session's node to migrate.
+// migrationLine returns an encoded update without a configuration that asks a session's node to migrate.
 func migrationLine(v *view, s *session, target configapi.ControllerAddress) []byte {
 	u := v.update(updateKey{service: s.request.Service}, nil)
 	u.MigrateTo = target.Address
 	return encodeLine(u)
 }
 
-// watchWriter writes the lines of a watch, each within writeTimeout.
+// watchWriter writes the lines of a watch, each within watchWriteTimeout.
 type watchWriter struct {
 	response http.ResponseWriter
 	control  *http.ResponseController
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -18,7 +18,7 @@
 	cancel context.CancelFunc
 }
 
-// openWatch opens a watch, asking again while the controller has no state yet.
+// openWatch opens a watch, and retries while the controller has no state yet.
 func openWatch(t *testing.T, address string, request configapi.WatchRequest) *testWatch {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), clusterTimeout)
@@ -41,7 +41,7 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			t.Fatalf("no watch: %v", err)
+			t.Fatalf("the watch was not opened: %v", err)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// A node's watch gets an update for each version, with a configuration only if its service's has changed, and
-// heartbeats in between. Its acknowledgement shows in the status.
+// A node's watch receives an update for each version, with a configuration only if that of its service has changed, and
+// heartbeats in between. The node's acknowledgement is part of the status.
 func TestWatchSendsVersionsAndHeartbeats(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
@@ -103,8 +103,8 @@
 	}
 }
 
-// A node reconnects with a version in force. It is sent the configuration only if that changed since, or if the version
-// is of another cluster: after a restart of a controller, all nodes reconnect.
+// All nodes reconnect after a restart of their controller. A node with a version in force is sent the configuration
+// only if it has changed since, or if the version belongs to another cluster.
 func TestWatchSendsConfigOnlyIfItChanged(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
@@ -116,13 +116,13 @@
 		request    configapi.WatchRequest
 		wantConfig bool
 	}{
-		"nothing held":           {configapi.WatchRequest{}, true},
-		"the newest in force":    {configapi.WatchRequest{Cluster: cluster, LastDecided: 2, Applied: 2}, false},
-		"unchanged since":        {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, Applied: 1}, false},
-		"rejected":               {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, LastRejected: true}, true},
-		"of another cluster":     {configapi.WatchRequest{Cluster: "other", LastDecided: 9, Applied: 9}, true},
-		"a service without any":  {configapi.WatchRequest{Service: "mill"}, false},
-		"another service's turn": {configapi.WatchRequest{Service: "press", Cluster: cluster, LastDecided: 1, Applied: 1}, true},
+		"no version in force":                  {configapi.WatchRequest{}, true},
+		"the newest version in force":          {configapi.WatchRequest{Cluster: cluster, LastDecided: 2, Applied: 2}, false},
+		"no change since the version in force": {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, Applied: 1}, false},
+		"version rejected":                     {configapi.WatchRequest{Cluster: cluster, LastDecided: 1, LastRejected: true}, true},
+		"version of another cluster":           {configapi.WatchRequest{Cluster: "other", LastDecided: 9, Applied: 9}, true},
+		"a service without configuration":      {configapi.WatchRequest{Service: "mill"}, false},
+		"changed since the version in force":   {configapi.WatchRequest{Service: "press", Cluster: cluster, LastDecided: 1, Applied: 1}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := c.request
@@ -139,7 +139,7 @@
 	}
 }
 
-// The start of a controller is written to the log and changes the state. Nodes are sent no update for it.
+// The start of a controller is recorded in the log and changes the state. Nodes are sent no update for it.
 func TestWatchSendsNoUpdateWithoutAChange(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
@@ -155,7 +155,8 @@
 	watch.heartbeat(t)
 }
 
-// A node opens a second watch, as after a timeout that the controller has not noticed. The first one is closed.
+// A node opens a second watch, for example after a timeout that the controller has not noticed. The first watch is
+// closed.
 func TestNewerWatchClosesTheOlder(t *testing.T) {
 	tc := newTestCluster(t, "c1")
 	tc.start("c1")
@@ -184,14 +185,14 @@
 	tc.waitForVersion(1)
 	watch := openWatch(t, tc.configOf("c1").Self.Listen, configapi.WatchRequest{Node: "n1", Service: "dry", StartedMS: 1, WatchNumber: 1})
 	watch.update(t)
-	tc.waitFor("c1 knows the others' loads", func() bool {
+	tc.waitFor("c1 has the loads of the other controllers", func() bool {
 		return len(tc.running["c1"].reports.valid(time.Now())) == 2 && len(tc.running["c1"].nodes.alternatives(configapi.WatchRequest{})) == 2
 	})
 	tc.running["c1"].stop()
 	for {
 		if u := watch.update(t); u.MigrateTo != "" {
 			if u.MigrateTo != tc.configOf("c2").Self.Listen && u.MigrateTo != tc.configOf("c3").Self.Listen {
-				t.Errorf("asked to migrate to %s", u.MigrateTo)
+				t.Errorf("the node is asked to migrate to %s", u.MigrateTo)
 			}
 			return
 		}
@@ -210,6 +211,6 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("acknowledgement answered %s", response.Status)
+		t.Errorf("the response to the acknowledgement has status %s", response.Status)
 	}
 }
