--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -22,9 +22,9 @@
 	errResponseTimeout     = errors.New("no response before the deadline")
 )
 
-// notFromFirstByte is given to engine.Attempt.Sent in place of the announced timeout: that of a streamed request does not
+// noAnnouncedTimeout is given to engine.Attempt.Sent in place of the announced timeout: that of a streamed request does not
 // run from the first byte that was written.
-const notFromFirstByte = 0
+const noAnnouncedTimeout = 0
 
 // attemptRun is one attempt under way, in the goroutine that Start made for it.
 //
@@ -40,7 +40,7 @@
 //	Canceled         the response could not be passed to the client
 type attemptRun struct {
 	pool    *connPool
-	att     *engine.Attempt
+	attempt *engine.Attempt
 	req     *clientRequest
 	conn    *upstreamConn // nil: none yet
 	written bool          // the request's last byte was written to it
@@ -48,39 +48,39 @@
 
 // runAttempt sends an attempt's request, once, and waits for what comes back.
 func (p *connPool) runAttempt(att *engine.Attempt) engine.Result {
-	run := &attemptRun{pool: p, att: att, req: att.Call.Payload.(*clientRequest)}
+	run := &attemptRun{pool: p, attempt: att, req: att.Call.Payload.(*clientRequest)}
 	return *run.run()
 }
 
 func (a *attemptRun) run() *engine.Result {
 	if a.req.remaining != nil && (a.req.remaining.remainderUsed.Load() || a.req.remaining.unsendable()) {
-		return a.ended(balancer.NotSent, engine.GroundBodyUsed)
+		return a.resultOf(balancer.NotSent, engine.GroundBodyUsed)
 	}
-	if !a.att.MaySend(a.pool.clock.Now()) {
-		return a.ended(balancer.NotSent, engine.GroundOver)
+	if !a.attempt.MaySend(a.pool.clock.Now()) {
+		return a.resultOf(balancer.NotSent, engine.GroundOver)
 	}
 	if failure := a.connect(); failure != nil {
 		return failure
 	}
-	began, failure := a.send()
+	latencyStart, failure := a.send()
 	if failure != nil {
 		return failure
 	}
-	return a.receive(began)
+	return a.receive(latencyStart)
 }
 
-// ended is the result of an attempt that ended without an error worth logging.
-func (a *attemptRun) ended(outcome balancer.Outcome, ground engine.Ground) *engine.Result {
-	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground})
+// resultOf is the result of an attempt that resultOf without an error worth logging.
+func (a *attemptRun) resultOf(outcome balancer.Outcome, ground engine.Ground) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Ground: ground})
 }
 
-// failed is the result of an attempt without a response.
-func (a *attemptRun) failed(outcome balancer.Outcome, ground engine.Ground, err error) *engine.Result {
-	return a.describe(&engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground, Err: err})
+// resultWithError is the result of an attempt without a response.
+func (a *attemptRun) resultWithError(outcome balancer.Outcome, ground engine.Ground, err error) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Ground: ground, Err: err})
 }
 
-// describe adds what is logged of the attempt's connection to a result.
-func (a *attemptRun) describe(result *engine.Result) *engine.Result {
+// addConnectionInfo adds what is logged of the attempt's connection to a result.
+func (a *attemptRun) addConnectionInfo(result *engine.Result) *engine.Result {
 	c := a.conn
 	if c == nil {
 		return result
@@ -97,53 +97,53 @@
 // is the server's fault. It returns the attempt's result if there is none.
 func (a *attemptRun) connect() (failure *engine.Result) {
 	for {
-		c, fresh, err := a.pool.acquireOrDial(a.att)
+		c, fresh, err := a.pool.acquireOrDial(a.attempt)
 		if errors.Is(err, errNoDescriptor) {
-			return a.ended(balancer.NotSent, engine.GroundNoDescriptor)
+			return a.resultOf(balancer.NotSent, engine.GroundNoDescriptor)
 		}
 		if a.conn = c; err != nil {
-			return a.failed(balancer.Unreachable, engine.GroundNoConnection, err)
+			return a.resultWithError(balancer.Unreachable, engine.GroundNoConnection, err)
 		}
 		// Connecting takes time: the request may be over by now, or the server may have begun to drain.
-		if !a.att.MaySend(a.pool.clock.Now()) {
+		if !a.attempt.MaySend(a.pool.clock.Now()) {
 			a.conn = nil
 			a.pool.release(c)
-			return a.ended(balancer.NotSent, engine.GroundOver)
+			return a.resultOf(balancer.NotSent, engine.GroundOver)
 		}
-		if a.pool.markRequestSent(c) {
+		if a.pool.beginRequest(c) {
 			return nil
 		}
 		if fresh {
-			return a.failed(balancer.Unreachable, engine.GroundNoConnection, errClosedBeforeRequest)
+			return a.resultWithError(balancer.Unreachable, engine.GroundNoConnection, errClosedBeforeRequest)
 		}
 	}
 }
 
 // send writes the request. It returns the clock time from which the server's time counts, or the attempt's result if the
 // last byte was not written.
-func (a *attemptRun) send() (began time.Duration, failure *engine.Result) {
+func (a *attemptRun) send() (latencyStart time.Duration, failure *engine.Result) {
 	if a.req.remaining != nil {
 		return a.sendStreamed()
 	}
 	writeBegan := a.pool.clock.Now()
-	left := a.att.Deadline - writeBegan
+	left := a.attempt.Deadline - writeBegan
 	request := encodeRequest(a.req, left)
 	written, err := a.conn.Write(request)
-	a.att.Sent(writeBegan, left)
+	a.attempt.Sent(writeBegan, left)
 	a.written = written == len(request)
 	switch {
 	case err == nil:
-		return a.att.Started, nil
+		return a.attempt.Started, nil
 	case a.written:
 		a.pool.close(a.conn, closedForRequest)
-		return 0, a.failed(balancer.ConnectionLost, engine.GroundEnded, err)
+		return 0, a.resultWithError(balancer.ConnectionLost, engine.GroundEnded, err)
 	}
 	a.pool.close(a.conn, closedForRequest)
-	return 0, a.failed(balancer.Unreachable, engine.GroundNotWritten, err)
+	return 0, a.resultWithError(balancer.Unreachable, engine.GroundNotWritten, err)
 }
 
 // sendStreamed writes a request whose body is streamed. The server's time counts from the last byte.
-func (a *attemptRun) sendStreamed() (began time.Duration, failure *engine.Result) {
+func (a *attemptRun) sendStreamed() (latencyStart time.Duration, failure *engine.Result) {
 	err := a.writeStreamed()
 	if err == nil {
 		a.written = true
@@ -152,15 +152,15 @@
 	outcome := a.conn.incompleteSendOutcome()
 	a.pool.close(a.conn, closedForRequest)
 	if a.req.remaining.unsendable() {
-		return 0, a.ended(balancer.NotSent, engine.GroundBodyUsed) // the client's fault: it says nothing of the server
+		return 0, a.resultOf(balancer.NotSent, engine.GroundBodyUsed) // the client's fault: it says nothing of the server
 	}
-	return 0, a.failed(outcome, engine.GroundNotWritten, err)
+	return 0, a.resultWithError(outcome, engine.GroundNotWritten, err)
 }
 
 func (a *attemptRun) writeStreamed() error {
 	began := a.pool.clock.Now()
-	defer a.att.Sent(began, notFromFirstByte)
-	out := upstreamRequest(a.req, a.att.Timeout)
+	defer a.attempt.Sent(began, noAnnouncedTimeout)
+	out := upstreamRequest(a.req, a.attempt.Timeout)
 	out.ContentLength = a.req.contentLength
 	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.req.body), remainingBody{a.req.remaining}))
 	w := &errWriter{w: a.conn, beforeWrite: func() { a.conn.SetWriteDeadline(time.Now().Add(stallTimeout)) }}
@@ -172,7 +172,7 @@
 	}
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
-	a.conn.deadline = time.Now().Add(a.att.Timeout)
+	a.conn.deadline = time.Now().Add(a.attempt.Timeout)
 	a.conn.sentAt = a.pool.clock.Now()
 	return a.conn.SetDeadline(a.conn.deadline)
 }
@@ -198,23 +198,23 @@
 // receive waits for the response and makes the connection idle, or closes it. Where the request's
 // body or the response is streamed, Latency counts from began and is at least 1. Else it is 0: the engine counts from the
 // attempt's start.
-func (a *attemptRun) receive(began time.Duration) *engine.Result {
+func (a *attemptRun) receive(latencyStart time.Duration) *engine.Result {
 	response := <-a.conn.responses
 	switch {
 	case errors.Is(response.err, os.ErrDeadlineExceeded):
-		return a.failed(balancer.TimedOut, engine.GroundDeadline, errResponseTimeout) // readLoop has closed the connection
+		return a.resultWithError(balancer.TimedOut, engine.GroundDeadline, errResponseTimeout) // readLoop has closed the connection
 	case response.err != nil:
-		return a.failed(balancer.ConnectionLost, engine.GroundEnded, response.err)
+		return a.resultWithError(balancer.ConnectionLost, engine.GroundEnded, response.err)
 	}
 	outcome, ground := a.outcomeOf(response)
-	result := &engine.Result{Attempt: a.att, Outcome: outcome, Ground: ground, Reply: response}
+	result := &engine.Result{Attempt: a.attempt, Outcome: outcome, Ground: ground, Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
-		result.Latency = max(a.pool.clock.Now()-began, 1)
+		result.Latency = max(a.pool.clock.Now()-latencyStart, 1)
 	}
-	if response.stream != nil && !a.passStream(response, result) {
-		return a.describe(result)
+	if response.stream != nil && !a.forwardResponseStream(response, result) {
+		return a.addConnectionInfo(result)
 	}
-	a.describe(result) // before another attempt has the connection
+	a.addConnectionInfo(result) // before another attempt has the connection
 	result.ClosedBy = string(a.finishConnection(response))
 	return result
 }
@@ -222,8 +222,8 @@
 // finishConnection makes the connection idle behind a response, or closes it and returns why.
 func (a *attemptRun) finishConnection(response *upstreamResponse) closeReason {
 	switch {
-	case response.unaskedBytes:
-		a.pool.closeUnasked(a.conn)
+	case response.unsolicitedBytes:
+		a.pool.closeUnsolicited(a.conn)
 		return closedForUnasked
 	case response.head.Close:
 		a.pool.close(a.conn, closedForResponse)
@@ -245,11 +245,11 @@
 	return outcome, engine.GroundRejection
 }
 
-// passStream has a streamed response passed to its client and waits for the end. It returns false if the response was not
+// forwardResponseStream has a streamed response passed to its client and waits for the end. It returns false if the response was not
 // passed: the connection is closed then. Only a success is passed on; of other responses the status is enough.
-func (a *attemptRun) passStream(response *upstreamResponse, result *engine.Result) (passed bool) {
+func (a *attemptRun) forwardResponseStream(response *upstreamResponse, result *engine.Result) (forwarded bool) {
 	stream := response.stream
-	if result.Outcome != balancer.Success || !a.pool.passResponse(a.att, response) {
+	if result.Outcome != balancer.Success || !a.pool.forwardResponse(a.attempt, response) {
 		a.pool.close(a.conn, closedForStream)
 		close(stream.released)
 		result.Reply = nil
@@ -262,7 +262,7 @@
 	if end.outcome != balancer.Success {
 		a.pool.close(a.conn, closedForStream)
 	}
-	response.unaskedBytes = a.conn.reader.Buffered() > 0
+	response.unsolicitedBytes = a.conn.reader.Buffered() > 0
 	close(stream.released)
 	result.Outcome, result.Ground, result.Err = end.outcome, engine.GroundStreamFinished, end.err
 	if end.outcome != balancer.Success {
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -148,7 +148,7 @@
 
 // Connecting may take long. An attempt whose connection comes up after its server began to drain, or after its request was
 // answered, must not send a byte.
-func TestNothingSentAfterSlowConnect(t *testing.T) {
+func TestNoSendAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*engine.Attempt){
 		"drained":  func(a *engine.Attempt) { a.Target.StopSending(1) },
 		"answered": func(a *engine.Attempt) { a.Call.ClaimAnswer() },
@@ -214,7 +214,7 @@
 		defer p.mu.Unlock()
 		return c.closed
 	})
-	if p.markRequestSent(c) {
+	if p.beginRequest(c) {
 		t.Error("the connection would be used")
 	}
 	again := &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
@@ -245,7 +245,7 @@
 
 // A request whose reused connection breaks may have run. http.Transport would send it again by itself, for its idempotency
 // key invites that; the pool must leave retries to the balancer.
-func TestNoHiddenResend(t *testing.T) {
+func TestPoolDoesNotResendRequest(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool { return n == 1 && respond(c, "200 OK", "done") })
 	p := testPool(t)
 	first := testAttempt(p, b.addr(), time.Minute)
@@ -254,7 +254,7 @@
 		if got := p.runAttempt(att).Outcome; got != want {
 			t.Fatalf("ended %v, want %v", got, want)
 		}
-		letTimePass(p, first.Target, maxSecondResponseDelay) // so that the next attempt reuses the connection
+		ageIdleConns(p, first.Target, maxSecondResponseDelay) // so that the next attempt reuses the connection
 	}
 	if n, conns := b.requests(), b.accepted(); n != 2 || conns != 1 {
 		t.Errorf("the server saw %d requests on %d connections, want 2 on 1", n, conns)
@@ -271,7 +271,7 @@
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
-		att = again(att)
+		att = nextAttempt(att)
 		if got := p.runAttempt(att).Outcome; got != balancer.Success {
 			t.Fatalf("ended %v", got)
 		}
@@ -286,7 +286,7 @@
 }
 
 // The limit of connections holds: an idle one to another server makes room, else the attempt is not sent.
-func TestNoMoreConnectionsThanAllowed(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	p := testPool(t)
 	p.maxConns = 1
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -30,10 +30,10 @@
 	Settings      balancer.Settings
 	Features      settings.File // what the project's own settings file switches on
 
-	text                []byte        // the file as it was read, without an override
+	fileText            []byte        // the file as it was read, without an override
 	override            *Override     // in force over the file; nil: none
-	parsedText          any           // the file as JSON, with the override, for checkCompatible
-	tenants             []string      // by name
+	parsedJSON          any           // the file as JSON, with the override, for checkCompatible
+	tenantNames         []string      // by name
 	connectTimeout      time.Duration // a connection to a server that is not up by then is given up
 	upstreamIdleTimeout time.Duration // a server closes a connection that is idle for this long
 }
@@ -104,12 +104,12 @@
 		return Config{}, err
 	}
 	c := Config{Name: document.Name, Listen: document.Listen, Discovery: document.Discovery, AdminAddress: document.Control,
-		BootstrapList: document.Known, text: text,
+		BootstrapList: document.Known, fileText: text,
 		Cores: document.Limits.Cores, MemoryMB: document.Limits.MemoryMB, Sockets: document.Limits.Sockets}
 	if err := c.checkAddresses(); err != nil {
 		return Config{}, err
 	}
-	err := json.Unmarshal(text, &c.parsedText)
+	err := json.Unmarshal(text, &c.parsedJSON)
 	if err != nil {
 		return Config{}, err
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	c.Settings, c.tenants = parsed.balancer, parsed.tenants
+	c.Settings, c.tenantNames = parsed.balancer, parsed.tenantNames
 	c.connectTimeout, c.upstreamIdleTimeout = parsed.connectTimeout, parsed.upstreamIdleTimeout
 	if c.connectTimeout <= 0 || c.upstreamIdleTimeout <= 0 {
 		return Config{}, errUpstreamTimeout
@@ -151,7 +151,7 @@
 // parsedSettings are the balancer's settings, and those that are the node's own.
 type parsedSettings struct {
 	balancer            balancer.Settings
-	tenants             []string
+	tenantNames         []string
 	connectTimeout      time.Duration
 	upstreamIdleTimeout time.Duration
 }
@@ -173,14 +173,14 @@
 	if err != nil {
 		return parsedSettings{}, err
 	}
-	var own nodeSettings
-	if err := json.Unmarshal(text, &own); err != nil {
+	var forNode nodeSettings
+	if err := json.Unmarshal(text, &forNode); err != nil {
 		return parsedSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	parsed := parsedSettings{balancer: balancerSettings,
-		connectTimeout: milliseconds(own.Limits.ConnectTimeout), upstreamIdleTimeout: milliseconds(own.Limits.ConnIdle)}
-	for _, tenant := range own.Tenants {
-		parsed.tenants = append(parsed.tenants, tenant.Name)
+		connectTimeout: milliseconds(forNode.Limits.ConnectTimeout), upstreamIdleTimeout: milliseconds(forNode.Limits.ConnIdle)}
+	for _, tenant := range forNode.Tenants {
+		parsed.tenantNames = append(parsed.tenantNames, tenant.Name)
 	}
 	return parsed, nil
 }
--- a/internal/node/configcompat.go
+++ b/internal/node/configcompat.go
@@ -31,7 +31,7 @@
 // settings that silently fall back to their zero values would take the node out of service. Whatever the old
 // configuration had must be there again, but for what the platform leaves out at times.
 func (c Config) checkCompatible(old Config) error {
-	if key := missingKey(old.parsedText, c.parsedText, ""); key != "" {
+	if key := missingKey(old.parsedJSON, c.parsedJSON, ""); key != "" {
 		return &IncompatibleConfigError{key}
 	}
 	if c.Settings.MaxAttempts <= 0 && old.Settings.MaxAttempts > 0 {
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -46,33 +46,33 @@
 //
 // Each connection has one goroutine that reads, also while it is idle: readLoop. The attempt's goroutine writes.
 type connPool struct {
-	clock        engine.Clock
-	bufferLimit  int                             // of a response, in bytes
-	fullMaxConns int                             // connections at once while this process is alone
-	attemptEnded func(engine.Result)             // takes how an attempt ended
-	passResponse func(*engine.Attempt, any) bool // takes a response that is streamed; false: nobody waits for it
-	goroutines   sync.WaitGroup                  // attempts and readLoops
+	clock           engine.Clock
+	bufferLimit     int                             // of a response, in bytes
+	fullMaxConns    int                             // connections at once while this process is alone
+	attemptEnded    func(engine.Result)             // takes how an attempt ended
+	forwardResponse func(*engine.Attempt, any) bool // takes a response that is streamed; false: nobody waits for it
+	goroutines      sync.WaitGroup                  // attempts and readLoops
 
 	log   *slog.Logger
 	count func(metrics.Counter)
 
-	mu           sync.Mutex
-	dialer       net.Dialer
-	idleTimeout  time.Duration
-	maxConns     int // connections at once
-	conns        map[*upstreamConn]bool
-	dialing      int                                // connections that are coming up
-	idle         *list.List                         // of *upstreamConn, the one that has been idle longest first
-	idleByTarget map[*engine.Target][]*upstreamConn // the one that has been idle longest first
-	histories    map[*engine.Target]*targetHistory
-	lastNumber   uint64 // of a connection
+	mu             sync.Mutex
+	dialer         net.Dialer
+	idleTimeout    time.Duration
+	maxConns       int // connections at once
+	conns          map[*upstreamConn]bool
+	dialing        int                                // connections that are coming up
+	idle           *list.List                         // of *upstreamConn, the one that has been idle longest first
+	idleByTarget   map[*engine.Target][]*upstreamConn // the one that has been idle longest first
+	histories      map[*engine.Target]*targetHistory
+	lastConnNumber uint64 // of a connection
 }
 
 func newConnPool(clock engine.Clock, cfg Config, maxConns int, attemptEnded func(engine.Result),
-	passResponse func(*engine.Attempt, any) bool) *connPool {
+	forwardResponse func(*engine.Attempt, any) bool) *connPool {
 	p := &connPool{clock: clock, dialer: net.Dialer{KeepAlive: -1},
 		bufferLimit: bufferLimit(cfg.MemoryMB, responseMemoryDivisor, maxConns), maxConns: maxConns, fullMaxConns: maxConns,
-		attemptEnded: attemptEnded, passResponse: passResponse,
+		attemptEnded: attemptEnded, forwardResponse: forwardResponse,
 		log: slog.New(slog.DiscardHandler), count: func(metrics.Counter) {},
 		conns: map[*upstreamConn]bool{}, idle: list.New(), idleByTarget: map[*engine.Target][]*upstreamConn{},
 		histories: map[*engine.Target]*targetHistory{}}
@@ -87,9 +87,9 @@
 	p.dialer.Timeout, p.idleTimeout = cfg.connectTimeout, cfg.upstreamIdleTimeout/idleTimeoutDivisor
 }
 
-// shareWithOtherProcess leaves a part of the connections to another process of the node, or takes them back: the two
+// shareLimitWithOtherProcess leaves a part of the connections to another process of the node, or takes them back: the two
 // share the platform's limit.
-func (p *connPool) shareWithOtherProcess(sharing bool) {
+func (p *connPool) shareLimitWithOtherProcess(sharing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.maxConns = p.fullMaxConns; sharing {
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idleByTarget[target]) > 0 {
-		p.closeLocked(newest(p.idleByTarget[target]), closedForRetiredServer)
+		p.closeLocked(mostRecentlyUsed(p.idleByTarget[target]), closedForRetiredServer)
 	}
 	delete(p.idleByTarget, target)
 	delete(p.histories, target)
@@ -173,8 +173,8 @@
 		return nil, err
 	}
 	now := p.clock.Now()
-	p.lastNumber++
-	c := &upstreamConn{Conn: nc, raw: raw, number: p.lastNumber, pool: p, target: att.Target, responses: make(chan *upstreamResponse, 1),
+	p.lastConnNumber++
+	c := &upstreamConn{Conn: nc, raw: raw, number: p.lastConnNumber, pool: p, target: att.Target, responses: make(chan *upstreamResponse, 1),
 		deadline: deadline, requestDeadline: att.Call.Request.Deadline, connectedAt: now, releasedAt: now}
 	c.reader = bufio.NewReaderSize(c, upstreamReadBuffer)
 	p.conns[c] = true
@@ -184,21 +184,21 @@
 	return c, nil
 }
 
-// markRequestSent notes that a request is about to be written. It looks at the connection once more, and returns false if it
+// beginRequest notes that a request is about to be written. It looks at the connection once more, and returns false if it
 // has broken, or brought bytes that nobody asked for: then nothing must be written. A node may have been held up, and the
 // readLoop not have come to run, since they came.
-func (p *connPool) markRequestSent(c *upstreamConn) bool {
+func (p *connPool) beginRequest(c *upstreamConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.markRequestSentLocked(c)
+	return p.beginRequestLocked(c)
 }
 
-// markRequestSentLocked is markRequestSent for those who hold p.mu.
-func (p *connPool) markRequestSentLocked(c *upstreamConn) bool {
+// beginRequestLocked is markRequestSent for those who hold p.mu.
+func (p *connPool) beginRequestLocked(c *upstreamConn) bool {
 	if c.closed {
 		return false
 	}
-	switch err := c.look(); {
+	switch err := c.peek(); {
 	case err == nil:
 		p.suspectServer(c)
 		return false
@@ -212,7 +212,7 @@
 		return false
 	}
 	now := p.clock.Now()
-	c.requestSent = true
+	c.requestPending = true
 	c.uses++
 	c.idleBefore = now - c.releasedAt
 	c.sentAt = now
@@ -224,9 +224,9 @@
 func (p *connPool) endRequest(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.requestSent = false
-	c.hasAnswered = true
-	c.answeredAt = p.clock.Now()
+	c.requestPending = false
+	c.responseReceived = true
+	c.responseReadAt = p.clock.Now()
 }
 
 // release makes a connection idle, for the next attempt to the same target, or closes it and returns why.
@@ -240,8 +240,8 @@
 		p.closeLocked(c, closedForRetiredServer)
 		return c.closeReason
 	}
-	if c.hasAnswered {
-		c.hasAnswered = false
+	if c.responseReceived {
+		c.responseReceived = false
 		p.scheduleReuse(c)
 	}
 	c.deadline = time.Now().Add(p.idleTimeout)
@@ -279,4 +279,4 @@
 	delete(p.conns, c)
 }
 
-func newest(conns []*upstreamConn) *upstreamConn { return conns[len(conns)-1] }
+func mostRecentlyUsed(conns []*upstreamConn) *upstreamConn { return conns[len(conns)-1] }
--- a/internal/node/connreuse.go
+++ b/internal/node/connreuse.go
@@ -34,26 +34,26 @@
 	// for a node or server that is held up. A connection that has been idle for so long counts as proven, and is taken first.
 	maxSecondResponseDelay = 150 * time.Millisecond
 
-	// minDoubtTime is from a request to the next one behind a response in doubt, at least: a server may go on with a request
+	// minDoubtDuration is from a request to the next one behind a response in doubt, at least: a server may go on with a request
 	// whose client waits only briefly.
-	minDoubtTime = time.Second
+	minDoubtDuration = time.Second
 
-	// crowdedReuseFactor times the mean time of its server, from its request on, is when a connection in doubt is reused
+	// fullPoolReuseFactor times the mean time of its server, from its request on, is when a connection in doubt is reused
 	// nevertheless, where there may be no further connection.
-	crowdedReuseFactor = 3
+	fullPoolReuseFactor = 3
 
 	// reuseWaitDivisor sets how long an attempt may wait until a connection may be reused, as a part of its time.
 	reuseWaitDivisor = 4
 
-	// meanWeight is the weight of a new response in the mean time of a server.
-	meanWeight = 0.1
+	// responseTimeWeight is the weight of a new response in the mean time of a server.
+	responseTimeWeight = 0.1
 )
 
 // targetHistory is what the pool keeps of a server, until the server gets nothing new. Guarded by connPool.mu.
 type targetHistory struct {
-	meanTime       time.Duration // from a request's last byte to its response, or to the first of one that is streamed; 0: none has come
-	suspectedUntil time.Duration // clock time
-	waiting        bool          // an attempt waits until a connection may be reused
+	meanResponseTime time.Duration // from a request's last byte to its response, or to the first of one that is streamed; 0: none has come
+	suspectedUntil   time.Duration // clock time
+	hasWaiter        bool          // an attempt waits until a connection may be reused
 }
 
 // historyOf returns the history of a target. That of one which gets nothing new is not kept. The caller holds p.mu.
@@ -68,19 +68,19 @@
 	return h
 }
 
-// addTime takes up how long a response took.
-func (h *targetHistory) addTime(took time.Duration) {
-	if h.meanTime == 0 {
-		h.meanTime = took
+// addResponseTime takes up how long a response took.
+func (h *targetHistory) addResponseTime(responseTime time.Duration) {
+	if h.meanResponseTime == 0 {
+		h.meanResponseTime = responseTime
 		return
 	}
-	h.meanTime += time.Duration(meanWeight * float64(took-h.meanTime))
+	h.meanResponseTime += time.Duration(responseTimeWeight * float64(responseTime-h.meanResponseTime))
 }
 
 // reuseDelay is from a response of a server to the next request on its connection: so long that the next response is not
 // likely to be in doubt, which would cost more than a new connection does.
 func (h *targetHistory) reuseDelay() time.Duration {
-	return max(maxSecondResponseDelay-h.meanTime, minReuseDelay)
+	return max(maxSecondResponseDelay-h.meanResponseTime, minReuseDelay)
 }
 
 // acquireIdle takes an idle connection to the attempt's target, and returns how long until it may be reused. It returns nil
@@ -92,8 +92,8 @@
 		return nil, 0
 	}
 	now := p.clock.Now()
-	if c = chooseIdle(idle, now); now < c.provenAt {
-		if c, wait = p.chooseUnproven(c, att, now); c == nil {
+	if c = chooseIdle(idle, now); now < c.safeAt {
+		if c, wait = p.chooseNotYetSafe(c, att, now); c == nil {
 			return nil, 0
 		}
 	}
@@ -108,16 +108,16 @@
 // now; else the one that may be used first.
 func chooseIdle(idle []*upstreamConn, now time.Duration) *upstreamConn {
 	for _, c := range slices.Backward(idle) {
-		if now >= c.provenAt {
+		if now >= c.safeAt {
 			return c
 		}
 	}
 	return slices.MinFunc(idle, func(a, b *upstreamConn) int { return cmp.Compare(a.reusableAt, b.reusableAt) })
 }
 
-// chooseUnproven returns the first connection that may be used, where none is proven, and how long until then; nil if that
+// chooseNotYetSafe returns the first connection that may be used, where none is proven, and how long until then; nil if that
 // would be too long, and one in doubt is no choice either. The caller holds p.mu.
-func (p *connPool) chooseUnproven(first *upstreamConn, att *engine.Attempt, now time.Duration) (c *upstreamConn, wait time.Duration) {
+func (p *connPool) chooseNotYetSafe(first *upstreamConn, att *engine.Attempt, now time.Duration) (c *upstreamConn, wait time.Duration) {
 	if att.Call.Request.StreamedBody {
 		return nil, 0
 	}
@@ -125,10 +125,10 @@
 		return first, 0
 	}
 	history := p.historyOf(att.Target)
-	if history.waiting || wait > minReuseDelay || wait > (att.Deadline-now)/reuseWaitDivisor {
+	if history.hasWaiter || wait > minReuseDelay || wait > (att.Deadline-now)/reuseWaitDivisor {
 		return p.chooseInDoubt(att.Target, now), 0
 	}
-	history.waiting = true
+	history.hasWaiter = true
 	return first, wait
 }
 
@@ -137,11 +137,11 @@
 // is too fresh. The caller holds p.mu.
 func (p *connPool) chooseInDoubt(target *engine.Target, now time.Duration) *upstreamConn {
 	history := p.historyOf(target)
-	if len(p.conns)+p.dialing < p.maxConns || history.meanTime == 0 || p.suspects(target) {
+	if len(p.conns)+p.dialing < p.maxConns || history.meanResponseTime == 0 || p.isSuspectLocked(target) {
 		return nil
 	}
 	c := slices.MinFunc(p.idleByTarget[target], func(a, b *upstreamConn) int { return cmp.Compare(a.sentAt, b.sentAt) })
-	if now < c.releasedAt+minReuseDelay || now < c.sentAt+crowdedReuseFactor*history.meanTime {
+	if now < c.releasedAt+minReuseDelay || now < c.sentAt+fullPoolReuseFactor*history.meanResponseTime {
 		return nil
 	}
 	return c
@@ -155,28 +155,28 @@
 	<-time.After(wait)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.historyOf(c.target).waiting = false
+	p.historyOf(c.target).hasWaiter = false
 }
 
 // scheduleReuse notes that the response to a connection's request has come, and sets when the connection may be reused. The
 // caller holds p.mu.
 func (p *connPool) scheduleReuse(c *upstreamConn) {
 	now := p.clock.Now()
-	inDoubt := c.uses > 1 && c.answeredAt < c.releasedAt+maxSecondResponseDelay
+	inDoubt := c.uses > 1 && c.responseReadAt < c.releasedAt+maxSecondResponseDelay
 	history := p.historyOf(c.target)
-	history.addTime(c.answeredAt - c.sentAt)
-	c.releasedAt, c.reusableAt, c.provenAt = now, now+history.reuseDelay(), now+maxSecondResponseDelay
-	if p.suspects(c.target) {
+	history.addResponseTime(c.responseReadAt - c.sentAt)
+	c.releasedAt, c.reusableAt, c.safeAt = now, now+history.reuseDelay(), now+maxSecondResponseDelay
+	if p.isSuspectLocked(c.target) {
 		c.postponeReuse(now + suspectReuseDelay)
 	}
 	if inDoubt {
 		p.count(metrics.EarlyResponses)
-		c.postponeReuse(max(c.requestDeadline, c.sentAt+minDoubtTime))
+		c.postponeReuse(max(c.requestDeadline, c.sentAt+minDoubtDuration))
 	}
 }
 
 // postponeReuse sets the earliest time at which a connection may be reused.
 func (c *upstreamConn) postponeReuse(until time.Duration) {
 	c.reusableAt = max(c.reusableAt, until)
-	c.provenAt = max(c.provenAt, c.reusableAt)
+	c.safeAt = max(c.safeAt, c.reusableAt)
 }
--- a/internal/node/connreuse_test.go
+++ b/internal/node/connreuse_test.go
@@ -18,19 +18,19 @@
 	if r := p.runAttempt(att); r.Outcome != balancer.Success {
 		t.Fatalf("ended %v", r.Outcome)
 	}
-	letTimePass(p, att.Target, maxSecondResponseDelay)
+	ageIdleConns(p, att.Target, maxSecondResponseDelay)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return newest(p.idleByTarget[att.Target])
+	return mostRecentlyUsed(p.idleByTarget[att.Target])
 }
 
-// again is another attempt of the same request at the same target.
-func again(att *engine.Attempt) *engine.Attempt {
+// nextAttempt is another attempt of the same request at the same target.
+func nextAttempt(att *engine.Attempt) *engine.Attempt {
 	return &engine.Attempt{Call: att.Call, Target: att.Target, Deadline: att.Deadline}
 }
 
 // Bytes that come between a response and the release of its connection once were kept as the response to the next request.
-func TestBytesBetweenResponseAndReleaseAreNoResponse(t *testing.T) {
+func TestUnsolicitedBytesBeforeRelease(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		conns <- c
@@ -39,7 +39,7 @@
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	c, _, err := p.acquireOrDial(att)
-	if err != nil || !p.markRequestSent(c) {
+	if err != nil || !p.beginRequest(c) {
 		t.Fatal(err, "no connection")
 	}
 	if _, err := c.Write(encodeRequest(att.Call.Payload.(*clientRequest), time.Minute)); err != nil {
@@ -66,7 +66,7 @@
 
 // A connection that was taken in the instant in which bytes or its end came once was written to: the goroutine that reads
 // had not come to run yet.
-func TestConnectionIsLookedAtBeforeTheRequest(t *testing.T) {
+func TestConnectionIsCheckedBeforeWrite(t *testing.T) {
 	for name, change := range map[string]func(net.Conn){
 		"bytes":  func(c net.Conn) { respond(c, "200 OK", "stray") },
 		"closed": func(c net.Conn) { c.Close() },
@@ -81,15 +81,15 @@
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
 			usedConn(t, p, att)
-			c, fresh, err := p.acquireOrDial(again(att))
+			c, fresh, err := p.acquireOrDial(nextAttempt(att))
 			if err != nil || fresh {
 				t.Fatalf("fresh %v, %v", fresh, err)
 			}
 			p.mu.Lock() // the reader comes to run, and can't do anything about what it sees
 			defer p.mu.Unlock()
 			change(<-conns)
-			eventually(t, "it has come", func() bool { return c.look() != errNothingToRead })
-			if p.markRequestSentLocked(c) {
+			eventually(t, "it has come", func() bool { return c.peek() != errNothingToRead })
+			if p.beginRequestLocked(c) {
 				t.Error("a request would be written")
 			}
 		})
@@ -102,7 +102,7 @@
 	const now = time.Second
 	idle := func(releasedAt ...time.Duration) (conns []*upstreamConn) {
 		for _, at := range releasedAt {
-			conns = append(conns, &upstreamConn{reusableAt: at + minReuseDelay, provenAt: at + maxSecondResponseDelay})
+			conns = append(conns, &upstreamConn{reusableAt: at + minReuseDelay, safeAt: at + maxSecondResponseDelay})
 		}
 		return conns
 	}
@@ -128,15 +128,15 @@
 // is better than none, once its server would usually have answered.
 func TestWaitForReuse(t *testing.T) {
 	for name, c := range map[string]struct {
-		delay    time.Duration // until it may be reused
-		proof    time.Duration // until the connection is proven
-		budget   time.Duration
-		streamed bool
-		waiting  bool // another attempt waits
-		taken    bool
-		full     bool          // there may be no further connection
-		mean     time.Duration // time of the server
-		suspect  bool
+		delay            time.Duration // until it may be reused
+		untilSafe        time.Duration // until the connection is proven
+		budget           time.Duration
+		streamed         bool
+		hasWaiter        bool // another attempt waits
+		acquired         bool
+		poolFull         bool          // there may be no further connection
+		meanResponseTime time.Duration // time of the server
+		suspect          bool
 	}{
 		"proven":                        {0, 0, time.Minute, false, false, true, false, 0, false},
 		"proven, another waits":         {0, 0, time.Minute, false, true, true, false, 0, false},
@@ -160,23 +160,23 @@
 			att := testAttempt(p, "127.0.0.1:1", c.budget)
 			att.Call.Request.StreamedBody = c.streamed
 			history := p.historyOf(att.Target)
-			history.waiting, history.meanTime = c.waiting, c.mean
+			history.hasWaiter, history.meanResponseTime = c.hasWaiter, c.meanResponseTime
 			client, server := net.Pipe()
 			defer server.Close()
 			now := p.clock.Now()
-			conn := &upstreamConn{Conn: client, pool: p, target: att.Target, reusableAt: now + c.delay, provenAt: now + c.proof,
+			conn := &upstreamConn{Conn: client, pool: p, target: att.Target, reusableAt: now + c.delay, safeAt: now + c.untilSafe,
 				sentAt: now - minReuseDelay, releasedAt: now - minReuseDelay}
-			if p.conns[conn] = true; c.full {
+			if p.conns[conn] = true; c.poolFull {
 				p.maxConns = 1
 			}
 			if c.suspect {
-				history.suspectedUntil = now + suspicionTime
+				history.suspectedUntil = now + suspicionDuration
 			}
 			conn.idleElement = p.idle.PushBack(conn)
 			p.idleByTarget[att.Target] = []*upstreamConn{conn}
 			got, wait := p.acquireIdle(att, time.Now().Add(time.Minute))
-			if (got != nil) != c.taken || wait > c.delay {
-				t.Errorf("taken %v with a wait of %v, want %v and %v at most", got != nil, wait, c.taken, c.delay)
+			if (got != nil) != c.acquired || wait > c.delay {
+				t.Errorf("taken %v with a wait of %v, want %v and %v at most", got != nil, wait, c.acquired, c.delay)
 			}
 		})
 	}
@@ -185,27 +185,27 @@
 // A response that came soon behind another may be a second one to the request before. The true one is still to come: used
 // again before that, the connection would pass it to the next request, and so on. How long requests took before says nothing
 // of it: a server whose first ones were fast, or that had none yet, once had the connection used again at once.
-func TestReuseIsDelayedBehindAResponseInDoubt(t *testing.T) {
+func TestReuseIsDelayedAfterResponseInDoubt(t *testing.T) {
 	const (
 		fast = 10 * time.Millisecond
 		slow = maxSecondResponseDelay
 		soon = maxSecondResponseDelay - minReuseDelay
 	)
 	for name, c := range map[string]struct {
-		took  time.Duration // from the request to the response
-		lasts time.Duration // how long the response is streamed
-		since time.Duration // the response before
-		left  time.Duration // to the client, as the request was sent
-		mean  time.Duration
-		uses  int
-		delay time.Duration // until it may be reused, at least, from the request on
-		doubt int           // responses counted as in doubt
+		responseTime     time.Duration // from the request to the response
+		streamTime       time.Duration // how long the response is streamed
+		sincePrevious    time.Duration // the response before
+		clientTimeLeft   time.Duration // to the client, as the request was sent
+		meanResponseTime time.Duration
+		uses             int
+		delay            time.Duration // until it may be reused, at least, from the request on
+		inDoubt          int           // responses counted as in doubt
 	}{
 		"not soon":                 {slow, 0, slow + minReuseDelay, time.Minute, slow, 2, slow + minReuseDelay, 0},
 		"fast, not soon":           {fast, 0, maxSecondResponseDelay, time.Minute, slow, 2, fast + minReuseDelay, 0},
 		"fast as usual, not soon":  {fast, 0, maxSecondResponseDelay, time.Minute, fast, 2, maxSecondResponseDelay, 0},
 		"soon":                     {fast, 0, soon, time.Minute, slow, 2, time.Minute, 1},
-		"soon, a little time":      {fast, 0, soon, slow, slow, 2, minDoubtTime, 1},
+		"soon, a little time":      {fast, 0, soon, slow, slow, 2, minDoubtDuration, 1},
 		"soon, its usual time":     {fast, 0, soon, time.Minute, fast, 2, time.Minute, 1},
 		"soon, slower than usual":  {soon - minReuseDelay, 0, soon, time.Minute, fast, 2, time.Minute, 1},
 		"soon, then streamed":      {fast, 5 * time.Second, soon, slow, slow, 2, fast + 5*time.Second + minReuseDelay, 1},
@@ -215,34 +215,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := testPool(t)
-			doubts := 0
+			inDoubt := 0
 			p.count = func(counter metrics.Counter) {
 				if counter == metrics.EarlyResponses {
-					doubts++
+					inDoubt++
 				}
 			}
 			target := &engine.Target{}
-			p.historyOf(target).meanTime = c.mean
+			p.historyOf(target).meanResponseTime = c.meanResponseTime
 			now := p.clock.Now()
-			sentAt := now - c.lasts - c.took
-			conn := &upstreamConn{target: target, uses: c.uses, sentAt: sentAt, answeredAt: sentAt + c.took,
-				requestDeadline: sentAt + c.left, releasedAt: sentAt + c.took - c.since}
+			sentAt := now - c.streamTime - c.responseTime
+			conn := &upstreamConn{target: target, uses: c.uses, sentAt: sentAt, responseReadAt: sentAt + c.responseTime,
+				requestDeadline: sentAt + c.clientTimeLeft, releasedAt: sentAt + c.responseTime - c.sincePrevious}
 			p.scheduleReuse(conn)
 			if delay := conn.reusableAt - sentAt; delay < c.delay || delay > c.delay+minReuseDelay {
 				t.Errorf("may be reused after %v, want %v", delay, c.delay)
 			}
-			if conn.provenAt < conn.reusableAt {
+			if conn.safeAt < conn.reusableAt {
 				t.Error("it counts as proven before it may be reused")
 			}
-			if doubts != c.doubt {
-				t.Errorf("%d responses counted as in doubt, want %d", doubts, c.doubt)
+			if inDoubt != c.inDoubt {
+				t.Errorf("%d responses counted as in doubt, want %d", inDoubt, c.inDoubt)
 			}
 		})
 	}
 }
 
 // Bytes behind a response that was streamed are seen before the connection carries another request.
-func TestBytesBehindAStreamedResponse(t *testing.T) {
+func TestUnsolicitedBytesAfterStreamedResponse(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n > 1 {
 			return respond(c, "200 OK", "done")
@@ -256,8 +256,8 @@
 	if r := p.runAttempt(att); r.Outcome != balancer.Success {
 		t.Fatalf("ended %v", r.Outcome)
 	}
-	letTimePass(p, att.Target, maxSecondResponseDelay) // if it is idle, the next attempt reuses it
-	if r := p.runAttempt(again(att)); r.Outcome != balancer.Success || responseBody(r) != "done" {
+	ageIdleConns(p, att.Target, maxSecondResponseDelay) // if it is idle, the next attempt reuses it
+	if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Success || responseBody(r) != "done" {
 		t.Errorf("ended %v", r.Outcome)
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -30,12 +30,12 @@
 		if ln := n.takeOver(); ln != nil {
 			return ln, nil
 		}
-		config.Control = shareAddress
+		config.Control = setReusePort
 	}
 	return config.Listen(ctx, "tcp", n.cfg.Listen)
 }
 
-func shareAddress(_, _ string, c syscall.RawConn) (err error) {
+func setReusePort(_, _ string, c syscall.RawConn) (err error) {
 	controlErr := c.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
@@ -68,24 +68,24 @@
 	}
 	n.applyHandover(handover)
 	n.otherProcess.conn, n.otherProcess.synced = conn, make(chan struct{})
-	n.pool.shareWithOtherProcess(true)
+	n.pool.shareLimitWithOtherProcess(true)
 	n.log.Info("took over", "servers", len(handover.Endpoints), "disabled", handover.DisabledServers, "out_of_service", handover.OutOfService)
 	return ln
 }
 
 // restoreOperatorState restores from disk which servers operators have disabled, and whether the node is out of service.
 func (n *Node) restoreOperatorState() {
-	saved, snapshot := n.otherProcess.store.Read()
+	operatorState, snapshot := n.otherProcess.store.Read()
 	for _, err := range snapshot.Errors {
 		n.log.Warn("a file with operator state can't be used", "err", err)
 	}
 	if snapshot.Body == nil {
 		return
 	}
-	n.log.Info("operator state restored from disk", "disabled", len(saved.DisabledServers), "out_of_service", saved.OutOfService,
+	n.log.Info("operator state restored from disk", "disabled", len(operatorState.DisabledServers), "out_of_service", operatorState.OutOfService,
 		"age", formatAge(snapshot.Age), "previous_file", snapshot.Previous)
-	n.engine.Balancer.RestoreDisabled(saved.DisabledServers)
-	if saved.OutOfService {
+	n.engine.Balancer.RestoreDisabled(operatorState.DisabledServers)
+	if operatorState.OutOfService {
 		n.transition(lifecycle.OutOfService)
 	}
 }
@@ -155,8 +155,8 @@
 	if err := conn.HandOver(handover, tcp); err != nil {
 		return err
 	}
-	n.otherProcess.replace(conn)
-	n.pool.shareWithOtherProcess(true)
+	n.otherProcess.setSuccessor(conn)
+	n.pool.shareLimitWithOtherProcess(true)
 	n.log.Info("handed over")
 	return nil
 }
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -54,24 +54,24 @@
 
 // startDiscovery watches discovery until ctx ends, and sees to it that the engine has a list in time. The function that
 // it returns ends the wait for the first list.
-func (n *Node) startDiscovery(ctx context.Context, owned *sync.WaitGroup) (stopWaiting func()) {
+func (n *Node) startDiscovery(ctx context.Context, goroutines *sync.WaitGroup) (stopWaiting func()) {
 	if n.cfg.Settings.PollDiscovery || n.inheritedEndpoints != nil {
 		n.initialList.apply(ctx, n, nil) // can't fail: neither ctx nor the engine has ended
 	}
-	owned.Go(func() { n.discovery.Run(ctx) })
+	goroutines.Go(func() { n.discovery.Run(ctx) })
 	useBootstrapList := func() {
 		n.initialList.apply(ctx, n, nil)
 		n.initialListSettled.Store(true)
 	}
-	first := time.AfterFunc(polledListWait, func() {
+	unavailableTimer := time.AfterFunc(polledListWait, func() {
 		if n.cfg.Settings.PollDiscovery || n.discovery.Unavailable() {
 			useBootstrapList()
 		}
 	})
-	last := time.AfterFunc(pushedListWait, useBootstrapList)
+	pushedListTimer := time.AfterFunc(pushedListWait, useBootstrapList)
 	return func() {
-		last.Stop()
-		first.Stop()
+		pushedListTimer.Stop()
+		unavailableTimer.Stop()
 	}
 }
 
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -19,7 +19,7 @@
 )
 
 // Discovery is polled and fails at first: it is polled again, and the node gets its list.
-func TestDiscoveryIsPolledAgain(t *testing.T) {
+func TestDiscoveryPollIsRetried(t *testing.T) {
 	b := newBackend(t, respondOK)
 	calls := make(chan struct{}, 100)
 	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -48,12 +48,12 @@
 	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
-	heard := make(chan struct{}, 10)
+	applied := make(chan struct{}, 10)
 	n := start(t, cfg, func(n *Node) {
 		applyUpdate := n.discovery.ApplyUpdate
 		n.discovery.ApplyUpdate = func(ctx context.Context, w engine.Update) error {
 			err := applyUpdate(ctx, w)
-			heard <- struct{}{}
+			applied <- struct{}{}
 			return err
 		}
 	})
@@ -71,7 +71,7 @@
 	apply := func(line string) {
 		t.Helper()
 		a.Lines <- line
-		<-heard
+		<-applied
 		n.engine.ApplyUpdate(t.Context(), engine.Update{}) // is taken only when the one before has been dealt with
 	}
 	entry := func(host, dial, health string) string {
--- a/internal/node/lateanswer_test.go
+++ b/internal/node/lateresponse_test.go
@@ -13,23 +13,23 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// lateAnswerCase is a server that answers one request twice, and a client that sends one request after another.
-type lateAnswerCase struct {
-	first     int             // requests up to the one that is answered twice
-	firstTime time.Duration   // that each of them takes
-	lateness  time.Duration   // of the second answer
-	times     []time.Duration // that the requests behind it take, in turn
-	idle      int             // connections that are idle before, besides the one in use
+// lateResponseCase is a server that answers one request twice, and a client that sends one request after another.
+type lateResponseCase struct {
+	duplicated     int             // requests up to the one that is answered twice
+	initialTime    time.Duration   // that each of them takes
+	delay          time.Duration   // of the second answer
+	laterTimes     []time.Duration // that the requests behind it take, in turn
+	otherIdleConns int             // connections that are idle before, besides the one in use
 }
 
 // A second answer that came later than minReuseDelay reached one caller, and each answer behind it on its connection the
 // caller of the next request there, until that connection was closed for something else.
-func TestLateSecondAnswerSendsNoOtherAstray(t *testing.T) {
+func TestLateSecondResponseIsNotMatchedToAnotherRequest(t *testing.T) {
 	const (
 		fast = 10 * time.Millisecond
 		slow = 150 * time.Millisecond
 	)
-	for name, c := range map[string]lateAnswerCase{
+	for name, c := range map[string]lateResponseCase{
 		"the first answer of a server": {1, fast, 30 * time.Millisecond, []time.Duration{slow}, 0},
 		"a few times are known":        {3, fast, 34 * time.Millisecond, []time.Duration{slow}, 0},
 		"eleven times are known":       {11, fast, 30 * time.Millisecond, []time.Duration{slow}, 0},
@@ -44,49 +44,49 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.play(t)
+			c.run(t)
 		})
 	}
 }
 
-// play fails the test for each answer that reached a request which it was not written for, but for the second ones.
-func (c *lateAnswerCase) play(t *testing.T) {
-	const requestsBehind = 10
+// run fails the test for each answer that reached a request which it was not written for, but for the second ones.
+func (c *lateResponseCase) run(t *testing.T) {
+	const laterRequests = 10
 	b := newBackend(t, func(_ int, conn net.Conn, r *http.Request) bool { return c.serve(conn, r.Header.Get("X-Call-Id")) })
 	p := testPool(t)
 	p.maxConns = 64
 	target := testAttempt(p, b.addr(), 0).Target
-	if c.idle > 0 {
+	if c.otherIdleConns > 0 {
 		var before sync.WaitGroup
-		for i := range c.idle + 1 {
+		for i := range c.otherIdleConns + 1 {
 			before.Go(func() { c.send(t, p, target, fmt.Sprintf("before-%d", i)) })
 		}
 		before.Wait()
-		letTimePass(p, target, time.Second)
+		ageIdleConns(p, target, time.Second)
 	}
-	for number := range c.first + requestsBehind {
+	for number := range c.duplicated + laterRequests {
 		c.send(t, p, target, fmt.Sprintf("r-%d", number))
 	}
 }
 
 // serve answers a request, and the last of the first ones twice.
-func (c *lateAnswerCase) serve(conn net.Conn, id string) bool {
+func (c *lateResponseCase) serve(conn net.Conn, id string) bool {
 	number := -1 // of those before
 	fmt.Sscanf(id, "r-%d", &number)
-	work := c.firstTime
-	if number >= c.first {
-		work = c.times[(number-c.first)%len(c.times)]
+	work := c.initialTime
+	if number >= c.duplicated {
+		work = c.laterTimes[(number-c.duplicated)%len(c.laterTimes)]
 	}
 	<-time.After(work)
 	answered := respond(conn, "200 OK", "first "+id)
-	if number == c.first-1 {
-		time.AfterFunc(c.lateness, func() { respond(conn, "200 OK", "second "+id) })
+	if number == c.duplicated-1 {
+		time.AfterFunc(c.delay, func() { respond(conn, "200 OK", "second "+id) })
 	}
 	return answered
 }
 
 // send sends a request and looks at whose answer it is given.
-func (c *lateAnswerCase) send(t *testing.T, p *connPool, target *engine.Target, id string) {
+func (c *lateResponseCase) send(t *testing.T, p *connPool, target *engine.Target, id string) {
 	att := testAttempt(p, target.Addr, 3*time.Second)
 	att.Target = target
 	att.Call.Request.Deadline = att.Deadline
--- a/internal/node/otherprocess.go
+++ b/internal/node/otherprocess.go
@@ -46,16 +46,16 @@
 	}
 }
 
-// current is the connection to the other process; nil: there is none.
-func (p *otherProcess) current() *hotrestart.Conn {
+// currentConn is the connection to the other process; nil: there is none.
+func (p *otherProcess) currentConn() *hotrestart.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conn
 }
 
-// replace makes a process that has just taken over the successor. The newest one counts; the one before is dropped. The
+// setSuccessor makes a process that has just taken over the successor. The newest one counts; the one before is dropped. The
 // caller holds p.mu.
-func (p *otherProcess) replace(conn *hotrestart.Conn) {
+func (p *otherProcess) setSuccessor(conn *hotrestart.Conn) {
 	if p.conn != nil {
 		p.conn.Close()
 	}
@@ -151,7 +151,7 @@
 	defer n.otherProcess.mu.Unlock()
 	if n.otherProcess.conn == conn {
 		n.otherProcess.conn, n.otherProcess.serving = nil, false
-		n.pool.shareWithOtherProcess(false)
+		n.pool.shareLimitWithOtherProcess(false)
 	}
 }
 
@@ -161,7 +161,7 @@
 	if n.otherProcess.store == nil {
 		return
 	}
-	if conn := n.otherProcess.current(); conn != nil {
+	if conn := n.otherProcess.currentConn(); conn != nil {
 		if err := conn.Send(message, otherProcessAckTimeout); err != nil {
 			n.log.Warn("an operator's call did not reach the other process", "err", err)
 		}
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -29,14 +29,14 @@
 // errNullSettings says that an override's settings are JSON's null.
 var errNullSettings = errors.New("want an object, found null")
 
-// ownSettings are the settings that say which node of its service this one is: no override changes them.
-var ownSettings = []string{"me", "zone"}
+// nodeIdentityKeys are the settings that say which node of its service this one is: no override changes them.
+var nodeIdentityKeys = []string{"me", "zone"}
 
 // WithOverride returns the configuration of c's file with an override in place of its settings and, if the override names
 // one, of its address of discovery. A previous override has no part in it. The error says why no node can start with that:
 // an UnreadableOverrideError, a ConfigKeyError or that of the balancer's settings.
 func (c Config) WithOverride(override Override) (Config, error) {
-	text, err := composeConfig(c.text, override)
+	text, err := composeConfig(c.fileText, override)
 	if err != nil {
 		return Config{}, err
 	}
@@ -45,7 +45,7 @@
 		return Config{}, err
 	}
 	composed.AdminAddress, composed.Features = c.AdminAddress, c.Features
-	composed.text, composed.override = c.text, &override
+	composed.fileText, composed.override = c.fileText, &override
 	_, err = composed.validatedSettings()
 	return composed, err
 }
@@ -94,7 +94,7 @@
 	if settings == nil {
 		return nil, &UnreadableOverrideError{errNullSettings}
 	}
-	for _, key := range ownSettings {
+	for _, key := range nodeIdentityKeys {
 		delete(settings, key)
 		if value, has := fileSettings[key]; has {
 			settings[key] = value
--- a/internal/node/override_test.go
+++ b/internal/node/override_test.go
@@ -117,7 +117,7 @@
 
 // SIGHUP reads the file again under an override: what the override says stays, the rest is the file's, and a file that
 // is not complete changes nothing.
-func TestReloadUnderAnOverride(t *testing.T) {
+func TestReloadWithOverride(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK))
 	n := start(t, cfg)
 	override := Override{Settings: changedSettings(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)}
@@ -141,7 +141,7 @@
 }
 
 // A node can start with an override, whatever the file has come to have since, and keeps it at SIGHUP.
-func TestStartWithAnOverride(t *testing.T) {
+func TestStartWithOverride(t *testing.T) {
 	cfg := configWithDiscovery(t, newBackend(t, respondOK))
 	override := Override{Settings: changedSettings(t, cfg, `"name":"unsafe"`, `"name":"fresh"`)}
 	with, err := changedConfig(t, cfg, `"lanes":`, `"added":1,"lanes":`).WithOverride(override)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -17,7 +17,7 @@
 	defer n.reloadMu.Unlock()
 	cfg.Features = n.cfg.Features
 	if override := n.current.override; override != nil {
-		file, err := parseConfig(n.current.text)
+		file, err := parseConfig(n.current.fileText)
 		if err != nil {
 			return err
 		}
@@ -45,7 +45,7 @@
 			return err
 		}
 		n.classes.Store(newClassTable(settings, n.classes.Load(), n.clock.Now()))
-		n.engine.Metrics.AddNames(cfg.classNames(), cfg.tenants)
+		n.engine.Metrics.AddNames(cfg.classNames(), cfg.tenantNames)
 		n.balancerSettings.Store(&settings)
 	}
 	n.pool.applyConfig(cfg)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -25,7 +25,7 @@
 // configText is the text of a configuration with pairs of strings replaced: each first by the second.
 func configText(t *testing.T, c Config, change ...string) string {
 	t.Helper()
-	text, err := json.Marshal(c.parsedText)
+	text, err := json.Marshal(c.parsedJSON)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 			t.Fatalf("%s: something of it was taken over", name)
 		}
 	}
-	ask := func(class, id string) int {
+	sendAndGetStatus := func(class, id string) int {
 		s, _, _ := sendRequest(t, newRequest(t, n.url, class, id, "x"))
 		return s
 	}
@@ -78,13 +78,13 @@
 	if n.discovery.Addr() != moved {
 		t.Error("discovery's address was not taken over")
 	}
-	if a, b := ask("fresh", "1"), ask("unsafe", "2"); a != http.StatusOK || b != http.StatusOK {
+	if a, b := sendAndGetStatus("fresh", "1"), sendAndGetStatus("unsafe", "2"); a != http.StatusOK || b != http.StatusOK {
 		t.Errorf("a new class is answered %d, one dropped just now %d", a, b)
 	}
-	late := *n.classes.Load()
-	late.previousUntil = 0
-	n.classes.Store(&late)
-	if got := ask("unsafe", "3"); got != http.StatusBadRequest {
+	expired := *n.classes.Load()
+	expired.previousUntil = 0
+	n.classes.Store(&expired)
+	if got := sendAndGetStatus("unsafe", "3"); got != http.StatusBadRequest {
 		t.Errorf("a class dropped long ago is answered %d", got)
 	}
 }
@@ -94,23 +94,23 @@
 func TestTruncatedFilesAreRejected(t *testing.T) {
 	cfg := testConfig(t, "pushed", inService("s-1", "127.0.0.1:1"))
 	text := configText(t, cfg)
-	follows := func(s string) error {
+	check := func(s string) error {
 		c, err := parseConfig([]byte(s))
 		if err == nil {
 			err = c.checkCompatible(cfg)
 		}
 		return err
 	}
-	if err := follows(text); err != nil {
+	if err := check(text); err != nil {
 		t.Fatal(err)
 	}
 	for i := range text {
-		if follows(text[:i]) == nil {
+		if check(text[:i]) == nil {
 			t.Fatalf("cut at byte %d it was taken", i)
 		}
 	}
-	var without func(v any, path string)
-	without = func(v any, path string) {
+	var checkWithoutEachKey func(v any, path string)
+	checkWithoutEachKey = func(v any, path string) {
 		switch v := v.(type) {
 		case map[string]any:
 			for key, was := range v {
@@ -118,20 +118,20 @@
 					continue
 				}
 				delete(v, key)
-				short, _ := json.Marshal(cfg.parsedText)
+				short, _ := json.Marshal(cfg.parsedJSON)
 				v[key] = was
-				if follows(string(short)) == nil {
+				if check(string(short)) == nil {
 					t.Errorf("without %s%s it was taken", path, key)
 				}
-				without(was, path+key+".")
+				checkWithoutEachKey(was, path+key+".")
 			}
 		case []any:
 			for _, e := range v {
-				without(e, path)
+				checkWithoutEachKey(e, path)
 			}
 		}
 	}
-	without(cfg.parsedText, "")
+	checkWithoutEachKey(cfg.parsedJSON, "")
 }
 
 // Whatever the text, a configuration that may replace another one has a limit of attempts.
@@ -142,7 +142,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole, _ := json.Marshal(cfg.parsedText)
+	whole, _ := json.Marshal(cfg.parsedJSON)
 	f.Add(string(whole))
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := parseConfig([]byte(text))
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -61,7 +61,7 @@
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- server.Serve(n.clientListener) }()
 	if machine := n.transition(lifecycle.Started); machine.IsOutOfService() {
-		n.closeIdleConnections(machine)
+		n.startIdleCloser(machine)
 	}
 	disconnectOtherProcess := n.connectOtherProcess(clients, owned.Go)
 	stopAdmin := n.startAdmin(admin, &owned)
@@ -124,7 +124,7 @@
 // startFeatures starts what the settings file has switched on and the engine takes part in.
 func (n *Node) startFeatures() {
 	if f := n.cfg.Features.Metrics; f != nil {
-		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenants, n.stderr, n.log)
+		n.engine.Metrics = metrics.New(*f, n.cfg.classNames(), n.cfg.tenantNames, n.stderr, n.log)
 	}
 	if c := n.cfg.Features.Capture; c != nil {
 		n.engine.Capture = capture.New(*c, n.cfg.Name, n.engine.Balancer, n.currentSettings(), n.cfg.Seed, n.stderr, n.log)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -24,8 +24,8 @@
 	// idleCloseInterval is the time between two passes over idle connections while clients are sent away.
 	idleCloseInterval = 50 * time.Millisecond
 
-	// clientDrainPoll is the time between two looks at whether the last client has left.
-	clientDrainPoll = 50 * time.Millisecond
+	// clientDrainPollInterval is the time between two looks at whether the last client has left.
+	clientDrainPollInterval = 50 * time.Millisecond
 )
 
 // transition applies an event to the node's lifecycle and returns the machine after it.
@@ -68,9 +68,9 @@
 // request. net/http's own shutdown begins only then: from its begin on, a request that it has read gets no response.
 func (n *Node) drainClients(machine lifecycle.Machine) {
 	n.clientListener.stopAccepting()
-	n.closeIdleConnections(machine)
+	n.startIdleCloser(machine)
 	for n.clientListener.connCount() > 0 && n.clock.Now() < machine.HardDeadline() {
-		time.Sleep(clientDrainPoll)
+		time.Sleep(clientDrainPollInterval)
 	}
 }
 
@@ -80,12 +80,12 @@
 		n.transition(lifecycle.InService)
 		return
 	}
-	n.closeIdleConnections(n.transition(lifecycle.OutOfService))
+	n.startIdleCloser(n.transition(lifecycle.OutOfService))
 }
 
-// closeIdleConnections starts a goroutine that closes idle client connections when the lifecycle says so. It ends when
+// startIdleCloser starts a goroutine that closes idle client connections when the lifecycle says so. It ends when
 // the node's lifecycle is no longer at machine, or the node has stopped.
-func (n *Node) closeIdleConnections(machine lifecycle.Machine) {
+func (n *Node) startIdleCloser(machine lifecycle.Machine) {
 	n.idleClosers.Go(func() {
 		tick := time.NewTicker(idleCloseInterval)
 		defer tick.Stop()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,7 +14,7 @@
 
 // Told to stop, a node accepts what still comes while the load balancer in front of it notices, answers what is open and
 // ends without an error. A listener closed at once would reset connections of clients.
-func TestShutdownLosesNothing(t *testing.T) {
+func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
@@ -57,26 +57,26 @@
 }
 
 const (
-	// acceptsUntilLeft is for how much longer than it accepts connections a node that shuts down answers.
-	acceptsUntilLeft = 600 * time.Millisecond
+	// acceptEndToHardDeadline is for how much longer than it accepts connections a node that shuts down answers.
+	acceptEndToHardDeadline = 600 * time.Millisecond
 
-	// maxLatePlays is how often a test may come too late for the stage of a shutdown that it is about.
-	maxLatePlays = 8
+	// maxLateRuns is how often a test may come too late for the stage of a shutdown that it is about.
+	maxLateRuns = 8
 )
 
-// inTime plays a part of a shutdown, and plays it again where the test itself came too late for it, on a busy machine.
-func inTime(t *testing.T, play func(t *testing.T) (late bool)) {
+// retryIfLate plays a part of a shutdown, and plays it again where the test itself came too late for it, on a busy machine.
+func retryIfLate(t *testing.T, run func(t *testing.T) (late bool)) {
 	t.Helper()
-	for range maxLatePlays {
-		if !play(t) {
+	for range maxLateRuns {
+		if !run(t) {
 			return
 		}
 	}
-	t.Fatalf("the test came too late %d times: the machine is too busy", maxLatePlays)
+	t.Fatalf("the test came too late %d times: the machine is too busy", maxLateRuns)
 }
 
-// isPast reports whether a time before the end of a node's shutdown has passed, and logs by how much.
-func isPast(t *testing.T, n *testNode, left time.Duration) bool {
+// stageEnded reports whether a time before the end of a node's shutdown has passed, and logs by how much.
+func stageEnded(t *testing.T, n *testNode, left time.Duration) bool {
 	t.Helper()
 	late := n.clock.Now() - (n.lifecycle.Load().HardDeadline() - left)
 	t.Logf("%v after the end of its stage", late)
@@ -86,16 +86,16 @@
 // net/http drops a request that it reads while its own shutdown is on: its client sees a close and cannot know whether it ran.
 // A request that has begun when the node takes no more connections is answered.
 func TestRequestBegunBeforeLastAcceptIsAnswered(t *testing.T) {
-	inTime(t, playRequestBegunBeforeLastAccept)
+	retryIfLate(t, runRequestBegunBeforeLastAccept)
 }
 
-func playRequestBegunBeforeLastAccept(t *testing.T) (late bool) {
+func runRequestBegunBeforeLastAccept(t *testing.T) (late bool) {
 	n := start(t, configWith(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	address := strings.TrimPrefix(n.url, "http://")
 	n.stop()
 	eventually(t, "responses close their connections", func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) })
 	c, err := net.Dial("tcp", address)
-	if err != nil && isPast(t, n, acceptsUntilLeft) {
+	if err != nil && stageEnded(t, n, acceptEndToHardDeadline) {
 		return true
 	}
 	if err != nil {
@@ -114,7 +114,7 @@
 		return err != nil
 	})
 	_, err = io.WriteString(c, "X-Call-Id: 1\r\nX-Call-Class: unsafe\r\nX-Budget: 1000m\r\nContent-Length: 0\r\n\r\n")
-	late = isPast(t, n, 0)
+	late = stageEnded(t, n, 0)
 	if err != nil && late {
 		return true
 	}
@@ -137,14 +137,14 @@
 
 // A client sends two requests at once to a node that shuts down, whose responses close their connections by then. The second
 // one has been read with the first: it is answered too, and its response closes the connection.
-func TestPipelinedRequestsAreAnsweredInShutdown(t *testing.T) { inTime(t, playPipelinedInShutdown) }
+func TestPipelinedRequestsAreAnsweredInShutdown(t *testing.T) { retryIfLate(t, runPipelinedInShutdown) }
 
-func playPipelinedInShutdown(t *testing.T) (late bool) {
+func runPipelinedInShutdown(t *testing.T) (late bool) {
 	n := start(t, configWith(t, newBackend(t, respondOK)), func(n *Node) { n.maxCountedDeadline = maxCountedDeadline })
 	n.stop()
 	eventually(t, "responses close their connections", func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) })
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
-	if err != nil && isPast(t, n, acceptsUntilLeft) {
+	if err != nil && stageEnded(t, n, acceptEndToHardDeadline) {
 		return true
 	}
 	if err != nil {
@@ -225,29 +225,29 @@
 // A client gives its request an hour, and the node is told to stop. The request must be answered before SIGKILL comes: else
 // its client would not know that it may have run.
 func TestLongBudgetOnSIGTERM(t *testing.T) {
-	came := make(chan struct{})
-	addr := rawServer(t, func(c *net.TCPConn) { readWholeRequest(c); close(came); io.Copy(io.Discard, c) })
+	received := make(chan struct{})
+	addr := rawServer(t, func(c *net.TCPConn) { readWholeRequest(c); close(received); io.Copy(io.Discard, c) })
 	cfg := testConfig(t, "pushed", inService("s-0", addr))
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 300*time.Millisecond, time.Second
 	}
 	n := start(t, cfg)
-	got := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		r := newRequest(t, n.url, "unsafe", "1", "x")
 		r.Header.Set("X-Budget", "3600000m")
 		resp, err := http.DefaultClient.Do(r)
 		if err != nil {
-			got <- err.Error()
+			result <- err.Error()
 			return
 		}
 		resp.Body.Close()
-		got <- resp.Status
+		result <- resp.Status
 	}()
-	<-came
+	<-received
 	n.stop()
-	if status := <-got; status != "502 Bad Gateway" {
+	if status := <-result; status != "502 Bad Gateway" {
 		t.Errorf("it got %q", status)
 	}
 	stopAndCheckIdle(t, n)
--- a/internal/node/suspicion_test.go
+++ b/internal/node/suspicion_test.go
@@ -31,7 +31,7 @@
 	first := make(chan engine.Result)
 	go func() { first <- p.runAttempt(att) }()
 	eventually(t, "the first request is out", func() bool { return b.requests() == 1 })
-	if r := p.runAttempt(again(att)); r.Outcome != balancer.Success {
+	if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Success {
 		t.Fatalf("ended %v", r.Outcome)
 	}
 	if r := <-first; r.Outcome != balancer.Success {
@@ -47,14 +47,14 @@
 	return len(p.conns)
 }
 
-// letTimePass has all idle connections of a target be idle for so much longer.
-func letTimePass(p *connPool, target *engine.Target, span time.Duration) {
+// ageIdleConns has all idle connections of a target be idle for so much longer.
+func ageIdleConns(p *connPool, target *engine.Target, span time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idleByTarget[target] {
 		c.releasedAt -= span
 		c.reusableAt -= span
-		c.provenAt -= span
+		c.safeAt -= span
 	}
 }
 
@@ -67,7 +67,7 @@
 	eventually(t, "its connection is closed", func() bool { return openConns(p) == 1 })
 	send := func(accepted int) {
 		t.Helper()
-		if r := p.runAttempt(again(att)); r.Outcome != balancer.Success || r.ClosedBy != "" {
+		if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Success || r.ClosedBy != "" {
 			t.Errorf("ended %v, closed by %q", r.Outcome, r.ClosedBy)
 		}
 		if n := b.accepted(); n != accepted {
@@ -76,28 +76,28 @@
 	}
 	send(3) // the second one may not be reused yet
 	send(4) // nor may the third one
-	letTimePass(p, att.Target, suspectReuseDelay-maxSecondResponseDelay)
+	ageIdleConns(p, att.Target, suspectReuseDelay-maxSecondResponseDelay)
 	send(5)
-	letTimePass(p, att.Target, maxSecondResponseDelay)
+	ageIdleConns(p, att.Target, maxSecondResponseDelay)
 	send(5)
 	p.mu.Lock()
 	p.historyOf(att.Target).suspectedUntil = p.clock.Now() // the time is over
 	p.mu.Unlock()
 	send(5)
-	letTimePass(p, att.Target, minReuseDelay)
+	ageIdleConns(p, att.Target, minReuseDelay)
 	send(5)
 }
 
 // A late second answer of a server under suspicion meets an idle connection, which is closed.
-func TestLateSecondAnswerUnderSuspicion(t *testing.T) {
+func TestLateSecondResponseUnderSuspicion(t *testing.T) {
 	p := testPool(t)
 	att, b, serverEnds := twoIdleConns(t, p)
 	respond(<-serverEnds, "200 OK", "stray")
 	eventually(t, "its connection is closed", func() bool { return openConns(p) == 1 })
-	letTimePass(p, att.Target, maxSecondResponseDelay)
+	ageIdleConns(p, att.Target, maxSecondResponseDelay)
 	respond(<-serverEnds, "200 OK", "stray")
 	eventually(t, "the other one is closed", func() bool { return openConns(p) == 0 })
-	if r := p.runAttempt(again(att)); r.Outcome != balancer.Success || responseBody(r) != "done" {
+	if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Success || responseBody(r) != "done" {
 		t.Errorf("ended %v", r.Outcome)
 	}
 	if n := b.accepted(); n != 3 {
@@ -109,10 +109,10 @@
 func TestSuspicionBetweenAcquireAndWrite(t *testing.T) {
 	p := testPool(t)
 	att, _, serverEnds := twoIdleConns(t, p)
-	letTimePass(p, att.Target, maxSecondResponseDelay)
+	ageIdleConns(p, att.Target, maxSecondResponseDelay)
 	p.mu.Lock()
-	c, _ := p.acquireIdle(again(att), time.Now().Add(time.Minute)) // the one that was used last
-	other := newest(p.idleByTarget[att.Target])
+	c, _ := p.acquireIdle(nextAttempt(att), time.Now().Add(time.Minute)) // the one that was used last
+	other := mostRecentlyUsed(p.idleByTarget[att.Target])
 	p.mu.Unlock()
 	for range 2 {
 		if end := <-serverEnds; end.RemoteAddr().String() == other.LocalAddr().String() {
@@ -120,7 +120,7 @@
 		}
 	}
 	eventually(t, "the other connection is closed", func() bool { return openConns(p) == 1 })
-	if p.markRequestSent(c) {
+	if p.beginRequest(c) {
 		t.Error("a request would be written")
 	}
 	if openConns(p) != 0 || c.closeReason != closedForSuspicion {
@@ -130,7 +130,7 @@
 
 // Bytes in one piece with a response close its connection, and no other: servers that give a wrong length are no reason to
 // connect for each request.
-func TestBytesWithAResponseAreNoReasonForSuspicion(t *testing.T) {
+func TestBytesReadWithResponseRaiseNoSuspicion(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nlonger")
@@ -144,8 +144,8 @@
 		if r := p.runAttempt(att); r.Outcome != balancer.Success || r.ClosedBy != string(closed) {
 			t.Errorf("ended %v, closed by %q, want %q", r.Outcome, r.ClosedBy, closed)
 		}
-		letTimePass(p, att.Target, maxSecondResponseDelay) // or it may not be reused at all
-		att = again(att)
+		ageIdleConns(p, att.Target, maxSecondResponseDelay) // or it may not be reused at all
+		att = nextAttempt(att)
 	}
 	if n := b.accepted(); n != 2 {
 		t.Errorf("%d connections for three requests, want 2", n)
@@ -154,7 +154,7 @@
 
 // A marked rejection says that a request did not run. On a connection that had been used before its server came under
 // suspicion it may be that of the request before, and this one would run twice.
-func TestRejectionUnderSuspicionIsNoProof(t *testing.T) {
+func TestRejectionUnderSuspicionCountsAsFailure(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
@@ -167,21 +167,21 @@
 	att := testAttempt(p, b.addr(), time.Minute)
 	usedConn(t, p, att)
 	ended := make(chan engine.Result)
-	go func() { ended <- p.runAttempt(again(att)) }()
+	go func() { ended <- p.runAttempt(nextAttempt(att)) }()
 	eventually(t, "the second request is out", func() bool { return b.requests() == 2 })
 	p.mu.Lock()
-	p.historyOf(att.Target).suspectedUntil = p.clock.Now() + suspicionTime
+	p.historyOf(att.Target).suspectedUntil = p.clock.Now() + suspicionDuration
 	p.mu.Unlock()
 	close(release)
 	if r := <-ended; r.Outcome != balancer.Failure || r.Ground != engine.GroundDoubt {
 		t.Errorf("ended %v (%s), want Failure", r.Outcome, r.Ground)
 	}
 	// On a new connection nothing else can have been on its way, and on one that has been idle for long it would have come.
-	if r := p.runAttempt(again(att)); r.Outcome != balancer.Overloaded {
+	if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Overloaded {
 		t.Errorf("ended %v, want Overloaded", r.Outcome)
 	}
-	letTimePass(p, att.Target, suspectReuseDelay)
-	if r := p.runAttempt(again(att)); r.Outcome != balancer.Overloaded || r.ConnectionUses < 2 {
+	ageIdleConns(p, att.Target, suspectReuseDelay)
+	if r := p.runAttempt(nextAttempt(att)); r.Outcome != balancer.Overloaded || r.ConnectionUses < 2 {
 		t.Errorf("ended %v on use %d, want Overloaded on one that is reused", r.Outcome, r.ConnectionUses)
 	}
 	if n := b.accepted(); n != 2 {
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -29,7 +29,7 @@
 // Why there is no response to read.
 var (
 	errMalformedResponse = errors.New("response too long or malformed")         // or its end can't be trusted
-	errUnasked           = errors.New("the server sent bytes nobody asked for") // on a connection without a request
+	errUnsolicitedBytes  = errors.New("the server sent bytes nobody asked for") // on a connection without a request
 	errNothingToRead     = errors.New("nothing to read yet")                    // the connection is open and silent
 )
 
@@ -52,19 +52,19 @@
 	idleBefore              time.Duration // how long it was idle before the last of them
 
 	// Guarded by pool.mu.
-	idleElement *list.Element // in pool.idle; nil: in use
-	requestSent bool          // a request is on its way, and its response has not been read
-	hasAnswered bool          // a response has come since it was idle last
-	deadline    time.Time     // of what it now waits for
-	closed      bool
-	closeReason closeReason
+	idleElement      *list.Element // in pool.idle; nil: in use
+	requestPending   bool          // a request is on its way, and its response has not been read
+	responseReceived bool          // a response has come since it was idle last
+	deadline         time.Time     // of what it now waits for
+	closed           bool
+	closeReason      closeReason
 
 	// Guarded by pool.mu; clock times.
 	sentAt          time.Duration // of the last request; of one that is streamed, of its last byte
 	requestDeadline time.Duration // of the last request, at its client
-	answeredAt      time.Duration // when its response had been read, as far as it is buffered
+	responseReadAt  time.Duration // when its response had been read, as far as it is buffered
 	reusableAt      time.Duration // when it may carry the next request
-	provenAt        time.Duration // when it counts as proven
+	safeAt          time.Duration // when it counts as proven
 }
 
 // upstreamResponse is what came back on a connection: a response, or the reason that there is none.
@@ -74,7 +74,7 @@
 	stream *responseStream // the rest of a body that is not buffered; nil: body is all of it
 	err    error
 
-	unaskedBytes bool // more came behind it in the same read: the connection can't be used again
+	unsolicitedBytes bool // more came behind it in the same read: the connection can't be used again
 }
 
 // readLoop reads responses, hands each to the attempt that waits for it, and ends with the connection. It closes a
@@ -90,7 +90,7 @@
 		if err == nil {
 			response = c.readResponse()
 			if response.err != nil {
-				c.pool.close(c, c.reasonOf(response.err))
+				c.pool.close(c, c.closeReasonFor(response.err))
 			}
 			c.pool.endRequest(c)
 		}
@@ -114,26 +114,26 @@
 		c.pool.mu.Lock()
 		idle = c.idleElement != nil
 		// The idle timeout may run out just as an attempt takes the connection, which has set a later deadline.
-		metOldDeadline := !idle && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.deadline)
+		deadlineReplaced := !idle && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(c.deadline)
 		switch {
-		case metOldDeadline:
-		case err == nil && !c.requestSent:
-			err = errUnasked
+		case deadlineReplaced:
+		case err == nil && !c.requestPending:
+			err = errUnsolicitedBytes
 			c.pool.suspectServer(c)
 		case err != nil:
-			c.pool.closeLocked(c, c.reasonOf(err))
+			c.pool.closeLocked(c, c.closeReasonFor(err))
 		}
 		c.pool.mu.Unlock()
-		if !metOldDeadline {
+		if !deadlineReplaced {
 			return idle, err
 		}
 	}
 }
 
-// reasonOf is why a connection is closed whose reading failed with an error.
-func (c *upstreamConn) reasonOf(err error) closeReason {
+// closeReasonFor is why a connection is closed whose reading failed with an error.
+func (c *upstreamConn) closeReasonFor(err error) closeReason {
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.uses > 0 && !c.requestSent:
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.uses > 0 && !c.requestPending:
 		return closedForIdleTime
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return closedAtDeadline
@@ -147,21 +147,21 @@
 // connection, os.ErrDeadlineExceeded, or the system's.
 func (c *upstreamConn) waitReadable() (err error) {
 	rawErr := c.raw.Read(func(fd uintptr) bool {
-		err = peek(fd)
+		err = peekDescriptor(fd)
 		return !errors.Is(err, errNothingToRead)
 	})
 	return cmp.Or(rawErr, err)
 }
 
-// look says what there is to read, without waiting: nil for bytes, errNothingToRead, io.EOF for the end of the connection,
+// peek says what there is to read, without waiting: nil for bytes, errNothingToRead, io.EOF for the end of the connection,
 // or the system's error.
-func (c *upstreamConn) look() (err error) {
-	controlErr := c.raw.Control(func(fd uintptr) { err = peek(fd) })
+func (c *upstreamConn) peek() (err error) {
+	controlErr := c.raw.Control(func(fd uintptr) { err = peekDescriptor(fd) })
 	return cmp.Or(controlErr, err)
 }
 
-// peek is look at a descriptor.
-func peek(fd uintptr) error {
+// peekDescriptor is look at a descriptor.
+func peekDescriptor(fd uintptr) error {
 	var first [1]byte
 	for {
 		n, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -202,7 +202,7 @@
 		case head.StatusCode < 100 || head.ContentLength > maxStreamedResponse:
 			return &upstreamResponse{err: errMalformedResponse}
 		case head.ContentLength > int64(c.pool.bufferLimit):
-			return c.beginLargeResponse(head, make([]byte, streamChunk))
+			return c.beginStreamedResponse(head, make([]byte, streamChunk))
 		}
 		return c.readBufferedResponse(head)
 	}
@@ -220,13 +220,13 @@
 		c.bytesAllowed = maxStreamedResponse
 		return &upstreamResponse{head: head, body: body, stream: newResponseStream(c, head.Body)}
 	}
-	unasked := c.reader.Buffered() > 0
-	head.Close = head.Close || unasked
-	return &upstreamResponse{head: head, body: body, err: err, unaskedBytes: unasked}
+	unsolicited := c.reader.Buffered() > 0
+	head.Close = head.Close || unsolicited
+	return &upstreamResponse{head: head, body: body, err: err, unsolicitedBytes: unsolicited}
 }
 
-// beginLargeResponse is a response that is streamed from its first bytes, which are read into buf.
-func (c *upstreamConn) beginLargeResponse(head *http.Response, buf []byte) *upstreamResponse {
+// beginStreamedResponse is a response that is streamed from its first bytes, which are read into buf.
+func (c *upstreamConn) beginStreamedResponse(head *http.Response, buf []byte) *upstreamResponse {
 	n, err := head.Body.Read(buf)
 	if err != nil && n == 0 {
 		return &upstreamResponse{err: err}
--- a/internal/node/upstreamfaults_test.go
+++ b/internal/node/upstreamfaults_test.go
@@ -18,7 +18,7 @@
 
 // Servers fail in every way that a socket shows. Each request gets one final answer, a non-idempotent one runs at most once,
 // and only what never ran is rejected: a client sends a rejected request again.
-func TestOneAnswerEachUnderFaults(t *testing.T) {
+func TestOneAnswerPerRequestUnderFaults(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{} // by id: how often a server may have run it
 	faulty := func(n int, c net.Conn, r *http.Request) bool {
@@ -91,7 +91,7 @@
 }
 
 // A server is silent. Its requests are answered at their deadline all the same, and their connections closed.
-func TestSilentServerEndsAtTheDeadline(t *testing.T) {
+func TestSilentServerTimesOutAtDeadline(t *testing.T) {
 	left := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.Copy(io.Discard, c)
@@ -121,24 +121,24 @@
 // A server closes or resets its connection at each moment of a request. What may have run is answered as failed and not
 // retried, what can't have run is rejected with a Retry-After, and nothing stays in flight: a count that leaked would keep
 // the server from getting its share for good.
-func TestServerClosesAtEachMoment(t *testing.T) {
-	may, never := []balancer.Outcome{balancer.ConnectionLost}, []balancer.Outcome{balancer.ConnectionLost, balancer.Unreachable}
+func TestServerClosesAtEachStage(t *testing.T) {
+	sent, maybeUnsent := []balancer.Outcome{balancer.ConnectionLost}, []balancer.Outcome{balancer.ConnectionLost, balancer.Unreachable}
 	for name, tc := range map[string]struct {
 		serve func(c *net.TCPConn)
 		want  []balancer.Outcome
 	}{
 		// What the node has written by then is up to the kernel: it may know of the end, or learn of it after its last byte.
-		"reset before the first byte":  {resetConn, never},
-		"closed before the first byte": {func(*net.TCPConn) {}, never},
-		"reset between request bytes":  {func(c *net.TCPConn) { io.ReadFull(c, make([]byte, 40)); resetConn(c) }, never},
-		"half closed, and silent":      {func(c *net.TCPConn) { c.CloseWrite(); io.Copy(io.Discard, c) }, never},
-		"reset after the last byte":    {func(c *net.TCPConn) { readWholeRequest(c); resetConn(c) }, may},
-		"closed after the last byte":   {func(c *net.TCPConn) { readWholeRequest(c) }, may},
-		"closed mid-header":            {func(c *net.TCPConn) { readWholeRequest(c); io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le") }, may},
+		"reset before the first byte":  {resetConn, maybeUnsent},
+		"closed before the first byte": {func(*net.TCPConn) {}, maybeUnsent},
+		"reset between request bytes":  {func(c *net.TCPConn) { io.ReadFull(c, make([]byte, 40)); resetConn(c) }, maybeUnsent},
+		"half closed, and silent":      {func(c *net.TCPConn) { c.CloseWrite(); io.Copy(io.Discard, c) }, maybeUnsent},
+		"reset after the last byte":    {func(c *net.TCPConn) { readWholeRequest(c); resetConn(c) }, sent},
+		"closed after the last byte":   {func(c *net.TCPConn) { readWholeRequest(c) }, sent},
+		"closed mid-header":            {func(c *net.TCPConn) { readWholeRequest(c); io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le") }, sent},
 		"closed mid-body": {func(c *net.TCPConn) {
 			readWholeRequest(c)
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
-		}, may},
+		}, sent},
 		"closed behind its response": {func(c *net.TCPConn) {
 			readWholeRequest(c)
 			respond(c, "200 OK", "done")
@@ -181,10 +181,10 @@
 // A server drains, moves and starts anew while a request is out at it. The attempt stays in flight until it ends, and no
 // longer, and the new process gets requests meanwhile.
 func TestServerChangesDuringRequest(t *testing.T) {
-	came, end := make(chan struct{}), make(chan struct{})
+	received, end := make(chan struct{}), make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Call-Id") == "held" {
-			close(came)
+			close(received)
 			<-end
 			return false // reset under it
 		}
@@ -197,7 +197,7 @@
 		status, _, _ := sendRequest(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		held <- status
 	}()
-	<-came
+	<-received
 	moved := inService("s-0", other.addr())
 	moved.StartedAtMillis = 1000
 	for _, h := range []discoveryapi.Endpoint{{ID: "s-0", Health: "terminating"}, {ID: "s-0", Health: "terminated"}, inService("s-0", b.addr()), moved} {
