--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -160,6 +160,8 @@
 	return 0, a.resultWithError(outcome, engine.GroundNotWritten, err)
 }
 
+// writeStreamed writes a request whose body is streamed, then sets the deadline of its response, which is measured from
+// the last byte.
 func (a *attemptRun) writeStreamed() error {
 	began := a.pool.clock.Now()
 	defer a.attempt.Sent(began, noAnnouncedTimeout)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,13 +19,13 @@
 // Config is the configuration that the platform gives a node at its start.
 type Config struct {
 	Name          string
-	Listen        string // HOST:PORT that clients connect to
-	Discovery     string // HOST:PORT of discovery
-	AdminAddress  string // HOST:PORT of the admin API; "": none
-	Seed          uint64 // for the balancer's random choices
-	Cores         float64
-	MemoryMB      int               // 0: no limit is set
-	Sockets       int               // descriptors; 0: no limit is set
+	Listen        string            // HOST:PORT that clients connect to
+	Discovery     string            // HOST:PORT of discovery
+	AdminAddress  string            // HOST:PORT of the admin API; "": none
+	Seed          uint64            // for the balancer's random choices
+	Cores         float64           // CPU limit; 0: none is set
+	MemoryMB      int               // memory limit; 0: none is set
+	Sockets       int               // limit on file descriptors; 0: none is set
 	BootstrapList discoveryapi.List // the servers as this node last knew them
 	Settings      balancer.Settings
 	Features      settings.File // optional features, from the settings file
@@ -58,7 +58,7 @@
 // Reasons why a configuration is invalid.
 var (
 	errNoConfigPath    = errors.New("configuration: the environment variable " + configPathVariable + " is empty: set it to the path of the file")
-	errOutOfRange      = errors.New("out of range")
+	errInvalidLimits   = fmt.Errorf("cores, memory_mb and sockets must not be negative, and sockets must be 0 or at least %d", minDescriptorLimit)
 	errNoSettings      = errors.New("settings are missing")
 	errUpstreamTimeout = errors.New("settings: limits.connect-timeout-ms and limits.conn-idle-ms must be above 0")
 )
@@ -118,7 +118,7 @@
 		return Config{}, &ConfigKeyError{"seed", err}
 	}
 	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minDescriptorLimit {
-		return Config{}, &ConfigKeyError{"limits", errOutOfRange}
+		return Config{}, &ConfigKeyError{"limits", errInvalidLimits}
 	}
 	if len(document.Settings) == 0 {
 		return Config{}, errNoSettings
@@ -135,7 +135,7 @@
 	return c, nil
 }
 
-// checkAddresses checks the form of the addresses.
+// checkAddresses checks that each address has the form HOST:PORT.
 func (c Config) checkAddresses() error {
 	addresses := []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}}
 	if c.AdminAddress != "" {
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -23,10 +23,10 @@
 
 // initialList gives the engine its first endpoint list.
 //
-// If discovery is polled, the first list is the bootstrap list. If discovery pushes, the node counts as knowing
-// discovery's state from its start on. The bootstrap list may contain servers that are draining or were replaced, and
+// If discovery is polled, the first list is the bootstrap list. If discovery pushes, the node is expected to respect
+// discovery's list from its start on. The bootstrap list may contain servers that are draining or were replaced, and
 // requests sent to them would break an invariant. So requests wait for the first update, which is merged into the
-// bootstrap list, or until pushedListWait or polledListWait has passed.
+// bootstrap list, or until the wait for it ends (polledListWait if discovery is unavailable, otherwise pushedListWait).
 type initialList struct {
 	mu      sync.Mutex
 	applied bool
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -140,7 +140,7 @@
 	a.Lines <- `{"seq":2,"hosts":[{"host":"s-1","dial":"` + draining.addr() + `","site":"z","health":"terminating"}]}`
 	for range cap(statuses) {
 		if status := <-statuses; status != http.StatusOK {
-			t.Errorf("answered %d", status)
+			t.Errorf("got status %d", status)
 		}
 	}
 	if draining.requests() != 0 || usable.requests() != cap(statuses) {
--- a/internal/node/lateresponse_test.go
+++ b/internal/node/lateresponse_test.go
@@ -72,7 +72,7 @@
 
 // serve responds to a request, and twice to the request number duplicated-1.
 func (c *lateResponseCase) serve(conn net.Conn, id string) bool {
-	number := -1 // of the requests that open the idle connections
+	number := -1 // for requests that only open the idle connections
 	fmt.Sscanf(id, "r-%d", &number)
 	work := c.initialTime
 	if number >= c.duplicated {
@@ -86,7 +86,7 @@
 	return written
 }
 
-// send sends a request and checks that it gets its own response.
+// send sends a request and checks that it gets its own response, or the second response to another request.
 func (c *lateResponseCase) send(t *testing.T, p *connPool, target *engine.Target, id string) {
 	att := testAttempt(p, target.Addr, 3*time.Second)
 	att.Target = target
--- a/internal/node/otherprocess.go
+++ b/internal/node/otherprocess.go
@@ -29,7 +29,7 @@
 	conn        *hotrestart.Conn // nil: there is no other process
 	isSuccessor bool             // the other process is the newer one
 	serving     bool             // the other process serves clients
-	closed      bool             // this process ends: none can take over from it any more
+	closed      bool             // this process is ending: no process can take over from it
 	synced      chan struct{}    // closed when all messages of the previous process have arrived; nil: this process took over from none
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -66,8 +66,8 @@
 
 // drainClients stops accepting connections and waits until all clients have disconnected, at most until the hard
 // deadline. Connections in use close with their next response, and idle connections as late as possible, so that only
-// this last close can coincide with a new request. The shutdown of net/http starts only after drainClients, because a
-// request that net/http reads after that gets no response.
+// this last close can coincide with a new request. The shutdown of net/http starts only after drainClients, because
+// requests that net/http reads during its shutdown get no response.
 func (n *Node) drainClients(machine lifecycle.Machine) {
 	n.clientListener.stopAccepting()
 	n.startIdleCloser(machine)
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -28,9 +28,9 @@
 
 // Reasons why there is no response.
 var (
-	errMalformedResponse = errors.New("response too long or malformed")    // or its end is uncertain
-	errUnsolicitedBytes  = errors.New("the server sent unsolicited bytes") // on a connection without a pending request
-	errNothingToRead     = errors.New("nothing to read yet")               // the connection is open
+	errMalformedResponse = errors.New("the server's response is too long or malformed") // or its end is uncertain
+	errUnsolicitedBytes  = errors.New("the server sent unsolicited bytes")              // on a connection without a pending request
+	errNothingToRead     = errors.New("no bytes to read yet")                           // the connection is open
 )
 
 // upstreamConn is a connection to a server. The comment of connPool lists its states.
@@ -42,7 +42,7 @@
 	number       uint64 // identifies the connection in the log; counts from 1 in each pool
 	pool         *connPool
 	target       *engine.Target
-	bytesAllowed int // that may still be read before the response is too long; used by readLoop only
+	bytesAllowed int // bytes of the current response that may still be read; used by readLoop only
 	reader       *bufio.Reader
 	responses    chan *upstreamResponse // receives one for each request
 
