--- a/internal/node/configcompat.go
+++ b/internal/node/configcompat.go
@@ -14,9 +14,7 @@
 	Key string // path of the key that is missing, or has a value of another JSON type
 }
 
-func (e *IncompatibleConfigError) Error() string {
-	return e.Key + " is missing or has a different type"
-}
+func (e *IncompatibleConfigError) Error() string { return e.Key + " is missing or of another type" }
 
 // optionalKeys are keys that a new file may lack although the old one has them.
 var optionalKeys = map[string]bool{"aim-stretch": true, "by-arrival": true, "bound-to": true, "confined-to": true}
