--- a/cmd/hookwalk/blackbox_test.go
+++ b/cmd/hookwalk/blackbox_test.go
@@ -12,8 +12,8 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// record keeps the history that TestRealNodesFromOutside plays, for the outside checker's own tests.
-var record = flag.String("record", "", "a file for the history")
+// recordPath keeps the history that TestRealNodesFromOutside plays, for the outside checker's own tests.
+var recordPath = flag.String("record", "", "a file for the history")
 
 // Nodes that break a rule may not know it. Real nodes on loopback, with every fault on real connections, keep the rules as
 // clients, servers and discovery observe them.
@@ -32,8 +32,8 @@
 	if _, _, err := w.Play(); err != nil {
 		t.Fatal(err)
 	}
-	if *record != "" {
-		if err := os.WriteFile(*record, text.Bytes(), 0o644); err != nil {
+	if *recordPath != "" {
+		if err := os.WriteFile(*recordPath, text.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -31,8 +31,8 @@
 const (
 	publishTimeout = 10 * time.Second // for an answer; an election of a leader may happen in between
 	statusTimeout  = 5 * time.Second  // for all controllers; those that are down must not hold up the report
-	// maxDocumentFile is how much of a document's file is read: one byte more than any controller takes.
-	maxDocumentFile = configapi.MaxDocumentBytes + 1
+	// maxDocumentRead is how much of a document's file is read: one byte more than any controller takes.
+	maxDocumentRead = configapi.MaxDocumentBytes + 1
 )
 
 type configPublish struct {
@@ -43,7 +43,7 @@
 }
 
 // Run publishes the document and prints its version.
-func (c configPublish) Run(s streams) error {
+func (c configPublish) Run(out streams) error {
 	document, err := readDocumentFile(c.File)
 	if err != nil {
 		return err
@@ -60,16 +60,16 @@
 	client := configclient.New(c.Controllers)
 	reply, err := client.Publish(ctx, request)
 	if err != nil {
-		return publishFailure(err, c.File, request.ID)
+		return publishError(err, c.File, request.ID)
 	}
-	fmt.Fprintf(s.stdout, "version %d\n", reply.Version)
+	fmt.Fprintf(out.stdout, "version %d\n", reply.Version)
 	return nil
 }
 
-// publishFailure says what became of a request, and what to do.
-func publishFailure(err error, file, id string) error {
-	var refusal *configapi.Error
-	if errors.As(err, &refusal) && refusal.Kind == configapi.ErrorOutcomeUnknown {
+// publishError says what became of a request, and what to do.
+func publishError(err error, file, id string) error {
+	var apiError *configapi.Error
+	if errors.As(err, &apiError) && apiError.Kind == configapi.ErrorOutcomeUnknown {
 		return fmt.Errorf("config: %w; repeat it, which adds no second version: hookwalk config publish %s --id %s", err, file, id)
 	}
 	return fmt.Errorf("config: %w", err)
@@ -86,11 +86,11 @@
 		defer opened.Close()
 		file = opened
 	}
-	text, err := io.ReadAll(io.LimitReader(file, maxDocumentFile))
+	text, err := io.ReadAll(io.LimitReader(file, maxDocumentRead))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("config: %w", err)
-	case len(text) == maxDocumentFile:
+	case len(text) == maxDocumentRead:
 		return nil, fmt.Errorf("config: %s is over %d bytes, the most that a document may have", path, configapi.MaxDocumentBytes)
 	case !json.Valid(text):
 		return nil, fmt.Errorf("config: %s is not JSON", path)
@@ -112,13 +112,13 @@
 }
 
 // Run asks all controllers and prints what they know. The exit code is exitFailed unless the rollout is complete.
-func (c configStatus) Run(s streams) error {
+func (c configStatus) Run(out streams) error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	client := configclient.New(c.Controllers)
 	statuses := client.Status(ctx)
 	report := newStatusReport(statuses)
-	if err := report.print(s.stdout, c.JSON); err != nil {
+	if err := report.print(out.stdout, c.JSON); err != nil {
 		return err
 	}
 	if !report.Complete {
--- a/cmd/hookwalk/configwatch.go
+++ b/cmd/hookwalk/configwatch.go
@@ -32,34 +32,34 @@
 // versions and has persisted one that it can start with; else that of its own file. It waits for no controller, so that a
 // node starts while the control service is down.
 func prepareConfigWatch(cfg node.Config, log *slog.Logger) (node.Config, configSession, error) {
-	watch := cfg.Features.ConfigWatch
-	if watch == nil {
+	watchSettings := cfg.Features.ConfigWatch
+	if watchSettings == nil {
 		return cfg, configSession{}, nil
 	}
-	s := configSession{watch: watch, name: cfg.Name, seed: cfg.Seed, log: log}
-	if watch.Folder == "" {
-		return cfg, s, nil
+	session := configSession{watch: watchSettings, name: cfg.Name, seed: cfg.Seed, log: log}
+	if watchSettings.Folder == "" {
+		return cfg, session, nil
 	}
-	s.store = configwatch.NewStore(watch.Folder, cfg.Name, log)
-	lastKnownGood, err := s.store.Read()
+	session.store = configwatch.NewStore(watchSettings.Folder, cfg.Name, log)
+	lastKnownGood, err := session.store.Read()
 	if err != nil {
 		log.Warn("the node starts with its own configuration file", "err", err)
-		return cfg, s, nil
+		return cfg, session, nil
 	}
 	if lastKnownGood.Config == nil {
-		s.lastKnownGood = lastKnownGood
-		return cfg, s, nil
+		session.lastKnownGood = lastKnownGood
+		return cfg, session, nil
 	}
-	composed, err := cfg.WithOverride(overrideOf(*lastKnownGood.Config))
+	composed, err := cfg.WithOverride(overrideFromConfig(*lastKnownGood.Config))
 	if err != nil {
 		log.Warn("the node starts with its own configuration file: the last known good version can't be used with it",
 			"version", lastKnownGood.Version, "err", err)
-		s.lastKnownGood = configversion.LastKnownGood{Cluster: lastKnownGood.Cluster, Former: lastKnownGood.Former, Controllers: lastKnownGood.Controllers}
-		return cfg, s, nil
+		session.lastKnownGood = configversion.LastKnownGood{Cluster: lastKnownGood.Cluster, Former: lastKnownGood.Former, Controllers: lastKnownGood.Controllers}
+		return cfg, session, nil
 	}
 	log.Info("the node starts with its last known good version", "version", lastKnownGood.Version, "cluster", lastKnownGood.Cluster)
-	s.lastKnownGood = lastKnownGood
-	return composed, s, nil
+	session.lastKnownGood = lastKnownGood
+	return composed, session, nil
 }
 
 // start begins the session of a node, and returns what ends it.
@@ -83,8 +83,8 @@
 	return session.Close
 }
 
-// overrideOf is a published configuration as an override of the node's own.
-func overrideOf(config configapi.ServiceConfig) node.Override {
+// overrideFromConfig is a published configuration as an override of the node's own.
+func overrideFromConfig(config configapi.ServiceConfig) node.Override {
 	return node.Override{Settings: config.Settings, Discovery: config.Discovery}
 }
 
@@ -93,12 +93,12 @@
 
 // Apply does what SIGHUP does with a file that has these settings, after checks of the classes against the servers.
 func (a nodeApplier) Apply(ctx context.Context, config configapi.ServiceConfig) error {
-	return rejectionOf(a.node.Override(ctx, overrideOf(config), checkClasses))
+	return toRejection(a.node.Override(ctx, overrideFromConfig(config), checkClasses))
 }
 
-// rejectionOf turns an error of an override into the rejection that operators see. An error that says nothing of the
+// toRejection turns an error of an override into the rejection that operators see. An error that says nothing of the
 // configuration, because the node ends, stays as it is.
-func rejectionOf(err error) error {
+func toRejection(err error) error {
 	var rejection *configapi.Rejection
 	var unreadable *node.UnreadableOverrideError
 	switch {
@@ -114,19 +114,19 @@
 }
 
 // checkClasses rejects classes that the servers in service can't serve.
-func checkClasses(now, next []balancer.Class, servers []balancer.Server) error {
+func checkClasses(current, next []balancer.Class, servers []balancer.Server) error {
 	placements := make([]configversion.Server, len(servers))
 	for i, s := range servers {
 		placements[i] = configversion.Server{Zone: s.Zone, Kind: s.Kind}
 	}
-	if rejection := configversion.CheckClasses(classesOf(now), classesOf(next), placements); rejection != nil {
+	if rejection := configversion.CheckClasses(toVersionClasses(current), toVersionClasses(next), placements); rejection != nil {
 		return rejection
 	}
 	return nil
 }
 
-// classesOf is the part of classes that configversion judges.
-func classesOf(classes []balancer.Class) []configversion.Class {
+// toVersionClasses is the part of classes that configversion judges.
+func toVersionClasses(classes []balancer.Class) []configversion.Class {
 	out := make([]configversion.Class, len(classes))
 	for i, c := range classes {
 		out[i] = configversion.Class{Name: c.Name, Zones: c.AllowedZones, Kinds: c.AllowedKinds}
--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -145,7 +145,7 @@
 		c.Process.Kill()
 		c.Wait()
 	})
-	poll(t, "ready", func() bool {
+	waitFor(t, "ready", func() bool {
 		resp, err := http.Get("http://" + s.listen + "/ready")
 		if err != nil {
 			return false
@@ -156,8 +156,8 @@
 	return c, said
 }
 
-// poll waits until something that a process does has happened.
-func poll(t *testing.T, what string, holds func() bool) {
+// waitFor waits until something that a process does has happened.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -209,10 +209,10 @@
 }
 
 // wantClass wants requests of a class to be served, or the class to be unknown.
-func (s *versionedNode) wantClass(t *testing.T, class string, yes bool) {
+func (s *versionedNode) wantClass(t *testing.T, class string, known bool) {
 	t.Helper()
 	want := http.StatusBadRequest
-	if yes {
+	if known {
 		want = http.StatusOK
 	}
 	if got, _ := s.send(t, class); got != want {
@@ -301,7 +301,7 @@
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	poll(t, "the file read again", func() bool { return strings.Count(said.String(), `msg="configuration read again"`) == 3 })
+	waitFor(t, "the file read again", func() bool { return strings.Count(said.String(), `msg="configuration read again"`) == 3 })
 	s.wantClass(t, "last", true)
 	for _, want := range []string{`msg="configuration version" version=1 outcome=applied cluster=x`, "outcome=rejected kind=no_server", "kind=foreign"} {
 		if !strings.Contains(said.String(), want) {
@@ -310,7 +310,7 @@
 	}
 
 	store := configwatch.NewStore(s.folder, "n0", slog.New(slog.DiscardHandler))
-	poll(t, "the version on disk", func() bool {
+	waitFor(t, "the version on disk", func() bool {
 		stored, err := store.Read()
 		return err == nil && stored.Version == number
 	})
@@ -325,7 +325,7 @@
 }
 
 // A full or missing disk must not stop a rollout: a folder that can't be written costs the node nothing but a log line.
-func TestNodeFollowsVersionsWithoutADisk(t *testing.T) {
+func TestNodeFollowsVersionsWithoutDisk(t *testing.T) {
 	controller := newStubController(t)
 	s := newVersionedNode(t, controller.Listener.Addr().String())
 	if err := os.RemoveAll(s.folder); err != nil {
@@ -337,11 +337,11 @@
 		t.Errorf("it acknowledges %+v, %v", ack, ack.Rejection)
 	}
 	s.wantClass(t, "v1", true)
-	poll(t, "a line about the disk", func() bool { return strings.Contains(said.String(), `msg="configuration version not stored"`) })
+	waitFor(t, "a line about the disk", func() bool { return strings.Contains(said.String(), `msg="configuration version not stored"`) })
 }
 
 // A stored version that can't be read must not keep a node from starting: it starts with its own configuration file.
-func TestNodeStartsWithoutAGoodVersion(t *testing.T) {
+func TestNodeStartsWithUnreadableStoredVersion(t *testing.T) {
 	for name, damage := range map[string]func(t *testing.T, path string){
 		"truncated": func(t *testing.T, path string) {
 			if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
--- a/cmd/hookwalk/controller.go
+++ b/cmd/hookwalk/controller.go
@@ -23,12 +23,12 @@
 }
 
 // Run serves until SIGTERM.
-func (c controllerRun) Run(s streams) error {
+func (c controllerRun) Run(out streams) error {
 	config, err := controller.LoadConfig(c.File, c.Name)
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(s.stderr, nil))
+	log := slog.New(slog.NewTextHandler(out.stderr, nil))
 	service, err := controller.New(config, log)
 	if err != nil {
 		return err
--- a/cmd/hookwalk/drain_test.go
+++ b/cmd/hookwalk/drain_test.go
@@ -24,10 +24,10 @@
 	notifiedAfterAddressChange = 4 * time.Second        // and so long after a SIGHUP that names another address
 	drainGrace                 = 250 * time.Millisecond // that a node may still send to a draining server after it was notified
 
-	drainRate      = 100              // requests a second
-	loadAfterList  = 5 * time.Second  // that the load goes on after a list could be there
-	unansweredTime = 16 * time.Second // that it goes on after a drain where no list comes
-	pollTime       = 2 * time.Second  // of a poll that fails
+	drainRate            = 100              // requests a second
+	loadAfterListWritten = 5 * time.Second  // that the load goes on after a list could be there
+	unansweredLoadTime   = 16 * time.Second // that it goes on after a drain where no list comes
+	failedPollTime       = 2 * time.Second  // of a poll that fails
 )
 
 // drainConfig is the node's configuration; its arguments are discovery's address, the bootstrap list and discovery's mode.
@@ -42,13 +42,13 @@
 // must not rely on: it once went on sending to a server that had drained. It sends nothing to a server that began to drain
 // so long ago that the node counts as notified. Every request is answered, by a rejection with Retry-After while no list
 // can be relied on, and the node serves again with the next list.
-func TestNothingGoesToADrainedServerWithoutAList(t *testing.T) {
+func TestNoRequestsToDrainingServerWithoutFreshList(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
-		for _, callTime := range []time.Duration{3 * time.Second, 7 * time.Second} {
-			for _, moves := range []int{0, 3} {
-				t.Run(fmt.Sprintf("%s/%v a call/%d moves", mode, callTime, moves), func(t *testing.T) {
+		for _, pollDelay := range []time.Duration{3 * time.Second, 7 * time.Second} {
+			for _, addressChanges := range []int{0, 3} {
+				t.Run(fmt.Sprintf("%s/%v a call/%d moves", mode, pollDelay, addressChanges), func(t *testing.T) {
 					t.Parallel()
-					newDrainScenario(t, mode).run(t, callTime, moves)
+					newDrainScenario(t, mode).run(t, pollDelay, addressChanges)
 				})
 			}
 		}
@@ -62,12 +62,12 @@
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 	for _, mode := range []string{"on_request", "pushed"} {
-		for name, ends := range map[string][]func(http.ResponseWriter){
+		for name, outcomes := range map[string][]func(http.ResponseWriter){
 			"503": {reject}, "reset": {reset}, "503 and reset": {reject, reset}, "nothing": {}, "refused": nil,
 		} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				newDrainScenario(t, mode).runUnanswered(t, ends)
+				newDrainScenario(t, mode).runUnanswered(t, outcomes)
 			})
 		}
 	}
@@ -80,10 +80,10 @@
 	hosts         []map[string]any // as discovery lists them; the last one drains
 
 	mu             sync.Mutex
-	callTime       time.Duration // of a call
+	pollDelay      time.Duration // of a call
 	watchesStalled chan struct{} // closed: open watches deliver nothing any more
 	drainedAt      time.Time     // zero: not yet
-	newestAddress  string        // the address of discovery that is configured last
+	latestAddress  string        // the address of discovery that is configured last
 	listedAt       time.Time     // when a list with the drain was written there first
 
 	lateArrivals []time.Duration // of requests at the drained server, after the drain
@@ -120,20 +120,20 @@
 // ServeHTTP is discovery, at whichever address.
 func (p *drainScenario) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	callTime, silenced := p.callTime, p.watchesStalled
+	pollDelay, stalled := p.pollDelay, p.watchesStalled
 	p.mu.Unlock()
 	select {
-	case <-time.After(callTime):
+	case <-time.After(pollDelay):
 	case <-r.Context().Done():
 		return
 	}
-	w.Write(p.list(r.Host))
+	w.Write(p.listFor(r.Host))
 	w.(http.Flusher).Flush()
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
 	for {
 		select {
-		case <-silenced:
+		case <-stalled:
 			<-r.Context().Done()
 			return
 		case <-heartbeat.C:
@@ -145,14 +145,14 @@
 	}
 }
 
-// list is the complete list as it is now, as an address of discovery writes it.
-func (p *drainScenario) list(address string) []byte {
+// listFor is the complete listFor as it is now, as an address of discovery writes it.
+func (p *drainScenario) listFor(address string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := 1
 	if !p.drainedAt.IsZero() {
 		version = 2
-		if p.listedAt.IsZero() && address == p.newestAddress {
+		if p.listedAt.IsZero() && address == p.latestAddress {
 			p.listedAt = time.Now()
 		}
 	}
@@ -164,19 +164,19 @@
 }
 
 // drain has the last server drain, each call take a while from now on, and open watches stall.
-func (p *drainScenario) drain(callTime time.Duration) {
+func (p *drainScenario) drain(pollDelay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts[len(p.hosts)-1]["health"] = "terminating"
-	p.callTime, p.drainedAt = callTime, time.Now()
+	p.pollDelay, p.drainedAt = pollDelay, time.Now()
 	close(p.watchesStalled)
 	p.watchesStalled = make(chan struct{})
 }
 
 // run runs the scenario against a node under load.
-func (p *drainScenario) run(t *testing.T, callTime time.Duration, moves int) {
+func (p *drainScenario) run(t *testing.T, pollDelay time.Duration, addressChanges int) {
 	var addresses []string
-	for range moves + 1 {
+	for range addressChanges + 1 {
 		discovery := httptest.NewServer(p)
 		t.Cleanup(func() {
 			discovery.CloseClientConnections()
@@ -184,20 +184,20 @@
 		})
 		addresses = append(addresses, discovery.Listener.Addr().String())
 	}
-	if p.notifiedAfter = notifiedAfterChange; moves > 0 {
+	if p.notifiedAfter = notifiedAfterChange; addressChanges > 0 {
 		p.notifiedAfter = notifiedAfterAddressChange
 	}
-	p.newestAddress = addresses[moves]
-	known := p.list("")
+	p.latestAddress = addresses[addressChanges]
+	known := p.listFor("")
 	config := func(address string) string { return fmt.Sprintf(drainConfig, address, known, p.mode) }
-	c, url, ended := startDrainNode(t, config(addresses[0]))
+	c, url, stopNode := startDrainNode(t, config(addresses[0]))
 	path := strings.TrimPrefix(c.Env[len(c.Env)-1], "ROUTER_CONFIG=")
-	ctx, end := context.WithTimeout(t.Context(), time.Second+callTime+loadAfterList)
+	ctx, end := context.WithTimeout(t.Context(), time.Second+pollDelay+loadAfterListWritten)
 	defer end()
 	answered := p.load(ctx, url)
 	<-time.After(time.Second)
-	p.drain(callTime)
-	for i, wait := range []time.Duration{0, 400 * time.Millisecond, 600 * time.Millisecond}[:moves] {
+	p.drain(pollDelay)
+	for i, wait := range []time.Duration{0, 400 * time.Millisecond, 600 * time.Millisecond}[:addressChanges] {
 		<-time.After(wait)
 		if err := os.WriteFile(path, []byte(config(addresses[i+1])), 0o600); err != nil {
 			t.Fatal(err)
@@ -207,16 +207,16 @@
 		}
 	}
 	answered.Wait()
-	ended()
-	p.check(t, callTime)
+	stopNode()
+	p.check(t, pollDelay)
 }
 
 // runUnanswered runs the scenario against a node whose polls end in turn as given, without a list: never where none is given,
 // and by a refused connection where ends is nil.
-func (p *drainScenario) runUnanswered(t *testing.T, ends []func(http.ResponseWriter)) {
+func (p *drainScenario) runUnanswered(t *testing.T, outcomes []func(http.ResponseWriter)) {
 	address := "127.0.0.1:1" // refuses connections
-	if ends != nil {
-		discovery := httptest.NewServer(unansweredPolls(ends))
+	if outcomes != nil {
+		discovery := httptest.NewServer(discoveryWithoutLists(outcomes))
 		t.Cleanup(func() {
 			discovery.CloseClientConnections()
 			discovery.Close()
@@ -224,44 +224,44 @@
 		address = discovery.Listener.Addr().String()
 	}
 	p.notifiedAfter = notifiedAfterChange
-	_, url, ended := startDrainNode(t, fmt.Sprintf(drainConfig, address, p.list(""), p.mode))
-	ctx, end := context.WithTimeout(t.Context(), time.Second+unansweredTime)
+	_, url, stopNode := startDrainNode(t, fmt.Sprintf(drainConfig, address, p.listFor(""), p.mode))
+	ctx, end := context.WithTimeout(t.Context(), time.Second+unansweredLoadTime)
 	defer end()
 	answered := p.load(ctx, url)
 	<-time.After(time.Second)
 	p.drain(0)
 	answered.Wait()
-	ended()
+	stopNode()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ends == nil {
+	if outcomes == nil {
 		if n := p.statuses[http.StatusServiceUnavailable]; n > 0 || len(p.failures) > 0 {
 			t.Errorf("%d requests were rejected while discovery refused connections; failures: %q", n, p.failures)
 		}
 		return
 	}
-	p.checkAnswers(t)
+	p.checkResponses(t)
 	t.Logf("answers %v", p.statuses)
 }
 
-// unansweredPolls is a discovery whose polls end in turn as given, after a while; never where none is given.
-func unansweredPolls(ends []func(http.ResponseWriter)) http.Handler {
+// discoveryWithoutLists is a discovery whose polls end in turn as given, after a while; never where none is given.
+func discoveryWithoutLists(outcomes []func(http.ResponseWriter)) http.Handler {
 	var polls atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if len(ends) == 0 {
+		if len(outcomes) == 0 {
 			<-r.Context().Done()
 			return
 		}
 		select {
-		case <-time.After(pollTime):
-			ends[int(polls.Add(1))%len(ends)](w)
+		case <-time.After(failedPollTime):
+			outcomes[int(polls.Add(1))%len(outcomes)](w)
 		case <-r.Context().Done():
 		}
 	})
 }
 
 // startDrainNode starts a node and returns its address, and what ends it by SIGTERM.
-func startDrainNode(t *testing.T, config string) (c *exec.Cmd, url string, ended func()) {
+func startDrainNode(t *testing.T, config string) (c *exec.Cmd, url string, stop func()) {
 	c = programCommand(t, config)
 	lines, url := startServing(t, c)
 	logRead := make(chan struct{})
@@ -284,21 +284,21 @@
 // load sends requests at a steady rate until ctx ends, and returns what waits for the last answer.
 func (p *drainScenario) load(ctx context.Context, url string) *sync.WaitGroup {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: drainRate}}
-	var sending sync.WaitGroup
+	var inFlight sync.WaitGroup
 	var id atomic.Int64
-	sending.Go(func() {
+	inFlight.Go(func() {
 		tick := time.NewTicker(time.Second / drainRate)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				sending.Go(func() { p.send(client, url, id.Add(1)) })
+				inFlight.Go(func() { p.send(client, url, id.Add(1)) })
 			case <-ctx.Done():
 				return
 			}
 		}
 	})
-	return &sending
+	return &inFlight
 }
 
 // ask makes one request and notes how it was answered.
@@ -344,13 +344,13 @@
 }
 
 // check fails the test where a rule was broken.
-func (p *drainScenario) check(t *testing.T, callTime time.Duration) {
+func (p *drainScenario) check(t *testing.T, pollDelay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.checkAnswers(t)
+	p.checkResponses(t)
 	if p.listedAt.IsZero() {
 		t.Error("the list with the drain was never written")
-	} else if delay := p.listedAt.Sub(p.drainedAt); delay > callTime+4*time.Second {
+	} else if delay := p.listedAt.Sub(p.drainedAt); delay > pollDelay+4*time.Second {
 		t.Errorf("the list was written %v after the drain", delay)
 	}
 	if p.statuses[http.StatusOK] == 0 {
@@ -359,9 +359,9 @@
 	t.Logf("answers %v, list after %v", p.statuses, p.listedAt.Sub(p.drainedAt))
 }
 
-// checkAnswers fails the test where a request reached the drained server too late, or was answered wrongly. The caller holds
+// checkResponses fails the test where a request reached the drained server too late, or was answered wrongly. The caller holds
 // the lock.
-func (p *drainScenario) checkAnswers(t *testing.T) {
+func (p *drainScenario) checkResponses(t *testing.T) {
 	if n := len(p.lateArrivals); n > 0 {
 		t.Errorf("%d requests reached the drained server over %v after it began to drain, from %v to %v after",
 			n, p.notifiedAfter+drainGrace, p.lateArrivals[0], p.lateArrivals[n-1])
--- a/cmd/hookwalk/faultinjection.go
+++ b/cmd/hookwalk/faultinjection.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// drillTimeout is how long a node may take to answer.
-const drillTimeout = 5 * time.Second
+// drillStartTimeout is how long a node may take to answer.
+const drillStartTimeout = 5 * time.Second
 
 type drillStart struct {
 	File string `required:"" placeholder:"FILE" help:"The settings file that describes the drill."`
@@ -28,40 +28,40 @@
 }
 
 // Run starts a drill at a running node.
-func (c drillStart) Run(io streams) error {
-	f, err := settings.Load(c.File)
+func (c drillStart) Run(out streams) error {
+	file, err := settings.Load(c.File)
 	if err != nil {
 		return err
 	}
-	d, err := startable(f.FaultInjections, c.Name)
+	drill, err := findDrill(file.FaultInjections, c.Name)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), drillTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), drillStartTimeout)
 	defer cancel()
-	said, err := faultinjection.Start(ctx, c.Addr, d.Secret)
+	reply, err := faultinjection.Start(ctx, c.Addr, drill.Secret)
 	if err != nil {
-		return fmt.Errorf("drill %s: %w", d.Name, err)
+		return fmt.Errorf("drill %s: %w", drill.Name, err)
 	}
-	fmt.Fprintln(io.stdout, said)
+	fmt.Fprintln(out.stdout, reply)
 	return nil
 }
 
-// startable finds the drill of a name, which may be left out where there is just one.
-func startable(list []settings.FaultInjection, name string) (found settings.FaultInjection, err error) {
-	n := 0
-	for _, d := range list {
-		if name == "" || d.Name == name {
-			found = d
-			n++
+// findDrill finds the drill of a name, which may be left out where there is just one.
+func findDrill(drills []settings.FaultInjection, name string) (found settings.FaultInjection, err error) {
+	matches := 0
+	for _, drill := range drills {
+		if name == "" || drill.Name == name {
+			found = drill
+			matches++
 		}
 	}
 	switch {
-	case n == 0 && name != "":
+	case matches == 0 && name != "":
 		return found, fmt.Errorf("no drill %s", name)
-	case n == 0:
+	case matches == 0:
 		return found, errors.New("no drill")
-	case n > 1:
+	case matches > 1:
 		return found, errors.New("several drills: --name says which")
 	case found.Secret == "":
 		return found, fmt.Errorf("drill %s has no secret, so it can't be started", found.Name)
--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -17,8 +17,8 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// exitLate is the exit code of a play that the machine was too slow for: it says nothing of the program.
-const exitLate = 3
+// exitMachineTooSlow is the exit code of a play that the machine was too slow for: it says nothing of the program.
+const exitMachineTooSlow = 3
 
 type labFleet struct {
 	Play labFleetPlay `cmd:"" default:"withargs" help:"Play scenarios (the default)."`
@@ -34,7 +34,7 @@
 }
 
 // Run hunts. What it does goes to standard error, what it found to standard output.
-func (c labFleetHunt) Run(io streams) error {
+func (c labFleetHunt) Run(out streams) error {
 	s, err := scenario.Load(c.World)
 	if err != nil {
 		return err
@@ -48,14 +48,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	h := &fleet.Hunt{World: s, Seeds: c.Seeds, FirstSeed: c.First, Parallel: c.AtOnce, Folder: c.Output, WorldFile: c.World,
+	hunt := &fleet.Hunt{World: s, Seeds: c.Seeds, FirstSeed: c.First, Parallel: c.AtOnce, Folder: c.Output, WorldFile: c.World,
 		Options: fleet.Options{Program: []string{self}},
-		Logf:    func(format string, args ...any) { fmt.Fprintf(io.stderr, format, args...) }}
-	found, err := h.Run(ctx)
+		Logf:    func(format string, args ...any) { fmt.Fprintf(out.stderr, format, args...) }}
+	found, err := hunt.Run(ctx)
 	for _, f := range found {
-		fmt.Fprintf(io.stdout, "%s: %s, %d troubles\n", f.File, f.Reason, len(f.Faults))
+		fmt.Fprintf(out.stdout, "%s: %s, %d troubles\n", f.File, f.Reason, len(f.Faults))
 	}
-	fmt.Fprintf(io.stdout, "%d schedules, %d found\n", h.Played, len(found))
+	fmt.Fprintf(out.stdout, "%d schedules, %d found\n", hunt.Played, len(found))
 	switch {
 	case err != nil:
 		return fmt.Errorf("lab: %w", err)
@@ -86,7 +86,7 @@
 
 // Run plays fleets. The report goes to standard output. A play that the machine was too slow for is no verdict on the
 // program: it has an exit code of its own.
-func (c labFleetPlay) Run(io streams) error {
+func (c labFleetPlay) Run(out streams) error {
 	overrides, err := scenarioOverrides(c.Set)
 	if err != nil {
 		return err
@@ -101,11 +101,11 @@
 		}
 	}
 	if c.Table {
-		fleet.WriteTableHeader(io.stdout)
+		fleet.WriteTableHeader(out.stdout)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	run := fleetRun{command: c, io: io, options: options}
+	run := fleetRun{command: c, out: out, options: options}
 	for _, file := range c.Files {
 		s, err := scenario.Load(file, overrides...)
 		if err != nil {
@@ -149,13 +149,13 @@
 // fleetRun is the progress of one lab fleet command over its scenarios.
 type fleetRun struct {
 	command labFleetPlay
-	io      streams
+	out     streams
 	options fleet.Options
 
-	baselines fleet.Baseline // plays without faults, by scenario and seed
-	cells     []sweep.Cell
-	broken    int  // rules broken in all plays
-	late      bool // some play was slowed down by the machine
+	baselines      fleet.Baseline // plays without faults, by scenario and seed
+	cells          []sweep.Cell
+	violations     int  // rules broken in all plays
+	machineTooSlow bool // some play was slowed down by the machine
 }
 
 // play plays one scenario as often as the command says, and prints the result.
@@ -166,26 +166,26 @@
 		if baseline, err = r.baselines.Play(ctx, s, r.options); err != nil {
 			return fmt.Errorf("lab: without faults: %w", err)
 		}
-		r.late = r.late || baseline.Unreliable()
+		r.machineTooSlow = r.machineTooSlow || baseline.Unreliable()
 	}
-	var plays []*fleet.Result
+	var results []*fleet.Result
 	for range r.command.Plays {
-		played, err := fleet.Play(ctx, s, r.options)
+		result, err := fleet.Play(ctx, s, r.options)
 		if err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
-		plays = append(plays, played)
-		r.broken += len(played.Violations)
-		r.late = r.late || played.Unreliable()
+		results = append(results, result)
+		r.violations += len(result.Violations)
+		r.machineTooSlow = r.machineTooSlow || result.Unreliable()
 		if !r.command.Table {
-			played.Write(r.io.stdout, s, baseline)
+			result.Write(r.out.stdout, s, baseline)
 		}
-		r.printViolations(played)
+		r.printViolations(result)
 	}
 	if r.command.Table {
-		fleet.WriteTableRow(r.io.stdout, s, plays, baseline)
+		fleet.WriteTableRow(r.out.stdout, s, results, baseline)
 	}
-	r.cells = append(r.cells, fleet.Cells(s, plays, baseline)...)
+	r.cells = append(r.cells, fleet.Cells(s, results, baseline)...)
 	return nil
 }
 
@@ -197,9 +197,9 @@
 		}
 	}
 	switch {
-	case r.late:
-		return exitStatus(exitLate)
-	case r.broken > 0:
+	case r.machineTooSlow:
+		return exitStatus(exitMachineTooSlow)
+	case r.violations > 0:
 		return exitStatus(exitFailed)
 	}
 	return nil
@@ -210,28 +210,28 @@
 
 // printViolations prints which rules a play has broken. With a table, whose rows have the numbers, they go to standard
 // error.
-func (r *fleetRun) printViolations(p *fleet.Result) {
-	out := r.io.stdout
+func (r *fleetRun) printViolations(result *fleet.Result) {
+	writer := r.out.stdout
 	if r.command.Table {
-		out = r.io.stderr
+		writer = r.out.stderr
 	}
-	for _, v := range p.Violations[:min(len(p.Violations), maxPrintedViolations)] {
-		fmt.Fprintf(out, "violation: %v\n", v)
+	for _, v := range result.Violations[:min(len(result.Violations), maxPrintedViolations)] {
+		fmt.Fprintf(writer, "violation: %v\n", v)
 	}
-	if p.Unreliable() {
-		fmt.Fprintf(out, "rules          not judged: the rig itself was over %v late\n", fleet.MaxLateness)
+	if result.Unreliable() {
+		fmt.Fprintf(writer, "rules          not judged: the rig itself was over %v late\n", fleet.MaxLateness)
 	} else if !r.command.Table {
-		fmt.Fprintf(out, "rules broken   %d\n", len(p.Violations))
+		fmt.Fprintf(writer, "rules broken   %d\n", len(result.Violations))
 	}
-	if len(p.Violations) > 0 {
-		fmt.Fprintf(r.io.stderr, "histories, configurations and logs are in %s\n", p.Folder)
+	if len(result.Violations) > 0 {
+		fmt.Fprintf(r.out.stderr, "histories, configurations and logs are in %s\n", result.Folder)
 	}
 }
 
 type labPart struct{}
 
 // Run plays a part of a fleet's world, as its parent process says on standard input, until that ends.
-func (labPart) Run(io streams) error {
+func (labPart) Run(out streams) error {
 	signal.Ignore(os.Interrupt) // the parent has it too, and ends its parts
-	return loopback.ServeWorker(context.Background(), os.Stdin, io.stdout)
+	return loopback.ServeWorker(context.Background(), os.Stdin, out.stdout)
 }
--- a/cmd/hookwalk/fleet_test.go
+++ b/cmd/hookwalk/fleet_test.go
@@ -18,8 +18,8 @@
 
 const smallFleet = "../../lab/fleets/small.hcl"
 
-// processesIn are the IDs of the processes that have a folder as TMPDIR in their environment.
-func processesIn(t *testing.T, dir string) (pids []string) {
+// processesWithTempDir are the IDs of the processes that have a folder as TMPDIR in their environment.
+func processesWithTempDir(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	list, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
@@ -44,11 +44,11 @@
 	return dir
 }
 
-// awaitNoProcesses waits until no process of a folder is left.
-func awaitNoProcesses(t *testing.T, dir string) {
+// waitForNoProcesses waits until no process of a folder is left.
+func waitForNoProcesses(t *testing.T, dir string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		left := processesIn(t, dir)
+		left := processesWithTempDir(t, dir)
 		if len(left) == 0 {
 			return
 		}
@@ -61,7 +61,7 @@
 // Faults between processes, as of a network, are not met by nodes in one process. Twelve nodes and three kinds of stand-in,
 // each a process, with every kind of fault between them, keep the rules as observed from outside; afterwards no process
 // and no file is left.
-func TestFleetKeepsTheRules(t *testing.T) {
+func TestFleetBreaksNoRule(t *testing.T) {
 	s, err := scenario.Load(smallFleet)
 	if err != nil {
 		t.Fatal(err)
@@ -80,8 +80,8 @@
 		c := programCommand(t, "", "lab", "fleet", "--no-calm", smallFleet)
 		c.Env = append(c.Env, "TMPDIR="+dir)
 		code, said, warned := runToEnd(t, c)
-		awaitNoProcesses(t, dir)
-		if code == exitLate && attempt < 2 {
+		waitForNoProcesses(t, dir)
+		if code == exitMachineTooSlow && attempt < 2 {
 			t.Logf("the machine was too slow: %s", said)
 			continue
 		}
@@ -101,7 +101,7 @@
 // Processes that survive their rig load the machine and hold its ports. Whatever ends the parent, no child survives it, one
 // that is stopped included; a parent that gets SIGINT or SIGTERM leaves no folder either. A hunt that plays two schedules
 // at once is a parent too.
-func TestFleetDiesWithItsParent(t *testing.T) {
+func TestFleetProcessesEndWithParent(t *testing.T) {
 	for _, tc := range []struct {
 		sig syscall.Signal
 		two bool
@@ -126,12 +126,12 @@
 			c.Process.Kill()
 			<-ended
 		})
-		for end := time.Now().Add(60 * time.Second); len(processesIn(t, dir)) < processes; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(60 * time.Second); len(processesWithTempDir(t, dir)) < processes; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("only %d processes", len(processesIn(t, dir)))
+				t.Fatalf("only %d processes", len(processesWithTempDir(t, dir)))
 			}
 		}
-		for _, pid := range processesIn(t, dir)[:3] {
+		for _, pid := range processesWithTempDir(t, dir)[:3] {
 			if n, err := strconv.Atoi(pid); err == nil && n != c.Process.Pid {
 				syscall.Kill(n, syscall.SIGSTOP)
 			}
@@ -142,7 +142,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%v does not end it", tc.sig)
 		}
-		awaitNoProcesses(t, dir)
+		waitForNoProcesses(t, dir)
 		if tc.sig == syscall.SIGKILL {
 			continue
 		}
--- a/cmd/hookwalk/golden_test.go
+++ b/cmd/hookwalk/golden_test.go
@@ -68,7 +68,7 @@
 }
 
 // What the commands print and read as JSON is named by tags, so that a field's new name is not another form.
-func TestGoldenNamesAreTags(t *testing.T) {
+func TestGoldenFieldsAreTagged(t *testing.T) {
 	for _, form := range []reflect.Type{reflect.TypeFor[statusReport](), reflect.TypeFor[peersView]()} {
 		if untagged := goldentest.UntaggedFields(form); untagged != nil {
 			t.Errorf("%s: without a tag: %v", form, untagged)
@@ -79,7 +79,7 @@
 // A node claims a start number above the one that the build before has left on disk: its peers take a lower one for that
 // of an old process.
 func TestGoldenStartNumber(t *testing.T) {
-	file := &startFile{path: filepath.Join(t.TempDir(), "start"), owner: "node-1"}
+	file := &startNumberFile{path: filepath.Join(t.TempDir(), "start"), owner: "node-1"}
 	golden := bytes.TrimSpace(goldentest.Text(t, filepath.Join("testdata", "start.json")))
 	if err := state.Write(file.path, "node-1", golden); err != nil {
 		t.Fatal(err)
--- a/cmd/hookwalk/instantservers_test.go
+++ b/cmd/hookwalk/instantservers_test.go
@@ -49,17 +49,17 @@
 		for lines.Scan() {
 		}
 	}()
-	play := &secondAnswerPlay{runs: map[string][]string{}}
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	test := &secondResponseTest{runs: map[string][]string{}}
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var sending sync.WaitGroup
 	began := time.Now()
 	for number := range clients {
 		sending.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
-			for i := left.Add(-1); i >= 0; i = left.Add(-1) {
-				play.send(client, url, fmt.Sprintf("%d-%d", number, i), false)
+			for i := remaining.Add(-1); i >= 0; i = remaining.Add(-1) {
+				test.send(client, url, fmt.Sprintf("%d-%d", number, i), false)
 			}
 		})
 	}
@@ -74,6 +74,6 @@
 	cpu := node.ProcessState.UserTime() + node.ProcessState.SystemTime()
 	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N), "cpu-us/request")
 	b.ReportMetric(float64(connections.Load()), "connections")
-	b.ReportMetric(float64(play.served)/elapsed.Seconds(), "served/s")
-	b.ReportMetric(float64(play.served)/float64(b.N), "served-share")
+	b.ReportMetric(float64(test.served)/elapsed.Seconds(), "served/s")
+	b.ReportMetric(float64(test.served)/float64(b.N), "served-share")
 }
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -43,7 +43,7 @@
 
 // Run plays a scenario in virtual time. How long that took goes to standard error: the report is the same bytes
 // for the same seed.
-func (c labRun) Run(io streams) error {
+func (c labRun) Run(out streams) error {
 	s, err := scenario.Load(c.File)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 		s.Policy = c.Policy
 	}
 	if c.Sockets {
-		return runSockets(io, s)
+		return runOnLoopback(out, s)
 	}
 	w, err := simulation.New(s, policies.New)
 	if err != nil {
@@ -72,36 +72,36 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	began := time.Now()
-	result, auditor, err := w.Run(nil)
+	start := time.Now()
+	result, rules, err := w.Run(nil)
 	if err != nil {
 		return err
 	}
-	if err := result.Write(io.stdout); err != nil {
+	if err := result.Write(out.stdout); err != nil {
 		return err
 	}
-	took := time.Since(began)
-	fmt.Fprintf(io.stderr, "took %.2f s, %.0f events a second\n", took.Seconds(), float64(result.Events)/took.Seconds())
-	return verdict(io, auditor)
+	elapsed := time.Since(start)
+	fmt.Fprintf(out.stderr, "took %.2f s, %.0f events a second\n", elapsed.Seconds(), float64(result.Events)/elapsed.Seconds())
+	return reportViolations(out, rules)
 }
 
-// verdict names the rules that were broken.
-func verdict(io streams, auditor *checker.Checker) error {
-	for i, v := range auditor.Violations() {
+// reportViolations names the rules that were broken.
+func reportViolations(out streams, rules *checker.Checker) error {
+	for i, v := range rules.Violations() {
 		if i == maxPrintedViolations {
 			break
 		}
-		fmt.Fprintf(io.stdout, "violation: %v\n", v)
+		fmt.Fprintf(out.stdout, "violation: %v\n", v)
 	}
-	fmt.Fprintf(io.stdout, "rules broken   %d\n", auditor.Count())
-	if auditor.Count() > 0 {
+	fmt.Fprintf(out.stdout, "rules broken   %d\n", rules.Count())
+	if rules.Count() > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// upSockets brings a world up whose nodes are this program.
-func upSockets(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
+// startLoopbackWorld brings a world up whose nodes are this program.
+func startLoopbackWorld(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
@@ -114,25 +114,25 @@
 	return w, nil
 }
 
-func runSockets(io streams, s *scenario.Scenario) error {
+func runOnLoopback(out streams, s *scenario.Scenario) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startLoopbackWorld(ctx, s)
 	if err != nil {
 		return err
 	}
-	result, auditor, err := w.Play()
-	w.Down(err != nil || auditor.Count() > 0)
+	result, rules, err := w.Play()
+	w.Down(err != nil || rules.Count() > 0)
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := result.Write(io.stdout); err != nil {
+	if err := result.Write(out.stdout); err != nil {
 		return err
 	}
-	if auditor.Count() > 0 {
-		fmt.Fprintf(io.stderr, "the nodes' logs are in %s\n", w.Folder())
+	if rules.Count() > 0 {
+		fmt.Fprintf(out.stderr, "the nodes' logs are in %s\n", w.Folder())
 	}
-	return verdict(io, auditor)
+	return reportViolations(out, rules)
 }
 
 type labUp struct {
@@ -140,14 +140,14 @@
 }
 
 // Run holds a world up. Its troubles don't come; its clients are whoever asks.
-func (c labUp) Run(io streams) error {
+func (c labUp) Run(out streams) error {
 	s, err := scenario.Load(c.File)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startLoopbackWorld(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -157,8 +157,8 @@
 	if class.Effect != balancer.Idempotent {
 		method = " -X POST"
 	}
-	fmt.Fprintf(io.stdout, "%s is up: a node at http://%s, logs in %s; Ctrl-C ends it\n", s.Name, w.Addr(), w.Folder())
-	fmt.Fprintf(io.stdout, "curl -i%s -H 'X-Call-Id: a1' -H 'X-Call-Class: %s' -H 'X-Caller: %s' -H 'X-Budget: %dm' http://%s/api\n",
+	fmt.Fprintf(out.stdout, "%s is up: a node at http://%s, logs in %s; Ctrl-C ends it\n", s.Name, w.Addr(), w.Folder())
+	fmt.Fprintf(out.stdout, "curl -i%s -H 'X-Call-Id: a1' -H 'X-Call-Class: %s' -H 'X-Caller: %s' -H 'X-Budget: %dm' http://%s/api\n",
 		method, class.Name, s.Tenants[0].Name, class.Deadline.Milliseconds(), w.Addr())
 	<-ctx.Done()
 	return nil
@@ -178,9 +178,9 @@
 }
 
 // Run prints the tables.
-func (c labPaper) Run(io streams) error {
-	off, err := paper.Write(io.stdout, c.Runs, c.Seed)
-	if err == nil && off > 0 {
+func (c labPaper) Run(out streams) error {
+	differing, err := paper.Write(out.stdout, c.Runs, c.Seed)
+	if err == nil && differing > 0 {
 		return exitStatus(exitFailed)
 	}
 	return err
--- a/cmd/hookwalk/main.go
+++ b/cmd/hookwalk/main.go
@@ -69,14 +69,14 @@
 	// SIGHUP ends a process that does not catch it. A node may get one right after its start.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	os.Exit(command(os.Args[1:], streams{os.Stdout, os.Stderr, hangups}))
+	os.Exit(runCommandLine(os.Args[1:], streams{os.Stdout, os.Stderr, hangups}))
 }
 
-// command runs one command line and returns the exit code.
-func command(args []string, io streams) (code int) {
+// runCommandLine runs one runCommandLine line and returns the exit code.
+func runCommandLine(args []string, out streams) (code int) {
 	var line commandLine
 	var helpExit *int // set when kong has printed help
-	p, err := kong.New(&line, kong.Name("hookwalk"), kong.Writers(io.stdout, io.stderr),
+	p, err := kong.New(&line, kong.Name("hookwalk"), kong.Writers(out.stdout, out.stderr),
 		kong.Description("One load-balancer node, and the tools round it. Status 0: done, 1: failed, 2: called wrongly."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Exit(func(code int) {
@@ -85,17 +85,17 @@
 			}
 		}))
 	if err != nil {
-		return failed(io.stderr, err)
+		return printFailure(out.stderr, err)
 	}
 	ctx, err := p.Parse(args)
 	if helpExit != nil {
 		return *helpExit
 	}
 	if err != nil {
-		fmt.Fprintf(io.stderr, "hookwalk: %v\n", err)
+		fmt.Fprintf(out.stderr, "hookwalk: %v\n", err)
 		var parseErr *kong.ParseError
 		if errors.As(err, &parseErr) && parseErr.Context != nil {
-			p.Stdout = io.stderr
+			p.Stdout = out.stderr
 			_ = parseErr.Context.PrintUsage(true)
 		}
 		return exitUsage
@@ -104,36 +104,36 @@
 		signal.Reset(syscall.SIGHUP)
 	}
 	var status exitStatus
-	switch err := ctx.Run(io); {
+	switch err := ctx.Run(out); {
 	case err == nil:
 		return 0
 	case errors.As(err, &status):
 		return int(status)
 	default:
-		return failed(io.stderr, err)
+		return printFailure(out.stderr, err)
 	}
 }
 
-// failed prints in one line why a command could not do its work.
-func failed(stderr io.Writer, err error) (code int) {
+// printFailure prints in one line why a command could not do its work.
+func printFailure(stderr io.Writer, err error) (code int) {
 	fmt.Fprintf(stderr, "hookwalk: %v\n", err)
 	return exitFailed
 }
 
 // Run runs a node until it is told to end.
-func (c runCommand) Run(io streams) error { return runNode(io.hangups, c.Settings) }
+func (c runCommand) Run(out streams) error { return runNode(out.hangups, c.Settings) }
 
 // Run reports whether a settings file can be used. What only a node knows, such as its classes, it can't check.
-func (c checkCommand) Run(io streams) error {
+func (c checkCommand) Run(out streams) error {
 	if _, err := settings.Load(c.File); err != nil {
 		return err
 	}
-	fmt.Fprintln(io.stdout, "ok")
+	fmt.Fprintln(out.stdout, "ok")
 	return nil
 }
 
 // Run prints the revision and the Go version of the build, as Go recorded them.
-func (versionCommand) Run(io streams) error {
+func (versionCommand) Run(out streams) error {
 	revision, changed := "unknown", ""
 	info, ok := debug.ReadBuildInfo()
 	if ok {
@@ -146,6 +146,6 @@
 			}
 		}
 	}
-	fmt.Fprintf(io.stdout, "hookwalk, revision %s%s, %s\n", revision, changed, runtime.Version())
+	fmt.Fprintf(out.stdout, "hookwalk, revision %s%s, %s\n", revision, changed, runtime.Version())
 	return nil
 }
--- a/cmd/hookwalk/main_test.go
+++ b/cmd/hookwalk/main_test.go
@@ -145,7 +145,7 @@
 
 // SIGHUP once ended the node, because nothing handled it. It reads the file again instead and watches the discovery named
 // there; with a file that can't be used it logs one line and goes on as before.
-func TestSIGHUPReadsTheConfigurationAgain(t *testing.T) {
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	first, firstWatched := startDiscovery(t)
 	second, secondWatched := startDiscovery(t)
 	c := programCommand(t, fmt.Sprintf(minimalConfig, first))
--- a/cmd/hookwalk/operations_test.go
+++ b/cmd/hookwalk/operations_test.go
@@ -24,17 +24,17 @@
 		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
-		l := s.load(32)
+		load := s.load(32)
 		begin := time.Now()
 		successor := s.start(b)
 		successor.waitReady(b)
 		readyTime := time.Since(begin)
 		p.terminate(b)
-		close(l.stop)
-		l.running.Wait()
-		b.ReportMetric(float64(l.failures.Load()), "lost")
-		b.ReportMetric(float64(l.unread.Load()), "unread")
-		b.ReportMetric(float64(l.served.Load()), "served")
+		close(load.stop)
+		load.running.Wait()
+		b.ReportMetric(float64(load.failures.Load()), "lost")
+		b.ReportMetric(float64(load.unreadRequests.Load()), "unread")
+		b.ReportMetric(float64(load.served.Load()), "served")
 		b.ReportMetric(float64(readyTime.Milliseconds()), "ms-to-yes")
 		successor.terminate(b)
 	}
@@ -46,9 +46,9 @@
 		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
-		l := s.load(64)
-		var held []net.Conn
-		var took []time.Duration
+		load := s.load(64)
+		var incomplete []net.Conn
+		var durations []time.Duration
 		for i := range 200 {
 			if i%20 == 0 {
 				c, err := net.Dial("tcp", p.control)
@@ -56,25 +56,25 @@
 					b.Fatal(err)
 				}
 				io.WriteString(c, "POST /control/servers/")
-				held = append(held, c)
+				incomplete = append(incomplete, c)
 			}
 			begin := time.Now()
 			if got := p.callAdmin("POST", "/control/servers/s-1/"+[]string{"offline", "online"}[i%2]); got != http.StatusOK {
 				b.Errorf("answered %d", got)
 			}
-			took = append(took, time.Since(begin))
+			durations = append(durations, time.Since(begin))
 		}
-		for _, c := range held {
+		for _, c := range incomplete {
 			c.Close()
 		}
-		close(l.stop)
-		l.running.Wait()
+		close(load.stop)
+		load.running.Wait()
 		worst, sum := time.Duration(0), time.Duration(0)
-		for _, d := range took {
+		for _, d := range durations {
 			worst, sum = max(worst, d), sum+d
 		}
 		b.ReportMetric(float64(worst.Microseconds())/1000, "ms-worst")
-		b.ReportMetric(float64(sum.Microseconds())/1000/float64(len(took)), "ms-mean")
+		b.ReportMetric(float64(sum.Microseconds())/1000/float64(len(durations)), "ms-mean")
 		p.terminate(b)
 	}
 }
@@ -90,7 +90,7 @@
 
 // A node that buffered bodies would be killed for its memory by a few uploads at once. Large bodies and answers, together
 // far over the node's memory limit, cost it next to nothing.
-func TestManyLargeBodiesAtOnce(t *testing.T) {
+func TestConcurrentLargeBodies(t *testing.T) {
 	if peak, wrong := sendLargeBodies(t, 12, 8<<20); wrong > 0 || peak > 64<<10 {
 		t.Errorf("%d went wrong, %d KiB of memory at most for 192 MiB", wrong, peak)
 	}
@@ -115,7 +115,7 @@
 	})
 	p := s.start(t)
 	p.waitReady(t)
-	var faults atomic.Int64
+	var failures atomic.Int64
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
@@ -127,12 +127,12 @@
 			r.Header = http.Header{"X-Call-Id": {fmt.Sprint("big", i)}, "X-Call-Class": {"a"}, "X-Budget": {"2000m"}}
 			resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 			if err != nil {
-				faults.Add(1)
+				failures.Add(1)
 				return
 			}
 			defer resp.Body.Close()
 			if got, err := io.Copy(io.Discard, resp.Body); got != int64(size) || err != nil || resp.StatusCode != http.StatusOK {
-				faults.Add(1)
+				failures.Add(1)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	p.terminate(t)
-	return peak, faults.Load()
+	return peak, failures.Load()
 }
 
 // repeatingReader is a text without end.
--- a/cmd/hookwalk/operatorstate_test.go
+++ b/cmd/hookwalk/operatorstate_test.go
@@ -15,7 +15,7 @@
 // An operator who was told that a server is disabled relies on it: if the node forgot this at SIGKILL, it would send to a
 // server under repair. Every acknowledged override is in force in the next incarnation, which knows it from the folder
 // alone, also where many calls come at once.
-func TestAcknowledgedOverridesSurviveAKill(t *testing.T) {
+func TestAcknowledgedOverridesSurviveKill(t *testing.T) {
 	t.Run("with a socket between processes", func(t *testing.T) { checkOverridesSurviveKills(t, "") })
 	t.Run("where the path is too long for a socket", func(t *testing.T) { checkOverridesSurviveKills(t, strings.Repeat("d", 100)) })
 }
@@ -38,12 +38,12 @@
 		var calls sync.WaitGroup
 		for i := range servers {
 			calls.Go(func() {
-				what := "offline"
+				action := "offline"
 				if round%2 == 1 && i%2 == 1 { // what is enabled again must not be disabled either
-					what = "online"
+					action = "online"
 				}
-				if got := p.callAdmin("POST", "/control/servers/"+ids[i]+"/"+what); got != http.StatusOK {
-					t.Errorf("round %d: %s of m-%d is answered %d", round, what, i, got)
+				if got := p.callAdmin("POST", "/control/servers/"+ids[i]+"/"+action); got != http.StatusOK {
+					t.Errorf("round %d: %s of m-%d is answered %d", round, action, i, got)
 				}
 			})
 		}
--- a/cmd/hookwalk/peers.go
+++ b/cmd/hookwalk/peers.go
@@ -44,8 +44,8 @@
 	if peerSettings == nil {
 		return func() {}, nil
 	}
-	config, start := peersConfig(cfg.Name, peerSettings, cfg.Features.Sites)
-	start.log = log
+	config, startNumbers := peersConfig(cfg.Name, peerSettings, cfg.Features.Sites)
+	startNumbers.log = log
 	session := &peerSession{config: config, log: log}
 	if err := session.join(); err != nil {
 		return nil, err
@@ -122,25 +122,25 @@
 }
 
 // peersConfig maps the settings of a node to those of its peers. The start file is that of the configuration.
-func peersConfig(name string, p *settings.Peers, sites []settings.Site) (peers.Config, *startFile) {
+func peersConfig(name string, peerSettings *settings.Peers, sites []settings.Site) (peers.Config, *startNumberFile) {
 	tree := membership.Tree{}
 	for _, s := range sites {
 		tree[s.Name] = s.Parent
 	}
-	folder := p.Folder
+	folder := peerSettings.Folder
 	if folder == "" {
 		folder = os.TempDir()
 	}
-	start := &startFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}
+	startNumbers := &startNumberFile{path: filepath.Join(folder, "hookwalk-start."+name), owner: name}
 	return peers.Config{
 		Name:             name,
-		Site:             p.Site,
+		Site:             peerSettings.Site,
 		Tree:             tree,
-		Listen:           p.Listen,
-		Seeds:            p.Seeds,
-		KeyFile:          p.KeyFile,
-		Label:            p.Label,
-		AddressOverrides: p.AddressOverrides,
-		StartStore:       start,
-	}, start
+		Listen:           peerSettings.Listen,
+		Seeds:            peerSettings.Seeds,
+		KeyFile:          peerSettings.KeyFile,
+		Label:            peerSettings.Label,
+		AddressOverrides: peerSettings.AddressOverrides,
+		StartStore:       startNumbers,
+	}, startNumbers
 }
--- a/cmd/hookwalk/peers_test.go
+++ b/cmd/hookwalk/peers_test.go
@@ -18,9 +18,9 @@
 // that is too low.
 func TestStartNumberOnFaultyDisks(t *testing.T) {
 	for name, tc := range map[string]struct {
-		damage func(path string) error
-		want   uint64
-		wrong  bool
+		damage    func(path string) error
+		want      uint64
+		wantError bool
 	}{
 		"undamaged":       {func(string) error { return nil }, 4, false},
 		"missing":         {removeBothCopies, 1, false},
@@ -46,9 +46,9 @@
 			if err := tc.damage(path); err != nil {
 				t.Fatal(err)
 			}
-			s := &startFile{path: path, owner: "n", log: slog.New(slog.DiscardHandler)}
+			s := &startNumberFile{path: path, owner: "n", log: slog.New(slog.DiscardHandler)}
 			got, err := s.Next()
-			if got != tc.want || (err != nil) != tc.wrong || err != nil && !strings.Contains(err.Error(), "look at the folder's disk") {
+			if got != tc.want || (err != nil) != tc.wantError || err != nil && !strings.Contains(err.Error(), "look at the folder's disk") {
 				t.Errorf("start %d, %v; want %d", got, err, tc.want)
 			}
 			s.writes.Wait()
@@ -57,7 +57,7 @@
 			}
 		})
 	}
-	nowhere := &startFile{path: "/proc/nowhere/start", owner: "n", log: slog.New(slog.DiscardHandler)}
+	nowhere := &startNumberFile{path: "/proc/nowhere/start", owner: "n", log: slog.New(slog.DiscardHandler)}
 	if n, _ := nowhere.Next(); n != 1 {
 		t.Errorf("without a folder it is start %d", n)
 	}
--- a/cmd/hookwalk/replay.go
+++ b/cmd/hookwalk/replay.go
@@ -14,18 +14,18 @@
 }
 
 // Run plays a capture into the module of this build.
-func (c replayCommand) Run(io streams) error {
-	result, err := replayFile(c.Capture, io.stdout, io.stderr)
+func (c replayCommand) Run(out streams) error {
+	result, err := replayFile(c.Capture, out.stdout, out.stderr)
 	if err != nil {
-		failed(io.stderr, err)
+		printFailure(out.stderr, err)
 		return exitStatus(exitUsage) // 1 is for differences
 	}
-	fmt.Fprintf(io.stdout, "%d records compared, %d differences, %d skipped\n", result.Compared, result.Differences, result.Skipped)
+	fmt.Fprintf(out.stdout, "%d records compared, %d differences, %d skipped\n", result.Compared, result.Differences, result.Skipped)
 	if result.Differences > 0 {
 		return exitStatus(exitFailed)
 	}
 	if result.Compared == 0 {
-		failed(io.stderr, errors.New("nothing could be compared"))
+		printFailure(out.stderr, errors.New("nothing could be compared"))
 		return exitStatus(exitUsage)
 	}
 	return nil
--- a/cmd/hookwalk/restart_test.go
+++ b/cmd/hookwalk/restart_test.go
@@ -16,8 +16,8 @@
 // A node that starts owes an answer to every request whose connection came up, the first one at its listener included:
 // what arrives between the opening of the listener and the first read must not be lost. Clients here connect without a
 // pause while the process is killed and started again, so that some arrive at that moment of each start.
-func TestNothingIsLostAsANodeStarts(t *testing.T) {
-	const rounds, clients, owed = 5, 8, 2 * time.Second
+func TestNoRequestLostDuringStart(t *testing.T) {
+	const rounds, clients, timeBudget = 5, 8, 2 * time.Second
 	s := newNodeEnvironment(t)
 	var connected [rounds]atomic.Int64
 	for round := range rounds {
@@ -41,9 +41,9 @@
 						return
 					}
 					connected[round].Add(1)
-					c.SetDeadline(time.Now().Add(owed + 500*time.Millisecond))
+					c.SetDeadline(time.Now().Add(timeBudget + 500*time.Millisecond))
 					fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: r%d-c%d-%d\r\nX-Call-Class: a\r\nX-Budget: %dm\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-						round, n, i, owed.Milliseconds())
+						round, n, i, timeBudget.Milliseconds())
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil {
 						t.Errorf("round %d: accepted and not answered: %v", round, err)
@@ -55,7 +55,7 @@
 			})
 		}
 		p.waitReady(t)
-		for had := connected[round].Load(); connected[round].Load() < had+3*clients; {
+		for before := connected[round].Load(); connected[round].Load() < before+3*clients; {
 			time.Sleep(time.Millisecond)
 		}
 		close(stop)
--- a/cmd/hookwalk/run.go
+++ b/cmd/hookwalk/run.go
@@ -40,7 +40,7 @@
 	limitResources(cfg)
 	defer asyncwriter.Stderr.Flush(stderrFlushTimeout)
 	log := slog.New(slog.NewTextHandler(asyncwriter.Stderr, nil))
-	cfg, versions, err := prepareConfigWatch(cfg, log)
+	cfg, configWatch, err := prepareConfigWatch(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,8 @@
 	defer leavePeers()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	defer handleSignals(n, log, configPath, hangups, captureSignals(cfg))()
-	defer versions.start(n)()
+	defer handleSignals(n, log, configPath, hangups, captureDumpSignals(cfg))()
+	defer configWatch.start(n)()
 	return n.Run(ctx)
 }
 
@@ -71,9 +71,9 @@
 	signal.Ignore(syscall.SIGXFSZ) // a write over the limit of a file's size fails, instead of ending the node
 }
 
-// captureSignals returns the channel of SIGUSR1, which dumps the capture; nil without a capture, so that the signal then
+// captureDumpSignals returns the channel of SIGUSR1, which dumps the capture; nil without a capture, so that the signal then
 // does what it does to any program.
-func captureSignals(cfg node.Config) <-chan os.Signal {
+func captureDumpSignals(cfg node.Config) <-chan os.Signal {
 	if cfg.Features.Capture == nil {
 		return nil
 	}
--- a/cmd/hookwalk/sites.go
+++ b/cmd/hookwalk/sites.go
@@ -46,54 +46,54 @@
 }
 
 const (
-	showTimeout = 3 * time.Second // for the whole answer; a node that hangs must not hold up the operator
-	maxViewSize = 4 << 20         // bytes, some ten thousand members
+	sitesShowTimeout = 3 * time.Second // for the whole answer; a node that hangs must not hold up the operator
+	maxViewBytes     = 4 << 20         // bytes, some ten thousand members
 )
 
-// ShowError says that a node's view could not be read.
-type ShowError struct {
+// SitesViewError says that a node's view could not be read.
+type SitesViewError struct {
 	Addr string
 	Err  error
 }
 
-func (e *ShowError) Error() string {
+func (e *SitesViewError) Error() string {
 	return fmt.Sprintf("sites: %s: %v: name the address at which the node takes operators' calls, and look whether it runs with a block peers", e.Addr, e.Err)
 }
-func (e *ShowError) Unwrap() error { return e.Err }
+func (e *SitesViewError) Unwrap() error { return e.Err }
 
 // Run asks the node and prints its answer.
-func (c sitesShow) Run(s streams) error {
-	ctx, cancel := context.WithTimeout(context.Background(), showTimeout)
+func (c sitesShow) Run(out streams) error {
+	ctx, cancel := context.WithTimeout(context.Background(), sitesShowTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Addr+"/control/sites", nil)
 	if err != nil {
-		return &ShowError{c.Addr, err}
+		return &SitesViewError{c.Addr, err}
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return &ShowError{c.Addr, err}
+		return &SitesViewError{c.Addr, err}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxViewSize))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxViewBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("answered %s: %.200s", resp.Status, text)
 	}
-	var v peersView
+	var view peersView
 	if err == nil {
-		err = json.Unmarshal(text, &v)
+		err = json.Unmarshal(text, &view)
 	}
 	if err != nil {
-		return &ShowError{c.Addr, err}
+		return &SitesViewError{c.Addr, err}
 	}
 	if c.JSON {
-		_, err = s.stdout.Write(text)
+		_, err = out.stdout.Write(text)
 		return err
 	}
-	fmt.Fprintf(s.stdout, "%s of %s, start %d: %s; view %s; %d bytes sent in packets, %d messages not read\n\n",
-		v.Me.Name, v.Site, v.Me.Start, v.Self, v.Digest, v.Sent, v.Bad)
-	w := tabwriter.NewWriter(s.stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(out.stdout, "%s of %s, start %d: %s; view %s; %d bytes sent in packets, %d messages not read\n\n",
+		view.Me.Name, view.Site, view.Me.Start, view.Self, view.Digest, view.Sent, view.Bad)
+	w := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tSITE\tSTATE\tSTART\tFOR")
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", m.Name, m.Site, m.State, m.Start, (time.Duration(m.ForMS) * time.Millisecond).Round(100*time.Millisecond))
 	}
 	return w.Flush()
--- a/cmd/hookwalk/sites_test.go
+++ b/cmd/hookwalk/sites_test.go
@@ -59,8 +59,8 @@
 	return func(v sites.View) bool { return v.Self == self }
 }
 
-// stallNode stops a node for a span of real time: its kernel and its peers go on.
-func stallNode(t testing.TB, n *sites.Node, d time.Duration) {
+// suspendNode stops a node for a span of real time: its kernel and its peers go on.
+func suspendNode(t testing.TB, n *sites.Node, d time.Duration) {
 	t.Helper()
 	mustSucceed(t, n.Signal(syscall.SIGSTOP))
 	<-time.After(d)
@@ -73,36 +73,36 @@
 // A node that takes a live peer for failed, or goes on alone in a minority, decides against the others. Twelve nodes of three
 // sites, with every kind of fault between them: what each concludes, as its admin API shows. The times are logged;
 // docs/sites.md has them.
-func TestSites(t *testing.T) {
+func TestSitesUnderFaults(t *testing.T) {
 	in := startInstallation(t, 4, true)
 	nodeCount := len(in.Nodes)
 	t.Logf("agreed %v after the start of all", awaitViews(t, in, "agreed", in.Nodes, agreedWithAll(nodeCount)))
 
-	victim := in.Nodes[5]
-	victim.Kill()
-	t.Logf("a killed node noticed by all in %v", awaitViews(t, in, "told of the death", in.Others(victim), hasMember(victim.Name, "failed")))
+	killedNode := in.Nodes[5]
+	killedNode.Kill()
+	t.Logf("a killed node noticed by all in %v", awaitViews(t, in, "told of the death", in.Others(killedNode), hasMember(killedNode.Name, "failed")))
 	if v, _ := in.Nodes[4].View(); v.Self != "agreed" {
 		t.Errorf("one death of seven and %s is %s", in.Nodes[4].Name, v.Self)
 	}
-	mustSucceed(t, victim.WipeFolder())
-	mustSucceed(t, in.StartNode(victim))
+	mustSucceed(t, killedNode.WipeFolder())
+	mustSucceed(t, in.StartNode(killedNode))
 	t.Logf("agreed %v after its return with an empty folder", awaitViews(t, in, "agreed", in.Nodes, agreedWithAll(nodeCount)))
-	if v, _ := victim.View(); v.Me.Start != 2 {
+	if v, _ := killedNode.View(); v.Me.Start != 2 {
 		t.Errorf("it goes on as start %d, its peers knew 1", v.Me.Start)
 	}
 
 	// Packets are lost, duplicated, late and out of order, and nodes stall for less than a second, one after
 	// another: nobody is called failed.
-	stalledNode, watcher := in.Nodes[2], in.Nodes[3]
-	before, _ := watcher.View()
+	stalledNode, observer := in.Nodes[2], in.Nodes[3]
+	before, _ := observer.View()
 	in.SetPacketFault(lossyNetwork)
 	for _, i := range []int{2, 6, 8, 10} { // by the last one, the first would be called failed
-		stallNode(t, in.Nodes[i], 700*time.Millisecond)
+		suspendNode(t, in.Nodes[i], 700*time.Millisecond)
 	}
 	in.SetPacketFault(link.PacketFault{})
 	awaitViews(t, in, "agreed", in.Nodes, agreedWithAll(nodeCount))
-	if after, ok := watcher.View(); !ok || after.Failed != before.Failed {
-		t.Errorf("%s calls %d failed who are not", watcher.Name, after.Failed-before.Failed)
+	if after, ok := observer.View(); !ok || after.Failed != before.Failed {
+		t.Errorf("%s calls %d failed who are not", observer.Name, after.Failed-before.Failed)
 	}
 
 	// A long stall: the others call it failed; once it runs again, it does not agree before it has heard from them.
@@ -146,14 +146,14 @@
 	t.Logf("agreed %v after all came back with nothing", awaitViews(t, in, "agreed", in.Nodes, agreedWithAll(nodeCount)))
 
 	// A node that gets SIGTERM leaves: it is no failure, and nobody counts it any more.
-	leaver := in.Nodes[nodeCount-1]
-	mustSucceed(t, leaver.Signal(syscall.SIGTERM))
-	leaver.Wait()
-	awaitViews(t, in, "told of the leave", in.Others(leaver), hasMember(leaver.Name, "left"))
-	awaitViews(t, in, "agreed", in.Others(leaver), agreedWithAll(nodeCount-1))
+	leavingNode := in.Nodes[nodeCount-1]
+	mustSucceed(t, leavingNode.Signal(syscall.SIGTERM))
+	leavingNode.Wait()
+	awaitViews(t, in, "told of the leave", in.Others(leavingNode), hasMember(leavingNode.Name, "left"))
+	awaitViews(t, in, "agreed", in.Others(leavingNode), agreedWithAll(nodeCount-1))
 
 	code, stdout, stderr := runToEnd(t, programCommand(t, "", "sites", "show", "--addr", in.Nodes[0].Control))
-	if code != 0 || !strings.Contains(stdout, "agreed") || !strings.Contains(stdout, leaver.Name) || stderr != "" {
+	if code != 0 || !strings.Contains(stdout, "agreed") || !strings.Contains(stdout, leavingNode.Name) || stderr != "" {
 		t.Errorf("sites show: %d, %q, %q", code, stdout, stderr)
 	}
 }
@@ -221,7 +221,7 @@
 		awaitViews(b, in, "agreed", in.Nodes, agreedWithAll(len(in.Nodes)))
 		in.SetPacketFault(lossyNetwork)
 		for i := range 50 {
-			stallNode(b, in.Nodes[i%len(in.Nodes)], time.Duration(300+100*(i%7))*time.Millisecond)
+			suspendNode(b, in.Nodes[i%len(in.Nodes)], time.Duration(300+100*(i%7))*time.Millisecond)
 			<-time.After(700 * time.Millisecond)
 		}
 		alarms := uint64(0)
--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -35,7 +35,7 @@
 )
 
 // Run plays one seed after another and prints what was seen and what was broken.
-func (c labSoak) Run(streams streams) error {
+func (c labSoak) Run(out streams) error {
 	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > maxSoakNodes || c.Length < minSoakLength {
 		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", maxSoakNodes, minSoakLength)
 	}
@@ -48,14 +48,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	play := soakPlay{out: streams.stdout, program: program, logs: c.Logs}
+	plays := soakPlays{out: out.stdout, program: program, logs: c.Logs}
 	for _, plan := range c.plans() {
-		if err := play.run(ctx, plan); err != nil {
+		if err := plays.run(ctx, plan); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
-	fmt.Fprintf(streams.stdout, "all: %v\n%d seeds, %d with something broken\n", play.sum, play.played, play.broken)
-	if play.broken > 0 {
+	fmt.Fprintf(out.stdout, "all: %v\n%d seeds, %d with something broken\n", plays.totals, plays.played, plays.failed)
+	if plays.failed > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
@@ -75,18 +75,18 @@
 	return plans
 }
 
-// soakPlay plays plans one after another and adds up what was seen.
-type soakPlay struct {
+// soakPlays plays plans one after another and adds up what was seen.
+type soakPlays struct {
 	out     io.Writer
 	program string
 	logs    string // the folder for the nodes' logs; empty: they are not kept
-	sum     soak.Totals
+	totals  soak.Totals
 	played  int
-	broken  int // plans that broke a rule
+	failed  int // plans that broke a rule
 }
 
 // run plays one plan and prints what was seen and what was broken.
-func (p *soakPlay) run(ctx context.Context, plan soak.Plan) error {
+func (p *soakPlays) run(ctx context.Context, plan soak.Plan) error {
 	logFolder, err := p.logFolder(plan)
 	if err != nil {
 		return err
@@ -102,15 +102,15 @@
 	if err != nil {
 		return err
 	}
-	broken, totals := result.Violations(), result.Totals()
-	p.sum.Add(totals)
+	violations, totals := result.Violations(), result.Totals()
+	p.totals.Add(totals)
 	p.played++
-	fmt.Fprintf(p.out, "%s, %d nodes: %v; %d broken\n", plan.Title(), plan.Nodes, totals, len(broken))
-	if len(broken) == 0 {
+	fmt.Fprintf(p.out, "%s, %d nodes: %v; %d broken\n", plan.Title(), plan.Nodes, totals, len(violations))
+	if len(violations) == 0 {
 		return nil
 	}
-	p.broken++
-	for _, text := range broken {
+	p.failed++
+	for _, text := range violations {
 		fmt.Fprintf(p.out, "  %s\n", text)
 	}
 	for _, line := range result.Plan.Lines() {
@@ -120,7 +120,7 @@
 }
 
 // logFolder makes the folder for the logs of a plan's play, and returns "" if none are kept.
-func (p *soakPlay) logFolder(plan soak.Plan) (string, error) {
+func (p *soakPlays) logFolder(plan soak.Plan) (string, error) {
 	if p.logs == "" {
 		return "", nil
 	}
--- a/cmd/hookwalk/soak_test.go
+++ b/cmd/hookwalk/soak_test.go
@@ -51,12 +51,12 @@
 }
 
 // Discovery is back for a second between two outages: nodes took both for one, and sent to a server that drains.
-func TestResetInAnOutageEndsItsRenewals(t *testing.T) {
+func TestRecoveryBetweenOutagesEndsRenewals(t *testing.T) {
 	playSoak(t, soak.ReturnBetweenOutages())
 }
 
 // Nodes that start while discovery is crowded took its late rejections for an outage, and sent to a server that drains.
-func TestRestartWhileDiscoveryIsCrowded(t *testing.T) { playSoak(t, soak.RestartWhileCrowded()) }
+func TestRestartWhileDiscoveryIsOverloaded(t *testing.T) { playSoak(t, soak.RestartWhileCrowded()) }
 
 // playSoak plays a plan and reports the rules that it broke.
 func playSoak(t *testing.T, plan soak.Plan) {
--- a/cmd/hookwalk/soakfaulty_test.go
+++ b/cmd/hookwalk/soakfaulty_test.go
@@ -18,12 +18,12 @@
 )
 
 // Faults of a stand-in for a node, which TestSoakFindsFaults plays. It answers every request with a rejection, but for
-// answersForOthers.
+// answersOtherRequest.
 const (
-	answersForOthers = "other" // it answers with what a server would answer to another request, and ends as closesAfterTerm does
+	answersOtherRequest = "other" // it answers with what a server would answer to another request, and ends as closesAfterTerm does
 
-	closesAfterTerm = "close" // after SIGTERM it reads a request, closes its connection, and exits
-	hangsAfterTerm  = "hang"  // after SIGTERM it answers nothing more, and goes on until it is killed
+	closesAfterSIGTERM = "close" // after SIGTERM it reads a request, closes its connection, and exits
+	hangsAfterSIGTERM  = "hang"  // after SIGTERM it answers nothing more, and goes on until it is killed
 )
 
 // faultyNodeEnv names the fault.
@@ -47,12 +47,12 @@
 	go http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/ready":
-		case fault == answersForOthers && !terminated.Load():
+		case fault == answersOtherRequest && !terminated.Load():
 			fmt.Fprint(w, "ok r-0")
 		case !terminated.Load():
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case fault == hangsAfterTerm:
+		case fault == hangsAfterSIGTERM:
 			select {}
 		default:
 			panic(http.ErrAbortHandler)
@@ -65,7 +65,7 @@
 			continue
 		}
 		terminated.Store(true)
-		if fault != hangsAfterTerm {
+		if fault != hangsAfterSIGTERM {
 			<-time.After(time.Second) // in which requests come
 			return
 		}
@@ -74,9 +74,9 @@
 
 // A soak that excuses too much passes whatever its nodes do: one that loses what it has read after SIGTERM, one that does
 // not end and is killed on what it has read, and one that gives a caller another one's answer are found.
-func TestSoakFindsFaults(t *testing.T) {
+func TestSoakDetectsFaultyNodes(t *testing.T) {
 	const seed, nodes, length = 1, 4, 16 * time.Second // its plan has three restarts
-	for fault, violation := range map[string]string{closesAfterTerm: "has no answer", hangsAfterTerm: "has no answer", answersForOthers: "no server wrote for it"} {
+	for fault, violation := range map[string]string{closesAfterSIGTERM: "has no answer", hangsAfterSIGTERM: "has no answer", answersOtherRequest: "no server wrote for it"} {
 		t.Run(fault, func(t *testing.T) {
 			result, err := soak.Run(t.Context(), soak.DrawPlan(seed, nodes, length), func(config string) *exec.Cmd {
 				c := exec.Command(os.Args[0])
@@ -96,7 +96,7 @@
 			if lost == 0 {
 				t.Error("no lost request was found")
 			}
-			if killed := result.Totals().Kills; (killed > 0) != (fault == hangsAfterTerm) {
+			if killed := result.Totals().Kills; (killed > 0) != (fault == hangsAfterSIGTERM) {
 				t.Errorf("%d were killed", killed)
 			}
 		})
--- a/cmd/hookwalk/state.go
+++ b/cmd/hookwalk/state.go
@@ -17,7 +17,7 @@
 }
 
 // Run prints what a state file holds.
-func (c stateShow) Run(io streams) error {
+func (c stateShow) Run(out streams) error {
 	info, err := state.Inspect(c.File)
 	if err != nil {
 		return err
@@ -26,7 +26,7 @@
 	if info.Age != state.UnknownAge {
 		age = info.Age.Round(time.Millisecond).String()
 	}
-	fmt.Fprintf(io.stdout, "version %d\nof      %s\nage     %s\n%s\n", info.Version, info.Owner, age, info.Body)
+	fmt.Fprintf(out.stdout, "version %d\nof      %s\nage     %s\n%s\n", info.Version, info.Owner, age, info.Body)
 	return nil
 }
 
@@ -35,10 +35,10 @@
 }
 
 // Run reports whether a state file can be used.
-func (c stateCheck) Run(io streams) error {
+func (c stateCheck) Run(out streams) error {
 	if _, err := state.Inspect(c.File); err != nil {
 		return err
 	}
-	fmt.Fprintln(io.stdout, "ok")
+	fmt.Fprintln(out.stdout, "ok")
 	return nil
 }
--- a/cmd/hookwalk/sweep.go
+++ b/cmd/hookwalk/sweep.go
@@ -43,35 +43,35 @@
 }
 
 // Run plays the grid.
-func (c labSweep) Run(io streams) error {
-	g := sweep.Grid{File: c.File, Policies: c.Policy, Seeds: c.Seeds}
+func (c labSweep) Run(out streams) error {
+	grid := sweep.Grid{File: c.File, Policies: c.Policy, Seeds: c.Seeds}
 	for _, text := range c.Set {
 		s, err := sweep.ParseSetting(text)
 		if err != nil {
 			return err
 		}
-		g.Settings = append(g.Settings, s)
+		grid.Settings = append(grid.Settings, s)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cells, err := sweep.Run(ctx, g, c.Output, progress(io))
+	cells, err := sweep.Run(ctx, grid, c.Output, newProgressReporter(out))
 	if err != nil {
 		return err
 	}
-	return sweep.Table(io.stdout, cells, defaultColumns)
+	return sweep.Table(out.stdout, cells, defaultColumns)
 }
 
-// progress is a bar on a terminal, else a line every few seconds.
-func progress(io streams) func(done, of int) {
-	if f, ok := io.stderr.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
+// newProgressReporter is a bar on a terminal, else a line every few seconds.
+func newProgressReporter(out streams) func(done, of int) {
+	if f, ok := out.stderr.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		var bar *progressbar.ProgressBar
 		return func(done, of int) {
 			if bar == nil {
-				bar = progressbar.NewOptions(of, progressbar.OptionSetWriter(io.stderr), progressbar.OptionShowCount())
+				bar = progressbar.NewOptions(of, progressbar.OptionSetWriter(out.stderr), progressbar.OptionShowCount())
 			}
 			_ = bar.Set(done) // a bar that can't be drawn stops nothing
 			if done == of {
-				fmt.Fprintln(io.stderr)
+				fmt.Fprintln(out.stderr)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 	return func(done, of int) {
 		if now := time.Now(); done == of || now.Sub(last) >= progressInterval {
 			last = now
-			fmt.Fprintf(io.stderr, "%d of %d experiments\n", done, of)
+			fmt.Fprintf(out.stderr, "%d of %d experiments\n", done, of)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 }
 
 // Run writes the page.
-func (c labReport) Run(io streams) error {
+func (c labReport) Run(out streams) error {
 	cells, err := sweep.Read(c.Folder)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 	if err := errors.Join(sweep.Report(f, cells, figures), f.Close()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintln(io.stdout, path)
+	fmt.Fprintln(out.stdout, path)
 	return nil
 }
 
@@ -123,7 +123,7 @@
 }
 
 // Run prints what changed; status 1 where a named figure fell by more than it may.
-func (c labDiff) Run(io streams) error {
+func (c labDiff) Run(out streams) error {
 	before, err := sweep.Read(c.Before)
 	if err != nil {
 		return err
@@ -137,27 +137,27 @@
 			return fmt.Errorf("unknown figure %q: there are %s", f, strings.Join(known, ", "))
 		}
 	}
-	changes, left := sweep.Diff(before, after)
+	changes, unpaired := sweep.Diff(before, after)
 	if len(changes) == 0 {
 		return errors.New("the two have no experiment in common")
 	}
-	fell := 0
+	regressions := 0
 	for _, d := range changes {
 		mark := " "
 		if slices.Contains(c.Figure, d.Metric) && d.MeanChange < -c.By {
 			mark = "!"
-			fell++
+			regressions++
 		} else if d.Significant() {
 			mark = "*"
 		}
 		if mark != " " || slices.Contains(c.Figure, d.Metric) {
-			fmt.Fprintf(io.stdout, "%s %s %s: %.4g to %.4g, by %+.3g ± %.2g (%d seeds)\n", mark, d.Group, d.Metric, d.Before, d.After, d.MeanChange, d.HalfInterval, d.Pairs)
+			fmt.Fprintf(out.stdout, "%s %s %s: %.4g to %.4g, by %+.3g ± %.2g (%d seeds)\n", mark, d.Group, d.Metric, d.Before, d.After, d.MeanChange, d.HalfInterval, d.Pairs)
 		}
 	}
-	if left > 0 {
-		fmt.Fprintf(io.stdout, "%d experiments are in one of the two alone\n", left)
+	if unpaired > 0 {
+		fmt.Fprintf(out.stdout, "%d experiments are in one of the two alone\n", unpaired)
 	}
-	if fell > 0 {
+	if regressions > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
--- a/cmd/hookwalk/upgrade_test.go
+++ b/cmd/hookwalk/upgrade_test.go
@@ -146,10 +146,10 @@
 // clientLoad sends requests on keep-alive connections until stop is closed. It counts answers, requests that met the close
 // of an idle connection, and other failures.
 type clientLoad struct {
-	served, unread, failures atomic.Int64
-	stop                     chan struct{}
-	running                  sync.WaitGroup
-	firstFailure             atomic.Pointer[string]
+	served, unreadRequests, failures atomic.Int64
+	stop                             chan struct{}
+	running                          sync.WaitGroup
+	firstFailure                     atomic.Pointer[string]
 }
 
 // load starts clients.
@@ -180,8 +180,8 @@
 		}
 		id := fmt.Sprintf("c%d-%d", n, i)
 		for attempt := 0; ; attempt++ {
-			used := c != nil
-			if !used {
+			reused := c != nil
+			if !reused {
 				var err error
 				if c, err = net.Dial("tcp", addr); err != nil {
 					l.recordFailure("no connection: %v", err)
@@ -191,8 +191,8 @@
 			}
 			fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: a\r\nX-Budget: 2000m\r\nContent-Length: 0\r\n\r\n", id)
 			resp, err := http.ReadResponse(br, nil)
-			if err != nil && used && attempt == 0 {
-				l.unread.Add(1)
+			if err != nil && reused && attempt == 0 {
+				l.unreadRequests.Add(1)
 				c.Close()
 				c = nil
 				continue
@@ -223,10 +223,10 @@
 	if first := l.firstFailure.Load(); first != nil {
 		t.Errorf("%d requests failed, first: %s", l.failures.Load(), *first)
 	}
-	if l.unread.Load() > 2 {
-		t.Errorf("%d requests met a connection's end", l.unread.Load())
+	if l.unreadRequests.Load() > 2 {
+		t.Errorf("%d requests met a connection's end", l.unreadRequests.Load())
 	}
-	t.Logf("%d served, %d unread", l.served.Load(), l.unread.Load())
+	t.Logf("%d served, %d unread", l.served.Load(), l.unreadRequests.Load())
 }
 
 // A hot restart has two processes for a while: a request may fall between them, and an operator may call either. Two
@@ -243,16 +243,16 @@
 		for _, each := range []*nodeProcess{p, successor} { // a reload during the overlap must not end it
 			each.Process.Signal(syscall.SIGHUP)
 		}
-		asked := []*nodeProcess{p, successor}[round]
-		if got := asked.callAdmin("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
+		target := []*nodeProcess{p, successor}[round]
+		if got := target.callAdmin("POST", "/control/servers/s-1/offline"); got != http.StatusOK {
 			t.Errorf("offline is answered %d", got)
 		}
-		had, before := s.requests[1].Load(), l.served.Load()
+		requestsBefore, before := s.requests[1].Load(), l.served.Load()
 		for l.served.Load() < before+200 {
 			time.Sleep(time.Millisecond)
 		}
-		if s.requests[1].Load() > had+16 { // those that were in flight
-			t.Errorf("round %d: a disabled server got %d requests", round, s.requests[1].Load()-had)
+		if s.requests[1].Load() > requestsBefore+16 { // those that were in flight
+			t.Errorf("round %d: a disabled server got %d requests", round, s.requests[1].Load()-requestsBefore)
 		}
 		p.terminate(t)
 		p = successor
@@ -285,7 +285,7 @@
 }
 
 // A node is out of service for a reason that outlasts an upgrade: its successor is out of service too.
-func TestUpgradeWhileDrained(t *testing.T) {
+func TestSuccessorStaysOutOfService(t *testing.T) {
 	s := newNodeEnvironment(t)
 	p := s.start(t)
 	p.waitReady(t)
@@ -308,7 +308,7 @@
 
 // Operators drain a node before they end it, and may change their mind: SIGTERM ends a node in order at any stage of a drain
 // and of the return from it.
-func TestSIGTERMInADrain(t *testing.T) {
+func TestSIGTERMDuringDrain(t *testing.T) {
 	for name, calls := range map[string][]string{"drained": {"out-of-service"}, "drained twice": {"out-of-service", "out-of-service"},
 		"back": {"out-of-service", "in-service"}, "drained again": {"out-of-service", "in-service", "out-of-service"}} {
 		t.Run(name, func(t *testing.T) {
@@ -327,7 +327,7 @@
 
 // A new build may crash as it takes over. A successor that dies before or after it became ready leaves the old process
 // serving as before.
-func TestSuccessorThatDies(t *testing.T) {
+func TestSuccessorDies(t *testing.T) {
 	s := newNodeEnvironment(t)
 	p := s.start(t)
 	p.waitReady(t)
@@ -347,7 +347,7 @@
 	}
 	close(l.stop)
 	l.running.Wait()
-	if l.served.Load() < before+200 && l.unread.Load() == 0 { // what the successor itself had in flight may be lost
+	if l.served.Load() < before+200 && l.unreadRequests.Load() == 0 { // what the successor itself had in flight may be lost
 		t.Errorf("it does not serve on: %v", *l.firstFailure.Load())
 	}
 	p.terminate(t)
@@ -355,7 +355,7 @@
 
 // A successor waits for the old process, and one that hangs or was killed never answers. It is replaced within the time that
 // a successor has; overrides are restored from disk.
-func TestOldProcessThatIsHung(t *testing.T) {
+func TestOldProcessHungOrKilled(t *testing.T) {
 	for name, sig := range map[string]syscall.Signal{"hung": syscall.SIGSTOP, "killed": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			s := newNodeEnvironment(t)
