--- a/cmd/hookwalk/config.go
+++ b/cmd/hookwalk/config.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	publishTimeout = 10 * time.Second // long enough for the election of a leader
+	publishTimeout = 10 * time.Second // for a response; long enough for the election of a leader
 	statusTimeout  = 5 * time.Second  // for all controllers together: those that are down must not delay the report
 	// maxDocumentRead is the number of bytes that are read from a file: one more than the limit, to detect that it is exceeded.
 	maxDocumentRead = configapi.MaxDocumentBytes + 1
--- a/cmd/hookwalk/main_test.go
+++ b/cmd/hookwalk/main_test.go
@@ -428,7 +428,7 @@
 	return resp.StatusCode
 }
 
-// Operators collect metrics from standard error, which also has the log. Every request must be counted, including those before
+// Operators collect metrics from standard error, which also has the log. Every request must be counted, including those of
 // the last flush, and no line may mix metrics and log.
 func TestMetricsOnStandardError(t *testing.T) {
 	discovery, _ := startDiscovery(t)
--- a/deploy/controllers.hcl
+++ b/deploy/controllers.hcl
@@ -1,5 +1,5 @@
-# Three controllers of the control service on one machine: see docs/config-versions.md. Each is started with
-# `hookwalk controller run deploy/controllers.hcl --name NAME`. Nobody else must be able to reach these addresses.
+# Three controllers of the control service on one machine: see docs/config-versions.md. Start each with
+# `hookwalk controller run deploy/controllers.hcl --name NAME`. Their addresses must not be reachable from outside.
 
 controller "c1" {
   listen = "127.0.0.1:7400"
--- a/deploy/hookwalk.hcl
+++ b/deploy/hookwalk.hcl
@@ -1,9 +1,9 @@
-# What Benchland Harvest Systems has on in service: see docs/features.md.
+# The features that Benchland Harvest Systems enables in service: see docs/features.md.
 
 figures {
   format   = "statsd"
   flush_ms = 1000
 }
 
-# To standard error and memory: the platform gives no disk that lasts.
+# The capture goes to standard error and memory, because the platform has no persistent disk.
 capture {}
--- a/deploy/versions/nodes.hcl
+++ b/deploy/versions/nodes.hcl
@@ -1,4 +1,4 @@
-# Nodes that follow configuration versions: see docs/config-versions.md.
+# Settings of nodes that follow configuration versions: see docs/config-versions.md.
 
 config_watch {
   controllers = ["127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"]
