--- a/cmd/hookwalk/drain_test.go
+++ b/cmd/hookwalk/drain_test.go
@@ -322,7 +322,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	took := time.Since(begin)
+	elapsed := time.Since(begin)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -333,8 +333,8 @@
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "":
 		err = errors.New("rejected without Retry-After")
-	case resp.StatusCode == http.StatusServiceUnavailable && took > time.Second:
-		err = fmt.Errorf("rejected after %v", took)
+	case resp.StatusCode == http.StatusServiceUnavailable && elapsed > time.Second:
+		err = fmt.Errorf("rejected after %v", elapsed)
 	case resp.StatusCode == http.StatusServiceUnavailable && !p.listedAt.IsZero() && begin.After(p.listedAt.Add(time.Second)):
 		err = fmt.Errorf("rejected %v after the list was written", begin.Sub(p.listedAt))
 	case resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable:
--- a/cmd/hookwalk/fleet.go
+++ b/cmd/hookwalk/fleet.go
@@ -114,7 +114,7 @@
 		if c.Seed != nil {
 			s.Seed = *c.Seed
 		}
-		if err := run.play(ctx, s); err != nil {
+		if err := run.runScenario(ctx, s); err != nil {
 			return err
 		}
 	}
@@ -158,8 +158,8 @@
 	machineTooSlow bool // in at least one run
 }
 
-// play runs one scenario as many times as the command says, and prints the results.
-func (r *fleetRun) play(ctx context.Context, s *scenario.Scenario) error {
+// runScenario runs one scenario as many times as the command says, and prints the results.
+func (r *fleetRun) runScenario(ctx context.Context, s *scenario.Scenario) error {
 	var baseline *fleet.Result
 	if r.command.Calm && len(s.Faults) > 0 {
 		var err error
--- a/cmd/hookwalk/sites_test.go
+++ b/cmd/hookwalk/sites_test.go
@@ -208,7 +208,7 @@
 				<-time.After(6 * time.Second)
 				b.ReportMetric(float64(sent()-before)/float64(3*per)/time.Since(at).Seconds(), "B/s-a-node")
 				in.Nodes[1].Kill()
-				b.ReportMetric(float64(awaitViews(b, in, "told", in.Others(in.Nodes[1]), hasMember(in.Nodes[1].Name, "failed")).Milliseconds()), "ms-to-notice")
+				b.ReportMetric(float64(awaitViews(b, in, "detection of a killed node", in.Others(in.Nodes[1]), hasMember(in.Nodes[1].Name, "failed")).Milliseconds()), "ms-to-notice")
 				in.Close()
 			}
 		})
--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -48,14 +48,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	plays := soakPlays{out: out.stdout, program: program, logs: c.Logs}
+	runner := soakRunner{out: out.stdout, program: program, logs: c.Logs}
 	for _, plan := range c.plans() {
-		if err := plays.run(ctx, plan); err != nil {
+		if err := runner.run(ctx, plan); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
-	fmt.Fprintf(out.stdout, "total: %v\n%d seeds, %d with violations\n", plays.totals, plays.played, plays.failed)
-	if plays.failed > 0 {
+	fmt.Fprintf(out.stdout, "total: %v\n%d seeds, %d with violations\n", runner.totals, runner.plansRun, runner.failed)
+	if runner.failed > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
@@ -75,24 +75,24 @@
 	return plans
 }
 
-// soakPlays runs plans one after another and accumulates their results.
-type soakPlays struct {
-	out     io.Writer
-	program string
-	logs    string // folder for the nodes' logs; empty: logs are not kept
-	totals  soak.Totals
-	played  int
-	failed  int // plans with violations
+// soakRunner runs plans one after another and accumulates their results.
+type soakRunner struct {
+	out      io.Writer
+	program  string
+	logs     string // folder for the nodes' logs; empty: logs are not kept
+	totals   soak.Totals
+	plansRun int
+	failed   int // plans with violations
 }
 
 // run runs one plan, and prints what was observed and which rules were broken.
-func (p *soakPlays) run(ctx context.Context, plan soak.Plan) error {
-	logFolder, err := p.logFolder(plan)
+func (r *soakRunner) run(ctx context.Context, plan soak.Plan) error {
+	logFolder, err := r.logFolder(plan)
 	if err != nil {
 		return err
 	}
 	result, err := soak.Run(ctx, plan, func(config string) *exec.Cmd {
-		node := exec.Command(p.program, "run")
+		node := exec.Command(r.program, "run")
 		node.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 		return node
 	}, logFolder)
@@ -103,27 +103,27 @@
 		return err
 	}
 	violations, totals := result.Violations(), result.Totals()
-	p.totals.Add(totals)
-	p.played++
-	fmt.Fprintf(p.out, "%s, %d nodes: %v; %d violations\n", plan.Title(), plan.Nodes, totals, len(violations))
+	r.totals.Add(totals)
+	r.plansRun++
+	fmt.Fprintf(r.out, "%s, %d nodes: %v; %d violations\n", plan.Title(), plan.Nodes, totals, len(violations))
 	if len(violations) == 0 {
 		return nil
 	}
-	p.failed++
+	r.failed++
 	for _, text := range violations {
-		fmt.Fprintf(p.out, "  %s\n", text)
+		fmt.Fprintf(r.out, "  %s\n", text)
 	}
 	for _, line := range result.Plan.Lines() {
-		fmt.Fprintf(p.out, "  fault: %s\n", line)
+		fmt.Fprintf(r.out, "  fault: %s\n", line)
 	}
 	return nil
 }
 
 // logFolder creates the folder for the logs of a plan's run. It returns "" if logs are not kept.
-func (p *soakPlays) logFolder(plan soak.Plan) (string, error) {
-	if p.logs == "" {
+func (r *soakRunner) logFolder(plan soak.Plan) (string, error) {
+	if r.logs == "" {
 		return "", nil
 	}
-	folder := filepath.Join(p.logs, strings.ReplaceAll(plan.Title(), " ", "-"))
+	folder := filepath.Join(r.logs, strings.ReplaceAll(plan.Title(), " ", "-"))
 	return folder, os.MkdirAll(folder, 0o700)
 }
--- a/cmd/hookwalk/sweep.go
+++ b/cmd/hookwalk/sweep.go
@@ -62,24 +62,24 @@
 }
 
 // newProgressReporter returns a function that shows progress: as a bar on a terminal, otherwise as a line every few seconds.
-func newProgressReporter(out streams) func(done, of int) {
+func newProgressReporter(out streams) func(done, total int) {
 	if f, ok := out.stderr.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		var bar *progressbar.ProgressBar
-		return func(done, of int) {
+		return func(done, total int) {
 			if bar == nil {
-				bar = progressbar.NewOptions(of, progressbar.OptionSetWriter(out.stderr), progressbar.OptionShowCount())
+				bar = progressbar.NewOptions(total, progressbar.OptionSetWriter(out.stderr), progressbar.OptionShowCount())
 			}
 			_ = bar.Set(done) // a failure to draw the bar must not stop the sweep
-			if done == of {
+			if done == total {
 				fmt.Fprintln(out.stderr)
 			}
 		}
 	}
 	last := time.Now()
-	return func(done, of int) {
-		if now := time.Now(); done == of || now.Sub(last) >= progressInterval {
+	return func(done, total int) {
+		if now := time.Now(); done == total || now.Sub(last) >= progressInterval {
 			last = now
-			fmt.Fprintf(out.stderr, "%d of %d experiments\n", done, of)
+			fmt.Fprintf(out.stderr, "%d of %d experiments\n", done, total)
 		}
 	}
 }
--- a/cmd/hookwalk/upgrade_test.go
+++ b/cmd/hookwalk/upgrade_test.go
@@ -262,7 +262,7 @@
 	if got := p.callAdmin("POST", "/control/servers/s-1/online"); got != http.StatusOK {
 		t.Errorf("online: status %d", got)
 	}
-	for had := s.requests[1].Load(); s.requests[1].Load() == had; {
+	for before := s.requests[1].Load(); s.requests[1].Load() == before; {
 		time.Sleep(time.Millisecond)
 	}
 	l.stopAndCheck(t)
