--- a/cmd/hookwalk/drain_test.go
+++ b/cmd/hookwalk/drain_test.go
@@ -18,19 +18,20 @@
 	"time"
 )
 
-// Bounds of the protocol, and the load of the test.
+// Time limits of the protocol, and the load of the test.
 const (
-	notifiedAfterChange        = 6 * time.Second        // a node counts as notified so long after discovery had a change and was reachable
-	notifiedAfterAddressChange = 4 * time.Second        // and so long after a SIGHUP that names another address
-	drainGrace                 = 250 * time.Millisecond // that a node may still send to a draining server after it was notified
+	notifiedAfterChange        = 6 * time.Second        // a node counts as notified this long after discovery had a change and was reachable
+	notifiedAfterAddressChange = 4 * time.Second        // likewise, after a SIGHUP with another address of discovery
+	drainGrace                 = 250 * time.Millisecond // in which a notified node may still send to a draining server
 
-	drainRate      = 100              // requests a second
-	loadAfterList  = 5 * time.Second  // that the load goes on after a list could be there
-	unansweredTime = 16 * time.Second // that it goes on after a drain where no list comes
-	pollTime       = 2 * time.Second  // of a poll that fails
+	drainRate            = 100              // requests per second
+	loadAfterListWritten = 5 * time.Second  // how long the load continues after a list can have been delivered
+	unansweredLoadTime   = 16 * time.Second // how long the load continues after a drain if no list is delivered
+	failedPollTime       = 2 * time.Second  // duration of a poll that fails
 )
 
-// drainConfig is the node's configuration; its arguments are discovery's address, the bootstrap list and discovery's mode.
+// drainConfig is the format of the node's configuration. Its arguments are the address of discovery, the bootstrap list and
+// the mode of discovery.
 const drainConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,
  "settings":{"registry-mode":%q,"balancers":1,"rules":{"ask-within-ms":10000},
@@ -38,55 +39,55 @@
   "lanes":[{"name":"read","effect":"read_like","target-ms":1000,"deadline-ms":3000,"worth":1},
    {"name":"write","effect":"non_idempotent","target-ms":1000,"deadline-ms":3000,"worth":1}]}}`
 
-// A node whose discovery is slow, and whose watch is stalled or belongs to an earlier address, has an endpoint list that it
-// must not rely on: it once went on sending to a server that had drained. It sends nothing to a server that began to drain
-// so long ago that the node counts as notified. Every request is answered, by a rejection with Retry-After while no list
-// can be relied on, and the node serves again with the next list.
-func TestNothingGoesToADrainedServerWithoutAList(t *testing.T) {
+// Guards against a node that relies on a stale endpoint list while discovery is slow and its watch is stalled or belongs to an
+// earlier address: such a node kept sending to a server that had drained. A node must send nothing to a server once it counts
+// as notified of the drain. It must answer every request, with a rejection and Retry-After while it has no valid list, and
+// serve again with the next list.
+func TestNoRequestsToDrainingServerWithoutFreshList(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
-		for _, callTime := range []time.Duration{3 * time.Second, 7 * time.Second} {
-			for _, moves := range []int{0, 3} {
-				t.Run(fmt.Sprintf("%s/%v a call/%d moves", mode, callTime, moves), func(t *testing.T) {
+		for _, pollDelay := range []time.Duration{3 * time.Second, 7 * time.Second} {
+			for _, addressChanges := range []int{0, 3} {
+				t.Run(fmt.Sprintf("%s/polls take %v/%d address changes", mode, pollDelay, addressChanges), func(t *testing.T) {
 					t.Parallel()
-					newDrainScenario(t, mode).run(t, callTime, moves)
+					newDrainScenario(t, mode).run(t, pollDelay, addressChanges)
 				})
 			}
 		}
 	}
 }
 
-// A discovery that answered no poll counted as one that can notify nobody 10 s after the lease: the node served again on the
-// list that had expired, and sent to a server that drains. Nothing goes there, however polls end. While connections are refused
-// nobody can be notified, and the node serves on.
+// Guards against a node that treats a discovery which answers no poll as unable to notify anybody: 10 s after the lease had
+// expired, such a node served again from the expired list and sent to a draining server. A node must send nothing there,
+// however its polls end. Only while connections to discovery are refused can no node be notified: then the node keeps serving.
 func TestNothingGoesToADrainedServerWhileNoPollIsAnswered(t *testing.T) {
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 	for _, mode := range []string{"on_request", "pushed"} {
-		for name, ends := range map[string][]func(http.ResponseWriter){
+		for name, outcomes := range map[string][]func(http.ResponseWriter){
 			"503": {reject}, "reset": {reset}, "503 and reset": {reject, reset}, "nothing": {}, "refused": nil,
 		} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				newDrainScenario(t, mode).runUnanswered(t, ends)
+				newDrainScenario(t, mode).runUnanswered(t, outcomes)
 			})
 		}
 	}
 }
 
-// drainScenario is a node, its servers and its discovery. The servers and discovery are handlers of this process.
+// drainScenario is a node with its servers and its discovery. The servers and discovery are HTTP handlers in this process.
 type drainScenario struct {
 	mode          string
-	notifiedAfter time.Duration    // the node counts as notified so long after the drain began
-	hosts         []map[string]any // as discovery lists them; the last one drains
+	notifiedAfter time.Duration    // the node counts as notified this long after the drain began
+	hosts         []map[string]any // the endpoint list of discovery; the last server drains
 
 	mu             sync.Mutex
-	callTime       time.Duration // of a call
-	watchesStalled chan struct{} // closed: open watches deliver nothing any more
-	drainedAt      time.Time     // zero: not yet
-	newestAddress  string        // the address of discovery that is configured last
-	listedAt       time.Time     // when a list with the drain was written there first
+	pollDelay      time.Duration // before discovery answers a poll
+	watchesStalled chan struct{} // when closed, open watches deliver nothing any more
+	drainedAt      time.Time     // zero: the drain has not begun
+	latestAddress  string        // the address of discovery that the node is configured with last
+	listedAt       time.Time     // when a list with the drain was first written at latestAddress
 
-	lateArrivals []time.Duration // of requests at the drained server, after the drain
+	lateArrivals []time.Duration // times from the drain to requests that the draining server got too late
 	statuses     map[int]int
 	failures     []string
 }
@@ -105,7 +106,7 @@
 	return p
 }
 
-// recordArrival records a request at a server.
+// recordArrival records a request that the draining server gets too late.
 func (p *drainScenario) recordArrival(server int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,23 +118,23 @@
 	}
 }
 
-// ServeHTTP is discovery, at whichever address.
+// ServeHTTP implements discovery, at all its addresses.
 func (p *drainScenario) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	callTime, silenced := p.callTime, p.watchesStalled
+	pollDelay, stalled := p.pollDelay, p.watchesStalled
 	p.mu.Unlock()
 	select {
-	case <-time.After(callTime):
+	case <-time.After(pollDelay):
 	case <-r.Context().Done():
 		return
 	}
-	w.Write(p.list(r.Host))
+	w.Write(p.listFor(r.Host))
 	w.(http.Flusher).Flush()
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
 	for {
 		select {
-		case <-silenced:
+		case <-stalled:
 			<-r.Context().Done()
 			return
 		case <-heartbeat.C:
@@ -145,38 +146,38 @@
 	}
 }
 
-// list is the complete list as it is now, as an address of discovery writes it.
-func (p *drainScenario) list(address string) []byte {
+// listFor returns the current complete list, as discovery writes it at an address.
+func (p *drainScenario) listFor(address string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := 1
 	if !p.drainedAt.IsZero() {
 		version = 2
-		if p.listedAt.IsZero() && address == p.newestAddress {
+		if p.listedAt.IsZero() && address == p.latestAddress {
 			p.listedAt = time.Now()
 		}
 	}
 	text, err := json.Marshal(map[string]any{"seq": version, "whole": true, "hosts": p.hosts})
 	if err != nil {
-		panic(err) // only if the types of this file can't be written
+		panic(err) // only if the types of this file can't be marshaled
 	}
 	return append(text, '\n')
 }
 
-// drain has the last server drain, each call take a while from now on, and open watches stall.
-func (p *drainScenario) drain(callTime time.Duration) {
+// drain begins the drain of the last server, delays all later polls, and stalls the open watches.
+func (p *drainScenario) drain(pollDelay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts[len(p.hosts)-1]["health"] = "terminating"
-	p.callTime, p.drainedAt = callTime, time.Now()
+	p.pollDelay, p.drainedAt = pollDelay, time.Now()
 	close(p.watchesStalled)
 	p.watchesStalled = make(chan struct{})
 }
 
-// run runs the scenario against a node under load.
-func (p *drainScenario) run(t *testing.T, callTime time.Duration, moves int) {
+// run drains a server of a node under load, whose address of discovery then changes a number of times.
+func (p *drainScenario) run(t *testing.T, pollDelay time.Duration, addressChanges int) {
 	var addresses []string
-	for range moves + 1 {
+	for range addressChanges + 1 {
 		discovery := httptest.NewServer(p)
 		t.Cleanup(func() {
 			discovery.CloseClientConnections()
@@ -184,20 +185,20 @@
 		})
 		addresses = append(addresses, discovery.Listener.Addr().String())
 	}
-	if p.notifiedAfter = notifiedAfterChange; moves > 0 {
+	if p.notifiedAfter = notifiedAfterChange; addressChanges > 0 {
 		p.notifiedAfter = notifiedAfterAddressChange
 	}
-	p.newestAddress = addresses[moves]
-	known := p.list("")
+	p.latestAddress = addresses[addressChanges]
+	known := p.listFor("")
 	config := func(address string) string { return fmt.Sprintf(drainConfig, address, known, p.mode) }
-	c, url, ended := startDrainNode(t, config(addresses[0]))
+	c, url, stopNode := startDrainNode(t, config(addresses[0]))
 	path := strings.TrimPrefix(c.Env[len(c.Env)-1], "ROUTER_CONFIG=")
-	ctx, end := context.WithTimeout(t.Context(), time.Second+callTime+loadAfterList)
+	ctx, end := context.WithTimeout(t.Context(), time.Second+pollDelay+loadAfterListWritten)
 	defer end()
 	answered := p.load(ctx, url)
 	<-time.After(time.Second)
-	p.drain(callTime)
-	for i, wait := range []time.Duration{0, 400 * time.Millisecond, 600 * time.Millisecond}[:moves] {
+	p.drain(pollDelay)
+	for i, wait := range []time.Duration{0, 400 * time.Millisecond, 600 * time.Millisecond}[:addressChanges] {
 		<-time.After(wait)
 		if err := os.WriteFile(path, []byte(config(addresses[i+1])), 0o600); err != nil {
 			t.Fatal(err)
@@ -207,16 +208,16 @@
 		}
 	}
 	answered.Wait()
-	ended()
-	p.check(t, callTime)
+	stopNode()
+	p.check(t, pollDelay)
 }
 
-// runUnanswered runs the scenario against a node whose polls end in turn as given, without a list: never where none is given,
-// and by a refused connection where ends is nil.
-func (p *drainScenario) runUnanswered(t *testing.T, ends []func(http.ResponseWriter)) {
+// runUnanswered drains a server of a node under load that gets no list. Its polls end with the outcomes in turn. They never
+// end if outcomes is empty, and their connections are refused if it is nil.
+func (p *drainScenario) runUnanswered(t *testing.T, outcomes []func(http.ResponseWriter)) {
 	address := "127.0.0.1:1" // refuses connections
-	if ends != nil {
-		discovery := httptest.NewServer(unansweredPolls(ends))
+	if outcomes != nil {
+		discovery := httptest.NewServer(discoveryWithoutLists(outcomes))
 		t.Cleanup(func() {
 			discovery.CloseClientConnections()
 			discovery.Close()
@@ -224,44 +225,45 @@
 		address = discovery.Listener.Addr().String()
 	}
 	p.notifiedAfter = notifiedAfterChange
-	_, url, ended := startDrainNode(t, fmt.Sprintf(drainConfig, address, p.list(""), p.mode))
-	ctx, end := context.WithTimeout(t.Context(), time.Second+unansweredTime)
+	_, url, stopNode := startDrainNode(t, fmt.Sprintf(drainConfig, address, p.listFor(""), p.mode))
+	ctx, end := context.WithTimeout(t.Context(), time.Second+unansweredLoadTime)
 	defer end()
 	answered := p.load(ctx, url)
 	<-time.After(time.Second)
 	p.drain(0)
 	answered.Wait()
-	ended()
+	stopNode()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ends == nil {
+	if outcomes == nil {
 		if n := p.statuses[http.StatusServiceUnavailable]; n > 0 || len(p.failures) > 0 {
 			t.Errorf("%d requests were rejected while discovery refused connections; failures: %q", n, p.failures)
 		}
 		return
 	}
-	p.checkAnswers(t)
-	t.Logf("answers %v", p.statuses)
+	p.checkResponses(t)
+	t.Logf("responses by status %v", p.statuses)
 }
 
-// unansweredPolls is a discovery whose polls end in turn as given, after a while; never where none is given.
-func unansweredPolls(ends []func(http.ResponseWriter)) http.Handler {
+// discoveryWithoutLists returns a discovery whose polls end with the outcomes in turn, each after failedPollTime. The polls
+// never end if outcomes is empty.
+func discoveryWithoutLists(outcomes []func(http.ResponseWriter)) http.Handler {
 	var polls atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if len(ends) == 0 {
+		if len(outcomes) == 0 {
 			<-r.Context().Done()
 			return
 		}
 		select {
-		case <-time.After(pollTime):
-			ends[int(polls.Add(1))%len(ends)](w)
+		case <-time.After(failedPollTime):
+			outcomes[int(polls.Add(1))%len(outcomes)](w)
 		case <-r.Context().Done():
 		}
 	})
 }
 
-// startDrainNode starts a node and returns its address, and what ends it by SIGTERM.
-func startDrainNode(t *testing.T, config string) (c *exec.Cmd, url string, ended func()) {
+// startDrainNode starts a node and returns its process and its URL. stop ends it with SIGTERM.
+func startDrainNode(t *testing.T, config string) (c *exec.Cmd, url string, stop func()) {
 	c = programCommand(t, config)
 	lines, url := startServing(t, c)
 	logRead := make(chan struct{})
@@ -276,32 +278,32 @@
 		}
 		<-logRead
 		if err := c.Wait(); err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the node exited with %v", err)
 		}
 	}
 }
 
-// load sends requests at a steady rate until ctx ends, and returns what waits for the last answer.
+// load sends requests at a constant rate until ctx ends. The result waits for the last response.
 func (p *drainScenario) load(ctx context.Context, url string) *sync.WaitGroup {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: drainRate}}
-	var sending sync.WaitGroup
+	var inFlight sync.WaitGroup
 	var id atomic.Int64
-	sending.Go(func() {
+	inFlight.Go(func() {
 		tick := time.NewTicker(time.Second / drainRate)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				sending.Go(func() { p.send(client, url, id.Add(1)) })
+				inFlight.Go(func() { p.send(client, url, id.Add(1)) })
 			case <-ctx.Done():
 				return
 			}
 		}
 	})
-	return &sending
+	return &inFlight
 }
 
-// ask makes one request and notes how it was answered.
+// send sends one request and records its outcome.
 func (p *drainScenario) send(client *http.Client, url string, id int64) {
 	method, class := http.MethodGet, "read"
 	if id%2 == 0 {
@@ -309,7 +311,7 @@
 	}
 	r, err := http.NewRequest(method, url+"/api", nil)
 	if err != nil {
-		panic(err) // only if the text above is no address
+		panic(err) // only if the URL is invalid
 	}
 	r.Header.Set("X-Call-Id", fmt.Sprint("id-", id))
 	r.Header.Set("X-Call-Class", class)
@@ -320,7 +322,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	took := time.Since(begin)
+	elapsed := time.Since(begin)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -331,8 +333,8 @@
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "":
 		err = errors.New("rejected without Retry-After")
-	case resp.StatusCode == http.StatusServiceUnavailable && took > time.Second:
-		err = fmt.Errorf("rejected after %v", took)
+	case resp.StatusCode == http.StatusServiceUnavailable && elapsed > time.Second:
+		err = fmt.Errorf("rejected after %v", elapsed)
 	case resp.StatusCode == http.StatusServiceUnavailable && !p.listedAt.IsZero() && begin.After(p.listedAt.Add(time.Second)):
 		err = fmt.Errorf("rejected %v after the list was written", begin.Sub(p.listedAt))
 	case resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable:
@@ -343,30 +345,30 @@
 	}
 }
 
-// check fails the test where a rule was broken.
-func (p *drainScenario) check(t *testing.T, callTime time.Duration) {
+// check fails the test if a rule was broken.
+func (p *drainScenario) check(t *testing.T, pollDelay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.checkAnswers(t)
+	p.checkResponses(t)
 	if p.listedAt.IsZero() {
 		t.Error("the list with the drain was never written")
-	} else if delay := p.listedAt.Sub(p.drainedAt); delay > callTime+4*time.Second {
+	} else if delay := p.listedAt.Sub(p.drainedAt); delay > pollDelay+4*time.Second {
 		t.Errorf("the list was written %v after the drain", delay)
 	}
 	if p.statuses[http.StatusOK] == 0 {
 		t.Error("nothing was served")
 	}
-	t.Logf("answers %v, list after %v", p.statuses, p.listedAt.Sub(p.drainedAt))
+	t.Logf("responses by status %v, list after %v", p.statuses, p.listedAt.Sub(p.drainedAt))
 }
 
-// checkAnswers fails the test where a request reached the drained server too late, or was answered wrongly. The caller holds
-// the lock.
-func (p *drainScenario) checkAnswers(t *testing.T) {
+// checkResponses fails the test if a request reached the draining server too late or got an invalid response. The caller
+// holds the lock.
+func (p *drainScenario) checkResponses(t *testing.T) {
 	if n := len(p.lateArrivals); n > 0 {
-		t.Errorf("%d requests reached the drained server over %v after it began to drain, from %v to %v after",
+		t.Errorf("%d requests reached the draining server more than %v after the drain began, from %v to %v after it",
 			n, p.notifiedAfter+drainGrace, p.lateArrivals[0], p.lateArrivals[n-1])
 	}
 	if n := len(p.failures); n > 0 {
-		t.Errorf("%d answers were wrong, the first: %s", n, p.failures[0])
+		t.Errorf("%d requests got an invalid response, the first: %s", n, p.failures[0])
 	}
 }
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -22,28 +22,28 @@
 )
 
 type labCommands struct {
-	Sweep  labSweep  `cmd:"" help:"Play a grid of experiments in virtual time on all cores."`
-	Report labReport `cmd:"" help:"Write a page of tables and plots from a sweep."`
-	Diff   labDiff   `cmd:"" help:"What changed between two sweeps; status 1 where a named figure fell."`
-	Up     labUp     `cmd:"" help:"Bring a scenario's world up on loopback, print how to reach it, and stay until Ctrl-C."`
-	Paper  labPaper  `cmd:"" help:"Compute the tables of the design's paper beside the published ones, and the module in the same world; status 1 where one differs."`
-	Fleet  labFleet  `cmd:"" help:"Play a scenario with a process for every node, for boxes, discovery and clients, and faults between them; status 1 where a rule is broken, 3 where the machine was too slow to tell."`
-	Soak   labSoak   `cmd:"" help:"Play real nodes against random, overlapping faults, judged from outside and by their invariants; status 1 where a rule is broken."`
-	Part   labPart   `cmd:"" hidden:"" help:"A process of lab fleet."`
-	Run    labRun    `cmd:"" help:"Play a scenario and hold it to the rules; status 1 where one is broken."`
+	Sweep  labSweep  `cmd:"" help:"Run a grid of experiments in virtual time on all cores."`
+	Report labReport `cmd:"" help:"Write an HTML page with tables and plots of a sweep."`
+	Diff   labDiff   `cmd:"" help:"Print what changed between two sweeps. Exit status: 1 if one of the named figures decreased."`
+	Up     labUp     `cmd:"" help:"Start a scenario's nodes and servers on loopback, print how to send a request, and run until Ctrl-C."`
+	Paper  labPaper  `cmd:"" help:"Compute the tables of the design's paper, and the same figures for the decision module, beside the published ones. Exit status: 1 if a figure differs."`
+	Fleet  labFleet  `cmd:"" help:"Run a scenario with separate processes for each node, the servers, discovery and the clients, and with faults between them. Exit status: 1 a rule was broken, 3 the machine was too slow to check the rules."`
+	Soak   labSoak   `cmd:"" help:"Run real nodes under random, overlapping faults, and check the rules from outside and through the nodes' invariants. Exit status: 1 if a rule was broken."`
+	Part   labPart   `cmd:"" hidden:"" help:"A worker process of lab fleet."`
+	Run    labRun    `cmd:"" help:"Run a scenario and check the rules. Exit status: 1 if one was broken."`
 }
 
 type labRun struct {
-	File    string  `arg:"" help:"The scenario."`
-	Seed    *uint64 `placeholder:"N" help:"Instead of the file's."`
-	Policy  string  `placeholder:"NAME" help:"Instead of the file's: deckrelay, random, round-robin, least-of-two, two-random, two-left or oracle."`
-	Sockets bool    `help:"On loopback in real time, with real node processes, instead of virtual time."`
+	File    string  `arg:"" help:"The scenario file."`
+	Seed    *uint64 `placeholder:"N" help:"Override the seed of the file."`
+	Policy  string  `placeholder:"NAME" help:"Override the policy of the file: deckrelay, random, round-robin, least-of-two, two-random, two-left or oracle."`
+	Sockets bool    `help:"Run on loopback in real time with real node processes, instead of in virtual time."`
 	Profile string  `hidden:"" placeholder:"FILE"`
 }
 
-// Run plays a scenario in virtual time. How long that took goes to standard error: the report is the same bytes
-// for the same seed.
-func (c labRun) Run(io streams) error {
+// Run runs a scenario. In virtual time, the report has the same bytes for the same seed; the time that the run took is
+// therefore printed to standard error.
+func (c labRun) Run(out streams) error {
 	s, err := scenario.Load(c.File)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 		s.Policy = c.Policy
 	}
 	if c.Sockets {
-		return runSockets(io, s)
+		return runOnLoopback(out, s)
 	}
 	w, err := simulation.New(s, policies.New)
 	if err != nil {
@@ -72,36 +72,37 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	began := time.Now()
-	result, auditor, err := w.Run(nil)
+	start := time.Now()
+	result, rules, err := w.Run(nil)
 	if err != nil {
 		return err
 	}
-	if err := result.Write(io.stdout); err != nil {
+	if err := result.Write(out.stdout); err != nil {
 		return err
 	}
-	took := time.Since(began)
-	fmt.Fprintf(io.stderr, "took %.2f s, %.0f events a second\n", took.Seconds(), float64(result.Events)/took.Seconds())
-	return verdict(io, auditor)
+	elapsed := time.Since(start)
+	fmt.Fprintf(out.stderr, "took %.2f s, %.0f events a second\n", elapsed.Seconds(), float64(result.Events)/elapsed.Seconds())
+	return reportViolations(out, rules)
 }
 
-// verdict names the rules that were broken.
-func verdict(io streams, auditor *checker.Checker) error {
-	for i, v := range auditor.Violations() {
+// reportViolations prints the violations of the rules and their number, and returns the exit status as an error.
+func reportViolations(out streams, rules *checker.Checker) error {
+	for i, v := range rules.Violations() {
 		if i == maxPrintedViolations {
 			break
 		}
-		fmt.Fprintf(io.stdout, "violation: %v\n", v)
+		fmt.Fprintf(out.stdout, "violation: %v\n", v)
 	}
-	fmt.Fprintf(io.stdout, "rules broken   %d\n", auditor.Count())
-	if auditor.Count() > 0 {
+	fmt.Fprintf(out.stdout, "rules broken   %d\n", rules.Count())
+	if rules.Count() > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// upSockets brings a world up whose nodes are this program.
-func upSockets(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
+// startLoopbackWorld starts the servers, discovery and nodes of a scenario on loopback. The nodes are processes of this
+// program.
+func startLoopbackWorld(ctx context.Context, s *scenario.Scenario) (*loopback.World, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
@@ -114,40 +115,41 @@
 	return w, nil
 }
 
-func runSockets(io streams, s *scenario.Scenario) error {
+// runOnLoopback runs a scenario in real time on loopback, prints the report and checks the rules.
+func runOnLoopback(out streams, s *scenario.Scenario) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startLoopbackWorld(ctx, s)
 	if err != nil {
 		return err
 	}
-	result, auditor, err := w.Play()
-	w.Down(err != nil || auditor.Count() > 0)
+	result, rules, err := w.Play()
+	w.Down(err != nil || rules.Count() > 0)
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := result.Write(io.stdout); err != nil {
+	if err := result.Write(out.stdout); err != nil {
 		return err
 	}
-	if auditor.Count() > 0 {
-		fmt.Fprintf(io.stderr, "the nodes' logs are in %s\n", w.Folder())
+	if rules.Count() > 0 {
+		fmt.Fprintf(out.stderr, "the nodes' logs are in %s\n", w.Folder())
 	}
-	return verdict(io, auditor)
+	return reportViolations(out, rules)
 }
 
 type labUp struct {
-	File string `arg:"" help:"The scenario."`
+	File string `arg:"" help:"The scenario file."`
 }
 
-// Run holds a world up. Its troubles don't come; its clients are whoever asks.
-func (c labUp) Run(io streams) error {
+// Run starts the nodes and servers of a scenario, without its faults and clients, and keeps them running until a signal.
+func (c labUp) Run(out streams) error {
 	s, err := scenario.Load(c.File)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	w, err := upSockets(ctx, s)
+	w, err := startLoopbackWorld(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -157,19 +159,19 @@
 	if class.Effect != balancer.Idempotent {
 		method = " -X POST"
 	}
-	fmt.Fprintf(io.stdout, "%s is up: a node at http://%s, logs in %s; Ctrl-C ends it\n", s.Name, w.Addr(), w.Folder())
-	fmt.Fprintf(io.stdout, "curl -i%s -H 'X-Call-Id: a1' -H 'X-Call-Class: %s' -H 'X-Caller: %s' -H 'X-Budget: %dm' http://%s/api\n",
+	fmt.Fprintf(out.stdout, "%s is up: a node at http://%s, logs in %s; press Ctrl-C to stop\n", s.Name, w.Addr(), w.Folder())
+	fmt.Fprintf(out.stdout, "curl -i%s -H 'X-Call-Id: a1' -H 'X-Call-Class: %s' -H 'X-Caller: %s' -H 'X-Budget: %dm' http://%s/api\n",
 		method, class.Name, s.Tenants[0].Name, class.Deadline.Milliseconds(), w.Addr())
 	<-ctx.Done()
 	return nil
 }
 
 type labPaper struct {
-	Runs int    `default:"40" help:"Runs of table 4; the published one has 100."`
-	Seed uint64 `default:"1" help:"Of table 4."`
+	Runs int    `default:"40" help:"The number of runs for table 4; the published table has 100."`
+	Seed uint64 `default:"1" help:"The seed of table 4."`
 }
 
-// Validate wants enough runs for an interval.
+// Validate checks the number of runs: a confidence interval needs at least two.
 func (c labPaper) Validate() error {
 	if c.Runs < 2 || c.Runs > 10000 {
 		return errors.New("--runs must be from 2 to 10000")
@@ -177,10 +179,10 @@
 	return nil
 }
 
-// Run prints the tables.
-func (c labPaper) Run(io streams) error {
-	off, err := paper.Write(io.stdout, c.Runs, c.Seed)
-	if err == nil && off > 0 {
+// Run prints the tables. The exit code is exitFailed if a figure differs from the published one.
+func (c labPaper) Run(out streams) error {
+	differing, err := paper.Write(out.stdout, c.Runs, c.Seed)
+	if err == nil && differing > 0 {
 		return exitStatus(exitFailed)
 	}
 	return err
--- a/cmd/hookwalk/operations_test.go
+++ b/cmd/hookwalk/operations_test.go
@@ -14,41 +14,42 @@
 	"time"
 )
 
-// The measurements of docs/operations.md, each with real processes on loopback:
+// Benchmarks for docs/operations.md, with real processes on loopback:
 //
 //	go test ./cmd/hookwalk -run '^$' -bench Operations -benchtime 1x -count 5
 
-// BenchmarkOperationsUpgrade replaces the process under the load of 32 clients.
+// BenchmarkOperationsUpgrade measures a hot restart under the load of 32 clients.
 func BenchmarkOperationsUpgrade(b *testing.B) {
 	for b.Loop() {
 		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
-		l := s.load(32)
+		load := s.load(32)
 		begin := time.Now()
 		successor := s.start(b)
 		successor.waitReady(b)
 		readyTime := time.Since(begin)
 		p.terminate(b)
-		close(l.stop)
-		l.running.Wait()
-		b.ReportMetric(float64(l.failures.Load()), "lost")
-		b.ReportMetric(float64(l.unread.Load()), "unread")
-		b.ReportMetric(float64(l.served.Load()), "served")
+		close(load.stop)
+		load.running.Wait()
+		b.ReportMetric(float64(load.failures.Load()), "lost")
+		b.ReportMetric(float64(load.unreadRequests.Load()), "unread")
+		b.ReportMetric(float64(load.served.Load()), "served")
 		b.ReportMetric(float64(readyTime.Milliseconds()), "ms-to-yes")
 		successor.terminate(b)
 	}
 }
 
-// BenchmarkOperationsControl makes operators' calls at full load, beside connections that send no complete request.
+// BenchmarkOperationsControl measures calls to the admin API of a node at full load, while other connections to that API send
+// only incomplete requests.
 func BenchmarkOperationsControl(b *testing.B) {
 	for b.Loop() {
 		s := newNodeEnvironment(b)
 		p := s.start(b)
 		p.waitReady(b)
-		l := s.load(64)
-		var held []net.Conn
-		var took []time.Duration
+		load := s.load(64)
+		var incomplete []net.Conn
+		var durations []time.Duration
 		for i := range 200 {
 			if i%20 == 0 {
 				c, err := net.Dial("tcp", p.control)
@@ -56,30 +57,30 @@
 					b.Fatal(err)
 				}
 				io.WriteString(c, "POST /control/servers/")
-				held = append(held, c)
+				incomplete = append(incomplete, c)
 			}
 			begin := time.Now()
 			if got := p.callAdmin("POST", "/control/servers/s-1/"+[]string{"offline", "online"}[i%2]); got != http.StatusOK {
-				b.Errorf("answered %d", got)
+				b.Errorf("the call got status %d", got)
 			}
-			took = append(took, time.Since(begin))
+			durations = append(durations, time.Since(begin))
 		}
-		for _, c := range held {
+		for _, c := range incomplete {
 			c.Close()
 		}
-		close(l.stop)
-		l.running.Wait()
+		close(load.stop)
+		load.running.Wait()
 		worst, sum := time.Duration(0), time.Duration(0)
-		for _, d := range took {
+		for _, d := range durations {
 			worst, sum = max(worst, d), sum+d
 		}
 		b.ReportMetric(float64(worst.Microseconds())/1000, "ms-worst")
-		b.ReportMetric(float64(sum.Microseconds())/1000/float64(len(took)), "ms-mean")
+		b.ReportMetric(float64(sum.Microseconds())/1000/float64(len(durations)), "ms-mean")
 		p.terminate(b)
 	}
 }
 
-// BenchmarkOperationsSize forwards bodies and answers of 32 MB, 24 at a time, 1.5 GB in all.
+// BenchmarkOperationsSize forwards 24 concurrent requests whose bodies and responses have 32 MB each, 1.5 GB in total.
 func BenchmarkOperationsSize(b *testing.B) {
 	for b.Loop() {
 		peak, wrong := sendLargeBodies(b, 24, 32<<20)
@@ -88,16 +89,16 @@
 	}
 }
 
-// A node that buffered bodies would be killed for its memory by a few uploads at once. Large bodies and answers, together
-// far over the node's memory limit, cost it next to nothing.
-func TestManyLargeBodiesAtOnce(t *testing.T) {
+// Guards against a node that buffers bodies, which a few concurrent uploads would drive beyond its memory limit. Large
+// requests and responses, which together far exceed that limit, must use hardly any memory.
+func TestConcurrentLargeBodies(t *testing.T) {
 	if peak, wrong := sendLargeBodies(t, 12, 8<<20); wrong > 0 || peak > 64<<10 {
-		t.Errorf("%d went wrong, %d KiB of memory at most for 192 MiB", wrong, peak)
+		t.Errorf("%d requests failed; peak memory %d KiB for 192 MiB of bodies", wrong, peak)
 	}
 }
 
-// manyLarge has n clients send a body of a size and read an answer of the same size. It returns the node's peak of
-// memory in KiB, and how many of them went wrong.
+// sendLargeBodies has n clients each send a body of a size and read a response of the same size. It returns the node's peak
+// memory in KiB, and the number of requests that failed.
 func sendLargeBodies(t testing.TB, n, size int) (peak int, wrong int64) {
 	t.Helper()
 	piece := bytes.Repeat([]byte("brix 23.4;"), 3277)
@@ -115,24 +116,24 @@
 	})
 	p := s.start(t)
 	p.waitReady(t)
-	var faults atomic.Int64
+	var failures atomic.Int64
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
 			r, _ := http.NewRequest("POST", "http://"+s.listen+"/api", io.LimitReader(&repeatingReader{text: piece}, int64(size)))
-			r.ContentLength = int64(size) * int64(i%2*2-1) // every second one is chunked
+			r.ContentLength = int64(size) * int64(i%2*2-1) // every second request is chunked
 			if r.ContentLength < 0 {
 				r.ContentLength = -1
 			}
 			r.Header = http.Header{"X-Call-Id": {fmt.Sprint("big", i)}, "X-Call-Class": {"a"}, "X-Budget": {"2000m"}}
 			resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 			if err != nil {
-				faults.Add(1)
+				failures.Add(1)
 				return
 			}
 			defer resp.Body.Close()
 			if got, err := io.Copy(io.Discard, resp.Body); got != int64(size) || err != nil || resp.StatusCode != http.StatusOK {
-				faults.Add(1)
+				failures.Add(1)
 			}
 		})
 	}
@@ -146,10 +147,10 @@
 		t.Fatal(err)
 	}
 	p.terminate(t)
-	return peak, faults.Load()
+	return peak, failures.Load()
 }
 
-// repeatingReader is a text without end.
+// repeatingReader reads a text again and again without end.
 type repeatingReader struct {
 	text []byte
 	at   int
--- a/cmd/hookwalk/soak.go
+++ b/cmd/hookwalk/soak.go
@@ -19,23 +19,23 @@
 
 type labSoak struct {
 	First   uint64        `default:"1" help:"The first seed."`
-	Seeds   int           `default:"20" help:"How many seeds are played."`
-	Nodes   int           `default:"24" help:"Nodes of each play, a process each."`
-	Length  time.Duration `default:"20s" help:"Of each play."`
-	Program string        `placeholder:"PATH" help:"Another build of hookwalk to play."`
-	Logs    string        `placeholder:"DIR" help:"Keep the nodes' logs in folders by seed."`
+	Seeds   int           `default:"20" help:"The number of seeds."`
+	Nodes   int           `default:"24" help:"The number of nodes of each run. Each is a process."`
+	Length  time.Duration `default:"20s" help:"The duration of each run."`
+	Program string        `placeholder:"PATH" help:"Run the nodes with another build of hookwalk."`
+	Logs    string        `placeholder:"DIR" help:"Keep the nodes' logs in this folder, in a subfolder for each seed."`
 
-	Regressions bool `help:"Also play the seeds and plans that once broke a rule, each with the nodes that it had."`
+	Regressions bool `help:"Also run the seeds and plans that once broke a rule, each with its original number of nodes."`
 }
 
-// Bounds of what a soak may ask of a machine.
+// Bounds of the flags.
 const (
-	maxSoakNodes  = 200              // each is a process of some 15 MB
-	minSoakLength = 16 * time.Second // the time for faults, for recovery and for the judgement
+	maxSoakNodes  = 200              // each is a process of about 15 MB
+	minSoakLength = 16 * time.Second // time for faults, for recovery and for the final check
 )
 
-// Run plays one seed after another and prints what was seen and what was broken.
-func (c labSoak) Run(streams streams) error {
+// Run runs one plan after another, and prints for each what was observed and which rules were broken.
+func (c labSoak) Run(out streams) error {
 	if c.Seeds < 1 || c.Nodes < 1 || c.Nodes > maxSoakNodes || c.Length < minSoakLength {
 		return fmt.Errorf("lab: --seeds must be above 0, --nodes from 1 to %d, --length %v or more", maxSoakNodes, minSoakLength)
 	}
@@ -48,20 +48,20 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	play := soakPlay{out: streams.stdout, program: program, logs: c.Logs}
+	runner := soakRunner{out: out.stdout, program: program, logs: c.Logs}
 	for _, plan := range c.plans() {
-		if err := play.run(ctx, plan); err != nil {
+		if err := runner.run(ctx, plan); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
-	fmt.Fprintf(streams.stdout, "all: %v\n%d seeds, %d with something broken\n", play.sum, play.played, play.broken)
-	if play.broken > 0 {
+	fmt.Fprintf(out.stdout, "total: %v\n%d seeds, %d with violations\n", runner.totals, runner.plansRun, runner.failed)
+	if runner.failed > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// plans are those that once broke a rule, if they are asked for, and those of the seeds in a row.
+// plans returns the plans to run: first those that once broke a rule, if --regressions is set, then those of the seeds.
 func (c labSoak) plans() (plans []soak.Plan) {
 	if c.Regressions {
 		for _, r := range soak.RegressionSeeds {
@@ -75,24 +75,24 @@
 	return plans
 }
 
-// soakPlay plays plans one after another and adds up what was seen.
-type soakPlay struct {
-	out     io.Writer
-	program string
-	logs    string // the folder for the nodes' logs; empty: they are not kept
-	sum     soak.Totals
-	played  int
-	broken  int // plans that broke a rule
+// soakRunner runs plans one after another and accumulates their results.
+type soakRunner struct {
+	out      io.Writer
+	program  string
+	logs     string // folder for the nodes' logs; empty: logs are not kept
+	totals   soak.Totals
+	plansRun int
+	failed   int // plans with violations
 }
 
-// run plays one plan and prints what was seen and what was broken.
-func (p *soakPlay) run(ctx context.Context, plan soak.Plan) error {
-	logFolder, err := p.logFolder(plan)
+// run runs one plan, and prints what was observed and which rules were broken.
+func (r *soakRunner) run(ctx context.Context, plan soak.Plan) error {
+	logFolder, err := r.logFolder(plan)
 	if err != nil {
 		return err
 	}
 	result, err := soak.Run(ctx, plan, func(config string) *exec.Cmd {
-		node := exec.Command(p.program, "run")
+		node := exec.Command(r.program, "run")
 		node.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 		return node
 	}, logFolder)
@@ -102,28 +102,28 @@
 	if err != nil {
 		return err
 	}
-	broken, totals := result.Violations(), result.Totals()
-	p.sum.Add(totals)
-	p.played++
-	fmt.Fprintf(p.out, "%s, %d nodes: %v; %d broken\n", plan.Title(), plan.Nodes, totals, len(broken))
-	if len(broken) == 0 {
+	violations, totals := result.Violations(), result.Totals()
+	r.totals.Add(totals)
+	r.plansRun++
+	fmt.Fprintf(r.out, "%s, %d nodes: %v; %d violations\n", plan.Title(), plan.Nodes, totals, len(violations))
+	if len(violations) == 0 {
 		return nil
 	}
-	p.broken++
-	for _, text := range broken {
-		fmt.Fprintf(p.out, "  %s\n", text)
+	r.failed++
+	for _, text := range violations {
+		fmt.Fprintf(r.out, "  %s\n", text)
 	}
 	for _, line := range result.Plan.Lines() {
-		fmt.Fprintf(p.out, "  fault: %s\n", line)
+		fmt.Fprintf(r.out, "  fault: %s\n", line)
 	}
 	return nil
 }
 
-// logFolder makes the folder for the logs of a plan's play, and returns "" if none are kept.
-func (p *soakPlay) logFolder(plan soak.Plan) (string, error) {
-	if p.logs == "" {
+// logFolder creates the folder for the logs of a plan's run. It returns "" if logs are not kept.
+func (r *soakRunner) logFolder(plan soak.Plan) (string, error) {
+	if r.logs == "" {
 		return "", nil
 	}
-	folder := filepath.Join(p.logs, strings.ReplaceAll(plan.Title(), " ", "-"))
+	folder := filepath.Join(r.logs, strings.ReplaceAll(plan.Title(), " ", "-"))
 	return folder, os.MkdirAll(folder, 0o700)
 }
