--- a/cmd/hookwalk/sites_test.go
+++ b/cmd/hookwalk/sites_test.go
@@ -163,13 +163,13 @@
 func TestInvalidSites(t *testing.T) {
 	key := writeFile(t, "key", base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))+"\n")
 	for text, want := range map[string]string{
-		`peers { site = "a" listen = "127.0.0.1:1" key_file = "k" }`:                                     `site "a" is not one of the blocks site`,
+		`peers { site = "a" listen = "127.0.0.1:1" key_file = "k" }`:                                     `no block defines the site "a"`,
 		`site "a" {} peers { site = "a" key_file = "k" }`:                                                "block peers needs listen",
 		`site "a" {} peers { site = "a" listen = "here" key_file = "k" }`:                                "listen must be HOST:PORT",
-		`site "a" {} site "a" {}`:                                                                        "site a is there already",
-		`site "a" {} site "b" {}`:                                                                        "one is the root",
-		`site "a" { parent = "x" }`:                                                                      "which is no site",
-		`site "r" {} site "a" { parent = "b" } site "b" { parent = "a" }`:                                "is above itself",
+		`site "a" {} site "a" {}`:                                                                        "site a is already defined",
+		`site "a" {} site "b" {}`:                                                                        "another site is already the root",
+		`site "a" { parent = "x" }`:                                                                      "which is not a site",
+		`site "r" {} site "a" { parent = "b" } site "b" { parent = "a" }`:                                "is its own ancestor",
 		`site "a" {} peers { site = "a" listen = "127.0.0.1:1" key_file = "k" via = ["x"] }`:             "HOST:PORT=HOST:PORT",
 		`site "a" {} peers { site = "a" listen = "127.0.0.1:0" key_file = "` + key + `.none" }`:          "key file",
 		`site "a" {} peers { site = "a" listen = "127.0.0.1:0" key_file = "` + filepath.Dir(key) + `" }`: "key file",
--- a/internal/controller/settings_test.go
+++ b/internal/controller/settings_test.go
@@ -55,7 +55,7 @@
 		"a name with /":     {`controller "a/b" { listen = "a:1" raft = "a:2" }`, "", "label is its name"},
 		"no label":          {`controller { listen = "a:1" raft = "a:2" }`, "", "x.hcl:1: block controller needs a label"},
 		"a slow lease":      {threeControllers + `controllers { election_ms = 200 lease_ms = 300 }`, "c1", "x.hcl:4: lease_ms must not be above election_ms"},
-		"two common blocks": {threeControllers + "controllers {}\ncontrollers {}", "c1", "x.hcl:5: block controllers is there already"},
+		"two common blocks": {threeControllers + "controllers {}\ncontrollers {}", "c1", "x.hcl:5: block controllers is already defined"},
 		"no sessions":       {threeControllers + `controllers { max_sessions = 0 }`, "c1", "x.hcl:4: max_sessions must be from 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -62,7 +62,7 @@
 	"far base":        {`scenario "a" { base = "../b.hcl" }`, "f:1: ", "in the same folder"},
 	"no base":         {"\nscenario \"a\" { base = \"b.hcl\" }", "f:2: ", "base: none"},
 	"number as base":  {`scenario "a" { base = 3 }`, "f:1: ", "base"},
-	"syntax":          {minimal + "class \"d\" {", "f:4: ", "has no end"},
+	"syntax":          {minimal + "class \"d\" {", "f:4: ", "is not closed"},
 }
 
 func parse(text []byte) (*Scenario, error) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,21 +23,21 @@
 
 // The counters; docs/features.md has them by their names.
 const (
-	Requests           Counter = iota // all that were read, also those that were not accepted
-	Served                            // answered 200
-	Rejected                          // answered 429 or 503
-	NotAccepted                       // answered another 4xx
-	Failed                            // answered anything else
-	ClientGone                        // closed or canceled by the client before an answer
-	FaultInjected                     // with an injected fault
-	Violations                        // of an invariant; without tags
-	RejectedExpired                   // of the rejected: while the endpoint list had expired
+	Requests             Counter = iota // all that were read, also those that were not accepted
+	Served                              // answered 200
+	Rejected                            // answered 429 or 503
+	NotAccepted                         // answered another 4xx
+	Failed                              // answered anything else
+	ClientGone                          // closed or canceled by the client before an answer
+	FaultInjected                       // with an injected fault
+	Violations                          // of an invariant; without tags
+	RejectedExpired                     // of the rejected: while the endpoint list had expired
 	ConnectionsOpened                   // to servers; without tags, as those below
-	UnsolicitedResponses                  // bytes of servers that nobody asked for
+	UnsolicitedResponses                // bytes of servers that nobody asked for
 	ConnectionsAbandoned                // to servers, for such bytes on them or on another connection to the same server
-	Suspicions                        // servers that came under suspicion for such bytes
-	EarlyResponses                    // of servers, so early and soon behind another that their connections are not reused for a while
-	counterCount                      // how many there are
+	Suspicions                          // servers that came under suspicion for such bytes
+	EarlyResponses                      // of servers, so early and soon behind another that their connections are not reused for a while
+	counterCount                        // how many there are
 )
 
 var counterNames = [counterCount]string{"requests", "served", "refused", "turned_away", "failed", "left", "drill.applied",
--- a/internal/requesthead/chunked.go
+++ b/internal/requesthead/chunked.go
@@ -27,9 +27,9 @@
 // chunkedBody follows the framing of a chunked body, to tell when all of it has come. It is strict: what net/http might
 // go on reading never counts as complete.
 type chunkedBody struct {
-	state  chunkState
-	digits int    // of the chunk size that is coming
-	remaining   uint64 // bytes of the chunk that have not come
+	state     chunkState
+	digits    int    // of the chunk size that is coming
+	remaining uint64 // bytes of the chunk that have not come
 }
 
 // consume inspects bytes of the body. What follows the body is passed over.
--- a/internal/requesthead/requesthead.go
+++ b/internal/requesthead/requesthead.go
@@ -63,18 +63,18 @@
 // It belongs to the goroutine that reads the connection and has no lock. A handler may ask for Findings and Count until
 // its request's body has been read to its end: until then nobody reads the next head.
 type Reader struct {
-	conn       io.Reader
-	pending    []byte // read from the connection, of later requests
-	state      state
-	bodyRemaining   int64  // bytes of the body that have not come
-	line       []byte // the header line that is coming, up to maxInspectedLine bytes
-	lineSize   int    // length of that line in bytes, without CR
-	afterCR    bool   // the last byte was a CR
-	headerName string // of the header line before, in lower case, for its continuation lines
-	current    head
-	complete   Findings // of the last complete head
-	chunks     chunkedBody
-	count      int // complete heads
+	conn          io.Reader
+	pending       []byte // read from the connection, of later requests
+	state         state
+	bodyRemaining int64  // bytes of the body that have not come
+	line          []byte // the header line that is coming, up to maxInspectedLine bytes
+	lineSize      int    // length of that line in bytes, without CR
+	afterCR       bool   // the last byte was a CR
+	headerName    string // of the header line before, in lower case, for its continuation lines
+	current       head
+	complete      Findings // of the last complete head
+	chunks        chunkedBody
+	count         int // complete heads
 }
 
 // NewReader returns a Reader for a connection of which nothing has been read.
--- a/internal/settings/accesslist.go
+++ b/internal/settings/accesslist.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// AccessList says whose requests are admitted, by the address that a connection comes from.
+// AccessList configures which clients are admitted, by the source address of the connection.
 type AccessList struct {
-	Allow          []netip.Prefix // nil: all
-	Deny           []netip.Prefix // wins over Allow
-	TrustedProxies []netip.Prefix // whose connections begin with a PROXY header that names the client
-	ProxyTimeout   time.Duration  // within which that header must have come; default 500 ms
+	Allow          []netip.Prefix // nil: all addresses
+	Deny           []netip.Prefix // takes precedence over Allow
+	TrustedProxies []netip.Prefix // connections from these addresses begin with a PROXY header that names the client
+	ProxyTimeout   time.Duration  // within which the PROXY header must arrive; default 500 ms
 }
 
 // Bounds of AccessList.ProxyTimeout.
 const (
-	defaultProxyTimeout = 500 * time.Millisecond // a proxy writes the header with the first packet
+	defaultProxyTimeout = 500 * time.Millisecond // a proxy sends the header in the first packet
 	minProxyTimeout     = time.Millisecond       // 0 would close every connection
-	maxProxyTimeout     = time.Second            // a connection without a request is to be closed within 3 s in all
+	maxProxyTimeout     = time.Second            // a connection without a request must be closed within 3 s in total
 )
 
 func (f *File) readAccessList(r *Reader) {
--- a/internal/settings/blocks.go
+++ b/internal/settings/blocks.go
@@ -12,32 +12,33 @@
 	"github.com/hashicorp/hcl/hcl/token"
 )
 
-// The grammar is that of HCL's first version, read by its own parser. Its second version ends a setting with
-// its line, so it can't read the operators' blocks, which are printed on one line. What HCL accepts and an
-// operator would not notice is an error here: stray commas, here-documents, numbers that are not plain, values
-// for a block, settings outside of blocks.
+// The grammar is HCL version 1, parsed by the library of that version. In HCL version 2 a setting ends with its line,
+// so it can't parse blocks that operators write on one line. This package rejects what HCL accepts but an operator
+// could overlook: stray commas, here-documents, numbers in hexadecimal or exponent notation, values assigned to a
+// block, and settings outside of blocks.
 
-// Block is a block as it is written, before its settings are given a meaning.
+// Block is a parsed block whose settings have not been interpreted yet.
 type Block struct {
-	Kind     string // the word that begins it
+	Kind     string // the word at its start
 	Label    string
 	HasLabel bool
-	Line     int // where it begins, from 1
+	Line     int // of its start, from 1
 	settings []setting
 	Blocks   []Block // nested, in the order of the file
 }
 
+// setting is one assignment in a block.
 type setting struct {
 	name  string
 	line  int
 	value any // string, number or []string
 }
 
-// number is a number as it is written.
+// number is the text of a number.
 type number string
 
-// Set replaces the value of a setting, or adds the setting, as the lab's experiments do. A text that looks like a
-// number becomes one.
+// Set replaces the value of a setting, or adds the setting. The lab's experiments use it to vary a scenario. Text that
+// looks like a number is stored as a number.
 func (b *Block) Set(name, text string) {
 	var value any = text
 	if _, err := strconv.ParseFloat(text, 64); err == nil && strings.Trim(text, "0123456789.-") == "" {
@@ -52,8 +53,8 @@
 	b.settings = append(b.settings, setting{name, b.Line, value})
 }
 
-// ParseBlocks reads all blocks of a file. Line breaks only separate: several settings may share a line. Errors are
-// one line and begin with the file's name and, as an *Error, the line.
+// ParseBlocks parses all blocks of a file. Several settings may share a line. An error is one line of text and begins
+// with the name of the file; except for invalid UTF-8 it is an *Error, which also has the line.
 func ParseBlocks(file string, text []byte) ([]Block, error) {
 	if !utf8.Valid(text) {
 		return nil, fmt.Errorf("%s: not UTF-8", file)
@@ -79,18 +80,18 @@
 		return nil, err
 	}
 	if len(b.settings) > 0 {
-		return nil, ErrorAt(file, b.settings[0].line, "setting %s stands outside of any block", b.settings[0].name)
+		return nil, ErrorAt(file, b.settings[0].line, "setting %s is outside of any block", b.settings[0].name)
 	}
 	return b.Blocks, nil
 }
 
-// oneLine joins the lines of a library's error.
+// oneLine joins the lines of an error message from the HCL library.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// treeWalker turns the parser's syntax tree into blocks.
+// treeWalker converts the parser's syntax tree into blocks.
 type treeWalker struct{ file string }
 
-// body reads what stands between the braces of a block.
+// body converts the content of a block, between its braces.
 func (w treeWalker) body(list *ast.ObjectList, line int) (Block, error) {
 	b := Block{Line: line}
 	for _, item := range list.Items {
@@ -116,7 +117,7 @@
 		}
 		for _, other := range b.settings {
 			if other.name == name {
-				return b, ErrorAt(w.file, at, "%s is set again (first in line %d)", name, other.line)
+				return b, ErrorAt(w.file, at, "%s is already set in line %d", name, other.line)
 			}
 		}
 		b.settings = append(b.settings, setting{name, at, v})
@@ -124,7 +125,7 @@
 	return b, nil
 }
 
-// block reads a nested block with its label.
+// block converts a nested block and its label.
 func (w treeWalker) block(item *ast.ObjectItem, o *ast.ObjectType, name string, at int) (Block, error) {
 	if item.Assign.IsValid() {
 		return Block{}, ErrorAt(w.file, at, "block %s takes no '='", name)
@@ -139,7 +140,7 @@
 	b.Kind = name
 	if len(item.Keys) == 2 {
 		if item.Keys[1].Token.Type != token.STRING {
-			return b, ErrorAt(w.file, at, "block %s: a label is a string", name)
+			return b, ErrorAt(w.file, at, "block %s: the label must be a string", name)
 		}
 		b.HasLabel = true
 		b.Label, err = w.quoted(item.Keys[1].Token)
@@ -147,7 +148,8 @@
 	return b, err
 }
 
-// name reads a plain word; HCL would also accept a string or a dotted name.
+// name returns the text of a key that is a plain word. HCL also accepts a string or a dotted name, which this package
+// rejects.
 func (w treeWalker) name(k *ast.ObjectKey) (string, bool) {
 	t := k.Token.Text
 	ok := k.Token.Type == token.IDENT && t != "" && strings.Trim(t,
@@ -155,7 +157,7 @@
 	return t, ok
 }
 
-// value reads the value of a setting: a string, a number or a []string.
+// value converts the value of a setting to a string, a number or a []string.
 func (w treeWalker) value(n ast.Node) (any, error) {
 	switch v := n.(type) {
 	case *ast.LiteralType:
@@ -186,13 +188,13 @@
 	return nil, ErrorAt(w.file, n.Pos().Line, "want a string, a number or a list")
 }
 
-// escapes maps the letter after a backslash to the character that is meant.
+// escapes maps the letter after a backslash to the character that the escape sequence represents.
 var escapes = map[byte]byte{'"': '"', '\\': '\\', 'n': '\n', 't': '\t', 'r': '\r'}
 
-// quoted unescapes a string. HCL's own reading would take ${ } for an expression.
+// quoted unescapes a string. HCL's own function is not used because it interprets ${ } as an expression.
 func (w treeWalker) quoted(t token.Token) (string, error) {
 	if len(t.Text) < 2 || strings.Contains(t.Text, "\n") {
-		return "", ErrorAt(w.file, t.Pos.Line, "string without an end")
+		return "", ErrorAt(w.file, t.Pos.Line, "unterminated string")
 	}
 	in := t.Text[1 : len(t.Text)-1]
 	var out strings.Builder
@@ -203,7 +205,7 @@
 		}
 		n++
 		if n == len(in) {
-			return "", ErrorAt(w.file, t.Pos.Line, "string without an end")
+			return "", ErrorAt(w.file, t.Pos.Line, "unterminated string")
 		}
 		plain, ok := escapes[in[n]]
 		if !ok {
--- a/internal/settings/capture.go
+++ b/internal/settings/capture.go
@@ -1,16 +1,16 @@
 package settings
 
-// Capture says where the records of the decision module are kept, beside standard error and memory.
+// Capture configures where the records of the decision module are stored, in addition to standard error and memory.
 type Capture struct {
-	Folder    string // "": none
-	FileBytes int    // of one file there, at most; default 512 KiB
+	Folder    string // "": no files
+	FileBytes int    // maximum size of one file; default 512 KiB
 }
 
 // Bounds of a capture file, in KiB.
 const (
-	defaultCaptureFile = 512     // some minutes of a node at usual load
-	minCaptureFile     = 64      // below it a file would hold little more than its head
-	maxCaptureFile     = 1 << 20 // 1 GiB: what a replay reads in reasonable time
+	defaultCaptureFile = 512     // a few minutes of records at the usual load of a node
+	minCaptureFile     = 64      // a smaller file would hold little more than its head
+	maxCaptureFile     = 1 << 20 // 1 GiB: the most that a replay reads in reasonable time
 )
 
 func (f *File) readCapture(r *Reader) {
--- a/internal/settings/configwatch.go
+++ b/internal/settings/configwatch.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// ConfigWatch says where a node learns of configuration versions, and as whom.
+// ConfigWatch configures from which controllers a node gets configuration versions, and how it identifies itself.
 type ConfigWatch struct {
 	Pos         string   // file:line of its block
-	Controllers []string // HOST:PORT, one at least; the first to try, later ones come from the controllers
-	Service     string   // whose configuration the node takes
-	Region      string   // "": unknown, then no controller is nearer than another
-	Zone        string   // the same
-	Folder      string   // where the version in force is persisted; "": nowhere, it ends with the process
+	Controllers []string // HOST:PORT, at least one; tried first, then those that the controllers report
+	Service     string   // whose configuration the node uses
+	Region      string   // "": unknown; then no controller is preferred for its region
+	Zone        string   // "": unknown; then no controller is preferred for its zone
+	Folder      string   // where the version in force is persisted; "": the version is lost when the process ends
 }
 
 func (f *File) readConfigWatch(r *Reader) {
@@ -24,18 +24,18 @@
 	}
 	checkControllers(r, w.Controllers)
 	if !isPrintable(w.Service) {
-		r.AddErrorAt(r.Block.Line, "block config_watch needs service: 1 to %d visible characters", maxTextLength)
+		r.AddErrorAt(r.Block.Line, "block config_watch needs service: 1 to %d printable ASCII characters", maxTextLength)
 	}
 	for name, text := range map[string]string{"region": w.Region, "zone": w.Zone} {
 		if line, set := r.LineOf(name); set && !isPrintable(text) {
-			r.AddErrorAt(line, "%s must be 1 to %d visible characters", name, maxTextLength)
+			r.AddErrorAt(line, "%s must be 1 to %d printable ASCII characters", name, maxTextLength)
 		}
 	}
 	r.checkFolder(w.Folder)
 	f.ConfigWatch = w
 }
 
-// checkControllers notes an error unless there are controllers, each with an address of its own.
+// checkControllers records an error if there are no controllers, or if an address is invalid or repeated.
 func checkControllers(r *Reader, controllers []string) {
 	if len(controllers) == 0 {
 		r.AddErrorAt(r.Block.Line, "block config_watch needs controllers")
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Error is a fault in a file of settings, at the line where it stands. Its text begins with FILE:LINE, so that an
-// editor finds the place.
+// Error is an error in a settings file, with its line. Its text begins with FILE:LINE, so that an editor can jump to
+// the line.
 type Error struct {
 	File string
 	Line int   // from 1
-	Err  error // what is wrong, and what is wanted in its place
+	Err  error // what is wrong, and what is expected instead
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the error without its position.
 func (e *Error) Unwrap() error { return e.Err }
 
 // ErrorAt returns an *Error with a formatted message.
--- a/internal/settings/metrics.go
+++ b/internal/settings/metrics.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Metrics says how metrics are reported, and where to. Without File and UDP they go to standard error.
+// Metrics configures the format and the destinations of metrics. Without File and UDP they are written to standard error.
 type Metrics struct {
 	Format   string        // statsd (default) or influx
 	File     string        // "": no file
-	UDP      string        // HOST:PORT; "": no packets
-	Flush    time.Duration // between two reports; default 1 s
+	UDP      string        // HOST:PORT; "": no UDP
+	Flush    time.Duration // interval between reports; default 1 s
 	MaxBatch int           // bytes of one packet or write; default 1400
 }
 
 // Bounds of Metrics.
 const (
-	defaultFlushInterval = time.Second           // the resolution that dashboards usually have
-	minFlushInterval     = 10 * time.Millisecond // shorter ones cost more than the requests
-	maxFlushInterval     = time.Minute           // longer ones would hide an outage
+	defaultFlushInterval = time.Second           // the usual resolution of dashboards
+	minFlushInterval     = 10 * time.Millisecond // a shorter interval costs more than serving the requests
+	maxFlushInterval     = time.Minute           // a longer interval would hide an outage
 
-	defaultMaxBatch = 1400  // bytes: fits in a packet of an Ethernet network
-	minMaxBatch     = 64    // bytes: a line must fit
-	maxMaxBatch     = 65507 // bytes: the payload of the largest UDP packet
+	defaultMaxBatch = 1400  // bytes: fits in an Ethernet packet
+	minMaxBatch     = 64    // bytes: enough for one line
+	maxMaxBatch     = 65507 // bytes: the largest UDP payload
 )
 
 func (f *File) readMetrics(r *Reader) {
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Peers says how a node meets the other nodes of its installation.
+// Peers configures how a node finds and reaches the other nodes of its installation.
 type Peers struct {
 	Pos              string            // file:line of its block
-	Site             string            // that the node is of
+	Site             string            // of the node
 	Listen           string            // HOST:PORT, for packets and streams
 	Seeds            []string          // HOST:PORT of nodes to join through
-	KeyFile          string            // of the keys that encrypt what peers send
+	KeyFile          string            // holds the keys that encrypt messages between peers
 	Label            string            // of the installation; "": none
-	Folder           string            // for the number of the node's start; "": $TMPDIR
-	AddressOverrides map[string]string // HOST:PORT where a peer listens, to where it is reached from here
+	Folder           string            // where the node's incarnation number is persisted; "": $TMPDIR
+	AddressOverrides map[string]string // from a peer's listen address to the address that reaches it from here
 }
 
 func (f *File) readPeers(r *Reader) {
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Reader reads the settings of one block and keeps the first error. A setting or a nested block that nobody has asked
-// for by the time of End is an error too, so that a misspelt name is noticed. It belongs to one goroutine.
+// Reader reads the settings of one block and keeps the first error. End also returns an error for a setting or a nested
+// block that the caller has never read, so that a misspelt name is noticed. A Reader must be used by one goroutine only.
 type Reader struct {
 	File       string
 	Block      Block
-	knownNames []string // settings that were asked for
-	knownKinds []string // kinds of nested blocks that were asked for
+	knownNames []string // settings that the caller has read
+	knownKinds []string // kinds of nested blocks that the caller has read
 	err        error
 }
 
-// NewReader returns a Reader of a block of a file.
+// NewReader returns a Reader for a block of a file.
 func NewReader(file string, b Block) *Reader { return &Reader{File: file, Block: b} }
 
-// Position is where the block begins, as FILE:LINE.
+// Position returns the start of the block as FILE:LINE.
 func (r *Reader) Position() string { return fmt.Sprintf("%s:%d", r.File, r.Block.Line) }
 
-// Blocks returns readers of the nested blocks of one kind.
+// Blocks returns a Reader for each nested block of one kind.
 func (r *Reader) Blocks(kind string) (inner []*Reader) {
 	r.knownKinds = append(r.knownKinds, kind)
 	for _, b := range r.Block.Blocks {
@@ -38,21 +38,21 @@
 	return inner
 }
 
-// AddErrorAt notes an error at a line, unless there is one already.
+// AddErrorAt records an error at a line, unless an earlier error is recorded.
 func (r *Reader) AddErrorAt(line int, format string, args ...any) {
 	if r.err == nil {
 		r.err = ErrorAt(r.File, line, format, args...)
 	}
 }
 
-// AddError notes the error of a nested block, unless there is one already.
+// AddError records an error, such as that of a nested block, unless an earlier error is recorded.
 func (r *Reader) AddError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// End returns the first error of the block, an *Error; a setting that nobody asked for is one.
+// End returns the first error in the block, an *Error. A setting or nested block that was never read is an error.
 func (r *Reader) End() error {
 	if r.err != nil {
 		return r.err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Label returns the block's label, which must be there.
+// Label returns the block's label. A missing label is an error.
 func (r *Reader) Label() string {
 	if !r.Block.HasLabel {
 		r.AddErrorAt(r.Block.Line, "block %s needs a label", r.Block.Kind)
@@ -79,17 +79,17 @@
 	return r.Block.Label
 }
 
-// CheckSingle notes an error if a block of which there may be one comes again, or has a label.
-func (r *Reader) CheckSingle(again bool) {
+// CheckSingle records an error if a block that may occur once, without a label, is repeated or has a label.
+func (r *Reader) CheckSingle(repeated bool) {
 	switch {
-	case again:
-		r.AddErrorAt(r.Block.Line, "block %s is there already", r.Block.Kind)
+	case repeated:
+		r.AddErrorAt(r.Block.Line, "block %s is already defined", r.Block.Kind)
 	case r.Block.HasLabel:
-		r.AddErrorAt(r.Block.Line, "block %s has no label", r.Block.Kind)
+		r.AddErrorAt(r.Block.Line, "block %s takes no label", r.Block.Kind)
 	}
 }
 
-// LineOf returns the line of a setting, and whether it is there.
+// LineOf returns the line of a setting. ok is false if the block does not have the setting.
 func (r *Reader) LineOf(name string) (line int, ok bool) {
 	for _, s := range r.Block.settings {
 		if s.name == name {
@@ -99,7 +99,7 @@
 	return 0, false
 }
 
-// get finds a setting of type T; kind is the type in words, for the error.
+// get returns a setting of type T. kind names the type in error messages.
 func get[T any](r *Reader, name, kind string) (v T, line int, ok bool) {
 	r.knownNames = append(r.knownNames, name)
 	for _, s := range r.Block.settings {
@@ -114,7 +114,7 @@
 	return v, 0, false
 }
 
-// Text reads a string.
+// Text returns a string setting.
 func (r *Reader) Text(name, defaultValue string) string {
 	if v, _, ok := get[string](r, name, "a string"); ok {
 		return v
@@ -122,13 +122,13 @@
 	return defaultValue
 }
 
-// Texts reads a list of strings.
+// Texts returns a setting that is a list of strings.
 func (r *Reader) Texts(name string) []string {
 	list, _, _ := get[[]string](r, name, "a list of strings")
 	return list
 }
 
-// OneOf reads one of the allowed texts, the first by default.
+// OneOf returns a setting that must be one of the allowed strings; the default is the first.
 func (r *Reader) OneOf(name string, allowed ...string) string {
 	v := r.Text(name, allowed[0])
 	if !slices.Contains(allowed, v) {
@@ -138,8 +138,8 @@
 	return v
 }
 
-// Prefixes reads a list of IPv4 and IPv6 ranges in CIDR notation. An IPv4 range written as IPv6 becomes an IPv4 range,
-// since connections are compared by their unmapped addresses.
+// Prefixes returns a list of IPv4 and IPv6 ranges in CIDR notation. An IPv4-mapped IPv6 range becomes an IPv4 range,
+// because the addresses of connections are unmapped before they are compared with it.
 func (r *Reader) Prefixes(name string) (list []netip.Prefix) {
 	texts, line, _ := get[[]string](r, name, "a list of strings")
 	for _, text := range texts {
@@ -149,7 +149,7 @@
 			continue
 		}
 		if p != p.Masked() {
-			r.AddErrorAt(line, "%s: %s has address bits beyond its length: %s is meant, or a longer one", name, text, p.Masked())
+			r.AddErrorAt(line, "%s: %s has address bits beyond its prefix: want %s or a longer one", name, text, p.Masked())
 		}
 		if p.Addr().Is4In6() && p.Bits() >= mappedPrefixBits {
 			p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-mappedPrefixBits)
@@ -159,10 +159,10 @@
 	return list
 }
 
-// mappedPrefixBits is the length of the prefix ::ffff:0:0/96, under which IPv6 has the IPv4 addresses (RFC 4291).
+// mappedPrefixBits is the length of ::ffff:0:0/96, the prefix of IPv4-mapped IPv6 addresses (RFC 4291).
 const mappedPrefixBits = 96
 
-// Number reads a number within bounds.
+// Number returns a numeric setting and checks its bounds.
 func (r *Reader) Number(name string, defaultValue, minimum, maximum float64) float64 {
 	text, line, ok := get[number](r, name, "a number")
 	if !ok {
@@ -176,7 +176,7 @@
 	return v
 }
 
-// Integer reads a whole number within bounds.
+// Integer returns an integer setting and checks its bounds.
 func (r *Reader) Integer(name string, defaultValue, minimum, maximum int) int {
 	v := r.Number(name, float64(defaultValue), float64(minimum), float64(maximum))
 	if v != float64(int(v)) {
@@ -186,31 +186,31 @@
 	return int(v)
 }
 
-// Milliseconds reads a duration that is written as a number of milliseconds.
+// Milliseconds returns a duration that is written as a number of milliseconds.
 func (r *Reader) Milliseconds(name string, defaultValue, minimum, maximum time.Duration) time.Duration {
 	inMS := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	return time.Duration(r.Number(name, inMS(defaultValue), inMS(minimum), inMS(maximum)) * float64(time.Millisecond))
 }
 
-// Seconds reads a duration that is written as a number of seconds.
+// Seconds returns a duration that is written as a number of seconds.
 func (r *Reader) Seconds(name string, defaultValue, minimum, maximum time.Duration) time.Duration {
 	return time.Duration(r.Number(name, defaultValue.Seconds(), minimum.Seconds(), maximum.Seconds()) * float64(time.Second))
 }
 
-// checkFolder notes an error if the setting folder is there and names none.
+// checkFolder records an error if the setting folder is present but empty.
 func (r *Reader) checkFolder(folder string) {
 	if line, ok := r.LineOf("folder"); ok && folder == "" {
 		r.AddErrorAt(line, "folder must name a folder")
 	}
 }
 
-// isHostPort reports whether a text is HOST:PORT with both parts.
+// isHostPort reports whether a string is HOST:PORT and both parts are non-empty.
 func isHostPort(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	return err == nil && host != "" && port != ""
 }
 
-// isPrintable reports whether a text may stand in a header or a metric line as it is.
+// isPrintable reports whether a string can be written into a header or a metric line without escaping.
 func isPrintable(s string) bool {
 	return s != "" && len(s) <= maxTextLength && s == strings.TrimSpace(s) &&
 		!strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c > '~' })
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
-// Package settings reads the project's own settings file: blocks that switch features on. What the file does
-// not name is off. Nothing in it is guessed: what is unknown, repeated, of another type or out of range is an
-// *Error with the file and the line. The words of the file are the operators' (docs/features.md); here they are mapped
-// to the terms of the code.
+// Package settings parses the settings file of a node, whose blocks enable features. A feature without a block is
+// off. The parser makes no guesses: a setting that is unknown, repeated, of the wrong type or out of range is an *Error
+// with the file and the line. The names in the file are those that operators know (docs/features.md); this package maps
+// them to the terms of the code.
 //
-// A feature has a file with its type and its block (faultinjection.go, metrics.go, ...). blocks.go and tokens.go read
-// the grammar, reader.go the settings of one block; the lab reads its scenarios with them.
+// Each feature has a file with its type and the code that reads its block (faultinjection.go, metrics.go, ...).
+// blocks.go and tokens.go parse the grammar, and reader.go reads the settings of one block. The lab parses its scenario
+// files with the same code.
 package settings
 
 import (
@@ -23,13 +24,13 @@
 	ConfigWatch     *ConfigWatch // nil: off
 }
 
-// Bounds of what is read, so that a wrong path (a log, a device) can't fill the memory of a node.
+// Limits on the input, so that a wrong path (a log, a device) can't fill the memory of a node.
 const (
 	maxFileSize   = 1 << 20 // bytes
-	maxTextLength = 256     // bytes of a label, a name or a secret; they travel in headers and metric lines
+	maxTextLength = 256     // bytes of a label, a name or a secret; these are sent in headers and metric lines
 )
 
-// Load reads a settings file. Errors name the file; those of its content are *Error.
+// Load reads and parses a settings file. Errors name the file; an error in its content is an *Error.
 func Load(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return f, nil
 }
 
-// Parse reads the text of a settings file. Errors begin with its name and the line.
+// Parse parses the text of a settings file. Errors begin with the name of the file and the line.
 func Parse(name string, text []byte) (File, error) {
 	blocks, err := ParseBlocks(name, text)
 	if err != nil {
--- a/internal/settings/sites.go
+++ b/internal/settings/sites.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Site is one of the installation's sites, which are a tree.
+// Site is one of the installation's sites, which form a tree.
 type Site struct {
 	Pos    string // file:line of its block
 	Name   string
-	Parent string // "": it is the root
+	Parent string // "" for the root
 }
 
 func (f *File) readSite(r *Reader) {
 	s := Site{Pos: r.Position(), Name: r.Label(), Parent: r.Text("parent", "")}
 	if !isPrintable(s.Name) {
-		r.AddErrorAt(r.Block.Line, "a site's label is its name: 1 to %d visible characters", maxTextLength)
+		r.AddErrorAt(r.Block.Line, "the label of a site must be its name: 1 to %d printable ASCII characters", maxTextLength)
 	}
 	for _, other := range f.Sites {
 		if other.Name == s.Name {
-			r.AddErrorAt(r.Block.Line, "site %s is there already (%s)", s.Name, other.Pos)
+			r.AddErrorAt(r.Block.Line, "site %s is already defined (%s)", s.Name, other.Pos)
 		}
 	}
 	f.Sites = append(f.Sites, s)
 }
 
-// checkSites returns an error unless the sites are one tree and the node's own site is in it.
+// checkSites returns an error unless the sites form one tree that contains the node's site.
 func (f *File) checkSites() error {
 	parents := map[string]string{}
 	for _, s := range f.Sites {
@@ -33,27 +33,27 @@
 		if s.Parent == "" {
 			roots++
 			if roots > 1 {
-				return fmt.Errorf("%s: site %s has no parent, and another has none either: one is the root", s.Pos, s.Name)
+				return fmt.Errorf("%s: site %s has no parent, but another site is already the root", s.Pos, s.Name)
 			}
 			continue
 		}
 		if _, ok := parents[s.Parent]; !ok {
-			return fmt.Errorf("%s: site %s has the parent %s, which is no site", s.Pos, s.Name, s.Parent)
+			return fmt.Errorf("%s: site %s has the parent %s, which is not a site", s.Pos, s.Name, s.Parent)
 		}
 		if inCycle(parents, s.Name) {
-			return fmt.Errorf("%s: site %s is above itself", s.Pos, s.Name)
+			return fmt.Errorf("%s: site %s is its own ancestor", s.Pos, s.Name)
 		}
 	}
 	if f.Peers == nil {
 		return nil
 	}
 	if _, ok := parents[f.Peers.Site]; !ok {
-		return fmt.Errorf("%s: site %q is not one of the blocks site", f.Peers.Pos, f.Peers.Site)
+		return fmt.Errorf("%s: no block defines the site %q", f.Peers.Pos, f.Peers.Site)
 	}
 	return nil
 }
 
-// inCycle reports whether the way from a site to its parents never reaches the root.
+// inCycle reports whether following the parents of a site never reaches the root.
 func inCycle(parents map[string]string, name string) bool {
 	steps := 0
 	for at := name; at != ""; at = parents[at] {
--- a/internal/settings/tokens.go
+++ b/internal/settings/tokens.go
@@ -7,34 +7,34 @@
 	"github.com/hashicorp/hcl/hcl/token"
 )
 
-// scannerErrors rewords the library's messages in the style of this package's.
+// scannerErrors replaces the scanner's messages by messages in the style of this package.
 var scannerErrors = map[string]string{
-	"comment not terminated": "comment without an end",
-	"literal not terminated": "string without an end",
+	"comment not terminated": "unterminated comment",
+	"literal not terminated": "unterminated string",
 	"illegal char escape":    "unknown escape in a string",
 }
 
-// maxDepth bounds how deep blocks and lists may nest. The library's parser is recursive: without a bound a hostile
-// file could exhaust the stack.
+// maxDepth limits the nesting of blocks and lists. The library's parser is recursive: without a limit a malicious file
+// could exhaust the stack.
 const maxDepth = 8
 
-// maxQuoted is how many characters of a file an error repeats.
+// maxQuoted limits how many characters of the file an error message quotes.
 const maxQuoted = 20
 
-// openBracket is a block or list that has begun and not ended.
+// openBracket is a block or list that is not closed yet.
 type openBracket struct {
-	bracket token.Type // token.LBRACE of a block, token.LBRACK of a list
+	bracket token.Type // token.LBRACE for a block, token.LBRACK for a list
 	line    int
 	name    string // the word before it
 }
 
-// tokenChecker checks the sequence of tokens of a file before the parser sees them. It names the line where something
-// begins that has no end, and rejects commas that the parser would skip.
+// tokenChecker checks the token sequence of a file before the parser runs. It reports the line on which an unclosed
+// block or list starts, and rejects commas that the parser would skip.
 type tokenChecker struct {
 	file     string
 	open     []openBracket
 	lastName string     // the last plain word
-	last     token.Type // the token before
+	last     token.Type // the previous token
 	previous token.Type // the token before last
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// end returns what the end of the file cuts off.
+// end returns an error if a block or list is incomplete at the end of the file.
 func (c *tokenChecker) end(line int) error {
 	if len(c.open) == 0 {
 		if c.last == token.IDENT || c.last == token.STRING && c.previous == token.IDENT {
@@ -80,12 +80,12 @@
 	}
 	unclosed := c.open[len(c.open)-1]
 	if unclosed.bracket == token.LBRACK {
-		return ErrorAt(c.file, unclosed.line, "list without an end: want , or ]")
+		return ErrorAt(c.file, unclosed.line, "unterminated list: want , or ]")
 	}
-	return ErrorAt(c.file, unclosed.line, "block %s has no end", unclosed.name)
+	return ErrorAt(c.file, unclosed.line, "block %s is not closed", unclosed.name)
 }
 
-// check returns what is wrong with a token where it stands, and notes it.
+// check returns an error if a token is not allowed at its position, and otherwise updates the state of the checker.
 func (c *tokenChecker) check(t token.Token, line int) error {
 	inList := len(c.open) > 0 && c.open[len(c.open)-1].bracket == token.LBRACK
 	switch {
@@ -102,7 +102,7 @@
 	case t.Type == token.LBRACE || t.Type == token.LBRACK:
 		c.open = append(c.open, openBracket{t.Type, line, c.lastName})
 		if len(c.open) > maxDepth {
-			return ErrorAt(c.file, line, "blocks stand more than %d deep", maxDepth)
+			return ErrorAt(c.file, line, "blocks and lists are nested more than %d levels deep", maxDepth)
 		}
 	case t.Type == token.RBRACE && c.last == token.ASSIGN:
 		return ErrorAt(c.file, line, "want a string, a number or a list, found \"}\"")
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// clip shortens a text of the file for an error.
+// clip shortens text of the file that an error message quotes.
 func clip(s string) string {
 	if r := []rune(s); len(r) > maxQuoted {
 		return string(r[:maxQuoted]) + "..."
