--- a/internal/capture/action.go
+++ b/internal/capture/action.go
@@ -8,10 +8,10 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// actionKind says what an action does. The values are stored in captures and must not change.
+// actionKind identifies the type of an action. The values are stored in captures and must not change.
 type actionKind string
 
-// The kinds of actions, one for each type of the balancer's.
+// The kinds of actions, one for each action type of the balancer.
 const (
 	actionSend          actionKind = "send"      // balancer.Send
 	actionReject        actionKind = "refuse"    // balancer.Reject
@@ -23,18 +23,18 @@
 	actionSubscribe     actionKind = "subscribe" // balancer.Subscribe
 )
 
-// action is one action of the balancer, as a record has it. Actions can be compared with ==.
+// action is the stored form of one action of the balancer. Actions can be compared with ==.
 type action struct {
 	Kind     actionKind    `json:"do"`
 	ID       string        `json:"id,omitempty"` // of a request
 	Server   string        `json:"server,omitempty"`
-	Duration time.Duration `json:"for,omitempty"`    // the time-out of an attempt, or the Retry-After of an answer
-	At       time.Duration `json:"at,omitempty"`     // of a timer, by the record's clock
+	Duration time.Duration `json:"for,omitempty"`    // the timeout of an attempt, or the Retry-After of a response
+	At       time.Duration `json:"at,omitempty"`     // when a timer fires, by the same clock as the record's time
 	Name     string        `json:"name,omitempty"`   // of a timer or a fault injection
-	Status   int           `json:"status,omitempty"` // HTTP status of an answer
+	Status   int           `json:"status,omitempty"` // HTTP status of a response
 }
 
-// newAction describes an action of the balancer.
+// newAction converts an action of the balancer to its stored form.
 func newAction(decided balancer.Action) action {
 	switch a := decided.(type) {
 	case balancer.Send:
@@ -54,10 +54,10 @@
 	case balancer.Subscribe:
 		return action{Kind: actionSubscribe}
 	}
-	return action{Kind: actionKind(fmt.Sprintf("%T", decided))} // of an unknown type: differs from all that this build records
+	return action{Kind: actionKind(fmt.Sprintf("%T", decided))} // an unknown type: differs from every action that this build records
 }
 
-// newActions describes actions, in their order.
+// newActions converts actions to their stored form, in the same order.
 func newActions(decided []balancer.Action) (list []action) {
 	for _, a := range decided {
 		list = append(list, newAction(a))
--- a/internal/capture/difference.go
+++ b/internal/capture/difference.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// writeDifference writes a line for each request of an event that is decided otherwise now than recorded.
+// writeDifference writes one line for each request whose actions differ between the record and this build. If only the
+// order of the actions differs, it writes one line for the record.
 func writeDifference(out io.Writer, r *record, now []action) {
 	found := false
 	for _, subject := range subjects(r.Actions, now) {
@@ -29,14 +30,15 @@
 	}
 }
 
-// The token of a balancer's timer for a request is one of these, a colon and the request's ID. They repeat queueTimer and
-// delayTimer of balancer/timers.go, which the balancer does not export.
+// The token of a balancer's timer for a request is one of these, followed by a colon and the ID of the request. They are
+// copies of queueTimer and delayTimer of balancer/timers.go, which the balancer does not export.
 const (
-	queueTimer = "r" // of a queued request
-	delayTimer = "d" // of a request that a fault injection delays
+	queueTimer = "r" // for a queued request
+	delayTimer = "d" // for a request that a fault injection delays
 )
 
-// subject is the request that an action is about; of one that is about none, its timer or its kind.
+// subject returns the ID of the request that an action belongs to. For an action without a request it returns the token
+// of its timer, or else its kind.
 func (a action) subject() string {
 	if a.Kind != actionSetTimer {
 		if a.ID == "" {
@@ -50,7 +52,7 @@
 	return a.Name
 }
 
-// subjects are those of all actions, each once, in the order in which they first come.
+// subjects returns the distinct subjects of all actions, in order of first occurrence.
 func subjects(lists ...[]action) (found []string) {
 	for _, list := range lists {
 		for _, a := range list {
@@ -62,7 +64,7 @@
 	return found
 }
 
-// actionsFor are the actions with a subject.
+// actionsFor returns the actions with a given subject.
 func actionsFor(list []action, subject string) (found []action) {
 	for _, a := range list {
 		if a.subject() == subject {
@@ -72,21 +74,21 @@
 	return found
 }
 
-// detail is how much describe says.
+// detail is the level of detail of a description.
 type detail int
 
 // The levels of detail.
 const (
-	brief    detail = iota // what became of a request
-	detailed               // also times
+	brief    detail = iota // what happened to a request
+	detailed               // also durations and times
 )
 
-// describe says what became of a request: the server that it was sent to, or the status of its answer.
+// describe summarizes what happened to a request, such as the server that it was sent to or the status of its response.
 func describe(list []action, level detail) string {
 	var parts []string
 	for _, a := range list {
 		if a.Kind == actionSetTimer && level == brief && len(list) > 1 {
-			continue // beside another action a timer says nothing
+			continue // next to another action a timer adds no information
 		}
 		text := a.describe(level)
 		if level == detailed && a.Duration != 0 {
@@ -100,7 +102,7 @@
 	return strings.Join(parts, " then ")
 }
 
-// describe names one action, without its Duration.
+// describe summarizes one action without its Duration.
 func (a action) describe(level detail) string {
 	switch {
 	case a.Kind == actionSend:
--- a/internal/capture/difference_test.go
+++ b/internal/capture/difference_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The lines are for people, and scripts read them: they name the server or the status before and now, times only where
-// nothing else differs.
+// People and scripts read these lines. They name the old and the new server or status, and times only if nothing else
+// differs.
 func TestWriteDifference(t *testing.T) {
 	send := action{Kind: actionSend, ID: "9b1f03aa5c7e2d41", Server: "s-5be2a07c", Duration: time.Second}
 	reject := action{Kind: actionReject, ID: send.ID, Status: 503}
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -8,7 +8,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// newRecord describes an event. It returns an error for an event of unknown type, which could not be replayed.
+// newRecord converts an event to a record. It returns an error for an unknown event type, which could not be replayed.
 func newRecord(event balancer.Event, context EventContext) (record, error) {
 	switch e := event.(type) {
 	case balancer.Request:
@@ -50,10 +50,10 @@
 	case balancer.SettingsChanged:
 		return record{Kind: kindSettingsChanged, Settings: &e.Settings}, nil
 	}
-	return record{}, fmt.Errorf("no record of a %T", event)
+	return record{}, fmt.Errorf("events of type %T can't be recorded", event)
 }
 
-// event is the event that a record describes.
+// event converts a record back to its event.
 func (r *record) event() (balancer.Event, error) {
 	switch r.Kind {
 	case kindRequest:
@@ -88,7 +88,7 @@
 		return balancer.AdminOverride{Server: unescapeText(r.Server), Disabled: r.Disabled}, nil
 	case kindSettingsChanged:
 		if r.Settings == nil {
-			return nil, errors.New("a change of settings without settings")
+			return nil, errors.New("the record of changed settings has no settings")
 		}
 		return balancer.SettingsChanged{Settings: *r.Settings}, nil
 	}
--- a/internal/capture/folder.go
+++ b/internal/capture/folder.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// filesPerFolder is how many files a folder has; with the settings' size of a file it bounds what a capture takes of the
-	// disk.
+	// filesPerFolder is the number of files in a folder. Together with the file size in the settings it limits the disk
+	// space of a capture.
 	filesPerFolder = 8
-	// fileMode keeps files from other users: request IDs and tenants are nobody else's business.
+	// fileMode denies access to other users, because records contain request IDs and tenants.
 	fileMode = 0o600
-	// minFreeDivisor: a file counts as full when less than this part of it is free. What is left would rarely hold a
-	// record, and a head goes into the next file in good time.
+	// minFreeDivisor determines when a file is full: when less than 1/minFreeDivisor of it is free. The rest would rarely
+	// fit a record, and the next file, with its head, starts before a record fails to fit.
 	minFreeDivisor = 8
-	// folderRetryDelay is how long a folder that failed is left alone: a full disk is not tried with each record.
+	// folderRetryDelay is the delay before the next write after a failure, so that a full disk is not tried for each record.
 	folderRetryDelay = 5 * time.Second
 )
 
-// errRecordTooLarge says that a record is larger than the settings allow for a file. An operator can raise the size.
-var errRecordTooLarge = errors.New("the record does not fit into a file: its size in the settings is too small")
+// errRecordTooLarge is returned for a record that is larger than the configured file size. An operator can raise the size.
+var errRecordTooLarge = errors.New("the record is larger than a capture file: file_kb in the settings is too small")
 
-// folder appends frames to files in turn, the oldest overwritten first. After a failure it waits for a while and goes on with
-// the next file, which begins with a head: nothing follows a record that may be half written. It belongs to one goroutine.
+// folder appends frames to a rotating set of files and overwrites the oldest file first. After a failed write it waits for
+// folderRetryDelay and continues with the next file, which begins with a head: nothing is appended to a file whose last
+// record may be incomplete. It must be used by one goroutine only.
 type folder struct {
 	path         string
 	maxFileBytes int
-	nextFile     int      // to open, from 0
-	file         *os.File // nil: none is open
-	size         int      // of file
-	retryAt      time.Time
+	nextFile     int       // index of the file to open next, from 0
+	file         *os.File  // nil: none is open
+	size         int       // bytes written to file
+	retryAt      time.Time // after a failure: no file is opened before it
 }
 
+// fileName returns the path of the file with an index from 0; the number in its name counts from 1.
 func fileName(dir string, i int) string {
 	return filepath.Join(dir, fmt.Sprintf("capture-%04d%s", i+1, fileExtension))
 }
 
-// openFolder goes on after the newest file that is there. It opens none.
+// openFolder returns a folder that continues after its newest existing file. It opens no file.
 func openFolder(path string, maxFileBytes int) *folder {
 	d := &folder{path: path, maxFileBytes: maxFileBytes}
 	newest := int64(-1)
@@ -53,8 +55,8 @@
 	return d
 }
 
-// fileStart is the Unix time in ns at which a file was begun, by its head; of a file without a readable one, the time at
-// which it was last written. It returns false for a file that can't be read.
+// fileStart returns the time of a file's head, as Unix time in ns. For a file without a readable head it returns the
+// modification time, and for a file that can't be read it returns false.
 func fileStart(name string) (start int64, ok bool) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -77,13 +79,14 @@
 	return info.ModTime().UnixNano(), true
 }
 
-// needsHead says that the next record must be a head, for it begins a file.
+// needsHead reports whether the next record must be a head, because it starts a file.
 func (d *folder) needsHead(now time.Time) bool {
 	return d.file == nil && now.After(d.retryAt)
 }
 
-// append writes a frame to the open file; a head opens the next file if none is open, and without one other records are
-// dropped. It returns false if the file is full: it is closed then, and the record belongs behind the next head.
+// append writes a frame to the open file. If no file is open, a head opens the next one and any other record is dropped.
+// append returns false if the frame does not fit: the file is then closed, and the caller writes the record again after
+// the next head.
 func (d *folder) append(frame []byte, isHead bool, now time.Time) (fits bool, err error) {
 	if d.file == nil {
 		if !isHead || !d.needsHead(now) {
@@ -98,7 +101,7 @@
 		return false, nil
 	}
 	if _, err := d.file.Write(frame); err != nil {
-		d.file.Truncate(int64(d.size)) // if that fails too, the file ends with a truncated record, which a replay skips
+		d.file.Truncate(int64(d.size)) // if this fails too, the file ends with a truncated record, which a replay skips
 		return true, d.suspend(err, now)
 	}
 	d.size += len(frame)
@@ -108,7 +111,7 @@
 	return true, nil
 }
 
-// openNext opens the next file for a head of a size. A file is not overwritten for a head that does not fit into it.
+// openNext opens and truncates the next file. It leaves the old file as it is if the head would not fit.
 func (d *folder) openNext(headBytes int) error {
 	if headBytes > d.maxFileBytes {
 		return errRecordTooLarge
@@ -121,14 +124,14 @@
 	return nil
 }
 
-// suspend leaves the folder alone for folderRetryDelay after an error, which it returns.
+// suspend stops writes to the folder for folderRetryDelay after an error, and returns the error.
 func (d *folder) suspend(err error, now time.Time) error {
 	d.close()
 	d.retryAt = now.Add(folderRetryDelay)
 	return err
 }
 
-// close closes the open file, if there is one.
+// close closes the open file, if any.
 func (d *folder) close() {
 	if d.file != nil {
 		d.file.Close()
--- a/internal/capture/folder_test.go
+++ b/internal/capture/folder_test.go
@@ -13,7 +13,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// folderNames are the files of a folder.
+// folderNames returns the paths of the capture files in a folder.
 func folderNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, "capture-000[1-8].hwc"))
@@ -23,8 +23,8 @@
 	return names
 }
 
-// A capture goes round its folder more than once, so the oldest files are overwritten. Each file that is there can be
-// replayed by itself all the same, for it begins with a head.
+// A capture rotates through its folder more than once, so the oldest files are overwritten. Each remaining file can still be
+// replayed alone, because it begins with a head.
 func TestEachFileReplaysAlone(t *testing.T) {
 	dir := t.TempDir()
 	set := settings.Capture{Folder: dir, FileBytes: 64 << 10}
@@ -54,8 +54,8 @@
 	}
 }
 
-// A node that restarts goes on after the newest file; from the first one on it would overwrite what came right before the
-// restart, which is what somebody will want to see.
+// A node that restarts continues after the newest file. If it started with the first file, it would overwrite the records
+// from just before the restart, which are needed to investigate it.
 func TestRestartContinuesAfterTheNewestFile(t *testing.T) {
 	dir := t.TempDir()
 	set := settings.Capture{Folder: dir, FileBytes: 64 << 10}
@@ -68,7 +68,7 @@
 	if d := openFolder(dir, set.FileBytes); d.nextFile != 2 {
 		t.Errorf("after ten starts the next file is %d, want the third", d.nextFile+1)
 	}
-	// One without a readable head counts by the time at which it was written.
+	// A file without a readable head is ordered by its modification time.
 	if err := os.WriteFile(fileName(dir, 6), []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -81,26 +81,26 @@
 	}
 }
 
-// The folder of a capture is missing, then there, then a write fails, as on a full disk. The node is not held up, the folder is
-// left alone for a while, and the capture goes on in the next file, with a head.
+// The folder of a capture is missing, is created later, and then a write fails, as on a full disk. The node is not blocked,
+// the folder is not tried again for a while, and the capture continues in the next file, with a head.
 func TestFolderFailure(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	c := newWorkload(t, settings.Capture{Folder: dir, FileBytes: 64 << 10}, 1).run(50)
 	if c.folder.file != nil || c.nextWarning.IsZero() {
-		t.Error("the folder is missing, and yet a file was opened or no warning logged")
+		t.Error("missing folder: a file was opened, or no warning was logged")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if c.run(50); len(folderNames(t, dir)) != 0 {
-		t.Error("it was tried again at once")
+		t.Error("the folder was tried again without a delay")
 	}
 	c.folder.retryAt = time.Now()
 	c.run(50)
-	c.folder.file.Close() // as a failing disk would
+	c.folder.file.Close() // the next write fails, as on a failing disk
 	c.run(50)
 	if c.folder.file != nil {
-		t.Error("a failed write did not end the file")
+		t.Error("the file is still open after a failed write")
 	}
 	c.folder.retryAt = time.Now()
 	c.run(50).Close()
@@ -127,7 +127,7 @@
 	}
 }
 
-// openForWriting opens a file that exists.
+// openForWriting opens an existing file.
 func openForWriting(t *testing.T, name string) *os.File {
 	t.Helper()
 	f, err := os.OpenFile(name, os.O_WRONLY, 0)
@@ -137,7 +137,8 @@
 	return f
 }
 
-// A record that does not fit into what is left of a file stands behind the next file's head, which holds it.
+// A record that does not fit into the rest of a file is written to the next file, after its head. The checkpoint of that
+// head already includes the record's event, so a replay ignores the record.
 func TestRecordThatDoesNotFitGoesToNextFile(t *testing.T) {
 	dir := t.TempDir()
 	c := newWorkload(t, settings.Capture{Folder: dir, FileBytes: 128 << 10}, 1).run(20)
@@ -145,7 +146,7 @@
 	for i := range 450 {
 		long.Servers = append(long.Servers, balancer.Server{ID: fmt.Sprintf("s-%08d", i), Zone: "z", State: balancer.Draining})
 	}
-	c.folder.size = c.folder.maxFileBytes - 17<<10 // as if so much had been written: the list does not fit
+	c.folder.size = c.folder.maxFileBytes - 17<<10 // simulates a file with so little space left that the list does not fit
 	c.feed(long)
 	c.run(20).Close()
 	if got := len(folderNames(t, dir)); got != 2 {
--- a/internal/capture/frame.go
+++ b/internal/capture/frame.go
@@ -10,20 +10,21 @@
 	"io"
 )
 
-// A frame is a record as it is stored: its length, then its JSON.
+// A frame is the stored form of a record: the length of its JSON, then the JSON.
 const (
-	prefixBytes = 4 // of the length, big-endian
-	// maxRecordBytes bounds a record. A damaged length must not be believed, nor a writer go beyond what readers take.
+	prefixBytes = 4 // size of the length prefix, which is big-endian
+	// maxRecordBytes limits the size of a record: readers reject a larger, probably damaged length, so writers must not
+	// exceed it.
 	maxRecordBytes = 4 << 20
 )
 
-// Why a frame can't be written or read.
+// Errors of writing and reading a frame.
 var (
 	errRecordLength = errors.New("a record's length is out of range")
 	errTruncated    = errors.New("truncated record")
 )
 
-// encode writes a record's frame into an empty buffer. The error is errRecordLength, or the JSON encoder's.
+// encode writes the frame of a record into an empty buffer. The error is errRecordLength or that of the JSON encoder.
 func encode(buf *bytes.Buffer, r *record) error {
 	buf.Write(make([]byte, prefixBytes))
 	encoder := json.NewEncoder(buf)
@@ -31,7 +32,7 @@
 	if err := encoder.Encode(r); err != nil {
 		return err
 	}
-	buf.Truncate(buf.Len() - 1) // the encoder's line end
+	buf.Truncate(buf.Len() - 1) // the line feed that the encoder adds
 	if buf.Len()-prefixBytes > maxRecordBytes {
 		return errRecordLength
 	}
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// readFrame reads one frame and returns its JSON. The error is io.EOF at the end, errTruncated at an end within a frame,
-// errRecordLength, or the reader's.
+// readFrame reads one frame and returns its JSON. The error is io.EOF at the end of the input, errTruncated if the input
+// ends within a frame, errRecordLength, or that of the reader.
 func readFrame(r *bufio.Reader) ([]byte, error) {
 	var prefix [prefixBytes]byte
 	switch _, err := io.ReadFull(r, prefix[:]); {
@@ -53,7 +54,7 @@
 	if length == 0 || length > maxRecordBytes {
 		return nil, fmt.Errorf("%w (%d)", errRecordLength, length)
 	}
-	// The buffer grows with what is there: a damaged length must not cost its memory.
+	// The buffer grows with the bytes that are read, so that a damaged length does not allocate that much memory.
 	var text bytes.Buffer
 	switch n, err := io.CopyN(&text, r, int64(length)); {
 	case errors.Is(err, io.EOF) && n < int64(length):
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -16,28 +16,27 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// Captures are kept, and replayed by builds that come after the one that wrote them. A key that is not known is passed
-// over without an error: if one changed, an older capture would replay with events that were never so. So the golden
-// files in testdata must not change while Version is the same. Whoever changes the form on purpose raises Version and
-// writes them anew with -update.
+// Captures are kept and replayed by later builds. Unknown JSON keys are ignored without an error, so if a key changed, an
+// older capture would be replayed with wrong events. Therefore the golden files in testdata must not change as long as
+// Version is the same. An intentional change of the format increments Version and regenerates the files with -update.
 
-// The golden files: the same capture as a log has it, whose lines are base64 of the frames, and its records to be read by
-// people.
+// The golden files hold the same capture twice: as log lines with base64-encoded frames, and as records in readable JSON.
 var (
 	goldenLog     = filepath.Join("testdata", "capture.log")
 	goldenRecords = filepath.Join("testdata", "records.jsonl")
 )
 
-const goldenStart = 1_700_000_000 * time.Second // of the capture, by the module's clock
+const goldenStart = 1_700_000_000 * time.Second // of the capture, by the balancer's clock
 
-// goldenEvent is an event with what is recorded beside it. The balancer need not have decided so: a record does not care.
+// goldenEvent is an event with the actions and the context that are recorded with it. The actions need not be those that the
+// balancer would return.
 type goldenEvent struct {
 	event   balancer.Event
 	actions []balancer.Action
 	context EventContext
 }
 
-// goldenEvents are events and actions of each kind, with each outcome of an attempt and each state of a server.
+// goldenEvents returns events and actions of each kind, with each outcome of an attempt and each state of a server.
 func goldenEvents() []goldenEvent {
 	id := "id-1\xff"
 	second := time.Second
@@ -84,7 +83,7 @@
 	return events
 }
 
-// goldenCapture is a capture as it stands in a log.
+// goldenCapture returns a capture of goldenEvents as log lines.
 func goldenCapture(t *testing.T) []byte {
 	t.Helper()
 	bal, err := balancer.New(testSettings(), 5)
@@ -101,7 +100,7 @@
 	return log.Bytes()
 }
 
-// framesOf reads the records of a capture, each without its length.
+// framesOf returns the records of a capture, each without its length prefix.
 func framesOf(t *testing.T, name string, text []byte) (frames [][]byte) {
 	t.Helper()
 	for in := openSource(name, bytes.NewReader(text)); ; {
@@ -116,15 +115,15 @@
 	}
 }
 
-// A capture with a record of each kind is written as the golden files have it.
+// A capture with a record of each kind is identical to the golden files.
 func TestGoldenCaptureIsWritten(t *testing.T) {
 	log := goldenCapture(t)
 	goldentest.CheckBytes(t, goldenLog, log)
 	goldentest.CheckBytes(t, goldenRecords, append(bytes.Join(framesOf(t, "capture.log", log), []byte("\n")), '\n'))
 }
 
-// The records of an earlier build are read whole, from a log as from a file: written again they have the same bytes, and
-// the balancer gets the same events.
+// The records of an earlier build are read completely, both from a log and from a file. Written again, they have the same
+// bytes, and the balancer receives the same events.
 func TestGoldenCaptureIsRead(t *testing.T) {
 	var inFile bytes.Buffer
 	for line := range strings.Lines(string(goldentest.Text(t, goldenLog))) {
@@ -162,7 +161,7 @@
 		}
 		goldentest.CompareBytes(t, goldenRecords, again.Bytes())
 		if !bytes.Equal(file.Bytes(), inFile.Bytes()) {
-			t.Errorf("%s: the records are framed otherwise", name)
+			t.Errorf("%s: the frames of the records differ from the golden file", name)
 		}
 		want := goldenEvents()
 		if len(events) != len(want) {
@@ -180,7 +179,7 @@
 	}
 }
 
-// A node that starts finds the newest file of its folder by the heads.
+// A node that starts uses the times in the heads to find the newest file of its folder.
 func TestGoldenHeadHasFileStart(t *testing.T) {
 	line, _, _ := strings.Cut(string(goldentest.Text(t, goldenLog)), "\n")
 	head, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(line, linePrefix))
@@ -196,7 +195,8 @@
 	}
 }
 
-// Every field of a record is other than zero somewhere, or the golden files would not notice when its key changes.
+// Each field of a record is non-zero in at least one golden record. Otherwise the golden files would not detect a change of
+// its key.
 func TestGoldenRecordsHaveEveryField(t *testing.T) {
 	set := map[string]bool{}
 	note := func(v any) {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -1,13 +1,14 @@
-// Package capture records all that goes into the balancer and what comes out, and replays it, so that a decision made in
-// service can be looked at later and compared with what another build decides.
+// Package capture records the input events of the balancer and the resulting actions, and replays them. Decisions made in
+// production can thus be examined later and compared with those of another build.
 //
-// A record is one event with the actions that answered it, or a head. A head has what the balancer was made of and all that
-// it held at that moment (a checkpoint); it stands at the start of every stretch that may be replayed by itself. Records are
-// length-prefixed JSON. A Writer hands them to standard error (as a line of base64 each), to a ring in memory and, where the
-// settings name one, to a folder of files. Replay reads a log with such lines, or a file.
+// A record is either one event with the actions that the balancer returned for it, or a head. A head contains the settings
+// and the seed of the balancer and a checkpoint of its state; a replay can start at any head. Records are length-prefixed
+// JSON. A Writer writes them to standard error (each as a line of base64), to a ring buffer in memory and, if the settings
+// name a folder, to files in that folder. Replay reads a log that contains such lines, or a capture file.
 //
-// The files: record.go the form of a record, event.go and action.go the balancer's types in it, frame.go its length prefix,
-// text.go texts that JSON can't hold; writer.go, ring.go and folder.go write; source.go, replay.go and difference.go read.
+// record.go defines the record; event.go and action.go convert the types of the balancer; frame.go adds the length prefix;
+// text.go escapes text that JSON can't represent. writer.go, ring.go and folder.go write captures; source.go, replay.go and
+// difference.go read and compare them.
 package capture
 
 import (
@@ -18,16 +19,16 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Version is that of the records' form. Another build of the same version may decide otherwise; that is what a replay is
-// for.
+// Version is the version of the record format. Builds with the same format version may decide differently; a replay shows
+// how.
 const Version = "5"
 
-// recordKind says which event a record holds. The values are stored in captures and must not change.
+// recordKind identifies the event type of a record. The values are stored in captures and must not change.
 type recordKind string
 
 // The kinds of records: a head, and one for each type of event.
 const (
-	kindHead                recordKind = "head"        // what the balancer was made of and held; no event
+	kindHead                recordKind = "head"        // settings and state of the balancer; no event
 	kindRequest             recordKind = "request"     // balancer.Request
 	kindAttemptEnded        recordKind = "outcome"     // balancer.AttemptEnded
 	kindTimerFired          recordKind = "timer"       // balancer.TimerFired
@@ -42,13 +43,13 @@
 	kindSettingsChanged     recordKind = "retune"      // balancer.SettingsChanged
 )
 
-// record is one event with the actions that answered it, or a head. Which fields it has depends on its kind. Times and
-// spans are in ns; At and Deadline are by the clock that the balancer's host gives it.
+// record is one event with the resulting actions, or a head. The kind determines which fields are set. Times and durations
+// are in ns; At and Deadline are by the clock that the caller of the balancer passes to it.
 type record struct {
-	Seq             uint64           `json:"seq"` // counts events from 1; of a head: that of the last event before it
+	Seq             uint64           `json:"seq"` // number of the event, from 1; for a head, that of the last event before it
 	At              time.Duration    `json:"at"`
 	Kind            recordKind       `json:"kind"`
-	ID              string           `json:"id,omitempty"` // of a request
+	ID              string           `json:"id,omitempty"` // of the request
 	Class           string           `json:"class,omitempty"`
 	Tenant          string           `json:"tenant,omitempty"`
 	Budget          time.Duration    `json:"budget,omitempty"`
@@ -63,17 +64,17 @@
 	Latency         time.Duration    `json:"latency,omitempty"`
 	RequestDone     bool             `json:"ended,omitempty"`
 	Name            string           `json:"name,omitempty"` // of a timer or a fault injection
-	Complete        bool             `json:"full,omitempty"` // the list
+	Complete        bool             `json:"full,omitempty"` // the endpoint list is complete
 	Cached          bool             `json:"cached,omitempty"`
 	Endpoints       []endpoint       `json:"hosts,omitempty"`
 	Actions         []action         `json:"decision,omitempty"`
-	Answer          int              `json:"answer,omitempty"`  // HTTP status of the final answer that this event led to
-	Disabled        bool             `json:"out,omitempty"`     // the server, by an operator
-	Expired         bool             `json:"expired,omitempty"` // the lease on the list
+	Answer          int              `json:"answer,omitempty"`  // HTTP status of the final response that this event caused
+	Disabled        bool             `json:"out,omitempty"`     // an operator disabled the server
+	Expired         bool             `json:"expired,omitempty"` // the lease on the endpoint list has expired
 	SettingsVersion int              `json:"rules,omitempty"`
 	StreamedBody    bool             `json:"bulk,omitempty"`
 	Head            *head            `json:"head,omitempty"`
-	Connection      uint64           `json:"conn,omitempty"` // of an attempt, as the fields below: see AttemptTrace
+	Connection      uint64           `json:"conn,omitempty"` // this and the fields below describe an attempt: see AttemptTrace
 	Use             int              `json:"use,omitempty"`
 	Idle            time.Duration    `json:"rest,omitempty"`
 	Written         bool             `json:"written,omitempty"`
@@ -83,7 +84,7 @@
 	Settings *balancer.Settings `json:"settings,omitempty"`
 }
 
-// endpoint is a server of an endpoint list.
+// endpoint is the stored form of a server in an endpoint list.
 type endpoint struct {
 	ID        string               `json:"host"`
 	Addr      string               `json:"addr,omitempty"`
@@ -94,31 +95,31 @@
 	StartTime time.Duration        `json:"boot,omitempty"`
 }
 
-// head is what a balancer was made of and what it holds.
+// head is the settings, the seed and the state of a balancer.
 type head struct {
 	Version    string            `json:"version"`
 	Node       string            `json:"node"`
-	Began      int64             `json:"began"` // Unix time in ns of the capture's start; tells one run of a node from the next
+	Began      int64             `json:"began"` // Unix time in ns of the capture's start; distinguishes the runs of a node
 	Seed       uint64            `json:"seed"`
 	Settings   balancer.Settings `json:"settings"`
 	Checkpoint json.RawMessage   `json:"checkpoint"`
 }
 
-// EventContext is what a node knows of an event and the balancer is not told. A record has it beside the event.
+// EventContext is what a node knows about an event but does not pass to the balancer. It is recorded with the event.
 type EventContext struct {
 	Tenant    string
 	Budget    time.Duration
-	Served    bool              // the outcome is the client's answer
-	Addresses map[string]string // of the endpoints of a list, by server ID
-	Attempt   AttemptTrace      // of an outcome
+	Served    bool              // the outcome is the response to the client
+	Addresses map[string]string // of the servers of an endpoint list, by server ID
+	Attempt   AttemptTrace      // of the attempt that ended
 }
 
-// AttemptTrace says what an outcome rests on, and on which connection the attempt was made. A retry can be explained by it.
+// AttemptTrace describes the connection of an attempt and the reason for its outcome. It helps to explain a retry.
 type AttemptTrace struct {
-	Connection uint64        // its number in the process; 0: none
-	Use        int           // of the connection, from 1; 0: nothing was written
-	Idle       time.Duration // how long the connection had been idle before
+	Connection uint64        // number of the connection within the process; 0: none
+	Use        int           // number of the request on the connection, from 1; 0: nothing was written
+	Idle       time.Duration // how long the connection was idle before the attempt
 	Written    bool          // the request's last byte was written
-	ClosedBy   string        // who or what closed the connection; "": it is open
-	Ground     string
+	ClosedBy   string        // who closed the connection, or why; "": it is open
+	Ground     string        // the reason for the outcome
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,27 +10,27 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Why a capture can't be replayed, wrapped in a ReplayError.
+// Reasons why a capture can't be replayed; a ReplayError wraps them.
 var (
-	// ErrCorrupt says that a record is damaged. The rest of the capture is not believed; another file of the same folder
-	// may be whole.
+	// ErrCorrupt means that a record is damaged. The rest of the capture is not replayed; another file of the same folder
+	// may be intact.
 	ErrCorrupt = errors.New("corrupt")
-	// ErrNoRecords says that there are none: the file is empty, or a log of a node whose capture was off.
+	// ErrNoRecords means that the file is empty, or that it is the log of a node without capture.
 	ErrNoRecords = errors.New("no records")
 )
 
-// VersionError says that a capture was written by a build whose records have another form; a build of that version can
-// replay it.
+// VersionError means that a capture was written in another version of the record format. Only a build of that format
+// version can replay it.
 type VersionError struct{ Version string }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("a capture of version %q; this hookwalk replays version %q", e.Version, Version)
 }
 
-// ReplayError says where in a capture a replay ended and why.
+// ReplayError reports why a replay failed and at which position of the capture.
 type ReplayError struct {
-	Capture  string // its name
-	Position string // of the record or line; "": the whole capture
+	Capture  string // name of the capture
+	Position string // record or line; "": the error concerns the whole capture
 	Err      error
 }
 
@@ -41,30 +41,30 @@
 	return fmt.Sprintf("%s, %s: %v", e.Capture, e.Position, e.Err)
 }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *ReplayError) Unwrap() error { return e.Err }
 
-// corrupt wraps the reason why a record is damaged.
+// corrupt wraps an error in ErrCorrupt.
 func corrupt(reason error) error { return fmt.Errorf("%w: %w", ErrCorrupt, reason) }
 
-// Result counts what a replay did.
+// Result counts the events of a replay.
 type Result struct {
-	Compared    int // events
-	Differences int // of them, decided otherwise
+	Compared    int // events that were compared
+	Differences int // compared events whose actions differ
 	Skipped     int // events that could not be compared
 }
 
-// Replay gives the events of a capture to a balancer of this build and writes a line to out for each request that is decided
-// otherwise now. warn is called with what could not be compared. A *ReplayError says why the capture can't be used;
-// the Result counts what came before.
+// Replay feeds the events of a capture to the balancer of this build and writes a line to out for each request whose actions
+// differ from the record. It calls warn for events that can't be compared. If the capture can't be replayed further, the error
+// is a *ReplayError, and the Result counts the events up to that point.
 func Replay(name string, in io.Reader, out io.Writer, warn func(format string, args ...any)) (Result, error) {
 	p := &replayer{out: out, warn: func(format string, args ...any) { warn(name+": "+format, args...) }}
 	records := openSource(name, in)
 	fail := func(position string, err error) (Result, error) {
 		return p.result, &ReplayError{Capture: name, Position: position, Err: err}
 	}
-	// A record may be cut short where a process was killed, or at the end of a file: a head of another run follows, or
-	// nothing. truncatedAt is the position of such a record until that is known.
+	// A record may be truncated where a process was killed, or at the end of a file. Then the head of another run follows, or
+	// nothing. truncatedAt is the position of a truncated record until the next record is known.
 	truncatedAt, found := "", false
 	for {
 		r, position, err := nextRecord(records)
@@ -73,7 +73,7 @@
 		}
 		if truncatedAt != "" {
 			if err != nil || !p.startsRun(&r) {
-				return fail(truncatedAt, corrupt(errors.New("a truncated record is not the last of its run")))
+				return fail(truncatedAt, corrupt(errors.New("a truncated record is followed by records of the same run")))
 			}
 			p.warn("%s: truncated record skipped", truncatedAt)
 			truncatedAt = ""
@@ -100,7 +100,7 @@
 	return p.result, nil
 }
 
-// nextRecord reads the next record of a source, with the errors of source.next and decode.
+// nextRecord reads the next record of a source. It returns the errors of source.next and decode.
 func nextRecord(records source) (r record, position string, err error) {
 	text, position, err := records.next()
 	if err == nil {
@@ -109,7 +109,8 @@
 	return r, position, err
 }
 
-// decode reads a record's JSON. The error is ErrCorrupt or a *VersionError: of another version no more than that is read.
+// decode parses the JSON of a record. The error wraps ErrCorrupt or is a *VersionError; for another format version, only the
+// version is parsed.
 func decode(text []byte) (r record, err error) {
 	var versioned struct {
 		Head *struct {
@@ -131,29 +132,30 @@
 	return r, nil
 }
 
-// replayer holds a balancer at one point of a capture.
+// replayer is the state of a replay at one point of a capture.
 type replayer struct {
-	bal     *balancer.Balancer // nil: nothing to compare with before the next head
-	node    string             // of the run that is played
-	began   int64              // the same
-	seq     uint64             // of the last event
+	bal     *balancer.Balancer // nil: events can't be compared before the next head
+	node    string             // name of the node whose run is replayed
+	began   int64              // start of that run, Unix time in ns; 0: no head was replayed yet
+	seq     uint64             // number of the last event
 	out     io.Writer
 	warn    func(format string, args ...any)
-	skipped int // events since the last warning of such
+	skipped int // skipped events since the last warning about them
 	result  Result
 }
 
-// isOtherRun says that a head is of another run of a node than the one that is played.
+// isOtherRun reports whether a head belongs to a run other than the one that is replayed.
 func (p *replayer) isOtherRun(h *head) bool { return h.Node != p.node || h.Began != p.began }
 
-// startsRun says that a record is the head of another run than the one that is played.
+// startsRun reports whether a record is the head of another run.
 func (p *replayer) startsRun(r *record) bool { return r.Kind == kindHead && p.isOtherRun(r.Head) }
 
-// replayRecord plays one record. A panic of the balancer is an error: a damaged capture can hold what no balancer would record.
+// replayRecord replays one record. It turns a panic of the balancer into an error, because a damaged capture can contain
+// events that no node would record.
 func (p *replayer) replayRecord(r *record) (err error) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			err = fmt.Errorf("the balancer failed: %v", failure)
+			err = fmt.Errorf("the balancer panicked: %v", failure)
 		}
 	}()
 	if r.Kind == kindHead {
@@ -164,7 +166,7 @@
 		return corrupt(err)
 	}
 	if p.began != 0 && r.Seq <= p.seq {
-		return nil // known: the ring was dumped, or the head that was played holds it
+		return nil // already replayed: the ring was dumped, or the checkpoint of the last head includes this event
 	}
 	if p.bal != nil && r.Seq != p.seq+1 {
 		p.warn("%d records are missing before record %d", r.Seq-p.seq-1, r.Seq)
@@ -184,8 +186,8 @@
 	return nil
 }
 
-// replayHead goes on from a head's checkpoint, unless the balancer that is played has come to it, or beyond, by itself: then
-// its differences would be lost.
+// replayHead restores the balancer from the checkpoint of a head. It ignores the head if the replayed balancer has already
+// reached that point or passed it, because the checkpoint would undo the effects of its different decisions.
 func (p *replayer) replayHead(r *record) error {
 	sameRun := !p.isOtherRun(r.Head)
 	if sameRun && (r.Seq < p.seq || r.Seq == p.seq && p.bal != nil) {
@@ -203,10 +205,10 @@
 	return nil
 }
 
-// warnSkipped warns of events that could not be compared since it was last called.
+// warnSkipped warns about the events that were skipped since its last call.
 func (p *replayer) warnSkipped() {
 	if p.skipped > 0 {
-		p.warn("%d records could not be compared: no head stands before them", p.skipped)
+		p.warn("%d records could not be compared: no head precedes them", p.skipped)
 		p.skipped = 0
 	}
 }
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -2,16 +2,16 @@
 
 import "encoding/binary"
 
-// ring keeps the newest frames in memory, as many as fit.
+// ring is a ring buffer that keeps as many of the newest frames as fit.
 type ring struct {
 	buf   []byte
-	start int // of the oldest frame
-	used  int // bytes from start on; they wrap around the end of buf
+	start int // offset of the oldest frame
+	used  int // bytes in use, from start; they wrap around the end of buf
 }
 
 func newRing(size int) *ring { return &ring{buf: make([]byte, size)} }
 
-// push adds a frame and drops the oldest ones as far as needed. A frame larger than the ring is left out.
+// push adds a frame and drops as many of the oldest frames as necessary. A frame larger than the ring is not stored.
 func (r *ring) push(frame []byte) {
 	if len(frame) > len(r.buf) {
 		return
@@ -26,14 +26,14 @@
 	r.used += len(frame)
 }
 
-// frameBytes is the size of the frame at an offset, with its length prefix.
+// frameBytes returns the size of the frame at an offset, including its length prefix.
 func (r *ring) frameBytes(offset int) int {
 	var length [prefixBytes]byte
 	copy(length[copy(length[:], r.buf[offset:]):], r.buf)
 	return prefixBytes + int(binary.BigEndian.Uint32(length[:]))
 }
 
-// each calls visit with each frame, the oldest first. A frame is valid until visit returns.
+// each calls visit for each frame, oldest first. The frame is valid until visit returns.
 func (r *ring) each(visit func(frame []byte)) {
 	var frame []byte
 	for offset, remaining := r.start, r.used; remaining > 0; {
--- a/internal/capture/ring_test.go
+++ b/internal/capture/ring_test.go
@@ -10,31 +10,32 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// An operator has the ring dumped after a long run. The dump can be replayed by itself, is bounded in bytes, and a replay of
-// the log in which it stands passes over what it knows already.
+// An operator dumps the ring after a long run. The dump is bounded in size and can be replayed without the rest of the log.
+// A replay of the whole log skips the repeated records.
 func TestRingDump(t *testing.T) {
 	c := newWorkload(t, settings.Capture{}, 1).run(9000)
 	if c.stderr.Len() < 2*ringBytes {
 		t.Fatalf("only %d bytes were written", c.stderr.Len())
 	}
 	if c.ring.used > ringBytes || c.ring.used < ringBytes/2 || len(c.ring.buf) != ringBytes {
-		t.Errorf("%d bytes of %d are kept", c.ring.used, len(c.ring.buf))
+		t.Errorf("the ring holds %d bytes of %d", c.ring.used, len(c.ring.buf))
 	}
 	all := bytes.Clone(c.stderr.Bytes())
 	c.stderr.Reset()
 	c.Dump()
 	res, differences, warned, err := replayText(t, "ring.log", c.stderr.Bytes())
-	if err != nil || differences != "" || res.Compared == 0 || !strings.Contains(warned, "could not be compared: no head stands before them") {
+	if err != nil || differences != "" || res.Compared == 0 || !strings.Contains(warned, "could not be compared: no head precedes them") {
 		t.Errorf("%+v, %v, differences %q, warned %q", res, err, differences, warned)
 	}
 	c.run(100)
 	res, differences, warned, err = replayText(t, "node.log", append(all, c.stderr.Bytes()...))
 	if err != nil || differences+warned != "" || res.Compared != int(c.seq) {
-		t.Errorf("behind the log: %+v of %d, %v, differences %q, warned %q", res, c.seq, err, differences, warned)
+		t.Errorf("log and dump: %+v of %d, %v, differences %q, warned %q", res, c.seq, err, differences, warned)
 	}
 }
 
-// Frames of all sizes, too large ones among them, wrap around the end of the ring at any offset: it always holds the newest.
+// Frames of many sizes, including some that are too large, wrap around the end of the ring at any offset. The ring always
+// holds the newest frames.
 func TestRingWrapsAtAnyOffset(t *testing.T) {
 	r, rng := newRing(100), rand.New(rand.NewPCG(1, 1))
 	var sent []string
@@ -52,7 +53,7 @@
 			continue
 		}
 		if len(got) == 0 || strings.Join(got, "") != strings.Join(sent[len(sent)-len(got):], "") || r.used > 100 {
-			t.Fatalf("%d kept, not the newest", len(got))
+			t.Fatalf("the %d frames in the ring are not the newest", len(got))
 		}
 	}
 }
--- a/internal/capture/source.go
+++ b/internal/capture/source.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// linePrefix begins each line of a log that holds a record; base64 of its frame follows.
+	// linePrefix starts a log line that contains a record; the frame of the record follows in base64.
 	linePrefix = "capture:"
-	// fileExtension is that of a file of frames.
+	// fileExtension is the name extension of capture files.
 	fileExtension = ".hwc"
-	// maxLineBytes is the longest line that can hold a record: base64 makes four bytes of three, and a collector of logs
-	// may put something before it.
+	// maxLineBytes is the maximum length of a line with a record: base64 encodes three bytes as four, and a log collector
+	// may add a prefix.
 	maxLineBytes = maxRecordBytes*4/3 + 64<<10
 )
 
-// source gives the records of a capture, one by one.
+// source reads the records of a capture one at a time.
 type source interface {
-	// next returns a record's JSON and its position in the capture, for messages. The error is io.EOF at the end;
-	// errTruncated for a record that is cut short, after which more may come; others are final.
+	// next returns the JSON of a record and its position in the capture, for messages. The error is io.EOF at the end of
+	// the capture, and errTruncated for a truncated record, after which more records may follow. Any other error is final.
 	next() (text []byte, position string, err error)
 }
 
-// openSource finds out by a capture's name and first bytes what it is: a file of frames, or a log in which lines with
-// records stand among others.
+// openSource detects the type of a capture by its name and its first bytes: a file of frames, or a log in which some lines
+// contain records.
 func openSource(name string, in io.Reader) source {
 	r := bufio.NewReader(in)
-	begin, _ := r.Peek(prefixBytes + 1) // of a length: its first byte is zero, as no log's is
+	begin, _ := r.Peek(prefixBytes + 1) // the first byte of a frame's length is 0, that of a log never
 	if filepath.Ext(name) == fileExtension || len(begin) > prefixBytes && begin[0] == 0 && begin[prefixBytes] == '{' {
 		return &fileSource{r: r}
 	}
 	return &logSource{r: r}
 }
 
-// fileSource reads a file of frames.
+// fileSource reads records from a file of frames.
 type fileSource struct {
 	r *bufio.Reader
 	n int // records read so far
@@ -50,14 +50,14 @@
 	return text, fmt.Sprintf("record %d", f.n), err
 }
 
-// logSource reads a log with lines that hold records.
+// logSource reads records from the lines of a log.
 type logSource struct {
 	r         *bufio.Reader
 	n         int    // lines read so far
-	remaining []byte // of the current line, if it is one with records
+	remaining []byte // rest of the current line, if the line contains records
 }
 
-// next finds the next record. One that was cut short has no line end: another one may stand behind it in the same line.
+// next returns the next record. A truncated record has no line end, so another record may follow it on the same line.
 func (l *logSource) next() (text []byte, position string, err error) {
 	for {
 		var found bool
@@ -77,8 +77,8 @@
 	}
 }
 
-// readLine reads a line; the last one of a log may have no end. It returns errRecordLength for a line that is longer than
-// any with a record, of which nothing is kept.
+// readLine reads a line. The last line of a log may lack a line end. For a line longer than maxLineBytes it returns
+// errRecordLength and discards the line.
 func (l *logSource) readLine() (line []byte, err error) {
 	for {
 		piece, err := l.r.ReadSlice('\n')
@@ -95,15 +95,15 @@
 	}
 }
 
-// holdsRecord tells a line with a record, before which a collector of logs may have put a time or a name, from a log line in
-// which a text of a client merely looks like one.
+// holdsRecord reports whether a line contains a record, possibly after a time or a name that a log collector added. It
+// returns false for a log message in which client-supplied text looks like a record.
 func holdsRecord(line []byte) bool {
 	before, _, found := bytes.Cut(line, []byte(linePrefix))
 	return found && !bytes.Contains(before, []byte("msg="))
 }
 
-// decodeLine returns the JSON of the record that follows a linePrefix, up to the next one. Damaged base64 is
-// errTruncated: a line cut short mostly has such an end.
+// decodeLine returns the JSON of the record that follows a linePrefix, up to the next linePrefix. It returns errTruncated
+// for invalid base64, because truncated lines usually end that way.
 func decodeLine(encoded []byte) ([]byte, error) {
 	encoded, _, _ = bytes.Cut(encoded, []byte(linePrefix))
 	encoded = bytes.TrimSpace(encoded)
@@ -118,7 +118,7 @@
 		err = errTruncated
 	}
 	if err == nil && r.Buffered() > 0 {
-		err = errors.New("a line holds more than one record")
+		err = errors.New("the base64 data holds more than one record")
 	}
 	return text, err
 }
--- a/internal/capture/text.go
+++ b/internal/capture/text.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// escapeText turns a text into one that JSON can hold. Clients may send IDs that are not UTF-8, and JSON would make one of
-// different IDs. Each byte that is not part of valid UTF-8, and each of U+FFFD itself, becomes U+FFFD and two hexadecimal
-// digits.
+// escapeText encodes a string so that JSON preserves it. Clients may send IDs that are not valid UTF-8, and JSON encoding
+// would map different IDs to the same string. Each byte that is not part of valid UTF-8, and each byte of U+FFFD itself,
+// is encoded as U+FFFD and two hexadecimal digits.
 func escapeText(s string) string {
 	if utf8.ValidString(s) && !strings.ContainsRune(s, utf8.RuneError) {
 		return s
@@ -28,7 +28,7 @@
 	return escaped.String()
 }
 
-// unescapeText is the text of which escapeText made s.
+// unescapeText reverses escapeText.
 func unescapeText(s string) string {
 	const escape = string(utf8.RuneError) // before two hexadecimal digits
 	if !strings.Contains(s, escape) {
--- a/internal/capture/workload_test.go
+++ b/internal/capture/workload_test.go
@@ -19,7 +19,7 @@
 
 const msec = time.Millisecond
 
-// testSettings are a balancer's settings with each effect of a class, a fault injection and an access list.
+// testSettings returns settings of a balancer with a class for each effect, a fault injection and an access list.
 func testSettings() balancer.Settings {
 	return balancer.Settings{
 		Classes: []balancer.Class{
@@ -36,21 +36,21 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// workload is a balancer under busy random traffic, with what its Writer wrote.
+// workload runs a balancer under heavy random traffic and keeps what its Writer writes.
 type workload struct {
 	*Writer
 	bal      *balancer.Balancer
 	rng      *rand.Rand
 	now      time.Duration
 	stderr   bytes.Buffer
-	outcomes []balancer.AttemptEnded // of all attempts
-	due      []time.Duration         // of each outcome; 0: the balancer has it
+	outcomes []balancer.AttemptEnded // of all attempts, drawn in advance
+	due      []time.Duration         // when each outcome is due; 0: the balancer has received it
 	timers   []balancer.SetTimer
 	counts   map[string]int // of events and actions, by type
 	requests int
 }
 
-// newWorkload makes a balancer that has been given its first endpoint list.
+// newWorkload returns a workload whose balancer has received its first endpoint list.
 func newWorkload(t testing.TB, set settings.Capture, seed uint64) *workload {
 	t.Helper()
 	bal, err := balancer.New(testSettings(), seed)
@@ -63,7 +63,7 @@
 	return c
 }
 
-// servers is an endpoint list in which some drain and some are warming up.
+// servers returns an endpoint list in which some servers are draining and some are warming up.
 func (c *workload) servers() (list []balancer.Server) {
 	for i := range 6 {
 		s := balancer.Server{ID: fmt.Sprint("s-", i), Zone: "z", State: balancer.ServerState(c.rng.IntN(12) / 10)}
@@ -75,7 +75,7 @@
 	return list
 }
 
-// feed gives an event to the balancer, records it, and remembers what will follow from the actions.
+// feed passes an event to the balancer, records it, and schedules the timers and outcomes that result from the actions.
 func (c *workload) feed(e balancer.Event) {
 	actions := c.bal.Handle(c.now, e)
 	c.counts[fmt.Sprintf("%T", e)]++
@@ -91,7 +91,7 @@
 	}
 }
 
-// send draws how an attempt will end, and when.
+// send draws a random outcome for an attempt and the time at which it ends.
 func (c *workload) send(a balancer.Send) {
 	attempt := 0
 	for _, o := range c.outcomes {
@@ -109,7 +109,7 @@
 	c.outcomes, c.due = append(c.outcomes, o), append(c.due, c.now+took)
 }
 
-// run plays some steps of 2 ms. What is due comes first.
+// run simulates some steps of 2 ms. Each step first feeds what is due.
 func (c *workload) run(steps int) *workload {
 	for range steps {
 		c.now += 2*msec + time.Duration(c.rng.IntN(1000))
@@ -134,7 +134,7 @@
 	return c
 }
 
-// feedDue gives the balancer the timers and outcomes that are due.
+// feedDue passes the timers and outcomes that are due to the balancer.
 func (c *workload) feedDue() {
 	for i := 0; i < len(c.timers); i++ {
 		if timer := c.timers[i]; timer.At <= c.now {
@@ -151,7 +151,7 @@
 	}
 }
 
-// replayText replays a capture, and returns the differences and warnings that it wrote beside its result.
+// replayText replays a capture and returns its result, the differences and the warnings.
 func replayText(t *testing.T, name string, text []byte) (res Result, differences, warnings string, err error) {
 	t.Helper()
 	var out, warned strings.Builder
@@ -159,7 +159,7 @@
 	return res, out.String(), warned.String(), err
 }
 
-// rewriteRecords changes the text of each record of a log.
+// rewriteRecords applies a function to the JSON of each record in a log.
 func rewriteRecords(t *testing.T, log string, change func(string) string) []byte {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// ringBytes is what a Writer keeps in memory for Dump. asyncwriter.Stderr takes it at once, as base64.
+	// ringBytes is the size of the ring buffer for Dump. The queue of asyncwriter.Stderr can hold all of it as base64.
 	ringBytes = 768 << 10
-	// headInterval is between two heads, in bytes of records: the ring always holds several, so that a dump can be
-	// replayed. A head costs a checkpoint of the balancer.
+	// headInterval is the number of record bytes between two heads. It is small enough that the ring always contains
+	// several heads, so that a dump can be replayed, but each head requires a checkpoint of the balancer.
 	headInterval = 128 << 10
-	// warnInterval is between two log lines of records that could not be written, at least.
+	// warnInterval is the minimum time between two warnings about records that could not be written.
 	warnInterval = 10 * time.Second
 )
 
-// Writer records the events of one Balancer. Its methods belong to the goroutine that feeds the Balancer: they block no
-// longer than writes to standard error and to the folder do.
+// Writer records the events of one Balancer. Its methods must be called from the goroutine that calls the Balancer. They
+// block only for writes to standard error and to the folder.
 type Writer struct {
 	bal    *balancer.Balancer
 	head   head
 	stderr io.Writer
 	log    *slog.Logger
 	ring   *ring
-	folder *folder // nil: none
+	folder *folder // nil: no files are written
 
-	seq         uint64 // of the last event
-	sinceHead   int    // bytes of records
+	seq         uint64 // number of the last event
+	sinceHead   int    // bytes of records since the last head
 	buf         bytes.Buffer
 	headBuf     bytes.Buffer
 	line        []byte
 	nextWarning time.Time
 }
 
-// New begins a capture of a Balancer that has seen no event yet. balancerSettings are the settings and seed the seed
-// that it was made with. Errors are logged, at most one every ten seconds, and stop nothing.
+// New starts a capture of a Balancer that has not handled any event yet and was created with balancerSettings and seed.
+// Errors are logged, at most one every ten seconds, and do not stop the capture.
 func New(set settings.Capture, node string, bal *balancer.Balancer, balancerSettings balancer.Settings, seed uint64,
 	stderr io.Writer, log *slog.Logger) *Writer {
 	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringBytes),
@@ -52,8 +52,8 @@
 	return w
 }
 
-// Event records an event and the actions that answered it. It must be called before the Balancer handles the next event: a
-// head that follows has the Balancer's state as it is now.
+// Event records an event and the resulting actions. It must be called before the Balancer handles the next event, because
+// it may write a head with the current state of the Balancer.
 func (w *Writer) Event(at time.Duration, event balancer.Event, actions []balancer.Action, context EventContext) {
 	r, err := newRecord(event, context)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return
 	}
 	if changed, ok := event.(balancer.SettingsChanged); ok {
-		w.head.Settings = changed.Settings // of the checkpoints from here on
+		w.head.Settings = changed.Settings // for the heads from here on
 	}
 	w.seq++
 	r.Seq, r.At, r.Actions = w.seq, at, newActions(actions)
@@ -84,7 +84,7 @@
 	}
 }
 
-// writeHead lets a replay begin here: the records that follow can be played without those before.
+// writeHead writes a head, at which a replay can start without the earlier records.
 func (w *Writer) writeHead(at time.Duration) {
 	var err error
 	if w.head.Checkpoint, err = w.bal.Checkpoint(); err != nil {
@@ -100,7 +100,8 @@
 	w.sinceHead = 0
 }
 
-// write hands a frame to standard error, the ring and the folder. It returns false if the folder's file is full.
+// write writes a frame to standard error, the ring and the folder. It returns false if it does not fit into the folder's
+// open file.
 func (w *Writer) write(frame []byte, isHead bool) (fits bool) {
 	w.sinceHead += len(frame)
 	w.writeLine(frame)
@@ -108,17 +109,17 @@
 	return w.appendToFolder(frame, isHead)
 }
 
-// writeLine writes a frame to standard error, as one line with one Write.
+// writeLine writes a frame to standard error as one line, with a single Write.
 func (w *Writer) writeLine(frame []byte) {
 	w.line = append(w.line[:0], linePrefix...)
 	w.line = base64.StdEncoding.AppendEncode(w.line, frame)
 	w.line = append(w.line, '\n')
 	if _, err := w.stderr.Write(w.line); err != nil {
-		w.warn(err) // the log may go elsewhere
+		w.warn(err) // the log may have another destination
 	}
 }
 
-// appendToFolder hands a frame to the folder, if there is one. It returns false if its file is full.
+// appendToFolder writes a frame to the folder, if there is one. It returns false if it does not fit into the open file.
 func (w *Writer) appendToFolder(frame []byte, isHead bool) (fits bool) {
 	if w.folder == nil {
 		return true
@@ -130,19 +131,19 @@
 	return fits
 }
 
-// Dump writes the records that the ring holds to standard error once more.
+// Dump writes the records in the ring to standard error again.
 func (w *Writer) Dump() {
 	w.ring.each(w.writeLine)
 }
 
-// Close ends the capture. A nil Writer has nothing to end.
+// Close ends the capture. On a nil Writer it does nothing.
 func (w *Writer) Close() {
 	if w != nil && w.folder != nil {
 		w.folder.close()
 	}
 }
 
-// warn logs why a record is not everywhere where it should be, at most once in a warnInterval.
+// warn logs why a record was not written to all destinations, at most once per warnInterval.
 func (w *Writer) warn(err error) {
 	if now := time.Now(); now.After(w.nextWarning) {
 		w.nextWarning = now.Add(warnInterval)
--- a/internal/capture/writer_test.go
+++ b/internal/capture/writer_test.go
@@ -12,7 +12,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A record has the fields that docs/features.md names, also those that the balancer is not told.
+// A record has the fields that docs/features.md names, including those that are not passed to the balancer.
 func TestRecordFields(t *testing.T) {
 	c := newWorkload(t, settings.Capture{}, 1)
 	c.stderr.Reset()
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkEvent measures what recording one event costs the loop.
+// BenchmarkEvent measures the cost of recording one event.
 func BenchmarkEvent(b *testing.B) {
 	bal, err := balancer.New(testSettings(), 1)
 	if err != nil {
