--- a/internal/requesthead/chunked.go
+++ b/internal/requesthead/chunked.go
@@ -2,16 +2,17 @@
 
 import "math"
 
-// maxChunkSizeDigits is how many hexadecimal digits net/http reads of a chunk's size.
+// maxChunkSizeDigits is the maximum number of hexadecimal digits that net/http accepts in a chunk size.
 const maxChunkSizeDigits = 16
 
-// chunkState is what the next byte of a chunked body belongs to.
+// chunkState identifies the grammar element to which the next byte of a chunked body belongs.
 type chunkState int
 
-// States of a chunkedBody, in the order of RFC 9112, section 7.1. A body that breaks the grammar stays malformed.
+// States of a chunkedBody, in the order of RFC 9112, section 7.1. chunkedMalformed is final: a body that violates the
+// grammar stays malformed.
 const (
 	chunkSize      chunkState = iota // the hexadecimal digits of a chunk's size
-	chunkExtension                   // the rest of that line, behind a semicolon
+	chunkExtension                   // the rest of that line, after a semicolon
 	chunkSizeLF                      // the LF of that line
 	chunkData
 	chunkDataCR
@@ -24,15 +25,15 @@
 	chunkedMalformed
 )
 
-// chunkedBody follows the framing of a chunked body, to tell when all of it has come. It is strict: what net/http might
-// go on reading never counts as complete.
+// chunkedBody tracks the framing of a chunked body to detect when the body is complete. It is strict: a body that net/http
+// might continue to read never counts as complete.
 type chunkedBody struct {
 	state     chunkState
-	digits    int    // of the chunk size that is coming
-	remaining uint64 // bytes of the chunk that have not come
+	digits    int    // digits of the current chunk size read so far
+	remaining uint64 // bytes of the current chunk not yet read
 }
 
-// consume inspects bytes of the body. What follows the body is passed over.
+// consume processes bytes of the body. It ignores bytes after the end of the body.
 func (c *chunkedBody) consume(b []byte) {
 	for len(b) > 0 && c.state != chunkedComplete && c.state != chunkedMalformed {
 		if c.state == chunkData {
@@ -48,7 +49,7 @@
 	}
 }
 
-// next returns the state after a byte that is not data of a chunk.
+// next returns the state after a byte that is not chunk data.
 func (c *chunkedBody) next(b byte) chunkState {
 	switch c.state {
 	case chunkSize:
@@ -73,7 +74,7 @@
 	return chunkedMalformed
 }
 
-// expect returns the next state if a byte is the wanted one.
+// expect returns next if b is the wanted byte, and chunkedMalformed otherwise.
 func expect(b, want byte, next chunkState) chunkState {
 	if b != want {
 		return chunkedMalformed
@@ -81,7 +82,7 @@
 	return next
 }
 
-// lineState returns the state after a byte of a line that ends in CR LF.
+// lineState returns the state after one byte of a line that ends in CR LF: within the line or after its CR.
 func lineState(b byte, within, afterCR chunkState) chunkState {
 	switch b {
 	case '\r':
@@ -92,7 +93,7 @@
 	return within
 }
 
-// addSizeByte adds one byte of a line that begins with a chunk's size.
+// addSizeByte processes one byte of a chunk size or the byte after it.
 func (c *chunkedBody) addSizeByte(b byte) chunkState {
 	digit, isDigit := hexDigit(b)
 	switch {
@@ -108,7 +109,7 @@
 	return expect(b, '\r', chunkSizeLF)
 }
 
-// beginChunk takes the LF of a size line: data of the chunk follows, or the trailer section behind the last one.
+// beginChunk processes the LF of a size line. The data of the chunk follows, or after the last chunk the trailer section.
 func (c *chunkedBody) beginChunk(b byte) chunkState {
 	c.digits = 0
 	switch {
--- a/internal/requesthead/requesthead.go
+++ b/internal/requesthead/requesthead.go
@@ -1,9 +1,9 @@
 // Package requesthead validates the framing of HTTP/1 requests on one client connection, below net/http.
 //
-// It guards against request smuggling: net/http silently drops a Content-Length beside a Transfer-Encoding and accepts
-// lines that end in LF alone, so a proxy before the node and the node could disagree about where a request ends, and what
-// one takes for a body the other would run as a request. The Reader reports such a head as a fault, which is to be
-// answered with 400, and lets nothing that follows on the connection start a request.
+// It prevents request smuggling. net/http silently drops a Content-Length that is sent together with a Transfer-Encoding,
+// and accepts lines that end in LF alone. A proxy in front of the node and the node could therefore disagree about where a
+// request ends, and one could execute as a request what the other treats as a body. The Reader reports such a head as a
+// fault, to which the caller must respond with 400, and treats no later bytes of the connection as a new request.
 package requesthead
 
 import (
@@ -14,88 +14,88 @@
 	"strings"
 )
 
-// maxInspectedLine is how many bytes of a header line are looked at: enough for the name of a length header and its
-// number. A longer Content-Length line is a fault; of other headers only the name matters.
+// maxInspectedLine is the number of bytes of a header line that are inspected: enough for the name of a length header and
+// its number. A longer Content-Length line is a fault; for other headers only the name matters.
 const maxInspectedLine = 64
 
-// state is what the next byte from the client belongs to. Only Reader.consume changes it:
+// state identifies what the next byte from the client belongs to. Only Reader.consume changes it:
 //
 //	readingHead -> readingBody   the head announced a Content-Length above 0
 //	readingHead -> readingHead   the request has no body: the next head follows
-//	readingHead -> readingToEnd  a chunked or faulty request: it is the last of its connection
-//	readingBody -> readingHead   all of the body has come
+//	readingHead -> readingToEnd  a chunked or faulty request: the last one on the connection
+//	readingBody -> readingHead   the body is complete
 type state int
 
 // States of a Reader.
 const (
 	readingHead  state = iota // the head of a request, or empty lines before it
 	readingBody               // a body of known length
-	readingToEnd              // everything that still comes belongs to this request
+	readingToEnd              // all further bytes belong to this request
 )
 
-// Findings is what a request head contains that net/http does not report.
+// Findings contains what net/http does not report about a request head.
 type Findings struct {
-	ContentLength    int64  // in bytes; 0: there is none; math.MaxInt64: it is no number
-	TransferEncoding bool   // there is one: the length is unknown
-	Fault            string // why the framing can't be trusted; "": it can
+	ContentLength    int64  // in bytes; 0: no header; math.MaxInt64: not a number
+	TransferEncoding bool   // the header is present: the length of the body is unknown
+	Fault            string // why the framing can't be trusted; "": no fault
 }
 
-// head is a request head that is being read.
+// head is the request head that is currently read.
 type head struct {
 	Findings
 	lines          int
-	contentLengths int // Content-Length headers
+	contentLengths int // number of Content-Length headers
 }
 
-// setFault records a fault. The first one of a head is kept.
+// setFault records a fault, unless the head already has one.
 func (h *head) setFault(reason string) {
 	if h.Fault == "" {
 		h.Fault = reason
 	}
 }
 
-// Reader reads a client connection and follows its bytes from one request's head to the next.
+// Reader reads a client connection and tracks the head and the body of each request.
 //
-// It never lets one Read go beyond the request that it began in. So when net/http has parsed a head, Findings are those of
-// that same head. A chunked request is the last of its connection: where its body ends is followed only for Complete, and
-// nothing behind it starts a request.
+// A Read never returns bytes beyond the request in which it starts. Therefore, when net/http has parsed a head, Findings
+// returns the findings for that same head. A chunked request is the last one on its connection: the end of its body is
+// tracked only for Complete, and bytes after it do not start a request.
 //
-// It belongs to the goroutine that reads the connection and has no lock. A handler may ask for Findings and Count until
-// its request's body has been read to its end: until then nobody reads the next head.
+// A Reader has no lock and must be used by the goroutine that reads the connection. A handler may call Findings and Count
+// until it has read the body of its request to the end, because the next head is not read before that.
 type Reader struct {
 	conn          io.Reader
-	pending       []byte // read from the connection, of later requests
+	pending       []byte // bytes of later requests, already read from the connection
 	state         state
-	bodyRemaining int64  // bytes of the body that have not come
-	line          []byte // the header line that is coming, up to maxInspectedLine bytes
-	lineSize      int    // length of that line in bytes, without CR
+	bodyRemaining int64  // bytes of the body not yet read
+	line          []byte // the start of the current line, up to maxInspectedLine bytes
+	lineSize      int    // bytes of the current line read so far, without CR
 	afterCR       bool   // the last byte was a CR
-	headerName    string // of the header line before, in lower case, for its continuation lines
+	headerName    string // of the previous header line, in lower case, to recognize its continuation lines
 	current       head
-	complete      Findings // of the last complete head
+	complete      Findings // findings for the last complete head
 	chunks        chunkedBody
-	count         int // complete heads
+	count         int // number of complete heads
 }
 
-// NewReader returns a Reader for a connection of which nothing has been read.
+// NewReader returns a Reader for a connection from which nothing has been read yet.
 func NewReader(conn io.Reader) *Reader { return &Reader{conn: conn} }
 
-// Findings returns those of the last complete head.
+// Findings returns the findings for the last complete head.
 func (r *Reader) Findings() Findings { return r.complete }
 
-// Count returns how many heads were complete.
+// Count returns the number of complete heads.
 func (r *Reader) Count() int { return r.count }
 
-// HeadBegun reports whether a part of a head has come, and not all of it.
+// HeadBegun reports whether a head is partly read.
 func (r *Reader) HeadBegun() bool {
 	return r.state == readingHead && (r.current.lines > 0 || r.lineSize > 0)
 }
 
-// Buffered reports whether bytes of a later request were read from the connection and not given out.
+// Buffered reports whether bytes of a later request were read from the connection but not yet returned by Read.
 func (r *Reader) Buffered() bool { return len(r.pending) > 0 }
 
-// Complete reports whether all of the last request has come, and nothing of the next one. Before the first head it is
-// false, and for a request whose framing can't be trusted.
+// Complete reports whether the last request has been read completely and nothing of the next one. It is false before the
+// first head and for a request whose framing can't be trusted.
 func (r *Reader) Complete() bool {
 	switch r.state {
 	case readingHead:
@@ -106,7 +106,7 @@
 	return false
 }
 
-// Read fills b from the connection, no further than the end of the current request.
+// Read reads from the connection into b, but not beyond the end of the current request.
 func (r *Reader) Read(b []byte) (n int, err error) {
 	for {
 		if len(r.pending) == 0 {
@@ -127,8 +127,8 @@
 	}
 }
 
-// skipEmptyLines returns how many bytes at the start of b are empty lines between two requests. They belong to neither;
-// net/http would take them for the start of a request.
+// skipEmptyLines returns the number of bytes at the start of b that are empty lines between two requests. They belong to
+// neither request; net/http would treat them as the start of a request.
 func (r *Reader) skipEmptyLines(b []byte) (skipped int) {
 	betweenRequests := r.state == readingHead && !r.HeadBegun()
 	for betweenRequests && skipped < len(b) && (b[skipped] == '\r' || b[skipped] == '\n') {
@@ -141,7 +141,7 @@
 	return skipped
 }
 
-// consume inspects bytes that were read and returns how many of them belong to the current request.
+// consume processes bytes from the connection and returns how many of them belong to the current request.
 func (r *Reader) consume(b []byte) int {
 	for i, c := range b {
 		switch r.state {
@@ -174,7 +174,7 @@
 	return len(b)
 }
 
-// addByte adds one byte to the head and reports whether the head ends with it.
+// addByte processes one byte of the head and reports whether the head ends with it.
 func (r *Reader) addByte(c byte) (end bool) {
 	if c != '\n' {
 		if r.afterCR {
@@ -202,7 +202,7 @@
 	return empty && r.current.lines > 0 // an empty line before the request line is skipped
 }
 
-// checkHeader inspects one complete header line.
+// checkHeader checks one complete header line.
 func (r *Reader) checkHeader() {
 	if r.line[0] == ' ' || r.line[0] == '\t' {
 		if r.headerName == "content-length" || r.headerName == "transfer-encoding" {
@@ -223,8 +223,8 @@
 	}
 }
 
-// checkContentLength records the value of a Content-Length header. One that is no number counts as endless, so that
-// nothing behind it passes as a request.
+// checkContentLength records the value of a Content-Length header. A value that is not a number is recorded as the maximum
+// length, so that no later bytes are treated as a request.
 func (r *Reader) checkContentLength(value string) {
 	length, err := strconv.ParseUint(value, 10, 63)
 	if err != nil || r.lineSize > maxInspectedLine {
--- a/internal/requesthead/requesthead_test.go
+++ b/internal/requesthead/requesthead_test.go
@@ -10,13 +10,13 @@
 	"testing/iotest"
 )
 
-// readInPieces returns a reader that gives a text in pieces of n bytes at most.
+// readInPieces returns a reader that returns a text in pieces of at most n bytes.
 func readInPieces(text string, n int) io.Reader {
 	r := strings.NewReader(text)
 	return readFunc(func(b []byte) (int, error) { return r.Read(b[:min(n, len(b))]) })
 }
 
-// A read never goes beyond the request that it began in, however the bytes are cut, and nothing of them is lost.
+// A Read never returns bytes beyond the request in which it starts, however the input is divided, and no bytes are lost.
 func TestReadStopsAtRequestEnd(t *testing.T) {
 	a := "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello"
 	b := "GET /b HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -43,8 +43,8 @@
 	}
 }
 
-// Whatever comes, all of it is read, and net/http and the head reader agree on the length of each request that has no
-// fault: where they differed, a request could be smuggled.
+// FuzzRequestHead checks that any input is read completely, and that net/http and the Reader agree on the length of each
+// request without a fault. If they disagreed, a request could be smuggled.
 func FuzzRequestHead(f *testing.F) {
 	for _, s := range []string{
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -72,16 +72,17 @@
 		findings := first.Findings()
 		unknownLength := req.ContentLength < 0
 		if !req.ProtoAtLeast(1, 1) {
-			// net/http ignores Transfer-Encoding below HTTP/1.1. The reader must see it all the same: it then takes all that
-			// follows for this request's body, and the ingress answers the version with 505 and a close.
+			// net/http ignores Transfer-Encoding before HTTP/1.1, but the Reader must not: it treats all further bytes as
+			// the body of this request, and the ingress rejects the version with 505 and closes the connection.
 			unknownLength = unknownLength || findings.TransferEncoding
 		}
 		if req.ContentLength > 0 && req.ContentLength != findings.ContentLength || unknownLength != findings.TransferEncoding {
-			t.Fatalf("%q: net/http sees %d %v, the heads %+v", text, req.ContentLength, req.TransferEncoding, findings)
+			t.Fatalf("%q: net/http found length %d and encoding %v, the Reader %+v", text, req.ContentLength, req.TransferEncoding, findings)
 		}
 	})
 }
 
+// readFunc is a function that implements io.Reader.
 type readFunc func([]byte) (int, error)
 
 func (f readFunc) Read(b []byte) (int, error) { return f(b) }
