--- a/internal/proxyproto/proxyproto.go
+++ b/internal/proxyproto/proxyproto.go
@@ -1,8 +1,8 @@
-// Package proxyproto reads the headers of the PROXY protocol, versions 1 and 2, by which a proxy names the client whose
-// connection it passes on.
+// Package proxyproto reads headers of the PROXY protocol, versions 1 and 2, in which a proxy sends the address of the client
+// whose connection it forwards.
 //
-// The known libraries don't fit: a header may come in pieces here, nothing behind it may be read, and a header that names
-// no address is not an error.
+// Common libraries do not meet the requirements: a header can arrive in pieces, no byte after it may be read, and a header
+// without an address is not an error.
 package proxyproto
 
 import (
@@ -17,20 +17,20 @@
 	"strings"
 )
 
-// What a header begins with. Neither can begin an HTTP request.
+// Signatures at the start of a header. An HTTP request can't begin with either of them.
 const (
 	signatureV1 = "PROXY "                 // of version 1, a line of text
 	signatureV2 = "\r\n\r\n\x00\r\nQUIT\n" // of version 2, which is binary
 )
 
-// Sizes in bytes. They bound what a peer can make the node read before it is known whose connection it is.
+// Sizes in bytes. They limit how much data a peer can make the node read before the client is known.
 const (
-	maxLineV1    = 107     // a header of version 1 with its line end, as the protocol has it
+	maxLineV1    = 107     // a header of version 1 with its line end, according to the protocol
 	fixedSizeV2  = 16      // a header of version 2 up to its payload
-	maxPayloadV2 = 4 << 10 // a payload of version 2: the addresses and whatever a proxy adds
+	maxPayloadV2 = 4 << 10 // a payload of version 2: the addresses and the extensions (TLVs) that a proxy adds
 
-	ipv4AddressesV2 = 2 * (4 + 2)  // source and destination with their ports
-	ipv6AddressesV2 = 2 * (16 + 2) // source and destination with their ports
+	ipv4AddressesV2 = 2 * (4 + 2)  // source and destination addresses and ports
+	ipv6AddressesV2 = 2 * (16 + 2) // source and destination addresses and ports
 )
 
 // Offsets in the fixed part of a header of version 2.
@@ -42,29 +42,29 @@
 
 // Values of the version and command in a header of version 2.
 const (
-	commandLocal = 0x20 // the proxy's own connection, such as a health check: it names no client
-	commandProxy = 0x21 // the connection of a client
+	commandLocal = 0x20 // a connection of the proxy itself, such as a health check: it has no client
+	commandProxy = 0x21 // a forwarded connection of a client
 )
 
 // Values of the address family and protocol in a header of version 2.
 const (
-	familyUnspecified = 0x00 // the header names no client
+	familyUnspecified = 0x00 // the header has no client address
 	familyTCPv4       = 0x11 // TCP over IPv4
 	familyTCPv6       = 0x21 // TCP over IPv6
 )
 
-// fieldsV1 is how many words a header of version 1 with addresses has: PROXY, family, two addresses, two ports.
+// fieldsV1 is the number of fields in a header of version 1 with addresses: PROXY, family, two addresses, two ports.
 const fieldsV1 = 6
 
-// ErrMalformed is wrapped by the error for a header that breaks the protocol. The connection can't be used.
+// ErrMalformed is wrapped by errors for a header that violates the protocol. The connection can't be used.
 var ErrMalformed = errors.New("malformed PROXY header")
 
+// malformed returns an error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// truncated is the error for a header that did not come completely: io.ErrUnexpectedEOF, or that of the connection, such
-// as its timeout.
+// truncated wraps the error for an incomplete header: io.ErrUnexpectedEOF, or an error of the connection such as a timeout.
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -72,7 +72,8 @@
 	return fmt.Errorf("PROXY header: %w", err)
 }
 
-// Starts reports whether what has come begins with a header, or may yet turn out to.
+// Starts reports whether the bytes received so far start with the signature of a header, or may do so when more bytes
+// arrive.
 func Starts(head []byte) (isHeader, mayBecomeHeader bool) {
 	for _, signature := range []string{signatureV1, signatureV2} {
 		n := min(len(head), len(signature))
@@ -83,10 +84,10 @@
 	return false, false
 }
 
-// Read reads one header from the start of r, and not a byte more. r's buffer must have room for
-// a signature at least (12 bytes): it is peeked at, and read only once it is known. An invalid source means
-// that the header names none: then the address of the connection itself counts. The error wraps ErrMalformed,
-// io.ErrUnexpectedEOF or that of the connection.
+// Read reads one header from the start of r, and no byte after it. The buffer of r must hold at least a signature (12
+// bytes), because Read peeks at the signature first. If the header has no client address, source is invalid, and the
+// caller must use the address of the connection. The error wraps ErrMalformed, io.ErrUnexpectedEOF or an error of the
+// connection.
 func Read(r *bufio.Reader) (source netip.Addr, err error) {
 	for n := 1; ; n++ {
 		head, err := r.Peek(n)
@@ -99,7 +100,7 @@
 		case isHeader:
 			return readV2(r)
 		case !mayBecomeHeader:
-			return netip.Addr{}, malformed("it is none")
+			return netip.Addr{}, malformed("no signature")
 		}
 	}
 }
@@ -112,11 +113,11 @@
 	}
 	fields := strings.Split(line, " ")
 	family := fields[1]
-	if family == "UNKNOWN" { // what follows is to be ignored
+	if family == "UNKNOWN" { // the rest of the line must be ignored
 		return netip.Addr{}, nil
 	}
 	if len(fields) != fieldsV1 {
-		return netip.Addr{}, malformed("%d words", len(fields))
+		return netip.Addr{}, malformed("%d fields, want %d", len(fields), fieldsV1)
 	}
 	sourceText, destinationText, ports := fields[2], fields[3], fields[4:]
 	source, err = parseAddress(family, sourceText, ports[0])
@@ -129,12 +130,12 @@
 	return source.Unmap(), nil
 }
 
-// readLine reads a line without its end, no more than maxLineV1 bytes.
+// readLine reads a line of at most maxLineV1 bytes and returns it without its line end.
 func readLine(r *bufio.Reader) (string, error) {
 	var line []byte
 	for !bytes.HasSuffix(line, []byte("\n")) {
 		if len(line) == maxLineV1 {
-			return "", malformed("over %d bytes", maxLineV1)
+			return "", malformed("line longer than %d bytes", maxLineV1)
 		}
 		b, err := r.ReadByte()
 		if err != nil {
@@ -149,15 +150,15 @@
 	return text, nil
 }
 
-// parseAddress parses an address with its port, in the one form that the protocol allows.
+// parseAddress parses an address and checks its port, in the only notation that the protocol allows.
 func parseAddress(family, address, port string) (netip.Addr, error) {
 	addr, err := netip.ParseAddr(address)
 	fits := family == "TCP4" && addr.Is4() || family == "TCP6" && addr.Is6()
 	if err != nil || addr.Zone() != "" || !fits {
-		return netip.Addr{}, malformed("%.20q with address %.40q", family, address)
+		return netip.Addr{}, malformed("family %.20q with address %.40q", family, address)
 	}
 	if number, err := strconv.ParseUint(port, 10, 16); err != nil || strconv.FormatUint(number, 10) != port {
-		return netip.Addr{}, malformed("port %.10q", port)
+		return netip.Addr{}, malformed("invalid port %.10q", port)
 	}
 	return addr, nil
 }
@@ -170,14 +171,14 @@
 	}
 	payloadSize := int(binary.BigEndian.Uint16(fixed[lengthOffsetV2:]))
 	if payloadSize > maxPayloadV2 {
-		return netip.Addr{}, malformed("%d bytes announced, more than %d", payloadSize, maxPayloadV2)
+		return netip.Addr{}, malformed("payload of %d bytes, more than %d", payloadSize, maxPayloadV2)
 	}
 	addressSize, err := addressSizeV2(fixed[commandOffsetV2], fixed[familyOffsetV2])
 	if err != nil {
 		return netip.Addr{}, err
 	}
 	if payloadSize < addressSize {
-		return netip.Addr{}, malformed("%d bytes announced, less than %d", payloadSize, addressSize)
+		return netip.Addr{}, malformed("payload of %d bytes, less than the addresses (%d)", payloadSize, addressSize)
 	}
 	addresses := make([]byte, addressSize)
 	if _, err := io.ReadFull(r, addresses); err != nil {
@@ -195,11 +196,11 @@
 	return netip.Addr{}, nil
 }
 
-// addressSizeV2 is the size in bytes of the addresses in a payload of version 2; 0: the header names no client.
+// addressSizeV2 returns the size in bytes of the addresses in a payload of version 2; 0: the header has no client address.
 func addressSizeV2(command, family byte) (int, error) {
 	switch {
 	case command != commandLocal && command != commandProxy:
-		return 0, malformed("version and command %#x", command)
+		return 0, malformed("unsupported version and command %#x", command)
 	case command == commandLocal || family == familyUnspecified:
 		return 0, nil
 	case family == familyTCPv4:
@@ -207,5 +208,5 @@
 	case family == familyTCPv6:
 		return ipv6AddressesV2, nil
 	}
-	return 0, malformed("family and protocol %#x", family)
+	return 0, malformed("unsupported family and protocol %#x", family)
 }
--- a/internal/proxyproto/proxyproto_test.go
+++ b/internal/proxyproto/proxyproto_test.go
@@ -11,19 +11,19 @@
 	"testing/iotest"
 )
 
-// headerV2 is a header of version 2 with a payload.
+// headerV2 returns a header of version 2 with a payload.
 func headerV2(command, family byte, payload string) string {
 	b := append([]byte(signatureV2), command, family)
 	return string(binary.BigEndian.AppendUint16(b, uint16(len(payload)))) + payload
 }
 
-// Payloads of version 2: source and destination addresses with their ports.
+// Payloads of version 2: source and destination addresses and ports.
 var (
 	ip4 = string([]byte{10, 4, 0, 9, 10, 0, 0, 1, 1, 2, 3, 4})
 	ip6 = string(append(append(netip.MustParseAddr("fd00:12::9").AsSlice(), netip.MustParseAddr("fd00::1").AsSlice()...), 1, 2, 3, 4))
 )
 
-// validHeaders are headers by name, with the source that each names; "": none.
+// validHeaders maps a case name to a header and its source address; "": the header has none.
 var validHeaders = map[string]struct{ header, source string }{
 	"TCP4":           {"PROXY TCP4 10.4.0.9 10.0.0.1 5000 80\r\n", "10.4.0.9"},
 	"TCP6":           {"PROXY TCP6 fd00:12::9 fd00::1 5000 65535\r\n", "fd00:12::9"},
@@ -39,46 +39,46 @@
 	"2, unspecified": {headerV2(0x21, 0x00, "\x04\x00\x01a"), ""},
 }
 
-// A header may come byte by byte, and nothing behind it may be read: it is the first request. A header that is cut at any
-// byte is truncated, not malformed.
+// A header may arrive byte by byte, and no byte after it may be read, because the first request starts there. A header that
+// is cut off at any byte is truncated, not malformed.
 func TestValidHeaders(t *testing.T) {
 	for name, c := range validHeaders {
-		for _, behind := range []string{"GET / HTTP/1.1\r\n", "PROXY ", ""} {
-			r := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.header+behind)), 16)
+		for _, rest := range []string{"GET / HTTP/1.1\r\n", "PROXY ", ""} {
+			r := bufio.NewReaderSize(iotest.OneByteReader(strings.NewReader(c.header+rest)), 16)
 			source, err := Read(r)
 			if err != nil || c.source == "" && source.IsValid() || c.source != "" && source.String() != c.source {
 				t.Errorf("%s: got %v, %v", name, source, err)
 			}
-			if left, err := io.ReadAll(r); err != nil || string(left) != behind {
-				t.Errorf("%s: %q is left, want %q", name, left, behind)
+			if left, err := io.ReadAll(r); err != nil || string(left) != rest {
+				t.Errorf("%s: %q remains unread, want %q", name, left, rest)
 			}
 		}
 		if isHeader, mayBecome := Starts([]byte(c.header)); !isHeader || mayBecome {
-			t.Errorf("%s does not begin with a header", name)
+			t.Errorf("%s: Starts does not recognize the header", name)
 		}
 		for n := range len(c.header) {
 			_, err := Read(bufio.NewReader(strings.NewReader(c.header[:n])))
 			if !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Fatalf("%s: of %d bytes it said %v", name, n, err)
+				t.Fatalf("%s cut after %d bytes: error %v, want io.ErrUnexpectedEOF", name, n, err)
 			}
 		}
 	}
 }
 
-// A header that breaks the protocol in any way is rejected: what one program takes for an address another could take for
-// something else.
+// A header that violates the protocol in any way is rejected. Otherwise two programs could interpret the same header
+// differently.
 func TestMalformedHeaders(t *testing.T) {
 	for name, header := range map[string]string{
 		"none":             "GET / HTTP/1.1\r\n",
-		"begins alike":     "PROPFIND / HTTP/1.1\r\n",
+		"similar start":    "PROPFIND / HTTP/1.1\r\n",
 		"lower case":       "proxy TCP4 10.4.0.9 10.0.0.1 5000 80\r\n",
 		"no CR":            "PROXY TCP4 10.4.0.9 10.0.0.1 5000 80\n",
 		"no end":           "PROXY TCP4 " + strings.Repeat("1", 200),
 		"one byte over":    "PROXY UNKNOWN " + strings.Repeat("f", maxLineV1-15) + "\r\n",
 		"no protocol":      "PROXY \r\n",
 		"UDP":              "PROXY UDP4 10.4.0.9 10.0.0.1 5000 80\r\n",
-		"few words":        "PROXY TCP4 10.4.0.9 10.0.0.1 5000\r\n",
-		"many words":       "PROXY TCP4 10.4.0.9 10.0.0.1 5000 80 \r\n",
+		"missing field":    "PROXY TCP4 10.4.0.9 10.0.0.1 5000\r\n",
+		"extra field":      "PROXY TCP4 10.4.0.9 10.0.0.1 5000 80 \r\n",
 		"two spaces":       "PROXY TCP4  10.4.0.9 10.0.0.1 5000 80\r\n",
 		"other family":     "PROXY TCP4 fd00::1 fd00::2 5000 80\r\n",
 		"families mixed":   "PROXY TCP6 fd00::1 10.0.0.1 5000 80\r\n",
@@ -101,7 +101,7 @@
 	}
 }
 
-// A few bytes may already exclude a header, or not yet.
+// TestStarts checks inputs that are too short for a signature, as well as complete signatures.
 func TestStarts(t *testing.T) {
 	for head, want := range map[string][2]bool{"": {false, true}, "PROX": {false, true}, "PROXY": {false, true},
 		"PROXY ": {true, false}, "PROPF": {false, false}, "\r\n\r": {false, true}, "GET": {false, false}, signatureV2: {true, false}} {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Whatever comes, a header is read completely, rejected as malformed or found truncated.
+// FuzzRead checks that any input is read as a complete header, rejected as malformed, or reported as truncated.
 func FuzzRead(f *testing.F) {
 	for _, c := range validHeaders {
 		f.Add([]byte(c.header + "rest"))
@@ -122,7 +122,7 @@
 			t.Errorf("%q: %v, %v", text, source, err)
 		}
 		if isHeader, _ := Starts(text); err == nil && !isHeader {
-			t.Errorf("%q was taken for a header", text)
+			t.Errorf("%q was read as a header, but Starts does not recognize it", text)
 		}
 	})
 }
