--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,9 +1,9 @@
-// Package asyncwriter writes lines to standard error without waiting for whoever reads it. What a pipe takes at once is
-// written at once, so that a program that is killed has written all it had to say. What the pipe does not take is queued, up
-// to a bound, and written by a goroutine that runs while the queue is not empty. A line that finds the queue full is
-// dropped whole, and its writer gets ErrFull.
+// Package asyncwriter writes lines to standard error without blocking on its reader. A line that the pipe can accept is
+// written immediately, so that the output is complete even if the program is killed. Other lines are added to a bounded
+// queue, which a goroutine writes; the goroutine runs only while the queue is not empty. If the queue is full, the whole
+// line is dropped and Write returns ErrFull.
 //
-// It guards against a node that stops serving because its log is not read: a write to a full pipe blocks for ever.
+// Without this package a node would stop serving when nothing reads its log, because a write to a full pipe blocks forever.
 package asyncwriter
 
 import (
@@ -16,36 +16,36 @@
 )
 
 const (
-	// maxQueuedBytes bounds the queue. What a capture holds in memory, written out at once, fits in.
+	// maxQueuedBytes limits the size of the queue. A dump of the whole ring buffer of a capture fits.
 	maxQueuedBytes = 1536 << 10
-	// atomicWriteBytes is what a pipe that is ready for any byte takes without blocking: PIPE_BUF on Linux.
+	// atomicWriteBytes is the size of a write that does not block if the pipe is writable: PIPE_BUF on Linux.
 	atomicWriteBytes = 4 << 10
 )
 
-// ErrFull says that a line was dropped: nobody reads what was written before it. An operator has to see to whatever reads
-// the node's standard error.
-var ErrFull = errors.New("standard error takes nothing more; a line is dropped")
+// ErrFull is returned for a line that was dropped because earlier lines are not being read. An operator must check the
+// process that reads the node's standard error.
+var ErrFull = errors.New("standard error is not being read and its queue is full: line dropped")
 
-// Writer is an io.Writer that does not block. Each Write is one line or several whole ones. Its methods may be called from
-// any goroutine.
+// Writer is an io.Writer that does not block. Each Write must consist of one or more whole lines. Its methods may be called
+// from any goroutine.
 type Writer struct {
 	out *os.File
 	fd  int32
 
-	mu          sync.Mutex // of these; held in writes that don't block, never in one that may
+	mu          sync.Mutex // protects the fields below; held during non-blocking writes, never during a write that may block
 	queue       [][]byte
 	queuedBytes int
-	drained     chan struct{} // closed when the queue is empty; nil: it is
+	drained     chan struct{} // closed when the queue is empty; nil: the queue is empty
 }
 
-// Stderr writes to standard error.
+// Stderr is the Writer for standard error.
 var Stderr = New(os.Stderr)
 
-// New makes a Writer for a file, which it does not close.
+// New returns a Writer for a file. The Writer does not close the file.
 func New(f *os.File) *Writer { return &Writer{out: f, fd: int32(f.Fd())} }
 
-// Write writes a line, or queues it if it can't be written at once or others are queued. The error is ErrFull or that of
-// the file; a queued line whose write fails is lost without one.
+// Write writes a line, or queues it if other lines are queued or it can't be written without blocking. The error is ErrFull
+// or an error of the file. If the write of a queued line fails, the line is lost and no error is returned.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,14 +64,14 @@
 	return len(line), nil
 }
 
-// ready says that a write of atomicWriteBytes would not block.
+// ready reports whether a write of atomicWriteBytes would not block.
 func (w *Writer) ready() bool {
 	poll := []unix.PollFd{{Fd: w.fd, Events: unix.POLLOUT}}
 	n, err := unix.Poll(poll, 0)
 	return err == nil && n == 1 && poll[0].Revents&unix.POLLOUT != 0
 }
 
-// drain writes what is queued, and returns when nothing is. A line counts as queued until it has been written.
+// drain writes the queued lines and returns when the queue is empty. A line stays in the queue until it is written.
 func (w *Writer) drain(drained chan struct{}) {
 	defer close(drained)
 	for {
@@ -83,7 +83,7 @@
 		}
 		line := w.queue[0]
 		w.mu.Unlock()
-		w.out.Write(line) // if it fails there is nowhere to report it
+		w.out.Write(line) // an error can't be reported anywhere
 		w.mu.Lock()
 		w.queue = w.queue[1:]
 		w.queuedBytes -= len(line)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Flush waits until the queue is empty, but for timeout at most.
+// Flush waits until the queue is empty, but not longer than timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	w.mu.Lock()
 	drained := w.drained
--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Nobody reads the pipe for a while. Writes do not block, memory stays bounded, and who wrote a line that was dropped is told so
-// by an error. When somebody reads, all accepted lines come out whole and in order, and no goroutine is left.
+// The pipe is not read for a while. Writes do not block, memory stays bounded, and Write returns an error for each dropped
+// line. Once the pipe is read, all accepted lines arrive whole and in order, and no goroutine remains.
 func TestPipeThatIsNotRead(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -54,16 +54,16 @@
 	writer.Flush(time.Minute)
 	writer.mu.Lock()
 	if writer.drained != nil || writer.queuedBytes != 0 {
-		t.Errorf("%d bytes queued in the end", writer.queuedBytes)
+		t.Errorf("%d bytes are queued after Flush", writer.queuedBytes)
 	}
 	writer.mu.Unlock()
 	w.Close()
 	if got := <-read; strings.Join(got, "") != strings.Join(accepted, "")+"last\n" {
-		t.Errorf("%d lines came of %d", len(got), len(accepted)+1)
+		t.Errorf("%d of %d lines arrived, or lines were changed", len(got), len(accepted)+1)
 	}
 }
 
-// A program ends while nobody reads its standard error: Flush waits no longer than it was told.
+// A program ends while its standard error is not read: Flush waits no longer than its timeout.
 func TestFlushTimesOut(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -74,6 +74,6 @@
 		writer.Write(make([]byte, 8<<10))
 	}
 	writer.Flush(time.Millisecond)
-	r.Close() // the write that blocks ends with an error
+	r.Close() // makes the blocked write return an error
 	writer.Flush(time.Minute)
 }
