--- a/internal/metrics/exporters.go
+++ b/internal/metrics/exporters.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// exportTimeout bounds one write: of a datagram, or of a batch into a pipe that nobody reads.
+	// exportTimeout limits the time of one write: of a datagram, or of a batch to a pipe that is not read.
 	exportTimeout = 100 * time.Millisecond
-	// fileMode lets other users' collectors read the file.
+	// fileMode allows collectors that run as other users to read the file.
 	fileMode = 0o644
 )
 
-// exporter is a destination of batches. Run alone uses it.
+// exporter is a destination for batches. Only Run calls its methods.
 type exporter interface {
-	// export writes a batch of whole lines, the last with its line end too. It may block for exportTimeout.
+	// export writes a batch of whole lines, each with its line end. It may block for up to exportTimeout.
 	export(batch []byte) error
-	// endFlush says that no more comes before the next flush.
+	// endFlush is called after the last batch of a flush.
 	endFlush()
 	close()
 }
 
-// lineExporter writes every line with a Write of its own, for others write there too, and their lines must not mix.
+// lineExporter writes each line with a separate Write, so that it does not mix with lines that others write to w.
 type lineExporter struct{ w io.Writer }
 
 func (e lineExporter) export(batch []byte) error {
@@ -41,7 +41,7 @@
 func (lineExporter) endFlush() {}
 func (lineExporter) close()    {}
 
-// fileExporter appends to a file. It opens the file anew for each flush: the file may have been rotated.
+// fileExporter appends to a file. It opens the file again for each flush, because the file may have been rotated.
 type fileExporter struct {
 	path         string
 	file         *os.File // nil: not open
@@ -52,7 +52,7 @@
 	if err := e.open(); err != nil {
 		return err
 	}
-	e.file.SetWriteDeadline(time.Now().Add(exportTimeout)) // only pipes have one, and need it
+	e.file.SetWriteDeadline(time.Now().Add(exportTimeout)) // has an effect only on pipes, which need it
 	if e.partialWrite {
 		if _, err := e.file.Write([]byte("\n")); err != nil {
 			return err
@@ -63,7 +63,7 @@
 	if err == nil {
 		return nil
 	}
-	if n > 0 { // a full disk, or a pipe: what comes next must not go on in the middle of a line
+	if n > 0 { // on a full disk or a pipe: the next batch must not continue a partial line
 		e.partialWrite = !e.removeLast(n)
 	}
 	e.endFlush()
@@ -75,7 +75,7 @@
 	if e.file != nil {
 		return nil
 	}
-	// Without O_NONBLOCK the open of a pipe that nobody reads would block for ever.
+	// Without O_NONBLOCK, opening a pipe that has no reader would block forever.
 	f, err := os.OpenFile(e.path, os.O_WRONLY|os.O_APPEND|os.O_CREATE|syscall.O_NONBLOCK, fileMode)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// removeLast removes the last n bytes of the file, and says whether it could.
+// removeLast removes the last n bytes of the file and reports whether it succeeded.
 func (e *fileExporter) removeLast(n int) bool {
 	end, err := e.file.Seek(0, io.SeekEnd)
 	return err == nil && e.file.Truncate(end-int64(n)) == nil
--- a/internal/metrics/exporters_test.go
+++ b/internal/metrics/exporters_test.go
@@ -13,7 +13,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Log lines go to standard error beside the metrics; they must never stand within a line of metrics.
+// Log lines are written to standard error together with the metrics; they must never interrupt a line of metrics.
 func TestEveryLineIsOneWrite(t *testing.T) {
 	r, out := newReporter(nil)
 	for i := range 100 {
@@ -23,12 +23,12 @@
 	r.flush()
 	for _, w := range out.all {
 		if strings.Count(w, "\n") != 1 || !strings.HasSuffix(w, "\n") {
-			t.Errorf("a Write of %q", w)
+			t.Errorf("wrote %q, want one whole line per Write", w)
 		}
 	}
 }
 
-// No line is split between two datagrams, either of which may be lost.
+// No line is split between two datagrams, because either of them can be lost.
 func TestDatagramsHoldWholeLines(t *testing.T) {
 	addr, got := datagrams(t)
 	r, _ := newReporter(func(s *settings.Metrics) { s.UDP, s.MaxBatch = addr, 200 })
@@ -41,20 +41,20 @@
 		select {
 		case d := <-got:
 			if len(d) > 200 {
-				t.Errorf("a datagram of %d bytes", len(d))
+				t.Errorf("a datagram has %d bytes, want at most 200", len(d))
 			}
 			for l := range strings.SplitSeq(d, "\n") {
 				if lines++; !line.MatchString(l) {
-					t.Fatalf("line %q", l)
+					t.Fatalf("unexpected line %q", l)
 				}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d lines came", lines)
+			t.Fatalf("%d lines arrived, want 100", lines)
 		}
 	}
 }
 
-// Nobody listens at the UDP address: what is lost is counted as soon as the system reports it.
+// The UDP address has no listener. Lost batches are counted as soon as the operating system reports the error.
 func TestFailedSendsAreCounted(t *testing.T) {
 	closed, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	closed.Close()
 	r, _ := newReporter(func(s *settings.Metrics) { s.UDP = closed.LocalAddr().String() })
-	for range 1000 { // nobody listens: the machine says so by the next send
+	for range 1000 { // the error of one send is reported by a later one
 		r.Count(0, Requests)
 		if r.flush(); r.dropped > 0 {
 			return
@@ -71,7 +71,7 @@
 	t.Error("no failed send was counted")
 }
 
-// The folder of the file is missing at first, and later the file is rotated. Neither needs a restart.
+// The folder of the file is missing at first, and the file is rotated later. Neither requires a restart.
 func TestFileIsOpenedForEachFlush(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	path := filepath.Join(dir, "figures")
@@ -79,7 +79,7 @@
 	r.Count(0, Requests)
 	r.flush()
 	if r.dropped != 1 {
-		t.Errorf("without a folder %d were dropped, want 1", r.dropped)
+		t.Errorf("missing folder: %d batches dropped, want 1", r.dropped)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -101,24 +101,25 @@
 	}
 }
 
+// A batch that can't be written to a full disk is counted as dropped.
 func TestFullDiskIsCounted(t *testing.T) {
 	r, _ := newReporter(func(s *settings.Metrics) { s.File = "/dev/full" })
 	r.Count(0, Requests)
 	r.flush()
 	if r.dropped != 1 {
-		t.Errorf("%d were dropped, want 1", r.dropped)
+		t.Errorf("%d batches dropped, want 1", r.dropped)
 	}
 }
 
-// A disk is full in the middle of a line, and the part can't be removed. The next batch begins on a line of its own.
+// The disk becomes full in the middle of a line, and the partial line can't be removed. The next batch starts on a new line.
 func TestPartialLineIsEnded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	e := &fileExporter{path: path}
 	if err := e.export([]byte("a\nb\n")); err != nil {
 		t.Fatal(err)
 	}
-	if !e.removeLast(2) { // as if only a half of the second line had been written
-		t.Error("could not be shortened")
+	if !e.removeLast(2) { // simulates a write of only part of the second line
+		t.Error("removeLast failed")
 	}
 	e.partialWrite = true
 	if err := e.export([]byte("c\n")); err != nil {
--- a/internal/metrics/flush.go
+++ b/internal/metrics/flush.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// finalFlushTimeout bounds the wait for the last flush: a destination that is stuck must not hold up the node's end.
+	// finalFlushTimeout limits the wait for the last flush: a blocked destination must not delay the node's shutdown.
 	finalFlushTimeout = time.Second
-	// warnInterval is between two log lines of dropped batches, at least.
+	// warnInterval is the minimum time between two warnings about dropped batches.
 	warnInterval = 10 * time.Second
 )
 
-// errLineTooLong says that a line does not fit into a batch. An operator can raise max_batch_bytes.
+// errLineTooLong is returned for a line that does not fit into a batch. An operator can raise max_batch_bytes.
 var errLineTooLong = errors.New("a line is longer than max_batch_bytes")
 
-// Run exports at each flush interval, and early when the buffer of timers fills, until stop is closed, and once more then.
-// It must be called once, from a goroutine of its own.
+// Run exports the metrics at each flush interval, earlier if the timer buffer is half full, and a last time when stop is
+// closed. It must be called once, in a separate goroutine.
 func (r *Reporter) Run(stop <-chan struct{}) {
 	defer close(r.done)
 	ticker := time.NewTicker(r.interval)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Wait waits for Run to return, for a second at most.
+// Wait waits for Run to return, but no longer than a second (finalFlushTimeout).
 func (r *Reporter) Wait() {
 	timeout := time.NewTimer(finalFlushTimeout)
 	defer timeout.Stop()
@@ -47,12 +47,12 @@
 	}
 }
 
-// flush exports all that was recorded since the last flush, batch by batch. Recording goes on meanwhile.
+// flush exports everything recorded since the last flush, in batches. Recording continues in the meantime.
 func (r *Reporter) flush() {
 	now := time.Now().UnixNano()
 	r.mu.Lock()
 	r.timers, r.flushing = r.flushing[:0], r.timers
-	n := len(r.series) // those that are added meanwhile are for the next flush
+	n := len(r.series) // series that are added during this flush are exported by the next one
 	r.dropped += r.timersDropped
 	r.timersDropped = 0
 	noTags := r.series[0].tags
@@ -76,8 +76,8 @@
 	}
 }
 
-// flushSeries exports the counters and gauges of one class and tenant. Counters that are zero are left out; a gauge that
-// fell to zero is exported once.
+// flushSeries exports the counters and gauges of one class and tenant. It omits counters that are zero, and exports a gauge
+// that fell to zero once.
 func (r *Reporter) flushSeries(i int, now int64) {
 	r.mu.Lock()
 	s := *r.series[i]
@@ -96,8 +96,8 @@
 	}
 }
 
-// addLine adds a line to the batch, which is sent first if the line does not fit. No batch splits a line: a datagram must
-// hold whole ones. It takes over the line's memory.
+// addLine adds a line to the batch. If the line does not fit, addLine sends the batch first: a line is never split,
+// because a datagram must contain whole lines. The Reporter reuses the memory of line.
 func (r *Reporter) addLine(line []byte) {
 	r.line = append(line, '\n')
 	if len(r.line) > r.maxBatchBytes {
@@ -110,8 +110,9 @@
 	r.batch = append(r.batch, r.line...)
 }
 
-// sendBatch hands the batch to every destination. One that fails loses it: there are no retries, which would pile up while a
-// destination is down. The number of dropped batches counts as reported once a destination has taken it.
+// sendBatch sends the batch to all destinations. A destination whose write fails does not get the batch again, because
+// retries would accumulate while it is down. The number of dropped batches counts as reported once one destination has
+// received it.
 func (r *Reporter) sendBatch() {
 	if len(r.batch) == 0 {
 		return
@@ -130,8 +131,7 @@
 	r.batch, r.droppedInBatch = r.batch[:0], 0
 }
 
-// drop counts a dropped batch, and logs how many batches were dropped since the last such line, at most one line in a
-// warnInterval.
+// drop counts a dropped batch. At most once per warnInterval it logs how many batches were dropped since its last warning.
 func (r *Reporter) drop(err error) {
 	r.dropped++
 	r.droppedSinceWarning++
--- a/internal/metrics/flush_test.go
+++ b/internal/metrics/flush_test.go
@@ -13,10 +13,10 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A line that is longer than a batch may be is dropped and counted, and the others are exported.
+// A line longer than the maximum batch size is dropped and counted, and the other lines are exported.
 func TestLineLongerThanBatchIsDropped(t *testing.T) {
 	r, out := newReporter(func(s *settings.Metrics) { s.MaxBatch = 62 })
-	r.Count(r.Tags("bin-weighin", "okanagan-ridge"), Requests) // 63 bytes with its end
+	r.Count(r.Tags("bin-weighin", "okanagan-ridge"), Requests) // 63 bytes including its line end
 	r.Count(r.Tags("bin-weighin", ""), Requests)
 	r.flush()
 	r.flush()
@@ -26,7 +26,8 @@
 	}
 }
 
-// A destination fails for two flushes. What was lost is counted, and the count is exported once, when the destination is back.
+// A destination fails for two flushes. The lost batches are counted, and the count is exported once, when the destination
+// works again.
 func TestFailedWritesAreCounted(t *testing.T) {
 	r, out := newReporter(nil)
 	count := func() {
@@ -43,12 +44,12 @@
 	}
 	r.flush()
 	if got := out.lines(); got != nil {
-		t.Errorf("reported again: %q", got)
+		t.Errorf("the dropped batches were reported again: %q", got)
 	}
 }
 
-// More requests end within one flush interval than the buffer holds times of. Memory stays bounded, a flush is asked for early,
-// and what did not fit is counted.
+// More requests end within one flush interval than the timer buffer can hold. Memory stays bounded, an early flush is
+// requested, and the timers that did not fit are counted.
 func TestTimersBeyondBufferAreCounted(t *testing.T) {
 	r, out := newReporter(func(s *settings.Metrics) { s.MaxBatch = 65507 })
 	for range maxTimers + 10 {
@@ -57,7 +58,7 @@
 	select {
 	case <-r.flushEarly:
 	default:
-		t.Error("a buffer that is half full does not ask for a flush")
+		t.Error("no early flush was requested for a buffer that is half full")
 	}
 	r.flush()
 	got := out.lines()
@@ -65,11 +66,11 @@
 		t.Errorf("%d lines, the first %q", len(got), got[0])
 	}
 	if size := 2*maxTimers*16 + cap(r.batch) + cap(r.line); size >= 256<<10 {
-		t.Errorf("%d bytes are kept", size)
+		t.Errorf("%d bytes are allocated", size)
 	}
 }
 
-// Standard error is a pipe that nobody reads. Neither those who record nor the node's end wait for it.
+// Standard error is a pipe that is not read. Neither recording nor the node's shutdown waits for it.
 func TestStuckDestination(t *testing.T) {
 	in, stuck, err := os.Pipe()
 	if err != nil {
@@ -80,7 +81,7 @@
 	r.exporters = []exporter{lineExporter{stuck}}
 	stop := make(chan struct{})
 	go r.Run(stop)
-	for range 100_000 { // far more than the pipe holds
+	for range 100_000 { // far more than the pipe can hold
 		r.Latency(r.Tags("bin-weighin", "t"), time.Millisecond)
 	}
 	close(stop)
@@ -90,11 +91,11 @@
 		stuck.Close()
 	}()
 	if got, err := io.ReadAll(in); err != nil || !strings.Contains(string(got), "hookwalk.figures.dropped:") {
-		t.Errorf("%d bytes say nothing of what was dropped, %v", len(got), err)
+		t.Errorf("the %d bytes of output do not report the dropped batches, error %v", len(got), err)
 	}
 }
 
-// Run exports after each interval, and once more when it is stopped.
+// Run exports after each interval, and a last time when it is stopped.
 func TestRunFlushesByTimeAndAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const interval = time.Millisecond
@@ -117,7 +118,7 @@
 		close(stop)
 		r.Wait()
 		if got := out.lines(); len(got) != 1 {
-			t.Errorf("at the end: %q", got)
+			t.Errorf("after stop: got %q, want one line", got)
 		}
 	})
 }
--- a/internal/metrics/format.go
+++ b/internal/metrics/format.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// format renders metrics, each as one line without its end, which it appends to b. name has no namePrefix, tags are what
-// the method tags made, at is Unix time in ns.
+// format renders metrics. Each method except tags appends one line, without its line end, to b. name is without namePrefix,
+// tags is the result of the method tags, and at is the Unix time in ns.
 type format interface {
 	tags(class, tenant string) string
 	count(b []byte, name, tags string, v, at int64) []byte
@@ -17,11 +17,11 @@
 	timer(b []byte, name, tags string, us uint32, at int64) []byte
 }
 
-// formats are by their names in the settings.
+// formats maps the names in the settings to formats.
 var formats = map[string]format{"statsd": statsd{}, "influx": influx{}}
 
-// percentEncode writes characters of a tag that its format reserves, control characters, the backslash, the percent sign
-// and bytes that are not UTF-8 as % and two hexadecimal digits for each byte.
+// percentEncode encodes the reserved characters of a format, control characters, the backslash, the percent sign and bytes
+// that are not valid UTF-8: each byte becomes % and two hexadecimal digits.
 func percentEncode(s, reserved string) string {
 	var encoded strings.Builder
 	for size := 0; s != ""; s = s[size:] {
@@ -38,16 +38,16 @@
 	return encoded.String()
 }
 
-// appendMilliseconds appends microseconds as milliseconds, with as many digits as needed.
+// appendMilliseconds appends a number of microseconds as milliseconds, with as many decimals as needed.
 func appendMilliseconds(b []byte, us uint32) []byte {
-	const microsecondsPerMillisecond = 1000 // so that the metric is in ms, as StatsD timers are
+	const microsecondsPerMillisecond = 1000 // StatsD timers are in ms
 	return strconv.AppendFloat(b, float64(us)/microsecondsPerMillisecond, 'f', -1, 64)
 }
 
-// statsd is the StatsD line with the tags of DogStatsD. It has no times.
+// statsd is the StatsD line format with DogStatsD tags. It has no timestamps.
 type statsd struct{}
 
-// statsdReserved are the separators of a StatsD line with tags, which has no escape for them.
+// statsdReserved are the separators of a StatsD line with tags. The format has no escape sequence for them.
 const statsdReserved = "|,:#@"
 
 func (statsd) tags(class, tenant string) string {
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Counters are summed over a flush, gauges are exported while they are not zero and once when they fell to it.
+// Counters are summed over a flush interval. Gauges are exported while they are not zero, and once after they fall to zero.
 func TestStatsdLines(t *testing.T) {
 	r, out := newReporter(nil)
 	tags := r.Tags("brix-update", "okanagan-ridge")
@@ -33,13 +33,14 @@
 	}
 	r.Add(tags, OpenConnections, -2)
 	r.flush()
-	r.flush() // nothing more of the gauge
+	r.flush() // does not export the gauge again
 	if got := out.lines(); !slices.Equal(got, []string{"hookwalk.open_connections:0|g" + suffix}) {
 		t.Errorf("got %q", got)
 	}
 }
 
-// InfluxDB takes points with one time for one: two latencies measured at once must differ in time.
+// InfluxDB merges points with the same timestamp, so two latencies recorded at the same time must get different
+// timestamps.
 func TestInfluxLines(t *testing.T) {
 	r, out := newReporter(func(s *settings.Metrics) { s.Format = "influx" })
 	tags := r.Tags("brix-update", "okanagan-ridge")
@@ -56,11 +57,11 @@
 		}
 	}
 	if got[2] == got[3] {
-		t.Errorf("two points have one time: %q", got[2])
+		t.Errorf("two points have the same timestamp: %q", got[2])
 	}
 }
 
-// A tag that a client sends holds separators or line ends. It must not end its line, nor look like other tags or values.
+// A tag that a client sends contains separators or line ends. It must neither end the line nor inject other tags or values.
 func TestTagsAreEscaped(t *testing.T) {
 	for tag, want := range map[string][2]string{
 		"a b":       {"a b", `a\ b`},
@@ -74,10 +75,10 @@
 		"\u0085end": {"%C2%85end", "%C2%85end"},
 	} {
 		if got, want := (statsd{}).tags("c", tag), "|#class:c,tenant:"+want[0]; got != want {
-			t.Errorf("statsd: %q became %q, want %q", tag, got, want)
+			t.Errorf("statsd: tag %q was encoded as %q, want %q", tag, got, want)
 		}
 		if got, want := (influx{}).tags("c", tag), ",class=c,tenant="+want[1]; got != want {
-			t.Errorf("influx: %q became %q, want %q", tag, got, want)
+			t.Errorf("influx: tag %q was encoded as %q, want %q", tag, got, want)
 		}
 	}
 }
--- a/internal/metrics/harness_test.go
+++ b/internal/metrics/harness_test.go
@@ -12,7 +12,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// recordedWrites keeps what is written, each Write by itself. It fails while err is set.
+// recordedWrites is an io.Writer that keeps the data of each Write. Write fails while err is set.
 type recordedWrites struct {
 	mu  sync.Mutex
 	all []string
@@ -29,7 +29,7 @@
 	return len(b), nil
 }
 
-// lines returns the lines written since the last time.
+// lines returns the lines written since its last call.
 func (w *recordedWrites) lines() (lines []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,7 +42,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// newReporter makes a Reporter whose flushes the test makes, and its destination.
+// newReporter returns a Reporter that flushes only when the test calls flush, and its destination.
 func newReporter(change func(*settings.Metrics)) (*Reporter, *recordedWrites) {
 	set := settings.Metrics{Format: "statsd", Flush: time.Hour, MaxBatch: 1400}
 	if change != nil {
@@ -52,7 +52,7 @@
 	return New(set, []string{"brix-update", "bin-weighin"}, []string{"okanagan-ridge"}, out, discardLog()), out
 }
 
-// datagrams listens on a UDP address and sends what comes on a channel.
+// datagrams listens on a UDP address and sends the received datagrams to a channel.
 func datagrams(t *testing.T) (addr string, got <-chan string) {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,9 @@
-// Package metrics counts what a node does and exports it, as StatsD or InfluxDB lines, to standard error, a file or a UDP
-// address. Recording never waits for an export: a value that finds the buffer full, and a batch that can't be written, is
-// dropped and counted. One goroutine (Run) exports.
+// Package metrics records the metrics of a node and exports them as StatsD or InfluxDB lines to standard error, a file or a
+// UDP address. Recording never waits for an export: a timer that does not fit into the buffer and a batch that can't be
+// written are dropped and counted. One goroutine (Run) exports the metrics.
 //
-// The files: metrics.go what is counted and recording it, tags.go by what it is told apart, flush.go the goroutine that
-// exports, format.go the two forms of a line, exporters.go the destinations.
+// metrics.go defines and records the metrics, tags.go assigns their tags, flush.go has the exporting goroutine, format.go
+// the two line formats, and exporters.go the destinations.
 package metrics
 
 import (
@@ -15,29 +15,29 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// namePrefix begins each metric's name.
+// namePrefix is the prefix of each metric name.
 const namePrefix = "hookwalk."
 
 // Counter is a metric that is summed over a flush interval.
 type Counter int
 
-// The counters; docs/features.md has them by their names.
+// The counters; docs/features.md describes them by their exported names (counterNames).
 const (
-	Requests             Counter = iota // all that were read, also those that were not accepted
-	Served                              // answered 200
-	Rejected                            // answered 429 or 503
-	NotAccepted                         // answered another 4xx
-	Failed                              // answered anything else
-	ClientGone                          // closed or canceled by the client before an answer
-	FaultInjected                       // with an injected fault
-	Violations                          // of an invariant; without tags
-	RejectedExpired                     // of the rejected: while the endpoint list had expired
-	ConnectionsOpened                   // to servers; without tags, as those below
-	UnsolicitedResponses                // bytes of servers that nobody asked for
-	ConnectionsAbandoned                // to servers, for such bytes on them or on another connection to the same server
-	Suspicions                          // servers that came under suspicion for such bytes
-	EarlyResponses                      // of servers, so early and soon behind another that their connections are not reused for a while
-	counterCount                        // how many there are
+	Requests             Counter = iota // all requests that were read, including those not accepted
+	Served                              // response 200
+	Rejected                            // response 429 or 503
+	NotAccepted                         // another 4xx response
+	Failed                              // any other response
+	ClientGone                          // closed or canceled by the client before the response
+	FaultInjected                       // a fault was injected into the request
+	Violations                          // invariant violations; without tags
+	RejectedExpired                     // the rejected requests while the endpoint list had expired
+	ConnectionsOpened                   // to servers; this and the counters below have no tags
+	UnsolicitedResponses                // from servers: bytes outside of the response to a request
+	ConnectionsAbandoned                // to servers, after such bytes on this or another connection to the same server
+	Suspicions                          // servers that became suspected because of such bytes
+	EarlyResponses                      // from servers, so early and so soon after another one that the reuse delay applies
+	counterCount                        // number of counters
 )
 
 var counterNames = [counterCount]string{"requests", "served", "refused", "turned_away", "failed", "left", "drill.applied",
@@ -47,66 +47,66 @@
 // Gauge is a metric that rises and falls.
 type Gauge int
 
-// The gauges; docs/features.md has them by their names.
+// The gauges; docs/features.md describes them by their exported names (gaugeNames).
 const (
-	OpenConnections Gauge = iota // of clients; tagged by the last request on each
+	OpenConnections Gauge = iota // of clients; tagged by the last request on each connection
 	OpenRequests
-	gaugeCount // how many there are
+	gaugeCount // number of gauges
 )
 
 var gaugeNames = [gaugeCount]string{"open_connections", "open_requests"}
 
 const (
-	// latencyName is the timer of each answer, in ms.
+	// latencyName is the timer of each request, in ms.
 	latencyName = "latency"
-	// droppedName is the counter of batches that could not be written and of timers that found the buffer full.
+	// droppedName is the counter of batches that could not be written and of timers that did not fit into the buffer.
 	droppedName = "figures.dropped"
 )
 
-// maxTimers is how many times of one flush interval are kept, and the size of each of the two buffers: 64 KiB. What
-// comes beyond is dropped; a busy node flushes early, when half of it is used.
+// maxTimers is the capacity of each of the two timer buffers (64 KiB each): the number of timers kept per flush interval.
+// Further timers are dropped; a busy node flushes early, when the buffer is half full.
 const maxTimers = 4096
 
-// timer is one measured time.
+// timer is one measured latency.
 type timer struct {
-	at   int64  // Unix time in ns, no two the same: InfluxDB takes points with one time for one
-	us   uint32 // microseconds; no request takes longer than its budget, an hour at most
+	at   int64  // Unix time in ns, unique: InfluxDB merges points with the same timestamp
+	us   uint32 // microseconds; a request takes no longer than its budget, at most an hour
 	tags int32  // a Tags
 }
 
-// Reporter records metrics and exports them. Its methods may be called from any goroutine and do not block, but for Run and
-// Wait. A nil Reporter records nothing.
+// Reporter records metrics and exports them. Its methods may be called from any goroutine and, except for Run and Wait, do
+// not block. A nil Reporter records nothing.
 type Reporter struct {
 	format        format
-	interval      time.Duration // between two flushes
+	interval      time.Duration // between flushes
 	maxBatchBytes int
 	exporters     []exporter
 	log           *slog.Logger
-	flushEarly    chan struct{} // buffers one request: the buffer of timers is half full
+	flushEarly    chan struct{} // receives a value, and buffers one, when the timer buffer is half full
 	done          chan struct{} // closed when Run has returned
 
-	mu              sync.Mutex // of these
+	mu              sync.Mutex // protects the fields of this group
 	classes         map[string]bool
 	tenants         map[string]bool
 	unlistedTenants map[string]bool
 	tags            map[tagKey]Tags
-	series          []*series // by Tags
+	series          []*series // indexed by Tags
 	timers          []timer
-	lastTimer       int64 // the newest timer's time
-	timersDropped   int64 // that found the buffer full
+	lastTimer       int64 // time of the newest timer
+	timersDropped   int64 // timers that did not fit into the buffer
 
-	// Run's own.
-	flushing            []timer // of the interval that is exported
+	// The fields below are used only by Run.
+	flushing            []timer // timers of the interval that is being exported
 	line                []byte
 	batch               []byte
-	dropped             int64 // batches and timers, not yet reported
-	droppedInBatch      int64 // of them, reported by the batch
-	droppedSinceWarning int64 // batches
+	dropped             int64 // dropped batches and timers that are not reported yet
+	droppedInBatch      int64 // the part of dropped that the current batch reports
+	droppedSinceWarning int64 // dropped batches since the last warning
 	nextWarning         time.Time
 }
 
-// New returns a Reporter for the classes and tenants of the platform's settings. It exports nothing before Run. stderr is the
-// destination where the settings name no other. Errors of destinations go to the log.
+// New returns a Reporter for the classes and tenants of the platform's settings. It exports nothing until Run is called.
+// stderr is the destination if the settings name no other. Errors of the destinations are logged.
 func New(set settings.Metrics, classes, tenants []string, stderr io.Writer, log *slog.Logger) *Reporter {
 	r := &Reporter{
 		format:          formats[set.Format],
@@ -135,11 +135,11 @@
 	if len(r.exporters) == 0 {
 		r.exporters = append(r.exporters, lineExporter{stderr})
 	}
-	r.Tags("", "") // the zero Tags
+	r.Tags("", "") // creates the series of the zero Tags
 	return r
 }
 
-// Count adds one to a counter.
+// Count increments a counter by one.
 func (r *Reporter) Count(t Tags, c Counter) {
 	if r == nil {
 		return
@@ -149,7 +149,7 @@
 	r.series[t].counts[c]++
 }
 
-// Add changes a gauge by a difference.
+// Add adds a positive or negative value to a gauge.
 func (r *Reporter) Add(t Tags, g Gauge, by int64) {
 	if r == nil {
 		return
@@ -159,7 +159,7 @@
 	r.series[t].gauges[g] += by
 }
 
-// Latency records how long a request took, from its head to its answer.
+// Latency records the latency of a request, from its head to its response.
 func (r *Reporter) Latency(t Tags, took time.Duration) {
 	if r == nil {
 		return
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A node whose settings have no metrics has a nil Reporter.
+// A node without metrics in its settings has a nil Reporter.
 func TestNilReporterRecordsNothing(t *testing.T) {
 	var r *Reporter
 	r.Count(r.Tags("a", "b"), Requests)
@@ -16,7 +16,7 @@
 	r.Latency(0, 1)
 }
 
-// BenchmarkRequest measures what recording one request costs.
+// BenchmarkRequest measures the cost of recording one request.
 func BenchmarkRequest(b *testing.B) {
 	r := New(settings.Metrics{Format: "statsd", Flush: time.Second, MaxBatch: 1400}, []string{"c"}, []string{"t"}, &bytes.Buffer{}, discardLog())
 	b.ReportAllocs()
--- a/internal/metrics/tags.go
+++ b/internal/metrics/tags.go
@@ -1,23 +1,24 @@
 package metrics
 
-// Bounds on the tags that are told apart. Each pair of tags costs memory in the node and a series in the operators' database,
-// and clients can send any class and tenant.
+// Limits on the number of distinct tags. Each pair of tags requires memory in the node and a series in the operators'
+// database, and clients can send any class and tenant.
 const (
-	// maxListedNames bounds the classes, and the tenants, that settings have named over a node's life.
+	// maxListedNames limits the number of classes, and of tenants, from the settings over the lifetime of a node.
 	maxListedNames = 256
-	// maxUnlistedTenants bounds the tenants that the settings don't name.
+	// maxUnlistedTenants limits the number of tenants that are not in the settings.
 	maxUnlistedTenants = 16
-	// maxTenantBytes bounds the name of such a tenant.
+	// maxTenantBytes limits the length of the name of such a tenant.
 	maxTenantBytes = 64
 )
 
-// Tags without a name of their own.
+// Tags that do not name one class or tenant.
 const (
-	tagNone  = "none"  // of what has no class or tenant
-	tagOther = "other" // shared by all classes and tenants beyond the bounds
+	tagNone  = "none"  // no class or no tenant
+	tagOther = "other" // shared by all classes or tenants beyond the limits
 )
 
-// Tags are the class and the tenant of a metric, as Reporter.Tags found them. The zero Tags are those of what has neither.
+// Tags identifies the class and the tenant of a metric; Reporter.Tags returns it. The zero value means no class and no
+// tenant.
 type Tags int
 
 // tagKey is a class and a tenant.
@@ -25,13 +26,13 @@
 
 // series holds the metrics of one class and tenant.
 type series struct {
-	tags     string // as the format writes them
+	tags     string // in the output format
 	counts   [counterCount]int64
 	gauges   [gaugeCount]int64
-	reported [gaugeCount]int64 // as last exported
+	reported [gaugeCount]int64 // the values last exported
 }
 
-// AddNames adds the classes and tenants of changed settings to those that are told apart.
+// AddNames adds the classes and tenants of changed settings to those that get a separate tag.
 func (r *Reporter) AddNames(classes, tenants []string) {
 	if r == nil {
 		return
@@ -42,7 +43,7 @@
 	addNames(r.tenants, tenants)
 }
 
-// addNames adds names to a set, as far as there is room for them.
+// addNames adds names to a set, up to maxListedNames names in total.
 func addNames(listed map[string]bool, names []string) {
 	for _, name := range names {
 		if len(listed) < maxListedNames {
@@ -51,7 +52,7 @@
 	}
 }
 
-// Tags finds the tags of a class and a tenant, as a client sent them; "" is none. Beyond the bounds they are tagOther.
+// Tags returns the Tags of a class and a tenant that a client sent; "" means none. Names beyond the limits get tagOther.
 func (r *Reporter) Tags(class, tenant string) Tags {
 	if r == nil {
 		return 0
@@ -68,7 +69,7 @@
 	return t
 }
 
-// classTag is the tag of a class: its name only if the settings have it.
+// classTag returns the tag of a class: its name if the class is in the settings, otherwise tagOther.
 func (r *Reporter) classTag(class string) string {
 	switch {
 	case class == "":
@@ -79,7 +80,8 @@
 	return class
 }
 
-// tenantTag is the tag of a tenant: its name if the settings have it, or if it is one of the first few others.
+// tenantTag returns the tag of a tenant: its name if the tenant is in the settings or one of the first maxUnlistedTenants
+// others, otherwise tagOther.
 func (r *Reporter) tenantTag(tenant string) string {
 	switch {
 	case tenant == "":
--- a/internal/metrics/tags_test.go
+++ b/internal/metrics/tags_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A client sends a thousand classes and tenants that the settings don't have. Only a few tenants are told apart, so that neither
-// the node's memory nor the operators' database grows with them; those of the settings always are, and nothing is lost from the
-// sums.
+// A client sends a thousand classes and tenants that are not in the settings. Only a few of these tenants get a separate
+// tag, so that neither the node's memory nor the operators' database grows with them. Names in the settings always get
+// one, and the sums still include all requests.
 func TestClientTagsAreBounded(t *testing.T) {
 	r, out := newReporter(nil)
 	for i := range 1000 {
@@ -33,14 +33,14 @@
 		sum += n
 	}
 	if sum != 2002 {
-		t.Errorf("%d requests in all, want 2002", sum)
+		t.Errorf("%d requests in total, want 2002", sum)
 	}
 	for _, want := range []string{"1|c|#class:brix-update,tenant:okanagan-ridge", "1|c|#class:none,tenant:none"} {
 		if !slices.Contains(got, "hookwalk.requests:"+want) {
-			t.Errorf("no %s in %q", want, got)
+			t.Errorf("no line with %s in %q", want, got)
 		}
 	}
 	if !strings.Contains(strings.Join(got, "\n"), "|c|#class:bin-weighin,tenant:other") {
-		t.Errorf("no tenant other in %q", got)
+		t.Errorf("no line with the tenant other in %q", got)
 	}
 }
