--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,6 +1,6 @@
-// Package faultinjection checks who may start a drill at a node, and starts one at a running node for an operator. A drill
-// injects a fault into a share of one class's requests; what it does to a request is decided by package balancer. Drill is
-// the operators' word, which stays in settings, paths and messages.
+// Package faultinjection authorizes requests that start a drill on a node, and sends such requests for operators. A drill
+// injects a fault into a share of one class's requests; package balancer decides what happens to each request. Drill is the
+// operators' name for fault injection in settings, paths and messages.
 package faultinjection
 
 import (
@@ -16,24 +16,24 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// A drill is started by a POST with its secret in a header.
+// The path and the header of the POST request that starts a drill.
 const (
-	Path   = "/drills"     // of the request, at the node's listener
-	Header = "X-Drill-Key" // has the secret
+	Path   = "/drills"     // on the node's listener
+	Header = "X-Drill-Key" // contains the secret of the drill
 )
 
-// maxAnswerBytes is how much of a node's answer is read, in bytes. It is one line.
+// maxAnswerBytes limits how much of a node's response is read. The response is one line.
 const maxAnswerBytes = 1 << 10
 
-// Why a node starts no drill. Its answer is 404 for the first, 403 for the second.
+// Reasons why a node does not start a drill. It responds with 404 for ErrNotConfigured and 403 for ErrWrongKey.
 var (
 	ErrNotConfigured = errors.New("no drill can be started here")
 	ErrWrongKey      = errors.New("the key is not that of a drill")
 )
 
-// StatusError says that a node has answered that it starts no drill.
+// StatusError is returned if a node refuses to start a drill.
 type StatusError struct {
-	Status  string // of the HTTP answer
+	Status  string // HTTP status of the response
 	Message string // the node's reason
 }
 
@@ -41,14 +41,14 @@
 	return fmt.Sprintf("the node answered %s: %s", e.Status, e.Message)
 }
 
-// Keys has the secrets of the drills that can be started. It is immutable.
+// Keys contains the hashed secrets of the drills that can be started. It is immutable.
 type Keys struct {
-	configured bool                // there are drills, be it without secrets
+	configured bool                // the settings have drills, with or without secrets
 	names      []string            // of the drills with a secret
-	sums       [][sha256.Size]byte // of their secrets: of one length, so that comparing reveals nothing of a secret's
+	sums       [][sha256.Size]byte // hashes of the secrets: equal length hides that of the secrets
 }
 
-// NewKeys returns the keys of the drills of the settings. Those without a secret can't be started.
+// NewKeys returns the keys of the drills in the settings. Drills without a secret can't be started.
 func NewKeys(list []settings.FaultInjection) *Keys {
 	k := &Keys{configured: len(list) > 0}
 	for _, d := range list {
@@ -60,14 +60,14 @@
 	return k
 }
 
-// Requested reports whether a request asks for a drill. Where no drill is configured, only the header distinguishes it
-// from any other request to the path.
+// Requested reports whether a request asks to start a drill. If no drill is configured, a POST to the path without the
+// header is an ordinary request.
 func (k *Keys) Requested(r *http.Request) bool {
 	return r.URL.Path == Path && r.Method == http.MethodPost && (k.configured || len(r.Header[Header]) > 0)
 }
 
-// Match returns the drill that a request's key starts, or ErrNotConfigured or ErrWrongKey. It compares in constant time, so
-// that answers reveal nothing of the secrets.
+// Match returns the name of the drill that the key in a request starts. The error is ErrNotConfigured or ErrWrongKey. Match
+// compares in constant time, so that the response time reveals nothing about the secrets.
 func (k *Keys) Match(h http.Header) (name string, err error) {
 	if len(k.names) == 0 {
 		return "", ErrNotConfigured
@@ -88,14 +88,15 @@
 	return name, nil
 }
 
-// Start asks the node at an address (HOST:PORT) to start a drill, and returns its answer. A refusal is a *StatusError.
+// Start requests a drill from the node at an address (HOST:PORT) and returns the text of its response. If the node refuses,
+// the error is a *StatusError.
 func Start(ctx context.Context, addr, secret string) (answer string, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+Path, nil)
 	if err != nil {
 		return "", fmt.Errorf("address: %w", err)
 	}
 	r.Header.Set(Header, secret)
-	// The key goes to the node and nowhere else: no proxy, no redirect.
+	// The key must not be sent to anyone but the node: no proxy, no redirect.
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	resp, err := client.Do(r)
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -46,12 +46,12 @@
 			r.Header.Set(Header, c.key)
 		}
 		if off.Requested(r) != c.off || on.Requested(r) != c.on {
-			t.Errorf("%+v: %v while off, %v while on", c, off.Requested(r), on.Requested(r))
+			t.Errorf("%+v: %v without drills, %v with a drill", c, off.Requested(r), on.Requested(r))
 		}
 	}
 }
 
-// The key goes to the node that is asked, and not on to where that one points.
+// The key is sent only to the node that is called, not to the target of a redirect.
 func TestStart(t *testing.T) {
 	followed := false
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -68,16 +68,16 @@
 	}))
 	defer s.Close()
 	addr := s.Listener.Addr().String()
-	if said, err := Start(context.Background(), addr, "one"); err != nil || said != "drill=a started" {
-		t.Errorf("said %q, %v", said, err)
+	if answer, err := Start(context.Background(), addr, "one"); err != nil || answer != "drill=a started" {
+		t.Errorf("got answer %q, error %v", answer, err)
 	}
 	if _, err := Start(context.Background(), addr, "two"); err == nil || !strings.Contains(err.Error(), "403 Forbidden: the key is not") {
-		t.Errorf("a wrong key: %v", err)
+		t.Errorf("wrong key: error %v, want 403 Forbidden with the reason", err)
 	}
 	if _, err := Start(context.Background(), addr, "elsewhere"); err == nil || followed {
-		t.Errorf("a redirect: %v, followed: %v", err, followed)
+		t.Errorf("redirect: error %v, followed %v; want an error and no further request", err, followed)
 	}
 	if _, err := Start(context.Background(), "no address", "one"); err == nil {
-		t.Error("no address was taken")
+		t.Error("no error for an invalid address")
 	}
 }
