--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,7 +1,7 @@
-// Package asyncwriter writes lines to standard error without blocking on its reader. A line that the pipe can accept is
-// written immediately, so that the output is complete even if the program is killed. Other lines are added to a bounded
-// queue, which a goroutine writes; the goroutine runs only while the queue is not empty. If the queue is full, the whole
-// line is dropped and Write returns ErrFull.
+// Package asyncwriter writes lines to standard error without blocking on its reader. A short line that the
+// pipe can accept is written immediately, so that it is not lost if the program is killed. Other lines are added to a
+// bounded queue, which a goroutine writes; the goroutine runs only while the queue is not empty. If the queue is full, the
+// whole line is dropped and Write returns ErrFull.
 //
 // Without this package a node would stop serving when nothing reads its log, because a write to a full pipe blocks forever.
 package asyncwriter
@@ -44,7 +44,7 @@
 // New returns a Writer for a file. The Writer does not close the file.
 func New(f *os.File) *Writer { return &Writer{out: f, fd: int32(f.Fd())} }
 
-// Write writes a line, or queues it if other lines are queued or it can't be written without blocking. The error is ErrFull
+// Write writes a line, or queues it if other lines are queued or the write could block. The error is ErrFull
 // or an error of the file. If the write of a queued line fails, the line is lost and no error is returned.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -19,7 +19,7 @@
 		r := record{Kind: kindAttemptEnded, ID: escapeText(e.ID), Attempt: e.Attempt, Server: e.Server, Outcome: e.Outcome,
 			Latency: e.Latency, RequestDone: e.RequestDone}
 		t := context.Attempt
-		r.Connection, r.Use, r.Idle, r.Written, r.ClosedBy, r.Ground = t.Connection, t.Use, t.Idle, t.Written, t.ClosedBy, t.Ground
+		r.Connection, r.Use, r.Idle, r.Written, r.ClosedBy, r.Reason = t.Connection, t.Use, t.Idle, t.Written, t.ClosedBy, t.Reason
 		if context.Served {
 			r.Answer = http.StatusOK
 		}
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -74,7 +74,7 @@
 	for outcome := balancer.Success; outcome <= balancer.NotSent; outcome++ {
 		o := goldenEvent{event: balancer.AttemptEnded{ID: id, Attempt: int(outcome), Server: "s-0", Outcome: outcome, Latency: second,
 			RequestDone: outcome == balancer.Success}, context: EventContext{Served: outcome == balancer.Success, Attempt: AttemptTrace{
-			Connection: 7, Use: int(outcome) + 1, Idle: second, Written: outcome == balancer.ConnectionLost, ClosedBy: "server", Ground: "ended without response"}}}
+			Connection: 7, Use: int(outcome) + 1, Idle: second, Written: outcome == balancer.ConnectionLost, ClosedBy: "server", Reason: "ended without response"}}}
 		if outcome == balancer.Failure {
 			o.actions = []balancer.Action{balancer.Fail{ID: id}}
 		}
@@ -92,7 +92,7 @@
 	}
 	var log bytes.Buffer
 	w := &Writer{bal: bal, stderr: &log, log: discardLog(), ring: newRing(ringBytes),
-		head: head{Version: Version, Node: "n0", Began: int64(goldenStart), Seed: 5, Settings: testSettings()}}
+		head: head{Version: Version, Node: "n0", StartedAt: int64(goldenStart), Seed: 5, Settings: testSettings()}}
 	w.writeHead(goldenStart)
 	for i, e := range goldenEvents() {
 		w.Event(goldenStart+time.Duration(i+1), e.event, e.actions, e.context)
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -79,7 +79,7 @@
 	Idle            time.Duration    `json:"rest,omitempty"`
 	Written         bool             `json:"written,omitempty"`
 	ClosedBy        string           `json:"closed,omitempty"`
-	Ground          string           `json:"ground,omitempty"`
+	Reason          string           `json:"ground,omitempty"`
 
 	Settings *balancer.Settings `json:"settings,omitempty"`
 }
@@ -95,11 +95,11 @@
 	StartTime time.Duration        `json:"boot,omitempty"`
 }
 
-// head is the settings, the seed and the state of a balancer.
+// head holds the settings, the seed and the state of a balancer.
 type head struct {
 	Version    string            `json:"version"`
 	Node       string            `json:"node"`
-	Began      int64             `json:"began"` // Unix time in ns of the capture's start; distinguishes the runs of a node
+	StartedAt  int64             `json:"began"` // Unix time in ns of the capture's start; distinguishes the runs of a node
 	Seed       uint64            `json:"seed"`
 	Settings   balancer.Settings `json:"settings"`
 	Checkpoint json.RawMessage   `json:"checkpoint"`
@@ -121,5 +121,5 @@
 	Idle       time.Duration // how long the connection was idle before the attempt
 	Written    bool          // the request's last byte was written
 	ClosedBy   string        // who closed the connection, or why; "": it is open
-	Ground     string        // the reason for the outcome
+	Reason     string        // the reason for the outcome
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -134,18 +134,18 @@
 
 // replayer is the state of a replay at one point of a capture.
 type replayer struct {
-	bal     *balancer.Balancer // nil: events can't be compared before the next head
-	node    string             // name of the node whose run is replayed
-	began   int64              // start of that run, Unix time in ns; 0: no head was replayed yet
-	seq     uint64             // number of the last event
-	out     io.Writer
-	warn    func(format string, args ...any)
-	skipped int // skipped events since the last warning about them
-	result  Result
+	bal       *balancer.Balancer // nil: events can't be compared before the next head
+	node      string             // name of the node whose run is replayed
+	startedAt int64              // start of that run, Unix time in ns; 0: no head was replayed yet
+	seq       uint64             // number of the last event
+	out       io.Writer
+	warn      func(format string, args ...any)
+	skipped   int // skipped events since the last warning about them
+	result    Result
 }
 
 // isOtherRun reports whether a head belongs to a run other than the one that is replayed.
-func (p *replayer) isOtherRun(h *head) bool { return h.Node != p.node || h.Began != p.began }
+func (p *replayer) isOtherRun(h *head) bool { return h.Node != p.node || h.StartedAt != p.startedAt }
 
 // startsRun reports whether a record is the head of another run.
 func (p *replayer) startsRun(r *record) bool { return r.Kind == kindHead && p.isOtherRun(r.Head) }
@@ -165,7 +165,7 @@
 	if err != nil {
 		return corrupt(err)
 	}
-	if p.began != 0 && r.Seq <= p.seq {
+	if p.startedAt != 0 && r.Seq <= p.seq {
 		return nil // already replayed: the ring was dumped, or the checkpoint of the last head includes this event
 	}
 	if p.bal != nil && r.Seq != p.seq+1 {
@@ -201,7 +201,7 @@
 	if sameRun && p.bal != nil {
 		p.warn("%d records are missing before the head of record %d", r.Seq-p.seq, r.Seq)
 	}
-	p.bal, p.node, p.began, p.seq = bal, r.Head.Node, r.Head.Began, r.Seq
+	p.bal, p.node, p.startedAt, p.seq = bal, r.Head.Node, r.Head.StartedAt, r.Seq
 	return nil
 }
 
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -44,11 +44,11 @@
 func New(set settings.Capture, node string, bal *balancer.Balancer, balancerSettings balancer.Settings, seed uint64,
 	stderr io.Writer, log *slog.Logger) *Writer {
 	w := &Writer{bal: bal, stderr: stderr, log: log, ring: newRing(ringBytes),
-		head: head{Version: Version, Node: node, Began: time.Now().UnixNano(), Seed: seed, Settings: balancerSettings}}
+		head: head{Version: Version, Node: node, StartedAt: time.Now().UnixNano(), Seed: seed, Settings: balancerSettings}}
 	if set.Folder != "" {
 		w.folder = openFolder(set.Folder, set.FileBytes)
 	}
-	w.writeHead(time.Duration(w.head.Began))
+	w.writeHead(time.Duration(w.head.StartedAt))
 	return w
 }
 
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -77,7 +77,7 @@
 // captureTrace returns the data about the end of an attempt that a capture records in addition to the event.
 func (r Result) captureTrace() capture.AttemptTrace {
 	return capture.AttemptTrace{Connection: r.Connection, Use: r.ConnectionUses, Idle: r.ConnectionIdle, Written: r.Written,
-		ClosedBy: r.ClosedBy, Ground: string(r.Reason)}
+		ClosedBy: r.ClosedBy, Reason: string(r.Reason)}
 }
 
 // Sender sends attempts to servers. The event loop calls its methods, which must not block.
--- a/internal/metrics/flush.go
+++ b/internal/metrics/flush.go
@@ -68,7 +68,7 @@
 		r.mu.Lock()
 		tags := r.series[t.tags].tags
 		r.mu.Unlock()
-		r.addLine(r.format.timer(r.line[:0], latencyName, tags, t.us, t.at))
+		r.addLine(r.format.timer(r.line[:0], latencyName, tags, t.microseconds, t.at))
 	}
 	r.sendBatch()
 	for _, e := range r.exporters {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -69,9 +69,9 @@
 
 // timer is one measured latency.
 type timer struct {
-	at   int64  // Unix time in ns, unique: InfluxDB merges points with the same timestamp
-	us   uint32 // microseconds; a request takes no longer than its budget, at most an hour
-	tags int32  // a Tags
+	at           int64  // Unix time in ns, unique: InfluxDB merges points with the same timestamp
+	microseconds uint32 // microseconds; a request takes no longer than its budget, at most an hour
+	tags         int32  // a Tags
 }
 
 // Reporter records metrics and exports them. Its methods may be called from any goroutine and, except for Run and Wait, do
@@ -172,7 +172,7 @@
 		return
 	}
 	r.lastTimer = max(now, r.lastTimer+1)
-	r.timers = append(r.timers, timer{at: r.lastTimer, us: uint32(took.Microseconds()), tags: int32(t)})
+	r.timers = append(r.timers, timer{at: r.lastTimer, microseconds: uint32(took.Microseconds()), tags: int32(t)})
 	if len(r.timers) == maxTimers/2 {
 		select {
 		case r.flushEarly <- struct{}{}:
--- a/internal/requesthead/requesthead.go
+++ b/internal/requesthead/requesthead.go
@@ -20,7 +20,7 @@
 
 // state identifies what the next byte from the client belongs to. Only Reader.consume changes it:
 //
-//	readingHead -> readingBody   the head announced a Content-Length above 0
+//	readingHead -> readingBody   the head has a Content-Length above 0
 //	readingHead -> readingHead   the request has no body: the next head follows
 //	readingHead -> readingToEnd  a chunked or faulty request: the last one on the connection
 //	readingBody -> readingHead   the body is complete
