--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -70,7 +70,7 @@
 // timer is one measured latency.
 type timer struct {
 	at           int64  // Unix time in ns, unique: InfluxDB merges points with the same timestamp
-	microseconds uint32 // microseconds; a request takes no longer than its budget, at most an hour
+	microseconds uint32 // fits: a request takes no longer than its budget, at most an hour
 	tags         int32  // a Tags
 }
 
