--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -10,7 +10,7 @@
 	Seeds            []string          // HOST:PORT of nodes to join through
 	KeyFile          string            // holds the keys that encrypt messages between peers
 	Label            string            // of the installation; "": none
-	Folder           string            // where the node's incarnation number is persisted; "": $TMPDIR
+	Folder           string            // where the node's start number is persisted; "": $TMPDIR
 	AddressOverrides map[string]string // from a peer's listen address to the address that reaches it from here
 }
 
