--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -184,7 +184,7 @@
 	p.conns[c] = true
 	netConn.SetDeadline(deadline)
 	p.goroutines.Go(c.readLoop)
-	p.count(metrics.ConnectionsMade)
+	p.count(metrics.ConnectionsOpened)
 	return c, nil
 }
 
@@ -213,7 +213,7 @@
 	}
 	if p.reusedTooSoon(c) {
 		p.closeLocked(c, closedForSuspicion)
-		p.count(metrics.ConnectionsGivenUp)
+		p.count(metrics.ConnectionsAbandoned)
 		return false
 	}
 	now := p.clock.Now()
--- a/internal/node/suspicion.go
+++ b/internal/node/suspicion.go
@@ -40,8 +40,8 @@
 // closeUnsolicitedLocked closes a connection because of unsolicited bytes, and counts the event. The caller holds p.mu.
 func (p *connPool) closeUnsolicitedLocked(c *upstreamConn) {
 	p.closeLocked(c, closedForUnsolicited)
-	p.count(metrics.UnaskedResponses)
-	p.count(metrics.ConnectionsGivenUp)
+	p.count(metrics.UnsolicitedResponses)
+	p.count(metrics.ConnectionsAbandoned)
 }
 
 // suspectServer closes a connection on which unsolicited bytes arrived separately from a response, and puts its server
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// Peers says how a node meets the other nodes of its installation.
+// Peers configures how a node finds and reaches the other nodes of its installation.
 type Peers struct {
 	Pos              string            // file:line of its block
-	Site             string            // that the node is of
+	Site             string            // of the node
 	Listen           string            // HOST:PORT, for packets and streams
 	Seeds            []string          // HOST:PORT of nodes to join through
-	KeyFile          string            // of the keys that encrypt what peers send
+	KeyFile          string            // holds the keys that encrypt messages between peers
 	Label            string            // of the installation; "": none
-	Folder           string            // for the number of the node's start; "": $TMPDIR
-	AddressOverrides map[string]string // HOST:PORT where a peer listens, to where it is reached from here
+	Folder           string            // where the node's start number is persisted; "": $TMPDIR
+	AddressOverrides map[string]string // from a peer's listen address to the address that reaches it from here
 }
 
 func (f *File) readPeers(r *Reader) {
-	r.Once(f.Peers != nil)
+	r.CheckSingle(f.Peers != nil)
 	p := &Peers{
 		Pos:              r.Position(),
 		Site:             r.Text("site", ""),
@@ -33,7 +33,7 @@
 	}
 	checkAddress := func(name, address string) {
 		if !isHostPort(address) {
-			line, _ := r.Has(name)
+			line, _ := r.LineOf(name)
 			r.AddErrorAt(line, "%s must be HOST:PORT", name)
 		}
 	}
@@ -43,7 +43,7 @@
 	}
 	for _, override := range r.Texts("via") { // "10.0.0.4:7946=192.0.2.1:7946"
 		listen, reached, ok := strings.Cut(override, "=")
-		if line, _ := r.Has("via"); !ok {
+		if line, _ := r.LineOf("via"); !ok {
 			r.AddErrorAt(line, "via must be a list of HOST:PORT=HOST:PORT")
 		}
 		checkAddress("via", listen)
