--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -13,22 +13,22 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-func kind() *scenario.ServerKind {
+func testKind() *scenario.ServerKind {
 	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, CrowdedAbove: 4, CrowdingLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
 }
 
-// playToEnd plays a server until nothing runs and returns when each job was done.
-func playToEnd(b *Server, now time.Duration, jobs []*Job) map[*Job]time.Duration {
-	done := map[*Job]time.Duration{}
+// runToCompletion plays a server until nothing runs and returns when each job was done.
+func runToCompletion(server *Server, now time.Duration, jobs []*Job) map[*Job]time.Duration {
+	completedAt := map[*Job]time.Duration{}
 	for {
-		at, ok := b.NextCompletion(now)
+		at, ok := server.NextCompletion(now)
 		if !ok {
-			return done
+			return completedAt
 		}
 		now = at
-		for _, j := range b.Completed(now) {
-			done[j] = now
-			b.Release(now, j)
+		for _, j := range server.Completed(now) {
+			completedAt[j] = now
+			server.Release(now, j)
 		}
 	}
 }
@@ -38,16 +38,16 @@
 // Two cores of speed 2: one or two jobs of 100 ms take 50 ms, three take 75, each alike.
 func TestCoresAreShared(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 50 * time.Millisecond, 2: 50 * time.Millisecond, 3: 75 * time.Millisecond} {
-		b := NewServer("b", 0, 0, kind(), scenario.Rules{})
+		server := NewServer("b", 0, 0, testKind(), scenario.Rules{})
 		var jobs []*Job
 		for range n {
 			j := &Job{Work: 100 * time.Millisecond}
-			if !b.Admit(0, j) {
+			if !server.Admit(0, j) {
 				t.Fatal("no room")
 			}
 			jobs = append(jobs, j)
 		}
-		for _, at := range playToEnd(b, 0, jobs) {
+		for _, at := range runToCompletion(server, 0, jobs) {
 			if !almostEqual(at, want) {
 				t.Errorf("%d jobs: done at %v, want %v", n, at, want)
 			}
@@ -57,66 +57,66 @@
 
 // A server that is full rejects, and one that is crowded slows down: both show as an overload that feeds itself.
 func TestCapacityAndCrowding(t *testing.T) {
-	b := NewServer("b", 0, 0, kind(), scenario.Rules{})
+	server := NewServer("b", 0, 0, testKind(), scenario.Rules{})
 	var jobs []*Job
 	for range 7 {
 		j := &Job{Work: 100 * time.Millisecond}
-		if b.Admit(0, j) {
+		if server.Admit(0, j) {
 			jobs = append(jobs, j)
 		}
 	}
-	if len(jobs) != 6 || b.InFlight() != 6 {
+	if len(jobs) != 6 || server.InFlight() != 6 {
 		t.Fatalf("took %d, want its slots and its queue: 6", len(jobs))
 	}
 	// Four run on two cores at half speed, and six held where four are no crowd cost a factor of 1.5.
-	at, _ := b.NextCompletion(0)
+	at, _ := server.NextCompletion(0)
 	if want := 150 * time.Millisecond; !almostEqual(at, want) {
 		t.Errorf("the first is done at %v, want %v", at, want)
 	}
-	if !b.CancelQueued(0, jobs[5]) || b.CancelQueued(0, jobs[0]) || b.InFlight() != 5 {
+	if !server.CancelQueued(0, jobs[5]) || server.CancelQueued(0, jobs[0]) || server.InFlight() != 5 {
 		t.Error("one that waits can be given up, one that runs can't")
 	}
-	b.State = Draining
-	if b.Admit(0, &Job{Work: 1}) {
+	server.State = Draining
+	if server.Admit(0, &Job{Work: 1}) {
 		t.Error("a draining server accepted a request")
 	}
-	done, _ := b.NextCompletion(0)
-	calling := b.Completed(done) // its stretch is over, and it waits for calls
-	lost := b.Stop()
-	if len(calling) == 0 || len(lost) != 5 || lost[0] != jobs[0] || b.InFlight() != 0 {
+	done, _ := server.NextCompletion(0)
+	calling := server.Completed(done) // its stretch is over, and it waits for calls
+	lost := server.Stop()
+	if len(calling) == 0 || len(lost) != 5 || lost[0] != jobs[0] || server.InFlight() != 0 {
 		t.Errorf("%d jobs died, %d of them in calls", len(lost), len(calling))
 	}
 	// An answer to a call of a job that has died frees no slot of the next incarnation, and runs nothing there.
-	b.Start(time.Hour)
-	b.Release(time.Hour, calling[0])
-	b.Resume(time.Hour, calling[0], time.Second)
-	if _, runs := b.NextCompletion(time.Hour); runs || b.slotsTaken != 0 {
-		t.Errorf("jobs of the last incarnation live on: %d slots taken, runs %v", b.slotsTaken, runs)
+	server.Start(time.Hour)
+	server.Release(time.Hour, calling[0])
+	server.Resume(time.Hour, calling[0], time.Second)
+	if _, runs := server.NextCompletion(time.Hour); runs || server.slotsTaken != 0 {
+		t.Errorf("jobs of the last incarnation live on: %d slots taken, runs %v", server.slotsTaken, runs)
 	}
 }
 
 // A server that gets more than it can do while it warms up falls over, and takes its requests with it.
-func TestWarmingServerFallsOver(t *testing.T) {
-	b := NewServer("b", 0, 0, kind(), scenario.Rules{OverloadMultiple: 3, OverloadWindow: time.Second})
-	b.Stop()
-	b.Start(time.Hour)
+func TestOverloadedWarmingServerFails(t *testing.T) {
+	server := NewServer("b", 0, 0, testKind(), scenario.Rules{OverloadMultiple: 3, OverloadWindow: time.Second})
+	server.Stop()
+	server.Start(time.Hour)
 	for age, want := range map[time.Duration]float64{0: 2, 5 * time.Second: 3, 10 * time.Second: 4} {
-		if got := b.Capacity(time.Hour + age); math.Abs(got-want) > 1e-9 {
+		if got := server.Capacity(time.Hour + age); math.Abs(got-want) > 1e-9 {
 			t.Errorf("after %v it can do %v a second, want %v", age, got, want)
 		}
 	}
 	j := &Job{Work: 100 * time.Millisecond}
-	b.Admit(time.Hour, j)
-	if at := playToEnd(b, time.Hour, []*Job{j})[j] - time.Hour; at < 99*time.Millisecond || at > 100*time.Millisecond {
+	server.Admit(time.Hour, j)
+	if at := runToCompletion(server, time.Hour, []*Job{j})[j] - time.Hour; at < 99*time.Millisecond || at > 100*time.Millisecond {
 		t.Errorf("cold, 100 ms take %v, want a little under 100 ms", at)
 	}
 	// 3 times 2 a second, and one largest request for chance: the eighth second of work is too much.
 	for n := 1; n <= 8; n++ {
-		if overloaded := b.RecordArrival(time.Hour, time.Second); overloaded != (n == 8) {
+		if overloaded := server.RecordArrival(time.Hour, time.Second); overloaded != (n == 8) {
 			t.Errorf("after %d s of work: overloaded %v", n, overloaded)
 		}
 	}
-	if b.RecordArrival(time.Hour+2*time.Second, time.Second) {
+	if server.RecordArrival(time.Hour+2*time.Second, time.Second) {
 		t.Error("what was sent before the window counts")
 	}
 }
@@ -124,31 +124,31 @@
 // Whatever comes and goes, no work is lost or made, and nothing is done sooner than the cores allow.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewServer("b", 0, 0, kind(), scenario.Rules{})
-		now, given, took := time.Duration(0), time.Duration(0), time.Duration(0)
+		server := NewServer("b", 0, 0, testKind(), scenario.Rules{})
+		now, admitted, completed := time.Duration(0), time.Duration(0), time.Duration(0)
 		var jobs []*Job
 		for range rapid.IntRange(1, 30).Draw(t, "n") {
 			now += time.Duration(rapid.IntRange(0, int(100*time.Millisecond)).Draw(t, "gap"))
-			for _, j := range b.Completed(now) {
-				took += j.WorkDone
-				b.Release(now, j)
+			for _, j := range server.Completed(now) {
+				completed += j.WorkDone
+				server.Release(now, j)
 			}
 			j := &Job{Work: time.Duration(rapid.IntRange(1, int(200*time.Millisecond)).Draw(t, "work"))}
-			if b.Admit(now, j) {
-				given += j.Work
+			if server.Admit(now, j) {
+				admitted += j.Work
 				jobs = append(jobs, j)
 			}
 		}
 		end := now
-		for j, at := range playToEnd(b, now, jobs) {
-			took += j.WorkDone
+		for j, at := range runToCompletion(server, now, jobs) {
+			completed += j.WorkDone
 			end = max(end, at)
 		}
-		if given != took || b.InFlight() != 0 {
-			t.Fatalf("given %v, done %v, %d held", given, took, b.InFlight())
+		if admitted != completed || server.InFlight() != 0 {
+			t.Fatalf("given %v, done %v, %d held", admitted, completed, server.InFlight())
 		}
-		if float64(end) < float64(given)/4-1e3 {
-			t.Fatalf("%v of work done in %v by two cores of speed 2", given, end)
+		if float64(end) < float64(admitted)/4-1e3 {
+			t.Fatalf("%v of work done in %v by two cores of speed 2", admitted, end)
 		}
 	})
 }
@@ -161,18 +161,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, early, second, work := 0, 0, 0, 0.0
+	n, early, secondClass, work := 0, 0, 0, 0.0
 	for v, ok := a.Next(); ok; v, ok = a.Next() {
 		n++
 		if v.At < s.Length/2 {
 			early++
 		}
-		second += v.Class
+		secondClass += v.Class
 		work += v.Work
 	}
 	// The fixed seed makes these figures the same at every run; the bounds are four deviations.
-	if n < 9600 || n > 10400 || early < 3500 || early > 4000 || second < 2300 || second > 2700 || math.Abs(work/float64(n)-1) > 0.02 {
-		t.Errorf("%d arrivals, %d in the first half, %d of the second class, mean work %.3f", n, early, second, work/float64(n))
+	if n < 9600 || n > 10400 || early < 3500 || early > 4000 || secondClass < 2300 || secondClass > 2700 || math.Abs(work/float64(n)-1) > 0.02 {
+		t.Errorf("%d arrivals, %d in the first half, %d of the second class, mean work %.3f", n, early, secondClass, work/float64(n))
 	}
 	s.Clients = scenario.Clients{Arrivals: "recorded", ArrivalsFile: filepath.Join(t.TempDir(), "r.jsonl")}
 	for text, want := range map[string]string{
@@ -202,7 +202,7 @@
 }
 
 // A fault that did not end as it began would leave every later figure of a scenario wrong.
-func TestWorldChangesAreInOrderAndComeInPairs(t *testing.T) {
+func TestWorldChangesAreOrderedAndUndone(t *testing.T) {
 	s := &scenario.Scenario{Tiers: []scenario.Tier{{Name: "t", Kinds: []scenario.ServerKind{{Count: 10}}}}, Ingress: scenario.Ingress{Nodes: 4}}
 	for _, k := range scenario.WorldFaultKinds {
 		s.Faults = append(s.Faults, scenario.Fault{Kind: k, At: time.Second, Duration: 4 * time.Second, Tier: "t", TargetShare: 0.5, Magnitude: 0.5, Period: time.Second})
@@ -211,26 +211,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	down, slow, last := map[ChangeKind]map[int]int{}, map[int]float64{}, time.Duration(0)
+	counts, speedFactors, last := map[ChangeKind]map[int]int{}, map[int]float64{}, time.Duration(0)
 	for _, c := range list {
 		if c.At < last || c.At > 5*time.Second || c.Kind.String() == "" {
 			t.Errorf("%v at %v after %v", c.Kind, c.At, last)
 		}
 		last = c.At
-		if down[c.Kind] == nil {
-			down[c.Kind] = map[int]int{}
+		if counts[c.Kind] == nil {
+			counts[c.Kind] = map[int]int{}
 		}
-		down[c.Kind][c.Index]++
+		counts[c.Kind][c.Index]++
 		if c.Kind == ScaleSpeed {
-			if slow[c.Index] == 0 {
-				slow[c.Index] = 1
+			if speedFactors[c.Index] == 0 {
+				speedFactors[c.Index] = 1
 			}
-			slow[c.Index] *= c.Magnitude
+			speedFactors[c.Index] *= c.Magnitude
 		}
 	}
 	for i := range 10 {
-		if down[Crash][i] != down[Start][i] || down[Disconnect][i] != down[Reconnect][i] || math.Abs(slow[i]-1) > 1e-9 {
-			t.Errorf("server %d does not come back as it was: %v, %v", i, down, slow[i])
+		if counts[Crash][i] != counts[Start][i] || counts[Disconnect][i] != counts[Reconnect][i] || math.Abs(speedFactors[i]-1) > 1e-9 {
+			t.Errorf("server %d does not come back as it was: %v, %v", i, counts, speedFactors[i])
 		}
 	}
 	s.Faults = []scenario.Fault{{Kind: "neighbour", Tier: "t", Magnitude: 2, Position: "f:3"}}
--- a/internal/lab/model/nodesettings.go
+++ b/internal/lab/model/nodesettings.go
@@ -11,12 +11,12 @@
 const (
 	totalValueWeight = 0.6              // weight of the value served in all
 	worstClassWeight = 0.1              // weight of the worst class
-	tick             = time.Millisecond // between two looks at timers
+	timerTolerance   = time.Millisecond // between two looks at timers
 )
 
 // NodeSettings are the settings of a node that sends to a tier as replica number replicaIndex of so many replicas.
 func NodeSettings(s *scenario.Scenario, tier, replicaIndex, replicas int) balancer.Settings {
-	set := balancer.Settings{
+	settings := balancer.Settings{
 		Replicas:           replicas,
 		ReplicaIndex:       replicaIndex,
 		Tier:               tier,
@@ -26,17 +26,17 @@
 		MaxAttempts:        s.Rules.MaxAttempts,
 		PollDiscovery:      s.Discovery.Polled,
 		MaxPollInterval:    s.Discovery.MaxPollInterval,
-		TimerTolerance:     tick,
+		TimerTolerance:     timerTolerance,
 		MaxRetryAfter:      s.Rules.MaxRetryAfter,
 		OverloadMultiple:   s.Rules.OverloadMultiple,
 		SlowStartMinShare:  1,
 	}
 	for _, k := range s.Tiers[tier].Kinds {
-		set.SlowStartMinShare = min(set.SlowStartMinShare, k.WarmupStartShare)
-		set.SlowStartDuration = max(set.SlowStartDuration, k.WarmupDuration)
+		settings.SlowStartMinShare = min(settings.SlowStartMinShare, k.WarmupStartShare)
+		settings.SlowStartDuration = max(settings.SlowStartDuration, k.WarmupDuration)
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, balancer.Class{
+		settings.Classes = append(settings.Classes, balancer.Class{
 			Name:             c.Name,
 			Effect:           c.Effect,
 			DedupScope:       balancer.ScopeAll,
@@ -47,5 +47,5 @@
 			PriorityWeight:   c.PriorityWeight,
 		})
 	}
-	return set
+	return settings
 }
--- a/internal/lab/model/overload.go
+++ b/internal/lab/model/overload.go
@@ -10,9 +10,9 @@
 // OverloadDowntime is how long a warming server that fell over stays down.
 const OverloadDowntime = 5 * time.Second
 
-// chanceDeviations is how many standard deviations of a Poisson count of requests a warming server bears beyond the
+// allowedDeviations is how many standard deviations of a Poisson count of requests a warming server bears beyond the
 // allowed mean, and how many requests in any case, as the operators count.
-const chanceDeviations = 3
+const allowedDeviations = 3
 
 // overloadGuard watches what a warming server is sent: a server that gets more than a multiple of what it can do within a
 // window falls over, and would take a node's other requests with it.
@@ -43,7 +43,7 @@
 	allowed := s.multiple * s.Capacity(now) * s.window.Seconds()
 	if mean := s.MeanWork.Seconds(); mean > 0 {
 		n := allowed / mean
-		return sum/mean > n+chanceDeviations*math.Sqrt(n)+chanceDeviations
+		return sum/mean > n+allowedDeviations*math.Sqrt(n)+allowedDeviations
 	}
 	return sum > allowed+s.largestWork
 }
--- a/internal/lab/model/processfaults.go
+++ b/internal/lab/model/processfaults.go
@@ -26,8 +26,8 @@
 		if !slices.Contains(scenario.ProcessFaultKinds, f.Kind) {
 			continue
 		}
-		target, count := targetsOf(s, f)
-		if f.Peer == target && onLinks(f.Kind) {
+		target, count := targetOf(s, f)
+		if f.Peer == target && affectsLinks(f.Kind) {
 			return nil, fmt.Errorf("%s: %s and %s have no link", f.Position, f.Target, f.Peer)
 		}
 		f.Target = target
@@ -36,8 +36,8 @@
 	return list, nil
 }
 
-// targetsOf is what a fault hits, and how many of that there are to draw from.
-func targetsOf(s *scenario.Scenario, f scenario.Fault) (target string, count int) {
+// targetOf is what a fault hits, and how many of that there are to draw from.
+func targetOf(s *scenario.Scenario, f scenario.Fault) (target string, count int) {
 	tier := tierIndex(s, f.Tier)
 	switch {
 	case f.Kind == scenario.FaultAdminOverride:
@@ -52,8 +52,8 @@
 	return f.Target, 1
 }
 
-// onLinks says that a kind of fault hits the links between two kinds of processes, and not processes as such.
-func onLinks(kind string) bool {
+// affectsLinks says that a kind of fault hits the links between two kinds of processes, and not processes as such.
+func affectsLinks(kind string) bool {
 	switch kind {
 	case scenario.FaultStall, scenario.FaultServerKill, scenario.FaultUpgrade, scenario.FaultAdminOverride, scenario.FaultMuteWatches:
 		return false
--- a/internal/lab/model/processfaults_test.go
+++ b/internal/lab/model/processfaults_test.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-const chain = `scenario "a" { seed = 3 }
+const baseScenario = `scenario "a" { seed = 3 }
 tier "front" { kind "k" { count = 7 } }
 tier "store" { kind "k" { count = 9 } }
 class "c" {}
@@ -17,9 +17,9 @@
 fleet { boxes_per_process = 2 control = "on" }
 `
 
-func parsed(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Parse("a.hcl", []byte(chain+text), nil)
+	s, err := scenario.Parse("a.hcl", []byte(baseScenario+text), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,17 +28,17 @@
 
 // The same file and seed hit the same processes at the same times, another seed others: a schedule that was found can be
 // played again.
-func TestProcessFaultsAreOfTheSeed(t *testing.T) {
+func TestProcessFaultsDependOnSeed(t *testing.T) {
 	const text = `trouble "stall" { at_s = 2 length_s = 3 spread_s = 1 part = 0.5 }
 trouble "box_kill" { at_s = 4 tier = "front" part = 0.5 }
 trouble "cut" { who = "discovery" whom = "nodes" part = 1 }
 trouble "kill" { at_s = 1 length_s = 2 part = 0.7 spread_s = 0.4 }`
-	s := parsed(t, text)
+	s := parseScenario(t, text)
 	first, err := ProcessFaults(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := ProcessFaults(parsed(t, text))
+	again, _ := ProcessFaults(parseScenario(t, text))
 	if !reflect.DeepEqual(first, again) {
 		t.Error("two draws of one seed differ")
 	}
@@ -47,10 +47,10 @@
 		t.Error("another seed draws the same")
 	}
 	counts := map[string]int{}
-	for _, u := range first {
-		counts[u.Kind]++
-		if u.From < u.At || u.From > u.At+u.Spread || u.To-u.From != u.Duration {
-			t.Errorf("%s from %v to %v", u.Kind, u.From, u.To)
+	for _, fault := range first {
+		counts[fault.Kind]++
+		if fault.From < fault.At || fault.From > fault.At+fault.Spread || fault.To-fault.From != fault.Duration {
+			t.Errorf("%s from %v to %v", fault.Kind, fault.From, fault.To)
 		}
 	}
 	if !reflect.DeepEqual(counts, map[string]int{"stall": 5, "box_kill": 2, "cut": 1}) {
@@ -91,7 +91,7 @@
 trouble "discovery_down" { at_s = 4 length_s = 3 }
 trouble "discovery_down" { at_s = 8 length_s = 1 }`: "discovery down 1s, discovery up 7s, discovery down 8s, discovery up 9s",
 	} {
-		changes, err := WorldChanges(parsed(t, text))
+		changes, err := WorldChanges(parseScenario(t, text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,19 +107,19 @@
 
 // An upgrade hits all nodes, those beside servers included.
 func TestUpgradeHitsAllNodes(t *testing.T) {
-	if list, err := ProcessFaults(parsed(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
+	if list, err := ProcessFaults(parseScenario(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
 		t.Errorf("%d nodes are replaced, %v", len(list), err)
 	}
 }
 
 // A fault that needs processes can't be played in virtual time, and a link that does not exist can't be cut.
-func TestProcessFaultsElsewhere(t *testing.T) {
+func TestImpossibleProcessFaultsAreErrors(t *testing.T) {
 	for _, kind := range scenario.ProcessFaultKinds {
-		if _, err := WorldChanges(parsed(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
+		if _, err := WorldChanges(parseScenario(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
 			t.Errorf("%s in virtual time: %v", kind, err)
 		}
 	}
-	if _, err := ProcessFaults(parsed(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
+	if _, err := ProcessFaults(parseScenario(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
 		t.Error("servers are cut from servers")
 	}
 }
--- a/internal/lab/model/worldfaults.go
+++ b/internal/lab/model/worldfaults.go
@@ -31,7 +31,7 @@
 	var changes []Change
 	for n, f := range s.Faults {
 		p := newFaultPlan(s, f, Stream(s.Seed, "trouble", n))
-		if err := p.add(); err != nil {
+		if err := p.addFault(); err != nil {
 			return nil, err
 		}
 		changes = append(changes, p.changes...)
@@ -60,41 +60,41 @@
 		servers: drawShare(rng, s.Tiers[tier].ServerCount(), f.TargetShare)}
 }
 
-// change adds one change.
-func (p *faultPlan) change(at time.Duration, kind ChangeKind, index int, magnitude float64) {
+// addChange adds one addChange.
+func (p *faultPlan) addChange(at time.Duration, kind ChangeKind, index int, magnitude float64) {
 	p.changes = append(p.changes, Change{At: at, Kind: kind, Tier: p.tier, Index: index, Magnitude: magnitude,
 		Share: p.fault.Share, Class: p.class, Folder: p.fault.Folder})
 }
 
-// forAll adds a change to all servers that the fault hits at its beginning, and another one at its end.
-func (p *faultPlan) forAll(begin, end ChangeKind) {
+// addForAllServers adds a change to all servers that the fault hits at its beginning, and another one at its end.
+func (p *faultPlan) addForAllServers(begin, end ChangeKind) {
 	for _, i := range p.servers {
-		p.change(p.fault.At, begin, i, 0)
-		p.change(p.end, end, i, 0)
+		p.addChange(p.fault.At, begin, i, 0)
+		p.addChange(p.end, end, i, 0)
 	}
 }
 
-// add adds the changes of the fault.
-func (p *faultPlan) add() error {
+// addFault adds the changes of the fault.
+func (p *faultPlan) addFault() error {
 	at, magnitude := p.fault.At, p.fault.Magnitude
 	switch p.fault.Kind {
 	case scenario.FaultCrash:
-		p.forAll(Crash, Start)
+		p.addForAllServers(Crash, Start)
 	case scenario.FaultCutOff:
-		p.forAll(Disconnect, Reconnect)
+		p.addForAllServers(Disconnect, Reconnect)
 	case scenario.FaultNeighbor:
 		return p.addNeighbor()
 	case scenario.FaultSharedSlow:
 		p.servers = drawShare(p.rng, p.scenario.Tiers[p.tier].ServerCount(), 1)
 		p.addSlowdown(1 / magnitude)
 	case scenario.FaultHeavyTail:
-		p.change(at, HeavyTail, 0, magnitude)
-		p.change(p.end, HeavyTail, 0, 1)
+		p.addChange(at, HeavyTail, 0, magnitude)
+		p.addChange(p.end, HeavyTail, 0, 1)
 	case scenario.FaultBrokenAnswers:
 		p.addBrokenAnswers()
 	case scenario.FaultIdleResets:
 		for _, i := range p.servers {
-			p.change(at, ResetIdleConnections, i, 0)
+			p.addChange(at, ResetIdleConnections, i, 0)
 		}
 	case scenario.FaultRelease:
 		p.addRelease()
@@ -105,16 +105,16 @@
 	case scenario.FaultKill:
 		p.addNodeKills()
 	case scenario.FaultDiscoveryDown:
-		p.change(at, DiscoveryDown, 0, 0)
-		p.change(p.end, DiscoveryUp, 0, 0)
+		p.addChange(at, DiscoveryDown, 0, 0)
+		p.addChange(p.end, DiscoveryUp, 0, 0)
 	case scenario.FaultDiscoveryMoved:
-		p.change(at, DiscoveryMove, 0, 0)
+		p.addChange(at, DiscoveryMove, 0, 0)
 	case scenario.FaultOverload:
-		p.change(at, Overload, 0, magnitude)
-		p.change(p.end, Overload, 0, 1)
+		p.addChange(at, Overload, 0, magnitude)
+		p.addChange(p.end, Overload, 0, 1)
 	case scenario.FaultRetryStorm:
-		p.change(at, RetryStorm, 0, magnitude)
-		p.change(p.end, RetryStorm, 0, 1)
+		p.addChange(at, RetryStorm, 0, magnitude)
+		p.addChange(p.end, RetryStorm, 0, 1)
 	default:
 		return fmt.Errorf("%s: trouble %q needs processes: lab fleet plays it", p.fault.Position, p.fault.Kind)
 	}
@@ -141,15 +141,15 @@
 			continue
 		}
 		for _, i := range p.servers {
-			p.change(at, ScaleSpeed, i, factor)
-			p.change(min(at+step, p.end), ScaleSpeed, i, 1/factor)
+			p.addChange(at, ScaleSpeed, i, factor)
+			p.addChange(min(at+step, p.end), ScaleSpeed, i, 1/factor)
 		}
 	}
 }
 
 func (p *faultPlan) addBrokenAnswers() {
 	for _, i := range p.servers {
-		p.change(p.fault.At, BreakAnswers, i, 1)
+		p.addChange(p.fault.At, BreakAnswers, i, 1)
 		p.changes = append(p.changes, Change{At: p.end, Kind: BreakAnswers, Tier: p.tier, Index: i, Class: p.class})
 	}
 }
@@ -159,9 +159,9 @@
 	step := p.fault.Duration / time.Duration(max(1, len(p.servers)))
 	for k, i := range p.servers {
 		at := p.fault.At + time.Duration(k)*step
-		p.change(at, Drain, i, 0)
-		p.change(at+step*releaseCrashPercent/100, Crash, i, 0)
-		p.change(at+step*releaseStartPercent/100, Start, i, 0)
+		p.addChange(at, Drain, i, 0)
+		p.addChange(at+step*releaseCrashPercent/100, Crash, i, 0)
+		p.addChange(at+step*releaseStartPercent/100, Start, i, 0)
 	}
 }
 
@@ -171,8 +171,8 @@
 	step := p.fault.Duration / time.Duration(max(1, len(nodes)))
 	for k, i := range nodes {
 		at := p.fault.At + time.Duration(k)*step
-		p.change(at, end, i, 0)
-		p.change(at+step, NodeStart, i, 0)
+		p.addChange(at, end, i, 0)
+		p.addChange(at+step, NodeStart, i, 0)
 	}
 }
 
@@ -182,13 +182,13 @@
 	for _, i := range drawShare(p.rng, p.scenario.Ingress.Nodes, f.TargetShare) {
 		at := f.At + time.Duration(p.rng.Float64()*float64(f.Spread))
 		if f.Period == 0 {
-			p.change(at, NodeKill, i, 0)
-			p.change(at+f.Duration, NodeStart, i, 0)
+			p.addChange(at, NodeKill, i, 0)
+			p.addChange(at+f.Duration, NodeStart, i, 0)
 			continue
 		}
 		for ; at < p.end; at += f.Period {
-			p.change(at, NodeKill, i, 0)
-			p.change(at+min(f.Period/crashLoopDownShare, crashLoopMaxDown), NodeStart, i, 0)
+			p.addChange(at, NodeKill, i, 0)
+			p.addChange(at+min(f.Period/crashLoopDownShare, crashLoopMaxDown), NodeStart, i, 0)
 		}
 	}
 }
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -36,7 +36,7 @@
 	a := &attempt{node: n, nodeIncarnation: n.incarnation, request: r, number: len(r.attempts),
 		server: w.byID[s.Server], serverID: s.Server, sentAt: w.now}
 	r.attempts = append(r.attempts, a)
-	r.attemptsOut++
+	r.pendingAttempts++
 	r.client.attempts++
 	w.score.Attempts++
 	if a.server == nil {
@@ -96,7 +96,7 @@
 	case s.RecordArrival(w.now, work): // what it would reject counts too, for rejecting costs it as well
 		w.checker.ServerOverloaded(w.now, a.node.name, a.request.id, s.ID)
 		a.record(blackbox.Event{Kind: blackbox.AttemptBroken})
-		w.overload(s)
+		w.crashOverloadedServer(s)
 		a.endAfter(hop, balancer.ConnectionLost)
 	case !s.Admit(w.now, &v.job):
 		a.record(blackbox.Event{Kind: blackbox.AttemptAnswered, Status: http.StatusServiceUnavailable, NeverRan: true})
@@ -130,7 +130,7 @@
 	}
 	a.releaseConnection(outcome)
 	w.checker.AttemptEnded(w.now, n.name, r.id, a.number, outcome)
-	r.attemptsOut--
+	r.pendingAttempts--
 	if outcome == balancer.Success && !r.closed {
 		r.closed = true
 		w.checker.RequestAnswered(w.now, n.name, r.id, checker.Served)
@@ -138,7 +138,7 @@
 		r.reply(checker.Served, 0)
 	}
 	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: a.number, Server: a.serverID, Outcome: outcome, Latency: w.now - a.sentAt, RequestDone: r.closed})
-	n.forgetIfOver(r)
+	n.removeIfFinished(r)
 }
 
 // abandon is the end of the node that waits for the attempt.
--- a/internal/lab/simulation/change.go
+++ b/internal/lab/simulation/change.go
@@ -36,9 +36,9 @@
 	delays := w.scenario.Discovery
 	switch c.Kind {
 	case model.Crash:
-		w.crash(s, s.State == model.Draining)
+		w.crashServer(s, s.State == model.Draining)
 	case model.Start:
-		w.boot(s)
+		w.startServer(s)
 	case model.Drain:
 		if s.State == model.Up {
 			s.State = model.Draining
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -107,10 +107,10 @@
 		return
 	}
 	r := &nodeRequest{id: w.newID(), class: client.Class, deadline: t.deadline, work: client.Work, client: client}
-	r.reply = func(how checker.Answer, retryAfter time.Duration) {
+	r.reply = func(answer checker.Answer, retryAfter time.Duration) {
 		w.after(w.jitter(w.scenario.Network.ClientLatency), func() {
 			if t.end() {
-				w.answerReceived(client, how, retryAfter)
+				w.answerReceived(client, answer, retryAfter)
 			}
 		})
 	}
@@ -131,8 +131,8 @@
 }
 
 // answerReceived is a node's answer at the client.
-func (w *World) answerReceived(r *clientRequest, how checker.Answer, retryAfter time.Duration) {
-	switch how {
+func (w *World) answerReceived(r *clientRequest, answer checker.Answer, retryAfter time.Duration) {
+	switch answer {
 	case checker.Served:
 		w.endRequest(r, score.Served)
 	case checker.Rejected:
@@ -165,12 +165,12 @@
 }
 
 // endRequest is the end of a client's request.
-func (w *World) endRequest(r *clientRequest, how score.Outcome) {
+func (w *World) endRequest(r *clientRequest, outcome score.Outcome) {
 	if r.done {
 		return
 	}
 	r.done = true
-	w.score.RequestEnded(r.At, w.now-r.At, r.Class, r.Tenant, r.attempts, how)
+	w.score.RequestEnded(r.At, w.now-r.At, r.Class, r.Tenant, r.attempts, outcome)
 	if r.onEnd != nil {
 		w.after(closedLoopPause, r.onEnd)
 	}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,10 +9,10 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// unreachableFactor is how much longer than the poll interval a node without a watch may know nothing of a change while
+// discoveryDownFactor is how much longer than the poll interval a node without a watch may know nothing of a change while
 // discovery is down: no poll brings it anything meanwhile, and from then on the rule holds it to the change anyway. The
 // factor is a choice of the lab: room for some failed polls with their waits.
-const unreachableFactor = 4
+const discoveryDownFactor = 4
 
 // discovery lists servers: late, and to the nodes that watch it.
 type discovery struct {
@@ -27,11 +27,11 @@
 
 func newDiscovery(w *World) *discovery {
 	d := &discovery{world: w}
-	for _, row := range w.servers {
+	for _, tierServers := range w.servers {
 		var list []balancer.Server
 		indexes := map[string]int{}
-		for i, s := range row {
-			list = append(list, s.listed(i))
+		for i, s := range tierServers {
+			list = append(list, s.endpoint(i))
 			indexes[s.ID] = i
 		}
 		d.lists, d.indexes, d.revisions = append(d.lists, list), append(d.indexes, indexes), append(d.revisions, map[string]uint64{})
@@ -47,9 +47,9 @@
 		if d.revisions[s.Tier][s.ID] != revision {
 			return
 		}
-		listed := &d.lists[s.Tier][d.indexes[s.Tier][s.ID]]
-		listed.State, listed.StartTime = state, startTime
-		update := []balancer.Server{*listed}
+		endpoint := &d.lists[s.Tier][d.indexes[s.Tier][s.ID]]
+		endpoint.State, endpoint.StartTime = state, startTime
+		update := []balancer.Server{*endpoint}
 		for _, n := range d.watchers {
 			if n.tier == s.Tier {
 				d.notify(n, balancer.EndpointUpdate{Servers: update})
@@ -76,7 +76,7 @@
 	}
 	wait := d.world.scenario.Discovery.MaxPollInterval
 	if d.down {
-		wait *= unreachableFactor
+		wait *= discoveryDownFactor
 	}
 	d.world.after(wait, func() {
 		d.world.eachNode(func(n *node) {
--- a/internal/lab/simulation/ingress.go
+++ b/internal/lab/simulation/ingress.go
@@ -7,10 +7,10 @@
 
 // ingress spreads clients over the nodes that it believes to serve, one after another.
 type ingress struct {
-	world           *World
-	nodes           []*node
-	believedServing []bool
-	lastPicked      int
+	world        *World
+	nodes        []*node
+	knownServing []bool
+	lastPicked   int
 }
 
 func newIngress(w *World) *ingress {
@@ -19,7 +19,7 @@
 		n := w.newNode(fmt.Sprintf("n%d", i), 0, i, w.scenario.Ingress.Nodes)
 		n.ingress, n.ingressIndex = in, i
 		in.nodes = append(in.nodes, n)
-		in.believedServing = append(in.believedServing, true)
+		in.knownServing = append(in.knownServing, true)
 	}
 	return in
 }
@@ -28,7 +28,7 @@
 func (in *ingress) pickNode() *node {
 	for range in.nodes {
 		in.lastPicked = (in.lastPicked + 1) % len(in.nodes)
-		if in.believedServing[in.lastPicked] {
+		if in.knownServing[in.lastPicked] {
 			return in.nodes[in.lastPicked]
 		}
 	}
@@ -40,7 +40,7 @@
 	incarnation := n.incarnation
 	in.world.after(after, func() {
 		if n.incarnation == incarnation {
-			in.believedServing[n.ingressIndex] = serving
+			in.knownServing[n.ingressIndex] = serving
 		}
 	})
 }
--- a/internal/lab/simulation/misbehave_test.go
+++ b/internal/lab/simulation/misbehave_test.go
@@ -12,9 +12,9 @@
 	"hookwalk.example/hookwalk/internal/lab/policies"
 )
 
-// sharedWorld is a world with just enough capacity for a client that sends half as much again as all others, and a machine that is
+// sharedScenario is a world with just enough capacity for a client that sends half as much again as all others, and a machine that is
 // unreachable for a while.
-const sharedWorld = `scenario "shared" { seed = 5 length_s = 15 }
+const sharedScenario = `scenario "shared" { seed = 5 length_s = 15 }
 tier "log-front" { work = 0.4 calls = 1.5
   kind "front" { count = 8 cores = 2 slots = 40 queue = 20 } }
 tier "log-store" { work = 0.3
@@ -46,34 +46,34 @@
 	{"longest budgets", behavior{class: "bin-weighin", budget: time.Hour}},
 }
 
-// effects are what the others notice of a client, and where the ingress nodes' attempts went.
-type effects struct {
+// otherClientMetrics are what the others notice of a client, and where the ingress nodes' attempts went.
+type otherClientMetrics struct {
 	valueShare, late, rejected float64
 	p95                        time.Duration
-	leftShare                  float64 // share of the ingress nodes' draws that went to the left group
-	busiest                    float64 // the busiest server's draws over the mean
+	firstHalfShare             float64 // share of the ingress nodes' draws that went to the left group
+	busiestRatio               float64 // the busiest server's draws over the mean
 }
 
-func (n effects) String() string {
+func (m otherClientMetrics) String() string {
 	return fmt.Sprintf("value %.4f, late %.4f, rejected %.4f, p95 %v, left %.3f, busiest %.2f",
-		n.valueShare, n.late, n.rejected, n.p95.Round(time.Millisecond), n.leftShare, n.busiest)
+		m.valueShare, m.late, m.rejected, m.p95.Round(time.Millisecond), m.firstHalfShare, m.busiestRatio)
 }
 
-// playBeside plays the shared world with such a client, or without one, and returns what the others notice.
-func playBeside(t *testing.T, seed uint64, o *behavior, attacks int) effects {
+// runWithExtraClient plays the shared world with such a client, or without one, and returns what the others notice.
+func runWithExtraClient(t *testing.T, seed uint64, misbehavior *behavior, extraRequests int) otherClientMetrics {
 	t.Helper()
-	s := parsed(t, sharedWorld)
+	s := parseScenario(t, sharedScenario)
 	s.Seed = seed
-	draws := map[string]int{}
-	w, err := New(s, func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-		d, err := policies.New(name, set, seed, truth)
-		if set.Tier > 0 {
+	sends := map[string]int{}
+	w, err := New(s, func(name string, settings balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+		d, err := policies.New(name, settings, seed, inFlight)
+		if settings.Tier > 0 {
 			return d, err
 		}
 		return &violatingDecider{d, func(_ time.Duration, _ balancer.Event, out []balancer.Action) []balancer.Action {
 			for _, a := range out {
 				if send, ok := a.(balancer.Send); ok {
-					draws[send.Server]++
+					sends[send.Server]++
 				}
 			}
 			return out
@@ -82,23 +82,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o != nil {
+	if misbehavior != nil {
 		class := 0
 		for i, c := range s.Classes {
-			if c.Name == o.class {
+			if c.Name == misbehavior.class {
 				class = i
 			}
 		}
-		for i := range attacks {
+		for i := range extraRequests {
 			at := time.Second + time.Duration(i)*5*time.Millisecond
 			w.at(at, func() {
 				n := w.ingress.nodes[i%len(w.ingress.nodes)]
 				r := &clientRequest{done: true} // it does not count
-				c := &nodeRequest{id: fmt.Sprint("odd", i), class: class, deadline: w.now + o.budget, work: 1, client: r, reply: func(checker.Answer, time.Duration) {}}
+				c := &nodeRequest{id: fmt.Sprint("odd", i), class: class, deadline: w.now + misbehavior.budget, work: 1, client: r, reply: func(checker.Answer, time.Duration) {}}
 				n.accept(c)
-				n.handle(balancer.Request{ID: c.id, Class: o.class, Deadline: c.deadline, ClientRetry: o.marksRetry})
-				if o.leavesAfter > 0 {
-					w.after(o.leavesAfter, func() { n.clientGone(c.id) })
+				n.handle(balancer.Request{ID: c.id, Class: misbehavior.class, Deadline: c.deadline, ClientRetry: misbehavior.marksRetry})
+				if misbehavior.leavesAfter > 0 {
+					w.after(misbehavior.leavesAfter, func() { n.clientGone(c.id) })
 				}
 			})
 		}
@@ -110,37 +110,37 @@
 	for _, v := range checked.Violations() {
 		t.Errorf("seed %d: %v", seed, v)
 	}
-	f := got.Metrics(0)
+	reported := got.Metrics(0)
 	inTime, late, failed, _ := got.Counts()
-	n := effects{valueShare: f["worth"], rejected: f["refusals"], p95: got.Quantile(95),
+	metrics := otherClientMetrics{valueShare: reported["worth"], rejected: reported["refusals"], p95: got.Quantile(95),
 		late: float64(late) / float64(inTime+late+failed)}
-	order, all := slices.Sorted(maps.Keys(draws)), 0
-	for i, id := range order {
-		all += draws[id]
-		if i < (len(order)+1)/2 {
-			n.leftShare += float64(draws[id])
+	ids, total := slices.Sorted(maps.Keys(sends)), 0
+	for i, id := range ids {
+		total += sends[id]
+		if i < (len(ids)+1)/2 {
+			metrics.firstHalfShare += float64(sends[id])
 		}
-		n.busiest = max(n.busiest, float64(draws[id]*len(order)))
+		metrics.busiestRatio = max(metrics.busiestRatio, float64(sends[id]*len(ids)))
 	}
-	n.leftShare, n.busiest = n.leftShare/float64(all), n.busiest/float64(all)
-	return n
+	metrics.firstHalfShare, metrics.busiestRatio = metrics.firstHalfShare/float64(total), metrics.busiestRatio/float64(total)
+	return metrics
 }
 
 // One client that floods, abandons or marks its calls must not take capacity from the others: what it does within the
 // protocol costs them no more than the same load from a polite client.
 func TestMisbehavingClientCostsOthersNothing(t *testing.T) {
 	polite := behavior{class: "block-view", budget: 800 * time.Millisecond}
-	for _, o := range behaviors {
-		t.Run(o.name, func(t *testing.T) {
+	for _, misbehavior := range behaviors {
+		t.Run(misbehavior.name, func(t *testing.T) {
 			t.Parallel()
 			lost := 0.0
 			for seed := range uint64(3) {
-				alone, fair, odd := playBeside(t, seed, nil, 0), playBeside(t, seed, &polite, 2600), playBeside(t, seed, &o.behavior, 2600)
-				t.Logf("%s, seed %d:\nalone %v\npolite %v\nodd %v", o.name, seed, alone, fair, odd)
-				lost += (min(alone.valueShare, fair.valueShare) - odd.valueShare) / 3
+				alone, besidePolite, besideMisbehaving := runWithExtraClient(t, seed, nil, 0), runWithExtraClient(t, seed, &polite, 2600), runWithExtraClient(t, seed, &misbehavior.behavior, 2600)
+				t.Logf("%s, seed %d:\nalone %v\npolite %v\nodd %v", misbehavior.name, seed, alone, besidePolite, besideMisbehaving)
+				lost += (min(alone.valueShare, besidePolite.valueShare) - besideMisbehaving.valueShare) / 3
 				// A crowd moves draws to the right, and what such a client has done makes less of a crowd than a polite one's.
-				if least, most := min(alone.leftShare, fair.leftShare), max(alone.leftShare, fair.leftShare); odd.leftShare < least-0.05 || odd.leftShare > most+0.05 {
-					t.Errorf("seed %d: %.3f of the draws go left, %.3f beside a polite one, %.3f alone", seed, odd.leftShare, fair.leftShare, alone.leftShare)
+				if least, most := min(alone.firstHalfShare, besidePolite.firstHalfShare), max(alone.firstHalfShare, besidePolite.firstHalfShare); besideMisbehaving.firstHalfShare < least-0.05 || besideMisbehaving.firstHalfShare > most+0.05 {
+					t.Errorf("seed %d: %.3f of the draws go left, %.3f beside a polite one, %.3f alone", seed, besideMisbehaving.firstHalfShare, besidePolite.firstHalfShare, alone.firstHalfShare)
 				}
 			}
 			if lost > 0.01 {
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -49,15 +49,15 @@
 // nodeRequest is a request that a node has accepted. It is closed when it is answered or its client has left, and is
 // forgotten when no attempt is out either.
 type nodeRequest struct {
-	id          string
-	class       int
-	deadline    time.Duration
-	work        float64
-	client      *clientRequest
-	reply       func(checker.Answer, time.Duration)
-	attempts    []*attempt
-	closed      bool
-	attemptsOut int
+	id              string
+	class           int
+	deadline        time.Duration
+	work            float64
+	client          *clientRequest
+	reply           func(checker.Answer, time.Duration)
+	attempts        []*attempt
+	closed          bool
+	pendingAttempts int
 }
 
 func (w *World) newNode(name string, tier, replicaIndex, replicas int) *node {
@@ -138,16 +138,16 @@
 	n.world.record(blackbox.Event{Kind: blackbox.NodeTerminating, Node: n.name})
 	n.ingress.notify(n, model.IngressDrainDelay, false)
 	until := n.world.now + model.IngressDrainDelay + model.LongestDeadline(n.world.scenario) + shutdownMargin
-	n.exitWhenDone(model.IngressDrainDelay+shutdownMargin, until, n.incarnation)
+	n.exitWhenIdle(model.IngressDrainDelay+shutdownMargin, until, n.incarnation)
 }
 
-// exitWhenDone exits after a while if all is answered by then or the time is up, and otherwise looks again.
-func (n *node) exitWhenDone(wait, until time.Duration, incarnation int) {
+// exitWhenIdle exits after a while if all is answered by then or the time is up, and otherwise looks again.
+func (n *node) exitWhenIdle(wait, until time.Duration, incarnation int) {
 	n.world.after(wait, func() {
 		switch {
 		case n.incarnation != incarnation:
 		case len(n.requests) > 0 && n.world.now < until:
-			n.exitWhenDone(shutdownCheckInterval, until, incarnation)
+			n.exitWhenIdle(shutdownCheckInterval, until, incarnation)
 		default:
 			n.world.checker.NodeStopped(n.world.now, n.name)
 			n.world.record(blackbox.Event{Kind: blackbox.NodeExited, Node: n.name})
@@ -211,21 +211,21 @@
 }
 
 // answer gives a final answer that is not a server's.
-func (n *node) answer(id string, how checker.Answer, status int, retryAfter time.Duration) {
-	n.world.checker.RequestAnswered(n.world.now, n.name, id, how)
+func (n *node) answer(id string, answer checker.Answer, status int, retryAfter time.Duration) {
+	n.world.checker.RequestAnswered(n.world.now, n.name, id, answer)
 	n.world.record(blackbox.Event{Kind: blackbox.AnswerReceived, Node: n.name, ID: id, Status: status})
 	r := n.requests[id]
 	if r == nil || r.closed {
 		return
 	}
 	r.closed = true
-	r.reply(how, retryAfter)
-	n.forgetIfOver(r)
+	r.reply(answer, retryAfter)
+	n.removeIfFinished(r)
 }
 
-// forgetIfOver drops a request that is closed and has no attempt out.
-func (n *node) forgetIfOver(r *nodeRequest) {
-	if r.closed && r.attemptsOut == 0 {
+// removeIfFinished drops a request that is closed and has no attempt out.
+func (n *node) removeIfFinished(r *nodeRequest) {
+	if r.closed && r.pendingAttempts == 0 {
 		delete(n.requests, r.id)
 	}
 }
@@ -240,5 +240,5 @@
 	n.world.checker.ClientGone(n.world.now, n.name, id)
 	n.world.record(blackbox.Event{Kind: blackbox.ClientLeft, Node: n.name, ID: id})
 	n.handle(balancer.ClientGone{ID: id})
-	n.forgetIfOver(r)
+	n.removeIfFinished(r)
 }
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -21,36 +21,36 @@
 
 // addServers makes the servers of all tiers. Their drawn IDs say nothing of their kind, like the platform's.
 func (w *World) addServers() {
-	names := model.Stream(w.scenario.Seed, "names", 0)
+	rng := model.Stream(w.scenario.Seed, "names", 0)
 	for t, tier := range w.scenario.Tiers {
-		var row []*server
+		var tierServers []*server
 		for k := range tier.Kinds {
 			for range tier.Kinds[k].Count {
-				id := fmt.Sprintf("s-%08x", names.Uint32())
+				id := fmt.Sprintf("s-%08x", rng.Uint32())
 				for w.byID[id] != nil {
-					id = fmt.Sprintf("s-%08x", names.Uint32())
+					id = fmt.Sprintf("s-%08x", rng.Uint32())
 				}
-				s := &server{Server: model.NewServer(id, t, len(row), &tier.Kinds[k], w.scenario.Rules), tier: tier}
+				s := &server{Server: model.NewServer(id, t, len(tierServers), &tier.Kinds[k], w.scenario.Rules), tier: tier}
 				s.MeanWork = model.MeanWork(w.scenario, t)
 				w.byID[id] = s
-				row = append(row, s)
+				tierServers = append(tierServers, s)
 			}
 		}
-		w.servers = append(w.servers, row)
+		w.servers = append(w.servers, tierServers)
 	}
 }
 
 // addServerNodes makes the nodes through which servers call the next tier.
 func (w *World) addServerNodes() {
-	for t, row := range w.servers[:len(w.servers)-1] {
-		for i, s := range row {
-			s.node = w.newNode(fmt.Sprintf("%s/%s", w.scenario.Tiers[t].Name, s.ID), t+1, i, len(row))
+	for t, tierServers := range w.servers[:len(w.servers)-1] {
+		for i, s := range tierServers {
+			s.node = w.newNode(fmt.Sprintf("%s/%s", w.scenario.Tiers[t].Name, s.ID), t+1, i, len(tierServers))
 		}
 	}
 }
 
-// crash ends a server, and its node with it. Discovery learns of a planned end at once.
-func (w *World) crash(s *server, planned bool) {
+// crashServer ends a server, and its node with it. Discovery learns of a planned end at once.
+func (w *World) crashServer(s *server, planned bool) {
 	if s.State == model.Down {
 		return
 	}
@@ -74,8 +74,8 @@
 	w.discovery.updateEndpoint(s, balancer.Removed, delay)
 }
 
-// boot starts a server that is down, and its node with it.
-func (w *World) boot(s *server) {
+// startServer starts a server that is down, and its node with it.
+func (w *World) startServer(s *server) {
 	if s.State != model.Down {
 		return
 	}
@@ -87,11 +87,11 @@
 	w.discovery.updateEndpoint(s, balancer.Ready, w.scenario.Discovery.AddDelay)
 }
 
-// overload has a warming server fall over, and start again later.
-func (w *World) overload(s *server) {
+// crashOverloadedServer has a warming server fall over, and start again later.
+func (w *World) crashOverloadedServer(s *server) {
 	w.score.Overloads++
-	w.crash(s, false)
-	w.after(model.OverloadDowntime, func() { w.boot(s) })
+	w.crashServer(s, false)
+	w.after(model.OverloadDowntime, func() { w.startServer(s) })
 }
 
 // scheduleCompletion schedules the server's next completion. It must follow each change of what the server works on.
@@ -119,8 +119,8 @@
 	cellServers = 6           // that share a cell
 )
 
-// listed is how discovery lists the server when it is ready.
-func (s *server) listed(index int) balancer.Server {
+// endpoint is how discovery lists the server when it is ready.
+func (s *server) endpoint(index int) balancer.Server {
 	return balancer.Server{ID: s.ID, Zone: zone, Kind: s.Kind.Name, Cell: index / cellServers}
 }
 
--- a/internal/lab/simulation/visit.go
+++ b/internal/lab/simulation/visit.go
@@ -80,27 +80,27 @@
 		v.finish(false)
 		return
 	}
-	r.reply = func(how checker.Answer, _ time.Duration) {
-		if v.over() {
+	r.reply = func(answer checker.Answer, _ time.Duration) {
+		if v.hasEnded() {
 			return
 		}
-		w.after(0, func() { v.callAnswered(how) }) // not within the node's own event: what follows may come back to it
+		w.after(0, func() { v.callAnswered(answer) }) // not within the node's own event: what follows may come back to it
 	}
 	n.accept(r)
 	n.handle(balancer.Request{ID: r.id, Class: w.scenario.Classes[r.class].Name, Deadline: r.deadline})
 }
 
-// over says that the visit has ended, or the server that it was at.
-func (v *visit) over() bool {
+// hasEnded says that the visit has ended, or the server that it was at.
+func (v *visit) hasEnded() bool {
 	return v.ended || v.attempt.server.Incarnation != v.serverIncarnation
 }
 
 // callAnswered goes on with the visit after a call.
-func (v *visit) callAnswered(how checker.Answer) {
+func (v *visit) callAnswered(answer checker.Answer) {
 	w, s := v.world, v.attempt.server
 	switch {
-	case v.over():
-	case how != checker.Served:
+	case v.hasEnded():
+	case answer != checker.Served:
 		v.finish(false)
 	case v.callsLeft > 0:
 		v.callNextTier()
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -30,7 +30,7 @@
 discovery { calls_per_s = 100 spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300 silent_ms = 2000 }
 `
 
-func parsed(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("small.hcl", []byte(text), nil)
 	if err != nil {
@@ -39,9 +39,9 @@
 	return s
 }
 
-func play(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *checker.Checker) {
+func runWorld(t *testing.T, s *scenario.Scenario, newDecider NewDecider) (*score.Score, *checker.Checker) {
 	t.Helper()
-	w, err := New(s, decide)
+	w, err := New(s, newDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 
 func report(t *testing.T, s *scenario.Scenario) string {
 	t.Helper()
-	got, checked := play(t, s, policies.New)
+	got, checked := runWorld(t, s, policies.New)
 	var out bytes.Buffer
 	if err := got.Write(&out); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 
 // The scenarios that engineers play by hand must not show a broken rule of the lab's own: each but the fleet's, shortened,
 // keeps all rules.
-func TestShippedScenariosKeepTheRules(t *testing.T) {
+func TestShippedScenariosBreakNoRule(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(shippedScenarios, "*.hcl"))
 	if err != nil || len(files) < 13 {
 		t.Fatalf("%d scenarios, %v", len(files), err)
@@ -88,7 +88,7 @@
 				s.Faults[i].At /= 4
 				s.Faults[i].Duration /= 4
 			}
-			got, checked := play(t, s, policies.New)
+			got, checked := runWorld(t, s, policies.New)
 			for _, v := range checked.Violations() {
 				t.Error(v)
 			}
@@ -119,9 +119,9 @@
 
 // A figure that another machine does not give again can't be compared: the same seed gives the same bytes, for the module
 // and every reference policy, on any number of cores; another seed gives others.
-func TestSameSeedSameBytes(t *testing.T) {
+func TestSameSeedGivesIdenticalReport(t *testing.T) {
 	for _, policy := range policies.Names {
-		s := parsed(t, allFaults)
+		s := parseScenario(t, allFaults)
 		s.Policy = policy
 		first := report(t, s)
 		before := runtime.GOMAXPROCS(1)
@@ -130,7 +130,7 @@
 		if first != again {
 			t.Errorf("%s:\n%s\n%s", policy, first, again)
 		}
-		_, checked := play(t, s, policies.New)
+		_, checked := runWorld(t, s, policies.New)
 		for _, v := range checked.Violations() {
 			if policy == policies.Module || v.Rule != checker.WarmupOverload { // the references know nothing of warm-up
 				t.Errorf("%s: %v", policy, v)
@@ -145,8 +145,8 @@
 
 // Without any delay or jitter all that happens within a tier happens at one time, and a client's retry crosses the answer
 // to its first try. The order must come from the order of events alone.
-func TestZeroDelaysKeepTheOrder(t *testing.T) {
-	s := parsed(t, strings.Replace(allFaults, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
+func TestZeroDelaysAreDeterministic(t *testing.T) {
+	s := parseScenario(t, strings.Replace(allFaults, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
 		"net { hop_ms = 0 client_ms = 0 jitter = 0 handshake_trips = 0 }\nrules { slack_ms = 0 }")
 	s.Clients.Backoff, s.Ingress.FailureDetection = 0, 0
 	first := report(t, s)
@@ -166,14 +166,14 @@
 	alter func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action
 }
 
-func (r *violatingDecider) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	return r.alter(now, e, r.Decider.Handle(now, e))
+func (d *violatingDecider) Handle(now time.Duration, e balancer.Event) []balancer.Action {
+	return d.alter(now, e, d.Decider.Handle(now, e))
 }
 
-// violations are nodes that break one rule each, in the worlds that give them the occasion.
-var violations = map[checker.Rule]struct {
-	world string
-	spoil func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
+// violators are nodes that break one rule each, in the worlds that give them the occasion.
+var violators = map[checker.Rule]struct {
+	world   string
+	violate func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
 }{
 	checker.InTime: {smallWorld, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
@@ -280,15 +280,15 @@
 }
 
 // A checker that misses a broken rule lets it into every play: a node that breaks a rule is reported for that rule.
-func TestCheckerSeesEachViolation(t *testing.T) {
-	for rule, fault := range violations {
+func TestCheckerDetectsEachViolation(t *testing.T) {
+	for rule, violator := range violators {
 		t.Run(string(rule), func(t *testing.T) {
-			_, checked := play(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-				d, err := policies.New(name, set, seed, truth)
+			_, checked := runWorld(t, parseScenario(t, violator.world), func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+				d, err := policies.New(name, set, seed, inFlight)
 				if set.Tier > 0 {
 					return d, err // only ingress nodes violate
 				}
-				return &violatingDecider{d, fault.spoil()}, err
+				return &violatingDecider{d, violator.violate()}, err
 			})
 			for _, v := range checked.Violations() {
 				if v.Rule == rule {
@@ -304,11 +304,11 @@
 }
 
 // A node that exits on SIGTERM before it has answered loses requests that it had accepted.
-func TestRequestsLostOnStop(t *testing.T) {
-	s := parsed(t, smallWorld+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
+func TestCheckerDetectsRequestsLostOnShutdown(t *testing.T) {
+	s := parseScenario(t, smallWorld+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
 	s.Rules.Slack = time.Hour // so that nothing is late, only lost
-	_, checked := play(t, s, func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-		d, err := policies.New(name, set, seed, truth)
+	_, checked := runWorld(t, s, func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+		d, err := policies.New(name, set, seed, inFlight)
 		return &violatingDecider{d, func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && set.Tier == 0 {
 				return nil
@@ -326,23 +326,23 @@
 
 // The oracle sees every queue, so it must beat chance on a day without surprises: a lab that could not tell the
 // two apart would be of no use.
-func TestLabTellsPoliciesApart(t *testing.T) {
-	tails := map[string]time.Duration{}
+func TestOracleBeatsRandomPolicies(t *testing.T) {
+	p95 := map[string]time.Duration{}
 	for _, policy := range []string{"random", "two-random", "oracle"} {
-		s := parsed(t, strings.Replace(smallWorld, "rate = 120", "rate = 170", 1))
+		s := parseScenario(t, strings.Replace(smallWorld, "rate = 120", "rate = 170", 1))
 		s.Policy, s.Length = policy, 20*time.Second
-		got, _ := play(t, s, policies.New)
-		tails[policy] = got.Quantile(95)
+		got, _ := runWorld(t, s, policies.New)
+		p95[policy] = got.Quantile(95)
 	}
-	if !(tails["oracle"] < tails["two-random"] && tails["two-random"] < tails["random"]) {
-		t.Errorf("95%% of answers within %v", tails)
+	if !(p95["oracle"] < p95["two-random"] && p95["two-random"] < p95["random"]) {
+		t.Errorf("95%% of answers within %v", p95)
 	}
 }
 
-// playRecorded returns the history of a world, as it is seen from outside.
-func playRecorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (blackbox.Header, []blackbox.Event) {
+// runRecorded returns the history of a world, as it is seen from outside.
+func runRecorded(t *testing.T, s *scenario.Scenario, newDecider NewDecider) (blackbox.Header, []blackbox.Event) {
 	t.Helper()
-	w, err := New(s, decide)
+	w, err := New(s, newDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -365,9 +365,9 @@
 // and a node that breaks a rule does not.
 func TestSeededHistoriesPassBlackboxCheck(t *testing.T) {
 	for seed := range uint64(4) {
-		s := parsed(t, allFaults)
+		s := parseScenario(t, allFaults)
 		s.Seed = 100 + seed
-		h, events := playRecorded(t, s, policies.New)
+		h, events := runRecorded(t, s, policies.New)
 		for _, v := range blackbox.Check(h, events) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
@@ -375,16 +375,16 @@
 			t.Errorf("seed %d: only %d events", seed, len(events))
 		}
 	}
-	for rule, fault := range violations {
+	for rule, violator := range violators {
 		if rule == checker.OneAnswer || rule == checker.KnownServer { // what such a node does reaches nobody
 			continue
 		}
-		h, events := playRecorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-			d, err := policies.New(name, set, seed, truth)
+		h, events := runRecorded(t, parseScenario(t, violator.world), func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+			d, err := policies.New(name, set, seed, inFlight)
 			if set.Tier > 0 {
 				return d, err
 			}
-			return &violatingDecider{d, fault.spoil()}, err
+			return &violatingDecider{d, violator.violate()}, err
 		})
 		seen := map[checker.Rule]int{}
 		for _, v := range blackbox.Check(h, events) {
