--- a/internal/lab/model/arrivals.go
+++ b/internal/lab/model/arrivals.go
@@ -10,45 +10,47 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// An impatient client leaves after a share of its time, drawn evenly between these two: neither before its request has
-// arrived nor when its time is up anyway.
+// An impatient client leaves after a share of its timeout. The share is drawn uniformly from the range that begins at
+// leavesAfterMin and is leavesAfterSpan wide, so that the client leaves after its request has arrived and before its
+// timeout expires.
 const (
-	leavesAfterMin  = 0.05 // share of its time
-	leavesAfterSpan = 0.9  // share of its time
+	leavesAfterMin  = 0.05 // share of the client's timeout
+	leavesAfterSpan = 0.9  // share of the client's timeout
 )
 
 // rampStart is the share of the rate at which a ramp begins; it ends at the rate plus this share.
 const rampStart = 0.5
 
-// Stream returns a source of draws of its own: what one part of the world draws changes no other part's draws, and no two
-// seeds' draws resemble each other. (A PCG whose seeds differ only in their upper half keeps the lower half of its state in
-// step, which showed as intervals that were too narrow.)
+// Stream returns an independent random number generator for a seed, a name and a number. Draws by one part of the world
+// do not change the draws of another part, and the draws of different seeds are uncorrelated. It does not use a PCG:
+// two PCGs whose seeds differ only in the upper half keep the lower halves of their states in step, which made
+// confidence intervals too narrow.
 func Stream(seed uint64, name string, n int) *rand.Rand {
 	return rand.New(rand.NewChaCha8(sha256.Sum256(fmt.Appendf(nil, "%d %s %d", seed, name, n))))
 }
 
-// Arrival is the first try of a client's request.
+// Arrival describes the first try of a client's request.
 type Arrival struct {
 	At                time.Duration
 	Class             int
 	Tenant            int
 	Work              float64 // factor on the class's mean work
-	HonoursRetryAfter bool    // its client waits as long as Retry-After says
-	LeavesAfter       float64 // share of its time after which an impatient client leaves; 0: it stays
+	HonoursRetryAfter bool    // whether the client waits as long as Retry-After says
+	LeavesAfter       float64 // share of the timeout after which an impatient client leaves; 0: the client stays
 }
 
-// Arrivals draws first tries, one after another. They don't wait for answers.
+// Arrivals draws first tries, one after another. It generates an open-loop load: tries do not wait for answers.
 type Arrivals struct {
 	scenario *scenario.Scenario
 	rng      *rand.Rand
 	now      time.Duration
-	factor   float64 // on the rate, by an overload
-	recorded []Arrival
+	factor   float64   // multiplies the rate; not 1 during an overload
+	recorded []Arrival // not yet returned
 	classes  []float64 // shares of the classes
 	tenants  []float64 // shares of the tenants
 }
 
-// NewArrivals returns the arrivals of a scenario. Recorded ones are read from their file.
+// NewArrivals returns the arrivals of a scenario. Recorded arrivals are read from the scenario's file.
 func NewArrivals(s *scenario.Scenario) (*Arrivals, error) {
 	a := &Arrivals{scenario: s, rng: Stream(s.Seed, "arrivals", 0), factor: 1}
 	for _, c := range s.Classes {
@@ -64,10 +66,10 @@
 	return a, err
 }
 
-// SetFactor multiplies the rate from now on.
+// SetFactor sets the factor by which the scenario's rate is multiplied from now on.
 func (a *Arrivals) SetFactor(factor float64) { a.factor = factor }
 
-// Draw draws an arrival at a time, whatever the process: closed loops take theirs from here.
+// Draw draws an arrival at the given time, independently of the arrival process. Closed loops call it directly.
 func (a *Arrivals) Draw(at time.Duration) Arrival {
 	class := pickByShare(a.rng, a.classes)
 	variation := a.scenario.Classes[class].WorkVariation
@@ -85,7 +87,7 @@
 	return arrival
 }
 
-// Next is the next arrival. It returns false after the last one.
+// Next returns the next arrival. It returns false after the last one.
 func (a *Arrivals) Next() (Arrival, bool) {
 	if a.scenario.Clients.Arrivals == scenario.ArrivalsRecorded {
 		return a.nextRecorded()
@@ -110,7 +112,7 @@
 	return arrival, arrival.At < a.scenario.Length
 }
 
-// pickByShare draws an index by weights.
+// pickByShare draws an index with a probability proportional to its share.
 func pickByShare(rng *rand.Rand, shares []float64) int {
 	sum := 0.0
 	for _, s := range shares {
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -6,10 +6,11 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// IngressDrainDelay is how long the ingress still sends new connections to a node that was asked to stop.
+// IngressDrainDelay is how long the ingress still sends new connections to a node after the node received SIGTERM.
 const IngressDrainDelay = 300 * time.Millisecond
 
-// MaxRetries is how often a client retries at most: more often in a retry storm of a magnitude above 1.
+// MaxRetries returns how many times a client retries a request at most. A retry storm with a magnitude above 1
+// multiplies that number.
 func MaxRetries(s *scenario.Scenario, storm float64) int {
 	if storm > 1 {
 		return int(float64(max(1, s.Clients.Retries)) * storm)
@@ -17,8 +18,8 @@
 	return s.Clients.Retries
 }
 
-// TryTimeout is the time that a client gives a try, out of what it has left: all of it for the last try, otherwise a share
-// of the class's deadline.
+// TryTimeout returns the timeout of a client's try. The last try gets all of the time left until the deadline; earlier
+// tries get a share of the class's deadline, but no more than the time left.
 func TryTimeout(s *scenario.Scenario, class, try, retries int, left time.Duration) time.Duration {
 	if try >= retries {
 		return left
@@ -26,7 +27,7 @@
 	return min(left, time.Duration(s.Clients.TryTimeoutShare*float64(s.Classes[class].Deadline)))
 }
 
-// LongestDeadline is the longest deadline of all classes.
+// LongestDeadline returns the longest deadline of all classes.
 func LongestDeadline(s *scenario.Scenario) (longest time.Duration) {
 	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline)
--- a/internal/lab/model/job.go
+++ b/internal/lab/model/job.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Job is one visit of a request to a server. Its work comes in stages, with calls to the next tier between them.
+// Job is the work for one request at one server. It has stages, with calls to the next tier between them.
 type Job struct {
-	Owner any           // belongs to whoever offers the job
-	Work  time.Duration // of the present stage, at speed 1
+	Owner any           // set and used only by the caller of Admit
+	Work  time.Duration // of the current stage, at speed 1
 
-	WorkDone time.Duration // by servers for this job, in all finished stages
-	finishAt float64       // attained service at which the present stage is done
-	sequence uint64        // in the order of admission
+	WorkDone time.Duration // in all finished stages
+	finishAt float64       // attained service of the server at which the current stage is done
+	sequence uint64        // increases in the order of admission
 	state    jobState
 }
 
-// jobState is where a job is. Only its server changes it.
+// jobState is the state of a job. Only the job's server changes it.
 type jobState int
 
 const (
-	jobAbsent  jobState = iota // not at a server, or no longer
+	jobAbsent  jobState = iota // not yet admitted, or finished, canceled or lost
 	jobQueued                  // waits for a slot
 	jobRunning                 // shares the cores
 	jobCalling                 // keeps its slot without using a core, until Resume or Release
 )
 
-// jobHeap is a heap.Interface: the job that finishes first is on top, of equal ones the older.
+// jobHeap implements heap.Interface. The job that finishes first is on top; of jobs that finish together, the one that
+// was admitted first.
 type jobHeap []*Job
 
 // Len implements heap.Interface.
--- a/internal/lab/model/nodesettings.go
+++ b/internal/lab/model/nodesettings.go
@@ -7,14 +7,15 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Settings that the operators give all nodes, and that no scenario varies.
+// Settings that are the same for all nodes in all scenarios.
 const (
-	totalValueWeight = 0.6              // weight of the value served in all
-	worstClassWeight = 0.1              // weight of the worst class
-	timerTolerance   = time.Millisecond // between two looks at timers
+	totalValueWeight = 0.6              // weight of the total value served
+	worstClassWeight = 0.1              // weight of the class with the lowest value share
+	timerTolerance   = time.Millisecond // interval at which timers are checked
 )
 
-// NodeSettings are the settings of a node that sends to a tier as replica number replicaIndex of so many replicas.
+// NodeSettings returns the settings of a node that sends to a tier. The node is replica number replicaIndex of replicas
+// nodes that do so.
 func NodeSettings(s *scenario.Scenario, tier, replicaIndex, replicas int) balancer.Settings {
 	settings := balancer.Settings{
 		Replicas:           replicas,
--- a/internal/lab/model/overload.go
+++ b/internal/lab/model/overload.go
@@ -7,31 +7,32 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// OverloadDowntime is how long a warming server that fell over stays down.
+// OverloadDowntime is how long a warming server stays down after an overload crashed it.
 const OverloadDowntime = 5 * time.Second
 
-// allowedDeviations is how many standard deviations of a Poisson count of requests a warming server bears beyond the
-// allowed mean, and how many requests in any case, as the operators count.
+// allowedDeviations is how far the number of requests may exceed the allowed mean before a warming server crashes: by
+// this many standard deviations of a Poisson count, plus this many requests. The operators use the same definition.
 const allowedDeviations = 3
 
-// overloadGuard watches what a warming server is sent: a server that gets more than a multiple of what it can do within a
-// window falls over, and would take a node's other requests with it.
+// overloadGuard decides when a warming server crashes from overload: when the work that arrives within a window exceeds
+// a multiple of the server's capacity. All requests at the server are then lost.
 type overloadGuard struct {
-	multiple    float64 // of its capacity; 0: it never falls over
+	multiple    float64 // of the server's capacity; 0: the server never crashes from overload
 	window      time.Duration
 	arrivals    []arrivedWork // within the window
-	largestWork float64       // of a request since the start, in seconds
+	largestWork float64       // largest work of a request since the start, in seconds
 }
 
-// arrivedWork is the work of one request that arrived.
+// arrivedWork is the work of one request and the time at which the request arrived.
 type arrivedWork struct {
 	at   time.Duration
 	work float64 // in seconds at speed 1
 }
 
-// RecordArrival notes work sent to a server and returns whether the server falls over. With a mean allowance of N
-// requests in the window it falls with more than N + 3 x root of N + 3 of them. Where the mean work is not known, one
-// largest request is granted for chance: an idle server that gets a single long one is not overloaded.
+// RecordArrival records the work of a request that arrives at a server and reports whether the server crashes from
+// overload. If the allowed work in the window is that of N mean requests, the server crashes at more than N + 3 x
+// sqrt(N) + 3 of them. If the mean work is not known, the allowance is increased by the largest request instead, so
+// that a single long request does not overload an idle server.
 func (s *Server) RecordArrival(now, work time.Duration) (overloaded bool) {
 	if s.multiple <= 0 || s.WarmShare(now) >= 1 {
 		s.arrivals = nil
@@ -48,7 +49,7 @@
 	return sum > allowed+s.largestWork
 }
 
-// forgetArrivalsBefore drops the arrivals up to a time and returns the work of the others, in seconds.
+// forgetArrivalsBefore removes the arrivals up to and including begin and returns the work of the others, in seconds.
 func (s *Server) forgetArrivalsBefore(begin time.Duration) (sum float64) {
 	kept := s.arrivals[:0]
 	for _, a := range s.arrivals {
@@ -61,7 +62,7 @@
 	return sum
 }
 
-// MeanWork is the mean work of a request at a tier's servers, at speed 1.
+// MeanWork returns the mean work of a request at a tier's servers, at speed 1.
 func MeanWork(s *scenario.Scenario, tier int) time.Duration {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Classes {
--- a/internal/lab/model/processfaults.go
+++ b/internal/lab/model/processfaults.go
@@ -9,18 +9,18 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// ProcessFault is a fault between processes, which only a fleet of them can have.
+// ProcessFault is a fault of processes or of the links between them. It can occur only in a fleet of processes.
 type ProcessFault struct {
 	scenario.Fault
 	From, To time.Duration
 
-	// Targets is what the fault hits: the number of a node; of a process that holds a tier's servers; 0 for discovery; and
-	// for an administrative override the index of a server and its tier.
+	// Targets says what the fault hits: the index of a node, the index of a process that runs servers of a tier, or 0
+	// for discovery. An administrative override has the index of a server and the index of its tier.
 	Targets []int
 }
 
-// ProcessFaults are the faults of a scenario that need processes, in the order of the file. What they hit is drawn from
-// the seed.
+// ProcessFaults returns the faults of a scenario that need processes, in the order of the file. Their targets are drawn
+// from the seed.
 func ProcessFaults(s *scenario.Scenario) (list []ProcessFault, err error) {
 	for n, f := range s.Faults {
 		if !slices.Contains(scenario.ProcessFaultKinds, f.Kind) {
@@ -36,7 +36,7 @@
 	return list, nil
 }
 
-// targetOf is what a fault hits, and how many of that there are to draw from.
+// targetOf returns the kind of process or object that a fault hits, and how many of them there are to draw from.
 func targetOf(s *scenario.Scenario, f scenario.Fault) (target string, count int) {
 	tier := tierIndex(s, f.Tier)
 	switch {
@@ -52,7 +52,8 @@
 	return f.Target, 1
 }
 
-// affectsLinks says that a kind of fault hits the links between two kinds of processes, and not processes as such.
+// affectsLinks reports whether a kind of fault hits the links between two kinds of processes, not the processes
+// themselves.
 func affectsLinks(kind string) bool {
 	switch kind {
 	case scenario.FaultStall, scenario.FaultServerKill, scenario.FaultUpgrade, scenario.FaultAdminOverride, scenario.FaultMuteWatches:
@@ -61,7 +62,7 @@
 	return true
 }
 
-// nodeCount counts all nodes: those of the ingress, and one beside each server that calls another tier.
+// nodeCount returns the number of all nodes: the ingress nodes, and one node for each server that calls another tier.
 func nodeCount(s *scenario.Scenario) int {
 	count := s.Ingress.Nodes
 	for _, tier := range s.Tiers[:len(s.Tiers)-1] {
@@ -70,7 +71,7 @@
 	return count
 }
 
-// drawProcessFaults draws the targets of a fault, and for each when it is hit.
+// drawProcessFaults draws the targets of a fault and the time at which each of them is hit.
 func drawProcessFaults(s *scenario.Scenario, f scenario.Fault, count int, rng *rand.Rand) (list []ProcessFault) {
 	for _, i := range drawShare(rng, count, f.TargetShare) {
 		at := f.At + time.Duration(rng.Float64()*float64(f.Spread))
@@ -87,7 +88,7 @@
 	return slices.IndexFunc(s.Tiers, func(t scenario.Tier) bool { return t.Name == name })
 }
 
-// WithoutProcessFaults is a scenario with only the faults that every way of playing knows.
+// WithoutProcessFaults returns a copy of a scenario without the faults that need processes.
 func WithoutProcessFaults(s *scenario.Scenario) *scenario.Scenario {
 	c := *s
 	c.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f scenario.Fault) bool {
--- a/internal/lab/model/processfaults_test.go
+++ b/internal/lab/model/processfaults_test.go
@@ -26,8 +26,8 @@
 	return s
 }
 
-// The same file and seed hit the same processes at the same times, another seed others: a schedule that was found can be
-// played again.
+// With the same file and seed, faults hit the same processes at the same times; with another seed they differ.
+// Otherwise a fault schedule that showed a failure could not be run again.
 func TestProcessFaultsDependOnSeed(t *testing.T) {
 	const text = `trouble "stall" { at_s = 2 length_s = 3 spread_s = 1 part = 0.5 }
 trouble "box_kill" { at_s = 4 tier = "front" part = 0.5 }
@@ -40,11 +40,11 @@
 	}
 	again, _ := ProcessFaults(parseScenario(t, text))
 	if !reflect.DeepEqual(first, again) {
-		t.Error("two draws of one seed differ")
+		t.Error("two draws with the same seed differ")
 	}
 	s.Seed = 4
 	if other, _ := ProcessFaults(s); reflect.DeepEqual(first, other) {
-		t.Error("another seed draws the same")
+		t.Error("two draws with different seeds are equal")
 	}
 	counts := map[string]int{}
 	for _, fault := range first {
@@ -54,7 +54,7 @@
 		}
 	}
 	if !reflect.DeepEqual(counts, map[string]int{"stall": 5, "box_kill": 2, "cut": 1}) {
-		t.Errorf("hit: %v", counts)
+		t.Errorf("faults by kind: %v, want 5 stall, 2 box_kill, 1 cut", counts)
 	}
 	changes, err := WorldChanges(WithoutProcessFaults(s))
 	if err != nil {
@@ -67,22 +67,22 @@
 			kills[c.Index] = c.At
 		case NodeStart:
 			if c.At-kills[c.Index] != 2*time.Second {
-				t.Errorf("node %d is away for %v", c.Index, c.At-kills[c.Index])
+				t.Errorf("node %d is down for %v, want 2s", c.Index, c.At-kills[c.Index])
 			}
 		}
 	}
 	if len(kills) != 7 {
-		t.Errorf("%d of 10 nodes are killed", len(kills))
+		t.Errorf("%d of 10 nodes are killed, want 7", len(kills))
 	}
 	for i, at := range kills {
 		if at < time.Second || at > 1400*time.Millisecond {
-			t.Errorf("node %d is killed at %v", i, at)
+			t.Errorf("node %d is killed at %v, want between 1s and 1.4s", i, at)
 		}
 	}
 }
 
-// A kill with a period is a crash loop: each start is killed again until the duration is over, and the last one stays.
-// Two faults that have discovery down at a time are one outage, from the first one's beginning to the later one's end.
+// A kill with a period is a crash loop: the node is killed again after each start until the fault ends; it survives the
+// last start. Overlapping discovery outages are one outage, from the first beginning to the last end.
 func TestOverlappingFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`trouble "kill" { at_s = 2 length_s = 6 part = 0.1 period_s = 2 }`: "node killed 2s, node starts 2.5s, node killed 4s, node starts 4.5s, node killed 6s, node starts 6.5s",
@@ -100,19 +100,19 @@
 			got = append(got, c.Kind.String()+" "+c.At.String())
 		}
 		if strings.Join(got, ", ") != want {
-			t.Errorf("%s: %v", text, got)
+			t.Errorf("%s: changes %v, want %v", text, got, want)
 		}
 	}
 }
 
-// An upgrade hits all nodes, those beside servers included.
+// An upgrade hits all nodes: those of the ingress and those of servers.
 func TestUpgradeHitsAllNodes(t *testing.T) {
 	if list, err := ProcessFaults(parseScenario(t, `trouble "upgrade" { part = 1 }`)); err != nil || len(list) != 10+7 {
-		t.Errorf("%d nodes are replaced, %v", len(list), err)
+		t.Errorf("%d nodes are replaced, want 17; error %v", len(list), err)
 	}
 }
 
-// A fault that needs processes can't be played in virtual time, and a link that does not exist can't be cut.
+// A fault that needs processes is an error in virtual time, and so is a cut of a link that does not exist.
 func TestImpossibleProcessFaultsAreErrors(t *testing.T) {
 	for _, kind := range scenario.ProcessFaultKinds {
 		if _, err := WorldChanges(parseScenario(t, `trouble "`+kind+`" {}`)); err == nil || !strings.Contains(err.Error(), "lab fleet") {
@@ -120,6 +120,6 @@
 		}
 	}
 	if _, err := ProcessFaults(parseScenario(t, `trouble "cut" { who = "boxes" whom = "boxes" }`)); err == nil {
-		t.Error("servers are cut from servers")
+		t.Error("no error for a cut between servers, which have no links to each other")
 	}
 }
--- a/internal/lab/model/recorded.go
+++ b/internal/lab/model/recorded.go
@@ -11,10 +11,10 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// maxRecordedWork is the largest factor on the work that a recorded arrival may have: more is a mistake in the file.
+// maxRecordedWork is the upper bound of a recorded arrival's work factor. A larger one is a mistake in the file.
 const maxRecordedWork = 1e6
 
-// recordedArrival is a line of a file of recorded arrivals.
+// recordedArrival is one line of a file of recorded arrivals.
 type recordedArrival struct {
 	AtMS   float64 `json:"at_ms"`
 	Class  string  `json:"class"`
@@ -23,7 +23,7 @@
 	Honour bool    `json:"honour"`
 }
 
-// readRecorded reads a line of JSON for each arrival, in the order of their times.
+// readRecorded reads the scenario's file of recorded arrivals: one JSON object a line, ordered by time.
 func readRecorded(s *scenario.Scenario) (list []Arrival, err error) {
 	path := s.Clients.ArrivalsFile
 	f, err := os.Open(path)
@@ -40,7 +40,7 @@
 		}
 		a := r.arrival(s)
 		if a.Class < 0 || a.Tenant < 0 || a.At < last || !(a.Work > 0 && a.Work < maxRecordedWork) {
-			return nil, fmt.Errorf("%s:%d: class, tenant, work or the order of times is wrong", path, n)
+			return nil, fmt.Errorf("%s:%d: class or tenant is unknown, work is out of range, or the time is before that of the previous line", path, n)
 		}
 		last = a.At
 		list = append(list, a)
@@ -51,7 +51,7 @@
 	return list, nil
 }
 
-// arrival finds the class and the tenant; -1: there is none of the name.
+// arrival converts a line into an Arrival. Class or Tenant is -1 if the scenario has none of that name.
 func (r recordedArrival) arrival(s *scenario.Scenario) Arrival {
 	return Arrival{
 		At:                time.Duration(r.AtMS * float64(time.Millisecond)),
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -11,33 +11,33 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// ServerState is whether a server accepts requests.
+// ServerState says whether a server accepts requests.
 type ServerState int
 
-// States of a server. Start and Stop move between Up and Down; whoever plays the world sets Draining.
+// States of a server. Start and Stop switch between Up and Down; the code that runs the world sets Draining.
 const (
 	Up       ServerState = iota // accepts requests
-	Draining                    // finishes what it has and accepts nothing new
+	Draining                    // finishes its requests and accepts no new ones
 	Down                        // its process does not run
 )
 
-// Limits of the times at which a server is looked at.
+// Limits for the computation of completion times.
 const (
-	// warmupStep is how often the speed of a warming server is computed anew.
+	// warmupStep is the interval at which the speed of a warming server is recomputed.
 	warmupStep = 100 * time.Millisecond
 
-	// maxCompletionWait bounds the wait for a completion, for a server so slow that the time would overflow.
+	// maxCompletionWait bounds the wait for a completion, because a very slow server's wait would overflow.
 	maxCompletionWait = time.Hour
 
-	// minServiceRate stands for a rate of zero in a division.
+	// minServiceRate replaces a rate of zero in a division.
 	minServiceRate = 1e-9
 
-	// roundingError is the service in ns by which rounding can leave a finished stage short.
+	// roundingError is the service in ns that a finished stage can lack because of rounding.
 	roundingError = 1
 )
 
-// Server is a server of the operators' chain: cores that are shared evenly among the running requests, a number of slots,
-// a queue, and less efficiency when crowded. A fresh server has a share of its capacity and warms up.
+// Server models a server: cores that are shared equally by the running requests, a number of slots, a queue, and lower
+// efficiency when crowded. A freshly started server has only a share of its capacity and warms up.
 type Server struct {
 	ID          string
 	Tier        int
@@ -49,20 +49,20 @@
 	Incarnation int           // starts so far
 	Connections int           // open now
 
-	SpeedFactor float64       // by faults
+	SpeedFactor float64       // product of the factors of all active faults
 	MeanWork    time.Duration // of a request at its tier
 	overloadGuard
 
 	running         jobHeap
 	queued          []*Job
-	calling         map[*Job]bool // those that wait for the next tier, in their slots
+	calling         map[*Job]bool // wait for calls to the next tier; each keeps its slot
 	slotsTaken      int
-	advancedTo      time.Duration
-	attainedService float64 // of a job that has run since the start, in ns at speed 1
+	advancedTo      time.Duration // time up to which attainedService is computed
+	attainedService float64       // cumulative, of each running job, in ns at speed 1
 	lastSequence    uint64
 }
 
-// NewServer returns a warm server.
+// NewServer returns a server that is up and already warm.
 func NewServer(id string, tier, index int, kind *scenario.ServerKind, rules scenario.Rules) *Server {
 	return &Server{ID: id, Tier: tier, Index: index, Kind: kind, SpeedFactor: 1, calling: map[*Job]bool{},
 		overloadGuard: overloadGuard{multiple: rules.OverloadMultiple, window: rules.OverloadWindow}}
@@ -75,8 +75,8 @@
 	s.arrivals, s.largestWork = nil, 0
 }
 
-// Stop ends the process at once and returns the jobs that died with it, in the order of their admission, those that wait
-// for calls included. Later calls for these jobs have no effect.
+// Stop ends the process at once and returns the lost jobs in the order of their admission, including those that wait
+// for calls. Resume, Release and CancelQueued have no effect on a lost job.
 func (s *Server) Stop() (lost []*Job) {
 	lost = slices.Concat(s.running, s.queued, slices.Collect(maps.Keys(s.calling)))
 	slices.SortFunc(lost, func(a, b *Job) int { return cmp.Compare(a.sequence, b.sequence) })
@@ -89,7 +89,7 @@
 	return lost
 }
 
-// WarmShare is the share of its capacity that a server has at a time: it grows evenly over the warm-up.
+// WarmShare returns the share of its capacity that a server has at a time. The share grows linearly during the warm-up.
 func (s *Server) WarmShare(now time.Duration) float64 {
 	age := now - s.StartTime
 	if s.StartTime == 0 || age >= s.Kind.WarmupDuration || s.Kind.WarmupDuration == 0 {
@@ -98,15 +98,15 @@
 	return s.Kind.WarmupStartShare + (1-s.Kind.WarmupStartShare)*float64(age)/float64(s.Kind.WarmupDuration)
 }
 
-// Capacity is the work a second that a server could do if nothing else slowed it.
+// Capacity returns the work per second that a server can do without crowding and faults.
 func (s *Server) Capacity(now time.Duration) float64 {
 	return s.Kind.Cores * s.Kind.Speed * s.WarmShare(now)
 }
 
-// InFlight counts the requests that a server has in its slots and its queue.
+// InFlight returns the number of requests in the server's slots and queue.
 func (s *Server) InFlight() int { return s.slotsTaken + len(s.queued) }
 
-// serviceRate is the service that each running job attains in a second.
+// serviceRate returns the service per unit of time that each running job attains.
 func (s *Server) serviceRate(now time.Duration) float64 {
 	n := len(s.running)
 	if n == 0 {
@@ -119,8 +119,8 @@
 	return rate
 }
 
-// advance adds the service that the running jobs attained since the last call. The rate at the middle of that time is
-// exact for a share that grows evenly.
+// advance adds the service that the running jobs attained since the last call. It uses the rate at the middle of that
+// interval, which is exact while the warm share grows linearly.
 func (s *Server) advance(now time.Duration) {
 	if now > s.advancedTo {
 		s.attainedService += float64(now-s.advancedTo) * s.serviceRate(s.advancedTo+(now-s.advancedTo)/2)
@@ -128,7 +128,7 @@
 	}
 }
 
-// Admit offers a server one more request. It returns false if the server is full or accepts nothing new.
+// Admit offers a request to a server. It returns false if the server is full, draining or down.
 func (s *Server) Admit(now time.Duration, j *Job) bool {
 	s.advance(now)
 	if s.State != Up || s.slotsTaken >= s.Kind.Concurrency && len(s.queued) >= s.Kind.QueueLength {
@@ -146,14 +146,14 @@
 	return true
 }
 
-// startWork begins a stage of a job that has a slot.
+// startWork starts a stage of a job that has a slot.
 func (s *Server) startWork(j *Job) {
 	j.state = jobRunning
 	j.finishAt = s.attainedService + float64(j.Work)
 	heap.Push(&s.running, j)
 }
 
-// Resume begins the next stage of a job that waited for calls.
+// Resume starts the next stage of a job that waited for calls.
 func (s *Server) Resume(now time.Duration, j *Job, work time.Duration) {
 	if j.state != jobCalling {
 		return
@@ -164,7 +164,7 @@
 	s.startWork(j)
 }
 
-// Release frees the slot of a job whose last stage is done, or whose call failed.
+// Release frees the slot of a job whose last stage is done or whose call failed.
 func (s *Server) Release(now time.Duration, j *Job) {
 	if j.state != jobCalling {
 		return
@@ -176,7 +176,8 @@
 	s.startQueued()
 }
 
-// CancelQueued removes a job from the queue, where the kind of server does that, and returns whether it did.
+// CancelQueued removes a job from the queue if the kind of server cancels queued requests. It reports whether the job
+// was removed.
 func (s *Server) CancelQueued(now time.Duration, j *Job) bool {
 	if j.state != jobQueued || !s.Kind.CancelsQueued {
 		return false
@@ -187,7 +188,7 @@
 	return true
 }
 
-// startQueued gives free slots to the jobs that have waited longest.
+// startQueued gives the free slots to the jobs that have waited longest.
 func (s *Server) startQueued() {
 	for s.slotsTaken < s.Kind.Concurrency && len(s.queued) > 0 {
 		j := s.queued[0]
@@ -197,7 +198,7 @@
 	}
 }
 
-// Completed returns the jobs whose stage is done by now. They keep their slots until Resume or Release.
+// Completed returns the jobs whose current stage is done by now. They keep their slots until Resume or Release.
 func (s *Server) Completed(now time.Duration) (done []*Job) {
 	s.advance(now)
 	for len(s.running) > 0 && s.running[0].finishAt <= s.attainedService+roundingError {
@@ -210,7 +211,7 @@
 	return done
 }
 
-// NextCompletion is when to call Completed next. It returns false if nothing runs.
+// NextCompletion returns the time at which to call Completed next. It returns false if no job runs.
 func (s *Server) NextCompletion(now time.Duration) (at time.Duration, ok bool) {
 	if len(s.running) == 0 {
 		return 0, false
@@ -224,7 +225,7 @@
 	return now + max(1, min(wait, maxCompletionWait)), true
 }
 
-// SetSpeedFactor changes the factor on a server's speed.
+// SetSpeedFactor sets the factor by which a server's speed is multiplied.
 func (s *Server) SetSpeedFactor(now time.Duration, factor float64) {
 	s.advance(now)
 	s.SpeedFactor = factor
--- a/internal/lab/model/worldfaults.go
+++ b/internal/lab/model/worldfaults.go
@@ -11,22 +11,22 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Steps of a rolling release of servers, as shares of the time that each server has: after the drain it finishes its
-// requests, is replaced, and starts again before the next server drains.
+// Steps of a rolling release, as percentages of the time allotted to each server. A server drains, finishes its
+// requests, stops, and starts again before the next server drains.
 const (
-	releaseCrashPercent = 60 // its process ends
-	releaseStartPercent = 80 // it starts again
+	releaseCrashPercent = 60 // the old process ends
+	releaseStartPercent = 80 // the new process starts
 )
 
-// A node in a crash loop is down for a quarter of the period, as a supervisor restarts it soon, and never for longer
-// than it takes the ingress to notice.
+// A node in a crash loop is down for a quarter of the period, because a supervisor restarts it soon, and never for
+// longer than the ingress needs to detect the failure.
 const (
 	crashLoopDownShare = 4           // divisor of the period
 	crashLoopMaxDown   = time.Second // below the default detection time of the ingress
 )
 
-// WorldChanges turns the faults of a scenario into changes in order of time. The servers and nodes that a fault hits are
-// drawn from the scenario's seed. A fault that needs processes is an error.
+// WorldChanges converts the faults of a scenario into changes, ordered by time. The servers and nodes that a fault hits
+// are drawn from the scenario's seed. A fault that needs processes is an error.
 func WorldChanges(s *scenario.Scenario) ([]Change, error) {
 	var changes []Change
 	for n, f := range s.Faults {
@@ -52,7 +52,8 @@
 	changes  []Change
 }
 
-// newFaultPlan draws the servers that a fault hits, also where its kind hits none: the draws that follow depend on it.
+// newFaultPlan draws the servers that a fault hits. It draws them even for kinds that hit no servers, because the draw
+// affects all later draws from the stream.
 func newFaultPlan(s *scenario.Scenario, f scenario.Fault, rng *rand.Rand) *faultPlan {
 	tier := tierIndex(s, f.Tier)
 	class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == f.Class })
@@ -60,13 +61,14 @@
 		servers: drawShare(rng, s.Tiers[tier].ServerCount(), f.TargetShare)}
 }
 
-// addChange adds one addChange.
+// addChange adds one change with the fault's tier, share, class and folder state.
 func (p *faultPlan) addChange(at time.Duration, kind ChangeKind, index int, magnitude float64) {
 	p.changes = append(p.changes, Change{At: at, Kind: kind, Tier: p.tier, Index: index, Magnitude: magnitude,
 		Share: p.fault.Share, Class: p.class, Folder: p.fault.Folder})
 }
 
-// addForAllServers adds a change to all servers that the fault hits at its beginning, and another one at its end.
+// addForAllServers adds two changes for each server that the fault hits: begin at the start of the fault, end at its
+// end.
 func (p *faultPlan) addForAllServers(begin, end ChangeKind) {
 	for _, i := range p.servers {
 		p.addChange(p.fault.At, begin, i, 0)
@@ -74,7 +76,7 @@
 	}
 }
 
-// addFault adds the changes of the fault.
+// addFault adds all changes of the fault.
 func (p *faultPlan) addFault() error {
 	at, magnitude := p.fault.At, p.fault.Magnitude
 	switch p.fault.Kind {
@@ -116,21 +118,22 @@
 		p.addChange(at, RetryStorm, 0, magnitude)
 		p.addChange(p.end, RetryStorm, 0, 1)
 	default:
-		return fmt.Errorf("%s: trouble %q needs processes: lab fleet plays it", p.fault.Position, p.fault.Kind)
+		return fmt.Errorf("%s: trouble %q needs processes: run the scenario with lab fleet", p.fault.Position, p.fault.Kind)
 	}
 	return nil
 }
 
-// addNeighbor has another tenant of the servers' machines take a share of their cores.
+// addNeighbor slows the servers down as if another tenant of their machines took a share of their cores.
 func (p *faultPlan) addNeighbor() error {
 	if p.fault.Magnitude >= 1 {
-		return fmt.Errorf("%s: a neighbour's size is the share that it takes, under 1", p.fault.Position)
+		return fmt.Errorf("%s: size of trouble %q is the share of the cores that it takes and must be below 1, not %v", p.fault.Position, p.fault.Kind, p.fault.Magnitude)
 	}
 	p.addSlowdown(1 - p.fault.Magnitude)
 	return nil
 }
 
-// addSlowdown multiplies the speed of the servers by a factor, throughout or on and off by the period.
+// addSlowdown multiplies the speed of the servers by a factor: for the whole fault, or, if the fault has a period, in
+// every other period.
 func (p *faultPlan) addSlowdown(factor float64) {
 	step := p.fault.Period
 	if step == 0 {
@@ -154,7 +157,7 @@
 	}
 }
 
-// addRelease replaces the servers one after another.
+// addRelease restarts the servers one after another.
 func (p *faultPlan) addRelease() {
 	step := p.fault.Duration / time.Duration(max(1, len(p.servers)))
 	for k, i := range p.servers {
@@ -165,7 +168,7 @@
 	}
 }
 
-// addNodeRestarts ends ingress nodes one after another, and starts each again when it is the next one's turn.
+// addNodeRestarts ends ingress nodes one after another. Each node starts again when the next one ends.
 func (p *faultPlan) addNodeRestarts(end ChangeKind) {
 	nodes := drawShare(p.rng, p.scenario.Ingress.Nodes, p.fault.TargetShare)
 	step := p.fault.Duration / time.Duration(max(1, len(nodes)))
@@ -176,7 +179,7 @@
 	}
 }
 
-// addNodeKills kills ingress nodes together, within the spread. With a period each node is in a crash loop.
+// addNodeKills kills ingress nodes, each at a time drawn from the spread. With a period, each node is in a crash loop.
 func (p *faultPlan) addNodeKills() {
 	f := p.fault
 	for _, i := range drawShare(p.rng, p.scenario.Ingress.Nodes, f.TargetShare) {
@@ -193,8 +196,8 @@
 	}
 }
 
-// mergeDiscoveryOutages drops the changes in between where several faults have discovery down at a time: it goes down
-// once and comes back after the last of them.
+// mergeDiscoveryOutages merges overlapping discovery outages into one. It removes all changes but the first that takes
+// discovery down and the last that brings it back.
 func mergeDiscoveryOutages(changes []Change) []Change {
 	down := 0
 	return slices.DeleteFunc(changes, func(c Change) bool {
@@ -210,7 +213,7 @@
 	})
 }
 
-// drawShare draws a share of n things, at least one, in the order of their numbers.
+// drawShare draws a share of the indices below n, but at least one, and returns them in ascending order.
 func drawShare(rng *rand.Rand, n int, share float64) []int {
 	k := min(n, max(1, int(math.Round(share*float64(n)))))
 	list := rng.Perm(n)[:k]
