--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -10,22 +10,22 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// attempt is one time that a node sends a request to a server. The first outcome ends it.
+// attempt is one attempt of a node to have a request served by a server. The first outcome ends it.
 type attempt struct {
 	node              *node
 	nodeIncarnation   int
 	request           *nodeRequest
 	number            int
-	server            *server // nil: there is none of the ID
+	server            *server // nil: no server has serverID
 	serverID          string
 	serverIncarnation int
-	hasConnection     bool // a connection for it counts at the server
+	hasConnection     bool // its connection is counted in server.Connections
 	sentAt            time.Duration
 	ended             bool
-	visit             *visit // nil: the server has not accepted it
+	visit             *visit // nil: the server has not admitted the request
 }
 
-// send starts an attempt over an idle connection, or over a new one that costs a handshake.
+// send starts an attempt over an idle connection, or over a new connection, which needs a handshake.
 func (n *node) send(s balancer.Send) {
 	w := n.world
 	w.checker.AttemptSent(w.now, n.name, s.ID, s.Server)
@@ -48,7 +48,7 @@
 	a.connect()
 }
 
-// connect takes a connection, and has the request arrive over it.
+// connect takes an idle connection or opens a new one, and schedules the arrival of the request at the server.
 func (a *attempt) connect() {
 	w, s := a.node.world, a.server
 	hop := w.jitter(w.scenario.Network.ServerLatency)
@@ -73,27 +73,27 @@
 	}
 }
 
-// arrive is the last byte of a request at its server.
+// arrive handles the arrival of a complete request at its server.
 func (a *attempt) arrive(handshake time.Duration) {
 	w, s := a.node.world, a.server
 	hop := w.jitter(w.scenario.Network.ServerLatency)
 	switch {
-	case s.Unreachable: // nobody answers
+	case s.Unreachable: // no answer; the attempt times out
 		return
 	case s.Incarnation != a.serverIncarnation || s.State == model.Down:
 		a.endAfter(hop, balancer.ConnectionLost)
 		return
-	case a.ended && a.nodeIncarnation != a.node.incarnation: // its node died before it had sent it
+	case a.ended && a.nodeIncarnation != a.node.incarnation: // the node died before it had sent the complete request
 		return
 	}
 	v := newVisit(w, a, handshake)
 	work := v.beginWork()
 	a.record(blackbox.Event{Kind: blackbox.AttemptArrived, Work: work})
-	if a.ended { // its node has canceled it on the way
+	if a.ended { // the node has canceled the attempt in the meantime
 		a.record(blackbox.Event{Kind: blackbox.AttemptCanceled})
 	}
 	switch {
-	case s.RecordArrival(w.now, work): // what it would reject counts too, for rejecting costs it as well
+	case s.RecordArrival(w.now, work): // includes requests that Admit would reject, because rejecting costs work too
 		w.checker.ServerOverloaded(w.now, a.node.name, a.request.id, s.ID)
 		a.record(blackbox.Event{Kind: blackbox.AttemptBroken})
 		w.crashOverloadedServer(s)
@@ -108,7 +108,7 @@
 	}
 }
 
-// record records what a server receives of an attempt, or does with it.
+// record records an event of the attempt at its server.
 func (a *attempt) record(e blackbox.Event) {
 	e.Node, e.ID, e.Server = a.node.name, a.request.id, a.serverID
 	a.node.world.record(e)
@@ -118,7 +118,8 @@
 	a.node.world.after(wait, func() { a.end(outcome) })
 }
 
-// end tells the node the outcome of the attempt, unless it has ended already or the node has.
+// end ends the attempt and reports its outcome to the node, unless the attempt has already ended or the node's
+// incarnation is over.
 func (a *attempt) end(outcome balancer.Outcome) {
 	if a.ended || a.nodeIncarnation != a.node.incarnation {
 		return
@@ -141,7 +142,7 @@
 	n.removeIfFinished(r)
 }
 
-// abandon is the end of the node that waits for the attempt.
+// abandon ends the attempt without an outcome because the node's incarnation ends.
 func (a *attempt) abandon() {
 	if !a.ended {
 		a.ended = true
@@ -149,8 +150,8 @@
 	}
 }
 
-// releaseConnection keeps the connection of an attempt that was answered as an idle one, and closes any other. A server
-// that sees its connection close cancels a request that still waits in its queue.
+// releaseConnection makes the connection of an answered attempt idle, and closes the connection of any other attempt.
+// When its connection is closed, a request that still waits in the server's queue is canceled.
 func (a *attempt) releaseConnection(outcome balancer.Outcome) {
 	s, n := a.server, a.node
 	if s == nil {
--- a/internal/lab/simulation/change.go
+++ b/internal/lab/simulation/change.go
@@ -5,7 +5,7 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// applyChange carries out one change of the world.
+// applyChange applies one change to the world.
 func (w *World) applyChange(c model.Change) {
 	switch c.Kind {
 	case model.NodeTerminate:
@@ -31,7 +31,7 @@
 	}
 }
 
-// applyServerChange carries out a change of one server.
+// applyServerChange applies one change to a server.
 func (w *World) applyServerChange(c model.Change, s *server) {
 	delays := w.scenario.Discovery
 	switch c.Kind {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -9,17 +9,17 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// closedLoopPause is the time between the end of a closed loop's request and its next one: not zero, or a request that
-// fails at once would keep the clock from going on.
+// closedLoopPause is the time between the end of a closed loop's request and its next request. If it were zero,
+// requests that fail at once would keep the clock from advancing.
 const closedLoopPause = time.Microsecond
 
-// clientRequest is what a client wants: its first try and all that follow.
+// clientRequest is a client's request: its first try and all retries.
 type clientRequest struct {
 	model.Arrival
 	tries    int
 	done     bool
-	attempts int    // over all tiers
-	onEnd    func() // a closed loop goes on
+	attempts int    // of all nodes, in all tiers
+	onEnd    func() // continues a closed loop; nil: the client makes no further request
 }
 
 // nextArrival schedules the next first try.
@@ -34,7 +34,8 @@
 	})
 }
 
-// startClosedLoop has a client make one request after another, until the arrivals end.
+// startClosedLoop starts a request of a client that makes one request after another until the scenario's length is
+// over.
 func (w *World) startClosedLoop() {
 	if w.now >= w.scenario.Length {
 		return
@@ -54,14 +55,14 @@
 	world       *World
 	client      *clientRequest
 	node        *node
-	incarnation int // of the node that it was sent to
+	incarnation int // of the node when the try was sent
 	timeout     time.Duration
 	deadline    time.Duration
 	isRetry     bool
-	ended       bool // for the client
+	ended       bool // for the client; the node may still work on it
 }
 
-// startTry sends a request's next try through the ingress.
+// startTry sends the next try of a request through the ingress.
 func (w *World) startTry(r *clientRequest) {
 	class := w.scenario.Classes[r.Class]
 	left := r.At + class.Deadline - w.now
@@ -88,17 +89,17 @@
 	w.after(hop, func() { t.arrive(hop) })
 }
 
-// end ends the try for its client. It returns false if it has ended before.
+// end ends the try for its client. It returns false if the try had already ended.
 func (t *clientTry) end() bool {
 	ended := t.ended
 	t.ended = true
 	return !ended
 }
 
-// arrive is the try at its node.
+// arrive handles the arrival of the try at its node.
 func (t *clientTry) arrive(hop time.Duration) {
 	w, n, client := t.world, t.node, t.client
-	if !n.alive || n.incarnation != t.incarnation { // the connection is refused: the request never got there
+	if !n.alive || n.incarnation != t.incarnation { // the connection is refused, so the request has not arrived
 		w.after(hop, func() {
 			if t.end() {
 				w.retry(client, w.scenario.Clients.Backoff, true)
@@ -122,7 +123,7 @@
 	}
 }
 
-// leave is an impatient client that leaves before its time is up.
+// leave ends the request of an impatient client that leaves before its timeout expires.
 func (t *clientTry) leave(id string) {
 	if t.node.incarnation == t.incarnation && t.end() {
 		t.node.clientGone(id)
@@ -130,7 +131,7 @@
 	}
 }
 
-// answerReceived is a node's answer at the client.
+// answerReceived handles the arrival of a node's answer at the client.
 func (w *World) answerReceived(r *clientRequest, answer checker.Answer, retryAfter time.Duration) {
 	switch answer {
 	case checker.Served:
@@ -143,8 +144,8 @@
 	}
 }
 
-// pauseAfterRejection is how long a client waits before it retries what was rejected: the backoff, or what Retry-After says
-// if it honors that, or nothing in a retry storm.
+// pauseAfterRejection returns how long a client waits before it retries a rejected request: not at all in a retry
+// storm, as long as Retry-After says if the client honors it, and for the backoff otherwise.
 func (w *World) pauseAfterRejection(r *clientRequest, retryAfter time.Duration) time.Duration {
 	switch {
 	case w.retryStorm > 1:
@@ -155,7 +156,8 @@
 	return w.scenario.Clients.Backoff
 }
 
-// retry retries after a pause, where that is safe and there is time and a try left.
+// retry retries a request after a pause. The request fails if a retry is not safe, or no try or not enough time is
+// left.
 func (w *World) retry(r *clientRequest, pause time.Duration, safe bool) {
 	if !safe || r.tries > model.MaxRetries(w.scenario, w.retryStorm) || w.now+pause >= r.At+w.scenario.Classes[r.Class].Deadline {
 		w.endRequest(r, score.Failed)
@@ -164,7 +166,7 @@
 	w.after(pause, func() { w.startTry(r) })
 }
 
-// endRequest is the end of a client's request.
+// endRequest ends a client's request with an outcome. Only the first call for a request has an effect.
 func (w *World) endRequest(r *clientRequest, outcome score.Outcome) {
 	if r.done {
 		return
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,20 +9,21 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// discoveryDownFactor is how much longer than the poll interval a node without a watch may know nothing of a change while
-// discovery is down: no poll brings it anything meanwhile, and from then on the rule holds it to the change anyway. The
-// factor is a choice of the lab: room for some failed polls with their waits.
+// discoveryDownFactor multiplies the time after which a node without a watch counts as notified of a change while
+// discovery is down. No poll succeeds during the outage, so the longer time leaves room for some failed polls and the
+// waits between them.
 const discoveryDownFactor = 4
 
-// discovery lists servers: late, and to the nodes that watch it.
+// discovery models the discovery service. It lists each change of a server after a delay and notifies the nodes that
+// watch it.
 type discovery struct {
 	world       *World
 	lists       [][]balancer.Server // by tier, in the order of the servers
 	indexes     []map[string]int
-	revisions   []map[string]uint64 // of each server's state; an older one that is listed later is stale
+	revisions   []map[string]uint64 // of each server's state; a delayed update with an older revision is dropped
 	watchers    []*node             // in the order of their polls
 	down        bool
-	queueFreeAt time.Duration // when the calls so far are done
+	queueFreeAt time.Duration // when all calls in the queue are done
 }
 
 func newDiscovery(w *World) *discovery {
@@ -39,7 +40,7 @@
 	return d
 }
 
-// updateEndpoint lists a server's state after a while.
+// updateEndpoint lists a new state of a server after a delay and notifies the watchers of its tier.
 func (d *discovery) updateEndpoint(s *server, state balancer.ServerState, wait time.Duration) {
 	d.revisions[s.Tier][s.ID]++
 	revision, startTime := d.revisions[s.Tier][s.ID], s.StartTime
@@ -61,8 +62,8 @@
 	})
 }
 
-// countAsNotified has nodes that neither watch nor have polled for as long as they may count as notified that a server is
-// not ready: the rule holds them to it.
+// countAsNotified makes nodes that do not watch count as notified that a server is not ready, once the longest time
+// between two polls has passed. From then on the checker holds them to the change.
 func (d *discovery) countAsNotified(s *server) {
 	revision := d.revisions[s.Tier][s.ID]
 	incarnations := map[*node]int{}
@@ -89,7 +90,7 @@
 	})
 }
 
-// notify brings an update to a node, after those before it.
+// notify delivers an update to a node after a random delay, but not before earlier updates.
 func (d *discovery) notify(n *node, update balancer.EndpointUpdate) {
 	at := d.world.now + time.Duration(d.world.rng.Float64()*float64(d.world.scenario.Discovery.NotifySpread))
 	n.lastNotified = max(n.lastNotified, at)
@@ -101,7 +102,7 @@
 	})
 }
 
-// poll is a node's call: it waits in the queue, and fails when it has waited too long.
+// poll handles a node's poll. Polls wait in a queue; one that would wait longer than its timeout fails.
 func (d *discovery) poll(n *node) {
 	settings := d.world.scenario.Discovery
 	if d.down {
@@ -127,7 +128,7 @@
 	})
 }
 
-// failPoll tells a node after a while that its poll has failed.
+// failPoll tells a node after a delay that its poll has failed.
 func (d *discovery) failPoll(n *node, wait time.Duration) {
 	incarnation := n.incarnation
 	d.world.after(wait, func() {
@@ -137,7 +138,7 @@
 	})
 }
 
-// startWatch begins a node's watch with the complete list.
+// startWatch starts a node's watch and sends the node the complete list.
 func (d *discovery) startWatch(n *node) {
 	if !n.watching {
 		n.watching = true
@@ -146,14 +147,14 @@
 	d.notify(n, balancer.EndpointUpdate{Complete: true, Servers: slices.Clone(d.lists[n.tier])})
 }
 
-// endWatch ends a node's watch from its side.
+// endWatch ends a node's watch because the node's incarnation ends.
 func (d *discovery) endWatch(n *node) {
 	n.watching = false
 	d.watchers = slices.DeleteFunc(d.watchers, func(o *node) bool { return o == n })
 }
 
-// applyChange takes discovery down, up or to another address. Watches end with it; where lists are pushed they come back
-// by themselves.
+// applyChange takes discovery down, brings it up or moves it to another address. Watches end when it goes down or
+// moves. If lists are pushed, watches start again without a poll as soon as discovery is up.
 func (d *discovery) applyChange(kind model.ChangeKind) {
 	d.down = kind == model.DiscoveryDown
 	pushed := !d.world.scenario.Discovery.Polled
--- a/internal/lab/simulation/idle.go
+++ b/internal/lab/simulation/idle.go
@@ -10,10 +10,10 @@
 type idleConnection struct {
 	serverIncarnation int
 	since             time.Duration
-	reset             bool // it will be reset when next used
+	reset             bool // it is reset when next used
 }
 
-// expireIdle closes, now and then, connections that have been idle for too long.
+// expireIdle periodically closes connections that have been idle for longer than the idle timeout.
 func (n *node) expireIdle() {
 	incarnation := n.incarnation
 	n.world.after(n.world.scenario.Network.IdleTimeout/2, func() {
@@ -32,7 +32,8 @@
 	})
 }
 
-// withoutExpired closes the expired connections of a server and returns the others.
+// withoutExpired closes the expired connections to a server and returns the others. Connections to an earlier
+// incarnation of the server are dropped.
 func (n *node) withoutExpired(s *server, connections []idleConnection) []idleConnection {
 	open := connections[:0]
 	for _, c := range connections {
@@ -72,7 +73,7 @@
 	}
 }
 
-// takeIdle takes the idle connection to a server that was used last. It returns false if there is none.
+// takeIdle takes the most recently used idle connection to a server. It returns false if there is none.
 func (n *node) takeIdle(s *server) (idleConnection, bool) {
 	connections := n.idle[s]
 	for len(connections) > 0 {
@@ -80,7 +81,7 @@
 		connections = connections[:len(connections)-1]
 		n.idle[s] = connections
 		switch {
-		case last.serverIncarnation != s.Incarnation || s.State == model.Down && !s.Unreachable: // its end was seen
+		case last.serverIncarnation != s.Incarnation || s.State == model.Down && !s.Unreachable: // the node has seen the connection close
 		case n.expired(last):
 			s.Connections--
 		default:
--- a/internal/lab/simulation/ingress.go
+++ b/internal/lab/simulation/ingress.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ingress spreads clients over the nodes that it believes to serve, one after another.
+// ingress distributes clients round-robin over the nodes that are serving as far as it knows.
 type ingress struct {
 	world        *World
 	nodes        []*node
@@ -24,7 +24,7 @@
 	return in
 }
 
-// pickNode is the next node; nil: there is none.
+// pickNode returns the next serving node, or nil if there is none.
 func (in *ingress) pickNode() *node {
 	for range in.nodes {
 		in.lastPicked = (in.lastPicked + 1) % len(in.nodes)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// notify tells the ingress after a while whether a node serves, if the node's incarnation is still the same by then.
+// notify tells the ingress after a delay whether a node is serving, unless the node's incarnation has changed by then.
 func (in *ingress) notify(n *node, after time.Duration, serving bool) {
 	incarnation := n.incarnation
 	in.world.after(after, func() {
--- a/internal/lab/simulation/misbehave_test.go
+++ b/internal/lab/simulation/misbehave_test.go
@@ -12,8 +12,8 @@
 	"hookwalk.example/hookwalk/internal/lab/policies"
 )
 
-// sharedScenario is a world with just enough capacity for a client that sends half as much again as all others, and a machine that is
-// unreachable for a while.
+// sharedScenario has just enough capacity for its clients and an extra client that sends half as many requests as all
+// of them together, while a machine is unreachable for some seconds.
 const sharedScenario = `scenario "shared" { seed = 5 length_s = 15 }
 tier "log-front" { work = 0.4 calls = 1.5
   kind "front" { count = 8 cores = 2 slots = 40 queue = 20 } }
@@ -26,12 +26,12 @@
 trouble "cut_off" { at_s = 4 length_s = 5 tier = "log-front" part = 0.1 }
 `
 
-// behavior is what one client does, two hundred times a second, within the protocol.
+// behavior describes the requests of one client that sends two hundred of them a second and follows the protocol.
 type behavior struct {
 	class       string
 	budget      time.Duration
 	marksRetry  bool
-	leavesAfter time.Duration // so long after its request; 0: never
+	leavesAfter time.Duration // time after the request at which the client leaves; 0: never
 }
 
 var behaviors = []struct {
@@ -39,27 +39,28 @@
 	behavior
 }{
 	{"floods", behavior{class: "block-view", budget: 800 * time.Millisecond}},
-	{"only weigh-ins", behavior{class: "bin-weighin", budget: 800 * time.Millisecond}},
-	{"abandons its calls", behavior{class: "block-view", budget: 800 * time.Millisecond, leavesAfter: 10 * time.Millisecond}},
-	{"marks all as retries", behavior{class: "block-view", budget: 800 * time.Millisecond, marksRetry: true}},
-	{"shortest budgets", behavior{class: "block-view", budget: 15 * time.Millisecond}},
-	{"longest budgets", behavior{class: "bin-weighin", budget: time.Hour}},
+	{"only non-idempotent", behavior{class: "bin-weighin", budget: 800 * time.Millisecond}},
+	{"abandons its requests", behavior{class: "block-view", budget: 800 * time.Millisecond, leavesAfter: 10 * time.Millisecond}},
+	{"marks all requests as retries", behavior{class: "block-view", budget: 800 * time.Millisecond, marksRetry: true}},
+	{"short deadlines", behavior{class: "block-view", budget: 15 * time.Millisecond}},
+	{"long deadlines", behavior{class: "bin-weighin", budget: time.Hour}},
 }
 
-// otherClientMetrics are what the others notice of a client, and where the ingress nodes' attempts went.
+// otherClientMetrics holds the metrics of all other clients, and how the ingress nodes' attempts were distributed.
 type otherClientMetrics struct {
 	valueShare, late, rejected float64
 	p95                        time.Duration
-	firstHalfShare             float64 // share of the ingress nodes' draws that went to the left group
-	busiestRatio               float64 // the busiest server's draws over the mean
+	firstHalfShare             float64 // share of the ingress nodes' attempts sent to the first half of the servers by ID
+	busiestRatio               float64 // attempts sent to the busiest server, divided by the mean of all servers
 }
 
 func (m otherClientMetrics) String() string {
-	return fmt.Sprintf("value %.4f, late %.4f, rejected %.4f, p95 %v, left %.3f, busiest %.2f",
+	return fmt.Sprintf("value %.4f, late %.4f, rejected %.4f, p95 %v, first half %.3f, busiest %.2f",
 		m.valueShare, m.late, m.rejected, m.p95.Round(time.Millisecond), m.firstHalfShare, m.busiestRatio)
 }
 
-// runWithExtraClient plays the shared world with such a client, or without one, and returns what the others notice.
+// runWithExtraClient runs the shared scenario with an extra client that sends extraRequests requests, or without one if
+// misbehavior is nil. It returns the metrics of the other clients.
 func runWithExtraClient(t *testing.T, seed uint64, misbehavior *behavior, extraRequests int) otherClientMetrics {
 	t.Helper()
 	s := parseScenario(t, sharedScenario)
@@ -93,7 +94,7 @@
 			at := time.Second + time.Duration(i)*5*time.Millisecond
 			w.at(at, func() {
 				n := w.ingress.nodes[i%len(w.ingress.nodes)]
-				r := &clientRequest{done: true} // it does not count
+				r := &clientRequest{done: true} // excluded from the score
 				c := &nodeRequest{id: fmt.Sprint("odd", i), class: class, deadline: w.now + misbehavior.budget, work: 1, client: r, reply: func(checker.Answer, time.Duration) {}}
 				n.accept(c)
 				n.handle(balancer.Request{ID: c.id, Class: misbehavior.class, Deadline: c.deadline, ClientRetry: misbehavior.marksRetry})
@@ -126,8 +127,8 @@
 	return metrics
 }
 
-// One client that floods, abandons or marks its calls must not take capacity from the others: what it does within the
-// protocol costs them no more than the same load from a polite client.
+// A client that floods, abandons its requests or marks them as retries must not take capacity from the others. As long
+// as it follows the protocol, it costs them no more than the same load from a polite client.
 func TestMisbehavingClientCostsOthersNothing(t *testing.T) {
 	polite := behavior{class: "block-view", budget: 800 * time.Millisecond}
 	for _, misbehavior := range behaviors {
@@ -136,15 +137,17 @@
 			lost := 0.0
 			for seed := range uint64(3) {
 				alone, besidePolite, besideMisbehaving := runWithExtraClient(t, seed, nil, 0), runWithExtraClient(t, seed, &polite, 2600), runWithExtraClient(t, seed, &misbehavior.behavior, 2600)
-				t.Logf("%s, seed %d:\nalone %v\npolite %v\nodd %v", misbehavior.name, seed, alone, besidePolite, besideMisbehaving)
+				t.Logf("%s, seed %d:\nalone %v\nbeside a polite client %v\nbeside this client %v", misbehavior.name, seed, alone, besidePolite, besideMisbehaving)
 				lost += (min(alone.valueShare, besidePolite.valueShare) - besideMisbehaving.valueShare) / 3
-				// A crowd moves draws to the right, and what such a client has done makes less of a crowd than a polite one's.
+				// Crowding shifts attempts to the second half of the servers. A misbehaving client causes less crowding
+				// than a polite one, so the share must lie between those of the other two runs, with a tolerance of
+				// 0.05.
 				if least, most := min(alone.firstHalfShare, besidePolite.firstHalfShare), max(alone.firstHalfShare, besidePolite.firstHalfShare); besideMisbehaving.firstHalfShare < least-0.05 || besideMisbehaving.firstHalfShare > most+0.05 {
-					t.Errorf("seed %d: %.3f of the draws go left, %.3f beside a polite one, %.3f alone", seed, besideMisbehaving.firstHalfShare, besidePolite.firstHalfShare, alone.firstHalfShare)
+					t.Errorf("seed %d: %.3f of the attempts go to the first half of the servers, %.3f beside a polite client, %.3f alone", seed, besideMisbehaving.firstHalfShare, besidePolite.firstHalfShare, alone.firstHalfShare)
 				}
 			}
 			if lost > 0.01 {
-				t.Errorf("the others lose %.4f of their value to it", lost)
+				t.Errorf("the other clients lose %.4f of their value share to it, want at most 0.01", lost)
 			}
 		})
 	}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// shutdownCheckInterval is how often a terminating node looks whether all its requests are answered.
+	// shutdownCheckInterval is how often a terminating node checks whether all its requests are finished.
 	shutdownCheckInterval = 10 * time.Millisecond
 
-	// shutdownMargin is how long a terminating node waits beyond the ingress and the longest deadline.
+	// shutdownMargin is how long a terminating node waits beyond IngressDrainDelay and the longest deadline.
 	shutdownMargin = 50 * time.Millisecond
 
-	// noRetryAfter is the Retry-After of an answer that is none: the node died.
+	// noRetryAfter stands for the missing Retry-After when a node dies without an answer.
 	noRetryAfter = -1
 )
 
-// node runs one instance of the decision module as the program does: it feeds events, carries out actions and keeps
-// connections. It starts from nothing as often as it is started.
+// node runs one instance of the decision module as the hookwalk program does: it passes events to the instance, carries
+// out its actions and keeps connections. Each start creates a new instance.
 type node struct {
 	world           *World
 	name            string
-	tier            int // that it sends to
+	tier            int // to which the node sends requests
 	replicaIndex    int
 	replicas        int
-	ingress         *ingress // nil: it stands beside a server
+	ingress         *ingress // nil: it is a server's node
 	ingressIndex    int
-	incarnation     int // starts and ends so far: what was meant for an earlier one is dropped
+	incarnation     int // starts and ends so far; events for an earlier incarnation are dropped
 	alive           bool
 	terminating     bool
 	watching        bool
@@ -42,12 +42,12 @@
 	decider         policies.Decider
 	requests        map[string]*nodeRequest
 	idle            map[*server][]idleConnection
-	endpoints       []balancer.Server // the list as it was last, for the next start
+	endpoints       []balancer.Server // the last known list, also used at the next start
 	endpointIndexes map[string]int
 }
 
 // nodeRequest is a request that a node has accepted. It is closed when it is answered or its client has left, and is
-// forgotten when no attempt is out either.
+// removed when it is closed and no attempt is pending.
 type nodeRequest struct {
 	id              string
 	class           int
@@ -64,7 +64,7 @@
 	return &node{world: w, name: name, tier: tier, replicaIndex: replicaIndex, replicas: replicas}
 }
 
-// start begins an incarnation: a fresh instance that has the list of the last one, which may be old.
+// start begins a new incarnation: a new instance with the last known list of the previous one, which may be stale.
 func (n *node) start() {
 	if n.alive {
 		return
@@ -96,7 +96,7 @@
 	n.expireIdle()
 }
 
-// kill ends a node at once, with all that it holds.
+// kill ends a node at once. Its pending requests fail.
 func (n *node) kill() {
 	if !n.alive {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// end ends an incarnation: its connections close, and what is not answered fails.
+// end ends an incarnation: its connections close, and its unanswered requests fail.
 func (n *node) end() {
 	n.incarnation++
 	n.alive = false
@@ -128,8 +128,8 @@
 	n.requests = nil
 }
 
-// terminate is SIGTERM. The ingress learns of it at once but still sends clients for a while; all that has been accepted
-// is answered before the node exits.
+// terminate handles SIGTERM. The ingress still sends clients for IngressDrainDelay. The node answers all accepted
+// requests before it exits.
 func (n *node) terminate() {
 	if !n.alive || n.terminating {
 		return
@@ -141,7 +141,8 @@
 	n.exitWhenIdle(model.IngressDrainDelay+shutdownMargin, until, n.incarnation)
 }
 
-// exitWhenIdle exits after a while if all is answered by then or the time is up, and otherwise looks again.
+// exitWhenIdle waits, and then exits if no request is left or the time until has passed; otherwise it checks again
+// after shutdownCheckInterval.
 func (n *node) exitWhenIdle(wait, until time.Duration, incarnation int) {
 	n.world.after(wait, func() {
 		switch {
@@ -156,7 +157,7 @@
 	})
 }
 
-// receiveUpdate is an update that discovery has written to the node.
+// receiveUpdate handles an endpoint update: it updates the node's list and passes the update to the instance.
 func (n *node) receiveUpdate(update balancer.EndpointUpdate) {
 	for _, s := range update.Servers {
 		ready := s.State == balancer.Ready
@@ -176,23 +177,23 @@
 	n.handle(update)
 }
 
-// accept is a request that has arrived completely. It is replied to once, at the moment of the answer.
+// accept records a request that has arrived completely. The request's reply function is called once, with the answer.
 func (n *node) accept(r *nodeRequest) {
 	n.world.checker.RequestAccepted(n.world.now, n.name, r.id, r.class, r.deadline)
 	n.world.record(blackbox.Event{Kind: blackbox.RequestSent, Node: n.name, ID: r.id, Class: r.class, Duration: r.deadline - n.world.now})
 	n.requests[r.id] = r
 }
 
-// handle gives an event to the instance and carries out what it answers.
+// handle passes an event to the instance and carries out the actions that it returns.
 func (n *node) handle(e balancer.Event) {
 	for _, a := range n.decider.Handle(n.world.now, e) {
 		switch a := a.(type) {
 		case balancer.Send:
 			n.send(a)
 		case balancer.Reject:
-			n.answer(a.ID, checker.Rejected, http.StatusServiceUnavailable, a.RetryAfter)
+			n.answerLocally(a.ID, checker.Rejected, http.StatusServiceUnavailable, a.RetryAfter)
 		case balancer.Fail:
-			n.answer(a.ID, checker.Failed, http.StatusBadGateway, 0)
+			n.answerLocally(a.ID, checker.Failed, http.StatusBadGateway, 0)
 		case balancer.SetTimer:
 			n.setTimer(a)
 		case balancer.Subscribe:
@@ -210,8 +211,8 @@
 	})
 }
 
-// answer gives a final answer that is not a server's.
-func (n *node) answer(id string, answer checker.Answer, status int, retryAfter time.Duration) {
+// answerLocally answers a request finally without a server's answer.
+func (n *node) answerLocally(id string, answer checker.Answer, status int, retryAfter time.Duration) {
 	n.world.checker.RequestAnswered(n.world.now, n.name, id, answer)
 	n.world.record(blackbox.Event{Kind: blackbox.AnswerReceived, Node: n.name, ID: id, Status: status})
 	r := n.requests[id]
@@ -223,14 +224,14 @@
 	n.removeIfFinished(r)
 }
 
-// removeIfFinished drops a request that is closed and has no attempt out.
+// removeIfFinished removes a request that is closed and has no pending attempt.
 func (n *node) removeIfFinished(r *nodeRequest) {
 	if r.closed && r.pendingAttempts == 0 {
 		delete(n.requests, r.id)
 	}
 }
 
-// clientGone is a client that has left.
+// clientGone closes a request whose client has left.
 func (n *node) clientGone(id string) {
 	r := n.requests[id]
 	if r == nil || r.closed {
--- a/internal/lab/simulation/retrystorm_test.go
+++ b/internal/lab/simulation/retrystorm_test.go
@@ -8,9 +8,9 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// At a load of 0.6 and without a fault, servers and nodes serve nearly everything. A chance crowd once made nodes cancel
-// attempts early and send them again, more than half of them after some seconds, and reject a tenth of the clients: a retry
-// storm that fed itself.
+// At a load of 0.6 and without faults, nearly every request must be served. A random burst of requests once made nodes
+// cancel attempts early and send them again. After some seconds more than half of the attempts were canceled and a
+// tenth of the clients rejected, in a self-sustaining retry storm.
 func TestNoRetryStormWithoutAFault(t *testing.T) {
 	for _, seed := range []int{21, 1, 2, 3, 11} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			if rejected, _ := got.Rejections(); got.ValueShare() < 0.985 || rejected > 40 || checked.Count() > 0 {
-				t.Errorf("value %.4f, %d rejections, %d rules broken", got.ValueShare(), rejected, checked.Count())
+				t.Errorf("value share %.4f, want at least 0.985; %d rejections, want at most 40; %d violations, want none", got.ValueShare(), rejected, checked.Count())
 			}
 		})
 	}
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -10,16 +10,17 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// server is a server of the model, with the node through which it calls the next tier.
+// server is a model.Server with the node through which it calls the next tier.
 type server struct {
 	*model.Server
-	completionNumber uint64 // of the scheduled completion that counts; others are stale
-	node             *node  // nil: the last tier
+	completionNumber uint64 // of the latest scheduled completion; earlier ones are ignored
+	node             *node  // nil: the server is in the last tier
 	brokenShare      float64
 	tier             scenario.Tier
 }
 
-// addServers makes the servers of all tiers. Their drawn IDs say nothing of their kind, like the platform's.
+// addServers creates the servers of all tiers. Their IDs are random and do not reveal their kind, like those of the
+// real platform.
 func (w *World) addServers() {
 	rng := model.Stream(w.scenario.Seed, "names", 0)
 	for t, tier := range w.scenario.Tiers {
@@ -40,7 +41,7 @@
 	}
 }
 
-// addServerNodes makes the nodes through which servers call the next tier.
+// addServerNodes creates the nodes through which servers call the next tier.
 func (w *World) addServerNodes() {
 	for t, tierServers := range w.servers[:len(w.servers)-1] {
 		for i, s := range tierServers {
@@ -49,7 +50,8 @@
 	}
 }
 
-// crashServer ends a server, and its node with it. Discovery learns of a planned end at once.
+// crashServer ends a server and its node. Discovery lists a planned end after DrainDelay, and any other after
+// CrashDelay.
 func (w *World) crashServer(s *server, planned bool) {
 	if s.State == model.Down {
 		return
@@ -74,7 +76,7 @@
 	w.discovery.updateEndpoint(s, balancer.Removed, delay)
 }
 
-// startServer starts a server that is down, and its node with it.
+// startServer starts a server that is down, and its node.
 func (w *World) startServer(s *server) {
 	if s.State != model.Down {
 		return
@@ -87,14 +89,15 @@
 	w.discovery.updateEndpoint(s, balancer.Ready, w.scenario.Discovery.AddDelay)
 }
 
-// crashOverloadedServer has a warming server fall over, and start again later.
+// crashOverloadedServer crashes a warming server that is overloaded, and starts it again after OverloadDowntime.
 func (w *World) crashOverloadedServer(s *server) {
 	w.score.Overloads++
 	w.crashServer(s, false)
 	w.after(model.OverloadDowntime, func() { w.startServer(s) })
 }
 
-// scheduleCompletion schedules the server's next completion. It must follow each change of what the server works on.
+// scheduleCompletion schedules the server's next completion. It must be called after each change of the server's jobs
+// or speed.
 func (w *World) scheduleCompletion(s *server) {
 	s.completionNumber++
 	at, ok := s.NextCompletion(w.now)
@@ -113,16 +116,16 @@
 	})
 }
 
-// How discovery lists the servers of a simulated world.
+// Zone and cells of the servers in discovery's lists.
 const (
-	zone        = "benchland" // of all servers
-	cellServers = 6           // that share a cell
+	zone        = "benchland" // zone of all servers
+	cellServers = 6           // number of servers in a cell
 )
 
-// endpoint is how discovery lists the server when it is ready.
+// endpoint returns the entry of a ready server in discovery's list.
 func (s *server) endpoint(index int) balancer.Server {
 	return balancer.Server{ID: s.ID, Zone: zone, Kind: s.Kind.Name, Cell: index / cellServers}
 }
 
-// roundTrip is the time there and back over one hop.
+// roundTrip returns the round-trip time for a one-way latency.
 func roundTrip(hop time.Duration) time.Duration { return 2 * hop }
--- a/internal/lab/simulation/visit.go
+++ b/internal/lab/simulation/visit.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// visit is one request at one server: half of the work, the calls to the next tier one after another, and then the other
-// half. A call that does not succeed ends the visit in an error.
+// visit is the processing of one request at one server: half of the work, then the calls to the next tier one after
+// another, then the other half. A failed call ends the visit with an error.
 type visit struct {
 	world             *World
 	attempt           *attempt
@@ -20,7 +20,7 @@
 	handshake         time.Duration
 	ownWork           time.Duration // without the handshake
 	callsLeft         int
-	workFactor        float64 // handed down to the calls
+	workFactor        float64 // passed on to the calls
 	ended             bool
 }
 
@@ -43,7 +43,7 @@
 	return v
 }
 
-// beginWork sets the first stage of the work and returns what the server will have to do in all.
+// beginWork sets the work of the first stage and returns the work of all stages.
 func (v *visit) beginWork() time.Duration {
 	v.job.Work = v.ownWork
 	if v.callsLeft > 0 {
@@ -53,7 +53,7 @@
 	return v.ownWork + v.handshake
 }
 
-// stageDone is the end of a stage of the work: calls follow, then the second stage, then the answer.
+// stageDone handles the end of a stage. After the first stage the visit makes its calls; after the last it answers.
 func (v *visit) stageDone() {
 	if v.ended {
 		return
@@ -66,7 +66,7 @@
 	v.finish(true)
 }
 
-// callNextTier makes a call through the node beside the server.
+// callNextTier makes a call through the server's node.
 func (v *visit) callNextTier() {
 	w, n := v.world, v.attempt.server.node
 	v.callsLeft--
@@ -84,18 +84,18 @@
 		if v.hasEnded() {
 			return
 		}
-		w.after(0, func() { v.callAnswered(answer) }) // not within the node's own event: what follows may come back to it
+		w.after(0, func() { v.callAnswered(answer) }) // not within the node's event handler, because the next call would reenter it
 	}
 	n.accept(r)
 	n.handle(balancer.Request{ID: r.id, Class: w.scenario.Classes[r.class].Name, Deadline: r.deadline})
 }
 
-// hasEnded says that the visit has ended, or the server that it was at.
+// hasEnded reports whether the visit or its server's incarnation has ended.
 func (v *visit) hasEnded() bool {
 	return v.ended || v.attempt.server.Incarnation != v.serverIncarnation
 }
 
-// callAnswered goes on with the visit after a call.
+// callAnswered continues the visit after a call.
 func (v *visit) callAnswered(answer checker.Answer) {
 	w, s := v.world, v.attempt.server
 	switch {
@@ -110,7 +110,7 @@
 	}
 }
 
-// finish answers, with a success or an error, and frees the slot.
+// finish frees the slot and answers with a success or an error.
 func (v *visit) finish(succeeded bool) {
 	w, s := v.world, v.attempt.server
 	v.ended = true
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,6 +1,6 @@
-// Package simulation plays a scenario in virtual time: an event queue runs one instance of the decision module for each
-// node, in one process and one goroutine, with the model's servers, clients, network and discovery around them. Instances
-// share nothing. The same scenario and seed give the same report, byte for byte.
+// Package simulation runs a scenario in virtual time. An event queue drives one instance of the decision module for
+// each node, together with simulated servers, clients, network and discovery, in a single goroutine. Instances share
+// nothing. The same scenario and seed give the same report, byte for byte.
 package simulation
 
 import (
@@ -19,21 +19,21 @@
 )
 
 const (
-	// endMargin is how long a world is played beyond twice the longest deadline after the last arrival: by then every try
-	// is over, answered or not.
+	// endMargin is how long a world runs beyond its length plus twice the longest deadline. By then every try has
+	// ended, answered or not.
 	endMargin = 5 * time.Second
 
 	// progressEvents is how many events pass between two calls of the progress function.
 	progressEvents = 1 << 16
 
-	// historyLag is how late a server may notice what a node does, as some hops of the network take.
+	// historyLag is how late a server may observe an action of a node: the latency of a few network hops.
 	historyLag = 10 * time.Millisecond
 )
 
-// NewDecider makes the instance of a node: policies.New, or one that breaks a rule in tests of the checker.
+// NewDecider creates the decider of a node: policies.New, or in tests of the checker a decider that breaks a rule.
 type NewDecider func(name string, settings balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error)
 
-// World is a scenario that is being played.
+// World is a running scenario.
 type World struct {
 	scenario   *scenario.Scenario
 	newDecider NewDecider
@@ -49,18 +49,18 @@
 	ingress    *ingress
 	discovery  *discovery
 	heavyTails []heavyTail // by class
-	retryStorm float64     // magnitude; 1: there is none
+	retryStorm float64     // magnitude; 1: no retry storm
 	lastID     uint64
 	events     uint64
 	err        error
 
-	Record *blackbox.Recorder // takes what can be seen from outside; nil: nothing does
+	Record *blackbox.Recorder // records events that are visible from outside; nil: no recording
 }
 
-// heavyTail says how much more work some requests of a class are.
+// heavyTail multiplies the work of a share of a class's requests by a factor.
 type heavyTail struct{ factor, share float64 }
 
-// New makes the world of a scenario, before anything has happened.
+// New returns the world of a scenario in its initial state.
 func New(s *scenario.Scenario, newDecider NewDecider) (*World, error) {
 	w := &World{scenario: s, newDecider: newDecider, checker: checker.New(s), score: score.New(s), rng: model.Stream(s.Seed, "world", 0),
 		byID: map[string]*server{}, heavyTails: make([]heavyTail, len(s.Classes)), retryStorm: 1}
@@ -82,18 +82,19 @@
 	return w, nil
 }
 
-// at has something done at a time, or now if that has passed.
+// at schedules do for a time, or for now if that time has passed.
 func (w *World) at(at time.Duration, do func()) { w.queue.Push(max(at, w.now), do) }
 
-// after has something done after a time.
+// after schedules do for the time when wait has passed.
 func (w *World) after(wait time.Duration, do func()) { w.queue.Push(w.now+max(wait, 0), do) }
 
-// jitter draws a latency of the network around a mean.
+// jitter draws a network latency around a mean.
 func (w *World) jitter(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (1 + w.scenario.Network.Jitter*(2*w.rng.Float64()-1)))
 }
 
-// Run plays the world to its end. progress, if there is one, is called with the clock now and then.
+// Run runs the world to its end. If progress is not nil, it is called with the virtual time every progressEvents
+// events.
 func (w *World) Run(progress func(now time.Duration)) (*score.Score, *checker.Checker, error) {
 	w.eachNode((*node).start)
 	if n := w.scenario.Clients.ClosedLoop; n > 0 {
@@ -122,7 +123,7 @@
 	return w.score, w.checker, w.err
 }
 
-// Head is the header of a history of this world.
+// Head returns the header of a history of this world.
 func (w *World) Head() blackbox.Header {
 	h := blackbox.NewHeader(w.scenario, historyLag)
 	for id, s := range w.byID {
@@ -131,7 +132,7 @@
 	return h
 }
 
-// record records an event, which has happened now if it has no time of its own.
+// record records an event. An event without a time gets the current time.
 func (w *World) record(e blackbox.Event) {
 	if e.At == 0 {
 		e.At = w.now
@@ -139,7 +140,7 @@
 	w.Record.Record(e)
 }
 
-// eachNode does something for every node: those of the ingress, then those beside servers.
+// eachNode calls do for each node: first the ingress nodes, then those of the servers.
 func (w *World) eachNode(do func(*node)) {
 	for _, n := range w.ingress.nodes {
 		do(n)
@@ -153,11 +154,11 @@
 	}
 }
 
-// newID is the ID of another request.
+// newID returns a new request ID.
 func (w *World) newID() string {
 	w.lastID++
 	return fmt.Sprintf("r%d", w.lastID)
 }
 
-// inFlight is the number of requests that a server holds, for the oracle.
+// inFlight returns the number of requests in a server's slots and queue. The oracle policy uses it.
 func (w *World) inFlight(id string) int { return w.byID[id].InFlight() }
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -17,7 +17,8 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// smallWorld is a world of two tiers in which a node that breaks a rule is soon found out.
+// smallWorld is a scenario with two tiers, short enough for quick tests, in which a node that breaks a rule is
+// detected.
 const smallWorld = `scenario "small" { seed = 3 length_s = 6 }
 tier "log-front" { work = 0.4 calls = 1.5
   kind "front" { count = 4 cores = 1 slots = 8 queue = 4 cold_s = 4 } }
@@ -65,8 +66,8 @@
 
 const shippedScenarios = "../../../lab/scenarios"
 
-// The scenarios that engineers play by hand must not show a broken rule of the lab's own: each but the fleet's, shortened,
-// keeps all rules.
+// Engineers run the shipped scenarios by hand and must not see violations that the lab itself causes. Each scenario
+// except those of the fleet therefore runs here, shortened and with half the rate, without a violation.
 func TestShippedScenariosBreakNoRule(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(shippedScenarios, "*.hcl"))
 	if err != nil || len(files) < 13 {
@@ -80,7 +81,7 @@
 				t.Fatal(err)
 			}
 			if strings.Contains(file, "fleet") {
-				return // it takes gigabytes; a command plays it
+				return // needs gigabytes of memory; it is run by a command
 			}
 			s.Length /= 4
 			s.Clients.Rate /= 2
@@ -93,13 +94,13 @@
 				t.Error(v)
 			}
 			if inTime, _, _, _ := got.Counts(); inTime < 100 {
-				t.Errorf("only %d were served in time", inTime)
+				t.Errorf("only %d requests were served in time, want at least 100", inTime)
 			}
 		})
 	}
 }
 
-// allFaults is a day with every fault at once.
+// allFaults is smallWorld with every kind of world fault except "kill", many of them at the same time.
 const allFaults = smallWorld + `
 trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.3 }
 trouble "cut_off" { at_s = 1.5 length_s = 1 part = 0.3 }
@@ -117,8 +118,8 @@
 trouble "retry_storm" { at_s = 4 length_s = 1 size = 2 }
 `
 
-// A figure that another machine does not give again can't be compared: the same seed gives the same bytes, for the module
-// and every reference policy, on any number of cores; another seed gives others.
+// Results can be compared only if other machines reproduce them. The same seed must give the same report, byte for
+// byte, for the module and every reference policy, on any number of cores. Another seed must give a different report.
 func TestSameSeedGivesIdenticalReport(t *testing.T) {
 	for _, policy := range policies.Names {
 		s := parseScenario(t, allFaults)
@@ -128,23 +129,24 @@
 		again := report(t, s)
 		runtime.GOMAXPROCS(before)
 		if first != again {
-			t.Errorf("%s:\n%s\n%s", policy, first, again)
+			t.Errorf("%s: two runs with the same seed differ:\n%s\n%s", policy, first, again)
 		}
 		_, checked := runWorld(t, s, policies.New)
 		for _, v := range checked.Violations() {
-			if policy == policies.Module || v.Rule != checker.WarmupOverload { // the references know nothing of warm-up
+			if policy == policies.Module || v.Rule != checker.WarmupOverload { // the reference policies ignore warm-up
 				t.Errorf("%s: %v", policy, v)
 			}
 		}
 		s.Seed++
 		if report(t, s) == first {
-			t.Errorf("%s: another seed gave the same bytes", policy)
+			t.Errorf("%s: another seed gave the same report", policy)
 		}
 	}
 }
 
-// Without any delay or jitter all that happens within a tier happens at one time, and a client's retry crosses the answer
-// to its first try. The order must come from the order of events alone.
+// Without delays and jitter, many events have the same time, and a client's retry crosses the answer to its first try.
+// The report must still be the same in each run, because events with equal times keep the order in which they were
+// scheduled.
 func TestZeroDelaysAreDeterministic(t *testing.T) {
 	s := parseScenario(t, strings.Replace(allFaults, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
 		"net { hop_ms = 0 client_ms = 0 jitter = 0 handshake_trips = 0 }\nrules { slack_ms = 0 }")
@@ -152,15 +154,15 @@
 	first := report(t, s)
 	for range 3 {
 		if again := report(t, s); again != first {
-			t.Fatalf("%s\n%s", first, again)
+			t.Fatalf("two runs differ:\n%s\n%s", first, again)
 		}
 	}
 	if !strings.HasSuffix(first, "\n[]\n") {
-		t.Errorf("a rule was broken: %s", first)
+		t.Errorf("the report lists violations: %s", first)
 	}
 }
 
-// violatingDecider is the module with one fault: it changes an action, adds some, or leaves some out.
+// violatingDecider wraps a decider and alters its actions: it changes, adds or removes some.
 type violatingDecider struct {
 	policies.Decider
 	alter func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action
@@ -170,7 +172,7 @@
 	return d.alter(now, e, d.Decider.Handle(now, e))
 }
 
-// violators are nodes that break one rule each, in the worlds that give them the occasion.
+// violators holds for each rule a node that breaks it, and a scenario in which the node does so.
 var violators = map[checker.Rule]struct {
 	world   string
 	violate func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
@@ -279,7 +281,8 @@
 	}},
 }
 
-// A checker that misses a broken rule lets it into every play: a node that breaks a rule is reported for that rule.
+// The checker reports each node that breaks a rule for that rule. A violation that it missed would go unnoticed in
+// every run of the lab.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	for rule, violator := range violators {
 		t.Run(string(rule), func(t *testing.T) {
@@ -293,20 +296,20 @@
 			for _, v := range checked.Violations() {
 				if v.Rule == rule {
 					if v.Request == "" || v.Node == "" || v.At == 0 {
-						t.Errorf("it does not name all: %v", v)
+						t.Errorf("violation without a request, node or time: %v", v)
 					}
 					return
 				}
 			}
-			t.Errorf("not seen among %d violations", checked.Count())
+			t.Errorf("not detected among %d violations", checked.Count())
 		})
 	}
 }
 
-// A node that exits on SIGTERM before it has answered loses requests that it had accepted.
+// The checker detects that a node loses accepted requests when it exits on SIGTERM before it has answered them.
 func TestCheckerDetectsRequestsLostOnShutdown(t *testing.T) {
 	s := parseScenario(t, smallWorld+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
-	s.Rules.Slack = time.Hour // so that nothing is late, only lost
+	s.Rules.Slack = time.Hour // no answer is late, so missing answers count only as lost requests
 	_, checked := runWorld(t, s, func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
 		d, err := policies.New(name, set, seed, inFlight)
 		return &violatingDecider{d, func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
@@ -324,8 +327,8 @@
 	t.Errorf("not seen among %d violations", checked.Count())
 }
 
-// The oracle sees every queue, so it must beat chance on a day without surprises: a lab that could not tell the
-// two apart would be of no use.
+// Without faults, the oracle policy, which sees every queue, must beat the random policies. Otherwise the lab could not
+// distinguish good policies from bad ones.
 func TestOracleBeatsRandomPolicies(t *testing.T) {
 	p95 := map[string]time.Duration{}
 	for _, policy := range []string{"random", "two-random", "oracle"} {
@@ -335,11 +338,11 @@
 		p95[policy] = got.Quantile(95)
 	}
 	if !(p95["oracle"] < p95["two-random"] && p95["two-random"] < p95["random"]) {
-		t.Errorf("95%% of answers within %v", p95)
+		t.Errorf("95th percentiles of latency: %v, want oracle < two-random < random", p95)
 	}
 }
 
-// runRecorded returns the history of a world, as it is seen from outside.
+// runRecorded runs a scenario and returns its history as it is visible from outside.
 func runRecorded(t *testing.T, s *scenario.Scenario, newDecider NewDecider) (blackbox.Header, []blackbox.Event) {
 	t.Helper()
 	w, err := New(s, newDecider)
@@ -361,8 +364,8 @@
 	return h, events
 }
 
-// What is judged from outside must agree with what is judged from inside: worlds with every fault at once keep the rules,
-// and a node that breaks a rule does not.
+// The black-box check, which sees only what is visible from outside, must agree with the checker: it finds no violation
+// in scenarios with all faults, and it detects a node that breaks a rule.
 func TestSeededHistoriesPassBlackboxCheck(t *testing.T) {
 	for seed := range uint64(4) {
 		s := parseScenario(t, allFaults)
@@ -376,7 +379,7 @@
 		}
 	}
 	for rule, violator := range violators {
-		if rule == checker.OneAnswer || rule == checker.KnownServer { // what such a node does reaches nobody
+		if rule == checker.OneAnswer || rule == checker.KnownServer { // this violation is not visible from outside
 			continue
 		}
 		h, events := runRecorded(t, parseScenario(t, violator.world), func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
@@ -391,7 +394,7 @@
 			seen[v.Rule]++
 		}
 		if seen[rule] == 0 {
-			t.Errorf("a node that breaks %s: %v", rule, seen)
+			t.Errorf("violation of %s not detected; violations by rule: %v", rule, seen)
 		}
 	}
 }
