--- a/internal/lab/simulation/idle.go
+++ b/internal/lab/simulation/idle.go
@@ -81,7 +81,7 @@
 		connections = connections[:len(connections)-1]
 		n.idle[s] = connections
 		switch {
-		case last.serverIncarnation != s.Incarnation || s.State == model.Down && !s.Unreachable: // the node has seen the connection close
+		case last.serverIncarnation != s.Incarnation || s.State == model.Down && !s.Unreachable: // seen to close
 		case n.expired(last):
 			s.Connections--
 		default:
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -177,7 +177,7 @@
 	n.handle(update)
 }
 
-// accept records a request that has arrived completely. The request's reply function is called once, with the answer.
+// accept records a request that has arrived completely. The request's reply function is called at most once.
 func (n *node) accept(r *nodeRequest) {
 	n.world.checker.RequestAccepted(n.world.now, n.name, r.id, r.class, r.deadline)
 	n.world.record(blackbox.Event{Kind: blackbox.RequestSent, Node: n.name, ID: r.id, Class: r.class, Duration: r.deadline - n.world.now})
@@ -211,7 +211,7 @@
 	})
 }
 
-// answerLocally answers a request finally without a server's answer.
+// answerLocally gives a request a final answer that does not come from a server.
 func (n *node) answerLocally(id string, answer checker.Answer, status int, retryAfter time.Duration) {
 	n.world.checker.RequestAnswered(n.world.now, n.name, id, answer)
 	n.world.record(blackbox.Event{Kind: blackbox.AnswerReceived, Node: n.name, ID: id, Status: status})
--- a/internal/lab/simulation/visit.go
+++ b/internal/lab/simulation/visit.go
@@ -84,7 +84,8 @@
 		if v.hasEnded() {
 			return
 		}
-		w.after(0, func() { v.callAnswered(answer) }) // not within the node's event handler, because the next call would reenter it
+		// Runs after the node's event handler has returned, because the next call would reenter the handler.
+		w.after(0, func() { v.callAnswered(answer) })
 	}
 	n.accept(r)
 	n.handle(balancer.Request{ID: r.id, Class: w.scenario.Classes[r.class].Name, Deadline: r.deadline})
