--- a/internal/lab/simulation/ingress.go
+++ b/internal/lab/simulation/ingress.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ingress spreads clients over the nodes that it believes to serve, one after another.
+// ingress distributes clients round-robin over the nodes that are serving as far as it knows.
 type ingress struct {
-	world           *World
-	nodes           []*node
-	believedServing []bool
-	lastPicked      int
+	world        *World
+	nodes        []*node
+	knownServing []bool
+	lastPicked   int
 }
 
 func newIngress(w *World) *ingress {
@@ -19,28 +19,28 @@
 		n := w.newNode(fmt.Sprintf("n%d", i), 0, i, w.scenario.Ingress.Nodes)
 		n.ingress, n.ingressIndex = in, i
 		in.nodes = append(in.nodes, n)
-		in.believedServing = append(in.believedServing, true)
+		in.knownServing = append(in.knownServing, true)
 	}
 	return in
 }
 
-// pickNode is the next node; nil: there is none.
+// pickNode returns the next serving node, or nil if there is none.
 func (in *ingress) pickNode() *node {
 	for range in.nodes {
 		in.lastPicked = (in.lastPicked + 1) % len(in.nodes)
-		if in.believedServing[in.lastPicked] {
+		if in.knownServing[in.lastPicked] {
 			return in.nodes[in.lastPicked]
 		}
 	}
 	return nil
 }
 
-// notify tells the ingress after a while whether a node serves, if the node's incarnation is still the same by then.
+// notify tells the ingress after a delay whether a node is serving, unless the node's incarnation has changed by then.
 func (in *ingress) notify(n *node, after time.Duration, serving bool) {
 	incarnation := n.incarnation
 	in.world.after(after, func() {
 		if n.incarnation == incarnation {
-			in.believedServing[n.ingressIndex] = serving
+			in.knownServing[n.ingressIndex] = serving
 		}
 	})
 }
--- a/internal/lab/simulation/world_test.go
+++ b/internal/lab/simulation/world_test.go
@@ -17,7 +17,8 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// smallWorld is a world of two tiers in which a node that breaks a rule is soon found out.
+// smallWorld is a scenario with two tiers, short enough for quick tests, in which a node that breaks a rule is
+// detected.
 const smallWorld = `scenario "small" { seed = 3 length_s = 6 }
 tier "log-front" { work = 0.4 calls = 1.5
   kind "front" { count = 4 cores = 1 slots = 8 queue = 4 cold_s = 4 } }
@@ -30,7 +31,7 @@
 discovery { calls_per_s = 100 spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300 silent_ms = 2000 }
 `
 
-func parsed(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("small.hcl", []byte(text), nil)
 	if err != nil {
@@ -39,9 +40,9 @@
 	return s
 }
 
-func play(t *testing.T, s *scenario.Scenario, decide NewDecider) (*score.Score, *checker.Checker) {
+func runWorld(t *testing.T, s *scenario.Scenario, newDecider NewDecider) (*score.Score, *checker.Checker) {
 	t.Helper()
-	w, err := New(s, decide)
+	w, err := New(s, newDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +55,7 @@
 
 func report(t *testing.T, s *scenario.Scenario) string {
 	t.Helper()
-	got, checked := play(t, s, policies.New)
+	got, checked := runWorld(t, s, policies.New)
 	var out bytes.Buffer
 	if err := got.Write(&out); err != nil {
 		t.Fatal(err)
@@ -65,9 +66,9 @@
 
 const shippedScenarios = "../../../lab/scenarios"
 
-// The scenarios that engineers play by hand must not show a broken rule of the lab's own: each but the fleet's, shortened,
-// keeps all rules.
-func TestShippedScenariosKeepTheRules(t *testing.T) {
+// Engineers run the shipped scenarios by hand and must not see violations that the lab itself causes. Each scenario
+// except those of the fleet therefore runs here, shortened and with half the rate, without a violation.
+func TestShippedScenariosBreakNoRule(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(shippedScenarios, "*.hcl"))
 	if err != nil || len(files) < 13 {
 		t.Fatalf("%d scenarios, %v", len(files), err)
@@ -80,7 +81,7 @@
 				t.Fatal(err)
 			}
 			if strings.Contains(file, "fleet") {
-				return // it takes gigabytes; a command plays it
+				return // needs gigabytes of memory; it is run by a command
 			}
 			s.Length /= 4
 			s.Clients.Rate /= 2
@@ -88,18 +89,18 @@
 				s.Faults[i].At /= 4
 				s.Faults[i].Duration /= 4
 			}
-			got, checked := play(t, s, policies.New)
+			got, checked := runWorld(t, s, policies.New)
 			for _, v := range checked.Violations() {
 				t.Error(v)
 			}
 			if inTime, _, _, _ := got.Counts(); inTime < 100 {
-				t.Errorf("only %d were served in time", inTime)
+				t.Errorf("only %d requests were served in time, want at least 100", inTime)
 			}
 		})
 	}
 }
 
-// allFaults is a day with every fault at once.
+// allFaults is smallWorld with every kind of world fault except "kill", many of them at the same time.
 const allFaults = smallWorld + `
 trouble "crash" { at_s = 1 length_s = 1 tier = "log-front" part = 0.3 }
 trouble "cut_off" { at_s = 1.5 length_s = 1 part = 0.3 }
@@ -117,63 +118,64 @@
 trouble "retry_storm" { at_s = 4 length_s = 1 size = 2 }
 `
 
-// A figure that another machine does not give again can't be compared: the same seed gives the same bytes, for the module
-// and every reference policy, on any number of cores; another seed gives others.
-func TestSameSeedSameBytes(t *testing.T) {
+// Results can be compared only if other machines reproduce them. The same seed must give the same report, byte for
+// byte, for the module and every reference policy, on any number of cores. Another seed must give a different report.
+func TestSameSeedGivesIdenticalReport(t *testing.T) {
 	for _, policy := range policies.Names {
-		s := parsed(t, allFaults)
+		s := parseScenario(t, allFaults)
 		s.Policy = policy
 		first := report(t, s)
 		before := runtime.GOMAXPROCS(1)
 		again := report(t, s)
 		runtime.GOMAXPROCS(before)
 		if first != again {
-			t.Errorf("%s:\n%s\n%s", policy, first, again)
+			t.Errorf("%s: two runs with the same seed differ:\n%s\n%s", policy, first, again)
 		}
-		_, checked := play(t, s, policies.New)
+		_, checked := runWorld(t, s, policies.New)
 		for _, v := range checked.Violations() {
-			if policy == policies.Module || v.Rule != checker.WarmupOverload { // the references know nothing of warm-up
+			if policy == policies.Module || v.Rule != checker.WarmupOverload { // the reference policies ignore warm-up
 				t.Errorf("%s: %v", policy, v)
 			}
 		}
 		s.Seed++
 		if report(t, s) == first {
-			t.Errorf("%s: another seed gave the same bytes", policy)
+			t.Errorf("%s: another seed gave the same report", policy)
 		}
 	}
 }
 
-// Without any delay or jitter all that happens within a tier happens at one time, and a client's retry crosses the answer
-// to its first try. The order must come from the order of events alone.
-func TestZeroDelaysKeepTheOrder(t *testing.T) {
-	s := parsed(t, strings.Replace(allFaults, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
+// Without delays and jitter, many events have the same time, and a client's retry crosses the answer to its first try.
+// The report must still be the same in each run, because events with equal times keep the order in which they were
+// scheduled.
+func TestZeroDelaysAreDeterministic(t *testing.T) {
+	s := parseScenario(t, strings.Replace(allFaults, "spread_ms = 20 drain_ms = 20 add_ms = 200 notice_ms = 300", "spread_ms = 0 drain_ms = 0 add_ms = 0 notice_ms = 0", 1)+
 		"net { hop_ms = 0 client_ms = 0 jitter = 0 handshake_trips = 0 }\nrules { slack_ms = 0 }")
 	s.Clients.Backoff, s.Ingress.FailureDetection = 0, 0
 	first := report(t, s)
 	for range 3 {
 		if again := report(t, s); again != first {
-			t.Fatalf("%s\n%s", first, again)
+			t.Fatalf("two runs differ:\n%s\n%s", first, again)
 		}
 	}
 	if !strings.HasSuffix(first, "\n[]\n") {
-		t.Errorf("a rule was broken: %s", first)
+		t.Errorf("the report lists violations: %s", first)
 	}
 }
 
-// violatingDecider is the module with one fault: it changes an action, adds some, or leaves some out.
+// violatingDecider wraps a decider and alters its actions: it changes, adds or removes some.
 type violatingDecider struct {
 	policies.Decider
 	alter func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action
 }
 
-func (r *violatingDecider) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	return r.alter(now, e, r.Decider.Handle(now, e))
+func (d *violatingDecider) Handle(now time.Duration, e balancer.Event) []balancer.Action {
+	return d.alter(now, e, d.Decider.Handle(now, e))
 }
 
-// violations are nodes that break one rule each, in the worlds that give them the occasion.
-var violations = map[checker.Rule]struct {
-	world string
-	spoil func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
+// violators holds for each rule a node that breaks it, and a scenario in which the node does so.
+var violators = map[checker.Rule]struct {
+	world   string
+	violate func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action
 }{
 	checker.InTime: {smallWorld, func() func(time.Duration, balancer.Event, []balancer.Action) []balancer.Action {
 		return func(_ time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
@@ -279,36 +281,37 @@
 	}},
 }
 
-// A checker that misses a broken rule lets it into every play: a node that breaks a rule is reported for that rule.
-func TestCheckerSeesEachViolation(t *testing.T) {
-	for rule, fault := range violations {
+// The checker reports each node that breaks a rule for that rule. A violation that it missed would go unnoticed in
+// every run of the lab.
+func TestCheckerDetectsEachViolation(t *testing.T) {
+	for rule, violator := range violators {
 		t.Run(string(rule), func(t *testing.T) {
-			_, checked := play(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-				d, err := policies.New(name, set, seed, truth)
+			_, checked := runWorld(t, parseScenario(t, violator.world), func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+				d, err := policies.New(name, set, seed, inFlight)
 				if set.Tier > 0 {
 					return d, err // only ingress nodes violate
 				}
-				return &violatingDecider{d, fault.spoil()}, err
+				return &violatingDecider{d, violator.violate()}, err
 			})
 			for _, v := range checked.Violations() {
 				if v.Rule == rule {
 					if v.Request == "" || v.Node == "" || v.At == 0 {
-						t.Errorf("it does not name all: %v", v)
+						t.Errorf("violation without a request, node or time: %v", v)
 					}
 					return
 				}
 			}
-			t.Errorf("not seen among %d violations", checked.Count())
+			t.Errorf("not detected among %d violations", checked.Count())
 		})
 	}
 }
 
-// A node that exits on SIGTERM before it has answered loses requests that it had accepted.
-func TestRequestsLostOnStop(t *testing.T) {
-	s := parsed(t, smallWorld+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
-	s.Rules.Slack = time.Hour // so that nothing is late, only lost
-	_, checked := play(t, s, func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-		d, err := policies.New(name, set, seed, truth)
+// The checker detects that a node loses accepted requests when it exits on SIGTERM before it has answered them.
+func TestCheckerDetectsRequestsLostOnShutdown(t *testing.T) {
+	s := parseScenario(t, smallWorld+`trouble "node_restart" { at_s = 2 length_s = 2 part = 1 }`)
+	s.Rules.Slack = time.Hour // no answer is late, so missing answers count only as lost requests
+	_, checked := runWorld(t, s, func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+		d, err := policies.New(name, set, seed, inFlight)
 		return &violatingDecider{d, func(now time.Duration, e balancer.Event, out []balancer.Action) []balancer.Action {
 			if _, ok := e.(balancer.Request); ok && set.Tier == 0 {
 				return nil
@@ -324,25 +327,25 @@
 	t.Errorf("not seen among %d violations", checked.Count())
 }
 
-// The oracle sees every queue, so it must beat chance on a day without surprises: a lab that could not tell the
-// two apart would be of no use.
-func TestLabTellsPoliciesApart(t *testing.T) {
-	tails := map[string]time.Duration{}
+// Without faults, the oracle policy, which sees every queue, must beat the random policies. Otherwise the lab could not
+// distinguish good policies from bad ones.
+func TestOracleBeatsRandomPolicies(t *testing.T) {
+	p95 := map[string]time.Duration{}
 	for _, policy := range []string{"random", "two-random", "oracle"} {
-		s := parsed(t, strings.Replace(smallWorld, "rate = 120", "rate = 170", 1))
+		s := parseScenario(t, strings.Replace(smallWorld, "rate = 120", "rate = 170", 1))
 		s.Policy, s.Length = policy, 20*time.Second
-		got, _ := play(t, s, policies.New)
-		tails[policy] = got.Quantile(95)
+		got, _ := runWorld(t, s, policies.New)
+		p95[policy] = got.Quantile(95)
 	}
-	if !(tails["oracle"] < tails["two-random"] && tails["two-random"] < tails["random"]) {
-		t.Errorf("95%% of answers within %v", tails)
+	if !(p95["oracle"] < p95["two-random"] && p95["two-random"] < p95["random"]) {
+		t.Errorf("95th percentiles of latency: %v, want oracle < two-random < random", p95)
 	}
 }
 
-// playRecorded returns the history of a world, as it is seen from outside.
-func playRecorded(t *testing.T, s *scenario.Scenario, decide NewDecider) (blackbox.Header, []blackbox.Event) {
+// runRecorded runs a scenario and returns its history as it is visible from outside.
+func runRecorded(t *testing.T, s *scenario.Scenario, newDecider NewDecider) (blackbox.Header, []blackbox.Event) {
 	t.Helper()
-	w, err := New(s, decide)
+	w, err := New(s, newDecider)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -361,13 +364,13 @@
 	return h, events
 }
 
-// What is judged from outside must agree with what is judged from inside: worlds with every fault at once keep the rules,
-// and a node that breaks a rule does not.
+// The black-box check, which sees only what is visible from outside, must agree with the checker: it finds no violation
+// in scenarios with all faults, and it detects a node that breaks a rule.
 func TestSeededHistoriesPassBlackboxCheck(t *testing.T) {
 	for seed := range uint64(4) {
-		s := parsed(t, allFaults)
+		s := parseScenario(t, allFaults)
 		s.Seed = 100 + seed
-		h, events := playRecorded(t, s, policies.New)
+		h, events := runRecorded(t, s, policies.New)
 		for _, v := range blackbox.Check(h, events) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
@@ -375,23 +378,23 @@
 			t.Errorf("seed %d: only %d events", seed, len(events))
 		}
 	}
-	for rule, fault := range violations {
-		if rule == checker.OneAnswer || rule == checker.KnownServer { // what such a node does reaches nobody
+	for rule, violator := range violators {
+		if rule == checker.OneAnswer || rule == checker.KnownServer { // this violation is not visible from outside
 			continue
 		}
-		h, events := playRecorded(t, parsed(t, fault.world), func(name string, set balancer.Settings, seed uint64, truth policies.InFlight) (policies.Decider, error) {
-			d, err := policies.New(name, set, seed, truth)
+		h, events := runRecorded(t, parseScenario(t, violator.world), func(name string, set balancer.Settings, seed uint64, inFlight policies.InFlight) (policies.Decider, error) {
+			d, err := policies.New(name, set, seed, inFlight)
 			if set.Tier > 0 {
 				return d, err
 			}
-			return &violatingDecider{d, fault.spoil()}, err
+			return &violatingDecider{d, violator.violate()}, err
 		})
 		seen := map[checker.Rule]int{}
 		for _, v := range blackbox.Check(h, events) {
 			seen[v.Rule]++
 		}
 		if seen[rule] == 0 {
-			t.Errorf("a node that breaks %s: %v", rule, seen)
+			t.Errorf("violation of %s not detected; violations by rule: %v", rule, seen)
 		}
 	}
 }
