--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -14,13 +14,13 @@
 
 // detectClientRetry determines whether a request is a retry by its client, and if so, when the client made
 // its first try. Input: the time that the request has on arrival, and the client's mark if clients mark their
-// retries. Output: clientRetry and firstAskedAt. The latency objective of a retry starts at the first try and
+// retries. Output: clientRetry and firstTriedAt. The latency objective of a retry starts at the first try and
 // is mostly over: where load must be shed, the first tries of other clients are worth more.
 //
 // Clients give each try the same time, unless the deadline of the class, which covers all of them, ends
 // sooner: a shorter budget shows how much of the deadline has passed. If clients mark retries, only the mark
 // counts, because a last try may be given more time than the first. Only tier 0 receives requests from
-// clients; at other tiers, a budget is what the previous tier has left. firstAskedAt is an estimate: the
+// clients; at other tiers, a budget is what the previous tier has left. firstTriedAt is an estimate: the
 // Deadline of the class before the deadline of the request, as if the client had set that deadline with its
 // first try.
 func (b *Balancer) detectClientRetry(r *request) {
--- a/balancer/pool.go
+++ b/balancer/pool.go
@@ -24,7 +24,7 @@
 	unloadedRatio   float64 // the same, of successes while almost no load was shed
 	unloadedSamples float64 // number of successes in unloadedRatio
 	peakInFlight    float64 // recent peak of inFlight: rises at once and falls slowly
-	floorServers    float64 // servers per replica that raise the window's floor (keepWindowFloor)
+	floorServers    float64 // servers per replica that raise the window's floor (enforceWindowFloor)
 	roundingDraw    float64 // from 0 to 1, drawn while the window falls; 0: the window is rounded up
 	shedShare       float64 // share of recent requests answered without an attempt
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -224,8 +224,8 @@
 //	enqueue         the queue deadline has passed while the request waited for a server, for the window or
 //	                for the earlier requests of its key
 //	enqueue, dispatchQueued
-//	                the lease on the endpoint list has expired (listUnreliable), or operators have
-//	                disabled all servers that the request could be sent to (pool.allDisabled)
+//	                the lease on the endpoint list has expired (endpointListExpired), or operators
+//	                have disabled all servers that the request could be sent to (pool.allDisabled)
 //	retryOrGiveUp   an attempt did not succeed, and the class or MaxAttempts allows no other (mayRetry), the
 //	                retry budget is used up, too little time is left for an answer, or no server is eligible
 //	                (chooseServer)
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -11,10 +11,10 @@
 //	in service      listed, Ready and not disabled: in the pools that allow it (refreshPools)
 //	ejected         an outlier until ejectedUntil (recordFailure)
 //	on probation    ejected before, without a success since: ejectionLevel > 0 and consecutiveSuccesses is 0
-//	                (isOutlier); each full run of successes lowers ejectionLevel by one (recordHealthy)
+//	                (isOutlier); each full run of successes lowers ejectionLevel by one (endFailureRun)
 //	warming up      started less than SlowStartDuration ago (slowStartAdmits)
 //	at capacity     has rejected an attempt: is given at most capacityLimit attempts at once until
-//	                capacityLimitUntil (learnRejection)
+//	                capacityLimitUntil (recordRejection)
 //	removed         not listed, and without attempts in flight (refreshPools, handleAttemptEnded)
 //
 // A restart, or an operator enabling the server, resets all of this except the attempts in flight.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -47,7 +47,7 @@
 	Replicas         int     `json:"Balancers"`   // balancers that send to the same tier
 	ReplicaIndex     int     `json:"Self"`        // this replica's number among them, from 0
 	Zone             string  `json:"Zone"`        // this replica's zone; "": unknown, none is preferred
-	Tier             int     `json:"Tier"`        // tier of the servers; 0 is the first after the clients
+	Tier             int     `json:"Tier"`        // depth of the servers' tier; 0 is nearest to the clients
 	TotalValueWeight float64 `json:"WholeWeight"` // weight of the value over all classes when shedding load
 	WorstClassWeight float64 `json:"ClassWeight"` // weight of the worst-served class when shedding load
 
