--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -23,7 +23,7 @@
 	errResponseTimeout     = errors.New("no response before the deadline")
 )
 
-// noAnnouncedTimeout replaces the announced timeout in calls of engine.Attempt.Sent for streamed requests, whose
+// noAnnouncedTimeout replaces the announced timeout in calls of engine.Attempt.CheckSend for streamed requests, whose
 // timeout does not start with the first byte written.
 const noAnnouncedTimeout = 0
 
@@ -72,8 +72,8 @@
 }
 
 // resultOf returns the result of an attempt that ended without an error to log.
-func (a *attemptRun) resultOf(outcome balancer.Outcome, ground engine.Reason) *engine.Result {
-	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground})
+func (a *attemptRun) resultOf(outcome balancer.Outcome, reason engine.Reason) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason})
 }
 
 // resultWithError returns the result of an attempt that ended without a response, with the error to log.
@@ -212,8 +212,8 @@
 	case response.err != nil:
 		return a.resultWithError(balancer.ConnectionLost, engine.ReasonNoResponse, response.err)
 	}
-	outcome, ground := a.outcomeOf(response)
-	result := &engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground, Reply: response}
+	outcome, reason := a.outcomeOf(response)
+	result := &engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason, Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
 		result.Latency = max(a.pool.clock.Now()-latencyStart, 1)
 	}
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -54,7 +54,7 @@
 	fullMaxConns    int                             // maxConns while no other process of the node runs
 	attemptEnded    func(engine.Result)             // receives the result of each attempt
 	forwardResponse func(*engine.Attempt, any) bool // forwards a streamed response; false: no client waits for it
-	goroutines      sync.WaitGroup                  // of attempts and readLoops
+	goroutines      sync.WaitGroup                  // of attempts, and the readLoop of each connection
 
 	log   *slog.Logger
 	count func(metrics.Counter)
--- a/internal/node/ingress.go
+++ b/internal/node/ingress.go
@@ -46,7 +46,7 @@
 	faultKeys                 *faultinjection.Keys
 	metrics                   *metrics.Reporter    // nil: off
 	accessList                *balancer.AccessList // nil: every client is admitted
-	guard                     *invariants.Recorder
+	violations                *invariants.Recorder
 	ready                     func() bool
 	responsesCloseConnections func() bool          // every response closes its connection
 	hardDeadline              func() time.Duration // clock time by which all requests must be answered; 0: not shutting down
@@ -97,7 +97,7 @@
 	}
 	if err != nil { // the client has gone, or the node ends and has closed this connection
 		end := invariants.RequestEnd{ClientGone: errors.Is(err, engine.ErrClientGone)}
-		h.guard.Record(end.Check(), "id", req.Request.ID, "err", err)
+		h.violations.Record(end.Check(), "id", req.Request.ID, "err", err)
 		return statusClientGone
 	}
 	return h.writeResponse(w, conn, answer)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 
 	lifecycle          atomic.Pointer[lifecycle.Machine] // only transition replaces it
 	maxCountedDeadline time.Duration                     // the constant of this name; lower in tests
-	idleClosers        sync.WaitGroup                    // goroutines of closeIdleConnections
+	idleClosers        sync.WaitGroup                    // goroutines of startIdleCloser
 	stopped            chan struct{}                     // closed when clients are no longer served
 
 	// initialListSettled is set when the first endpoint list has been received from discovery or from the previous process,
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -40,7 +40,7 @@
 //
 // It starts these goroutines, all of which have ended when it returns: the engine's loop, discovery's watch, the admin API
 // and the connection to the other process (all in owned); one for each attempt and each connection to a server (owned by
-// the pool); closeIdleConnections; the writers of metrics and captures. The goroutines of client connections belong to
+// the pool); those of startIdleCloser; the writers of metrics and captures. The goroutines of client connections belong to
 // net/http. They end in shutDown, except those whose connections are closed at the deadline: these end shortly after it.
 //
 // The shutdown order ensures that nothing is lost. Serving clients ends first. Then the admin API is closed, before the
@@ -111,7 +111,7 @@
 			faultKeys:                 faultinjection.NewKeys(n.cfg.Features.FaultInjections),
 			metrics:                   n.engine.Metrics,
 			accessList:                n.accessList,
-			guard:                     n.engine.Violations,
+			violations:                n.engine.Violations,
 			responsesCloseConnections: func() bool { return n.lifecycle.Load().ResponsesCloseConnections(n.clock.Now()) },
 			hardDeadline:              func() time.Duration { return n.lifecycle.Load().HardDeadline() },
 		},
