--- a/cmd/hookwalk/configwatch_test.go
+++ b/cmd/hookwalk/configwatch_test.go
@@ -301,7 +301,7 @@
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the file read again", func() bool { return strings.Count(stderr.String(), `msg="configuration read again"`) == 3 })
+	waitFor(t, "the file to be reloaded", func() bool { return strings.Count(stderr.String(), `msg="configuration reloaded"`) == 3 })
 	s.wantClass(t, "last", true)
 	for _, want := range []string{`msg="configuration version" version=1 outcome=applied cluster=x`, "outcome=rejected kind=no_server", "kind=foreign"} {
 		if !strings.Contains(stderr.String(), want) {
--- a/cmd/hookwalk/main_test.go
+++ b/cmd/hookwalk/main_test.go
@@ -172,12 +172,12 @@
 	if len(firstWatched)+len(secondWatched) != 0 {
 		t.Error("an invalid file caused a new watch")
 	}
-	hangUp(fmt.Sprintf(minimalConfig, second), `msg="configuration read again"`)
+	hangUp(fmt.Sprintf(minimalConfig, second), `msg="configuration reloaded"`)
 	<-secondWatched
 	if got := status(t, url+"/ready"); got != http.StatusOK {
 		t.Errorf("after SIGHUP, /ready has status %d", got)
 	}
-	hangUp(fmt.Sprintf(minimalConfig, first), `msg="configuration read again"`)
+	hangUp(fmt.Sprintf(minimalConfig, first), `msg="configuration reloaded"`)
 	<-firstWatched
 	terminate(t, c, lines)
 }
--- a/internal/lab/scale/datapath_test.go
+++ b/internal/lab/scale/datapath_test.go
@@ -148,7 +148,7 @@
 	if err := node.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	waitForLog(t, node, "configuration read again")
+	waitForLog(t, node, "configuration reloaded")
 }
 
 // waitForLog waits until a node has written something.
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -51,7 +51,7 @@
 	n.pool.applyConfig(cfg)
 	n.discovery.SetAddress(cfg.Discovery)
 	n.current = cfg
-	n.log.Info("configuration read again", "discovery", cfg.Discovery, "classes", cfg.classNames())
+	n.log.Info("configuration reloaded", "discovery", cfg.Discovery, "classes", cfg.classNames())
 	return nil
 }
 
