--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -38,7 +38,7 @@
 	minWindowUse = 0.8
 
 	// An answer moves the load ratio with the weight loadWeightNumerator/(window+loadWeightOffset), which is
-	// 2/(window+16): with a larger window, answers arrive faster and each one shows less.
+	// 2/(window+16): with a larger window, answers arrive faster and each one says less.
 	loadWeightNumerator = 2
 	// loadWeightOffset, in attempts, keeps a single answer from moving the load ratio of a small window by
 	// much.
@@ -133,8 +133,8 @@
 	p.floorServers += gain / minWindowPerServer
 }
 
-// enforceWindowFloor keeps a window at or above its floor. The floor falls with the endpoint list
-// immediately, but rises only with answers below the target: a list that grows in a surge of traffic says
+// enforceWindowFloor keeps a window at or above its floor. The floor falls as soon as the endpoint list
+// shrinks, but rises only with answers below the target: a list that grows in a surge of traffic says
 // nothing about the capacity of deeper tiers, and a floor that grew with it would overload them. floorServers
 // is fractional: it is this replica's share of the servers, and grows with the window by fractions of an
 // attempt.
--- a/balancer/attempttimeout.go
+++ b/balancer/attempttimeout.go
@@ -1,4 +1,4 @@
-// Attempt time-out: how long an attempt may take.
+// Attempt timeout: how long an attempt may take.
 
 package balancer
 
--- a/balancer/attempttimeout_test.go
+++ b/balancer/attempttimeout_test.go
@@ -17,7 +17,7 @@
 			return sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second}))[0]
 		}
 		if s := send("first"); s.Timeout != time.Second {
-			t.Errorf("%s: time-out of %v while the latency is unknown, want all of the remaining time", class, s.Timeout)
+			t.Errorf("%s: timeout of %v while the latency is unknown, want all of the remaining time", class, s.Timeout)
 		}
 		for i := range 20 {
 			s := send(fmt.Sprint(i))
@@ -26,11 +26,11 @@
 		}
 		s := send("cut off")
 		if got := s.Timeout < 500*millisecond; got != retriesEarly {
-			t.Fatalf("%s: time-out of %v with one second left, answers take 20 ms", class, s.Timeout)
+			t.Fatalf("%s: timeout of %v with one second left, answers take 20 ms", class, s.Timeout)
 		}
 		now += s.Timeout
 		if next := sends(endAttempt(b, now, s.ID, s, TimedOut)); retriesEarly && (len(next) != 1 || next[0].Server == s.Server) {
-			t.Errorf("%s: %v after the time-out, want one send to another server", class, next)
+			t.Errorf("%s: %v after the timeout, want one send to another server", class, next)
 		}
 	}
 }
--- a/balancer/checkpointformat.go
+++ b/balancer/checkpointformat.go
@@ -58,7 +58,7 @@
 type savedRequest struct {
 	ID           []byte         `json:"ID"` // may be invalid UTF-8, which JSON would replace
 	Class        int            `json:"Class"`
-	FirstAskedAt time.Duration  `json:"Arrived"`
+	FirstTriedAt time.Duration  `json:"Arrived"`
 	Deadline     time.Duration  `json:"Deadline"`
 	Attempts     []savedAttempt `json:"Attempts"`
 	ClientRetry  bool           `json:"Repeat"`
@@ -97,25 +97,25 @@
 
 // savedPool is a pool and what was learned about it.
 type savedPool struct {
-	InService         []int    `json:"Ready"`
-	Preferred         []int    `json:"Near"`
-	Queued            []int    `json:"Held"`
-	InFlight          int      `json:"InFlight"`
-	CrossZoneShare    float64  `json:"Spill"`
-	PreferredLatency  float64  `json:"Nearby"`
-	OtherLatency      float64  `json:"Far"`
-	ServersPerReplica float64  `json:"Fair"`
-	Window            float64  `json:"Window"`
-	LoadRatio         float64  `json:"Fill"`
-	UnloadedRatio     float64  `json:"Bare"`
-	UnloadedSamples   float64  `json:"Spared"`
-	PeakInFlight      float64  `json:"Peak"`
-	FloorServers      float64  `json:"Base"`
-	RoundingDraw      float64  `json:"Part"`
-	ShedShare         float64  `json:"Shed"`
-	AllDisabled       bool     `json:"Handed,omitempty"`
-	AllowedZones      []string `json:"Zones"` // nil: all
-	AllowedKinds      []string `json:"Kinds"` // nil: all
+	InService           []int    `json:"Ready"`
+	Preferred           []int    `json:"Near"`
+	Queued              []int    `json:"Held"`
+	InFlight            int      `json:"InFlight"`
+	CrossZoneShare      float64  `json:"Spill"`
+	PreferredLogLatency float64  `json:"Nearby"`
+	OtherLogLatency     float64  `json:"Far"`
+	ServersPerReplica   float64  `json:"Fair"`
+	Window              float64  `json:"Window"`
+	LoadRatio           float64  `json:"Fill"`
+	UnloadedRatio       float64  `json:"Bare"`
+	UnloadedSamples     float64  `json:"Spared"`
+	PeakInFlight        float64  `json:"Peak"`
+	FloorServers        float64  `json:"Base"`
+	RoundingDraw        float64  `json:"Part"`
+	ShedShare           float64  `json:"Shed"`
+	AllDisabled         bool     `json:"Handed,omitempty"`
+	AllowedZones        []string `json:"Zones"` // nil: all
+	AllowedKinds        []string `json:"Kinds"` // nil: all
 }
 
 // savedKeyQueue holds the open requests of one key.
--- a/balancer/checkpointread.go
+++ b/balancer/checkpointread.go
@@ -159,7 +159,7 @@
 	q := &request{
 		id:           string(saved.ID),
 		class:        resolveOne(r, "class", r.classes, saved.Class),
-		firstTriedAt: saved.FirstAskedAt,
+		firstTriedAt: saved.FirstTriedAt,
 		deadline:     saved.Deadline,
 		clientRetry:  saved.ClientRetry,
 		answered:     saved.Answered,
@@ -228,8 +228,8 @@
 		}
 		p.inFlight = saved.InFlight
 		p.crossZoneShare = saved.CrossZoneShare
-		p.preferredLogLatency = saved.PreferredLatency
-		p.otherLogLatency = saved.OtherLatency
+		p.preferredLogLatency = saved.PreferredLogLatency
+		p.otherLogLatency = saved.OtherLogLatency
 		p.serversPerReplica = saved.ServersPerReplica
 		p.window = saved.Window
 		p.loadRatio = saved.LoadRatio
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -34,7 +34,7 @@
 	Success        Outcome = iota // answered
 	Failure                       // answered with an error
 	Overloaded                    // rejected by the server
-	TimedOut                      // no answer within its time-out
+	TimedOut                      // no answer within its timeout
 	Unreachable                   // no connection could be made
 	ConnectionLost                // the connection was lost before the answer was complete
 	Canceled                      // abandoned by the host, for example because the client disconnected
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,7 +26,7 @@
 	now := 5 * time.Millisecond
 	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
 	first := acts[0].(balancer.Send)
-	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
+	fmt.Println("sent", first.ID, "with a timeout of", first.Timeout)
 
 	now += 3 * time.Millisecond
 	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 0, Server: first.Server,
@@ -39,7 +39,7 @@
 		Outcome: balancer.Success, Latency: 20 * time.Millisecond, RequestDone: true})
 	fmt.Println("remaining actions:", len(acts))
 	// Output:
-	// sent r1 with a time-out of 1s
+	// sent r1 with a timeout of 1s
 	// sent again to another server: true
 	// remaining actions: 0
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -28,7 +28,7 @@
 	latency := float64(b.attemptLatency(a.request, a, e))
 	if e.Outcome == Success || e.Outcome == TimedOut {
 		logRatio := math.Log(max(latency, 1) / c.meanLatency)
-		c.pool.learnZoneLatency(slices.Contains(c.pool.preferred, a.server), logRatio)
+		c.pool.recordZoneLatency(slices.Contains(c.pool.preferred, a.server), logRatio)
 	}
 	switch e.Outcome {
 	case Success:
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxTimeoutRunProbability: a run of time-outs that is more probable than this, given the share of
+	// maxTimeoutRunProbability: a run of timeouts that is more probable than this, given the share of
 	// failures at all servers, is attributed to chance.
 	maxTimeoutRunProbability = 0.08
 	// maxErrorRunProbability is the same for a run that ends in an error or a lost connection. These are
@@ -39,11 +39,11 @@
 
 // excludeOutliers marks the servers of a list that are excluded because of their health. Input: the servers
 // that a request could be sent to, and the share of requests shed. Output: true for the outliers with the
-// most consecutive failures, up to maxExcludedShare of the list. Time-outs and errors count as failures, a
+// most consecutive failures, up to maxExcludedShare of the list. Timeouts and errors count as failures, a
 // long wait does not: an unresponsive server may have no failures, and is then the first to remain if there
 // are too many outliers.
 //
-// The limit falls as more load is shed, because time-outs in an overload show load rather than bad health.
+// The limit falls as more load is shed, because timeouts in an overload show load rather than bad health.
 // One server may always be excluded. A server that fails quickly has few attempts in flight and would win
 // most draws. A server that is cut off from the network would hold its attempts until they time out, fill the
 // window, and so cause the very shedding that would keep it from being excluded.
@@ -108,7 +108,7 @@
 // failures therefore counts only if share^n is below the limit for the kind of its last failure:
 //
 //	share of failures    consecutive failures that eject a server
-//	before the last      if the last is a time-out    if the last is an error
+//	before the last      if the last is a timeout     if the last is an error
 //	1 to 2 %             1                            2
 //	5 %                  1                            3
 //	10 %                 2                            4
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -26,7 +26,7 @@
 }
 
 // In a chain of tiers a single error is mostly passed on from a deeper tier, and ejecting the server for it
-// would remove healthy capacity. Several consecutive errors while its peers succeed, or a time-out, show a
+// would remove healthy capacity. Several consecutive errors while its peers succeed, or a timeout, show a
 // fault in the server.
 func TestOneErrorDoesNotEject(t *testing.T) {
 	for _, tc := range []struct {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -133,7 +133,7 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server. The time-out is at least the host's timer tolerance,
+// send starts an attempt of a request at a server. The timeout is at least the host's timer tolerance,
 // because its timers can't keep a shorter one.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
@@ -175,7 +175,7 @@
 
 // handleAttemptEnded learns from the end of an attempt, and then retries or answers its request. An attempt
 // that timed out after less than the mean latency of its class had too short a deadline from its client: the
-// time-out is no evidence about the server or its load.
+// timeout is no evidence about the server or its load.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
--- a/balancer/settingschange.go
+++ b/balancer/settingschange.go
@@ -9,7 +9,7 @@
 
 // changeSettings replaces the settings, unless the new ones are invalid. Classes that have not changed keep
 // what was learned of them. Open requests keep the class that they arrived with, even one that has been
-// removed: its effect decides whether they may be retried, and was promised when they were accepted.
+// removed: its effect, which was promised when they were accepted, decides whether they may be retried.
 func (b *Balancer) changeSettings(settings Settings) {
 	if settings.Validate() != nil {
 		return
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -57,13 +57,13 @@
 	return n == 0 || n == len(p.inService) || b.rng.Float64() < max(p.crossZoneShare, minCrossZoneShare)
 }
 
-// learnZoneLatency learns from the latency of an attempt whether requests should leave the preferred servers.
+// recordZoneLatency adds the latency of an attempt to the averages and adjusts the cross-zone share to them.
 // Input: whether the attempt's server is preferred, and the log of the latency over the class's mean, which
 // makes fast and slow classes comparable. Output: the cross-zone share. While the preferred servers are
 // slower than the others by more than crossZoneLogLatencyGap, for whatever reason, more requests leave them;
 // otherwise fewer do. Without this rule, a zone that has lost half of its servers would be overloaded while
-// others have capacity. The symptom is time-outs and rejections in only one zone.
-func (p *pool) learnZoneLatency(preferred bool, logRatio float64) {
+// others have capacity. The symptom is timeouts and rejections in only one zone.
+func (p *pool) recordZoneLatency(preferred bool, logRatio float64) {
 	average := &p.otherLogLatency
 	if preferred {
 		average = &p.preferredLogLatency
--- a/internal/endpointlease/availability.go
+++ b/internal/endpointlease/availability.go
@@ -114,7 +114,7 @@
 	return t.reachedSinceConfirmed || t.otherPollConnected(id) || expires <= outageBegan
 }
 
-// mayHaveRecovered reports whether discovery may have been back for a while since polls were first rejected after a wait.
+// mayHaveRecovered reports whether discovery may have been available for a while since it was found downBehindProxy.
 // This is so if a poll that is older than the one just rejected is still waiting: the proxy would have rejected it by
 // now, so it may have reached discovery.
 func (t *Tracker) mayHaveRecovered(id int) bool {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -166,7 +166,7 @@
 	if c.Request.StreamedBody {
 		attempt.Deadline = now + c.BodyTimeout + a.Timeout
 	}
-	if attempt.Target == nil { // the server has left the list since: the attempt ends without being sent
+	if attempt.Target == nil { // the server may get no new attempts: this one ends without being sent
 		attempt.Target = &Target{ID: a.Server}
 		attempt.Target.StopSending(now)
 	}
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -13,9 +13,9 @@
 	failureInterval  = time.Second     // minimum between two log lines of attempts without a response
 )
 
-// attemptStage separates the counts of rejected and failed calls: overload shows before the first attempt, and faults of
-// servers show after it. The reason of a rejection is counted only for an expired endpoint list; Balancer.giveUp lists the
-// other reasons.
+// attemptStage separates the counts of calls that were rejected or failed before their first attempt, which show overload,
+// from the counts of those after it, which show faults of servers. The reason of a rejection is counted only for an expired
+// endpoint list; Balancer.giveUp lists the other reasons.
 type attemptStage int
 
 // The stages.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -72,7 +72,7 @@
 	endpoints    map[string]Endpoint // by server ID: all that are listed as ready, including disabled ones
 	targets      map[string]*Target  // by server ID: the endpoints that may receive attempts
 	timers       timerHeap           // set by the balancer and not fired yet
-	endPending   <-chan struct{}     // equals endFaultInjections until the balancer has been notified, then nil
+	endPending   <-chan struct{}     // endFaultInjections until the balancer has been notified of its close, then nil
 	leaseExpired bool                // whether the lease had expired when the balancer was last notified
 	counters     counters            // for the log
 	// eventContext is recorded by the capture together with the next event that decide passes to the balancer. A caller
@@ -114,7 +114,7 @@
 // doesn't block.
 func (e *Engine) EndFaultInjections() { close(e.endFaultInjections) }
 
-// DumpCapture requests that the records that the capture holds in memory are written to standard error. It must not be
+// DumpCapture requests that the capture write the records that it holds in memory to standard error. It must not be
 // called if Options.Capture is nil. It doesn't block. Requests that arrive while one is pending are merged with it.
 func (e *Engine) DumpCapture() {
 	select {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -43,8 +43,8 @@
 	return s.node.PeersView()
 }
 
-// SetServerDisabled disables a server or enables it again. The change also goes to the other process of the node and to the
-// persisted operator state.
+// SetServerDisabled disables a server or enables it again. The change is also sent to the other process of the node and
+// saved in the persisted operator state.
 func (s adminService) SetServerDisabled(ctx context.Context, id string, disabled bool) error {
 	if err := s.node.engine.SetServerDisabled(ctx, id, disabled); err != nil {
 		return err
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// SetInService puts the node in service or takes it out of service. The change also goes to the other process of the node
-// and to the persisted operator state.
+// SetInService puts the node in service or takes it out of service. The change is also sent to the other process of the
+// node and saved in the persisted operator state.
 func (s adminService) SetInService(ctx context.Context, inService bool) error {
 	s.node.setInService(inService)
 	outOfService := !inService
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -77,12 +77,12 @@
 }
 
 // resultWithError returns the result of an attempt that ended without a response, with the error to log.
-func (a *attemptRun) resultWithError(outcome balancer.Outcome, ground engine.Reason, err error) *engine.Result {
-	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground, Err: err})
+func (a *attemptRun) resultWithError(outcome balancer.Outcome, reason engine.Reason, err error) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason, Err: err})
 }
 
-// addConnectionInfo adds the attributes of the attempt's connection that are logged to a result, and returns the
-// result.
+// addConnectionInfo adds to a result the data about the attempt's connection that is logged and captured, and returns
+// the result.
 func (a *attemptRun) addConnectionInfo(result *engine.Result) *engine.Result {
 	c := a.conn
 	if c == nil {
@@ -238,7 +238,7 @@
 	return a.pool.release(a.conn)
 }
 
-// outcomeOf returns the outcome of an attempt that received a response, and what it is based on. A marked rejection
+// outcomeOf returns the outcome of an attempt that received a response, and the reason for it. A marked rejection
 // counts as a Failure if it may be the response to another request: then it does not prove that this request did not
 // run.
 func (a *attemptRun) outcomeOf(response *upstreamResponse) (balancer.Outcome, engine.Reason) {
--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -29,7 +29,7 @@
 // descriptor.
 //
 // It protects against descriptor exhaustion, since clients may keep connections open indefinitely, and some never send a
-// request. When all slots are taken, the connection that has been idle longest is closed for the next one. A request that
+// request. When all slots are taken, the connection that has been idle longest is closed to free its slot. A request that
 // arrives during that close is not read, so the client may safely send it again. Connections with an open request are
 // never evicted: if all of them have one, new clients wait in the kernel's accept queue.
 //
@@ -258,9 +258,9 @@
 
 // closeIdle closes connections that have been idle for minIdle, in two steps: first the sending side and, after
 // halfCloseTimeout, the rest. The client sees the first step before it sends another request. A request that it sent
-// earlier was either read, and is answered, or was not read, which the client learns from the end without a response. A
-// close in one step could send a reset that destroys the preceding response. The reader of each connection performs both
-// steps; the next call of closeIdle closes the connections whose readers did not.
+// earlier was either read, and is answered, or was not read; the client learns the latter when the connection ends without
+// a response. A close in one step could send a reset that destroys the preceding response. The reader of each connection
+// performs both steps; the next call of closeIdle closes the connections whose readers did not.
 func (l *clientListener) closeIdle(minIdle time.Duration) {
 	now := time.Now()
 	var overdue []*clientConn
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -12,9 +12,9 @@
 	closedForDescriptor    closeReason = "room"                 // another connection needed the descriptor
 	closedForRetiredServer closeReason = "server retired"       // the server gets no new requests
 	closedForUnsolicited   closeReason = "unasked bytes"        // the server sent bytes that belong to no request
-	closedForSuspicion     closeReason = "suspicion"            // the server sent such bytes on another connection
+	closedForSuspicion     closeReason = "suspicion"            // the server sent unsolicited bytes on another connection
 	closedForResponse      closeReason = "response"             // the response ends the connection, or its end is uncertain
 	closedForUnsentRequest closeReason = "request not sent"     // the request could not be written completely
-	closedForBrokenStream  closeReason = "stream not passed on" // a streamed response was not passed on to its end
+	closedForBrokenStream  closeReason = "stream not passed on" // a streamed response was not completely forwarded
 	closedForShutdown      closeReason = "shutdown"             // the process ends
 )
--- a/internal/node/connreuse.go
+++ b/internal/node/connreuse.go
@@ -10,8 +10,8 @@
 )
 
 // An HTTP/1.1 response does not name its request. The pool matches it to the request that was sent last on its
-// connection. A server that writes a second response to the same request makes that wrong. Therefore a connection stays
-// idle for a while after a response (the reuse delay), and is checked again right before the next request is written:
+// connection. If a server writes a second response to the same request, the next match is wrong. Therefore a connection
+// stays idle for a while after a response (the reuse delay), and is checked again right before the next request is written:
 // bytes that arrived meanwhile are unsolicited, and the connection is closed.
 //
 // A second response that arrives later than minReuseDelay may be matched to the next request. The response to that
@@ -85,8 +85,8 @@
 	h.meanResponseTime += time.Duration(responseTimeWeight * float64(responseTime-h.meanResponseTime))
 }
 
-// reuseDelay returns the time from a response of a server to the next request on its connection. It is so long that the
-// next response is unlikely to be in doubt, which would cost more than a new connection.
+// reuseDelay returns the time from a response of a server to the next request on its connection. It is long enough
+// that the next response is unlikely to be in doubt, which would cost more than a new connection.
 func (h *targetHistory) reuseDelay() time.Duration {
 	return max(maxSecondResponseDelay-h.meanResponseTime, minReuseDelay)
 }
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -23,8 +23,8 @@
 
 // initialList gives the engine its first endpoint list.
 //
-// If discovery is polled, the first list is the bootstrap list. If discovery pushes, the node is expected to respect
-// discovery's list from its start on. The bootstrap list may contain servers that are draining or were replaced, and
+// If discovery is polled, the first list is the bootstrap list. If discovery pushes, the node must follow discovery's
+// list from the start. The bootstrap list may contain servers that are draining or were replaced, and
 // requests sent to them would break an invariant. So requests wait for the first update, which is merged into the
 // bootstrap list, or until the wait for it ends (polledListWait if discovery is unavailable, otherwise pushedListWait).
 type initialList struct {
@@ -32,7 +32,7 @@
 	applied bool
 }
 
-// apply gives the engine the initial list, unless it has it already, and an update from discovery (nil: none).
+// apply gives the engine the initial list, unless the engine already has it, and an update from discovery (nil: none).
 func (l *initialList) apply(ctx context.Context, n *Node, update *engine.Update) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,8 +134,8 @@
 	return reservedDescriptors + adminapi.MaxConnections + 1 // 1 for the admin listener
 }
 
-// DumpCapture requests that the records which the capture holds in memory are written to standard error. It does nothing
-// if capturing is off, or while an earlier request is pending.
+// DumpCapture requests that the capture write the records that it holds in memory to standard error. It does nothing if
+// capturing is off, or while an earlier request is pending.
 func (n *Node) DumpCapture() { n.engine.DumpCapture() }
 
 // ready reports whether load balancers should send clients to this node: it is in service, its initial endpoint list is
--- a/internal/node/override.go
+++ b/internal/node/override.go
@@ -34,7 +34,7 @@
 
 // WithOverride returns the configuration of c's file with its settings replaced by those of an override, and its
 // address of discovery too if the override has one. A previous override of c is ignored. The error is an
-// UnreadableOverrideError, a ConfigKeyError, or why the balancer does not accept the settings.
+// UnreadableOverrideError, a ConfigKeyError, or the reason why the balancer does not accept the settings.
 func (c Config) WithOverride(override Override) (Config, error) {
 	text, err := composeConfig(c.fileText, override)
 	if err != nil {
@@ -116,8 +116,8 @@
 
 // Override applies an override and replaces the previous one. If it returns an error, nothing has changed. It can
 // change the same parts as Reload, and rejects the same configurations. check (nil: none) rejects a valid override that
-// is most likely a mistake. Override waits until the node runs; if ctx ends first it returns the context's error, and
-// if the node has stopped engine.ErrStopped.
+// is most likely a mistake. Override waits until the node runs; if ctx ends first, it returns the context's error, and
+// if the node has stopped, engine.ErrStopped.
 func (n *Node) Override(ctx context.Context, override Override, check OverrideCheck) error {
 	servers, err := n.engine.Servers(ctx) // before locking, because this waits until the node runs
 	if err != nil {
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -53,7 +53,7 @@
 	err               error  // how the connection ended, after the bytes in buf
 	socketEmpty       bool   // the last non-blocking read found nothing to read
 	requestOpen       bool   // a request is open, and its body has been read
-	httpHasByte       bool   // net/http holds one byte that follows that request, and does not read on
+	httpHasByte       bool   // net/http holds one byte that follows that request, and reads no further
 	hasPipelinedBytes bool   // bytes that follow that request were read with it; net/http has not taken them
 	inBackgroundRead  bool   // net/http reads only to detect that the client of the open request leaves
 	discardedBytes    int    // bytes that were not buffered; if above 0, the connection must be closed after this response
