--- a/balancer/request.go
+++ b/balancer/request.go
@@ -133,7 +133,7 @@
 	b.enqueue(r)
 }
 
-// send starts an attempt of a request at a server. The time-out is at least the host's timer tolerance,
+// send starts an attempt of a request at a server. The timeout is at least the host's timer tolerance,
 // because its timers can't keep a shorter one.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
@@ -175,7 +175,7 @@
 
 // handleAttemptEnded learns from the end of an attempt, and then retries or answers its request. An attempt
 // that timed out after less than the mean latency of its class had too short a deadline from its client: the
-// time-out is no evidence about the server or its load.
+// timeout is no evidence about the server or its load.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -224,8 +224,8 @@
 //	enqueue         the queue deadline has passed while the request waited for a server, for the window or
 //	                for the earlier requests of its key
 //	enqueue, dispatchQueued
-//	                the lease on the endpoint list has expired (listUnreliable), or operators have
-//	                disabled all servers that the request could be sent to (pool.allDisabled)
+//	                the lease on the endpoint list has expired (endpointListExpired), or operators
+//	                have disabled all servers that the request could be sent to (pool.allDisabled)
 //	retryOrGiveUp   an attempt did not succeed, and the class or MaxAttempts allows no other (mayRetry), the
 //	                retry budget is used up, too little time is left for an answer, or no server is eligible
 //	                (chooseServer)
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -23,7 +23,7 @@
 	errResponseTimeout     = errors.New("no response before the deadline")
 )
 
-// noAnnouncedTimeout replaces the announced timeout in calls of engine.Attempt.Sent for streamed requests, whose
+// noAnnouncedTimeout replaces the announced timeout in calls of engine.Attempt.CheckSend for streamed requests, whose
 // timeout does not start with the first byte written.
 const noAnnouncedTimeout = 0
 
@@ -72,17 +72,17 @@
 }
 
 // resultOf returns the result of an attempt that ended without an error to log.
-func (a *attemptRun) resultOf(outcome balancer.Outcome, ground engine.Reason) *engine.Result {
-	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground})
+func (a *attemptRun) resultOf(outcome balancer.Outcome, reason engine.Reason) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason})
 }
 
 // resultWithError returns the result of an attempt that ended without a response, with the error to log.
-func (a *attemptRun) resultWithError(outcome balancer.Outcome, ground engine.Reason, err error) *engine.Result {
-	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground, Err: err})
+func (a *attemptRun) resultWithError(outcome balancer.Outcome, reason engine.Reason, err error) *engine.Result {
+	return a.addConnectionInfo(&engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason, Err: err})
 }
 
-// addConnectionInfo adds the attributes of the attempt's connection that are logged to a result, and returns the
-// result.
+// addConnectionInfo adds to a result the data about the attempt's connection that is logged and captured, and returns
+// the result.
 func (a *attemptRun) addConnectionInfo(result *engine.Result) *engine.Result {
 	c := a.conn
 	if c == nil {
@@ -212,8 +212,8 @@
 	case response.err != nil:
 		return a.resultWithError(balancer.ConnectionLost, engine.ReasonNoResponse, response.err)
 	}
-	outcome, ground := a.outcomeOf(response)
-	result := &engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: ground, Reply: response}
+	outcome, reason := a.outcomeOf(response)
+	result := &engine.Result{Attempt: a.attempt, Outcome: outcome, Reason: reason, Reply: response}
 	if a.req.remaining != nil || response.stream != nil {
 		result.Latency = max(a.pool.clock.Now()-latencyStart, 1)
 	}
@@ -238,7 +238,7 @@
 	return a.pool.release(a.conn)
 }
 
-// outcomeOf returns the outcome of an attempt that received a response, and what it is based on. A marked rejection
+// outcomeOf returns the outcome of an attempt that received a response, and the reason for it. A marked rejection
 // counts as a Failure if it may be the response to another request: then it does not prove that this request did not
 // run.
 func (a *attemptRun) outcomeOf(response *upstreamResponse) (balancer.Outcome, engine.Reason) {
