--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -117,7 +117,7 @@
 		"refused stream":               func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) },
 		"goaway before the stream":     func(k *grpcserver.Call) { k.GoAway(true) },
 		"rejected, UNAVAILABLE":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") },
-		"rejected after a header":      func(k *grpcserver.Call) { k.Header(); k.Status(int(codes.Unavailable), RejectedKey, "1") },
+		"rejected after a header":      func(k *grpcserver.Call) { k.SendHeader(); k.SendStatus(int(codes.Unavailable), RejectedKey, "1") },
 		"rejected, RESOURCE_EXHAUSTED": func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.ResourceExhausted), RejectedKey, "1") },
 		"goaway before, then reset":    func(k *grpcserver.Call) { k.GoAway(true); k.ResetConnection() },
 	} {
@@ -127,7 +127,7 @@
 					fault(k)
 					return
 				}
-				k.Answer(replyMessage)
+				k.Respond(replyMessage)
 			})
 			cc := dial(t, config(t, StaticSource(f.list())))
 			if got, err := invoke(t.Context(), cc, nonIdempotentMethod); err != nil || got != "done" {
@@ -139,7 +139,7 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
+		f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Respond(replyMessage) })
 		f.servers[0].Close()
 		cc := dial(t, config(t, StaticSource(f.list())))
 		for range 20 {
@@ -164,13 +164,13 @@
 		"rejected, INTERNAL":        func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Internal), RejectedKey, "1") },
 		"rejected, invalid value":   func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "yes") },
 		"reset with CANCEL":         func(k *grpcserver.Call) { k.Reset(http2.ErrCodeCancel) },
-		"header, then reset":        func(k *grpcserver.Call) { k.Header(); k.Reset(http2.ErrCodeInternal) },
-		"half a message, then lost": func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.ResetConnection() },
-		"half a message, then OK":   func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, 7); k.Status(0) },
-		"no message":                func(k *grpcserver.Call) { k.Header(); k.Status(0) },
+		"header, then reset":        func(k *grpcserver.Call) { k.SendHeader(); k.Reset(http2.ErrCodeInternal) },
+		"half a message, then lost": func(k *grpcserver.Call) { k.SendHeader(); k.SendMessage(replyMessage, 7); k.ResetConnection() },
+		"half a message, then OK":   func(k *grpcserver.Call) { k.SendHeader(); k.SendMessage(replyMessage, 7); k.SendStatus(0) },
+		"no message":                func(k *grpcserver.Call) { k.SendHeader(); k.SendStatus(0) },
 		"connection reset":          func(k *grpcserver.Call) { k.ResetConnection() },
 		"goaway after, then reset":  func(k *grpcserver.Call) { k.GoAway(false); k.ResetConnection() },
-		"invalid message":           func(k *grpcserver.Call) { k.Answer([]byte{0xff, 0xff}) },
+		"invalid message":           func(k *grpcserver.Call) { k.Respond([]byte{0xff, 0xff}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for method, want := range map[string]struct {
@@ -182,7 +182,7 @@
 						fault(k)
 						return
 					}
-					k.Answer(replyMessage)
+					k.Respond(replyMessage)
 				})
 				cfg := config(t, StaticSource(f.list()))
 				cfg.Tier += method
@@ -287,7 +287,7 @@
 // A draining server gets no new calls, although its connection is ready. When it is listed again with a new start time, it
 // gets a new connection.
 func TestServerDrainsAndRestarts(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Respond(replyMessage) })
 	source, list := make(scriptedSource), f.list()
 	cc := dial(t, config(t, source))
 	go func() { source <- EndpointList{Endpoints: list, Complete: true} }()
@@ -316,7 +316,7 @@
 // Channels to the same tier share an engine, channels to different tiers do not. Closing the last channel stops the engine. A
 // call on a closed channel fails immediately.
 func TestChannelsShareTier(t *testing.T) {
-	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
+	f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { k.Respond(replyMessage) })
 	cfg := config(t, StaticSource(f.list()))
 	a, b := dial(t, cfg), dial(t, cfg)
 	cfg.Tier = "other"
@@ -406,19 +406,19 @@
 			k.FailWithoutHeader(int(codes.Unavailable))
 		case 17:
 			ran()
-			k.Header()
-			k.Data(replyMessage, 6)
+			k.SendHeader()
+			k.SendMessage(replyMessage, 6)
 			k.ResetConnection()
 		case 19:
 			ran()
 			k.GoAway(false)
-			k.Answer(replyMessage)
+			k.Respond(replyMessage)
 		case 23:
 			ran()
 			k.ResetConnection()
 		default:
 			ran()
-			k.Answer(replyMessage)
+			k.Respond(replyMessage)
 		}
 	})
 	cc := dial(t, config(t, StaticSource(f.list())))
@@ -479,23 +479,23 @@
 		messages int
 		want     codes.Code
 	}{
-		"served":         {func(k *grpcserver.Call) { k.Header(); k.Data(replyMessage, -1); k.Data(replyMessage, -1); k.Status(0) }, 2, codes.OK},
+		"served":         {func(k *grpcserver.Call) { k.SendHeader(); k.SendMessage(replyMessage, -1); k.SendMessage(replyMessage, -1); k.SendStatus(0) }, 2, codes.OK},
 		"not found":      {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound)) }, 0, codes.NotFound},
 		"rejected":       {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
 		"unavailable":    {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable)) }, 0, codes.Internal},
 		"rejected after a message": {func(k *grpcserver.Call) {
-			k.Header()
-			k.Data(replyMessage, -1)
-			k.Status(int(codes.Unavailable), RejectedKey, "1")
+			k.SendHeader()
+			k.SendMessage(replyMessage, -1)
+			k.SendStatus(int(codes.Unavailable), RejectedKey, "1")
 		}, 1, codes.Internal},
 		"connection reset after a message": {func(k *grpcserver.Call) {
-			k.Header()
-			k.Data(replyMessage, -1)
-			k.Data(replyMessage, 6)
+			k.SendHeader()
+			k.SendMessage(replyMessage, -1)
+			k.SendMessage(replyMessage, 6)
 			k.ResetConnection()
 		}, 1, codes.Internal},
-		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.Header(); k.Data(replyMessage, -1); k.Status(0) }, 1, codes.OK},
+		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.SendHeader(); k.SendMessage(replyMessage, -1); k.SendStatus(0) }, 1, codes.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { tc.script(k) })
@@ -530,12 +530,12 @@
 func TestStreamsDuringDrain(t *testing.T) {
 	finish, secondEnded := make(chan struct{}), make(chan struct{}, 1)
 	f := newFleet(t, 1, 0, func(n int, k *grpcserver.Call) {
-		k.Header()
-		k.Data(replyMessage, -1)
+		k.SendHeader()
+		k.SendMessage(replyMessage, -1)
 		if n == 0 {
 			<-finish
-			k.Data(replyMessage, -1)
-			k.Status(0)
+			k.SendMessage(replyMessage, -1)
+			k.SendStatus(0)
 		}
 	})
 	source, list := make(scriptedSource), f.list()
@@ -623,7 +623,7 @@
 // All 10,000 servers restart in one update while calls are made. No call fails, and only the servers that the engine chose get
 // connections.
 func TestManyServersRestartAtOnce(t *testing.T) {
-	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Answer(replyMessage) })
+	f := newFleet(t, 1, 0, func(_ int, k *grpcserver.Call) { k.Respond(replyMessage) })
 	source := make(scriptedSource)
 	cc := dial(t, config(t, source), grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", f.servers[0].Addr())
--- a/grpcbalancer/inflight_test.go
+++ b/grpcbalancer/inflight_test.go
@@ -68,8 +68,8 @@
 		case 1:
 			k.ResetConnection()
 		case 2:
-			k.Header()
-			k.Data(replyMessage, 3)
+			k.SendHeader()
+			k.SendMessage(replyMessage, 3)
 			k.ResetConnection()
 		case 3:
 			k.GoAway(true)
@@ -78,9 +78,9 @@
 		case 5:
 			k.FailWithoutHeader(int(codes.Internal))
 		default:
-			k.Header()
-			k.Data(replyMessage, -1)
-			k.Status(0)
+			k.SendHeader()
+			k.SendMessage(replyMessage, -1)
+			k.SendStatus(0)
 		}
 	})
 	cfg := config(t, StaticSource(f.list()))
--- a/internal/lab/eventq/eventq.go
+++ b/internal/lab/eventq/eventq.go
@@ -1,6 +1,7 @@
-// Package eventq is a queue of events in virtual time. Events of one time leave it in the order in which they were pushed,
-// so nothing depends on a map or on the heap's shape. It is a heap of its own because container/heap would box every
-// event: a simulated minute of a fleet has tens of millions.
+// Package eventq provides a priority queue of events in virtual time. Events with equal times are popped in the order in
+// which they were pushed, so that the order does not depend on the shape of the heap. The package does not use
+// container/heap, which would allocate memory to box every event: a simulated minute of a fleet has tens of millions of
+// events.
 package eventq
 
 import "time"
@@ -11,22 +12,22 @@
 	pushed uint64
 }
 
-// event is a value with its time; sequence tells events of one time apart.
+// event is a value with its time. sequence orders events with equal times.
 type event[T any] struct {
 	at       time.Duration
 	sequence uint64
 	value    T
 }
 
-// before reports whether e leaves the queue before o.
-func (e event[T]) before(o event[T]) bool {
-	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
+// before reports whether e is popped before other.
+func (e event[T]) before(other event[T]) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// Len is the number of events in the queue.
+// Len returns the number of events in the queue.
 func (q *Queue[T]) Len() int { return len(q.events) }
 
-// Push adds an event.
+// Push adds an event with a time and a value.
 func (q *Queue[T]) Push(at time.Duration, value T) {
 	q.pushed++
 	q.events = append(q.events, event[T]{at, q.pushed, value})
@@ -49,16 +50,16 @@
 	q.events[last] = event[T]{}
 	q.events = q.events[:last]
 	for i := 0; ; {
-		least := i
-		for k := 2*i + 1; k <= 2*i+2 && k < last; k++ {
-			if q.events[k].before(q.events[least]) {
-				least = k
+		earliest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if q.events[child].before(q.events[earliest]) {
+				earliest = child
 			}
 		}
-		if least == i {
+		if earliest == i {
 			return first.at, first.value
 		}
-		q.events[i], q.events[least] = q.events[least], q.events[i]
-		i = least
+		q.events[i], q.events[earliest] = q.events[earliest], q.events[i]
+		i = earliest
 	}
 }
--- a/internal/lab/eventq/eventq_test.go
+++ b/internal/lab/eventq/eventq_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A simulation is only repeatable if events of one time keep their order: what comes out is what a stable sort by time
-// gives, however pushes and pops mix.
-func TestOrder(t *testing.T) {
+// A simulation is repeatable only if events with equal times keep their order. However pushes and pops are interleaved,
+// events must be popped in the order of a stable sort by time.
+func TestEqualTimesKeepPushOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
 		var want [][2]int
@@ -21,13 +21,13 @@
 			if rapid.Bool().Draw(t, "pop") {
 				slices.SortStableFunc(want, func(a, b [2]int) int { return a[0] - b[0] })
 				if got, v := q.Pop(); int(got) != want[0][0] || v != want[0][1] {
-					t.Fatalf("got %v %d, want %v", got, v, want[0])
+					t.Fatalf("popped time %v, value %d, want %v", got, v, want[0])
 				}
 				want = want[1:]
 			}
 		}
 		if q.Len() != len(want) {
-			t.Fatalf("%d are left, want %d", q.Len(), len(want))
+			t.Fatalf("the queue has %d events, want %d", q.Len(), len(want))
 		}
 	})
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -96,7 +96,7 @@
 	w.mu.Lock()
 	sum := l.sumOfCauses()
 	w.mu.Unlock()
-	l.Set(sum)
+	l.SetFault(sum)
 }
 
 // sumOfCauses is all that is wrong with a link. The caller holds the network's lock.
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -1,5 +1,5 @@
-// Package grpcserver is a stand-in for a gRPC server that does to each call what a script says. It writes HTTP/2 frames
-// itself, for a correct server would not let streams be refused, truncated or left without an answer at will.
+// Package grpcserver provides a stand-in gRPC server that handles each call as a script prescribes. It writes HTTP/2
+// frames itself, because a correct server offers no way to refuse or truncate a stream, or to leave it without a response.
 package grpcserver
 
 import (
@@ -14,37 +14,38 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// maxMessage bounds a call's message, in bytes, so that a faulty client can't fill the memory. What is over it is dropped.
-const maxMessage = 1 << 20
+// maxMessageBytes limits the size of a call's message, so that a faulty client can't exhaust the memory. Data beyond the
+// limit is dropped.
+const maxMessageBytes = 1 << 20
 
-// messagePrefix is the length of what gRPC puts before a message: a flag and four bytes of length.
-const messagePrefix = 5
+// messagePrefixBytes is the length of gRPC's message prefix: a flag and four bytes of length.
+const messagePrefixBytes = 5
 
-// headerTableSize is HPACK's default size of a decoder's table, in bytes.
+// headerTableSize is the default size of an HPACK decoder's table, in bytes.
 const headerTableSize = 4096
 
-// Call is one call whose message has come completely.
+// Call is a call whose message has been received completely.
 type Call struct {
 	Method   string
 	Metadata map[string]string
-	Message  []byte // without its prefix
-	Number   int    // of the server's calls, from 0
+	Message  []byte // without the gRPC prefix
+	Number   int    // sequence number among the server's calls, from 0
 
 	conn   *conn
 	stream uint32
 }
 
-// Server serves on loopback until Close. Its methods may be called from any goroutine.
+// Server is a stand-in gRPC server on loopback. Its methods are safe for concurrent use.
 type Server struct {
 	listener   net.Listener
 	script     func(*Call)
-	maxStreams uint32 // at once on a connection; 0: no limit is announced
+	maxStreams uint32 // announced limit of concurrent streams on a connection; 0: none is announced
 	running    sync.WaitGroup
 
 	mu       sync.Mutex
 	conns    map[*conn]bool
 	calls    int
-	accepted int // connections so far
+	accepted int // number of connections accepted so far
 	closed   bool
 }
 
@@ -53,18 +54,18 @@
 	net.Conn
 	server *Server
 
-	highestStream uint32 // that the script was given; guarded by server.mu
+	highestStream uint32 // highest stream that was passed to the script; guarded by server.mu
 	goAwaySent    bool   // streams after lastStream are ignored; guarded by server.mu
-	lastStream    uint32 // that GOAWAY named; guarded by server.mu
+	lastStream    uint32 // last stream in the GOAWAY frame; guarded by server.mu
 
-	mu      sync.Mutex // of the writes
-	framer  *http2.Framer
-	encoder *hpack.Encoder
-	block   bytes.Buffer
+	mu          sync.Mutex // guards writes
+	framer      *http2.Framer
+	encoder     *hpack.Encoder
+	headerBlock bytes.Buffer
 }
 
-// New starts a server. The script is called for each call, in a goroutine of its own; maxStreams of 0 announces no limit.
-// Close must follow. The error is the listener's.
+// New starts a server, which the caller must close. The script runs for each call on a separate goroutine. A connection
+// announces a limit of maxStreams concurrent streams, or no limit if it is 0. New returns the error of listening.
 func New(maxStreams uint32, script func(*Call)) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,17 +76,17 @@
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Counts returns how many connections, and how many complete calls, have come.
+// Counts returns how many connections were accepted and how many complete calls were received.
 func (s *Server) Counts() (conns, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted, s.calls
 }
 
-// Close ends the server with all its connections, and waits for the scripts that run.
+// Close closes the server and its connections, and waits for running scripts.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -105,7 +106,7 @@
 			return
 		}
 		c := &conn{Conn: netConn, server: s, framer: http2.NewFramer(netConn, netConn)}
-		c.encoder = hpack.NewEncoder(&c.block)
+		c.encoder = hpack.NewEncoder(&c.headerBlock)
 		c.framer.ReadMetaHeaders = hpack.NewDecoder(headerTableSize, nil)
 		if !s.startConn(c) {
 			netConn.Close()
@@ -154,7 +155,7 @@
 	}
 }
 
-// handle handles one frame.
+// handle handles one frame. open holds the calls whose message is not complete, by stream.
 func (c *conn) handle(frame http2.Frame, open map[uint32]*Call) {
 	switch f := frame.(type) {
 	case *http2.SettingsFrame:
@@ -178,24 +179,24 @@
 	}
 }
 
-// handleData adds to a call's message, and gives the call to the script once the message is complete.
+// handleData appends data to a call's message and runs the script once the message is complete.
 func (c *conn) handleData(f *http2.DataFrame, open map[uint32]*Call) {
 	call := open[f.StreamID]
-	if call == nil || len(call.Message)+len(f.Data()) > maxMessage {
+	if call == nil || len(call.Message)+len(f.Data()) > maxMessageBytes {
 		return
 	}
 	call.Message = append(call.Message, f.Data()...)
 	if n := uint32(len(f.Data())); n > 0 {
 		c.write(func() error { return c.framer.WriteWindowUpdate(0, n) })
 	}
-	if f.StreamEnded() && len(call.Message) >= messagePrefix {
+	if f.StreamEnded() && len(call.Message) >= messagePrefixBytes {
 		delete(open, f.StreamID)
-		call.Message = call.Message[messagePrefix:]
+		call.Message = call.Message[messagePrefixBytes:]
 		c.run(call)
 	}
 }
 
-// run gives a call to the script, unless it came after GOAWAY.
+// run runs the script for a call, unless GOAWAY has excluded the call's stream.
 func (c *conn) run(call *Call) {
 	s := c.server
 	s.mu.Lock()
@@ -209,33 +210,33 @@
 	s.running.Go(func() { s.script(call) })
 }
 
-// write writes one frame. The reader of the connection notices if it is broken.
+// write writes one frame. It ignores errors: if the connection is broken, the reading goroutine notices.
 func (c *conn) write(frame func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = frame()
 }
 
-// headers writes a HEADERS frame with names and values in turn. The caller holds mu.
-func (c *conn) headers(stream uint32, end bool, pairs ...string) error {
-	c.block.Reset()
+// writeHeaders writes a HEADERS frame; pairs holds alternating names and values. The caller holds mu.
+func (c *conn) writeHeaders(stream uint32, end bool, pairs ...string) error {
+	c.headerBlock.Reset()
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if err := c.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}); err != nil {
 			return err
 		}
 	}
-	return c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: c.block.Bytes(), EndHeaders: true, EndStream: end})
+	return c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: c.headerBlock.Bytes(), EndHeaders: true, EndStream: end})
 }
 
-// Header sends the header of an answer alone.
-func (call *Call) Header() {
+// SendHeader sends the header of a response without a message.
+func (call *Call) SendHeader() {
 	call.conn.write(func() error {
-		return call.conn.headers(call.stream, false, ":status", "200", "content-type", "application/grpc")
+		return call.conn.writeHeaders(call.stream, false, ":status", "200", "content-type", "application/grpc")
 	})
 }
 
-// Data sends the first length bytes of a message with its prefix; all of it if length is negative.
-func (call *Call) Data(message []byte, length int) {
+// SendMessage sends the first length bytes of the prefixed message, or all of it if length is negative.
+func (call *Call) SendMessage(message []byte, length int) {
 	framed := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(message)))
 	framed = append(framed, message...)
 	if length >= 0 {
@@ -244,47 +245,47 @@
 	call.conn.write(func() error { return call.conn.framer.WriteData(call.stream, false, framed) })
 }
 
-// Status ends a call that has had its header; pairs are further trailers, names and values in turn.
-func (call *Call) Status(code int, pairs ...string) {
+// SendStatus ends a call whose header has been sent. trailers holds alternating names and values of further trailers.
+func (call *Call) SendStatus(code int, trailers ...string) {
 	call.conn.write(func() error {
-		return call.conn.headers(call.stream, true, append([]string{"grpc-status", strconv.Itoa(code)}, pairs...)...)
+		return call.conn.writeHeaders(call.stream, true, append([]string{"grpc-status", strconv.Itoa(code)}, trailers...)...)
 	})
 }
 
-// Answer answers the call with a message and status 0.
-func (call *Call) Answer(message []byte) {
-	call.Header()
-	call.Data(message, -1)
-	call.Status(0)
+// Respond sends a complete response: the header, a message and status 0.
+func (call *Call) Respond(message []byte) {
+	call.SendHeader()
+	call.SendMessage(message, -1)
+	call.SendStatus(0)
 }
 
-// FailWithoutHeader ends a call by a status alone, without a header before; pairs are further trailers, names and values in
-// turn.
-func (call *Call) FailWithoutHeader(code int, pairs ...string) {
+// FailWithoutHeader ends a call with a response that consists only of trailers with a status. trailers holds alternating
+// names and values of further trailers.
+func (call *Call) FailWithoutHeader(code int, trailers ...string) {
 	call.conn.write(func() error {
-		return call.conn.headers(call.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
-			"grpc-status", strconv.Itoa(code)}, pairs...)...)
+		return call.conn.writeHeaders(call.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
+			"grpc-status", strconv.Itoa(code)}, trailers...)...)
 	})
 }
 
-// Reset sends RST_STREAM.
+// Reset resets the call's stream with RST_STREAM.
 func (call *Call) Reset(code http2.ErrCode) {
 	call.conn.write(func() error { return call.conn.framer.WriteRSTStream(call.stream, code) })
 }
 
-// GoAway sends GOAWAY and ignores later streams of the connection. With before, the call itself counts as not processed,
-// which can be said only while no later one of the connection has been given to the script. It returns false if nothing was
-// sent: that condition does not hold, or GOAWAY was sent already.
-func (call *Call) GoAway(before bool) (sent bool) {
+// GoAway sends GOAWAY and ignores later streams of the connection. If excludeCall is set, GOAWAY declares the call itself
+// as not processed, which is possible only while no later call of the connection has been passed to the script. GoAway
+// returns false and sends nothing if a later call was passed to the script, or if GOAWAY has already been sent.
+func (call *Call) GoAway(excludeCall bool) (sent bool) {
 	c, s := call.conn, call.conn.server
 	s.mu.Lock()
 	last := c.highestStream
-	if before && call.stream < last || c.goAwaySent {
+	if excludeCall && call.stream < last || c.goAwaySent {
 		s.mu.Unlock()
 		return false
 	}
-	if before {
-		last = max(last, 2) - 2 // clients number their streams by odd numbers
+	if excludeCall {
+		last = max(last, 2) - 2 // clients use odd stream numbers
 	}
 	c.goAwaySent, c.lastStream = true, last
 	s.mu.Unlock()
@@ -292,7 +293,7 @@
 	return true
 }
 
-// ResetConnection ends the connection with a TCP reset, as a process that is killed does.
+// ResetConnection closes the connection with a TCP reset, as happens when a process is killed.
 func (call *Call) ResetConnection() {
 	if tcp, ok := call.conn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/lab/link/backlog.go
+++ b/internal/lab/link/backlog.go
@@ -1,4 +1,4 @@
-// Listeners whose queue of connections is full, or short.
+// Control of a listener's queue of pending connections.
 
 package link
 
@@ -11,16 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// defaultBacklog is how many connections wait at a listener that works.
+// defaultBacklog is the queue length of a listener without a fault.
 const defaultBacklog = 1024
 
-// Filling of a listener's queue: one connection would do, but on a busy machine the kernel's count lags behind.
+// Limits on filling a listener's queue. One connection would be enough, but on a busy machine the kernel's count of
+// queued connections lags behind.
 const (
-	queueFillAttempts = 16                    // connections that are tried at most
-	queueFillTimeout  = 50 * time.Millisecond // for each of them
+	queueFillAttempts = 16                    // maximum number of connections
+	queueFillTimeout  = 50 * time.Millisecond // timeout of each connection
 )
 
-// resetAll resets connections and returns nil, the empty list.
+// resetAll resets connections and returns nil, so that a caller can clear its list in the same statement.
 func resetAll(conns []net.Conn) []net.Conn {
 	for _, conn := range conns {
 		reset(conn)
@@ -28,10 +29,11 @@
 	return nil
 }
 
-// StopConnects has no new connection come up at a listener, as if its machine were off the network: its queue is made
-// short and kept full by the connections returned. Accept ends with os.ErrDeadlineExceeded; whoever accepts must wait.
-// To undo it, reset the connections, and set backlog and deadline anew.
-func StopConnects(listener *net.TCPListener) (fillers []net.Conn, err error) {
+// BlockConnects prevents new connections to a listener, as if its machine were off the network. It shortens the
+// listener's queue and keeps it full with the connections that it returns. Accept then fails with
+// os.ErrDeadlineExceeded, and its caller must wait until the block is lifted. To lift the block, reset the returned
+// connections, then restore the backlog and clear the deadline.
+func BlockConnects(listener *net.TCPListener) (fillers []net.Conn, err error) {
 	listener.SetDeadline(time.Now())
 	if err := SetBacklog(listener, 0); err != nil {
 		return nil, err
@@ -43,15 +45,15 @@
 		switch {
 		case err == nil:
 			fillers = append(fillers, conn)
-		case queueFull(listener): // otherwise the machine was slow: try again
+		case queueFull(listener): // otherwise the dial timed out because the machine is slow: try again
 			return fillers, nil
 		}
 	}
 	return fillers, nil
 }
 
-// queueFull reports whether a listener's queue takes no more connections. For a listening socket the kernel's TCP_INFO
-// has the queue's length in Unacked and its limit in Sacked.
+// queueFull reports whether a listener's queue is full. For a listening socket, the kernel's TCP_INFO holds the queue's
+// length in Unacked and its limit in Sacked.
 func queueFull(listener *net.TCPListener) (full bool) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
@@ -64,7 +66,7 @@
 	return full
 }
 
-// SetBacklog sets how many connections wait at a listener to be accepted. The error is the system's.
+// SetBacklog sets how many connections can wait in a listener's queue. It returns the error of the system call.
 func SetBacklog(listener *net.TCPListener, length int) error {
 	raw, err := listener.SyscallConn()
 	if err != nil {
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,8 +1,9 @@
-// Package link is the network between two processes of a rig: a TCP relay on loopback with an address of its own for
-// each pair, so that the rig knows who calls whom, and with the faults of a network: a stall in one direction or both,
-// latency, limited bandwidth, resets, refused connections, a FIN that never arrives, a reset after so many bytes.
+// Package link simulates the network between two processes of a test rig. A Link is a TCP relay on loopback. Each pair of
+// processes has a separate Link with a separate address, so that the rig can tell which process connects to which. A Link
+// can inject network faults: a stall in one direction or both, latency, limited bandwidth, resets, refused connections, a
+// FIN that never arrives, and a reset after a number of bytes.
 //
-// A rig opens a Link for a pair, gives its Addr to the client's side, and changes its Fault while connections run.
+// A rig opens a Link for a pair, passes its Addr to the client, and changes its Fault while connections are open.
 package link
 
 import (
@@ -14,87 +15,88 @@
 	"time"
 )
 
-// Direction is that of a stream's bytes; it indexes the per-direction fields of Fault.
+// Direction is the direction in which bytes flow. It indexes the per-direction fields of Fault.
 type Direction int
 
-// Directions, as a proxy names them.
+// Directions of a relayed connection.
 const (
 	Upstream   Direction = iota // from the client to the server
 	Downstream                  // from the server to the client
 )
 
-// Fault is what is wrong with a link. The zero Fault is none.
+// Fault describes the faults injected into a link. The zero Fault injects none.
 type Fault struct {
-	Stall          [2]bool       // by Direction: bytes are held; no new connection comes up while either is set
+	Stall          [2]bool       // by Direction: bytes are held back; while either is set, no new connection is established
 	Refuse         bool          // new connections are refused
-	Delay          time.Duration // one way, for every chunk that is read
-	Jitter         time.Duration // added to Delay, uniformly drawn up to this
-	BytesPerSecond float64       // in each direction; 0: no limit
-	HoldFIN        [2]bool       // by Direction: the end of one side's sending does not reach the other side
-	ResetAfter     int64         // connections are reset once so many bytes went downstream; 0: never
+	Delay          time.Duration // one-way delay of every chunk
+	Jitter         time.Duration // upper bound of a uniformly drawn addition to Delay
+	BytesPerSecond float64       // bandwidth in each direction; 0: unlimited
+	HoldFIN        [2]bool       // by Direction: the sender's FIN does not reach the receiver
+	ResetAfter     int64         // bytes sent downstream after which a connection is reset; 0: never
 }
 
-// stalled reports whether a direction is stalled, so that nothing new may come up.
+// stalled reports whether either direction is stalled. New connections are then blocked.
 func (f Fault) stalled() bool { return f.Stall[Upstream] || f.Stall[Downstream] }
 
-// Link is one relay. Its methods may be called from any goroutine.
+// Link is a TCP relay with fault injection. Its methods are safe for concurrent use.
 type Link struct {
 	addr   string
 	target func() string
 
 	mu             sync.Mutex
 	listener       *net.TCPListener // nil while connections are refused
-	queueFillers   []net.Conn       // while stalled they keep the listener's queue full
+	queueFillers   []net.Conn       // connections that keep the listener's queue full during a stall
 	fault          Fault
-	changed        chan struct{} // closed at a change of fault
+	changed        chan struct{} // closed when fault changes
 	sessions       map[*session]bool
 	sessionsOpened int
 	closed         bool
 	running        sync.WaitGroup
 }
 
-// Open listens for clients in a rig's block of ports (see ClaimPorts); ports of 0 means none. target returns the address
-// that a new connection is relayed to, "" if there is none. Close must follow.
+// Open starts a link that listens on a port of the block that begins at ports (see ClaimPorts), or outside all blocks if
+// ports is 0. For each new connection, target returns the address to relay it to, or "" if there is none. The caller must
+// close the link.
 func Open(ports int, target func() string) (*Link, error) {
 	l := &Link{target: target, changed: make(chan struct{}), sessions: map[*session]bool{}}
 	listener, err := Listen(ports, ForLink)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	l.serve(listener)
+	l.startAccepting(listener)
 	return l, nil
 }
 
-// Addr is where the client's side connects.
+// Addr returns the address that clients connect to.
 func (l *Link) Addr() string { return l.addr }
 
-// SessionsOpened counts the connections that were relayed so far.
+// SessionsOpened returns the number of connections relayed so far.
 func (l *Link) SessionsOpened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sessionsOpened
 }
 
-// reopen opens the client's side at an address again. The caller holds mu.
+// reopen listens for clients at the link's previous address. The caller holds mu.
 func (l *Link) reopen(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	l.serve(listener.(*net.TCPListener))
+	l.startAccepting(listener.(*net.TCPListener))
 	return nil
 }
 
-// serve accepts clients at a listener. The caller holds mu, or nobody else has the link yet.
-func (l *Link) serve(listener *net.TCPListener) {
+// startAccepting starts to accept clients from a listener. The caller holds mu, or no other goroutine uses the link yet.
+func (l *Link) startAccepting(listener *net.TCPListener) {
 	l.listener, l.addr = listener, listener.Addr().String()
 	l.running.Go(func() { l.accept(listener) })
 }
 
-// Set changes what is wrong with the link. Connections that are up are affected at once. What a stall held back arrives
-// after it; Reset discards it. It returns net.ErrClosed after Close, and an error of the system if the listener can't be
-// opened again or its queue can't be changed.
-func (l *Link) Set(fault Fault) error {
+// SetFault replaces the link's fault. It affects open connections at once. Bytes that a stall has held back are delivered
+// when the stall ends, unless Reset discards them. SetFault returns net.ErrClosed after Close, and the system's error if
+// the listener can't be reopened or its queue can't be changed.
+func (l *Link) SetFault(fault Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -113,18 +115,18 @@
 		if err := l.reopen(l.addr); err != nil {
 			return err
 		}
-		wasStalled = false // the new listener's queue is open
+		wasStalled = false // the new listener accepts connections
 	}
 	if l.listener == nil || fault.stalled() == wasStalled {
 		return nil
 	}
-	return l.setQueueStalled(fault.stalled())
+	return l.setConnectsBlocked(fault.stalled())
 }
 
-// setQueueStalled has no new connection come up at the listener, or ends that. The caller holds mu.
-func (l *Link) setQueueStalled(stalled bool) (err error) {
-	if stalled {
-		l.queueFillers, err = StopConnects(l.listener)
+// setConnectsBlocked blocks new connections to the listener or lifts the block. The caller holds mu.
+func (l *Link) setConnectsBlocked(blocked bool) (err error) {
+	if blocked {
+		l.queueFillers, err = BlockConnects(l.listener)
 		return err
 	}
 	l.queueFillers = resetAll(l.queueFillers)
@@ -134,15 +136,15 @@
 	return l.listener.SetDeadline(time.Time{})
 }
 
-// Fault is what is wrong now.
+// Fault returns the link's current fault.
 func (l *Link) Fault() Fault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault
 }
 
-// HasLiveClient reports whether a client still has a connection on which an answer has come, whatever has become of the
-// link meanwhile. One that waits in the listener's queue, or that keeps this queue full, does not count.
+// HasLiveClient reports whether a client keeps open a connection on which it has received data, even if the link is
+// faulty by now. Connections in the listener's queue do not count, nor do those that keep the queue full.
 func (l *Link) HasLiveClient() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +156,7 @@
 	return false
 }
 
-// Reset resets every connection that is up.
+// Reset resets every open connection.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,7 +165,7 @@
 	}
 }
 
-// Close ends the link and waits for all that it has started.
+// Close closes the link, resets its connections and waits for its goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -183,18 +185,18 @@
 	l.running.Wait()
 }
 
-// state returns the present fault, the channel that is closed when it changes, and whether the link is closed.
+// state returns the current fault, a channel that is closed when the fault changes, and whether the link is closed.
 func (l *Link) state() (fault Fault, changed <-chan struct{}, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.changed, l.closed
 }
 
-// accept relays clients until the listener is closed.
+// accept accepts and relays connections until the listener is closed.
 func (l *Link) accept(listener *net.TCPListener) {
 	for {
 		client, err := listener.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) { // stalled: clients stay in the listener's queue
+		if errors.Is(err, os.ErrDeadlineExceeded) { // new connections are blocked and stay in the listener's queue
 			fault, changed, closed := l.state()
 			if closed {
 				return
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// testTimeout is an upper bound that only a broken link reaches.
+// testTimeout is an upper bound that is reached only if the link is broken.
 const testTimeout = 10 * time.Second
 
-// openTestLink opens a link to a listener whose connections come out of a channel.
+// openTestLink opens a link to a listener and returns a channel of the connections that the listener accepts.
 func openTestLink(t *testing.T) (l *Link, accepted <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,39 +70,39 @@
 	}
 }
 
-// expectLine reads one line and wants it to be as given.
+// expectLine reads one line and compares it with want.
 func expectLine(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || got != want+"\n" {
-		t.Fatalf("read %q, %v", got, err)
+		t.Fatalf("read %q, %v, want the line %q", got, err, want)
 	}
 }
 
-func TestForwardsBothDirectionsAndHalfClose(t *testing.T) {
+func TestForwardsBothDirectionsAfterHalfClose(t *testing.T) {
 	l, accepted := openTestLink(t)
 	client := dial(t, l)
 	server := nextConnection(t, accepted)
 	io.WriteString(client, "there\n")
 	expectLine(t, server, "there")
-	big := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
+	payload := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	go func() {
-		server.Write(big)
+		server.Write(payload)
 		server.(*net.TCPConn).CloseWrite()
 	}()
 	got, err := io.ReadAll(client)
-	if err != nil || !bytes.Equal(got, big) {
-		t.Fatalf("%d bytes came back of %d, %v", len(got), len(big), err)
+	if err != nil || !bytes.Equal(got, payload) {
+		t.Fatalf("received %d of %d bytes, %v", len(got), len(payload), err)
 	}
-	io.WriteString(client, "still\n") // only the far side's sending has ended
+	io.WriteString(client, "still\n") // only the downstream direction has ended
 	expectLine(t, server, "still")
 	if l.SessionsOpened() != 1 {
-		t.Errorf("%d opened", l.SessionsOpened())
+		t.Errorf("%d sessions opened, want 1", l.SessionsOpened())
 	}
 }
 
-// A path that loses everything in one direction, as after a broken route: what is sent meanwhile arrives once the stall is
-// over, the other direction goes on, and no new connection comes up.
+// A stall simulates a route that is broken in one direction. Bytes sent in that direction are delivered after the stall,
+// the other direction is not affected, and no new connection is established.
 func TestStallInOneDirection(t *testing.T) {
 	for direction, name := range []string{"upstream", "downstream"} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 			server := nextConnection(t, accepted)
 			var fault Fault
 			fault.Stall[direction] = true
-			if err := l.Set(fault); err != nil {
+			if err := l.SetFault(fault); err != nil {
 				t.Fatal(err)
 			}
 			ends := [2]net.Conn{client, server} // the writers, by direction
@@ -121,19 +121,19 @@
 			reader := ends[1-direction]
 			reader.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			if n, err := reader.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("read %d during the stall, %v", n, err)
+				t.Fatalf("read %d bytes during the stall, %v, want a timeout", n, err)
 			}
 			if c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond); err == nil {
 				c.Close()
-				t.Error("a new connection came up")
+				t.Error("a new connection was established during the stall")
 			}
-			if err := l.Set(Fault{}); err != nil {
+			if err := l.SetFault(Fault{}); err != nil {
 				t.Fatal(err)
 			}
 			reader.SetReadDeadline(time.Now().Add(testTimeout))
 			expectLine(t, reader, "held")
 			io.WriteString(dial(t, l), "anew\n")
-			for { // connections that the queue held come first, and send nothing
+			for { // connections from the listener's queue are accepted first and send nothing
 				c := nextConnection(t, accepted)
 				if got, err := bufio.NewReader(c).ReadString('\n'); err == nil && got == "anew\n" {
 					break
@@ -146,13 +146,13 @@
 func TestRefusedConnectionsRecover(t *testing.T) {
 	l, accepted := openTestLink(t)
 	for range 2 {
-		if err := l.Set(Fault{Refuse: true}); err != nil {
+		if err := l.SetFault(Fault{Refuse: true}); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := net.Dial("tcp", l.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("dialed while refused: %v", err)
+			t.Fatalf("dial while connections are refused: %v, want ECONNREFUSED", err)
 		}
-		if err := l.Set(Fault{}); err != nil {
+		if err := l.SetFault(Fault{}); err != nil {
 			t.Fatal(err)
 		}
 		dial(t, l)
@@ -169,16 +169,16 @@
 	l.Reset()
 	for _, c := range []net.Conn{client, server} {
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("read: %v", err)
+			t.Errorf("read after the reset: %v, want ECONNRESET", err)
 		}
 	}
 }
 
-func TestResetInTheMiddleOfAnAnswer(t *testing.T) {
+func TestResetAfterPartialResponse(t *testing.T) {
 	l, accepted := openTestLink(t)
 	client := dial(t, l)
 	server := nextConnection(t, accepted)
-	if err := l.Set(Fault{ResetAfter: 7}); err != nil {
+	if err := l.SetFault(Fault{ResetAfter: 7}); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(client, "a question that is longer\n")
@@ -186,53 +186,53 @@
 	io.WriteString(server, "an answer")
 	got, err := io.ReadAll(client)
 	if string(got) != "an answ"[:len(got)] || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("read %q, %v, want at most 7 bytes and ECONNRESET", got, err)
 	}
 }
 
-// A half-open connection: the server has ended it, but its FIN does not arrive, so the client does not notice until the
-// fault is over.
+// A held FIN simulates a half-open connection: the server has closed it, but the client does not notice until the fault
+// ends.
 func TestHeldFIN(t *testing.T) {
 	l, accepted := openTestLink(t)
 	client := dial(t, l)
 	server := nextConnection(t, accepted)
 	fault := Fault{}
 	fault.HoldFIN[Downstream] = true
-	if err := l.Set(fault); err != nil {
+	if err := l.SetFault(fault); err != nil {
 		t.Fatal(err)
 	}
 	server.(*net.TCPConn).CloseWrite()
 	client.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the FIN arrived: %v", err)
+		t.Fatalf("read while the FIN is held: %v, want a timeout", err)
 	}
-	if err := l.Set(Fault{}); err != nil {
+	if err := l.SetFault(Fault{}); err != nil {
 		t.Fatal(err)
 	}
 	client.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("after the fault: %v", err)
+		t.Errorf("read after the fault: %v, want EOF", err)
 	}
 }
 
-func TestDelayAndRate(t *testing.T) {
+func TestDelayAndBandwidthLimit(t *testing.T) {
 	l, accepted := openTestLink(t)
 	client := dial(t, l)
 	server := nextConnection(t, accepted)
 	const delay = 60 * time.Millisecond
-	if err := l.Set(Fault{Delay: delay}); err != nil {
+	if err := l.SetFault(Fault{Delay: delay}); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	for range 5 { // chunks under way at once are delayed together
+	for range 5 { // the delays of chunks in transit overlap
 		io.WriteString(client, "x")
 	}
 	io.WriteString(client, "\n")
 	expectLine(t, server, "xxxxx")
 	if took := time.Since(began); took < delay {
-		t.Errorf("it took %v", took)
+		t.Errorf("delivery took %v, want at least %v", took, delay)
 	}
-	if err := l.Set(Fault{BytesPerSecond: 100e3}); err != nil {
+	if err := l.SetFault(Fault{BytesPerSecond: 100e3}); err != nil {
 		t.Fatal(err)
 	}
 	began = time.Now()
@@ -241,85 +241,86 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took < 150*time.Millisecond {
-		t.Errorf("20 kB at 100 kB a second took %v", took)
+		t.Errorf("20 kB at 100 kB/s took %v, want at least 150ms", took)
 	}
 }
 
-// A target where nobody listens resets the client, and Close ends whatever runs, also during a stall.
-func TestUnreachableTargetAndClose(t *testing.T) {
+// If no process listens at the target, the link resets the client. Close ends all connections, even during a stall.
+func TestUnreachableTargetAndCloseDuringStall(t *testing.T) {
 	l, err := Open(0, func() string { return "127.0.0.1:1" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	client, err := net.DialTimeout("tcp", l.Addr(), testTimeout)
-	if err == nil { // the reset may be there already
+	if err == nil { // the dial may already have failed with the reset
 		client.SetDeadline(time.Now().Add(testTimeout))
 		_, err = client.Read(make([]byte, 1))
 		client.Close()
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && err != io.EOF {
-		t.Errorf("no listener: %v", err)
+		t.Errorf("no listener at the target: %v, want a reset", err)
 	}
 	l.Close()
 	stalled, accepted := openTestLink(t)
 	client = dial(t, stalled)
 	nextConnection(t, accepted)
-	if err := stalled.Set(Fault{Stall: [2]bool{true, true}}); err != nil {
+	if err := stalled.SetFault(Fault{Stall: [2]bool{true, true}}); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(client, "x")
 	stalled.Close()
-	if err := stalled.Set(Fault{}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("set after close: %v", err)
+	if err := stalled.SetFault(Fault{}); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("SetFault after Close: %v, want net.ErrClosed", err)
 	}
 }
 
-// Each rig has a block of its own; one that finds all of them taken waits until one is free or its context ends. Rigs that
-// shared a block would take addresses which another one has closed for a while to play an outage.
+// Each rig claims a separate block. If all blocks are claimed, a rig waits until one is free or its context ends. Rigs in
+// the same block could take addresses that another rig has closed temporarily to simulate an outage.
 func TestClaimPortsWaitsForABlock(t *testing.T) {
-	var firsts []int
-	for range 2 { // of this test alone: rigs may run at the same time
+	var firstPorts []int
+	for range 2 { // ports outside the blocks, because rigs may run at the same time
 		ln, err := Listen(0, ForNode)
 		if err != nil {
 			t.Fatal(err)
 		}
-		firsts = append(firsts, ln.Addr().(*net.TCPAddr).Port)
+		firstPorts = append(firstPorts, ln.Addr().(*net.TCPAddr).Port)
 		ln.Close()
 	}
-	one, release, err := claimPorts(t.Context(), sharedHost, firsts)
-	two, keep, err2 := claimPorts(t.Context(), sharedHost, firsts)
-	if err != nil || err2 != nil || one == two {
-		t.Fatalf("two rigs have blocks %d and %d, %v, %v", one, two, err, err2)
+	first, releaseFirst, err := claimPorts(t.Context(), sharedHost, firstPorts)
+	second, releaseSecond, err2 := claimPorts(t.Context(), sharedHost, firstPorts)
+	if err != nil || err2 != nil || first == second {
+		t.Fatalf("two rigs claimed blocks %d and %d, %v, %v", first, second, err, err2)
 	}
-	defer keep()
-	over, end := context.WithCancel(t.Context())
-	end()
-	if _, _, err := claimPorts(over, sharedHost, firsts); err == nil {
-		t.Error("a block that is taken was claimed again")
+	defer releaseSecond()
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, _, err := claimPorts(canceled, sharedHost, firstPorts); err == nil {
+		t.Error("a block was claimed twice")
 	}
-	release()
-	if again, free, err := claimPorts(t.Context(), sharedHost, firsts); err != nil || again != one {
-		t.Errorf("%d, %v, want %d, which has come free", again, err, one)
+	releaseFirst()
+	if again, releaseAgain, err := claimPorts(t.Context(), sharedHost, firstPorts); err != nil || again != first {
+		t.Errorf("claimed block %d, %v, want the released block %d", again, err, first)
 	} else {
-		free()
+		releaseAgain()
 	}
 }
 
-// A listener without a block takes no address of one: the rig of the block may have closed the address for a fault.
-func TestListenWithoutABlock(t *testing.T) {
+// A listener without a block must not use an address of a block: a rig may have closed that address temporarily for a
+// fault.
+func TestListenWithoutBlockUsesSharedHost(t *testing.T) {
 	ln, err := Listen(0, ForServer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	if host := ln.Addr().(*net.TCPAddr).IP.String(); host == blockHost {
-		t.Errorf("%v may be in a block", ln.Addr())
+		t.Errorf("%v is on the host of the blocks", ln.Addr())
 	}
 }
 
-// The queue counts as full when the kernel says so, not when a connection takes long to come up: on a busy machine a slow
-// connect would otherwise pass for a full queue.
-func TestQueueFullAsTheKernelReports(t *testing.T) {
+// A queue is full when the kernel's count says so, not when a connect times out: on a busy machine a slow connect would be
+// mistaken for a full queue.
+func TestQueueFullUsesKernelCount(t *testing.T) {
 	l, err := Listen(0, ForNode)
 	if err != nil {
 		t.Fatal(err)
@@ -328,9 +329,9 @@
 	if err := SetBacklog(l, 2); err != nil {
 		t.Fatal(err)
 	}
-	for n := range 3 { // the kernel takes one more than the backlog
+	for n := range 3 { // the kernel accepts one more connection than the backlog
 		if queueFull(l) {
-			t.Errorf("full with %d", n)
+			t.Errorf("the queue is full with %d connections", n)
 		}
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -343,28 +344,28 @@
 	}
 }
 
-// Whether the client still has its connection is known during a stall too: the rig asks after an outage whether a node kept
-// its old connection or opened a new one.
-func TestLiveClientDuringAStall(t *testing.T) {
+// HasLiveClient works during a stall as well: after an outage, the rig uses it to check whether a node has kept its old
+// connection or opened a new one.
+func TestHasLiveClientDuringStall(t *testing.T) {
 	l, accepted := openTestLink(t)
 	client := dial(t, l)
-	other := nextConnection(t, accepted)
-	if _, err := other.Write([]byte("x")); err != nil {
+	server := nextConnection(t, accepted)
+	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := client.Read(make([]byte, 1)); err != nil || !l.HasLiveClient() {
-		t.Fatalf("%v, live client %v", err, l.HasLiveClient())
+		t.Fatalf("read: %v; HasLiveClient returned %v, want true", err, l.HasLiveClient())
 	}
-	if err := l.Set(Fault{Stall: [2]bool{Downstream: true}}); err != nil {
+	if err := l.SetFault(Fault{Stall: [2]bool{Downstream: true}}); err != nil {
 		t.Fatal(err)
 	}
 	if !l.HasLiveClient() {
-		t.Error("no live client though nobody has ended the connection")
+		t.Error("HasLiveClient returned false while the connection is open")
 	}
 	client.Close()
 	for end := time.Now().Add(5 * time.Second); l.HasLiveClient(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatal("a live client though it has ended the connection")
+			t.Fatal("HasLiveClient still returns true after the client has closed the connection")
 		}
 	}
 }
--- a/internal/lab/link/packets.go
+++ b/internal/lab/link/packets.go
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// PacketFault is what is wrong with packets on their way. The zero PacketFault is none.
+// PacketFault describes the faults injected into forwarded packets. The zero PacketFault injects none.
 type PacketFault struct {
-	DropAll        bool          // none arrives
-	LossRatio      float64       // the share that is lost, 0 to 1
-	DuplicateRatio float64       // the share that arrives twice, 0 to 1
-	Delay          time.Duration // of each
-	Jitter         time.Duration // added to Delay, uniformly drawn up to this: packets overtake each other
+	DropAll        bool          // every packet is lost
+	LossRatio      float64       // share of packets that are lost, 0 to 1
+	DuplicateRatio float64       // share of packets that arrive twice, 0 to 1
+	Delay          time.Duration // delay of each packet
+	Jitter         time.Duration // upper bound of a uniformly drawn addition to Delay, which reorders packets
 }
 
-// maxPacketBytes holds the largest UDP packet.
+// maxPacketBytes is an upper bound of the size of a UDP packet.
 const maxPacketBytes = 64 << 10
 
-// openAttempts is how often OpenPeerLink looks for a port that is free for both streams and packets.
+// openAttempts limits how many ports OpenPeerLink tries to find one that is free for both TCP and UDP.
 const openAttempts = 20
 
-// PeerLink is the way from one node to another: streams and packets at one address, in one direction. The packets that
-// the other node sends have a link of their own.
+// PeerLink carries the TCP connections and the UDP packets that one node sends to another, both at one address. Traffic
+// in the opposite direction needs a second PeerLink.
 type PeerLink struct {
 	*Link
-	in  *net.UDPConn
-	out *net.UDPConn
+	clientConn *net.UDPConn
+	targetConn *net.UDPConn
 
 	mu          sync.Mutex
 	packetFault PacketFault
 	forwarding  sync.WaitGroup
 }
 
-// OpenPeerLink opens a link to an address, in a rig's block of ports. Close must follow unless there is an error.
+// OpenPeerLink opens a link to the address target on a port of the block that begins at ports, as Open does. The caller
+// must close the link.
 func OpenPeerLink(ports int, target string) (*PeerLink, error) {
 	server, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	var last error
-	for range openAttempts { // a port that is free for streams may be taken for packets
+	var lastErr error
+	for range openAttempts { // a port that is free for TCP may be in use for UDP
 		stream, err := Open(ports, func() string { return target })
 		if err != nil {
 			return nil, err
@@ -53,43 +54,43 @@
 			return peer, nil
 		}
 		stream.Close()
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("link: %w", last)
+	return nil, fmt.Errorf("link: %w", lastErr)
 }
 
-// addPackets forwards packets at a link's address as well.
+// addPackets turns a link into a PeerLink that also forwards the UDP packets sent to the link's address.
 func addPackets(stream *Link, server *net.UDPAddr) (*PeerLink, error) {
 	addr, err := net.ResolveUDPAddr("udp", stream.Addr())
 	if err != nil {
 		return nil, err
 	}
-	in, err := net.ListenUDP("udp", addr)
+	clientConn, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	out, err := net.DialUDP("udp", nil, server)
+	targetConn, err := net.DialUDP("udp", nil, server)
 	if err != nil {
-		in.Close()
+		clientConn.Close()
 		return nil, err
 	}
-	p := &PeerLink{Link: stream, in: in, out: out}
+	p := &PeerLink{Link: stream, clientConn: clientConn, targetConn: targetConn}
 	p.forwarding.Go(p.forwardPackets)
 	return p, nil
 }
 
-// SetPacketFault changes what is wrong with packets. Streams are not affected.
+// SetPacketFault replaces the fault of packets. TCP connections are not affected.
 func (p *PeerLink) SetPacketFault(fault PacketFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.packetFault = fault
 }
 
-// SetPartitioned has nothing arrive, neither packets nor streams, or all again. Streams that are up are reset, new ones
-// refused. The error is that of Set.
+// SetPartitioned partitions the two nodes in this direction, or ends the partition. During a partition all packets are
+// dropped and new connections are refused; open connections are reset at its start. The error is that of Link.SetFault.
 func (p *PeerLink) SetPartitioned(partitioned bool) error {
 	p.SetPacketFault(PacketFault{DropAll: partitioned})
-	if err := p.Link.Set(Fault{Refuse: partitioned}); err != nil {
+	if err := p.Link.SetFault(Fault{Refuse: partitioned}); err != nil {
 		return err
 	}
 	if partitioned {
@@ -102,12 +103,12 @@
 func (p *PeerLink) forwardPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := p.in.ReadFromUDP(buffer)
+		n, _, err := p.clientConn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP error: nobody listened at the target for a moment
+			continue // an ICMP error: no process was listening at the target
 		}
 		p.mu.Lock()
 		fault := p.packetFault
@@ -126,26 +127,26 @@
 	}
 }
 
-// send forwards one packet with the delay of a fault. A packet that nobody takes is lost.
+// send forwards one packet after the delay of the fault. It ignores write errors: the packet is lost, as on a network.
 func (p *PeerLink) send(packet []byte, fault PacketFault) {
 	wait := fault.Delay
 	if fault.Jitter > 0 {
 		wait += rand.N(fault.Jitter)
 	}
 	if wait == 0 {
-		p.out.Write(packet)
+		p.targetConn.Write(packet)
 		return
 	}
 	p.forwarding.Go(func() {
 		time.Sleep(wait)
-		p.out.Write(packet)
+		p.targetConn.Write(packet)
 	})
 }
 
-// Close ends the link and waits for all that it has started.
+// Close closes the link, resets its connections and waits for its goroutines.
 func (p *PeerLink) Close() {
-	p.in.Close()
+	p.clientConn.Close()
 	p.forwarding.Wait()
-	p.out.Close()
+	p.targetConn.Close()
 	p.Link.Close()
 }
--- a/internal/lab/link/pipe.go
+++ b/internal/lab/link/pipe.go
@@ -1,4 +1,4 @@
-// The bytes of one stream through a link, in both directions, with its faults.
+// Relaying of the bytes of a connection in both directions, with the link's faults.
 
 package link
 
@@ -11,20 +11,21 @@
 	"time"
 )
 
-// dialTimeout is how long the server's machine may take to accept; its processes may be stopped, its kernel is not.
+// dialTimeout limits the connection to the target. Even while the target's process is stopped, its kernel accepts
+// connections.
 const dialTimeout = 2 * time.Second
 
-// maxChunkBytes is the most that is read at once: small beside a second's bytes, so that a bandwidth limit is even.
+// maxChunkBytes limits one read. It is small compared with the bytes of a second, so that limited bandwidth is smooth.
 const maxChunkBytes = 16 << 10
 
-// chunkQueueLength is how many chunks of one direction are under way at once: half a MiB, like a socket's buffer.
+// chunkQueueLength is the maximum number of chunks in transit in one direction: half a MiB, like a socket's buffer.
 const chunkQueueLength = 32
 
-// session is one connection of a client and its continuation to the server.
+// session is a client's connection and the connection to the target that it is relayed to.
 type session struct {
 	client, server net.Conn
-	clientClosed   atomic.Bool // the client has ended it
-	answered       atomic.Bool // something has come back to the client
+	clientClosed   atomic.Bool // the client has closed or reset its connection
+	answered       atomic.Bool // the client has been sent data
 }
 
 // reset resets both sides.
@@ -33,16 +34,16 @@
 	reset(s.server)
 }
 
-// chunk is what was read at once, and when it may arrive.
+// chunk is the data of one read and the time at which it is delivered.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// relayStream joins a client's connection to one to the target until both have ended.
+// relayStream connects a client to the target and relays bytes until both directions have ended.
 func (l *Link) relayStream(client net.Conn) {
 	target := l.target()
-	if target == "" { // an address that was given up may be another process's by now
+	if target == "" { // the target's previous address may belong to another process by now
 		reset(client)
 		return
 	}
@@ -64,7 +65,7 @@
 	<-ended
 }
 
-// addSession enters a session. It returns false once the link is closed.
+// addSession registers a session. It returns false once the link is closed.
 func (l *Link) addSession(s *session) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +77,7 @@
 	return true
 }
 
-// removeSession closes both sides of a session and forgets it.
+// removeSession removes a session and closes both of its connections.
 func (l *Link) removeSession(s *session) {
 	l.mu.Lock()
 	delete(l.sessions, s)
@@ -85,7 +86,8 @@
 	s.server.Close()
 }
 
-// pipe carries one direction. Reading and writing have a goroutine each, so that a delay does not limit the bandwidth.
+// pipe relays one direction. Reading and writing run on separate goroutines, so that a delay does not limit the
+// bandwidth.
 func (l *Link) pipe(s *session, direction Direction, from, to net.Conn) {
 	chunks := make(chan chunk, chunkQueueLength)
 	writerDone := make(chan struct{})
@@ -102,26 +104,26 @@
 		s.reset()
 		return
 	}
-	fault, open := l.awaitFlow(direction)
+	fault, open := l.waitWhileStalled(direction)
 	if !open {
 		return
 	}
-	if fault.HoldFIN[direction] { // the other side takes the connection for alive until the fault is over
-		l.awaitFIN(direction)
+	if fault.HoldFIN[direction] { // the receiver considers the connection open until the fault ends
+		l.waitWhileFINHeld(direction)
 	}
-	passEnd(s, to, readErr)
+	propagateEnd(s, to, readErr)
 }
 
-// readChunks reads until the connection ends, and returns how it did; nil if the writer ended first.
+// readChunks reads until the connection ends and returns the read error, or nil if the writer has ended first.
 func (l *Link) readChunks(from net.Conn, chunks chan<- chunk, writerDone <-chan struct{}) error {
-	var lineFree time.Time // when a limited bandwidth has carried what was read so far
+	var linkFreeAt time.Time // when the limited bandwidth has transmitted everything read so far
 	for {
 		data := make([]byte, maxChunkBytes)
 		n, err := from.Read(data)
 		if n > 0 {
 			fault, _, _ := l.state()
 			var due time.Time
-			due, lineFree = arrival(fault, n, lineFree)
+			due, linkFreeAt = arrivalTime(fault, n, linkFreeAt)
 			select {
 			case chunks <- chunk{data[:n], due}:
 			case <-writerDone:
@@ -134,22 +136,22 @@
 	}
 }
 
-// arrival returns when n bytes that were read now arrive under a fault, and when a limited bandwidth is free for the
-// next ones.
-func arrival(fault Fault, n int, lineFree time.Time) (due, free time.Time) {
-	due, free = time.Now(), lineFree
+// arrivalTime returns when n bytes that were read now are delivered under a fault, and when the limited bandwidth is free
+// for further bytes.
+func arrivalTime(fault Fault, n int, linkFreeAt time.Time) (due, nextFreeAt time.Time) {
+	due, nextFreeAt = time.Now(), linkFreeAt
 	if fault.BytesPerSecond > 0 {
-		if free.Before(due) {
-			free = due
+		if nextFreeAt.Before(due) {
+			nextFreeAt = due
 		}
-		free = free.Add(time.Duration(float64(n) / fault.BytesPerSecond * float64(time.Second)))
-		due = free
+		nextFreeAt = nextFreeAt.Add(time.Duration(float64(n) / fault.BytesPerSecond * float64(time.Second)))
+		due = nextFreeAt
 	}
 	due = due.Add(fault.Delay)
 	if fault.Jitter > 0 {
 		due = due.Add(rand.N(fault.Jitter))
 	}
-	return due, free
+	return due, nextFreeAt
 }
 
 // writeChunks writes each chunk when it is due. It returns false if the connection has to be reset.
@@ -159,13 +161,13 @@
 		if wait := time.Until(c.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		fault, open := l.awaitFlow(direction)
+		fault, open := l.waitWhileStalled(direction)
 		if !open {
 			return false
 		}
 		size := int64(len(c.data))
 		if direction == Downstream && fault.ResetAfter > 0 && passed+size > fault.ResetAfter {
-			to.Write(c.data[:max(fault.ResetAfter-passed, 0)]) // an error changes nothing: the reset follows
+			to.Write(c.data[:max(fault.ResetAfter-passed, 0)]) // an error doesn't matter: the connection is reset next
 			return false
 		}
 		if direction == Downstream {
@@ -179,8 +181,9 @@
 	return true
 }
 
-// passEnd ends the other side as this one has ended: by a FIN after io.EOF, else by a reset.
-func passEnd(s *session, to net.Conn, readErr error) {
+// propagateEnd ends the writing side in the way in which the reading side has ended: with a FIN after io.EOF, otherwise
+// with a reset of both connections.
+func propagateEnd(s *session, to net.Conn, readErr error) {
 	if readErr != nil && !errors.Is(readErr, io.EOF) {
 		s.reset()
 		return
@@ -190,8 +193,9 @@
 	}
 }
 
-// awaitFlow waits while a direction is stalled, and returns the fault then; open is false once the link is closed.
-func (l *Link) awaitFlow(direction Direction) (fault Fault, open bool) {
+// waitWhileStalled waits while a direction is stalled and returns the fault after that. open is false if the link has been
+// closed.
+func (l *Link) waitWhileStalled(direction Direction) (fault Fault, open bool) {
 	for {
 		fault, changed, closed := l.state()
 		if closed || !fault.Stall[direction] {
@@ -201,8 +205,8 @@
 	}
 }
 
-// awaitFIN waits while the end of a direction is held back.
-func (l *Link) awaitFIN(direction Direction) {
+// waitWhileFINHeld waits while the FIN of a direction is held back.
+func (l *Link) waitWhileFINHeld(direction Direction) {
 	for {
 		fault, changed, closed := l.state()
 		if closed || !fault.HoldFIN[direction] {
@@ -212,7 +216,7 @@
 	}
 }
 
-// reset ends a connection with RST: what is unread on the other side is lost, as with a process that is killed.
+// reset closes a connection with a TCP reset. Data that the other side has not read is lost, as when a process is killed.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/lab/loopback/serverfaults.go
+++ b/internal/lab/loopback/serverfaults.go
@@ -40,7 +40,7 @@
 		return nil
 	}
 	b.reconnected, b.model.Unreachable = make(chan struct{}), true
-	fill, err := link.StopConnects(b.listener)
+	fill, err := link.BlockConnects(b.listener)
 	if err != nil {
 		return fmt.Errorf("server %s: cut off: %w", b.model.ID, err)
 	}
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		for _, relay := range relays {
-			if err := relay.Set(link.Fault{Stall: [2]bool{partitioned, partitioned}}); err != nil {
+			if err := relay.SetFault(link.Fault{Stall: [2]bool{partitioned, partitioned}}); err != nil {
 				return fmt.Errorf("scale: partition of %s: %w", region, err)
 			}
 		}
--- a/internal/lab/sites/sites.go
+++ b/internal/lab/sites/sites.go
@@ -332,7 +332,7 @@
 // SetAnswersStalled holds back what a node answers on the streams of some nodes, or lets it arrive again.
 func (in *Installation) SetAnswersStalled(stalled bool, from []*Node, to *Node) error {
 	fault := link.Fault{Stall: [2]bool{link.Downstream: stalled}}
-	return in.forEachLink(from, []*Node{to}, func(l *link.PeerLink) error { return l.Set(fault) })
+	return in.forEachLink(from, []*Node{to}, func(l *link.PeerLink) error { return l.SetFault(fault) })
 }
 
 // SetPacketFault changes what is wrong with all packets.
