--- a/cmd/hookwalk/blackbox_test.go
+++ b/cmd/hookwalk/blackbox_test.go
@@ -23,13 +23,13 @@
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	w, err := loopback.Up(t.Context(), s, loopback.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"},
-		Recorder: blackbox.NewRecorder(&text, loopback.Head(s))})
-	defer w.Down(false)
+	w, err := loopback.Start(t.Context(), s, loopback.Options{Program: []string{os.Args[0]}, Env: []string{"HOOKWALK_AS_PROGRAM=1"},
+		Recorder: blackbox.NewRecorder(&text, loopback.HistoryHeader(s))})
+	defer w.Shutdown(false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := w.Play(); err != nil {
+	if _, _, err := w.Run(); err != nil {
 		t.Fatal(err)
 	}
 	if *record != "" {
--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -106,9 +106,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w, err := loopback.Up(ctx, s, loopback.Options{Program: []string{self}})
+	w, err := loopback.Start(ctx, s, loopback.Options{Program: []string{self}})
 	if err != nil {
-		w.Down(true)
+		w.Shutdown(true)
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	return w, nil
@@ -121,8 +121,8 @@
 	if err != nil {
 		return err
 	}
-	result, auditor, err := w.Play()
-	w.Down(err != nil || auditor.Count() > 0)
+	result, auditor, err := w.Run()
+	w.Shutdown(err != nil || auditor.Count() > 0)
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	defer w.Down(false)
+	defer w.Shutdown(false)
 	class := s.Classes[0]
 	method := ""
 	if class.Effect != balancer.Idempotent {
--- a/grpcbalancer/grpcbalancer_test.go
+++ b/grpcbalancer/grpcbalancer_test.go
@@ -479,7 +479,12 @@
 		messages int
 		want     codes.Code
 	}{
-		"served":         {func(k *grpcserver.Call) { k.SendHeader(); k.SendMessage(replyMessage, -1); k.SendMessage(replyMessage, -1); k.SendStatus(0) }, 2, codes.OK},
+		"served": {func(k *grpcserver.Call) {
+			k.SendHeader()
+			k.SendMessage(replyMessage, -1)
+			k.SendMessage(replyMessage, -1)
+			k.SendStatus(0)
+		}, 2, codes.OK},
 		"not found":      {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.NotFound)) }, 0, codes.NotFound},
 		"rejected":       {func(k *grpcserver.Call) { k.FailWithoutHeader(int(codes.Unavailable), RejectedKey, "1") }, 0, codes.Unavailable},
 		"refused stream": {func(k *grpcserver.Call) { k.Reset(http2.ErrCodeRefusedStream) }, 0, codes.Unavailable},
@@ -495,7 +500,12 @@
 			k.SendMessage(replyMessage, 6)
 			k.ResetConnection()
 		}, 1, codes.Internal},
-		"goaway, then served": {func(k *grpcserver.Call) { k.GoAway(false); k.SendHeader(); k.SendMessage(replyMessage, -1); k.SendStatus(0) }, 1, codes.OK},
+		"goaway, then served": {func(k *grpcserver.Call) {
+			k.GoAway(false)
+			k.SendHeader()
+			k.SendMessage(replyMessage, -1)
+			k.SendStatus(0)
+		}, 1, codes.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 0, func(_ int, k *grpcserver.Call) { tc.script(k) })
--- a/internal/lab/eventq/eventq.go
+++ b/internal/lab/eventq/eventq.go
@@ -1,5 +1,5 @@
-// Package eventq provides a priority queue of events in virtual time. Events with equal times are popped in the order in
-// which they were pushed, so that the order does not depend on the shape of the heap. The package does not use
+// Package eventq provides a priority queue of events in virtual time. Events with equal times are popped in the order
+// in which they were pushed, so that the order does not depend on the shape of the heap. The package does not use
 // container/heap, which would allocate memory to box every event: a simulated minute of a fleet has tens of millions of
 // events.
 package eventq
--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -41,7 +41,7 @@
 		if err := os.MkdirAll(f.path(i), 0o700); err != nil {
 			return nil, err
 		}
-		r.nodes.SetFolder(i, f.path(i), func(cmd *exec.Cmd) { f.processStarts(i, cmd) })
+		r.nodes.SetTempDir(i, f.path(i), func(cmd *exec.Cmd) { f.processStarts(i, cmd) })
 	}
 	return f, nil
 }
--- a/internal/lab/fleet/lists.go
+++ b/internal/lab/fleet/lists.go
@@ -90,7 +90,7 @@
 	e := &t.Endpoints[m.Index]
 	e.Health = m.Health
 	if m.StartTime > 0 {
-		e.Born = float64(l.rig.startWall.UnixNano()+int64(m.StartTime)) / float64(time.Millisecond)
+		e.StartedMS = float64(l.rig.startWall.UnixNano()+int64(m.StartTime)) / float64(time.Millisecond)
 	}
 	l.saveSnapshot()
 }
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -127,7 +127,7 @@
 
 // sendPlay tells all workers when the play begins.
 func (r *rig) sendPlay() {
-	m := loopback.Message{Operation: loopback.OpPlay, StartTick: r.startTick, StartWall: r.startWall.UnixNano()}
+	m := loopback.Message{Operation: loopback.OpRun, StartTick: r.startTick, StartWall: r.startWall.UnixNano()}
 	for _, w := range r.serverWorkers {
 		w.send(m)
 	}
@@ -157,7 +157,7 @@
 		}
 	}
 	if !result.Unreliable() {
-		result.Violations = blackbox.Check(loopback.Head(r.scenario), result.Events)
+		result.Violations = blackbox.Check(loopback.HistoryHeader(r.scenario), result.Events)
 	}
 	return nil
 }
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -68,7 +68,7 @@
 func (r *rig) stopNode(f model.ProcessFault) (begin, end func() error) {
 	i := f.Targets[0]
 	begin = func() error {
-		if r.nodes.SetStopped(i, true) {
+		if r.nodes.SetPaused(i, true) {
 			r.goOwned(func() {
 				if r.nodes.Sleep(min(r.scenario.Ingress.FailureDetection, f.Duration)) && r.nodes.Now() < f.To {
 					r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i})
@@ -78,7 +78,7 @@
 		return nil
 	}
 	end = func() error {
-		if r.nodes.SetStopped(i, false) && !r.terminating[i].Load() { // one that is about to end is not ready
+		if r.nodes.SetPaused(i, false) && !r.terminating[i].Load() { // one that is about to end is not ready
 			r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i, Serving: true})
 		}
 		return nil
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -304,7 +304,7 @@
 func (r *rig) shutDown(keep bool) {
 	r.cancel(errRigEnded)
 	if r.nodes != nil {
-		r.nodes.Down(keep) // its folder is in the rig's
+		r.nodes.Shutdown(keep) // its folder is in the rig's
 	}
 	r.stopWorkers()
 	if r.network != nil {
--- a/internal/lab/fleet/schedule.go
+++ b/internal/lab/fleet/schedule.go
@@ -110,7 +110,7 @@
 	r.terminating[c.Index].Store(true)
 	r.endings[c.Index].Add(1)
 	r.folders.setNext(c.Index, c.Folder)
-	r.nodes.Stop(c.Index, func() {
+	r.nodes.Terminate(c.Index, func() {
 		if r.nodes.Sleep(model.IngressDrainDelay) {
 			r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: c.Index})
 		}
--- a/internal/lab/grpcserver/grpcserver.go
+++ b/internal/lab/grpcserver/grpcserver.go
@@ -1,5 +1,6 @@
 // Package grpcserver provides a stand-in gRPC server that handles each call as a script prescribes. It writes HTTP/2
-// frames itself, because a correct server offers no way to refuse or truncate a stream, or to leave it without a response.
+// frames itself, because a correct server offers no way to refuse or truncate a stream, or to leave it without a
+// response.
 package grpcserver
 
 import (
@@ -14,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// maxMessageBytes limits the size of a call's message, so that a faulty client can't exhaust the memory. Data beyond the
-// limit is dropped.
+// maxMessageBytes limits the size of a call's message, so that a faulty client can't exhaust the memory. Data beyond
+// the limit is dropped.
 const maxMessageBytes = 1 << 20
 
 // messagePrefixBytes is the length of gRPC's message prefix: a flag and four bytes of length.
@@ -259,8 +260,8 @@
 	call.SendStatus(0)
 }
 
-// FailWithoutHeader ends a call with a response that consists only of trailers with a status. trailers holds alternating
-// names and values of further trailers.
+// FailWithoutHeader ends a call with a response that consists only of trailers with a status. trailers holds
+// alternating names and values of further trailers.
 func (call *Call) FailWithoutHeader(code int, trailers ...string) {
 	call.conn.write(func() error {
 		return call.conn.writeHeaders(call.stream, true, append([]string{":status", "200", "content-type", "application/grpc",
@@ -273,9 +274,9 @@
 	call.conn.write(func() error { return call.conn.framer.WriteRSTStream(call.stream, code) })
 }
 
-// GoAway sends GOAWAY and ignores later streams of the connection. If excludeCall is set, GOAWAY declares the call itself
-// as not processed, which is possible only while no later call of the connection has been passed to the script. GoAway
-// returns false and sends nothing if a later call was passed to the script, or if GOAWAY has already been sent.
+// GoAway sends GOAWAY and ignores later streams of the connection. If excludeCall is set, GOAWAY declares the call
+// itself as not processed, which is possible only while no later call of the connection has been passed to the script.
+// GoAway returns false and sends nothing if a later call was passed to the script, or if GOAWAY has already been sent.
 func (call *Call) GoAway(excludeCall bool) (sent bool) {
 	c, s := call.conn, call.conn.server
 	s.mu.Lock()
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,7 +1,7 @@
-// Package link simulates the network between two processes of a test rig. A Link is a TCP relay on loopback. Each pair of
-// processes has a separate Link with a separate address, so that the rig can tell which process connects to which. A Link
-// can inject network faults: a stall in one direction or both, latency, limited bandwidth, resets, refused connections, a
-// FIN that never arrives, and a reset after a number of bytes.
+// Package link simulates the network between two processes of a test rig. A Link is a TCP relay on loopback. Each pair
+// of processes has a separate Link with a separate address, so that the rig can tell which process connects to which. A
+// Link can inject network faults: a stall in one direction or both, latency, limited bandwidth, resets, refused
+// connections, a FIN that never arrives, and a reset after a number of bytes.
 //
 // A rig opens a Link for a pair, passes its Addr to the client, and changes its Fault while connections are open.
 package link
@@ -26,7 +26,7 @@
 
 // Fault describes the faults injected into a link. The zero Fault injects none.
 type Fault struct {
-	Stall          [2]bool       // by Direction: bytes are held back; while either is set, no new connection is established
+	Stall          [2]bool       // by Direction: bytes are held back; either one also blocks new connections
 	Refuse         bool          // new connections are refused
 	Delay          time.Duration // one-way delay of every chunk
 	Jitter         time.Duration // upper bound of a uniformly drawn addition to Delay
@@ -54,9 +54,9 @@
 	running        sync.WaitGroup
 }
 
-// Open starts a link that listens on a port of the block that begins at ports (see ClaimPorts), or outside all blocks if
-// ports is 0. For each new connection, target returns the address to relay it to, or "" if there is none. The caller must
-// close the link.
+// Open starts a link that listens on a port of the block that begins at ports (see ClaimPorts), or outside all blocks
+// if ports is 0. For each new connection, target returns the address to relay it to, or "" if there is none. The caller
+// must close the link.
 func Open(ports int, target func() string) (*Link, error) {
 	l := &Link{target: target, changed: make(chan struct{}), sessions: map[*session]bool{}}
 	listener, err := Listen(ports, ForLink)
@@ -87,15 +87,16 @@
 	return nil
 }
 
-// startAccepting starts to accept clients from a listener. The caller holds mu, or no other goroutine uses the link yet.
+// startAccepting starts to accept clients from a listener. The caller holds mu, or no other goroutine uses the link
+// yet.
 func (l *Link) startAccepting(listener *net.TCPListener) {
 	l.listener, l.addr = listener, listener.Addr().String()
 	l.running.Go(func() { l.accept(listener) })
 }
 
-// SetFault replaces the link's fault. It affects open connections at once. Bytes that a stall has held back are delivered
-// when the stall ends, unless Reset discards them. SetFault returns net.ErrClosed after Close, and the system's error if
-// the listener can't be reopened or its queue can't be changed.
+// SetFault replaces the link's fault. It affects open connections at once. Bytes that a stall has held back are
+// delivered when the stall ends, unless Reset discards them. SetFault returns net.ErrClosed after Close, and the
+// system's error if the listener can't be reopened or its queue can't be changed.
 func (l *Link) SetFault(fault Fault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// A stall simulates a route that is broken in one direction. Bytes sent in that direction are delivered after the stall,
-// the other direction is not affected, and no new connection is established.
+// A stall simulates a route that is broken in one direction. Bytes sent in that direction are delivered after the
+// stall, the other direction is not affected, and no new connection is established.
 func TestStallInOneDirection(t *testing.T) {
 	for direction, name := range []string{"upstream", "downstream"} {
 		t.Run(name, func(t *testing.T) {
@@ -274,8 +274,8 @@
 	}
 }
 
-// Each rig claims a separate block. If all blocks are claimed, a rig waits until one is free or its context ends. Rigs in
-// the same block could take addresses that another rig has closed temporarily to simulate an outage.
+// Each rig claims a separate block. If all blocks are claimed, a rig waits until one is free or its context ends. Rigs
+// in the same block could take addresses that another rig has closed temporarily to simulate an outage.
 func TestClaimPortsWaitsForABlock(t *testing.T) {
 	var firstPorts []int
 	for range 2 { // ports outside the blocks, because rigs may run at the same time
@@ -318,8 +318,8 @@
 	}
 }
 
-// A queue is full when the kernel's count says so, not when a connect times out: on a busy machine a slow connect would be
-// mistaken for a full queue.
+// A queue is full when the kernel's count says so, not when a connect times out: on a busy machine a slow connect would
+// be mistaken for a full queue.
 func TestQueueFullUsesKernelCount(t *testing.T) {
 	l, err := Listen(0, ForNode)
 	if err != nil {
--- a/internal/lab/link/pipe.go
+++ b/internal/lab/link/pipe.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// arrivalTime returns when n bytes that were read now are delivered under a fault, and when the limited bandwidth is free
-// for further bytes.
+// arrivalTime returns when n bytes that were read now are delivered under a fault, and when the limited bandwidth is
+// free for further bytes.
 func arrivalTime(fault Fault, n int, linkFreeAt time.Time) (due, nextFreeAt time.Time) {
 	due, nextFreeAt = time.Now(), linkFreeAt
 	if fault.BytesPerSecond > 0 {
@@ -193,8 +193,8 @@
 	}
 }
 
-// waitWhileStalled waits while a direction is stalled and returns the fault after that. open is false if the link has been
-// closed.
+// waitWhileStalled waits while a direction is stalled and returns the fault after that. open is false if the link has
+// been closed.
 func (l *Link) waitWhileStalled(direction Direction) (fault Fault, open bool) {
 	for {
 		fault, changed, closed := l.state()
@@ -216,7 +216,8 @@
 	}
 }
 
-// reset closes a connection with a TCP reset. Data that the other side has not read is lost, as when a process is killed.
+// reset closes a connection with a TCP reset. Data that the other side has not read is lost, as when a process is
+// killed.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/lab/link/ports.go
+++ b/internal/lab/link/ports.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Layout of the port blocks. The blocks are below 32768, where the system's ephemeral ports begin: while a fault closes a
-// listener, no outgoing connection or other listener may take its port. Each rig has a separate block, so that traffic
-// for one rig can't reach another.
+// Layout of the port blocks. The blocks are below 32768, where the system's ephemeral ports begin: while a fault closes
+// a listener, no outgoing connection or other listener may take its port. Each rig has a separate block, so that
+// traffic for one rig can't reach another.
 const (
 	firstBlockPort = 12000 // first port of the first block
 	blockCount     = 5     // maximum number of rigs that run at the same time
@@ -32,9 +32,9 @@
 // listenAttempts limits how many random ports Listen tries.
 const listenAttempts = 1000
 
-// ClaimPorts claims a block of ports for a rig until release is called, and returns the block's first port. If all blocks
-// are claimed, it waits for one: two rigs in one block could take each other's addresses while a fault closes them. It
-// fails only if ctx ends first.
+// ClaimPorts claims a block of ports for a rig until release is called, and returns the block's first port. If all
+// blocks are claimed, it waits for one: two rigs in one block could take each other's addresses while a fault closes
+// them. It fails only if ctx ends first.
 func ClaimPorts(ctx context.Context) (ports int, release func(), err error) {
 	var firstPorts []int
 	for n := range blockCount {
@@ -43,8 +43,8 @@
 	return claimPorts(ctx, blockHost, firstPorts)
 }
 
-// claimPorts claims one of the blocks that begin at firstPorts. The claim is a listener on the block's first port, so that
-// it is visible to other processes.
+// claimPorts claims one of the blocks that begin at firstPorts. The claim is a listener on the block's first port, so
+// that it is visible to other processes.
 func claimPorts(ctx context.Context, host string, firstPorts []int) (ports int, release func(), err error) {
 	retry := time.NewTicker(claimRetryInterval)
 	defer retry.Stop()
--- a/internal/lab/loopback/addresses.go
+++ b/internal/lab/loopback/addresses.go
@@ -9,22 +9,22 @@
 	"hookwalk.example/hookwalk/internal/lab/link"
 )
 
-// maxRecentAddresses is how many addresses are remembered as given lately: whoever was given an older one listens by now,
-// or has ended.
+// maxRecentAddresses is how many recently assigned addresses are remembered. A process with an older address already
+// listens at it or has ended.
 const maxRecentAddresses = 100
 
-// addressPool has the addresses that processes were given to listen at: nobody listens there yet, or for a while, and nobody
-// else may be given the same.
+// addressPool assigns listen addresses to processes. A process does not listen at its address before it has started, or
+// while it is down; in that time the pool does not assign the address to another process.
 type addressPool struct {
 	mu       sync.Mutex
-	reserved map[string]bool // as long as the world
-	recent   []string        // given last
+	reserved map[string]bool // never assigned again
+	recent   []string        // assigned most recently
 }
 
-// next is a free address that was not given lately.
-func (g *addressPool) next(listen func() (*net.TCPListener, error)) (string, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// nextFree returns a free address that is not reserved and was not assigned recently.
+func (p *addressPool) nextFree(listen func() (*net.TCPListener, error)) (string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for {
 		ln, err := listen()
 		if err != nil {
@@ -32,27 +32,27 @@
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if g.reserved[addr] || slices.Contains(g.recent, addr) {
+		if p.reserved[addr] || slices.Contains(p.recent, addr) {
 			continue
 		}
-		g.recent = append(g.recent, addr)
-		g.recent = g.recent[max(0, len(g.recent)-maxRecentAddresses):]
+		p.recent = append(p.recent, addr)
+		p.recent = p.recent[max(0, len(p.recent)-maxRecentAddresses):]
 		return addr, nil
 	}
 }
 
-// reserve keeps an address for whoever has it now.
-func (g *addressPool) reserve(addr string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.reserved == nil {
-		g.reserved = map[string]bool{}
+// reserve keeps an address for the process that has it now.
+func (p *addressPool) reserve(addr string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.reserved == nil {
+		p.reserved = map[string]bool{}
 	}
-	g.reserved[addr] = true
+	p.reserved[addr] = true
 }
 
-// assignAddresses gives a node that takes admin calls an address for them, a new one for each process, and one for clients
-// that stays over its incarnations, as the platform's nodes have them.
+// assignAddresses assigns addresses to a node that accepts admin calls: a new address for admin calls for each process,
+// and an address for clients that stays the same over all incarnations, like that of a node on the platform.
 func (p *process) assignAddresses() error {
 	if !p.world.scenario.Fleet.AdminCalls {
 		return nil
@@ -73,9 +73,9 @@
 	return err
 }
 
-// freeAddress is an address that nobody else has.
+// freeAddress returns an address that no other process has.
 func (p *process) freeAddress() (string, error) {
-	addr, err := p.world.addresses.next(func() (*net.TCPListener, error) { return link.Listen(p.world.options.Ports, link.ForNode) })
+	addr, err := p.world.addresses.nextFree(func() (*net.TCPListener, error) { return link.Listen(p.world.options.Ports, link.ForNode) })
 	if err != nil {
 		return "", fmt.Errorf("node %s: %w", p.base, err)
 	}
--- a/internal/lab/loopback/change.go
+++ b/internal/lab/loopback/change.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// applyChanges carries out changes at their times, until the world ends.
+// applyChanges applies each change at its time, until the world is shut down.
 func (w *World) applyChanges(changes []model.Change) error {
 	for _, c := range changes {
 		if !w.sleep(c.At - w.now()) {
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// applyChange carries out one change of the world.
+// applyChange applies one change of the world.
 func (w *World) applyChange(c model.Change) error {
 	switch c.Kind {
 	case model.NodeTerminate:
@@ -30,7 +30,7 @@
 	case model.NodeKill:
 		w.killNode(c.Index)
 	case model.NodeStart:
-		w.goOwned(func() {
+		w.spawn(func() {
 			if w.ingress.nodes[c.Index].start(w.ctx) == nil {
 				w.ingress.setServing(c.Index, true)
 			}
@@ -55,104 +55,105 @@
 	return nil
 }
 
-// applyServerChange carries out a change of one server.
-func (w *World) applyServerChange(c model.Change, b *server) error {
+// applyServerChange applies a change of one server.
+func (w *World) applyServerChange(c model.Change, s *server) error {
 	delays := w.scenario.Discovery
 	switch c.Kind {
 	case model.Crash:
-		w.crashServer(b, b.inState(model.Draining))
+		w.crashServer(s, s.inState(model.Draining))
 	case model.Start:
-		return w.bootServer(b)
+		return w.bootServer(s)
 	case model.Drain:
-		if b.inState(model.Up) {
-			b.locked(func() { b.model.State = model.Draining })
-			w.updateEndpoint(b, HealthDraining, 0, delays.DrainDelay)
+		if s.inState(model.Up) {
+			s.locked(func() { s.model.State = model.Draining })
+			w.updateEndpoint(s, HealthDraining, 0, delays.DrainDelay)
 		}
 	case model.Disconnect:
-		w.updateEndpoint(b, HealthRemoved, 0, delays.UnreachableDelay)
-		return b.disconnect()
+		w.updateEndpoint(s, HealthRemoved, 0, delays.UnreachableDelay)
+		return s.disconnect()
 	case model.Reconnect:
-		b.locked(b.reconnect)
-		if b.inState(model.Up) {
-			w.updateEndpoint(b, HealthReady, 0, delays.AddDelay)
+		s.locked(s.reconnect)
+		if s.inState(model.Up) {
+			w.updateEndpoint(s, HealthReady, 0, delays.AddDelay)
 		}
 	case model.ScaleSpeed:
-		b.locked(func() {
-			b.model.SetSpeedFactor(w.now(), b.model.SpeedFactor*c.Magnitude)
-			b.scheduleCompletion()
+		s.locked(func() {
+			s.model.SetSpeedFactor(w.now(), s.model.SpeedFactor*c.Magnitude)
+			s.scheduleCompletion()
 		})
 	case model.BreakAnswers:
-		b.locked(func() { b.brokenShare = c.Magnitude * c.Share })
+		s.locked(func() { s.truncatedShare = c.Magnitude * c.Share })
 	case model.ResetIdleConnections:
-		b.resetIdle(c.Share)
+		s.resetIdle(c.Share)
 	}
 	return nil
 }
 
-// crashServer ends a server, and its node with it.
-func (w *World) crashServer(b *server, planned bool) {
-	if b.inState(model.Down) {
+// crashServer stops a server and kills its node. planned: the server was draining.
+func (w *World) crashServer(s *server, planned bool) {
+	if s.inState(model.Down) {
 		return
 	}
 	switch {
 	case w.worker != nil:
-		w.worker.send(Message{Operation: OpServerDied, Tier: b.model.Tier, Index: b.model.Index})
-	case b.node != nil:
-		w.observations.nodeKilled(w.now(), b.node.incarnationName())
-		b.node.signal(syscall.SIGKILL)
+		w.worker.send(Message{Operation: OpServerDied, Tier: s.model.Tier, Index: s.model.Index})
+	case s.node != nil:
+		w.observations.nodeKilled(w.now(), s.node.incarnationName())
+		s.node.signal(syscall.SIGKILL)
 	}
-	b.stop()
+	s.stop()
 	delay := w.scenario.Discovery.CrashDelay
 	if planned {
 		delay = w.scenario.Discovery.DrainDelay
 	}
-	w.updateEndpoint(b, HealthRemoved, 0, delay)
+	w.updateEndpoint(s, HealthRemoved, 0, delay)
 }
 
-// updateEndpoint has discovery list a server's state after a while.
-func (w *World) updateEndpoint(b *server, health string, startTime, wait time.Duration) {
+// updateEndpoint makes discovery publish a server's state after a delay. startTime is when the server started again, or
+// 0.
+func (w *World) updateEndpoint(s *server, health string, startTime, wait time.Duration) {
 	if w.worker != nil {
-		w.worker.send(Message{Operation: OpEndpointState, Tier: b.model.Tier, Index: b.model.Index, Health: health, StartTime: startTime, Delay: wait})
+		w.worker.send(Message{Operation: OpEndpointState, Tier: s.model.Tier, Index: s.model.Index, Health: health, StartTime: startTime, Delay: wait})
 		return
 	}
-	w.discovery.updateEndpoint(b, health, startTime, wait)
+	w.discovery.updateEndpoint(s, health, startTime, wait)
 }
 
-// bootServer starts a server that is down, to warm up, once its node is ready.
-func (w *World) bootServer(b *server) error {
+// bootServer starts a server that is down, once its node is ready. The server is then warming up.
+func (w *World) bootServer(s *server) error {
 	switch {
-	case !b.inState(model.Down):
+	case !s.inState(model.Down):
 		return nil
-	case b.node == nil:
-		return w.startServer(b)
-	case w.worker != nil: // the parent starts the node, and answers with OpServerStart
-		w.worker.send(Message{Operation: OpStartNode, Node: b.node.base, Tier: b.model.Tier, Index: b.model.Index})
+	case s.node == nil:
+		return w.startServer(s)
+	case w.worker != nil: // the parent starts the node and replies with OpServerStart
+		w.worker.send(Message{Operation: OpStartNode, Node: s.node.base, Tier: s.model.Tier, Index: s.model.Index})
 		return nil
 	}
-	w.goOwned(func() {
-		if b.node.start(w.ctx) == nil {
-			w.startServer(b)
+	w.spawn(func() {
+		if s.node.start(w.ctx) == nil {
+			w.startServer(s)
 		}
 	})
 	return nil
 }
 
-// startServer starts a server now.
-func (w *World) startServer(b *server) error {
+// startServer starts a server immediately.
+func (w *World) startServer(s *server) error {
 	now := w.now()
-	b.locked(func() { b.model.Start(now) })
-	w.observations.record(blackbox.Event{At: now, Kind: blackbox.ServerStarted, Server: b.model.ID})
-	if err := b.start(); err != nil {
+	s.locked(func() { s.model.Start(now) })
+	w.observations.record(blackbox.Event{At: now, Kind: blackbox.ServerStarted, Server: s.model.ID})
+	if err := s.start(); err != nil {
 		return err
 	}
 	if w.worker != nil {
-		w.worker.send(Message{Operation: OpServerStart, Tier: b.model.Tier, Index: b.model.Index, Addr: b.addr})
+		w.worker.send(Message{Operation: OpServerStart, Tier: s.model.Tier, Index: s.model.Index, Addr: s.addr})
 	}
-	w.updateEndpoint(b, HealthReady, now, w.scenario.Discovery.AddDelay)
+	w.updateEndpoint(s, HealthReady, now, w.scenario.Discovery.AddDelay)
 	return nil
 }
 
-// terminateNode sends SIGTERM to an ingress node.
+// terminateNode sends SIGTERM to an ingress node. After a delay the ingress stops sending requests to the node.
 func (w *World) terminateNode(i int) {
 	exited, name := w.ingress.nodes[i].signal(syscall.SIGTERM)
 	if exited == nil {
@@ -160,38 +161,39 @@
 	}
 	w.observations.record(blackbox.Event{At: w.now(), Kind: blackbox.NodeTerminating, Node: name})
 	w.afterDelay(model.IngressDrainDelay, func() { w.ingress.setServing(i, false) })
-	w.goOwned(func() {
+	w.spawn(func() {
 		<-exited
-		w.sleep(socketSlack) // its last answers are still being read
+		w.sleep(socketSlack) // clients may still be reading the node's last responses
 		w.observations.nodeStopped(w.now(), name)
 	})
 }
 
-// killNode sends SIGKILL to an ingress node. The ingress notices later, unless the node runs again by then.
+// killNode sends SIGKILL to an ingress node. The ingress detects the failure after a delay, unless the node is running
+// again by then.
 func (w *World) killNode(i int) {
-	w.goOwned(w.ingress.nodes[i].kill)
+	w.spawn(w.ingress.nodes[i].kill)
 	w.afterDelay(w.scenario.Ingress.FailureDetection, func() {
-		if exited, _ := w.ingress.nodes[i].signal(noSignal); exited == nil {
+		if exited, _ := w.ingress.nodes[i].signal(probeSignal); exited == nil {
 			w.ingress.setServing(i, false)
 		}
 	})
 }
 
-// locked does something under the lock of what the clients and faults share.
+// locked calls f with the lock of the state that clients and faults share.
 func (w *World) locked(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-// randomFloat draws from the world's stream.
+// randomFloat draws a number in [0, 1) from the world's random stream.
 func (w *World) randomFloat() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64()
 }
 
-// workFactor is a factor on a request's work, drawn while its class has a heavy tail.
+// workFactor returns the factor on a request's work: drawn while its class has a heavy tail, otherwise 1.
 func (w *World) workFactor(class int) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,14 +203,14 @@
 	return 1
 }
 
-// maxRetries is how often a client retries now.
+// maxRetries returns the current limit on a client's retries.
 func (w *World) maxRetries() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return model.MaxRetries(w.scenario, w.retryStorm)
 }
 
-// inRetryStorm says that clients retry at once now.
+// inRetryStorm reports whether a retry storm is active, in which clients retry without a pause.
 func (w *World) inRetryStorm() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -12,18 +12,18 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// clientRequest is what a client wants: its first try and all that follow.
+// clientRequest is a client's request, with all its tries.
 type clientRequest struct {
 	model.Arrival
 	number int
 }
 
-// playClients sends first tries as they come, each on a goroutine of its own, and returns when all requests have ended.
-func (w *World) playClients() {
+// runClients starts each request at its arrival time on a separate goroutine, and returns when all requests have ended.
+func (w *World) runClients() {
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	if loops := w.scenario.Clients.ClosedLoop; loops > 0 {
-		w.playClosedLoops(&clients, loops)
+	if clientCount := w.scenario.Clients.ClosedLoop; clientCount > 0 {
+		w.runClosedLoopClients(&clients, clientCount)
 		return
 	}
 	for number := 1; ; number++ {
@@ -33,36 +33,36 @@
 		if !ok || !w.sleep(a.At-w.now()) {
 			return
 		}
-		goTracked(&clients, func() { w.playRequest(&clientRequest{Arrival: a, number: number}) })
+		goTracked(&clients, func() { w.runRequest(&clientRequest{Arrival: a, number: number}) })
 	}
 }
 
-// playClosedLoops has clients make one request after another, until the arrivals end.
-func (w *World) playClosedLoops(clients *sync.WaitGroup, loops int) {
-	count := 0 // of requests so far, under the world's lock
-	for range loops {
+// runClosedLoopClients runs clients that send one request after another until the scenario's length has passed.
+func (w *World) runClosedLoopClients(clients *sync.WaitGroup, clientCount int) {
+	count := 0 // number of requests so far, guarded by the world's lock
+	for range clientCount {
 		goTracked(clients, func() {
 			for w.now() < w.scenario.Length && w.ctx.Err() == nil {
 				w.mu.Lock()
 				count++
 				r := &clientRequest{Arrival: w.arrivals.Draw(w.now()), number: count}
 				w.mu.Unlock()
-				w.playRequest(r)
+				w.runRequest(r)
 			}
 		})
 	}
 }
 
-// playRequest is a client from its first try to the end of its request. It retries as the scenario says, where that is safe.
-func (w *World) playRequest(r *clientRequest) {
+// runRequest runs a client's request from its first try to its end, with the retries that the scenario allows.
+func (w *World) runRequest(r *clientRequest) {
 	r.At = w.now()
 	w.observations.requestBegun(r.At, r.Class, r.Tenant)
-	outcome := w.playTries(r)
+	outcome := w.runTries(r)
 	w.observations.requestEnded(r, w.now()-r.At, outcome)
 }
 
-// playTries makes the tries of a request.
-func (w *World) playTries(r *clientRequest) score.Outcome {
+// runTries makes the tries of a request and returns the request's outcome.
+func (w *World) runTries(r *clientRequest) score.Outcome {
 	deadline := r.At + w.scenario.Classes[r.Class].Deadline
 	for try := 0; ; try++ {
 		retries := w.maxRetries()
@@ -72,22 +72,22 @@
 		}
 		timeout := model.TryTimeout(w.scenario, r.Class, try, retries, left)
 		w.observations.tryBegun()
-		a := w.sendTry(r, try, timeout)
-		if a.status == http.StatusOK {
+		resp := w.sendTry(r, try, timeout)
+		if resp.status == http.StatusOK {
 			return score.Served
 		}
-		pause, retryable := w.pauseBeforeRetry(r, a)
+		pause, retryable := w.pauseBeforeRetry(r, resp)
 		if !retryable || !w.sleep(pause) {
 			return score.Failed
 		}
 	}
 }
 
-// sendTry sends a try to the next node.
-func (w *World) sendTry(r *clientRequest, try int, timeout time.Duration) answer {
+// sendTry sends one try to the ingress's next node.
+func (w *World) sendTry(r *clientRequest, try int, timeout time.Duration) response {
 	n := w.ingress.pickNode()
 	if n == nil {
-		return answer{connectionRefused: true}
+		return response{connectionRefused: true}
 	}
 	return n.send(w.ctx, nodeRequest{
 		class:    r.Class,
@@ -100,21 +100,22 @@
 	})
 }
 
-// pauseBeforeRetry is how long a client waits after an answer before it retries: the backoff, what Retry-After says if it
-// honors that, or nothing in a retry storm. It returns false if a retry could run the request a second time.
-func (w *World) pauseBeforeRetry(r *clientRequest, a answer) (pause time.Duration, retryable bool) {
+// pauseBeforeRetry returns how long a client waits after a response before it retries. It is the backoff, or
+// Retry-After if the client honors it; in a retry storm there is no pause after a rejection. retryable is false if a
+// retry could execute the request a second time.
+func (w *World) pauseBeforeRetry(r *clientRequest, resp response) (pause time.Duration, retryable bool) {
 	pause = w.scenario.Clients.Backoff
 	switch {
-	case a.rejected():
+	case resp.rejected():
 		w.observations.tryRejected(w.now())
-		if r.HonoursRetryAfter && a.retryAfter > 0 {
-			pause = a.retryAfter
+		if r.HonoursRetryAfter && resp.retryAfter > 0 {
+			pause = resp.retryAfter
 		}
 		if w.inRetryStorm() {
 			pause = 0
 		}
 		return pause, true
-	case a.connectionRefused:
+	case resp.connectionRefused:
 		return pause, true
 	}
 	return pause, w.scenario.Classes[r.Class].Effect == balancer.Idempotent
--- a/internal/lab/loopback/clock.go
+++ b/internal/lab/loopback/clock.go
@@ -6,40 +6,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// now is the scenario's time.
+// now returns the time since the start of the scenario.
 func (w *World) now() time.Duration { return Monotonic() - time.Duration(w.startTick.Load()) }
 
-// Monotonic is the system's monotonic clock, which is one for all its processes.
+// Monotonic returns the time of the system's monotonic clock, which all processes share.
 func Monotonic() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // Linux always supports this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// incarnationStart is the present time, for an incarnation that begins. One that begins before the play, while the world
-// comes up, counts from the play's start: the clock is restarted then, and a start recorded some milliseconds into the
-// earlier count would stand behind the first requests, as if the node had forgotten them. A worker's clock has its start
-// from the first, see beforeStart.
+// incarnationStart returns the start time to record for an incarnation that starts now. An incarnation that starts
+// before the run is recorded as of time 0 at the latest, because the clock restarts when the run begins: a start
+// recorded as a few milliseconds of the old clock would seem to come after the first requests, as if the node had
+// restarted and lost them. A worker's clock is not restarted in this way, see unsetStartTick.
 func (w *World) incarnationStart() time.Duration {
-	if w.worker == nil && !w.playing.Load() {
+	if w.worker == nil && !w.runStarted.Load() {
 		return min(w.now(), 0)
 	}
 	return w.now()
 }
 
-// restartClock begins the scenario's time now that all nodes are ready. Servers have done nothing yet and discovery knows
-// no start times, so nothing holds an earlier time; what nodes were notified of so far counts as of the start.
+// restartClock sets the scenario's time to 0. When Run calls it, servers have not served requests and discovery has no
+// start times, so no stored time becomes invalid. Endpoints of which nodes were notified before count as known from the
+// start.
 func (w *World) restartClock() { w.setClock(Monotonic(), time.Now()) }
 
-// setClock begins the scenario's time at a moment of the monotonic clock, which is one of the wall clock.
+// setClock sets the start of the scenario, given as the same moment on the monotonic clock and on the wall clock.
 func (w *World) setClock(startTick time.Duration, wall time.Time) {
 	w.startWall.Store(wall.UnixNano())
 	w.startTick.Store(int64(startTick))
 }
 
-// sleep waits. It returns false if the world has ended in the meantime.
+// sleep waits for d. It returns false if the world has been shut down.
 func (w *World) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return w.ctx.Err() == nil
@@ -54,25 +55,25 @@
 	}
 }
 
-// How late a process of a rig may be before that is worth a report.
+// Detection of late timers in a process of a rig.
 const (
-	latenessInterval = 10 * time.Millisecond // between two looks
-	minLateness      = 20 * time.Millisecond // below it every busy machine is
+	latenessCheckInterval = 10 * time.Millisecond // time between two checks
+	minLateness           = 20 * time.Millisecond // less is normal on a busy machine
 )
 
-// WatchLateness reports, until stop, by how much a process of the rig is late, each time that it is worse than before: what
-// else is late then may be the machine's doing.
+// WatchLateness reports how late the timers of this process fire, until stop is closed. It reports each new maximum, so
+// that other delays at that time can be attributed to the busy machine.
 func WatchLateness(stop <-chan struct{}, report func(late time.Duration)) {
-	tick := time.NewTimer(latenessInterval)
+	tick := time.NewTimer(latenessCheckInterval)
 	defer tick.Stop()
-	for worst := minLateness; ; tick.Reset(latenessInterval) {
+	for worst := minLateness; ; tick.Reset(latenessCheckInterval) {
 		before := Monotonic()
 		select {
 		case <-stop:
 			return
 		case <-tick.C:
 		}
-		if late := Monotonic() - before - latenessInterval; late > worst {
+		if late := Monotonic() - before - latenessCheckInterval; late > worst {
 			worst = late
 			report(late)
 		}
--- a/internal/lab/loopback/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// headerTimeout is how long a node may take to send the head of a call.
-	headerTimeout = 5 * time.Second
+	// requestHeaderTimeout limits how long a node may take to send the header of a call.
+	requestHeaderTimeout = 5 * time.Second
 
-	// oldAddressOpen is how long discovery stays at its old address after it has moved, as the platform does it.
-	oldAddressOpen = 1500 * time.Millisecond
+	// oldAddressGracePeriod is how long discovery still serves its old address after a move, as the platform does.
+	oldAddressGracePeriod = 1500 * time.Millisecond
 
 	// endpointsPath is the path of discovery's calls.
 	endpointsPath = "/v1/endpoints"
 )
 
-// discovery is the stand-in service: a list for each tier, watches, one queue of calls, and faults. Each node calls it at an
-// address of its own, which is how the service knows whom it notifies.
+// discovery is the stand-in for the discovery service: an endpoint list for each tier, watches, a queue of calls, and
+// faults. Each node calls discovery at a separate address, by which discovery identifies the node.
 type discovery struct {
 	world *World
 
-	mu          sync.Mutex
-	tiers       []*tierList
-	listeners   map[*process]*nodeListener
-	down        bool
-	queueFreeAt time.Time    // when the calls so far are done
-	watchCount  atomic.Int64 // so far
+	mu            sync.Mutex
+	tiers         []*tierList
+	listeners     map[*process]*nodeListener
+	down          bool
+	queueFreeAt   time.Time    // when the queued calls are done
+	watchesOpened atomic.Int64 // so far
 }
 
-// nodeListener is the address of one node.
+// nodeListener is the listener for one node.
 type nodeListener struct {
 	addr         string
 	server       *http.Server
-	muted        chan struct{}    // closed: watches that are open bring nothing any more
-	unresponsive bool             // a call is accepted and never answered
-	abandoned    []blackbox.Event // watches that the node gave up in the meantime
+	muted        chan struct{}    // closed to mute the watches that are open
+	unresponsive bool             // calls are accepted but never answered
+	abandoned    []blackbox.Event // muted watches that the node closed while the listener was unresponsive
 }
 
 func newDiscovery(w *World) *discovery {
 	return &discovery{world: w, listeners: map[*process]*nodeListener{}}
 }
 
-// open lists all servers as they are, and listens.
+// open creates the endpoint lists from the current servers and starts a listener for each node.
 func (d *discovery) open() error {
 	for _, row := range d.world.servers {
 		d.tiers = append(d.tiers, newTierList(row))
@@ -65,23 +65,23 @@
 	return nil
 }
 
-// listen begins to serve a node's list, at its old address if it had one.
+// listen starts to serve a node, at its previous address if it has one.
 func (d *discovery) listen(p *process) error {
 	ln, err := d.world.listenAt(d.discoveryAddr(p), link.ForDiscovery)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { d.serve(rw, r, p) }),
-		ReadHeaderTimeout: headerTimeout}
+		ReadHeaderTimeout: requestHeaderTimeout}
 	d.mu.Lock()
 	l := d.listeners[p]
 	l.addr, l.server, l.muted = ln.Addr().String(), server, make(chan struct{})
 	d.mu.Unlock()
-	d.world.goOwned(func() { server.Serve(ln) })
+	d.world.spawn(func() { server.Serve(ln) })
 	return nil
 }
 
-// close ends all listeners, and the watches with them.
+// close closes all listeners and their watches.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,7 +99,7 @@
 	return d.listeners[p].addr
 }
 
-// bootstrapList implements bootstrapLists: the complete list of a node's tier.
+// bootstrapList implements bootstrapLists. It returns the complete list of a node's tier.
 func (d *discovery) bootstrapList(p *process) EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,8 +108,8 @@
 	return list
 }
 
-// setMuted mutes the watches that a node has open: nothing more comes on them, for good. While the listener is muted, the
-// node's calls are accepted and not answered either.
+// setMuted mutes a node's watches or ends the mute. Watches that are open when the mute begins stay muted for good.
+// During the mute, the node's calls are accepted but not answered.
 func (d *discovery) setMuted(p *process, muted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +120,7 @@
 		l.muted = make(chan struct{})
 		return
 	}
-	for _, e := range l.abandoned { // from now on the node can poll again
+	for _, e := range l.abandoned { // the node can poll again only from now on
 		now := d.world.now()
 		e.At, e.Duration = now, now-e.At
 		d.world.observations.record(e)
@@ -128,7 +128,8 @@
 	l.abandoned = nil
 }
 
-// watchAbandoned records that a node has given up a muted watch. While the node could not poll, that is put off.
+// watchAbandoned records that a node has closed a muted watch. While the listener is unresponsive, so that the node
+// can't poll, the record is postponed.
 func (d *discovery) watchAbandoned(p *process, e blackbox.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,9 +140,9 @@
 	d.world.observations.record(e)
 }
 
-// updateEndpoint lists a server's state after a while; startTime 0: it has not started again.
-func (d *discovery) updateEndpoint(b *server, health string, startTime, wait time.Duration) {
-	tier, id := b.model.Tier, b.model.ID
+// updateEndpoint publishes a server's state after a delay. startTime is when the server started again, or 0.
+func (d *discovery) updateEndpoint(s *server, health string, startTime, wait time.Duration) {
+	tier, id := s.model.Tier, s.model.ID
 	d.mu.Lock()
 	d.tiers[tier].revisions[id]++
 	revision := d.tiers[tier].revisions[id]
@@ -153,16 +154,17 @@
 		if l.revisions[id] != revision {
 			return
 		}
-		bornMS := 0.0
+		startedMS := 0.0
 		if startTime > 0 {
-			bornMS = milliseconds(time.Duration(d.world.startWall.Load()) + startTime)
+			startedMS = milliseconds(time.Duration(d.world.startWall.Load()) + startTime)
 		}
-		l.set(b.model.Index, health, bornMS)
+		l.set(s.model.Index, health, startedMS)
 	})
 }
 
-// waitForTurn waits in the one queue of all calls. It returns false if that took too long, or discovery is down.
-func (d *discovery) waitForTurn(r *http.Request) bool {
+// waitInQueue waits in the queue that all calls share. It returns false if the call timed out or was canceled, or if
+// discovery is down.
+func (d *discovery) waitInQueue(r *http.Request) bool {
 	at, ok := d.enqueue(time.Now())
 	if at.IsZero() {
 		return false
@@ -175,7 +177,8 @@
 	}
 }
 
-// enqueue returns when a call of now is done, or when it fails because the queue is too long. A zero time: it fails at once.
+// enqueue adds a call to the queue and returns when the call completes. If the queue is too long, ok is false and at is
+// when the call times out. If discovery is down, at is zero and the call fails at once.
 func (d *discovery) enqueue(now time.Time) (at time.Time, ok bool) {
 	settings := d.world.scenario.Discovery
 	callTime := time.Duration(float64(time.Second) / settings.CallsPerSecond)
@@ -195,18 +198,18 @@
 	return at, true
 }
 
-// serve answers a node's call: a list, or a watch.
+// serve answers a node's call with a list or a watch.
 func (d *discovery) serve(rw http.ResponseWriter, r *http.Request, p *process) {
 	if r.URL.Path != endpointsPath {
 		http.NotFound(rw, r)
 		return
 	}
-	incarnation := p.incarnationName() // a call is of one incarnation, whatever becomes of the node while it waits or watches
+	incarnation := p.incarnationName() // a call belongs to one incarnation, even if the node restarts during the call
 	d.world.observations.discoveryCalled(d.world.now(), incarnation)
 	d.mu.Lock()
 	muted, unresponsive := d.listeners[p].muted, d.listeners[p].unresponsive
 	d.mu.Unlock()
-	if !unresponsive && !d.waitForTurn(r) {
+	if !unresponsive && !d.waitInQueue(r) {
 		http.Error(rw, "too busy", http.StatusServiceUnavailable)
 		return
 	}
@@ -220,7 +223,7 @@
 			<-r.Context().Done()
 			return
 		}
-		encoder.Encode(d.bootstrapList(p)) // a node that has gone away reads nothing
+		encoder.Encode(d.bootstrapList(p)) // an error means that the node has closed the connection
 		return
 	}
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
@@ -229,11 +232,11 @@
 		return
 	}
 	w := &watch{discovery: d, rw: rw, ctx: r.Context(), encoder: encoder, process: p, incarnation: incarnation,
-		id: strconv.FormatInt(d.watchCount.Add(1), 10), muted: muted}
+		id: strconv.FormatInt(d.watchesOpened.Add(1), 10), muted: muted}
 	w.serve(from, unresponsive)
 }
 
-// applyChange takes discovery down, up, or to other addresses.
+// applyChange stops discovery, starts it again, or moves it to other addresses.
 func (d *discovery) applyChange(kind model.ChangeKind) error {
 	switch kind {
 	case model.DiscoveryDown:
@@ -258,7 +261,7 @@
 	d.down = down
 }
 
-// move gives each node another address and has it read its configuration again.
+// move listens at a new address for each node and makes the node reload its configuration.
 func (d *discovery) move() error {
 	var old []*http.Server
 	for _, p := range d.world.processes {
@@ -273,7 +276,7 @@
 			return err
 		}
 	}
-	d.world.afterDelay(oldAddressOpen, func() {
+	d.world.afterDelay(oldAddressGracePeriod, func() {
 		for _, s := range old {
 			s.Close()
 		}
--- a/internal/lab/loopback/endpoints.go
+++ b/internal/lab/loopback/endpoints.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// States of a server in discovery's published form.
+// States of a server in discovery's published format.
 const (
 	HealthReady    = "in_service"  // accepts requests
-	HealthDraining = "terminating" // accepts nothing new
-	HealthRemoved  = "terminated"  // has ended, or can't be reached
+	HealthDraining = "terminating" // accepts no new requests
+	HealthRemoved  = "terminated"  // has ended or is unreachable
 )
 
-// How discovery lists the servers of the lab.
+// Placement of the lab's servers in discovery's lists.
 const (
-	site         = "benchland" // of all servers
-	blockServers = 6           // that share a block
+	site            = "benchland" // site of all servers
+	serversPerBlock = 6
 )
 
 // firstVersion is the version of the list at the start.
 const firstVersion = 1
 
-// EndpointList is a list of servers, or its changes, in discovery's published form.
+// EndpointList is a complete list of servers, or the changes of a list, in discovery's published format.
 type EndpointList struct {
 	Seq       int64      `json:"seq"`
 	Complete  bool       `json:"whole"`
@@ -27,25 +27,25 @@
 
 // Endpoint is one server of an EndpointList.
 type Endpoint struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Born   float64 `json:"born_ms"`
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	StartedMS float64 `json:"born_ms"`
 }
 
-// NewEndpoint lists a server as ready.
+// NewEndpoint returns the entry of a server that is ready.
 func NewEndpoint(id, kind, addr string, index int) Endpoint {
-	return Endpoint{Host: id, Dial: addr, Site: site, Class: kind, Block: index / blockServers, Health: HealthReady, Share: 1}
+	return Endpoint{Host: id, Dial: addr, Site: site, Class: kind, Block: index / serversPerBlock, Health: HealthReady, Share: 1}
 }
 
-// ready says that a server may be sent requests.
-func (e Endpoint) ready() bool { return e.Health == HealthReady }
+// isReady reports whether nodes may send requests to the server.
+func (e Endpoint) isReady() bool { return e.Health == HealthReady }
 
-// withDialAddresses replaces the addresses of servers by those at which a node reaches them.
+// withDialAddresses replaces the addresses in list with those at which the node reaches the servers.
 func (p *process) withDialAddresses(list []Endpoint) []Endpoint {
 	for i, e := range list {
 		if addr := p.dialAddresses[e.Host]; addr != "" {
@@ -55,30 +55,31 @@
 	return list
 }
 
-// tierList is the list of one tier. Its discovery's lock guards it.
+// tierList is the endpoint list of one tier. It is guarded by discovery.mu.
 type tierList struct {
 	version   int64
 	endpoints []Endpoint
-	changedAt []int64        // the version that changed an endpoint last
-	updated   chan struct{}  // closed at a change
-	revisions map[string]int // of each server's state; an older one that is listed later is stale
+	changedAt []int64        // by endpoint: the version of its last change
+	updated   chan struct{}  // closed when the list changes
+	revisions map[string]int // by server: number of state changes so far, including those not yet published
 }
 
 func newTierList(row []*server) *tierList {
 	l := &tierList{version: firstVersion, updated: make(chan struct{}), revisions: map[string]int{}}
-	for i, b := range row {
-		l.endpoints = append(l.endpoints, NewEndpoint(b.model.ID, b.model.Kind.Name, b.addr, i))
+	for i, s := range row {
+		l.endpoints = append(l.endpoints, NewEndpoint(s.model.ID, s.model.Kind.Name, s.addr, i))
 		l.changedAt = append(l.changedAt, firstVersion)
 	}
 	return l
 }
 
-// complete is the whole list.
+// complete returns the complete list.
 func (l *tierList) complete() EndpointList {
 	return EndpointList{Seq: l.version, Complete: true, Endpoints: slices.Clone(l.endpoints)}
 }
 
-// since are the changes since a version, and everything since version 0 or one that the list has not had.
+// since returns the changes since a version. It returns the complete list for version 0 and for a version that the list
+// has not reached.
 func (l *tierList) since(version int64) EndpointList {
 	if version > l.version {
 		version = 0
@@ -92,12 +93,12 @@
 	return list
 }
 
-// set changes the state of a server; bornMS 0: it has not started again.
-func (l *tierList) set(index int, health string, bornMS float64) {
+// set changes the state of a server. startedMS is when it started again, in Unix milliseconds, or 0.
+func (l *tierList) set(index int, health string, startedMS float64) {
 	l.version++
 	l.endpoints[index].Health, l.changedAt[index] = health, l.version
-	if bornMS > 0 {
-		l.endpoints[index].Born = bornMS
+	if startedMS > 0 {
+		l.endpoints[index].StartedMS = startedMS
 	}
 	close(l.updated)
 	l.updated = make(chan struct{})
--- a/internal/lab/loopback/ingress.go
+++ b/internal/lab/loopback/ingress.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// ingress spreads clients over the nodes that it believes to serve, one after another.
+// ingress distributes client requests round-robin over the nodes that it considers to be serving.
 type ingress struct {
 	mu              sync.Mutex
 	nodes           []*process
@@ -10,7 +10,7 @@
 	lastPicked      int
 }
 
-// pickNode is the next node; nil: there is none.
+// pickNode returns the next serving node, or nil if there is none.
 func (in *ingress) pickNode() *process {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// setServing says whether a node serves.
+// setServing sets whether the ingress considers a node to be serving.
 func (in *ingress) setServing(i int, serving bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/lab/loopback/nodeconfig.go
+++ b/internal/lab/loopback/nodeconfig.go
@@ -11,34 +11,34 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// Limits of a node, as the platform gives them.
+// Resource limits that the platform configures for a node.
 const (
 	nodeCores    = 1   // processor cores
 	nodeMemoryMB = 128 // memory in MB
 	nodeSockets  = 512 // open sockets
 )
 
-// anyAddress is an address of which the system chooses the port.
+// anyAddress is a listen address whose port the system chooses.
 const anyAddress = "127.0.0.1:0"
 
-// object is a JSON object of a node's configuration.
+// object is a JSON object in a node's configuration.
 type object = map[string]any
 
-// effectNames are the classes' effects, as a configuration names them.
+// effectNames maps the effects of classes to their names in a configuration.
 var effectNames = map[balancer.Effect]string{
 	balancer.Idempotent:        "read_like",
 	balancer.IdempotentWithKey: "idempotency_key",
 	balancer.NonIdempotent:     "non_idempotent",
 }
 
-// config is the node's configuration file.
+// config returns the text of the node's configuration file.
 func (p *process) config(list EndpointList) ([]byte, error) {
 	listen := p.addr
 	if listen == "" {
 		listen = anyAddress
 	}
 	name := p.name
-	if p.adminAddr != "" { // what stands in its folder is of the node, not of an incarnation
+	if p.adminAddr != "" { // the files in its folder belong to the node, not to an incarnation
 		name = p.base
 	}
 	return json.Marshal(object{
@@ -53,50 +53,50 @@
 	})
 }
 
-// settings are the node's settings in the platform's form.
+// settings returns the node's settings in the platform's format.
 func (p *process) settings() object {
 	s := p.world.scenario
-	set := model.NodeSettings(s, p.tier, p.replicaIndex, p.replicas)
-	var lanes, tenants []object
-	for _, c := range set.Classes {
-		lanes = append(lanes, lane(c))
+	settings := model.NodeSettings(s, p.tier, p.replicaIndex, p.replicas)
+	var classes, tenants []object
+	for _, c := range settings.Classes {
+		classes = append(classes, classConfig(c))
 	}
 	for _, t := range s.Tenants {
 		tenants = append(tenants, object{"name": t.Name})
 	}
 	mode := "pushed"
-	if set.PollDiscovery {
+	if settings.PollDiscovery {
 		mode = "on_request"
 	}
 	return object{
-		"balancers":     set.Replicas,
-		"me":            set.ReplicaIndex,
-		"tier":          set.Tier,
+		"balancers":     settings.Replicas,
+		"me":            settings.ReplicaIndex,
+		"tier":          settings.Tier,
 		"registry-mode": mode,
-		"tick-ms":       milliseconds(set.TimerTolerance),
+		"tick-ms":       milliseconds(settings.TimerTolerance),
 		"zone":          "",
-		"blend":         object{"whole": set.TotalValueWeight, "worst-class": set.WorstClassWeight},
-		"callers":       object{"marks-retry": set.ClientsMarkRetries},
-		"lanes":         lanes,
+		"blend":         object{"whole": settings.TotalValueWeight, "worst-class": settings.WorstClassWeight},
+		"callers":       object{"marks-retry": settings.ClientsMarkRetries},
+		"lanes":         classes,
 		"tenants":       tenants,
 		"limits": object{
-			"max-attempts":       set.MaxAttempts,
+			"max-attempts":       settings.MaxAttempts,
 			"retry-after":        true,
-			"max-retry-after-ms": milliseconds(set.MaxRetryAfter),
+			"max-retry-after-ms": milliseconds(settings.MaxRetryAfter),
 			"conn-idle-ms":       milliseconds(s.Network.IdleTimeout),
 			"connect-timeout-ms": milliseconds(s.Network.ConnectTimeout),
 		},
 		"rules": object{
-			"ask-within-ms": milliseconds(set.MaxPollInterval),
-			"cold-from":     set.SlowStartMinShare,
-			"warm-after-ms": milliseconds(set.SlowStartDuration),
-			"fall-multiple": set.OverloadMultiple,
+			"ask-within-ms": milliseconds(settings.MaxPollInterval),
+			"cold-from":     settings.SlowStartMinShare,
+			"warm-after-ms": milliseconds(settings.SlowStartDuration),
+			"fall-multiple": settings.OverloadMultiple,
 		},
 	}
 }
 
-// lane is a class in the platform's form.
-func lane(c balancer.Class) object {
+// classConfig returns a class in the platform's format.
+func classConfig(c balancer.Class) object {
 	return object{
 		"name":        c.Name,
 		"effect":      effectNames[c.Effect],
@@ -111,7 +111,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// writeConfig puts the configuration where the node reads it, and returns the file's path.
+// writeConfig writes the node's configuration file and returns its path.
 func (p *process) writeConfig(list EndpointList) (path string, err error) {
 	text, err := p.config(list)
 	if err != nil {
@@ -121,11 +121,11 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// reload has the node read its configuration again.
+// reload rewrites the node's configuration and makes the node reload it.
 func (p *process) reload() error {
 	if _, err := p.writeConfig(p.world.lists.bootstrapList(p)); err != nil {
 		return err
 	}
-	p.signal(syscallReload)
+	p.signal(reloadSignal)
 	return nil
 }
--- a/internal/lab/loopback/nodes.go
+++ b/internal/lab/loopback/nodes.go
@@ -12,25 +12,25 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// ListProvider says what a node is given at its start, by its base name and tier.
+// ListProvider provides what a node's configuration contains when the node starts.
 type ListProvider interface {
-	DiscoveryAddr(base string) (addr string)
-	BootstrapList(base string, tier int) EndpointList
+	DiscoveryAddr(base string) (addr string)          // address of discovery for the node with a base name
+	BootstrapList(base string, tier int) EndpointList // endpoints of the tier, as the node last knew them
 }
 
-// NodeInfo is what stays the same of a node over its incarnations.
+// NodeInfo holds the properties of a node that are the same in all its incarnations.
 type NodeInfo struct {
-	Base         string // its name without the incarnation
-	Tier         int    // that it sends to
-	IngressIndex int    // its number among the ingress nodes; -1: it stands beside a server
+	Base         string // name without the incarnation
+	Tier         int    // tier that the node sends requests to
+	IngressIndex int    // index among the ingress nodes; -1: the node runs next to a server
 	HostServer   [2]int // tier and index of that server
-	HostID       string
+	HostID       string // ID of that server
 }
 
-// Nodes are the node processes of a scenario, without anything else of its world.
+// Nodes manages the node processes of a scenario without the rest of its world.
 type Nodes struct{ world *World }
 
-// providedLists brings a rig's lists to the processes.
+// providedLists adapts a ListProvider to bootstrapLists.
 type providedLists struct{ ListProvider }
 
 // discoveryAddr implements bootstrapLists.
@@ -39,21 +39,21 @@
 // bootstrapList implements bootstrapLists.
 func (l providedLists) bootstrapList(p *process) EndpointList { return l.BootstrapList(p.base, p.tier) }
 
-// NewNodes makes the nodes of a scenario; none runs yet. Down must follow, also after an error.
+// NewNodes creates the nodes of a scenario without starting them. The caller must call Shutdown, even after an error.
 func NewNodes(ctx context.Context, s *scenario.Scenario, options Options, lists ListProvider) (*Nodes, error) {
 	w, err := newWorld(ctx, s, options)
 	w.lists = providedLists{lists}
-	w.setClock(beforeStart, time.Now())
+	w.setClock(unsetStartTick, time.Now())
 	return &Nodes{w}, err
 }
 
-// Down ends all that still runs, and removes the folder unless it is to be kept.
-func (n *Nodes) Down(keep bool) { n.world.Down(keep) }
+// Shutdown stops all running processes and goroutines. It removes the folder unless keep is set.
+func (n *Nodes) Shutdown(keep bool) { n.world.Shutdown(keep) }
 
-// Folder has the nodes' configurations and logs.
+// Folder returns the folder of the nodes' configurations and logs.
 func (n *Nodes) Folder() string { return n.world.dir }
 
-// Infos are all nodes, in the order of their numbers.
+// Infos returns the properties of all nodes, ordered by node index.
 func (n *Nodes) Infos() (list []NodeInfo) {
 	for i, p := range n.world.processes {
 		info := NodeInfo{Base: p.base, Tier: p.tier, IngressIndex: -1}
@@ -68,15 +68,15 @@
 	return list
 }
 
-// ServerIDs are the IDs of a tier's servers, by index, and their kinds' names.
+// ServerIDs returns the IDs of a tier's servers and the names of their kinds, both by server index.
 func (n *Nodes) ServerIDs(tier int) (ids, kinds []string) {
-	for _, b := range n.world.servers[tier] {
-		ids, kinds = append(ids, b.model.ID), append(kinds, b.model.Kind.Name)
+	for _, s := range n.world.servers[tier] {
+		ids, kinds = append(ids, s.model.ID), append(kinds, s.model.Kind.Name)
 	}
 	return ids, kinds
 }
 
-// SetProgram has a node started from another build from its next incarnation on; nil: from the usual one.
+// SetProgram sets the program of a node's next processes, for example another build. nil means Options.Program.
 func (n *Nodes) SetProgram(i int, program []string) {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -84,9 +84,9 @@
 	p.program = program
 }
 
-// Start begins a node's next incarnation and returns once it is ready. It waits for the process of the one before, which
-// may still have answers to give. Between the two, between is called, if it is not nil.
-func (n *Nodes) Start(ctx context.Context, i int, between func() error) error {
+// Start starts a node's next incarnation and returns once it is ready. It first waits for the process of the previous
+// incarnation, which may still be sending responses, and then calls beforeStart if it is not nil.
+func (n *Nodes) Start(ctx context.Context, i int, beforeStart func() error) error {
 	p := n.world.processes[i]
 	p.mu.Lock()
 	exited := p.exited
@@ -98,20 +98,20 @@
 			return ctx.Err()
 		}
 	}
-	if between != nil {
-		if err := between(); err != nil {
+	if beforeStart != nil {
+		if err := beforeStart(); err != nil {
 			return err
 		}
 	}
 	if !n.world.scenario.Fleet.AdminCalls {
 		p.mu.Lock()
-		p.addr = "" // another one each time: nobody keeps it for a node that is down
+		p.addr = "" // a new address for each incarnation: it is not reserved while the node is down
 		p.mu.Unlock()
 	}
 	return p.start(ctx)
 }
 
-// Incarnation is a node's name and address in its present incarnation.
+// Incarnation returns a node's name and address in its current incarnation.
 func (n *Nodes) Incarnation(i int) (name, addr string) {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -119,7 +119,7 @@
 	return p.name, p.addr
 }
 
-// Addr is where a node that runs listens; "": it does not run.
+// Addr returns the address at which a node listens, or "" if the node is not running.
 func (n *Nodes) Addr(i int) string {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -130,7 +130,8 @@
 	return p.addr
 }
 
-// AdminAddr is a node's name in its present incarnation, and where it takes admin calls; "": it does not run, or takes none.
+// AdminAddr returns a node's name in its current incarnation and its address for admin calls. addr is "" if the node is
+// not running or does not accept admin calls.
 func (n *Nodes) AdminAddr(i int) (name, addr string) {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -141,12 +142,12 @@
 	return p.name, p.adminAddr
 }
 
-// SetFolder gives a node a $TMPDIR of its own from its next process on. onStart is called with each process that begins.
-func (n *Nodes) SetFolder(i int, dir string, onStart func(*exec.Cmd)) {
+// SetTempDir sets a separate $TMPDIR for a node's next processes. onStart is called with each process that is started.
+func (n *Nodes) SetTempDir(i int, dir string, onStart func(*exec.Cmd)) {
 	n.world.processes[i].tempDir, n.world.processes[i].onStart = dir, onStart
 }
 
-// Running says that a node's process runs.
+// Running reports whether a node's process is running.
 func (n *Nodes) Running(i int) bool {
 	p := n.world.processes[i]
 	p.mu.Lock()
@@ -154,30 +155,31 @@
 	return p.cmd != nil
 }
 
-// Kill ends a node at once; nothing is owed any more.
+// Kill sends SIGKILL to a node. The node owes no responses after that.
 func (n *Nodes) Kill(i int) { n.world.processes[i].kill() }
 
-// Stop sends SIGTERM, and calls terminating on a goroutine once that is done. What the node accepted is owed until it has
-// ended.
-func (n *Nodes) Stop(i int, terminating func()) {
+// Terminate sends SIGTERM to a node and then calls terminating on a separate goroutine. Until its process has exited,
+// the node owes responses to the requests that it has accepted.
+func (n *Nodes) Terminate(i int, terminating func()) {
 	w := n.world
 	exited, name := w.processes[i].signal(syscall.SIGTERM)
 	if exited == nil {
 		return
 	}
 	w.observations.record(blackbox.Event{At: w.now(), Kind: blackbox.NodeTerminating, Node: name})
-	w.goOwned(func() {
+	w.spawn(func() {
 		terminating()
 		<-exited
-		w.sleep(socketSlack) // its last answers are still being read
+		w.sleep(socketSlack) // clients may still be reading the node's last responses
 		w.observations.nodeStopped(w.now(), name)
 	})
 }
 
-// SetStopped stops a node's process where it is, or has it go on. It returns false if the node does not run.
-func (n *Nodes) SetStopped(i int, stopped bool) bool {
+// SetPaused pauses a node's process with SIGSTOP or resumes it with SIGCONT. It returns false if the node is not
+// running.
+func (n *Nodes) SetPaused(i int, paused bool) bool {
 	name, _ := n.Incarnation(i)
-	if !stopped { // what the node does from now on must not be seen before it is known to run
+	if !paused { // record the resumption first: it must precede everything that the node does after it
 		n.Record(blackbox.Event{Kind: blackbox.ProcessResumed, Node: name})
 		exited, _ := n.world.processes[i].signal(syscall.SIGCONT)
 		return exited != nil
@@ -189,31 +191,31 @@
 	return exited != nil
 }
 
-// Replace has a node's process replaced by its successor, of the usual program.
+// Replace replaces a node's process with a successor that runs Options.Program.
 func (n *Nodes) Replace(ctx context.Context, i int) error {
 	n.SetProgram(i, nil)
 	return n.world.processes[i].replace(ctx)
 }
 
-// Record adds an event of now to the history.
+// Record adds an event to the history, with the current time.
 func (n *Nodes) Record(e blackbox.Event) {
 	e.At = n.world.now()
 	n.world.observations.record(e)
 }
 
-// SetClock begins the scenario's time.
+// SetClock sets the start of the scenario, given as the same moment on the monotonic clock and on the wall clock.
 func (n *Nodes) SetClock(startTick time.Duration, wall time.Time) { n.world.setClock(startTick, wall) }
 
-// Now is the scenario's time.
+// Now returns the time since the start of the scenario.
 func (n *Nodes) Now() time.Duration { return n.world.now() }
 
-// Go runs something on a goroutine that Down waits for.
-func (n *Nodes) Go(f func()) { n.world.goOwned(f) }
+// Go runs f on a goroutine that Shutdown waits for.
+func (n *Nodes) Go(f func()) { n.world.spawn(f) }
 
-// Sleep waits. It returns false if the world has ended in the meantime.
+// Sleep waits for d. It returns false if the nodes have been shut down.
 func (n *Nodes) Sleep(d time.Duration) bool { return n.world.sleep(d) }
 
-// Log is a node's standard error.
+// Log returns a node's standard error so far, from all its processes.
 func (n *Nodes) Log(i int) ([]byte, error) {
 	return os.ReadFile(filepath.Join(n.world.dir, n.world.processes[i].base+".log"))
 }
--- a/internal/lab/loopback/observations.go
+++ b/internal/lab/loopback/observations.go
@@ -13,44 +13,45 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// What sockets add to time limits: a server sees the end of a connection, and a client its answer, a moment after they
-// happened, the more so where the whole world shares a few cores.
+// Allowances for sockets in time limits. A server notices the end of a connection, and a client receives its response,
+// some time after the event, above all when the whole world shares a few cores.
 const (
-	socketSlack    = 100 * time.Millisecond // on answers
-	observationLag = 100 * time.Millisecond // of servers
+	socketSlack    = 100 * time.Millisecond // for responses
+	observationLag = 100 * time.Millisecond // for what servers observe
 )
 
-// observations brings what many goroutines see to one checker, one score and one history, in one order.
+// observations passes the observations of all goroutines to a checker, a score and a history, in the same order to
+// each.
 type observations struct {
 	mu                sync.Mutex
 	checker           *checker.Checker
 	score             *score.Score
-	attemptsByRequest map[string]int     // of clients
-	attemptsByCall    map[callKey]int    // of nodes
-	recorder          *blackbox.Recorder // nil: nothing is recorded
+	attemptsByRequest map[string]int     // number of attempts, by client request
+	attemptsByCall    map[callKey]int    // number of attempts, by request at a node
+	recorder          *blackbox.Recorder // nil: no history is recorded
 }
 
-// callKey is a request at a node's incarnation.
+// callKey identifies a request at a node's incarnation.
 type callKey struct{ node, id string }
 
 func newObservations(s *scenario.Scenario) *observations {
-	tolerant := *s
-	tolerant.Rules.Slack += socketSlack
-	o := &observations{checker: checker.New(&tolerant), score: score.New(s), attemptsByRequest: map[string]int{}, attemptsByCall: map[callKey]int{}}
+	withSlack := *s
+	withSlack.Rules.Slack += socketSlack
+	o := &observations{checker: checker.New(&withSlack), score: score.New(s), attemptsByRequest: map[string]int{}, attemptsByCall: map[callKey]int{}}
 	o.checker.ObservationLag = observationLag
 	return o
 }
 
-func (o *observations) locked(do func()) {
+func (o *observations) locked(f func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	do()
+	f()
 }
 
-// record records an event, under the lock that keeps the order.
+// record adds an event to the history, under the lock that keeps the order.
 func (o *observations) record(e blackbox.Event) { o.locked(func() { o.recorder.Record(e) }) }
 
-// connectionOpened is a connection that has come up at a server.
+// connectionOpened records that a server has accepted a connection.
 func (o *observations) connectionOpened(now time.Duration, server string) {
 	o.locked(func() {
 		o.score.Handshakes++
@@ -58,24 +59,24 @@
 	})
 }
 
-// discoveryCalled is a call to discovery.
+// discoveryCalled records that a node has called discovery.
 func (o *observations) discoveryCalled(now time.Duration, node string) {
 	o.record(blackbox.Event{At: now, Kind: blackbox.DiscoveryCalled, Node: node})
 }
 
-// nodeStarted is a node's incarnation that begins with a list.
+// nodeStarted records that a node's incarnation starts with a list of known endpoints.
 func (o *observations) nodeStarted(now time.Duration, name string, known EndpointList) {
 	o.locked(func() {
 		o.checker.NodeStarted(name)
 		o.recorder.Record(blackbox.Event{At: now, Kind: blackbox.NodeStarted, Node: name})
 		for _, e := range known.Endpoints {
-			o.recorder.Record(blackbox.Event{At: now, Kind: blackbox.EndpointNotified, Node: name, Server: e.Host, Ready: e.ready()})
-			o.checker.EndpointNotified(now, name, e.Host, e.ready())
+			o.recorder.Record(blackbox.Event{At: now, Kind: blackbox.EndpointNotified, Node: name, Server: e.Host, Ready: e.isReady()})
+			o.checker.EndpointNotified(now, name, e.Host, e.isReady())
 		}
 	})
 }
 
-// nodeKilled is one that is ended from outside.
+// nodeKilled records that a node is killed.
 func (o *observations) nodeKilled(now time.Duration, name string) {
 	o.locked(func() {
 		o.checker.NodeKilled(name)
@@ -83,7 +84,7 @@
 	})
 }
 
-// nodeStopped is one that has ended by itself.
+// nodeStopped records that a node has exited after SIGTERM.
 func (o *observations) nodeStopped(now time.Duration, name string) {
 	o.locked(func() {
 		o.checker.NodeStopped(now, name)
@@ -91,23 +92,23 @@
 	})
 }
 
-// endpointsNotified is what discovery has written to an incarnation of a node, on one of its watches. A node may use what it
-// is notified of before the writer knows that it is written: a server that is ready counts from before the write, one that is
-// not from after it.
+// endpointsNotified records the endpoints that discovery has written on a watch of a node's incarnation, between the
+// times before and now. A node may use a notification before the write returns. In the history, a ready server is
+// therefore usable from before the write on, and one that is not ready is unusable only after it.
 func (o *observations) endpointsNotified(before, now time.Duration, name, watch string, n EndpointList) {
 	o.locked(func() {
 		for _, e := range n.Endpoints {
 			at := now
-			if e.ready() {
+			if e.isReady() {
 				at = before
 			}
-			o.recorder.Record(blackbox.Event{At: at, Kind: blackbox.EndpointNotified, Node: name, ID: watch, Server: e.Host, Ready: e.ready()})
-			o.checker.EndpointNotified(now, name, e.Host, e.ready())
+			o.recorder.Record(blackbox.Event{At: at, Kind: blackbox.EndpointNotified, Node: name, ID: watch, Server: e.Host, Ready: e.isReady()})
+			o.checker.EndpointNotified(now, name, e.Host, e.isReady())
 		}
 	})
 }
 
-// requestSent is a request that a client or server has written to a node.
+// requestSent records that a client or a server is sending a request to a node.
 func (o *observations) requestSent(now time.Duration, node, id string, class int, deadline time.Duration) {
 	o.locked(func() {
 		o.checker.RequestAccepted(now, node, id, class, deadline)
@@ -115,7 +116,8 @@
 	})
 }
 
-// connectionRefused is a request whose connection never came up: it was not accepted, and nothing is owed.
+// connectionRefused records that the connection for a request was refused. The node has not accepted the request and
+// owes no response.
 func (o *observations) connectionRefused(now time.Duration, node, id string) {
 	o.locked(func() {
 		o.checker.ClientGone(now, node, id)
@@ -123,7 +125,8 @@
 	})
 }
 
-// connectionDropped is a connection that ended without a complete answer; reused: it had carried a request before.
+// connectionDropped records that a connection ended without a complete response. reused: it had carried a request
+// before.
 func (o *observations) connectionDropped(now time.Duration, node, id string, reused bool) {
 	o.locked(func() {
 		o.checker.ConnectionDropped(now, node, id)
@@ -131,13 +134,13 @@
 	})
 }
 
-// noAttemptArrived says that no attempt of a request has reached a server.
+// noAttemptArrived reports whether no attempt of a request has reached a server.
 func (o *observations) noAttemptArrived(node, id string) (yes bool) {
 	o.locked(func() { yes = o.attemptsByCall[callKey{node, id}] == 0 })
 	return yes
 }
 
-// answerReceived is a node's answer.
+// answerReceived records a node's response.
 func (o *observations) answerReceived(now time.Duration, node, id string, status int, body string) {
 	how := checker.Failed
 	switch status {
@@ -153,7 +156,7 @@
 	})
 }
 
-// attemptArrived is an attempt that has reached a server; its number is returned.
+// attemptArrived records that an attempt has reached a server, and returns the attempt's number within its request.
 func (o *observations) attemptArrived(now time.Duration, node, id, server, request string, work time.Duration) (number int) {
 	o.locked(func() {
 		o.checker.AttemptSent(now, node, id, server)
@@ -167,17 +170,17 @@
 	return number
 }
 
-// attemptExecuted is a server that has begun to work on a request.
+// attemptExecuted records that a server has admitted an attempt.
 func (o *observations) attemptExecuted(now time.Duration, node, id, server string) {
 	o.locked(func() { o.checker.AttemptExecuted(now, node, id, server) })
 }
 
-// attemptEnded is the outcome of an attempt as its server sees it.
+// attemptEnded records the outcome of an attempt as observed by its server.
 func (o *observations) attemptEnded(now time.Duration, node, id string, number int, e balancer.Outcome) {
 	o.locked(func() { o.checker.AttemptEnded(now, node, id, number, e) })
 }
 
-// serverOverloaded is a warming server that has fallen over, and the request that did it.
+// serverOverloaded records that a request has overloaded a server that is warming up, so that the server crashes.
 func (o *observations) serverOverloaded(now time.Duration, node, id, server string) {
 	o.locked(func() {
 		o.checker.ServerOverloaded(now, node, id, server)
@@ -185,7 +188,7 @@
 	})
 }
 
-// workDone is work of a server, and whether nobody waited for it any more.
+// workDone records work done by a server. wasted: no client was waiting for the result any more.
 func (o *observations) workDone(work time.Duration, wasted bool) {
 	o.locked(func() {
 		o.score.Work += work
@@ -195,7 +198,7 @@
 	})
 }
 
-// requestBegun is a client's first try.
+// requestBegun records the start of a client's request.
 func (o *observations) requestBegun(at time.Duration, class, tenant int) {
 	o.locked(func() {
 		o.score.RequestBegun(at, class, tenant)
@@ -203,10 +206,10 @@
 	})
 }
 
-// tryBegun is any try of a client.
+// tryBegun records a client's try, the first or a later one.
 func (o *observations) tryBegun() { o.locked(func() { o.score.Tries++ }) }
 
-// tryRejected is a try that was rejected.
+// tryRejected records that a client's try was rejected.
 func (o *observations) tryRejected(at time.Duration) {
 	o.locked(func() {
 		o.score.TryRejected(at)
@@ -214,7 +217,7 @@
 	})
 }
 
-// requestEnded is the end of a client's request.
+// requestEnded records the end of a client's request and its outcome.
 func (o *observations) requestEnded(r *clientRequest, took time.Duration, how score.Outcome) {
 	o.locked(func() {
 		id := strconv.Itoa(r.number)
--- a/internal/lab/loopback/process.go
+++ b/internal/lab/loopback/process.go
@@ -17,70 +17,70 @@
 )
 
 const (
-	// startTimeout is how long a node may take to start on a busy machine.
+	// startTimeout limits how long a node may take to start on a busy machine.
 	startTimeout = 20 * time.Second
 
-	// readyInterval is the time between two looks whether a node is ready.
-	readyInterval = 10 * time.Millisecond
+	// readyPollInterval is the time between two checks whether a node is ready.
+	readyPollInterval = 10 * time.Millisecond
 
-	// maxLogLine is the longest line of a node's standard error in bytes: a captured list of some thousand servers is one.
-	maxLogLine = 16 << 20
+	// maxLogLineBytes limits a line of a node's standard error. A captured list of some thousand servers is one line.
+	maxLogLineBytes = 16 << 20
 )
 
-// Signals to a node that are not about its end.
+// Signals to a node that do not end it.
 const (
-	syscallReload = syscall.SIGHUP    // read the configuration again
-	noSignal      = syscall.Signal(0) // only looks whether it runs
+	reloadSignal = syscall.SIGHUP    // makes the node reload its configuration
+	probeSignal  = syscall.Signal(0) // sends nothing; used to check whether the node is running
 )
 
-// Connections of clients to a node.
+// Settings of clients' connections to a node.
 const (
-	maxIdleConnections = 256         // to one node
-	clientIdleTimeout  = time.Second // shorter than any scenario, so that no connection outlives its node for long
+	maxIdleConnectionsPerNode = 256
+	clientIdleTimeout         = time.Second // shorter than any scenario: connections must not outlive their node for long
 )
 
-// servingLine is the line by which a node says where it listens.
+// servingLine matches the log line with the address at which a node listens.
 var servingLine = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
 
-// process is a node: a real `hookwalk run` with a configuration as the platform writes it, started from nothing as often as
-// it is started. During an upgrade it has two processes.
+// process is a node: a real `hookwalk run` with a configuration in the platform's format. Each incarnation starts
+// without state from the one before. While the node is being replaced, it has two operating system processes.
 type process struct {
 	world         *World
-	base          string // its name without the incarnation
-	tier          int    // that it sends to
+	base          string // name without the incarnation
+	tier          int    // tier that the node sends requests to
 	replicaIndex  int
 	replicas      int
-	host          *server           // the server that it stands beside; nil: an ingress node
-	dialAddresses map[string]string // where it reaches servers; none: where they are
+	host          *server           // server that the node runs next to; nil: an ingress node
+	dialAddresses map[string]string // by server ID: address at which the node reaches a server, if not the server's own
 
 	mu             sync.Mutex
-	program        []string // of its next incarnation; nil: the usual one
-	name           string   // of this incarnation: what is owed in one is not in the next
+	program        []string // program of the next process; nil: Options.Program
+	name           string   // name of this incarnation; responses owed by one incarnation are not owed by the next
 	incarnation    int
 	addr           string
-	cmd            *exec.Cmd // nil: it does not run
+	cmd            *exec.Cmd // nil: not running
 	exited         chan struct{}
-	previous       *exec.Cmd // during an upgrade: the older process
+	previous       *exec.Cmd // the older process while the node is being replaced
 	previousExited chan struct{}
 	replacing      bool
 	client         *http.Client
 
-	adminAddr string // of the newest process; "": it takes no admin calls
-	tempDir   string // its $TMPDIR; "": that of all
+	adminAddr string // admin address of the newest process; "": the node does not accept admin calls
+	tempDir   string // $TMPDIR; "": that of the parent process
 	onStart   func(*exec.Cmd)
 }
 
-// startedProcess is a process of a node that has been started.
+// startedProcess is an operating system process that has been started for a node.
 type startedProcess struct {
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when it has ended
-	addr   <-chan string // where it listens, once it serves
+	exited chan struct{} // closed when the process has exited
+	addr   <-chan string // receives the address once the process serves
 }
 
-// logFile is where the node's standard error is kept.
+// logFile returns the path of the log of the node's standard error.
 func (p *process) logFile() string { return filepath.Join(p.world.dir, p.base+".log") }
 
-// start begins an incarnation and returns once the node is ready. A node that runs is left alone.
+// start starts the next incarnation and returns once the node is ready. It does nothing if the node is running.
 func (p *process) start(ctx context.Context) error {
 	name, ok := p.nextIncarnation()
 	if !ok {
@@ -110,7 +110,7 @@
 	return p.waitReady(ctx, "http://"+addr+"/ready", started.exited, timeout.C)
 }
 
-// nextIncarnation names the next incarnation. It returns false if the node runs.
+// nextIncarnation names the next incarnation. It returns false if the node is running.
 func (p *process) nextIncarnation() (name string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,19 +122,19 @@
 	return p.name, true
 }
 
-// setIncarnation takes over name and address of an incarnation that another process has started.
+// setIncarnation sets the name and address of an incarnation that the parent process has started.
 func (p *process) setIncarnation(name, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.name, p.addr, p.client = name, addr, newClient()
 }
 
-// newClient returns an HTTP client as the lab's clients have it.
+// newClient returns an HTTP client with the settings of the lab's clients.
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: clientIdleTimeout, DisableCompression: true}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnectionsPerNode, IdleConnTimeout: clientIdleTimeout, DisableCompression: true}}
 }
 
-// launch starts a process of the node.
+// launch starts a process of the node with list as its known endpoints.
 func (p *process) launch(list EndpointList) (startedProcess, error) {
 	started, err := p.launchCommand(list)
 	if err != nil {
@@ -165,20 +165,20 @@
 		p.onStart(cmd)
 	}
 	addr, exited := make(chan string, 1), make(chan struct{})
-	// A process that begins as the world ends gets nobody's signal: this ends it, whatever comes first.
+	// Shutdown does not signal a process that starts during the shutdown. AfterFunc kills the process in either order.
 	stopKilling := context.AfterFunc(p.world.ctx, func() { cmd.Process.Kill() })
-	p.world.goOwned(func() {
+	p.world.spawn(func() {
 		defer log.Close()
 		defer stopKilling()
 		copyLog(log, stderr, addr)
-		cmd.Wait() // how it ended shows in the log and in what it answered
+		cmd.Wait() // the exit status is ignored: the log and the responses show how the process ended
 		p.processEnded(cmd)
 		close(exited)
 	})
 	return startedProcess{cmd: cmd, exited: exited, addr: addr}, nil
 }
 
-// command is the command of the node's next process.
+// command returns the command of the node's next process.
 func (p *process) command(configFile string) *exec.Cmd {
 	program := p.world.options.Program
 	p.mu.Lock()
@@ -194,10 +194,11 @@
 	return cmd
 }
 
-// copyLog copies a node's standard error to its log until it ends, and sends the address at which the node serves.
+// copyLog copies a node's standard error to its log until the stream ends, and sends the address at which the node
+// serves on addr.
 func copyLog(log io.Writer, stderr io.Reader, addr chan<- string) {
 	lines := bufio.NewScanner(stderr)
-	lines.Buffer(nil, maxLogLine)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		fmt.Fprintln(log, lines.Text())
 		if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
@@ -206,7 +207,7 @@
 	}
 }
 
-// processEnded notes that a process has ended. The node does not run any more if it was its newest.
+// processEnded marks the node as not running if cmd is its newest process.
 func (p *process) processEnded(cmd *exec.Cmd) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +216,7 @@
 	}
 }
 
-// waitServing waits until a process serves, and takes its address.
+// waitServing waits until a process serves, and stores and returns its address.
 func (p *process) waitServing(ctx context.Context, started startedProcess, timeout <-chan time.Time) (addr string, err error) {
 	select {
 	case addr = <-started.addr:
@@ -224,15 +225,15 @@
 		p.addr = addr
 		return addr, nil
 	case <-started.exited:
-		return "", fmt.Errorf("node %s ended without serving: see %s", p.base, p.logFile())
+		return "", fmt.Errorf("node %s exited before it served: see %s", p.base, p.logFile())
 	case <-timeout:
-		return "", fmt.Errorf("node %s does not serve: see %s", p.base, p.logFile())
+		return "", fmt.Errorf("node %s does not serve after %v: see %s", p.base, startTimeout, p.logFile())
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 }
 
-// waitReady waits until a process answers at an address that it is ready.
+// waitReady polls a URL until it reports that the process is ready.
 func (p *process) waitReady(ctx context.Context, url string, exited <-chan struct{}, timeout <-chan time.Time) error {
 	p.mu.Lock()
 	client := p.client
@@ -246,39 +247,40 @@
 			}
 		}
 		select {
-		case <-time.After(readyInterval):
+		case <-time.After(readyPollInterval):
 		case <-exited:
-			return fmt.Errorf("node %s ended before it was ready: see %s", p.base, p.logFile())
+			return fmt.Errorf("node %s exited before it was ready: see %s", p.base, p.logFile())
 		case <-timeout:
-			return fmt.Errorf("node %s is not ready: see %s", p.base, p.logFile())
+			return fmt.Errorf("node %s is not ready after %v: see %s", p.base, startTimeout, p.logFile())
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// incarnationName is the node's name in this incarnation.
+// incarnationName returns the node's name in its current incarnation.
 func (p *process) incarnationName() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.name
 }
 
-// signal sends a signal to the node's processes, if it runs, and returns what is closed when the newest has ended.
-func (p *process) signal(s syscall.Signal) (exited <-chan struct{}, name string) {
+// signal sends a signal to the node's processes. It returns a channel that is closed when the newest process has
+// exited, and the incarnation's name; if the node is not running, it returns nil and "".
+func (p *process) signal(sig syscall.Signal) (exited <-chan struct{}, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil, ""
 	}
-	p.cmd.Process.Signal(s) // one that has just ended needs none
+	p.cmd.Process.Signal(sig) // an error means that the process has just exited
 	if p.previous != nil {
-		p.previous.Process.Signal(s)
+		p.previous.Process.Signal(sig)
 	}
 	return p.exited, p.name
 }
 
-// kill ends the node at once, and returns when its processes have ended; nothing is owed any more.
+// kill sends SIGKILL to the node and returns when its processes have exited. The node owes no responses after that.
 func (p *process) kill() {
 	p.mu.Lock()
 	name, running := p.name, p.cmd != nil
--- a/internal/lab/loopback/replace.go
+++ b/internal/lab/loopback/replace.go
@@ -9,9 +9,9 @@
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
 )
 
-// replace has a node's process replaced as operators do it: its successor starts beside it, and it gets SIGTERM once the
-// successor is ready. replace returns when the older process has ended. A node that does not run, or is being replaced, is
-// left alone.
+// replace replaces the node's process as operators do: it starts a successor and sends SIGTERM to the older process
+// once the successor is ready. replace returns when the older process has exited. It does nothing if the node is not
+// running or is already being replaced.
 func (p *process) replace(ctx context.Context) error {
 	previous, previousExited, name, ok := p.beginReplacement()
 	if !ok {
@@ -26,7 +26,7 @@
 		return err
 	}
 	adminAddr, ok := p.setSuccessor(started, previous, previousExited)
-	if !ok { // the node was killed: its successor goes with it
+	if !ok { // the node was killed in the meantime: kill the successor as well
 		started.cmd.Process.Kill()
 		<-started.exited
 		return nil
@@ -37,14 +37,14 @@
 		return err
 	}
 	p.world.observations.record(blackbox.Event{At: p.world.now(), Kind: blackbox.SuccessorReady, Node: name})
-	previous.Process.Signal(syscall.SIGTERM) // one that has ended by now needs none
+	previous.Process.Signal(syscall.SIGTERM) // an error means that the process has already exited
 	select {
 	case <-previousExited:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	if p.runs(started.cmd, name) {
-		p.world.sleep(socketSlack) // the last answers of the older process are still being read
+		p.world.sleep(socketSlack) // clients may still be reading the last responses of the older process
 		p.world.observations.record(blackbox.Event{At: p.world.now(), Kind: blackbox.NodeExited, Node: name})
 	}
 	return nil
@@ -61,7 +61,8 @@
 	return p.cmd, p.exited, p.name, true
 }
 
-// setSuccessor makes a started process the node's. It returns false if the older one is not the node's any more.
+// setSuccessor makes a started process the node's newest process and returns its admin address. It returns false if the
+// older process is no longer the node's.
 func (p *process) setSuccessor(started startedProcess, previous *exec.Cmd, previousExited chan struct{}) (adminAddr string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,14 +73,14 @@
 	return p.adminAddr, true
 }
 
-// runs says that a process is still the node's in an incarnation.
+// runs reports whether a process is still the node's newest in the named incarnation.
 func (p *process) runs(cmd *exec.Cmd, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd == cmd && p.name == name
 }
 
-// endReplacement forgets the older process.
+// endReplacement ends the replacement and removes the older process from the node.
 func (p *process) endReplacement() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/loopback/server.go
+++ b/internal/lab/loopback/server.go
@@ -16,52 +16,53 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// connectionTimeout is how long a stand-in server waits for the rest of a request, or for its answer to be taken.
-const connectionTimeout = 5 * time.Second
+// connectionIOTimeout limits how long a stand-in server waits for the rest of a request, or for a response to be
+// written.
+const connectionIOTimeout = 5 * time.Second
 
-// server is a stand-in server: the model's server behind a listener, with faults made on its real connections.
+// server is a stand-in server. It serves the model's server on real connections and injects faults into them.
 type server struct {
 	world *World
 	addr  string
 	tier  scenario.Tier
-	node  *process // through which it calls the next tier; nil: the last tier
-
-	mu          sync.Mutex
-	model       *model.Server
-	listener    *net.TCPListener
-	connections map[*connection]bool
-	died        chan struct{} // closed when the process ends
-	reconnected chan struct{} // closed when the machine is on the network again; nil: it is
-	backlogFill []net.Conn    // of a machine that is off the network: they keep its listener's queue full
-	timer       *time.Timer   // of the next completion
-	brokenShare float64
+	node  *process // node through which the server calls the next tier; nil: the server is in the last tier
+
+	mu             sync.Mutex
+	model          *model.Server
+	listener       *net.TCPListener
+	connections    map[*connection]bool
+	died           chan struct{} // closed when the server process ends
+	reconnected    chan struct{} // closed when the machine is reconnected to the network; nil: it is connected
+	queueFillers   []net.Conn    // connections that keep the listener's queue full while the machine is off the network
+	timer          *time.Timer   // for the next completion
+	truncatedShare float64
 }
 
 // connection is one connection from a node.
 type connection struct {
 	net.Conn
-	resetNext bool // under the server's mu
+	resetNext bool // reset the connection at its next use; guarded by server.mu
 }
 
-// start listens, at the old address if there was one.
-func (b *server) start() error {
-	addr := b.addr
-	if b.world.worker != nil { // its links know where it is: nobody keeps the address of a server that is down
+// start starts to listen, at the previous address if there is one.
+func (s *server) start() error {
+	addr := s.addr
+	if s.world.worker != nil { // the address is not reserved while the server is down; its links get the new one
 		addr = ""
 	}
-	ln, err := b.world.listenAt(addr, link.ForServer)
+	ln, err := s.world.listenAt(addr, link.ForServer)
 	if err != nil {
-		return fmt.Errorf("server %s: %w", b.model.ID, err)
+		return fmt.Errorf("server %s: %w", s.model.ID, err)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listener, b.addr = ln, ln.Addr().String()
-	b.connections, b.died = map[*connection]bool{}, make(chan struct{})
-	b.world.goOwned(func() { b.accept(b.listener, b.died) })
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.listener, s.addr = ln, ln.Addr().String()
+	s.connections, s.died = map[*connection]bool{}, make(chan struct{})
+	s.world.spawn(func() { s.accept(s.listener, s.died) })
 	return nil
 }
 
-// listenAt listens at an address; "": at a free one.
+// listenAt listens at an address, or at a free address if addr is "".
 func (w *World) listenAt(addr string, use link.PortUse) (*net.TCPListener, error) {
 	if addr == "" {
 		return link.Listen(w.options.Ports, use)
@@ -73,12 +74,12 @@
 	return ln.(*net.TCPListener), nil
 }
 
-// accept accepts connections until the process ends. Off the network it waits until it is back.
-func (b *server) accept(ln *net.TCPListener, died chan struct{}) {
+// accept accepts connections until the server process ends. While the machine is off the network, it waits.
+func (s *server) accept(ln *net.TCPListener, died chan struct{}) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if !b.waitReconnected(died) {
+			if !s.waitReconnected(died) {
 				return
 			}
 			continue
@@ -86,19 +87,19 @@
 		if err != nil {
 			return
 		}
-		k, ok := b.addConnection(c)
+		conn, ok := s.addConnection(c)
 		if !ok {
 			reset(c)
 			continue
 		}
-		b.world.observations.connectionOpened(b.world.now(), b.model.ID)
-		b.world.goOwned(func() { b.serve(k, died) })
+		s.world.observations.connectionOpened(s.world.now(), s.model.ID)
+		s.world.spawn(func() { s.serve(conn, died) })
 	}
 }
 
-// waitReconnected waits until the machine is on the network. It returns false if the process has ended.
-func (b *server) waitReconnected(died chan struct{}) bool {
-	reconnected := b.disconnected()
+// waitReconnected waits until the machine is on the network. It returns false if the server process has ended.
+func (s *server) waitReconnected(died chan struct{}) bool {
+	reconnected := s.disconnected()
 	if reconnected == nil {
 		return true
 	}
@@ -110,31 +111,31 @@
 	}
 }
 
-// addConnection counts a connection. It returns false if the server has as many as it may have.
-func (b *server) addConnection(c net.Conn) (*connection, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.model.Connections >= b.model.Kind.MaxConnections {
+// addConnection registers a connection. It returns false if the server has reached its limit of connections.
+func (s *server) addConnection(c net.Conn) (*connection, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.model.Connections >= s.model.Kind.MaxConnections {
 		return nil, false
 	}
-	k := &connection{Conn: c}
-	b.connections[k] = true
-	b.model.Connections++
-	return k, true
+	conn := &connection{Conn: c}
+	s.connections[conn] = true
+	s.model.Connections++
+	return conn, true
 }
 
-// closeConnection closes a connection, and counts it no more unless the process has ended.
-func (b *server) closeConnection(k *connection) {
-	k.Close()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.connections[k] {
-		delete(b.connections, k)
-		b.model.Connections--
+// closeConnection closes a connection and unregisters it, unless the server process has ended since.
+func (s *server) closeConnection(conn *connection) {
+	conn.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.connections[conn] {
+		delete(s.connections, conn)
+		s.model.Connections--
 	}
 }
 
-// reset ends a connection with a TCP reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -142,70 +143,70 @@
 	c.Close()
 }
 
-// serve answers a connection's requests, one at a time.
-func (b *server) serve(k *connection, died chan struct{}) {
-	defer b.closeConnection(k)
-	reader := bufio.NewReader(k)
+// serve serves a connection's requests, one at a time.
+func (s *server) serve(conn *connection, died chan struct{}) {
+	defer s.closeConnection(conn)
+	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
-		r, ok := b.readRequest(k, reader)
+		r, ok := s.readRequest(conn, reader)
 		if !ok {
 			return
 		}
-		closed := make(chan struct{}) // by the node
-		next := make(chan struct{})   // the next request has begun, or the connection is closed
+		closed := make(chan struct{}) // closed when the node closes the connection
+		next := make(chan struct{})   // closed when the next request begins or the connection is closed
 		go func() {
 			defer close(next)
 			if _, err := reader.Peek(1); err != nil {
 				close(closed)
 			}
 		}()
-		if !b.serveRequest(k, r, first, closed, died) || !b.waitNext(next, died) {
-			k.Close()
+		if !s.serveRequest(conn, r, first, closed, died) || !s.waitNext(next, died) {
+			conn.Close()
 			<-next
 			return
 		}
 	}
 }
 
-// readRequest reads a connection's next request. It returns false if the connection is over.
-func (b *server) readRequest(k *connection, reader *bufio.Reader) (*http.Request, bool) {
-	k.SetReadDeadline(time.Now().Add(b.world.scenario.Network.IdleTimeout))
+// readRequest reads a connection's next request. It returns false if the connection has ended.
+func (s *server) readRequest(conn *connection, reader *bufio.Reader) (*http.Request, bool) {
+	conn.SetReadDeadline(time.Now().Add(s.world.scenario.Network.IdleTimeout))
 	if _, err := reader.Peek(1); err != nil {
 		return nil, false
 	}
-	b.mu.Lock()
-	resetNow := k.resetNext
-	b.mu.Unlock()
+	s.mu.Lock()
+	resetNow := conn.resetNext
+	s.mu.Unlock()
 	if resetNow {
-		reset(k.Conn)
+		reset(conn.Conn)
 		return nil, false
 	}
-	k.SetReadDeadline(time.Now().Add(connectionTimeout))
+	conn.SetReadDeadline(time.Now().Add(connectionIOTimeout))
 	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil, false
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 		return nil, false
 	}
-	k.SetReadDeadline(time.Time{})
+	conn.SetReadDeadline(time.Time{})
 	return r, true
 }
 
-// waitNext waits on an idle connection. It returns false if it is to be closed.
-func (b *server) waitNext(next, died chan struct{}) bool {
+// waitNext waits for the next request on an idle connection. It returns false if the server must close the connection.
+func (s *server) waitNext(next, died chan struct{}) bool {
 	select {
 	case <-next:
 		return true
-	case <-time.After(b.world.scenario.Network.IdleTimeout):
+	case <-time.After(s.world.scenario.Network.IdleTimeout):
 	case <-died:
 	}
 	return false
 }
 
-// writeResponse writes a complete response. It returns false if the connection is over.
+// writeResponse writes a complete response. It returns false if the write fails.
 func writeResponse(c net.Conn, status int, headers []string, body string) bool {
-	c.SetWriteDeadline(time.Now().Add(connectionTimeout))
+	c.SetWriteDeadline(time.Now().Add(connectionIOTimeout))
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	for _, h := range headers {
 		text += h + "\r\n"
@@ -214,16 +215,16 @@
 	return err == nil
 }
 
-// locked does something under the server's lock.
-func (b *server) locked(f func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// locked calls f with the server's lock.
+func (s *server) locked(f func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	f()
 }
 
-// inState says that the server is in a state now.
-func (b *server) inState(s model.ServerState) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.model.State == s
+// inState reports whether the server is in a state.
+func (s *server) inState(state model.ServerState) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.model.State == state
 }
--- a/internal/lab/loopback/server_test.go
+++ b/internal/lab/loopback/server_test.go
@@ -18,7 +18,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// newTestServer returns a single server that listens, in a world of its own.
+// newTestServer starts a server in a world that has nothing else.
 func newTestServer(t *testing.T) *server {
 	t.Helper()
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
@@ -31,24 +31,24 @@
 	w := &World{scenario: s, observations: newObservations(s), rng: model.Stream(1, "test", 0), heavyTails: make([]heavyTail, 2)}
 	w.restartClock()
 	w.ctx, w.cancel = context.WithCancelCause(context.Background())
-	b := &server{world: w, tier: s.Tiers[0], model: model.NewServer("s-1", 0, 0, &s.Tiers[0].Kinds[0], s.Rules)}
-	w.servers = [][]*server{{b}}
-	if err := b.start(); err != nil {
+	srv := &server{world: w, tier: s.Tiers[0], model: model.NewServer("s-1", 0, 0, &s.Tiers[0].Kinds[0], s.Rules)}
+	w.servers = [][]*server{{srv}}
+	if err := srv.start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.Down(false) })
-	return b
+	t.Cleanup(func() { w.Shutdown(false) })
+	return srv
 }
 
-// testClient is a connection to the server, as a node has it.
+// testClient is a connection to the server, like that of a node.
 type testClient struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
-func dial(t *testing.T, b *server) *testClient {
+func dial(t *testing.T, srv *server) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", b.addr)
+	c, err := net.Dial("tcp", srv.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,13 +56,13 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-func (p *testClient) send(class string) {
-	fmt.Fprintf(p, "GET /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Call-Class: %s\r\nX-Budget: 900000u\r\n\r\n", class)
+func (c *testClient) send(class string) {
+	fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Call-Class: %s\r\nX-Budget: 900000u\r\n\r\n", class)
 }
 
-// serveRequest is the status of the next answer and what ended it early.
-func (p *testClient) answer() (int, error) {
-	r, err := http.ReadResponse(p.br, nil)
+// readResponse returns the status of the next response and the error that ended it early.
+func (c *testClient) readResponse() (int, error) {
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -70,104 +70,106 @@
 	return r.StatusCode, err
 }
 
-func (p *testClient) expect(t *testing.T, class string, status int) {
+func (c *testClient) expect(t *testing.T, class string, status int) {
 	t.Helper()
-	p.send(class)
-	if got, err := p.answer(); got != status || err != nil {
-		t.Fatalf("answered %d, %v, want %d", got, err, status)
+	c.send(class)
+	if got, err := c.readResponse(); got != status || err != nil {
+		t.Fatalf("response status %d, %v, want %d", got, err, status)
 	}
 }
 
-// A stand-in that answered more than its kind allows would hide overload from every play.
-func TestServerAnswersAndRejects(t *testing.T) {
-	b := newTestServer(t)
-	p := dial(t, b)
-	p.expect(t, "c", 200)
-	p.expect(t, "c", 200)
-	b.locked(func() { // its one slot is taken
-		if !b.model.Admit(b.world.now(), &model.Job{Work: time.Hour}) {
-			t.Error("not admitted")
+// A stand-in server that served more requests than its kind allows would hide overload from every scenario.
+func TestServerRespondsAndRejects(t *testing.T) {
+	srv := newTestServer(t)
+	client := dial(t, srv)
+	client.expect(t, "c", 200)
+	client.expect(t, "c", 200)
+	srv.locked(func() { // occupy the only slot
+		if !srv.model.Admit(srv.world.now(), &model.Job{Work: time.Hour}) {
+			t.Error("the server did not admit a job to its free slot")
 		}
 	})
-	p.expect(t, "c", 503)
-	b.locked(func() { b.model.State = model.Draining })
-	p.expect(t, "c", 503)
+	client.expect(t, "c", 503)
+	srv.locked(func() { srv.model.State = model.Draining })
+	client.expect(t, "c", 503)
 }
 
-// A process that dies resets its connections and refuses new ones, and can start again at its address.
-func TestServerDies(t *testing.T) {
-	b := newTestServer(t)
-	p := dial(t, b)
-	p.expect(t, "c", 200)
-	p.send("long") // it may be in the box by then, or still on its way: either ends in a reset
-	b.stop()
-	if _, err := p.answer(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("its connection ended with %v, want a reset", err)
+// A server that crashes resets its connections and refuses new ones, and can start again at the same address.
+func TestServerCrashAndRestart(t *testing.T) {
+	srv := newTestServer(t)
+	client := dial(t, srv)
+	client.expect(t, "c", 200)
+	client.send("long") // whether or not the server has read the request by then, the connection is reset
+	srv.stop()
+	if _, err := client.readResponse(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the open connection: %v, want a reset", err)
 	}
-	if _, err := net.Dial("tcp", b.addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new one: %v, want it refused", err)
+	if _, err := net.Dial("tcp", srv.addr); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("a new connection: %v, want ECONNREFUSED", err)
 	}
-	b.model.Start(b.world.now())
-	if err := b.start(); err != nil {
+	srv.model.Start(srv.world.now())
+	if err := srv.start(); err != nil {
 		t.Fatal(err)
 	}
-	dial(t, b).expect(t, "c", 200)
+	dial(t, srv).expect(t, "c", 200)
 }
 
-// A machine that leaves the network looks like nothing at all: old connections stay open without an answer, and no new one
-// comes up. When it is back, it resets the old ones.
-func TestServerLeavesTheNetwork(t *testing.T) {
-	b := newTestServer(t)
-	p := dial(t, b)
-	p.expect(t, "c", 200)
-	if err := b.disconnect(); err != nil {
+// A machine that is off the network gives no sign: open connections stay open without a response, and no new one is
+// established. When the machine is on the network again, it resets the connections with unanswered requests.
+func TestServerDisconnectAndReconnect(t *testing.T) {
+	srv := newTestServer(t)
+	client := dial(t, srv)
+	client.expect(t, "c", 200)
+	if err := srv.disconnect(); err != nil {
 		t.Fatal(err)
 	}
-	p.send("c")
-	p.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := p.answer(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("an old connection: %v, want no answer", err)
+	client.send("c")
+	client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if _, err := client.readResponse(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("an open connection: %v, want a timeout", err)
 	}
-	if c, err := net.DialTimeout("tcp", b.addr, 100*time.Millisecond); err == nil {
+	if c, err := net.DialTimeout("tcp", srv.addr, 100*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a new connection came up")
+		t.Error("a new connection was established")
 	}
-	b.locked(b.reconnect)
-	p.SetReadDeadline(time.Time{})
-	if _, err := p.br.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("back again: %v, want a reset", err)
+	srv.locked(srv.reconnect)
+	client.SetReadDeadline(time.Time{})
+	if _, err := client.reader.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("after the reconnection: %v, want a reset", err)
 	}
-	dial(t, b).expect(t, "c", 200)
+	dial(t, srv).expect(t, "c", 200)
 }
 
-// A server resets idle connections and breaks off answers as its faults say, and holds no more connections than its kind has.
-func TestServerResetsAndBreaksOff(t *testing.T) {
-	b := newTestServer(t)
-	p := dial(t, b)
-	p.expect(t, "c", 200)
-	b.resetIdle(1)
-	p.send("c")
-	if _, err := p.answer(); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
+// A server resets idle connections and truncates responses as its faults require. It unregisters closed connections, so
+// that they do not count towards its limit.
+func TestServerConnectionFaultsAndLimit(t *testing.T) {
+	srv := newTestServer(t)
+	client := dial(t, srv)
+	client.expect(t, "c", 200)
+	srv.resetIdle(1)
+	client.send("c")
+	if _, err := client.readResponse(); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v, want a reset", err)
 	}
-	b.locked(func() { b.brokenShare = 1 })
-	q := dial(t, b)
-	q.send("c")
-	if status, err := q.answer(); status != 200 || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a broken answer: %d, %v, want half of it", status, err)
+	srv.locked(func() { srv.truncatedShare = 1 })
+	truncated := dial(t, srv)
+	truncated.send("c")
+	if status, err := truncated.readResponse(); status != 200 || !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a truncated response: status %d, %v, want 200 and an unexpected EOF", status, err)
 	}
-	b.locked(func() { b.brokenShare = 0 })
-	for range 20 { // more than it may hold at once
-		c := dial(t, b)
+	srv.locked(func() { srv.truncatedShare = 0 })
+	for range 20 { // more than the limit of open connections
+		c := dial(t, srv)
 		c.expect(t, "c", 200)
 		c.Close()
-		for open := 1; open > 0; { // the server notices by itself
-			b.locked(func() { open = len(b.connections) })
+		for open := 1; open > 0; { // wait until the server has noticed the close
+			srv.locked(func() { open = len(srv.connections) })
 		}
 	}
 }
 
-// Requests that no node would send must not harm a server.
+// A request that no node would send must not make a server panic, or give an attempt an invalid class or amount of
+// work.
 func FuzzServerRequest(f *testing.F) {
 	f.Add("GET /api?work=1e99&root=%zz HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n")
@@ -181,9 +183,9 @@
 		w := &World{scenario: s, rng: model.Stream(1, "test", 0), heavyTails: make([]heavyTail, 1)}
 		w.restartClock()
 		kind := &scenario.ServerKind{}
-		v := (&server{world: w, tier: scenario.Tier{Work: 1}, model: model.NewServer("s-1", 0, 0, kind, s.Rules)}).newVisit(r, true)
-		if v.ownWork < 0 || v.ownWork > 1e6*time.Millisecond || v.class != 0 {
-			t.Errorf("%q: took %+v", text, v)
+		a := (&server{world: w, tier: scenario.Tier{Work: 1}, model: model.NewServer("s-1", 0, 0, kind, s.Rules)}).newAttempt(r, true)
+		if a.ownWork < 0 || a.ownWork > 1e6*time.Millisecond || a.class != 0 {
+			t.Errorf("%q: parsed as %+v", text, a)
 		}
 	})
 }
--- a/internal/lab/loopback/serverfaults.go
+++ b/internal/lab/loopback/serverfaults.go
@@ -8,84 +8,87 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// listenBacklog is the length of a listener's queue of connections that are not accepted yet.
+// listenBacklog is the length of a listener's queue of connections that wait to be accepted.
 const listenBacklog = 1024
 
-// stop ends the process: its connections are reset and new ones refused.
-func (b *server) stop() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.model.State == model.Down || b.listener == nil { // or it is another process's
+// stop ends the server process: open connections are reset and new ones are refused.
+func (s *server) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.model.State == model.Down || s.listener == nil { // no listener: not started in this process
 		return
 	}
-	b.reconnect()
-	b.model.Stop()
-	if b.timer != nil {
-		b.timer.Stop()
+	s.reconnect()
+	s.model.Stop()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
-	b.listener.Close()
-	close(b.died)
-	for k := range b.connections {
-		reset(k.Conn)
+	s.listener.Close()
+	close(s.died)
+	for conn := range s.connections {
+		reset(conn.Conn)
 	}
-	b.connections = map[*connection]bool{}
+	s.connections = map[*connection]bool{}
 }
 
-// disconnect takes the machine off the network. What is sent to it stays unanswered; for new connections never to come up,
-// the listener's queue is made short and kept full.
-func (b *server) disconnect() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.model.State == model.Down || b.reconnected != nil {
+// disconnect takes the machine off the network. Requests on open connections get no response. New connections are not
+// established, because the listener's queue is shortened and kept full.
+func (s *server) disconnect() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.model.State == model.Down || s.reconnected != nil {
 		return nil
 	}
-	b.reconnected, b.model.Unreachable = make(chan struct{}), true
-	fill, err := link.BlockConnects(b.listener)
+	s.reconnected, s.model.Unreachable = make(chan struct{}), true
+	queueFillers, err := link.BlockConnects(s.listener)
 	if err != nil {
-		return fmt.Errorf("server %s: cut off: %w", b.model.ID, err)
+		return fmt.Errorf("server %s: disconnect from the network: %w", s.model.ID, err)
 	}
-	b.backlogFill = fill
+	s.queueFillers = queueFillers
 	return nil
 }
 
-// reconnect puts the machine on the network again: connections from before are reset. The caller holds mu.
-func (b *server) reconnect() {
-	if b.reconnected == nil {
+// reconnect puts the machine on the network again. Connections on which a request is held without a response are reset.
+// The caller holds mu.
+func (s *server) reconnect() {
+	if s.reconnected == nil {
 		return
 	}
-	for _, c := range b.backlogFill {
+	for _, c := range s.queueFillers {
 		reset(c)
 	}
-	b.backlogFill, b.model.Unreachable = nil, false
-	link.SetBacklog(b.listener, listenBacklog)
-	b.listener.SetDeadline(time.Time{})
-	close(b.reconnected)
-	b.reconnected = nil
+	s.queueFillers, s.model.Unreachable = nil, false
+	link.SetBacklog(s.listener, listenBacklog)
+	s.listener.SetDeadline(time.Time{})
+	close(s.reconnected)
+	s.reconnected = nil
 }
 
-// disconnected returns what is closed when the machine is on the network again; nil: it is.
-func (b *server) disconnected() chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.reconnected
+// disconnected returns a channel that is closed when the machine is on the network again, or nil if it is on the
+// network.
+func (s *server) disconnected() chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.reconnected
 }
 
-// holdUntilReconnected keeps a connection open without an answer while the machine is off the network, and then resets it.
-func holdUntilReconnected(k *connection, reconnected, died chan struct{}) {
+// holdUntilReconnected keeps a connection open without a response while the machine is off the network, and then resets
+// it.
+func holdUntilReconnected(conn *connection, reconnected, died chan struct{}) {
 	select {
 	case <-reconnected:
 	case <-died:
 	}
-	reset(k.Conn)
+	reset(conn.Conn)
 }
 
-// resetIdle marks a drawn share of the connections to be reset when they are next used.
-func (b *server) resetIdle(share float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for k := range b.connections {
-		if b.world.randomFloat() < share {
-			k.resetNext = true
+// resetIdle marks a random share of the connections to be reset at their next use.
+func (s *server) resetIdle(share float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn := range s.connections {
+		if s.world.randomFloat() < share {
+			conn.resetNext = true
 		}
 	}
 }
--- a/internal/lab/loopback/violator_test.go
+++ b/internal/lab/loopback/violator_test.go
@@ -13,7 +13,7 @@
 	"hookwalk.example/hookwalk/internal/lab/violator"
 )
 
-// TestMain lets the test binary stand in for a node that breaks a rule.
+// TestMain runs the test binary as a node that violates an invariant if the environment asks for it.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv(violator.FaultVariable); fault != "" {
 		if err := violator.Serve(fault); err != nil {
@@ -24,9 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// A checker that misses a broken rule on sockets would let it pass where only real nodes show it: each fault of a node is
-// reported for the rule that it breaks.
-func TestCheckerSeesViolationsOnSockets(t *testing.T) {
+// The checker must report each fault of a node as a violation of the right rules on real connections too. Otherwise a
+// violation that only real nodes cause would go unnoticed.
+func TestCheckerReportsNodeViolations(t *testing.T) {
 	for fault, want := range map[string][]checker.Rule{
 		violator.FabricatedAnswer: {checker.GenuineAnswer},
 		violator.NoAnswer:         {checker.NothingLost},
@@ -44,12 +44,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, err := Up(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + fault}})
-			defer w.Down(false)
+			w, err := Start(context.Background(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + fault}})
+			defer w.Shutdown(false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, checked, err := w.Play()
+			_, checked, err := w.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,15 +59,15 @@
 			}
 			for _, rule := range want {
 				if !seen[rule] {
-					t.Errorf("%s is not seen among %v", rule, seen)
+					t.Errorf("rule %s is not among the reported violations %v", rule, seen)
 				}
 			}
 		})
 	}
 }
 
-// A node that does not start is an error that says so, and leaves no process and no folder behind.
-func TestUpFailsCleanly(t *testing.T) {
+// If a node can't be started, Start returns an error before its context ends, and Shutdown removes the folder.
+func TestFailedStartCleansUp(t *testing.T) {
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
 tier "t" { kind "k" {} }
 class "c" {}`), nil)
@@ -76,39 +76,39 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	w, err := Up(ctx, s, Options{Program: []string{"/nonexistent/hookwalk"}})
-	w.Down(false)
+	w, err := Start(ctx, s, Options{Program: []string{"/nonexistent/hookwalk"}})
+	w.Shutdown(false)
 	if err == nil || ctx.Err() != nil {
-		t.Errorf("a program that is not there: %v", err)
+		t.Errorf("a program that does not exist: error %v, context %v", err, ctx.Err())
 	}
 	if _, err := os.Stat(w.Folder()); !os.IsNotExist(err) {
-		t.Errorf("its folder is still there: %v", err)
+		t.Errorf("the folder was not removed: %v", err)
 	}
 }
 
-// A node whose process begins only after its world has ended must be ended too: Down does not look again, and the process
-// would stay behind on the machine.
-func TestProcessStartedAfterTheEndIsEnded(t *testing.T) {
+// A process that starts only after the shutdown of its world must be killed. Shutdown signals only the processes that
+// run at that time, so that a later one would keep running on the machine.
+func TestProcessStartedAfterShutdownIsKilled(t *testing.T) {
 	s, err := scenario.Parse("a.hcl", []byte(`scenario "a" {}
 tier "t" { kind "k" {} }
 class "c" {}`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := Up(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + violator.FabricatedAnswer}})
+	w, err := Start(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + violator.FabricatedAnswer}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Down(true)
+	w.Shutdown(true)
 	defer os.RemoveAll(w.Folder())
 	p := w.processes[0]
 	if err := p.start(context.Background()); err == nil {
-		t.Error("it is ready after the end")
+		t.Error("a node became ready after Shutdown")
 	}
 	select {
 	case <-p.exited:
 	case <-time.After(10 * time.Second):
 		p.signal(syscall.SIGKILL)
-		t.Error("its process goes on after the end")
+		t.Error("a process keeps running after Shutdown")
 	}
 }
--- a/internal/lab/loopback/watch.go
+++ b/internal/lab/loopback/watch.go
@@ -9,10 +9,12 @@
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
 )
 
-// heartbeatInterval is the time between two empty lines on a watch that has nothing to say, as discovery's page has it.
+// heartbeatInterval is the time between two empty lines on a watch without changes, as discovery's specification
+// requires.
 const heartbeatInterval = 2 * time.Second
 
-// watch is one that is open. Once muted, nothing is written on it; what would have been is recorded all the same.
+// watch is an open watch call of a node. Nothing is written on a muted watch, but the changes that would have been
+// written are still recorded.
 type watch struct {
 	discovery   *discovery
 	rw          http.ResponseWriter
@@ -21,17 +23,17 @@
 	process     *process
 	incarnation string
 	id          string
-	muted       <-chan struct{} // closed when the watch is muted; nil: it has been
+	muted       <-chan struct{} // closed when the watch is to be muted; nil once it is muted
 	isMuted     bool
 }
 
-// mute ends what the watch brings.
+// mute mutes the watch and records that.
 func (w *watch) mute() {
 	w.isMuted, w.muted = true, nil
 	w.discovery.world.observations.record(blackbox.Event{At: w.discovery.world.now(), Kind: blackbox.WatchMuted, Node: w.incarnation, ID: w.id, Ready: true})
 }
 
-// serve writes the changes since a version, and then every change, until the connection ends.
+// serve writes the changes since a version, and then every new change, until the connection ends.
 func (w *watch) serve(from int64, muted bool) {
 	if muted {
 		w.mute()
@@ -71,7 +73,7 @@
 	}
 }
 
-// changesSince are the changes since a version, and what is closed at the next one.
+// changesSince returns the changes since a version, and a channel that is closed at the next change.
 func (w *watch) changesSince(version int64) (EndpointList, <-chan struct{}) {
 	d := w.discovery
 	d.mu.Lock()
@@ -82,7 +84,7 @@
 	return list, l.updated
 }
 
-// waitSpread waits for a drawn part of the notification spread. It returns false if the connection has ended.
+// waitSpread waits for a random part of the notification spread. It returns false if the connection has ended.
 func (w *watch) waitSpread() bool {
 	world := w.discovery.world
 	spread := time.Duration(world.randomFloat() * float64(world.scenario.Discovery.NotifySpread))
@@ -94,7 +96,7 @@
 	}
 }
 
-// write writes a list, unless the watch is muted by now, and records it. It returns false if the connection has ended.
+// write writes a list, unless the watch is muted, and records it. It returns false if the connection has ended.
 func (w *watch) write(list EndpointList) bool {
 	select {
 	case <-w.muted:
--- a/internal/lab/loopback/worker.go
+++ b/internal/lab/loopback/worker.go
@@ -14,69 +14,70 @@
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
 )
 
-// beforeStart is a worker's start tick until the play begins: it lies so far ahead that all that happens before is recorded
-// as of time 0 or earlier.
-const beforeStart = time.Duration(1) << 60
+// unsetStartTick is the start tick until the run begins. It is so far in the future that all earlier events have
+// negative times.
+const unsetStartTick = time.Duration(1) << 60
 
-// Errors of a parent that sends what a worker can't do.
+// Errors caused by invalid messages from the parent.
 var (
-	errNoInit           = errors.New("the first message is no init")
-	errNoSuchNode       = errors.New("there is no such node")
+	errNoInit           = errors.New("the first message is not a valid init message")
+	errNoSuchNode       = errors.New("no ingress node has the index in the message")
 	errUnknownOperation = errors.New("unknown operation")
 )
 
-// Worker is what one process has of a world whose servers, discovery and clients are processes of their own. It runs the
-// code that plays a whole world; what concerns the others goes over two pipes, a Message a line.
+// Worker runs one part of a world whose servers, discovery and clients run in separate processes. It uses the same code
+// as a world in a single process, and exchanges a Message per line with its parent over two pipes.
 type Worker struct {
 	world *World
 	mu    sync.Mutex
 	out   *json.Encoder
 }
 
-// send sends a message to the parent. One that is gone has closed the other pipe too.
+// send sends a message to the parent. It ignores errors: a parent that has exited has closed the other pipe too.
 func (k *Worker) send(m Message) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_ = k.out.Encode(m)
 }
 
-// ServeWorker runs a worker as its parent says, until the parent closes the pipe or ctx ends.
+// ServeWorker runs a worker as its parent instructs, until the parent closes the pipe. The end of ctx cancels the
+// context of the worker's world.
 func ServeWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	init, err := readMessage(lines)
 	if err != nil {
-		return fmt.Errorf("part: %w", err)
+		return fmt.Errorf("worker: read the init message: %w", err)
 	}
 	if init.Operation != OpInit || init.Scenario == nil {
-		return fmt.Errorf("part: %w", errNoInit)
+		return fmt.Errorf("worker: %w", errNoInit)
 	}
 	file, err := os.OpenFile(init.History, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("part: %w", err)
+		return fmt.Errorf("worker: open the history: %w", err)
 	}
 	defer file.Close()
 	w, err := newWorld(ctx, init.Scenario, Options{Recorder: blackbox.NewHeadlessRecorder(file), Ports: init.Ports})
 	if w.dir != "" {
 		defer os.RemoveAll(w.dir)
 	}
-	defer w.Down(false)
+	defer w.Shutdown(false)
 	if err != nil {
 		return err
 	}
 	k := &Worker{world: w, out: json.NewEncoder(out)}
 	w.worker = k
-	w.setClock(beforeStart, time.Now())
-	if init.StartTick > 0 { // the play has begun without it
+	w.setClock(unsetStartTick, time.Now())
+	if init.StartTick > 0 { // the run has already begun
 		w.setClock(init.StartTick, time.Unix(0, init.StartWall))
 	}
-	if err := k.begin(init); err != nil {
+	if err := k.initialize(init); err != nil {
 		k.send(Message{Operation: OpReady, Err: err.Error()})
 		return err
 	}
 	return k.serve(lines)
 }
 
-// serve does what the parent says until it closes the pipe.
+// serve handles the parent's messages until the parent closes the pipe.
 func (k *Worker) serve(lines *bufio.Reader) error {
 	for {
 		m, err := readMessage(lines)
@@ -84,26 +85,26 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return fmt.Errorf("part: %w", err)
+			return fmt.Errorf("worker: read a message: %w", err)
 		}
 		if err := k.apply(m); err != nil {
-			return fmt.Errorf("part: %s: %w", m.Operation, err)
+			return fmt.Errorf("worker: operation %s: %w", m.Operation, err)
 		}
 	}
 }
 
-// begin opens what the worker has.
-func (k *Worker) begin(init Message) error {
+// initialize starts the part of the world that the worker's role requires.
+func (k *Worker) initialize(init Message) error {
 	ready := Message{Operation: OpReady, Addresses: map[string]string{}}
 	var err error
 	switch init.Role {
 	case RoleServers:
-		err = k.beginServers(init, ready.Addresses)
+		err = k.startServers(init, ready.Addresses)
 	case RoleDiscovery:
-		err = k.beginDiscovery(init, ready.Addresses)
+		err = k.startDiscovery(init, ready.Addresses)
 	case RoleClients:
 	default:
-		err = fmt.Errorf("there is no part %q", init.Role)
+		err = fmt.Errorf("unknown role %q", init.Role)
 	}
 	if err != nil {
 		return err
@@ -112,27 +113,28 @@
 	return nil
 }
 
-// beginServers starts the servers, unless they are to be down, and adds their addresses.
-func (k *Worker) beginServers(init Message, addresses map[string]string) error {
-	for _, at := range init.Servers {
-		b, err := k.world.serverAt(at[0], at[1])
+// startServers starts the worker's servers and adds their addresses to addresses. With init.Down, the servers stay
+// down.
+func (k *Worker) startServers(init Message, addresses map[string]string) error {
+	for _, position := range init.Servers {
+		srv, err := k.world.serverAt(position[0], position[1])
 		if err != nil {
 			return err
 		}
 		if init.Down {
-			b.model.Stop()
+			srv.model.Stop()
 			continue
 		}
-		if err := b.start(); err != nil {
+		if err := srv.start(); err != nil {
 			return err
 		}
-		addresses[b.model.ID] = b.addr
+		addresses[srv.model.ID] = srv.addr
 	}
 	return nil
 }
 
-// beginDiscovery opens discovery and adds its address for each node.
-func (k *Worker) beginDiscovery(init Message, addresses map[string]string) error {
+// startDiscovery starts discovery and adds its address for each node to addresses.
+func (k *Worker) startDiscovery(init Message, addresses map[string]string) error {
 	w := k.world
 	for _, p := range w.processes {
 		p.dialAddresses = init.DialAddresses[p.base]
@@ -147,15 +149,15 @@
 	return nil
 }
 
-// serverAt finds a server.
+// serverAt returns a server by tier and index.
 func (w *World) serverAt(tier, index int) (*server, error) {
 	if tier < 0 || tier >= len(w.servers) || index < 0 || index >= len(w.servers[tier]) {
-		return nil, fmt.Errorf("there is no server %d in tier %d", index, tier)
+		return nil, fmt.Errorf("server %d of tier %d does not exist", index, tier)
 	}
 	return w.servers[tier][index], nil
 }
 
-// apply does what the parent says.
+// apply carries out a message of the parent.
 func (k *Worker) apply(m Message) error {
 	w := k.world
 	switch m.Operation {
@@ -169,28 +171,28 @@
 	case OpMuteWatches:
 		k.eachProcess(m.Node, func(p *process) { w.discovery.setMuted(p, !m.Serving) })
 	case OpEndpointState:
-		b, err := w.serverAt(m.Tier, m.Index)
+		srv, err := w.serverAt(m.Tier, m.Index)
 		if err != nil {
 			return err
 		}
-		w.discovery.updateEndpoint(b, m.Health, m.StartTime, m.Delay)
+		w.discovery.updateEndpoint(srv, m.Health, m.StartTime, m.Delay)
 	case OpServerStart:
-		b, err := w.serverAt(m.Tier, m.Index)
+		srv, err := w.serverAt(m.Tier, m.Index)
 		if err != nil {
 			return err
 		}
-		return w.startServer(b)
+		return w.startServer(srv)
 	case OpChange:
 		return w.applyChange(*m.Change)
-	case OpPlay:
-		k.play(m)
+	case OpRun:
+		k.startRun(m)
 	default:
 		return errUnknownOperation
 	}
 	return nil
 }
 
-// eachProcess does something for the nodes of a base name.
+// eachProcess calls do for each node with a base name.
 func (k *Worker) eachProcess(base string, do func(*process)) {
 	for _, p := range k.world.processes {
 		if p.base == base {
@@ -199,11 +201,11 @@
 	}
 }
 
-// play begins the scenario's time, and has the clients come if the worker has them.
-func (k *Worker) play(m Message) {
+// startRun sets the start of the scenario, and starts the clients if the worker has their role.
+func (k *Worker) startRun(m Message) {
 	w := k.world
 	w.setClock(m.StartTick, time.Unix(0, m.StartWall))
-	w.goOwned(func() {
+	w.spawn(func() {
 		WatchLateness(w.ctx.Done(), func(late time.Duration) {
 			w.observations.record(blackbox.Event{At: w.now(), Kind: blackbox.ProcessLate, Duration: late})
 		})
@@ -211,9 +213,9 @@
 	if m.Role != RoleClients {
 		return
 	}
-	w.goOwned(func() {
+	w.spawn(func() {
 		w.sleep(-w.now())
-		w.playClients()
+		w.runClients()
 		k.send(Message{Operation: OpClientsDone})
 	})
 }
--- a/internal/lab/loopback/world.go
+++ b/internal/lab/loopback/world.go
@@ -1,7 +1,7 @@
-// Package loopback plays a scenario on loopback in real time: real node processes, and stand-ins for servers, discovery,
-// ingress and clients on real connections, with the faults made there: resets, unresponsive machines, half answers, refused
-// connections, SIGKILL and SIGTERM. The model's servers, arrivals and faults are those of virtual time, and the same
-// checker holds both to the rules.
+// Package loopback runs a scenario on loopback in real time, with real node processes and with stand-ins for servers,
+// discovery, ingress and clients on real connections. It injects real faults: resets, unresponsive machines, truncated
+// responses, refused connections, SIGKILL and SIGTERM. The models of servers, arrivals and faults are the same as in
+// the simulation in virtual time, and the same checker verifies the invariants.
 package loopback
 
 import (
@@ -24,25 +24,26 @@
 	"hookwalk.example/hookwalk/internal/lab/score"
 )
 
-// maxNodes is how many node processes a world may start: more would make the machine slower than what is measured.
+// maxNodes limits the node processes of a world: with more of them, the speed of the machine would determine the
+// results.
 const maxNodes = 64
 
-// errDown is why a world's context ends.
-var errDown = errors.New("the world has ended")
+// errShutdown is the cancellation cause of the context after Shutdown.
+var errShutdown = errors.New("the world has been shut down")
 
-// errPolicy is a scenario whose nodes are not the program.
-var errPolicy = errors.New("on sockets nodes are real: policy " + policies.Module + " only")
+// errUnsupportedPolicy is returned for a scenario whose policy real nodes do not implement.
+var errUnsupportedPolicy = errors.New("real nodes implement only the policy " + policies.Module)
 
-// Options say how nodes are started.
+// Options configures how nodes are started.
 type Options struct {
-	Program  []string           // `run` is added to it
-	Env      []string           // added to the environment
-	Recorder *blackbox.Recorder // takes what can be seen from outside; nil: nothing does
+	Program  []string           // command of a node, to which `run` is appended
+	Env      []string           // variables added to the environment
+	Recorder *blackbox.Recorder // records the history of externally visible events; nil: none is recorded
 
-	StartCommand  func(*exec.Cmd) error   // starts a process; nil: as usual
-	OnIncarnation func(base, name string) // is told of a node's incarnation before it begins; may be nil
-	Ports         int                     // the block of ports of a rig; 0: any
-	Dir           string                  // where the folder of configurations and logs is made; "": the system's
+	StartCommand  func(*exec.Cmd) error   // starts a process; nil: exec.Cmd.Start
+	OnIncarnation func(base, name string) // called before a node's incarnation starts; may be nil
+	Ports         int                     // first port of the rig's block; 0: ports outside the blocks
+	Dir           string                  // parent of the folder of configurations and logs; "": the system's
 }
 
 func (o Options) startCommand(c *exec.Cmd) error {
@@ -52,45 +53,45 @@
 	return c.Start()
 }
 
-// World is a scenario that is being played, or only held up.
+// World is a scenario whose nodes and stand-ins are running, with or without clients and faults.
 type World struct {
 	addresses    addressPool
 	scenario     *scenario.Scenario
 	options      Options
 	dir          string
-	startTick    atomic.Int64 // of the play, on the system's monotonic clock, as all its processes read it
+	startTick    atomic.Int64 // start of the scenario on the system's monotonic clock, which all processes share
 	startWall    atomic.Int64 // the same moment in Unix time, in ns
-	playing      atomic.Bool  // Play has begun: the clock is that of the play
+	runStarted   atomic.Bool  // Run has restarted the clock
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	wg           sync.WaitGroup
-	lastCallID   atomic.Uint64 // of servers' calls
+	lastCallID   atomic.Uint64 // number of the last call from a server to the next tier
 	observations *observations
 	discovery    *discovery
 	ingress      *ingress
-	worker       *Worker // nil: this process has the whole world; else what it has of it
+	worker       *Worker // nil: this process runs the whole world; otherwise the part that it runs
 	lists        bootstrapLists
 
 	servers   [][]*server
 	processes []*process
 
-	mu         sync.Mutex // of what follows
+	mu         sync.Mutex // guards the fields below
 	rng        *rand.Rand
 	arrivals   *model.Arrivals
 	heavyTails []heavyTail // by class
-	retryStorm float64     // magnitude; 1: there is none
+	retryStorm float64     // magnitude; 1: no retry storm
 }
 
-// heavyTail says how much more work some requests of a class are.
+// heavyTail multiplies the work of a share of a class's requests by a factor.
 type heavyTail struct{ factor, share float64 }
 
-// bootstrapLists are what a node's configuration says at its start.
+// bootstrapLists provides what a node's configuration contains when the node starts.
 type bootstrapLists interface {
-	discoveryAddr(p *process) string       // where discovery is for the node
-	bootstrapList(p *process) EndpointList // the servers as it last had them
+	discoveryAddr(p *process) string       // address of discovery for the node
+	bootstrapList(p *process) EndpointList // endpoints that the node knows at its start
 }
 
-// newWorld makes a world of which nothing runs yet.
+// newWorld creates a world without starting anything.
 func newWorld(ctx context.Context, s *scenario.Scenario, options Options) (*World, error) {
 	w := &World{scenario: s, options: options, observations: newObservations(s), retryStorm: 1, ingress: &ingress{},
 		rng: model.Stream(s.Seed, "sockets", 0), heavyTails: make([]heavyTail, len(s.Classes))}
@@ -98,7 +99,7 @@
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	var err error
 	if s.Policy != policies.Module {
-		return w, errPolicy
+		return w, errUnsupportedPolicy
 	}
 	if w.arrivals, err = model.NewArrivals(s); err != nil {
 		return w, err
@@ -120,48 +121,48 @@
 	}
 }
 
-// addServers makes the servers, and the nodes through which they call the next tier.
+// addServers creates the servers, and the nodes through which they call the next tier.
 func (w *World) addServers() {
 	s := w.scenario
-	names := model.Stream(s.Seed, "names", 0)
+	idStream := model.Stream(s.Seed, "names", 0)
 	for t, tier := range s.Tiers {
 		var row []*server
 		for k := range tier.Kinds {
 			for range tier.Kinds[k].Count {
-				b := &server{world: w, tier: tier, model: model.NewServer(drawServerID(names), t, len(row), &tier.Kinds[k], s.Rules)}
-				b.model.MeanWork = model.MeanWork(s, t)
+				srv := &server{world: w, tier: tier, model: model.NewServer(drawServerID(idStream), t, len(row), &tier.Kinds[k], s.Rules)}
+				srv.model.MeanWork = model.MeanWork(s, t)
 				if t < len(s.Tiers)-1 {
-					b.node = &process{world: w, base: tier.Name + "-" + b.model.ID, tier: t + 1, replicaIndex: len(row),
-						replicas: tier.ServerCount(), host: b}
-					w.processes = append(w.processes, b.node)
+					srv.node = &process{world: w, base: tier.Name + "-" + srv.model.ID, tier: t + 1, replicaIndex: len(row),
+						replicas: tier.ServerCount(), host: srv}
+					w.processes = append(w.processes, srv.node)
 				}
-				row = append(row, b)
+				row = append(row, srv)
 			}
 		}
 		w.servers = append(w.servers, row)
 	}
 }
 
-// drawServerID draws a server's ID, which says nothing of its kind.
+// drawServerID draws a random server ID, which does not reveal the server's kind.
 func drawServerID(names *rand.Rand) string { return fmt.Sprintf("s-%08x", names.Uint32()) }
 
-// Up brings a scenario's world up: servers listen, discovery lists them, nodes are ready. Down must follow, also after an
-// error.
-func Up(ctx context.Context, s *scenario.Scenario, options Options) (*World, error) {
+// Start starts a scenario's servers, discovery and nodes, and returns once the nodes are ready. The caller must call
+// Shutdown, even after an error.
+func Start(ctx context.Context, s *scenario.Scenario, options Options) (*World, error) {
 	w, err := newWorld(ctx, s, options)
 	if err != nil {
 		return w, err
 	}
 	w.restartClock()
 	for _, row := range w.servers {
-		for _, b := range row {
-			if err := b.start(); err != nil {
+		for _, srv := range row {
+			if err := srv.start(); err != nil {
 				return w, err
 			}
 		}
 	}
 	if len(w.processes) > maxNodes {
-		return w, fmt.Errorf("%s needs %d node processes, at most %d are started: play it in virtual time", s.Name, len(w.processes), maxNodes)
+		return w, fmt.Errorf("scenario %s needs %d node processes, more than the limit of %d: simulate it in virtual time", s.Name, len(w.processes), maxNodes)
 	}
 	w.discovery = newDiscovery(w)
 	w.lists = w.discovery
@@ -171,11 +172,11 @@
 	return w, w.startNodes()
 }
 
-// startNodes starts all nodes at once and returns one of their errors.
+// startNodes starts all nodes concurrently and returns one of their errors.
 func (w *World) startNodes() (err error) {
 	started := make(chan error, len(w.processes))
 	for _, p := range w.processes {
-		w.goOwned(func() { started <- p.start(w.ctx) })
+		w.spawn(func() { started <- p.start(w.ctx) })
 	}
 	for range w.processes {
 		if e := <-started; e != nil {
@@ -185,23 +186,23 @@
 	return err
 }
 
-// Addr is where clients reach the first node.
+// Addr returns the address of the first node for clients.
 func (w *World) Addr() string { return w.ingress.nodes[0].addr }
 
-// Folder has the nodes' configurations and logs.
+// Folder returns the folder of the nodes' configurations and logs.
 func (w *World) Folder() string { return w.dir }
 
-// Down ends everything that the world has started, and waits for it. The folder is removed unless it is to be kept.
-func (w *World) Down(keep bool) {
-	w.cancel(errDown)
+// Shutdown stops everything that the world has started, and waits for it. It removes the folder unless keep is set.
+func (w *World) Shutdown(keep bool) {
+	w.cancel(errShutdown)
 	for _, p := range w.processes {
 		if exited, _ := p.signal(syscall.SIGKILL); exited != nil {
 			<-exited
 		}
 	}
 	for _, row := range w.servers {
-		for _, b := range row {
-			b.stop()
+		for _, srv := range row {
+			srv.stop()
 		}
 	}
 	if w.discovery != nil {
@@ -209,12 +210,12 @@
 	}
 	w.wg.Wait()
 	if !keep && w.dir != "" {
-		os.RemoveAll(w.dir) // a folder that stays behind is no reason to fail
+		os.RemoveAll(w.dir) // a failure to remove the folder is ignored
 	}
 }
 
-// goOwned runs something on a goroutine that Down waits for.
-func (w *World) goOwned(f func()) { goTracked(&w.wg, f) }
+// spawn runs f on a goroutine that Shutdown waits for.
+func (w *World) spawn(f func()) { goTracked(&w.wg, f) }
 
 func goTracked(wg *sync.WaitGroup, f func()) {
 	wg.Add(1)
@@ -224,31 +225,31 @@
 	}()
 }
 
-// afterDelay does something after a while, unless the world ends first.
+// afterDelay calls f after a delay, unless the world is shut down first.
 func (w *World) afterDelay(wait time.Duration, f func()) {
-	w.goOwned(func() {
+	w.spawn(func() {
 		if w.sleep(wait) {
 			f()
 		}
 	})
 }
 
-// Play lets the clients and the faults come, and returns when all is answered.
-func (w *World) Play() (*score.Score, *checker.Checker, error) {
+// Run runs the clients and applies the faults, and returns the score and the checker when all requests have ended.
+func (w *World) Run() (*score.Score, *checker.Checker, error) {
 	changes, err := model.WorldChanges(w.scenario)
 	if err != nil {
 		return nil, nil, err
 	}
 	w.restartClock()
-	w.playing.Store(true)
+	w.runStarted.Store(true)
 	failed := make(chan error, 1)
-	w.goOwned(func() {
+	w.spawn(func() {
 		if err := w.applyChanges(changes); err != nil {
 			failed <- err
 			w.cancel(err)
 		}
 	})
-	w.playClients()
+	w.runClients()
 	w.sleep(model.LongestDeadline(w.scenario)/2 + socketSlack) // calls of lower tiers may outlive their clients
 	select {
 	case err := <-failed:
@@ -265,8 +266,8 @@
 	return w.observations.score, w.observations.checker, nil
 }
 
-// Head is the header of a history of a scenario on sockets.
-func Head(s *scenario.Scenario) blackbox.Header {
+// HistoryHeader returns the header of the history of a scenario that this package runs.
+func HistoryHeader(s *scenario.Scenario) blackbox.Header {
 	h := blackbox.NewHeader(s, observationLag)
 	h.Rules.Slack += socketSlack
 	names := model.Stream(s.Seed, "names", 0)
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -103,7 +103,7 @@
 // Stop ends the node and its discovery.
 func (n *NodeProcess) Stop() error {
 	if n.nodes != nil {
-		n.nodes.Down(false)
+		n.nodes.Shutdown(false)
 	}
 	return n.Discovery.Close()
 }
