--- a/cmd/hookwalk/lab.go
+++ b/cmd/hookwalk/lab.go
@@ -107,9 +107,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w, err := loopback.Up(ctx, s, loopback.Options{Program: []string{self}})
+	w, err := loopback.Start(ctx, s, loopback.Options{Program: []string{self}})
 	if err != nil {
-		w.Down(true)
+		w.Shutdown(true)
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	return w, nil
@@ -123,8 +123,8 @@
 	if err != nil {
 		return err
 	}
-	result, rules, err := w.Play()
-	w.Down(err != nil || rules.Count() > 0)
+	result, rules, err := w.Run()
+	w.Shutdown(err != nil || rules.Count() > 0)
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	defer w.Down(false)
+	defer w.Shutdown(false)
 	class := s.Classes[0]
 	method := ""
 	if class.Effect != balancer.Idempotent {
