--- a/internal/lab/fleet/drawfault.go
+++ b/internal/lab/fleet/drawfault.go
@@ -28,8 +28,8 @@
 )
 
 // drawnWorldFaults are the kinds that are drawn besides those between processes. Their order is part of a drawn schedule.
-var drawnWorldFaults = []string{scenario.FaultKill, scenario.FaultCrash, scenario.FaultDiscoveryDown, scenario.FaultRelease,
-	scenario.FaultNodeRestart, scenario.FaultSharedSlow, scenario.FaultOverload}
+var drawnWorldFaults = []string{scenario.FaultKill, scenario.FaultCrash, scenario.FaultDiscoveryDown, scenario.FaultRollingRelease,
+	scenario.FaultNodeRestart, scenario.FaultSharedSlowdown, scenario.FaultOverload}
 
 // linkPairs are the targets and peers of drawn link faults.
 var linkPairs = [][2]string{
@@ -88,13 +88,13 @@
 	switch f.Kind {
 	case scenario.FaultStall:
 		f.Target = []string{scenario.TargetNodes, scenario.TargetServers, scenario.TargetDiscovery}[rng.IntN(3)]
-	case scenario.FaultCut, scenario.FaultSlowLink, scenario.FaultResetLink, scenario.FaultRefuseLink, scenario.FaultHalfOpen:
+	case scenario.FaultLinkDown, scenario.FaultSlowLink, scenario.FaultResetLink, scenario.FaultRefuseLink, scenario.FaultHalfOpen:
 		pair := linkPairs[rng.IntN(len(linkPairs))]
 		f.Target, f.Peer = pair[0], pair[1]
 		f.Delay = time.Duration(minDelayMS+rng.IntN(delayRangeMS)) * time.Millisecond
 	case scenario.FaultBreakLink:
 		f.Bytes = 1 + rng.IntN(maxBreakBytes)
-	case scenario.FaultOverload, scenario.FaultSharedSlow:
+	case scenario.FaultOverload, scenario.FaultSharedSlowdown:
 		f.Magnitude = milderMagnitude
 	}
 }
--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -131,7 +131,7 @@
 	switch state {
 	case scenario.FolderEmptied:
 		return emptyFolder(dir)
-	case scenario.FolderCut:
+	case scenario.FolderTruncated:
 		return eachFile(dir, func(path string, size int64) error {
 			if size == 0 {
 				return nil
--- a/internal/lab/fleet/linkfaults.go
+++ b/internal/lab/fleet/linkfaults.go
@@ -81,7 +81,7 @@
 	ways[out] = f.Direction != scenario.DirectionBack
 	ways[back] = f.Direction != scenario.DirectionOut
 	switch f.Kind {
-	case scenario.FaultCut:
+	case scenario.FaultLinkDown:
 		fault.Stall = ways
 	case scenario.FaultHalfOpen:
 		fault.HoldFIN = ways
--- a/internal/lab/model/arrivals.go
+++ b/internal/lab/model/arrivals.go
@@ -77,7 +77,7 @@
 		Class:             class,
 		Tenant:            pickByShare(a.rng, a.tenants),
 		Work:              math.Exp(sigma*a.rng.NormFloat64() - sigma*sigma/2),
-		HonoursRetryAfter: a.rng.Float64() < a.scenario.Clients.HonourRetryAfter,
+		HonoursRetryAfter: a.rng.Float64() < a.scenario.Clients.HonorRetryAfterShare,
 	}
 	if a.rng.Float64() < a.scenario.Clients.ImpatientShare {
 		arrival.LeavesAfter = leavesAfterMin + leavesAfterSpan*a.rng.Float64()
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -14,7 +14,7 @@
 )
 
 func kind() *scenario.ServerKind {
-	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, CrowdedAbove: 4, CrowdingLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
+	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, ContentionThreshold: 4, ContentionLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
 }
 
 // playToEnd plays a server until nothing runs and returns when each job was done.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -113,8 +113,8 @@
 		return 0
 	}
 	rate := s.Kind.Speed * s.SpeedFactor * s.WarmShare(now) * math.Min(1, s.Kind.Cores/float64(n))
-	if over := s.InFlight() - s.Kind.CrowdedAbove; over > 0 {
-		rate /= 1 + s.Kind.CrowdingLoss*float64(over)/float64(s.Kind.CrowdedAbove)
+	if over := s.InFlight() - s.Kind.ContentionThreshold; over > 0 {
+		rate /= 1 + s.Kind.ContentionLoss*float64(over)/float64(s.Kind.ContentionThreshold)
 	}
 	return rate
 }
--- a/internal/lab/model/worldfaults.go
+++ b/internal/lab/model/worldfaults.go
@@ -80,23 +80,23 @@
 	switch p.fault.Kind {
 	case scenario.FaultCrash:
 		p.forAll(Crash, Start)
-	case scenario.FaultCutOff:
+	case scenario.FaultUnreachable:
 		p.forAll(Disconnect, Reconnect)
-	case scenario.FaultNeighbor:
+	case scenario.FaultNoisyNeighbor:
 		return p.addNeighbor()
-	case scenario.FaultSharedSlow:
+	case scenario.FaultSharedSlowdown:
 		p.servers = drawShare(p.rng, p.scenario.Tiers[p.tier].ServerCount(), 1)
 		p.addSlowdown(1 / magnitude)
 	case scenario.FaultHeavyTail:
 		p.change(at, HeavyTail, 0, magnitude)
 		p.change(p.end, HeavyTail, 0, 1)
-	case scenario.FaultBrokenAnswers:
+	case scenario.FaultTruncatedResponses:
 		p.addBrokenAnswers()
 	case scenario.FaultIdleResets:
 		for _, i := range p.servers {
 			p.change(at, ResetIdleConnections, i, 0)
 		}
-	case scenario.FaultRelease:
+	case scenario.FaultRollingRelease:
 		p.addRelease()
 	case scenario.FaultNodeRestart:
 		p.addNodeRestarts(NodeTerminate)
--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -47,19 +47,19 @@
 
 // The integration of queues up to their fixed point.
 const (
-	queueStep      = 0.1    // of time; the fastest rate is about the number of groups, so this is stable
-	stillMovement  = 1e-13  // relative movement a unit of time at which a point counts as fixed
-	stillInterval  = 64     // steps between two looks at the movement
-	maxQueueSteps  = 200000 // should it never come to rest
-	negligibleLoad = 1e-200 // a share under which movement is rounding
+	queueStep           = 0.1    // of time; the fastest rate is about the number of groups, so this is stable
+	convergedMovement   = 1e-13  // relative movement a unit of time at which a point counts as fixed
+	convergenceInterval = 64     // steps between two looks at the movement
+	maxQueueSteps       = 200000 // should it never come to rest
+	negligibleLoad      = 1e-200 // a share under which movement is rounding
 )
 
 // The search for the best share of the left group, in thousandths: the times that the paper prints have their least in it.
 const (
-	thousandths   = 1000 // of a share of 1
-	minBestShare  = 500  // half: the groups are equal
-	maxBestShare  = 650  // above all best shares published
-	searchedRange = 2    // under which each share is tried
+	thousandths     = 1000 // of a share of 1
+	minBestShare    = 500  // half: the groups are equal
+	maxBestShare    = 650  // above all best shares published
+	exhaustiveRange = 2    // under which each share is tried
 )
 
 // BallsRandom gives, after n balls into n bins by the lesser of d random ones, the share of bins with at least i
@@ -126,11 +126,11 @@
 	dx := make([]float64, len(x))
 	for n := range maxQueueSteps {
 		s.step(x, queueStep)
-		if n%stillInterval > 0 {
+		if n%convergenceInterval > 0 {
 			continue
 		}
 		derivative(x, dx)
-		if movement(x[d:], dx[d:]) < stillMovement {
+		if movement(x[d:], dx[d:]) < convergedMovement {
 			break
 		}
 	}
@@ -194,7 +194,7 @@
 		return times[k]
 	}
 	low, high := minBestShare, maxBestShare
-	for high-low > searchedRange {
+	for high-low > exhaustiveRange {
 		first, second := low+(high-low)/3, high-(high-low)/3
 		if timeAt(first) < timeAt(second) {
 			high = second
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -9,7 +9,7 @@
 )
 
 // Every figure of tables 2, 3 and 5 is as published, to a unit of the last digit printed, but for the two errata.
-func TestTablesAreAsPublished(t *testing.T) {
+func TestTablesMatchPublishedFigures(t *testing.T) {
 	var out bytes.Buffer
 	differing, err := Write(&out, 0, 1)
 	if err != nil || differing != 0 || !strings.Contains(out.String(), "76 figures compared, 0 differ") ||
@@ -41,8 +41,8 @@
 			t.Errorf("%g beside %s is not marked: %q", v, published, s)
 		}
 	}
-	if p.differing != 3 || p.compared != 3 {
-		t.Errorf("%d of %d", p.differing, p.compared)
+	if p.differences != 3 || p.compared != 3 {
+		t.Errorf("%d of %d", p.differences, p.compared)
 	}
 }
 
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -31,11 +31,11 @@
 
 // Left2 is the shorter of one queue of each group; ties go left. With zeroByShares, ties of empty queues are drawn
 // by the groups' shares, as the module's ordinary path has it.
-func Left2(alpha float64, zeroByShares bool) Pick {
+func Left2(alpha float64, emptyTiesByShares bool) Pick {
 	return func(rng *rand.Rand, held []int) int {
 		cut := int(math.Round(alpha * float64(len(held))))
 		l, r := rng.IntN(cut), cut+rng.IntN(len(held)-cut)
-		if held[r] < held[l] || zeroByShares && held[l]+held[r] == 0 && rng.IntN(len(held)) >= cut {
+		if held[r] < held[l] || emptyTiesByShares && held[l]+held[r] == 0 && rng.IntN(len(held)) >= cut {
 			return r
 		}
 		return l
@@ -59,9 +59,9 @@
 // firstServerID begins the servers' numbers, so that all have as many digits and sort as they are numbered.
 const firstServerID = 1000
 
-// neverLate is a latency objective and deadline that nothing reaches, so that what the module does about lateness has no
+// unreachableDeadline is a latency objective and deadline that nothing reaches, so that what the module does about lateness has no
 // effect.
-const neverLate = 24 * time.Hour
+const unreachableDeadline = 24 * time.Hour
 
 // upperQuantile is the quantile of Student's t that bounds a 95% interval from above.
 const upperQuantile = 0.975
@@ -70,15 +70,15 @@
 func (w World) Run(seed uint64, pick Pick) float64 {
 	rng := model.Stream(seed, "paper", 0)
 	held := make([]int, w.Servers)
-	return w.play(rng, func(time.Duration, int) int {
+	return w.simulate(rng, func(time.Duration, int) int {
 		i := pick(rng, held)
 		held[i]++
 		return i
 	}, func(_ time.Duration, i, _ int) { held[i]-- })
 }
 
-// play runs the event queue: place puts customer n at a server, and done is its end there. It returns the mean time.
-func (w World) play(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
+// simulate runs the event queue: place puts customer n at a server, and done is its end there. It returns the mean time.
+func (w World) simulate(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
 	type customer struct {
 		n         int
 		arrivedAt time.Duration
@@ -119,7 +119,7 @@
 // RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
 	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, TimerTolerance: time.Millisecond,
-		Classes: []balancer.Class{{Name: "c", LatencyObjective: neverLate, Deadline: neverLate, PriorityWeight: 1}}}, seed)
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: unreachableDeadline, Deadline: unreachableDeadline, PriorityWeight: 1}}}, seed)
 	if err != nil {
 		return 0, err
 	}
@@ -133,8 +133,8 @@
 	}
 	b.Handle(0, list)
 	rng := model.Stream(seed, "paper", 0)
-	mean = w.play(rng, func(now time.Duration, n int) int {
-		for _, a := range b.Handle(now, balancer.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + neverLate}) {
+	mean = w.simulate(rng, func(now time.Duration, n int) int {
+		for _, a := range b.Handle(now, balancer.Request{ID: strconv.Itoa(n), Class: "c", Deadline: now + unreachableDeadline}) {
 			if s, ok := a.(balancer.Send); ok {
 				return indexes[s.Server]
 			}
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -85,11 +85,11 @@
 
 // printer writes tables and counts the figures that are not as published.
 type printer struct {
-	w         io.Writer
-	differing int
-	compared  int
-	errataMet []string // errata met
-	err       error
+	w           io.Writer
+	differences int
+	compared    int
+	errataFound []string // errata met
+	err         error
 }
 
 func (p *printer) printf(format string, args ...any) {
@@ -111,9 +111,9 @@
 		mark = markRounding
 	case errata[published] != "":
 		mark = markErratum
-		p.errataMet = append(p.errataMet, published)
+		p.errataFound = append(p.errataFound, published)
 	default:
-		p.differing++
+		p.differences++
 		mark = markDiffers
 	}
 	return fmt.Sprintf("%9s %9s%s", got, published, mark)
@@ -132,11 +132,11 @@
 		p.writeTable4(runs, seed)
 	}
 	p.printf("\n")
-	for _, f := range p.errataMet {
+	for _, f := range p.errataFound {
 		p.printf("e: published %s: %s\n", f, errata[f])
 	}
-	p.printf("%d figures compared, %d differ\n", p.compared, p.differing)
-	return p.differing, p.err
+	p.printf("%d figures compared, %d differ\n", p.compared, p.differences)
+	return p.differences, p.err
 }
 
 func (p *printer) writeTable2() {
@@ -198,7 +198,7 @@
 		mark := markSame
 		p.compared++
 		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half {
-			p.differing++
+			p.differences++
 			mark = markDiffers
 		}
 		if i == 1 {
--- a/internal/lab/policies/choice.go
+++ b/internal/lab/policies/choice.go
@@ -5,18 +5,18 @@
 // leftShare is the share of the list that is the left group of TwoLeft.
 const leftShare = 0.5
 
-// firstTurns is the range from which round-robin draws where it begins, so that nodes don't all begin with one server.
-const firstTurns = 1 << 20
+// maxFirstIndex is the range from which round-robin draws where it begins, so that nodes don't all begin with one server.
+const maxFirstIndex = 1 << 20
 
-// choice chooses one of some servers, at least one.
-type choice func(servers []*endpoint) *endpoint
+// chooser chooses one of some servers, at least one.
+type chooser func(servers []*endpoint) *endpoint
 
 // random chooses any server.
 func (r *reference) random(servers []*endpoint) *endpoint { return servers[r.rng.IntN(len(servers))] }
 
 // roundRobin chooses one server after another.
-func (r *reference) roundRobin() choice {
-	next := r.rng.IntN(firstTurns)
+func (r *reference) roundRobin() chooser {
+	next := r.rng.IntN(maxFirstIndex)
 	return func(servers []*endpoint) *endpoint {
 		next++
 		return servers[next%len(servers)]
@@ -57,7 +57,7 @@
 }
 
 // shortestQueue chooses the server that really holds the fewest requests, any of equal ones.
-func (r *reference) shortestQueue(inFlight InFlight) choice {
+func (r *reference) shortestQueue(inFlight InFlight) chooser {
 	return func(servers []*endpoint) (best *endpoint) {
 		fewest, ties := math.MaxInt, 0
 		for _, s := range servers {
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -25,7 +25,7 @@
 
 // A reference that ran a weigh-in twice would win by breaking the rules. What never ran is sent elsewhere, up to three
 // times, and then rejected; what may have run is sent again only if it is idempotent.
-func TestReferencesKeepTheRules(t *testing.T) {
+func TestReferencesRespectEffectAndMaxAttempts(t *testing.T) {
 	for _, name := range []string{"random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"} {
 		p, err := New(name, settings(), 1, func(string) int { return 0 })
 		if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // A server that drains or is removed gets nothing new, and attempts that are out may still end.
-func TestReferencesFollowTheList(t *testing.T) {
+func TestReferencesSendOnlyToReadyServers(t *testing.T) {
 	p, err := New(LeastOfTwo, settings(), 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	}
 }
 
-func BenchmarkChange(b *testing.B) {
+func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 10000} {
 		b.Run(strconv.Itoa(servers), func(b *testing.B) {
 			p, err := New(Module, settings(), 1, nil)
--- a/internal/lab/policies/reference.go
+++ b/internal/lab/policies/reference.go
@@ -27,7 +27,7 @@
 type reference struct {
 	settings     balancer.Settings
 	rng          *rand.Rand
-	choose       choice
+	choose       chooser
 	endpoints    map[string]*endpoint
 	ready        []*endpoint // by ID
 	requests     map[string]*request
@@ -43,12 +43,12 @@
 
 // request is one that is not answered, or has attempts out.
 type request struct {
-	class       balancer.Class
-	deadline    time.Duration
-	attempts    []*endpoint
-	mayHaveRun  bool
-	attemptsOut int
-	answered    bool
+	class            balancer.Class
+	deadline         time.Duration
+	attempts         []*endpoint
+	mayHaveRun       bool
+	attemptsInFlight int
+	answered         bool
 }
 
 func newReference(settings balancer.Settings, seed uint64) *reference {
@@ -76,7 +76,7 @@
 	case balancer.ClientGone:
 		if q := r.requests[e.ID]; q != nil {
 			q.answered = true
-			r.forgetIfOver(e.ID, q)
+			r.deleteIfFinished(e.ID, q)
 		}
 	}
 	return r.actions
@@ -152,13 +152,13 @@
 		} else {
 			r.emit(balancer.Fail{ID: id})
 		}
-		r.forgetIfOver(id, q)
+		r.deleteIfFinished(id, q)
 		return
 	}
 	chosen := r.choose(untried)
 	chosen.inFlight++
 	q.attempts = append(q.attempts, chosen)
-	q.attemptsOut++
+	q.attemptsInFlight++
 	r.emit(balancer.Send{ID: id, Server: chosen.ID, Timeout: q.deadline - now})
 }
 
@@ -174,23 +174,23 @@
 		return
 	}
 	q.attempts[e.Attempt].inFlight--
-	q.attemptsOut--
+	q.attemptsInFlight--
 	if e.Outcome != balancer.Overloaded && e.Outcome != balancer.Unreachable && e.Outcome != balancer.NotSent {
 		q.mayHaveRun = true
 	}
 	if e.RequestDone {
 		q.answered = true
 	}
-	if !q.answered && q.attemptsOut == 0 {
+	if !q.answered && q.attemptsInFlight == 0 {
 		r.dispatch(now, e.ID, q)
 		return
 	}
-	r.forgetIfOver(e.ID, q)
+	r.deleteIfFinished(e.ID, q)
 }
 
-// forgetIfOver drops a request that is answered and has no attempt out.
-func (r *reference) forgetIfOver(id string, q *request) {
-	if q.answered && q.attemptsOut == 0 {
+// deleteIfFinished drops a request that is answered and has no attempt out.
+func (r *reference) deleteIfFinished(id string, q *request) {
+	if q.answered && q.attemptsInFlight == 0 {
 		delete(r.requests, id)
 	}
 }
--- a/internal/lab/scenario/blocks.go
+++ b/internal/lab/scenario/blocks.go
@@ -9,30 +9,31 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Bounds of settings: what is beyond them is a mistake, and would only exhaust the machine that plays it.
+// Bounds and defaults of settings. A value beyond its bound is a mistake and would only exhaust the machine that runs the
+// scenario.
 const (
-	day                = 24 * time.Hour        // the longest scenario, and the latest fault
-	millisecond        = time.Millisecond      // the shortest length, objective and deadline
-	maxSeed            = 1 << 53               // a number of the file's grammar holds no larger integer exactly
-	maxTiers           = 8                     // of a chain
+	day                = 24 * time.Hour        // the longest scenario, and the latest start of a fault
+	millisecond        = time.Millisecond      // the shortest scenario, latency objective and deadline
+	maxSeed            = 1 << 53               // the files' numbers are float64, which is exact up to here
+	maxTiers           = 8                     // of a scenario
 	maxServers         = 100000                // of a tier
-	maxRequestsHeld    = 1 << 20               // in a slot or queue, and connections of one server
-	maxWeight          = 1e6                   // of shares and priorities
-	maxRate            = 1e6                   // a second
-	maxBytes           = 1 << 30               // after which a connection breaks
-	minPeriod          = 10 * time.Millisecond // of a fault that goes on and off
-	bytesPerKilobyte   = 1000                  // as rate_kb counts
-	defaultTryShare    = 0.55                  // of the deadline: leaves time for a retry
-	defaultTargetShare = 0.2                   // of servers or nodes
+	maxRequestsHeld    = 1 << 20               // limit on a server's slots, queue and connections
+	maxWeight          = 1e6                   // of shares and priority weights
+	maxRate            = 1e6                   // per second
+	maxBytes           = 1 << 30               // that a link carries before it breaks
+	minPeriod          = 10 * time.Millisecond // of a fault that alternates between on and off
+	bytesPerKilobyte   = 1000                  // in rate_kb
+	defaultTryShare    = 0.55                  // of the deadline; leaves time for a retry
+	defaultTargetShare = 0.2                   // of servers or nodes that a fault hits
 )
 
-// readHeader reads the block scenario.
+// readHeader reads a block scenario.
 func (s *Scenario) readHeader(r *settings.Reader, repeated bool) {
 	if repeated {
-		r.AddErrorAt(r.Block.Line, "block scenario is there already")
+		r.AddErrorAt(r.Block.Line, "block scenario is already defined")
 	}
 	s.Name = r.Label()
-	r.Text("base", "") // Parse has applied it
+	r.Text("base", "") // applied by Parse
 	s.Seed = uint64(r.Integer("seed", 1, 0, maxSeed))
 	s.Length = r.Seconds("length_s", 30*time.Second, millisecond, day)
 	s.Policy = r.OneOf("policy", policies.Names...)
@@ -42,7 +43,7 @@
 func (s *Scenario) readTier(r *settings.Reader, _ bool) {
 	t := Tier{Name: r.Label(), Work: r.Number("work", 1, 0.0001, 100), Calls: r.Number("calls", 1, 0, 20)}
 	if slices.ContainsFunc(s.Tiers, func(o Tier) bool { return o.Name == t.Name }) {
-		r.AddErrorAt(r.Block.Line, "tier %s is there already", t.Name)
+		r.AddErrorAt(r.Block.Line, "tier %s is already defined", t.Name)
 	}
 	for _, inner := range r.Blocks("kind") {
 		t.Kinds = append(t.Kinds, readServerKind(inner))
@@ -52,31 +53,31 @@
 		r.AddErrorAt(r.Block.Line, "tier %s has no kind", t.Name)
 	}
 	if t.ServerCount() > maxServers {
-		r.AddErrorAt(r.Block.Line, "tier %s has over %d servers", t.Name, maxServers)
+		r.AddErrorAt(r.Block.Line, "tier %s has more than %d servers", t.Name, maxServers)
 	}
 	s.Tiers = append(s.Tiers, t)
 	if len(s.Tiers) > maxTiers {
-		r.AddErrorAt(r.Block.Line, "over %d tiers", maxTiers)
+		r.AddErrorAt(r.Block.Line, "more than %d tiers", maxTiers)
 	}
 }
 
 // readServerKind reads a block kind of a tier.
 func readServerKind(r *settings.Reader) ServerKind {
 	return ServerKind{
-		Name:             r.Label(),
-		Count:            r.Integer("count", 1, 1, maxServers),
-		Cores:            r.Number("cores", 2, 0.01, 1024),
-		Speed:            r.Number("speed", 1, 0.0001, 1000),
-		Concurrency:      r.Integer("slots", 64, 1, maxRequestsHeld),
-		QueueLength:      r.Integer("queue", 32, 0, maxRequestsHeld),
-		CrowdingLoss:     r.Number("thrash", 0.1, 0, 100),
-		CrowdedAbove:     r.Integer("thrash_at", 48, 1, maxRequestsHeld),
-		WarmupStartShare: r.Number("cold_from", 0.35, 0.001, 1),
-		WarmupDuration:   r.Seconds("cold_s", 6*time.Second, 0, time.Hour),
-		MaxConnections:   r.Integer("conns", 1200, 1, maxRequestsHeld),
-		HandshakeWork:    time.Duration(r.Number("handshake_us", 800, 0, 1e6) * float64(time.Microsecond)),
-		ErrorRate:        r.Number("error_rate", 0, 0, 1),
-		CancelsQueued:    r.OneOf("cancel", "none", "queued") == "queued",
+		Name:                r.Label(),
+		Count:               r.Integer("count", 1, 1, maxServers),
+		Cores:               r.Number("cores", 2, 0.01, 1024),
+		Speed:               r.Number("speed", 1, 0.0001, 1000),
+		Concurrency:         r.Integer("slots", 64, 1, maxRequestsHeld),
+		QueueLength:         r.Integer("queue", 32, 0, maxRequestsHeld),
+		ContentionLoss:      r.Number("thrash", 0.1, 0, 100),
+		ContentionThreshold: r.Integer("thrash_at", 48, 1, maxRequestsHeld),
+		WarmupStartShare:    r.Number("cold_from", 0.35, 0.001, 1),
+		WarmupDuration:      r.Seconds("cold_s", 6*time.Second, 0, time.Hour),
+		MaxConnections:      r.Integer("conns", 1200, 1, maxRequestsHeld),
+		HandshakeWork:       time.Duration(r.Number("handshake_us", 800, 0, 1e6) * float64(time.Microsecond)),
+		ErrorRate:           r.Number("error_rate", 0, 0, 1),
+		CancelsQueued:       r.OneOf("cancel", "none", "queued") == "queued",
 	}
 }
 
@@ -99,10 +100,10 @@
 		c.Effect = balancer.Idempotent
 	}
 	if c.Deadline < c.LatencyObjective {
-		r.AddErrorAt(r.Block.Line, "class %s: deadline_ms is under aim_ms", c.Name)
+		r.AddErrorAt(r.Block.Line, "class %s: deadline_ms is less than aim_ms", c.Name)
 	}
 	if c.Name == "" || slices.ContainsFunc(s.Classes, func(o Class) bool { return o.Name == c.Name }) {
-		r.AddErrorAt(r.Block.Line, "class %q is empty or there already", c.Name)
+		r.AddErrorAt(r.Block.Line, "class %q has an empty name or is already defined", c.Name)
 	}
 	s.Classes = append(s.Classes, c)
 }
@@ -111,32 +112,32 @@
 func (s *Scenario) readTenant(r *settings.Reader, _ bool) {
 	t := Tenant{Name: r.Label(), Share: r.Number("share", 1, 0, maxWeight)}
 	if t.Name == "" || slices.ContainsFunc(s.Tenants, func(o Tenant) bool { return o.Name == t.Name }) {
-		r.AddErrorAt(r.Block.Line, "tenant %q is empty or there already", t.Name)
+		r.AddErrorAt(r.Block.Line, "tenant %q has an empty name or is already defined", t.Name)
 	}
 	s.Tenants = append(s.Tenants, t)
 }
 
-// readClients reads the block clients.
+// readClients reads a block clients.
 func (s *Scenario) readClients(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Clients = Clients{
-		Rate:             r.Number("rate", 100, 0.001, maxRate),
-		Arrivals:         r.OneOf("arrivals", ArrivalsPoisson, ArrivalsRamp, ArrivalsRecorded),
-		ArrivalsFile:     r.Text("file", ""),
-		Retries:          r.Integer("retries", 2, 0, 20),
-		TryTimeoutShare:  r.Number("try_share", defaultTryShare, 0.01, 1),
-		Backoff:          r.Milliseconds("backoff_ms", 200*millisecond, 0, time.Minute),
-		HonourRetryAfter: r.Number("honour", 0.25, 0, 1),
-		MarkRetries:      r.OneOf("marks", "on", "off") == "on",
-		ImpatientShare:   r.Number("impatient", 0, 0, 1),
-		ClosedLoop:       r.Integer("closed_loop", 0, 0, 100000),
+		Rate:                 r.Number("rate", 100, 0.001, maxRate),
+		Arrivals:             r.OneOf("arrivals", ArrivalsPoisson, ArrivalsRamp, ArrivalsRecorded),
+		ArrivalsFile:         r.Text("file", ""),
+		Retries:              r.Integer("retries", 2, 0, 20),
+		TryTimeoutShare:      r.Number("try_share", defaultTryShare, 0.01, 1),
+		Backoff:              r.Milliseconds("backoff_ms", 200*millisecond, 0, time.Minute),
+		HonorRetryAfterShare: r.Number("honour", 0.25, 0, 1),
+		MarkRetries:          r.OneOf("marks", "on", "off") == "on",
+		ImpatientShare:       r.Number("impatient", 0, 0, 1),
+		ClosedLoop:           r.Integer("closed_loop", 0, 0, 100000),
 	}
 	if (s.Clients.Arrivals == ArrivalsRecorded) != (s.Clients.ArrivalsFile != "") {
-		r.AddErrorAt(r.Block.Line, "arrivals = \"recorded\" and file go together")
+		r.AddErrorAt(r.Block.Line, "arrivals = \"recorded\" and file must be set together")
 	}
 }
 
-// readIngress reads the block front.
+// readIngress reads a block front.
 func (s *Scenario) readIngress(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Ingress = Ingress{
@@ -145,7 +146,7 @@
 	}
 }
 
-// readDiscovery reads the block discovery.
+// readDiscovery reads a block discovery.
 func (s *Scenario) readDiscovery(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Discovery = Discovery{
@@ -162,7 +163,7 @@
 	}
 }
 
-// readNetwork reads the block net.
+// readNetwork reads a block net.
 func (s *Scenario) readNetwork(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Network = Network{
@@ -175,7 +176,7 @@
 	}
 }
 
-// readRules reads the block rules.
+// readRules reads a block rules.
 func (s *Scenario) readRules(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Rules = Rules{
@@ -188,7 +189,7 @@
 	}
 }
 
-// readFleet reads the block fleet.
+// readFleet reads a block fleet.
 func (s *Scenario) readFleet(r *settings.Reader, repeated bool) {
 	r.CheckSingle(repeated)
 	s.Fleet = Fleet{
@@ -230,7 +231,7 @@
 	s.Faults = append(s.Faults, f)
 }
 
-// checkFault checks what a fault needs of the rest of the scenario.
+// checkFault checks that a fault's kind is known and that the rest of the scenario has what the fault refers to.
 func (s *Scenario) checkFault(r *settings.Reader, f Fault) {
 	if !slices.Contains(WorldFaultKinds, f.Kind) && !slices.Contains(ProcessFaultKinds, f.Kind) {
 		r.AddErrorAt(r.Block.Line, "unknown trouble %q", f.Kind)
@@ -242,12 +243,12 @@
 		r.AddErrorAt(line, "class %q is not one of the classes", f.Class)
 	}
 	if !s.Fleet.AdminCalls && (f.Kind == FaultUpgrade || f.Kind == FaultAdminOverride || f.Folder != FolderKept) {
-		r.AddErrorAt(r.Block.Line, "%s with folder %s needs fleet { control = \"on\" }", f.Kind, f.Folder)
+		r.AddErrorAt(r.Block.Line, "trouble %s with folder = %q requires fleet { control = \"on\" }", f.Kind, f.Folder)
 	}
 	if line, ok := r.LineOf("size"); ok && f.Magnitude == 0 {
-		r.AddErrorAt(line, "size must be above 0")
+		r.AddErrorAt(line, "size must be greater than 0")
 	}
 	if f.Period > 0 && f.Period < minPeriod {
-		r.AddErrorAt(r.Block.Line, "period_s is under %g", minPeriod.Seconds())
+		r.AddErrorAt(r.Block.Line, "period_s is less than %g", minPeriod.Seconds())
 	}
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -10,26 +10,26 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// maxFileSize is the longest scenario file in bytes: a larger one is a mistake, not a scenario.
+// maxFileSize is the maximum size of a scenario file in bytes. A larger file is not a scenario but a mistake.
 const maxFileSize = 1 << 20
 
-// defaultTenant is the only tenant of a file that names none.
+// defaultTenant is the only tenant of a file that defines no tenant.
 const defaultTenant = "benchland"
 
-// blockOrder is the order in which blocks are read. Faults name tiers and classes, so they come last.
+// blockOrder is the order in which blocks are read. Faults refer to tiers and classes, so they are read last.
 var blockOrder = []string{"scenario", "tier", "class", "tenant", "clients", "front", "discovery", "net", "rules", "fleet", "trouble"}
 
-// singleBlocks are the blocks of which there is at most one; a missing one has all its defaults.
+// singleBlocks are the blocks that may occur at most once. A missing one takes its defaults.
 var singleBlocks = []string{"clients", "front", "discovery", "net", "rules", "fleet"}
 
-// requiredBlocks are those that every scenario has.
+// requiredBlocks are the blocks that every scenario must have.
 var requiredBlocks = []string{"scenario", "tier", "class"}
 
-// blocksByKind are the blocks of a file, each with the reader of its settings.
+// blocksByKind maps a kind of block to the readers of the file's blocks of this kind.
 type blocksByKind map[string][]*settings.Reader
 
-// Override gives a setting another value than the file does. Path is "block.setting", as "clients.rate", or
-// "block.label.setting" where several blocks of a kind have labels, as "class.bin-weighin.share".
+// Override replaces the value of a setting. Path is "block.setting", such as "clients.rate", or "block.label.setting" for
+// blocks with labels, such as "class.bin-weighin.share".
 type Override struct{ Path, Value string }
 
 // Load reads a scenario file.
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	if len(text) > maxFileSize {
-		return nil, fmt.Errorf("scenario: %s is over %d bytes", path, maxFileSize)
+		return nil, fmt.Errorf("scenario: %s is larger than %d bytes", path, maxFileSize)
 	}
 	s, err := Parse(path, text, os.ReadFile, overrides...)
 	if err != nil {
@@ -48,8 +48,9 @@
 	return s, nil
 }
 
-// Parse reads the text of a scenario file. Errors begin with its name and the line. Where the file names a base file,
-// read returns that file's text: block kinds that the file itself has none of are the base's, except for faults.
+// Parse parses the text of a scenario file. Errors begin with the file's name and the line. If the file names a base file,
+// read returns the text of the base. Block kinds that the file does not have are inherited from the base, except for
+// faults.
 func Parse(name string, text []byte, read func(path string) ([]byte, error), overrides ...Override) (*Scenario, error) {
 	blocks, err := groupBlocks(name, text)
 	if err != nil {
@@ -94,14 +95,14 @@
 	return s, nil
 }
 
-// addIfMissing adds an empty block of a kind that the file has none of.
+// addIfMissing adds an empty block if the file has no block of the kind.
 func (blocks blocksByKind) addIfMissing(name, kind string) {
 	if len(blocks[kind]) == 0 {
 		blocks[kind] = []*settings.Reader{settings.NewReader(name, settings.Block{Kind: kind, Line: 1})}
 	}
 }
 
-// groupBlocks reads a file's blocks by their kinds.
+// groupBlocks parses a file's blocks and groups them by kind.
 func groupBlocks(name string, text []byte) (blocksByKind, error) {
 	list, err := settings.ParseBlocks(name, text)
 	if err != nil {
@@ -117,7 +118,8 @@
 	return blocks, nil
 }
 
-// applyBase adds the blocks of the base file, if the file names one, where the file itself has none of the kind.
+// applyBase adds the base file's blocks of each kind that the file itself does not have. It does nothing if the file names
+// no base.
 func (blocks blocksByKind) applyBase(name string, read func(string) ([]byte, error)) error {
 	if len(blocks["scenario"]) == 0 {
 		return nil
@@ -142,7 +144,7 @@
 	}
 	if headers := inherited["scenario"]; len(headers) > 0 {
 		if at, named := headers[0].LineOf("base"); named {
-			return settings.ErrorAt(path, at, "a base has no base of its own")
+			return settings.ErrorAt(path, at, "a base file must not name another base")
 		}
 	}
 	for _, kind := range blockOrder {
@@ -153,11 +155,11 @@
 	return nil
 }
 
-// apply gives the setting its value in every block that the path names. A missing single block is added.
+// apply sets the value in every block that matches the path. A missing block of singleBlocks is added.
 func (o Override) apply(name string, blocks blocksByKind) error {
 	parts := strings.Split(o.Path, ".")
 	if len(parts) < 2 || len(parts) > 3 {
-		return fmt.Errorf("%s: want block.setting or block.label.setting", o.Path)
+		return fmt.Errorf("invalid setting path %q: want block.setting or block.label.setting", o.Path)
 	}
 	kind, setting := parts[0], parts[len(parts)-1]
 	if slices.Contains(singleBlocks, kind) {
--- a/internal/lab/sweep/cell.go
+++ b/internal/lab/sweep/cell.go
@@ -55,13 +55,13 @@
 	return safe + "_seed-" + strconv.FormatUint(c.Seed, 10) + ".json"
 }
 
-// loadOrPlay takes a cell's results from the folder, or plays it and writes them there.
-func (c *Cell) loadOrPlay(file, folder string) error {
+// loadOrRun takes a cell's results from the folder, or plays it and writes them there.
+func (c *Cell) loadOrRun(file, folder string) error {
 	path := filepath.Join(folder, c.fileName())
 	if c.load(path) {
 		return nil
 	}
-	if err := c.play(file); err != nil {
+	if err := c.run(file); err != nil {
 		return err
 	}
 	text, err := json.Marshal(c)
@@ -85,8 +85,8 @@
 	return true
 }
 
-// play plays the cell in virtual time.
-func (c *Cell) play(file string) error {
+// run plays the cell in virtual time.
+func (c *Cell) run(file string) error {
 	s, err := loadScenario(file, c.Settings)
 	if err != nil {
 		return err
--- a/internal/lab/sweep/chart.go
+++ b/internal/lab/sweep/chart.go
@@ -86,8 +86,8 @@
 	return 10 * unit
 }
 
-// begin draws the axes, and the legend below the plot.
-func (c *chart) begin(out *bytes.Buffer) *svg.SVG {
+// drawAxes draws the axes, and the legend below the plot.
+func (c *chart) drawAxes(out *bytes.Buffer) *svg.SVG {
 	s := svg.New(out)
 	tall := height + legendLine*len(c.series)
 	s.Startview(width, tall, 0, 0, width, tall)
@@ -117,7 +117,7 @@
 // timeline draws lines over seconds, and shades the times of faults.
 func (c *chart) timeline(faults []FaultInterval) template.HTML {
 	var out bytes.Buffer
-	s := c.begin(&out)
+	s := c.drawAxes(&out)
 	x := func(t float64) int {
 		return leftMargin + int(math.Round(math.Min(t, float64(c.maxLength-1))/math.Max(1, float64(c.maxLength-1))*plotWidth))
 	}
@@ -142,7 +142,7 @@
 // bars draws a bar for each line's first value, with a line from its second to its third.
 func (c *chart) bars() template.HTML {
 	var out bytes.Buffer
-	s := c.begin(&out)
+	s := c.drawAxes(&out)
 	step := plotWidth / max(1, len(c.series))
 	for i, line := range c.series {
 		x, wide := leftMargin+i*step+step/4, max(2, step/2)
@@ -155,7 +155,7 @@
 // overSetting draws lines over the values of a setting; values that a line does not have are passed over.
 func (c *chart) overSetting(path string) template.HTML {
 	var out bytes.Buffer
-	s := c.begin(&out)
+	s := c.drawAxes(&out)
 	first, last := c.positions[0], c.positions[len(c.positions)-1]
 	x := func(v float64) int { return leftMargin + int(math.Round((v-first)/(last-first)*plotWidth)) }
 	for _, v := range c.positions {
--- a/internal/lab/sweep/run.go
+++ b/internal/lab/sweep/run.go
@@ -20,14 +20,14 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, fmt.Errorf("sweep: %w", err)
 	}
-	if err := playAll(ctx, cells, g.File, folder, progress); err != nil {
+	if err := runAll(ctx, cells, g.File, folder, progress); err != nil {
 		return nil, fmt.Errorf("sweep: %w", err)
 	}
 	return cells, Write(dir, cells)
 }
 
-// playAll completes all cells, and stops at the first error.
-func playAll(ctx context.Context, cells []Cell, file, folder string, progress func(done, of int)) error {
+// runAll completes all cells, and stops at the first error.
+func runAll(ctx context.Context, cells []Cell, file, folder string, progress func(done, of int)) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	var workers sync.WaitGroup
@@ -37,7 +37,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for i := range next {
-				if err := cells[i].loadOrPlay(file, folder); err != nil {
+				if err := cells[i].loadOrRun(file, folder); err != nil {
 					stop(err)
 					continue
 				}
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -77,7 +77,7 @@
 }
 
 // A wrong value must not be found after hours of playing: the complete grid is read before anything is played.
-func TestGridIsReadBeforePlaying(t *testing.T) {
+func TestGridIsValidatedBeforeAnyRun(t *testing.T) {
 	for want, breakGrid := range map[string]func(*Grid){
 		"unknown policy":     func(g *Grid) { g.Policies = []string{"guess"} },
 		"rate must be from":  func(g *Grid) { g.Settings[0].Values = []string{"50", "-1"} },
@@ -145,7 +145,7 @@
 }
 
 // The page loads nothing from elsewhere, and the name of a scenario can't inject markup.
-func TestReportStandsAlone(t *testing.T) {
+func TestReportIsSelfContained(t *testing.T) {
 	list := cells(0.5, 0.6)
 	big := cells(0.3, 0.4)
 	for i := range big {
