--- a/internal/lab/sweep/cell.go
+++ b/internal/lab/sweep/cell.go
@@ -13,7 +13,7 @@
 	"hookwalk.example/hookwalk/internal/lab/simulation"
 )
 
-// Cell is one experiment and its results, as results files hold them.
+// Cell is one experiment and its results, as stored in results files.
 type Cell struct {
 	Scenario    string             `json:"scenario"`
 	Settings    map[string]string  `json:"set"`
@@ -25,14 +25,14 @@
 	Faults      []FaultInterval    `json:"troubles,omitempty"`
 }
 
-// FaultInterval is when a fault was there, in seconds.
+// FaultInterval is the time during which a fault was active, in seconds from the start of the run.
 type FaultInterval struct {
 	Kind string  `json:"kind"`
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 }
 
-// Group names what cells have in common but for the seed.
+// Group returns the policy and the settings, which all cells of a group have in common.
 func (c Cell) Group() string {
 	text := c.Policy
 	for _, path := range slices.Sorted(maps.Keys(c.Settings)) {
@@ -41,10 +41,10 @@
 	return text
 }
 
-// groupName is the group with its scenario.
+// groupName returns the group with the name of its scenario.
 func (c Cell) groupName() string { return c.Scenario + ": " + c.Group() }
 
-// fileName is the name of the cell's file.
+// fileName returns the name of the cell's results file.
 func (c Cell) fileName() string {
 	safe := strings.Map(func(r rune) rune {
 		if r == '=' || r == '.' || r == '-' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' {
@@ -55,7 +55,7 @@
 	return safe + "_seed-" + strconv.FormatUint(c.Seed, 10) + ".json"
 }
 
-// loadOrRun takes a cell's results from the folder, or plays it and writes them there.
+// loadOrRun loads the cell's results from the folder. If there are none, it runs the cell and stores them.
 func (c *Cell) loadOrRun(file, folder string) error {
 	path := filepath.Join(folder, c.fileName())
 	if c.load(path) {
@@ -71,7 +71,7 @@
 	return replaceFile(path, text)
 }
 
-// load reads the results of this cell from a file. It returns false if the file has none.
+// load reads the results of this cell from a file. It reports whether the file has them.
 func (c *Cell) load(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// run plays the cell in virtual time.
+// run simulates the cell in virtual time.
 func (c *Cell) run(file string) error {
 	s, err := loadScenario(file, c.Settings)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// replaceFile writes a file completely or not at all: what a stopped sweep leaves can be trusted.
+// replaceFile writes a file completely or not at all, so that the results of a stopped sweep can be trusted.
 func replaceFile(path string, text []byte) error {
 	partial := path + ".part"
 	if err := os.WriteFile(partial, text, 0o644); err != nil {
--- a/internal/lab/sweep/chart.go
+++ b/internal/lab/sweep/chart.go
@@ -9,33 +9,33 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// The page's plots are drawn on a plain SVG writer. A plotting library would do more: gonum's was tried, and its
-// fonts and their readers, linked into the one program, cost every node 4.8 MB of the 32 that the smallest has.
+// The plots are drawn with a plain SVG writer. The lab and the node are one program, and a plotting library would cost every
+// node memory: the fonts and font parsers of gonum's library take 4.8 MB of the 32 MB that the smallest node has.
 
-// Sizes in pixels: of a plot, of its margins for axes and labels, and of a line in its legend.
+// Sizes in pixels of a plot, its margins and its legend.
 const (
-	width, height           = 900, 340                          // of the plot with its margins
-	leftMargin, rightMargin = 70, 20                            // the left one holds labels of values
-	topMargin, bottomMargin = 15, 35                            // the bottom one holds labels of seconds or settings
+	width, height           = 900, 340                          // of the plot, including margins
+	leftMargin, rightMargin = 70, 20                            // the left one holds the labels of values
+	topMargin, bottomMargin = 15, 35                            // the bottom one holds the labels of seconds or settings
 	legendLine              = 16                                // height
 	legendBox               = 10                                // side of a color sample
-	plotWidth               = width - leftMargin - rightMargin  // without margins
-	plotHeight              = height - topMargin - bottomMargin // without margins
+	plotWidth               = width - leftMargin - rightMargin  // excluding margins
+	plotHeight              = height - topMargin - bottomMargin // excluding margins
 )
 
 const (
 	ticks     = 5 // intervals between labels on an axis
-	faultRows = 8 // labels of faults below each other, before they begin at the top again
+	faultRows = 8 // rows for labels of faults; further labels start at the top again
 )
 
-// Styles of what is drawn more than once.
+// Styles that are used more than once.
 const (
-	lineStyle   = "fill:none;stroke-width:1.5;stroke:" // of a series, before its color
+	lineStyle   = "fill:none;stroke-width:1.5;stroke:" // of a series; the color is appended
 	middleLabel = "text-anchor:middle"                 // centered at its position
 	endLabel    = "text-anchor:end"                    // ends at its position
 )
 
-// colors are those of the series, in their order.
+// colors are the colors of the series, in order.
 var colors = []string{"#1f77b4", "#d62728", "#2ca02c", "#ff7f0e", "#9467bd", "#8c564b", "#e377c2", "#17becf", "#bcbd22", "#7f7f7f", "#111111", "#aa7711"}
 
 // series is a line or a bar of a chart.
@@ -44,35 +44,35 @@
 	values []float64
 }
 
-// chart is a plot that is being made.
+// chart collects the series of a plot and draws it.
 type chart struct {
 	unit      string
 	series    []series
 	maxValue  float64
 	maxLength int
-	positions []float64 // of the values of every line, where that is not by the second
+	positions []float64 // of the values on the horizontal axis; nil if there is a value per second
 }
 
-// newChart returns an empty chart of a unit.
+// newChart returns an empty chart of values with the unit.
 func newChart(unit string) *chart { return &chart{unit: unit} }
 
-// add adds a line or bar.
+// add adds a series.
 func (c *chart) add(line series) {
 	c.series = append(c.series, line)
 	for _, y := range line.values {
-		if y > c.maxValue { // false for a missing value, which is not a number
+		if y > c.maxValue { // false for a missing value, which is NaN
 			c.maxValue = y
 		}
 	}
 	c.maxLength = max(c.maxLength, len(line.values))
 }
 
-// yPixel is the height of a value.
+// yPixel returns the vertical position of a value.
 func (c *chart) yPixel(v float64) int {
 	return topMargin + plotHeight - int(math.Round(v/c.scale()*plotHeight))
 }
 
-// scale is the value at the top: the next round one.
+// scale returns the value at the top of the chart: maxValue, rounded up to a round value.
 func (c *chart) scale() float64 {
 	if c.maxValue <= 0 {
 		return 1
@@ -86,11 +86,11 @@
 	return 10 * unit
 }
 
-// drawAxes draws the axes, and the legend below the plot.
+// drawAxes draws the axes and the legend below the plot.
 func (c *chart) drawAxes(out *bytes.Buffer) *svg.SVG {
 	s := svg.New(out)
-	tall := height + legendLine*len(c.series)
-	s.Startview(width, tall, 0, 0, width, tall)
+	totalHeight := height + legendLine*len(c.series)
+	s.Startview(width, totalHeight, 0, 0, width, totalHeight)
 	s.Gstyle("font:12px sans-serif")
 	for i := range ticks + 1 {
 		v := c.scale() * float64(i) / ticks
@@ -106,15 +106,15 @@
 	return s
 }
 
-// finish returns the finished plot, without the XML header that a page must not have inside.
+// finish returns the finished plot without its XML header, which is not allowed within a page.
 func finish(s *svg.SVG, out *bytes.Buffer) template.HTML {
 	s.Gend()
 	s.End()
 	text := out.Bytes()
-	return template.HTML(text[max(0, bytes.Index(text, []byte("<svg"))):]) // svgo escapes what it is given
+	return template.HTML(text[max(0, bytes.Index(text, []byte("<svg"))):]) // svgo escapes texts
 }
 
-// timeline draws lines over seconds, and shades the times of faults.
+// timeline draws the series over time in seconds and shades the intervals of faults.
 func (c *chart) timeline(faults []FaultInterval) template.HTML {
 	var out bytes.Buffer
 	s := c.drawAxes(&out)
@@ -139,21 +139,21 @@
 	return finish(s, &out)
 }
 
-// bars draws a bar for each line's first value, with a line from its second to its third.
+// bars draws a bar for the first value of each series, with a line from the second value to the third.
 func (c *chart) bars() template.HTML {
 	var out bytes.Buffer
 	s := c.drawAxes(&out)
 	step := plotWidth / max(1, len(c.series))
 	for i, line := range c.series {
-		x, wide := leftMargin+i*step+step/4, max(2, step/2)
-		s.Rect(x, c.yPixel(line.values[0]), wide, max(0, c.yPixel(0)-c.yPixel(line.values[0])), "fill:"+colors[i%len(colors)])
-		s.Line(x+wide/2, c.yPixel(line.values[1]), x+wide/2, c.yPixel(line.values[2]), "stroke:#000")
+		x, barWidth := leftMargin+i*step+step/4, max(2, step/2)
+		s.Rect(x, c.yPixel(line.values[0]), barWidth, max(0, c.yPixel(0)-c.yPixel(line.values[0])), "fill:"+colors[i%len(colors)])
+		s.Line(x+barWidth/2, c.yPixel(line.values[1]), x+barWidth/2, c.yPixel(line.values[2]), "stroke:#000")
 	}
 	return finish(s, &out)
 }
 
-// overSetting draws lines over the values of a setting; values that a line does not have are passed over.
-func (c *chart) overSetting(path string) template.HTML {
+// linesOverSetting draws the series over the values of a setting. It skips missing values.
+func (c *chart) linesOverSetting(path string) template.HTML {
 	var out bytes.Buffer
 	s := c.drawAxes(&out)
 	first, last := c.positions[0], c.positions[len(c.positions)-1]
--- a/internal/lab/sweep/compare.go
+++ b/internal/lab/sweep/compare.go
@@ -10,19 +10,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile is the quantile of Student's t that bounds a 95% interval from above.
+// upperQuantile is the quantile of Student's t-distribution at the upper bound of a 95% confidence interval.
 const upperQuantile = 0.975
 
-// Summary is a metric over seeds.
+// Summary summarizes the values of a metric over seeds.
 type Summary struct {
 	N            int
 	Median       float64
 	Min, Max     float64
 	Mean         float64
-	HalfInterval float64 // half of the mean's 95% interval (Student's t); infinite for one seed
+	HalfInterval float64 // half the width of the mean's 95% confidence interval (Student's t); infinite for one seed
 }
 
-// Summarize needs at least one value.
+// Summarize summarizes the values, of which there must be at least one.
 func Summarize(values []float64) Summary {
 	v := slices.Sorted(slices.Values(values))
 	s := Summary{N: len(v), Min: v[0], Max: v[len(v)-1], Median: (v[(len(v)-1)/2] + v[len(v)/2]) / 2,
@@ -34,7 +34,7 @@
 	return s
 }
 
-// metricValues are the values of a metric in some cells.
+// metricValues returns the values of a metric in the cells.
 func metricValues(cells []Cell, metric string) (values []float64) {
 	for _, c := range cells {
 		values = append(values, c.Metrics[metric])
@@ -42,7 +42,7 @@
 	return values
 }
 
-// Table prints the summaries of some metrics for each group.
+// Table prints the summaries of the metrics for each group.
 func Table(w io.Writer, cells []Cell, metrics []string) error {
 	for _, g := range ByGroup(cells) {
 		if _, err := fmt.Fprintf(w, "%s, %d seeds\n", g[0].groupName(), len(g)); err != nil {
@@ -58,30 +58,31 @@
 	return nil
 }
 
-// Change is a metric of a group in two sets of results.
+// Change is the change of a group's metric between two sets of results.
 type Change struct {
 	Group, Metric string
 	Before, After float64 // means
-	MeanChange    float64 // over the pairs
-	HalfInterval  float64 // half of its 95% interval
-	Pairs         int     // seeds that both sets have
+	MeanChange    float64 // mean of the differences of all pairs
+	HalfInterval  float64 // half the width of the 95% confidence interval of MeanChange
+	Pairs         int     // number of seeds that both sets have
 }
 
-// Significant says that the interval excludes no change.
+// Significant reports whether the confidence interval excludes zero.
 func (c Change) Significant() bool {
 	return math.Abs(c.MeanChange) > c.HalfInterval || c.HalfInterval == 0 && c.MeanChange != 0
 }
 
-// cellKey is a cell of a set of results.
+// cellKey identifies a cell in a set of results.
 type cellKey struct {
 	group string
 	seed  uint64
 }
 
-// cellPair is one cell in two sets of results.
+// cellPair holds the same cell from two sets of results.
 type cellPair struct{ before, after Cell }
 
-// Diff compares two sets of results seed by seed. Cells that only one of them has are left out and counted.
+// Diff compares two sets of results seed by seed. Cells that only one of the sets has are not compared but counted as
+// unpaired.
 func Diff(before, after []Cell) (changes []Change, unpaired int) {
 	earlier := map[cellKey]Cell{}
 	for _, c := range before {
@@ -108,7 +109,7 @@
 	return changes, unpaired + len(earlier)
 }
 
-// changeOf is the change of one metric.
+// changeOf returns the change of one metric over the pairs.
 func changeOf(metric, group string, pairs []cellPair) Change {
 	var before, after, differences []float64
 	for _, p := range pairs {
--- a/internal/lab/sweep/grid.go
+++ b/internal/lab/sweep/grid.go
@@ -1,6 +1,6 @@
-// Package sweep plays a grid of experiments in virtual time, keeps their results in a folder, and compares them. Every
-// value of every setting, every policy and every seed is a cell of its own. The results of a cell are kept as soon as it
-// has been played, so that a sweep that was stopped goes on where it was.
+// Package sweep runs a grid of experiments in virtual time, stores their results in a folder and compares them. Each
+// combination of values of the settings, policy and seed is a cell. The results of a cell are stored as soon as it has run,
+// so that a stopped sweep can resume.
 package sweep
 
 import (
@@ -13,24 +13,24 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// maxCells is how many experiments a grid may have: more is a mistake in the settings.
+// maxCells is the maximum number of experiments in a grid. A larger number is a mistake in the settings.
 const maxCells = 100000
 
-// Grid says what is varied.
+// Grid defines the scenario of a sweep and what is varied.
 type Grid struct {
 	File     string
 	Settings []Setting
-	Policies []string // none: the file's
-	Seeds    int      // from the file's seed on
+	Policies []string // if empty, the scenario file's policy
+	Seeds    int      // number of consecutive seeds, starting with the file's
 }
 
-// Setting is a setting and the values that it takes.
+// Setting is a setting that is varied, and its values.
 type Setting struct {
 	Path   string
 	Values []string
 }
 
-// ParseSetting reads PATH=VALUE[,VALUE], with as many values as are given.
+// ParseSetting parses PATH=VALUE[,VALUE], with any number of values.
 func ParseSetting(text string) (Setting, error) {
 	path, values, ok := strings.Cut(text, "=")
 	s := Setting{Path: path, Values: strings.Split(values, ",")}
@@ -40,8 +40,8 @@
 	return s, nil
 }
 
-// Cells are all experiments of a grid. Every scenario is read before any is played, so that a wrong value is an error at
-// once.
+// Cells returns all experiments of a grid. It reads every scenario before any of them runs, so that an invalid value is
+// reported at once.
 func (g Grid) Cells() ([]Cell, error) {
 	first, err := scenario.Load(g.File)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return cells, nil
 }
 
-// combinations are all combinations of the settings' values, of which each has so many cells.
+// combinations returns all combinations of the settings' values. Each combination has cellsOfEach cells.
 func (g Grid) combinations(cellsOfEach int) ([]map[string]string, error) {
 	list := []map[string]string{{}}
 	for _, s := range g.Settings {
@@ -89,13 +89,13 @@
 		}
 		list = extended
 		if len(list)*cellsOfEach > maxCells {
-			return nil, fmt.Errorf("over %d experiments", maxCells)
+			return nil, fmt.Errorf("more than %d experiments", maxCells)
 		}
 	}
 	return list, nil
 }
 
-// loadScenario reads a scenario with some settings changed.
+// loadScenario reads a scenario file and overrides the settings.
 func loadScenario(file string, settings map[string]string) (*scenario.Scenario, error) {
 	var overrides []scenario.Override
 	for _, path := range slices.Sorted(maps.Keys(settings)) {
--- a/internal/lab/sweep/plots.go
+++ b/internal/lab/sweep/plots.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// timelinePlot plots the mean over seeds, second by second, with the faults of the first group marked.
+// timelinePlot plots each group's mean over the seeds, second by second, and marks the faults of the first group.
 func timelinePlot(groups [][]Cell, unit string, valuesOf func(Cell) []float64) template.HTML {
 	c := newChart(unit)
 	for _, g := range groups[:min(len(groups), maxSeries)] {
@@ -21,7 +21,7 @@
 	return c.timeline(groups[0][0].Faults)
 }
 
-// meanAt is the mean of a second over the cells that have it.
+// meanAt returns the mean of the values at a second, over the cells that have a value for it.
 func meanAt(second int, group []Cell, valuesOf func(Cell) []float64) float64 {
 	sum, n := 0.0, 0
 	for _, cell := range group {
@@ -33,7 +33,7 @@
 	return sum / float64(n)
 }
 
-// barPlot plots a metric's median for each group, and the range from the least to the most as a line across it.
+// barPlot plots a metric's median as a bar for each group, with a line from the minimum to the maximum.
 func barPlot(groups [][]Cell, metric string) template.HTML {
 	c := newChart(metric)
 	for _, g := range groups[:min(len(groups), maxSeries)] {
@@ -43,8 +43,8 @@
 	return c.bars()
 }
 
-// settingPlots plots a metric against each setting that was varied and is a number: value and cost against the rate, or
-// against the number of servers. Groups that differ only in that setting are one line.
+// settingPlots plots a metric against each numeric setting with more than one value, such as the rate or the number of
+// servers. Groups that differ only in that setting form one line.
 func settingPlots(groups [][]Cell, metric string) (plots []plot) {
 	varied := variedNumbers(groups)
 	for _, path := range slices.Sorted(maps.Keys(varied)) {
@@ -55,7 +55,7 @@
 	return plots
 }
 
-// variedNumbers are the values of all settings that are numbers.
+// variedNumbers returns the numeric values of each setting.
 func variedNumbers(groups [][]Cell) map[string]map[float64]bool {
 	varied := map[string]map[float64]bool{}
 	for _, g := range groups {
@@ -97,10 +97,10 @@
 		c.series[i].values[slices.Index(positions, value)] = median
 		c.maxValue = math.Max(c.maxValue, median)
 	}
-	return c.overSetting(path)
+	return c.linesOverSetting(path)
 }
 
-// without is the cell as it would be named if a setting were not varied.
+// without returns the cell without a setting, for the name of the line that it belongs to.
 func (c Cell) without(path string) Cell {
 	c.Settings = maps.Clone(c.Settings)
 	delete(c.Settings, path)
--- a/internal/lab/sweep/results.go
+++ b/internal/lab/sweep/results.go
@@ -15,13 +15,13 @@
 	"strings"
 )
 
-// Names of the results files in a folder.
+// Names of the results files in a sweep's folder.
 const (
 	resultsJSON = "results.jsonl" // one cell a line
 	resultsCSV  = "results.csv"   // one cell a row
 )
 
-// Write puts all results into one file of JSON lines and one of CSV, in the order of the grid.
+// Write writes all results to a file of JSON lines and to a CSV file, in the order of the grid.
 func Write(dir string, cells []Cell) error {
 	var lines, table strings.Builder
 	out := csv.NewWriter(&table)
@@ -48,7 +48,7 @@
 		replaceFile(filepath.Join(dir, resultsCSV), []byte(table.String())))
 }
 
-// MetricNames are the names of the metrics that cells have, sorted.
+// MetricNames returns the sorted names of the cells' metrics.
 func MetricNames(cells []Cell) []string {
 	if len(cells) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return slices.Sorted(maps.Keys(cells[0].Metrics))
 }
 
-// Read reads the results of a folder. An error names file and line.
+// Read reads the results in a folder. An error names the file and the line.
 func Read(dir string) (cells []Cell, err error) {
 	path := filepath.Join(dir, resultsJSON)
 	f, err := os.Open(path)
@@ -71,17 +71,18 @@
 		case errors.Is(err, io.EOF) && n > 1:
 			return cells, nil
 		case errors.Is(err, io.EOF):
-			return nil, fmt.Errorf("%s: no results", path)
+			return nil, fmt.Errorf("%s: the file holds no results", path)
 		case err != nil:
 			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
 		case len(c.Metrics) == 0 || c.Policy == "":
-			return nil, fmt.Errorf("%s:%d: not a result", path, n)
+			return nil, fmt.Errorf("%s:%d: the line is not a result: it has no policy or no figures", path, n)
 		}
 		cells = append(cells, c)
 	}
 }
 
-// ByGroup sorts cells into groups that differ only in the seed, in the order in which the groups first appear.
+// ByGroup divides cells into groups whose cells differ only in the seed. Groups are in the order of their first cells, and
+// the cells of a group are sorted by seed.
 func ByGroup(cells []Cell) (groups [][]Cell) {
 	indexes := map[string]int{}
 	for _, c := range cells {
--- a/internal/lab/sweep/run.go
+++ b/internal/lab/sweep/run.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Run plays the cells that the folder does not have yet, on all cores, and then writes results.jsonl and results.csv from
-// all of them. progress is called after each cell, from any goroutine but one at a time.
+// Run runs the cells that have no results in the folder yet, on all cores, and then writes the results of all cells to
+// results.jsonl and results.csv. It calls progress after each cell, from different goroutines but never concurrently.
 func Run(ctx context.Context, g Grid, dir string, progress func(done, of int)) ([]Cell, error) {
 	cells, err := g.Cells()
 	if err != nil {
@@ -26,7 +26,7 @@
 	return cells, Write(dir, cells)
 }
 
-// runAll completes all cells, and stops at the first error.
+// runAll loads or runs all cells. It stops at the first error.
 func runAll(ctx context.Context, cells []Cell, file, folder string, progress func(done, of int)) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -53,7 +53,7 @@
 	return context.Cause(ctx)
 }
 
-// sendIndexes sends the numbers of all cells until ctx ends, and closes the channel.
+// sendIndexes sends the indexes of all cells until ctx is done, and then closes the channel.
 func sendIndexes(ctx context.Context, next chan<- int, count int) {
 	defer close(next)
 	for i := range count {
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-const small = `scenario "small" { seed = 4 length_s = 2 }
+const smallScenario = `scenario "small" { seed = 4 length_s = 2 }
 tier "t" { kind "k" { count = 3 cores = 1 slots = 4 queue = 2 } }
 class "c" { effect = "safe" work_ms = 10 aim_ms = 100 deadline_ms = 300 }
 trouble "crash" { at_s = 0.5 length_s = 0.5 }
@@ -21,7 +21,7 @@
 func grid(t *testing.T) Grid {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "small.hcl")
-	if err := os.WriteFile(path, []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(smallScenario), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return Grid{File: path, Seeds: 2, Policies: []string{"deckrelay", "random"}, Settings: []Setting{{"clients.rate", []string{"50", "200"}}}}
@@ -36,8 +36,8 @@
 	return string(text)
 }
 
-// A sweep of hours must survive being stopped: cells that are done are kept, files that are cut or hold no result are
-// played again, and the results are the bytes of a sweep that ran through.
+// A sweep that takes hours must be able to resume: finished cells are kept, cells whose files are truncated or hold no
+// results run again, and the results are byte for byte those of an uninterrupted sweep.
 func TestStoppedSweepResumes(t *testing.T) {
 	g, dir := grid(t), t.TempDir()
 	var reported atomic.Int32
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if reported.Load() != 8 {
-		t.Errorf("%d cells reported, want 8", reported.Load())
+		t.Errorf("progress reported for %d cells, want 8", reported.Load())
 	}
 	complete, table := read(t, filepath.Join(dir, "results.jsonl")), read(t, filepath.Join(dir, "results.csv"))
 	if strings.Count(complete, "\n") != 8 || strings.Count(table, "\n") != 9 {
@@ -55,7 +55,7 @@
 	if err != nil || len(files) != 8 {
 		t.Fatalf("%d cells, %v", len(files), err)
 	}
-	kept := strings.Replace(read(t, files[0]), `"attempts":`, `"attempts":1`, 1) // so that one that is kept shows
+	kept := strings.Replace(read(t, files[0]), `"attempts":`, `"attempts":1`, 1) // makes it visible that the cell did not run again
 	for i, text := range []string{kept, read(t, files[1])[:40], "{}", ""} {
 		if err := os.WriteFile(files[i], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -72,11 +72,11 @@
 	again := read(t, filepath.Join(dir, "results.jsonl"))
 	if again == complete || strings.Replace(again, `"attempts":1`, `"attempts":`, 1) != strings.Replace(complete, `"attempts":1`, `"attempts":`, 1) &&
 		strings.Count(again, "\n") != 8 {
-		t.Error("the kept cell was played again, or another differs")
+		t.Error("the kept cell ran again, or another cell differs")
 	}
 }
 
-// A wrong value must not be found after hours of playing: the complete grid is read before anything is played.
+// An invalid value must not be found only after hours: the complete grid is read before any cell runs.
 func TestGridIsValidatedBeforeAnyRun(t *testing.T) {
 	for want, breakGrid := range map[string]func(*Grid){
 		"unknown policy":     func(g *Grid) { g.Policies = []string{"guess"} },
@@ -85,7 +85,7 @@
 		"unknown setting":    func(g *Grid) { g.Settings[0].Path = "clients.speed" },
 		"has no such block":  func(g *Grid) { g.Settings[0].Path = "class.d.share" },
 		"want block.setting": func(g *Grid) { g.Settings[0].Path = "rate" },
-		"over 100000":        func(g *Grid) { g.Seeds = 100000 },
+		"more than 100000":   func(g *Grid) { g.Seeds = 100000 },
 		"no such file":       func(g *Grid) { g.File += "x" },
 	} {
 		g, dir := grid(t), t.TempDir()
@@ -94,12 +94,12 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 		if left, _ := os.ReadDir(dir); len(left) > 0 {
-			t.Errorf("%s: it has begun nevertheless", want)
+			t.Errorf("%s: the sweep started nevertheless", want)
 		}
 	}
 	for _, text := range []string{"a", "=1", "a=", "a=1,,2"} {
 		if _, err := ParseSetting(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
@@ -113,10 +113,11 @@
 	return list
 }
 
-// A change is significant only where its interval over the pairs excludes zero; cells without a partner are counted.
+// A change is significant only if its confidence interval over the pairs excludes zero. Cells without a counterpart are
+// counted.
 func TestSummaryAndDiff(t *testing.T) {
 	s := Summarize([]float64{3, 1, 2, 10})
-	// Student's t for three degrees of freedom is 3.182; the standard error of these is 2.0412.
+	// Student's t for three degrees of freedom is 3.182; the standard error of these values is 2.0412.
 	if s.Median != 2.5 || s.Min != 1 || s.Max != 10 || s.Mean != 4 || math.Abs(s.HalfInterval-6.496) > 0.001 {
 		t.Errorf("got %+v", s)
 	}
@@ -130,10 +131,10 @@
 	}
 }
 
-// A results file that was cut or is none is an error that names the line.
+// A truncated or invalid results file is an error that names the file and the line.
 func TestReadNamesFileAndLine(t *testing.T) {
 	dir := t.TempDir()
-	for text, want := range map[string]string{"": "no results", "{}": ":1: not a result", "half": ":1: invalid",
+	for text, want := range map[string]string{"": "the file holds no results", "{}": ":1: the line is not a result", "half": ":1: invalid",
 		`{"policy":"p","figures":{"worth":1}}` + "\n[]": ":2: "} {
 		if err := os.WriteFile(filepath.Join(dir, "results.jsonl"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -144,7 +145,7 @@
 	}
 }
 
-// The page loads nothing from elsewhere, and the name of a scenario can't inject markup.
+// The page loads no other files, and the name of a scenario can't inject markup.
 func TestReportIsSelfContained(t *testing.T) {
 	list := cells(0.5, 0.6)
 	big := cells(0.3, 0.4)
@@ -163,9 +164,9 @@
 	if strings.Count(page, "<svg") != 4 || !strings.Contains(page, "worth against a.b") || strings.Contains(page, "NaN") || !strings.Contains(page, "crash") || !strings.Contains(page, "0.55") {
 		t.Errorf("%d plots in %d bytes", strings.Count(page, "<svg"), len(page))
 	}
-	for _, no := range []string{"<script", "<link", "src=", "href=\"http", "<?xml"} {
-		if strings.Contains(page, no) {
-			t.Errorf("it has %s", no)
+	for _, forbidden := range []string{"<script", "<link", "src=", "href=\"http", "<?xml"} {
+		if strings.Contains(page, forbidden) {
+			t.Errorf("the page contains %s", forbidden)
 		}
 	}
 }
