--- a/internal/lab/policies/choice.go
+++ b/internal/lab/policies/choice.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// leftShare is the share of the list that is the left group of TwoLeft.
+// leftShare is the share of the servers that forms the left group of TwoLeft.
 const leftShare = 0.5
 
-// maxFirstIndex is the range from which round-robin draws where it begins, so that nodes don't all begin with one server.
+// maxFirstIndex bounds the random index at which round-robin starts, so that nodes don't all start with the same server.
 const maxFirstIndex = 1 << 20
 
-// chooser chooses one of some servers, at least one.
+// chooser chooses one of the servers, of which there is at least one.
 type chooser func(servers []*endpoint) *endpoint
 
-// random chooses any server.
+// random chooses a server at random.
 func (r *reference) random(servers []*endpoint) *endpoint { return servers[r.rng.IntN(len(servers))] }
 
-// roundRobin chooses one server after another.
+// roundRobin chooses the servers in turn.
 func (r *reference) roundRobin() chooser {
 	next := r.rng.IntN(maxFirstIndex)
 	return func(servers []*endpoint) *endpoint {
@@ -23,7 +23,7 @@
 	}
 }
 
-// leastOfTwo draws two different servers and chooses the one with fewer attempts, of equal ones the first.
+// leastOfTwo draws two different servers and chooses the one with fewer attempts in flight. Ties go to the first.
 func (r *reference) leastOfTwo(servers []*endpoint) *endpoint {
 	i := r.rng.IntN(len(servers))
 	j := (i + 1 + r.rng.IntN(max(1, len(servers)-1))) % len(servers)
@@ -33,7 +33,7 @@
 	return servers[i]
 }
 
-// twoRandom draws twice, with replacement, and chooses the server with fewer attempts, any of equal ones.
+// twoRandom draws two servers with replacement and chooses the one with fewer attempts in flight. Ties are broken at random.
 func (r *reference) twoRandom(servers []*endpoint) *endpoint {
 	first, second := servers[r.rng.IntN(len(servers))], servers[r.rng.IntN(len(servers))]
 	if second.inFlight < first.inFlight || second.inFlight == first.inFlight && r.rng.IntN(2) == 0 {
@@ -42,8 +42,8 @@
 	return first
 }
 
-// twoLeft draws one server from the left group of the list and one from the others, and chooses the one with fewer
-// attempts; ties go left.
+// twoLeft draws one server from the left group and one from the others, and chooses the one with fewer attempts in flight.
+// Ties go to the left group.
 func (r *reference) twoLeft(servers []*endpoint) *endpoint {
 	cut := int(math.Round(leftShare * float64(len(servers))))
 	if cut == 0 || cut == len(servers) {
@@ -56,7 +56,7 @@
 	return left
 }
 
-// shortestQueue chooses the server that really holds the fewest requests, any of equal ones.
+// shortestQueue chooses the server that actually holds the fewest requests. Ties are broken at random.
 func (r *reference) shortestQueue(inFlight InFlight) chooser {
 	return func(servers []*endpoint) (best *endpoint) {
 		fewest, ties := math.MaxInt, 0
--- a/internal/lab/policies/policies.go
+++ b/internal/lab/policies/policies.go
@@ -1,6 +1,6 @@
-// Package policies has what the lab measures the decision module against: small reference policies with the module's own
-// interface, events in and actions out. They choose a server by a textbook rule and keep the rules on retries, rejections
-// and drains; they know nothing of health, warm-up or crowding.
+// Package policies implements reference policies that the lab compares with the decision module. They have the interface of
+// the module: they take events and return actions. They choose a server by a textbook rule and follow the rules for
+// retries, rejections and draining servers, but ignore health, warm-up and contention.
 package policies
 
 import (
@@ -11,32 +11,32 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// Names of policies, as scenario files and reports have them.
+// Names of policies in scenario files and reports.
 const (
-	Module     = "deckrelay"    // the decision module; the name is that of its first version
-	Random     = "random"       // any server
-	RoundRobin = "round-robin"  // one after another
-	LeastOfTwo = "least-of-two" // the one with fewer attempts of two different servers, ties to the first
-	TwoRandom  = "two-random"   // the same of two draws, which may be one server; ties are drawn
-	TwoLeft    = "two-left"     // the same of one draw from each half of the list, ties to the first half
-	Oracle     = "oracle"       // the shortest real queue
+	Module     = "deckrelay"    // the decision module, by the name of its first version
+	Random     = "random"       // a random server
+	RoundRobin = "round-robin"  // the servers in turn
+	LeastOfTwo = "least-of-two" // of two different servers, the one with fewer attempts in flight; ties go to the first
+	TwoRandom  = "two-random"   // as LeastOfTwo, but drawn with replacement; ties are broken at random
+	TwoLeft    = "two-left"     // as LeastOfTwo, but one from each half of the list; ties go to the first half
+	Oracle     = "oracle"       // the server that actually holds the fewest requests
 )
 
 // Names are the names of all policies.
 var Names = []string{Module, Random, RoundRobin, LeastOfTwo, TwoRandom, TwoLeft, Oracle}
 
-// errNoInFlight is an oracle that can't see the servers.
-var errNoInFlight = errors.New("policy oracle needs to see the servers")
+// errNoInFlight is returned for an oracle without the servers' numbers of requests.
+var errNoInFlight = errors.New("policy oracle requires the number of requests that each server holds")
 
-// Decider is the decision module, or what stands in for it.
+// Decider is the decision module or a reference policy.
 type Decider interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// InFlight is the number of requests that a server really holds.
+// InFlight returns the number of requests that a server actually holds.
 type InFlight func(server string) int
 
-// New returns the policy of a name. Only the oracle uses inFlight; for others it may be nil.
+// New returns a policy by its name. Only Oracle uses inFlight; for other policies it may be nil.
 func New(name string, settings balancer.Settings, seed uint64, inFlight InFlight) (Decider, error) {
 	if name == Module {
 		return balancer.New(settings, seed)
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -23,8 +23,9 @@
 	return list
 }
 
-// A reference that ran a weigh-in twice would win by breaking the rules. What never ran is sent elsewhere, up to three
-// times, and then rejected; what may have run is sent again only if it is idempotent.
+// A reference policy that retried non-idempotent requests after they may have run would look better than it is. A request
+// that has not run is sent to up to three servers and then rejected. One that may have run is retried only if it is
+// idempotent.
 func TestReferencesRespectEffectAndMaxAttempts(t *testing.T) {
 	for _, name := range []string{"random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"} {
 		p, err := New(name, settings(), 1, func(string) int { return 0 })
@@ -34,7 +35,7 @@
 		p.Handle(0, endpointList(5))
 		for n, c := range []struct {
 			class    string
-			ending   balancer.Outcome
+			outcome  balancer.Outcome
 			sends    int
 			rejected bool
 		}{{"safe", balancer.Overloaded, 3, true}, {"safe", balancer.ConnectionLost, 3, true},
@@ -51,9 +52,9 @@
 					break
 				}
 				if seen[s.Server] {
-					t.Errorf("%s: %s twice to %s", name, id, s.Server)
+					t.Errorf("%s: request %s was sent twice to %s", name, id, s.Server)
 				}
-				out = p.Handle(0, balancer.AttemptEnded{ID: id, Attempt: len(seen), Server: s.Server, Outcome: c.ending})
+				out = p.Handle(0, balancer.AttemptEnded{ID: id, Attempt: len(seen), Server: s.Server, Outcome: c.outcome})
 				seen[s.Server] = true
 			}
 			if _, rejected := out[0].(balancer.Reject); rejected != c.rejected || len(seen) != c.sends {
@@ -63,7 +64,7 @@
 	}
 }
 
-// A server that drains or is removed gets nothing new, and attempts that are out may still end.
+// A draining or removed server gets no new requests, and attempts that are in flight to it may still end.
 func TestReferencesSendOnlyToReadyServers(t *testing.T) {
 	p, err := New(LeastOfTwo, settings(), 1, nil)
 	if err != nil {
@@ -78,23 +79,22 @@
 		t.Errorf("with no ready server: %v", out)
 	}
 	if out := p.Handle(0, balancer.AttemptEnded{ID: "a", Outcome: balancer.Success, RequestDone: true}); len(out) != 0 {
-		t.Errorf("an attempt that was out: %v", out)
+		t.Errorf("actions after an attempt that was in flight: %v", out)
 	}
 	back := endpointList(2)
 	back.Servers[0].StartTime = time.Second
 	p.Handle(0, back)
 	for i := range 20 {
 		if out := p.Handle(0, balancer.Request{ID: strconv.Itoa(i), Class: "safe", Deadline: time.Second}); len(out) != 1 {
-			t.Errorf("back again: %v", out)
+			t.Errorf("with two ready servers again: %v", out)
 		}
 	}
 	if _, err := New(Oracle, settings(), 1, nil); err == nil {
-		t.Error("an oracle that sees no servers")
+		t.Error("an oracle without InFlight was accepted")
 	}
 }
 
-// BenchmarkRequest is what a request with its one outcome costs an instance that knows so many servers and has 32
-// inFlight out; BenchmarkChange what a change of one box does.
+// BenchmarkRequest measures a request and its outcome, with different numbers of servers and 32 requests in flight.
 func BenchmarkRequest(b *testing.B) {
 	for _, name := range []string{Module, TwoRandom} {
 		for _, servers := range []int{10, 100, 1000, 10000} {
@@ -104,13 +104,13 @@
 					b.Fatal(err)
 				}
 				p.Handle(0, endpointList(servers))
-				const out = 32
-				sentTo := make([]string, out)
+				const inFlight = 32
+				sentTo := make([]string, inFlight)
 				now := time.Second
 				for i := 0; b.Loop(); i++ {
 					now += 100 * time.Microsecond
-					k := i % out
-					if i >= out {
+					k := i % inFlight
+					if i >= inFlight {
 						p.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(k), Server: sentTo[k], Outcome: balancer.Success, RequestDone: true})
 					}
 					for _, a := range p.Handle(now, balancer.Request{ID: strconv.Itoa(k), Class: "unsafe", Deadline: now + 2*time.Second}) {
@@ -124,6 +124,7 @@
 	}
 }
 
+// BenchmarkEndpointUpdate measures an endpoint update with one changed server.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 10000} {
 		b.Run(strconv.Itoa(servers), func(b *testing.B) {
--- a/internal/lab/policies/reference.go
+++ b/internal/lab/policies/reference.go
@@ -9,39 +9,39 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// streamConstant is the second half of a reference's seed: any odd constant serves.
+// streamConstant is the second half of a reference policy's seed. Any odd constant will do.
 const streamConstant = 0x9e3779b9
 
-// The pause before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter of
-// it, less a drawn part of up to a half: nodes that lost discovery together must not poll together.
+// The backoff before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter of
+// it. Jitter shortens it by up to half, so that nodes that lost discovery at the same time don't poll at the same time.
 const (
-	maxPollFailures    = 4   // doublings of the pause
+	maxPollFailures    = 4   // after which the backoff no longer doubles
 	pollPauseDivisor   = 64  // of the poll interval
-	pollPauseJitterMin = 0.5 // share of the pause that is never left out
+	pollPauseJitterMin = 0.5 // minimum share of the backoff
 )
 
-// pollTimer is the token of the timer before a poll.
+// pollTimer is the token of the timer for the next poll.
 const pollTimer = "list"
 
-// reference is a reference policy; they differ only in their choice.
+// reference is a reference policy. The policies differ only in choose.
 type reference struct {
 	settings     balancer.Settings
 	rng          *rand.Rand
 	choose       chooser
 	endpoints    map[string]*endpoint
-	ready        []*endpoint // by ID
+	ready        []*endpoint // sorted by ID
 	requests     map[string]*request
 	pollFailures int
-	actions      []balancer.Action // of the present event
+	actions      []balancer.Action // in response to the current event
 }
 
-// endpoint is a server of the list, and the attempts that are out at it.
+// endpoint is a server of the endpoint list, with the number of attempts in flight to it.
 type endpoint struct {
 	balancer.Server
 	inFlight int
 }
 
-// request is one that is not answered, or has attempts out.
+// request is a request that is unanswered or has attempts in flight.
 type request struct {
 	class            balancer.Class
 	deadline         time.Duration
@@ -56,10 +56,10 @@
 		endpoints: map[string]*endpoint{}, requests: map[string]*request{}}
 }
 
-// emit adds an action.
+// emit adds an action to the result of Handle.
 func (r *reference) emit(a balancer.Action) { r.actions = append(r.actions, a) }
 
-// Handle takes one event and returns the actions that follow from it.
+// Handle processes an event and returns the resulting actions.
 func (r *reference) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	r.actions = nil
 	switch e := e.(type) {
@@ -82,14 +82,15 @@
 	return r.actions
 }
 
-// schedulePoll sets the timer before the next poll.
+// schedulePoll sets the timer for the next poll.
 func (r *reference) schedulePoll(now time.Duration) {
 	r.pollFailures = min(r.pollFailures+1, maxPollFailures)
 	pause := float64(r.settings.MaxPollInterval) / pollPauseDivisor * float64(int(1)<<r.pollFailures) * (pollPauseJitterMin + r.rng.Float64()/2)
 	r.emit(balancer.SetTimer{At: now + time.Duration(pause) + 1, Token: pollTimer})
 }
 
-// applyUpdate takes a list, or changes to it. Attempts that are out keep the endpoint that they were sent to.
+// applyUpdate applies a complete endpoint list or changes to it. Attempts in flight keep the endpoint that they were sent
+// to.
 func (r *reference) applyUpdate(update balancer.EndpointUpdate) {
 	if update.Complete {
 		clear(r.endpoints)
@@ -113,7 +114,7 @@
 	}
 }
 
-// listReady lists the endpoints that are ready, and forgets those that are removed.
+// listReady rebuilds the list of ready endpoints and deletes removed ones.
 func (r *reference) listReady() {
 	r.ready = nil
 	for id, e := range r.endpoints {
@@ -127,7 +128,7 @@
 	slices.SortFunc(r.ready, func(a, b *endpoint) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// admit takes a request. An unknown class counts as one that is not idempotent.
+// admit accepts a request. A request of an unknown class is treated as non-idempotent.
 func (r *reference) admit(now time.Duration, e balancer.Request) {
 	if r.requests[e.ID] != nil {
 		return
@@ -142,7 +143,7 @@
 	r.dispatch(now, e.ID, q)
 }
 
-// dispatch sends a request to a server that has not had it, or gives its final answer.
+// dispatch sends a request to a server that has not received it yet, or gives its final answer.
 func (r *reference) dispatch(now time.Duration, id string, q *request) {
 	untried := slices.DeleteFunc(slices.Clone(r.ready), func(e *endpoint) bool { return slices.Contains(q.attempts, e) })
 	if len(untried) == 0 || len(q.attempts) >= max(1, r.settings.MaxAttempts) || !q.safeToSend() || now >= q.deadline {
@@ -162,12 +163,12 @@
 	r.emit(balancer.Send{ID: id, Server: chosen.ID, Timeout: q.deadline - now})
 }
 
-// safeToSend says that another run does no harm: the request has not run, or may run again.
+// safeToSend reports whether another attempt is harmless: the request has not run, or it may run again.
 func (q *request) safeToSend() bool {
 	return !q.mayHaveRun || q.class.Effect == balancer.Idempotent
 }
 
-// attemptEnded takes an outcome and sends the request again, if it is not answered.
+// attemptEnded processes the outcome of an attempt. It retries a request that is not answered.
 func (r *reference) attemptEnded(now time.Duration, e balancer.AttemptEnded) {
 	q := r.requests[e.ID]
 	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) {
@@ -188,7 +189,7 @@
 	r.deleteIfFinished(e.ID, q)
 }
 
-// deleteIfFinished drops a request that is answered and has no attempt out.
+// deleteIfFinished deletes a request that is answered and has no attempt in flight.
 func (r *reference) deleteIfFinished(id string, q *request) {
 	if q.answered && q.attemptsInFlight == 0 {
 		delete(r.requests, id)
