--- a/internal/lab/score/report.go
+++ b/internal/lab/score/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// minWork stands for a work of zero in a division, in seconds.
+// minWork replaces zero work as a divisor, in seconds.
 const minWork = 1e-9
 
 // Quantiles of reports, in percent.
@@ -17,10 +17,12 @@
 	p99    = 99 // one in a hundred is slower
 )
 
-// requestCount counts the requests that ended and count, at least 1.
+// requestCount returns the number of requests that were served or failed, at least 1 because it is a divisor. Requests whose
+// clients left are not counted.
 func (s *Score) requestCount() int { return max(1, s.served+s.late+s.failed) }
 
-// Metrics are the run's results by their names in results files. Of worth higher is better, of most others lower.
+// Metrics returns the results of a run by their names in results files. For worth higher is better; for most others lower
+// is better.
 func (s *Score) Metrics(violations int) map[string]float64 {
 	window, class, tenant := s.WorstShares()
 	requests := float64(s.requestCount())
@@ -42,25 +44,25 @@
 	}
 }
 
-// handshakeShare is the new connections for each attempt.
+// handshakeShare returns the number of new connections per attempt.
 func (s *Score) handshakeShare() float64 { return float64(s.Handshakes) / float64(max(1, s.Attempts)) }
 
-// wastedShare is the share of the servers' work that nobody waited for any more.
+// wastedShare returns the share of the servers' work that no client was waiting for any more.
 func (s *Score) wastedShare() float64 {
 	return s.Wasted.Seconds() / math.Max(s.Work.Seconds(), minWork)
 }
 
-// Write prints the report. Its words are those of the lab's pages.
+// Write prints the report in the terms of the lab's documentation.
 func (s *Score) Write(w io.Writer) error {
 	window, class, tenant := s.WorstShares()
 	requests := float64(s.requestCount())
 	_, err := fmt.Fprintf(w, `scenario %s, seed %d, policy %s, %.0f s
 worth served   %.4f   worst 10 s %.4f   worst class %.4f   worst tenant %.4f
-requests       %d in time, %d late, %d failed, %d left
-latency ms     p50 %.2f   p95 %.2f   p99 %.2f   most %.2f
-a request      %.3f tries, %.3f attempts (p99 %d), %.4f refusals (%d in the first second)
-connections    %d opened, %.4f an attempt
-work           %.3f s, %.4f of it wasted; cold boxes pushed over: %d
+requests       %d in time, %d late, %d failed, %d abandoned
+latency ms     p50 %.2f   p95 %.2f   p99 %.2f   max %.2f
+per request    %.3f tries, %.3f attempts (p99 %d), %.4f rejections (%d in the first second)
+connections    %d opened, %.4f per attempt
+work           %.3f s, %.4f of it wasted; servers overloaded while warming up: %d
 events         %d
 `, s.scenario.Name, s.scenario.Seed, s.scenario.Policy, s.scenario.Length.Seconds(),
 		s.ValueShare(), window, class, tenant,
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -1,5 +1,5 @@
-// Package score counts the value that a played world served its clients, and what that cost. Both ways of playing feed it,
-// and its report is the same bytes for the same counts.
+// Package score computes the value that a run of a scenario served to its clients, and the cost of serving it. Both the
+// simulation and runs with real processes use it. Equal counts give byte-identical reports.
 package score
 
 import (
@@ -11,24 +11,24 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Outcome is how a client's request ended.
+// Outcome is the outcome of a client's request.
 type Outcome int
 
 // Outcomes.
 const (
 	Served    Outcome = iota // with a success
-	Failed                   // with an error, or without an answer
-	Abandoned                // the client left by itself: counts for nothing
+	Failed                   // with an error or without an answer
+	Abandoned                // the client left before its deadline; not counted
 )
 
-// Histograms.
+// Ranges and precision of the histograms.
 const (
-	maxLatency        = time.Hour // as deadlines are shorter
-	maxAttempts       = 1 << 20   // of a request, over all tiers
-	significantDigits = 3         // of a recorded value
+	maxLatency        = time.Hour // deadlines are at most as long
+	maxAttempts       = 1 << 20   // of a request, in all tiers
+	significantDigits = 3         // of recorded values
 )
 
-// worstWindow is the length in seconds of the windows of which the worst one is reported.
+// worstWindow is the length of the window with the lowest value share that is reported, in seconds.
 const worstWindow = 10
 
 // Score holds the counts of a run.
@@ -41,24 +41,24 @@
 
 	total         value
 	seconds       []value   // by the time of the first try
-	latencySums   []float64 // of what was served, in ms, by the same
-	servedCounts  []int     // of what was served, by the same
+	latencySums   []float64 // of served requests, in ms, by the time of the first try
+	servedCounts  []int     // of served requests, by the time of the first try
 	classes       []value
 	tenants       []value
 	latency       *hdrhistogram.Histogram // of served requests, in microseconds
-	attempts      *hdrhistogram.Histogram // of a request, over all tiers
+	attempts      *hdrhistogram.Histogram // of a request, in all tiers
 	served        int                     // within the latency objective
 	late          int
 	failed        int
 	abandoned     int
-	rejected      int // tries
-	rejectedEarly int // those in the first second
+	rejected      int // number of rejected tries
+	rejectedEarly int // rejected tries in the first second
 }
 
-// value is the priority weight that was offered, and what was earned of it.
+// value is the sum of the priority weights of requests, and the part of it that was earned.
 type value struct{ offered, earned float64 }
 
-// share is the share that was earned; 1 where nothing was offered.
+// share returns the share that was earned, or 1 if nothing was offered.
 func (v value) share() float64 {
 	if v.offered == 0 {
 		return 1
@@ -66,7 +66,7 @@
 	return v.earned / v.offered
 }
 
-// New returns the empty score of a scenario.
+// New returns an empty score for a scenario.
 func New(s *scenario.Scenario) *Score {
 	seconds := int(s.Length/time.Second) + 1
 	return &Score{
@@ -81,7 +81,7 @@
 	}
 }
 
-// eachValue changes all values that a request counts for.
+// eachValue applies change to all values that a request contributes to.
 func (s *Score) eachValue(at time.Duration, class, tenant int, change func(*value)) {
 	change(&s.total)
 	change(&s.seconds[s.secondOf(at)])
@@ -91,13 +91,13 @@
 
 func (s *Score) secondOf(at time.Duration) int { return min(int(at/time.Second), len(s.seconds)-1) }
 
-// RequestBegun is a client's first try.
+// RequestBegun records a client's first try.
 func (s *Score) RequestBegun(at time.Duration, class, tenant int) {
 	weight := s.scenario.Classes[class].PriorityWeight
 	s.eachValue(at, class, tenant, func(v *value) { v.offered += weight })
 }
 
-// TryRejected is a try that was rejected.
+// TryRejected records that a try was rejected.
 func (s *Score) TryRejected(at time.Duration) {
 	s.rejected++
 	if at < time.Second {
@@ -105,25 +105,25 @@
 	}
 }
 
-// Rejections counts the tries that were rejected, and those of them in the first second.
+// Rejections returns the number of rejected tries, and of those in the first second.
 func (s *Score) Rejections() (all, early int) { return s.rejected, s.rejectedEarly }
 
-// RequestEnded is the end of a client's request, so long after its first try at a time.
-func (s *Score) RequestEnded(at, took time.Duration, class, tenant, attempts int, how Outcome) {
+// RequestEnded records the end of a client's request. at is the time of its first try, and latency is measured from then.
+func (s *Score) RequestEnded(at, latency time.Duration, class, tenant, attempts int, outcome Outcome) {
 	c := s.scenario.Classes[class]
 	if attempts > 0 {
 		_ = s.attempts.RecordValue(int64(attempts)) // no request has more than maxAttempts
 	}
 	earned := 0.0
 	switch {
-	case how == Abandoned:
+	case outcome == Abandoned:
 		s.abandoned++
 		s.eachValue(at, class, tenant, func(v *value) { v.offered -= c.PriorityWeight })
 		return
-	case how == Failed || took > c.Deadline:
+	case outcome == Failed || latency > c.Deadline:
 		s.failed++
 		return
-	case took <= c.LatencyObjective:
+	case latency <= c.LatencyObjective:
 		earned = c.PriorityWeight
 		s.served++
 	default:
@@ -131,16 +131,16 @@
 		s.late++
 	}
 	second := s.secondOf(at)
-	s.latencySums[second] += milliseconds(took)
+	s.latencySums[second] += milliseconds(latency)
 	s.servedCounts[second]++
-	_ = s.latency.RecordValue(max(1, took.Microseconds())) // no deadline is over maxLatency
+	_ = s.latency.RecordValue(max(1, latency.Microseconds())) // no deadline exceeds maxLatency
 	s.eachValue(at, class, tenant, func(v *value) { v.earned += earned })
 }
 
-// ValueShare is the share of the offered value that was served in time; a late answer earns its late credit.
+// ValueShare returns the share of the offered value that was earned. A late answer earns its late credit.
 func (s *Score) ValueShare() float64 { return s.total.share() }
 
-// WorstShares are the least shares of any ten seconds, of any class and of any tenant.
+// WorstShares returns the lowest value shares of any ten seconds, any class and any tenant.
 func (s *Score) WorstShares() (window, class, tenant float64) {
 	window = 1
 	for i := 0; i == 0 || i+worstWindow <= len(s.seconds); i++ {
@@ -162,17 +162,18 @@
 	return least
 }
 
-// Counts counts the requests that were served within the objective or late, that failed, or whose clients left.
+// Counts returns the number of requests that were served within the latency objective, were served late, failed, or were
+// abandoned by their clients.
 func (s *Score) Counts() (inTime, late, failed, abandoned int) {
 	return s.served, s.late, s.failed, s.abandoned
 }
 
-// Quantile is a quantile of the latency of what was served; q is in percent.
+// Quantile returns a quantile of the latency of served requests; q is in percent.
 func (s *Score) Quantile(q float64) time.Duration {
 	return time.Duration(s.latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Timeline is the value share and the mean latency in ms of what was served, second by second.
+// Timeline returns the value share and the mean latency of served requests in ms, for each second of the run.
 func (s *Score) Timeline() (valueShares, latencies []float64) {
 	for i, v := range s.seconds {
 		valueShares = append(valueShares, v.share())
