--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -1,11 +1,11 @@
-// Package paper computes what "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher and Vöcking)
-// publishes: its fluid limits by integrating the equations, and its simulation by an event queue. The results are compared
-// with the published ones, so that the lab's understanding of the design can be checked against its source.
+// Package paper reproduces the results of "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher and
+// Vöcking). It integrates the equations of the fluid limits and runs the simulation with an event queue. Comparing the
+// results with the published ones checks the lab's understanding of the design against its source.
 package paper
 
 import "math"
 
-// stepper integrates a derivative by the classical Runge-Kutta method of fourth order.
+// stepper integrates a differential equation with the classical fourth-order Runge-Kutta method.
 type stepper struct {
 	derivative         func(x, dx []float64)
 	k1, k2, k3, k4, at []float64
@@ -39,31 +39,32 @@
 	}
 }
 
-// maxLoad is the number of loads that are followed: beyond, all shares are under the least number that there is.
+// maxLoad is the number of loads that are computed. Shares of higher loads are below the smallest float64.
 const maxLoad = 24
 
-// ballSteps is the number of integration steps from no ball to n balls.
+// ballSteps is the number of integration steps from 0 to n balls.
 const ballSteps = 4096
 
-// The integration of queues up to their fixed point.
+// Parameters of the integration of queues up to their fixed point.
 const (
-	queueStep           = 0.1    // of time; the fastest rate is about the number of groups, so this is stable
-	convergedMovement   = 1e-13  // relative movement a unit of time at which a point counts as fixed
-	convergenceInterval = 64     // steps between two looks at the movement
-	maxQueueSteps       = 200000 // should it never come to rest
-	negligibleLoad      = 1e-200 // a share under which movement is rounding
+	queueStep           = 0.1    // units of time; stable, because the fastest rate is about the number of groups
+	convergedMovement   = 1e-13  // relative movement per unit of time below which a point counts as fixed
+	convergenceInterval = 64     // steps between checks for convergence
+	maxQueueSteps       = 200000 // limit in case it does not converge
+	negligibleLoad      = 1e-200 // the movement of smaller shares is rounding error
 )
 
-// The search for the best share of the left group, in thousandths: the times that the paper prints have their least in it.
+// The search range for the best share of the left group, in thousandths. It contains the minimum of all times that the paper
+// publishes.
 const (
-	thousandths     = 1000 // of a share of 1
+	thousandths     = 1000 // in a share of 1
 	minBestShare    = 500  // half: the groups are equal
-	maxBestShare    = 650  // above all best shares published
-	exhaustiveRange = 2    // under which each share is tried
+	maxBestShare    = 650  // greater than all published best shares
+	exhaustiveRange = 2    // up to this width of the range, each share is tried
 )
 
-// BallsRandom gives, after n balls into n bins by the lesser of d random ones, the share of bins with at least i
-// balls.
+// BallsRandom returns, for each i, the share of bins with at least i balls after n balls have been placed into n bins. Each
+// ball is placed into the least loaded of d random bins.
 func BallsRandom(d int) []float64 {
 	w := make([]float64, maxLoad)
 	w[0] = 1
@@ -79,8 +80,8 @@
 	return w
 }
 
-// BallsLeft gives the same by two groups, the left one a share alpha of the bins, ties going left: the paper's
-// equation 5.
+// BallsLeft returns the same shares if each ball chooses between a random bin of each of two groups, with ties going left.
+// alpha is the share of the bins in the left group. This is equation 5 of the paper.
 func BallsLeft(alpha float64) []float64 {
 	x := make([]float64, 2*maxLoad)
 	x[0], x[1] = alpha, 1-alpha
@@ -96,7 +97,7 @@
 	return sumGroups(x, 2)
 }
 
-// sumGroups adds up the shares of all groups by load.
+// sumGroups returns the sum of the shares of all d groups for each load.
 func sumGroups(x []float64, d int) []float64 {
 	u := make([]float64, len(x)/d)
 	for i, v := range x {
@@ -105,8 +106,8 @@
 	return u
 }
 
-// QueuesRandom is the fixed point of servers that each customer picks the shorter of d random queues of: the share
-// of servers with at least i customers, at a rate lambda a server.
+// QueuesRandom returns the fixed point of the queues if each customer joins the shortest of d random queues: for each i, the
+// share of servers with at least i customers. lambda is the arrival rate per server.
 func QueuesRandom(d int, lambda float64) []float64 {
 	w := make([]float64, maxLoad)
 	for i := range w {
@@ -115,8 +116,8 @@
 	return w
 }
 
-// QueuesLeft is the fixed point with groups of the given shares, ties going left: the paper's equations 10 and 14,
-// integrated until nothing moves.
+// QueuesLeft returns the fixed point with groups of the given shares, with ties going left. It integrates equations 10
+// and 14 of the paper until they converge.
 func QueuesLeft(lambda float64, shares ...float64) []float64 {
 	d := len(shares)
 	x := make([]float64, d*maxLoad)
@@ -137,7 +138,7 @@
 	return sumGroups(x, d)
 }
 
-// queueDerivative is how the shares of queues move, those of all groups of one load after those of the load below.
+// queueDerivative returns the derivative of the shares of queues. The shares are ordered by load, then by group.
 func queueDerivative(lambda float64, shares []float64) func(x, dx []float64) {
 	d := len(shares)
 	rate := lambda
@@ -162,7 +163,7 @@
 	}
 }
 
-// movement is the largest relative movement of shares that are not negligible.
+// movement returns the largest relative movement of the shares that are not negligible.
 func movement(x, dx []float64) float64 {
 	largest := 0.0
 	for i := range x {
@@ -173,7 +174,7 @@
 	return largest
 }
 
-// ExpectedTime is the expected time in the system at a fixed point, by Little's law.
+// ExpectedTime returns the expected time in the system at a fixed point, by Little's law.
 func ExpectedTime(u []float64, lambda float64) float64 {
 	sum := 0.0
 	for _, v := range u[1:] {
@@ -182,8 +183,8 @@
 	return sum / lambda
 }
 
-// BestLeftShare is the share of the left group, to the thousandth, at which the expected time is least, and that time. The
-// time falls and then rises with the share, so thirds of the range are dropped.
+// BestLeftShare returns the share of the left group with the minimum expected time, in steps of a thousandth, and that
+// time. It uses ternary search, because the time first falls and then rises with the share.
 func BestLeftShare(lambda float64) (share, least float64) {
 	times := map[int]float64{}
 	timeAt := func(k int) float64 {
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Every figure of tables 2, 3 and 5 is as published, to a unit of the last digit printed, but for the two errata.
+// Every figure of tables 2, 3 and 5 is within one unit of the last published digit, except for the two errata.
 func TestTablesMatchPublishedFigures(t *testing.T) {
 	var out bytes.Buffer
 	differing, err := Write(&out, 0, 1)
@@ -18,7 +18,8 @@
 	}
 }
 
-// Table 4, by runs so short that their interval is wide; the command plays it at its length.
+// The simulation agrees with table 4. The runs are short, so their confidence interval is wide; the command uses runs of full
+// length.
 func TestSimulationAgreesWithTable4(t *testing.T) {
 	w := World{Servers: 100, Lambda: 0.9, Units: 4000, WarmUp: 400}
 	for _, row := range table4 {
@@ -29,24 +30,24 @@
 	}
 	m, err := w.RunModule(1)
 	if err != nil || m < 1 || m > 2.6 {
-		t.Errorf("the module: %.3f, %v", m, err)
+		t.Errorf("mean time with the module: %.3f, %v", m, err)
 	}
 }
 
-// A mark that misses a difference would hide an error in the integration.
+// If a difference were not marked, an error in the integration would stay hidden.
 func TestDifferingFigureIsMarked(t *testing.T) {
 	p := &printer{w: &bytes.Buffer{}}
 	for published, v := range map[string]float64{"0.7616": 0.76175, "6.0e-6": 5.85e-6, "1.26569": 1.265671} {
 		if s := p.compare(v, published); !strings.HasSuffix(s, "!") {
-			t.Errorf("%g beside %s is not marked: %q", v, published, s)
+			t.Errorf("%g compared with %s is not marked: %q", v, published, s)
 		}
 	}
 	if p.differences != 3 || p.compared != 3 {
-		t.Errorf("%d of %d", p.differences, p.compared)
+		t.Errorf("%d of %d figures differ, want 3 of 3", p.differences, p.compared)
 	}
 }
 
-// With one random choice each server is an M/M/1 queue, whose mean time is known.
+// With one random choice, each server is an M/M/1 queue, whose mean time is known.
 func TestSimulationOfOneChoice(t *testing.T) {
 	w := World{Servers: 50, Lambda: 0.5, Units: 4000, WarmUp: 400}
 	e := Repeat(8, 1, func(seed uint64) float64 {
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -15,11 +15,11 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// Pick chooses a server by the customers that each holds.
+// Pick chooses a server. held is the number of customers at each server.
 type Pick func(rng *rand.Rand, held []int) int
 
-// Random2 is the shorter of two random queues, any of equal ones. The two differ: drawn with replacement, one in a
-// hundred customers would have no choice, and the mean time of table 4 would come out at 2.67 instead of 2.65.
+// Random2 chooses the shorter of two different random queues. Ties are broken at random. If the queues were drawn with
+// replacement, one in a hundred customers would have no choice, and the mean time of table 4 would be 2.67 instead of 2.65.
 func Random2(rng *rand.Rand, held []int) int {
 	i := rng.IntN(len(held))
 	j := (i + 1 + rng.IntN(len(held)-1)) % len(held)
@@ -29,8 +29,8 @@
 	return i
 }
 
-// Left2 is the shorter of one queue of each group; ties go left. With zeroByShares, ties of empty queues are drawn
-// by the groups' shares, as the module's ordinary path has it.
+// Left2 chooses the shorter of two random queues, one from each group. Ties go left. With emptyTiesByShares, ties of empty
+// queues are broken at random by the groups' shares, as on the module's ordinary path.
 func Left2(alpha float64, emptyTiesByShares bool) Pick {
 	return func(rng *rand.Rand, held []int) int {
 		cut := int(math.Round(alpha * float64(len(held))))
@@ -42,31 +42,32 @@
 	}
 }
 
-// World is the paper's: servers with exponential service of mean 1, one Poisson stream of lambda a server, exact
-// counts. A unit of time is a second.
+// World is the system of the paper: servers with exponential service times of mean 1, and a Poisson stream with rate Lambda
+// per server. The numbers of customers are exact. A unit of time is a second.
 type World struct {
 	Servers       int
 	Lambda        float64
-	Units, WarmUp float64 // played, and discarded of them
+	Units, WarmUp float64 // duration of a run, and the initial part of it that is discarded
 }
 
-// unit is the virtual time of a unit of the paper's.
+// unit is the virtual time of the paper's unit of time.
 const unit = float64(time.Second)
 
-// arrival is the event of a customer's arrival; other events are the numbers of servers that have finished one.
+// arrival is the event of a customer's arrival. Any other event is the index of a server that has finished a customer.
 const arrival = -1
 
-// firstServerID begins the servers' numbers, so that all have as many digits and sort as they are numbered.
+// firstServerID is the number of the first server. It gives the numbers of up to 9000 servers the same number of digits, so
+// that the IDs sort in numerical order.
 const firstServerID = 1000
 
-// unreachableDeadline is a latency objective and deadline that nothing reaches, so that what the module does about lateness has no
-// effect.
+// unreachableDeadline is a latency objective and a deadline that no customer reaches, so that the module never acts on
+// lateness.
 const unreachableDeadline = 24 * time.Hour
 
-// upperQuantile is the quantile of Student's t that bounds a 95% interval from above.
+// upperQuantile is the quantile of Student's t-distribution at the upper bound of a 95% confidence interval.
 const upperQuantile = 0.975
 
-// Run plays one world and returns the mean time in the system of the customers that came after the warm-up.
+// Run simulates one run and returns the mean time in the system of the customers that arrived after the warm-up.
 func (w World) Run(seed uint64, pick Pick) float64 {
 	rng := model.Stream(seed, "paper", 0)
 	held := make([]int, w.Servers)
@@ -77,7 +78,8 @@
 	}, func(_ time.Duration, i, _ int) { held[i]-- })
 }
 
-// simulate runs the event queue: place puts customer n at a server, and done is its end there. It returns the mean time.
+// simulate runs the event queue and returns the mean time in the system. place chooses the server of customer n, and done is
+// called when the customer leaves the server.
 func (w World) simulate(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
 	type customer struct {
 		n         int
@@ -116,7 +118,7 @@
 	}
 }
 
-// RunModule plays the same world with the decision module in place of a pick: one instance that sees all.
+// RunModule simulates the same system with the decision module instead of a Pick. A single instance handles all customers.
 func (w World) RunModule(seed uint64) (mean float64, err error) {
 	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, TimerTolerance: time.Millisecond,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: unreachableDeadline, Deadline: unreachableDeadline, PriorityWeight: 1}}}, seed)
@@ -139,17 +141,18 @@
 				return indexes[s.Server]
 			}
 		}
-		return rng.IntN(w.Servers) // it never queues a request here
+		return rng.IntN(w.Servers) // not reached: the module does not queue requests here
 	}, func(now time.Duration, server, n int) {
 		b.Handle(now, balancer.AttemptEnded{ID: strconv.Itoa(n), Server: names[server], Outcome: balancer.Success, RequestDone: true})
 	})
 	return mean, nil
 }
 
-// Estimate is a mean over runs, with half its 95% interval and the runs' standard deviation.
+// Estimate is the mean over runs, with half the width of its 95% confidence interval and the standard deviation of the runs.
 type Estimate struct{ Mean, HalfInterval, StandardDeviation float64 }
 
-// Repeat plays runs, each with a seed of its own, on all cores. The same seed gives the same estimate on any number of them.
+// Repeat executes runs with consecutive seeds on all cores. The estimate depends only on the seed, not on the number of
+// cores.
 func Repeat(runs int, seed uint64, run func(seed uint64) float64) Estimate {
 	results := make([]float64, runs)
 	next := make(chan int)
@@ -169,7 +172,7 @@
 	return estimate(results)
 }
 
-// estimate is the mean of some results, at least one.
+// estimate returns the estimate from the results of runs, of which there must be at least one.
 func estimate(results []float64) Estimate {
 	runs := len(results)
 	e := Estimate{}
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Published figures of the paper's tables, as printed; "" is a blank.
+// Published figures of the paper's tables, as printed; "" is an empty entry.
 var (
 	table2 = [][3]string{{"0.7616", "0.7717", "0.7758"}, {"0.2295", "0.2239", "0.2201"}, {"0.0089", "0.0045", "0.0041"},
 		{"6.0e-6", "5.2e-8", "3.8e-8"}, {"1.3e-12", "1.2e-21", "6.1e-22"}, {"3.2e-26", "5.3e-58", "8.8e-59"}}
@@ -29,13 +29,13 @@
 		{"1.5e-6", "2.5e-8", "9.7e-51", "", "", ""}}
 )
 
-// errata are published figures that the paper's own equations contradict, and what they give instead.
+// errata maps published figures that contradict the paper's equations to what the equations give instead.
 var errata = map[string]string{
 	"2.9e-17": "its closed form is 0.9 to the power of 364, which is 2.2e-17",
 	"3.8e-8":  "equation 5 gives 3.944e-8, with this step and with half of it",
 }
 
-// formatLike prints a figure as a published one is printed: with as many decimals, or the same form of exponent.
+// formatLike formats a figure like a published one: with as many decimals and the same form of exponent.
 func formatLike(v float64, like string) string {
 	if mantissa, _, ok := cutByte(like, 'e'); ok {
 		s := strconv.FormatFloat(v, 'e', decimals(mantissa), 64)
@@ -46,7 +46,7 @@
 	return strconv.FormatFloat(v, 'f', decimals(like), 64)
 }
 
-// cutByte cuts s at the first c.
+// cutByte cuts s around the first c.
 func cutByte(s string, c byte) (before, after string, ok bool) {
 	for i := range len(s) {
 		if s[i] == c {
@@ -56,14 +56,15 @@
 	return s, "", false
 }
 
-// decimals counts the digits after the point.
+// decimals returns the number of digits after the decimal point.
 func decimals(s string) int {
 	_, after, _ := cutByte(s, '.')
 	return len(after)
 }
 
-// withinLastDigit says that a figure is at most a unit of the last printed digit away from the published one: the paper
-// truncates some figures and rounds others, and has the best share from times that differ by two in ten million.
+// withinLastDigit reports whether a figure differs from the published one by at most one unit of the last printed digit. The
+// paper truncates some figures and rounds others, and it derives the best share from times that differ by two in ten
+// million.
 func withinLastDigit(v float64, published string) bool {
 	p, err := strconv.ParseFloat(published, 64)
 	mantissa, exponent, _ := cutByte(published, 'e')
@@ -72,23 +73,23 @@
 	return err == nil && math.Abs(v-p) <= lastDigitTolerance*unit
 }
 
-// lastDigitTolerance is a unit of the last digit, and a little for the rounding of floating point.
+// lastDigitTolerance is one unit of the last digit, plus a margin for floating-point rounding.
 const lastDigitTolerance = 1.000001
 
-// Marks of a figure beside the published one.
+// Marks that show how a figure compares with the published one.
 const (
-	markSame     = " " // as printed
-	markRounding = "~" // within a unit of its last digit
-	markErratum  = "e" // the paper's own equations contradict the published one
-	markDiffers  = "!" // a real difference
+	markSame     = " " // identical to the published figure
+	markRounding = "~" // within one unit of the last digit
+	markErratum  = "e" // the paper's equations contradict the published figure
+	markDiffers  = "!" // any other difference
 )
 
-// printer writes tables and counts the figures that are not as published.
+// printer writes tables and counts the figures that differ from the published ones.
 type printer struct {
 	w           io.Writer
 	differences int
 	compared    int
-	errataFound []string // errata met
+	errataFound []string // published figures of errata that were compared
 	err         error
 }
 
@@ -98,7 +99,7 @@
 	}
 }
 
-// compare is a figure and the published one, with its mark.
+// compare formats a figure, the published one and the mark that compares them.
 func (p *printer) compare(v float64, published string) string {
 	if published == "" {
 		return fmt.Sprintf("%9s %9s ", "", "")
@@ -119,12 +120,12 @@
 	return fmt.Sprintf("%9s %9s%s", got, published, mark)
 }
 
-// Write prints all tables beside the published ones and returns how many figures differ. Table 4 takes so many runs, the
-// published one 100; without any it is left out.
+// Write prints all tables next to the published ones and returns the number of figures that differ. runs is the number of
+// runs for table 4; the paper has 100. If runs is 0, table 4 is omitted.
 func Write(w io.Writer, runs int, seed uint64) (differing int, err error) {
 	p := &printer{w: w}
-	p.printf("each figure beside the published one: ~ within a unit of its last digit, e one that the paper's own\n" +
-		"equations contradict, ! one that differs\n")
+	p.printf("Each figure is followed by the published one. ~: within one unit of the last digit; e: the paper's equations\n" +
+		"contradict the published figure; !: different.\n")
 	p.writeTable2()
 	p.writeTable3()
 	p.writeTable5()
@@ -171,7 +172,7 @@
 	}
 }
 
-// writeRow writes the figures of one load beside the published ones.
+// writeRow writes the figures of one load next to the published ones.
 func (p *printer) writeRow(load int, published []string, columns [][]float64) {
 	p.printf("  %d ", load)
 	for k, want := range published {
@@ -180,15 +181,15 @@
 	p.printf("\n")
 }
 
-// The module's runs are fewer and shorter than those of table 4, for it costs more: a tenth of the runs, at least two.
+// Runs of the module are fewer and shorter than those of table 4, because it takes more time per customer.
 const (
-	moduleRunDivisor = 10   // of the runs of table 4
-	moduleMinRuns    = 2    // for an interval
-	moduleUnits      = 5000 // of time, of each run
-	moduleWarmUp     = 500  // units that do not count
+	moduleRunDivisor = 10   // the module has a tenth of the runs of table 4
+	moduleMinRuns    = 2    // required for a confidence interval
+	moduleUnits      = 5000 // of time, per run
+	moduleWarmUp     = 500  // units of time that are discarded
 )
 
-// writeTable4 writes table 4, and the result of the module in the same world.
+// writeTable4 writes table 4 and the results of the decision module in the same system.
 func (p *printer) writeTable4(runs int, seed uint64) {
 	world := World{Servers: 100, Lambda: 0.9, Units: 50000, WarmUp: 5000}
 	p.printf("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, world.Units)
@@ -207,7 +208,7 @@
 		p.printf("  %-24s %.5f ± %.5f  published %.5f ± %.5f%s\n", row.name, e.Mean, e.HalfInterval, row.mean, row.half, mark)
 	}
 	shares := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, Left2(0.5, true)) })
-	p.printf("  %-24s %.5f ± %.5f\n", "zero ties by shares", shares.Mean, shares.HalfInterval)
+	p.printf("  %-24s %.5f ± %.5f\n", "empty ties by shares", shares.Mean, shares.HalfInterval)
 	short := world
 	short.Units, short.WarmUp = moduleUnits, moduleWarmUp
 	moduleRuns := max(moduleMinRuns, runs/moduleRunDivisor)
@@ -223,7 +224,8 @@
 		p.err = failed
 	}
 	p.printf("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.HalfInterval, moduleRuns, short.Units)
-	p.printf("  zero ties by shares change 2-left's time by %+.2f%%: ties of empty queues no longer fill the left group first.\n"+
-		"  The module also passes over servers with more calls than one above the mean, so it chooses among fewer, shorter queues.\n",
+	p.printf("  Breaking ties of empty queues by shares changes the time of 2-left by %+.2f%%, because such ties no longer fill the left\n"+
+		"  group first. The module also skips servers whose calls exceed the mean by more than one, so it chooses among fewer,\n"+
+		"  shorter queues.\n",
 		100*(shares.Mean/left.Mean-1))
 }
