--- a/internal/lab/paper/fluid.go
+++ b/internal/lab/paper/fluid.go
@@ -1,6 +1,6 @@
-// Package paper reproduces the results of "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher and
-// Vöcking). It integrates the equations of the fluid limits and runs the simulation with an event queue. Comparing the
-// results with the published ones checks the lab's understanding of the design against its source.
+// Package paper reproduces the results of "The Asymptotics of Selecting the Shortest of Two, Improved" (Mitzenmacher
+// and Vöcking). It integrates the equations of the fluid limits and runs the simulation with an event queue. Comparing
+// the results with the published ones checks the lab's understanding of the design against its source.
 package paper
 
 import "math"
@@ -54,8 +54,8 @@
 	negligibleLoad      = 1e-200 // the movement of smaller shares is rounding error
 )
 
-// The search range for the best share of the left group, in thousandths. It contains the minimum of all times that the paper
-// publishes.
+// The search range for the best share of the left group, in thousandths. It contains the minimum of all times that the
+// paper publishes.
 const (
 	thousandths     = 1000 // in a share of 1
 	minBestShare    = 500  // half: the groups are equal
@@ -63,8 +63,8 @@
 	exhaustiveRange = 2    // up to this width of the range, each share is tried
 )
 
-// BallsRandom returns, for each i, the share of bins with at least i balls after n balls have been placed into n bins. Each
-// ball is placed into the least loaded of d random bins.
+// BallsRandom returns, for each i, the share of bins with at least i balls after n balls have been placed into n bins.
+// Each ball is placed into the least loaded of d random bins.
 func BallsRandom(d int) []float64 {
 	w := make([]float64, maxLoad)
 	w[0] = 1
@@ -80,8 +80,8 @@
 	return w
 }
 
-// BallsLeft returns the same shares if each ball chooses between a random bin of each of two groups, with ties going left.
-// alpha is the share of the bins in the left group. This is equation 5 of the paper.
+// BallsLeft returns the same shares if each ball chooses between a random bin of each of two groups, with ties going
+// left. alpha is the share of the bins in the left group. This is equation 5 of the paper.
 func BallsLeft(alpha float64) []float64 {
 	x := make([]float64, 2*maxLoad)
 	x[0], x[1] = alpha, 1-alpha
@@ -106,8 +106,8 @@
 	return u
 }
 
-// QueuesRandom returns the fixed point of the queues if each customer joins the shortest of d random queues: for each i, the
-// share of servers with at least i customers. lambda is the arrival rate per server.
+// QueuesRandom returns the fixed point of the queues if each customer joins the shortest of d random queues: for each
+// i, the share of servers with at least i customers. lambda is the arrival rate per server.
 func QueuesRandom(d int, lambda float64) []float64 {
 	w := make([]float64, maxLoad)
 	for i := range w {
--- a/internal/lab/paper/paper_test.go
+++ b/internal/lab/paper/paper_test.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// The simulation agrees with table 4. The runs are short, so their confidence interval is wide; the command uses runs of full
-// length.
+// The simulation agrees with table 4. The runs are short, so their confidence interval is wide; the command uses runs
+// of full length.
 func TestSimulationAgreesWithTable4(t *testing.T) {
-	w := World{Servers: 100, Lambda: 0.9, Units: 4000, WarmUp: 400}
+	w := QueueSystem{Servers: 100, Lambda: 0.9, Units: 4000, WarmUp: 400}
 	for _, row := range table4 {
 		e := Repeat(4, 1, func(seed uint64) float64 { return w.Run(seed, row.pick) })
 		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half || e.HalfInterval > 0.2 {
@@ -49,7 +49,7 @@
 
 // With one random choice, each server is an M/M/1 queue, whose mean time is known.
 func TestSimulationOfOneChoice(t *testing.T) {
-	w := World{Servers: 50, Lambda: 0.5, Units: 4000, WarmUp: 400}
+	w := QueueSystem{Servers: 50, Lambda: 0.5, Units: 4000, WarmUp: 400}
 	e := Repeat(8, 1, func(seed uint64) float64 {
 		return w.Run(seed, func(rng *rand.Rand, held []int) int { return rng.IntN(len(held)) })
 	})
--- a/internal/lab/paper/simulate.go
+++ b/internal/lab/paper/simulate.go
@@ -19,7 +19,8 @@
 type Pick func(rng *rand.Rand, held []int) int
 
 // Random2 chooses the shorter of two different random queues. Ties are broken at random. If the queues were drawn with
-// replacement, one in a hundred customers would have no choice, and the mean time of table 4 would be 2.67 instead of 2.65.
+// replacement, one in a hundred customers would have no choice, and the mean time of table 4 would be 2.67 instead of
+// 2.65.
 func Random2(rng *rand.Rand, held []int) int {
 	i := rng.IntN(len(held))
 	j := (i + 1 + rng.IntN(len(held)-1)) % len(held)
@@ -29,8 +30,8 @@
 	return i
 }
 
-// Left2 chooses the shorter of two random queues, one from each group. Ties go left. With emptyTiesByShares, ties of empty
-// queues are broken at random by the groups' shares, as on the module's ordinary path.
+// Left2 chooses the shorter of two random queues, one from each group. Ties go left. With emptyTiesByShares, ties of
+// empty queues are broken at random by the groups' shares, as on the module's ordinary path.
 func Left2(alpha float64, emptyTiesByShares bool) Pick {
 	return func(rng *rand.Rand, held []int) int {
 		cut := int(math.Round(alpha * float64(len(held))))
@@ -42,9 +43,9 @@
 	}
 }
 
-// World is the system of the paper: servers with exponential service times of mean 1, and a Poisson stream with rate Lambda
-// per server. The numbers of customers are exact. A unit of time is a second.
-type World struct {
+// QueueSystem is the system of the paper: servers with exponential service times of mean 1, and a Poisson stream with
+// rate Lambda per server. The numbers of customers are exact. A unit of time is a second.
+type QueueSystem struct {
 	Servers       int
 	Lambda        float64
 	Units, WarmUp float64 // duration of a run, and the initial part of it that is discarded
@@ -56,8 +57,8 @@
 // arrival is the event of a customer's arrival. Any other event is the index of a server that has finished a customer.
 const arrival = -1
 
-// firstServerID is the number of the first server. It gives the numbers of up to 9000 servers the same number of digits, so
-// that the IDs sort in numerical order.
+// firstServerID is the number of the first server. It gives the numbers of up to 9000 servers the same number of
+// digits, so that the IDs sort in numerical order.
 const firstServerID = 1000
 
 // unreachableDeadline is a latency objective and a deadline that no customer reaches, so that the module never acts on
@@ -68,7 +69,7 @@
 const upperQuantile = 0.975
 
 // Run simulates one run and returns the mean time in the system of the customers that arrived after the warm-up.
-func (w World) Run(seed uint64, pick Pick) float64 {
+func (w QueueSystem) Run(seed uint64, pick Pick) float64 {
 	rng := model.Stream(seed, "paper", 0)
 	held := make([]int, w.Servers)
 	return w.simulate(rng, func(time.Duration, int) int {
@@ -78,9 +79,9 @@
 	}, func(_ time.Duration, i, _ int) { held[i]-- })
 }
 
-// simulate runs the event queue and returns the mean time in the system. place chooses the server of customer n, and done is
-// called when the customer leaves the server.
-func (w World) simulate(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
+// simulate runs the event queue and returns the mean time in the system. place chooses the server of customer n, and
+// done is called when the customer leaves the server.
+func (w QueueSystem) simulate(rng *rand.Rand, place func(now time.Duration, n int) int, done func(now time.Duration, server, n int)) float64 {
 	type customer struct {
 		n         int
 		arrivedAt time.Duration
@@ -118,8 +119,9 @@
 	}
 }
 
-// RunModule simulates the same system with the decision module instead of a Pick. A single instance handles all customers.
-func (w World) RunModule(seed uint64) (mean float64, err error) {
+// RunModule simulates the same system with the decision module instead of a Pick. A single instance handles all
+// customers.
+func (w QueueSystem) RunModule(seed uint64) (mean float64, err error) {
 	b, err := balancer.New(balancer.Settings{Replicas: 1, Tier: 1, MaxAttempts: 1, TimerTolerance: time.Millisecond,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: unreachableDeadline, Deadline: unreachableDeadline, PriorityWeight: 1}}}, seed)
 	if err != nil {
@@ -148,7 +150,8 @@
 	return mean, nil
 }
 
-// Estimate is the mean over runs, with half the width of its 95% confidence interval and the standard deviation of the runs.
+// Estimate is the mean over runs, with half the width of its 95% confidence interval and the standard deviation of the
+// runs.
 type Estimate struct{ Mean, HalfInterval, StandardDeviation float64 }
 
 // Repeat executes runs with consecutive seeds on all cores. The estimate depends only on the seed, not on the number of
--- a/internal/lab/paper/tables.go
+++ b/internal/lab/paper/tables.go
@@ -62,9 +62,9 @@
 	return len(after)
 }
 
-// withinLastDigit reports whether a figure differs from the published one by at most one unit of the last printed digit. The
-// paper truncates some figures and rounds others, and it derives the best share from times that differ by two in ten
-// million.
+// withinLastDigit reports whether a figure differs from the published one by at most one unit of the last printed
+// digit. The paper truncates some figures and rounds others, and it derives the best share from times that differ by
+// two in ten million.
 func withinLastDigit(v float64, published string) bool {
 	p, err := strconv.ParseFloat(published, 64)
 	mantissa, exponent, _ := cutByte(published, 'e')
@@ -120,8 +120,8 @@
 	return fmt.Sprintf("%9s %9s%s", got, published, mark)
 }
 
-// Write prints all tables next to the published ones and returns the number of figures that differ. runs is the number of
-// runs for table 4; the paper has 100. If runs is 0, table 4 is omitted.
+// Write prints all tables next to the published ones and returns the number of figures that differ. runs is the number
+// of runs for table 4; the paper has 100. If runs is 0, table 4 is omitted.
 func Write(w io.Writer, runs int, seed uint64) (differing int, err error) {
 	p := &printer{w: w}
 	p.printf("Each figure is followed by the published one. ~: within one unit of the last digit; e: the paper's equations\n" +
@@ -191,11 +191,11 @@
 
 // writeTable4 writes table 4 and the results of the decision module in the same system.
 func (p *printer) writeTable4(runs int, seed uint64) {
-	world := World{Servers: 100, Lambda: 0.9, Units: 50000, WarmUp: 5000}
-	p.printf("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, world.Units)
+	system := QueueSystem{Servers: 100, Lambda: 0.9, Units: 50000, WarmUp: 5000}
+	p.printf("\ntable 4: mean time in the system, 100 servers, rate 0.9, %d runs (published: 100) of %.0f units\n", runs, system.Units)
 	var left Estimate
 	for i, row := range table4 {
-		e := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, row.pick) })
+		e := Repeat(runs, seed, func(seed uint64) float64 { return system.Run(seed, row.pick) })
 		mark := markSame
 		p.compared++
 		if math.Abs(e.Mean-row.mean) > e.HalfInterval+row.half {
@@ -207,9 +207,9 @@
 		}
 		p.printf("  %-24s %.5f ± %.5f  published %.5f ± %.5f%s\n", row.name, e.Mean, e.HalfInterval, row.mean, row.half, mark)
 	}
-	shares := Repeat(runs, seed, func(seed uint64) float64 { return world.Run(seed, Left2(0.5, true)) })
+	shares := Repeat(runs, seed, func(seed uint64) float64 { return system.Run(seed, Left2(0.5, true)) })
 	p.printf("  %-24s %.5f ± %.5f\n", "empty ties by shares", shares.Mean, shares.HalfInterval)
-	short := world
+	short := system
 	short.Units, short.WarmUp = moduleUnits, moduleWarmUp
 	moduleRuns := max(moduleMinRuns, runs/moduleRunDivisor)
 	var failed error
@@ -225,7 +225,6 @@
 	}
 	p.printf("  %-24s %.5f ± %.5f  (%d runs of %.0f units)\n", "the module", module.Mean, module.HalfInterval, moduleRuns, short.Units)
 	p.printf("  Breaking ties of empty queues by shares changes the time of 2-left by %+.2f%%, because such ties no longer fill the left\n"+
-		"  group first. The module also skips servers whose calls exceed the mean by more than one, so it chooses among fewer,\n"+
-		"  shorter queues.\n",
+		"  group first. The module also skips servers with more calls than one above the mean: it chooses among fewer, shorter queues.\n",
 		100*(shares.Mean/left.Mean-1))
 }
--- a/internal/lab/policies/choice.go
+++ b/internal/lab/policies/choice.go
@@ -5,7 +5,8 @@
 // leftShare is the share of the servers that forms the left group of TwoLeft.
 const leftShare = 0.5
 
-// maxFirstIndex bounds the random index at which round-robin starts, so that nodes don't all start with the same server.
+// maxFirstIndex bounds the random index at which round-robin starts, so that nodes don't all start with the same
+// server.
 const maxFirstIndex = 1 << 20
 
 // chooser chooses one of the servers, of which there is at least one.
@@ -33,7 +34,8 @@
 	return servers[i]
 }
 
-// twoRandom draws two servers with replacement and chooses the one with fewer attempts in flight. Ties are broken at random.
+// twoRandom draws two servers with replacement and chooses the one with fewer attempts in flight. Ties are broken at
+// random.
 func (r *reference) twoRandom(servers []*endpoint) *endpoint {
 	first, second := servers[r.rng.IntN(len(servers))], servers[r.rng.IntN(len(servers))]
 	if second.inFlight < first.inFlight || second.inFlight == first.inFlight && r.rng.IntN(2) == 0 {
@@ -42,8 +44,8 @@
 	return first
 }
 
-// twoLeft draws one server from the left group and one from the others, and chooses the one with fewer attempts in flight.
-// Ties go to the left group.
+// twoLeft draws one server from the left group and one from the others, and chooses the one with fewer attempts in
+// flight. Ties go to the left group.
 func (r *reference) twoLeft(servers []*endpoint) *endpoint {
 	cut := int(math.Round(leftShare * float64(len(servers))))
 	if cut == 0 || cut == len(servers) {
--- a/internal/lab/policies/policies.go
+++ b/internal/lab/policies/policies.go
@@ -1,6 +1,6 @@
-// Package policies implements reference policies that the lab compares with the decision module. They have the interface of
-// the module: they take events and return actions. They choose a server by a textbook rule and follow the rules for
-// retries, rejections and draining servers, but ignore health, warm-up and contention.
+// Package policies implements reference policies that the lab compares with the decision module. They have the
+// interface of the module: they take events and return actions. They choose a server by a textbook rule and follow the
+// rules for retries, rejections and draining servers, but ignore health, warm-up and contention.
 package policies
 
 import (
--- a/internal/lab/policies/policies_test.go
+++ b/internal/lab/policies/policies_test.go
@@ -23,9 +23,9 @@
 	return list
 }
 
-// A reference policy that retried non-idempotent requests after they may have run would look better than it is. A request
-// that has not run is sent to up to three servers and then rejected. One that may have run is retried only if it is
-// idempotent.
+// A reference policy that retried non-idempotent requests after they may have run would look better than it is. A
+// request that has not run is sent to up to three servers and then rejected. One that may have run is retried only if
+// it is idempotent.
 func TestReferencesRespectEffectAndMaxAttempts(t *testing.T) {
 	for _, name := range []string{"random", "round-robin", "least-of-two", "two-random", "two-left", "oracle"} {
 		p, err := New(name, settings(), 1, func(string) int { return 0 })
--- a/internal/lab/policies/reference.go
+++ b/internal/lab/policies/reference.go
@@ -12,8 +12,9 @@
 // streamConstant is the second half of a reference policy's seed. Any odd constant will do.
 const streamConstant = 0x9e3779b9
 
-// The backoff before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter of
-// it. Jitter shortens it by up to half, so that nodes that lost discovery at the same time don't poll at the same time.
+// The backoff before the next poll of discovery doubles with each failure, from 1/32 of the poll interval to a quarter
+// of it. Jitter shortens it by up to half, so that nodes that lost discovery at the same time don't poll at the same
+// time.
 const (
 	maxPollFailures    = 4   // after which the backoff no longer doubles
 	pollPauseDivisor   = 64  // of the poll interval
@@ -89,8 +90,8 @@
 	r.emit(balancer.SetTimer{At: now + time.Duration(pause) + 1, Token: pollTimer})
 }
 
-// applyUpdate applies a complete endpoint list or changes to it. Attempts in flight keep the endpoint that they were sent
-// to.
+// applyUpdate applies a complete endpoint list or changes to it. Attempts in flight keep the endpoint that they were
+// sent to.
 func (r *reference) applyUpdate(update balancer.EndpointUpdate) {
 	if update.Complete {
 		clear(r.endpoints)
--- a/internal/lab/scenario/blocks.go
+++ b/internal/lab/scenario/blocks.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/internal/settings"
 )
 
-// Bounds and defaults of settings. A value beyond its bound is a mistake and would only exhaust the machine that runs the
-// scenario.
+// Bounds and defaults of settings. A value beyond its bound is a mistake and would only exhaust the machine that runs
+// the scenario.
 const (
 	day                = 24 * time.Hour        // the longest scenario, and the latest start of a fault
 	millisecond        = time.Millisecond      // the shortest scenario, latency objective and deadline
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -105,5 +105,6 @@
 var ProcessFaultKinds = []string{FaultStall, FaultLinkDown, FaultSlowLink, FaultResetLink, FaultRefuseLink, FaultHalfOpen,
 	FaultBreakLink, FaultServerKill, FaultUpgrade, FaultAdminOverride, FaultMuteWatches}
 
-// FolderStates are all states of a node's folder. Random fault schedules depend on their order; the first is the default.
+// FolderStates are all states of a node's folder. Random fault schedules depend on their order; the first is the
+// default.
 var FolderStates = []string{FolderKept, FolderEmptied, FolderTruncated, FolderOld, FolderOther, FolderUnwritable, FolderFull}
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -28,8 +28,8 @@
 // blocksByKind maps a kind of block to the readers of the file's blocks of this kind.
 type blocksByKind map[string][]*settings.Reader
 
-// Override replaces the value of a setting. Path is "block.setting", such as "clients.rate", or "block.label.setting" for
-// blocks with labels, such as "class.bin-weighin.share".
+// Override replaces the value of a setting. Path is "block.setting", such as "clients.rate", or "block.label.setting"
+// for blocks with labels, such as "class.bin-weighin.share".
 type Override struct{ Path, Value string }
 
 // Load reads a scenario file.
@@ -48,9 +48,9 @@
 	return s, nil
 }
 
-// Parse parses the text of a scenario file. Errors begin with the file's name and the line. If the file names a base file,
-// read returns the text of the base. Block kinds that the file does not have are inherited from the base, except for
-// faults.
+// Parse parses the text of a scenario file. Errors begin with the file's name and the line. If the file names a base
+// file, read returns the text of the base. Block kinds that the file does not have are inherited from the base, except
+// for faults.
 func Parse(name string, text []byte, read func(path string) ([]byte, error), overrides ...Override) (*Scenario, error) {
 	blocks, err := groupBlocks(name, text)
 	if err != nil {
@@ -118,8 +118,8 @@
 	return blocks, nil
 }
 
-// applyBase adds the base file's blocks of each kind that the file itself does not have. It does nothing if the file names
-// no base.
+// applyBase adds the base file's blocks of each kind that the file itself does not have. It does nothing if the file
+// names no base.
 func (blocks blocksByKind) applyBase(name string, read func(string) ([]byte, error)) error {
 	if len(blocks["scenario"]) == 0 {
 		return nil
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario reads the lab's scenario files. A scenario defines tiers of servers, clients and faults, and how long
-// it runs. The grammar is that of the settings file and just as strict: an unknown, repeated, mistyped or out-of-range
-// setting is an error that names the file and the line. This package only reads files; package model implements the
-// behavior.
+// Package scenario reads the lab's scenario files. A scenario defines tiers of servers, clients and faults, and how
+// long it runs. The grammar is that of the settings file and just as strict: an unknown, repeated, mistyped or
+// out-of-range setting is an error that names the file and the line. This package only reads files; package model
+// implements the behavior.
 //
 // The keys of the files keep the words of the lab's first version ("trouble", "boxes", "worth", "aim_ms", the policy
 // "deckrelay"). They are mapped to the terms of the code here and nowhere else.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -69,7 +69,8 @@
 	return Parse("f", text, func(string) ([]byte, error) { return nil, errors.New("none") })
 }
 
-// The author of a scenario must be able to find a mistake: each error is one line that begins with the file and the line.
+// The author of a scenario must be able to find a mistake: each error is one line that begins with the file and the
+// line.
 func TestParseErrorsNameFileAndLine(t *testing.T) {
 	for name, c := range invalidTexts {
 		t.Run(name, func(t *testing.T) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// No text may crash the parser. Every error is one line that begins with the file and the line, and every accepted scenario
-// can be run.
+// No text may crash the parser. Every error is one line that begins with the file and the line, and every accepted
+// scenario can be run.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimal))
 	for _, c := range invalidTexts {
--- a/internal/lab/score/report.go
+++ b/internal/lab/score/report.go
@@ -17,12 +17,12 @@
 	p99    = 99 // one in a hundred is slower
 )
 
-// requestCount returns the number of requests that were served or failed, at least 1 because it is a divisor. Requests whose
-// clients left are not counted.
+// requestCount returns the number of requests that were served or failed, at least 1 because it is a divisor. Requests
+// whose clients left are not counted.
 func (s *Score) requestCount() int { return max(1, s.served+s.late+s.failed) }
 
-// Metrics returns the results of a run by their names in results files. For worth higher is better; for most others lower
-// is better.
+// Metrics returns the results of a run by their names in results files. For worth higher is better; for most others
+// lower is better.
 func (s *Score) Metrics(violations int) map[string]float64 {
 	window, class, tenant := s.WorstShares()
 	requests := float64(s.requestCount())
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -108,7 +108,8 @@
 // Rejections returns the number of rejected tries, and of those in the first second.
 func (s *Score) Rejections() (all, early int) { return s.rejected, s.rejectedEarly }
 
-// RequestEnded records the end of a client's request. at is the time of its first try, and latency is measured from then.
+// RequestEnded records the end of a client's request. at is the time of its first try, and latency is measured from
+// then.
 func (s *Score) RequestEnded(at, latency time.Duration, class, tenant, attempts int, outcome Outcome) {
 	c := s.scenario.Classes[class]
 	if attempts > 0 {
@@ -162,8 +163,8 @@
 	return least
 }
 
-// Counts returns the number of requests that were served within the latency objective, were served late, failed, or were
-// abandoned by their clients.
+// Counts returns the number of requests that were served within the latency objective, were served late, failed, or
+// were abandoned by their clients.
 func (s *Score) Counts() (inTime, late, failed, abandoned int) {
 	return s.served, s.late, s.failed, s.abandoned
 }
--- a/internal/lab/sweep/chart.go
+++ b/internal/lab/sweep/chart.go
@@ -9,8 +9,8 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// The plots are drawn with a plain SVG writer. The lab and the node are one program, and a plotting library would cost every
-// node memory: the fonts and font parsers of gonum's library take 4.8 MB of the 32 MB that the smallest node has.
+// The plots are drawn with a plain SVG writer. The lab and the node are one program, and a plotting library would cost
+// every node memory: the fonts and font parsers of gonum's library take 4.8 MB of the 32 MB that the smallest node has.
 
 // Sizes in pixels of a plot, its margins and its legend.
 const (
--- a/internal/lab/sweep/grid.go
+++ b/internal/lab/sweep/grid.go
@@ -1,6 +1,6 @@
 // Package sweep runs a grid of experiments in virtual time, stores their results in a folder and compares them. Each
-// combination of values of the settings, policy and seed is a cell. The results of a cell are stored as soon as it has run,
-// so that a stopped sweep can resume.
+// combination of values of the settings, policy and seed is a cell. The results of a cell are stored as soon as it has
+// run, so that a stopped sweep can resume.
 package sweep
 
 import (
--- a/internal/lab/sweep/report.go
+++ b/internal/lab/sweep/report.go
@@ -44,8 +44,8 @@
 	SVG   template.HTML
 }
 
-// Report writes a self-contained HTML page with a table of the metrics, value and latency over time, and comparisons of the
-// groups.
+// Report writes a self-contained HTML page with a table of the metrics, value and latency over time, and comparisons of
+// the groups.
 func Report(w io.Writer, cells []Cell, metrics []string) error {
 	groups := ByGroup(cells)
 	data := page{Title: "Lab report", Metrics: metrics}
--- a/internal/lab/sweep/results.go
+++ b/internal/lab/sweep/results.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// ByGroup divides cells into groups whose cells differ only in the seed. Groups are in the order of their first cells, and
-// the cells of a group are sorted by seed.
+// ByGroup divides cells into groups whose cells differ only in the seed. Groups are in the order of their first cells,
+// and the cells of a group are sorted by seed.
 func ByGroup(cells []Cell) (groups [][]Cell) {
 	indexes := map[string]int{}
 	for _, c := range cells {
