--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -14,7 +14,7 @@
 )
 
 func testKind() *scenario.ServerKind {
-	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, CrowdedAbove: 4, CrowdingLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
+	return &scenario.ServerKind{Cores: 2, Speed: 2, Concurrency: 4, QueueLength: 2, ContentionThreshold: 4, ContentionLoss: 1, WarmupStartShare: 0.5, WarmupDuration: 10 * time.Second, CancelsQueued: true}
 }
 
 // runToCompletion runs a server until no job runs and returns the completion time of each job.
