--- a/balancer/checkpointformat.go
+++ b/balancer/checkpointformat.go
@@ -1,13 +1,20 @@
-// Stored format of the state of a Balancer. Checkpoints are stored in captures on disk and are passed from
-// one process of a node to the next, which may be another build, so the JSON keys must not change.
+// Stored format of the state of a Balancer. Checkpoints are stored in captures on disk. They are also passed
+// from one process of a node to its successor, which may be another build of the program.
+// Therefore the JSON keys must not change.
+//
+// Fields without a comment are explained at the fields of the same names in Balancer, server, request,
+// attempt, class, pool, keyQueue and faultInjector. Points in time are stored as the time on the Balancer's
+// clock, the time that is passed to Handle.
 
 package balancer
 
 import "time"
 
-// savedBalancer is the whole state of a Balancer. Servers, requests and classes are stored in lists, and
-// references to them as indexes into these lists. The first KnownServers of Servers are known to the
-// Balancer; only ended attempts refer to the others.
+// savedBalancer is the whole state of a Balancer. Servers, requests and classes are stored in the lists
+// Servers, Requests and Classes. References to them are stored as indexes into these lists.
+//
+// The list Servers begins with the servers that the Balancer knows. Their number is KnownServers. Only ended
+// attempts refer to the servers after them.
 type savedBalancer struct {
 	Now                  time.Duration       `json:"Now"`
 	RNGState             []byte              `json:"Random"`
@@ -34,7 +41,7 @@
 type savedServer struct {
 	Server
 	Listed                bool          `json:"Listed"`
-	InFlight              [][2]int      `json:"Open"` // index of the request, number of the attempt
+	InFlight              [][2]int      `json:"Open"` // pairs: index into Requests, number of the attempt
 	ConsecutiveFailures   int           `json:"Streak"`
 	EjectionLevel         int           `json:"Level"`
 	ConsecutiveSuccesses  int           `json:"Goods"`
@@ -47,18 +54,18 @@
 	FirstRequestDue       time.Duration `json:"Hungry,omitempty"`
 }
 
-// savedOverride is the last instruction of operators for a server.
+// savedOverride is the last administrative override of a server.
 type savedOverride struct {
 	ID        string        `json:"ID"`
 	Disabled  bool          `json:"Out"`
 	EnabledAt time.Duration `json:"Back"`
 }
 
-// savedRequest is an open request, or an answered one that still has attempts in flight.
+// savedRequest is a request that is unanswered or has an attempt in flight.
 type savedRequest struct {
-	ID           []byte         `json:"ID"` // may be invalid UTF-8, which JSON would replace
+	ID           []byte         `json:"ID"` // may be invalid UTF-8, which a JSON string cannot hold
 	Class        int            `json:"Class"`
-	FirstTriedAt time.Duration  `json:"Arrived"`
+	FirstTriedAt time.Duration  `json:"Arrived"` // by the client
 	Deadline     time.Duration  `json:"Deadline"`
 	Attempts     []savedAttempt `json:"Attempts"`
 	ClientRetry  bool           `json:"Repeat"`
@@ -83,23 +90,25 @@
 	OutsideWindow bool          `json:"Outside,omitempty"`
 }
 
-// savedClass is what was learned about a class. The classes of the settings come first, in their order.
+// savedClass is what was learned about a class. The list Classes begins with the classes of the current
+// settings, in the order of the settings. The others are previous classes: classes of earlier settings
+// to which PreviousClasses or a request still refers.
 type savedClass struct {
 	MeanLatency      float64       `json:"Mean"`
 	LatencyDeviation float64       `json:"Dev"`
 	Samples          float64       `json:"Samples"`
 	Arrivals         float64       `json:"Arrive"`
 	Served           float64       `json:"Serve"`
-	TypicalBudget    time.Duration `json:"UsualTry"`
-	PreviousClass    *Class        `json:"Old,omitempty"`  // nil: as in the settings
-	Pool             int           `json:"Pool,omitempty"` // index into Pools, for a previous class
+	TypicalBudget    time.Duration `json:"UsualTry"`       // from a request's arrival to its deadline
+	PreviousClass    *Class        `json:"Old,omitempty"`  // its settings; nil for a current class
+	Pool             int           `json:"Pool,omitempty"` // index into Pools; only for a previous class
 }
 
 // savedPool is a pool and what was learned about it.
 type savedPool struct {
-	InService           []int    `json:"Ready"`
-	Preferred           []int    `json:"Near"`
-	Queued              []int    `json:"Held"`
+	InService           []int    `json:"Ready"` // indexes into Servers
+	Preferred           []int    `json:"Near"`  // indexes into Servers
+	Queued              []int    `json:"Held"`  // indexes into Requests
 	InFlight            int      `json:"InFlight"`
 	CrossZoneShare      float64  `json:"Spill"`
 	PreferredLogLatency float64  `json:"Nearby"`
@@ -118,16 +127,16 @@
 	AllowedKinds        []string `json:"Kinds"` // nil: all
 }
 
-// savedKeyQueue holds the open requests of one key.
+// savedKeyQueue holds the requests of one key that are unanswered or have an attempt in flight.
 type savedKeyQueue struct {
 	Key        uint64        `json:"Key"`
-	Requests   []int         `json:"Queue"`
+	Requests   []int         `json:"Queue"` // indexes into Requests
 	QuietUntil time.Duration `json:"Rest"`
 }
 
-// savedFaultInjector is the state of the fault injections.
+// savedFaultInjector is the state of the fault injector.
 type savedFaultInjector struct {
 	RNGState    []byte          `json:"Random"`
-	ActiveUntil []time.Duration `json:"Until"`
-	Delayed     []int           `json:"Delayed"`
+	ActiveUntil []time.Duration `json:"Until"`   // one for each fault injection of the settings
+	Delayed     []int           `json:"Delayed"` // indexes into Requests
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,34 +4,37 @@
 
 import "slices"
 
-// minRetryTimeDivisor: a retry needs at least half of the class's mean latency before the deadline. With less
-// time its answer would nearly always be too late.
+// minRetryTimeDivisor limits retries to requests whose deadline is at least half of the class's mean latency
+// away. With less time, the answer to the retry would nearly always be too late.
 const minRetryTimeDivisor = 2
 
-// mayRetry reports whether the effect of a request's class and the limit on attempts allow another attempt
-// now. Input: the attempts so far and their outcomes. A request that may have run must not run again, unless
-// its class is idempotent or the servers still discard duplicates of it. Otherwise a payment could be made
-// twice, which only the stored data would show. A request whose client has part of a response is not retried.
+// mayRetry reports whether a request may be sent again now. This depends on the attempts so far and their
+// outcomes, on the request's limit on attempts and on the effect of its class.
+//
+// A request that may have run must not run again, unless its class is idempotent or the servers still
+// discard duplicates of it. Otherwise a payment could be made twice. No error would report this: only the
+// stored data would show it. A request whose client has received part of a response is not retried, because no
+// other answer is possible.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || len(r.attempts) >= r.maxAttempts {
 		return false
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		dedupWindowOver := b.now >= a.sentAt+r.class.DedupWindow-b.deadlineMargin()
-		mustNotRunAgain := r.class.Effect == NonIdempotent ||
-			r.class.Effect == IdempotentWithKey && dedupWindowOver
-		return !a.neverRan && mustNotRunAgain
+		dedupWindowExpired := b.now >= a.sentAt+r.class.DedupWindow-b.deadlineMargin()
+		unsafeToRepeat := r.class.Effect == NonIdempotent ||
+			r.class.Effect == IdempotentWithKey && dedupWindowExpired
+		return !a.neverRan && unsafeToRepeat
 	})
 }
 
 // retryOrGiveUp handles an unanswered request that has no attempt in flight. It retries the request if
 // mayRetry allows that, the retry budget covers it, enough time is left for an answer and a server is
-// eligible. Otherwise it gives the final answer.
+// eligible. Otherwise giveUp answers the request.
 func (b *Balancer) retryOrGiveUp(r *request) {
-	left := float64(r.deadline - b.now)
+	timeLeft := float64(r.deadline - b.now)
 	cost := costOfRetry(r)
 	var s *server
-	if b.mayRetry(r) && b.retryBalance >= cost && left >= r.class.meanLatency/minRetryTimeDivisor {
+	if b.mayRetry(r) && b.retryBalance >= cost && timeLeft >= r.class.meanLatency/minRetryTimeDivisor {
 		s = b.chooseServer(r)
 	}
 	if s == nil {
--- a/configversion/acknowledgement_test.go
+++ b/configversion/acknowledgement_test.go
@@ -9,11 +9,11 @@
 // until one accepts it.
 func TestAcknowledgementsAreRetried(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
-	d.update(w.Watch, versionUpdate("x", 1))
+	d.deliverUpdate(w.Watch, versionUpdate("x", 1))
 	d.finishApply(nil)
 	for range 5 {
 		d.finishAck(false)
-		if !d.advanceUntil(d.now+ackMaxBackoff, func() bool { return d.ack != nil }) {
+		if !d.advanceUntil(d.now+ackMaxBackoff, func() bool { return d.ackInFlight != nil }) {
 			t.Fatal("the acknowledgement is not retried")
 		}
 		d.step(WatchActivity{Watch: w.Watch})
@@ -21,16 +21,16 @@
 	d.finishAck(false)
 	d.step(WatchEnded{w.Watch})
 	next := d.nextWatch(reconnectJitter)
-	if d.ack != nil {
+	if d.ackInFlight != nil {
 		t.Error("an acknowledgement is sent without a watch")
 	}
-	d.update(next.Watch, versionUpdate("x", 1))
-	if d.ack == nil || d.ack.Address != next.Address || d.ack.Ack.WatchNumber != next.Watch || d.ack.Ack.Version != 1 {
-		t.Errorf("the acknowledgement to the next controller is %+v", d.ack)
+	d.deliverUpdate(next.Watch, versionUpdate("x", 1))
+	if d.ackInFlight == nil || d.ackInFlight.Address != next.Address || d.ackInFlight.Ack.WatchNumber != next.Watch || d.ackInFlight.Ack.Version != 1 {
+		t.Errorf("the acknowledgement to the next controller is %+v", d.ackInFlight)
 	}
 	d.finishAck(true)
 	d.advanceWithHeartbeats(next.Watch, 10*time.Second)
-	if d.ack != nil {
+	if d.ackInFlight != nil {
 		t.Error("the acknowledgement is retried after it was accepted")
 	}
 }
--- a/configversion/controllerchoice_test.go
+++ b/configversion/controllerchoice_test.go
@@ -33,7 +33,7 @@
 	if second.Address != "d:1" || third.Address != "e:1" || second.Request.WatchRejections != 1 || third.Request.WatchRejections != 2 {
 		t.Errorf("the second watch is %+v, the third %+v", second, third)
 	}
-	d.update(third.Watch, emptyUpdate("x"))
+	d.deliverUpdate(third.Watch, emptyUpdate("x"))
 	d.step(WatchEnded{third.Watch})
 	if w := d.nextWatch(reconnectJitter); w.Request.WatchRejections != 0 {
 		t.Errorf("after a session, the request reports %d rejections", w.Request.WatchRejections)
--- a/configversion/controllersearch_test.go
+++ b/configversion/controllersearch_test.go
@@ -12,15 +12,15 @@
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
 	stale.HasLeaderContact = false
-	d.update(first.Watch, stale)
+	d.deliverUpdate(first.Watch, stale)
 	staleSince := d.now
 	advanceMinuteWithoutLeader := func() {
 		for end := d.now + time.Minute; d.now < end; {
 			d.advance(100 * ms)
 			d.step(WatchActivity{Watch: first.Watch})
-			for id, w := range d.open {
+			for id, w := range d.openWatches {
 				if w.Address != first.Address {
-					d.update(id, stale)
+					d.deliverUpdate(id, stale)
 				}
 			}
 		}
@@ -29,13 +29,13 @@
 	if d.openedAt[1]-staleSince < searchDelay || d.openedAt[1]-staleSince > searchDelay+searchJitter+100*ms {
 		t.Errorf("the first probe started after %v", d.openedAt[1]-staleSince)
 	}
-	if n := len(d.opened) - 1; n < 6 || n > 2*12 {
+	if n := len(d.watchHistory) - 1; n < 6 || n > 2*12 {
 		t.Errorf("%d probes in a minute", n)
 	}
-	if d.session.Controller() != first.Address || len(d.open) > 2 {
-		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
+	if d.session.Controller() != first.Address || len(d.openWatches) > 2 {
+		t.Errorf("%d watches are open, the main one at %s", len(d.openWatches), d.session.Controller())
 	}
-	for id, w := range d.open { // a probe may still be open
+	for id, w := range d.openWatches { // a probe may still be open
 		if w.Address != first.Address {
 			d.step(WatchEnded{id})
 		}
@@ -43,15 +43,15 @@
 	second := OpenWatch{}
 	for second.Watch == 0 {
 		d.advanceWithHeartbeats(first.Watch, 100*ms)
-		for id, w := range d.open {
+		for id, w := range d.openWatches {
 			if id != first.Watch {
 				second = w
 			}
 		}
 	}
-	d.update(second.Watch, versionUpdate("x", 1))
-	if d.session.Controller() != second.Address || len(d.open) != 1 {
-		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
+	d.deliverUpdate(second.Watch, versionUpdate("x", 1))
+	if d.session.Controller() != second.Address || len(d.openWatches) != 1 {
+		t.Errorf("%d watches are open, the main one at %s", len(d.openWatches), d.session.Controller())
 	}
 }
 
@@ -60,11 +60,11 @@
 	d, first := newConnectedDriver(t, SessionOptions{})
 	stale := emptyUpdate("x")
 	stale.HasLeaderContact = false
-	d.update(first.Watch, stale)
+	d.deliverUpdate(first.Watch, stale)
 	d.advance(searchDelay - ms)
-	d.update(first.Watch, emptyUpdate("x"))
+	d.deliverUpdate(first.Watch, emptyUpdate("x"))
 	d.advanceWithHeartbeats(first.Watch, 10*time.Second)
-	if len(d.opened) != 1 {
-		t.Errorf("%d watches were opened", len(d.opened))
+	if len(d.watchHistory) != 1 {
+		t.Errorf("%d watches were opened", len(d.watchHistory))
 	}
 }
--- a/configversion/lastknowngood_test.go
+++ b/configversion/lastknowngood_test.go
@@ -14,8 +14,8 @@
 	if r := w.Request; r.Cluster != "x" || r.LastDecided != 8 || r.Applied != 8 || r.LastRejected {
 		t.Errorf("the request is %+v", r)
 	}
-	d.update(w.Watch, versionUpdate("x", 7))
-	d.update(w.Watch, versionUpdate("y", 9))
+	d.deliverUpdate(w.Watch, versionUpdate("x", 7))
+	d.deliverUpdate(w.Watch, versionUpdate("y", 9))
 	if d.applying != nil {
 		t.Errorf("the session applies %+v", d.applying)
 	}
--- a/configversion/sessiondriver_test.go
+++ b/configversion/sessiondriver_test.go
@@ -11,34 +11,34 @@
 
 const ms = time.Millisecond
 
-// tester is the part of testing.TB that a driver needs. *rapid.T implements it, too.
-type tester interface {
+// testingT is the part of testing.TB that a driver needs. With it, property tests can pass a *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// driver runs a session against controllers that a test simulates. It advances virtual time, calls the session when it
-// is due, and records the session's actions.
+// driver runs a session against controllers that a test simulates. It advances virtual time, sends the session a Tick
+// at each wake-up time, and records the session's actions.
 type driver struct {
-	t         tester
-	session   *Session
-	now       time.Duration
-	open      map[uint64]OpenWatch
-	opened    []OpenWatch
-	openedAt  []time.Duration
-	applying  *ApplyConfig
-	ack       *SendAck
-	acks      []configapi.Acknowledgement
-	decisions []VersionDecided
-	persisted *LastKnownGood
-}
-
-func newDriver(t tester, options SessionOptions) *driver {
+	t            testingT
+	session      *Session
+	now          time.Duration
+	openWatches  map[uint64]OpenWatch        // open now, by their number
+	watchHistory []OpenWatch                 // all watches that the session has opened, in order
+	openedAt     []time.Duration             // when each watch of watchHistory was opened
+	applying     *ApplyConfig                // the version being applied; nil: none
+	ackInFlight  *SendAck                    // nil: none
+	acks         []configapi.Acknowledgement // all acknowledgements sent, in order
+	decisions    []VersionDecided            // all decisions on versions, in order
+	persisted    *LastKnownGood              // the version persisted last; nil: none
+}
+
+func newDriver(t testingT, options SessionOptions) *driver {
 	if options.Node == "" {
 		options.Node, options.Service, options.StartedMS = "n", "s", 1
 	}
-	return &driver{t: t, session: NewSession(options, 0), open: map[uint64]OpenWatch{}}
+	return &driver{t: t, session: NewSession(options, 0), openWatches: map[uint64]OpenWatch{}}
 }
 
 // step passes an event to the session at the current virtual time.
@@ -46,31 +46,31 @@
 	d.t.Helper()
 	switch e := event.(type) {
 	case WatchEnded:
-		delete(d.open, e.Watch)
+		delete(d.openWatches, e.Watch)
 	case WatchRejected:
-		delete(d.open, e.Watch)
+		delete(d.openWatches, e.Watch)
 	}
 	for _, action := range d.session.Step(d.now, event) {
 		switch a := action.(type) {
 		case OpenWatch:
-			d.open[a.Watch] = a
-			d.opened = append(d.opened, a)
+			d.openWatches[a.Watch] = a
+			d.watchHistory = append(d.watchHistory, a)
 			d.openedAt = append(d.openedAt, d.now)
 		case CloseWatch:
-			if _, isOpen := d.open[a.Watch]; !isOpen {
+			if _, isOpen := d.openWatches[a.Watch]; !isOpen {
 				d.t.Fatalf("the session closes watch %d, which is not open", a.Watch)
 			}
-			delete(d.open, a.Watch)
+			delete(d.openWatches, a.Watch)
 		case ApplyConfig:
 			if d.applying != nil {
 				d.t.Fatal("the session applies two versions at once")
 			}
 			d.applying = &a
 		case SendAck:
-			if d.ack != nil {
+			if d.ackInFlight != nil {
 				d.t.Fatal("the session sends two acknowledgements at once")
 			}
-			d.ack = &a
+			d.ackInFlight = &a
 			d.acks = append(d.acks, a.Ack)
 		case Persist:
 			d.persisted = &a.LastKnownGood
@@ -79,12 +79,12 @@
 		}
 	}
 	if next := d.session.Next(); next <= d.now {
-		d.t.Fatalf("at %v, the session's next wake-up is already due at %v", d.now, next)
+		d.t.Fatalf("the session asks to be woken at %v, which is not after the current time %v", next, d.now)
 	}
 }
 
-// advanceUntil advances the time, with a Tick whenever the session is due, until a condition holds or the end is
-// reached. It reports whether the condition holds.
+// advanceUntil advances the time until a condition holds or the end is reached. It sends a Tick at each wake-up time of
+// the session. It reports whether the condition holds.
 func (d *driver) advanceUntil(end time.Duration, condition func() bool) bool {
 	d.t.Helper()
 	for !condition() {
@@ -98,13 +98,14 @@
 	return true
 }
 
-// advance advances the time by a duration, with a Tick whenever the session is due.
+// advance advances the time by a duration. It sends a Tick at each wake-up time of the session.
 func (d *driver) advance(duration time.Duration) {
 	d.t.Helper()
 	d.advanceUntil(d.now+duration, func() bool { return false })
 }
 
-// advanceWithHeartbeats advances the time by a duration, with heartbeats on a watch.
+// advanceWithHeartbeats advances the time by a duration. A heartbeat arrives on a watch every HeartbeatInterval
+// and at the end.
 func (d *driver) advanceWithHeartbeats(watch uint64, duration time.Duration) {
 	d.t.Helper()
 	for end := d.now + duration; d.now < end; {
@@ -116,19 +117,21 @@
 // nextWatch advances the time until a watch is opened, and returns it.
 func (d *driver) nextWatch(timeout time.Duration) OpenWatch {
 	d.t.Helper()
-	openedBefore := len(d.opened)
-	if !d.advanceUntil(d.now+timeout, func() bool { return len(d.opened) > openedBefore }) {
+	openedBefore := len(d.watchHistory)
+	if !d.advanceUntil(d.now+timeout, func() bool { return len(d.watchHistory) > openedBefore }) {
 		d.t.Fatalf("no watch was opened within %v", timeout)
 	}
-	return d.opened[openedBefore]
+	return d.watchHistory[openedBefore]
 }
 
-func (d *driver) update(watch uint64, u configapi.Update) {
+// deliverUpdate passes an update to the session as if it had arrived on a watch.
+func (d *driver) deliverUpdate(watch uint64, u configapi.Update) {
 	d.t.Helper()
 	d.step(WatchUpdated{watch, u})
 }
 
-// finishApply ends the apply in progress; rejection nil: the configuration is applied.
+// finishApply ends the apply in progress. The node has applied the configuration if rejection is nil, and has rejected
+// it otherwise.
 func (d *driver) finishApply(rejection *configapi.Rejection) {
 	d.t.Helper()
 	if d.applying == nil {
@@ -141,20 +144,21 @@
 // finishAck ends the acknowledgement in flight.
 func (d *driver) finishAck(accepted bool) {
 	d.t.Helper()
-	if d.ack == nil {
+	if d.ackInFlight == nil {
 		d.t.Fatal("no acknowledgement is in flight")
 	}
-	d.ack = nil
+	d.ackInFlight = nil
 	d.step(AckFinished{accepted})
 }
 
-var invalidRejection = &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no"}
+var invalidConfigRejection = &configapi.Rejection{Kind: configapi.RejectInvalid, Message: "no"}
 
+// config returns a service configuration that differs for each n.
 func config(n int) *configapi.ServiceConfig {
 	return &configapi.ServiceConfig{Settings: json.RawMessage(fmt.Sprint(n))}
 }
 
-// versionUpdate returns an update with a version that sets the service's configuration.
+// versionUpdate returns an update to version n, which sets the service's configuration to config(n).
 func versionUpdate(cluster configapi.Cluster, n int) configapi.Update {
 	return configapi.Update{Cluster: cluster, Version: configapi.Version(n), ConfigVersion: configapi.Version(n), Config: config(n), HasLeaderContact: true}
 }
@@ -174,7 +178,7 @@
 	return addresses
 }
 
-// newConnectedDriver returns a driver whose session has a live watch, and that watch.
+// newConnectedDriver returns a driver and the open watch of its session, on which a first update has arrived.
 func newConnectedDriver(t testing.TB, options SessionOptions) (*driver, OpenWatch) {
 	t.Helper()
 	if options.Controllers == nil {
@@ -182,6 +186,6 @@
 	}
 	d := newDriver(t, options)
 	w := d.nextWatch(InitialConnectJitter)
-	d.update(w.Watch, emptyUpdate("x"))
+	d.deliverUpdate(w.Watch, emptyUpdate("x"))
 	return d, w
 }
--- a/configversion/sessionproperty_test.go
+++ b/configversion/sessionproperty_test.go
@@ -89,7 +89,7 @@
 		m.t.Fatalf("version %d of %s is applied with settings %s, want %s", a.Version, a.Cluster, a.Config.Settings, want.Settings)
 	}
 	if history.invalid[configVersion] {
-		m.finishApply(invalidRejection)
+		m.finishApply(invalidConfigRejection)
 		return
 	}
 	m.appliedSettings = string(a.Config.Settings)
@@ -116,8 +116,8 @@
 		}
 	}
 	m.checkedDecisionCount = len(m.driver.decisions)
-	if len(m.open) > maxOpening+1 {
-		m.t.Fatalf("%d watches are open", len(m.open))
+	if len(m.openWatches) > maxOpening+1 {
+		m.t.Fatalf("%d watches are open", len(m.openWatches))
 	}
 }
 
@@ -142,13 +142,13 @@
 		switch {
 		case m.applying != nil:
 			m.completeApply()
-		case m.ack != nil:
+		case m.ackInFlight != nil:
 			m.finishAck(true)
-		case len(m.open) == 0:
+		case len(m.openWatches) == 0:
 			m.nextWatch(time.Minute)
 		default:
-			for id := range m.open {
-				m.update(id, history.update(history.newest(), true))
+			for id := range m.openWatches {
+				m.deliverUpdate(id, history.update(history.newest(), true))
 			}
 			m.advance(100 * ms)
 		}
@@ -164,7 +164,7 @@
 		m := newSessionModel(t)
 		anyWatch := func() uint64 {
 			ids := []uint64{0} // a watch that does not exist
-			for id := range m.open {
+			for id := range m.openWatches {
 				ids = append(ids, id)
 			}
 			slices.Sort(ids)
@@ -188,7 +188,7 @@
 				if rapid.Bool().Draw(t, "late") {
 					n = rapid.IntRange(0, n).Draw(t, "version")
 				}
-				m.update(anyWatch(), history.update(n, rapid.IntRange(0, 9).Draw(t, "config") > 0))
+				m.deliverUpdate(anyWatch(), history.update(n, rapid.IntRange(0, 9).Draw(t, "config") > 0))
 			},
 			"end": func(*rapid.T) { m.step(WatchEnded{anyWatch()}) },
 			"reject": func(*rapid.T) {
@@ -198,7 +198,7 @@
 			"time":     func(t *rapid.T) { m.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms) },
 			"applied":  func(*rapid.T) { m.completeApplyIfAny() },
 			"acked": func(t *rapid.T) {
-				if m.ack != nil {
+				if m.ackInFlight != nil {
 					m.finishAck(rapid.Bool().Draw(t, "accepted"))
 				}
 			},
@@ -229,7 +229,7 @@
 	if int(m.session.LastDecided()) != history.newest() {
 		m.t.Fatalf("version %d of %s is the last one decided, the newest is %d", m.session.LastDecided(), history.cluster, history.newest())
 	}
-	if m.ack != nil || len(m.session.ackQueue.pending) > 0 {
+	if m.ackInFlight != nil || len(m.session.ackQueue.pending) > 0 {
 		m.t.Fatalf("%d acknowledgements are still pending", len(m.session.ackQueue.pending))
 	}
 	applied := m.session.Applied()
--- a/configversion/watchmigration_test.go
+++ b/configversion/watchmigration_test.go
@@ -11,13 +11,13 @@
 	d, first := newConnectedDriver(t, SessionOptions{})
 	move := emptyUpdate("x")
 	move.MigrateTo = "m:1"
-	d.update(first.Watch, move)
-	second := d.opened[len(d.opened)-1]
-	if second.Address != "m:1" || len(d.open) != 2 {
-		t.Fatalf("%d watches are open, the last one at %s", len(d.open), second.Address)
+	d.deliverUpdate(first.Watch, move)
+	second := d.watchHistory[len(d.watchHistory)-1]
+	if second.Address != "m:1" || len(d.openWatches) != 2 {
+		t.Fatalf("%d watches are open, the last one at %s", len(d.openWatches), second.Address)
 	}
-	d.update(second.Watch, emptyUpdate("x"))
-	if _, isOpen := d.open[first.Watch]; isOpen || d.session.Controller() != "m:1" {
+	d.deliverUpdate(second.Watch, emptyUpdate("x"))
+	if _, isOpen := d.openWatches[first.Watch]; isOpen || d.session.Controller() != "m:1" {
 		t.Error("the session has not migrated")
 	}
 }
@@ -34,15 +34,15 @@
 			d, first := newConnectedDriver(t, SessionOptions{})
 			move := emptyUpdate("x")
 			move.MigrateTo = "m:1"
-			d.update(first.Watch, move)
-			fail(d, d.opened[1].Watch)
-			d.update(first.Watch, move)
-			if len(d.open) != 1 || len(d.opened) != 2 || d.session.Controller() != first.Address {
-				t.Errorf("%d watches are open, %d were opened, the main one is at %s", len(d.open), len(d.opened), d.session.Controller())
+			d.deliverUpdate(first.Watch, move)
+			fail(d, d.watchHistory[1].Watch)
+			d.deliverUpdate(first.Watch, move)
+			if len(d.openWatches) != 1 || len(d.watchHistory) != 2 || d.session.Controller() != first.Address {
+				t.Errorf("%d watches are open, %d were opened, the main one is at %s", len(d.openWatches), len(d.watchHistory), d.session.Controller())
 			}
 			d.advanceWithHeartbeats(first.Watch, migrationRetryDelay)
-			d.update(first.Watch, move)
-			if len(d.opened) != 3 {
+			d.deliverUpdate(first.Watch, move)
+			if len(d.watchHistory) != 3 {
 				t.Error("a later request is ignored")
 			}
 		})
--- a/configversion/watchopening_test.go
+++ b/configversion/watchopening_test.go
@@ -36,13 +36,13 @@
 func TestOpenBackoffIsBounded(t *testing.T) {
 	for name, fail := range map[string]func(d *driver){
 		"ended immediately": func(d *driver) {
-			for id := range d.open {
+			for id := range d.openWatches {
 				d.step(WatchEnded{id})
 			}
 		},
 		"no response": func(*driver) {},
 		"no capacity": func(d *driver) {
-			for id := range d.open {
+			for id := range d.openWatches {
 				d.step(WatchRejected{id, configapi.Error{Kind: configapi.ErrorNoCapacity, Alternatives: threeControllers}})
 			}
 		},
@@ -52,11 +52,11 @@
 			for d.now < time.Minute {
 				d.nextWatch(openMaxBackoff + InitialConnectJitter)
 				fail(d)
-				if len(d.open) > maxOpening {
-					t.Fatalf("%d watches are open", len(d.open))
+				if len(d.openWatches) > maxOpening {
+					t.Fatalf("%d watches are open", len(d.openWatches))
 				}
 			}
-			if n := len(d.opened); n < 40 || n > 100 {
+			if n := len(d.watchHistory); n < 40 || n > 100 {
 				t.Errorf("%d watches in a minute", n)
 			}
 		})
@@ -78,8 +78,8 @@
 func TestMissingConfigurationReopensWithBackoff(t *testing.T) {
 	d, w := newConnectedDriver(t, SessionOptions{})
 	for range 100 {
-		d.update(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
-		if _, isOpen := d.open[w.Watch]; isOpen || d.session.Applied() != 0 {
+		d.deliverUpdate(w.Watch, configapi.Update{Cluster: "x", Version: 7, ConfigVersion: 7, HasLeaderContact: true})
+		if _, isOpen := d.openWatches[w.Watch]; isOpen || d.session.Applied() != 0 {
 			t.Fatalf("watch open: %v, version in force: %d; want a closed watch and no version", isOpen, d.session.Applied())
 		}
 		w = d.nextWatch(openMaxBackoff)
@@ -87,7 +87,7 @@
 	if d.now < 60*time.Second {
 		t.Errorf("100 watches were opened within %v", d.now)
 	}
-	d.update(w.Watch, versionUpdate("x", 7))
+	d.deliverUpdate(w.Watch, versionUpdate("x", 7))
 	d.finishApply(nil)
 	if d.session.Applied() != 7 {
 		t.Errorf("version %d is in force", d.session.Applied())
--- a/configversion/watchsilence_test.go
+++ b/configversion/watchsilence_test.go
@@ -18,12 +18,12 @@
 		if delay := d.now - silentSince; delay < configapi.SilenceTimeout-silenceJitter {
 			t.Errorf("the second watch opened after %v of silence", delay)
 		}
-		if second.Address == first.Address || len(d.open) != 2 {
-			t.Errorf("the second watch is at %s, the first at %s, and %d are open", second.Address, first.Address, len(d.open))
+		if second.Address == first.Address || len(d.openWatches) != 2 {
+			t.Errorf("the second watch is at %s, the first at %s, and %d are open", second.Address, first.Address, len(d.openWatches))
 		}
-		d.update(second.Watch, versionUpdate("x", 1))
-		if _, isOpen := d.open[first.Watch]; isOpen || len(d.open) != 1 || d.session.Controller() != second.Address {
-			t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
+		d.deliverUpdate(second.Watch, versionUpdate("x", 1))
+		if _, isOpen := d.openWatches[first.Watch]; isOpen || len(d.openWatches) != 1 || d.session.Controller() != second.Address {
+			t.Errorf("%d watches are open, the main one at %s", len(d.openWatches), d.session.Controller())
 		}
 		if d.applying == nil {
 			t.Error("the version is not applied")
@@ -41,7 +41,7 @@
 		published := d.now
 		d.nextWatch(maxDelay)
 		third := d.nextWatch(maxDelay)
-		d.update(third.Watch, versionUpdate("x", 1))
+		d.deliverUpdate(third.Watch, versionUpdate("x", 1))
 		if delay := d.now - published; d.applying == nil || delay > maxDelay {
 			t.Fatalf("seed %d: the version arrived after %v, being applied: %v", seed, delay, d.applying != nil)
 		}
@@ -54,8 +54,8 @@
 	d, first := newConnectedDriver(t, SessionOptions{})
 	second := d.nextWatch(configapi.SilenceTimeout)
 	d.step(WatchActivity{Watch: first.Watch})
-	if _, isOpen := d.open[second.Watch]; isOpen || d.session.Controller() != first.Address {
-		t.Errorf("%d watches are open, the main one at %s", len(d.open), d.session.Controller())
+	if _, isOpen := d.openWatches[second.Watch]; isOpen || d.session.Controller() != first.Address {
+		t.Errorf("%d watches are open, the main one at %s", len(d.openWatches), d.session.Controller())
 	}
 }
 
@@ -68,7 +68,7 @@
 		d.step(WatchActivity{Watch: first.Watch, UpdateInProgress: true})
 		d.advance(100 * ms)
 	}
-	if len(d.open) < 2 || d.openedAt[1]-updateStartedAt > configapi.SilenceTimeout {
-		t.Errorf("%d watches are open", len(d.open))
+	if len(d.openWatches) < 2 || d.openedAt[1]-updateStartedAt > configapi.SilenceTimeout {
+		t.Errorf("%d watches are open", len(d.openWatches))
 	}
 }
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -204,7 +204,7 @@
 	})
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	usedConn(t, p, att)
+	prepareSafeConn(t, p, att)
 	c, fresh, err := p.acquireOrDial(att)
 	if err != nil || fresh {
 		t.Fatalf("fresh %v, %v", fresh, err)
--- a/internal/node/suspicion_test.go
+++ b/internal/node/suspicion_test.go
@@ -167,7 +167,7 @@
 	})
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	usedConn(t, p, att)
+	prepareSafeConn(t, p, att)
 	ended := make(chan engine.Result)
 	go func() { ended <- p.runAttempt(nextAttempt(att)) }()
 	eventually(t, "the second request is sent", func() bool { return b.requests() == 2 })
