--- a/cmd/hookwalk/soak_test.go
+++ b/cmd/hookwalk/soak_test.go
@@ -52,11 +52,13 @@
 
 // Discovery is back for a second between two outages: nodes took both for one, and sent to a server that drains.
 func TestResetInAnOutageEndsItsRenewals(t *testing.T) {
-	playSoak(t, soak.ReturnBetweenOutages())
+	playSoak(t, soak.RecoveryBetweenOutages())
 }
 
 // Nodes that start while discovery is crowded took its late rejections for an outage, and sent to a server that drains.
-func TestRestartWhileDiscoveryIsCrowded(t *testing.T) { playSoak(t, soak.RestartWhileCrowded()) }
+func TestRestartWhileDiscoveryIsCrowded(t *testing.T) {
+	playSoak(t, soak.RestartWhileDiscoveryOverloaded())
+}
 
 // playSoak plays a plan and reports the rules that it broke.
 func playSoak(t *testing.T, plan soak.Plan) {
--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -18,8 +18,8 @@
 
 // Classes of the small histories below.
 const (
-	safe = iota
-	unsafe
+	idempotent = iota
+	nonIdempotent
 )
 
 func testHeader() Header {
@@ -68,7 +68,7 @@
 
 // attempts are n attempts that the servers answered 500, one after another, and the answer to the client.
 func attempts(n int) (list []Event) {
-	list = append(list, requestSent(1000*ms, safe))
+	list = append(list, requestSent(1000*ms, idempotent))
 	for i := range n {
 		at := time.Duration(1010+20*i) * ms
 		s := []string{"s1", "s2"}[i%2]
@@ -84,7 +84,7 @@
 		Event{At: 5000 * ms, Kind: ServerStarted, Server: "s1"}, Event{At: 5005 * ms, Kind: EndpointNotified, Server: "s1", Ready: true})
 	for i := range n {
 		id, at := fmt.Sprint(i), 5010*ms
-		for _, e := range []Event{requestSent(at, safe), attemptArrived(at, "s1"), attemptAnswered(at, "s1", 200), answerReceived(at, 200)} {
+		for _, e := range []Event{requestSent(at, idempotent), attemptArrived(at, "s1"), attemptAnswered(at, "s1", 200), answerReceived(at, 200)} {
 			if e.ID = id; e.Kind == AttemptArrived {
 				e.Work = 20 * ms
 			}
@@ -99,70 +99,70 @@
 
 // A rule that rejects nothing, or that rejects what is allowed, makes every play of the lab worthless: each rule rejects a
 // history that breaks it, by that rule alone, and accepts one that stays a step inside.
-func TestEachRuleHasItsHistory(t *testing.T) {
+func TestEachRuleRejectsOnlyItsViolation(t *testing.T) {
 	for name, tc := range map[string]struct {
-		rule          checker.Rule
-		wrong, inside []Event
+		rule                  checker.Rule
+		violating, conforming []Event
 	}{
 		"late": {checker.InTime,
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2051*ms, 200)},
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2050*ms, 200)}},
-		"never": {checker.InTime, []Event{requestSent(1000*ms, safe)}, []Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: ClientLeft, ID: "1"}}},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2051*ms, 200)},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2050*ms, 200)}},
+		"never": {checker.InTime, []Event{requestSent(1000*ms, idempotent)}, []Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: ClientLeft, ID: "1"}}},
 		"never, asked as the node starts again": {checker.InTime,
-			[]Event{{At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}, requestSent(1000*ms, unsafe)},
-			[]Event{requestSent(499*ms, unsafe), {At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}}},
+			[]Event{{At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}, requestSent(1000*ms, nonIdempotent)},
+			[]Event{requestSent(499*ms, nonIdempotent), {At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}}},
 		"twice": {checker.OneAnswer,
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200), answerReceived(1250*ms, 200)},
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200)}},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200), answerReceived(1250*ms, 200)},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200)}},
 		"sent after the answer": {checker.OneAnswer,
-			[]Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503), attemptArrived(1201*ms, "s1"), attemptCanceled(1210*ms, "s1")},
-			[]Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503), attemptArrived(1200*ms, "s1"), attemptCanceled(1210*ms, "s1")}},
+			[]Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 503), attemptArrived(1201*ms, "s1"), attemptCanceled(1210*ms, "s1")},
+			[]Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 503), attemptArrived(1200*ms, "s1"), attemptCanceled(1210*ms, "s1")}},
 		"run twice": {checker.NoSecondRun,
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)},
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)}},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 200), answerReceived(1200*ms, 200)}},
 		"sent again after a time-out": {checker.NoSecondRun,
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 502)},
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 503)}},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 502)},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptCanceled(1110*ms, "s1"), attemptArrived(1120*ms, "s2"), attemptAnswered(1200*ms, "s2", 503), answerReceived(1200*ms, 503)}},
 		"rejected after a run": {checker.SafeRejection,
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), answerReceived(1120*ms, 503)},
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), answerReceived(1120*ms, 429)}},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), answerReceived(1120*ms, 503)},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), answerReceived(1120*ms, 429)}},
 		"rejected while out": {checker.SafeRejection,
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 429), attemptCanceled(1130*ms, "s1")},
-			[]Event{requestSent(1000*ms, unsafe), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 502), attemptCanceled(1130*ms, "s1")}},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 429), attemptCanceled(1130*ms, "s1")},
+			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 502), attemptCanceled(1130*ms, "s1")}},
 		"two out": {checker.OneAttempt,
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1300*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)},
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1299*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)}},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1300*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1299*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)}},
 		"four attempts": {checker.AttemptLimit, attempts(4), attempts(3)},
 		"after a drain": {checker.DrainGrace,
-			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2301*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)},
-			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, safe), attemptArrived(2300*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)}},
+			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, idempotent), attemptArrived(2301*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)},
+			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, idempotent), attemptArrived(2300*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)}},
 		"after a confirmed override": {checker.AdminOverride,
-			[]Event{overridden(1000*ms, false), {At: 1900 * ms, Kind: EndpointNotified, Server: "s1", Ready: true}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
-			[]Event{overridden(1000*ms, false), overridden(1100*ms, false), overridden(1900*ms, true), requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)}},
+			[]Event{overridden(1000*ms, false), {At: 1900 * ms, Kind: EndpointNotified, Server: "s1", Ready: true}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
+			[]Event{overridden(1000*ms, false), overridden(1100*ms, false), overridden(1900*ms, true), requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)}},
 		"after an override, over an upgrade": {checker.AdminOverride,
-			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
-			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, safe), attemptArrived(2100*ms, "s2"), attemptAnswered(2110*ms, "s2", 200), answerReceived(2110*ms, 200)}},
+			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
+			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s2"), attemptAnswered(2110*ms, "s2", 200), answerReceived(2110*ms, 200)}},
 		"lost in an upgrade": {checker.InTime,
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}},
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, answerReceived(1300*ms, 503)}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, answerReceived(1300*ms, 503)}},
 		"overloaded":                   {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
 		"overloaded by those who knew": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
 		"lost on SIGTERM": {checker.NothingLost,
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, {At: 1200 * ms, Kind: NodeExited}},
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeTerminating}, answerReceived(1150*ms, 502), {At: 1200 * ms, Kind: NodeExited}}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeTerminating}, {At: 1200 * ms, Kind: NodeExited}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeTerminating}, answerReceived(1150*ms, 502), {At: 1200 * ms, Kind: NodeExited}}},
 		"cut": {checker.NothingLost,
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: ConnectionCut, ID: "1"}},
-			[]Event{requestSent(1000*ms, safe), {At: 1100 * ms, Kind: NodeKilled}}},
-		"served with nothing": {checker.GenuineAnswer, []Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 200)}, []Event{requestSent(1000*ms, safe), answerReceived(1100*ms, 503)}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: ConnectionCut, ID: "1"}},
+			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeKilled}}},
+		"served with nothing": {checker.GenuineAnswer, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 200)}, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 503)}},
 		"served with another's": {checker.GenuineAnswer,
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 500), answerReceived(1120*ms, 200)},
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 200), answerReceived(1120*ms, 200)}},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 500), answerReceived(1120*ms, 200)},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 200), answerReceived(1120*ms, 200)}},
 		"unknown server": {checker.KnownServer,
-			[]Event{requestSent(1000*ms, safe), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)},
-			[]Event{{At: 900 * ms, Kind: EndpointNotified, Server: "s9", Ready: true}, requestSent(1000*ms, safe), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)}},
+			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)},
+			[]Event{{At: 900 * ms, Kind: EndpointNotified, Server: "s9", Ready: true}, requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s9"), attemptAnswered(1110*ms, "s9", 200), answerReceived(1120*ms, 200)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := Check(testHeader(), history(tc.wrong...))
+			found := Check(testHeader(), history(tc.violating...))
 			for _, v := range found {
 				if v.Rule != tc.rule {
 					t.Errorf("also rejected by %v", v)
@@ -171,7 +171,7 @@
 			if len(found) == 0 {
 				t.Error("not rejected")
 			}
-			for _, v := range Check(testHeader(), history(tc.inside...)) {
+			for _, v := range Check(testHeader(), history(tc.conforming...)) {
 				t.Errorf("a step inside: %v", v)
 			}
 		})
@@ -213,7 +213,7 @@
 }
 
 // A line that can't be read is named.
-func TestReadNamesTheLine(t *testing.T) {
+func TestReadErrorNamesTheLine(t *testing.T) {
 	for _, text := range []string{"{}\n{", "{}\n{}\nx", `{}` + "\n" + `{"what":"ask","class":7}`} {
 		if _, _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %v", text, err)
--- a/internal/lab/blackbox/golden_test.go
+++ b/internal/lab/blackbox/golden_test.go
@@ -12,7 +12,7 @@
 
 // A recorded history outlives the build that wrote it: were a key of its form to follow a Go name, an old history would be
 // read with fields that are silently zero, and the checker would accept what breaks a rule.
-func TestHistoriesKeepTheirForm(t *testing.T) {
+func TestHistoryEncodingIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/small-every-fault.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -31,11 +31,11 @@
 			t.Fatal(err)
 		}
 	}
-	const later = `"means":null,` // a key that the recorded history is older than
-	if n := bytes.Count(written.Bytes(), []byte(later)); n != 1 {
-		t.Errorf("%s is written %d times", later, n)
+	const addedKey = `"means":null,` // a key that the recorded history is older than
+	if n := bytes.Count(written.Bytes(), []byte(addedKey)); n != 1 {
+		t.Errorf("%s is written %d times", addedKey, n)
 	}
-	if !bytes.Equal(bytes.Replace(written.Bytes(), []byte(later), nil, 1), text) {
+	if !bytes.Equal(bytes.Replace(written.Bytes(), []byte(addedKey), nil, 1), text) {
 		t.Error("the history is written in another form than it was read")
 	}
 	for _, form := range []reflect.Type{reflect.TypeFor[Header](), reflect.TypeFor[Event]()} {
--- a/internal/lab/blackbox/history.go
+++ b/internal/lab/blackbox/history.go
@@ -14,8 +14,8 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// maxLine is the longest line of a history in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line of a history in bytes.
+const maxLineBytes = 1 << 20
 
 // errNoSuchClass is an event of a class that the header does not have.
 var errNoSuchClass = errors.New("no such class")
@@ -74,7 +74,7 @@
 // Read reads a history. An error names the line.
 func Read(in io.Reader) (h Header, events []Event, err error) {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		if n == 1 {
 			err = json.Unmarshal(lines.Bytes(), &h)
--- a/internal/lab/blackbox/notifications.go
+++ b/internal/lab/blackbox/notifications.go
@@ -22,7 +22,7 @@
 // timedEvent is an event at the time at which it counts, and when it was written.
 type timedEvent struct {
 	Event
-	written time.Duration
+	writtenAt time.Duration
 }
 
 // notificationClock puts notifications at the time at which they count.
@@ -43,9 +43,9 @@
 	}
 	c.end()
 	slices.SortStableFunc(c.events, func(a, b timedEvent) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.written, b.written))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.writtenAt, b.writtenAt))
 	})
-	return withoutStale(c.events)
+	return dropSuperseded(c.events)
 }
 
 // add adds an event that counts at a time.
@@ -115,16 +115,16 @@
 	return max(e.At, m.since+endpointlease.NotificationDeadline)
 }
 
-// withoutStale drops the notifications of a server that were written before one that already counts.
-func withoutStale(events []timedEvent) []Event {
+// dropSuperseded drops the notifications of a server that were written before one that already counts.
+func dropSuperseded(events []timedEvent) []Event {
 	newest := map[linkKey]time.Duration{} // when the last notification that counts was written
 	out := make([]Event, 0, len(events))
 	for _, e := range events {
 		if key := (linkKey{e.Node, e.Server}); e.Kind == EndpointNotified {
-			if last, notified := newest[key]; notified && e.written < last {
+			if last, notified := newest[key]; notified && e.writtenAt < last {
 				continue
 			}
-			newest[key] = e.written
+			newest[key] = e.writtenAt
 		}
 		out = append(out, e.Event)
 	}
--- a/internal/lab/checker/attempt.go
+++ b/internal/lab/checker/attempt.go
@@ -20,7 +20,7 @@
 	if r.answered && now > r.answeredAt+c.ObservationLag {
 		c.report(OneAnswer, now, node, id, server, "sent after the final answer")
 	}
-	if r.attemptsOut > 0 {
+	if r.attemptsInFlight > 0 {
 		r.overlaps = append(r.overlaps, overlap{now, server})
 		c.reportOverlaps(now, node, id, r)
 	}
@@ -31,7 +31,7 @@
 		c.report(NoSecondRun, now, node, id, server, "sent again though %s may have run it", earlier)
 	}
 	r.attempts = append(r.attempts, attempt{sentAt: now, server: server})
-	r.attemptsOut++
+	r.attemptsInFlight++
 }
 
 // checkServer checks that a node may send to a server.
@@ -97,8 +97,8 @@
 		return
 	}
 	r.attempts[number].unobserved = true
-	r.attemptsOut--
-	c.forgetIfOver(now, n, id, r)
+	r.attemptsInFlight--
+	c.forgetIfComplete(now, n, id, r)
 }
 
 // AttemptExecuted is a server that has really begun to work on a request.
@@ -125,9 +125,9 @@
 		return
 	}
 	c.reportOverlaps(now, node, id, r)
-	r.attemptsOut--
-	if r.attemptsOut <= 1 {
+	r.attemptsInFlight--
+	if r.attemptsInFlight <= 1 {
 		r.overlaps = nil
 	}
-	c.forgetIfOver(now, n, id, r)
+	c.forgetIfComplete(now, n, id, r)
 }
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -52,17 +52,17 @@
 // request is one that a node has accepted. It is open until it is answered, and is kept while facts about its attempts can
 // still come.
 type request struct {
-	class       int
-	acceptedAt  time.Duration
-	deadline    time.Duration
-	excused     bool // whether and when it is answered is not its node's doing
-	answered    bool
-	answeredAt  time.Duration
-	clientGone  bool // nothing is owed
-	attempts    []attempt
-	attemptsOut int
-	executions  int
-	overlaps    []overlap
+	class            int
+	acceptedAt       time.Duration
+	deadline         time.Duration
+	excused          bool // whether and when it is answered is not its node's doing
+	answered         bool
+	answeredAt       time.Duration
+	clientGone       bool // nothing is owed
+	attempts         []attempt
+	attemptsInFlight int
+	executions       int
+	overlaps         []overlap
 }
 
 // attempt is one time that a request was sent.
--- a/internal/lab/checker/request.go
+++ b/internal/lab/checker/request.go
@@ -16,7 +16,7 @@
 }
 
 // RequestAnswered is a final answer.
-func (c *Checker) RequestAnswered(now time.Duration, node, id string, how Answer) {
+func (c *Checker) RequestAnswered(now time.Duration, node, id string, answer Answer) {
 	n, r := c.find(node, id)
 	switch {
 	case n == nil:
@@ -32,13 +32,13 @@
 	if now > r.deadline+c.rules.Slack && !r.clientGone && !r.excused {
 		c.report(InTime, now, node, id, "", "answered %.0f ms after its deadline", (now-r.deadline).Seconds()*1000)
 	}
-	if how == Served && r.executions == 0 {
+	if answer == Served && r.executions == 0 {
 		c.report(GenuineAnswer, now, node, id, "", "served though no server has run it")
 	}
-	if how == Rejected && c.nonIdempotent(r) {
+	if answer == Rejected && c.nonIdempotent(r) {
 		c.checkRejection(now, node, id, r)
 	}
-	c.forgetIfOver(now, n, id, r)
+	c.forgetIfComplete(now, n, id, r)
 }
 
 // checkRejection checks that a rejected request that must not run twice has not run: its client will retry it.
@@ -61,14 +61,14 @@
 		c.report(NothingLost, now, node, id, "", "its connection ended without an answer")
 	}
 	r.answered, r.answeredAt = true, now
-	c.forgetIfOver(now, n, id, r)
+	c.forgetIfComplete(now, n, id, r)
 }
 
 // ClientGone is a client that has left: nothing is owed to it.
 func (c *Checker) ClientGone(now time.Duration, node, id string) {
 	if n, r := c.find(node, id); r != nil {
 		r.clientGone, r.answered, r.answeredAt = true, true, now
-		c.forgetIfOver(now, n, id, r)
+		c.forgetIfComplete(now, n, id, r)
 	}
 }
 
@@ -80,8 +80,8 @@
 	request *request
 }
 
-// forgetIfOver drops a request of which nothing more can come. With an observation lag that is only known after the lag.
-func (c *Checker) forgetIfOver(now time.Duration, n *node, id string, r *request) {
+// forgetIfComplete drops a request of which nothing more can come. With an observation lag that is only known after the lag.
+func (c *Checker) forgetIfComplete(now time.Duration, n *node, id string, r *request) {
 	for len(c.answeredRequests) > 0 && now > c.answeredRequests[0].at+c.ObservationLag {
 		c.answeredRequests[0].forget()
 		c.answeredRequests = c.answeredRequests[1:]
@@ -99,7 +99,7 @@
 // forget drops the request unless an attempt is out. One that was sent again stays: the run of an attempt that was said
 // never to have run may still show.
 func (a answeredRequest) forget() {
-	if r := a.request; r.answered && r.attemptsOut == 0 && len(r.attempts) < 2 && a.node.requests[a.id] == r {
+	if r := a.request; r.answered && r.attemptsInFlight == 0 && len(r.attempts) < 2 && a.node.requests[a.id] == r {
 		delete(a.node.requests, a.id)
 	}
 }
--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -11,7 +11,7 @@
 
 const (
 	endlessInterval = 50 * time.Millisecond // between two pieces of an endless answer
-	endlessTime     = 10 * time.Second      // after which even that ends: longer than any deadline
+	maxEndlessTime  = 10 * time.Second      // after which even that ends: longer than any deadline
 )
 
 // answerBody is what a server answers to a request. The judge compares it with what the client was given.
@@ -24,18 +24,18 @@
 
 // answer writes the answer to a request as the active faults have it.
 func (s *server) answer(w http.ResponseWriter, r *http.Request, id string) {
-	conn := clockConnOf(r)
+	conn := connOf(r)
 	if f, hit := s.faults.hits(AnswerSecond); hit {
-		conn.writeBehind(f.Wait, answerText(http.StatusOK, secondAnswerBody(id)), id)
+		conn.writeAfterAnswer(f.Wait, answerText(http.StatusOK, secondAnswerBody(id)), id)
 	}
 	if f, hit := s.faults.hits(AnswerLateSecond); hit {
-		conn.writeBehind(f.Wait, answerText(http.StatusOK, secondAnswerBody(id)), id)
+		conn.writeAfterAnswer(f.Wait, answerText(http.StatusOK, secondAnswerBody(id)), id)
 	}
 	if f, hit := s.faults.hits(AnswerSecondRejected); hit {
-		conn.writeBehind(f.Wait, answerText(http.StatusServiceUnavailable, ""), id)
+		conn.writeAfterAnswer(f.Wait, answerText(http.StatusServiceUnavailable, ""), id)
 	}
 	if _, hit := s.faults.hits(AnswerClose); hit {
-		conn.closeBehind()
+		conn.closeAfterAnswer()
 	}
 	switch body := answerBody(id); {
 	case s.hits(AnswerNoLength):
@@ -86,7 +86,7 @@
 	}
 	defer conn.Close()
 	_, err = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+body)
-	for end := time.Now().Add(endlessTime); err == nil && time.Now().Before(end); {
+	for end := time.Now().Add(maxEndlessTime); err == nil && time.Now().Before(end); {
 		<-time.After(endlessInterval)
 		_, err = io.WriteString(conn, ".")
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// behind is what a connection does once the answer that is being written is out.
-type behind struct {
+// answerTrailer is what a connection does once the answer that is being written is out.
+type answerTrailer struct {
 	mu     sync.Mutex
 	text   string
 	id     string // of the request that the text is a second answer to
@@ -110,41 +110,41 @@
 	closes bool
 }
 
-// writeBehind has a second answer to a request written behind the next answer, so long after it.
-func (c *clockConn) writeBehind(wait time.Duration, text, id string) {
-	c.behind.mu.Lock()
-	defer c.behind.mu.Unlock()
-	c.behind.text, c.behind.wait, c.behind.id = text, wait, id
+// writeAfterAnswer has a second answer to a request written behind the next answer, so long after it.
+func (c *timestampingConn) writeAfterAnswer(wait time.Duration, text, id string) {
+	c.trailer.mu.Lock()
+	defer c.trailer.mu.Unlock()
+	c.trailer.text, c.trailer.wait, c.trailer.id = text, wait, id
 }
 
-// closeBehind has the connection closed behind the next answer.
-func (c *clockConn) closeBehind() {
-	c.behind.mu.Lock()
-	defer c.behind.mu.Unlock()
-	c.behind.closes = true
+// closeAfterAnswer has the connection closed behind the next answer.
+func (c *timestampingConn) closeAfterAnswer() {
+	c.trailer.mu.Lock()
+	defer c.trailer.mu.Unlock()
+	c.trailer.closes = true
 }
 
 // Write writes what an answer consists of. A small answer is one Write, and what comes behind it follows.
-func (c *clockConn) Write(b []byte) (int, error) {
+func (c *timestampingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.behind.mu.Lock()
-	defer c.behind.mu.Unlock()
-	if text := c.behind.text; text != "" {
-		c.behind.text = ""
-		c.writeAfter(c.behind.wait, text, c.behind.id)
+	c.trailer.mu.Lock()
+	defer c.trailer.mu.Unlock()
+	if text := c.trailer.text; text != "" {
+		c.trailer.text = ""
+		c.writeSecondAnswer(c.trailer.wait, text, c.trailer.id)
 	}
-	if c.behind.closes {
+	if c.trailer.closes {
 		c.Conn.Close()
 	}
 	return n, err
 }
 
-// writeAfter writes a second answer after a wait, in one piece, and records how late it was.
-func (c *clockConn) writeAfter(wait time.Duration, text, id string) {
+// writeSecondAnswer writes a second answer after a wait, in one piece, and records how late it was.
+func (c *timestampingConn) writeSecondAnswer(wait time.Duration, text, id string) {
 	answeredAt := c.recorder.now()
 	write := func(conn net.Conn) {
 		io.WriteString(conn, text)
-		c.recorder.record(func(o *Observations) { o.noteSecondAnswer(id, c.recorder.now()-answeredAt) })
+		c.recorder.record(func(o *Observations) { o.recordSecondAnswer(id, c.recorder.now()-answeredAt) })
 	}
 	if wait == 0 {
 		write(c.Conn)
--- a/internal/lab/soak/clientconn.go
+++ b/internal/lab/soak/clientconn.go
@@ -24,8 +24,8 @@
 	// leaves between the two steps of a close.
 	resetWait = 1200 * time.Millisecond
 
-	// maxAnswer is how much of an answer is read, in bytes: more than any server writes.
-	maxAnswer = 1 << 20
+	// maxAnswerBytes is how much of an answer is read, in bytes: more than any server writes.
+	maxAnswerBytes = 1 << 20
 
 	// resetInterval is the time between two looks for a reset.
 	resetInterval = 20 * time.Millisecond
@@ -70,7 +70,7 @@
 		return nil, "", err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// sendInTurn sends one request after another to a node until ctx ends. A node that is down is tried again after a while.
-func (c *clients) sendInTurn(ctx context.Context, n *node) {
+// sendSequentially sends one request after another to a node until ctx ends. A node that is down is tried again after a while.
+func (c *clients) sendSequentially(ctx context.Context, n *node) {
 	for ctx.Err() == nil {
 		if c.send(n) {
 			continue
@@ -101,7 +101,7 @@
 	}
 	conn.SetDeadline(giveUp)
 	if cancels {
-		c.cancelSoon(request, conn)
+		c.cancelAfterRandomDelay(request, conn)
 	}
 	response, body, err := c.exchange(conn, request)
 	c.recordEnd(request, response, body, err)
@@ -133,7 +133,7 @@
 // exchange sends a request and reads its response and the body to its end.
 func (c *clients) exchange(conn *clientConn, request *Request) (response *http.Response, body string, err error) {
 	r := newHTTPRequest(request, c.nodes[request.Node])
-	if err := conn.send(r, func() { c.noteWritten(request) }); err != nil {
+	if err := conn.send(r, func() { c.recordWritten(request) }); err != nil {
 		return nil, "", err
 	}
 	return conn.receive(r)
@@ -165,16 +165,16 @@
 		errors.As(err, &failed) && failed.Op == "dial" && errors.Is(err, syscall.ECONNRESET)
 }
 
-// noteWritten notes that a request's last byte was written: its time counts from there.
-func (c *clients) noteWritten(request *Request) {
+// recordWritten notes that a request's last byte was written: its time counts from there.
+func (c *clients) recordWritten(request *Request) {
 	c.recorder.record(func(*Observations) {
 		request.Written = c.recorder.now()
 		request.Deadline = request.Written + requestBudget
 	})
 }
 
-// cancelSoon closes a request's connection after a drawn time, unless it has its answer by then.
-func (c *clients) cancelSoon(request *Request, conn *clientConn) {
+// cancelAfterRandomDelay closes a request's connection after a drawn time, unless it has its answer by then.
+func (c *clients) cancelAfterRandomDelay(request *Request, conn *clientConn) {
 	time.AfterFunc(rand.N(maxCancelAfter), func() {
 		gone := false
 		c.recorder.record(func(*Observations) {
--- a/internal/lab/soak/crowd.go
+++ b/internal/lab/soak/connectionflood.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// crowdInterval is the time between two passes in which a crowd opens the connections again that its node has closed.
-const crowdInterval = 100 * time.Millisecond
+// floodReopenInterval is the time between two passes in which a crowd opens the connections again that its node has closed.
+const floodReopenInterval = 100 * time.Millisecond
 
-// crowd is the idle clients of one node. They send nothing, and come again when they are sent away.
-type crowd struct {
+// connectionFlood is the idle clients of one node. They send nothing, and come again when they are sent away.
+type connectionFlood struct {
 	address string
 	conns   []*clientConn
 }
 
 // hold keeps so many connections to the node open until ctx ends, and closes them.
-func (c *crowd) hold(ctx context.Context, connections int) {
+func (c *connectionFlood) hold(ctx context.Context, connections int) {
 	defer c.close()
-	again := time.NewTicker(crowdInterval)
+	again := time.NewTicker(floodReopenInterval)
 	defer again.Stop()
 	for {
 		c.dropClosed()
@@ -36,8 +36,8 @@
 }
 
 // open opens one connection, and reports whether it came up soon.
-func (c *crowd) open(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: crowdInterval}
+func (c *connectionFlood) open(ctx context.Context) bool {
+	dialer := net.Dialer{Timeout: floodReopenInterval}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err != nil {
 		return false
@@ -47,7 +47,7 @@
 }
 
 // dropClosed forgets the connections that the node has ended.
-func (c *crowd) dropClosed() {
+func (c *connectionFlood) dropClosed() {
 	open := c.conns[:0]
 	for _, conn := range c.conns {
 		if conn.isOpen() {
@@ -60,7 +60,7 @@
 }
 
 // close closes all connections.
-func (c *crowd) close() {
+func (c *connectionFlood) close() {
 	for _, conn := range c.conns {
 		conn.Close()
 	}
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -40,7 +40,7 @@
 	updated      chan struct{}     // closed at a change
 	stalled      chan struct{}     // closed: open watches deliver nothing any more
 	watchesReset chan struct{}     // closed: open watches are reset
-	queueFree    time.Time         // when an overloaded discovery has handled the calls so far
+	queueFreeAt  time.Time         // when an overloaded discovery has handled the calls so far
 	refusing     bool              // an outage: connections are refused
 	holding      bool              // an outage: connections come up, and calls wait for its end
 	holdChanged  chan struct{}     // closed as holding changes
@@ -86,7 +86,7 @@
 func (d *discovery) openAddress(node int) (addr string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	listener, err := listenApart(func() (net.Listener, error) { return net.Listen("tcp", standInAddress()+":0") }, d.hasAddress)
+	listener, err := listenAtUnusedAddress(func() (net.Listener, error) { return net.Listen("tcp", standInAddress()+":0") }, d.hasAddress)
 	if err != nil {
 		return "", err
 	}
@@ -113,8 +113,8 @@
 	return false
 }
 
-// listenApart listens at an address that is not taken: the kernel may give the one of a listener that an outage has closed.
-func listenApart(listen func() (net.Listener, error), taken func(addr string) bool) (net.Listener, error) {
+// listenAtUnusedAddress listens at an address that is not taken: the kernel may give the one of a listener that an outage has closed.
+func listenAtUnusedAddress(listen func() (net.Listener, error), taken func(addr string) bool) (net.Listener, error) {
 	for {
 		listener, err := listen()
 		if err != nil || !taken(listener.Addr().String()) {
--- a/internal/lab/soak/discovery_test.go
+++ b/internal/lab/soak/discovery_test.go
@@ -20,14 +20,14 @@
 	return d, addr
 }
 
-// called is how a call of discovery ended.
-type called struct {
+// callResult is how a call of discovery ended.
+type callResult struct {
 	status int
 	err    error
 }
 
-// call begins a call for the complete list.
-func call(t *testing.T, addr string) <-chan called {
+// startCall begins a startCall for the complete list.
+func startCall(t *testing.T, addr string) <-chan callResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -35,53 +35,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan called, 1)
+	ended := make(chan callResult, 1)
 	go func() {
 		resp, err := http.DefaultTransport.RoundTrip(request)
 		if err != nil {
-			ended <- called{err: err}
+			ended <- callResult{err: err}
 			return
 		}
 		resp.Body.Close()
-		ended <- called{status: resp.StatusCode}
+		ended <- callResult{status: resp.StatusCode}
 	}()
 	return ended
 }
 
-// wait returns how a call ended.
-func wait(t *testing.T, ended <-chan called) called {
+// awaitCall returns how a call ended.
+func awaitCall(t *testing.T, ended <-chan callResult) callResult {
 	t.Helper()
 	select {
 	case end := <-ended:
 		return end
 	case <-time.After(10 * time.Second):
 		t.Fatal("the call goes on")
-		return called{}
+		return callResult{}
 	}
 }
 
 // A discovery that was down and is back was seen by no node whose call it still held: it rejected that call.
-func TestHeldCallGoesOnAsTheOutageEnds(t *testing.T) {
+func TestHeldCallContinuesWhenTheOutageEnds(t *testing.T) {
 	d, addr := newTestDiscovery(t)
 	d.setOutage(true, true)
-	ended := call(t, addr)
+	ended := startCall(t, addr)
 	select {
 	case end := <-ended:
 		t.Fatalf("ended with %v in the outage", end)
 	case <-time.After(maxQueueTime / 4):
 	}
 	d.setOutage(false, true)
-	if end := wait(t, ended); end.status != http.StatusOK {
+	if end := awaitCall(t, ended); end.status != http.StatusOK {
 		t.Errorf("ended with %v, want the list", end)
 	}
 }
 
 // A call that an outage holds until its end is rejected.
-func TestHeldCallIsRejected(t *testing.T) {
+func TestHeldCallIsRejectedAfterMaxQueueTime(t *testing.T) {
 	d, addr := newTestDiscovery(t)
 	d.setOutage(true, true)
 	began := time.Now()
-	if end := wait(t, call(t, addr)); end.status != http.StatusServiceUnavailable {
+	if end := awaitCall(t, startCall(t, addr)); end.status != http.StatusServiceUnavailable {
 		t.Errorf("ended with %v, want a rejection", end)
 	}
 	if took := time.Since(began); took < maxQueueTime {
@@ -90,19 +90,19 @@
 }
 
 // A discovery that goes down handles no call any more that waits for its turn: it once did, in the outage.
-func TestWaitingCallIsResetAsAnOutageBegins(t *testing.T) {
+func TestWaitingCallIsResetWhenAnOutageBegins(t *testing.T) {
 	for name, holdCalls := range map[string]bool{"calls held": true, "connections refused": false} {
 		t.Run(name, func(t *testing.T) {
 			d, addr := newTestDiscovery(t)
 			d.faults.begin(Fault{Kind: DiscoverySlow, Wait: time.Second})
-			ended := call(t, addr)
+			ended := startCall(t, addr)
 			select {
 			case end := <-ended:
 				t.Fatalf("ended with %v, which should take its time", end)
 			case <-time.After(200 * time.Millisecond):
 			}
 			d.setOutage(true, holdCalls)
-			if end := wait(t, ended); end.err == nil {
+			if end := awaitCall(t, ended); end.err == nil {
 				t.Errorf("answered with %d in the outage", end.status)
 			}
 		})
@@ -111,14 +111,14 @@
 
 // A node that got a new address in an outage was once given that of another node, whose listener the outage had closed: one of
 // the two could not listen when the outage was over.
-func TestListenApart(t *testing.T) {
+func TestListenAtUnusedAddress(t *testing.T) {
 	var opened []net.Listener
 	listen := func() (net.Listener, error) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		opened = append(opened, listener)
 		return listener, err
 	}
-	listener, err := listenApart(listen, func(addr string) bool { return addr == opened[0].Addr().String() })
+	listener, err := listenAtUnusedAddress(listen, func(addr string) bool { return addr == opened[0].Addr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/discoveryqueue.go
+++ b/internal/lab/soak/discoveryqueue.go
@@ -8,8 +8,8 @@
 // awaitTurn has a call wait as the faults have it. It returns false if the call has its answer, or if its client is gone. A
 // call that waits for its turn as an outage begins is reset, as watches are.
 func (d *discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
-	outageBegins, back := d.awaitReturn(r)
-	if !back {
+	outageBegins, available := d.awaitOutageEnd(r)
+	if !available {
 		reject(w)
 		return false
 	}
@@ -30,9 +30,9 @@
 // reject answers a call that has waited in vain.
 func reject(w http.ResponseWriter) { http.Error(w, "too busy", http.StatusServiceUnavailable) }
 
-// awaitReturn holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime, or its
+// awaitOutageEnd holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime, or its
 // client is gone; else a channel that is closed as the next such outage begins.
-func (d *discovery) awaitReturn(r *http.Request) (outageBegins <-chan struct{}, back bool) {
+func (d *discovery) awaitOutageEnd(r *http.Request) (outageBegins <-chan struct{}, available bool) {
 	timeout := time.After(maxQueueTime)
 	for {
 		d.mu.Lock()
@@ -56,8 +56,8 @@
 	if f, slow := d.faults.find(DiscoverySlow); slow {
 		wait = f.Wait
 	}
-	f, crowded := d.faults.find(DiscoveryCrowd)
-	if !crowded {
+	f, delayedRejection := d.faults.find(DiscoveryDelayedRejection)
+	if !delayedRejection {
 		var overloaded bool
 		if f, overloaded = d.faults.find(DiscoveryOverload); !overloaded {
 			return wait, false
@@ -67,7 +67,7 @@
 	switch {
 	case !rejected:
 		return wait + queued, false
-	case crowded:
+	case delayedRejection:
 		return maxQueueTime, true
 	}
 	return 0, true
@@ -79,12 +79,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.queueFree.Before(now) {
-		d.queueFree = now
+	if d.queueFreeAt.Before(now) {
+		d.queueFreeAt = now
 	}
-	if d.queueFree.Sub(now) > maxQueueTime {
+	if d.queueFreeAt.Sub(now) > maxQueueTime {
 		return 0, true
 	}
-	d.queueFree = d.queueFree.Add(serviceTime)
-	return min(d.queueFree.Sub(now), maxQueueTime), false
+	d.queueFreeAt = d.queueFreeAt.Add(serviceTime)
+	return min(d.queueFreeAt.Sub(now), maxQueueTime), false
 }
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -29,8 +29,8 @@
 // nodeDescriptors is how many descriptors each node has.
 const nodeDescriptors = 512
 
-// maxLogLine bounds a line of a node's log: a captured list is one long line.
-const maxLogLine = 8 << 20
+// maxLogLineBytes bounds a line of a node's log: a captured list is one long line.
+const maxLogLineBytes = 8 << 20
 
 // nodeConfigFormat is a node's configuration file; the arguments are its index, its address, discovery's address, its
 // index, its descriptors, the bootstrap list, the number of nodes and its index.
@@ -82,13 +82,13 @@
 const firstNodePort = 20000
 
 // standInAddress is the loopback address of discovery and servers.
-func standInAddress() string { return ownAddress(1) }
+func standInAddress() string { return processAddress(1) }
 
 // nodeAddress is the loopback address of the nodes.
-func nodeAddress() string { return ownAddress(2) }
+func nodeAddress() string { return processAddress(2) }
 
-// ownAddress is an address on loopback that this process has to itself, but for one in 16,384 others.
-func ownAddress(last int) string {
+// processAddress is an address on loopback that this process has to itself, but for one in 16,384 others.
+func processAddress(last int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, last)
 }
@@ -153,11 +153,11 @@
 func (n *node) readLog(p *process, stderr io.Reader) {
 	defer close(p.ended)
 	lines := bufio.NewScanner(stderr)
-	lines.Buffer(nil, maxLogLine)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
-		if isComplaint(line) {
-			n.complain(line)
+		if isNodeError(line) {
+			n.recordError(line)
 		}
 		if n.log != nil {
 			fmt.Fprintln(n.log, line)
@@ -168,19 +168,19 @@
 	expected := n.ending
 	n.mu.Unlock()
 	if !expected {
-		n.complain(fmt.Sprintf("the process ended by itself: %v", err))
+		n.recordError(fmt.Sprintf("the process ended by itself: %v", err))
 	}
 }
 
-// isComplaint reports whether a line of a log is about a broken invariant or a crash of the program.
-func isComplaint(line string) bool {
+// isNodeError reports whether a line of a log is about a broken invariant or a crash of the program.
+func isNodeError(line string) bool {
 	return strings.Contains(line, "invariant broken") || strings.HasPrefix(line, "panic:") ||
 		strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE")
 }
 
-// complain records a complaint.
-func (n *node) complain(text string) {
-	n.recorder.record(func(o *Observations) { o.Complaints = append(o.Complaints, fmt.Sprintf("n%d: %s", n.index, text)) })
+// recordError records a complaint.
+func (n *node) recordError(text string) {
+	n.recorder.record(func(o *Observations) { o.NodeErrors = append(o.NodeErrors, fmt.Sprintf("n%d: %s", n.index, text)) })
 }
 
 // changeDiscovery names another address of discovery by SIGHUP.
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -13,12 +13,12 @@
 	AddressChanges []AddressChange
 	Outages        []Span // of discovery
 	Stalls         []Span // in which the rig's own process did not come to run
-	Crowds         []CrowdSpan
+	Floods         []FloodSpan
 	Series         int // of signals that were sent
 	Attempts       []*Attempt
 	Requests       []*Request
 	SecondAnswers  map[string]time.Duration // by ID of a request: how long after its answer the latest second one was written
-	Complaints     []string                 // of nodes: broken invariants, panics, unexpected ends
+	NodeErrors     []string                 // of nodes: broken invariants, panics, unexpected ends
 }
 
 // Span is from a time to another; an open one has no end yet.
@@ -27,8 +27,8 @@
 	Open     bool
 }
 
-// CrowdSpan is a time in which a crowd holds connections to a node.
-type CrowdSpan struct {
+// FloodSpan is a time in which a crowd holds connections to a node.
+type FloodSpan struct {
 	Node     int
 	From, To time.Duration
 }
@@ -96,8 +96,8 @@
 	Unread            bool // its node ended the connection and had not read all of it
 }
 
-// noteSecondAnswer notes how late a second answer to a request was written.
-func (o *Observations) noteSecondAnswer(id string, lateness time.Duration) {
+// recordSecondAnswer notes how late a second answer to a request was written.
+func (o *Observations) recordSecondAnswer(id string, lateness time.Duration) {
 	if o.SecondAnswers == nil {
 		o.SecondAnswers = map[string]time.Duration{}
 	}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,24 +13,24 @@
 
 // Kinds of faults. Which fields of a Fault count is said with each.
 const (
-	WatchStall         Kind = "silent"    // open watches deliver nothing any more, heartbeats included
-	WatchReset         Kind = "end-watch" // open watches are reset
-	DiscoverySlow      Kind = "slow"      // each call to discovery takes Wait
-	DiscoveryOverload  Kind = "crowded"   // discovery handles calls in turn, Wait each, and rejects at once what would wait for long
-	DiscoveryCrowd     Kind = "crowd"     // the same, but what would wait for long is rejected only after a wait, as in an outage
-	DiscoveryNoAnswer  Kind = "lose"      // a Share of the calls to discovery is never answered
-	DiscoveryTruncated Kind = "cut"       // a Share of the answers to calls is reset in the middle
-	DiscoveryOutage    Kind = "down"      // watches are reset, and connections refused or, if HoldCalls, calls rejected after a wait
-	DiscoveryMove      Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
-	ServerDrain        Kind = "drain"     // the Target server drains
-	ServerHang         Kind = "hang"      // the Target server answers nothing
-	ServerReset        Kind = "reset"     // the Target server resets a Share of the requests that it has begun
-	ServerReject       Kind = "reject"    // the Target server rejects a Share of the requests
-	ServerError        Kind = "fail"      // the Target server answers a Share of the requests with 500
-	NodePause          Kind = "pause"     // the Target node is stopped for Wait
-	NodeRestart        Kind = "restart"   // the Target node is sent SIGTERM, SIGKILL once it may be, and started again
-	NodeKill           Kind = "kill"      // the Target node is sent SIGKILL, and started again
-	ClientCancel       Kind = "leave"     // a Share of the clients cancels early
+	WatchStall                Kind = "silent"    // open watches deliver nothing any more, heartbeats included
+	WatchReset                Kind = "end-watch" // open watches are reset
+	DiscoverySlow             Kind = "slow"      // each call to discovery takes Wait
+	DiscoveryOverload         Kind = "crowded"   // discovery handles calls in turn, Wait each, and rejects at once what would wait for long
+	DiscoveryDelayedRejection Kind = "crowd"     // the same, but what would wait for long is rejected only after a wait, as in an outage
+	DiscoveryNoAnswer         Kind = "lose"      // a Share of the calls to discovery is never answered
+	DiscoveryTruncated        Kind = "cut"       // a Share of the answers to calls is reset in the middle
+	DiscoveryOutage           Kind = "down"      // watches are reset, and connections refused or, if HoldCalls, calls rejected after a wait
+	DiscoveryMove             Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
+	ServerDrain               Kind = "drain"     // the Target server drains
+	ServerHang                Kind = "hang"      // the Target server answers nothing
+	ServerReset               Kind = "reset"     // the Target server resets a Share of the requests that it has begun
+	ServerReject              Kind = "reject"    // the Target server rejects a Share of the requests
+	ServerError               Kind = "fail"      // the Target server answers a Share of the requests with 500
+	NodePause                 Kind = "pause"     // the Target node is stopped for Wait
+	NodeRestart               Kind = "restart"   // the Target node is sent SIGTERM, SIGKILL once it may be, and started again
+	NodeKill                  Kind = "kill"      // the Target node is sent SIGKILL, and started again
+	ClientCancel              Kind = "leave"     // a Share of the clients cancels early
 )
 
 // weightedKinds are drawn from uniformly; their order is part of what a seed stands for. Drains and faults of discovery
@@ -75,7 +75,7 @@
 	Late       []Fault // second answers that are so late that they may reach another request
 	LateBursts []Burst // beside them
 	Series     []SignalSeries
-	Crowds     []Crowd
+	Floods     []ConnectionFlood
 }
 
 // Title names a plan in a run's output.
@@ -100,7 +100,7 @@
 	for _, s := range p.Series {
 		lines = append(lines, s.String())
 	}
-	for _, c := range p.Crowds {
+	for _, c := range p.Floods {
 		lines = append(lines, c.String())
 	}
 	return lines
@@ -129,10 +129,10 @@
 
 // Draws of the group of faults that makes a stale list likely (see drawStaleListFaults).
 const (
-	staleMinShare     = 0.6                    // least share of the calls to discovery that its fault affects
-	staleWatchLossIn  = 500 * time.Millisecond // within which watches are lost after that fault began
-	staleMoveInterval = 500 * time.Millisecond // at most, between two changes of discovery's address
-	staleDrainIn      = time.Second            // within which a server drains after the watches were lost
+	staleMinShare        = 0.6                    // least share of the calls to discovery that its fault affects
+	staleWatchLossDelay  = 500 * time.Millisecond // within which watches are lost after that fault began
+	maxStaleMoveInterval = 500 * time.Millisecond // at most, between two changes of discovery's address
+	staleDrainDelay      = time.Second            // within which a server drains after the watches were lost
 )
 
 // Draws of a fault's fields, for every kind.
@@ -162,7 +162,7 @@
 			faults[i].To += begin
 		}
 	}
-	p.Series, p.Crowds = slices.Clone(p.Series), slices.Clone(p.Crowds)
+	p.Series, p.Floods = slices.Clone(p.Series), slices.Clone(p.Floods)
 	p.Bursts, p.LateBursts = slices.Clone(p.Bursts), slices.Clone(p.LateBursts)
 	for _, bursts := range [][]Burst{p.Bursts, p.LateBursts} {
 		for i := range bursts {
@@ -173,9 +173,9 @@
 	for i := range p.Series {
 		p.Series[i].From += begin
 	}
-	for i := range p.Crowds {
-		p.Crowds[i].From += begin
-		p.Crowds[i].To += begin
+	for i := range p.Floods {
+		p.Floods[i].From += begin
+		p.Floods[i].To += begin
 	}
 	p.Length += begin
 	return p
@@ -195,7 +195,7 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.From, b.From) })
 	p.Answers, p.Bursts = drawAnswerFaults(seed, p)
 	p.Late, p.LateBursts = drawLateAnswers(seed, p)
-	p.Series, p.Crowds = drawSignals(seed, p)
+	p.Series, p.Floods = drawSignals(seed, p)
 	return p
 }
 
@@ -208,10 +208,10 @@
 	outage.To = outage.From + maxFaultTime
 	outage.Share = staleMinShare + (1-staleMinShare)*rng.Float64()
 	watchLoss := drawFaultOf(rng, p, pick(WatchStall, WatchReset, DiscoveryMove))
-	watchLoss.From = outage.From + time.Duration(rng.Int64N(int64(staleWatchLossIn)))
-	watchLoss.Wait = min(watchLoss.Wait, staleMoveInterval)
+	watchLoss.From = outage.From + time.Duration(rng.Int64N(int64(staleWatchLossDelay)))
+	watchLoss.Wait = min(watchLoss.Wait, maxStaleMoveInterval)
 	drain := drawFaultOf(rng, p, ServerDrain)
-	drain.From = watchLoss.From + time.Duration(rng.Int64N(int64(staleDrainIn)))
+	drain.From = watchLoss.From + time.Duration(rng.Int64N(int64(staleDrainDelay)))
 	return []Fault{outage, watchLoss, drain}
 }
 
--- a/internal/lab/soak/plan_signals.go
+++ b/internal/lab/soak/plan_signals.go
@@ -41,8 +41,8 @@
 	{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
 }
 
-// Crowd is a number of idle clients that hold connections to a node for a while: more than it has descriptors for.
-type Crowd struct {
+// ConnectionFlood is a number of idle clients that hold connections to a node for a while: more than it has descriptors for.
+type ConnectionFlood struct {
 	Node        int
 	From, To    time.Duration
 	Connections int
@@ -50,7 +50,7 @@
 }
 
 // String is a line of a run's output.
-func (c Crowd) String() string {
+func (c ConnectionFlood) String() string {
 	return fmt.Sprintf("crowd %v to %v which=%d connections=%d down=%v", c.From, c.To, c.Node, c.Connections, c.Outage)
 }
 
@@ -58,16 +58,16 @@
 const (
 	maxSignalSeries   = 3                       // 1 to so many in a plan
 	maxSignalInterval = 400 * time.Millisecond  // a series of six ends before its node may be killed
-	crowdRatio        = 1.0 / 3                 // of the plans have a crowd
-	crowdNodes        = 2                       // that it meets
-	crowdConnections  = nodeDescriptors * 5 / 4 // to each node
-	minCrowdTime      = 2 * time.Second         // that a crowd stays
-	maxCrowdTime      = 6 * time.Second         // shorter than the faults take in all
-	crowdOutageRatio  = 0.5                     // of the crowds meet an outage of discovery
+	floodRatio        = 1.0 / 3                 // of the plans have a crowd
+	floodNodes        = 2                       // that it meets
+	floodConnections  = nodeDescriptors * 5 / 4 // to each node
+	minFloodTime      = 2 * time.Second         // that a crowd stays
+	maxFloodTime      = 6 * time.Second         // shorter than the faults take in all
+	floodOutageRatio  = 0.5                     // of the crowds meet an outage of discovery
 )
 
 // drawSignals draws the signal series and the crowds of a plan. Restarts must be over when the plan's recovery begins.
-func drawSignals(seed uint64, p Plan) (series []SignalSeries, crowds []Crowd) {
+func drawSignals(seed uint64, p Plan) (series []SignalSeries, floods []ConnectionFlood) {
 	rng := rand.New(rand.NewPCG(seed, signalStream))
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
@@ -79,14 +79,14 @@
 		longest := time.Duration(len(pattern))*maxSignalInterval + killDelay
 		series = append(series, SignalSeries{Node: rng.IntN(p.Nodes), From: between(firstFault, last-longest), Interval: interval, Signals: pattern})
 	}
-	if rng.Float64() >= crowdRatio {
+	if rng.Float64() >= floodRatio {
 		return series, nil
 	}
-	from := between(firstFault, last-maxCrowdTime)
-	to := from + between(minCrowdTime, maxCrowdTime)
-	outage := rng.Float64() < crowdOutageRatio
-	for range crowdNodes {
-		crowds = append(crowds, Crowd{Node: rng.IntN(p.Nodes), From: from, To: to, Connections: crowdConnections, Outage: outage})
+	from := between(firstFault, last-maxFloodTime)
+	to := from + between(minFloodTime, maxFloodTime)
+	outage := rng.Float64() < floodOutageRatio
+	for range floodNodes {
+		floods = append(floods, ConnectionFlood{Node: rng.IntN(p.Nodes), From: from, To: to, Connections: floodConnections, Outage: outage})
 	}
-	return series, crowds
+	return series, floods
 }
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -53,8 +53,8 @@
 }
 
 // A restart or a crowd that lasts into the recovery hides whether nodes recover, and one that no seed has is never played.
-func TestSignalsAndCrowds(t *testing.T) {
-	patterns, crowds, outages := map[string]bool{}, 0, 0
+func TestSignalSeriesAndFloods(t *testing.T) {
+	patterns, floods, outages := map[string]bool{}, 0, 0
 	const seeds = 300
 	for seed := range uint64(seeds) {
 		p := DrawPlan(seed, 24, 20*second)
@@ -65,8 +65,8 @@
 				t.Errorf("seed %d: %v", seed, s)
 			}
 		}
-		for _, c := range p.Crowds {
-			crowds++
+		for _, c := range p.Floods {
+			floods++
 			if c.Outage {
 				outages++
 			}
@@ -78,8 +78,8 @@
 			t.Errorf("seed %d has no restart by signals in a row", seed)
 		}
 	}
-	if len(patterns) != len(signalPatterns) || crowds < seeds/3 || outages == 0 || outages == crowds {
-		t.Errorf("%d patterns of signals, %d crowds, %d of them with an outage", len(patterns), crowds, outages)
+	if len(patterns) != len(signalPatterns) || floods < seeds/3 || outages == 0 || outages == floods {
+		t.Errorf("%d patterns of signals, %d crowds, %d of them with an outage", len(patterns), floods, outages)
 	}
 }
 
@@ -136,7 +136,7 @@
 	digest := sha256.New()
 	for seed := range uint64(300) {
 		p := DrawPlan(seed, 24, 20*second)
-		fmt.Fprintln(digest, p.Series, p.Crowds)
+		fmt.Fprintln(digest, p.Series, p.Floods)
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
 		t.Errorf("digest of the series and crowds is %s, want %s", got, want)
--- a/internal/lab/soak/requestend.go
+++ b/internal/lab/soak/requestend.go
@@ -28,8 +28,8 @@
 	// answeredAfterTerm is how long after the first SIGTERM a request may arrive and still has to be answered.
 	answeredAfterTerm = 700 * time.Millisecond
 
-	// harmlessLateness is how late a second answer may be and must not reach another request.
-	harmlessLateness = 20 * time.Millisecond
+	// detectableSecondAnswerDelay is how late a second answer may be and must not reach another request.
+	detectableSecondAnswerDelay = 20 * time.Millisecond
 
 	// exitTime is how long a process that is killed may take to exit on a busy machine.
 	exitTime = time.Second
@@ -41,12 +41,12 @@
 	fault  string // what is wrong; "": nothing
 }
 
-// endOf judges the end of a request. One whose client has gone is owed nothing.
-func endOf(o *Observations, r *Request, forwarded bool) requestEnd {
+// classifyEnd judges the end of a request. One whose client has gone is owed nothing.
+func classifyEnd(o *Observations, r *Request, forwarded bool) requestEnd {
 	switch {
 	case r.ClientGone > 0:
 		return requestEnd{}
-	case r.SecondAnswerOf != "" && o.SecondAnswers[r.SecondAnswerOf] > harmlessLateness:
+	case r.SecondAnswerOf != "" && o.SecondAnswers[r.SecondAnswerOf] > detectableSecondAnswerDelay:
 		return requestEnd{excuse: ExcusedSecond}
 	case r.Status != 0:
 		return requestEnd{fault: answerFault(r)}
@@ -63,7 +63,7 @@
 		return requestEnd{excuse: ExcusedLate}
 	case forwarded:
 		return requestEnd{fault: "it was forwarded and has no answer"}
-	case r.Unread && (!r.NewConnection || inCrowd(o, r) || r.arrived() > incarnation.noNewConnections()):
+	case r.Unread && (!r.NewConnection || inFlood(o, r) || r.arrived() > incarnation.acceptsUntil()):
 		return requestEnd{excuse: ExcusedUnread}
 	case r.NewConnection:
 		return requestEnd{fault: fmt.Sprintf("it was on a new connection and has no answer (unread: %v)", r.Unread)}
@@ -135,7 +135,7 @@
 		if i.Node != r.Node || i.Ready == 0 || i.Ready > r.At {
 			continue
 		}
-		end := i.noNewConnections()
+		end := i.acceptsUntil()
 		if i.Killed != 0 {
 			end = min(end, i.Killed)
 		}
@@ -149,17 +149,17 @@
 // acceptedAfterTerm is how long after SIGTERM new connections still come to a node.
 const acceptedAfterTerm = 400 * time.Millisecond
 
-// noNewConnections is from when on no new connections are owed an answer.
-func (i Incarnation) noNewConnections() time.Duration {
+// acceptsUntil is from when on no new connections are owed an answer.
+func (i Incarnation) acceptsUntil() time.Duration {
 	if i.Terminated == 0 {
 		return math.MaxInt64
 	}
 	return i.Terminated + acceptedAfterTerm
 }
 
-// inCrowd reports whether a crowd was at a request's node: then it may end connections on which it has read nothing.
-func inCrowd(o *Observations, r *Request) bool {
-	for _, c := range o.Crowds {
+// inFlood reports whether a crowd was at a request's node: then it may end connections on which it has read nothing.
+func inFlood(o *Observations, r *Request) bool {
+	for _, c := range o.Floods {
 		if c.Node == r.Node && c.From <= r.Finished && r.At <= c.To+clockTolerance {
 			return true
 		}
@@ -185,7 +185,7 @@
 	}
 	count := map[Excuse]int{}
 	for _, request := range r.Observations.Requests {
-		if e := endOf(r.Observations, request, forwarded[request.ID]); e.excuse != "" {
+		if e := classifyEnd(r.Observations, request, forwarded[request.ID]); e.excuse != "" {
 			count[e.excuse]++
 		}
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -130,10 +130,10 @@
 			}
 		})
 	}
-	for _, c := range r.plan.Crowds {
+	for _, c := range r.plan.Floods {
 		injecting.Go(func() {
 			if r.waitUntil(ctx, c.From) {
-				r.playCrowd(ctx, c)
+				r.playFlood(ctx, c)
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 		r.discovery.stallWatches()
 	case WatchReset:
 		r.discovery.resetWatches()
-	case DiscoverySlow, DiscoveryOverload, DiscoveryCrowd, DiscoveryNoAnswer, DiscoveryTruncated:
+	case DiscoverySlow, DiscoveryOverload, DiscoveryDelayedRejection, DiscoveryNoAnswer, DiscoveryTruncated:
 		r.activate(ctx, &r.discovery.faults, f)
 	case DiscoveryOutage:
 		r.keepError(r.discovery.setOutage(true, f.HoldCalls))
@@ -193,16 +193,16 @@
 	case NodePause:
 		r.nodes[f.Target].pause(f.Wait)
 	case NodeRestart:
-		r.startAgain(f.Target, r.nodes[f.Target].restart(0, syscall.SIGTERM))
+		r.startIfEnded(f.Target, r.nodes[f.Target].restart(0, syscall.SIGTERM))
 	case NodeKill:
-		r.startAgain(f.Target, r.nodes[f.Target].kill())
+		r.startIfEnded(f.Target, r.nodes[f.Target].kill())
 	case ClientCancel:
 		r.activate(ctx, &r.clients.faults, f)
 	}
 }
 
-// startAgain starts a node whose incarnation has ended.
-func (r *run) startAgain(node int, ended bool) {
+// startIfEnded starts a node whose incarnation has ended.
+func (r *run) startIfEnded(node int, ended bool) {
 	if ended {
 		r.keepError(r.nodes[node].start())
 	}
@@ -214,21 +214,21 @@
 	if ended {
 		r.recorder.record(func(o *Observations) { o.Series++ })
 	}
-	r.startAgain(s.Node, ended)
+	r.startIfEnded(s.Node, ended)
 }
 
-// playCrowd holds connections to a node until the crowd goes.
-func (r *run) playCrowd(ctx context.Context, c Crowd) {
+// playFlood holds connections to a node until the crowd goes.
+func (r *run) playFlood(ctx context.Context, c ConnectionFlood) {
 	ctx, cancel := context.WithTimeout(ctx, c.To-r.recorder.now())
 	defer cancel()
 	if c.Outage {
 		r.keepError(r.discovery.setOutage(true, false))
 		defer func() { r.keepError(r.discovery.setOutage(false, false)) }()
 	}
-	idle := crowd{address: r.nodes[c.Node].listen}
+	idle := connectionFlood{address: r.nodes[c.Node].listen}
 	idle.hold(ctx, c.Connections)
 	r.recorder.record(func(o *Observations) {
-		o.Crowds = append(o.Crowds, CrowdSpan{Node: c.Node, From: c.From, To: r.recorder.now()})
+		o.Floods = append(o.Floods, FloodSpan{Node: c.Node, From: c.From, To: r.recorder.now()})
 	})
 }
 
@@ -238,7 +238,7 @@
 	defer cancel()
 	var sending sync.WaitGroup
 	for range b.Clients {
-		sending.Go(func() { r.clients.sendInTurn(ctx, r.nodes[b.Node]) })
+		sending.Go(func() { r.clients.sendSequentially(ctx, r.nodes[b.Node]) })
 	}
 	sending.Wait()
 }
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -35,8 +35,8 @@
 		return nil, err
 	}
 	s := &server{index: index, recorder: recorder, addr: listener.Addr().String()}
-	s.http = &http.Server{Handler: s, IdleTimeout: serverIdleTimeout, ReadHeaderTimeout: readHeaderTimeout, ConnContext: withClockConn}
-	go s.http.Serve(clockListener{listener, recorder}) // ends with Close
+	s.http = &http.Server{Handler: s, IdleTimeout: serverIdleTimeout, ReadHeaderTimeout: readHeaderTimeout, ConnContext: withConn}
+	go s.http.Serve(timestampingListener{listener, recorder}) // ends with Close
 	return s, nil
 }
 
--- a/internal/lab/soak/totals.go
+++ b/internal/lab/soak/totals.go
@@ -11,7 +11,7 @@
 type Totals struct {
 	Faults, Requests, Served, Rejected, Failed, Unanswered, Canceled int
 	Attempts, Drains, Deliveries, AddressChanges                     int
-	Restarts, Kills, Series, Crowds                                  int // Kills: at the end of a restart too
+	Restarts, Kills, Series, Floods                                  int // Kills: at the end of a restart too
 	Excused                                                          map[Excuse]int
 	Delays                                                           Delays
 }
@@ -64,7 +64,7 @@
 func (r *Result) Totals() Totals {
 	o := r.Observations
 	t := Totals{Faults: len(r.Plan.Faults), Requests: len(o.Requests), Attempts: len(o.Attempts), Drains: len(o.Drains),
-		Deliveries: len(o.Deliveries), AddressChanges: len(o.AddressChanges), Series: o.Series, Crowds: len(o.Crowds), Excused: r.Excused(), Delays: o.delays()}
+		Deliveries: len(o.Deliveries), AddressChanges: len(o.AddressChanges), Series: o.Series, Floods: len(o.Floods), Excused: r.Excused(), Delays: o.delays()}
 	for _, request := range o.Requests {
 		switch {
 		case request.ClientGone > 0:
@@ -99,7 +99,7 @@
 		{&t.Faults, other.Faults}, {&t.Requests, other.Requests}, {&t.Served, other.Served}, {&t.Rejected, other.Rejected},
 		{&t.Failed, other.Failed}, {&t.Unanswered, other.Unanswered}, {&t.Canceled, other.Canceled}, {&t.Attempts, other.Attempts},
 		{&t.Drains, other.Drains}, {&t.Deliveries, other.Deliveries}, {&t.AddressChanges, other.AddressChanges},
-		{&t.Restarts, other.Restarts}, {&t.Kills, other.Kills}, {&t.Series, other.Series}, {&t.Crowds, other.Crowds},
+		{&t.Restarts, other.Restarts}, {&t.Kills, other.Kills}, {&t.Series, other.Series}, {&t.Floods, other.Floods},
 	} {
 		*sum.to += sum.from
 	}
@@ -119,6 +119,6 @@
 		excused[i] = fmt.Sprintf("%d %s", t.Excused[excuse], excuse)
 	}
 	return fmt.Sprintf("%d faults, %d restarts, %d kills, %d series, %d crowds; %d requests: %d served, %d refused, %d failed, %d canceled, %d without an answer; excused: %s; %d attempts, %d drains, %d lists, %d moves; %v",
-		t.Faults, t.Restarts, t.Kills, t.Series, t.Crowds, t.Requests, t.Served, t.Rejected, t.Failed, t.Canceled, t.Unanswered,
+		t.Faults, t.Restarts, t.Kills, t.Series, t.Floods, t.Requests, t.Served, t.Rejected, t.Failed, t.Canceled, t.Unanswered,
 		strings.Join(excused, ", "), t.Attempts, t.Drains, t.Deliveries, t.AddressChanges, t.Delays)
 }
--- a/internal/lab/soak/violations.go
+++ b/internal/lab/soak/violations.go
@@ -21,14 +21,14 @@
 // state would pass every other rule.
 const minServedRatio = 0.8
 
-// unreachable stands for the time when discovery is back where an outage has no end; half the range, so that a deadline
+// noOutageEnd stands for the time when discovery is back where an outage has no end; half the range, so that a deadline
 // can be added to it.
-const unreachable = time.Duration(math.MaxInt64 / 2)
+const noOutageEnd = time.Duration(math.MaxInt64 / 2)
 
 // Violations says which rules were broken, a line each that begins with the rule's name.
 func (r *Result) Violations() (broken []string) {
 	o := r.Observations
-	broken = append(broken, o.Complaints...)
+	broken = append(broken, o.NodeErrors...)
 	broken = append(broken, checkDrains(o)...)
 	broken = append(broken, checkDuplicates(o)...)
 	broken = append(broken, checkAnswers(o)...)
@@ -112,7 +112,7 @@
 			continue
 		}
 		if outage.Open {
-			return unreachable
+			return noOutageEnd
 		}
 		at = outage.To
 	}
@@ -157,7 +157,7 @@
 					r.ID, r.Node, a.Server, by, r.At, r.Written, a.HeadRead, o.stalledIn(r.Written, a.HeadRead), a.At, a.Budget))
 			}
 		}
-		if e := endOf(o, r, len(attempts[r.ID]) > 0); e.fault != "" {
+		if e := classifyEnd(o, r, len(attempts[r.ID]) > 0); e.fault != "" {
 			broken = append(broken, fmt.Sprintf("lost: request %s of %v at n%d: %s (%s)", r.ID, r.At, r.Node, e.fault, r.Err))
 		}
 	}
--- a/internal/lab/soak/violations_test.go
+++ b/internal/lab/soak/violations_test.go
@@ -55,8 +55,8 @@
 		"its killed node still accepts":  {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 9990 * time.Millisecond, Exited: 10010 * time.Millisecond}}}, ""},
 		"its node was dead before":       {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Incarnations: []Incarnation{{Killed: 9 * second, Exited: 9990 * time.Millisecond}}}, "lost"},
 		"not read on a new connection":   {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection, a.Unread = 0, true, true })}, "lost"},
-		"the same in a crowd":            {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection, a.Unread = 0, true, true }), Crowds: []CrowdSpan{{From: 9 * second, To: 13 * second}}}, ""},
-		"read in a crowd":                {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Crowds: []CrowdSpan{{From: 9 * second, To: 13 * second}}}, "lost"},
+		"the same in a crowd":            {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection, a.Unread = 0, true, true }), Floods: []FloodSpan{{From: 9 * second, To: 13 * second}}}, ""},
+		"read in a crowd":                {Observations{Requests: requests(func(a *Request) { a.Status, a.NewConnection = 0, true }), Floods: []FloodSpan{{From: 9 * second, To: 13 * second}}}, "lost"},
 		"refused by a node in service":   {Observations{Requests: requests(refuse), Incarnations: []Incarnation{{Ready: second}}}, "lost"},
 		"refused by a node that ends":    {Observations{Requests: requests(refuse), Incarnations: []Incarnation{{Ready: second, Terminated: 10 * second}}}, ""},
 		"refused just after SIGTERM":     {Observations{Requests: requests(func(a *Request) { refuse(a); a.Finished = a.At }), Incarnations: []Incarnation{{Ready: second, Terminated: 9800 * time.Millisecond}}}, "lost"},
@@ -69,11 +69,11 @@
 		"rejected without Retry-After":   {Observations{Requests: requests(func(a *Request) { a.Status = 503 })}, "lost"},
 		"sent after the client was gone": {Observations{Requests: requests(func(a *Request) { a.ClientGone = 10 * second }), Attempts: []*Attempt{attempt(10300*time.Millisecond, unchanged)}}, "lost"},
 		"another one's answer":           {Observations{Requests: requests(func(a *Request) { a.WrongBody = `"ok r-7"` })}, "lost"},
-		"a late second answer":           {Observations{Requests: requests(func(a *Request) { a.WrongBody, a.SecondAnswerOf = `"second r-7"`, "r-7" }), SecondAnswers: map[string]time.Duration{"r-7": harmlessLateness + 1}}, ""},
-		"a second answer not so late":    {Observations{Requests: requests(func(a *Request) { a.WrongBody, a.SecondAnswerOf = `"second r-7"`, "r-7" }), SecondAnswers: map[string]time.Duration{"r-7": harmlessLateness}}, "lost"},
+		"a late second answer":           {Observations{Requests: requests(func(a *Request) { a.WrongBody, a.SecondAnswerOf = `"second r-7"`, "r-7" }), SecondAnswers: map[string]time.Duration{"r-7": detectableSecondAnswerDelay + 1}}, ""},
+		"a second answer not so late":    {Observations{Requests: requests(func(a *Request) { a.WrongBody, a.SecondAnswerOf = `"second r-7"`, "r-7" }), SecondAnswers: map[string]time.Duration{"r-7": detectableSecondAnswerDelay}}, "lost"},
 		"astray behind a late second":    {Observations{Requests: requests(func(a *Request) { a.WrongBody = `"ok r-7"` }), SecondAnswers: map[string]time.Duration{"r-7": second, "r": second}}, "lost"},
 		"too large a budget":             {Observations{Requests: answered, Attempts: []*Attempt{attempt(10*second, func(a *Attempt) { a.Budget = 2300 * time.Millisecond })}}, "budget"},
-		"a broken invariant of a node":   {Observations{Complaints: []string{"n1: invariant broken"}}, "n1"},
+		"a broken invariant of a node":   {Observations{NodeErrors: []string{"n1: invariant broken"}}, "n1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			result := &Result{Plan: Plan{Length: 60 * second}, Observations: &c.observations}
@@ -86,7 +86,7 @@
 }
 
 // Nodes that answer everything with a rejection break no rule on single requests: that they serve again is checked apart.
-func TestViolationWhereNothingIsServed(t *testing.T) {
+func TestMissingRecoveryIsAViolation(t *testing.T) {
 	rejected := &Request{ID: "r", At: 10 * second, Deadline: 12 * second, Finished: 11 * second, Status: 503, RetryAfter: true, NonIdempotent: true}
 	result := &Result{Plan: Plan{Length: 12 * second}, Observations: &Observations{Requests: []*Request{rejected}}}
 	if got := result.Violations(); len(got) != 1 || !strings.HasPrefix(got[0], "service") {
