--- a/internal/lab/checker/attempt.go
+++ b/internal/lab/checker/attempt.go
@@ -6,7 +6,7 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// AttemptSent is an attempt that leaves a node.
+// AttemptSent records that a node has sent an attempt to a server.
 func (c *Checker) AttemptSent(now time.Duration, node, id, server string) {
 	n, r := c.find(node, id)
 	if n == nil {
@@ -28,27 +28,27 @@
 		c.report(AttemptLimit, now, node, id, server, "attempt %d of %d", len(r.attempts)+1, c.rules.MaxAttempts)
 	}
 	if earlier, ok := c.mayRunTwice(now, r); ok {
-		c.report(NoSecondRun, now, node, id, server, "sent again though %s may have run it", earlier)
+		c.report(NoSecondRun, now, node, id, server, "sent again although %s may have run it", earlier)
 	}
 	r.attempts = append(r.attempts, attempt{sentAt: now, server: server})
 	r.attemptsInFlight++
 }
 
-// checkServer checks that a node may send to a server.
+// checkServer checks that the node knows the server and that the server is neither draining nor disabled.
 func (c *Checker) checkServer(now time.Duration, n *node, node, id, server string) {
 	grace := c.rules.DrainGrace + c.rules.Slack
 	if state, known := n.endpoints[server]; !known {
 		c.report(KnownServer, now, node, id, server, "the node was never notified of it")
 	} else if !state.ready && now > state.since+grace {
-		c.report(DrainGrace, now, node, id, server, "sent %.0f ms after the node was notified that it drains or is removed", (now-state.since).Seconds()*1000)
+		c.report(DrainGrace, now, node, id, server, "sent %.0f ms after the node was notified that the server drains or is removed", (now-state.since).Seconds()*1000)
 	}
 	if since, disabled := n.overridden[server]; disabled && now > since+grace {
-		c.report(AdminOverride, now, node, id, server, "sent %.0f ms after an operator disabled it", (now-since).Seconds()*1000)
+		c.report(AdminOverride, now, node, id, server, "sent %.0f ms after an operator disabled the server", (now-since).Seconds()*1000)
 	}
 }
 
-// mayRunTwice says that sending a request now may run it a second time though its class does not allow that, and where the
-// first run may have been.
+// mayRunTwice reports whether sending a request now may run it a second time although its class does not allow that, and
+// returns the server that may have run it first.
 func (c *Checker) mayRunTwice(now time.Duration, r *request) (server string, ok bool) {
 	class := c.classes[r.class]
 	for _, t := range r.attempts {
@@ -60,16 +60,16 @@
 	return "", false
 }
 
-// reportOverlaps reports the attempts that were sent while an earlier one stayed out for longer than it takes to notice.
+// reportOverlaps reports each attempt that was sent while another one was in flight and still was after ObservationLag.
 func (c *Checker) reportOverlaps(now time.Duration, node, id string, r *request) {
 	for len(r.overlaps) > 0 && now-r.overlaps[0].at >= c.ObservationLag {
-		c.report(OneAttempt, r.overlaps[0].at, node, id, r.overlaps[0].server, "another attempt is out")
+		c.report(OneAttempt, r.overlaps[0].at, node, id, r.overlaps[0].server, "another attempt is in flight")
 		r.overlaps = r.overlaps[1:]
 	}
 }
 
-// SentUnobserved is an attempt that reached a stopped server at some time. It may have run, and counts as one, but neither
-// when it came nor whether it is still out is known.
+// SentUnobserved records an attempt that reached a server while the server was stopped. It may have run and counts toward
+// the attempt limit, but neither its arrival time nor whether it is still in flight is known.
 func (c *Checker) SentUnobserved(now time.Duration, node, id, server string) {
 	n, r := c.find(node, id)
 	if r == nil {
@@ -78,9 +78,9 @@
 	if _, known := n.endpoints[server]; !known {
 		c.report(KnownServer, now, node, id, server, "the node was never notified of it")
 	}
-	for _, t := range r.attempts { // whichever of the two came first: it may have run when the other was sent
+	for _, t := range r.attempts { // the order is unknown: the first of the two may have run when the second was sent
 		if !t.neverRan && c.nonIdempotent(r) {
-			c.report(NoSecondRun, now, node, id, server, "sent here and to %s, and each may have run it", t.server)
+			c.report(NoSecondRun, now, node, id, server, "sent to this server and to %s, and each may have run it", t.server)
 			break
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// AttemptUnobserved says of an attempt that nobody can see whether it is still out.
+// AttemptUnobserved records that it can no longer be observed whether an attempt is in flight.
 func (c *Checker) AttemptUnobserved(now time.Duration, node, id string, number int) {
 	n, r := c.find(node, id)
 	if r == nil || number >= len(r.attempts) || r.attempts[number].ended || r.attempts[number].unobserved {
@@ -101,7 +101,7 @@
 	c.forgetIfComplete(now, n, id, r)
 }
 
-// AttemptExecuted is a server that has really begun to work on a request.
+// AttemptExecuted records that a server has begun to execute a request.
 func (c *Checker) AttemptExecuted(now time.Duration, node, id, server string) {
 	_, r := c.find(node, id)
 	if r == nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// AttemptEnded is the outcome of an attempt as its node sees it.
+// AttemptEnded records the outcome of an attempt as its node sees it.
 func (c *Checker) AttemptEnded(now time.Duration, node, id string, number int, outcome balancer.Outcome) {
 	n, r := c.find(node, id)
 	if r == nil || number >= len(r.attempts) || r.attempts[number].ended {
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,6 +1,7 @@
-// Package checker holds a played world to the promises that a node makes. Virtual time and sockets report the same facts
-// to it: what a node accepted, sent and answered, what it was notified of, and what servers really ran. It decides nothing
-// and changes nothing; each broken rule is a Violation that names rule, request, server and time.
+// Package checker checks the rules that a node guarantees. The simulation in virtual time and the runs on real sockets
+// report the same facts to it: what a node accepted, sent and answered, what it was notified of, and what servers executed.
+// The checker does not influence the run. It reports each broken rule as a Violation with the rule, request, server and
+// time.
 package checker
 
 import (
@@ -13,13 +14,14 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// maxViolations is how many violations are listed; all are counted. One broken rule can break every request of a play.
+// maxViolations limits the listed violations, because a single fault can break a rule on every request. All violations are
+// counted.
 const maxViolations = 1000
 
 // clientListenTime is how long a client still listens after its deadline.
 const clientListenTime = 500 * time.Millisecond
 
-// Checker takes facts in the order of time. It belongs to one goroutine.
+// Checker takes facts in order of time. It is not safe for concurrent use.
 type Checker struct {
 	rules       scenario.Rules
 	classes     []scenario.Class
@@ -27,38 +29,38 @@
 	violations  []Violation
 	countByRule map[Rule]int
 
-	// ObservationLag is how late a server may notice what a node does: on sockets it sees that a connection was closed, or
-	// reads a request that was canceled in the meantime, a moment after the next attempt has arrived elsewhere or the final
-	// answer is given. In virtual time it is 0.
+	// ObservationLag is how long after the fact a server may notice what a node does. On sockets a server can see that a
+	// connection was closed, or read a request that was already canceled, shortly after the next attempt has arrived at
+	// another server or the client has received the final answer. In virtual time the lag is 0.
 	ObservationLag   time.Duration
 	answeredRequests []answeredRequest // kept for ObservationLag after their answers
 }
 
-// node is one incarnation of a node: what it was notified of, and what it owes.
+// node is one incarnation of a node: the endpoint states and overrides that it knows, and the requests that it accepted.
 type node struct {
 	requests   map[string]*request
 	endpoints  map[string]endpointState
 	overridden map[string]time.Duration // servers that an operator has disabled, since when
 
-	unresponsiveSince time.Duration // 0: it is responsive
+	unresponsiveSince time.Duration // 0: the node is responsive
 }
 
-// endpointState is what a node was notified of a server last.
+// endpointState is the latest state of a server that a node was notified of.
 type endpointState struct {
 	ready bool
 	since time.Duration
 }
 
-// request is one that a node has accepted. It is open until it is answered, and is kept while facts about its attempts can
-// still come.
+// request is a request that a node has accepted. It is open until it is answered, and is kept as long as events of its
+// attempts can still be reported.
 type request struct {
 	class            int
 	acceptedAt       time.Duration
 	deadline         time.Duration
-	excused          bool // whether and when it is answered is not its node's doing
+	excused          bool // a fault outside the node decides whether and when it is answered
 	answered         bool
 	answeredAt       time.Duration
-	clientGone       bool // nothing is owed
+	clientGone       bool // the node need not answer it
 	attempts         []attempt
 	attemptsInFlight int
 	executions       int
@@ -70,22 +72,22 @@
 	sentAt     time.Duration
 	server     string
 	ended      bool
-	neverRan   bool // proven
-	unobserved bool // whether it is still out can't be seen: it does not count as out
+	neverRan   bool // the outcome proves that no server executed it
+	unobserved bool // it cannot be observed whether it is in flight; it does not count as in flight
 }
 
-// overlap is an attempt that was sent while another one seemed to be out.
+// overlap is an attempt that was sent while another one appeared to be in flight.
 type overlap struct {
 	at     time.Duration
 	server string
 }
 
-// New returns a Checker for a scenario's rules and classes.
+// New returns a Checker for the rules and classes of a scenario.
 func New(s *scenario.Scenario) *Checker {
 	return &Checker{rules: s.Rules, classes: s.Classes, nodes: map[string]*node{}, countByRule: map[Rule]int{}}
 }
 
-// report counts a violation, and lists it while there are few.
+// report counts a violation, and lists it if fewer than maxViolations are listed.
 func (c *Checker) report(rule Rule, now time.Duration, node, request, server, format string, args ...any) {
 	c.countByRule[rule]++
 	if len(c.violations) < maxViolations {
@@ -93,10 +95,10 @@
 	}
 }
 
-// Violations are the broken rules so far, at most maxViolations of them.
+// Violations returns the violations so far, at most maxViolations of them.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// Count is how often rules were broken in all.
+// Count returns the number of all violations, including those that are not listed.
 func (c *Checker) Count() (total int) {
 	for _, n := range c.countByRule {
 		total += n
@@ -104,7 +106,7 @@
 	return total
 }
 
-// Finish ends the world: what is still open was never answered.
+// Finish ends the run and reports the requests that were never answered.
 func (c *Checker) Finish(now time.Duration) {
 	for _, name := range sortedKeys(c.nodes) {
 		requests := c.nodes[name].requests
@@ -118,7 +120,7 @@
 	}
 }
 
-// find returns a node and one of its requests; nil: there is none.
+// find returns a node and one of its requests, each nil if it does not exist.
 func (c *Checker) find(name, id string) (*node, *request) {
 	n := c.nodes[name]
 	if n == nil {
@@ -127,7 +129,7 @@
 	return n, n.requests[id]
 }
 
-// nonIdempotent says that a request must not run twice.
+// nonIdempotent reports whether a request must not be executed twice.
 func (c *Checker) nonIdempotent(r *request) bool {
 	return c.classes[r.class].Effect == balancer.NonIdempotent
 }
--- a/internal/lab/checker/node.go
+++ b/internal/lab/checker/node.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// NodeStarted begins a node's incarnation, with nothing accepted and nothing known.
+// NodeStarted begins an incarnation of a node, which has accepted no requests and knows no servers.
 func (c *Checker) NodeStarted(name string) {
 	c.nodes[name] = &node{requests: map[string]*request{}, endpoints: map[string]endpointState{}, overridden: map[string]time.Duration{}}
 }
 
-// NodeKilled ends it from outside: nothing is owed any more.
+// NodeKilled records that a node was killed: it need not answer its open requests.
 func (c *Checker) NodeKilled(name string) { delete(c.nodes, name) }
 
-// NodeStopped ends it by itself: all that it accepted must have been answered.
+// NodeStopped records that a node exited by itself: it must have answered every request that it accepted.
 func (c *Checker) NodeStopped(now time.Duration, name string) {
 	n := c.nodes[name]
 	if n == nil {
@@ -24,18 +24,18 @@
 	delete(c.nodes, name)
 }
 
-// NodeUnresponsive says that nothing can be heard of a node: its process is stopped, or its links to clients are held up.
-// Its machine may take requests and notifications all the same.
+// NodeUnresponsive records that a node cannot respond: its process is stopped, or its links to clients are held up. Its
+// machine may still receive requests and notifications.
 func (c *Checker) NodeUnresponsive(now time.Duration, name string) {
 	if n := c.nodes[name]; n != nil && n.unresponsiveSince == 0 {
 		n.unresponsiveSince = nonZero(now)
 	}
 }
 
-// NodeResponsive says that the node is heard again. What it was notified of in the meantime counts from now, and what it
-// owed before is due from now on, plus allowance, as long as its client still listens. How long a request has waited that
-// came in the meantime the node can't know, and its client may leave before the node's time for it is over: whether that
-// gets an answer is not judged.
+// NodeResponsive records that the node can respond again. Notifications that arrived in the meantime count from now. A
+// request that was accepted before the node became unresponsive is due allowance from now at the earliest, if its client
+// still listens. A request that arrived in the meantime is excused: the node cannot know how long it has waited, and the
+// client may leave before the deadline that the node computes.
 func (c *Checker) NodeResponsive(now time.Duration, name string, allowance time.Duration) {
 	n := c.nodes[name]
 	if n == nil || n.unresponsiveSince == 0 {
@@ -53,8 +53,8 @@
 	n.unresponsiveSince = 0
 }
 
-// ConnectionsReset says that the connections between a node and its clients were reset by neither side: the requests on
-// them may be answered or not.
+// ConnectionsReset records that the network reset the connections between a node and its clients. The requests on them may
+// remain unanswered.
 func (c *Checker) ConnectionsReset(name string) {
 	if n := c.nodes[name]; n != nil {
 		for _, r := range n.requests {
@@ -63,7 +63,7 @@
 	}
 }
 
-// EndpointNotified is a state of a server that a node has been notified of, or counts as notified of.
+// EndpointNotified records the state of a server that a node was notified of, or counts as notified of.
 func (c *Checker) EndpointNotified(now time.Duration, node, server string, ready bool) {
 	n := c.nodes[node]
 	if n == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// EndpointOverridden is an operator's call about a server that the node has confirmed. However often a server was
-// disabled, one call enables it again; no notification does.
+// EndpointOverridden records an administrative override of a server that the node has confirmed. However often a server
+// was disabled, one call enables it again; a notification does not.
 func (c *Checker) EndpointOverridden(now time.Duration, node, server string, disabled bool) {
 	n := c.nodes[node]
 	if n == nil {
@@ -90,10 +90,10 @@
 	}
 }
 
-// ServerOverloaded is a warming server that fell over, and the request that did it.
+// ServerOverloaded records a request that overloaded a server while it was warming up.
 func (c *Checker) ServerOverloaded(now time.Duration, node, id, server string) {
-	c.report(WarmupOverload, now, node, id, server, "sent more than %.3g times what it could do within %v", c.rules.OverloadMultiple, c.rules.OverloadWindow)
+	c.report(WarmupOverload, now, node, id, server, "the server got more than %.3g times its capacity within %v", c.rules.OverloadMultiple, c.rules.OverloadWindow)
 }
 
-// nonZero is a time that is to be stored where 0 stands for unset: an event at time 0 counts as one at 1 ns.
+// nonZero returns a time for a field in which 0 means unset: an event at time 0 counts as one at 1 ns.
 func nonZero(t time.Duration) time.Duration { return max(t, 1) }
--- a/internal/lab/checker/rules.go
+++ b/internal/lab/checker/rules.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Rule is one of the promises that a node makes. The names are those of reports and found schedules.
+// Rule is a rule that a node must keep. Its value is the name in reports and in recorded fault schedules.
 type Rule string
 
 // The rules.
 const (
 	OneAnswer      Rule = "one-answer"    // an accepted request gets exactly one final answer
-	InTime         Rule = "in-time"       // that answer comes by the deadline
-	NoSecondRun    Rule = "no-second-run" // what may have run is not sent again, unless its class allows it
-	SafeRejection  Rule = "refusal"       // and it is not rejected, for a client retries what was rejected
-	OneAttempt     Rule = "one-out"       // one attempt of a request is out at a time
-	AttemptLimit   Rule = "attempts"      // no more attempts than the rules allow in all
-	DrainGrace     Rule = "drain"         // nothing new goes to a draining or removed server after the grace
-	WarmupOverload Rule = "cold"          // no warming server is sent so much that it falls over
-	AdminOverride  Rule = "by-hand"       // nothing goes to a server that an operator has disabled
-	NothingLost    Rule = "lost"          // a node that is asked to stop answers all that it accepted
-	GenuineAnswer  Rule = "made-up"       // no success is answered that no server has run
-	KnownServer    Rule = "known-box"     // nothing goes to a server that the node was never notified of
+	InTime         Rule = "in-time"       // the final answer is given by the deadline
+	NoSecondRun    Rule = "no-second-run" // a request that may have run is not sent again, unless its class allows it
+	SafeRejection  Rule = "refusal"       // nor is it rejected, because clients retry rejected requests
+	OneAttempt     Rule = "one-out"       // at most one attempt of a request is in flight
+	AttemptLimit   Rule = "attempts"      // a request has at most Rules.MaxAttempts attempts
+	DrainGrace     Rule = "drain"         // no attempt is sent to a draining or removed server after the grace period
+	WarmupOverload Rule = "cold"          // no server is overloaded while it is warming up
+	AdminOverride  Rule = "by-hand"       // no attempt is sent to a server that an operator has disabled
+	NothingLost    Rule = "lost"          // a node answers every accepted request before it stops
+	GenuineAnswer  Rule = "made-up"       // a success comes from a server that executed the request
+	KnownServer    Rule = "known-box"     // no attempt is sent to a server that the node was never notified of
 )
 
-// Violation is one broken rule.
+// Violation is one case in which a rule was broken.
 type Violation struct {
 	Rule    Rule
 	At      time.Duration
 	Node    string
-	Request string // "": none
-	Server  string // "": none
+	Request string // "" if no request is involved
+	Server  string // "" if no server is involved
 	Detail  string
 }
 
-// String is the line of a report.
+// String returns the violation as a line of a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: node %s request %s server %s: %s", v.Rule, v.At.Seconds(), v.Node, orDash(v.Request), orDash(v.Server), v.Detail)
 }
@@ -51,7 +51,7 @@
 
 // Answers.
 const (
-	Served   Answer = iota // with what a server answered
+	Served   Answer = iota // with a server's answer
 	Rejected               // the client may retry
 	Failed
 )
