--- a/internal/lab/violator/violator.go
+++ b/internal/lab/violator/violator.go
@@ -1,5 +1,6 @@
-// Package violator is a node that speaks the protocol and breaks a rule, for the lab's own tests: the checks must catch it,
-// also during a fault that explains some of what they see. A test's binary stands in for the program with it.
+// Package violator is a node that speaks the protocol but breaks one rule. The tests of the lab run it to prove that the
+// checks find the violation, even during a fault that explains some of the symptoms. Test binaries run it in place of the
+// program.
 package violator
 
 import (
@@ -18,31 +19,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// FaultVariable is the environment variable that names the fault of a node.
+// FaultVariable is the environment variable that selects the fault of a node.
 const FaultVariable = "LAB_ROGUE"
 
-// Faults of a node.
+// Faults of a node: the values of FaultVariable.
 const (
-	FabricatedAnswer = "made-up"             // answers a success that no server has run
-	NoAnswer         = "no answer"           // ends the client's connection
-	Late             = "late"                // answers when the client has given up
-	ParallelAttempts = "two at once"         // has two attempts out
-	TooManyAttempts  = "again and again"     // sends whatever the outcome
-	RejectAfterRun   = "refused after a run" // rejects what a server has run
-	EarlyExit        = "hasty"               // exits at SIGTERM with requests open
-	IgnoreUpdates    = "deaf to news"        // watches discovery and sends to whatever its first list has
+	FabricatedAnswer = "made-up"             // answers with a success that no server has executed
+	NoAnswer         = "no answer"           // closes the client's connection without an answer
+	Late             = "late"                // answers after the client has given up
+	ParallelAttempts = "two at once"         // sends two attempts at once
+	TooManyAttempts  = "again and again"     // sends more attempts than allowed, whatever their outcome
+	RejectAfterRun   = "refused after a run" // rejects a request that a server has executed
+	EarlyExit        = "hasty"               // exits at SIGTERM while requests are open
+	IgnoreUpdates    = "deaf to news"        // watches discovery but keeps sending to the servers of its bootstrap list
 	OverloadServer   = "flood"               // sends each request many times to one server
-	ForgetOverrides  = "forgetful"           // does what operators call for, and its next incarnation knows nothing of it
+	ForgetOverrides  = "forgetful"           // applies administrative overrides, but loses them at a restart
 )
 
-// How often the faults send a request.
+// Copies of a request that the faults send.
 const (
-	parallelCopies = 2  // at once
-	attemptCopies  = 4  // more than the rules allow
-	overloadCopies = 20 // more than a warming server bears
+	parallelCopies = 2  // in parallel, to different servers
+	attemptCopies  = 4  // in sequence; more than the rules allow
+	overloadCopies = 20 // in parallel, to one server; more than it can handle while it is warming up
 )
 
-// violatingNode is the node, with what it needs of its configuration.
+// violatingNode is the node, with the part of its configuration that it uses.
 type violatingNode struct {
 	Listen    string
 	Control   string
@@ -52,10 +53,10 @@
 	}
 
 	mu       sync.Mutex
-	disabled map[string]bool // by operators
+	disabled map[string]bool // servers that an operator has disabled, by ID
 }
 
-// Serve runs the node, with the configuration that ROUTER_CONFIG names, until the process is ended.
+// Serve runs the node with the configuration file that ROUTER_CONFIG names, until the process ends.
 func Serve(fault string) error {
 	configFile := os.Getenv("ROUTER_CONFIG")
 	text, err := os.ReadFile(configFile)
@@ -67,7 +68,7 @@
 		return err
 	}
 	if len(n.Known.Hosts) == 0 {
-		return fmt.Errorf("violator: no servers in %s", configFile)
+		return fmt.Errorf("violator: configuration %s lists no servers", configFile)
 	}
 	listener, err := listen(n.Listen)
 	if err != nil {
@@ -77,7 +78,7 @@
 	if n.Control != "" {
 		go http.ListenAndServe(n.Control, http.HandlerFunc(n.serveAdmin))
 	}
-	if fault == IgnoreUpdates || fault == OverloadServer { // what it reads changes nothing
+	if fault == IgnoreUpdates || fault == OverloadServer { // both watch discovery and ignore the updates
 		go readUpdates(n.Discovery)
 	}
 	return http.Serve(listener, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -87,7 +88,7 @@
 	}))
 }
 
-// listen lets an older process of the node keep the address at the same time.
+// listen listens with SO_REUSEPORT, so that an earlier process of the node can keep the same address.
 func listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if controlErr := c.Control(func(fd uintptr) {
@@ -100,7 +101,7 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// readUpdates reads all that discovery writes, and drops it.
+// readUpdates watches discovery and discards the updates.
 func readUpdates(addr string) {
 	resp, err := http.Get("http://" + addr + "/v1/endpoints?watch=1&from=1")
 	if err != nil {
@@ -111,7 +112,7 @@
 	io.Copy(io.Discard, resp.Body)
 }
 
-// serveAdmin confirms every admin call, and remembers which servers are disabled.
+// serveAdmin confirms every admin call and records which servers are disabled.
 func (n *violatingNode) serveAdmin(_ http.ResponseWriter, r *http.Request) {
 	id, action := path.Split(strings.TrimPrefix(r.URL.Path, "/control/servers/"))
 	if action != "offline" && action != "online" {
@@ -122,7 +123,7 @@
 	n.disabled[strings.TrimSuffix(id, "/")] = action == "offline"
 }
 
-// enabledServer is the address of a server that no operator has disabled; "": there is none.
+// enabledServer returns the address of the first server that no operator has disabled, or "".
 func (n *violatingNode) enabledServer() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -134,7 +135,7 @@
 	return ""
 }
 
-// answer answers a request with the node's fault. With a fault that is not about forwarding it forwards once.
+// answer handles a request according to the fault. With a fault that does not concern forwarding it forwards once.
 func (n *violatingNode) answer(fault string, rw http.ResponseWriter, r *http.Request) {
 	switch fault {
 	case FabricatedAnswer:
@@ -163,7 +164,7 @@
 	}
 }
 
-// forwardCopies forwards a request several times at once, and drops the answers.
+// forwardCopies forwards a request several times in parallel and discards the answers.
 func (n *violatingNode) forwardCopies(r *http.Request, copies int, server func(copy int) int) {
 	var attempts sync.WaitGroup
 	for i := range copies {
@@ -172,12 +173,12 @@
 	attempts.Wait()
 }
 
-// forward forwards a request to the server of a number, and copies the body of the answer.
+// forward forwards a request to the server with a number, modulo the number of servers, and copies the body of the answer.
 func (n *violatingNode) forward(to io.Writer, r *http.Request, server int) {
 	forwardTo(to, r, n.Known.Hosts[server%len(n.Known.Hosts)].Dial)
 }
 
-// forwardTo forwards a request to an address and returns the status; 0: there was no answer.
+// forwardTo forwards a request to an address and returns the status of the answer, or 0 if there was none.
 func forwardTo(to io.Writer, r *http.Request, addr string) int {
 	out, err := http.NewRequest(r.Method, "http://"+addr+r.URL.String(), nil)
 	if err != nil {
