--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// Classes of the small histories below.
+// Indexes of the classes in testHeader.
 const (
 	idempotent = iota
 	nonIdempotent
@@ -30,7 +30,7 @@
 		Means:   map[string]time.Duration{"s1": 20 * ms}}
 }
 
-// initialEvents are the beginning of every small history: node n knows two servers.
+// initialEvents begin every history of these tests: node n knows two servers.
 var initialEvents = []Event{{Kind: NodeStarted, Node: "n"}, {Kind: EndpointNotified, Node: "n", Server: "s1", Ready: true}, {Kind: EndpointNotified, Node: "n", Server: "s2", Ready: true}}
 
 func history(events ...Event) []Event {
@@ -66,7 +66,7 @@
 }
 func body(status int) string { return map[int]string{200: "picked"}[status] }
 
-// attempts are n attempts that the servers answered 500, one after another, and the answer to the client.
+// attempts returns n attempts in sequence, each answered with 500, and the answer to the client.
 func attempts(n int) (list []Event) {
 	list = append(list, requestSent(1000*ms, idempotent))
 	for i := range n {
@@ -77,8 +77,8 @@
 	return append(list, answerReceived(1200*ms, 502))
 }
 
-// warmupArrivals are n requests of 20 ms, the mean, to a server that may get 45 of them in the second after its start. The
-// first unnotified of them come from a node that was not notified of the start.
+// warmupArrivals returns n requests of 20 ms, the mean, to a server that may get 45 of them in the second after its start.
+// The first of them, as many as unnotified says, are sent by a node that was not notified of the start.
 func warmupArrivals(n, unnotified int) (list []Event) {
 	list = append(list, Event{At: 4000 * ms, Kind: NodeStarted, Node: "m"}, Event{At: 4000 * ms, Kind: EndpointNotified, Node: "m", Server: "s1", Ready: true},
 		Event{At: 5000 * ms, Kind: ServerStarted, Server: "s1"}, Event{At: 5005 * ms, Kind: EndpointNotified, Server: "s1", Ready: true})
@@ -97,21 +97,21 @@
 	return list
 }
 
-// A rule that rejects nothing, or that rejects what is allowed, makes every play of the lab worthless: each rule rejects a
-// history that breaks it, by that rule alone, and accepts one that stays a step inside.
+// A rule that finds no violations, or reports permitted behavior, makes every run of the lab worthless. For each rule, a
+// history that breaks it is reported by that rule alone, and a history that just conforms is accepted.
 func TestEachRuleRejectsOnlyItsViolation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rule                  checker.Rule
 		violating, conforming []Event
 	}{
-		"late": {checker.InTime,
+		"answered late": {checker.InTime,
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2051*ms, 200)},
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(2000*ms, "s1", 200), answerReceived(2050*ms, 200)}},
-		"never": {checker.InTime, []Event{requestSent(1000*ms, idempotent)}, []Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: ClientLeft, ID: "1"}}},
-		"never, asked as the node starts again": {checker.InTime,
+		"never answered": {checker.InTime, []Event{requestSent(1000*ms, idempotent)}, []Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: ClientLeft, ID: "1"}}},
+		"never answered, sent as the node restarts": {checker.InTime,
 			[]Event{{At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}, requestSent(1000*ms, nonIdempotent)},
 			[]Event{requestSent(499*ms, nonIdempotent), {At: 500 * ms, Kind: NodeKilled}, {At: 1000 * ms, Kind: NodeStarted}}},
-		"twice": {checker.OneAnswer,
+		"answered twice": {checker.OneAnswer,
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200), answerReceived(1250*ms, 200)},
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1200*ms, "s1", 200), answerReceived(1200*ms, 200)}},
 		"sent after the answer": {checker.OneAnswer,
@@ -126,35 +126,35 @@
 		"rejected after a run": {checker.SafeRejection,
 			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptBroken(1110*ms, "s1"), answerReceived(1120*ms, 503)},
 			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 503), answerReceived(1120*ms, 429)}},
-		"rejected while out": {checker.SafeRejection,
+		"rejected while an attempt is in flight": {checker.SafeRejection,
 			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 429), attemptCanceled(1130*ms, "s1")},
 			[]Event{requestSent(1000*ms, nonIdempotent), attemptArrived(1100*ms, "s1"), answerReceived(1120*ms, 502), attemptCanceled(1130*ms, "s1")}},
-		"two out": {checker.OneAttempt,
+		"two attempts in flight": {checker.OneAttempt,
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1300*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)},
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptArrived(1200*ms, "s2"), attemptCanceled(1299*ms, "s1"), attemptAnswered(1310*ms, "s2", 200), answerReceived(1310*ms, 200)}},
 		"four attempts": {checker.AttemptLimit, attempts(4), attempts(3)},
-		"after a drain": {checker.DrainGrace,
+		"sent after a drain": {checker.DrainGrace,
 			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, idempotent), attemptArrived(2301*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)},
 			[]Event{{At: 2000 * ms, Kind: EndpointNotified, Server: "s1"}, requestSent(2200*ms, idempotent), attemptArrived(2300*ms, "s1"), attemptAnswered(2310*ms, "s1", 200), answerReceived(2310*ms, 200)}},
-		"after a confirmed override": {checker.AdminOverride,
+		"sent after a confirmed override": {checker.AdminOverride,
 			[]Event{overridden(1000*ms, false), {At: 1900 * ms, Kind: EndpointNotified, Server: "s1", Ready: true}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
 			[]Event{overridden(1000*ms, false), overridden(1100*ms, false), overridden(1900*ms, true), requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)}},
-		"after an override, over an upgrade": {checker.AdminOverride,
+		"sent after an override and an upgrade": {checker.AdminOverride,
 			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s1"), attemptAnswered(2110*ms, "s1", 200), answerReceived(2110*ms, 200)},
 			[]Event{overridden(1000*ms, false), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, requestSent(2000*ms, idempotent), attemptArrived(2100*ms, "s2"), attemptAnswered(2110*ms, "s2", 200), answerReceived(2110*ms, 200)}},
 		"lost in an upgrade": {checker.InTime,
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}},
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: SuccessorReady}, {At: 1200 * ms, Kind: NodeExited}, answerReceived(1300*ms, 503)}},
-		"overloaded":                   {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
-		"overloaded by those who knew": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
+		"overloaded while warming up":  {checker.WarmupOverload, warmupArrivals(69, 0), warmupArrivals(68, 0)}, // 45 + 3 x root of 45 + 3
+		"overloaded by notified nodes": {checker.WarmupOverload, warmupArrivals(69, 22), warmupArrivals(69, 23)},
 		"lost on SIGTERM": {checker.NothingLost,
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeTerminating}, {At: 1200 * ms, Kind: NodeExited}},
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeTerminating}, answerReceived(1150*ms, 502), {At: 1200 * ms, Kind: NodeExited}}},
-		"cut": {checker.NothingLost,
+		"connection cut": {checker.NothingLost,
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: ConnectionCut, ID: "1"}},
 			[]Event{requestSent(1000*ms, idempotent), {At: 1100 * ms, Kind: NodeKilled}}},
-		"served with nothing": {checker.GenuineAnswer, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 200)}, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 503)}},
-		"served with another's": {checker.GenuineAnswer,
+		"served without an attempt": {checker.GenuineAnswer, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 200)}, []Event{requestSent(1000*ms, idempotent), answerReceived(1100*ms, 503)}},
+		"served with an answer that no server gave": {checker.GenuineAnswer,
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 500), answerReceived(1120*ms, 200)},
 			[]Event{requestSent(1000*ms, idempotent), attemptArrived(1100*ms, "s1"), attemptAnswered(1110*ms, "s1", 200), answerReceived(1120*ms, 200)}},
 		"unknown server": {checker.KnownServer,
@@ -165,25 +165,25 @@
 			found := Check(testHeader(), history(tc.violating...))
 			for _, v := range found {
 				if v.Rule != tc.rule {
-					t.Errorf("also rejected by %v", v)
+					t.Errorf("another rule reports %v", v)
 				}
 			}
 			if len(found) == 0 {
-				t.Error("not rejected")
+				t.Errorf("no violation of %q reported", tc.rule)
 			}
 			for _, v := range Check(testHeader(), history(tc.conforming...)) {
-				t.Errorf("a step inside: %v", v)
+				t.Errorf("conforming history: %v", v)
 			}
 		})
 	}
 }
 
-// Recorded histories of real nodes on loopback, made by TestRealNodesFromOutside in cmd/hookwalk, keep the rules; with
-// one line changed they do not.
+// Histories of real nodes on loopback, recorded by TestRealNodesFromOutside in cmd/hookwalk, conform to the rules. With
+// every success turned into a rejection they break them.
 func TestRecordedHistories(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d histories, %v", len(files), err)
+		t.Fatalf("found %d recorded histories: %v", len(files), err)
 	}
 	for _, name := range files {
 		text, err := os.ReadFile(name)
@@ -207,12 +207,12 @@
 			rejected = rejected || v.Rule == checker.SafeRejection
 		}
 		if !rejected {
-			t.Errorf("%s: every answer turned into a rejection, and accepted", name)
+			t.Errorf("%s: no violation of %q reported after every success was turned into a rejection", name, checker.SafeRejection)
 		}
 	}
 }
 
-// A line that can't be read is named.
+// The error for a line that cannot be read names the line.
 func TestReadErrorNamesTheLine(t *testing.T) {
 	for _, text := range []string{"{}\n{", "{}\n{}\nx", `{}` + "\n" + `{"what":"ask","class":7}`} {
 		if _, _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), "line ") {
@@ -221,7 +221,7 @@
 	}
 }
 
-// FuzzRead: whatever stands in a file, reading and checking it ends without a panic.
+// FuzzRead checks that Read and Check do not panic, whatever the input.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"classes":[{}],"kinds":{"s":{"Cores":1}}}` + "\n" + `{"what":"start","node":"n"}` + "\n" + `{"what":"boot","server":"s"}` + "\n" +
 		`{"what":"ask","node":"n","id":"1"}` + "\n" + `{"what":"reach","node":"n","id":"1","server":"s"}`))
--- a/internal/lab/blackbox/evaluator.go
+++ b/internal/lab/blackbox/evaluator.go
@@ -10,32 +10,32 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// requestKey is a request of one node's incarnation.
+// requestKey identifies a request to one incarnation of a node.
 type requestKey struct{ node, id string }
 
-// linkKey is the links between a node and a server.
+// linkKey identifies the network links between a node and a server.
 type linkKey struct{ node, server string }
 
-// requestState is what servers did with a request.
+// requestState holds the attempts of a request and the answers of servers to it.
 type requestState struct {
-	attemptServers []string        // the server of each attempt; "": it has ended
-	bodies         map[string]bool // of answers that said success
+	attemptServers []string        // the server of each attempt; "" once the attempt has ended
+	bodies         map[string]bool // of the answers with status 200
 }
 
-// evaluator turns events into the checker's facts.
+// evaluator translates events into the facts that the checker takes.
 type evaluator struct {
 	header       Header
 	checker      *checker.Checker
 	servers      map[string]*model.Server
-	starts       map[string]*serverStart // of servers that have started
+	starts       map[string]*serverStart // by server; the latest start
 	requests     map[requestKey]*requestState
-	successors   map[string]int // of nodes: processes that are ready to take over
+	successors   map[string]int // by node: the number of processes that are ready to take over
 	stoppedUntil map[string]time.Duration
 	heldUntil    map[linkKey]time.Duration
 	violations   []checker.Violation
 }
 
-// Check returns the rules that a history breaks. Events are in the order of their times.
+// Check returns the violations in a history. Events are in order of time.
 func Check(h Header, events []Event) []checker.Violation {
 	v := &evaluator{
 		header:       h,
@@ -61,7 +61,7 @@
 	return append(v.checker.Violations(), v.violations...)
 }
 
-// apply brings one event to the checker.
+// apply passes one event to the checker.
 func (v *evaluator) apply(e Event) {
 	switch e.Kind {
 	case NodeStarted, NodeKilled, SuccessorReady, NodeExited, EndpointOverridden, EndpointNotified:
@@ -75,7 +75,7 @@
 	}
 }
 
-// applyNode is an event of a node's process, or of what it was notified of.
+// applyNode applies an event of a node's process, or a notification to a node.
 func (v *evaluator) applyNode(e Event) {
 	switch e.Kind {
 	case NodeStarted:
@@ -85,7 +85,7 @@
 	case SuccessorReady:
 		v.successors[e.Node]++
 	case NodeExited:
-		if v.successors[e.Node] > 0 { // the node goes on, and what the process owed shows by itself
+		if v.successors[e.Node] > 0 { // the successor continues the node; requests that the process left open are found as unanswered
 			v.successors[e.Node]--
 			return
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-// applyClient is an event at a client.
+// applyClient applies an event at a client.
 func (v *evaluator) applyClient(e Event) {
 	key := requestKey{e.Node, e.ID}
 	switch e.Kind {
@@ -111,7 +111,7 @@
 		v.answerReceived(e, key)
 	case ConnectionCut:
 		if r := v.requests[key]; e.onReusedConnection() && r != nil && len(r.attemptServers) == 0 {
-			v.checker.ClientGone(e.At, e.Node, e.ID) // the end of an idle connection crossed a request that was not read
+			v.checker.ClientGone(e.At, e.Node, e.ID) // the node closed an idle connection before it read the request that was on the way
 			return
 		}
 		v.checker.ConnectionDropped(e.At, e.Node, e.ID)
@@ -120,7 +120,7 @@
 	}
 }
 
-// answerReceived is an answer. One that says success must be what a server has answered.
+// answerReceived applies the answer that a client received. A success must match what a server answered.
 func (v *evaluator) answerReceived(e Event, key requestKey) {
 	how := checker.Failed
 	switch e.Status {
@@ -131,12 +131,12 @@
 	}
 	if r := v.requests[key]; how == checker.Served && r != nil && len(r.attemptServers) > 0 && !r.bodies[e.Body] {
 		v.violations = append(v.violations, checker.Violation{Rule: checker.GenuineAnswer, At: e.At, Node: e.Node, Request: e.ID,
-			Detail: "served with what no server has answered"})
+			Detail: "served with an answer that no server has given"})
 	}
 	v.checker.RequestAnswered(e.At, e.Node, e.ID, how)
 }
 
-// applyServer is an event at a server.
+// applyServer applies an event at a server.
 func (v *evaluator) applyServer(e Event) {
 	key := requestKey{e.Node, e.ID}
 	switch e.Kind {
@@ -163,11 +163,11 @@
 	}
 }
 
-// attemptArrived is an attempt. Whatever becomes of it, it loads the server.
+// attemptArrived applies the arrival of an attempt. It counts toward the server's load whatever its outcome.
 func (v *evaluator) attemptArrived(e Event, key requestKey) {
 	r := v.requests[key]
 	if e.At < max(v.stoppedUntil[e.Server], v.heldUntil[linkKey{e.Node, e.Server}]) {
-		// It was sent at some time of the stop, and may have been canceled since.
+		// The attempt was sent at an unknown time while the server or link was stopped, and may have been canceled since.
 		if r != nil {
 			r.attemptServers = append(r.attemptServers, e.Server)
 			v.checker.SentUnobserved(e.At, e.Node, e.ID, e.Server)
@@ -187,7 +187,7 @@
 	}
 }
 
-// attemptEnded is the outcome of the latest attempt of a request that is out at a server.
+// attemptEnded applies the outcome of the latest attempt of a request that is in flight to a server.
 func (v *evaluator) attemptEnded(e Event, key requestKey, outcome balancer.Outcome) {
 	r := v.requests[key]
 	if r == nil {
@@ -206,7 +206,7 @@
 	}
 }
 
-// serverStarted starts a server, which warms up from now on.
+// serverStarted applies the start of a server, which warms up from now on.
 func (v *evaluator) serverStarted(e Event) {
 	kind, ok := v.header.Kinds[e.Server]
 	if !ok {
--- a/internal/lab/blackbox/golden_test.go
+++ b/internal/lab/blackbox/golden_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/goldentest"
 )
 
-// A recorded history outlives the build that wrote it: were a key of its form to follow a Go name, an old history would be
-// read with fields that are silently zero, and the checker would accept what breaks a rule.
+// A recorded history outlives the build that wrote it. If a key followed the name of a Go field, renaming the field would
+// leave it zero when an old history is read, and the checker would miss violations.
 func TestHistoryEncodingIsStable(t *testing.T) {
 	text, err := os.ReadFile("testdata/small-every-fault.jsonl")
 	if err != nil {
@@ -31,12 +31,12 @@
 			t.Fatal(err)
 		}
 	}
-	const addedKey = `"means":null,` // a key that the recorded history is older than
+	const addedKey = `"means":null,` // added after the history was recorded
 	if n := bytes.Count(written.Bytes(), []byte(addedKey)); n != 1 {
-		t.Errorf("%s is written %d times", addedKey, n)
+		t.Errorf("%s is written %d times, want once", addedKey, n)
 	}
 	if !bytes.Equal(bytes.Replace(written.Bytes(), []byte(addedKey), nil, 1), text) {
-		t.Error("the history is written in another form than it was read")
+		t.Error("re-encoding the history changes it")
 	}
 	for _, form := range []reflect.Type{reflect.TypeFor[Header](), reflect.TypeFor[Event]()} {
 		for _, field := range goldentest.UntaggedFields(form) {
--- a/internal/lab/blackbox/history.go
+++ b/internal/lab/blackbox/history.go
@@ -14,42 +14,42 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// maxLineBytes is the longest line of a history in bytes.
+// maxLineBytes is the length limit of a line of a history.
 const maxLineBytes = 1 << 20
 
-// errNoSuchClass is an event of a class that the header does not have.
-var errNoSuchClass = errors.New("no such class")
+// errNoSuchClass is returned for an event whose class the header does not list.
+var errNoSuchClass = errors.New("the header does not list the class of the event")
 
-// Header is the first line of a history: the rules, and the world that they are about.
+// Header is the first line of a history: the rules, the classes of requests and the servers of the run.
 type Header struct {
 	Rules          scenario.Rules                 `json:"rules"`
 	Classes        []scenario.Class               `json:"classes"`
-	Kinds          map[string]scenario.ServerKind `json:"kinds"`   // of servers, by ID
-	Means          map[string]time.Duration       `json:"means"`   // mean work of a request there
-	ObservationLag time.Duration                  `json:"overlap"` // how late a server may notice what a node does
+	Kinds          map[string]scenario.ServerKind `json:"kinds"`   // by server ID
+	Means          map[string]time.Duration       `json:"means"`   // mean work of a request, by server ID
+	ObservationLag time.Duration                  `json:"overlap"` // see Checker.ObservationLag
 }
 
-// NewHeader is the header of a history of a scenario, without servers.
+// NewHeader returns the header of a history of a scenario, without servers.
 func NewHeader(s *scenario.Scenario, observationLag time.Duration) Header {
 	return Header{Rules: s.Rules, Classes: s.Classes, Kinds: map[string]scenario.ServerKind{}, Means: map[string]time.Duration{},
 		ObservationLag: observationLag}
 }
 
-// Recorder writes a history, from any goroutine. A nil Recorder writes nothing.
+// Recorder writes a history. It is safe for concurrent use. A nil Recorder writes nothing.
 type Recorder struct {
 	mu  sync.Mutex
 	out *json.Encoder
 	err error
 }
 
-// NewRecorder begins a history.
+// NewRecorder begins a history with a header.
 func NewRecorder(w io.Writer, h Header) *Recorder {
 	r := &Recorder{out: json.NewEncoder(w)}
 	r.err = r.out.Encode(h)
 	return r
 }
 
-// NewHeadlessRecorder begins a history without a header: one of several of a world, which Merge brings together.
+// NewHeadlessRecorder begins a history without a header: one of several histories of a run, which Merge combines.
 func NewHeadlessRecorder(w io.Writer) *Recorder { return &Recorder{out: json.NewEncoder(w)} }
 
 // Record adds an event.
@@ -64,7 +64,7 @@
 	}
 }
 
-// Err is why the history is incomplete; nil: it is complete.
+// Err returns the error that made the history incomplete, or nil.
 func (r *Recorder) Err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +100,8 @@
 	return e, nil
 }
 
-// Merge reads histories without headers and returns their events in the order of their times; of equal times, those of the
-// earlier history come first. A process that is killed can end in the middle of a line: such a last line is left out.
+// Merge reads histories without headers and returns their events in order of time. Events at the same time keep the order
+// of the arguments. A killed process can leave an incomplete last line, which Merge ignores.
 func Merge(histories ...io.Reader) (events []Event, err error) {
 	for n, in := range histories {
 		text := bufio.NewReader(in)
--- a/internal/lab/blackbox/notifications.go
+++ b/internal/lab/blackbox/notifications.go
@@ -9,33 +9,35 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// watchKey is a watch of a node; without an ID, all of its watches.
+// watchKey identifies a watch of a node or, without an ID, all of its watches.
 type watchKey struct{ node, id string }
 
-// mutedWatch is a watch, or all watches of a node, on which nothing arrives.
+// mutedWatch is a watch, or all watches of a node, on which no updates arrive.
 type mutedWatch struct {
 	since      time.Duration
-	endVisible bool    // its end will be seen: discovery has muted a watch, no link is cut
-	pending    []Event // what was written since
+	endVisible bool    // the end of the watch will be recorded: discovery stopped writing, and no link was cut
+	pending    []Event // the notifications that were written since
 }
 
-// timedEvent is an event at the time at which it counts, and when it was written.
+// timedEvent is an event with its effective time in At, and the time at which it was written.
 type timedEvent struct {
 	Event
 	writtenAt time.Duration
 }
 
-// notificationClock puts notifications at the time at which they count.
+// notificationClock computes the effective times of notifications.
 type notificationClock struct {
 	muted  map[watchKey]*mutedWatch
 	events []timedEvent
 }
 
-// countNotifications puts what nodes are notified of at the time at which it counts, by the operators' one clock. What is
-// written to a muted node arrives when it is unmuted, if the connection is still up by then; in any case a connection that
-// the node left open counts as read endpointlease.NotificationDeadline after it was muted. A watch that the node gave up
-// brings nothing: what it missed comes with the next poll, which the node owes, and counts that deadline after discovery
-// could be reached, whatever becomes of the poll. Of one server, what was written later replaces what counts later.
+// countNotifications moves each notification to its effective time, from which on the node must act on it:
+//
+//   - A notification on a muted watch takes effect when the watch is unmuted on the same connection. If the node keeps
+//     the connection open, it takes effect at the latest endpointlease.NotificationDeadline after the watch was muted.
+//   - A watch that the node gave up delivers nothing. The node must poll instead, so the notification takes effect
+//     NotificationDeadline after discovery could be reached, whatever the outcome of the poll.
+//   - A notification that was written earlier than one that already took effect for the same server is dropped.
 func countNotifications(events []Event) []Event {
 	c := &notificationClock{muted: map[watchKey]*mutedWatch{}, events: make([]timedEvent, 0, len(events))}
 	for _, e := range events {
@@ -48,14 +50,14 @@
 	return dropSuperseded(c.events)
 }
 
-// add adds an event that counts at a time.
+// add adds an event that takes effect at a time.
 func (c *notificationClock) add(e Event, at time.Duration) {
 	written := e.At
 	e.At = at
 	c.events = append(c.events, timedEvent{e, written})
 }
 
-// find returns the muted watch that an event is about; nil: it is not muted.
+// find returns the muted watch that an event concerns, or nil if that watch is not muted.
 func (c *notificationClock) find(e Event) *mutedWatch {
 	m := c.muted[watchKey{e.Node, e.ID}]
 	if m == nil && e.Kind == EndpointNotified {
@@ -84,22 +86,22 @@
 	}
 }
 
-// unmute has what was written in the meantime count.
+// unmute adds the notifications that were written while the watch was muted.
 func (c *notificationClock) unmute(e Event, m *mutedWatch) {
 	for _, p := range m.pending {
 		bound := m.bound(p)
 		switch {
 		case e.onSameConnection():
 			c.add(p, min(e.At, bound))
-		case m.endVisible && bound < e.At-e.Duration: // it kept the watch for longer than the lease allows
+		case m.endVisible && bound < e.At-e.Duration: // the node kept the watch for longer than the lease allows
 			c.add(p, bound)
 		default:
-			c.add(p, e.At+endpointlease.NotificationDeadline) // from then on discovery could be reached
+			c.add(p, e.At+endpointlease.NotificationDeadline) // discovery can be reached from e.At on
 		}
 	}
 }
 
-// end has what was written on watches that stay open to the end count.
+// end adds the notifications that were written on watches that stay muted to the end of the history.
 func (c *notificationClock) end() {
 	for _, m := range c.muted {
 		for _, p := range m.pending {
@@ -110,14 +112,14 @@
 	}
 }
 
-// bound is when a notification on an open watch counts at the latest.
+// bound returns the latest time at which a notification on an open watch takes effect.
 func (m *mutedWatch) bound(e Event) time.Duration {
 	return max(e.At, m.since+endpointlease.NotificationDeadline)
 }
 
-// dropSuperseded drops the notifications of a server that were written before one that already counts.
+// dropSuperseded drops the notifications of a server that were written before one that has already taken effect.
 func dropSuperseded(events []timedEvent) []Event {
-	newest := map[linkKey]time.Duration{} // when the last notification that counts was written
+	newest := map[linkKey]time.Duration{} // when the latest effective notification was written
 	out := make([]Event, 0, len(events))
 	for _, e := range events {
 		if key := (linkKey{e.Node, e.Server}); e.Kind == EndpointNotified {
--- a/internal/lab/blackbox/processfaults.go
+++ b/internal/lab/blackbox/processfaults.go
@@ -7,13 +7,13 @@
 	"hookwalk.example/hookwalk/balancer"
 )
 
-// resumeAllowance is how long a server that was stopped may take to have recorded all that came in the meantime.
+// resumeAllowance is how long a resumed server may take to record the requests that arrived while it was stopped.
 const resumeAllowance = 300 * time.Millisecond
 
-// forever is the end of a stop that has not ended yet.
+// forever is the end time of a stop that has not ended yet.
 const forever = time.Duration(math.MaxInt64)
 
-// applyProcessFault is what happens to a process, or to the links between two.
+// applyProcessFault applies a fault of a process, or of the links between two processes.
 func (v *evaluator) applyProcessFault(e Event) {
 	switch {
 	case e.Kind == ServerDied:
@@ -28,7 +28,7 @@
 	case e.Node != "" && (e.Kind == ClientsMuted || e.Kind == ProcessStopped):
 		v.checker.NodeUnresponsive(e.At, e.Node)
 	case e.Kind == ClientsUnmuted:
-		// The node's time for what arrives now may begin now.
+		// The node may count the deadline of a request from its arrival, which can be now.
 		v.checker.NodeResponsive(e.At, e.Node, v.longestDeadline())
 	case e.Node != "":
 		v.checker.NodeResponsive(e.At, e.Node, 0)
@@ -40,7 +40,7 @@
 	}
 }
 
-// serverDied ends all attempts that are out at a server.
+// serverDied ends all attempts that are in flight to a server.
 func (v *evaluator) serverDied(e Event) {
 	for key, r := range v.requests {
 		for n, server := range r.attemptServers {
@@ -53,7 +53,8 @@
 	delete(v.stoppedUntil, e.Server)
 }
 
-// attemptsUnobserved says of the attempts that are out at a server, of one node or of all, that their end can't be seen.
+// attemptsUnobserved records that the end of the attempts in flight to a server cannot be observed. An empty node means
+// all nodes.
 func (v *evaluator) attemptsUnobserved(e Event, node string) {
 	for key, r := range v.requests {
 		for n, server := range r.attemptServers {
--- a/internal/lab/blackbox/warmup.go
+++ b/internal/lab/blackbox/warmup.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// serverStart is the last start of a server: which nodes were notified of it, and what arrived lately.
+// serverStart is the latest start of a server: the nodes that were notified of it, and the recent arrivals.
 type serverStart struct {
 	notifiedNodes map[string]bool
 	arrivals      []Event
 }
 
-// recordArrival adds what reached the server, and forgets what came longer ago than the rule looks back.
+// recordArrival adds an arrival and drops those that are older than the window of the rule.
 func (s *serverStart) recordArrival(e Event, window time.Duration) {
 	s.arrivals = append(s.arrivals, e)
 	for len(s.arrivals) > 0 && s.arrivals[0].At <= e.At-window {
@@ -16,8 +16,8 @@
 	}
 }
 
-// mostlyFromNotified says that over two thirds of the work that came lately is of nodes that had been notified of the
-// start. Only then does an overload break the rule: the others could not know that the server warms up.
+// mostlyFromNotified reports whether more than two thirds of the recent work was sent by nodes that had been notified of
+// the start. Only then does an overload break the rule: the other nodes could not know that the server is warming up.
 func (s *serverStart) mostlyFromNotified() bool {
 	var all, notified time.Duration
 	for _, e := range s.arrivals {
