--- a/internal/lab/soak/activefaults.go
+++ b/internal/lab/soak/activefaults.go
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// activeFaults are the faults in force at a stand-in. Its methods may be called from any goroutine.
+// activeFaults holds the active faults of a stand-in. It is safe for concurrent use.
 type activeFaults struct {
 	mu     sync.Mutex
 	active []Fault
 }
 
-// begin puts a fault in force.
+// begin activates a fault.
 func (f *activeFaults) begin(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.active = append(f.active, fault)
 }
 
-// end ends one fault that is equal to the given one.
+// end deactivates one fault that is equal to the given one.
 func (f *activeFaults) end(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,13 +28,14 @@
 	}
 }
 
-// hits reports whether a fault of a kind is in force and, by a draw with its Share, affects what comes now.
+// hits reports whether a fault of a kind is active and affects the current call, request or answer, which is drawn at
+// random with the probability Share.
 func (f *activeFaults) hits(kind Kind) (fault Fault, hit bool) {
 	fault, found := f.find(kind)
 	return fault, found && rand.Float64() < fault.Share
 }
 
-// find returns the first fault of a kind that is in force.
+// find returns the first active fault of a kind.
 func (f *activeFaults) find(kind Kind) (fault Fault, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -11,18 +11,19 @@
 
 const (
 	endlessInterval = 50 * time.Millisecond // between two pieces of an endless answer
-	maxEndlessTime  = 10 * time.Second      // after which even that ends: longer than any deadline
+	maxEndlessTime  = 10 * time.Second      // limit of an endless answer, so that it cannot outlast the run; longer than any deadline
 )
 
-// answerBody is what a server answers to a request. The judge compares it with what the client was given.
+// answerBody returns the body of a server's answer to a request. The clients compare the body that they receive with it.
 func answerBody(id string) string { return "ok " + id }
 
-// secondAnswerBody is the body of a second answer to a request.
+// secondAnswerBody returns the body of a second answer to a request.
 func secondAnswerBody(id string) string { return secondAnswerPrefix + id }
 
+// secondAnswerPrefix marks the body of a second answer, so that a client that receives it can name the request.
 const secondAnswerPrefix = "second "
 
-// answer writes the answer to a request as the active faults have it.
+// answer writes the answer to a request, subject to the active faults.
 func (s *server) answer(w http.ResponseWriter, r *http.Request, id string) {
 	conn := connOf(r)
 	if f, hit := s.faults.hits(AnswerSecond); hit {
@@ -53,13 +54,13 @@
 	}
 }
 
-// hits reports whether a fault affects what comes now.
+// hits reports whether a fault of a kind affects the current request.
 func (s *server) hits(kind Kind) bool {
 	_, hit := s.faults.hits(kind)
 	return hit
 }
 
-// answerText is a whole answer as it is on the wire. A 503 is marked as a rejection.
+// answerText returns a complete answer in its wire form. A 503 is marked as a rejection.
 func answerText(status int, body string) string {
 	rejected := ""
 	if status == http.StatusServiceUnavailable {
@@ -68,17 +69,18 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), rejected, len(body), body)
 }
 
-// writeWithoutLength writes an answer that ends with its connection.
+// writeWithoutLength writes an answer without a length, which ends when the connection closes.
 func writeWithoutLength(w http.ResponseWriter, body string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // the connection has ended
+		return // the connection is closed
 	}
 	defer conn.Close()
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+body)
 }
 
-// writeEndlessly writes an answer without an end.
+// writeEndlessly writes an answer without a length that continues until the node closes the connection, or for
+// maxEndlessTime.
 func writeEndlessly(w http.ResponseWriter, body string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -101,30 +103,30 @@
 	}
 }
 
-// answerTrailer is what a connection does once the answer that is being written is out.
+// answerTrailer is what a connection does after the answer that is being written.
 type answerTrailer struct {
 	mu     sync.Mutex
-	text   string
-	id     string // of the request that the text is a second answer to
-	wait   time.Duration
+	text   string        // a second answer; "" for none
+	id     string        // of the request that the second answer repeats
+	wait   time.Duration // from the answer to the second answer
 	closes bool
 }
 
-// writeAfterAnswer has a second answer to a request written behind the next answer, so long after it.
+// writeAfterAnswer schedules a second answer to a request, to be written on the connection wait after the next answer.
 func (c *timestampingConn) writeAfterAnswer(wait time.Duration, text, id string) {
 	c.trailer.mu.Lock()
 	defer c.trailer.mu.Unlock()
 	c.trailer.text, c.trailer.wait, c.trailer.id = text, wait, id
 }
 
-// closeAfterAnswer has the connection closed behind the next answer.
+// closeAfterAnswer closes the connection after the next answer.
 func (c *timestampingConn) closeAfterAnswer() {
 	c.trailer.mu.Lock()
 	defer c.trailer.mu.Unlock()
 	c.trailer.closes = true
 }
 
-// Write writes what an answer consists of. A small answer is one Write, and what comes behind it follows.
+// Write writes an answer and then applies the trailer. It relies on net/http writing a small answer in a single call.
 func (c *timestampingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.trailer.mu.Lock()
@@ -139,7 +141,7 @@
 	return n, err
 }
 
-// writeSecondAnswer writes a second answer after a wait, in one piece, and records how late it was.
+// writeSecondAnswer writes a second answer after a wait, in a single write, and records its delay after the first answer.
 func (c *timestampingConn) writeSecondAnswer(wait time.Duration, text, id string) {
 	answeredAt := c.recorder.now()
 	write := func(conn net.Conn) {
--- a/internal/lab/soak/clientconn.go
+++ b/internal/lab/soak/clientconn.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// maxPooledConnections bounds the kept connections to one node.
+	// maxPooledConnections limits the idle connections that are kept to one node.
 	maxPooledConnections = 8
 
-	// resetWait is how long a client waits for the reset of a connection that its node has ended: longer than net/http
-	// leaves between the two steps of a close.
+	// resetWait is how long a client waits for the reset of a connection that its node has ended. It exceeds the time that
+	// net/http leaves between closing the write side and closing the connection.
 	resetWait = 1200 * time.Millisecond
 
-	// maxAnswerBytes is how much of an answer is read, in bytes: more than any server writes.
+	// maxAnswerBytes limits how much of an answer is read; no server writes as much.
 	maxAnswerBytes = 1 << 20
 
-	// resetInterval is the time between two looks for a reset.
+	// resetInterval is the time between two checks for a reset.
 	resetInterval = 20 * time.Millisecond
 
-	// tcpClosed is the kernel's number of the state of a connection that was reset.
+	// tcpClosed is TCP_CLOSE, the kernel's state of a connection that was reset.
 	tcpClosed = 7
 )
 
@@ -40,7 +40,7 @@
 	responses *bufio.Reader
 }
 
-// dialNode opens a connection, before a time.
+// dialNode opens a connection to a node before a deadline.
 func dialNode(address string, deadline time.Time) (*clientConn, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	c, err := dialer.Dial("tcp", address)
@@ -50,7 +50,7 @@
 	return &clientConn{c, bufio.NewReader(c)}, nil
 }
 
-// send writes a request as one piece and calls written right after.
+// send writes a request in a single write and then calls written.
 func (c *clientConn) send(r *http.Request, written func()) error {
 	var text bytes.Buffer
 	if err := r.Write(&text); err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// receive reads the response to a request and its body, to its end.
+// receive reads the response to a request and its complete body.
 func (c *clientConn) receive(r *http.Request) (response *http.Response, body string, err error) {
 	response, err = http.ReadResponse(c.responses, r)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return response, string(text), nil
 }
 
-// isOpen reports whether the node has not ended the connection, as far as its client can see.
+// isOpen reports whether the connection is idle and the node has not closed it, as far as the client can see.
 func (c *clientConn) isOpen() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -92,8 +92,9 @@
 	return open
 }
 
-// wasReset reports whether the node's kernel reset the connection, which it does where bytes are left that the node has not
-// read. A connection of which all was read ends without a reset. err is what reading or writing ended with.
+// wasReset reports whether the node's kernel reset the connection, which it does if the node closes the connection before
+// it has read all bytes. A connection whose bytes were all read closes without a reset. err is the error of the last read
+// or write.
 func (c *clientConn) wasReset(err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
@@ -110,7 +111,7 @@
 	return false
 }
 
-// state is the kernel's state of the connection.
+// state returns the kernel's state of the connection, or 0 if it is unknown.
 func (c *clientConn) state() (state uint8) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -124,14 +125,14 @@
 	return state
 }
 
-// connPool keeps the connections to one node that no request uses. It does what clients may do that serve themselves: a
-// connection is used for as long as it is open, whatever a response said of it.
+// connPool keeps the idle connections to one node. Like some clients that manage their connections themselves, it reuses a
+// connection as long as it is open and ignores what a response says about closing it.
 type connPool struct {
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
-// take returns a connection that is open, or nil.
+// take removes an open connection from the pool and returns it, or nil if there is none.
 func (p *connPool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool, or closes it if the pool is full.
 func (p *connPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +158,7 @@
 	p.idle = slices.Insert(p.idle, 0, c)
 }
 
-// close closes all connections that no request uses.
+// close closes all connections in the pool.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +168,7 @@
 	p.idle = nil
 }
 
-// newHTTPRequest is the request as a node reads it.
+// newHTTPRequest returns the HTTP form of a request to a node.
 func newHTTPRequest(request *Request, n *node) *http.Request {
 	method, class, body := http.MethodGet, "read", io.Reader(nil)
 	if request.NonIdempotent {
@@ -175,7 +176,7 @@
 	}
 	r, err := http.NewRequest(method, n.url()+"/api", body)
 	if err != nil {
-		panic(err) // only if a node's address is none
+		panic(err) // possible only if the node's address is malformed
 	}
 	r.Header.Set("X-Call-Id", request.ID)
 	r.Header.Set("X-Call-Class", class)
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -18,22 +18,22 @@
 // nodeHeader tells a server which node a request was sent to.
 const nodeHeader = "X-Soak-Node"
 
-// Draws of the clients' requests.
+// Distributions of the clients' requests.
 const (
-	nonIdempotentRatio = 0.4                   // of the requests
-	newConnectionRatio = 0.3                   // of the requests, on connections of their own
-	maxCancelAfter     = 50 * time.Millisecond // of a client that cancels early; uniformly drawn
+	nonIdempotentRatio = 0.4                   // share of requests that are non-idempotent
+	newConnectionRatio = 0.3                   // share of requests that are sent on a new connection
+	maxCancelAfter     = 50 * time.Millisecond // maximum time until a client cancels early; uniformly distributed
 )
 
-// Times of the clients.
+// Timing of the clients.
 const (
-	requestBudget = 2 * time.Second // until a request's deadline; the longest deadline of the nodes' settings
-	answerGrace   = 2 * time.Second // that a client waits on after the deadline, so that a late answer is seen as such
+	requestBudget = 2 * time.Second // time until a request's deadline; equals the longest deadline in the nodes' settings
+	answerGrace   = 2 * time.Second // how long a client waits after the deadline, to tell a late answer from a missing one
 
-	burstRetryInterval = 50 * time.Millisecond // between a request of a burst that was not served and the next
+	burstRetryInterval = 50 * time.Millisecond // pause after a request of a burst that was not served
 )
 
-// clients send requests to the nodes at a steady rate, each to one drawn node.
+// clients sends requests at a constant rate, each to a random node.
 type clients struct {
 	recorder *recorder
 	nodes    []*node
@@ -41,15 +41,15 @@
 	pools    []connPool // by node
 	inFlight sync.WaitGroup
 
-	lastNumber atomic.Int64 // of a request
+	lastNumber atomic.Int64 // number of the latest request
 }
 
-// newClients are clients of some nodes; nothing is sent before run.
+// newClients returns clients of some nodes. They send nothing before run.
 func newClients(recorder *recorder, nodes []*node) *clients {
 	return &clients{recorder: recorder, nodes: nodes, pools: make([]connPool, len(nodes))}
 }
 
-// run sends requests, so many a second, until ctx ends, and waits for the last answers.
+// run sends rate requests per second until ctx ends, and waits for the last answers.
 func (c *clients) run(ctx context.Context, rate int) {
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
@@ -72,7 +72,8 @@
 	}
 }
 
-// sendSequentially sends one request after another to a node until ctx ends. A node that is down is tried again after a while.
+// sendSequentially sends one request after another to a node until ctx ends. After a request that was not served it pauses
+// for burstRetryInterval.
 func (c *clients) sendSequentially(ctx context.Context, n *node) {
 	for ctx.Err() == nil {
 		if c.send(n) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// send makes one request to a node, records what became of it, and reports whether it was served.
+// send sends one request to a node, records its result, and reports whether it was served.
 func (c *clients) send(n *node) (served bool) {
 	request := &Request{ID: fmt.Sprintf("r-%d", c.lastNumber.Add(1)), Node: n.index, NonIdempotent: rand.Float64() < nonIdempotentRatio}
 	ownConnection := rand.Float64() < newConnectionRatio
@@ -118,8 +119,7 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// connect returns the connection for a request: a kept one that is open, or a new one if there is none, or the request is to
-// have its own.
+// connect returns the connection for a request. It opens a new one if ownConnection is set or the pool has none.
 func (c *clients) connect(request *Request, ownConnection bool, deadline time.Time) (*clientConn, error) {
 	if !ownConnection {
 		if conn := c.pools[request.Node].take(); conn != nil {
@@ -130,7 +130,7 @@
 	return dialNode(c.nodes[request.Node].listen, deadline)
 }
 
-// exchange sends a request and reads its response and the body to its end.
+// exchange sends a request and reads its response and the complete body.
 func (c *clients) exchange(conn *clientConn, request *Request) (response *http.Response, body string, err error) {
 	r := newHTTPRequest(request, c.nodes[request.Node])
 	if err := conn.send(r, func() { c.recordWritten(request) }); err != nil {
@@ -139,7 +139,7 @@
 	return conn.receive(r)
 }
 
-// recordEnd records how a request ended, by its response or an error.
+// recordEnd records the response or the error with which a request ended.
 func (c *clients) recordEnd(request *Request, response *http.Response, body string, err error) {
 	c.recorder.record(func(*Observations) {
 		request.Finished = c.recorder.now()
@@ -157,15 +157,15 @@
 	})
 }
 
-// isRefused reports whether no connection came up: it was refused, or reset while it came up, as where its node closes the
-// listener just then.
+// isRefused reports whether the connection could not be established: it was refused, or it was reset during the handshake,
+// which happens if the node closes the listener at that moment.
 func isRefused(err error) bool {
 	failed := &net.OpError{}
 	return errors.Is(err, syscall.ECONNREFUSED) ||
 		errors.As(err, &failed) && failed.Op == "dial" && errors.Is(err, syscall.ECONNRESET)
 }
 
-// recordWritten notes that a request's last byte was written: its time counts from there.
+// recordWritten records that the last byte of a request was written, from which its deadline counts.
 func (c *clients) recordWritten(request *Request) {
 	c.recorder.record(func(*Observations) {
 		request.Written = c.recorder.now()
@@ -173,7 +173,7 @@
 	})
 }
 
-// cancelAfterRandomDelay closes a request's connection after a drawn time, unless it has its answer by then.
+// cancelAfterRandomDelay closes the connection of a request after a random time, unless the request has ended by then.
 func (c *clients) cancelAfterRandomDelay(request *Request, conn *clientConn) {
 	time.AfterFunc(rand.N(maxCancelAfter), func() {
 		gone := false
--- a/internal/lab/soak/connectionflood.go
+++ b/internal/lab/soak/connectionflood.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// floodReopenInterval is the time between two passes in which a crowd opens the connections again that its node has closed.
+// floodReopenInterval is the time between two passes that replace the connections that the node has closed. It also limits
+// the time to open one connection.
 const floodReopenInterval = 100 * time.Millisecond
 
-// connectionFlood is the idle clients of one node. They send nothing, and come again when they are sent away.
+// connectionFlood holds idle connections to one node. They send nothing, and are reopened if the node closes them.
 type connectionFlood struct {
 	address string
 	conns   []*clientConn
 }
 
-// hold keeps so many connections to the node open until ctx ends, and closes them.
+// hold keeps a number of connections to the node open until ctx ends, and then closes them.
 func (c *connectionFlood) hold(ctx context.Context, connections int) {
 	defer c.close()
 	again := time.NewTicker(floodReopenInterval)
@@ -35,7 +36,7 @@
 	}
 }
 
-// open opens one connection, and reports whether it came up soon.
+// open opens one connection and reports whether it was established within floodReopenInterval.
 func (c *connectionFlood) open(ctx context.Context) bool {
 	dialer := net.Dialer{Timeout: floodReopenInterval}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address)
@@ -46,7 +47,7 @@
 	return true
 }
 
-// dropClosed forgets the connections that the node has ended.
+// dropClosed removes the connections that the node has closed.
 func (c *connectionFlood) dropClosed() {
 	open := c.conns[:0]
 	for _, conn := range c.conns {
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// maxQueueTime is how long a call waits for its turn, or for an outage to end, at most; one that would wait for longer
-	// is rejected.
+	// maxQueueTime limits how long a call waits for its turn or for the end of an outage. A call that would wait longer is
+	// rejected.
 	maxQueueTime = 2 * time.Second
-	// oldAddressTime is how long an address that is no longer named keeps the connections that it has.
+	// oldAddressTime is how long discovery keeps serving a node's previous address after a move.
 	oldAddressTime = 1500 * time.Millisecond
 )
 
 // Health of a listed server, as discovery writes it.
 const (
-	inService   = "in_service"  // it takes requests
-	terminating = "terminating" // it drains
+	inService   = "in_service"  // ready for requests
+	terminating = "terminating" // draining
 )
 
-// discovery is the stand-in for the service that all nodes share. Each node calls it at an address of its own, by which
-// the stand-in knows whom it notifies.
+// discovery is the stand-in for the discovery service that all nodes share. Each node calls it at a separate address, which
+// identifies the node.
 type discovery struct {
 	recorder *recorder
 	faults   activeFaults
@@ -35,19 +35,19 @@
 	mu           sync.Mutex
 	version      int64
 	hosts        []listedServer
-	changed      []int64           // by server: the version that changed it last
-	delivered    map[int]int64     // by node: the version that it has
-	updated      chan struct{}     // closed at a change
-	stalled      chan struct{}     // closed: open watches deliver nothing any more
-	watchesReset chan struct{}     // closed: open watches are reset
-	queueFreeAt  time.Time         // when an overloaded discovery has handled the calls so far
-	refusing     bool              // an outage: connections are refused
-	holding      bool              // an outage: connections come up, and calls wait for its end
-	holdChanged  chan struct{}     // closed as holding changes
+	changed      []int64           // by server index: the version that last changed it
+	delivered    map[int]int64     // by node: the last version that was written to it
+	updated      chan struct{}     // closed when the list changes
+	stalled      chan struct{}     // closed when open watches stop delivering
+	watchesReset chan struct{}     // closed when open watches are reset
+	queueFreeAt  time.Time         // when an overloaded discovery will have handled all queued calls
+	refusing     bool              // an outage in which connections are refused
+	holding      bool              // an outage in which connections are accepted and calls wait for its end
+	holdChanged  chan struct{}     // closed when holding changes
 	endpoints    map[int]*endpoint // by node
 }
 
-// listedServer is a server as discovery writes it.
+// listedServer is an entry of the endpoint list.
 type listedServer struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
@@ -57,20 +57,20 @@
 	Born   int64  `json:"born_ms"`
 }
 
-// endpointList is the endpoint list, or the changes of one, as discovery writes it.
+// endpointList is the complete endpoint list, or an update that contains the changed servers.
 type endpointList struct {
 	Version  int64          `json:"seq"`
 	Complete bool           `json:"whole"`
 	Hosts    []listedServer `json:"hosts"`
 }
 
-// endpoint is the address that one node calls.
+// endpoint is the address at which one node calls discovery.
 type endpoint struct {
 	addr   string
-	server *http.Server // nil: opened during an outage, and not served yet
+	server *http.Server // nil if the address was opened during an outage and is not served yet
 }
 
-// newDiscovery lists some servers as version 1. It serves nobody before openAddress.
+// newDiscovery returns a discovery that lists some servers as version 1. It serves a node only after openAddress.
 func newDiscovery(recorder *recorder, servers []*server) *discovery {
 	d := &discovery{recorder: recorder, version: 1, updated: make(chan struct{}), stalled: make(chan struct{}),
 		watchesReset: make(chan struct{}), holdChanged: make(chan struct{}), delivered: map[int]int64{}, endpoints: map[int]*endpoint{}}
@@ -81,8 +81,7 @@
 	return d
 }
 
-// openAddress gives a node a new address. The one before takes no new connections, and closes those that it has after a
-// while.
+// openAddress opens a new address for a node. The server of the previous address closes after oldAddressTime.
 func (d *discovery) openAddress(node int) (addr string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +102,7 @@
 	return listener.Addr().String(), err
 }
 
-// hasAddress reports whether an address is a node's, in an outage too. The caller holds the lock.
+// hasAddress reports whether an address belongs to a node, even if an outage has closed it. The caller holds the lock.
 func (d *discovery) hasAddress(addr string) bool {
 	for _, e := range d.endpoints {
 		if e.addr == addr {
@@ -113,18 +112,19 @@
 	return false
 }
 
-// listenAtUnusedAddress listens at an address that is not taken: the kernel may give the one of a listener that an outage has closed.
+// listenAtUnusedAddress listens at an address that is not taken. The kernel may choose the address of a listener that an
+// outage has closed.
 func listenAtUnusedAddress(listen func() (net.Listener, error), taken func(addr string) bool) (net.Listener, error) {
 	for {
 		listener, err := listen()
 		if err != nil || !taken(listener.Addr().String()) {
 			return listener, err
 		}
-		defer listener.Close() // later, so that it isn't given again
+		defer listener.Close() // held open until the end, so that the kernel does not choose the same address again
 	}
 }
 
-// serveNode serves a node's calls. The caller holds the lock.
+// serveNode serves the calls of a node. The caller holds the lock.
 func (d *discovery) serveNode(node int, listener net.Listener) {
 	handler := func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node) }
 	server := &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: http.HandlerFunc(handler)}
@@ -143,7 +143,7 @@
 	}
 }
 
-// deliveredList is the complete list as a node had it last.
+// deliveredList returns the complete list in the last version that was written to a node.
 func (d *discovery) deliveredList(node int) endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +156,7 @@
 	return list
 }
 
-// drain lists a server as draining.
+// drain marks a server as draining.
 func (d *discovery) drain(index int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,26 +171,26 @@
 	d.updated = make(chan struct{})
 }
 
-// stallWatches has open watches deliver nothing any more.
+// stallWatches stops delivery on open watches, including heartbeats.
 func (d *discovery) stallWatches() { d.closeAndRenew(&d.stalled) }
 
 // resetWatches resets open watches.
 func (d *discovery) resetWatches() { d.closeAndRenew(&d.watchesReset) }
 
-// closeAndRenew signals open watches; later ones wait for the next signal.
+// closeAndRenew signals the watches that are open; watches that open later wait for the next signal.
 func (d *discovery) closeAndRenew(signal *chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	renew(signal)
 }
 
-// renew closes a channel, for all that wait on it, and puts a new one in its place. The caller holds the lock.
+// renew closes a channel, which wakes all its waiters, and replaces it by a new one. The caller holds the lock.
 func renew(signal *chan struct{}) {
 	close(*signal)
 	*signal = make(chan struct{})
 }
 
-// serve answers a call for the complete list, or serves a watch.
+// serve answers a poll with the complete list, or serves a watch.
 func (d *discovery) serve(w http.ResponseWriter, r *http.Request, node int) {
 	if !d.awaitTurn(w, r) {
 		return
@@ -206,7 +206,7 @@
 	d.watch(w, r, node, from)
 }
 
-// watch writes what has changed since a version and, if the call is a watch, each change and heartbeat after.
+// watch writes the changes since a version and, if the call is a watch, each later change and heartbeats.
 func (d *discovery) watch(w http.ResponseWriter, r *http.Request, node int, from int64) {
 	heartbeat := time.NewTicker(endpointlease.HeartbeatInterval)
 	defer heartbeat.Stop()
@@ -238,7 +238,7 @@
 	}
 }
 
-// deliver writes a list to a node, or half of it and resets the connection if a fault has it so.
+// deliver writes a list to a node. If a DiscoveryTruncated fault hits, it writes half the list and resets the connection.
 func (d *discovery) deliver(w http.ResponseWriter, node int, text []byte, version int64) {
 	if _, truncated := d.faults.hits(DiscoveryTruncated); truncated {
 		w.Write(text[:len(text)/2])
@@ -255,8 +255,8 @@
 	w.(http.Flusher).Flush()
 }
 
-// changesSince is what has changed since a version, as a line, with the version that this leads to and the channel that
-// is closed at the next change.
+// changesSince returns the changes since a version as a line, the version that they lead to, and a channel that is closed
+// at the next change.
 func (d *discovery) changesSince(from int64) (text []byte, version int64, updated <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -268,7 +268,7 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // only if the types of this file can't be written
+		panic(err) // impossible: these types can always be encoded
 	}
 	return append(text, '\n'), d.version, d.updated
 }
--- a/internal/lab/soak/discovery_test.go
+++ b/internal/lab/soak/discovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newTestDiscovery lists one server and serves one node at the address that is returned.
+// newTestDiscovery returns a discovery that lists one server, and the address at which it serves one node.
 func newTestDiscovery(t *testing.T) (d *discovery, addr string) {
 	t.Helper()
 	d = newDiscovery(&recorder{started: time.Now()}, []*server{{}})
@@ -20,13 +20,13 @@
 	return d, addr
 }
 
-// callResult is how a call of discovery ended.
+// callResult is the result of a call to discovery.
 type callResult struct {
 	status int
 	err    error
 }
 
-// startCall begins a startCall for the complete list.
+// startCall starts a poll for the complete list and returns a channel that delivers its result.
 func startCall(t *testing.T, addr string) <-chan callResult {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,48 +48,49 @@
 	return ended
 }
 
-// awaitCall returns how a call ended.
+// awaitCall returns the result of a call, and fails the test if the call does not end.
 func awaitCall(t *testing.T, ended <-chan callResult) callResult {
 	t.Helper()
 	select {
 	case end := <-ended:
 		return end
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call goes on")
+		t.Fatal("the call has not ended after 10 s")
 		return callResult{}
 	}
 }
 
-// A discovery that was down and is back was seen by no node whose call it still held: it rejected that call.
+// Calls that discovery held during an outage must be answered when the outage ends. It once rejected them, so that no node
+// with a held call noticed that discovery was available again.
 func TestHeldCallContinuesWhenTheOutageEnds(t *testing.T) {
 	d, addr := newTestDiscovery(t)
 	d.setOutage(true, true)
 	ended := startCall(t, addr)
 	select {
 	case end := <-ended:
-		t.Fatalf("ended with %v in the outage", end)
+		t.Fatalf("the call ended with %v during the outage", end)
 	case <-time.After(maxQueueTime / 4):
 	}
 	d.setOutage(false, true)
 	if end := awaitCall(t, ended); end.status != http.StatusOK {
-		t.Errorf("ended with %v, want the list", end)
+		t.Errorf("the call ended with %v, want the list", end)
 	}
 }
 
-// A call that an outage holds until its end is rejected.
+// A call that an outage holds for maxQueueTime is rejected.
 func TestHeldCallIsRejectedAfterMaxQueueTime(t *testing.T) {
 	d, addr := newTestDiscovery(t)
 	d.setOutage(true, true)
 	began := time.Now()
 	if end := awaitCall(t, startCall(t, addr)); end.status != http.StatusServiceUnavailable {
-		t.Errorf("ended with %v, want a rejection", end)
+		t.Errorf("the call ended with %v, want a rejection", end)
 	}
 	if took := time.Since(began); took < maxQueueTime {
 		t.Errorf("rejected after %v, want %v", took, maxQueueTime)
 	}
 }
 
-// A discovery that goes down handles no call any more that waits for its turn: it once did, in the outage.
+// When an outage begins, discovery resets the calls that wait for their turn. It once handled them during the outage.
 func TestWaitingCallIsResetWhenAnOutageBegins(t *testing.T) {
 	for name, holdCalls := range map[string]bool{"calls held": true, "connections refused": false} {
 		t.Run(name, func(t *testing.T) {
@@ -98,19 +99,19 @@
 			ended := startCall(t, addr)
 			select {
 			case end := <-ended:
-				t.Fatalf("ended with %v, which should take its time", end)
+				t.Fatalf("the call ended with %v before the wait of the fault", end)
 			case <-time.After(200 * time.Millisecond):
 			}
 			d.setOutage(true, holdCalls)
 			if end := awaitCall(t, ended); end.err == nil {
-				t.Errorf("answered with %d in the outage", end.status)
+				t.Errorf("the call was answered with %d during the outage", end.status)
 			}
 		})
 	}
 }
 
-// A node that got a new address in an outage was once given that of another node, whose listener the outage had closed: one of
-// the two could not listen when the outage was over.
+// A node that gets a new address during an outage must not get that of another node, whose listener the outage has closed.
+// This once happened, and one of the two addresses could not be reopened after the outage.
 func TestListenAtUnusedAddress(t *testing.T) {
 	var opened []net.Listener
 	listen := func() (net.Listener, error) {
@@ -124,9 +125,9 @@
 	}
 	defer listener.Close()
 	if len(opened) != 2 || listener != opened[1] {
-		t.Errorf("listens at the address of another, after %d tries", len(opened))
+		t.Errorf("listens at a taken address after %d tries", len(opened))
 	}
 	if _, err := opened[0].Accept(); err == nil {
-		t.Error("the address of another is still listened at")
+		t.Error("the listener at the taken address is still open")
 	}
 }
--- a/internal/lab/soak/discoveryoutage.go
+++ b/internal/lab/soak/discoveryoutage.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// setOutage begins an outage, at which watches and waiting calls are reset, or ends it. With holdCalls connections come up
-// and calls wait for its end, and are rejected after maxQueueTime; else connections are refused. Of two outages that overlap
-// the first one counts, and either outage's end of the same form ends it.
+// setOutage begins or ends an outage. Its beginning resets watches and waiting calls. With holdCalls connections are
+// accepted, and calls wait for the end of the outage and are rejected after maxQueueTime; otherwise connections are refused.
+// If two outages overlap, the first one is in effect until the end of either outage that has the same holdCalls.
 func (d *discovery) setOutage(begin, holdCalls bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// setHolding has calls wait, and resets watches, or has calls go on. The caller holds the lock.
+// setHolding makes calls wait and resets watches, or lets calls continue. The caller holds the lock.
 func (d *discovery) setHolding(holding bool) {
 	d.holding = holding
 	renew(&d.holdChanged)
@@ -33,7 +33,7 @@
 	}
 }
 
-// setRefusing closes all addresses, or opens them again. The caller holds the lock.
+// setRefusing closes all addresses, or reopens them. The caller holds the lock.
 func (d *discovery) setRefusing(refusing bool) error {
 	d.refusing = refusing
 	for node, e := range d.endpoints {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// recordOutage records the begin of an outage, since a time, or its end by now.
+// recordOutage records that an outage began at since, or that the last one has ended now.
 func (d *discovery) recordOutage(begin bool, since time.Duration) {
 	d.recorder.record(func(o *Observations) {
 		if begin {
--- a/internal/lab/soak/discoveryqueue.go
+++ b/internal/lab/soak/discoveryqueue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// awaitTurn has a call wait as the faults have it. It returns false if the call has its answer, or if its client is gone. A
-// call that waits for its turn as an outage begins is reset, as watches are.
+// awaitTurn blocks a call for as long as the active faults require. It returns false if it has rejected the call or the
+// client is gone. A call that waits for its turn when an outage begins is reset, like a watch.
 func (d *discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
 	outageBegins, available := d.awaitOutageEnd(r)
 	if !available {
@@ -27,11 +27,11 @@
 	return !rejected
 }
 
-// reject answers a call that has waited in vain.
+// reject answers a call that could not be handled in time.
 func reject(w http.ResponseWriter) { http.Error(w, "too busy", http.StatusServiceUnavailable) }
 
-// awaitOutageEnd holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime, or its
-// client is gone; else a channel that is closed as the next such outage begins.
+// awaitOutageEnd holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime or its
+// client is gone; otherwise it returns true and a channel that is closed when the next such outage begins.
 func (d *discovery) awaitOutageEnd(r *http.Request) (outageBegins <-chan struct{}, available bool) {
 	timeout := time.After(maxQueueTime)
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-// queueTime is how long a call that arrives now waits, and whether it is rejected after that.
+// queueTime returns how long a call that arrives now waits, and whether it is rejected after that.
 func (d *discovery) queueTime() (wait time.Duration, rejected bool) {
 	if f, slow := d.faults.find(DiscoverySlow); slow {
 		wait = f.Wait
@@ -73,8 +73,8 @@
 	return 0, true
 }
 
-// enqueue puts a call that takes a service time behind the calls so far, and returns when it is handled from now on; a
-// call whose turn is too far off is rejected.
+// enqueue adds a call with a service time to the queue and returns the time until it is handled. A call that arrives while
+// the queue is longer than maxQueueTime is rejected.
 func (d *discovery) enqueue(serviceTime time.Duration) (wait time.Duration, rejected bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/soak/nodes.go
+++ b/internal/lab/soak/nodes.go
@@ -16,24 +16,24 @@
 	"time"
 )
 
-// Waits for a node that starts.
+// Timing of a node's start.
 const (
-	nodeReadyTimeout = 30 * time.Second      // until it must be ready, on a busy machine
-	readyInterval    = 10 * time.Millisecond // between two looks
+	nodeReadyTimeout = 30 * time.Second      // time until a started node must be ready; allows for a busy machine
+	readyInterval    = 10 * time.Millisecond // between two readiness checks
 )
 
-// killDelay is the time from the first SIGTERM to SIGKILL, the earliest that the platform allows: 0.7 s and the longest
-// deadline of the nodes' settings.
+// killDelay is the time from the first SIGTERM to SIGKILL. It is the shortest that the platform allows: 0.7 s plus the
+// longest deadline in the nodes' settings.
 const killDelay = 700*time.Millisecond + requestBudget
 
-// nodeDescriptors is how many descriptors each node has.
+// nodeDescriptors is the file descriptor limit of each node, low enough for a ConnectionFlood to exhaust.
 const nodeDescriptors = 512
 
-// maxLogLineBytes bounds a line of a node's log: a captured list is one long line.
+// maxLogLineBytes is the length limit of a line of a node's log. It allows for a captured endpoint list, which is one line.
 const maxLogLineBytes = 8 << 20
 
-// nodeConfigFormat is a node's configuration file; the arguments are its index, its address, discovery's address, its
-// index, its descriptors, the bootstrap list, the number of nodes and its index.
+// nodeConfigFormat is the format of a node's configuration file. Its arguments are the node's index, its address, the
+// address of discovery, the index, the descriptor limit, the bootstrap list, the number of nodes and the index.
 const nodeConfigFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be9%02x",
  "limits":{"cores":1,"memory_mb":128,"sockets":%d},"known":%s,
  "settings":{"registry-mode":"on_request","balancers":%d,"me":%d,"rules":{"ask-within-ms":10000,"warm-after-ms":1000,"cold-from":0.2},
@@ -44,30 +44,30 @@
 // Program returns the command that runs one node with a configuration file.
 type Program func(config string) *exec.Cmd
 
-// node is one real node, over all of its incarnations.
+// node is a real node across all its incarnations.
 type node struct {
 	index     int
 	nodeCount int
 	recorder  *recorder
 	program   Program
 	discovery *discovery
-	config    string // its configuration file
+	config    string // path of the configuration file
 	listen    string
-	log       *os.File // of all incarnations; nil: it is not kept
+	log       *os.File // log of all incarnations; nil if it is not kept
 
-	mu               sync.Mutex // an incarnation begins and ends under it
+	mu               sync.Mutex // guards the fields below; held while an incarnation begins or begins to end
 	discoveryAddress string
-	process          *process // nil: it does not run
-	ending           bool     // it was sent SIGTERM or SIGKILL
+	process          *process // nil if no process runs
+	ending           bool     // the process was sent SIGTERM or SIGKILL
 }
 
-// process is that of one incarnation.
+// process is the operating system process of one incarnation.
 type process struct {
 	command *exec.Cmd
-	ended   chan struct{} // closed when it has ended and its log is read
+	ended   chan struct{} // closed when the process has exited and its log was read
 }
 
-// newNode is a node that does not run yet, with an address of discovery of its own.
+// newNode returns a node that does not run yet, and opens the address at which it calls discovery.
 func newNode(index, nodeCount int, recorder *recorder, d *discovery, program Program, folder string) (*node, error) {
 	n := &node{index: index, nodeCount: nodeCount, recorder: recorder, discovery: d, program: program}
 	n.config = filepath.Join(folder, fmt.Sprintf("n%d.json", index))
@@ -77,23 +77,23 @@
 	return n, err
 }
 
-// firstNodePort is that of the first node. Nodes have addresses of their own on loopback, so that no port of theirs is
-// taken while they do not run, nor by another soak beside this one.
+// firstNodePort is the port of the first node. Nodes use separate loopback addresses, so that neither another socket nor a
+// parallel soak takes the port of a node that does not run.
 const firstNodePort = 20000
 
-// standInAddress is the loopback address of discovery and servers.
+// standInAddress returns the loopback address of discovery and servers.
 func standInAddress() string { return processAddress(1) }
 
-// nodeAddress is the loopback address of the nodes.
+// nodeAddress returns the loopback address of the nodes.
 func nodeAddress() string { return processAddress(2) }
 
-// processAddress is an address on loopback that this process has to itself, but for one in 16,384 others.
+// processAddress returns a loopback address that is derived from the process ID: one in 16,384 other processes shares it.
 func processAddress(last int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, last)
 }
 
-// url is the node's, for clients.
+// url returns the node's URL for clients.
 func (n *node) url() string { return "http://" + n.listen }
 
 // writeConfig writes the configuration file. The caller holds the lock.
@@ -106,7 +106,7 @@
 	return os.WriteFile(n.config, []byte(text), 0o600)
 }
 
-// start begins an incarnation and waits until it is ready.
+// start starts an incarnation and waits until it is ready.
 func (n *node) start() error {
 	if err := n.launch(); err != nil {
 		return err
@@ -122,7 +122,7 @@
 		}
 		<-time.After(readyInterval)
 	}
-	return fmt.Errorf("node n%d is not ready after %v: look at its log", n.index, nodeReadyTimeout)
+	return fmt.Errorf("node n%d is not ready after %v: see its log", n.index, nodeReadyTimeout)
 }
 
 // launch starts the process.
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// readLog reads an incarnation's log to its end and records what must never stand in one, and an end that no
-// fault has caused.
+// readLog reads the log of an incarnation to its end. It records broken invariants, crashes, and an exit that no fault has
+// caused.
 func (n *node) readLog(p *process, stderr io.Reader) {
 	defer close(p.ended)
 	lines := bufio.NewScanner(stderr)
@@ -168,22 +168,22 @@
 	expected := n.ending
 	n.mu.Unlock()
 	if !expected {
-		n.recordError(fmt.Sprintf("the process ended by itself: %v", err))
+		n.recordError(fmt.Sprintf("the process exited without a signal from the soak: %v", err))
 	}
 }
 
-// isNodeError reports whether a line of a log is about a broken invariant or a crash of the program.
+// isNodeError reports whether a log line is about a broken invariant, a data race or a crash of the program.
 func isNodeError(line string) bool {
 	return strings.Contains(line, "invariant broken") || strings.HasPrefix(line, "panic:") ||
 		strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE")
 }
 
-// recordError records a complaint.
+// recordError records an error of the node.
 func (n *node) recordError(text string) {
 	n.recorder.record(func(o *Observations) { o.NodeErrors = append(o.NodeErrors, fmt.Sprintf("n%d: %s", n.index, text)) })
 }
 
-// changeDiscovery names another address of discovery by SIGHUP.
+// changeDiscovery opens a new address of discovery for the node, writes it to the configuration and sends SIGHUP.
 func (n *node) changeDiscovery() error {
 	address, err := n.discovery.openAddress(n.index)
 	if err != nil {
@@ -201,13 +201,13 @@
 	n.recorder.record(func(o *Observations) {
 		o.AddressChanges = append(o.AddressChanges, AddressChange{At: n.recorder.now(), Node: n.index})
 	})
-	if err := n.process.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // readLog records such an end
+	if err := n.process.command.Process.Signal(syscall.SIGHUP); !errors.Is(err, os.ErrProcessDone) { // readLog records the exit of a process that is done
 		return err
 	}
 	return nil
 }
 
-// pause stops the process for a while.
+// pause stops the process with SIGSTOP for a time.
 func (n *node) pause(length time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -219,7 +219,7 @@
 	n.process.command.Process.Signal(syscall.SIGCONT)
 }
 
-// kill ends an incarnation by SIGKILL and waits for its end. It returns false if there is none to end.
+// kill ends an incarnation with SIGKILL and waits until it has exited. It returns false if no incarnation runs.
 func (n *node) kill() bool {
 	running := n.beginEnd(true)
 	if running == nil {
@@ -230,8 +230,8 @@
 	return true
 }
 
-// restart ends an incarnation by signals in a row, of which the first SIGTERM is the one that counts, and by SIGKILL once the
-// platform may send it. It returns false if there is no incarnation to end.
+// restart sends a series of signals to end an incarnation. The first SIGTERM begins its end, and SIGKILL follows after
+// killDelay. It returns false if no incarnation runs.
 func (n *node) restart(interval time.Duration, signals ...syscall.Signal) bool {
 	var running *process
 	var killAt <-chan time.Time
@@ -259,7 +259,7 @@
 	return true
 }
 
-// signal sends a signal to an incarnation that is ending, or to the one that runs where none is given.
+// signal sends a signal to an incarnation or, if it is nil, to the one that runs.
 func (n *node) signal(running *process, signal syscall.Signal) {
 	if running == nil {
 		n.mu.Lock()
@@ -268,10 +268,10 @@
 			return
 		}
 	}
-	running.command.Process.Signal(signal) // one that has ended needs none
+	running.command.Process.Signal(signal) // fails only if the process has exited
 }
 
-// beginEnd marks the incarnation as ending and records when and how; nil if there is none.
+// beginEnd marks the running incarnation as ending, records when and how, and returns its process, or nil if none runs.
 func (n *node) beginEnd(kill bool) *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -289,10 +289,10 @@
 	return n.process
 }
 
-// recordKill records that the incarnation that was sent SIGTERM is sent SIGKILL.
+// recordKill records that an incarnation which did not exit after SIGTERM is sent SIGKILL.
 func (n *node) recordKill() { n.recordLast(func(i *Incarnation) { i.Killed = n.recorder.now() }) }
 
-// awaitEnd waits until an incarnation has ended.
+// awaitEnd waits until an incarnation has exited, and records it.
 func (n *node) awaitEnd(running *process) {
 	<-running.ended
 	n.recordLast(func(i *Incarnation) { i.Exited = n.recorder.now() })
@@ -301,7 +301,7 @@
 	n.process = nil
 }
 
-// recordLast changes the node's last incarnation.
+// recordLast applies a change to the record of the node's last incarnation.
 func (n *node) recordLast(change func(*Incarnation)) {
 	n.recorder.record(func(o *Observations) {
 		for i := len(o.Incarnations) - 1; i >= 0; i-- {
--- a/internal/lab/soak/observations.go
+++ b/internal/lab/soak/observations.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Observations are all that was seen in a run. Times are of one clock and count from the run's begin.
+// Observations holds everything that was observed in a run. All times are on one clock, which starts with the run.
 type Observations struct {
 	Drains         []DrainStart
 	Deliveries     []Delivery
 	Incarnations   []Incarnation
 	AddressChanges []AddressChange
 	Outages        []Span // of discovery
-	Stalls         []Span // in which the rig's own process did not come to run
+	Stalls         []Span // in which the soak process itself was not scheduled
 	Floods         []FloodSpan
-	Series         int // of signals that were sent
+	Series         int // number of signal series that were sent
 	Attempts       []*Attempt
 	Requests       []*Request
-	SecondAnswers  map[string]time.Duration // by ID of a request: how long after its answer the latest second one was written
-	NodeErrors     []string                 // of nodes: broken invariants, panics, unexpected ends
+	SecondAnswers  map[string]time.Duration // by request ID: the longest delay between an answer and its second answer
+	NodeErrors     []string                 // broken invariants, panics and unexpected exits of nodes
 }
 
-// Span is from a time to another; an open one has no end yet.
+// Span is an interval of time. An open span has no end yet.
 type Span struct {
 	From, To time.Duration
 	Open     bool
 }
 
-// FloodSpan is a time in which a crowd holds connections to a node.
+// FloodSpan is an interval in which a connection flood holds connections to a node.
 type FloodSpan struct {
 	Node     int
 	From, To time.Duration
 }
 
-// DrainStart is a server that began to drain, with the version of the endpoint list that has it.
+// DrainStart records that a server began to drain, and the version of the endpoint list that marks it as draining.
 type DrainStart struct {
 	At      time.Duration
 	Server  int
 	Version int64
 }
 
-// Delivery is a list that discovery wrote to a node completely. One that is truncated is a call that failed.
+// Delivery is a list that discovery wrote to a node completely. Truncated lists are not recorded.
 type Delivery struct {
 	At      time.Duration
 	Node    int
@@ -51,52 +51,52 @@
 type Incarnation struct {
 	Node       int
 	Started    time.Duration
-	Ready      time.Duration // when it said so; 0: not yet
+	Ready      time.Duration // when it reported ready; 0: not yet
 	Terminated time.Duration // when it was sent its first SIGTERM; 0: never
 	Killed     time.Duration // when it was sent SIGKILL; 0: never
-	Exited     time.Duration // when it had ended; 0: not yet
+	Exited     time.Duration // when it had exited; 0: not yet
 }
 
-// AddressChange is a SIGHUP that names another address of discovery.
+// AddressChange is a change of a node's discovery address, which SIGHUP announces.
 type AddressChange struct {
 	At   time.Duration
 	Node int
 }
 
-// Attempt is a request's arrival at a server.
+// Attempt is the arrival of a request at a server.
 type Attempt struct {
 	ID             string
 	Node           int
 	Server         int
-	HeadRead       time.Duration // when the server had read its head
+	HeadRead       time.Duration // when the server had read the head
 	At             time.Duration // when the server began to handle it
-	Budget         time.Duration // what is left until the deadline, as the attempt says
-	Executed       bool          // it was not rejected
-	Finished       time.Duration // when the server was done, or its connection had ended; 0: never
-	ConnectionLost bool          // its connection had ended before
+	Budget         time.Duration // time until the deadline that the attempt states
+	Executed       bool          // the server did not reject it
+	Finished       time.Duration // when the server was done or the connection was closed; 0: never
+	ConnectionLost bool          // the connection was closed before the server was done
 }
 
-// Request is a client's request and what became of it.
+// Request is a request of a client and its result.
 type Request struct {
 	ID                string
 	Node              int
 	NonIdempotent     bool
 	At                time.Duration // when its client began to send it
-	Written           time.Duration // when its last byte was written; 0: it was not, or that is not known
-	Deadline          time.Duration // counts from its last byte
-	ClientGone        time.Duration // when its client canceled; 0: it waited
-	Finished          time.Duration // when it had its answer, or knew that there is none
-	Status            int           // 0: none
-	RetryAfter        bool          // the answer says when to come back
-	SecondAnswerOf    string        // the ID of the request that the answer was a second one to; "": it was none
-	WrongBody         string        // of a 200 that no server wrote for this request; "": none
+	Written           time.Duration // when its last byte was written; 0: not written, or not known
+	Deadline          time.Duration // counted from Written, or from At if it was not written
+	ClientGone        time.Duration // when its client canceled; 0: never
+	Finished          time.Duration // when its client had the answer, or an error
+	Status            int           // 0: no answer
+	RetryAfter        bool          // the answer has a Retry-After header
+	SecondAnswerOf    string        // ID of the request whose second answer this request received; "": none
+	WrongBody         string        // quoted body of a 200 that no server wrote for this request; "": none
 	Err               string
-	NewConnection     bool // it was the first one on its connection
-	ConnectionRefused bool // no connection came up
-	Unread            bool // its node ended the connection and had not read all of it
+	NewConnection     bool // it was the first request on its connection
+	ConnectionRefused bool // the connection could not be established
+	Unread            bool // its node closed the connection before it had read the whole request
 }
 
-// recordSecondAnswer notes how late a second answer to a request was written.
+// recordSecondAnswer records the delay of a second answer to a request.
 func (o *Observations) recordSecondAnswer(id string, lateness time.Duration) {
 	if o.SecondAnswers == nil {
 		o.SecondAnswers = map[string]time.Duration{}
@@ -104,7 +104,7 @@
 	o.SecondAnswers[id] = max(o.SecondAnswers[id], lateness)
 }
 
-// recorder collects observations. Its methods may be called from any goroutine.
+// recorder collects observations. It is safe for concurrent use.
 type recorder struct {
 	started time.Time
 
@@ -112,10 +112,10 @@
 	observations Observations
 }
 
-// now is the run's clock.
+// now returns the time on the clock of the run.
 func (r *recorder) now() time.Duration { return time.Since(r.started) }
 
-// record changes the observations under the lock.
+// record applies a change to the observations under the lock.
 func (r *recorder) record(change func(*Observations)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// Kind is a kind of fault. Its text is what a run prints.
+// Kind is a kind of fault. Its value is printed in the output of a run.
 type Kind string
 
-// Kinds of faults. Which fields of a Fault count is said with each.
+// Kinds of faults. The comments name the fields of Fault that each kind uses, besides From and To.
 const (
-	WatchStall                Kind = "silent"    // open watches deliver nothing any more, heartbeats included
+	WatchStall                Kind = "silent"    // open watches stop delivering updates and heartbeats
 	WatchReset                Kind = "end-watch" // open watches are reset
 	DiscoverySlow             Kind = "slow"      // each call to discovery takes Wait
-	DiscoveryOverload         Kind = "crowded"   // discovery handles calls in turn, Wait each, and rejects at once what would wait for long
-	DiscoveryDelayedRejection Kind = "crowd"     // the same, but what would wait for long is rejected only after a wait, as in an outage
+	DiscoveryOverload         Kind = "crowded"   // discovery handles calls one at a time, each for Wait, and at once rejects calls that would wait too long
+	DiscoveryDelayedRejection Kind = "crowd"     // like DiscoveryOverload, but rejects such calls only after maxQueueTime, as an outage that holds calls does
 	DiscoveryNoAnswer         Kind = "lose"      // a Share of the calls to discovery is never answered
-	DiscoveryTruncated        Kind = "cut"       // a Share of the answers to calls is reset in the middle
-	DiscoveryOutage           Kind = "down"      // watches are reset, and connections refused or, if HoldCalls, calls rejected after a wait
-	DiscoveryMove             Kind = "move"      // SIGHUP: discovery has another address, Count times in a row, Wait apart
+	DiscoveryTruncated        Kind = "cut"       // a Share of discovery's answers is cut in the middle by a reset
+	DiscoveryOutage           Kind = "down"      // watches are reset, and connections are refused or, with HoldCalls, calls are rejected after a wait
+	DiscoveryMove             Kind = "move"      // discovery changes its address, announced by SIGHUP, Count times at intervals of Wait
 	ServerDrain               Kind = "drain"     // the Target server drains
-	ServerHang                Kind = "hang"      // the Target server answers nothing
-	ServerReset               Kind = "reset"     // the Target server resets a Share of the requests that it has begun
+	ServerHang                Kind = "hang"      // the Target server does not answer
+	ServerReset               Kind = "reset"     // the Target server resets the connections of a Share of the requests that it has executed
 	ServerReject              Kind = "reject"    // the Target server rejects a Share of the requests
 	ServerError               Kind = "fail"      // the Target server answers a Share of the requests with 500
-	NodePause                 Kind = "pause"     // the Target node is stopped for Wait
-	NodeRestart               Kind = "restart"   // the Target node is sent SIGTERM, SIGKILL once it may be, and started again
-	NodeKill                  Kind = "kill"      // the Target node is sent SIGKILL, and started again
+	NodePause                 Kind = "pause"     // the Target node is paused with SIGSTOP for Wait
+	NodeRestart               Kind = "restart"   // the Target node is sent SIGTERM, SIGKILL after killDelay, and is started again
+	NodeKill                  Kind = "kill"      // the Target node is sent SIGKILL and is started again
 	ClientCancel              Kind = "leave"     // a Share of the clients cancels early
 )
 
-// weightedKinds are drawn from uniformly; their order is part of what a seed stands for. Drains and faults of discovery
-// come more often: rules are broken where they overlap.
+// weightedKinds is the list from which kinds are drawn uniformly. Its order determines the plan of a seed. Drains and faults
+// of discovery are listed more often, because violations occur when they overlap.
 var weightedKinds = []Kind{
 	ServerDrain, ServerDrain, ServerDrain,
 	WatchStall, WatchStall, WatchReset, WatchReset,
@@ -45,40 +45,40 @@
 	ClientCancel,
 }
 
-// Fault is one thing that goes wrong. Which fields count depends on the Kind.
+// Fault is a planned fault. Its Kind determines which fields are used.
 type Fault struct {
 	Kind      Kind
-	From, To  time.Duration // of the run's clock; To is when it is over, where it lasts
+	From, To  time.Duration // on the clock of the run; To is unused by faults without a duration
 	Target    int           // index of the server or the node
 	Wait      time.Duration
-	Share     float64 // 0 to 1
+	Share     float64 // fraction of calls, requests, answers or clients that are affected, from 0 to 1
 	Count     int
 	HoldCalls bool
 }
 
-// String is a line of a run's output.
+// String returns the fault as a line of a run's output.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %v to %v which=%d wait=%v share=%.2f count=%d waits=%v", f.Kind, f.From, f.To, f.Target, f.Wait, f.Share, f.Count, f.HoldCalls)
 }
 
-// Plan is what a run does. The same seed, nodes and length give the same plan.
+// Plan is the plan of a run. The same seed, number of nodes and length give the same plan.
 type Plan struct {
 	Seed       uint64
-	Name       string // of a plan that no seed has drawn
+	Name       string // of a plan that was written by hand instead of drawn from a seed
 	Nodes      int
 	Servers    int
-	Rate       int           // requests a second, of all clients
-	Length     time.Duration // from the begin of the run to the last request; a plan that is shifted gets longer
-	Faults     []Fault       // by their begin
-	Answers    []Fault       // of servers' answers
+	Rate       int           // requests per second of all clients
+	Length     time.Duration // from the start of the run's clock to the last request
+	Faults     []Fault       // sorted by From
+	Answers    []Fault       // faults of servers' answers
 	Bursts     []Burst
-	Late       []Fault // second answers that are so late that they may reach another request
-	LateBursts []Burst // beside them
+	Late       []Fault // second answers that are late enough to reach another request
+	LateBursts []Burst // bursts during the faults in Late
 	Series     []SignalSeries
 	Floods     []ConnectionFlood
 }
 
-// Title names a plan in a run's output.
+// Title returns the name of a plan in the output of a run.
 func (p Plan) Title() string {
 	if p.Name != "" {
 		return p.Name
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("seed %d", p.Seed)
 }
 
-// Lines has all that goes wrong in a plan, a line each.
+// Lines returns everything that the plan injects, one line each.
 func (p Plan) Lines() (lines []string) {
 	for _, f := range p.Faults {
 		lines = append(lines, f.String())
@@ -106,54 +106,54 @@
 	return lines
 }
 
-// Size of a plan beside its nodes.
+// Size of a plan, apart from its nodes.
 const (
-	planServers         = 8 // enough that a class keeps servers while some drain or fail
-	planRequestsPerNode = 8 // a second: enough to meet every fault, too few to load the machine
+	planServers         = 8 // enough that some serve while others drain or fail
+	planRequestsPerNode = 8 // per second; enough for requests to meet every fault, too few to load the machine
 )
 
-// End of a plan: service can only be checked once nodes have had the time to recover.
+// End of a plan: service can be checked only after nodes have had time to recover.
 const (
-	recoveryTime     = 5 * time.Second // between the end of the last fault and the last request
-	serviceCheckTime = 2 * time.Second // the last part of it, in which requests must be served
+	recoveryTime     = 5 * time.Second // from the end of the last fault to the last request
+	serviceCheckTime = 2 * time.Second // the last part of recoveryTime, in which requests must be served
 )
 
-// Number and length of the faults that are drawn freely.
+// Number and length of the faults of any kind (see drawFault).
 const (
-	minFaults         = 4                      // so that some overlap
-	extraFaultChoices = 8                      // how many counts of extra faults there are to draw from: 0 to 7 are added to minFaults
+	minFaults         = 4                      // enough that some overlap
+	extraFaultChoices = 8                      // 0 to 7 faults are added to minFaults
 	maxFaultTime      = 8 * time.Second        // longer than an endpoint lease lasts
 	minFaultTime      = 500 * time.Millisecond // long enough that requests meet it
-	firstFault        = 500 * time.Millisecond // none begins before this
+	firstFault        = 500 * time.Millisecond // no fault begins earlier
 )
 
-// Draws of the group of faults that makes a stale list likely (see drawStaleListFaults).
+// Parameters of the group of faults that makes a stale list likely (see drawStaleListFaults).
 const (
-	staleMinShare        = 0.6                    // least share of the calls to discovery that its fault affects
-	staleWatchLossDelay  = 500 * time.Millisecond // within which watches are lost after that fault began
-	maxStaleMoveInterval = 500 * time.Millisecond // at most, between two changes of discovery's address
-	staleDrainDelay      = time.Second            // within which a server drains after the watches were lost
+	staleMinShare        = 0.6                    // minimum share of the calls to discovery that the outage affects
+	staleWatchLossDelay  = 500 * time.Millisecond // maximum time from the beginning of the outage to the loss of the watches
+	maxStaleMoveInterval = 500 * time.Millisecond // maximum time between two changes of discovery's address
+	staleDrainDelay      = time.Second            // maximum time from the loss of the watches to the drain of a server
 )
 
-// Draws of a fault's fields, for every kind.
+// Ranges of a fault's fields, for every kind.
 const (
-	minShare   = 0.1 // least Share
-	shareRange = 0.5 // added to it at most
-	maxCount   = 4   // most polls or requests that a counted fault strikes
+	minShare   = 0.1 // minimum Share
+	shareRange = 0.5 // maximum that is added to minShare
+	maxCount   = 4   // maximum Count
 )
 
-// waitRange are the bounds of a fault's Wait.
+// waitRange is the range of a fault's Wait.
 type waitRange struct{ min, max time.Duration }
 
-// waitRanges are the bounds of Wait, of the kinds that have one.
+// waitRanges are the ranges of Wait for the kinds that use it.
 var waitRanges = map[Kind]waitRange{
-	DiscoverySlow:     {500 * time.Millisecond, 7 * time.Second}, // up to beyond a poll's timeout
+	DiscoverySlow:     {500 * time.Millisecond, 7 * time.Second}, // the upper bound exceeds the timeout of a poll
 	DiscoveryOverload: {20 * time.Millisecond, 300 * time.Millisecond},
 	DiscoveryMove:     {100 * time.Millisecond, 900 * time.Millisecond},
-	NodePause:         {20 * time.Millisecond, 150 * time.Millisecond}, // shorter than what makes a request late
+	NodePause:         {20 * time.Millisecond, 150 * time.Millisecond}, // too short to make a request miss its deadline
 }
 
-// shifted is the plan with its times counted from an earlier moment.
+// shifted returns the plan with begin added to all its times and its Length.
 func (p Plan) shifted(begin time.Duration) Plan {
 	p.Faults, p.Answers, p.Late = slices.Clone(p.Faults), slices.Clone(p.Answers), slices.Clone(p.Late)
 	for _, faults := range [][]Fault{p.Faults, p.Answers, p.Late} {
@@ -181,10 +181,10 @@
 	return p
 }
 
-// planStream keeps the draws of plans apart from others of the same seed.
+// planStream is the random stream of the faults of a plan, separate from the other streams of the same seed.
 const planStream = 0x50a4
 
-// DrawPlan draws the plan of a seed. The order of the random draws is fixed: a kept seed must go on standing for its plan.
+// DrawPlan draws the plan of a seed. The order of the random draws is fixed, so that a recorded seed keeps its plan.
 func DrawPlan(seed uint64, nodes int, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	p := Plan{Seed: seed, Nodes: nodes, Servers: planServers, Rate: planRequestsPerNode * nodes, Length: length}
@@ -199,8 +199,8 @@
 	return p
 }
 
-// drawStaleListFaults draws faults that overlap too seldom by chance: a server drains just after the nodes have lost their
-// watches, while discovery can hardly be reached for longer than an endpoint lease lasts.
+// drawStaleListFaults draws a combination of faults that rarely overlap by chance: a server drains shortly after the nodes
+// have lost their watches, while discovery is hardly reachable for longer than an endpoint lease lasts.
 func drawStaleListFaults(rng *rand.Rand, p Plan) []Fault {
 	pick := func(list ...Kind) Kind { return list[rng.IntN(len(list))] }
 	outage := drawFaultOf(rng, p, pick(DiscoverySlow, DiscoverySlow, DiscoveryOverload, DiscoveryNoAnswer, DiscoveryOutage))
@@ -220,9 +220,9 @@
 	return drawFaultOf(rng, p, weightedKinds[rng.IntN(len(weightedKinds))])
 }
 
-// drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Most fields are
-// drawn for every kind, so that the draws of later faults depend on the kind as little as possible; Wait is drawn only for
-// kinds that use it, and Target a second time for the faults of nodes.
+// drawFaultOf draws a fault of a kind that ends before the plan's recovery time. Most fields are drawn for every kind, so
+// that the draws of later faults depend on the kind as little as possible. Wait is drawn only for the kinds that use it, and
+// Target is drawn a second time for the faults of nodes.
 func drawFaultOf(rng *rand.Rand, p Plan, kind Kind) Fault {
 	between := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)))).Round(time.Millisecond)
--- a/internal/lab/soak/plan_signals.go
+++ b/internal/lab/soak/plan_signals.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// signalStream keeps the draws of signal series and crowds apart from those of the faults, so that the faults of a kept seed
-// stay what they were.
+// signalStream is the random stream of signal series and connection floods. It is separate from the stream of the faults, so
+// that the faults of a recorded seed do not change.
 const signalStream = 0x51e5
 
-// SignalSeries is a planned restart of a node with signals in a row. The first SIGTERM begins it.
+// SignalSeries is a planned restart of a node by a series of signals. The first SIGTERM begins the restart.
 type SignalSeries struct {
 	Node     int
 	From     time.Duration
@@ -20,7 +20,7 @@
 	Signals  []syscall.Signal
 }
 
-// String is a line of a run's output.
+// String returns the series as a line of a run's output.
 func (s SignalSeries) String() string {
 	names := make([]string, len(s.Signals))
 	for i, signal := range s.Signals {
@@ -31,7 +31,7 @@
 
 var signalNames = map[syscall.Signal]string{syscall.SIGTERM: "TERM", syscall.SIGHUP: "HUP"}
 
-// signalPatterns are the orders of signals that are drawn from.
+// signalPatterns are the sequences of signals from which a series is drawn.
 var signalPatterns = [][]syscall.Signal{
 	{syscall.SIGTERM, syscall.SIGTERM},
 	{syscall.SIGTERM, syscall.SIGHUP},
@@ -41,32 +41,33 @@
 	{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
 }
 
-// ConnectionFlood is a number of idle clients that hold connections to a node for a while: more than it has descriptors for.
+// ConnectionFlood is a number of idle clients that hold more connections to a node than it has file descriptors for. The
+// output of a run calls it "crowd".
 type ConnectionFlood struct {
 	Node        int
 	From, To    time.Duration
 	Connections int
-	Outage      bool // discovery is down meanwhile
+	Outage      bool // discovery refuses connections for the duration of the flood
 }
 
-// String is a line of a run's output.
+// String returns the flood as a line of a run's output.
 func (c ConnectionFlood) String() string {
 	return fmt.Sprintf("crowd %v to %v which=%d connections=%d down=%v", c.From, c.To, c.Node, c.Connections, c.Outage)
 }
 
-// Draws of signal series and crowds.
+// Parameters of signal series and connection floods.
 const (
-	maxSignalSeries   = 3                       // 1 to so many in a plan
-	maxSignalInterval = 400 * time.Millisecond  // a series of six ends before its node may be killed
-	floodRatio        = 1.0 / 3                 // of the plans have a crowd
-	floodNodes        = 2                       // that it meets
-	floodConnections  = nodeDescriptors * 5 / 4 // to each node
-	minFloodTime      = 2 * time.Second         // that a crowd stays
-	maxFloodTime      = 6 * time.Second         // shorter than the faults take in all
-	floodOutageRatio  = 0.5                     // of the crowds meet an outage of discovery
+	maxSignalSeries   = 3                       // a plan has 1 to 3
+	maxSignalInterval = 400 * time.Millisecond  // a series of six signals ends before killDelay has passed
+	floodRatio        = 1.0 / 3                 // share of plans with a flood
+	floodNodes        = 2                       // number of simultaneous floods, each to a random node
+	floodConnections  = nodeDescriptors * 5 / 4 // to each node; more than its descriptors
+	minFloodTime      = 2 * time.Second         // duration of a flood
+	maxFloodTime      = 6 * time.Second         // shorter than the part of a plan in which faults occur
+	floodOutageRatio  = 0.5                     // share of floods during which discovery is down
 )
 
-// drawSignals draws the signal series and the crowds of a plan. Restarts must be over when the plan's recovery begins.
+// drawSignals draws the signal series and the connection floods of a plan. All of them end before the plan's recovery time.
 func drawSignals(seed uint64, p Plan) (series []SignalSeries, floods []ConnectionFlood) {
 	rng := rand.New(rand.NewPCG(seed, signalStream))
 	between := func(from, to time.Duration) time.Duration {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// A seed that failed once is kept and played again later. If a change of the drawing moved one random draw, all kept
-// seeds would stand for other plans and their failures would no longer be guarded. The digest covers every fault of a
-// few hundred plans; it changes only with a deliberate change of the plans.
+// Seeds that failed once are recorded and played again. If a change moved a single random draw, the recorded seeds would
+// yield other plans and would no longer guard against their failures. The digest covers every fault of 300 plans and
+// changes only with a deliberate change of the plans.
 func TestSeedKeepsItsPlan(t *testing.T) {
 	const want = "d5ffed1d42879082af760960bce9e4df1fdff477c263ff00a540e875fb15eb8e"
 	digest := sha256.New()
@@ -25,18 +25,18 @@
 		}
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
-		t.Errorf("digest of the plans is %s, want %s", got, want)
+		t.Errorf("digest of the plans = %s, want %s", got, want)
 	}
 }
 
-// A seed that gave two plans could not be played again, and a fault that lasts to the end hides whether nodes recover: the
-// same seed gives the same plan, all faults are over in time, and the plans of many seeds have every kind.
+// The same seed yields the same plan, so that it can be played again. All faults end before the recovery time, because a
+// later one would hide whether nodes recover. The plans of many seeds contain every kind of fault.
 func TestPlans(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(300) {
 		p := DrawPlan(seed, 24, 20*second)
 		if !reflect.DeepEqual(p, DrawPlan(seed, 24, 20*second)) {
-			t.Fatalf("seed %d gives two plans", seed)
+			t.Fatalf("seed %d yields two different plans", seed)
 		}
 		for _, f := range p.Faults {
 			seen[f.Kind] = true
@@ -52,7 +52,8 @@
 	}
 }
 
-// A restart or a crowd that lasts into the recovery hides whether nodes recover, and one that no seed has is never played.
+// Restarts and connection floods end before the recovery time, because a later one would hide whether nodes recover. The
+// plans of many seeds contain every pattern of signals, and floods with and without an outage.
 func TestSignalSeriesAndFloods(t *testing.T) {
 	patterns, floods, outages := map[string]bool{}, 0, 0
 	const seeds = 300
@@ -75,16 +76,16 @@
 			}
 		}
 		if len(p.Series) == 0 {
-			t.Errorf("seed %d has no restart by signals in a row", seed)
+			t.Errorf("seed %d has no signal series", seed)
 		}
 	}
 	if len(patterns) != len(signalPatterns) || floods < seeds/3 || outages == 0 || outages == floods {
-		t.Errorf("%d patterns of signals, %d crowds, %d of them with an outage", len(patterns), floods, outages)
+		t.Errorf("%d patterns of signals, %d connection floods, %d of them with an outage", len(patterns), floods, outages)
 	}
 }
 
-// A plan without second answers passes a node that hands them on; one whose faults last into the recovery hides whether
-// nodes recover. Kept seeds go on standing for their faults of answers.
+// Every plan has second answers, because a plan without them accepts nodes that forward them to clients. The faults end
+// before the recovery time, because a later one would hide whether nodes recover. Recorded seeds keep their faults.
 func TestAnswerFaults(t *testing.T) {
 	const want = "60c69ac69cde86af421c6a34408f19a9ccd847cbe51513c1a71eb9d4e794ae42"
 	digest, seen, latest := sha256.New(), map[Kind]bool{}, time.Duration(0)
@@ -114,11 +115,12 @@
 			}
 		}
 		if second < secondAnswerFaults || len(p.Bursts) != secondAnswerFaults {
-			t.Errorf("seed %d has %d faults that are second answers", seed, second)
+			t.Errorf("seed %d has %d second-answer faults and %d bursts, want at least %d and %d", seed, second, len(p.Bursts),
+				secondAnswerFaults, secondAnswerFaults)
 		}
 	}
 	if latest < maxLateWait-maxLateWait/10 {
-		t.Errorf("no second answer is later than %v", latest)
+		t.Errorf("the latest second answer is %v late, want almost %v", latest, maxLateWait)
 	}
 	for _, kind := range answerKinds {
 		if !seen[kind] {
@@ -126,11 +128,11 @@
 		}
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
-		t.Errorf("digest of the faults of answers is %s, want %s", got, want)
+		t.Errorf("digest of the faults of answers = %s, want %s", got, want)
 	}
 }
 
-// Kept seeds go on standing for their series and crowds too, as for their faults.
+// Recorded seeds keep their signal series and connection floods, like their faults.
 func TestSeedKeepsItsSignals(t *testing.T) {
 	const want = "b566a3d3a3b2db7fe5d69f1607effbc256005540cf4aba80b30d0ecfb4dc4132"
 	digest := sha256.New()
@@ -139,6 +141,6 @@
 		fmt.Fprintln(digest, p.Series, p.Floods)
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)); got != want {
-		t.Errorf("digest of the series and crowds is %s, want %s", got, want)
+		t.Errorf("digest of the series and floods = %s, want %s", got, want)
 	}
 }
--- a/internal/lab/soak/regressionplans.go
+++ b/internal/lab/soak/regressionplans.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// RegressionPlans are plans that once broke a rule and that no seed has drawn. They are played with the RegressionSeeds.
+// RegressionPlans returns the plans that once broke a rule and were written by hand. They are played with RegressionSeeds.
 func RegressionPlans() []Plan {
 	return []Plan{RecoveryBetweenOutages(), AddressChangeWhileUnresponsive(), RestartWhileDiscoveryOverloaded()}
 }
 
-// RecoveryBetweenOutages has discovery back for a second between two outages, in which it resets the calls that it has. Nodes
-// once took both for one outage: the next call that was rejected renewed their lease, and they sent to a server that drains.
+// RecoveryBetweenOutages makes discovery available for a second between two outages. The beginning of the second outage
+// resets the calls that are in progress. Nodes once treated both outages as one: the next rejected call renewed their lease,
+// and they sent requests to a draining server.
 func RecoveryBetweenOutages() Plan {
 	const (
-		firstOutage  = 2 * time.Second
-		recovery     = 6600 * time.Millisecond
-		secondOutage = 7600 * time.Millisecond
-		end          = 13 * time.Second
+		firstOutage  = 2 * time.Second         // beginning of the first outage
+		recovery     = 6600 * time.Millisecond // end of the first outage
+		secondOutage = 7600 * time.Millisecond // beginning of the second outage
+		end          = 13 * time.Second        // end of the second outage
 	)
-	return Plan{Name: "a return between outages", Nodes: 16, Servers: planServers, Rate: 16 * planRequestsPerNode,
+	return Plan{Name: "recovery between outages", Nodes: 16, Servers: planServers, Rate: 16 * planRequestsPerNode,
 		Length: end + recoveryTime, Faults: []Fault{
 			{Kind: DiscoveryOutage, From: firstOutage, To: recovery, HoldCalls: true},
 			{Kind: DiscoverySlow, From: recovery - 100*time.Millisecond, To: end - 500*time.Millisecond, Wait: 5 * time.Second},
@@ -25,16 +26,17 @@
 		}}
 }
 
-// AddressChangeWhileUnresponsive has discovery accept calls and answer none for so long that nodes once served again without it. Then
-// its address changes: they went on serving without end, although they count as notified of what is at the new address.
+// AddressChangeWhileUnresponsive makes discovery accept calls without answering any, for so long that nodes once resumed
+// serving without it. Then its address changes. Nodes once continued to serve without limit, although they count as notified
+// of the list at the new address.
 func AddressChangeWhileUnresponsive() Plan {
 	const (
-		silent   = time.Second
-		drain    = 19 * time.Second // later than the end of the lease by more than nodes once waited before they served again
-		change   = drain + 500*time.Millisecond
-		answered = drain + 6200*time.Millisecond // within the deadline that runs from the drain
+		silent   = time.Second                   // watches stall, and calls are no longer answered
+		drain    = 19 * time.Second              // after the end of the lease plus the time that nodes once waited before they resumed serving
+		change   = drain + 500*time.Millisecond  // of discovery's address
+		answered = drain + 6200*time.Millisecond // within the notification deadline, which counts from the drain
 	)
-	return Plan{Name: "a change of address while discovery is unresponsive", Nodes: 16, Servers: planServers,
+	return Plan{Name: "address change while discovery is unresponsive", Nodes: 16, Servers: planServers,
 		Rate: 16 * planRequestsPerNode, Length: answered + recoveryTime + serviceCheckTime, Faults: []Fault{
 			{Kind: DiscoveryNoAnswer, From: silent - 100*time.Millisecond, To: answered, Share: 1},
 			{Kind: WatchStall, From: silent},
@@ -43,19 +45,19 @@
 		}}
 }
 
-// RestartWhileDiscoveryOverloaded has most nodes killed and started again while discovery has more callers than it can serve, and rejects
-// most calls after a wait. New processes once took that for an outage, and went on with the list that they were given.
+// RestartWhileDiscoveryOverloaded kills and restarts most nodes while discovery has more callers than it can serve and
+// rejects most calls after a wait. New processes once treated this as an outage and continued to use their bootstrap list.
 func RestartWhileDiscoveryOverloaded() Plan {
 	const (
-		silent    = 4500 * time.Millisecond // the watches, so that nobody hears of the drain
+		silent    = 4500 * time.Millisecond // the watches stall, so that no node is notified of the drain
 		drain     = 4600 * time.Millisecond
 		kill      = 6500 * time.Millisecond
-		end       = 15 * time.Second
+		end       = 15 * time.Second // of the overload
 		nodes     = 16
-		killed    = 12
-		queueTime = 1900 * time.Millisecond // a call, so that a node in three has its list before the end
+		killed    = 12                      // of the nodes
+		queueTime = 1900 * time.Millisecond // per call, so that about a third of the nodes get a list before the end
 	)
-	plan := Plan{Name: "restarts while discovery is crowded", Nodes: nodes, Servers: planServers, Rate: nodes * planRequestsPerNode,
+	plan := Plan{Name: "restarts while discovery is overloaded", Nodes: nodes, Servers: planServers, Rate: nodes * planRequestsPerNode,
 		Length: end + recoveryTime + serviceCheckTime, Faults: []Fault{
 			{Kind: DiscoveryDelayedRejection, From: silent, To: end, Wait: queueTime},
 			{Kind: WatchStall, From: silent},
--- a/internal/lab/soak/regressionseeds.go
+++ b/internal/lab/soak/regressionseeds.go
@@ -1,21 +1,21 @@
 package soak
 
-// RegressionSeed is a seed whose plan once broke a rule, with the number of nodes at which it did.
+// RegressionSeed is a seed whose plan once broke a rule, with the number of nodes of that run.
 type RegressionSeed struct {
 	Seed  uint64
 	Nodes int
 }
 
-// RegressionSeeds are played again in each long run.
+// RegressionSeeds are played in each long run. The comments give the cause, after the name of the broken rule if there is one.
 var RegressionSeeds = []RegressionSeed{
-	{1, 8},     // budget, beside load; a discovery that is back and loses calls
-	{2, 8},     // budget, beside load
-	{3, 8},     // lost: a new connection as the node stops accepting
-	{14, 10},   // lost: a kept connection as the node shuts down
-	{201, 24},  // two rigs shared a port
-	{203, 24},  // drain: a lease that was over opened again
+	{1, 8},     // budget: on a loaded machine; and discovery did not answer calls after an outage
+	{2, 8},     // budget: on a loaded machine
+	{3, 8},     // lost: a request on a new connection while the node stopped accepting
+	{14, 10},   // lost: a request on a reused connection while the node was shutting down
+	{201, 24},  // two parallel soaks used the same port
+	{203, 24},  // drain: an expired lease became valid again
 	{220, 24},  // drain: what counted before an outage was forgotten
-	{301, 24},  // a list that was truncated counted as delivered
-	{401, 24},  // two rigs shared a port
-	{1041, 24}, // drain: discovery is back for a moment between two outages
+	{301, 24},  // a truncated list counted as delivered
+	{401, 24},  // two parallel soaks used the same port
+	{1041, 24}, // drain: discovery was briefly available between two outages
 }
--- a/internal/lab/soak/requestend.go
+++ b/internal/lab/soak/requestend.go
@@ -9,39 +9,40 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// Excuse is why a request may have no answer. Its text is what a run prints.
+// Excuse is a reason for which a request may remain without an answer. Its value is printed in the output of a run.
 type Excuse string
 
-// Excuses. A request that its node has read is excused only where the platform killed the node.
+// Excuses. A request that its node has read is excused only if the node was killed.
 const (
-	ExcusedUnread  Excuse = "not read"           // the node ended the connection and had not read it: its client sends it again
-	ExcusedRefused Excuse = "connection refused" // by a node that is down, or about to be
-	ExcusedKilled  Excuse = "killed"             // the node was killed without a word before
-	ExcusedLate    Excuse = "later than 0.7 s"   // after the first SIGTERM, and the node was killed
-	ExcusedSecond  Excuse = "late second answer" // to another request: nothing tells it from the request's own
+	ExcusedUnread  Excuse = "not read"           // the node closed the connection before it had read the request: the client can retry it
+	ExcusedRefused Excuse = "connection refused" // the node was down or shutting down
+	ExcusedKilled  Excuse = "killed"             // the node was killed without a SIGTERM
+	ExcusedLate    Excuse = "later than 0.7 s"   // the request arrived later than that after the first SIGTERM, and the node was killed
+	ExcusedSecond  Excuse = "late second answer" // the second answer to another request arrived so late that it could not be told from the answer to this one
 )
 
-// excuses are all of them, in the order in which they are printed.
+// excuses lists all excuses in the order in which they are printed.
 var excuses = []Excuse{ExcusedUnread, ExcusedRefused, ExcusedKilled, ExcusedLate, ExcusedSecond}
 
 const (
-	// answeredAfterTerm is how long after the first SIGTERM a request may arrive and still has to be answered.
+	// answeredAfterTerm is how long after the first SIGTERM an arriving request must still be answered.
 	answeredAfterTerm = 700 * time.Millisecond
 
-	// detectableSecondAnswerDelay is how late a second answer may be and must not reach another request.
+	// detectableSecondAnswerDelay is the longest delay of a second answer at which the node must still keep it from other
+	// requests.
 	detectableSecondAnswerDelay = 20 * time.Millisecond
 
-	// exitTime is how long a process that is killed may take to exit on a busy machine.
+	// exitTime is how long a killed process may take to exit on a busy machine.
 	exitTime = time.Second
 )
 
-// requestEnd is how the end of a request is judged: it has its answer, is excused, or is at fault.
+// requestEnd is the verdict on the end of a request: an excuse, a fault, or neither.
 type requestEnd struct {
 	excuse Excuse
-	fault  string // what is wrong; "": nothing
+	fault  string // what is wrong, or ""
 }
 
-// classifyEnd judges the end of a request. One whose client has gone is owed nothing.
+// classifyEnd returns the verdict on the end of a request. A request whose client is gone needs no answer.
 func classifyEnd(o *Observations, r *Request, forwarded bool) requestEnd {
 	switch {
 	case r.ClientGone > 0:
@@ -62,29 +63,30 @@
 	case incarnation.killedAfterTerm(r) && r.arrived() > incarnation.Terminated+answeredAfterTerm:
 		return requestEnd{excuse: ExcusedLate}
 	case forwarded:
-		return requestEnd{fault: "it was forwarded and has no answer"}
+		return requestEnd{fault: "it was forwarded but has no answer"}
 	case r.Unread && (!r.NewConnection || inFlood(o, r) || r.arrived() > incarnation.acceptsUntil()):
 		return requestEnd{excuse: ExcusedUnread}
 	case r.NewConnection:
-		return requestEnd{fault: fmt.Sprintf("it was on a new connection and has no answer (unread: %v)", r.Unread)}
+		return requestEnd{fault: fmt.Sprintf("it was sent on a new connection but has no answer (unread: %v)", r.Unread)}
 	}
-	return requestEnd{fault: "its node has read it, and it has no answer"}
+	return requestEnd{fault: "its node has read it but it has no answer"}
 }
 
-// answerFault says what is wrong with an answer, "" if nothing is.
+// answerFault returns what is wrong with an answer, or "".
 func answerFault(r *Request) string {
 	switch {
 	case r.WrongBody != "":
 		return fmt.Sprintf("it was answered with %s, which no server wrote for it", r.WrongBody)
 	case r.Finished > r.Deadline+invariants.AnswerSlack+clockTolerance:
-		return fmt.Sprintf("its answer came %v after its deadline", r.Finished-r.Deadline)
+		return fmt.Sprintf("it was answered %v after its deadline", r.Finished-r.Deadline)
 	case r.Status == http.StatusServiceUnavailable && !r.RetryAfter:
 		return "it was rejected without Retry-After"
 	}
 	return ""
 }
 
-// arrived is when a request was at its node: with its last byte, or, where that was not written, when its client began.
+// arrived returns when a request reached its node: when its last byte was written or, if it was not, when its client began
+// to send it.
 func (r *Request) arrived() time.Duration {
 	if r.Written != 0 {
 		return r.Written
@@ -92,8 +94,8 @@
 	return r.At
 }
 
-// incarnationOf is the incarnation that a request without an answer was sent to: the one that ended while it was under way,
-// or else the last one that had started.
+// incarnationOf returns the incarnation to which a request without an answer was sent: the one that was killed while the
+// request was in flight, or otherwise the last one that had started.
 func incarnationOf(o *Observations, r *Request) Incarnation {
 	var last Incarnation
 	for _, i := range o.Incarnations {
@@ -108,18 +110,18 @@
 	return last
 }
 
-// killedWithoutTerm reports whether an incarnation was killed without a SIGTERM while a request was under way. A process
-// that is killed goes on for some milliseconds on a busy machine, and its kernel accepts connections until it has exited.
+// killedWithoutTerm reports whether an incarnation was killed without a SIGTERM while a request was in flight. On a busy
+// machine a killed process keeps running for some milliseconds, and the kernel accepts connections until it has exited.
 func (i Incarnation) killedWithoutTerm(r *Request) bool {
 	return i.Terminated == 0 && i.killedDuring(r)
 }
 
-// killedAfterTerm reports whether an incarnation was killed at the end of a restart while a request was under way.
+// killedAfterTerm reports whether an incarnation was killed after a SIGTERM while a request was in flight.
 func (i Incarnation) killedAfterTerm(r *Request) bool {
 	return i.Terminated != 0 && i.killedDuring(r)
 }
 
-// killedDuring reports whether an incarnation was killed, or had not exited yet after it, while a request was under way.
+// killedDuring reports whether the time from SIGKILL to the exit of an incarnation overlaps the time of a request.
 func (i Incarnation) killedDuring(r *Request) bool {
 	if i.Killed == 0 {
 		return false
@@ -128,8 +130,8 @@
 	return exited >= r.At && i.Killed <= r.Finished+clockTolerance
 }
 
-// isDown reports whether no incarnation of a request's node had to take connections while the request was under way: from
-// acceptedAfterTerm after SIGTERM, or from SIGKILL on, until the next one is ready.
+// isDown reports whether no incarnation of the request's node was required to accept connections throughout the request. A
+// node need not accept them from acceptedAfterTerm after SIGTERM, or from SIGKILL, until its next incarnation is ready.
 func isDown(o *Observations, r *Request) bool {
 	for _, i := range o.Incarnations {
 		if i.Node != r.Node || i.Ready == 0 || i.Ready > r.At {
@@ -146,10 +148,10 @@
 	return true
 }
 
-// acceptedAfterTerm is how long after SIGTERM new connections still come to a node.
+// acceptedAfterTerm is how long after SIGTERM a node must still accept new connections.
 const acceptedAfterTerm = 400 * time.Millisecond
 
-// acceptsUntil is from when on no new connections are owed an answer.
+// acceptsUntil returns the time until which an incarnation must answer requests on new connections.
 func (i Incarnation) acceptsUntil() time.Duration {
 	if i.Terminated == 0 {
 		return math.MaxInt64
@@ -157,7 +159,8 @@
 	return i.Terminated + acceptedAfterTerm
 }
 
-// inFlood reports whether a crowd was at a request's node: then it may end connections on which it has read nothing.
+// inFlood reports whether a connection flood at the request's node overlaps the request. The node may then close
+// connections from which it has read nothing.
 func inFlood(o *Observations, r *Request) bool {
 	for _, c := range o.Floods {
 		if c.Node == r.Node && c.From <= r.Finished && r.At <= c.To+clockTolerance {
@@ -167,17 +170,17 @@
 	return false
 }
 
-// checkRestarts finds processes that went on for longer than a restart may take.
+// checkRestarts finds processes that ran for longer than a restart may take.
 func checkRestarts(o *Observations) (broken []string) {
 	for _, i := range o.Incarnations {
 		if by := i.Exited - i.Terminated - killDelay - exitTime; i.Terminated != 0 && by > 0 {
-			broken = append(broken, fmt.Sprintf("restart: n%d, sent SIGTERM at %v, ran %v longer than it may", i.Node, i.Terminated, by))
+			broken = append(broken, fmt.Sprintf("restart: n%d was sent SIGTERM at %v and ran %v longer than allowed", i.Node, i.Terminated, by))
 		}
 	}
 	return broken
 }
 
-// Excused counts the requests without an answer that are excused.
+// Excused returns the number of excused requests by excuse.
 func (r *Result) Excused() map[Excuse]int {
 	forwarded := map[string]bool{}
 	for _, a := range r.Observations.Attempts {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// Result is a plan that was run and what was observed.
+// Result is the plan of a run and its observations.
 type Result struct {
-	Plan         Plan // with its times on the clock of Observations
+	Plan         Plan // shifted to the clock of Observations
 	Observations *Observations
 }
 
-// Run runs a plan with real nodes. The error says why it could not be run to its end; broken rules are no error (see
-// Result.Violations). The nodes' logs are kept in logFolder, which exists, as n0.log and so on; empty: they are not kept.
+// Run runs a plan with real nodes. It returns an error if the plan could not be run to its end; violations are not errors
+// (see Result.Violations). Run writes the logs of the nodes to the existing logFolder as n0.log and so on, or keeps no logs
+// if logFolder is empty.
 func Run(ctx context.Context, p Plan, program Program, logFolder string) (*Result, error) {
 	folder, err := os.MkdirTemp("", "hookwalk-soak")
 	if err != nil {
@@ -28,29 +29,29 @@
 	r := &run{plan: p, recorder: &recorder{started: time.Now()}, logFolder: logFolder}
 	defer r.close()
 	if err := r.start(program, folder); err != nil {
-		return nil, fmt.Errorf("soak: %s could not be played: %w", p.Title(), err)
+		return nil, fmt.Errorf("soak: start %s: %w", p.Title(), err)
 	}
 	if err := r.playFaults(ctx); err != nil {
-		return nil, fmt.Errorf("soak: %s could not be played to its end: %w", p.Title(), err)
+		return nil, fmt.Errorf("soak: play %s to its end: %w", p.Title(), err)
 	}
 	return &Result{Plan: r.plan, Observations: &r.recorder.observations}, nil
 }
 
-// run is all that a plan is run with.
+// run holds the state of a run: the plan, the stand-ins, the nodes and the clients.
 type run struct {
 	plan      Plan
 	recorder  *recorder
-	logFolder string // where the nodes' logs are kept; empty: they are not
+	logFolder string // folder of the nodes' logs; "" to keep none
 	servers   []*server
 	discovery *discovery
 	nodes     []*node
 	clients   *clients
 
 	mu       sync.Mutex
-	firstErr error // of an injection
+	firstErr error // the first error of an injected fault
 }
 
-// start starts everything and waits until all nodes are ready.
+// start starts the stand-ins and the nodes, and waits until all nodes are ready.
 func (r *run) start(program Program, folder string) error {
 	for i := range r.plan.Servers {
 		s, err := newServer(i, r.recorder)
@@ -91,13 +92,13 @@
 	return first
 }
 
-// close ends everything.
+// close stops the nodes and the stand-ins.
 func (r *run) close() {
 	var stopping sync.WaitGroup
 	for _, n := range r.nodes {
 		stopping.Go(func() {
 			n.kill()
-			n.log.Close() // one that is not kept has nothing to close
+			n.log.Close() // harmless on a nil log
 		})
 	}
 	stopping.Wait()
@@ -109,7 +110,7 @@
 	}
 }
 
-// playFaults sends requests while the faults begin and end. The plan's times count from here.
+// playFaults sends requests and injects the plan's faults. The times of the plan count from this call.
 func (r *run) playFaults(ctx context.Context) error {
 	r.plan = r.plan.shifted(r.recorder.now())
 	ctx, cancel := context.WithTimeout(ctx, r.plan.Length-r.recorder.now())
@@ -151,7 +152,7 @@
 	return r.firstErr
 }
 
-// waitUntil waits for a time of the run's clock. It returns false if ctx ends before.
+// waitUntil waits until a time on the clock of the run. It returns false if ctx ends first.
 func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(at - r.recorder.now()):
@@ -161,7 +162,7 @@
 	}
 }
 
-// keepError keeps the first error of an injection.
+// keepError stores the first error of an injected fault.
 func (r *run) keepError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +171,7 @@
 	}
 }
 
-// inject plays one fault, from its begin to its end.
+// inject begins one fault and, if it has a duration, ends it.
 func (r *run) inject(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case WatchStall:
@@ -201,14 +202,14 @@
 	}
 }
 
-// startIfEnded starts a node whose incarnation has ended.
+// startIfEnded starts a node again if its incarnation was ended.
 func (r *run) startIfEnded(node int, ended bool) {
 	if ended {
 		r.keepError(r.nodes[node].start())
 	}
 }
 
-// playSeries restarts a node with signals in a row.
+// playSeries restarts a node by a series of signals.
 func (r *run) playSeries(s SignalSeries) {
 	ended := r.nodes[s.Node].restart(s.Interval, s.Signals...)
 	if ended {
@@ -217,7 +218,7 @@
 	r.startIfEnded(s.Node, ended)
 }
 
-// playFlood holds connections to a node until the crowd goes.
+// playFlood holds connections to a node until the end of the flood.
 func (r *run) playFlood(ctx context.Context, c ConnectionFlood) {
 	ctx, cancel := context.WithTimeout(ctx, c.To-r.recorder.now())
 	defer cancel()
@@ -232,7 +233,7 @@
 	})
 }
 
-// playBurst has clients send to a node until the burst is over.
+// playBurst sends requests from several clients to a node until the end of the burst.
 func (r *run) playBurst(ctx context.Context, b Burst) {
 	ctx, cancel := context.WithTimeout(ctx, b.To-r.recorder.now())
 	defer cancel()
@@ -243,14 +244,14 @@
 	sending.Wait()
 }
 
-// activate has a fault in force at a stand-in until it is over.
+// activate keeps a fault active at a stand-in until the end of the fault.
 func (r *run) activate(ctx context.Context, at *activeFaults, f Fault) {
 	at.begin(f)
 	r.waitUntil(ctx, f.To)
 	at.end(f)
 }
 
-// moveDiscovery gives all nodes another address of discovery, several times in a row.
+// moveDiscovery changes the address of discovery for all nodes, f.Count times.
 func (r *run) moveDiscovery(ctx context.Context, f Fault) {
 	for range f.Count {
 		for _, n := range r.nodes {
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Times of a stand-in server.
+// Timing of a stand-in server.
 const (
-	maxServiceTime    = 20 * time.Millisecond  // of a request; uniformly drawn
-	lateServiceTime   = 150 * time.Millisecond // maxServiceTime beside late second answers: a true answer behind one may be as late as that
-	hangTime          = time.Minute            // of a request at a server that hangs: longer than any deadline
-	serverIdleTimeout = time.Second            // short, so that idle connections are closed all the time
-	readHeaderTimeout = 5 * time.Second        // of all stand-ins
+	maxServiceTime    = 20 * time.Millisecond  // maximum time to handle a request; uniformly distributed
+	lateServiceTime   = 150 * time.Millisecond // replaces maxServiceTime during AnswerLateSecond, so that the real answer may arrive after a late second answer
+	hangTime          = time.Minute            // time of a request at a server that hangs; longer than any deadline
+	serverIdleTimeout = time.Second            // short enough that servers often close idle connections
+	readHeaderTimeout = 5 * time.Second        // for all stand-ins
 )
 
-// server is a stand-in for a server of the tier behind the nodes.
+// server is a stand-in for a server to which the nodes forward requests.
 type server struct {
 	index    int
 	recorder *recorder
@@ -28,7 +28,7 @@
 	faults   activeFaults
 }
 
-// newServer starts a server. It ends with its http.Close.
+// newServer starts a server, which runs until its http.Close is called.
 func newServer(index int, recorder *recorder) (*server, error) {
 	listener, err := net.Listen("tcp", standInAddress()+":0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// ServeHTTP answers a request as the active faults have it.
+// ServeHTTP records and answers a request, subject to the active faults.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt := s.newAttempt(r)
 	_, rejected := s.faults.hits(ServerReject)
@@ -68,7 +68,7 @@
 	s.answer(w, r, attempt.ID)
 }
 
-// newAttempt is what a request says of itself. The node that sends it is named by a header that its client set.
+// newAttempt returns the attempt that the headers of a request describe. The client sets the header that names the node.
 func (s *server) newAttempt(r *http.Request) *Attempt {
 	node, _ := strconv.Atoi(r.Header.Get(nodeHeader))
 	budget, _ := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Budget"), "u"), 10, 64)
@@ -76,7 +76,7 @@
 		Budget: time.Duration(budget) * time.Microsecond}
 }
 
-// work takes the time of a request, or until its connection ends.
+// work waits for the service time of a request, or until its connection is closed.
 func (s *server) work(r *http.Request) {
 	serviceTime := rand.N(maxServiceTime)
 	if _, late := s.faults.find(AnswerLateSecond); late {
@@ -91,7 +91,7 @@
 	}
 }
 
-// finish records that nothing of an attempt is left at the server.
+// finish records that the server is done with an attempt.
 func (s *server) finish(a *Attempt, r *http.Request) {
 	now := s.recorder.now()
 	s.recorder.record(func(*Observations) { a.Finished, a.ConnectionLost = max(now, 1), r.Context().Err() != nil })
--- a/internal/lab/soak/stalls.go
+++ b/internal/lab/soak/stalls.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// stallCheckInterval is how often the run looks at its clock.
+	// stallCheckInterval is the interval at which the run checks its clock.
 	stallCheckInterval = 5 * time.Millisecond
-	// minStall is how much later than due it comes to look, at least, that it counts as stalled.
+	// minStall is the minimum delay of a check that is recorded as a stall.
 	minStall = 20 * time.Millisecond
 )
 
-// watchStalls records the times in which this process did not come to run, until ctx ends. All stand-ins and clients are in it:
-// what they did late then says nothing of a node.
+// watchStalls records, until ctx ends, the intervals in which this process was not scheduled. All stand-ins and clients run
+// in this process, so delays in these intervals are not caused by a node.
 func (r *recorder) watchStalls(ctx context.Context) {
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
@@ -31,7 +31,7 @@
 	}
 }
 
-// stalledIn is for how long this process was stalled between two times.
+// stalledIn returns how long this process was stalled between two times.
 func (o *Observations) stalledIn(from, to time.Duration) (stalled time.Duration) {
 	for _, s := range o.Stalls {
 		stalled += max(min(s.To, to)-max(s.From, from), 0)
--- a/internal/lab/soak/timestampingconn.go
+++ b/internal/lab/soak/timestampingconn.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// timestampingListener accepts connections that note when bytes were read last. A handler may come to run much later than that on a
-// busy machine.
+// timestampingListener accepts connections that record when they last read bytes. On a busy machine a handler may run much
+// later than that.
 type timestampingListener struct {
 	net.Listener
 	recorder *recorder
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection and wraps it in a timestampingConn.
 func (l timestampingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -24,7 +24,7 @@
 	return &timestampingConn{Conn: c, recorder: l.recorder}, nil
 }
 
-// timestampingConn notes the time of its last read that brought something, on the run's clock.
+// timestampingConn records the time of the last read that returned bytes, on the clock of the run.
 type timestampingConn struct {
 	net.Conn
 	recorder *recorder
@@ -40,20 +40,20 @@
 	return n, err
 }
 
-// connContextKey is the context key of the clockConn that a request came on.
+// connContextKey is the context key for the timestampingConn of a request.
 type connContextKey struct{}
 
-// withConn lets requests find their connection.
+// withConn stores a connection in the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// lastRead is when bytes of a request were read last. Until its body is read, these are of its head.
+// lastRead returns when bytes of a request were last read. Until the handler reads the body, these are bytes of the head.
 func lastRead(r *http.Request) time.Duration {
 	return time.Duration(connOf(r).lastRead.Load())
 }
 
-// connOf is the connection that a request came on.
+// connOf returns the connection on which a request arrived.
 func connOf(r *http.Request) *timestampingConn {
 	return r.Context().Value(connContextKey{}).(*timestampingConn)
 }
--- a/internal/lab/soak/totals.go
+++ b/internal/lab/soak/totals.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Totals are what was observed, in numbers. Those of several runs can be added.
+// Totals counts the observations of one or more runs.
 type Totals struct {
 	Faults, Requests, Served, Rejected, Failed, Unanswered, Canceled int
 	Attempts, Drains, Deliveries, AddressChanges                     int
-	Restarts, Kills, Series, Floods                                  int // Kills: at the end of a restart too
+	Restarts, Kills, Series, Floods                                  int // Kills includes those that end a restart
 	Excused                                                          map[Excuse]int
 	Delays                                                           Delays
 }
 
-// Delays are the longest waits on the way of a request in which a node has no part, or not alone: they tell a late rig from a
-// late node.
+// Delays holds the longest delays of requests outside the nodes, and one that includes the node. They distinguish a late
+// soak process from a late node.
 type Delays struct {
-	Write  time.Duration // from a client's begin to its last byte
-	Node   time.Duration // from there until a server has read the head of the first attempt
-	Handle time.Duration // from there until the server handles it
-	Stall  time.Duration // of the rig's own process
+	Write  time.Duration // from the client's start to the last byte written
+	Node   time.Duration // from the last byte written until a server has read the head of the first attempt
+	Handle time.Duration // from the head being read until the server handles the attempt
+	Stall  time.Duration // longest stall of the soak process
 }
 
-// String is a part of a run's output.
+// String returns the delays as a part of a run's output.
 func (d Delays) String() string {
-	return fmt.Sprintf("longest to write %v, to a server %v, to its handler %v, rig stalled %v", d.Write.Round(time.Millisecond),
+	return fmt.Sprintf("longest delay to write %v, to a server %v, to its handler %v, longest stall %v", d.Write.Round(time.Millisecond),
 		d.Node.Round(time.Millisecond), d.Handle.Round(time.Millisecond), d.Stall.Round(time.Millisecond))
 }
 
-// longest is the longer of each wait.
+// longest returns the longer of each delay.
 func (d Delays) longest(other Delays) Delays {
 	return Delays{max(d.Write, other.Write), max(d.Node, other.Node), max(d.Handle, other.Handle), max(d.Stall, other.Stall)}
 }
 
-// delays are the longest waits that were observed.
+// delays returns the longest delays that were observed.
 func (o *Observations) delays() (longest Delays) {
 	for _, s := range o.Stalls {
 		longest.Stall = max(longest.Stall, s.To-s.From)
@@ -60,7 +60,7 @@
 	return longest
 }
 
-// Totals counts what was observed.
+// Totals returns the totals of the run.
 func (r *Result) Totals() Totals {
 	o := r.Observations
 	t := Totals{Faults: len(r.Plan.Faults), Requests: len(o.Requests), Attempts: len(o.Attempts), Drains: len(o.Drains),
@@ -112,13 +112,13 @@
 	}
 }
 
-// String is one line of a run's output.
+// String returns the totals as one line of a run's output.
 func (t Totals) String() string {
 	excused := make([]string, len(excuses))
 	for i, excuse := range excuses {
 		excused[i] = fmt.Sprintf("%d %s", t.Excused[excuse], excuse)
 	}
-	return fmt.Sprintf("%d faults, %d restarts, %d kills, %d series, %d crowds; %d requests: %d served, %d refused, %d failed, %d canceled, %d without an answer; excused: %s; %d attempts, %d drains, %d lists, %d moves; %v",
+	return fmt.Sprintf("%d faults, %d restarts, %d kills, %d series, %d crowds; %d requests: %d served, %d rejected, %d failed, %d canceled, %d without an answer; excused: %s; %d attempts, %d drains, %d lists delivered, %d address changes; %v",
 		t.Faults, t.Restarts, t.Kills, t.Series, t.Floods, t.Requests, t.Served, t.Rejected, t.Failed, t.Canceled, t.Unanswered,
 		strings.Join(excused, ", "), t.Attempts, t.Drains, t.Deliveries, t.AddressChanges, t.Delays)
 }
--- a/internal/lab/soak/violations.go
+++ b/internal/lab/soak/violations.go
@@ -10,22 +10,22 @@
 	"hookwalk.example/hookwalk/invariants"
 )
 
-// clockTolerance is how much later than it happened an event may be observed: nodes, stand-ins and clients share the
-// machine's cores. It is added to the bound of each rule.
+// clockTolerance is added to the bound of each rule: events may be observed late, because nodes, stand-ins and clients share
+// the cores of one machine.
 const clockTolerance = 100 * time.Millisecond
 
-// bootstrapTime is for how long a new process may use the list that it was given, which may be old.
+// bootstrapTime is how long a new process may use its bootstrap list, which may be outdated.
 const bootstrapTime = 3 * time.Second
 
-// minServedRatio is the share of requests that has to be served once all faults are over: nodes that stay in a refusing
-// state would pass every other rule.
+// minServedRatio is the share of requests that must be served after all faults. Nodes that reject every request would keep
+// all other rules.
 const minServedRatio = 0.8
 
-// noOutageEnd stands for the time when discovery is back where an outage has no end; half the range, so that a deadline
-// can be added to it.
+// noOutageEnd is the end of an outage that does not end. It is half the maximum, so that adding a deadline does not overflow.
 const noOutageEnd = time.Duration(math.MaxInt64 / 2)
 
-// Violations says which rules were broken, a line each that begins with the rule's name.
+// Violations returns the violations, one line each. A line begins with the name of the rule, or of the node that logged an
+// error.
 func (r *Result) Violations() (broken []string) {
 	o := r.Observations
 	broken = append(broken, o.NodeErrors...)
@@ -36,7 +36,8 @@
 	return append(broken, checkService(r.Plan, o)...)
 }
 
-// checkDrains finds attempts at a draining server after their node was notified of the drain, or counts as notified.
+// checkDrains finds attempts that reached a draining server after their node was notified of the drain, or counts as
+// notified.
 func checkDrains(o *Observations) (broken []string) {
 	for _, drain := range o.Drains {
 		notified := map[int]time.Duration{} // by index of the incarnation
@@ -49,7 +50,7 @@
 				notified[incarnation] = notifiedAt(o, drain, a.Node, incarnation)
 			}
 			if by := a.At - notified[incarnation] - invariants.DrainGrace - clockTolerance; by > 0 {
-				broken = append(broken, fmt.Sprintf("drain: request %s came to server %d at %v, %v too late: node n%d counts as notified at %v (drains since %v)",
+				broken = append(broken, fmt.Sprintf("drain: request %s reached server %d at %v, %v too late: node n%d counts as notified at %v (draining since %v)",
 					a.ID, a.Server, a.At, by, a.Node, notified[incarnation], drain.At))
 			}
 		}
@@ -57,8 +58,8 @@
 	return broken
 }
 
-// incarnationAt is the index of a node's last incarnation that had started by a time; -1: none. A request of the one
-// before may still be under way when the next has started.
+// incarnationAt returns the index of the last incarnation of a node that had started by a time, or -1. A request of the
+// previous incarnation may still be in flight when the next one has started.
 func incarnationAt(o *Observations, node int, at time.Duration) (found int) {
 	found = -1
 	for i, incarnation := range o.Incarnations {
@@ -69,7 +70,7 @@
 	return found
 }
 
-// lifetime is from when to when an incarnation was its node's last one.
+// lifetime returns the interval in which an incarnation was the latest one of its node.
 func lifetime(o *Observations, node, incarnation int) (begin, end time.Duration) {
 	end = time.Duration(math.MaxInt64)
 	if incarnation < 0 {
@@ -84,9 +85,13 @@
 	return begin, end
 }
 
-// notifiedAt is when an incarnation was notified of a drain, or counts as notified where lists are polled: the earliest
-// of a list that has the drain, and of the deadlines that run from the drain, from the return of discovery and from a
-// change of its address. A restart puts none of them off, but for the time that a new process has to hear of the drain.
+// notifiedAt returns when an incarnation was notified of a drain, or counts as notified. That is the earliest of:
+//
+//   - the delivery of a list with the drain;
+//   - NotificationDeadline after the drain or, during an outage, after discovery is reachable again;
+//   - NotificationDeadlineAfterChange after a change of discovery's address.
+//
+// A restart does not extend these deadlines, except that a new process has bootstrapTime to learn of the drain.
 func notifiedAt(o *Observations, drain DrainStart, node, incarnation int) time.Duration {
 	notified := time.Duration(math.MaxInt64)
 	begin, end := lifetime(o, node, incarnation)
@@ -105,7 +110,7 @@
 	return notified
 }
 
-// reachableFrom is the first time, not before one that is given, at which discovery could be reached.
+// reachableFrom returns the earliest time from at on at which discovery could be reached.
 func reachableFrom(o *Observations, at time.Duration) time.Duration {
 	for _, outage := range o.Outages {
 		if at < outage.From || !outage.Open && at >= outage.To {
@@ -119,7 +124,7 @@
 	return at
 }
 
-// checkDuplicates finds requests that were executed twice, or had two attempts out at once.
+// checkDuplicates finds non-idempotent requests that were executed twice, and requests with two attempts in flight at once.
 func checkDuplicates(o *Observations) (broken []string) {
 	nonIdempotent := map[string]bool{}
 	for _, r := range o.Requests {
@@ -130,9 +135,9 @@
 		for _, b := range earlier[a.ID] {
 			switch {
 			case nonIdempotent[a.ID] && a.Executed && b.Executed:
-				broken = append(broken, fmt.Sprintf("duplicate: request %s ran at %v and at %v", a.ID, b.At, a.At))
+				broken = append(broken, fmt.Sprintf("duplicate: request %s was executed at %v and again at %v", a.ID, b.At, a.At))
 			case b.Finished == 0 || b.Finished > a.At+clockTolerance:
-				broken = append(broken, fmt.Sprintf("duplicate: request %s came at %v while it was out since %v", a.ID, a.At, b.At))
+				broken = append(broken, fmt.Sprintf("duplicate: an attempt of request %s arrived at %v while the attempt of %v was in flight", a.ID, a.At, b.At))
 			}
 		}
 		earlier[a.ID] = append(earlier[a.ID], a)
@@ -140,8 +145,8 @@
 	return broken
 }
 
-// checkAnswers finds requests without their one answer in time, attempts for clients that are gone, and attempts that
-// were promised more time than their client has left.
+// checkAnswers finds requests without a correct answer in time, attempts that were sent after the client had gone, and
+// attempts whose budget exceeds the time that the client has left.
 func checkAnswers(o *Observations) (broken []string) {
 	attempts := map[string][]*Attempt{}
 	for _, a := range o.Attempts {
@@ -150,21 +155,21 @@
 	for _, r := range o.Requests {
 		for _, a := range attempts[r.ID] {
 			if r.ClientGone > 0 && a.At > r.ClientGone+invariants.ClientGoneGrace+clockTolerance {
-				broken = append(broken, fmt.Sprintf("lost: request %s was sent %v after its client was gone", r.ID, a.At-r.ClientGone))
+				broken = append(broken, fmt.Sprintf("lost: request %s was sent %v after its client had gone", r.ID, a.At-r.ClientGone))
 			}
 			if by := a.Budget - (r.Deadline - a.HeadRead) - invariants.BudgetSlack - clockTolerance; by > 0 {
-				broken = append(broken, fmt.Sprintf("budget: request %s of n%d gave server %d %v too much: begun %v, last byte written %v, head read by the server %v (the rig stalled for %v of that), handled %v, %v left",
+				broken = append(broken, fmt.Sprintf("budget: request %s of n%d gave server %d %v too much: begun %v, last byte written %v, head read by the server %v (soak process stalled for %v in between), handled %v, budget %v",
 					r.ID, r.Node, a.Server, by, r.At, r.Written, a.HeadRead, o.stalledIn(r.Written, a.HeadRead), a.At, a.Budget))
 			}
 		}
 		if e := classifyEnd(o, r, len(attempts[r.ID]) > 0); e.fault != "" {
-			broken = append(broken, fmt.Sprintf("lost: request %s of %v at n%d: %s (%s)", r.ID, r.At, r.Node, e.fault, r.Err))
+			broken = append(broken, fmt.Sprintf("lost: request %s, sent at %v to n%d: %s (%s)", r.ID, r.At, r.Node, e.fault, r.Err))
 		}
 	}
 	return broken
 }
 
-// checkService says whether the nodes serve once all faults are over.
+// checkService finds that the nodes serve too few requests after all faults.
 func checkService(p Plan, o *Observations) []string {
 	requests, served := 0, 0
 	for _, r := range o.Requests {
@@ -177,7 +182,7 @@
 		}
 	}
 	if requests > 0 && float64(served) < minServedRatio*float64(requests) {
-		return []string{fmt.Sprintf("service: %d of %d served after all faults", served, requests)}
+		return []string{fmt.Sprintf("service: %d of %d requests served after all faults", served, requests)}
 	}
 	return nil
 }
