--- a/cmd/hookwalk/soak_test.go
+++ b/cmd/hookwalk/soak_test.go
@@ -54,12 +54,14 @@
 // Guards against this failure: discovery recovers for a second between two outages. Nodes treated both as one outage, and sent
 // to a draining server.
 func TestRecoveryBetweenOutagesEndsRenewals(t *testing.T) {
-	playSoak(t, soak.ReturnBetweenOutages())
+	playSoak(t, soak.RecoveryBetweenOutages())
 }
 
 // Guards against this failure: nodes that start while discovery is overloaded treated its late rejections as an outage, and
 // sent to a draining server.
-func TestRestartWhileDiscoveryIsOverloaded(t *testing.T) { playSoak(t, soak.RestartWhileCrowded()) }
+func TestRestartWhileDiscoveryIsOverloaded(t *testing.T) {
+	playSoak(t, soak.RestartWhileDiscoveryOverloaded())
+}
 
 // playSoak runs a plan, and fails the test if a rule was broken.
 func playSoak(t *testing.T, plan soak.Plan) {
--- a/internal/lab/checker/request.go
+++ b/internal/lab/checker/request.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// RequestAccepted is a request that a node has read to its end.
+// RequestAccepted records that a node has read a complete request.
 func (c *Checker) RequestAccepted(now time.Duration, node, id string, class int, deadline time.Duration) {
 	n := c.nodes[node]
 	if n == nil {
 		return
 	}
 	if n.requests[id] != nil {
-		c.report(OneAnswer, now, node, id, "", "accepted twice under one id")
+		c.report(OneAnswer, now, node, id, "", "accepted twice under the same ID")
 		return
 	}
 	n.requests[id] = &request{class: class, acceptedAt: now, deadline: deadline}
 }
 
-// RequestAnswered is a final answer.
-func (c *Checker) RequestAnswered(now time.Duration, node, id string, how Answer) {
+// RequestAnswered records the final answer to a request.
+func (c *Checker) RequestAnswered(now time.Duration, node, id string, answer Answer) {
 	n, r := c.find(node, id)
 	switch {
 	case n == nil:
 		return
 	case r == nil:
-		c.report(OneAnswer, now, node, id, "", "answered though nothing is open under this id")
+		c.report(OneAnswer, now, node, id, "", "answered although no request with this ID is open")
 		return
 	case r.answered:
 		c.report(OneAnswer, now, node, id, "", "answered a second time")
@@ -32,26 +32,26 @@
 	if now > r.deadline+c.rules.Slack && !r.clientGone && !r.excused {
 		c.report(InTime, now, node, id, "", "answered %.0f ms after its deadline", (now-r.deadline).Seconds()*1000)
 	}
-	if how == Served && r.executions == 0 {
-		c.report(GenuineAnswer, now, node, id, "", "served though no server has run it")
+	if answer == Served && r.executions == 0 {
+		c.report(GenuineAnswer, now, node, id, "", "served although no server has executed it")
 	}
-	if how == Rejected && c.nonIdempotent(r) {
+	if answer == Rejected && c.nonIdempotent(r) {
 		c.checkRejection(now, node, id, r)
 	}
-	c.forgetIfOver(now, n, id, r)
+	c.forgetIfComplete(now, n, id, r)
 }
 
-// checkRejection checks that a rejected request that must not run twice has not run: its client will retry it.
+// checkRejection checks that a rejected non-idempotent request was not executed, because its client will retry it.
 func (c *Checker) checkRejection(now time.Duration, node, id string, r *request) {
 	for _, t := range r.attempts {
 		if !t.neverRan {
-			c.report(SafeRejection, now, node, id, t.server, "rejected though it may have run there")
+			c.report(SafeRejection, now, node, id, t.server, "rejected although it may have run there")
 			return
 		}
 	}
 }
 
-// ConnectionDropped is an accepted request whose connection the node has ended without a complete answer.
+// ConnectionDropped records that the node ended the connection of an accepted request without a complete answer.
 func (c *Checker) ConnectionDropped(now time.Duration, node, id string) {
 	n, r := c.find(node, id)
 	if r == nil || r.answered {
@@ -61,18 +61,18 @@
 		c.report(NothingLost, now, node, id, "", "its connection ended without an answer")
 	}
 	r.answered, r.answeredAt = true, now
-	c.forgetIfOver(now, n, id, r)
+	c.forgetIfComplete(now, n, id, r)
 }
 
-// ClientGone is a client that has left: nothing is owed to it.
+// ClientGone records that a client has left: its request needs no answer.
 func (c *Checker) ClientGone(now time.Duration, node, id string) {
 	if n, r := c.find(node, id); r != nil {
 		r.clientGone, r.answered, r.answeredAt = true, true, now
-		c.forgetIfOver(now, n, id, r)
+		c.forgetIfComplete(now, n, id, r)
 	}
 }
 
-// answeredRequest is a request that has been answered and waits to be forgotten.
+// answeredRequest is an answered request that is kept until ObservationLag has passed.
 type answeredRequest struct {
 	at      time.Duration
 	node    *node
@@ -80,8 +80,9 @@
 	request *request
 }
 
-// forgetIfOver drops a request of which nothing more can come. With an observation lag that is only known after the lag.
-func (c *Checker) forgetIfOver(now time.Duration, n *node, id string, r *request) {
+// forgetIfComplete drops a request about which no further events are expected. With an observation lag this is known only
+// after the lag.
+func (c *Checker) forgetIfComplete(now time.Duration, n *node, id string, r *request) {
 	for len(c.answeredRequests) > 0 && now > c.answeredRequests[0].at+c.ObservationLag {
 		c.answeredRequests[0].forget()
 		c.answeredRequests = c.answeredRequests[1:]
@@ -96,10 +97,10 @@
 	}
 }
 
-// forget drops the request unless an attempt is out. One that was sent again stays: the run of an attempt that was said
-// never to have run may still show.
+// forget drops the request unless an attempt is in flight. A request with several attempts is kept: a server may still
+// report that it executed an attempt whose outcome said that it never ran.
 func (a answeredRequest) forget() {
-	if r := a.request; r.answered && r.attemptsOut == 0 && len(r.attempts) < 2 && a.node.requests[a.id] == r {
+	if r := a.request; r.answered && r.attemptsInFlight == 0 && len(r.attempts) < 2 && a.node.requests[a.id] == r {
 		delete(a.node.requests, a.id)
 	}
 }
--- a/internal/lab/soak/discoveryqueue.go
+++ b/internal/lab/soak/discoveryqueue.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// awaitTurn has a call wait as the faults have it. It returns false if the call has its answer, or if its client is gone. A
-// call that waits for its turn as an outage begins is reset, as watches are.
+// awaitTurn blocks a call for as long as the active faults require. It returns false if it has rejected the call or the
+// client is gone. A call that waits for its turn when an outage begins is reset, like a watch.
 func (d *discovery) awaitTurn(w http.ResponseWriter, r *http.Request) bool {
-	outageBegins, back := d.awaitReturn(r)
-	if !back {
+	outageBegins, available := d.awaitOutageEnd(r)
+	if !available {
 		reject(w)
 		return false
 	}
@@ -27,12 +27,12 @@
 	return !rejected
 }
 
-// reject answers a call that has waited in vain.
+// reject answers a call that could not be handled in time.
 func reject(w http.ResponseWriter) { http.Error(w, "too busy", http.StatusServiceUnavailable) }
 
-// awaitReturn holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime, or its
-// client is gone; else a channel that is closed as the next such outage begins.
-func (d *discovery) awaitReturn(r *http.Request) (outageBegins <-chan struct{}, back bool) {
+// awaitOutageEnd holds a call while an outage holds calls. It returns false if the call has waited for maxQueueTime or its
+// client is gone; otherwise it returns true and a channel that is closed when the next such outage begins.
+func (d *discovery) awaitOutageEnd(r *http.Request) (outageBegins <-chan struct{}, available bool) {
 	timeout := time.After(maxQueueTime)
 	for {
 		d.mu.Lock()
@@ -51,13 +51,13 @@
 	}
 }
 
-// queueTime is how long a call that arrives now waits, and whether it is rejected after that.
+// queueTime returns how long a call that arrives now waits, and whether it is rejected after that.
 func (d *discovery) queueTime() (wait time.Duration, rejected bool) {
 	if f, slow := d.faults.find(DiscoverySlow); slow {
 		wait = f.Wait
 	}
-	f, crowded := d.faults.find(DiscoveryCrowd)
-	if !crowded {
+	f, delayedRejection := d.faults.find(DiscoveryDelayedRejection)
+	if !delayedRejection {
 		var overloaded bool
 		if f, overloaded = d.faults.find(DiscoveryOverload); !overloaded {
 			return wait, false
@@ -67,24 +67,24 @@
 	switch {
 	case !rejected:
 		return wait + queued, false
-	case crowded:
+	case delayedRejection:
 		return maxQueueTime, true
 	}
 	return 0, true
 }
 
-// enqueue puts a call that takes a service time behind the calls so far, and returns when it is handled from now on; a
-// call whose turn is too far off is rejected.
+// enqueue adds a call with a service time to the queue and returns the time until it is handled. A call that arrives while
+// the queue is longer than maxQueueTime is rejected.
 func (d *discovery) enqueue(serviceTime time.Duration) (wait time.Duration, rejected bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.queueFree.Before(now) {
-		d.queueFree = now
+	if d.queueFreeAt.Before(now) {
+		d.queueFreeAt = now
 	}
-	if d.queueFree.Sub(now) > maxQueueTime {
+	if d.queueFreeAt.Sub(now) > maxQueueTime {
 		return 0, true
 	}
-	d.queueFree = d.queueFree.Add(serviceTime)
-	return min(d.queueFree.Sub(now), maxQueueTime), false
+	d.queueFreeAt = d.queueFreeAt.Add(serviceTime)
+	return min(d.queueFreeAt.Sub(now), maxQueueTime), false
 }
