--- a/internal/lab/sites/sites.go
+++ b/internal/lab/sites/sites.go
@@ -1,6 +1,6 @@
-// Package sites is an installation of three sites whose nodes are processes of the program, each pair joined by a link of
-// its own for streams and packets, on which faults are injected. It knows the program by its settings, its configuration
-// and the answer of its admin API; what must hold is up to its callers.
+// Package sites runs an installation of three sites whose nodes are processes of the program. Each pair of nodes can be
+// joined by a separate link for streams and packets, on which faults are injected. The package depends only on the
+// program's settings, its configuration and the responses of its admin API. The callers define the conditions to check.
 package sites
 
 import (
@@ -23,51 +23,51 @@
 	"hookwalk.example/hookwalk/internal/lab/link"
 )
 
-// Names are the names of the sites: a root and two below it.
+// Names lists the sites: a root and its two children.
 var Names = []string{"dc", "okanagan", "similkameen"}
 
-// Options say what an installation is made of.
+// Options configures an installation.
 type Options struct {
-	Program      []string // `run --settings FILE` is added to it
+	Program      []string // command line, to which `run --settings FILE` is appended
 	Env          []string // NAME=VALUE, added to the environment
-	Dir          string   // for settings, the key and the nodes' folders
+	Dir          string   // holds the settings, the key and the nodes' folders
 	NodesPerSite int
-	Links        bool                              // each pair has a link; else nodes reach each other directly
-	Config       func(name, control string) string // text of a node's configuration file, from its name and admin address
+	Links        bool                              // each pair has a link; otherwise nodes connect directly
+	Config       func(name, control string) string // returns a node's configuration file for its name and admin address
 }
 
-// Installation is one that runs. Its methods are called from one goroutine.
+// Installation is a running installation. Its methods must be called from one goroutine.
 type Installation struct {
 	Nodes []*Node
 
 	options Options
-	ports   int // first port of a block of its own (see link.ClaimPorts)
+	ports   int // first port of the claimed block (see link.ClaimPorts)
 	release func()
 	links   map[nodePair]*link.PeerLink
 }
 
-// nodePair are the names of a node and of one that it calls.
+// nodePair holds the names of a calling node and of the node that it calls.
 type nodePair struct{ caller, called string }
 
-// Node is one of its nodes, over all of its incarnations.
+// Node is a node of an installation, across all of its incarnations.
 type Node struct {
 	Name    string
 	Site    string
-	Folder  string // of the node's state
+	Folder  string // holds the node's state
 	Control string // address of its admin API
 
-	listen   string // address of its peers' calls and packets
+	listen   string // address for calls and packets from its peers
 	config   string // its configuration file
 	settings string // its settings file
 	cmd      *exec.Cmd
 	ended    chan struct{} // closed when the process has ended
-	log      *logBuffer    // of the present process
+	log      *logBuffer    // stderr of the current process
 }
 
-// aliveState is what the admin API calls an alive member.
+// aliveState is the admin API's state of an alive member.
 const aliveState = "here"
 
-// View is the part of a node's answer that the rig reads.
+// View is the part of a node's /control/sites response that the lab reads.
 type View struct {
 	Self string `json:"Self"`
 	Me   struct {
@@ -81,7 +81,7 @@
 	Failed uint64 `json:"Failed"`
 }
 
-// Alive counts the members that are alive, the node among them.
+// Alive returns the number of alive members, including the node itself.
 func (v View) Alive() int {
 	n := 1
 	for _, m := range v.Members {
@@ -92,7 +92,7 @@
 	return n
 }
 
-// State is the state of a member as the node sees it, "" if the node does not know it.
+// State returns the node's view of a member's state, or "" if the node does not know the member.
 func (v View) State(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -102,35 +102,35 @@
 	return ""
 }
 
-// logBuffer is what a process has written so far. Its methods may be called from any goroutine.
+// logBuffer collects the output of a process. It is safe for concurrent use.
 type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (s *logBuffer) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.b.Write(p)
+func (b *logBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(p)
 }
 
-func (s *logBuffer) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.b.String()
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
 }
 
-// nodePortOffset is where the nodes' ports begin in the block: links have none from there on (see link.ForNode).
+// nodePortOffset is the offset of the nodes' ports in the block. Links use only ports below it (see link.ForNode).
 const nodePortOffset = 3000
 
-// portsPerNode is how many ports a node has: for its peers and for its admin API.
+// portsPerNode is the number of ports of a node: one for its peers and one for its admin API.
 const portsPerNode = 2
 
-// clusterKey is the key that all nodes share; it protects nothing but a test.
+// clusterKey is the key that all nodes share. It is used only in tests.
 const clusterKey = "0123456789abcdef"
 
-// Start starts an installation. It returns when all processes are started, not when they have met. Close must follow, also
-// after an error.
+// Start starts an installation. It returns when all processes have been started, before the nodes have discovered each
+// other. The caller must call Close, even after an error.
 func Start(ctx context.Context, o Options) (in *Installation, err error) {
 	in = &Installation{options: o, links: map[nodePair]*link.PeerLink{}}
 	if in.ports, in.release, err = link.ClaimPorts(ctx); err != nil {
@@ -157,7 +157,7 @@
 	return in, nil
 }
 
-// newNode is the next node, with its addresses.
+// newNode returns the next node, with its addresses assigned.
 func (in *Installation) newNode(name, site string) *Node {
 	port := in.ports + nodePortOffset + portsPerNode*len(in.Nodes)
 	return &Node{Name: name, Site: site, Folder: filepath.Join(in.options.Dir, name),
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// settingsFormat is a node's settings file; the arguments are its site, its peers' address, two seeds, the key file, its
-// folder, and the links by which it reaches the others.
+// settingsFormat is the format of a node's settings file. The arguments are its site, its listen address for peers, two
+// seeds, the key file, its folder, and the links through which it reaches the other nodes.
 const settingsFormat = `site "dc" {}
 site "okanagan" { parent = "dc" }
 site "similkameen" { parent = "dc" }
@@ -193,7 +193,7 @@
 }
 `
 
-// writeSettings writes each node's settings and configuration.
+// writeSettings writes each node's settings and configuration and creates its folder.
 func (in *Installation) writeSettings() error {
 	key := filepath.Join(in.options.Dir, "key")
 	if err := os.WriteFile(key, []byte(base64.StdEncoding.EncodeToString([]byte(clusterKey))+"\n"), 0o600); err != nil {
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// settingsOf is the text of a node's settings file. The seeds are the first node of the root and of the site below it.
+// settingsOf returns the text of a node's settings file. The seeds are the first nodes of the root and of its first child.
 func (in *Installation) settingsOf(n *Node, keyFile string) string {
 	var via []string
 	for _, called := range in.Nodes {
@@ -225,7 +225,7 @@
 		keyFile, n.Folder, strings.Join(via, ", "))
 }
 
-// StartNode starts a node's process. A node that runs must end first.
+// StartNode starts a node's process. A previous process of the node must have ended.
 func (in *Installation) StartNode(n *Node) error {
 	n.cmd = exec.Command(in.options.Program[0], append(slices.Clone(in.options.Program[1:]), "run", "--settings", n.settings)...)
 	n.cmd.Env = append(os.Environ(), append(slices.Clone(in.options.Env), "ROUTER_CONFIG="+n.config, "TMPDIR="+n.Folder)...)
@@ -238,7 +238,7 @@
 	cmd, ended := n.cmd, n.ended
 	go func() {
 		defer close(ended)
-		cmd.Wait() // its log tells how it ended
+		cmd.Wait() // the process's log shows how it ended
 	}()
 	return nil
 }
@@ -249,16 +249,16 @@
 // Wait waits for a node's process to end.
 func (n *Node) Wait() { <-n.ended }
 
-// Log is what the present process has written.
+// Log returns what the current process has written to stderr.
 func (n *Node) Log() string { return n.log.String() }
 
 // Kill ends a node's process with SIGKILL.
 func (n *Node) Kill() {
-	n.Signal(syscall.SIGKILL) // an error means that it has ended already
+	n.Signal(syscall.SIGKILL) // an error means that the process has already ended
 	<-n.ended
 }
 
-// WipeFolder empties a node's folder, as after the loss of its disk.
+// WipeFolder empties a node's folder, to simulate the loss of its disk.
 func (n *Node) WipeFolder() error {
 	return errors.Join(os.RemoveAll(n.Folder), os.Mkdir(n.Folder, 0o700))
 }
@@ -270,15 +270,15 @@
 			n.Kill()
 		}
 	}
-	for _, w := range in.links {
-		w.Close()
+	for _, l := range in.links {
+		l.Close()
 	}
 	if in.release != nil {
 		in.release()
 	}
 }
 
-// View asks a node for its view; ok is false if it does not answer.
+// View requests a node's view of the installation. ok is false if the node does not respond.
 func (n *Node) View() (v View, ok bool) {
 	client := http.Client{Timeout: viewTimeout}
 	resp, err := client.Get("http://" + n.Control + "/control/sites")
@@ -289,15 +289,15 @@
 	return v, resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(&v) == nil
 }
 
-// Waits for nodes.
+// Timing of view polls.
 const (
-	pollInterval = 20 * time.Millisecond // between two looks at a node's view
-	waitTimeout  = time.Minute           // for all nodes together; no bound on speed, only on a broken rig
-	viewTimeout  = time.Second           // of one answer: a stopped node gives none
+	pollInterval = 20 * time.Millisecond // between two polls of a node's view
+	waitTimeout  = time.Minute           // for all nodes together; long enough that only a broken installation exceeds it
+	viewTimeout  = time.Second           // of one poll: a stopped node does not respond
 )
 
-// WaitUntil polls some nodes until each has had a view for which holds is true, and returns how long that took. It fails
-// after a minute; the error has the node's log.
+// WaitUntil polls the given nodes until each has returned a view for which holds is true, and returns how long that took.
+// It fails after a minute; the error contains the node's log.
 func (in *Installation) WaitUntil(nodes []*Node, holds func(View) bool) (time.Duration, error) {
 	begin := time.Now()
 	tick := time.NewTicker(pollInterval)
@@ -305,7 +305,7 @@
 	for _, n := range nodes {
 		for v, ok := n.View(); !ok || !holds(v); v, ok = n.View() {
 			if time.Since(begin) > waitTimeout {
-				return 0, fmt.Errorf("%s does not after %v: %+v\n%s", n.Name, waitTimeout, v, n.Log())
+				return 0, fmt.Errorf("node %s does not meet the condition after %v: view %+v\n%s", n.Name, waitTimeout, v, n.Log())
 			}
 			<-tick.C
 		}
@@ -313,36 +313,36 @@
 	return time.Since(begin), nil
 }
 
-// Others are all nodes but some.
+// Others returns all nodes except the excluded ones.
 func (in *Installation) Others(excluded ...*Node) []*Node {
 	return slices.DeleteFunc(slices.Clone(in.Nodes), func(n *Node) bool { return slices.Contains(excluded, n) })
 }
 
-// InSite are the nodes of a site.
+// InSite returns the nodes of a site.
 func (in *Installation) InSite(site string) []*Node {
 	return slices.DeleteFunc(slices.Clone(in.Nodes), func(n *Node) bool { return n.Site != site })
 }
 
-// SetPartitioned cuts the links from some nodes to others, or restores them. Only this direction is cut: what the others
-// send still arrives.
+// SetPartitioned cuts the links from one set of nodes to another, or restores them. Only this direction is cut: traffic in
+// the opposite direction still arrives.
 func (in *Installation) SetPartitioned(partitioned bool, from, to []*Node) error {
 	return in.forEachLink(from, to, func(l *link.PeerLink) error { return l.SetPartitioned(partitioned) })
 }
 
-// SetAnswersStalled holds back what a node answers on the streams of some nodes, or lets it arrive again.
+// SetAnswersStalled holds back a node's responses on the streams of the given nodes, or releases them.
 func (in *Installation) SetAnswersStalled(stalled bool, from []*Node, to *Node) error {
 	fault := link.Fault{Stall: [2]bool{link.Downstream: stalled}}
 	return in.forEachLink(from, []*Node{to}, func(l *link.PeerLink) error { return l.Set(fault) })
 }
 
-// SetPacketFault changes what is wrong with all packets.
+// SetPacketFault sets the packet fault of all links.
 func (in *Installation) SetPacketFault(fault link.PacketFault) {
 	for _, l := range in.links {
 		l.SetPacketFault(fault)
 	}
 }
 
-// forEachLink changes the links from some nodes to others; it stops at the first error.
+// forEachLink applies change to each link from one set of nodes to another. It stops at the first error.
 func (in *Installation) forEachLink(from, to []*Node, change func(*link.PeerLink) error) error {
 	for _, caller := range from {
 		for _, called := range to {
