--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -41,7 +41,7 @@
 		if err := os.MkdirAll(f.path(i), 0o700); err != nil {
 			return nil, err
 		}
-		r.nodes.SetFolder(i, f.path(i), func(cmd *exec.Cmd) { f.processStarts(i, cmd) })
+		r.nodes.SetFolder(i, f.path(i), func(cmd *exec.Cmd) { f.onProcessStart(i, cmd) })
 	}
 	return f, nil
 }
@@ -49,8 +49,8 @@
 // path is a node's folder.
 func (f *folders) path(i int) string { return filepath.Join(f.dir, strconv.Itoa(i)) }
 
-// pastPath is where a node's folder is kept as it was at the beginning.
-func (f *folders) pastPath(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
+// snapshotPath is where a node's folder is kept as it was at the beginning.
+func (f *folders) snapshotPath(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
 
 // snapshot copies each folder as it is now, for a node that finds an old one.
 func (f *folders) snapshot() error {
@@ -58,7 +58,7 @@
 		return nil
 	}
 	for i := range f.rig.infos {
-		if err := replaceFiles(f.pastPath(i), f.path(i)); err != nil {
+		if err := replaceFiles(f.snapshotPath(i), f.path(i)); err != nil {
 			return err
 		}
 	}
@@ -88,17 +88,17 @@
 		f.missing[i] = state == scenario.FolderUnwritable
 		f.unwritable[i] = f.missing[i] || state == scenario.FolderFull
 		if state != "" && state != scenario.FolderKept && state != scenario.FolderFull {
-			f.rig.overrides.folderLost(i)
+			f.rig.overrides.forgetNode(i)
 		}
-		return changeFolder(state, f.path(i), f.pastPath(i), f.path((i+1)%len(f.rig.infos)), f.rng)
+		return changeFolder(state, f.path(i), f.snapshotPath(i), f.path((i+1)%len(f.rig.infos)), f.rng)
 	}
 }
 
-// processStarts makes the disk full for a process that is to have a full one: no file may grow. What it has written by then
+// onProcessStart makes the disk full for a process that is to have a full one: no file may grow. What it has written by then
 // stays.
-func (f *folders) processStarts(i int, cmd *exec.Cmd) {
-	f.rig.overrides.nodeStarts(i)
-	if f.cannotWrite(i) {
+func (f *folders) onProcessStart(i int, cmd *exec.Cmd) {
+	f.rig.overrides.recordInherited(i)
+	if f.isUnwritable(i) {
 		err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 0, Max: 0}, nil)
 		if err != nil {
 			f.rig.cancel(fmt.Errorf("a full disk: %w", err))
@@ -106,15 +106,15 @@
 	}
 }
 
-// cannotWrite says that a node's present incarnation can write nothing.
-func (f *folders) cannotWrite(i int) bool {
+// isUnwritable says that a node's present incarnation can write nothing.
+func (f *folders) isUnwritable(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unwritable[i]
 }
 
-// separated says that two processes of a node can't meet, as they have no folder.
-func (f *folders) separated(i int) bool {
+// folderMissing says that two processes of a node can't meet, as they have no folder.
+func (f *folders) folderMissing(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.missing[i]
--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -15,7 +15,7 @@
 )
 
 // What has become of a folder is what the scenario says, after whatever became of it before.
-func TestWhatBecomesOfAFolder(t *testing.T) {
+func TestChangeFolder(t *testing.T) {
 	type texts map[string]string
 	put := func(dir string, files texts) {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -62,7 +62,7 @@
 }
 
 // A worker that is stopped reads nothing. That must not hold up the rig, and the worker is ended nevertheless.
-func TestStoppedWorkerHoldsUpNobody(t *testing.T) {
+func TestStoppedWorkerDoesNotBlockTheRig(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/hunt.go
+++ b/internal/lab/fleet/hunt.go
@@ -24,11 +24,11 @@
 	// recoveredShare is the share of the offered value that must be earned in that time.
 	recoveredShare = 0.8
 
-	// maxStagings is how often a schedule is played where the machine is too slow for it, or the play can't be staged.
-	maxStagings = 3
+	// maxPlayTries is how often a schedule is played where the machine is too slow for it, or the play can't be staged.
+	maxPlayTries = 3
 
-	// smallerPlays is how often a smaller schedule is played: on sockets it may need luck to show what the larger one does.
-	smallerPlays = 2
+	// shrinkPlays is how often a smaller schedule is played: on sockets it may need luck to show what the larger one does.
+	shrinkPlays = 2
 )
 
 // Hunt plays a world again and again, each time with several faults at once drawn from a seed. It keeps the schedules that
@@ -77,11 +77,11 @@
 		workers.Go(func() {
 			for seed := range seeds {
 				finding, err := h.playSeed(ctx, seed)
-				h.note(ctx, state, seed, finding, err)
+				h.recordOutcome(ctx, state, seed, finding, err)
 			}
 		})
 	}
-	for n := 0; n < h.Seeds && !state.over(ctx); n++ {
+	for n := 0; n < h.Seeds && !state.stopped(ctx); n++ {
 		seeds <- h.FirstSeed + uint64(n)
 	}
 	close(seeds)
@@ -89,13 +89,13 @@
 	return state.found, state.err
 }
 
-// note notes what came of a seed. One that can't be staged is left out.
-func (h *Hunt) note(ctx context.Context, state *huntState, seed uint64, finding *Finding, err error) {
+// recordOutcome notes what came of a seed. One that can't be staged is left out.
+func (h *Hunt) recordOutcome(ctx context.Context, state *huntState, seed uint64, finding *Finding, err error) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	var unstaged *StageError
+	var stageErr *StageError
 	switch {
-	case errors.As(err, &unstaged) && ctx.Err() == nil:
+	case errors.As(err, &stageErr) && ctx.Err() == nil:
 		h.Logf("seed %d: not played: %v\n", seed, err)
 		return
 	case err == nil:
@@ -108,8 +108,8 @@
 	}
 }
 
-// over says that no more seeds are to be played.
-func (state *huntState) over(ctx context.Context) bool {
+// stopped says that no more seeds are to be played.
+func (state *huntState) stopped(ctx context.Context) bool {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return state.err != nil || ctx.Err() != nil
@@ -141,7 +141,7 @@
 	for i := 0; i < len(faults) && len(faults) > 1; {
 		smaller := slices.Delete(slices.Clone(faults), i, i+1)
 		shown := ""
-		for range smallerPlays {
+		for range shrinkPlays {
 			var err error
 			if shown, err = h.verdict(ctx, seed, smaller); err != nil {
 				return nil, "", err
@@ -165,7 +165,7 @@
 	s := *h.World
 	s.Seed, s.Faults = seed, faults
 	var unstaged *StageError
-	for range maxStagings {
+	for range maxPlayTries {
 		p, err := h.play(ctx, &s)
 		if errors.As(err, &unstaged) && ctx.Err() == nil {
 			h.Logf("seed %d: staged again: %v\n", seed, err)
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -35,7 +35,7 @@
 
 // A schedule that was found must play again from its file: each drawn one depends only on its seed, is over before the end,
 // can be played, and reads back from a file as it is.
-func TestDrawnSchedulesPlayAgain(t *testing.T) {
+func TestDrawnSchedulesReplayFromTheirFiles(t *testing.T) {
 	s := load(t, "w.hcl", world)
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
--- a/internal/lab/fleet/linkfaults.go
+++ b/internal/lab/fleet/linkfaults.go
@@ -18,7 +18,7 @@
 	fault  model.ProcessFault
 	links  []*networkLink
 	faults []link.Fault
-	heal   func(reset bool) // nil: it has not begun
+	remove func(reset bool) // nil: it has not begun
 }
 
 // linkFault returns what begins a fault of links and what ends it.
@@ -110,13 +110,13 @@
 	for name := range l.mutedNodes() {
 		l.rig.nodes.Record(blackbox.Event{Kind: blackbox.WatchMuted, Node: name})
 	}
-	l.heal = l.rig.network.addFault(l.links, l.faults)
+	l.remove = l.rig.network.addFault(l.links, l.faults)
 	return nil
 }
 
 // end takes the faults away, by a reset of the links or so that what they held arrives.
 func (l *linkFault) end() error {
-	if l.heal == nil {
+	if l.remove == nil {
 		return nil
 	}
 	reset := l.fault.Recovery == scenario.RecoveryReset
@@ -129,7 +129,7 @@
 	for name, n := range l.mutedNodes() {
 		stillOpen[name] = !reset && n.HasLiveClient()
 	}
-	l.heal(reset)
+	l.remove(reset)
 	l.recordHeld(blackbox.LinkReleased, blackbox.ClientsUnmuted)
 	for name, open := range stillOpen {
 		l.rig.nodes.Record(blackbox.Event{Kind: blackbox.WatchUnmuted, Node: name, Ready: open})
--- a/internal/lab/fleet/lists.go
+++ b/internal/lab/fleet/lists.go
@@ -33,7 +33,7 @@
 	tiers []loopback.EndpointList
 }
 
-func newLists(r *rig) *endpointLists {
+func newEndpointLists(r *rig) *endpointLists {
 	return &endpointLists{rig: r, discoveryAddrs: map[string]string{}, dialAddresses: map[string]map[string]string{}, revisions: map[listKey]int{}}
 }
 
@@ -71,7 +71,7 @@
 	l.revisions[key]++
 	revision := l.revisions[key]
 	l.mu.Unlock()
-	l.rig.goOwned(func() {
+	l.rig.spawn(func() {
 		if l.rig.nodes.Sleep(m.Delay) {
 			l.set(m, key, revision)
 		}
--- a/internal/lab/fleet/messages.go
+++ b/internal/lab/fleet/messages.go
@@ -19,7 +19,7 @@
 	case loopback.OpServerStart:
 		r.serverListens(id, m.Addr)
 	case loopback.OpStartNode:
-		r.goOwned(func() { r.startHosted(w, m, id) })
+		r.spawn(func() { r.startHosted(w, m, id) })
 	case loopback.OpClientsDone:
 		close(r.clientsDone)
 	default:
@@ -74,9 +74,9 @@
 func (r *rig) killHosted(id string) {
 	for i, info := range r.infos {
 		if info.HostID == id && info.IngressIndex < 0 {
-			r.endings[i].Add(1)
+			r.terminations[i].Add(1)
 			r.network.refuse(nodeAt(info.Base), true)
-			r.goOwned(func() { r.nodes.Kill(i) })
+			r.spawn(func() { r.nodes.Kill(i) })
 		}
 	}
 }
--- a/internal/lab/fleet/overrides.go
+++ b/internal/lab/fleet/overrides.go
@@ -31,7 +31,7 @@
 	callAll := func(disable bool) error {
 		for i, info := range r.infos {
 			if info.Tier == tier {
-				r.goOwned(func() { r.overrides.call(i, ids[index], disable) })
+				r.spawn(func() { r.overrides.call(i, ids[index], disable) })
 			}
 		}
 		return nil
@@ -49,7 +49,7 @@
 	action := "/offline"
 	if !disable {
 		action = "/online"
-		o.enabled(i, id)
+		o.recordEnabled(i, id)
 	}
 	client := http.Client{Timeout: adminCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Post("http://"+addr+"/control/servers/"+url.PathEscape(id)+action, "", nil)
@@ -60,27 +60,27 @@
 	switch {
 	case !disable:
 	case resp.StatusCode == http.StatusOK:
-		o.confirmed(i, id, incarnation)
+		o.recordDisabled(i, id, incarnation)
 	case resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusNotFound:
 		o.rig.cancel(errors.New("an operator is answered " + resp.Status))
 	}
 }
 
-// confirmed notes that an incarnation of a node has confirmed that a server is disabled.
-func (o *overrides) confirmed(i int, id, incarnation string) {
+// recordDisabled notes that an incarnation of a node has recordDisabled that a server is disabled.
+func (o *overrides) recordDisabled(i int, id, incarnation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if now, _ := o.rig.nodes.AdminAddr(i); now != incarnation { // it has been killed since
 		return
 	}
-	if !o.rig.folders.cannotWrite(i) && !slices.Contains(o.disabled[i], id) { // otherwise it ends with this incarnation
+	if !o.rig.folders.isUnwritable(i) && !slices.Contains(o.disabled[i], id) { // otherwise it ends with this incarnation
 		o.disabled[i] = append(o.disabled[i], id)
 	}
 	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id})
 }
 
-// enabled notes that a node may use a server again, before it is called.
-func (o *overrides) enabled(i int, id string) {
+// recordEnabled notes that a node may use a server again, before it is called.
+func (o *overrides) recordEnabled(i int, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if n := slices.Index(o.disabled[i], id); n >= 0 {
@@ -90,8 +90,8 @@
 	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id, Ready: true})
 }
 
-// nodeStarts notes what a node's next incarnation owes of what operators disabled at the one before.
-func (o *overrides) nodeStarts(i int) {
+// recordInherited notes what a node's next incarnation owes of what operators disabled at the one before.
+func (o *overrides) recordInherited(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	incarnation, _ := o.rig.nodes.Incarnation(i)
@@ -100,8 +100,8 @@
 	}
 }
 
-// folderLost forgets what was in a node's folder.
-func (o *overrides) folderLost(i int) {
+// forgetNode forgets what was in a node's folder.
+func (o *overrides) forgetNode(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.disabled, i)
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -25,8 +25,8 @@
 	startLead = 100 * time.Millisecond
 )
 
-// errClientsHang is a play whose clients do not end.
-var errClientsHang = errors.New("the clients do not end")
+// errClientsTimeout is a play whose clients do not end.
+var errClientsTimeout = errors.New("the clients do not end")
 
 // Result is what came of a play.
 type Result struct {
@@ -108,8 +108,8 @@
 	r.sendPlay()
 	stop := make(chan struct{})
 	defer close(stop)
-	r.goOwned(func() { loopback.WatchLateness(stop, func(late time.Duration) { r.lateness.Store(int64(late)) }) })
-	r.goOwned(func() { r.perform(schedule, result) })
+	r.spawn(func() { loopback.WatchLateness(stop, func(late time.Duration) { r.lateness.Store(int64(late)) }) })
+	r.spawn(func() { r.perform(schedule, result) })
 	timeout := time.NewTimer(r.scenario.Length + 2*model.LongestDeadline(r.scenario) + workerTimeout)
 	defer timeout.Stop()
 	select {
@@ -117,7 +117,7 @@
 	case <-r.ctx.Done():
 		return context.Cause(r.ctx)
 	case <-timeout.C:
-		return errClientsHang
+		return errClientsTimeout
 	}
 	r.nodes.Sleep(model.LongestDeadline(r.scenario) / 2) // calls of lower tiers may outlive their clients
 	result.Lateness = time.Duration(r.lateness.Load())
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -69,7 +69,7 @@
 	i := f.Targets[0]
 	begin = func() error {
 		if r.nodes.SetStopped(i, true) {
-			r.goOwned(func() {
+			r.spawn(func() {
 				if r.nodes.Sleep(min(r.scenario.Ingress.FailureDetection, f.Duration)) && r.nodes.Now() < f.To {
 					r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i})
 				}
@@ -124,15 +124,15 @@
 	if r.terminating[i].Load() { // nobody replaces a process that was told to end: it would end twice
 		return
 	}
-	endings := r.endings[i].Load()
-	if r.folders.separated(i) { // then a successor can't know what operators said
+	endings := r.terminations[i].Load()
+	if r.folders.folderMissing(i) { // then a successor can't know what operators said
 		ids, _ := r.nodes.ServerIDs(r.infos[i].Tier)
 		for _, id := range ids {
-			r.overrides.enabled(i, id)
+			r.overrides.recordEnabled(i, id)
 		}
 	}
-	r.goOwned(func() {
-		if err := r.nodes.Replace(r.ctx, i); err != nil && r.endings[i].Load() == endings && !r.terminating[i].Load() {
+	r.spawn(func() {
+		if err := r.nodes.Replace(r.ctx, i); err != nil && r.terminations[i].Load() == endings && !r.terminating[i].Load() {
 			r.cancel(fmt.Errorf("upgrade: %w", err))
 		}
 	})
@@ -165,7 +165,7 @@
 	if w.activeFaults--; w.activeFaults > 0 {
 		return
 	}
-	r.goOwned(func() {
+	r.spawn(func() {
 		if _, err := w.start(loopback.Message{Down: true, StartTick: r.startTick, StartWall: r.startWall.UnixNano()}); err != nil {
 			r.cancel(err)
 			return
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -110,7 +110,7 @@
 	serverPeaks, handshakePeaks, discoveryPeaks     []float64
 	startTimes                                      []float64
 	violations                                      int
-	neverFull                                       int // plays without full service
+	withoutFullService                              int // plays without full service
 }
 
 // add adds the figures of one play.
@@ -143,7 +143,7 @@
 	if took, lost, ok := FullService(timeline, TimelineOf(s, baseline.Events), first); ok {
 		row.fullService, row.lost = append(row.fullService, took.Seconds()), append(row.lost, lost)
 	} else {
-		row.neverFull++
+		row.withoutFullService++
 	}
 }
 
@@ -159,8 +159,8 @@
 		without = fmt.Sprintf("%.4f", TimelineOf(s, baseline.Events).Share())
 	}
 	full := formatSpread("%.1f", row.fullService)
-	if row.neverFull > 0 {
-		full += fmt.Sprintf("; %d of %d not within the play", row.neverFull, len(plays))
+	if row.withoutFullService > 0 {
+		full += fmt.Sprintf("; %d of %d not within the play", row.withoutFullService, len(plays))
 	}
 	fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s | %d | %s |\n", s.Name, formatSpread("%.4f", row.shares), without, full,
 		formatSpread("%.2f", row.lost), formatSpread("%.3f", row.rejections), formatSpread("%.1f", row.serverPeaks), formatSpread("%.1f", row.handshakePeaks),
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -71,8 +71,8 @@
 	folders   *folders   // of nodes that take admin calls; nil: there is one for all
 	overrides *overrides // nil: nodes take no admin calls
 
-	endings     []atomic.Int64 // of each node so far: kills and orders to terminate
-	terminating []atomic.Bool  // nodes that were told to terminate
+	terminations []atomic.Int64 // of each node so far: kills and orders to terminate
+	terminating  []atomic.Bool  // nodes that were told to terminate
 
 	startTick    time.Duration // of the play, on the monotonic clock
 	startWall    time.Time
@@ -87,8 +87,8 @@
 	discoveryAddrs map[string]string // by node
 }
 
-// goOwned runs something on a goroutine that the rig waits for at its end.
-func (r *rig) goOwned(f func()) { r.nodes.Go(f) }
+// spawn runs something on a goroutine that the rig waits for at its end.
+func (r *rig) spawn(f func()) { r.nodes.Go(f) }
 
 // startRig brings a fleet up: all processes run, all nodes are ready, no client has come yet. shutDown must follow, also
 // after an error.
@@ -152,7 +152,7 @@
 
 // prepareNodes makes the nodes, their folders and their builds; none runs yet.
 func (r *rig) prepareNodes() (err error) {
-	r.network, r.lists = &network{ports: r.portBlock}, newLists(r)
+	r.network, r.lists = &network{ports: r.portBlock}, newEndpointLists(r)
 	r.nodes, err = loopback.NewNodes(r.ctx, r.scenario, loopback.Options{
 		Program:       r.options.Program,
 		Env:           append(slices.Clone(r.options.Env), "TMPDIR="+r.dir),
@@ -160,7 +160,7 @@
 		Ports:         r.portBlock,
 		StartCommand:  r.startCommand,
 		Dir:           r.dir,
-		OnIncarnation: r.nodeBegins,
+		OnIncarnation: r.announceIncarnation,
 	}, r.lists)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	if r.infos = r.nodes.Infos(); len(r.infos) > MaxNodes {
 		return fmt.Errorf("%s needs %d node processes, at most %d are started", r.scenario.Name, len(r.infos), MaxNodes)
 	}
-	r.endings, r.terminating = make([]atomic.Int64, len(r.infos)), make([]atomic.Bool, len(r.infos))
+	r.terminations, r.terminating = make([]atomic.Int64, len(r.infos)), make([]atomic.Bool, len(r.infos))
 	r.chooseBuilds()
 	if r.scenario.Fleet.AdminCalls {
 		r.overrides = &overrides{rig: r, disabled: map[int][]string{}}
@@ -258,16 +258,16 @@
 	return first
 }
 
-// nodeBegins tells discovery whom it will speak to: a node calls before it is ready.
-func (r *rig) nodeBegins(base, name string) {
+// announceIncarnation tells discovery whom it will speak to: a node calls before it is ready.
+func (r *rig) announceIncarnation(base, name string) {
 	r.discovery.send(loopback.Message{Operation: loopback.OpNodeIncarnation, Node: base, Name: name})
 }
 
 // startNode begins a node's next incarnation and tells all who must know.
 func (r *rig) startNode(i int) error {
-	endings := r.endings[i].Load()
+	endings := r.terminations[i].Load()
 	if err := r.nodes.Start(r.ctx, i, r.folders.betweenIncarnations(i)); err != nil {
-		if r.endings[i].Load() != endings {
+		if r.terminations[i].Load() != endings {
 			return errKilled
 		}
 		return err
--- a/internal/lab/fleet/schedule.go
+++ b/internal/lab/fleet/schedule.go
@@ -11,8 +11,8 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// errDiscoveryMoves is a scenario that only virtual time and sockets can play.
-var errDiscoveryMoves = errors.New("discovery does not move in a fleet")
+// errDiscoveryMoveUnsupported is a scenario that only virtual time and sockets can play.
+var errDiscoveryMoveUnsupported = errors.New("discovery does not move in a fleet")
 
 // action is one thing that the rig does at a time.
 type action struct {
@@ -72,9 +72,9 @@
 	case model.NodeTerminate:
 		r.terminateNode(c)
 	case model.NodeStart:
-		r.goOwned(func() { r.restartNode(c.Index, result) })
+		r.spawn(func() { r.restartNode(c.Index, result) })
 	case model.DiscoveryMove:
-		return errDiscoveryMoves
+		return errDiscoveryMoveUnsupported
 	case model.DiscoveryDown, model.DiscoveryUp:
 		r.network.refuse(linkEnd{discoveryEnd, ""}, c.Kind == model.DiscoveryDown)
 		r.discovery.send(m)
@@ -93,10 +93,10 @@
 
 // killNode kills an ingress node, which the ingress notices after a while.
 func (r *rig) killNode(c model.Change) {
-	r.endings[c.Index].Add(1)
+	r.terminations[c.Index].Add(1)
 	r.folders.setNext(c.Index, c.Folder)
 	r.network.refuse(nodeAt(r.infos[c.Index].Base), true)
-	r.goOwned(func() {
+	r.spawn(func() {
 		r.nodes.Kill(c.Index)
 		if r.nodes.Sleep(r.scenario.Ingress.FailureDetection) && !r.nodes.Running(c.Index) {
 			r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: c.Index})
@@ -108,7 +108,7 @@
 // even know the signal yet: that counts as an ending too.
 func (r *rig) terminateNode(c model.Change) {
 	r.terminating[c.Index].Store(true)
-	r.endings[c.Index].Add(1)
+	r.terminations[c.Index].Add(1)
 	r.folders.setNext(c.Index, c.Folder)
 	r.nodes.Stop(c.Index, func() {
 		if r.nodes.Sleep(model.IngressDrainDelay) {
--- a/internal/lab/fleet/timeline_test.go
+++ b/internal/lab/fleet/timeline_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// timelineServing is a timeline of 20 s in which each second offers 10 and earns so much.
-func timelineServing(got func(second int) float64) (c Timeline) {
+// newTimeline is a timeline of 20 s in which each second offers 10 and earns so much.
+func newTimeline(got func(second int) float64) (c Timeline) {
 	for i := range 201 {
 		c.Offered, c.Earned = append(c.Offered, 1), append(c.Earned, got(i/10))
 	}
@@ -20,7 +20,7 @@
 
 // Full service counts from when it stays full: a dip soon after belongs to the same outage, one much later does not.
 func TestTimeToFullService(t *testing.T) {
-	baseline := timelineServing(func(int) float64 { return 1 })
+	baseline := newTimeline(func(int) float64 { return 1 })
 	for name, tc := range map[string]struct {
 		got  func(int) float64
 		took time.Duration
@@ -36,7 +36,7 @@
 		"never whole again": {func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s >= 5] }, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			took, lost, ok := FullService(timelineServing(tc.got), baseline, 5*time.Second)
+			took, lost, ok := FullService(newTimeline(tc.got), baseline, 5*time.Second)
 			if ok != tc.ok || ok && (took != tc.took || lost < tc.lost-0.03 || lost > tc.lost+0.03) {
 				t.Errorf("%v, %.2f lost, %v", took, lost, ok)
 			}
@@ -44,7 +44,7 @@
 	}
 	// A baseline that serves half of a second asks no more than that.
 	half := func(s int) float64 { return map[bool]float64{true: 0.5, false: 1}[s == 5] }
-	if took, _, ok := FullService(timelineServing(half), timelineServing(half), 5*time.Second); !ok || took != 0 {
+	if took, _, ok := FullService(newTimeline(half), newTimeline(half), 5*time.Second); !ok || took != 0 {
 		t.Errorf("as without the fault: %v, %v", took, ok)
 	}
 }
@@ -85,7 +85,7 @@
 }
 
 // A report shows of a play its value second by second, its faults, and when service was full again, or that it never was.
-func TestCellsForReports(t *testing.T) {
+func TestCells(t *testing.T) {
 	s := &scenario.Scenario{Length: 20 * time.Second, Classes: []scenario.Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second}},
 		Faults: []scenario.Fault{{Kind: "kill", At: 4 * time.Second, Duration: 2 * time.Second, Spread: time.Second}}}
 	played := func(from, to int) *Result { // bad from a tenth of a second to another
--- a/internal/lab/fleet/violator_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -35,9 +35,9 @@
 	os.Exit(0)
 }
 
-// playJudged plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: it is played
+// playUntilReliable plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: it is played
 // again then.
-func playJudged(t *testing.T, fault string, s *scenario.Scenario) *Result {
+func playUntilReliable(t *testing.T, fault string, s *scenario.Scenario) *Result {
 	t.Helper()
 	for range 3 {
 		p, err := Play(t.Context(), s, Options{Program: []string{os.Args[0]}, Env: []string{violator.FaultVariable + "=" + fault}})
@@ -97,7 +97,7 @@
 		played[s.Faults[0].Kind] = true
 		t.Run(s.Faults[0].Kind, func(t *testing.T) {
 			t.Parallel()
-			broken := playJudged(t, tc.fault, s).Violations
+			broken := playUntilReliable(t, tc.fault, s).Violations
 			if !slices.ContainsFunc(broken, func(v checker.Violation) bool { return v.Rule == tc.want }) {
 				t.Errorf("%q is not among the %d rules broken: %v", tc.want, len(broken), broken[:min(3, len(broken))])
 			}
@@ -112,7 +112,7 @@
 
 // A server that an operator disabled must stay disabled over a crash of the node: the next incarnation owes it as far as its
 // folder was kept, and no further.
-func TestOverridesOutliveAProcess(t *testing.T) {
+func TestOverridesPersistAcrossCrash(t *testing.T) {
 	for folder, owed := range map[string]bool{"kept": true, "full": true, "emptied": false, "old": false} {
 		s := load(t, "hand.hcl", `scenario "hand" { length_s = 3 }
 tier "t" { kind "k" { count = 3 } }
@@ -125,7 +125,7 @@
 `)
 		t.Run(folder, func(t *testing.T) {
 			t.Parallel()
-			broken := playJudged(t, violator.ForgetOverrides, s).Violations
+			broken := playUntilReliable(t, violator.ForgetOverrides, s).Violations
 			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.AdminOverride || v.At < time.Second }); other >= 0 {
 				t.Errorf("also broken: %v", broken[other])
 			}
@@ -139,7 +139,7 @@
 // Two faults that have one process of servers down at a time must start it once, after the later one, or two processes hold
 // the same servers. A fault that ends with the play leaves no process behind: Play waits for all of them.
 func TestOverlappingServerKills(t *testing.T) {
-	p := playJudged(t, violator.EarlyExit, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
+	p := playUntilReliable(t, violator.EarlyExit, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
 tier "t" { kind "k" { count = 2 } }
 class "c" { effect = "safe" }
 clients { rate = 10 retries = 0 }
