--- a/internal/lab/fleet/drawfault.go
+++ b/internal/lab/fleet/drawfault.go
@@ -11,37 +11,38 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// Bounds of drawn schedules. Times are multiples of an eighth of a second, which a file shows as they are.
+// Bounds of drawn schedules. Times are multiples of an eighth of a second, which a file represents exactly.
 const (
-	minFaults       = 2    // of a schedule
-	extraFaults     = 4    // at most one less is added
-	drawnSteps      = 8    // of a second
-	firstFaultAt    = 1.0  // seconds from the start, so that there is a time without faults before
-	lastFaultMargin = 2.0  // seconds before the fault-free end at which the last fault begins
-	minFaultSeconds = 0.2  // shortest duration drawn
-	maxFaultSeconds = 3.0  // longest duration drawn
-	spreadSteps     = 3    // spreads drawn: none, one or two eighths of a second
-	minDelayMS      = 5    // of a slow link
-	delayRangeMS    = 60   // added to it, at most one less
-	maxBreakBytes   = 2000 // before a connection breaks
-	milderMagnitude = 1.5  // of faults that hit everything at once
+	minFaults       = 2    // minimum number of faults in a schedule
+	extraFaults     = 4    // exclusive upper bound of the number of faults beyond minFaults
+	drawnSteps      = 8    // time steps per second
+	firstFaultAt    = 1.0  // seconds from the start, so that a fault-free time precedes it
+	lastFaultMargin = 2.0  // seconds between the latest begin of a fault and the fault-free tail
+	minFaultSeconds = 0.2  // minimum duration
+	maxFaultSeconds = 3.0  // maximum duration
+	spreadSteps     = 3    // number of possible spreads: 0, 1 or 2 steps
+	minDelayMS      = 5    // minimum delay of a slow link
+	delayRangeMS    = 60   // exclusive upper bound of the addition to minDelayMS
+	maxBreakBytes   = 2000 // maximum number of bytes before a connection breaks
+	milderMagnitude = 1.5  // for faults that affect all clients or servers at once
 )
 
-// drawnWorldFaults are the kinds that are drawn besides those between processes. Their order is part of a drawn schedule.
+// drawnWorldFaults lists the kinds that are drawn in addition to faults between processes. Their order determines the
+// schedule of a seed.
 var drawnWorldFaults = []string{scenario.FaultKill, scenario.FaultCrash, scenario.FaultDiscoveryDown, scenario.FaultRelease,
 	scenario.FaultNodeRestart, scenario.FaultSharedSlow, scenario.FaultOverload}
 
-// linkPairs are the targets and peers of drawn link faults.
+// linkPairs lists the targets and peers of drawn link faults.
 var linkPairs = [][2]string{
 	{scenario.TargetNodes, scenario.TargetServers}, {scenario.TargetNodes, scenario.TargetDiscovery}, {scenario.TargetNodes, scenario.TargetClients},
 	{scenario.TargetServers, scenario.TargetNodes}, {scenario.TargetDiscovery, scenario.TargetNodes},
 }
 
-// Draw draws a schedule from a seed: from two to five faults, all over well before the end.
+// Draw draws a schedule of two to five faults from a seed. All faults end before the fault-free tail.
 func Draw(s *scenario.Scenario, seed uint64) []scenario.Fault {
 	rng := model.Stream(seed, "hunt", 0)
 	kinds := slices.Concat(drawnWorldFaults, scenario.ProcessFaultKinds)
-	if !s.Fleet.AdminCalls { // then nodes have neither a folder of their own nor anyone who replaces them
+	if !s.Fleet.AdminCalls { // without admin calls, nodes share one folder and cannot be replaced or overridden
 		kinds = slices.DeleteFunc(kinds, func(kind string) bool {
 			return kind == scenario.FaultUpgrade || kind == scenario.FaultAdminOverride
 		})
@@ -53,12 +54,12 @@
 	return list
 }
 
-// drawTime draws a time between two numbers of seconds.
+// drawTime draws a time between two values in seconds, rounded down to a step and at least one step.
 func drawTime(rng *rand.Rand, from, to float64) time.Duration {
 	return max(1, time.Duration(drawnSteps*(from+rng.Float64()*(to-from)))) * time.Second / drawnSteps
 }
 
-// drawFault draws a fault of a kind. The order of its draws is part of every found schedule.
+// drawFault draws a fault of a kind. The order of its draws determines the schedule of every seed.
 func drawFault(s *scenario.Scenario, rng *rand.Rand, kind string) scenario.Fault {
 	last := (s.Length - faultFreeTail).Seconds()
 	f := scenario.Fault{
@@ -83,7 +84,7 @@
 	return f
 }
 
-// drawKind draws what only some kinds have.
+// drawKind draws the fields that only some kinds have.
 func drawKind(rng *rand.Rand, f *scenario.Fault) {
 	switch f.Kind {
 	case scenario.FaultStall:
@@ -99,7 +100,7 @@
 	}
 }
 
-// FaultText is a fault as a file has it.
+// FaultText returns a fault in the syntax of a scenario file.
 func FaultText(f scenario.Fault) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "trouble %q { at_s = %.3f length_s = %.3f part = %g tier = %q size = %g share = %g", f.Kind, f.At.Seconds(), f.Duration.Seconds(),
--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -17,23 +17,23 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// folders are the nodes' own $TMPDIR, in which they find again what they persisted, and what becomes of them between two
-// incarnations. With nil folders all nodes share one.
+// folders manages a separate $TMPDIR for each node, where its next incarnation finds the persisted state, and changes its
+// contents between incarnations. If it is nil, all nodes share one folder.
 type folders struct {
 	rig *rig
 	dir string
 
 	mu         sync.Mutex
-	next       map[int]string // by node: the state that its next incarnation finds; none: all as it was
-	unwritable map[int]bool   // nodes whose present incarnation can write nothing
-	missing    map[int]bool   // nodes without a folder, where not even two processes of one node can meet
+	next       map[int]string // by node: the folder state that its next incarnation finds; no entry: unchanged
+	unwritable map[int]bool   // nodes whose current incarnation cannot write files
+	missing    map[int]bool   // nodes without a folder, so that a successor cannot contact its predecessor
 	rng        *rand.Rand
 }
 
-// oldFolderAge is the age of an old folder's files.
+// oldFolderAge is the age of the files in an old folder.
 const oldFolderAge = time.Hour
 
-// newFolders makes a folder for each node. Their paths are short, for a socket is in them.
+// newFolders creates a folder for each node. The paths are short because they hold a socket, whose path length is limited.
 func newFolders(r *rig) (*folders, error) {
 	f := &folders{rig: r, dir: filepath.Join(r.dir, "t"), next: map[int]string{}, unwritable: map[int]bool{}, missing: map[int]bool{},
 		rng: model.Stream(r.scenario.Seed, "folders", 0)}
@@ -46,13 +46,13 @@
 	return f, nil
 }
 
-// path is a node's folder.
+// path returns a node's folder.
 func (f *folders) path(i int) string { return filepath.Join(f.dir, strconv.Itoa(i)) }
 
-// snapshotPath is where a node's folder is kept as it was at the beginning.
+// snapshotPath returns the folder with the snapshot of a node's folder.
 func (f *folders) snapshotPath(i int) string { return filepath.Join(f.dir, "past", strconv.Itoa(i)) }
 
-// snapshot copies each folder as it is now, for a node that finds an old one.
+// snapshot copies each node's folder, for nodes that are to find an old one later.
 func (f *folders) snapshot() error {
 	if f == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// setNext says in which state a node finds its folder at its next start.
+// setNext sets the state in which a node finds its folder at its next start.
 func (f *folders) setNext(i int, state string) {
 	if f == nil {
 		return
@@ -75,7 +75,7 @@
 	f.next[i] = state
 }
 
-// betweenIncarnations returns what happens to a node's folder between two incarnations.
+// betweenIncarnations returns a function that changes a node's folder between two incarnations.
 func (f *folders) betweenIncarnations(i int) func() error {
 	if f == nil {
 		return nil
@@ -94,33 +94,33 @@
 	}
 }
 
-// onProcessStart makes the disk full for a process that is to have a full one: no file may grow. What it has written by then
-// stays.
+// onProcessStart simulates a full disk for a process that is to have one: it sets the file size limit to 0, so that no file
+// can grow. What the process has written by then remains.
 func (f *folders) onProcessStart(i int, cmd *exec.Cmd) {
 	f.rig.overrides.recordInherited(i)
 	if f.isUnwritable(i) {
 		err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 0, Max: 0}, nil)
 		if err != nil {
-			f.rig.cancel(fmt.Errorf("a full disk: %w", err))
+			f.rig.cancel(fmt.Errorf("simulating a full disk for node %d: %w", i, err))
 		}
 	}
 }
 
-// isUnwritable says that a node's present incarnation can write nothing.
+// isUnwritable reports whether a node's current incarnation cannot write files.
 func (f *folders) isUnwritable(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unwritable[i]
 }
 
-// folderMissing says that two processes of a node can't meet, as they have no folder.
+// folderMissing reports whether a node has no folder, so that two of its processes cannot contact each other.
 func (f *folders) folderMissing(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.missing[i]
 }
 
-// changeFolder brings a node's folder into a state: past is what it was at the beginning, other is another node's.
+// changeFolder brings a node's folder into a state. past is the snapshot of the folder, and other is another node's folder.
 func changeFolder(state, dir, past, other string, rng *rand.Rand) error {
 	if info, err := os.Lstat(dir); err != nil || !info.IsDir() { // it was unwritable before
 		os.Remove(dir)
@@ -146,7 +146,7 @@
 		return eachFile(dir, func(path string, _ int64) error { return os.Chtimes(path, then, then) })
 	case scenario.FolderOther:
 		return swapFiles(dir, other)
-	case scenario.FolderUnwritable: // for every user: a file stands where the folder was
+	case scenario.FolderUnwritable: // a file in place of the folder: permissions would not stop root
 		if err := os.RemoveAll(dir); err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// eachFile does something with every plain file of a folder. Sockets are none, and a file that goes in between is skipped.
+// eachFile calls do for every regular file of a folder. It skips files that are removed in the meantime.
 func eachFile(dir string, do func(path string, size int64) error) error {
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// emptyFolder removes all that is in a folder.
+// emptyFolder removes the contents of a folder.
 func emptyFolder(dir string) error {
 	list, err := os.ReadDir(dir)
 	for _, e := range list {
@@ -184,7 +184,7 @@
 	return err
 }
 
-// replaceFiles replaces a folder's files by copies of another's.
+// replaceFiles replaces the contents of a folder with copies of another folder's files.
 func replaceFiles(dir, from string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -195,7 +195,8 @@
 	return eachFile(from, func(path string, _ int64) error { return copyFile(filepath.Join(dir, filepath.Base(path)), path) })
 }
 
-// swapFiles copies another node's files under the names of this one's, of the same kind by their extension.
+// swapFiles copies another node's files over this node's files with the same extension, or under their own names if there
+// are none.
 func swapFiles(dir, other string) error {
 	mine := map[string][]string{}
 	if err := eachFile(dir, func(path string, _ int64) error {
@@ -205,7 +206,7 @@
 		return err
 	}
 	if info, err := os.Lstat(other); err != nil || !info.IsDir() {
-		return nil // it has none now
+		return nil // the other node has no folder now
 	}
 	return eachFile(other, func(path string, _ int64) error {
 		to := mine[filepath.Ext(path)]
@@ -221,7 +222,6 @@
 	})
 }
 
-// copyFile copies a file.
 func copyFile(to, from string) error {
 	text, err := os.ReadFile(from)
 	if err != nil {
--- a/internal/lab/fleet/hunt.go
+++ b/internal/lab/fleet/hunt.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// faultFreeTail is how long before the end of a play its last fault is over.
+	// faultFreeTail is the time between the end of the last fault and the end of the play.
 	faultFreeTail = 6 * time.Second
 
-	// recoveryWindow is the time at the end of a play in which service must be back.
+	// recoveryWindow is the time at the end of a play during which service must have recovered.
 	recoveryWindow = 3 * time.Second
 
-	// recoveredShare is the share of the offered value that must be earned in that time.
+	// recoveredShare is the minimum share of the offered value that must be earned in recoveryWindow.
 	recoveredShare = 0.8
 
-	// maxPlayTries is how often a schedule is played where the machine is too slow for it, or the play can't be staged.
+	// maxPlayTries limits how often a schedule is played while the machine is too slow or the rig fails.
 	maxPlayTries = 3
 
-	// shrinkPlays is how often a smaller schedule is played: on sockets it may need luck to show what the larger one does.
+	// shrinkPlays is how often a smaller schedule is played: on real sockets, a failure may not reproduce in every play.
 	shrinkPlays = 2
 )
 
-// Hunt plays a world again and again, each time with several faults at once drawn from a seed. It keeps the schedules that
-// broke a rule or after which service did not come back, and leaves out of each what is not needed for that.
+// Hunt plays a scenario repeatedly, each time with several concurrent faults drawn from a seed. It keeps the schedules that
+// broke a rule or after which service did not recover, and removes from each the faults that the failure does not need.
 type Hunt struct {
-	World     *scenario.Scenario // its own faults are not played
+	World     *scenario.Scenario // scenario to play; its own faults are ignored
 	Seeds     int
 	FirstSeed uint64
-	Parallel  int    // plays side by side
-	Folder    string // for what is found
-	WorldFile string // the world's file, which found schedules build on
+	Parallel  int    // number of concurrent plays
+	Folder    string // receives the found schedules
+	WorldFile string // file of World, which found schedules use as their base
 	Options   Options
 	Logf      func(format string, args ...any)
-	Played    int // schedules that were played to their verdict
+	Played    int // number of seeds whose plays gave a verdict
 
-	play func(context.Context, *scenario.Scenario) (*Result, error) // in tests another than Play
+	play func(context.Context, *scenario.Scenario) (*Result, error) // replaced in tests; nil: Play
 }
 
-// Finding is a schedule that breaks a rule, or after which service does not come back.
+// Finding is a schedule that breaks a rule or after which service does not recover.
 type Finding struct {
 	Seed   uint64
 	Reason string
@@ -55,14 +55,14 @@
 	File   string
 }
 
-// huntState is what the workers of a hunt share.
+// huntState is the state that the workers of a hunt share.
 type huntState struct {
 	mu    sync.Mutex
 	found []Finding
-	err   error // the first one
+	err   error // the first error
 }
 
-// Run hunts and returns what it found, also beside an error.
+// Run plays all seeds and returns the findings. With an error it returns the findings so far.
 func (h *Hunt) Run(ctx context.Context) ([]Finding, error) {
 	if h.play == nil {
 		h.play = func(ctx context.Context, s *scenario.Scenario) (*Result, error) { return Play(ctx, s, h.Options) }
@@ -89,7 +89,7 @@
 	return state.found, state.err
 }
 
-// recordOutcome notes what came of a seed. One that can't be staged is left out.
+// recordOutcome records the result of a seed. A seed that the rig could not play is only logged.
 func (h *Hunt) recordOutcome(ctx context.Context, state *huntState, seed uint64, finding *Finding, err error) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -108,14 +108,14 @@
 	}
 }
 
-// stopped says that no more seeds are to be played.
+// stopped reports whether no more seeds are to be played.
 func (state *huntState) stopped(ctx context.Context) bool {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return state.err != nil || ctx.Err() != nil
 }
 
-// playSeed plays a seed's schedule, and makes what it shows smaller; nil: it shows nothing.
+// playSeed plays a seed's schedule and shrinks it if it fails. It returns nil if the schedule shows no failure.
 func (h *Hunt) playSeed(ctx context.Context, seed uint64) (*Finding, error) {
 	faults := Draw(h.World, seed)
 	reason, err := h.verdict(ctx, seed, faults)
@@ -123,20 +123,20 @@
 		return nil, err
 	}
 	if reason == "" {
-		h.Logf("seed %d: nothing\n", seed)
+		h.Logf("seed %d: no failure\n", seed)
 		return nil, nil
 	}
-	h.Logf("seed %d: %s, with %d troubles\n", seed, reason, len(faults))
+	h.Logf("seed %d: %s, with %d faults\n", seed, reason, len(faults))
 	faults, reason, err = h.shrink(ctx, seed, faults, reason)
 	if err != nil {
 		return nil, err
 	}
 	f := &Finding{Seed: seed, Reason: reason, Faults: faults, File: filepath.Join(h.Folder, fmt.Sprintf("found-%d.hcl", seed))}
-	h.Logf("seed %d: %s, with %d troubles at least: %s\n", seed, reason, len(faults), f.File)
+	h.Logf("seed %d: %s, reduced to %d faults: %s\n", seed, reason, len(faults), f.File)
 	return f, h.write(f)
 }
 
-// shrink leaves out fault after fault, as long as what is left shows the same.
+// shrink removes faults one at a time while the remaining schedule still shows the same failure.
 func (h *Hunt) shrink(ctx context.Context, seed uint64, faults []scenario.Fault, reason string) ([]scenario.Fault, string, error) {
 	for i := 0; i < len(faults) && len(faults) > 1; {
 		smaller := slices.Delete(slices.Clone(faults), i, i+1)
@@ -159,8 +159,8 @@
 	return faults, reason, nil
 }
 
-// verdict plays a schedule and returns what it shows; "": nothing. A play that the machine was too slow for, or that can't be
-// staged, is made again.
+// verdict plays a schedule and returns its failure, or "" if there is none. It repeats a play for which the machine was too
+// slow, or that the rig could not complete.
 func (h *Hunt) verdict(ctx context.Context, seed uint64, faults []scenario.Fault) (string, error) {
 	s := *h.World
 	s.Seed, s.Faults = seed, faults
@@ -168,7 +168,7 @@
 	for range maxPlayTries {
 		p, err := h.play(ctx, &s)
 		if errors.As(err, &unstaged) && ctx.Err() == nil {
-			h.Logf("seed %d: staged again: %v\n", seed, err)
+			h.Logf("seed %d: playing again: %v\n", seed, err)
 			continue
 		}
 		if err != nil {
@@ -176,7 +176,7 @@
 		}
 		unstaged = nil
 		if p.Folder != "" {
-			os.RemoveAll(p.Folder) // the schedule is what is kept
+			os.RemoveAll(p.Folder) // only the schedule is kept
 		}
 		if !p.Unreliable() {
 			return reasonOf(&s, p), nil
@@ -188,7 +188,7 @@
 	return "", nil
 }
 
-// reasonOf is what a play shows; "": nothing.
+// reasonOf returns the failure that a play shows, or "" if there is none.
 func reasonOf(s *scenario.Scenario, p *Result) string {
 	if len(p.Violations) > 0 {
 		return "breaks " + string(p.Violations[0].Rule)
@@ -199,12 +199,12 @@
 	return ""
 }
 
-// sameVerdict says that a smaller schedule shows what the larger one does.
+// sameVerdict reports whether two verdicts are failures of the same kind.
 func sameVerdict(a, b string) bool {
 	return a != "" && b != "" && strings.Fields(a)[0] == strings.Fields(b)[0]
 }
 
-// write writes a finding's schedule beside a copy of the world that it builds on.
+// write writes a finding's schedule, and a copy of its base scenario next to it.
 func (h *Hunt) write(f *Finding) error {
 	world, err := os.ReadFile(h.WorldFile)
 	if err != nil {
--- a/internal/lab/fleet/linkfaults.go
+++ b/internal/lab/fleet/linkfaults.go
@@ -9,19 +9,19 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// jitterDivisor is the part of a slow link's delay by which the delay varies.
+// jitterDivisor divides the delay of a slow link to give its jitter.
 const jitterDivisor = 4
 
-// linkFault is a fault of the links of a target: links[i] has faults[i] while it lasts.
+// linkFault is a fault on the links of a target: links[i] has faults[i] while the fault is active.
 type linkFault struct {
 	rig    *rig
 	fault  model.ProcessFault
 	links  []*networkLink
 	faults []link.Fault
-	remove func(reset bool) // nil: it has not begun
+	remove func(reset bool) // removes the fault; nil until the fault has begun
 }
 
-// linkFault returns what begins a fault of links and what ends it.
+// linkFault returns the functions that begin and end a link fault.
 func (r *rig) linkFault(f model.ProcessFault) (begin, end func() error, err error) {
 	l := &linkFault{rig: r, fault: f}
 	if err := l.findLinks(); err != nil {
@@ -33,11 +33,11 @@
 	return l.begin, l.end, nil
 }
 
-// findLinks finds the links of the target, and what is wrong with each.
+// findLinks determines the links of the target and the fault of each.
 func (l *linkFault) findLinks() error {
 	f := l.fault
 	if f.Kind == scenario.FaultBreakLink && f.Peer != scenario.TargetServers && f.Peer != scenario.TargetDiscovery {
-		return fmt.Errorf("%s: a break_link meets links to boxes or discovery, for only their callers can tell it from an answer", f.Position)
+		return fmt.Errorf("%s: a break_link must target links to boxes or discovery, because only their callers can distinguish it from an answer", f.Position)
 	}
 	peer := endKind(f.Peer)
 	if f.Peer == scenario.TargetAll {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// targetEnds are the ends of links that a fault hits.
+// targetEnds returns the link ends that a fault targets.
 func (r *rig) targetEnds(f model.ProcessFault) (ends []linkEnd) {
 	switch f.Target {
 	case scenario.TargetNodes:
@@ -70,8 +70,8 @@
 	return ends
 }
 
-// faultOf is what is wrong with a link of the target. far: the target is the side that is called, so that out of the target
-// is back on the link.
+// faultOf returns the fault of one link of the target. far means that the target is the called side of the link, so that
+// traffic out of the target is downstream on the link.
 func faultOf(f model.ProcessFault, far bool) (fault link.Fault) {
 	out, back := link.Upstream, link.Downstream
 	if far {
@@ -95,7 +95,7 @@
 	return fault
 }
 
-// reset resets the links once.
+// reset resets the connections of the links once.
 func (l *linkFault) reset() error {
 	for _, n := range l.links {
 		l.rig.recordReset(n)
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// begin makes the faults. Nodes that are kept from hearing discovery count as muted from before the fault until after it.
+// begin injects the faults. Nodes that do not receive discovery's updates are recorded as muted from before the fault until
+// after it.
 func (l *linkFault) begin() error {
 	l.recordHeld(blackbox.LinkHeld, blackbox.ClientsMuted)
 	for name := range l.mutedNodes() {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// end takes the faults away, by a reset of the links or so that what they held arrives.
+// end removes the faults. It either resets the links or lets the data that they held arrive.
 func (l *linkFault) end() error {
 	if l.remove == nil {
 		return nil
@@ -125,7 +126,7 @@
 			l.rig.recordReset(n)
 		}
 	}
-	stillOpen := map[string]bool{} // by node: its watch has held what discovery wrote
+	stillOpen := map[string]bool{} // by node: its watch is still open, and the link held what discovery wrote
 	for name, n := range l.mutedNodes() {
 		stillOpen[name] = !reset && n.HasLiveClient()
 	}
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// recordHeld records where links carry nothing, or carry something again: to servers, and to nodes.
+// recordHeld records an event for each stalled link: ofServer for links to servers, ofNode for links to nodes.
 func (l *linkFault) recordHeld(ofServer, ofNode blackbox.EventKind) {
 	for i, n := range l.links {
 		if s := l.faults[i].Stall; s[link.Upstream] || s[link.Downstream] {
@@ -148,7 +149,7 @@
 	}
 }
 
-// mutedNodes are the present incarnations of nodes that the fault keeps from hearing discovery, and the links in question.
+// mutedNodes returns the links on which the fault holds back discovery's updates, by the current incarnation of the node.
 func (l *linkFault) mutedNodes() map[string]*networkLink {
 	muted := map[string]*networkLink{}
 	for i, n := range l.links {
@@ -162,14 +163,14 @@
 	return muted
 }
 
-// recordReset records that connections of clients to a node are reset, if the link is one of those.
+// recordReset records that the connections of a node's clients are reset, if the link carries such connections.
 func (r *rig) recordReset(n *networkLink) {
 	r.recordLink(blackbox.ClientsReset, n, nodeEnd, clientEnd)
 	r.recordLink(blackbox.ClientsReset, n, nodeEnd, serverEnd)
 }
 
-// recordLink records an event of a link, if it goes from one kind of end to another: of a node in its present incarnation,
-// and of the server where that is the one that is called.
+// recordLink records an event for a link if its ends are of the given kinds. The event names the node's current incarnation
+// and, if the called end is a server, that server.
 func (r *rig) recordLink(event blackbox.EventKind, n *networkLink, to, from endKind) {
 	if n.to.kind != to || n.from.kind != from {
 		return
@@ -182,7 +183,7 @@
 	r.nodes.Record(e)
 }
 
-// incarnationOf is the present incarnation of a node's base name; "": there is no such node.
+// incarnationOf returns the current incarnation of the node with a base name, or "" if there is no such node.
 func (r *rig) incarnationOf(base string) string {
 	for n, info := range r.infos {
 		if info.Base == base {
--- a/internal/lab/fleet/lists.go
+++ b/internal/lab/fleet/lists.go
@@ -8,26 +8,26 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// versionLag is by how much a list that a node is given lags behind discovery's own version: of changes at one moment the
-// two may note another first, and a node must be notified of each.
+// versionLag is the number of versions by which a bootstrap list is behind the rig's copy. The rig and discovery may apply
+// simultaneous changes in different orders, and discovery must notify a node of each of them.
 const versionLag = 4
 
-// listKey is a server of a list.
+// listKey identifies a server in the lists.
 type listKey struct{ tier, index int }
 
-// endpointLists are what nodes are given at their start: a copy of what discovery lists, now and earlier.
+// endpointLists holds copies of discovery's current and earlier endpoint lists. Nodes start with one of them.
 type endpointLists struct {
 	rig            *rig
 	discoveryAddrs map[string]string            // by node
 	dialAddresses  map[string]map[string]string // by node and server
 
 	mu        sync.Mutex
-	tiers     []loopback.EndpointList // nil: not listed yet
-	revisions map[listKey]int         // of each server's state; an older one that is listed later is stale
+	tiers     []loopback.EndpointList // nil until initialize
+	revisions map[listKey]int         // of each server's state, to drop a delayed update that a newer one has replaced
 	snapshots []snapshot
 }
 
-// snapshot is the lists of all tiers from a time on.
+// snapshot holds the lists of all tiers that were valid from a time on.
 type snapshot struct {
 	at    time.Duration
 	tiers []loopback.EndpointList
@@ -37,7 +37,7 @@
 	return &endpointLists{rig: r, discoveryAddrs: map[string]string{}, dialAddresses: map[string]map[string]string{}, revisions: map[listKey]int{}}
 }
 
-// initialize lists all servers as they are at the start. The caller holds mu.
+// initialize creates the lists with all servers in their initial state. The caller holds mu.
 func (l *endpointLists) initialize() {
 	if l.tiers != nil {
 		return
@@ -53,7 +53,7 @@
 	l.saveSnapshot()
 }
 
-// saveSnapshot keeps the lists as they are now. The caller holds mu.
+// saveSnapshot stores a copy of the current lists. The caller holds mu.
 func (l *endpointLists) saveSnapshot() {
 	now := snapshot{at: l.rig.nodes.Now()}
 	for _, t := range l.tiers {
@@ -63,7 +63,7 @@
 	l.snapshots = append(l.snapshots, now)
 }
 
-// update notes what discovery will list after a while.
+// update applies a state change after the same delay as discovery.
 func (l *endpointLists) update(m loopback.Message) {
 	key := listKey{m.Tier, m.Index}
 	l.mu.Lock()
@@ -78,7 +78,7 @@
 	})
 }
 
-// set lists a state, unless a newer one has come.
+// set applies a state change unless a newer one has replaced it.
 func (l *endpointLists) set(m loopback.Message, key listKey, revision int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 // DiscoveryAddr implements loopback.ListProvider.
 func (l *endpointLists) DiscoveryAddr(base string) string { return l.discoveryAddrs[base] }
 
-// BootstrapList implements loopback.ListProvider: the list that a node starts with, as the scenario says.
+// BootstrapList implements loopback.ListProvider. It returns the list with which a node starts, as the scenario specifies.
 func (l *endpointLists) BootstrapList(base string, tier int) loopback.EndpointList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	return given
 }
 
-// listAt is a tier's list at a time, at the earliest that of the start. The caller holds mu.
+// listAt returns a tier's list at a time, or the initial list for an earlier time. The caller holds mu.
 func (l *endpointLists) listAt(tier int, at time.Duration) loopback.EndpointList {
 	list := l.snapshots[0].tiers[tier]
 	for _, s := range l.snapshots {
--- a/internal/lab/fleet/messages.go
+++ b/internal/lab/fleet/messages.go
@@ -7,7 +7,7 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// handleMessage is what a worker sends while it runs.
+// handleMessage handles a message that a worker sends while it runs.
 func (r *rig) handleMessage(w *worker, m loopback.Message) {
 	id := r.serverOf(m)
 	switch m.Operation {
@@ -23,11 +23,11 @@
 	case loopback.OpClientsDone:
 		close(r.clientsDone)
 	default:
-		r.cancel(fmt.Errorf("%s says %q", w.name, m.Operation))
+		r.cancel(fmt.Errorf("worker %s sent unexpected operation %q", w.name, m.Operation))
 	}
 }
 
-// serverOf is the ID of the server that a message is about; "": it is about none.
+// serverOf returns the ID of the server that a message concerns, or "" if it concerns none.
 func (r *rig) serverOf(m loopback.Message) string {
 	if m.Tier < 0 || m.Tier >= len(r.scenario.Tiers) {
 		return ""
@@ -39,7 +39,7 @@
 	return ids[m.Index]
 }
 
-// serverGone notes that nobody listens for a server any more.
+// serverGone records that a server no longer listens, and makes its links refuse connections.
 func (r *rig) serverGone(id string) {
 	r.network.refuse(serverAt(id), true)
 	r.mu.Lock()
@@ -47,7 +47,7 @@
 	delete(r.serverAddrs, id)
 }
 
-// serverListens notes where a server listens.
+// serverListens records a server's listen address and makes its links accept connections.
 func (r *rig) serverListens(id, addr string) {
 	r.mu.Lock()
 	r.serverAddrs[id] = addr
@@ -55,7 +55,7 @@
 	r.network.refuse(serverAt(id), false)
 }
 
-// startHosted starts the node beside a server, and then has the worker start the server.
+// startHosted starts the node on a server's machine, and then has the worker start the server.
 func (r *rig) startHosted(w *worker, m loopback.Message, id string) {
 	for i, info := range r.infos {
 		if info.HostID != id {
@@ -70,7 +70,7 @@
 	}
 }
 
-// killHosted ends the node beside a server, as it dies with it.
+// killHosted kills the node on a server's machine, because it dies with the server.
 func (r *rig) killHosted(id string) {
 	for i, info := range r.infos {
 		if info.HostID == id && info.IngressIndex < 0 {
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -8,14 +8,14 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// endKind is what stands at an end of a link.
+// endKind is the kind of process at an end of a link.
 type endKind string
 
-// Kinds of ends, as scenarios name them.
+// Kinds of link ends, with the names that scenarios use.
 const (
-	nodeEnd      endKind = scenario.TargetNodes     // a node
-	serverEnd    endKind = scenario.TargetServers   // a server
-	discoveryEnd endKind = scenario.TargetDiscovery // the service
+	nodeEnd      endKind = scenario.TargetNodes
+	serverEnd    endKind = scenario.TargetServers
+	discoveryEnd endKind = scenario.TargetDiscovery // the discovery service
 	clientEnd    endKind = scenario.TargetClients   // all clients
 	anyEnd       endKind = ""                       // matches every kind
 )
@@ -23,32 +23,32 @@
 // linkEnd is one end of a link.
 type linkEnd struct {
 	kind endKind
-	name string // of a node or server
+	name string // base name of a node or ID of a server; "" for the other kinds
 }
 
 func nodeAt(base string) linkEnd { return linkEnd{nodeEnd, base} }
 func serverAt(id string) linkEnd { return linkEnd{serverEnd, id} }
 
-// networkLink is a link and all that is wrong with it, by cause: causes come and go independently.
+// networkLink is a link with its active faults by cause. Causes are added and removed independently.
 type networkLink struct {
 	*link.Link
 	from, to   linkEnd
-	noListener bool // nobody listens at its far end
+	noListener bool // nothing listens at the called end
 	causes     map[int]link.Fault
 
-	setting sync.Mutex // one at a time, and each with the causes of that time
+	setting sync.Mutex // serializes apply, so that the last call sets the latest causes
 }
 
-// network has all links of a fleet.
+// network holds all links of a fleet.
 type network struct {
 	mu        sync.Mutex
 	links     []*networkLink
 	lastCause int
 
-	ports int // the rig's block
+	ports int // first port of the rig's block
 }
 
-// open adds a link. where is the address of its far end, asked for with each connection.
+// open adds a link. where returns the address of the called end and is called for each connection.
 func (w *network) open(from, to linkEnd, where func() string) (addr string, err error) {
 	l, err := link.Open(w.ports, where)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return l.Addr(), nil
 }
 
-// addr is where a node is reached by whoever calls it.
+// addr returns the address of the link to a node, or "" if there is none.
 func (w *network) addr(base string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// refuse has new connections to an end refused, as where nobody listens, or ends that.
+// refuse sets whether the links to an end refuse new connections, as if nothing listened there.
 func (w *network) refuse(to linkEnd, refused bool) {
 	var changed []*networkLink
 	w.mu.Lock()
@@ -88,8 +88,8 @@
 	}
 }
 
-// apply sets the sum of a link's causes. A link that has just been closed needs none. A link takes a moment to be muted: the
-// lock over all links is not held during that.
+// apply sets the combined fault of a link's causes. It ignores the error of a link that has just been closed. Stalling a link
+// takes a moment, during which the lock over all links is not held.
 func (w *network) apply(l *networkLink) {
 	l.setting.Lock()
 	defer l.setting.Unlock()
@@ -99,7 +99,7 @@
 	l.Set(sum)
 }
 
-// sumOfCauses is all that is wrong with a link. The caller holds the network's lock.
+// sumOfCauses returns the combined fault of all causes of a link. The caller holds the network's lock.
 func (l *networkLink) sumOfCauses() link.Fault {
 	sum := link.Fault{Refuse: l.noListener}
 	for _, f := range l.causes {
@@ -120,7 +120,7 @@
 	return sum
 }
 
-// linksOf are the links between an end and all ends of a kind, and of each whether the end is its far side.
+// linksOf returns the links between an end and all ends of a kind, and for each whether e is its called end.
 func (w *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, far []bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,7 +135,7 @@
 	return list, far
 }
 
-// addFault adds a cause to links and returns what takes it away again.
+// addFault adds a fault to each link under a new cause and returns a function that removes it.
 func (w *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
 	w.mu.Lock()
 	w.lastCause++
@@ -152,7 +152,7 @@
 	}
 }
 
-// changeEach changes the causes of links and applies them, of all links at once.
+// changeEach changes the causes of each link and applies them, concurrently for all links.
 func (w *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
 	forEach(len(links), func(i int) error {
 		w.mu.Lock()
@@ -174,7 +174,7 @@
 	})
 }
 
-// connectAll opens a link for every pair that talks.
+// connectAll opens a link for every pair of processes that communicate.
 func (r *rig) connectAll() error {
 	for i, info := range r.infos {
 		if err := r.connectNode(i, info.Base, info.Tier); err != nil {
--- a/internal/lab/fleet/overrides.go
+++ b/internal/lab/fleet/overrides.go
@@ -12,19 +12,20 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// adminCallTimeout is how long an operator waits for an answer.
+// adminCallTimeout limits the time that an operator waits for a response.
 const adminCallTimeout = 2 * time.Second
 
-// overrides are the servers that operators have disabled at nodes: what a node has confirmed outlives its process, as far as
-// its folder does.
+// overrides tracks the servers that operators have disabled at nodes. An override that a node has confirmed must survive a
+// restart of its process if its folder does.
 type overrides struct {
 	rig *rig
 
 	mu       sync.Mutex
-	disabled map[int][]string // server IDs by node
+	disabled map[int][]string // confirmed server IDs, by node
 }
 
-// overrideFault has operators disable the server of a fault at each node that sends to it, and enable it again.
+// overrideFault returns functions with which operators disable the server of a fault at each node of its tier, and enable it
+// again.
 func (r *rig) overrideFault(f model.ProcessFault) (begin, end func() error) {
 	index, tier := f.Targets[0], f.Targets[1]
 	ids, _ := r.nodes.ServerIDs(tier)
@@ -39,8 +40,9 @@
 	return func() error { return callAll(true) }, func() error { return callAll(false) }
 }
 
-// call makes an operator's call at a node. Without an answer nothing is confirmed and nothing changes that is promised, but
-// for a server that is to be enabled: it may be.
+// call makes an operator's admin call to a node. If a call to disable a server gets no response, the node has confirmed
+// nothing and owes nothing. A call to enable a server counts from the moment it is sent, because the node may act on it even
+// if the response is lost.
 func (o *overrides) call(i int, id string, disable bool) {
 	incarnation, addr := o.rig.nodes.AdminAddr(i)
 	if addr == "" {
@@ -62,7 +64,7 @@
 	case resp.StatusCode == http.StatusOK:
 		o.recordDisabled(i, id, incarnation)
 	case resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusNotFound:
-		o.rig.cancel(errors.New("an operator is answered " + resp.Status))
+		o.rig.cancel(errors.New("unexpected response to an admin call: " + resp.Status))
 	}
 }
 
@@ -70,16 +72,16 @@
 func (o *overrides) recordDisabled(i int, id, incarnation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now, _ := o.rig.nodes.AdminAddr(i); now != incarnation { // it has been killed since
+	if now, _ := o.rig.nodes.AdminAddr(i); now != incarnation { // the confirming incarnation has been killed
 		return
 	}
-	if !o.rig.folders.isUnwritable(i) && !slices.Contains(o.disabled[i], id) { // otherwise it ends with this incarnation
+	if !o.rig.folders.isUnwritable(i) && !slices.Contains(o.disabled[i], id) { // an override that was not persisted ends with this incarnation
 		o.disabled[i] = append(o.disabled[i], id)
 	}
 	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id})
 }
 
-// recordEnabled notes that a node may use a server again, before it is called.
+// recordEnabled records that a node may use a server again. It is called before the admin call is sent.
 func (o *overrides) recordEnabled(i int, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,7 +92,7 @@
 	o.rig.nodes.Record(blackbox.Event{Kind: blackbox.EndpointOverridden, Node: incarnation, Server: id, Ready: true})
 }
 
-// recordInherited notes what a node's next incarnation owes of what operators disabled at the one before.
+// recordInherited records the overrides that a node's next incarnation must keep from its predecessors.
 func (o *overrides) recordInherited(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// forgetNode forgets what was in a node's folder.
+// forgetNode drops a node's overrides after the loss of its folder.
 func (o *overrides) forgetNode(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/fleet/peaks.go
+++ b/internal/lab/fleet/peaks.go
@@ -6,23 +6,24 @@
 	"hookwalk.example/hookwalk/internal/lab/blackbox"
 )
 
-// Names of peaks.
+// Names of peaks, as printed.
 const (
-	peakOneServer  = "requests at one box"     // the busiest
+	peakOneServer  = "requests at one box"     // at the busiest server
 	peakAllServers = "requests at all boxes"   // together
 	peakHandshakes = "handshakes at all boxes" // together
 	peakDiscovery  = "calls to discovery"      // polls and watches
 )
 
-// Peak is the most of something in one slice of time after a fault, and its ratio to the mean of a slice before.
+// Peak is the highest count of an event in one time slice after a fault, with its ratio to the mean count before the fault.
 type Peak struct {
 	Name  string
 	Max   int
-	Mean  float64 // of a slice before the fault
-	Ratio float64 // Max over Mean; 0: there was none before
+	Mean  float64 // per slice, before the fault
+	Ratio float64 // Max divided by Mean; 0 if Mean is 0
 }
 
-// Peaks counts what servers and discovery received, at the busiest server and at all together.
+// Peaks returns the peaks of the events that the servers and discovery received: requests at the busiest server and, over
+// all servers, requests, handshakes and calls to discovery.
 func Peaks(events []blackbox.Event, fault, length time.Duration) []Peak {
 	ofKind := func(kind blackbox.EventKind) func(blackbox.Event) (string, bool) {
 		return func(e blackbox.Event) (string, bool) { return "", e.Kind == kind }
@@ -36,7 +37,7 @@
 	}
 }
 
-// peakOf is the highest peak of some events, each group of them counted by itself.
+// peakOf returns the highest peak of the events that groupOf selects, with each group counted separately.
 func peakOf(name string, events []blackbox.Event, fault, length time.Duration, groupOf func(blackbox.Event) (string, bool)) Peak {
 	counts := map[string][]int{}
 	n := int(length/sliceLength) + 1
@@ -59,7 +60,7 @@
 	return highest
 }
 
-// peakAfter is the peak of one group, whose first slices are before the fault.
+// peakAfter returns the peak of one group. The first slices, before in number, precede the fault.
 func peakAfter(counts []int, before int) (p Peak) {
 	cut := min(before, len(counts))
 	sum := 0
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// MaxLateness is how late the rig itself may be. Beyond it what else is late may be the machine's doing, and nothing is
-	// judged.
+	// MaxLateness is the maximum delay of the rig itself. Beyond it, other delays may be caused by the machine, and the rules
+	// are not checked.
 	MaxLateness = 300 * time.Millisecond
 
-	// startLead is the time from the order to play to the first arrival: every process has it by then.
+	// startLead is the time from the OpPlay messages to the start of the play, so that every process has received its message.
 	startLead = 100 * time.Millisecond
 )
 
-// errClientsTimeout is a play whose clients do not end.
-var errClientsTimeout = errors.New("the clients do not end")
+// errClientsTimeout means that the clients did not finish in time.
+var errClientsTimeout = errors.New("the clients did not finish in time")
 
-// Result is what came of a play.
+// Result is the result of a play.
 type Result struct {
 	Events     []blackbox.Event
 	Violations []checker.Violation
-	Faults     []FaultRecord // as they were made
-	Lateness   time.Duration // the longest that the rig itself was late
-	Folder     string        // kept, where a rule was broken; "": removed
+	Faults     []FaultRecord // at the times at which they were injected
+	Lateness   time.Duration // maximum delay of the rig itself
+	Folder     string        // rig's folder, kept if a rule was broken; "": removed
 	Nodes      int
 	Workers    int
-	StartTimes []time.Duration // of nodes, from their start to ready, in the play
+	StartTimes []time.Duration // time to readiness of each node that was restarted during the play
 }
 
-// FaultRecord is when something was done.
+// FaultRecord is an action of the fault schedule and the time at which it was performed.
 type FaultRecord struct {
 	At          time.Duration
 	Description string
 }
 
-// Unreliable says that the machine was too slow for the play to show anything.
+// Unreliable reports whether the machine was too slow for the play to be checked.
 func (p *Result) Unreliable() bool { return p.Lateness > MaxLateness }
 
-// StageError says that a play could not be staged, or not to its end: by the rig or its machine, not by a rule.
+// StageError means that the rig or the machine failed before a play was complete. It says nothing about the rules.
 type StageError struct {
 	Err error
-	Dir string // with the logs of all processes
+	Dir string // contains the logs of all processes
 }
 
-// Error says what happened, and where the logs are.
+// Error returns the cause and the folder of the logs.
 func (e *StageError) Error() string {
-	return fmt.Sprintf("fleet: the play could not be staged: %v; logs in %s; play it again, with fewer rigs beside it", e.Err, e.Dir)
+	return fmt.Sprintf("fleet: the rig could not complete the play: %v; logs are in %s; retry with fewer concurrent rigs", e.Err, e.Dir)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *StageError) Unwrap() error { return e.Err }
 
 // Play plays a scenario once. An error is a *StageError unless ctx has ended.
@@ -69,7 +69,7 @@
 	result := &Result{}
 	if err == nil {
 		err = r.playAndCheck(result)
-		result.Nodes, result.Workers = len(r.infos), len(r.serverWorkers)+2 // and discovery and clients
+		result.Nodes, result.Workers = len(r.infos), len(r.serverWorkers)+2 // plus discovery and clients
 	}
 	keep := err != nil && ctx.Err() == nil || len(result.Violations) > 0
 	if keep {
@@ -85,7 +85,7 @@
 	return nil, &StageError{err, r.dir}
 }
 
-// playAndCheck plays the scenario and holds what was seen to the rules.
+// playAndCheck plays the scenario and checks the recorded history against the rules.
 func (r *rig) playAndCheck(result *Result) error {
 	schedule, err := r.schedule(result)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return r.check(result)
 }
 
-// play lets the clients come, does what the schedule says, and returns when all is answered.
+// play starts the clients, performs the schedule, and returns when the clients are done.
 func (r *rig) play(schedule []action, result *Result) error {
 	r.startWall = time.Now().Add(startLead)
 	r.startTick = loopback.Monotonic() + startLead
@@ -119,13 +119,13 @@
 	case <-timeout.C:
 		return errClientsTimeout
 	}
-	r.nodes.Sleep(model.LongestDeadline(r.scenario) / 2) // calls of lower tiers may outlive their clients
+	r.nodes.Sleep(model.LongestDeadline(r.scenario) / 2) // calls between tiers may outlast the clients' requests
 	result.Lateness = time.Duration(r.lateness.Load())
 	r.nodes.Record(blackbox.Event{Kind: blackbox.HistoryEnded})
 	return context.Cause(r.ctx)
 }
 
-// sendPlay tells all workers when the play begins.
+// sendPlay sends all workers the start time of the play.
 func (r *rig) sendPlay() {
 	m := loopback.Message{Operation: loopback.OpPlay, StartTick: r.startTick, StartWall: r.startWall.UnixNano()}
 	for _, w := range r.serverWorkers {
@@ -136,7 +136,7 @@
 	r.clients.send(m)
 }
 
-// check stops the workers, so that their histories are complete, and holds what they saw to the rules.
+// check stops the workers, so that their histories are complete, and checks the merged history against the rules.
 func (r *rig) check(result *Result) error {
 	r.stopWorkers()
 	if err := r.recorder.Err(); err != nil {
@@ -151,7 +151,7 @@
 		if e.Kind == blackbox.ProcessLate && !r.causedByStop(e) {
 			result.Lateness = max(result.Lateness, e.Duration)
 		}
-		if e.Kind == blackbox.HistoryEnded { // what a worker still recorded while it was ended does not count
+		if e.Kind == blackbox.HistoryEnded { // ignore events that workers recorded while they were being stopped
 			result.Events = events[:i+1]
 			break
 		}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// mergedHistory is the history of all processes.
+// mergedHistory returns the merged history of all processes.
 func (r *rig) mergedHistory() ([]blackbox.Event, error) {
 	r.mu.Lock()
 	histories := slices.Clone(r.histories)
@@ -179,7 +179,7 @@
 	return blackbox.Merge(readers...)
 }
 
-// causedByStop says that a process was late because the rig itself had stopped one.
+// causedByStop reports whether a process may have been late because the rig had stopped a process.
 func (r *rig) causedByStop(e blackbox.Event) bool {
 	for _, f := range r.scenario.Faults {
 		if f.Kind == scenario.FaultStall && e.At >= f.At && e.At-e.Duration <= f.At+f.Spread+f.Duration {
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -10,7 +10,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// processFault returns what begins a fault between processes and what ends it; end may be nil.
+// processFault returns the functions that begin and end a fault between processes; end may be nil.
 func (r *rig) processFault(f model.ProcessFault) (begin, end func() error, err error) {
 	switch f.Kind {
 	case scenario.FaultStall:
@@ -31,7 +31,7 @@
 	return begin, end, nil
 }
 
-// muteFault mutes the watches of a node at discovery.
+// muteFault returns functions that mute and unmute a node's watches at discovery.
 func (r *rig) muteFault(f model.ProcessFault) (begin, end func() error) {
 	base := r.infos[f.Targets[0]].Base
 	set := func(serving bool) func() error {
@@ -43,7 +43,7 @@
 	return set(false), set(true)
 }
 
-// stopFault stops processes where they are, and has them go on.
+// stopFault returns functions that stop processes with SIGSTOP and resume them.
 func (r *rig) stopFault(f model.ProcessFault) (begin, end func() error) {
 	switch f.Target {
 	case scenario.TargetNodes:
@@ -64,7 +64,8 @@
 		}
 }
 
-// stopNode stops an ingress node. The ingress notices after a while, and again when the node goes on.
+// stopNode returns functions that stop and resume an ingress node. The ingress detects the stop after its failure detection
+// time, and the resumption at once.
 func (r *rig) stopNode(f model.ProcessFault) (begin, end func() error) {
 	i := f.Targets[0]
 	begin = func() error {
@@ -78,7 +79,7 @@
 		return nil
 	}
 	end = func() error {
-		if r.nodes.SetStopped(i, false) && !r.terminating[i].Load() { // one that is about to end is not ready
+		if r.nodes.SetStopped(i, false) && !r.terminating[i].Load() { // a terminating node is not ready
 			r.clients.send(loopback.Message{Operation: loopback.OpNodeServing, Index: i, Serving: true})
 		}
 		return nil
@@ -86,8 +87,8 @@
 	return begin, end
 }
 
-// recordServers records an event of each server of a worker, and one of each node beside them: a server that is stopped is
-// also a client that does not read.
+// recordServers records an event for each server of a worker and one for each node on its machine, because a stopped server
+// is also a client that does not read.
 func (r *rig) recordServers(w *worker, ofServer, ofNode blackbox.EventKind) {
 	for _, id := range r.serverIDs(w) {
 		r.nodes.Record(blackbox.Event{Kind: ofServer, Server: id})
@@ -100,7 +101,7 @@
 	}
 }
 
-// workersOfTier are the processes that have a tier's servers.
+// workersOfTier returns the workers that run a tier's servers.
 func (r *rig) workersOfTier(tier string) (list []*worker) {
 	for _, w := range r.serverWorkers {
 		if r.scenario.Tiers[w.servers[0][0]].Name == tier {
@@ -110,7 +111,7 @@
 	return list
 }
 
-// serverIDs are the IDs of a worker's servers, in their order.
+// serverIDs returns the IDs of a worker's servers, in the order of w.servers.
 func (r *rig) serverIDs(w *worker) (list []string) {
 	for _, at := range w.servers {
 		ids, _ := r.nodes.ServerIDs(at[0])
@@ -119,13 +120,13 @@
 	return list
 }
 
-// replaceNode has a node's process replaced by its successor, both side by side for a while.
+// replaceNode replaces a node's process with its successor. Both run concurrently during the handover.
 func (r *rig) replaceNode(i int) {
-	if r.terminating[i].Load() { // nobody replaces a process that was told to end: it would end twice
+	if r.terminating[i].Load() { // a process that has been asked to terminate is not replaced: it would be ended twice
 		return
 	}
 	endings := r.terminations[i].Load()
-	if r.folders.folderMissing(i) { // then a successor can't know what operators said
+	if r.folders.folderMissing(i) { // the successor cannot learn the administrative overrides
 		ids, _ := r.nodes.ServerIDs(r.infos[i].Tier)
 		for _, id := range ids {
 			r.overrides.recordEnabled(i, id)
@@ -138,8 +139,8 @@
 	})
 }
 
-// killServers ends a process of servers as a machine dies, with the nodes beside them. folder is what those find of their
-// folders. Where several faults have the process down, only the first ends it.
+// killServers kills a process of servers and the nodes on their machine, as in a machine failure. folder is the state in
+// which those nodes find their folders. If several faults keep the process down, only the first kills it.
 func (r *rig) killServers(w *worker, folder string) {
 	if w.activeFaults++; w.activeFaults > 1 {
 		return
@@ -159,8 +160,8 @@
 	}
 }
 
-// restartServers starts them again, each once its node is ready. Where several faults have the process down, only the last
-// starts it.
+// restartServers restarts a process of servers, each server once its node is ready. If several faults keep the process down,
+// only the end of the last one restarts it.
 func (r *rig) restartServers(w *worker) {
 	if w.activeFaults--; w.activeFaults > 0 {
 		return
@@ -177,7 +178,7 @@
 	})
 }
 
-// publishState has discovery list a server's state, and the rig's own copy of its lists.
+// publishState updates a server's state in discovery's lists and in the rig's copy of them.
 func (r *rig) publishState(m loopback.Message) {
 	r.lists.update(m)
 	r.discovery.send(m)
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -1,9 +1,10 @@
-// Package fleet plays a scenario with a process for each node, for the servers of each machine, for discovery and for the
-// clients with their ingress, joined by links on which faults are made. It judges what they did from outside: each process
-// writes what it saw, by the one monotonic clock, and package blackbox holds the merged history to the rules.
+// Package fleet plays a scenario with separate processes: one for each node, one for the servers of each machine, one for
+// discovery, and one for the clients with their ingress. They are connected by links on which faults are injected. The
+// package checks their externally visible behaviour: each process records the events that it sees with timestamps of the
+// shared monotonic clock, and package blackbox checks the merged history against the rules.
 //
-// Play is the parent of all processes. Nothing survives it: workers end when their pipe closes, and every process is killed
-// by the system when its parent's thread is gone.
+// Play is the parent of all processes, and none outlives it: workers exit when their pipe closes, and the kernel kills every
+// process when the thread that started it ends.
 package fleet
 
 import (
@@ -25,30 +26,30 @@
 )
 
 const (
-	// MaxNodes is how many node processes a rig starts.
+	// MaxNodes is the maximum number of node processes of a rig.
 	MaxNodes = 400
 
-	// maxClaimedLinks is how many links fit into a rig's own block of ports. A rig with more uses the whole range, and no
-	// other can run at the same time.
+	// maxClaimedLinks is the number of links that fit into a claimed block of ports. A rig with more links uses the whole
+	// range, and no other rig can run at the same time.
 	maxClaimedLinks = 2000
 )
 
 var (
-	// errRigEnded is why a rig's context ends.
-	errRigEnded = errors.New("the fleet has ended")
+	// errRigEnded is the cause with which shutDown cancels a rig's context.
+	errRigEnded = errors.New("the fleet has been shut down")
 
-	// errKilled is a node that was ended while it started, as the schedule has it.
-	errKilled = errors.New("ended while it started")
+	// errKilled means that a fault of the schedule ended a node while it was starting.
+	errKilled = errors.New("node was ended while it was starting")
 )
 
-// Options say how processes are started.
+// Options configures how processes are started.
 type Options struct {
-	Program    []string // `run` and `lab part` are added to it
-	OldProgram []string // another build, for a share of the nodes
-	Env        []string // added to the environment
+	Program    []string // command line, to which `run` or `lab part` is appended
+	OldProgram []string // command line of another build, for a share of the nodes
+	Env        []string // NAME=VALUE, added to the environment
 }
 
-// rig is a fleet that runs.
+// rig is a running fleet.
 type rig struct {
 	scenario *scenario.Scenario
 	options  Options
@@ -57,7 +58,7 @@
 	infos    []loopback.NodeInfo
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	commands chan func() // for the thread that starts all processes
+	commands chan func() // functions to run on the thread that starts all processes
 	network  *network
 	lists    *endpointLists
 	recorder *blackbox.Recorder
@@ -68,30 +69,30 @@
 	clients        *worker
 	clientsDone    chan struct{}
 
-	folders   *folders   // of nodes that take admin calls; nil: there is one for all
-	overrides *overrides // nil: nodes take no admin calls
+	folders   *folders   // of nodes that accept admin calls; nil: all nodes share one
+	overrides *overrides // nil: nodes accept no admin calls
 
-	terminations []atomic.Int64 // of each node so far: kills and orders to terminate
-	terminating  []atomic.Bool  // nodes that were told to terminate
+	terminations []atomic.Int64 // by node: number of kills and termination requests so far
+	terminating  []atomic.Bool  // by node: whether it has been asked to terminate
 
-	startTick    time.Duration // of the play, on the monotonic clock
+	startTick    time.Duration // start of the play, on the monotonic clock
 	startWall    time.Time
 	portBlock    int
 	releasePorts func()
-	lateness     atomic.Int64 // the longest that the parent itself was late
+	lateness     atomic.Int64 // nanoseconds; the longest delay of the parent process
 	wg           sync.WaitGroup
 
-	mu             sync.Mutex        // of what follows
-	histories      []string          // files; the parent's own is the first
-	serverAddrs    map[string]string // of servers that listen
+	mu             sync.Mutex        // guards the fields below
+	histories      []string          // files; the first is the parent's
+	serverAddrs    map[string]string // of the servers that are listening, by ID
 	discoveryAddrs map[string]string // by node
 }
 
-// spawn runs something on a goroutine that the rig waits for at its end.
+// spawn runs f on a goroutine that shutDown waits for.
 func (r *rig) spawn(f func()) { r.nodes.Go(f) }
 
-// startRig brings a fleet up: all processes run, all nodes are ready, no client has come yet. shutDown must follow, also
-// after an error.
+// startRig starts a fleet. When it returns, all processes run and all nodes are ready, and no client has sent a request yet.
+// The caller must call shutDown, even after an error.
 func startRig(ctx context.Context, s *scenario.Scenario, options Options) (r *rig, err error) {
 	r = &rig{scenario: s, options: options, commands: make(chan func()), workerByServer: map[string]*worker{},
 		serverAddrs: map[string]string{}, clientsDone: make(chan struct{})}
@@ -110,8 +111,8 @@
 	return r, nil
 }
 
-// runCommands starts all processes on one thread, for they end with the thread that started them. The thread is never
-// unlocked: it ends with this function, after the last process.
+// runCommands starts all processes on one thread, because the kernel kills them when the thread that started them ends. The
+// thread is never unlocked: it ends with this function, after the last process.
 func (r *rig) runCommands() {
 	runtime.LockOSThread()
 	for f := range r.commands {
@@ -119,7 +120,8 @@
 	}
 }
 
-// linkCount counts the links of a scenario: from each node to the servers of its tier, to discovery, and from its callers.
+// linkCount returns the number of links of a scenario: for each node, one to each server of its tier, one to discovery, and
+// one from its callers.
 func linkCount(s *scenario.Scenario) (count int) {
 	nodes := s.Ingress.Nodes
 	for _, t := range s.Tiers {
@@ -129,7 +131,7 @@
 	return count
 }
 
-// openHistory makes the rig's folder and its own history.
+// openHistory creates the rig's folder and the parent's history file.
 func (r *rig) openHistory() (err error) {
 	if r.dir, err = os.MkdirTemp("", "hookwalk-fleet-"); err != nil {
 		return err
@@ -143,14 +145,14 @@
 	return nil
 }
 
-// addHistory adds the file of a process's history.
+// addHistory registers the history file of a process.
 func (r *rig) addHistory(file string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.histories = append(r.histories, file)
 }
 
-// prepareNodes makes the nodes, their folders and their builds; none runs yet.
+// prepareNodes creates the nodes and their folders and chooses their builds. It starts no process.
 func (r *rig) prepareNodes() (err error) {
 	r.network, r.lists = &network{ports: r.portBlock}, newEndpointLists(r)
 	r.nodes, err = loopback.NewNodes(r.ctx, r.scenario, loopback.Options{
@@ -166,7 +168,7 @@
 		return err
 	}
 	if r.infos = r.nodes.Infos(); len(r.infos) > MaxNodes {
-		return fmt.Errorf("%s needs %d node processes, at most %d are started", r.scenario.Name, len(r.infos), MaxNodes)
+		return fmt.Errorf("scenario %s needs %d node processes, but the limit is %d", r.scenario.Name, len(r.infos), MaxNodes)
 	}
 	r.terminations, r.terminating = make([]atomic.Int64, len(r.infos)), make([]atomic.Bool, len(r.infos))
 	r.chooseBuilds()
@@ -177,7 +179,8 @@
 	return err
 }
 
-// chooseBuilds gives a share of the nodes the old build, spread over their numbers, so that each part of the fleet has both.
+// chooseBuilds assigns the old build to a share of the nodes, spread evenly over their indexes, so that each part of the
+// fleet has both builds.
 func (r *rig) chooseBuilds() {
 	if r.options.OldProgram == nil {
 		return
@@ -190,7 +193,7 @@
 	}
 }
 
-// startServers starts the processes of the servers, each with those of one machine.
+// startServers starts the server processes, one for each machine.
 func (r *rig) startServers() error {
 	machine := r.scenario.Fleet.ServersPerProcess
 	for t, tier := range r.scenario.Tiers {
@@ -233,7 +236,7 @@
 	return err
 }
 
-// startNodes starts all nodes; a few at once, or the machine would be what makes them late.
+// startNodes starts all nodes, a few at a time, so that load from the starts themselves does not delay them.
 func (r *rig) startNodes() error {
 	slots := make(chan struct{}, 2*runtime.NumCPU())
 	return forEach(len(r.infos), func(i int) error {
@@ -243,7 +246,7 @@
 	})
 }
 
-// forEach does something n times at once and returns one of the errors.
+// forEach calls do concurrently for 0 to n-1, waits for all calls, and returns the first error to arrive.
 func forEach(n int, do func(i int) error) error {
 	errs := make(chan error, n)
 	for i := range n {
@@ -258,12 +261,13 @@
 	return first
 }
 
-// announceIncarnation tells discovery whom it will speak to: a node calls before it is ready.
+// announceIncarnation tells discovery the name of a node's new incarnation, because a node calls discovery before it is
+// ready.
 func (r *rig) announceIncarnation(base, name string) {
 	r.discovery.send(loopback.Message{Operation: loopback.OpNodeIncarnation, Node: base, Name: name})
 }
 
-// startNode begins a node's next incarnation and tells all who must know.
+// startNode starts a node's next incarnation and notifies the node's callers.
 func (r *rig) startNode(i int) error {
 	endings := r.terminations[i].Load()
 	if err := r.nodes.Start(r.ctx, i, r.folders.betweenIncarnations(i)); err != nil {
@@ -286,25 +290,25 @@
 	return nil
 }
 
-// serverAddr is where a server listens; "": it does not.
+// serverAddr returns a server's listen address, or "" if it is not listening.
 func (r *rig) serverAddr(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.serverAddrs[id]
 }
 
-// discoveryAddr is where discovery listens for a node; "": it does not yet.
+// discoveryAddr returns the address at which discovery listens for a node, or "" if it does not listen yet.
 func (r *rig) discoveryAddr(base string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.discoveryAddrs[base]
 }
 
-// shutDown ends all processes. The folder is removed unless it is to be kept.
+// shutDown ends all processes. It removes the rig's folder unless keep is set.
 func (r *rig) shutDown(keep bool) {
 	r.cancel(errRigEnded)
 	if r.nodes != nil {
-		r.nodes.Down(keep) // its folder is in the rig's
+		r.nodes.Down(keep) // the nodes' folder is inside the rig's folder
 	}
 	r.stopWorkers()
 	if r.network != nil {
@@ -316,11 +320,11 @@
 		r.releasePorts()
 	}
 	if !keep && r.dir != "" {
-		os.RemoveAll(r.dir) // a folder that stays behind is no reason to fail
+		os.RemoveAll(r.dir) // a leftover folder is not worth an error
 	}
 }
 
-// stopWorkers ends all workers that have been made.
+// stopWorkers stops all workers that have been created.
 func (r *rig) stopWorkers() {
 	workers := slices.Clone(r.serverWorkers)
 	for _, w := range []*worker{r.clients, r.discovery} {
