--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -14,7 +14,7 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// What has become of a folder is what the scenario says, after whatever became of it before.
+// changeFolder must produce each state of a scenario, even if an earlier fault had replaced the folder by a file.
 func TestChangeFolder(t *testing.T) {
 	type texts map[string]string
 	put := func(dir string, files texts) {
@@ -35,7 +35,7 @@
 		put(before, past)
 		put(beside, texts{"its.kept": "its own", "its.more": "more"})
 		rng := model.Stream(1, "folders", 0)
-		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, before, beside, rng)) // as "unwritable" leaves it
+		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, before, beside, rng)) // the state that "unwritable" leaves
 		put(dir, mine)
 		if err = errors.Join(err, changeFolder(state, dir, before, beside, rng)); err != nil {
 			t.Fatalf("%s: %v", state, err)
@@ -57,11 +57,11 @@
 		}
 	}
 	if len(scenario.FolderStates) != 7 {
-		t.Errorf("not all of %v are tried", scenario.FolderStates)
+		t.Errorf("the test does not cover all of %v", scenario.FolderStates)
 	}
 }
 
-// A worker that is stopped reads nothing. That must not hold up the rig, and the worker is ended nevertheless.
+// A stopped worker does not read its pipe. Sending to it must not block the rig, and the worker must still be shut down.
 func TestStoppedWorkerDoesNotBlockTheRig(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -78,11 +78,11 @@
 	}()
 	for n := 0; ended == nil; n++ {
 		if p.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
-			t.Fatal("it takes more messages than it may")
+			t.Fatal("the worker accepted more messages than maxUnread")
 		}
 	}
 	p.stop()
-	read.Close() // as its process ends
+	read.Close() // as when its process exits
 	<-over
-	p.send(loopback.Message{}) // one that is gone needs none
+	p.send(loopback.Message{}) // sending to an exited worker does nothing
 }
--- a/internal/lab/fleet/hunt.go
+++ b/internal/lab/fleet/hunt.go
@@ -93,9 +93,9 @@
 func (h *Hunt) recordOutcome(ctx context.Context, state *huntState, seed uint64, finding *Finding, err error) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	var stageErr *StageError
+	var rigErr *RigError
 	switch {
-	case errors.As(err, &stageErr) && ctx.Err() == nil:
+	case errors.As(err, &rigErr) && ctx.Err() == nil:
 		h.Logf("seed %d: not played: %v\n", seed, err)
 		return
 	case err == nil:
@@ -164,17 +164,17 @@
 func (h *Hunt) verdict(ctx context.Context, seed uint64, faults []scenario.Fault) (string, error) {
 	s := *h.World
 	s.Seed, s.Faults = seed, faults
-	var unstaged *StageError
+	var rigErr *RigError
 	for range maxPlayTries {
 		p, err := h.play(ctx, &s)
-		if errors.As(err, &unstaged) && ctx.Err() == nil {
+		if errors.As(err, &rigErr) && ctx.Err() == nil {
 			h.Logf("seed %d: playing again: %v\n", seed, err)
 			continue
 		}
 		if err != nil {
 			return "", err
 		}
-		unstaged = nil
+		rigErr = nil
 		if p.Folder != "" {
 			os.RemoveAll(p.Folder) // only the schedule is kept
 		}
@@ -182,8 +182,8 @@
 			return reasonOf(&s, p), nil
 		}
 	}
-	if unstaged != nil {
-		return "", unstaged
+	if rigErr != nil {
+		return "", rigErr
 	}
 	return "", nil
 }
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -33,27 +33,27 @@
 	return s
 }
 
-// A schedule that was found must play again from its file: each drawn one depends only on its seed, is over before the end,
-// can be played, and reads back from a file as it is.
+// A found schedule must be reproducible from its file. Each drawn schedule depends only on its seed, ends before the
+// fault-free tail, is valid, and is unchanged after it is written to a file and read back.
 func TestDrawnSchedulesReplayFromTheirFiles(t *testing.T) {
 	s := load(t, "w.hcl", world)
 	kinds := map[string]bool{}
 	for seed := range uint64(300) {
 		list := Draw(s, seed)
 		if !reflect.DeepEqual(list, Draw(s, seed)) {
-			t.Fatalf("seed %d is drawn in two ways", seed)
+			t.Fatalf("seed %d: two draws differ", seed)
 		}
 		text := world
 		for _, d := range list {
 			kinds[d.Kind] = true
 			text += FaultText(d)
 			if d.At < time.Second || d.Duration <= 0 || d.At+d.Duration > s.Length-faultFreeTail {
-				t.Errorf("seed %d: %s from %v for %v", seed, d.Kind, d.At, d.Duration)
+				t.Errorf("seed %d: fault %s at %v for %v is outside the bounds", seed, d.Kind, d.At, d.Duration)
 			}
 		}
 		again := load(t, "again.hcl", text)
 		if len(again.Faults) != len(list) {
-			t.Fatalf("seed %d: %d faults of %d", seed, len(again.Faults), len(list))
+			t.Fatalf("seed %d: read %d faults, want %d", seed, len(again.Faults), len(list))
 		}
 		again.Seed = seed
 		drawn := *again
@@ -64,24 +64,24 @@
 		}
 		got, err := model.ProcessFaults(again)
 		if err != nil || len(got) != len(want) {
-			t.Fatalf("seed %d: %d process faults of %d, %v", seed, len(got), len(want), err)
+			t.Fatalf("seed %d: got %d process faults, want %d; error %v", seed, len(got), len(want), err)
 		}
 		for i := range got {
 			got[i].Position, want[i].Position = "", ""
 			if !reflect.DeepEqual(got[i], want[i]) {
-				t.Errorf("seed %d: %+v is played as %+v", seed, want[i], got[i])
+				t.Errorf("seed %d: drawn %+v, read back %+v", seed, want[i], got[i])
 			}
 		}
 	}
 	for _, kind := range scenario.ProcessFaultKinds {
 		if !kinds[kind] {
-			t.Errorf("%s is never drawn", kind)
+			t.Errorf("fault %s is never drawn", kind)
 		}
 	}
 }
 
-// A finding that holds faults without effect sends an engineer the wrong way: what a hunt finds holds no fault that can be
-// left out, and is a file that plays again. A play that the machine spoils is no finding.
+// Faults without effect in a finding would mislead its reader. A finding contains no fault that can be removed, and its
+// file can be played again. A play that failed because of the machine is not a finding.
 func TestHuntShrinksFindings(t *testing.T) {
 	dir := t.TempDir()
 	base := filepath.Join(dir, "w.hcl")
@@ -99,11 +99,11 @@
 			defer mu.Unlock()
 			plays++
 			p := &Result{}
-			if s.Seed == 5 || plays%31 == 0 { // a port is taken: the hunt goes on
-				return nil, &StageError{errors.New("address already in use"), dir}
+			if s.Seed == 5 || plays%31 == 0 { // the rig fails; the hunt must continue
+				return nil, &RigError{errors.New("address already in use"), dir}
 			}
 			if plays%7 == 0 {
-				p.Lateness = time.Second // the machine was slow: nothing is judged
+				p.Lateness = time.Second // the machine was too slow; the rules are not checked
 			} else if has(s, "kill") && has(s, "cut") {
 				p.Violations = []checker.Violation{{Rule: checker.NothingLost}}
 			}
@@ -114,10 +114,10 @@
 		t.Fatal(err)
 	}
 	if h.Played != h.Seeds-1 {
-		t.Errorf("%d of %d seeds were played, and one can't be", h.Played, h.Seeds)
+		t.Errorf("played %d of %d seeds, want all but one", h.Played, h.Seeds)
 	}
 	if len(found) < 3 {
-		t.Fatalf("%d found", len(found))
+		t.Fatalf("got %d findings, want at least 3", len(found))
 	}
 	for _, f := range found {
 		again, err := scenario.Load(f.File)
@@ -129,7 +129,7 @@
 			kinds[d.Kind]++
 		}
 		if !reflect.DeepEqual(kinds, map[string]int{"kill": 1, "cut": 1}) || again.Seed != f.Seed || f.Reason != "breaks lost" {
-			t.Errorf("seed %d: %s, %v", f.Seed, f.Reason, kinds)
+			t.Errorf("seed %d: reason %q, faults %v", f.Seed, f.Reason, kinds)
 		}
 	}
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// apply sets the combined fault of a link's causes. It ignores the error of a link that has just been closed. Stalling a link
-// takes a moment, during which the lock over all links is not held.
+// apply sets the combined fault of a link's causes. It ignores the error of a link that has just been closed. Stalling
+// a link takes a moment, during which the lock over all links is not held.
 func (w *network) apply(l *networkLink) {
 	l.setting.Lock()
 	defer l.setting.Unlock()
--- a/internal/lab/fleet/overrides.go
+++ b/internal/lab/fleet/overrides.go
@@ -24,8 +24,8 @@
 	disabled map[int][]string // confirmed server IDs, by node
 }
 
-// overrideFault returns functions with which operators disable the server of a fault at each node of its tier, and enable it
-// again.
+// overrideFault returns functions with which operators disable the server of a fault at each node of its tier, and
+// enable it again.
 func (r *rig) overrideFault(f model.ProcessFault) (begin, end func() error) {
 	index, tier := f.Targets[0], f.Targets[1]
 	ids, _ := r.nodes.ServerIDs(tier)
@@ -41,8 +41,8 @@
 }
 
 // call makes an operator's admin call to a node. If a call to disable a server gets no response, the node has confirmed
-// nothing and owes nothing. A call to enable a server counts from the moment it is sent, because the node may act on it even
-// if the response is lost.
+// nothing and owes nothing. A call to enable a server counts from the moment it is sent, because the node may act on it
+// even if the response is lost.
 func (o *overrides) call(i int, id string, disable bool) {
 	incarnation, addr := o.rig.nodes.AdminAddr(i)
 	if addr == "" {
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordDisabled notes that an incarnation of a node has recordDisabled that a server is disabled.
+// recordDisabled records that an incarnation of a node has confirmed that a server is disabled.
 func (o *overrides) recordDisabled(i int, id, incarnation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -49,21 +49,21 @@
 // Unreliable reports whether the machine was too slow for the play to be checked.
 func (p *Result) Unreliable() bool { return p.Lateness > MaxLateness }
 
-// StageError means that the rig or the machine failed before a play was complete. It says nothing about the rules.
-type StageError struct {
+// RigError means that the rig or the machine failed before a play was complete. It says nothing about the rules.
+type RigError struct {
 	Err error
 	Dir string // contains the logs of all processes
 }
 
 // Error returns the cause and the folder of the logs.
-func (e *StageError) Error() string {
+func (e *RigError) Error() string {
 	return fmt.Sprintf("fleet: the rig could not complete the play: %v; logs are in %s; retry with fewer concurrent rigs", e.Err, e.Dir)
 }
 
 // Unwrap returns the cause.
-func (e *StageError) Unwrap() error { return e.Err }
+func (e *RigError) Unwrap() error { return e.Err }
 
-// Play plays a scenario once. An error is a *StageError unless ctx has ended.
+// Play plays a scenario once. An error is a *RigError unless ctx has ended.
 func Play(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
 	r, err := startRig(ctx, s, options)
 	result := &Result{}
@@ -82,7 +82,7 @@
 	case ctx.Err() != nil:
 		return nil, fmt.Errorf("fleet: %w", context.Cause(ctx))
 	}
-	return nil, &StageError{err, r.dir}
+	return nil, &RigError{err, r.dir}
 }
 
 // playAndCheck plays the scenario and checks the recorded history against the rules.
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// restartServers restarts a process of servers, each server once its node is ready. If several faults keep the process down,
-// only the end of the last one restarts it.
+// restartServers restarts a process of servers, each server once its node is ready. If several faults keep the process
+// down, only the end of the last one restarts it.
 func (r *rig) restartServers(w *worker) {
 	if w.activeFaults--; w.activeFaults > 0 {
 		return
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -13,22 +13,22 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// Names of the two groups of cells of a fleet, in place of a policy.
+// Names of the two groups of cells, used in place of a policy.
 const (
-	withFaults    = "with troubles" // the plays
-	withoutFaults = "without"       // the baseline
+	withFaults    = "with troubles" // plays of the scenario
+	withoutFaults = "without"       // baseline plays
 )
 
-// noValue stands in a table for a figure that there is not.
+// noValue marks a missing value in a table.
 const noValue = "-"
 
-// Baseline plays worlds without their faults, each world once: scenarios that differ only in what goes wrong share it.
+// Baseline plays scenarios without their faults. Consecutive scenarios that differ only in their faults share one play.
 type Baseline struct {
 	world  scenario.Scenario
 	result *Result
 }
 
-// Play is a scenario's play without its faults.
+// Play returns the result of a scenario without its faults, from the previous call if the scenario is the same.
 func (b *Baseline) Play(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
 	world := *s
 	world.Name, world.Faults, world.Fleet.OldBuildShare, world.Discovery.CallsPerSecond = "", nil, 0, 0
@@ -42,7 +42,7 @@
 	return b.result, err
 }
 
-// eventCounts counts the events of a play by their kinds.
+// eventCounts returns the number of events of a play by kind.
 func (p *Result) eventCounts() map[blackbox.EventKind]int {
 	counts := map[blackbox.EventKind]int{}
 	for _, e := range p.Events {
@@ -51,7 +51,7 @@
 	return counts
 }
 
-// Write prints what came of a play, beside the baseline if there is one. Its words are those of the lab's pages.
+// Write prints the result of a play, compared with the baseline if there is one.
 func (p *Result) Write(w io.Writer, s *scenario.Scenario, baseline *Result) {
 	timeline, counts := TimelineOf(s, p.Events), p.eventCounts()
 	fmt.Fprintf(w, "scenario %s, seed %d, %.0f s: %d nodes, %d other processes\n", s.Name, s.Seed, s.Length.Seconds(), p.Nodes, p.Workers)
@@ -86,13 +86,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// WriteTableHeader begins a table.
+// WriteTableHeader writes the header of the table to which WriteTableRow adds rows.
 func WriteTableHeader(w io.Writer) {
 	fmt.Fprintln(w, "| scenario | worth | without | full service, s | worth lost, s | refusals a try | peak at boxes | handshakes | discovery | nodes ready, s | rules broken | rig late, ms |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// formatSpread is the median of some figures, with the least and the most.
+// formatSpread formats the median of some values, with the minimum and the maximum if there are several. It sorts the list.
 func formatSpread(format string, list []float64) string {
 	if len(list) == 0 {
 		return noValue
@@ -104,16 +104,16 @@
 	return fmt.Sprintf(format+" ("+format+" to "+format+")", list[len(list)/2], list[0], list[len(list)-1])
 }
 
-// tableRow collects the figures of a scenario's plays.
+// tableRow collects the values of a scenario's plays.
 type tableRow struct {
 	shares, fullService, lost, rejections, lateness []float64
 	serverPeaks, handshakePeaks, discoveryPeaks     []float64
 	startTimes                                      []float64
 	violations                                      int
-	withoutFullService                              int // plays without full service
+	withoutFullService                              int // number of plays that did not reach full service
 }
 
-// add adds the figures of one play.
+// add adds the values of one play.
 func (row *tableRow) add(s *scenario.Scenario, p, baseline *Result) {
 	timeline, counts := TimelineOf(s, p.Events), p.eventCounts()
 	row.shares = append(row.shares, timeline.Share())
@@ -147,8 +147,9 @@
 	}
 }
 
-// WriteTableRow writes the figures of a scenario's plays: medians, with the least and the most. Peaks are the most in a tenth
-// of a second after the first fault, in multiples of the mean before.
+// WriteTableRow writes the values of a scenario's plays: medians, with minimum and maximum. Peaks at servers are the
+// highest count in a tenth of a second after the first fault, as a multiple of the mean before it; the peak at
+// discovery is the count.
 func WriteTableRow(w io.Writer, s *scenario.Scenario, plays []*Result, baseline *Result) {
 	row := &tableRow{}
 	for _, p := range plays {
@@ -167,9 +168,9 @@
 		formatSpread("%.0f", row.discoveryPeaks), formatSpread("%.2f", row.startTimes), row.violations, formatSpread("%.0f", row.lateness))
 }
 
-// Cells are plays and, as a group of their own, the one without faults, for `lab report`: value second by second with the
-// faults marked, and how long it took until full service. Where that was not within the play, it is the rest of the play, and
-// never_whole is 1.
+// Cells returns cells for `lab report`: one for each play and, in a separate group, one for the baseline. A cell has
+// the share of the value earned in each second, the faults, and the time to full service. If a play did not reach full
+// service, that time is the rest of the play, and never_whole is 1.
 func Cells(s *scenario.Scenario, plays []*Result, baseline *Result) (list []sweep.Cell) {
 	for _, p := range plays {
 		list = append(list, cellOf(s, p, withFaults, baseline))
@@ -180,7 +181,7 @@
 	return list
 }
 
-// cellOf is one play as a cell of a group.
+// cellOf returns the cell of one play in a group.
 func cellOf(s *scenario.Scenario, p *Result, group string, baseline *Result) sweep.Cell {
 	timeline := TimelineOf(s, p.Events)
 	cell := sweep.Cell{Scenario: s.Name, Policy: group, Seed: s.Seed, Metrics: map[string]float64{
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -3,8 +3,8 @@
 // package checks their externally visible behaviour: each process records the events that it sees with timestamps of the
 // shared monotonic clock, and package blackbox checks the merged history against the rules.
 //
-// Play is the parent of all processes, and none outlives it: workers exit when their pipe closes, and the kernel kills every
-// process when the thread that started it ends.
+// Play is the parent of all processes, and none outlives it: workers exit when their pipe closes, and the kernel kills
+// every process when the thread that started it ends.
 package fleet
 
 import (
@@ -91,8 +91,8 @@
 // spawn runs f on a goroutine that shutDown waits for.
 func (r *rig) spawn(f func()) { r.nodes.Go(f) }
 
-// startRig starts a fleet. When it returns, all processes run and all nodes are ready, and no client has sent a request yet.
-// The caller must call shutDown, even after an error.
+// startRig starts a fleet. When it returns, all processes run and all nodes are ready, and no client has sent a request
+// yet. The caller must call shutDown, even after an error.
 func startRig(ctx context.Context, s *scenario.Scenario, options Options) (r *rig, err error) {
 	r = &rig{scenario: s, options: options, commands: make(chan func()), workerByServer: map[string]*worker{},
 		serverAddrs: map[string]string{}, clientsDone: make(chan struct{})}
--- a/internal/lab/fleet/schedule.go
+++ b/internal/lab/fleet/schedule.go
@@ -11,17 +11,18 @@
 	"hookwalk.example/hookwalk/internal/lab/model"
 )
 
-// errDiscoveryMoveUnsupported is a scenario that only virtual time and sockets can play.
-var errDiscoveryMoveUnsupported = errors.New("discovery does not move in a fleet")
+// errDiscoveryMoveUnsupported means that a scenario moves discovery, which only the simulation and the loopback rig
+// support.
+var errDiscoveryMoveUnsupported = errors.New("a fleet does not support moving discovery")
 
-// action is one thing that the rig does at a time.
+// action is a scheduled operation of the rig.
 type action struct {
 	at          time.Duration
 	description string
 	do          func() error
 }
 
-// schedule turns the scenario's faults into actions in order of time.
+// schedule converts the scenario's faults into actions, sorted by time.
 func (r *rig) schedule(result *Result) (list []action, err error) {
 	changes, err := model.WorldChanges(model.WithoutProcessFaults(r.scenario))
 	if err != nil {
@@ -42,14 +43,14 @@
 		description := fmt.Sprintf("%s %s %d", f.Kind, f.Target, f.Targets[0])
 		list = append(list, action{f.From, description, begin})
 		if end != nil {
-			list = append(list, action{f.To, description + " over", end})
+			list = append(list, action{f.To, description + " ended", end})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b action) int { return cmp.Compare(a.at, b.at) })
 	return list, nil
 }
 
-// perform does the actions of a schedule at their times, until the rig ends.
+// perform runs the actions of a schedule at their times, until the rig is shut down.
 func (r *rig) perform(schedule []action, result *Result) {
 	for _, a := range schedule {
 		if !r.nodes.Sleep(a.at - r.nodes.Now()) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// applyChange carries out a change that every way of playing knows.
+// applyChange applies a change of the kinds that the simulation and the loopback rig also support.
 func (r *rig) applyChange(c model.Change, result *Result) error {
 	m := loopback.Message{Operation: loopback.OpChange, Change: &c}
 	switch c.Kind {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// killNode kills an ingress node, which the ingress notices after a while.
+// killNode kills an ingress node. The ingress notices it after its failure detection time.
 func (r *rig) killNode(c model.Change) {
 	r.terminations[c.Index].Add(1)
 	r.folders.setNext(c.Index, c.Folder)
@@ -104,8 +105,8 @@
 	})
 }
 
-// terminateNode tells an ingress node to terminate, which the ingress notices after a while. One that is starting may not
-// even know the signal yet: that counts as an ending too.
+// terminateNode asks an ingress node to terminate. The ingress notices it after model.IngressDrainDelay. A node that is
+// still starting may not handle the signal yet and die from it, so the request counts as a termination immediately.
 func (r *rig) terminateNode(c model.Change) {
 	r.terminating[c.Index].Store(true)
 	r.terminations[c.Index].Add(1)
@@ -117,7 +118,7 @@
 	})
 }
 
-// restartNode starts an ingress node again and notes how long that took.
+// restartNode starts an ingress node again and records how long it took to become ready.
 func (r *rig) restartNode(i int, result *Result) {
 	began := r.nodes.Now()
 	if err := r.startNode(i); err != nil {
--- a/internal/lab/fleet/timeline.go
+++ b/internal/lab/fleet/timeline.go
@@ -7,21 +7,22 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// sliceLength is the length of a piece of a timeline.
+// sliceLength is the length of one slice of a timeline.
 const sliceLength = 100 * time.Millisecond
 
-// Full service: each of the seconds that follow serves at least this share of what the same seed serves without faults.
+// Full service is reached when each of the next fullServiceSeconds seconds serves at least fullServiceShare of what the
+// same seed serves without faults.
 const (
-	fullServiceShare   = 0.99 // a hundredth less is no outage
-	fullServiceSeconds = 5    // for so long, so that a single good second is no recovery
+	fullServiceShare   = 0.99 // a loss of 1% is not an outage
+	fullServiceSeconds = 5    // so that a single good second does not count as a recovery
 )
 
-// Timeline is the priority weight that clients offered and that was earned, by the time of their first tries, in pieces of
-// sliceLength.
+// Timeline holds the priority weight that clients offered and that was earned, in slices of sliceLength by the time of each
+// request's first try.
 type Timeline struct{ Offered, Earned []float64 }
 
-// TimelineOf reads a timeline off a history: a request that was served within the objective earns its weight, a later one
-// the late credit.
+// TimelineOf computes the timeline of a history. A request that was served within its latency objective earns its
+// weight, and a later one earns the late credit.
 func TimelineOf(s *scenario.Scenario, events []blackbox.Event) (t Timeline) {
 	n := int(s.Length/sliceLength) + 1
 	t.Offered, t.Earned = make([]float64, n), make([]float64, n)
@@ -41,7 +42,7 @@
 	return t
 }
 
-// earned is the weight that a request's end earns.
+// earned returns the weight that a request earns by its RequestEnded event.
 func earned(class scenario.Class, e blackbox.Event) float64 {
 	switch {
 	case !e.Ready || e.Duration > class.Deadline:
@@ -52,7 +53,7 @@
 	return class.PriorityWeight * class.LateCredit
 }
 
-// Between is the weight that was offered in a time, and what was earned of it.
+// Between returns the weight that was offered in a period, and how much of it was earned.
 func (t Timeline) Between(from, to time.Duration) (offered, earned float64) {
 	for i := max(int(from/sliceLength), 0); i < min(int(to/sliceLength), len(t.Offered)); i++ {
 		offered, earned = offered+t.Offered[i], earned+t.Earned[i]
@@ -60,12 +61,12 @@
 	return offered, earned
 }
 
-// Share is the share that was earned of the whole play.
+// Share returns the share of the weight that was earned in the whole play.
 func (t Timeline) Share() float64 {
 	return share(t.Between(0, time.Duration(len(t.Offered))*sliceLength))
 }
 
-// share is the share that was earned; 1 where nothing was offered.
+// share returns the share of the offered weight that was earned, or 1 if none was offered.
 func share(offered, earned float64) float64 {
 	if offered == 0 {
 		return 1
@@ -73,8 +74,8 @@
 	return earned / offered
 }
 
-// FullService is the time from a fault to full service, and the value lost until then, in seconds' worth of the baseline. It
-// returns false if there is no full service within the play.
+// FullService returns the time from a fault to full service and the weight lost until then, in seconds of the weight
+// that the baseline offers. ok is false if full service is not reached within the play.
 func FullService(with, baseline Timeline, fault time.Duration) (took time.Duration, lost float64, ok bool) {
 	end := time.Duration(len(with.Offered)-1) * sliceLength
 	offered, _ := baseline.Between(0, end)
@@ -91,7 +92,7 @@
 	return 0, 0, false
 }
 
-// fullServiceAt says that each of the next seconds serves enough of what the baseline serves.
+// fullServiceAt reports whether each of the next fullServiceSeconds seconds serves enough compared with the baseline.
 func fullServiceAt(with, baseline Timeline, at time.Duration) bool {
 	for k := range time.Duration(fullServiceSeconds) {
 		from, to := at+k*time.Second, at+(k+1)*time.Second
--- a/internal/lab/fleet/violator_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -16,7 +16,7 @@
 	"hookwalk.example/hookwalk/internal/lab/violator"
 )
 
-// TestMain lets the test binary stand in for the rig's workers, and for nodes that break a rule.
+// TestMain lets the test binary run as the rig's workers, and as nodes that break a rule.
 func TestMain(m *testing.M) {
 	fault := os.Getenv(violator.FaultVariable)
 	if fault == "" {
@@ -35,8 +35,8 @@
 	os.Exit(0)
 }
 
-// playUntilReliable plays a scenario with nodes that have a fault. On a machine that is too slow nothing is judged: it is played
-// again then.
+// playUntilReliable plays a scenario with nodes that have a fault. It repeats a play for which the machine was too
+// slow, because the rules are not checked then.
 func playUntilReliable(t *testing.T, fault string, s *scenario.Scenario) *Result {
 	t.Helper()
 	for range 3 {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// A fault of the world must not excuse a node that breaks a rule: nodes are reported for the rule that they break, during
-// each kind of fault between processes.
+// An injected fault must not excuse a node that breaks a rule: during each kind of fault between processes, the
+// violations of the nodes must be reported.
 func TestViolationsAreSeenDuringFaults(t *testing.T) {
 	const nodesToBoxes = `at_s = 0.6 length_s = 0.4 part = 0.5 who = "nodes" whom = "boxes"`
 	played := map[string]bool{}
@@ -74,7 +74,7 @@
 		`"upgrade" { at_s = 1 part = 1 }`:                                    {violator.EarlyExit, checker.NothingLost},
 		`"hand" { at_s = 0.5 length_s = 1 part = 1 }`:                        {violator.EarlyExit, checker.AdminOverride},
 		`"release" { at_s = 0.5 length_s = 1 part = 1 }`:                     {violator.IgnoreUpdates, checker.DrainGrace},
-		// description a silent watch missed counts as told 6 s later to a node that keeps it
+		// an update that a muted watch missed counts as notified 6 s later if the node keeps the watch open
 		`"hush" { at_s = 0.2 length_s = 7.5 part = 1 }
 trouble "release" { at_s = 0.5 length_s = 30 part = 1 }`: {violator.IgnoreUpdates, checker.DrainGrace},
 	} {
@@ -83,7 +83,7 @@
 			length = "8"
 		}
 		add := "1000"
-		if strings.Contains(fault, "box_kill") { // an overload breaks the rule where most of it comes from nodes that were notified
+		if strings.Contains(fault, "box_kill") { // an overload breaks the rule only if most of it comes from nodes that were notified of the server
 			add = "1"
 		}
 		s := load(t, "violations.hcl", `scenario "violations" { length_s = `+length+` }
@@ -99,19 +99,19 @@
 			t.Parallel()
 			broken := playUntilReliable(t, tc.fault, s).Violations
 			if !slices.ContainsFunc(broken, func(v checker.Violation) bool { return v.Rule == tc.want }) {
-				t.Errorf("%q is not among the %d rules broken: %v", tc.want, len(broken), broken[:min(3, len(broken))])
+				t.Errorf("%q is not among the %d violations: %v", tc.want, len(broken), broken[:min(3, len(broken))])
 			}
 		})
 	}
 	for _, kind := range scenario.ProcessFaultKinds {
 		if !played[kind] {
-			t.Errorf("no violation is played during %s", kind)
+			t.Errorf("no violation is tested during %s", kind)
 		}
 	}
 }
 
-// A server that an operator disabled must stay disabled over a crash of the node: the next incarnation owes it as far as its
-// folder was kept, and no further.
+// A server that an operator disabled must stay disabled after a crash of the node. The checker must expect this of the next
+// incarnation only if the node's folder was kept.
 func TestOverridesPersistAcrossCrash(t *testing.T) {
 	for folder, owed := range map[string]bool{"kept": true, "full": true, "emptied": false, "old": false} {
 		s := load(t, "hand.hcl", `scenario "hand" { length_s = 3 }
@@ -127,17 +127,18 @@
 			t.Parallel()
 			broken := playUntilReliable(t, violator.ForgetOverrides, s).Violations
 			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.AdminOverride || v.At < time.Second }); other >= 0 {
-				t.Errorf("also broken: %v", broken[other])
+				t.Errorf("unexpected violation: %v", broken[other])
 			}
 			if len(broken) > 0 != owed {
-				t.Errorf("it sends to a disabled server: reported %v, want %v", !owed, owed)
+				t.Errorf("requests to a disabled server: reported %v, want %v", !owed, owed)
 			}
 		})
 	}
 }
 
-// Two faults that have one process of servers down at a time must start it once, after the later one, or two processes hold
-// the same servers. A fault that ends with the play leaves no process behind: Play waits for all of them.
+// If two overlapping faults kill one process of servers, it must be restarted only once, after the later fault;
+// otherwise two processes run the same servers. A fault that ends with the play must not leak a process: Play waits for
+// all of them.
 func TestOverlappingServerKills(t *testing.T) {
 	p := playUntilReliable(t, violator.EarlyExit, load(t, "overlap.hcl", `scenario "overlap" { length_s = 2 }
 tier "t" { kind "k" { count = 2 } }
@@ -156,6 +157,6 @@
 		}
 	}
 	if boots != 2 {
-		t.Errorf("two servers have started %d times", boots)
+		t.Errorf("two servers started %d times in total, want 2", boots)
 	}
 }
--- a/internal/lab/fleet/worker.go
+++ b/internal/lab/fleet/worker.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// workerTimeout is how long a worker may take to be ready, and to end.
+	// workerTimeout is the maximum time that a worker may take to become ready, and to exit.
 	workerTimeout = 20 * time.Second
 
-	// maxUnread is how many messages a worker that is stopped may leave unread beyond what its pipe takes.
+	// maxUnread is the maximum number of messages queued for a stopped worker, in addition to what its pipe buffers.
 	maxUnread = 4096
 )
 
-// worker is a process of the rig that is no node: it has the servers of one machine, discovery or the clients.
+// worker is a process of the rig other than a node. It runs the servers of one machine, discovery, or the clients.
 type worker struct {
 	rig          *rig
 	name         string
 	role         string
 	servers      [][2]int // tier and index of each
 	incarnation  int
-	activeFaults int // that have it down at present
+	activeFaults int // number of active faults that keep it down
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	outgoing chan []byte // messages to it; nil: no more are sent
+	outgoing chan []byte // messages to the process; nil: no more can be sent
 	exited   chan struct{}
-	killed   bool // its end is no error
+	killed   bool // its exit is expected
 }
 
-// startCommand starts a process that does not outlive the parent, whatever ends that. The system's signal comes when the
-// thread that started a process ends: one thread starts all, and stays.
+// startCommand starts a process that does not outlive the parent, however the parent ends. The kernel sends the signal
+// when the thread that started the process ends, so one permanent thread starts all processes.
 func (r *rig) startCommand(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	err := make(chan error, 1)
@@ -50,7 +50,7 @@
 	return <-err
 }
 
-// send sends a message. A worker that is gone needs none; one that is stopped holds up nobody.
+// send queues a message. It drops the message if the worker has exited, and never blocks on a stopped worker.
 func (w *worker) send(m loopback.Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -65,19 +65,19 @@
 	select {
 	case w.outgoing <- append(text, '\n'):
 	default:
-		w.rig.cancel(fmt.Errorf("%s reads nothing", w.name))
+		w.rig.cancel(fmt.Errorf("worker %s does not read its messages: %d are queued", w.name, maxUnread))
 	}
 }
 
-// writeMessages writes messages to a worker until there are no more, and closes its pipe.
+// writeMessages writes messages to a worker until the channel is closed, and then closes the worker's pipe.
 func writeMessages(in io.WriteCloser, outgoing <-chan []byte) {
 	defer in.Close()
 	for text := range outgoing {
-		in.Write(text) // a worker that is gone needs none
+		in.Write(text) // an error means that the worker has exited
 	}
 }
 
-// closeOutgoing ends what the worker is sent. The caller holds mu.
+// closeOutgoing stops sending messages to the worker. The caller holds mu.
 func (w *worker) closeOutgoing() {
 	if w.outgoing != nil {
 		close(w.outgoing)
@@ -85,7 +85,8 @@
 	}
 }
 
-// start begins an incarnation of the worker with some more fields of OpInit, and returns its OpReady.
+// start starts an incarnation of the worker. It adds the common fields to init, sends it as OpInit, and returns the
+// worker's OpReady.
 func (w *worker) start(init loopback.Message) (loopback.Message, error) {
 	r := w.rig
 	w.incarnation++
@@ -103,19 +104,19 @@
 		}
 		return m, nil
 	case <-exited:
-		return init, fmt.Errorf("%s ended before it was ready", w.name)
+		return init, fmt.Errorf("worker %s exited before it was ready", w.name)
 	case <-time.After(workerTimeout):
-		return init, fmt.Errorf("%s is not ready", w.name)
+		return init, fmt.Errorf("worker %s is not ready after %v", w.name, workerTimeout)
 	case <-r.ctx.Done():
 		return init, context.Cause(r.ctx)
 	}
 }
 
-// logFile is where the worker's standard error is kept.
+// logFile returns the file that receives the worker's standard error.
 func (w *worker) logFile() string { return filepath.Join(w.rig.dir, w.name+".log") }
 
-// launch starts the process, and the goroutines that write to it and read from it. ready receives its OpReady, and exited is
-// closed when it has ended.
+// launch starts the process and the goroutines that write to it and read from it. ready receives its OpReady, and exited is
+// closed when the process has exited.
 func (w *worker) launch(history string) (ready chan loopback.Message, exited chan struct{}, err error) {
 	r := w.rig
 	cmd := exec.Command(r.options.Program[0], append(append([]string(nil), r.options.Program[1:]...), "lab", "part")...)
@@ -145,7 +146,7 @@
 	w.mu.Unlock()
 	r.addHistory(history)
 	r.wg.Go(func() { writeMessages(in, outgoing) })
-	stopKilling := context.AfterFunc(r.ctx, func() { cmd.Process.Kill() }) // also one that begins as the fleet ends
+	stopKilling := context.AfterFunc(r.ctx, func() { cmd.Process.Kill() }) // also kills a process that starts during shutDown
 	r.wg.Go(func() {
 		defer stopKilling()
 		w.readMessages(out, ready)
@@ -175,7 +176,7 @@
 	}
 }
 
-// ended is the end of the process. One that nobody has asked for ends the play.
+// ended handles the exit of the process. An unexpected exit cancels the play.
 func (w *worker) ended(err error, exited chan struct{}) {
 	w.mu.Lock()
 	killed := w.killed
@@ -183,11 +184,11 @@
 	w.mu.Unlock()
 	close(exited)
 	if !killed {
-		w.rig.cancel(fmt.Errorf("%s ended by itself: %v; see %s", w.name, err, w.logFile()))
+		w.rig.cancel(fmt.Errorf("worker %s exited unexpectedly: %v; its log is %s", w.name, err, w.logFile()))
 	}
 }
 
-// signal sends a signal to a worker that runs.
+// signal sends a signal to the worker if it is running.
 func (w *worker) signal(s syscall.Signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,10 +196,10 @@
 		return
 	}
 	w.killed = w.killed || s == syscall.SIGKILL
-	w.cmd.Process.Signal(s) // one that has just ended needs none
+	w.cmd.Process.Signal(s) // an error means that the process has just exited
 }
 
-// stop ends a worker as it is meant to, by closing its pipe, and kills it if it does not end.
+// stop ends a worker by closing its pipe, and kills it if it does not exit within workerTimeout.
 func (w *worker) stop() {
 	w.mu.Lock()
 	cmd, exited := w.cmd, w.exited
@@ -208,7 +209,7 @@
 	if cmd == nil {
 		return
 	}
-	cmd.Process.Signal(syscall.SIGCONT) // it may be stopped
+	cmd.Process.Signal(syscall.SIGCONT) // in case a fault has stopped it
 	select {
 	case <-exited:
 	case <-time.After(workerTimeout):
