--- a/internal/lab/fleet/folder.go
+++ b/internal/lab/fleet/folder.go
@@ -142,8 +142,8 @@
 		if err := replaceFiles(dir, past); err != nil {
 			return err
 		}
-		then := time.Now().Add(-oldFolderAge)
-		return eachFile(dir, func(path string, _ int64) error { return os.Chtimes(path, then, then) })
+		modTime := time.Now().Add(-oldFolderAge)
+		return eachFile(dir, func(path string, _ int64) error { return os.Chtimes(path, modTime, modTime) })
 	case scenario.FolderOther:
 		return swapFiles(dir, other)
 	case scenario.FolderUnwritable: // a file in place of the folder: permissions would not stop root
@@ -198,9 +198,9 @@
 // swapFiles copies another node's files over this node's files with the same extension, or under their own names if there
 // are none.
 func swapFiles(dir, other string) error {
-	mine := map[string][]string{}
+	byExtension := map[string][]string{}
 	if err := eachFile(dir, func(path string, _ int64) error {
-		mine[filepath.Ext(path)] = append(mine[filepath.Ext(path)], path)
+		byExtension[filepath.Ext(path)] = append(byExtension[filepath.Ext(path)], path)
 		return nil
 	}); err != nil {
 		return err
@@ -209,11 +209,11 @@
 		return nil // the other node has no folder now
 	}
 	return eachFile(other, func(path string, _ int64) error {
-		to := mine[filepath.Ext(path)]
-		if len(to) == 0 {
-			to = []string{filepath.Join(dir, filepath.Base(path))}
+		targets := byExtension[filepath.Ext(path)]
+		if len(targets) == 0 {
+			targets = []string{filepath.Join(dir, filepath.Base(path))}
 		}
-		for _, name := range to {
+		for _, name := range targets {
 			if err := copyFile(name, path); err != nil {
 				return err
 			}
--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -31,13 +31,13 @@
 	for state, want := range map[string]texts{"kept": mine, "full": mine, "emptied": {}, "old": past, "cut": nil, "unwritable": nil,
 		"other": {"mine.kept": "its own", "mine.none": "", "its.more": "more"}} {
 		root := t.TempDir()
-		dir, before, beside := filepath.Join(root, "0"), filepath.Join(root, "past"), filepath.Join(root, "1")
-		put(before, past)
-		put(beside, texts{"its.kept": "its own", "its.more": "more"})
+		dir, pastDir, otherDir := filepath.Join(root, "0"), filepath.Join(root, "past"), filepath.Join(root, "1")
+		put(pastDir, past)
+		put(otherDir, texts{"its.kept": "its own", "its.more": "more"})
 		rng := model.Stream(1, "folders", 0)
-		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, before, beside, rng)) // the state that "unwritable" leaves
+		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, pastDir, otherDir, rng)) // the state that "unwritable" leaves
 		put(dir, mine)
-		if err = errors.Join(err, changeFolder(state, dir, before, beside, rng)); err != nil {
+		if err = errors.Join(err, changeFolder(state, dir, pastDir, otherDir, rng)); err != nil {
 			t.Fatalf("%s: %v", state, err)
 		}
 		got := texts{}
@@ -70,19 +70,19 @@
 	defer read.Close()
 	var ended error
 	r := &rig{cancel: func(err error) { ended = err }}
-	p := &worker{rig: r, name: "boxes", outgoing: make(chan []byte, maxUnread)}
-	outgoing, over := p.outgoing, make(chan struct{})
+	w := &worker{rig: r, name: "boxes", outgoing: make(chan []byte, maxUnread)}
+	outgoing, written := w.outgoing, make(chan struct{})
 	go func() {
 		writeMessages(write, outgoing)
-		close(over)
+		close(written)
 	}()
 	for n := 0; ended == nil; n++ {
-		if p.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
+		if w.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
 			t.Fatal("the worker accepted more messages than maxUnread")
 		}
 	}
-	p.stop()
+	w.stop()
 	read.Close() // as when its process exits
-	<-over
-	p.send(loopback.Message{}) // sending to an exited worker does nothing
+	<-written
+	w.send(loopback.Message{}) // sending to an exited worker does nothing
 }
--- a/internal/lab/fleet/hunt_test.go
+++ b/internal/lab/fleet/hunt_test.go
@@ -51,18 +51,18 @@
 				t.Errorf("seed %d: fault %s at %v for %v is outside the bounds", seed, d.Kind, d.At, d.Duration)
 			}
 		}
-		again := load(t, "again.hcl", text)
-		if len(again.Faults) != len(list) {
-			t.Fatalf("seed %d: read %d faults, want %d", seed, len(again.Faults), len(list))
+		reloaded := load(t, "again.hcl", text)
+		if len(reloaded.Faults) != len(list) {
+			t.Fatalf("seed %d: read %d faults, want %d", seed, len(reloaded.Faults), len(list))
 		}
-		again.Seed = seed
-		drawn := *again
+		reloaded.Seed = seed
+		drawn := *reloaded
 		drawn.Faults = list
 		want, err := model.ProcessFaults(&drawn)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		got, err := model.ProcessFaults(again)
+		got, err := model.ProcessFaults(reloaded)
 		if err != nil || len(got) != len(want) {
 			t.Fatalf("seed %d: got %d process faults, want %d; error %v", seed, len(got), len(want), err)
 		}
--- a/internal/lab/fleet/linkfaults.go
+++ b/internal/lab/fleet/linkfaults.go
@@ -44,9 +44,9 @@
 		peer = anyEnd
 	}
 	for _, e := range l.rig.targetEnds(f) {
-		links, far := l.rig.network.linksOf(e, peer)
+		links, targetIsCalled := l.rig.network.linksOf(e, peer)
 		for i, found := range links {
-			l.links, l.faults = append(l.links, found), append(l.faults, faultOf(f, far[i]))
+			l.links, l.faults = append(l.links, found), append(l.faults, faultOf(f, targetIsCalled[i]))
 		}
 	}
 	if len(l.links) == 0 {
@@ -72,19 +72,19 @@
 
 // faultOf returns the fault of one link of the target. far means that the target is the called side of the link, so that
 // traffic out of the target is downstream on the link.
-func faultOf(f model.ProcessFault, far bool) (fault link.Fault) {
+func faultOf(f model.ProcessFault, targetIsCalled bool) (fault link.Fault) {
 	out, back := link.Upstream, link.Downstream
-	if far {
+	if targetIsCalled {
 		out, back = back, out
 	}
-	var ways [2]bool
-	ways[out] = f.Direction != scenario.DirectionBack
-	ways[back] = f.Direction != scenario.DirectionOut
+	var directions [2]bool
+	directions[out] = f.Direction != scenario.DirectionBack
+	directions[back] = f.Direction != scenario.DirectionOut
 	switch f.Kind {
 	case scenario.FaultCut:
-		fault.Stall = ways
+		fault.Stall = directions
 	case scenario.FaultHalfOpen:
-		fault.HoldFIN = ways
+		fault.HoldFIN = directions
 	case scenario.FaultSlowLink:
 		fault.Delay, fault.Jitter, fault.BytesPerSecond = f.Delay, f.Delay/jitterDivisor, f.BytesPerSecond
 	case scenario.FaultRefuseLink:
--- a/internal/lab/fleet/lists.go
+++ b/internal/lab/fleet/lists.go
@@ -107,16 +107,16 @@
 	if l.rig.scenario.Fleet.BootstrapList == scenario.BootstrapOld {
 		list = l.listAt(tier, l.rig.nodes.Now()-l.rig.scenario.Fleet.BootstrapAge)
 	}
-	given := loopback.EndpointList{Seq: max(1, list.Seq-versionLag), Complete: true, Endpoints: []loopback.Endpoint{}}
+	bootstrap := loopback.EndpointList{Seq: max(1, list.Seq-versionLag), Complete: true, Endpoints: []loopback.Endpoint{}}
 	if l.rig.scenario.Fleet.BootstrapList == scenario.BootstrapNone {
-		given.Seq = 0
-		return given
+		bootstrap.Seq = 0
+		return bootstrap
 	}
 	for _, e := range list.Endpoints {
 		e.Dial = l.dialAddresses[base][e.Host]
-		given.Endpoints = append(given.Endpoints, e)
+		bootstrap.Endpoints = append(bootstrap.Endpoints, e)
 	}
-	return given
+	return bootstrap
 }
 
 // listAt returns a tier's list at a time, or the initial list for an earlier time. The caller holds mu.
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -36,7 +36,7 @@
 	noListener bool // nothing listens at the called end
 	causes     map[int]link.Fault
 
-	setting sync.Mutex // serializes apply, so that the last call sets the latest causes
+	applyMu sync.Mutex // serializes apply, so that the last call sets the latest causes
 }
 
 // network holds all links of a fleet.
@@ -49,22 +49,22 @@
 }
 
 // open adds a link. where returns the address of the called end and is called for each connection.
-func (w *network) open(from, to linkEnd, where func() string) (addr string, err error) {
-	l, err := link.Open(w.ports, where)
+func (n *network) open(from, to linkEnd, where func() string) (addr string, err error) {
+	l, err := link.Open(n.ports, where)
 	if err != nil {
 		return "", fmt.Errorf("%s %s to %s %s: %w", from.kind, from.name, to.kind, to.name, err)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.links = append(w.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.links = append(n.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
 	return l.Addr(), nil
 }
 
 // addr returns the address of the link to a node, or "" if there is none.
-func (w *network) addr(base string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.links {
+func (n *network) addr(base string) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, l := range n.links {
 		if l.to == nodeAt(base) {
 			return l.Addr()
 		}
@@ -73,29 +73,29 @@
 }
 
 // refuse sets whether the links to an end refuse new connections, as if nothing listened there.
-func (w *network) refuse(to linkEnd, refused bool) {
+func (n *network) refuse(to linkEnd, refused bool) {
 	var changed []*networkLink
-	w.mu.Lock()
-	for _, l := range w.links {
+	n.mu.Lock()
+	for _, l := range n.links {
 		if l.to == to && l.noListener != refused {
 			l.noListener = refused
 			changed = append(changed, l)
 		}
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	for _, l := range changed {
-		w.apply(l)
+		n.apply(l)
 	}
 }
 
 // apply sets the combined fault of a link's causes. It ignores the error of a link that has just been closed. Stalling
 // a link takes a moment, during which the lock over all links is not held.
-func (w *network) apply(l *networkLink) {
-	l.setting.Lock()
-	defer l.setting.Unlock()
-	w.mu.Lock()
+func (n *network) apply(l *networkLink) {
+	l.applyMu.Lock()
+	defer l.applyMu.Unlock()
+	n.mu.Lock()
 	sum := l.sumOfCauses()
-	w.mu.Unlock()
+	n.mu.Unlock()
 	l.Set(sum)
 }
 
@@ -121,53 +121,53 @@
 }
 
 // linksOf returns the links between an end and all ends of a kind, and for each whether e is its called end.
-func (w *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, far []bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.links {
+func (n *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, calledEnd []bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, l := range n.links {
 		switch {
 		case l.from == e && (peer == anyEnd || l.to.kind == peer):
-			list, far = append(list, l), append(far, false)
+			list, calledEnd = append(list, l), append(calledEnd, false)
 		case l.to == e && (peer == anyEnd || l.from.kind == peer):
-			list, far = append(list, l), append(far, true)
+			list, calledEnd = append(list, l), append(calledEnd, true)
 		}
 	}
-	return list, far
+	return list, calledEnd
 }
 
 // addFault adds a fault to each link under a new cause and returns a function that removes it.
-func (w *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
-	w.mu.Lock()
-	w.lastCause++
-	cause := w.lastCause
-	w.mu.Unlock()
-	w.changeEach(links, func(i int, l *networkLink) { l.causes[cause] = faults[i] })
+func (n *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
+	n.mu.Lock()
+	n.lastCause++
+	cause := n.lastCause
+	n.mu.Unlock()
+	n.changeEach(links, func(i int, l *networkLink) { l.causes[cause] = faults[i] })
 	return func(reset bool) {
 		if reset {
 			for _, l := range links {
 				l.Reset()
 			}
 		}
-		w.changeEach(links, func(_ int, l *networkLink) { delete(l.causes, cause) })
+		n.changeEach(links, func(_ int, l *networkLink) { delete(l.causes, cause) })
 	}
 }
 
 // changeEach changes the causes of each link and applies them, concurrently for all links.
-func (w *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
+func (n *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
 	forEach(len(links), func(i int) error {
-		w.mu.Lock()
+		n.mu.Lock()
 		change(i, links[i])
-		w.mu.Unlock()
-		w.apply(links[i])
+		n.mu.Unlock()
+		n.apply(links[i])
 		return nil
 	})
 }
 
 // close closes all links.
-func (w *network) close() {
-	w.mu.Lock()
-	links := w.links
-	w.mu.Unlock()
+func (n *network) close() {
+	n.mu.Lock()
+	links := n.links
+	n.mu.Unlock()
 	forEach(len(links), func(i int) error {
 		links[i].Close()
 		return nil
--- a/internal/lab/fleet/peaks.go
+++ b/internal/lab/fleet/peaks.go
@@ -62,13 +62,13 @@
 
 // peakAfter returns the peak of one group. The first slices, before in number, precede the fault.
 func peakAfter(counts []int, before int) (p Peak) {
-	cut := min(before, len(counts))
+	split := min(before, len(counts))
 	sum := 0
-	for _, c := range counts[:cut] {
+	for _, c := range counts[:split] {
 		sum += c
 	}
 	p.Mean = float64(sum) / float64(before)
-	for _, c := range counts[cut:] {
+	for _, c := range counts[split:] {
 		p.Max = max(p.Max, c)
 	}
 	if p.Mean > 0 {
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -68,8 +68,8 @@
 		if baseline != nil {
 			writeFullService(w, timeline, TimelineOf(s, baseline.Events), first)
 		}
-		for _, k := range Peaks(p.Events, first, s.Length) {
-			fmt.Fprintf(w, "peak           %s: %d in 0.1 s, %.1f times the mean before\n", k.Name, k.Max, k.Ratio)
+		for _, peak := range Peaks(p.Events, first, s.Length) {
+			fmt.Fprintf(w, "peak           %s: %d in 0.1 s, %.1f times the mean before\n", peak.Name, peak.Max, peak.Ratio)
 		}
 	}
 	fmt.Fprintf(w, "rig            %.0f ms late at most\n", milliseconds(p.Lateness))
@@ -127,14 +127,14 @@
 		return
 	}
 	first := p.Faults[0].At
-	for _, k := range Peaks(p.Events, first, s.Length) {
-		switch k.Name {
+	for _, peak := range Peaks(p.Events, first, s.Length) {
+		switch peak.Name {
 		case peakAllServers:
-			row.serverPeaks = append(row.serverPeaks, k.Ratio)
+			row.serverPeaks = append(row.serverPeaks, peak.Ratio)
 		case peakHandshakes:
-			row.handshakePeaks = append(row.handshakePeaks, k.Ratio)
+			row.handshakePeaks = append(row.handshakePeaks, peak.Ratio)
 		case peakDiscovery:
-			row.discoveryPeaks = append(row.discoveryPeaks, float64(k.Max))
+			row.discoveryPeaks = append(row.discoveryPeaks, float64(peak.Max))
 		}
 	}
 	if baseline == nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -195,12 +195,12 @@
 
 // startServers starts the server processes, one for each machine.
 func (r *rig) startServers() error {
-	machine := r.scenario.Fleet.ServersPerProcess
+	perProcess := r.scenario.Fleet.ServersPerProcess
 	for t, tier := range r.scenario.Tiers {
 		ids, _ := r.nodes.ServerIDs(t)
-		for first := 0; first < tier.ServerCount(); first += machine {
-			w := &worker{rig: r, name: fmt.Sprintf("servers-%s-%d", tier.Name, first/machine), role: loopback.RoleServers}
-			for i := first; i < min(first+machine, tier.ServerCount()); i++ {
+		for first := 0; first < tier.ServerCount(); first += perProcess {
+			w := &worker{rig: r, name: fmt.Sprintf("servers-%s-%d", tier.Name, first/perProcess), role: loopback.RoleServers}
+			for i := first; i < min(first+perProcess, tier.ServerCount()); i++ {
 				w.servers = append(w.servers, [2]int{t, i})
 				r.workerByServer[ids[i]] = w
 			}
--- a/internal/lab/fleet/timeline_test.go
+++ b/internal/lab/fleet/timeline_test.go
@@ -10,8 +10,8 @@
 	"hookwalk.example/hookwalk/internal/lab/sweep"
 )
 
-// newTimeline returns a timeline of 20 s that offers 1 in each slice, and in which each slice of a second earns
-// got(second).
+// newTimeline returns a timeline of 20 s that offers 1 in each slice, 10 a second, and in which each slice of a second
+// earns got(second).
 func newTimeline(got func(second int) float64) (c Timeline) {
 	for i := range 201 {
 		c.Offered, c.Earned = append(c.Offered, 1), append(c.Earned, got(i/10))
@@ -67,7 +67,7 @@
 		t.Errorf("offered %v, earned %v, share %v", offered, earned, c.Share())
 	}
 	var events []blackbox.Event
-	for i := range 100 { // one per slice, and seven in the slice at 7 s
+	for i := range 100 { // one per slice, and seven in the slice at 7 s, after the fault at 5 s
 		events = append(events, blackbox.Event{At: time.Duration(i) * sliceLength, Kind: blackbox.AttemptArrived, Server: "s"})
 	}
 	for range 6 {
--- a/internal/lab/fleet/violator_test.go
+++ b/internal/lab/fleet/violator_test.go
@@ -82,24 +82,24 @@
 		if strings.Contains(fault, "hush") {
 			length = "8"
 		}
-		add := "1000"
+		addDelayMS := "1000"
 		if strings.Contains(fault, "box_kill") { // an overload breaks the rule only if most of it comes from nodes that were notified of the server
-			add = "1"
+			addDelayMS = "1"
 		}
 		s := load(t, "violations.hcl", `scenario "violations" { length_s = `+length+` }
 tier "t" { kind "k" { count = 2 cold_s = 5 conns = 200 slots = 200 } }
 class "bin-weighin" { work_ms = 80 cv = 0 aim_ms = 500 deadline_ms = 1000 }
 clients { rate = 25 retries = 0 }
 front { nodes = 2 notice_s = 0.1 }
-discovery { drain_ms = 10 spread_ms = 10 add_ms = `+add+` }
+discovery { drain_ms = 10 spread_ms = 10 add_ms = `+addDelayMS+` }
 fleet { boxes_per_process = 2 control = "on" }
 trouble `+fault)
 		played[s.Faults[0].Kind] = true
 		t.Run(s.Faults[0].Kind, func(t *testing.T) {
 			t.Parallel()
-			broken := playUntilReliable(t, tc.fault, s).Violations
-			if !slices.ContainsFunc(broken, func(v checker.Violation) bool { return v.Rule == tc.want }) {
-				t.Errorf("%q is not among the %d violations: %v", tc.want, len(broken), broken[:min(3, len(broken))])
+			violations := playUntilReliable(t, tc.fault, s).Violations
+			if !slices.ContainsFunc(violations, func(v checker.Violation) bool { return v.Rule == tc.want }) {
+				t.Errorf("%q is not among the %d violations: %v", tc.want, len(violations), violations[:min(3, len(violations))])
 			}
 		})
 	}
@@ -125,11 +125,11 @@
 `)
 		t.Run(folder, func(t *testing.T) {
 			t.Parallel()
-			broken := playUntilReliable(t, violator.ForgetOverrides, s).Violations
-			if other := slices.IndexFunc(broken, func(v checker.Violation) bool { return v.Rule != checker.AdminOverride || v.At < time.Second }); other >= 0 {
-				t.Errorf("unexpected violation: %v", broken[other])
+			violations := playUntilReliable(t, violator.ForgetOverrides, s).Violations
+			if other := slices.IndexFunc(violations, func(v checker.Violation) bool { return v.Rule != checker.AdminOverride || v.At < time.Second }); other >= 0 {
+				t.Errorf("unexpected violation: %v", violations[other])
 			}
-			if len(broken) > 0 != owed {
+			if len(violations) > 0 != owed {
 				t.Errorf("requests to a disabled server: reported %v, want %v", !owed, owed)
 			}
 		})
@@ -150,13 +150,13 @@
 trouble "box_kill" { at_s = 0.4 length_s = 0.8 part = 1 }
 trouble "kill" { at_s = 1.5 length_s = 1.8 part = 1 }
 `))
-	boots := 0
+	starts := 0
 	for _, e := range p.Events {
 		if e.Kind == blackbox.ServerStarted && e.At > 0 {
-			boots++
+			starts++
 		}
 	}
-	if boots != 2 {
-		t.Errorf("two servers started %d times in total, want 2", boots)
+	if starts != 2 {
+		t.Errorf("two servers started %d times in total, want 2", starts)
 	}
 }
