--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -37,7 +37,7 @@
 	Folder     string        // rig's folder, kept if a rule was broken; "": removed
 	Nodes      int
 	Workers    int
-	StartTimes []time.Duration // time to readiness of each node that was restarted during the play
+	StartTimes []time.Duration // time to readiness of each ingress node restart during the play
 }
 
 // FaultRecord is an action of the fault schedule and the time at which it was performed.
--- a/internal/lab/fleet/processfaults.go
+++ b/internal/lab/fleet/processfaults.go
@@ -125,7 +125,7 @@
 	if r.terminating[i].Load() { // a process that has been asked to terminate is not replaced: it would be ended twice
 		return
 	}
-	endings := r.terminations[i].Load()
+	terminations := r.terminations[i].Load()
 	if r.folders.folderMissing(i) { // the successor cannot learn the administrative overrides
 		ids, _ := r.nodes.ServerIDs(r.infos[i].Tier)
 		for _, id := range ids {
@@ -133,7 +133,7 @@
 		}
 	}
 	r.spawn(func() {
-		if err := r.nodes.Replace(r.ctx, i); err != nil && r.terminations[i].Load() == endings && !r.terminating[i].Load() {
+		if err := r.nodes.Replace(r.ctx, i); err != nil && r.terminations[i].Load() == terminations && !r.terminating[i].Load() {
 			r.cancel(fmt.Errorf("upgrade: %w", err))
 		}
 	})
