--- a/internal/lab/fleet/folder_test.go
+++ b/internal/lab/fleet/folder_test.go
@@ -14,8 +14,8 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// What has become of a folder is what the scenario says, after whatever became of it before.
-func TestWhatBecomesOfAFolder(t *testing.T) {
+// changeFolder must produce each state of a scenario, even if an earlier fault had replaced the folder by a file.
+func TestChangeFolder(t *testing.T) {
 	type texts map[string]string
 	put := func(dir string, files texts) {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -31,13 +31,13 @@
 	for state, want := range map[string]texts{"kept": mine, "full": mine, "emptied": {}, "old": past, "cut": nil, "unwritable": nil,
 		"other": {"mine.kept": "its own", "mine.none": "", "its.more": "more"}} {
 		root := t.TempDir()
-		dir, before, beside := filepath.Join(root, "0"), filepath.Join(root, "past"), filepath.Join(root, "1")
-		put(before, past)
-		put(beside, texts{"its.kept": "its own", "its.more": "more"})
+		dir, pastDir, otherDir := filepath.Join(root, "0"), filepath.Join(root, "past"), filepath.Join(root, "1")
+		put(pastDir, past)
+		put(otherDir, texts{"its.kept": "its own", "its.more": "more"})
 		rng := model.Stream(1, "folders", 0)
-		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, before, beside, rng)) // as "unwritable" leaves it
+		err := errors.Join(os.WriteFile(dir, nil, 0o600), changeFolder("kept", dir, pastDir, otherDir, rng)) // the state that "unwritable" leaves
 		put(dir, mine)
-		if err = errors.Join(err, changeFolder(state, dir, before, beside, rng)); err != nil {
+		if err = errors.Join(err, changeFolder(state, dir, pastDir, otherDir, rng)); err != nil {
 			t.Fatalf("%s: %v", state, err)
 		}
 		got := texts{}
@@ -57,12 +57,12 @@
 		}
 	}
 	if len(scenario.FolderStates) != 7 {
-		t.Errorf("not all of %v are tried", scenario.FolderStates)
+		t.Errorf("the test does not cover all of %v", scenario.FolderStates)
 	}
 }
 
-// A worker that is stopped reads nothing. That must not hold up the rig, and the worker is ended nevertheless.
-func TestStoppedWorkerHoldsUpNobody(t *testing.T) {
+// A stopped worker does not read its pipe. Sending to it must not block the rig, and the worker must still be shut down.
+func TestStoppedWorkerDoesNotBlockTheRig(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -70,19 +70,19 @@
 	defer read.Close()
 	var ended error
 	r := &rig{cancel: func(err error) { ended = err }}
-	p := &worker{rig: r, name: "boxes", outgoing: make(chan []byte, maxUnread)}
-	outgoing, over := p.outgoing, make(chan struct{})
+	w := &worker{rig: r, name: "boxes", outgoing: make(chan []byte, maxUnread)}
+	outgoing, written := w.outgoing, make(chan struct{})
 	go func() {
 		writeMessages(write, outgoing)
-		close(over)
+		close(written)
 	}()
 	for n := 0; ended == nil; n++ {
-		if p.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
-			t.Fatal("it takes more messages than it may")
+		if w.send(loopback.Message{Node: strconv.Itoa(n)}); n > 10*maxUnread {
+			t.Fatal("the worker accepted more messages than maxUnread")
 		}
 	}
-	p.stop()
-	read.Close() // as its process ends
-	<-over
-	p.send(loopback.Message{}) // one that is gone needs none
+	w.stop()
+	read.Close() // as when its process exits
+	<-written
+	w.send(loopback.Message{}) // sending to an exited worker does nothing
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -8,14 +8,14 @@
 	"hookwalk.example/hookwalk/internal/lab/scenario"
 )
 
-// endKind is what stands at an end of a link.
+// endKind is the kind of process at an end of a link.
 type endKind string
 
-// Kinds of ends, as scenarios name them.
+// Kinds of link ends, with the names that scenarios use.
 const (
-	nodeEnd      endKind = scenario.TargetNodes     // a node
-	serverEnd    endKind = scenario.TargetServers   // a server
-	discoveryEnd endKind = scenario.TargetDiscovery // the service
+	nodeEnd      endKind = scenario.TargetNodes
+	serverEnd    endKind = scenario.TargetServers
+	discoveryEnd endKind = scenario.TargetDiscovery // the discovery service
 	clientEnd    endKind = scenario.TargetClients   // all clients
 	anyEnd       endKind = ""                       // matches every kind
 )
@@ -23,48 +23,48 @@
 // linkEnd is one end of a link.
 type linkEnd struct {
 	kind endKind
-	name string // of a node or server
+	name string // base name of a node or ID of a server; "" for the other kinds
 }
 
 func nodeAt(base string) linkEnd { return linkEnd{nodeEnd, base} }
 func serverAt(id string) linkEnd { return linkEnd{serverEnd, id} }
 
-// networkLink is a link and all that is wrong with it, by cause: causes come and go independently.
+// networkLink is a link with its active faults by cause. Causes are added and removed independently.
 type networkLink struct {
 	*link.Link
 	from, to   linkEnd
-	noListener bool // nobody listens at its far end
+	noListener bool // nothing listens at the called end
 	causes     map[int]link.Fault
 
-	setting sync.Mutex // one at a time, and each with the causes of that time
+	applyMu sync.Mutex // serializes apply, so that the last call sets the latest causes
 }
 
-// network has all links of a fleet.
+// network holds all links of a fleet.
 type network struct {
 	mu        sync.Mutex
 	links     []*networkLink
 	lastCause int
 
-	ports int // the rig's block
+	ports int // first port of the rig's block
 }
 
-// open adds a link. where is the address of its far end, asked for with each connection.
-func (w *network) open(from, to linkEnd, where func() string) (addr string, err error) {
-	l, err := link.Open(w.ports, where)
+// open adds a link. where returns the address of the called end and is called for each connection.
+func (n *network) open(from, to linkEnd, where func() string) (addr string, err error) {
+	l, err := link.Open(n.ports, where)
 	if err != nil {
 		return "", fmt.Errorf("%s %s to %s %s: %w", from.kind, from.name, to.kind, to.name, err)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.links = append(w.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.links = append(n.links, &networkLink{Link: l, from: from, to: to, causes: map[int]link.Fault{}})
 	return l.Addr(), nil
 }
 
-// addr is where a node is reached by whoever calls it.
-func (w *network) addr(base string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.links {
+// addr returns the address of the link to a node, or "" if there is none.
+func (n *network) addr(base string) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, l := range n.links {
 		if l.to == nodeAt(base) {
 			return l.Addr()
 		}
@@ -72,34 +72,34 @@
 	return ""
 }
 
-// refuse has new connections to an end refused, as where nobody listens, or ends that.
-func (w *network) refuse(to linkEnd, refused bool) {
+// refuse sets whether the links to an end refuse new connections, as if nothing listened there.
+func (n *network) refuse(to linkEnd, refused bool) {
 	var changed []*networkLink
-	w.mu.Lock()
-	for _, l := range w.links {
+	n.mu.Lock()
+	for _, l := range n.links {
 		if l.to == to && l.noListener != refused {
 			l.noListener = refused
 			changed = append(changed, l)
 		}
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	for _, l := range changed {
-		w.apply(l)
+		n.apply(l)
 	}
 }
 
-// apply sets the sum of a link's causes. A link that has just been closed needs none. A link takes a moment to be muted: the
-// lock over all links is not held during that.
-func (w *network) apply(l *networkLink) {
-	l.setting.Lock()
-	defer l.setting.Unlock()
-	w.mu.Lock()
+// apply sets the combined fault of a link's causes. It ignores the error of a link that has just been closed. Stalling
+// a link takes a moment, during which the lock over all links is not held.
+func (n *network) apply(l *networkLink) {
+	l.applyMu.Lock()
+	defer l.applyMu.Unlock()
+	n.mu.Lock()
 	sum := l.sumOfCauses()
-	w.mu.Unlock()
+	n.mu.Unlock()
 	l.SetFault(sum)
 }
 
-// sumOfCauses is all that is wrong with a link. The caller holds the network's lock.
+// sumOfCauses returns the combined fault of all causes of a link. The caller holds the network's lock.
 func (l *networkLink) sumOfCauses() link.Fault {
 	sum := link.Fault{Refuse: l.noListener}
 	for _, f := range l.causes {
@@ -120,61 +120,61 @@
 	return sum
 }
 
-// linksOf are the links between an end and all ends of a kind, and of each whether the end is its far side.
-func (w *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, far []bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.links {
+// linksOf returns the links between an end and all ends of a kind, and for each whether e is its called end.
+func (n *network) linksOf(e linkEnd, peer endKind) (list []*networkLink, calledEnd []bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, l := range n.links {
 		switch {
 		case l.from == e && (peer == anyEnd || l.to.kind == peer):
-			list, far = append(list, l), append(far, false)
+			list, calledEnd = append(list, l), append(calledEnd, false)
 		case l.to == e && (peer == anyEnd || l.from.kind == peer):
-			list, far = append(list, l), append(far, true)
+			list, calledEnd = append(list, l), append(calledEnd, true)
 		}
 	}
-	return list, far
+	return list, calledEnd
 }
 
-// addFault adds a cause to links and returns what takes it away again.
-func (w *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
-	w.mu.Lock()
-	w.lastCause++
-	cause := w.lastCause
-	w.mu.Unlock()
-	w.changeEach(links, func(i int, l *networkLink) { l.causes[cause] = faults[i] })
+// addFault adds a fault to each link under a new cause and returns a function that removes it.
+func (n *network) addFault(links []*networkLink, faults []link.Fault) (heal func(reset bool)) {
+	n.mu.Lock()
+	n.lastCause++
+	cause := n.lastCause
+	n.mu.Unlock()
+	n.changeEach(links, func(i int, l *networkLink) { l.causes[cause] = faults[i] })
 	return func(reset bool) {
 		if reset {
 			for _, l := range links {
 				l.Reset()
 			}
 		}
-		w.changeEach(links, func(_ int, l *networkLink) { delete(l.causes, cause) })
+		n.changeEach(links, func(_ int, l *networkLink) { delete(l.causes, cause) })
 	}
 }
 
-// changeEach changes the causes of links and applies them, of all links at once.
-func (w *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
+// changeEach changes the causes of each link and applies them, concurrently for all links.
+func (n *network) changeEach(links []*networkLink, change func(i int, l *networkLink)) {
 	forEach(len(links), func(i int) error {
-		w.mu.Lock()
+		n.mu.Lock()
 		change(i, links[i])
-		w.mu.Unlock()
-		w.apply(links[i])
+		n.mu.Unlock()
+		n.apply(links[i])
 		return nil
 	})
 }
 
 // close closes all links.
-func (w *network) close() {
-	w.mu.Lock()
-	links := w.links
-	w.mu.Unlock()
+func (n *network) close() {
+	n.mu.Lock()
+	links := n.links
+	n.mu.Unlock()
 	forEach(len(links), func(i int) error {
 		links[i].Close()
 		return nil
 	})
 }
 
-// connectAll opens a link for every pair that talks.
+// connectAll opens a link for every pair of processes that communicate.
 func (r *rig) connectAll() error {
 	for i, info := range r.infos {
 		if err := r.connectNode(i, info.Base, info.Tier); err != nil {
