--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -13,25 +13,26 @@
 	// minWindow is the smallest window: with a window of zero, no answer would arrive to open it again.
 	minWindow = 1
 
-	// targetLoadRatio is the load ratio, the mean latency over the latency objective, that the window is
-	// steered to. Half of the objective is left for the spread of latencies.
+	// targetLoadRatio is the load ratio that the window is steered to. The load ratio is the mean latency
+	// divided by the latency objective. Half of the objective is left for the spread of latencies.
 	targetLoadRatio = 0.5
-	// unloadedRatioMultiplier raises the target to this multiple of the unloaded ratio (pool.unloadedRatio),
-	// if that is higher: work that takes most of the objective by itself is not an overload.
+	// unloadedRatioMultiplier: the target is raised to this multiple of the unloaded ratio
+	// (pool.unloadedRatio) if that is higher, because work that takes most of the objective even without load
+	// is not an overload.
 	unloadedRatioMultiplier = 1.4
 	// maxTargetLoadRatio is the highest target: above it, too many answers would miss the objective.
 	maxTargetLoadRatio = 0.7
 	// maxUnloadedShedShare is the share of shed requests above which latencies show an overload rather than
-	// the time that the work takes by itself.
+	// the time that the work takes without load.
 	maxUnloadedShedShare = 0.02
 
 	// maxWindowIncrement is the number of attempts by which an answer below the target raises the window
 	// while the load ratio is 0. The increment falls to 0 as the load ratio approaches the target.
 	maxWindowIncrement = 1.0
 	// windowDecrement is the number of attempts by which an answer lowers the window while the load ratio is
-	// above the target: as many answers as the window holds lower it by a tenth. Attempts that were sent
-	// before the first step are answered late as well, and larger steps would react to one overload many
-	// times.
+	// above the target: one answer for each attempt in a full window lowers it by a tenth in total. Attempts
+	// that were sent before the first step are answered late as well, and with larger steps the window would
+	// react to one overload many times.
 	windowDecrement = 0.1
 	// minWindowUse is the part of the window that must be in use for it to grow: an idle node learns nothing
 	// about the capacity of deeper tiers.
@@ -54,9 +55,9 @@
 	return b.settings.Tier == 0 && float64(p.inFlight) >= math.Ceil(p.window-p.roundingDraw)
 }
 
-// removeFromWindow stops counting an attempt in the window: at its end, or earlier if its body or its
-// response is streamed. Repeated calls change nothing. A streamed message is slow because of its client: the
-// server does nothing before it has received the whole request, and nothing more while the client reads the
+// removeFromWindow stops counting an attempt in the window: when the attempt ends, or earlier if its body or
+// its response is streamed. Repeated calls change nothing. A streamed message is slow because of its client:
+// the server does no work before it has received the whole request, and none while the client reads the
 // response. If such attempts counted, a few slow clients would cause the rejection of all others. They still
 // count as attempts in flight at their servers until they end.
 func (a *attempt) removeFromWindow() {
@@ -69,10 +70,10 @@
 // adjustWindow moves the window so that the load ratio stays at its target. Input: the end of an attempt,
 // which no longer counts in the window (removeFromWindow). Output: the window, in attempts.
 //
-// Servers that are sent more than they can process answer all of it late, and clients that time out retry,
-// which makes the overload worse. The excess must therefore wait or be shed here, before it costs deeper
-// tiers anything. Without this, latencies reach the objective, all servers are busy and few answers are in
-// time. Outcomes that show nothing about the load are ignored.
+// Servers that are sent more requests than they can process answer all of them late, and clients that time
+// out retry, which makes the overload worse. The excess must therefore wait or be shed here, before it costs
+// deeper tiers anything. Without this, latencies reach the objective, all servers are busy and few answers
+// are in time. Outcomes that show nothing about the load are ignored.
 func (b *Balancer) adjustWindow(r *request, e AttemptEnded) {
 	if b.settings.Tier > 0 || e.Outcome == Canceled || e.Outcome == NotSent || e.Outcome == Failure {
 		return
@@ -105,7 +106,7 @@
 
 // raiseOrLowerWindow lowers the window while the load ratio is above the target. It raises the window if the
 // attempt took less than the target and the window was in use. The attempt no longer counts in the window
-// (removeFromWindow), so that +1 adds it back.
+// (removeFromWindow), so it is added back (+1) to see how much of the window was in use.
 func (b *Balancer) raiseOrLowerWindow(p *pool, ratio float64) {
 	target := min(max(targetLoadRatio, unloadedRatioMultiplier*p.unloadedRatio), maxTargetLoadRatio)
 	p.roundingDraw = 0
@@ -126,7 +127,7 @@
 }
 
 // raiseWindow raises a window in proportion to the distance of the load ratio from the target: a fixed step
-// would leave servers idle far from the target, or overshoot near it.
+// would be too small far from the target, which leaves servers idle, or too large near it.
 func (p *pool) raiseWindow(target float64) {
 	gain := maxWindowIncrement * (1 - p.loadRatio/target)
 	p.window += gain
--- a/balancer/capacity.go
+++ b/balancer/capacity.go
@@ -17,14 +17,14 @@
 	minCapacityJitter = 0.5
 )
 
-// capacityLimit returns the number of this Balancer's attempts in flight at which a server is not eligible,
-// because it has rejected an attempt beyond that number. Input: what recordRejection and relaxCapacityLimit
-// have learned about the server. Output: concurrent attempts, math.MaxInt for no limit.
+// capacityLimit returns the number of this Balancer's attempts in flight at which a server is no longer
+// eligible, because it has rejected an attempt beyond that number. Input: what recordRejection and
+// relaxCapacityLimit have learned about the server. Output: concurrent attempts, math.MaxInt for no limit.
 //
 // The queue or the connections of such a server are full. Because it rejects quickly, it has few attempts in
-// flight: without the limit it would win most draws and reject them all. The symptom is a burst of Overloaded
-// or Unreachable outcomes from a few servers while others have capacity. Such a server is not an outlier, and
-// maxExcludedShare does not apply: all servers may be at their limits.
+// flight: without the limit it would win most draws and reject all these attempts. The symptom is a burst of
+// Overloaded or Unreachable outcomes from a few servers while others have capacity. Such a server is not an
+// outlier, and maxExcludedShare does not apply: all servers may be at their limits.
 func (b *Balancer) capacityLimit(s *server) int {
 	if b.now < s.capacityLimitUntil {
 		return s.capacityLimit
@@ -43,7 +43,8 @@
 }
 
 // relaxCapacityLimit raises the limit of a server that has answered while it had as many attempts as its
-// limit allows, which shows that its queue has moved on. It also ends the server's run of rejections.
+// limit allows, which shows that it is working through its queue. It also ends the server's run of
+// rejections.
 func (s *server) relaxCapacityLimit() {
 	if s.inFlightCount()+1 >= s.capacityLimit {
 		s.capacityLimit++
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -58,7 +58,7 @@
 
 // concurrencyCap returns a function that gives the number of this Balancer's attempts in flight at which a
 // server is not eligible: one more than the mean of the list, or its capacity limit if that is lower. Without
-// it, random draws that hit the same server twice would overload it while others are idle.
+// the cap, random draws that hit the same server twice would overload it while others are idle.
 func (b *Balancer) concurrencyCap(list []*server) func(*server) int {
 	attempts := 0
 	for _, s := range list {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -32,21 +32,21 @@
 	// unresponsiveDeviations is the number of deviations above the mean latency after which an unanswered
 	// attempt can make its server count as unresponsive.
 	unresponsiveDeviations = 3.0
-	// answeredSinceDivisor: another server must have answered after half of that wait had passed, and this
-	// one must not have, which shows that the fault is in this server alone.
+	// answeredSinceDivisor: after half of that wait, another server must have answered and this one must not
+	// have, which shows that the fault is in this server alone.
 	answeredSinceDivisor = 2
 )
 
 // excludeOutliers marks the servers of a list that are excluded because of their health. Input: the servers
 // that a request could be sent to, and the share of requests shed. Output: true for the outliers with the
-// most consecutive failures, up to maxExcludedShare of the list. Timeouts and errors count as failures, a
-// long wait does not: an unresponsive server may have no failures, and is then the first to remain if there
-// are too many outliers.
+// most consecutive failures, up to maxExcludedShare of the list. Timeouts and errors count as failures; a
+// long wait does not. An unresponsive server may therefore have no failures, and if there are too many
+// outliers, it is the first that is not excluded.
 //
-// The limit falls as more load is shed, because timeouts in an overload show load rather than bad health.
-// One server may always be excluded. A server that fails quickly has few attempts in flight and would win
-// most draws. A server that is cut off from the network would hold its attempts until they time out, fill the
-// window, and so cause the very shedding that would keep it from being excluded.
+// The limit falls as more load is shed, because timeouts in an overload show load rather than bad health. One
+// server may always be excluded, for two reasons. A server that fails quickly has few attempts in flight and
+// would win most draws. A server that is cut off from the network would hold its attempts until they time
+// out, fill the window and cause load shedding, which would lower the limit until the server is not excluded.
 func (b *Balancer) excludeOutliers(r *request, list []*server) []bool {
 	excluded := make([]bool, len(list))
 	var outliers []int
@@ -68,8 +68,9 @@
 // isOutlier reports whether a server should not be chosen for a request because of its health: it is ejected
 // or unresponsive, or it is on probation and may not get this request. On probation a server gets one request
 // at a time, and not a NonIdempotent one: a bad server must not fail many requests, nor one that cannot be
-// retried. If only NonIdempotent requests arrive for the duration of a first ejection, computed with the mean
-// latency of this request's class, one of them is allowed, or the server might never return.
+// retried. A NonIdempotent request is allowed once the duration of a first ejection, computed with the mean
+// latency of this request's class, has passed since the end of the ejection: if no other requests arrive, the
+// server might otherwise never return.
 func (b *Balancer) isOutlier(s *server, r *request) bool {
 	if b.now < s.ejectedUntil || b.isUnresponsive(s) {
 		return true
@@ -104,8 +105,9 @@
 // until which the server is ejected. The symptom of a bad server that is not ejected is a steady share of
 // failures, about one over the number of servers, and more if it fails quickly.
 //
-// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. A run of n
-// failures therefore counts only if share^n is below the limit for the kind of its last failure:
+// Errors at all servers have their cause in a deeper tier, and ejecting servers for them would leave no
+// server. A run of n failures therefore counts only if share^n is below the limit for the kind of its last
+// failure:
 //
 //	share of failures    consecutive failures that eject a server
 //	before the last      if the last is a timeout     if the last is an error
@@ -116,8 +118,8 @@
 //	50 %                 4                            10
 //
 // Each failure raises the share by 0.06 of its distance from 1, and each success at any server lowers it by
-// 0.06 of its value: if nothing succeeds between them, it takes four or five errors rather than two. The
-// duration of an ejection doubles while requests on probation fail.
+// 0.06 of its value: without a success between them, it therefore takes four or five errors rather than two.
+// The duration of an ejection doubles while requests on probation fail.
 func (b *Balancer) recordFailure(s *server, c *class, outcome Outcome) {
 	s.consecutiveFailures++
 	s.consecutiveSuccesses = 0
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -6,8 +6,8 @@
 
 const (
 	// deadlineMarginTolerances is how long before a deadline the Balancer acts, in multiples of the host's
-	// timer tolerance: one because the Balancer's timer may fire late, and one for the answer to reach the
-	// client.
+	// timer tolerance: one tolerance because the Balancer's timer may fire late, and one for the answer to
+	// reach the client.
 	deadlineMarginTolerances = 2
 	// minQueueTimeDivisor: a request may wait for at least a quarter of its latency objective.
 	minQueueTimeDivisor = 4
@@ -30,17 +30,17 @@
 // queue with requests whose clients are about to time out and retry, and these retries would sustain the
 // overload. The symptoms are full queues, busy servers and nothing but late answers.
 //
-// The latency objective is measured from the client's first try. For a client's retry it is mostly over, so
-// the retry is usually either sent or rejected immediately.
+// The latency objective is measured from the client's first try. When the client retries, most of that time
+// has passed, so the retry is usually either sent or rejected immediately.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	objective := r.class.LatencyObjective
 	wait := max(objective/minQueueTimeDivisor, objective-r.class.latencyBound(queueLatencyDeviations))
 	return min(r.deadline-b.deadlineMargin(), r.firstTriedAt+wait)
 }
 
-// enqueue queues a request until a server may take it, and sets a timer so that it is answered even if none
-// does. It answers the request immediately if waiting is useless: the queue deadline has passed, the lease
-// on the endpoint list has expired, or operators have disabled all servers of the pool.
+// enqueue queues a request until a server may take it, and sets a timer so that it is answered even if no
+// server becomes available. It answers the request immediately if waiting is useless: the queue deadline has
+// passed, the lease on the endpoint list has expired, or operators have disabled all servers of the pool.
 func (b *Balancer) enqueue(r *request) {
 	p := r.class.pool
 	if b.now >= b.queueDeadline(r) || p.allDisabled || b.endpointListExpired() {
@@ -63,7 +63,8 @@
 	}
 }
 
-// setQueueTimer sets a timer to check a queued request at a time, unless one that fires by then is pending.
+// setQueueTimer sets a timer to check a queued request at the given time, unless a pending timer fires by
+// then.
 func (b *Balancer) setQueueTimer(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.timerAt > b.now && r.timerAt <= at {
@@ -107,9 +108,9 @@
 	}
 }
 
-// nextQueued returns the queued request to send next: of those that the order of their keys allows, the one
-// with the highest shedding value. Of several with that value it returns the one queued last, which has the
-// most time left. It returns nil if no request may be sent.
+// nextQueued returns the queued request to send next: among the requests that the order of their keys allows
+// to be sent, the one with the highest shedding value. If several have that value, it returns the one that
+// was queued last, which has the most time left. It returns nil if no request may be sent.
 func (b *Balancer) nextQueued(queued []*request) *request {
 	var best *request
 	for _, r := range queued {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -97,9 +97,9 @@
 	b.sendOrQueue(r)
 }
 
-// addRequest creates a request and counts it. Its deadline is the one that the client gave, but no later than
-// its class allows: a request whose deadline is an hour away could hold its place in the window until then,
-// and outlive a node that shuts down.
+// addRequest creates a request and counts it. Its deadline is the client's, limited to the deadline of its
+// class: a request whose deadline is an hour away could otherwise count in the window until then, and still
+// be open when the node shuts down.
 func (b *Balancer) addRequest(e Request) *request {
 	c := b.classOf(e)
 	r := &request{
@@ -134,7 +134,7 @@
 }
 
 // send starts an attempt of a request at a server. The timeout is at least the host's timer tolerance,
-// because its timers can't keep a shorter one.
+// because the host's timers cannot measure a shorter one.
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{
 		request:     r,
@@ -173,9 +173,9 @@
 	}
 }
 
-// handleAttemptEnded learns from the end of an attempt, and then retries or answers its request. An attempt
-// that timed out after less than the mean latency of its class had too short a deadline from its client: the
-// timeout is no evidence about the server or its load.
+// handleAttemptEnded learns from the end of an attempt, and then retries or answers its request. If an
+// attempt timed out after less than the mean latency of its class, the deadline set by the client was too
+// short, and the timeout is no evidence about the server or its load.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -209,7 +209,7 @@
 	b.removeIfDone(r)
 }
 
-// metLatencyObjective reports whether an answer met the latency objective. Of a streamed response, only the
+// metLatencyObjective reports whether an answer met the latency objective. For a streamed response, only the
 // first message has to meet it.
 func (b *Balancer) metLatencyObjective(a *attempt, e AttemptEnded) bool {
 	objective := a.request.firstTriedAt + a.request.class.LatencyObjective
@@ -226,7 +226,7 @@
 //	enqueue, dispatchQueued
 //	                the lease on the endpoint list has expired (endpointListExpired), or operators
 //	                have disabled all servers that the request could be sent to (pool.allDisabled)
-//	retryOrGiveUp   an attempt did not succeed, and the class or MaxAttempts allows no other (mayRetry), the
+//	retryOrGiveUp   an attempt did not succeed, and the class or MaxAttempts allows no more (mayRetry), the
 //	                retry budget is used up, too little time is left for an answer, or no server is eligible
 //	                (chooseServer)
 //
@@ -247,9 +247,9 @@
 	b.closeRequest(r)
 }
 
-// closeRequest ends a request. Attempts still in flight are not canceled, and they count until they end: the
-// servers may still be working on them, so that their capacity is not available to clients that leave early
-// and try again.
+// closeRequest ends a request. Attempts still in flight are not canceled, and they count until they end,
+// because the servers may still be working on them. Otherwise clients that disconnect early and try again
+// would be given capacity that is still in use.
 func (b *Balancer) closeRequest(r *request) {
 	if r.answered {
 		return
@@ -260,7 +260,8 @@
 	b.removeIfDone(r)
 }
 
-// removeIfDone removes an answered request, also from the queue of its key, if no attempt of it is in flight.
+// removeIfDone removes an answered request that has no attempt in flight. It also removes the request from
+// the queue of its key.
 func (b *Balancer) removeIfDone(r *request) {
 	if !r.answered || r.hasAttemptInFlight() || b.requests[r.id] != r {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,8 +4,8 @@
 
 import "slices"
 
-// minRetryTimeDivisor limits retries to requests whose deadline is at least half of the class's mean latency
-// away. With less time, the answer to the retry would nearly always be too late.
+// minRetryTimeDivisor: a request is retried only if at least half of the mean latency of its class is left
+// until its deadline. With less time, the answer to the retry would nearly always be too late.
 const minRetryTimeDivisor = 2
 
 // mayRetry reports whether a request may be sent again now. This depends on the attempts so far and their
@@ -13,8 +13,8 @@
 //
 // A request that may have run must not run again, unless its class is idempotent or the servers still
 // discard duplicates of it. Otherwise a payment could be made twice. No error would report this: only the
-// stored data would show it. A request whose client has received part of a response is not retried, because no
-// other answer is possible.
+// stored data would show it. A request whose client has received part of a response is not retried, because
+// no other answer is possible.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || len(r.attempts) >= r.maxAttempts {
 		return false
--- a/balancer/serverchoice.go
+++ b/balancer/serverchoice.go
@@ -13,13 +13,13 @@
 //
 // Input: the request and the state of the servers. Rule: the servers in service, in an order that all
 // replicas share, are divided into two groups. One server is drawn from each group, and the one with fewer
-// own attempts in flight is chosen (pickFromGroups). Comparing all servers would make all replicas send to
-// the one server that looks least loaded; two draws avoid that, and spread the load nearly as well. A replica
-// counts only its own attempts, because that count is exact and always up to date.
+// own attempts (those of this replica) in flight is chosen (pickFromGroups). Comparing all servers would make
+// all replicas send to the one server that looks least loaded; two draws avoid that, and spread the load
+// nearly as well. A replica counts only its own attempts, because that count is exact and always up to date.
 //
-// The candidates are those of the first list that has an eligible server: this replica's subset of the
-// preferred servers, unless the request crosses zones; its subset of all servers; all servers, without regard
-// to capacity limits.
+// Three lists are tried in order, and the server is chosen from the first list that has an eligible one: this
+// replica's subset of the preferred servers, unless the request crosses zones; this replica's subset of all
+// servers in service; all servers in service, without regard to capacity limits.
 func (b *Balancer) chooseServer(r *request) *server {
 	if b.endpointListExpired() {
 		return nil
@@ -46,15 +46,17 @@
 	return b.pickFromGroups(b.eligibleServers(r, left, right, lastResort))
 }
 
-// splitGroups returns the left and the right group of a list, or this replica's share of each.
+// splitGroups divides a list into the left and the right group, and returns the given share of each: the part
+// of the group that this replica draws from.
 func (b *Balancer) splitGroups(list []*server, share float64) (left, right []*server) {
 	cut := int(math.Ceil(leftGroupShare * float64(len(list))))
 	return b.ringSegment(list[:cut], share), b.ringSegment(list[cut:], share)
 }
 
 // pickFromGroups draws one server uniformly from each group, and returns the one with fewer own attempts in
-// flight. If both have the same number, it returns the left one; if both have none, it draws the group with
-// probabilities in proportion to the group sizes. If one group is empty, it draws from the other.
+// flight. If both have the same number above zero, it returns the left one. If neither has any, it draws one
+// of the two with probabilities in proportion to the sizes of their groups. If one group is empty, it draws
+// from the other.
 func (b *Balancer) pickFromGroups(left, right []*server) *server {
 	if len(left) == 0 || len(right) == 0 {
 		return b.drawServer(append(left, right...))
--- a/balancer/zonepreference.go
+++ b/balancer/zonepreference.go
@@ -5,22 +5,25 @@
 import "slices"
 
 const (
-	// minCrossZoneShare is the share of requests that may leave the preferred servers in any case, so that
-	// the replica knows the latency of the others and notices when they have become faster.
+	// minCrossZoneShare is the smallest share of requests that may use all servers rather than only the
+	// preferred ones, so that the replica knows the latency of the other servers and notices when they have
+	// become faster.
 	minCrossZoneShare = 0.03
 	// crossZoneLogLatencyGap is how much higher the mean log latency of the preferred servers must be than
-	// that of the others before more requests leave them. A quarter is about 28 % of the latency; a smaller
-	// gain is not worth the cost of crossing zones.
+	// that of the others before more requests may use all servers. A quarter is about 28 % of the latency; a
+	// smaller gain is not worth the cost of crossing zones.
 	crossZoneLogLatencyGap = 0.25
-	// crossZoneWeight is the weight of one answer in the cross-zone share. It is half its weight in the
-	// latencies that the share follows, so that requests don't all swing between zones at the same time.
+	// crossZoneWeight is the weight of one answer in the cross-zone share. It is half the weight of an answer
+	// in the latency averages that determine the share, so that requests don't all swing between zones at the
+	// same time.
 	crossZoneWeight = sampleWeight / 2
 )
 
 // updatePreferredServers finds the servers that a pool's classes use first: the servers in this replica's
-// zone, if there are any, and of these the ones that no narrower pool depends on, if there are any. Crossing
-// zones costs latency and money. The classes of a narrower pool can use no other servers: if other classes
-// filled these, only the classes of the narrower pool would fail, while other servers are idle.
+// zone, and among these the servers that no narrower pool may use. A step that would leave no server is
+// skipped. Crossing zones costs latency and money. The classes of a narrower pool can use no other servers:
+// if other classes filled these servers, the classes of the narrower pool would fail while other servers are
+// idle.
 //
 // Servers that are reserved for narrower pools are not counted in serversPerReplica either. Otherwise the
 // floors of two windows would together admit twice what one server can take.
@@ -58,11 +61,11 @@
 }
 
 // recordZoneLatency adds the latency of an attempt to the averages and adjusts the cross-zone share to them.
-// Input: whether the attempt's server is preferred, and the log of the latency over the class's mean, which
-// makes fast and slow classes comparable. Output: the cross-zone share. While the preferred servers are
-// slower than the others by more than crossZoneLogLatencyGap, for whatever reason, more requests leave them;
-// otherwise fewer do. Without this rule, a zone that has lost half of its servers would be overloaded while
-// others have capacity. The symptom is timeouts and rejections in only one zone.
+// Input: whether the attempt's server is preferred, and the logarithm of the latency divided by the class's
+// mean, which makes fast and slow classes comparable. Output: the cross-zone share. While the preferred
+// servers are slower than the others by more than crossZoneLogLatencyGap, for whatever reason, the share
+// rises; otherwise it falls. Without this rule, a zone that has lost half of its servers would be overloaded
+// while others have capacity. The symptom is timeouts and rejections in only one zone.
 func (p *pool) recordZoneLatency(preferred bool, logRatio float64) {
 	average := &p.otherLogLatency
 	if preferred {
