--- a/balancer/accesslist.go
+++ b/balancer/accesslist.go
@@ -28,7 +28,7 @@
 	return (len(l.Allow) == 0 || containsAddress(l.Allow, client)) && !containsAddress(l.Deny, client)
 }
 
-// TrustsProxy reports whether peer is a trusted proxy. Each of its connections must begin by stating the
+// TrustsProxy reports whether peer is a trusted proxy. Each connection of a trusted proxy must begin with the
 // address of its client.
 func (l *AccessList) TrustsProxy(peer netip.Addr) bool {
 	return l != nil && containsAddress(l.TrustedProxies, peer)
--- a/balancer/adminoverride.go
+++ b/balancer/adminoverride.go
@@ -80,7 +80,7 @@
 }
 
 // applyOverride disables a server, or enables it as one that has just started: its operators are assumed to
-// have restarted it, so what was learned applies to its previous process. Repeating an override changes
+// have restarted it, so what was learned about its previous process is dropped. Repeating an override changes
 // nothing.
 func (b *Balancer) applyOverride(e AdminOverride) {
 	if b.CheckOverride(e.Server) != nil || b.IsDisabled(e.Server) == e.Disabled {
--- a/balancer/attempttimeout.go
+++ b/balancer/attempttimeout.go
@@ -19,11 +19,11 @@
 // Idempotent ones wait for all of their remaining time. Input: that time, the latencies of the class, the
 // retry budget and the share of failed attempts. Output: the remaining time, or less if a retry may follow.
 //
-// Requests sent to a machine that is cut off from the network are neither rejected nor answered: one that
-// waits there until its deadline has no time left for a retry, and fails. But if many attempts take long, the
-// cause is load: servers keep working on abandoned attempts, and retries add to that load. An attempt is
-// therefore abandoned early only if its class may run twice, the latency of the class is known, the budget
-// covers a retry, few attempts fail, and enough time remains for the retry.
+// Requests sent to a machine that is cut off from the network are neither rejected nor answered: a request
+// that waits there until its deadline has no time left for a retry, and fails. But if many attempts take
+// long, the cause is load: servers keep working on abandoned attempts, and retries add to that load. An
+// attempt is therefore abandoned early only if the request may run twice, the latency of its class is known,
+// the budget covers a retry, few attempts fail, and enough time remains for the retry.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	c, left := r.class, r.deadline-b.now
 	timeout := c.latencyBound(attemptTimeoutDeviations)
--- a/balancer/checkpointformat.go
+++ b/balancer/checkpointformat.go
@@ -14,7 +14,7 @@
 // Servers, Requests and Classes. References to them are stored as indexes into these lists.
 //
 // The list Servers begins with the servers that the Balancer knows. Their number is KnownServers. Only ended
-// attempts refer to the servers after them.
+// attempts refer to the remaining servers.
 type savedBalancer struct {
 	Now                  time.Duration       `json:"Now"`
 	RNGState             []byte              `json:"Random"`
--- a/balancer/clientretry.go
+++ b/balancer/clientretry.go
@@ -5,8 +5,9 @@
 import "time"
 
 const (
-	// shortBudgetShare is the part of the typical budget below which a request counts as a retry. The rest
-	// covers the time that a first try spends in transit.
+	// shortBudgetShare is the part of the typical budget below which a request counts as a retry. The budget
+	// is the time from the arrival of a request to its deadline. The rest of the typical budget covers the
+	// time that a first try spends in transit.
 	shortBudgetShare = 0.95
 	// budgetStepDivisor: the typical budget moves by a hundredth of itself with each request.
 	budgetStepDivisor = 100
@@ -14,15 +15,15 @@
 
 // detectClientRetry determines whether a request is a retry by its client, and if so, when the client made
 // its first try. Input: the time that the request has on arrival, and the client's mark if clients mark their
-// retries. Output: clientRetry and firstTriedAt. The latency objective of a retry starts at the first try and
-// is mostly over: where load must be shed, the first tries of other clients are worth more.
+// retries. Output: clientRetry and firstTriedAt. The latency objective of a retry is measured from the first
+// try and has mostly passed: where load must be shed, the first tries of other clients are worth more.
 //
-// Clients give each try the same time, unless the deadline of the class, which covers all of them, ends
-// sooner: a shorter budget shows how much of the deadline has passed. If clients mark retries, only the mark
+// Clients give each try the same time, unless the deadline of the class, which covers all tries, is sooner. A
+// shorter budget therefore shows how much of that deadline has passed. If clients mark retries, only the mark
 // counts, because a last try may be given more time than the first. Only tier 0 receives requests from
-// clients; at other tiers, a budget is what the previous tier has left. firstTriedAt is an estimate: the
-// Deadline of the class before the deadline of the request, as if the client had set that deadline with its
-// first try.
+// clients; at other tiers, a budget is the time that the previous tier has left. firstTriedAt is an estimate:
+// the deadline of the request minus the Deadline of the class, as if the client had set the deadline of the
+// request with its first try.
 func (b *Balancer) detectClientRetry(r *request) {
 	budget, c := r.deadline-b.now, r.class
 	c.updateTypicalBudget(budget)
--- a/balancer/discoverypoll.go
+++ b/balancer/discoverypoll.go
@@ -1,15 +1,15 @@
 // Polls of discovery, for hosts whose discovery sends an endpoint list only after a Subscribe.
 //
-// Only the simulator is such a host. In service, internal/endpointlease schedules the polls of discovery: the
-// first Subscribe lets its first poll begin, and later ones change nothing.
+// Only the simulator is such a host. In a node, internal/endpointlease schedules the polls of discovery: the
+// first Subscribe allows it to begin its first poll, and later ones have no effect.
 
 package balancer
 
 import "time"
 
 const (
-	// pollsPerInterval is how many polls must fit into MaxPollInterval, so that others can follow a failed
-	// one within it.
+	// pollsPerInterval is how many polls must fit into MaxPollInterval, so that other polls can follow a
+	// failed one within that interval.
 	pollsPerInterval = 4
 	// firstPollDivisor: the first wait is at most the longest wait divided by this.
 	firstPollDivisor = 16
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -4,7 +4,7 @@
 // It does no I/O. The host passes events to Balancer.Handle (events.go) and carries out the actions that it
 // returns (actions.go). settings.go defines the settings. Each rule has a file of its own:
 //
-//	serverchoice.go    the choice of a server: one random draw from each half of a shared order
+//	serverchoice.go    the choice of a server: of two drawn at random, the one with fewer attempts in flight
 //	zonepreference.go  preference for servers of the same zone, and the cross-zone share
 //	subset.go          the subset of servers that this replica draws from
 //	eligibility.go     which servers may be chosen for a request: deduplication scope, concurrency cap
@@ -22,7 +22,7 @@
 //	retrybudget.go     how many retries are allowed in proportion to successes
 //	retryafter.go      when a rejected client is asked to try again
 //	lease.go           what happens when the lease on the endpoint list has expired
-//	discoverypoll.go   when a Subscribe is sent; in service the first one lets internal/endpointlease poll
+//	discoverypoll.go   sends of Subscribe; in a node, the first one allows internal/endpointlease to poll
 //	accesslist.go      which clients are admitted
 //	faultinjection.go  faults that operators inject, and their end when the node shuts down
 //
--- a/balancer/settingschange.go
+++ b/balancer/settingschange.go
@@ -24,8 +24,9 @@
 }
 
 // classOf returns the class of a request. An ingress that had not yet seen the last change of the settings
-// has read the request by the previous settings, so their class applies. A request of an unknown class is
-// non-idempotent, with the objective, deadline and weight of the class that has the longest deadline.
+// has classified the request by the previous settings, so the class of those settings applies. A request of
+// an unknown class is non-idempotent, with the objective, deadline and weight of the class that has the
+// longest deadline.
 func (b *Balancer) classOf(e Request) *class {
 	if previous := b.previousClasses[e.Class]; previous != nil && e.SettingsVersion < b.settingsVersion {
 		return previous
