--- a/internal/node/clientlistener.go
+++ b/internal/node/clientlistener.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// minIdleBeforeEviction is how long a connection must be without an open request before it may be evicted for its slot.
-	// Clients send right after connecting, so a new connection's first request has arrived by then.
+	// minIdleBeforeEviction is how long a connection must have had no open request before it may be evicted to free its
+	// slot. Clients send right after connecting, so a new connection's first request has arrived by then.
 	minIdleBeforeEviction = 50 * time.Millisecond
 
 	// halfCloseTimeout is how long the node waits for the client to close a connection whose sending side the node has
 	// closed. Then the node closes the connection completely.
 	halfCloseTimeout = 200 * time.Millisecond
 
-	// signalOnlyWait is how long to wait for a slot when no connection is idle. It is long enough that only slotFreed ends
-	// the wait.
+	// signalOnlyWait is how long to wait for a slot when no connection is idle. It is so long that in practice the wait
+	// ends only when slotFreed is signaled or the listener is closed.
 	signalOnlyWait = time.Hour
 )
 
@@ -37,8 +37,9 @@
 //
 //	idle         no open request; the connection is in idleConns. New connections are idle (markIdle).
 //	active       from the first byte of a request until its response is written (markActive).
-//	read-closed  idle, and readCloseRequestedAt is set: no request may begin. The reader is interrupted. If it already has
-//	             bytes of a request, the connection becomes active again. Otherwise it sets readClosed, which is final.
+//	read-closed  idle, and readCloseRequestedAt is set: the connection's reader is interrupted and should begin no further
+//	             request. If the reader already has bytes of a request, the connection becomes active again. Otherwise
+//	             the reader sets readClosed, which is final.
 //	closed       clientConn.Close has released the slot.
 //
 // net/http owns and closes each connection. If its reader does not react to the request to close in time, closeIdle or
@@ -54,7 +55,7 @@
 	handedOver   atomic.Bool // a successor accepts now: the listener is closed, open connections are still served
 
 	mu           sync.Mutex
-	openConns    int        // slots taken, including that of a pending Accept
+	openConns    int        // slots taken, including the slot of a pending Accept
 	idleConns    *list.List // of *clientConn, longest idle first
 	shuttingDown bool       // connections that become idle are asked to close
 }
@@ -111,8 +112,9 @@
 	}
 }
 
-// acquireSlot takes a free slot. If there is none, it starts to close the connection that has been idle longest, provided
-// that it has been idle for minIdleBeforeEviction, and returns how long to wait before the next attempt.
+// acquireSlot takes a free slot. If there is none, it returns how long to wait before the next call. It also asks the reader
+// of the connection that has been idle longest to close it, once that connection has been idle for minIdleBeforeEviction. If
+// the reader has not closed it after the same time again, acquireSlot closes the connection.
 func (l *clientListener) acquireSlot() (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	if l.openConns < l.maxConns {
@@ -146,8 +148,9 @@
 	return l.Listener.Close()
 }
 
-// stopAccepting closes the listener, of which the successor has a copy. Accept still does not return until Close is called:
-// an error from it would end net/http's server, and with it the connections that are still served.
+// stopAccepting closes this process's copy of the listener; the successor accepts on its own copy. A pending Accept does not
+// return until Close is called: an error from Accept would end net/http's server, and with it the connections that are still
+// served.
 func (l *clientListener) stopAccepting() {
 	l.handedOver.Store(true)
 	l.Listener.Close()
@@ -185,8 +188,8 @@
 	}
 }
 
-// markActive records that bytes of a request were read. It returns false if the reader has already confirmed a request to
-// close: the bytes must not be used then.
+// markActive records that bytes of a request were read. It returns false if the reader has already called confirmReadClose
+// and is to close the connection: the bytes must not be used then.
 func (l *clientListener) markActive(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +211,7 @@
 }
 
 // confirmReadClose is called by the reader when it has no bytes of a request. It reports whether the connection has to be
-// closed, that is whether requestReadClose was called. After that nothing more may be read.
+// closed, that is, whether requestReadClose was called. If so, nothing more may be read from the connection.
 func (l *clientListener) confirmReadClose(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,10 +260,11 @@
 }
 
 // closeIdle closes connections that have been idle for minIdle, in two steps: first the sending side and, after
-// halfCloseTimeout, the rest. The client sees the first step before it sends another request. A request that it sent
-// earlier was either read, and is answered, or was not read; the client learns the latter when the connection ends without
-// a response. A close in one step could send a reset that destroys the preceding response. The reader of each connection
-// performs both steps; the next call of closeIdle closes the connections whose readers did not.
+// halfCloseTimeout, the rest. The first step tells the client not to send another request. A request that the client sent
+// before that was either read and is answered, or was not read. In the second case the connection ends without a response,
+// so the client knows that the request was not read. A close in one step could send a reset that destroys the preceding
+// response. The reader of each connection performs both steps. A later call of closeIdle closes the connections whose
+// readers have not done so within halfCloseTimeout.
 func (l *clientListener) closeIdle(minIdle time.Duration) {
 	now := time.Now()
 	var overdue []*clientConn
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -28,8 +28,8 @@
 	upstreamReadBuffer = 4 << 10
 )
 
-// errNoDescriptor says that the pool has reached its connection limit and that no connection is idle. The cause is the
-// node, not the server.
+// errNoDescriptor means that the pool has reached its connection limit and that no connection is idle. The fault is the
+// node's, not the server's.
 var errNoDescriptor = errors.New("no file descriptor is available for another server connection")
 
 // connPool manages the connections to servers and sends one request at a time on each. It implements engine.Sender.
@@ -51,7 +51,7 @@
 type connPool struct {
 	clock           engine.Clock
 	bufferLimit     int                             // largest response that is buffered completely, in bytes
-	fullMaxConns    int                             // maxConns while no other process of the node runs
+	fullMaxConns    int                             // value of maxConns while no other process of the node runs
 	attemptEnded    func(engine.Result)             // receives the result of each attempt
 	forwardResponse func(*engine.Attempt, any) bool // forwards a streamed response; false: no client waits for it
 	goroutines      sync.WaitGroup                  // of attempts, and the readLoop of each connection
@@ -91,8 +91,8 @@
 	p.dialer.Timeout, p.idleTimeout = cfg.connectTimeout, cfg.upstreamIdleTimeout/idleTimeoutDivisor
 }
 
-// shareLimitWithOtherProcess reduces the connection limit while another process of the node runs, because both share
-// the platform's limit, or restores it.
+// shareLimitWithOtherProcess reduces the connection limit if sharing is true, that is while another process of the node
+// runs and both share the platform's limit. Otherwise it restores the limit.
 func (p *connPool) shareLimitWithOtherProcess(sharing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,8 +117,8 @@
 	delete(p.histories, target)
 }
 
-// closeAll closes all connections and waits until every attempt has ended. The clients of attempts that are still
-// outstanding already have their response or are gone.
+// closeAll closes all connections and waits until every attempt has ended. It is called when the client of each
+// outstanding attempt already has its response or is gone.
 func (p *connPool) closeAll() {
 	p.mu.Lock()
 	for c := range p.conns {
@@ -128,8 +128,8 @@
 	p.goroutines.Wait()
 }
 
-// acquireOrDial returns an idle connection to the target that may be reused (acquireIdle), or else a new one (fresh).
-// The error is errNoDescriptor if the connection limit is reached, or that of connecting.
+// acquireOrDial returns an idle connection to the target that may be reused (acquireIdle), or else a new one; fresh is
+// true for a new one. The error is errNoDescriptor if the connection limit is reached, or the error of connecting.
 func (p *connPool) acquireOrDial(att *engine.Attempt) (c *upstreamConn, fresh bool, err error) {
 	deadline := p.clock.ToTime(att.Deadline)
 	p.mu.Lock()
@@ -155,8 +155,9 @@
 	return c, true, err
 }
 
-// reserveDial counts a new connection against the limit and returns the dialer for it. At the limit, it first closes
-// the connections that have been idle longest, whatever their target. The caller holds p.mu.
+// reserveDial counts a new connection against the limit and returns the dialer for it. If the limit is reached, it first
+// closes as many connections as necessary, those that have been idle longest, whatever their target. The caller holds
+// p.mu.
 func (p *connPool) reserveDial() (net.Dialer, error) {
 	for len(p.conns)+p.dialing >= p.maxConns && p.idle.Len() > 0 {
 		p.closeLocked(p.idle.Front().Value.(*upstreamConn), closedForDescriptor)
@@ -168,8 +169,8 @@
 	return p.dialer, nil
 }
 
-// addConn adds an established connection to the pool, in use by att, and starts its readLoop. It closes the connection
-// if it returns an error. The caller holds p.mu.
+// addConn adds an established connection, which att uses, to the pool and starts its readLoop. If addConn returns an
+// error, it has closed the connection. The caller holds p.mu.
 func (p *connPool) addConn(netConn net.Conn, att *engine.Attempt, deadline time.Time) (*upstreamConn, error) {
 	raw, err := netConn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -224,8 +225,9 @@
 	return true
 }
 
-// endRequest records that the response to a connection's request has been read, up to the part that is streamed. The
-// readLoop calls it before it delivers the response: bytes that arrive after that response belong to no request.
+// endRequest records that the response to a connection's request has been read, except for a part that is streamed. The
+// readLoop calls endRequest before it delivers the response, because bytes that arrive after the response belong to no
+// request.
 func (p *connPool) endRequest(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/connreuse.go
+++ b/internal/node/connreuse.go
@@ -14,10 +14,11 @@
 // stays idle for a while after a response (the reuse delay), and is checked again right before the next request is written:
 // bytes that arrived meanwhile are unsolicited, and the connection is closed.
 //
-// A second response that arrives later than minReuseDelay may be matched to the next request. The response to that
-// request would then be matched to the one after it, and so on without end. Therefore a response is in doubt if it
-// arrives on a reused connection within maxSecondResponseDelay of the previous response, and its connection is not
-// reused until its request has ended. This prevents such a chain, whatever the server's response times are:
+// A second response that arrives later than minReuseDelay may be matched to the next request. The real response to that
+// request would then be matched to the request after it, and so on without end. Therefore a response that arrives on a
+// reused connection within maxSecondResponseDelay of the previous response is in doubt: its connection is not reused
+// before its request's deadline, nor before minDoubtDuration has passed. This prevents such a chain, whatever the
+// server's response times are:
 //
 //   - A second response that is matched to the next request arrives within maxSecondResponseDelay of the first, so it
 //     is in doubt.
@@ -27,29 +28,29 @@
 //     request.
 //
 // There is no such guarantee for a second response that arrives later than maxSecondResponseDelay, for a server that
-// responds to requests that have ended, or for a pool at its connection limit (chooseInDoubt).
+// responds to a request only after that time, or for a pool at its connection limit (chooseInDoubt).
 //
 // A connection is called safe if it may be reused and has been idle for so long that no second response is expected on
-// it.
+// it any more.
 const (
 	// minReuseDelay is the minimum time from a response to the next request on its connection. Most second responses
 	// arrive within a few milliseconds.
 	minReuseDelay = 20 * time.Millisecond
 
-	// maxSecondResponseDelay is the longest time from a response to a second one that must not be matched to another
-	// request: 100 ms, and 50 ms for a delayed node or server.
+	// maxSecondResponseDelay is the longest delay of a second response, after the first, against which the pool protects
+	// the following requests: 100 ms, plus 50 ms for a delayed node or server.
 	maxSecondResponseDelay = 150 * time.Millisecond
 
-	// minDoubtDuration is the minimum time from a request to the next one on its connection if the response was in
-	// doubt. A server may keep working on a request after its client's deadline, which may be short.
+	// minDoubtDuration is the minimum time from a request whose response is in doubt to the next request on the
+	// connection. The request's deadline alone may be too short: a server may keep working on a request after it.
 	minDoubtDuration = time.Second
 
-	// fullPoolReuseFactor applies to a pool at its connection limit. A connection whose response is in doubt may be
-	// reused there once its request was sent this many mean response times of its server ago.
+	// fullPoolReuseFactor applies to a pool at its connection limit: a connection whose response is in doubt may be
+	// reused once this many mean response times of its server have passed since its request was sent.
 	fullPoolReuseFactor = 3
 
-	// reuseWaitDivisor limits an attempt's wait for a connection to become reusable to a quarter of the time left to
-	// it.
+	// reuseWaitDivisor limits an attempt's wait for a connection to become reusable to a quarter of the attempt's
+	// remaining time.
 	reuseWaitDivisor = 4
 
 	// responseTimeWeight is the weight of a new response in the moving average of a server's response times.
@@ -63,8 +64,8 @@
 	hasWaiter        bool          // an attempt waits for a connection to become reusable
 }
 
-// historyOf returns the history of a target. If the target gets no new requests, the history is not stored. The caller
-// holds p.mu.
+// historyOf returns the history of a target. If there is none, it returns a new one, which it stores unless the target
+// gets no new requests. The caller holds p.mu.
 func (p *connPool) historyOf(target *engine.Target) *targetHistory {
 	h := p.histories[target]
 	if h == nil {
@@ -123,9 +124,10 @@
 	return slices.MinFunc(idle, func(a, b *upstreamConn) int { return cmp.Compare(a.reusableAt, b.reusableAt) })
 }
 
-// chooseNotYetSafe chooses a connection if none is safe to reuse yet. It returns first, the connection that may be
-// reused earliest, and the time until then. If the wait would be too long, it returns the result of chooseInDoubt. It
-// returns nil for a streamed request, whose response may arrive before its last byte is sent. The caller holds p.mu.
+// chooseNotYetSafe chooses a connection if none is safe to reuse yet. The argument first is the connection that may be
+// reused earliest. chooseNotYetSafe returns first and the time until it may be reused. If that wait would be too long, or
+// another attempt already waits for a connection to the target, it returns the result of chooseInDoubt. It returns nil
+// for a streamed request, whose response may arrive before its last byte is sent. The caller holds p.mu.
 func (p *connPool) chooseNotYetSafe(first *upstreamConn, att *engine.Attempt, now time.Duration) (c *upstreamConn, wait time.Duration) {
 	if att.Call.Request.StreamedBody {
 		return nil, 0
@@ -141,10 +143,10 @@
 	return first, wait
 }
 
-// chooseInDoubt returns the connection to a target whose request was sent the longest ago, although its response may be
-// in doubt. It does so only at the connection limit, where a new connection would replace another one. It returns nil
-// if the target is under suspicion, if its mean response time is unknown, or if the request or its response is too
-// recent. The caller holds p.mu.
+// chooseInDoubt returns the idle connection to a target on which the last request was sent the longest ago, although the
+// response to that request may be in doubt. It does so only at the connection limit, where a new connection would
+// replace another one. It returns nil if the target is under suspicion, if its mean response time is unknown, or if the
+// request or its response is too recent. The caller holds p.mu.
 func (p *connPool) chooseInDoubt(target *engine.Target, now time.Duration) *upstreamConn {
 	history := p.historyOf(target)
 	if len(p.conns)+p.dialing < p.maxConns || history.meanResponseTime == 0 || p.isSuspectLocked(target) {
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -16,14 +16,14 @@
 // Sizes in bytes for reading beyond the open request.
 const (
 	maxReadAhead          = 16 << 10 // buffered after an open request: the maximum size of the next request's head
-	maxDiscardedReadAhead = 1 << 20  // read and discarded beyond that; bounds the cost of a client that sends without end
+	maxDiscardedReadAhead = 1 << 20  // read and discarded after that; bounds the cost of a client that sends without end
 	readAheadChunk        = 2 << 10  // size of one read
 	peekSize              = 64       // size of a non-blocking read: enough to reach a client's FIN after a little data
 )
 
 // pastDeadlineUnix is a read deadline in the past, in seconds of Unix time. net/http sets this value to end its background
-// read, and beginRead uses it for the same purpose. It distinguishes such a deadline from the expired deadline of a request
-// body.
+// read, and beginRead sets it to end the read-ahead goroutine. The value distinguishes a deadline that is meant to end a read
+// from the expired deadline of a request body.
 const pastDeadlineUnix = 1
 
 // Numbers that the kernel uses for the TCP states in which the client has closed its side.
@@ -32,17 +32,17 @@
 	tcpCloseWait = 8 // a FIN was received
 )
 
-// readAheadBuffer reads a client connection beyond the open request, so that the node detects that the client has closed
-// the connection even if unread bytes precede its end.
+// readAheadBuffer reads a client connection beyond the open request. It lets the node detect that the client has closed the
+// connection, even if the client sent more bytes before it did.
 //
-// It prevents work for clients that have gone. net/http reads one byte beyond an open request, and after that byte it no
-// longer detects a close. If a client pipelined another request or sent stray bytes and then left, its request would still
-// be forwarded and run. Therefore a goroutine continues to read, buffers up to maxReadAhead bytes for net/http, and calls
-// clientGone when the connection ends.
+// This prevents work for clients that have gone. net/http reads one byte beyond an open request, and after that byte it no
+// longer detects a close. If a client pipelined another request or sent stray bytes and then left, its open request would
+// still be forwarded and run. Therefore a goroutine continues to read, buffers up to maxReadAhead bytes for net/http, and
+// calls clientGone when the connection ends.
 //
-// At any time one goroutine reads the socket. Between requests, and while a body is read, this is net/http's goroutine,
-// through Read. While a request is open and net/http holds its one byte, it is the goroutine started by startReader;
-// beginRead ends that goroutine before net/http reads again. clientConn closes the connection.
+// Only one goroutine reads the socket at any time. Between requests, and while a body is read, net/http's goroutine reads it
+// through Read. While a request is open and net/http holds the one byte that follows it, the goroutine started by
+// startReader reads it; beginRead ends that goroutine before net/http reads again. clientConn closes the connection.
 type readAheadBuffer struct {
 	conn       net.Conn
 	raw        syscall.RawConn    // nil: not a socket
@@ -50,13 +50,13 @@
 
 	mu                sync.Mutex
 	buf               []byte // read from the socket, but not yet by net/http
-	err               error  // how the connection ended, after the bytes in buf
+	err               error  // how the connection ended; net/http gets it after the bytes in buf
 	socketEmpty       bool   // the last non-blocking read found nothing to read
 	requestOpen       bool   // a request is open, and its body has been read
 	httpHasByte       bool   // net/http holds one byte that follows that request, and reads no further
-	hasPipelinedBytes bool   // bytes that follow that request were read with it; net/http has not taken them
+	hasPipelinedBytes bool   // bytes that follow that request were read together with it; net/http has not taken them
 	inBackgroundRead  bool   // net/http reads only to detect that the client of the open request leaves
-	discardedBytes    int    // bytes that were not buffered; if above 0, the connection must be closed after this response
+	discardedBytes    int    // number of bytes read but not buffered; if above 0, the connection must be closed after this response
 	readerDone        chan struct{}
 	stopping          bool
 	deadline          time.Time // the read deadline that net/http has set
@@ -118,8 +118,8 @@
 	return n, err
 }
 
-// peek checks, without blocking, whether more data or the end of the connection has arrived. Both may have, if the
-// connection was not read for a while.
+// peek reads without blocking what has arrived meanwhile: more data or the end of the connection. Both may have arrived if
+// the connection was not read for a while.
 func (a *readAheadBuffer) peek() {
 	if a.raw == nil {
 		return
@@ -145,8 +145,8 @@
 	a.hasPipelinedBytes = pipelined
 }
 
-// nextRequestBegun reports whether bytes of the next request have been read while one is open. If the response to the open
-// one closed the connection, the next request would have been read but get no response.
+// nextRequestBegun reports whether bytes of the next request have been read while a request is open. If the response to the
+// open request closed the connection, the next request would be partly read but get no response.
 func (a *readAheadBuffer) nextRequestBegun() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -162,8 +162,8 @@
 	return a.err != nil || !a.socketEmpty && a.clientClosed() // the end may follow more bytes than peek has read
 }
 
-// endRequest records that the request has its answer. It reports whether the connection must be closed after the response
-// because bytes that followed the request were discarded.
+// endRequest records that the request has been answered. It reports whether the connection must be closed after the
+// response, because bytes that followed the request were discarded.
 func (a *readAheadBuffer) endRequest() (mustClose bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,7 +208,7 @@
 	return err != nil || a.stopping || a.discardedBytes > maxDiscardedReadAhead
 }
 
-// beginRead prepares a read by net/http: it ends the read-ahead goroutine, if there is one. backgroundRead says that
+// beginRead prepares a read by net/http: it ends the read-ahead goroutine, if there is one. backgroundRead is true if
 // net/http reads only to detect that the client leaves.
 func (a *readAheadBuffer) beginRead(backgroundRead bool) {
 	a.mu.Lock()
@@ -242,8 +242,8 @@
 	return a.applyDeadline()
 }
 
-// applyDeadline sets the socket's read deadline: the earlier of net/http's deadline and the head's, or a past one if reads
-// are interrupted. The caller holds a.mu.
+// applyDeadline sets the socket's read deadline: the earlier of deadline and headDeadline, or a time in the past if reads are
+// interrupted. The caller holds a.mu.
 func (a *readAheadBuffer) applyDeadline() error {
 	deadline := a.deadline
 	if a.interrupted {
@@ -273,9 +273,9 @@
 	return len(a.buf) > 0
 }
 
-// startHeadDeadline sets the deadline of a head whose first bytes have arrived, unless it is already set. It protects against
-// a client that sends a few bytes of another request and then nothing: for the first four bytes net/http applies the idle
-// timeout, and the connection would hold its slot for that long.
+// startHeadDeadline sets the deadline for the rest of a head whose first bytes have arrived, unless it is already set. It
+// protects against a client that sends a few bytes of another request and then nothing: until four bytes have arrived,
+// net/http applies the idle timeout, and the connection would hold its slot for that long.
 func (a *readAheadBuffer) startHeadDeadline(timeout time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -294,9 +294,10 @@
 }
 
 // clearExpiredDeadline clears a deadline that net/http's background read has exceeded, and reports whether that read should
-// be repeated. The deadline may be left over from the request body, which is complete. If net/http saw the error, it would
-// assume that the client has gone and cancel the request; the client, which still waits, would send it again while it runs.
-// For a deadline at pastDeadlineUnix, by which net/http ends the read, it returns false.
+// be repeated. Such a deadline may be left over from reading the request's body, which is now complete. If net/http saw the
+// error, it would assume that the client has gone, and cancel the request. The client, which still waits, would then send
+// the request again while a server may still run it. If the deadline is pastDeadlineUnix, which net/http sets to end the
+// read, clearExpiredDeadline returns false.
 func (a *readAheadBuffer) clearExpiredDeadline() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -307,9 +308,9 @@
 	return a.conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// clientClosed reports whether the client has closed its side of the connection, according to the kernel, even if there are
-// unread bytes. It is needed while a part of a body is unread, because the end of the connection follows that part. It
-// returns false if the state is unknown.
+// clientClosed reports whether the client has closed its side of the connection, according to the kernel. Unlike a read, it
+// detects this even if unread bytes, for example a part of a body, precede the end of the connection. It returns false if the
+// state is unknown.
 func (a *readAheadBuffer) clientClosed() (closed bool) {
 	if a.raw == nil {
 		return false
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -28,7 +28,7 @@
 
 // Reasons why there is no response.
 var (
-	errMalformedResponse = errors.New("the server's response is too long or malformed") // or its end is uncertain
+	errMalformedResponse = errors.New("the server's response is too long or malformed") // also if its end is uncertain
 	errUnsolicitedBytes  = errors.New("the server sent unsolicited bytes")              // on a connection without a pending request
 	errNothingToRead     = errors.New("no bytes to read yet")                           // the connection is open
 )
@@ -60,14 +60,14 @@
 	closeReason      closeReason
 
 	// Clock times, guarded by pool.mu.
-	sentAt          time.Duration // when the last request was sent; if it was streamed, its last byte
+	sentAt          time.Duration // when the last request was sent; for a streamed request, when its last byte was sent
 	requestDeadline time.Duration // when the client of the last request stops waiting
-	responseReadAt  time.Duration // when the last response had been read, up to the part that is streamed
+	responseReadAt  time.Duration // when the last response had been read, except for a part that is streamed
 	reusableAt      time.Duration // when the next request may be sent on it
 	safeAt          time.Duration // when it is safe to reuse (connreuse.go)
 }
 
-// upstreamResponse is a response read from a connection, or the error that is the reason why there is none.
+// upstreamResponse is a response read from a connection, or the error that explains why there is none.
 type upstreamResponse struct {
 	head   *http.Response  // status and headers; Body must not be used
 	body   []byte          // the complete body, or its beginning if stream is set
@@ -105,10 +105,11 @@
 }
 
 // awaitResponse waits for the first byte of a response, or for the end of the connection. If there is no response to
-// read, it closes the connection, and reports whether the connection was idle: then no attempt waits for a result.
+// read, it closes the connection and returns an error. It also reports whether the connection was idle: if so, no attempt
+// waits for a result.
 //
-// The byte stays in the kernel's buffer until it is known whether a request is pending, so that beginRequest sees it
-// too.
+// awaitResponse leaves the first byte in the kernel's buffer until it knows whether a request is pending, so that
+// beginRequest detects the byte too.
 func (c *upstreamConn) awaitResponse() (idle bool, err error) {
 	for {
 		err = c.waitReadable()
@@ -145,7 +146,7 @@
 }
 
 // waitReadable waits until there are bytes to read, without reading them. It returns io.EOF at the end of the
-// connection, os.ErrDeadlineExceeded at the read deadline, or the system's error.
+// connection, os.ErrDeadlineExceeded at the read deadline, or the operating system's error.
 func (c *upstreamConn) waitReadable() (err error) {
 	rawErr := c.raw.Read(func(fd uintptr) bool {
 		err = peekDescriptor(fd)
@@ -154,14 +155,14 @@
 	return cmp.Or(rawErr, err)
 }
 
-// peek checks what there is to read, without waiting. It returns nil if there are bytes, errNothingToRead, io.EOF at
-// the end of the connection, or the system's error.
+// peek checks without waiting whether there are bytes to read. It returns nil if there are, errNothingToRead if there are
+// none yet, io.EOF at the end of the connection, or the operating system's error.
 func (c *upstreamConn) peek() (err error) {
 	controlErr := c.raw.Control(func(fd uintptr) { err = peekDescriptor(fd) })
 	return cmp.Or(controlErr, err)
 }
 
-// peekDescriptor is peek for a socket's file descriptor.
+// peekDescriptor does the check of peek on a socket's file descriptor.
 func peekDescriptor(fd uintptr) error {
 	var first [1]byte
 	for {
@@ -190,8 +191,9 @@
 	return n, err
 }
 
-// readResponse reads one response, up to the part that is streamed, and skips preceding informational (1xx) responses.
-// If the end of the response is uncertain, it returns an error: the bytes may belong to another response.
+// readResponse reads one response, except for a part that is streamed, and skips preceding informational (1xx)
+// responses. If it is uncertain where the response ends, it returns an error, because the bytes that follow may belong to
+// another response.
 func (c *upstreamConn) readResponse() *upstreamResponse {
 	for {
 		head, err := http.ReadResponse(c.reader, nil)
@@ -227,7 +229,8 @@
 	return &upstreamResponse{head: head, body: body, err: err, unsolicitedBytes: unsolicited}
 }
 
-// beginStreamedResponse reads the first bytes of a response into buf and returns the response; the rest is streamed.
+// beginStreamedResponse reads the first bytes of a response's body into buf and returns the response with them. The rest
+// of the body is streamed.
 func (c *upstreamConn) beginStreamedResponse(head *http.Response, buf []byte) *upstreamResponse {
 	n, err := head.Body.Read(buf)
 	if err != nil && n == 0 {
