--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -7,10 +7,10 @@
 	return s.addr
 }
 
-// SetAddress switches to another discovery, which is polled immediately: the old one may be about to shut down, and the
-// node soon counts as notified of what the new one has. Until a list has arrived from the new one, the node keeps its
-// endpoints and reads the streams of the old address. The first poll of the new address does not resume from a version of
-// the old one (see baseVersion).
+// SetAddress switches to another discovery, which is polled immediately: the old discovery may be about to shut down, and
+// the node soon counts as notified of everything that the new discovery has announced. Until a list has arrived from the new
+// address, the node keeps its endpoints and reads the streams of the old address. The first poll of the new address does
+// not resume from a version of the old one (see baseVersion).
 func (s *Source) SetAddress(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -17,7 +17,7 @@
 	s.track(func(t *endpointlease.Tracker) { t.InheritAge(s.now(), age) })
 }
 
-// ResumeVersion returns the version from which another process of the node may poll the present address. It is 0 if the
+// ResumeVersion returns the version from which another process of the node may poll the current address. It is 0 if the
 // held list came from an earlier address, because each discovery may number its versions independently.
 func (s *Source) ResumeVersion() int64 {
 	s.mu.Lock()
@@ -28,8 +28,8 @@
 	return s.Version()
 }
 
-// Age returns the time since the held list was last known to be current, as far as this time shortens the lease: from 0
-// to endpointlease.NotificationDeadline.
+// Age returns the age of the held list, that is the time since it was last known to be current, as far as it shortens the
+// lease: endpointlease.NotificationDeadline minus the remaining time of the lease, and at least 0.
 func (s *Source) Age() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -5,8 +5,9 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// track records an event in the tracker, and passes the lease on if it has changed. Every event must be recorded here or
-// by a method that does the same: in the incident of 2 December 2026, a lease had changed but was not passed on.
+// track records an event in the tracker, and passes the lease to RenewLease if it has changed. Every event must be recorded
+// by track or by a method that also calls notifyLease: in the incident of 2 December 2026, a changed lease was not passed
+// on.
 func (s *Source) track(recordEvent func(*endpointlease.Tracker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -13,8 +13,8 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// StatusError is returned when discovery answers a poll with a status other than 200. Discovery is then overloaded, or a
-// proxy answers while discovery is down. The tracker distinguishes the two by the time that the answer took.
+// StatusError means that a poll was answered with a status other than 200. Either discovery is overloaded, or a proxy
+// answers while discovery is down. The tracker distinguishes the two by how long the answer took.
 type StatusError struct{ Status string }
 
 func (e *StatusError) Error() string {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -27,7 +27,7 @@
 type Config struct {
 	Addr            string        // HOST:PORT
 	Polled          bool          // lists are polled, the first time after RequestPoll; otherwise an agent pushes them
-	MaxPollInterval time.Duration // for polled lists: while no stream is open, the lease ends this long after the last poll
+	MaxPollInterval time.Duration // used if Polled: while no stream is open, the lease ends this long after the last poll
 	Pollers         int           // number of nodes that poll the same discovery; 0: unknown
 	Version         int64         // version of the list that the node already holds; 0: none
 }
@@ -50,11 +50,11 @@
 	pollRequests   chan struct{} // signals that RequestPoll was called
 	addressChanges chan struct{} // signals that SetAddress has changed addr
 	events         chan streamEvent
-	version        atomic.Int64 // of the list held; see Version
+	version        atomic.Int64 // version of the held list
 
 	// The following fields belong to the goroutine of Run.
 	streams               map[int]*stream // by the tracker's stream ID
-	heldGeneration        int             // generation of the address that the held list came from
+	heldGeneration        int             // generation of the address from which the held list was received
 	needCompleteList      bool            // the complete list must be polled before changes can be applied again
 	consecutiveOlderLists int             // complete lists in a row that were older than the held one
 	loggedState           endpointlease.State
@@ -96,7 +96,7 @@
 // now returns the tracker's time. It is monotonic: a step of the wall clock does not change a lease.
 func (s *Source) now() time.Duration { return time.Since(s.epoch) }
 
-// RequestPoll requests the first poll where lists are polled. Further calls have no effect: the tracker schedules all
+// RequestPoll requests the first poll, if Config.Polled is set. Further calls have no effect: the tracker schedules all
 // later polls.
 func (s *Source) RequestPoll() { signal(s.pollRequests) }
 
@@ -146,7 +146,8 @@
 	}
 }
 
-// step carries out what the tracker decides now, and returns the time until the next step is due.
+// step carries out the actions that the tracker has decided on, until none is left. It returns the time until the next step
+// is due.
 func (s *Source) step(ctx context.Context, readers *sync.WaitGroup) time.Duration {
 	for {
 		s.mu.Lock()
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -15,17 +15,18 @@
 // Reasons why this process ended a stream, used as the cause of the stream's context.
 var (
 	errSuperseded = errors.New("the node holds a list from a newer address of discovery")
-	errNotNeeded  = errors.New("the stream is no longer needed: another watch is healthy, or its only list has arrived")
+	errNotNeeded  = errors.New("the stream is no longer needed: another watch is healthy, or the polled list has arrived")
 )
 
-// errStalled ends a stream on which a list began and was not complete in time.
+// errStalled ends a stream on which a list has begun but was not complete in time.
 var errStalled = &discoveryapi.UnreadableError{Err: discoveryapi.ErrIncomplete}
 
-// stream is a poll of discovery and the watch that the poll becomes. The tracker holds its state and the rules for it.
+// stream is a poll of discovery and the watch that the poll turns into. The tracker holds the stream's state and applies the
+// rules for it.
 type stream struct {
 	source        *Source
 	id            int // assigned by the tracker
-	generation    int // of the stream's address
+	generation    int // the tracker's generation of addr
 	addr          string
 	openedAt      time.Duration
 	pollOnly      bool // it requests the complete list without a watch
@@ -38,7 +39,7 @@
 	stream  *stream
 	list    discoveryapi.List
 	err     error         // if not nil, the stream has ended
-	handled chan struct{} // closed once the list is handled; only then is the next one read
+	handled chan struct{} // closed when the list has been handled; the next one is not read before that
 }
 
 // newStream records a poll in the tracker and returns its stream. The caller holds the lock.
@@ -52,8 +53,9 @@
 	}
 }
 
-// openStream begins a poll. After an address change it requests a watch with all changes from version 0 on, rather than
-// the complete list and then a watch: two polls would double the queue at a discovery that all nodes poll at once.
+// openStream begins a poll. After an address change it requests a watch with all changes from version 0 on, instead of
+// first the complete list and then a watch: two polls per node would double the queue at the new discovery, which all nodes
+// poll at the same time.
 func (s *Source) openStream(ctx context.Context, opened *stream, readers *sync.WaitGroup) {
 	opened.pollOnly = s.needCompleteList
 	query := "?watch=1&from=" + strconv.FormatInt(s.baseVersion(opened), 10)
--- a/internal/discovery/updates.go
+++ b/internal/discovery/updates.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// olderListsUntilAccepted is how many complete lists in a row must be older than the held one for the last of them to
-	// be applied. A single older list may be a delayed answer, and would bring back endpoints that have drained. A
-	// discovery that has lost its state restarts its version numbers, so that each of its lists is older.
+	// olderListsUntilAccepted is the number of complete lists in a row, all older than the held list, of which the last is
+	// applied. A single older list may be a delayed answer, and would bring back endpoints that have drained. A discovery
+	// that has lost its state restarts its version numbers, so that all of its lists are older.
 	olderListsUntilAccepted = 3
 	// endLogInterval is the minimum interval between log lines about polls that ended without a list: while discovery is
 	// down, a node's polls end several times a second.
@@ -77,7 +77,7 @@
 	return s.Version()
 }
 
-// checkList returns why a list cannot be applied, as a *discoveryapi.UnreadableError, or nil.
+// checkList returns nil if a list can be applied, and otherwise a *discoveryapi.UnreadableError that contains the reason.
 func (s *Source) checkList(st *stream, list discoveryapi.List) error {
 	base := s.baseVersion(st)
 	switch {
@@ -93,8 +93,8 @@
 }
 
 // streamFailed ends a stream that has failed. If the stream sent something that cannot be read or applied, all other
-// streams end as well, because the changes on them build on the one that is missing, and the complete list is polled
-// next. Where lists are polled, the decision module is notified when no stream is left. It responds by requesting a poll,
+// streams end as well, because their changes build on the change that is now missing, and the complete list is polled
+// next. If Config.Polled is set, the decision module is notified when no stream is left. It responds by requesting a poll,
 // which has no effect here: the tracker schedules the next poll.
 func (s *Source) streamFailed(ctx context.Context, st *stream, err error) {
 	s.endStream(st.id, err)
@@ -130,8 +130,9 @@
 	t.StreamEnded(id, now)
 }
 
-// logEnd logs the end of a stream that sent a list or something unreadable. The ends of polls without a list are logged
-// at most once in endLogInterval, with the number of streams that ended since the last line.
+// logEnd logs the end of a stream. The end of a stream that sent a list or something unreadable is always logged. The end of
+// any other stream is logged only if the last line is older than endLogInterval. Each line has the number of streams that
+// ended since the previous line.
 func (s *Source) logEnd(st *stream, err error, unreadable bool) {
 	s.streamsEndedSinceLog++
 	if st.listsReceived == 0 && !unreadable && time.Since(s.lastEndLogged) <= endLogInterval {
--- a/internal/hotrestart/conn.go
+++ b/internal/hotrestart/conn.go
@@ -11,7 +11,7 @@
 // ErrOtherProcessGone means that the other process has ended, or did not acknowledge a message in time.
 var ErrOtherProcessGone = errors.New("the other process has ended, or did not acknowledge the message in time")
 
-// Conn is the connection between two processes of a node. Run must be running for Send to receive acknowledgements. All
+// Conn is the connection between two processes of a node. Send receives acknowledgements only while Run is running. All
 // methods except Run and HandOver may be called from any goroutine.
 type Conn struct {
 	socket  *net.UnixConn
@@ -65,8 +65,8 @@
 }
 
 // Send sends a message and waits until the other process has acknowledged it. It returns ErrOtherProcessGone if the
-// connection ends or timeout passes first, or the connection's error if the message can't be written. The timeout is needed
-// because an operator must get an answer within 1 s, even if the other process hangs.
+// connection ends or the timeout expires before that, and the error of the write if the message can't be written. The
+// timeout is needed because an operator must get an answer within 1 s, even if the other process hangs.
 func (c *Conn) Send(message Message, timeout time.Duration) error {
 	id, acked := c.register()
 	defer c.unregister(id)
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -11,8 +11,8 @@
 // without data.
 const descriptorByte = 'h'
 
-// HandOver sends the listening socket and the state to the process that has connected. The caller must not call Send until
-// HandOver returns, because messages must follow the state. After an error, the caller must close the connection.
+// HandOver sends the listening socket and the state to the process that has connected. Send must not be called before
+// HandOver has returned, because messages must follow the state. After an error, the caller must close the connection.
 func (c *Conn) HandOver(state HandoverState, ln *net.TCPListener) error {
 	c.socket.SetDeadline(time.Now().Add(handoverTimeout))
 	if err := c.sendListener(ln); err != nil {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -6,13 +6,13 @@
 //  1. The new process connects (TakeOver).
 //  2. The old process sends one byte together with the descriptor of the clients' listening socket, and then the
 //     HandoverState as one JSON object (Conn.HandOver).
-//  3. From then on, both processes send Messages, each as one JSON object: both forward operators' changes, and the new
-//     process says once that it serves clients. The receiver acknowledges each message after it has handled it (Conn.Send,
-//     Conn.Run).
+//  3. From then on, both processes send Messages, each as one JSON object. Both forward operators' changes, and the new
+//     process reports once that it serves clients. The receiver acknowledges each message after it has handled the message
+//     (Conn.Send, Conn.Run).
 //  4. The connection ends when one of the processes ends.
 //
 // The two processes may run different builds, because a node is upgraded in this way. Therefore the encoding must not
-// change unless Version does; golden tests verify that.
+// change without a new Version; golden tests verify that.
 //
 // The package transfers the state; the package internal/node interprets it. Operators' changes are also persisted on disk
 // (Store), for a process that starts when there is no other process to take over from.
@@ -43,13 +43,13 @@
 // HandoverState is the state that the old process sends to the new one.
 type HandoverState struct {
 	Version       int               `json:"Version"`  // set by HandOver
-	Node          string            `json:"Node"`     // the node's name; another node must not take over
-	Listen        string            `json:"Listen"`   // the node's address for clients; must also be the same
+	Node          string            `json:"Node"`     // the node's name; a node with another name must not take over
+	Listen        string            `json:"Listen"`   // the node's address for clients; must be the same in both processes
 	Settings      json.RawMessage   `json:"Settings"` // the balancer's settings when BalancerState was made
 	BalancerState json.RawMessage   `json:"Module"`   // input of balancer.RestoreSuccessor
 	Endpoints     []engine.Endpoint `json:"Boxes"`    // the current endpoint list
 	ListVersion   int64             `json:"Seq"`      // discovery's version of the list; 0: no version to resume from
-	ListAge       time.Duration     `json:"ListAge"`  // since the list was last confirmed; 0 from builds that do not send it
+	ListAge       time.Duration     `json:"ListAge"`  // time since the list was last confirmed; 0 if the build does not send it
 	OperatorState
 }
 
@@ -67,15 +67,15 @@
 	AckID        int    `json:"ack,omitempty"`    // the ID of the acknowledged message
 	Serving      bool   `json:"serves,omitempty"` // the new process serves clients: the old one may shut down
 	Server       string `json:"server,omitempty"` // the ID of a server
-	Disabled     bool   `json:"out,omitempty"`    // whether an operator disabled it
+	Disabled     bool   `json:"out,omitempty"`    // true: an operator disabled Server; false: enabled it
 	OutOfService *bool  `json:"drain,omitempty"`  // nil: the message is about something else
 }
 
 // ErrSocketPathTooLong means that the socket can't be created, so that no process can take over from another.
 var ErrSocketPathTooLong = errors.New("the path of $TMPDIR is too long for a Unix socket: set $TMPDIR to a shorter path")
 
-// SocketPath returns the path of the socket of a node's processes. NewStore derives the path of its file from it. With
-// ErrSocketPathTooLong, the path can't be used for the socket, but is still valid for NewStore.
+// SocketPath returns the path of the socket of a node's processes. NewStore derives the path of its file from it. If the
+// error is ErrSocketPathTooLong, the returned path can't be used for the socket, but is still valid for NewStore.
 func SocketPath(dir, node, listen string) (string, error) {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s\n%s", node, listen)
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // when it is closed, another process may already listen at the path
+	ln.SetUnlinkOnClose(false) // when ln is closed, another process may already listen at the path
 	if err := os.Rename(temporary, path); err != nil {
 		ln.Close()
 		os.Remove(temporary)
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -12,7 +12,7 @@
 // Store persists the OperatorState, for a process that starts when there is no other process to take over from.
 type Store struct{ state.Store }
 
-// TooManyOverridesError means that a file disables more servers than allowed: it was not written by this program.
+// TooManyOverridesError means that a file disables more servers than allowed. This program did not write such a file.
 type TooManyOverridesError struct{ Servers int }
 
 func (e *TooManyOverridesError) Error() string {
--- a/internal/hotrestart/takeover.go
+++ b/internal/hotrestart/takeover.go
@@ -13,8 +13,8 @@
 // handover.
 var ErrNoListener = errors.New("no listening socket was handed over")
 
-// MismatchError means that this process can't use the handover state of the other one: it uses another protocol version, or
-// belongs to another node whose name and address have the same hash.
+// MismatchError means that this process can't use the handover state of the other process: the other process uses another
+// protocol version, or belongs to another node whose name and address have the same hash.
 type MismatchError struct {
 	Version      int
 	Node, Listen string
@@ -28,10 +28,10 @@
 	return fmt.Sprintf("can't use handover state of protocol version %d from node %q at %q: %s", e.Version, e.Node, e.Listen, advice)
 }
 
-// TakeOver gets the state and the listening socket of the process that listens at a path. The caller must close the
-// listener, call Conn.Run and close the connection. The error wraps fs.ErrNotExist if there is no other process; otherwise
-// it is ErrNoListener, a *MismatchError or an error of the connection. TakeOver returns after at most a few times
-// handoverTimeout, whatever is at the path.
+// TakeOver gets the state and the listening socket of the process that listens on the Unix socket at path. The caller must
+// close the listener, call Conn.Run and close the connection. The error wraps fs.ErrNotExist if nothing exists at path;
+// otherwise it wraps ErrNoListener, or is a *MismatchError or an error of the connection. TakeOver returns after at most a
+// few times handoverTimeout, whatever is at the path.
 func TakeOver(path, node, listen string) (HandoverState, net.Listener, *Conn, error) {
 	dialed, err := net.DialTimeout("unix", path, handoverTimeout)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return state, nil
 }
 
-// noListenerError returns ErrNoListener, with the cause err if it is not nil.
+// noListenerError returns ErrNoListener if err is nil, and otherwise an error that wraps both ErrNoListener and err.
 func noListenerError(err error) error {
 	if err == nil {
 		return ErrNoListener
@@ -78,8 +78,8 @@
 // descriptorSize is the size in bytes of a descriptor in a control message.
 const descriptorSize = 4
 
-// receiveListener receives the listening socket. It is the same socket as that of the old process, so connections in its
-// accept queue are not lost.
+// receiveListener receives the listening socket. The descriptor refers to the same socket as that of the old process, so
+// connections in the socket's accept queue are not lost.
 func receiveListener(socket *net.UnixConn) (net.Listener, error) {
 	data, control := make([]byte, 1), make([]byte, syscall.CmsgSpace(descriptorSize))
 	_, n, _, _, err := socket.ReadMsgUnix(data, control)
--- a/internal/lifecycle/deadlines.go
+++ b/internal/lifecycle/deadlines.go
@@ -3,15 +3,15 @@
 import "time"
 
 // The load balancer in front of the node asks every 100 ms whether the node is ready, and may send it connections for up
-// to 200 ms after the answer was no. 4 s after a node was taken out of service, it may have no connection left that is
-// without a request, and none on which a request arrived within the last 2 s.
+// to 200 ms after the node has answered that it is not. 4 s after a node was taken out of service, it must have no idle
+// connections, and no connections on which a request arrived within the last 2 s.
 const (
 	// notReadyNoticeDelay is the time after which the load balancer in front of the node has noticed that the node is not
-	// ready and sends it no more connections: both times above, plus 50 ms for the answer. Responses that close their
-	// connections earlier would make clients connect to this node again.
+	// ready and sends it no more connections: 100 ms + 200 ms, plus 50 ms for the answer. If responses closed their
+	// connections earlier, clients could reconnect to this node.
 	notReadyNoticeDelay = 350 * time.Millisecond
-	// closeIdleDelay is how long after a node was taken out of service its connections without a request are closed. By
-	// then responses have closed the connections in use, and the 4 s above have not passed.
+	// closeIdleDelay is the time from taking a node out of service to closing its idle connections. By then responses have
+	// closed the connections in use, and it is well before the end of the 4 s above.
 	closeIdleDelay = 1200 * time.Millisecond
 	// minIdleTime is how long a connection must have been idle before it is closed. A client sends a request as soon as
 	// it connects, and a request that is in transit when its connection is closed is lost.
@@ -39,7 +39,7 @@
 	return false
 }
 
-// ClosesIdleConnections reports whether connections without a request are closed, and how long they must have been idle.
+// ClosesIdleConnections reports whether idle connections are closed, and how long they must have been idle for that.
 func (m Machine) ClosesIdleConnections(now time.Duration) (idle time.Duration, closes bool) {
 	switch m.state {
 	case outOfService:
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -12,12 +12,12 @@
 //	out of service  no     OutOfService, or Started after it       InService, Terminate
 //	shutting down   no     Terminate                               never: the process ends
 //
-// The last OutOfService or InService of an operator is remembered in every state except shutting down: a node that is
-// taken out of service while it is starting does not serve once it has started.
+// The last OutOfService or InService event is remembered in every state except shutting down. Therefore a node that is
+// taken out of service while it is starting is out of service once it has started.
 //
 // A shutdown without a successor has the following stages. SIGTERM arrives at 0, and the process is killed at K at the
-// earliest. K is the longest deadline of a class, at most 3 s, plus 700 ms (maxCountedDeadline and killMargin in
-// internal/node):
+// earliest. K is the longest deadline of a class, of which at most 3 s count, plus 700 ms (maxCountedDeadline and
+// killMargin in internal/node). "min. 450 ms" means 450 ms after SIGTERM at the earliest:
 //
 //	0                        not ready: the load balancer in front of the node should send it no more connections; those
 //	                         that still arrive are accepted and served
@@ -27,10 +27,10 @@
 //	K                        SIGKILL may arrive
 //
 // A node that has been out of service for at least 350 ms accepts connections for only 450 ms, and its responses close
-// their connections from the start. A node with a successor accepts no more connections: its responses close their
-// connections at once, and idle connections stay open until K - 750 ms. After the node has stopped accepting connections,
-// internal/node waits for open requests as long as the longest deadline of a class, without the limit of 3 s, plus 20 ms.
-// It relies on HardDeadline: all requests have been answered by then.
+// their connections from the start of the shutdown. A node with a successor accepts no more connections: its responses
+// close their connections from the start, too, and its idle connections stay open until K - 750 ms. After the node has
+// stopped accepting connections, internal/node waits for open requests for the longest deadline of a class, without the
+// limit of 3 s, plus 20 ms. It relies on HardDeadline: all requests have been answered by then.
 package lifecycle
 
 import "time"
--- a/internal/node/connreuse.go
+++ b/internal/node/connreuse.go
@@ -59,7 +59,7 @@
 
 // targetHistory is what the pool remembers of a server until the server gets no new requests. connPool.mu guards it.
 type targetHistory struct {
-	meanResponseTime time.Duration // moving average, from sentAt to responseReadAt of a connection; 0: no response yet
+	meanResponseTime time.Duration // moving average of the times from sentAt to responseReadAt; 0: no response yet
 	suspectedUntil   time.Duration // clock time
 	hasWaiter        bool          // an attempt waits for a connection to become reusable
 }
@@ -87,7 +87,7 @@
 }
 
 // reuseDelay returns the time from a response of a server to the next request on its connection. It is long enough
-// that the next response is unlikely to be in doubt, which would cost more than a new connection.
+// that the next response is unlikely to be in doubt: a response in doubt costs more than a new connection.
 func (h *targetHistory) reuseDelay() time.Duration {
 	return max(maxSecondResponseDelay-h.meanResponseTime, minReuseDelay)
 }
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -56,7 +56,7 @@
 	httpHasByte       bool   // net/http holds one byte that follows that request, and reads no further
 	hasPipelinedBytes bool   // bytes that follow that request were read together with it; net/http has not taken them
 	inBackgroundRead  bool   // net/http reads only to detect that the client of the open request leaves
-	discardedBytes    int    // number of bytes read but not buffered; if above 0, the connection must be closed after this response
+	discardedBytes    int    // bytes that were read but not buffered; if above 0, this response must close the connection
 	readerDone        chan struct{}
 	stopping          bool
 	deadline          time.Time // the read deadline that net/http has set
@@ -106,7 +106,7 @@
 	}
 	more := len(a.buf) == 0 && a.err == nil
 	a.socketEmpty = false
-	mayPeek := !a.inBackgroundRead // net/http's background read must see the end itself, to cancel the open request
+	mayPeek := !a.inBackgroundRead // that read itself must get the end of the connection, so that net/http cancels the request
 	a.mu.Unlock()
 	if n == 0 && err == nil {
 		n, err = a.conn.Read(b)
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -20,7 +20,7 @@
 type file struct {
 	Version   int             `json:"Version"`
 	Owner     string          `json:"Owner,omitempty"` // the node that owns the file; other nodes must not use it
-	BootID    string          `json:"Boot,omitempty"`  // the boot of the machine in which the file was written
+	BootID    string          `json:"Boot,omitempty"`  // ID of the machine's boot during which the file was written
 	SinceBoot time.Duration   `json:"At,omitempty"`    // when it was written, as time since boot, including suspended time
 	Checksum  uint64          `json:"Sum"`
 	Body      json.RawMessage `json:"Kept"`
@@ -93,8 +93,8 @@
 	return strings.TrimSpace(string(id)), time.Duration(now.Nano())
 }
 
-// age returns the age of a file at a reading of BootClock. It is UnknownAge for a file that was written in another boot of
-// the machine, or that is from the future, as in a directory copied from another machine.
+// age returns the age of a file; the arguments are a reading of BootClock. It is UnknownAge if the file was written during
+// another boot, for example on another machine from which the directory was copied, or has a time in the future.
 func (f file) age(bootID string, sinceBoot time.Duration) time.Duration {
 	if f.BootID == "" || f.BootID != bootID || f.SinceBoot > sinceBoot {
 		return UnknownAge
--- a/internal/state/read.go
+++ b/internal/state/read.go
@@ -11,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Snapshot is the newest usable file, if there is one.
+// Snapshot is the result of Read: the newest usable file, if there is one.
 type Snapshot struct {
 	Body     json.RawMessage // nil: there is no usable file
 	Age      time.Duration   // may be UnknownAge
-	Previous bool            // this is the previous version of the file
-	Errors   []error         // why existing files were not used, each a *FileError
+	Previous bool            // whether Body comes from the previous version of the file
+	Errors   []error         // a *FileError for each existing file that could not be used
 }
 
-// FileError says why an existing file can't be used: ErrDamaged, ErrTooLarge, ErrNotRegular, a *VersionError, an
-// *OwnerError, or an error of the operating system.
+// FileError says why an existing file can't be used. Err wraps ErrDamaged, or is ErrTooLarge, ErrNotRegular, a
+// *VersionError, an *OwnerError, or an error of the operating system.
 type FileError struct {
 	Path string
 	Err  error
@@ -59,7 +59,8 @@
 	Body    json.RawMessage
 }
 
-// Inspect reads one file regardless of its owner, without using its previous version. The error wraps a *FileError.
+// Inspect reads one file, whoever owns it. Unlike Read, it does not fall back to the previous version. The error wraps a
+// *FileError.
 func Inspect(path string) (Info, error) {
 	f, err := load(path)
 	if err != nil {
@@ -77,8 +78,8 @@
 	return f, err
 }
 
-// load reads a file. Anything else at the path must neither exhaust the node's memory nor delay its start: load does not
-// wait for a pipe, and reads at most one byte more than MaxFileSize.
+// load reads a file. Whatever else is at the path, it must neither exhaust the node's memory nor delay its start. Therefore
+// load does not wait for a pipe, and reads at most one byte more than MaxFileSize.
 func load(path string) (file, error) {
 	in, err := os.OpenFile(path, os.O_RDONLY|unix.O_NONBLOCK, 0) // opening a pipe without a writer would block
 	if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -15,12 +15,12 @@
 
 import "time"
 
-// MaxFileSize is the maximum size of a file in bytes. A larger file was not written by this program; reading it would
+// MaxFileSize is the maximum size of a file in bytes. A larger file was not written by this program, and reading it could
 // exhaust the memory.
 const MaxFileSize = 8 << 20
 
-// UnknownAge is the age of a file that was not written since the machine booted, because it is unknown how long the machine
-// was off.
+// UnknownAge is the age of a file that was written before the machine's last boot: it is unknown how long the machine was
+// off.
 const UnknownAge = time.Duration(-1)
 
 // previousPath returns the path of the previous version of the file.
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Store is one file that concurrent callers in this process and other processes save: the changes that a caller made before
-// it called Save are on disk when the call returns without an error. Callers that wait at the same time share one write.
+// Store saves one file for concurrent callers, in this process and in others. When Save returns without an error, all
+// changes that its caller made before the call are on disk. Callers that wait at the same time share one write.
 type Store struct {
 	Path, Owner string
 	// OnLockTimeout is called when another process did not release the lock in time (ErrLockTimeout). The file is written
@@ -18,12 +18,12 @@
 
 	requests      atomic.Uint64 // number of calls of Save so far
 	mu            sync.Mutex    // held while the file is written
-	savedRequests uint64        // the changes of this many of the requests are on disk
+	savedRequests uint64        // the changes of the first savedRequests requests are on disk
 }
 
-// Save writes the result of current to disk, or returns once a write by another caller includes the change. current is
-// called while no other goroutine or process writes, so its result includes all changes that callers have made by then. The
-// error is that of current, Lock or Write.
+// Save writes the result of current to disk, unless another caller's write has meanwhile saved this caller's change. current
+// is called while no other goroutine or process writes, so its result includes all changes that callers have made by then.
+// The error is that of current, Lock or Write.
 func (s *Store) Save(ctx context.Context, current func() (json.RawMessage, error)) error {
 	request := s.requests.Add(1)
 	s.mu.Lock()
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -13,9 +13,9 @@
 // filePermissions prevents other users from reading or changing the persisted state.
 const filePermissions = 0o600
 
-// Write replaces the file at path. When it returns nil, the new file is on disk. Concurrent calls for the same path must be
-// excluded with Lock. The steps, and the files that remain if the process is killed or the machine loses power during or
-// after each of them:
+// Write replaces the file at path. When it returns nil, the new file is on disk. The caller must prevent concurrent calls
+// for the same path with Lock. The following list contains the steps and, for each step, the files that remain if the
+// process is killed or the machine loses power during or after it:
 //
 //  1. Write removes leftovers of killed processes, and writes the new content to a temporary file in the same directory.
 //     The file at path is unchanged. The next Write removes the temporary file.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// encode returns the content of a file that is written now.
+// encode returns the content of a file with the current time as the time of writing.
 func encode(path, owner string, body json.RawMessage) ([]byte, error) {
 	f := file{Version: Version, Owner: owner, Body: body}
 	f.BootID, f.SinceBoot = BootClock()
@@ -103,8 +103,8 @@
 	return folder.Sync()
 }
 
-// removeLeftovers removes temporary files and links of processes that were killed during a write. Otherwise a process that
-// is killed repeatedly would fill the disk.
+// removeLeftovers removes temporary files and links of processes that were killed during a write. Otherwise they would fill
+// the disk if processes are killed repeatedly.
 func removeLeftovers(path string) {
 	os.Remove(linkPath(path))
 	dir, prefix := filepath.Dir(path), "."+filepath.Base(path)
--- a/invariants/checks.go
+++ b/invariants/checks.go
@@ -7,7 +7,7 @@
 type Send struct {
 	Began            time.Duration // immediately before the first byte was written
 	Stopped          time.Duration // when the node was notified that the server gets no new requests
-	ListExpires      time.Duration // expiry, as known at Began, of the endpoint list that contains the server
+	ListExpires      time.Duration // when the endpoint list that contains the server expires, as known at Began
 	ClientGone       time.Duration // when the client canceled or closed
 	Deadline         time.Duration // the client's deadline
 	AnnouncedTimeout time.Duration // the timeout sent to the server; 0 if it does not start at the first byte
@@ -27,8 +27,8 @@
 	return s.checkBudget()
 }
 
-// checkStopped checks that the request was sent at most DrainGrace after the node was notified that the server is draining,
-// has left the list or is disabled.
+// checkStopped checks that the request was not sent later than DrainGrace after the node was notified that the server is
+// draining, has left the list or is disabled.
 func (s Send) checkStopped() *Violation {
 	if s.Stopped <= 0 {
 		return nil
@@ -36,13 +36,13 @@
 	return timeLimitViolation(Drain, "a request was sent to a server that is out of service", s.Began-s.Stopped-DrainGrace)
 }
 
-// checkLease checks that the request was sent at most DrainGrace after the endpoint list expired. After that, discovery may
-// have announced long ago that the server is draining, without this node receiving the update.
+// checkLease checks that the request was not sent later than DrainGrace after the endpoint list expired. On an expired list,
+// the server may long have been draining: discovery may have announced it without this node receiving the update.
 func (s Send) checkLease() *Violation {
 	return timeLimitViolation(Drain, "a request was sent on an endpoint list that had expired", s.Began-s.ListExpires-DrainGrace)
 }
 
-// checkClient checks that the request was sent at most ClientGoneGrace after the client has gone.
+// checkClient checks that the request was not sent later than ClientGoneGrace after the client had gone.
 func (s Send) checkClient() *Violation {
 	if s.ClientGone <= 0 {
 		return nil
@@ -68,8 +68,8 @@
 	Retryable   bool // the request's class allows it to run again
 }
 
-// Check returns the violation of Duplicate by a retry, or nil. A request has at most one outstanding attempt; it is retried
-// after it may have run only if its class allows that; and the settings limit the number of attempts.
+// Check returns the violation of Duplicate by a retry, or nil. A request has at most one outstanding attempt. If it may have
+// run, it is retried only if its class allows that. The settings limit the number of attempts.
 func (r Retry) Check() *Violation {
 	switch {
 	case r.Outstanding > 0:
@@ -87,7 +87,7 @@
 	At         time.Duration // on the same clock as Deadline
 	Deadline   time.Duration // the client's deadline
 	Answered   bool          // the request got a final answer
-	Rejected   bool          // the answer says that the client can safely send the request again
+	Rejected   bool          // the answer tells the client that it can safely send the request again
 	ClientGone bool
 	MayHaveRun bool // a server may have run the request in one of the attempts
 	Retryable  bool // the request's class allows it to run again
--- a/invariants/invariants.go
+++ b/invariants/invariants.go
@@ -1,9 +1,9 @@
 // Package invariants checks that a node never breaks the operators' rules for it
 // (docs/incidents/2026-12-02-sends-on-an-expired-list.md).
 //
-// There is one type of check for each operation that can break a rule: a request is written to a server (Send), a request
-// is retried (Retry), an attempt is started at a server (SlowStartSend), or a request ends (RequestEnd). The fields describe
-// the operation, and the method Check returns the Violation, or nil. The checks have no side effects and may be called from
+// There is one type for each operation that can break a rule: a request is written to a server (Send), a request is retried
+// (Retry), an attempt is started at a server (SlowStartSend), or a request ends (RequestEnd). The type's fields describe the
+// operation, and its method Check returns the Violation, or nil. The checks have no side effects and may be called from
 // any goroutine. A Recorder counts and logs the violations of one node.
 //
 // The engine and the HTTP ingress run a check where the operation takes place, not where it was decided: the state may have
@@ -53,14 +53,14 @@
 	// DrainGrace is the time for which requests may still be sent after the node is notified that a server gets no new
 	// requests, or after the endpoint list expires: a request that is being written need not be stopped.
 	DrainGrace = 250 * time.Millisecond
-	// ClientGoneGrace is the time for which requests may still be sent for a client after it cancels or closes: the node
-	// has to detect that first.
+	// ClientGoneGrace is the time for which requests may still be sent for a client after the client cancels or closes: the
+	// node first has to detect that.
 	ClientGoneGrace = 100 * time.Millisecond
 	// BudgetSlack is by how much the timeout sent to a server may exceed the time that the client has left: the request
 	// is encoded shortly before it is written.
 	BudgetSlack = 150 * time.Millisecond
-	// AnswerSlack is how long after a request's deadline the final answer may be given: the node has to detect first that
-	// the deadline has passed.
+	// AnswerSlack is how long after a request's deadline the final answer may still be given: the node first has to detect
+	// that the deadline has passed.
 	AnswerSlack = 500 * time.Millisecond
 )
 
--- a/invariants/recorder.go
+++ b/invariants/recorder.go
@@ -26,7 +26,7 @@
 func NewRecorder(log *slog.Logger) *Recorder { return &Recorder{log: log} }
 
 // Record counts and logs v, the result of a check, with attributes that identify the request. It reports whether there was
-// a violation: v may be nil.
+// a violation, that is whether v is not nil.
 func (r *Recorder) Record(v *Violation, attrs ...any) bool {
 	if v == nil {
 		return false
