--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -49,7 +49,7 @@
 	BalancerState json.RawMessage   `json:"Module"`   // input of balancer.RestoreSuccessor
 	Endpoints     []engine.Endpoint `json:"Boxes"`    // the current endpoint list
 	ListVersion   int64             `json:"Seq"`      // discovery's version of the list; 0: no version to resume from
-	ListAge       time.Duration     `json:"ListAge"`  // time since the list was last confirmed; 0 if the build does not send it
+	ListAge       time.Duration     `json:"ListAge"`  // since the list was last confirmed; 0 if the other build omits it
 	OperatorState
 }
 
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -22,8 +22,8 @@
 )
 
 // pastDeadlineUnix is a read deadline in the past, in seconds of Unix time. net/http sets this value to end its background
-// read, and beginRead sets it to end the read-ahead goroutine. The value distinguishes a deadline that is meant to end a read
-// from the expired deadline of a request body.
+// read, and beginRead sets it to end the read-ahead goroutine. The value distinguishes a deadline that is meant to end a
+// read from the expired deadline of a request body.
 const pastDeadlineUnix = 1
 
 // Numbers that the kernel uses for the TCP states in which the client has closed its side.
@@ -106,7 +106,7 @@
 	}
 	more := len(a.buf) == 0 && a.err == nil
 	a.socketEmpty = false
-	mayPeek := !a.inBackgroundRead // that read itself must get the end of the connection, so that net/http cancels the request
+	mayPeek := !a.inBackgroundRead // that read must itself return the connection's end: then net/http cancels the request
 	a.mu.Unlock()
 	if n == 0 && err == nil {
 		n, err = a.conn.Read(b)
