--- a/internal/lab/blackbox/blackbox_test.go
+++ b/internal/lab/blackbox/blackbox_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// Histories of real nodes on loopback, recorded by TestRealNodesFromOutside in cmd/hookwalk, conform to the rules. With
+// Histories of real nodes on loopback, recorded by TestRealNodesBlackBox in cmd/hookwalk, conform to the rules. With
 // every success turned into a rejection they break them.
 func TestRecordedHistories(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonl")
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -21,7 +21,7 @@
 	// are not checked.
 	MaxLateness = 300 * time.Millisecond
 
-	// startLead is the time from the OpPlay messages to the start of the play, so that every process has received its message.
+	// startLead is the time from the OpRun messages to the start of the play, so that every process has received its message.
 	startLead = 100 * time.Millisecond
 )
 
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -69,7 +69,7 @@
 	if len(jobs) != 6 || server.InFlight() != 6 {
 		t.Fatalf("accepted %d, want 6: 4 slots and a queue of 2", len(jobs))
 	}
-	// Four jobs share two cores, which halves their speed. Six jobs in flight where CrowdedAbove is four slow it down
+	// Four jobs share two cores, which halves their speed. Six jobs in flight where ContentionThreshold is four slow it down
 	// by another factor of 1.5.
 	at, _ := server.NextCompletion(0)
 	if want := 150 * time.Millisecond; !almostEqual(at, want) {
--- a/internal/lab/scale/nodeload_large_test.go
+++ b/internal/lab/scale/nodeload_large_test.go
@@ -133,7 +133,7 @@
 	return points
 }
 
-// formatSpread is the difference between the largest and the smallest value of points.
+// spreadOf is the difference between the largest and the smallest value of points.
 func spreadOf(points []Point) float64 {
 	_, values := split(points)
 	return valueRange(values)
