--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -10,43 +10,43 @@
 	"time"
 )
 
-// minWarmUp is how long requests are sent at least before any is measured.
+// minWarmUp is the minimum time for which requests are sent before the measurement begins.
 const minWarmUp = time.Second
 
-// DataPathOptions say what is measured in one run.
+// DataPathOptions configures one measurement of the data path.
 type DataPathOptions struct {
-	Program      string // the node, from BuildForService
+	Program      string // path of the node's program, built by BuildForService
 	SettingsFile string
 	Folder       string
 	Servers      int           // of each service
-	Depth        int           // services, with a node before each, that a call passes one after another
+	Depth        int           // number of services that a call passes one after another, each through its node
 	Class        string        // ReadClass or WriteClass
-	Rate         float64       // calls a second through the chain of nodes, and as many without nodes beside them
+	Rate         float64       // calls a second through the chain of nodes, and as many at the same time without nodes
 	Duration     time.Duration // of the measurement
-	ListChanges  float64       // a minute, at each node
-	Reloads      float64       // changed settings by SIGHUP a minute, at each node
+	ListChanges  float64       // changes of the list a minute, at each node
+	Reloads      float64       // reloads of changed settings by SIGHUP a minute, at each node
 	Seed         uint64
 }
 
-// DataPathResult is what one run has measured.
+// DataPathResult holds the measurements of one run.
 type DataPathResult struct {
-	Direct, Node *Latencies    // without and through the nodes
-	NodeCPU      time.Duration // of all nodes, in the measurement
-	NodeCalls    int64         // calls times nodes
-	Attempts     int64         // that the nodes have sent: as many as NodeCalls if nothing was sent again
+	Direct, Node *Latencies    // of calls without nodes and of calls through the nodes
+	NodeCPU      time.Duration // of all nodes, during the measurement
+	NodeCalls    int64         // number of calls times number of nodes
+	Attempts     int64         // sent by the nodes; equals NodeCalls if nothing was retried
 	Elapsed      time.Duration
-	RigCPU       time.Duration // of the generator and the stand-ins
-	FirstNode    Usage         // at the end
+	RigCPU       time.Duration // of the load generator and the stand-in servers
+	FirstNode    Usage         // at the end of the measurement
 	ListChanges  int           // of each node's list
 	Reloads      int           // at each node
 }
 
-// Added is the difference of a quantile, in percent, with nodes and without.
+// Added returns by how much the nodes increase a quantile of the latency. The quantile is given in percent.
 func (r DataPathResult) Added(percent float64) time.Duration {
 	return r.Node.Quantile(percent) - r.Direct.Quantile(percent)
 }
 
-// CPUPerCall is the processor time of one node for one call, that of the idle node included.
+// CPUPerCall returns the processor time that one node uses for one call, including its processor time while idle.
 func (r DataPathResult) CPUPerCall() time.Duration {
 	if r.NodeCalls == 0 {
 		return 0
@@ -54,8 +54,8 @@
 	return r.NodeCPU / time.Duration(r.NodeCalls)
 }
 
-// MeasureDataPath starts a chain of services and nodes, makes calls through the nodes and without them at once, and
-// stops all of it.
+// MeasureDataPath starts a chain of services and nodes, makes calls through the nodes and, at the same time, without
+// them, and stops all services and nodes.
 func MeasureDataPath(ctx context.Context, options DataPathOptions) (result DataPathResult, err error) {
 	c := &chain{client: newClient()}
 	defer func() { err = errors.Join(err, c.Close()) }()
@@ -68,11 +68,11 @@
 	return c.measure(ctx, options)
 }
 
-// chain is a row of services, each behind a node.
+// chain is a sequence of services that call one another, each with a node in front of it.
 type chain struct {
 	services []*Service
 	nodes    []*NodeProcess
-	client   *http.Client // of the generator
+	client   *http.Client // of the load generator
 }
 
 // start starts the services and nodes.
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Close stops nodes and services.
+// Close stops all nodes and services.
 func (c *chain) Close() error {
 	c.client.CloseIdleConnections()
 	var all error
@@ -109,9 +109,9 @@
 	return all
 }
 
-// warmUp makes calls until about each server has its connections.
+// warmUp makes calls until nearly every server has its connections.
 func (c *chain) warmUp(ctx context.Context, options DataPathOptions) error {
-	const callsPerServer = 2 // on average, so that nearly every server is met
+	const callsPerServer = 2 // on average, so that nearly every server receives a call
 	length := time.Duration(callsPerServer * float64(options.Servers) / options.Rate * float64(time.Second))
 	warm := options
 	warm.Duration = max(length, minWarmUp)
@@ -119,7 +119,7 @@
 	return err
 }
 
-// measure makes the calls that count, and the changes beside them.
+// measure makes the measured calls and, at the same time, the changes of lists and configurations.
 func (c *chain) measure(ctx context.Context, options DataPathOptions) (result DataPathResult, err error) {
 	nodesBefore, rigBefore, err := c.processorTime()
 	if err != nil {
@@ -144,7 +144,7 @@
 	return result, err
 }
 
-// processorTime is what all nodes, and this process, have used so far.
+// processorTime returns the processor time that all nodes and this process have used so far.
 func (c *chain) processorTime() (nodes, rig time.Duration, err error) {
 	for _, node := range c.nodes {
 		spent, err := processorTime(node.process.Pid)
@@ -157,7 +157,7 @@
 	return nodes, rig, err
 }
 
-// attempts counts what all nodes have sent so far.
+// attempts counts the attempts that all nodes have sent so far.
 func (c *chain) attempts() (sum int64) {
 	for _, service := range c.services {
 		sum += service.Attempts()
@@ -165,7 +165,7 @@
 	return sum
 }
 
-// load makes calls both ways at once, each at the rate of the options.
+// load makes calls without nodes and through the nodes at the same time, both at the rate of the options.
 func (c *chain) load(ctx context.Context, options DataPathOptions, name string) (direct, node *Latencies, err error) {
 	first, entry := c.services[0], "http://"+c.nodes[0].Addr()+nodePath
 	var directError, nodeError error
@@ -182,16 +182,16 @@
 	return direct, node, errors.Join(directError, nodeError)
 }
 
-// changes are those that are made beside a load.
+// changes makes changes of lists and configurations while a load runs, and counts them.
 type changes struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 	lists   int
 	reloads int
-	errors  [2]error // of lists and of reloads
+	errors  [2]error // of list changes and of reloads
 }
 
-// beginChanges changes lists and configurations at the rates of the options, until end.
+// beginChanges begins to change lists and configurations at the rates of the options. The caller must call end.
 func (c *chain) beginChanges(ctx context.Context, options DataPathOptions) *changes {
 	made := &changes{}
 	ctx, made.stop = context.WithCancel(ctx)
@@ -204,7 +204,7 @@
 	return made
 }
 
-// end makes no more changes, and returns how many each node has had.
+// end stops the changes and returns how many were made at each node. It joins their errors to before.
 func (c *changes) end(before error) (lists, reloads int, err error) {
 	c.stop()
 	c.running.Wait()
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// reload gives each node other settings.
+// reload changes the settings of each node and makes it reload them.
 func (c *chain) reload(int) error {
 	for _, node := range c.nodes {
 		if err := node.Reload(); err != nil {
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// periodically calls a function so many times a minute, the first time after half a period, until ctx ends or the function
-// fails, and returns how often it succeeded.
+// periodically calls change perMinute times a minute, the first time after half a period, until ctx ends or change fails.
+// It returns how many calls succeeded.
 func periodically(ctx context.Context, perMinute float64, change func(number int) error) (done int, err error) {
 	if perMinute <= 0 {
 		return 0, nil
--- a/internal/lab/scale/datapath_load.go
+++ b/internal/lab/scale/datapath_load.go
@@ -16,42 +16,42 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// Bounds of what a histogram of latencies holds, in nanoseconds.
+// Range, in nanoseconds, and precision of the latency histograms.
 const (
-	shortestLatency  = int64(time.Microsecond) // less counts as this
-	longestLatency   = int64(time.Minute)      // more counts as this; twice a call's deadline
+	shortestLatency  = int64(time.Microsecond) // shorter latencies are recorded as this
+	longestLatency   = int64(time.Minute)      // longer latencies are recorded as this; twice a call's deadline
 	latencyPrecision = 3                       // significant decimal digits
 )
 
-// maxIdleConnections is how many connections a generator keeps open to one address.
+// maxIdleConnections is the maximum number of idle connections that a load generator keeps to one address.
 const maxIdleConnections = 256
 
-// Latencies are the times that calls took, and how many failed. A time runs from the moment at which the call was due,
-// not from the moment at which it was sent, so a generator that falls behind or a server that stalls shows in all the
-// calls that were due meanwhile.
+// Latencies holds the latencies of calls and the number of calls that failed. A latency is counted from the time at which
+// the call was due, not from the time at which it was sent. A generator that falls behind or a server that stalls
+// therefore increases the latencies of all calls that were due in the meantime.
 type Latencies struct {
 	Calls    int64
 	Failures int64
-	Lag      time.Duration // within which 99 in 100 calls were sent after they were due
+	Lag      time.Duration // 99th percentile of the time from when a call was due until it was sent
 	latency  *hdrhistogram.Histogram
 }
 
-// Quantile is the time within which a share of the calls, in percent, was answered.
+// Quantile returns the latency that the given percentage of the calls did not exceed.
 func (l *Latencies) Quantile(percent float64) time.Duration {
 	return time.Duration(l.latency.ValueAtPercentile(percent))
 }
 
-// OpenLoad makes calls at random moments (a Poisson process) whether or not earlier ones have been answered.
+// OpenLoad makes calls at random times (a Poisson process), whether or not earlier calls have been answered.
 type OpenLoad struct {
 	Rate     float64 // calls a second
 	Duration time.Duration
 	Seed     uint64
-	URL      func() string // of the next call
+	URL      func() string // returns the URL of the next call
 	Name     string        // prefix of the calls' IDs
 	Class    string        // ReadClass or WriteClass
 }
 
-// Run makes the calls and returns when all are answered.
+// Run makes the calls and returns when all of them have ended.
 func (l OpenLoad) Run(ctx context.Context, client *http.Client) (*Latencies, error) {
 	pace, err := newPacer()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return record.result(), ctx.Err()
 }
 
-// call makes one call and reads its answer.
+// call makes one call and reads its response.
 func call(ctx context.Context, client *http.Client, url, class, id string) error {
 	method := http.MethodGet
 	if class == WriteClass {
@@ -100,7 +100,7 @@
 	return roundTrip(client, request)
 }
 
-// roundTrip sends a request and reads the answer, which must be 200.
+// roundTrip sends a request and reads the response. It returns an error unless the status is 200.
 func roundTrip(client *http.Client, request *http.Request) error {
 	response, err := client.Do(request)
 	if err != nil {
@@ -109,18 +109,18 @@
 	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
 	if response.StatusCode != http.StatusOK {
-		err = errors.Join(err, fmt.Errorf("scale: answered %s", response.Status))
+		err = errors.Join(err, fmt.Errorf("scale: unexpected response status %s", response.Status))
 	}
 	return err
 }
 
-// newClient is a client that keeps its connections.
+// newClient returns a client that keeps its connections open.
 func newClient() *http.Client {
 	return &http.Client{Timeout: 2 * callDeadline,
 		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}}
 }
 
-// recorder records what became of calls. Its methods may be called from any goroutine.
+// recorder records the latencies and failures of calls. It is safe for concurrent use.
 type recorder struct {
 	mu       sync.Mutex
 	latency  *hdrhistogram.Histogram
@@ -143,7 +143,7 @@
 	if err != nil {
 		r.failures++
 	}
-	_ = r.lag.RecordValue(min(int64(lag), longestLatency)) // within the bounds
+	_ = r.lag.RecordValue(min(int64(lag), longestLatency)) // never fails: the value is within the histogram's range
 	_ = r.latency.RecordValue(min(int64(latency), longestLatency))
 }
 
--- a/internal/lab/scale/datapath_pacer.go
+++ b/internal/lab/scale/datapath_pacer.go
@@ -10,12 +10,12 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// pacer waits for moments of the monotonic clock to within some microseconds. A timer of the runtime may be a
-// millisecond late in a process that has nothing else to do, which is more than what is to be measured. Its methods
-// are one goroutine's, which keeps its thread meanwhile.
+// pacer waits until given times of the monotonic clock, to within some microseconds. A timer of the Go runtime may be a
+// millisecond late in an otherwise idle process, which is more than the latencies that are measured. Only the goroutine
+// that created a pacer may use it; that goroutine is locked to its thread until Close.
 type pacer struct{ timer int }
 
-// newPacer takes the goroutine's thread until Close.
+// newPacer returns a pacer and locks the calling goroutine to its thread until Close.
 func newPacer() (*pacer, error) {
 	timer, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_CLOEXEC)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return &pacer{timer}, nil
 }
 
-// Wait returns at a moment of loopback.Monotonic, or at once if that has passed.
+// Wait returns when loopback.Monotonic reaches until, or immediately if that time has passed.
 func (p *pacer) Wait(until time.Duration) error {
 	if loopback.Monotonic() >= until {
 		return nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// Close releases the thread.
+// Close closes the timer and unlocks the goroutine from its thread.
 func (p *pacer) Close() error {
 	runtime.UnlockOSThread()
 	return unix.Close(p.timer)
--- a/internal/lab/scale/discovery_fleet.go
+++ b/internal/lab/scale/discovery_fleet.go
@@ -13,42 +13,42 @@
 	"hookwalk.example/hookwalk/internal/engine"
 )
 
-// maxPollInterval is the platform's bound on the time between two polls of a node, where lists are polled.
+// maxPollInterval is the platform's maximum time between two polls of a node in polled mode.
 const maxPollInterval = time.Second
 
-// Dial opens a connection, as in http.Transport.
+// Dial opens a connection, like http.Transport.DialContext.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// DiscoveryFleetOptions say which hollow nodes call discovery.
+// DiscoveryFleetOptions configures the hollow nodes that call discovery.
 type DiscoveryFleetOptions struct {
 	Nodes   int
 	Addr    string
 	Dial    Dial  // nil: over TCP
-	Polled  bool  // lists are polled; else they are pushed
-	Version int64 // that each node holds from before; 0: it has no list
+	Polled  bool  // nodes poll for their list; otherwise discovery pushes it
+	Version int64 // version of the list that each node has at the start; 0: no list
 }
 
-// DiscoveryFleet is hollow nodes that keep a watch on discovery: of a node each has only the real source of its list
-// (package discovery).
+// DiscoveryFleet is a set of hollow nodes that each keep a watch at discovery. The only real part of such a node is the
+// source of its list (package discovery).
 type DiscoveryFleet struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
 	mu         sync.Mutex
 	lists      int64     // received by all nodes
-	awaited    int64     // the version that is waited for
+	awaited    int64     // version that Await waits for
 	arrivals   []arrival // by node
-	missing    int       // nodes that do not have it
+	missing    int       // number of nodes that have not received the awaited version
 	allArrived chan struct{}
 }
 
-// arrival is when a node received what is awaited.
+// arrival records whether and when a node received the awaited version.
 type arrival struct {
 	at   time.Time
 	done bool
 }
 
-// StartDiscoveryFleet starts all nodes at once, and waits for a first list at each. Stop must follow.
+// StartDiscoveryFleet starts all nodes at once and begins to await the first list of each. The caller must call Stop.
 func StartDiscoveryFleet(ctx context.Context, options DiscoveryFleetOptions) *DiscoveryFleet {
 	f := &DiscoveryFleet{arrivals: make([]arrival, options.Nodes)}
 	f.Await(0)
@@ -65,7 +65,7 @@
 	f.running.Wait()
 }
 
-// Await begins to wait until each node has got a list, or changes, of a version or a later one.
+// Await begins to record when each node receives a list, or changes, of the given version or a later one.
 func (f *DiscoveryFleet) Await(version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// AllArrived is closed when no node is missing any more.
+// AllArrived returns a channel that is closed when all nodes have received the awaited version.
 func (f *DiscoveryFleet) AllArrived() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.allArrived
 }
 
-// Arrivals returns, for the nodes that have what is awaited, the time since a moment, and how many nodes are missing.
+// Arrivals returns how long after since each node received the awaited version, and how many nodes have not received it.
 func (f *DiscoveryFleet) Arrivals(since time.Time) (after []time.Duration, missing int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +94,7 @@
 	return after, f.missing
 }
 
-// Lists is how many lists all nodes have received so far.
+// Lists returns how many lists all nodes have received so far.
 func (f *DiscoveryFleet) Lists() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,13 +116,13 @@
 	}
 }
 
-// hollowSource is the source of one node's list, with the one rule of the decision module that the source depends on: when
-// to poll again.
+// hollowSource is the source of one node's list. It replaces the decision module in the one decision that the source
+// depends on: when to poll again.
 type hollowSource struct {
 	source   *discovery.Source
 	fleet    *DiscoveryFleet
 	index    int
-	failures int // in a row; only the source's goroutine touches it
+	failures int // consecutive; used only by the source's goroutine
 }
 
 func newHollowSource(options DiscoveryFleetOptions, fleet *DiscoveryFleet, index int) *hollowSource {
@@ -135,7 +135,7 @@
 	return h
 }
 
-// run returns the function that watches until ctx ends.
+// run returns a function that keeps the watch until ctx ends.
 func (h *hollowSource) run(ctx context.Context) func() {
 	return func() {
 		h.source.RequestPoll()
@@ -143,7 +143,7 @@
 	}
 }
 
-// applyUpdate receives a list, as the engine does, or the failure of all polls.
+// applyUpdate receives, in place of the engine, a list or the news that all polls have failed.
 func (h *hollowSource) applyUpdate(_ context.Context, update engine.Update) error {
 	if update.WatchFailed {
 		h.failures++
@@ -155,10 +155,10 @@
 	return nil
 }
 
-// pollBackoff draws the wait before the next poll after so many failures in a row, as the decision module does: full jitter
-// up to a sixteenth of a quarter of the poll interval, doubled with each failure up to that quarter.
+// pollBackoff draws the wait before the next poll after a number of consecutive failures, as the decision module does: full
+// jitter up to a bound of a sixteenth of a quarter of the poll interval, doubled with each failure up to that quarter.
 func pollBackoff(failures int) time.Duration {
-	const maxDoublings = 4 // to longest
+	const maxDoublings = 4 // until the bound reaches longest
 	longest := maxPollInterval / 4
 	wait := min(longest, longest/16<<min(failures, maxDoublings))
 	return time.Duration(rand.Float64()*float64(wait)) + 1
--- a/internal/lab/scale/discovery_measure.go
+++ b/internal/lab/scale/discovery_measure.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// DiscoveryOptions say what is measured in one run.
+// DiscoveryOptions configures one measurement of discovery.
 type DiscoveryOptions struct {
 	Queue         DiscoveryQueueOptions
 	Nodes         int
-	Polled        bool          // lists are polled; else they are pushed
-	MissedChanges int           // changes that the nodes have missed; 0: they hold no list, and receive the complete one
-	IdleTime      time.Duration // how long the nodes are measured while nothing changes; 0: not at all
-	Timeout       time.Duration // of each phase; what has not arrived by then is missing
-	ReadMemory    bool          // resident memory and descriptors are read while all watches are open
+	Polled        bool          // nodes poll for their list; otherwise discovery pushes it
+	MissedChanges int           // changes that the nodes have missed; 0: they have no list and receive the complete one
+	IdleTime      time.Duration // duration of the measurement while nothing changes; 0: none
+	Timeout       time.Duration // of each phase; nodes without the awaited version by then are missing
+	ReadMemory    bool          // whether resident memory and descriptors are read while all watches are open
 }
 
-// DiscoveryPhase is what one phase of a run has cost.
+// DiscoveryPhase holds the measurements of one phase of a run.
 type DiscoveryPhase struct {
 	DiscoveryCounts
 	Lists   int64           // received by all nodes
-	Delays  []time.Duration // until each node had what was awaited, shortest first
-	Missing int             // nodes that did not have it in time
+	Delays  []time.Duration // until each node had the awaited version, shortest first
+	Missing int             // number of nodes that did not have it before the timeout
 	Elapsed time.Duration
-	CPU     time.Duration // of this process: all nodes and the stand-in
+	CPU     time.Duration // of this process: all nodes and the stand-in for discovery
 }
 
-// Last is when the last node had what was awaited.
+// Last returns the delay until the last node had the awaited version.
 func (p DiscoveryPhase) Last() time.Duration { return p.Quantile(1) }
 
-// Quantile is the time within which a share (0 to 1) of the nodes that had what was awaited had it.
+// Quantile returns the delay within which a share (0 to 1) of the nodes had the awaited version. Missing nodes don't count.
 func (p DiscoveryPhase) Quantile(share float64) time.Duration {
 	if len(p.Delays) == 0 {
 		return 0
@@ -42,28 +42,28 @@
 	return p.Delays[max(rank, 1)-1]
 }
 
-// DiscoveryResult is what a run has measured.
+// DiscoveryResult holds the measurements of one run.
 type DiscoveryResult struct {
-	Start       DiscoveryPhase // all nodes start at once, until the last has its list
+	Start       DiscoveryPhase // from the start of all nodes at once until the last one has its list
 	Idle        DiscoveryPhase // nothing changes
-	Change      DiscoveryPhase // one server's entry changes, until the last node has it
-	WatchesEnd  DiscoveryPhase // all watches end at once, until the last node has its list again
-	RSSBytes    int64          // added by all nodes and the stand-in while all watches are open, garbage aside
-	Descriptors int            // added likewise
+	Change      DiscoveryPhase // from the change of one server's entry until the last node has it
+	WatchesEnd  DiscoveryPhase // from the end of all watches at once until the last node has its list again
+	RSSBytes    int64          // added by all nodes and the stand-in while all watches are open, without garbage
+	Descriptors int            // added by all nodes and the stand-in while all watches are open
 }
 
-// ErrDiscoveryNotServed is returned if not all nodes receive their list in time, so that nothing more can be measured.
-var ErrDiscoveryNotServed = errors.New("scale: not all nodes have their list in time; see the measurements of the first phase")
+// ErrDiscoveryNotServed is returned if some node does not receive its list in time. The later phases are not measured.
+var ErrDiscoveryNotServed = errors.New("scale: not all nodes received their list in time; see the measurements of the first phase")
 
-// discoveryRun is one run.
+// discoveryRun is one run of the measurement: the stand-in for discovery and its hollow nodes.
 type discoveryRun struct {
 	options DiscoveryOptions
 	queue   *DiscoveryQueue
 	fleet   *DiscoveryFleet
 }
 
-// MeasureDiscovery starts the stand-in on a listener and hollow nodes that reach it by dial, runs all phases and stops them.
-// With ErrDiscoveryNotServed, the result has the first phase.
+// MeasureDiscovery starts the stand-in for discovery on a listener and hollow nodes that connect to it by dial, measures all
+// phases, and stops the stand-in and the nodes. If it returns ErrDiscoveryNotServed, the result holds only the first phase.
 func MeasureDiscovery(ctx context.Context, ln net.Listener, dial Dial, options DiscoveryOptions) (result DiscoveryResult, err error) {
 	run := &discoveryRun{options: options, queue: NewDiscoveryQueue(ln, options.Queue)}
 	defer func() { err = errors.Join(err, run.queue.Close()) }()
@@ -105,7 +105,7 @@
 	return result, nil
 }
 
-// measureArrivals calls begin, and measures until all nodes have what the fleet then awaits.
+// measureArrivals calls begin and measures until all nodes have the version that the fleet awaits, or until the timeout.
 func (r *discoveryRun) measureArrivals(begin func()) DiscoveryPhase {
 	return r.measure(func(began time.Time) (after []time.Duration, missing int) {
 		begin()
@@ -119,7 +119,7 @@
 	})
 }
 
-// measureIdle measures while nothing changes.
+// measureIdle measures for the idle time, in which nothing changes.
 func (r *discoveryRun) measureIdle() DiscoveryPhase {
 	return r.measure(func(time.Time) ([]time.Duration, int) {
 		<-time.After(r.options.IdleTime)
@@ -127,7 +127,7 @@
 	})
 }
 
-// measure takes the counts before and after a phase.
+// measure runs a phase and returns its delays and how much each count grew.
 func (r *discoveryRun) measure(phase func(began time.Time) (after []time.Duration, missing int)) (result DiscoveryPhase) {
 	counts, lists, cpu, began := r.queue.Counts(), r.lists(), ownProcessorTime(), time.Now()
 	result.Delays, result.Missing = phase(began)
@@ -139,7 +139,7 @@
 	return result
 }
 
-// lists is how many lists the nodes have received so far.
+// lists returns how many lists the nodes have received so far.
 func (r *discoveryRun) lists() int64 {
 	if r.fleet == nil {
 		return 0
--- a/internal/lab/scale/discovery_queue.go
+++ b/internal/lab/scale/discovery_queue.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// DiscoveryQueueOptions say how the stand-in for discovery behaves.
+// DiscoveryQueueOptions configures the stand-in for discovery.
 type DiscoveryQueueOptions struct {
 	Servers      int           // in the list
 	ServiceTime  time.Duration // of one call; calls are handled one after another
-	MaxQueueTime time.Duration // a call whose turn is further off is answered with 503 after so long
+	MaxQueueTime time.Duration // a call that would wait longer is answered with 503 after this time
 }
 
-// DiscoveryCounts counts what has reached a DiscoveryQueue so far.
+// DiscoveryCounts holds counts of the traffic of a DiscoveryQueue.
 type DiscoveryCounts struct {
-	Calls       int64 // for a list or a watch, rejected ones among them
-	Rejected    int64 // answered with 503 because their turn was too far off
+	Calls       int64 // for a list or a watch, including rejected calls
+	Rejected    int64 // calls answered with 503 because the queue was too long
 	BytesOut    int64 // payload written, HTTP headers included
 	BytesIn     int64 // payload read
 	Connections int64
 }
 
-// Since is what came after an earlier count.
+// Since returns the difference from earlier counts.
 func (c DiscoveryCounts) Since(earlier DiscoveryCounts) DiscoveryCounts {
 	return DiscoveryCounts{
 		Calls:       c.Calls - earlier.Calls,
@@ -37,7 +37,7 @@
 	}
 }
 
-// listedServer is a server as discovery writes it.
+// listedServer is a server in the form that discovery sends.
 type listedServer struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -49,7 +49,7 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// serverList is a list, or the changes of one, as discovery writes it.
+// serverList is a list, or the changes of a list, in the form that discovery sends.
 type serverList struct {
 	Seq      int64          `json:"seq"`
 	Complete bool           `json:"whole"`
@@ -57,7 +57,7 @@
 }
 
 // DiscoveryQueue is a stand-in for discovery as one service that all nodes share: it handles calls one after another
-// and keeps a watch for each client. It writes one list, the same for all.
+// and keeps a watch for each client. All clients receive the same list.
 type DiscoveryQueue struct {
 	options  DiscoveryQueueOptions
 	server   *http.Server
@@ -67,15 +67,15 @@
 	rejected atomic.Int64
 
 	mu           sync.Mutex
-	queueFree    time.Time // when the calls so far are handled
+	queueFree    time.Time // when all calls accepted so far will have been handled
 	version      int64
 	servers      []listedServer
-	changed      []int64       // by server: the version that changed it last
+	changed      []int64       // by server: version of its last change
 	updated      chan struct{} // closed at the next change
-	watchesReset chan struct{} // closed when all watches are reset
+	watchesReset chan struct{} // closed when EndWatches resets all watches
 }
 
-// NewDiscoveryQueue serves a list of servers as version 1 on a listener. Close must follow.
+// NewDiscoveryQueue starts to serve version 1 of a list of servers on a listener. The caller must call Close.
 func NewDiscoveryQueue(ln net.Listener, options DiscoveryQueueOptions) *DiscoveryQueue {
 	q := &DiscoveryQueue{options: options, listener: &payloadListener{Listener: ln}, version: 1,
 		updated: make(chan struct{}), watchesReset: make(chan struct{})}
@@ -87,7 +87,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", q.serve)
 	q.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	q.serving.Go(func() { _ = q.server.Serve(q.listener) }) // ends with Close, which is no error
+	q.serving.Go(func() { _ = q.server.Serve(q.listener) }) // returns an error after Close, as intended
 	return q
 }
 
@@ -101,20 +101,20 @@
 	return err
 }
 
-// Counts counts what has come so far.
+// Counts returns the counts so far.
 func (q *DiscoveryQueue) Counts() DiscoveryCounts {
 	return DiscoveryCounts{Calls: q.calls.Load(), Rejected: q.rejected.Load(), BytesOut: q.listener.out.Load(),
 		BytesIn: q.listener.in.Load(), Connections: q.listener.accepted.Load()}
 }
 
-// Version is that of the list as it is.
+// Version returns the current version of the list.
 func (q *DiscoveryQueue) Version() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.version
 }
 
-// Change makes the next of a series of changes, of one server each.
+// Change changes the entry of one server, a different one with each call, and thereby the version of the list.
 func (q *DiscoveryQueue) Change() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -134,8 +134,8 @@
 	q.watchesReset = make(chan struct{})
 }
 
-// awaitTurn waits until a call's turn is over, and reports whether it came in time. A client that goes does not give its
-// turn back, and a call that is rejected has none.
+// awaitTurn waits until a call has passed the queue, and reports whether it is to be answered with a list. A client that
+// disconnects keeps its place in the queue. A rejected call takes no place.
 func (q *DiscoveryQueue) awaitTurn(r *http.Request) bool {
 	done, inTime := q.enqueue(time.Now())
 	wait := time.NewTimer(time.Until(done))
@@ -148,7 +148,7 @@
 	}
 }
 
-// enqueue returns when a call that arrives now is answered, and whether that is with a list.
+// enqueue returns when a call that arrives now is answered, and whether it is answered with a list or rejected.
 func (q *DiscoveryQueue) enqueue(now time.Time) (done time.Time, inTime bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -164,7 +164,7 @@
 	return done, true
 }
 
-// changesSince returns the changes after a version; of version 0 the complete list.
+// changesSince returns the changes after a version, or the complete list for version 0.
 func (q *DiscoveryQueue) changesSince(version int64) listUpdate {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -177,7 +177,7 @@
 	return listUpdate{list: list, version: q.version, updated: q.updated, reset: q.watchesReset}
 }
 
-// serve answers a call once its turn is over.
+// serve answers a call when it has passed the queue.
 func (q *DiscoveryQueue) serve(w http.ResponseWriter, r *http.Request) {
 	q.calls.Add(1)
 	if !q.awaitTurn(r) {
@@ -187,7 +187,7 @@
 	serveList(w, r, q.changesSince)
 }
 
-// payloadListener counts the payload of the connections that it accepts, whatever their kind.
+// payloadListener counts the connections that it accepts and their payload, over any kind of network.
 type payloadListener struct {
 	net.Listener
 	out, in, accepted atomic.Int64
@@ -203,7 +203,7 @@
 	return &payloadConn{conn, l}, nil
 }
 
-// payloadConn is one accepted connection.
+// payloadConn is an accepted connection whose payload is counted.
 type payloadConn struct {
 	net.Conn
 	listener *payloadListener
@@ -216,6 +216,6 @@
 }
 
 func (c *payloadConn) Write(p []byte) (int, error) {
-	c.listener.out.Add(int64(len(p))) // before the caller can have read it
+	c.listener.out.Add(int64(len(p))) // counted before the peer can have read it
 	return c.Conn.Write(p)
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,27 +8,27 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// minFitSizes is the number of distinct sizes below which a line is not worth a claim.
+// minFitSizes is the minimum number of distinct sizes that determine a line.
 const minFitSizes = 2
 
-// Point is one measurement: the size of the system, or a rate, and the value seen there.
+// Point is one measurement: the size of the system, or a rate, and the value measured at it.
 type Point struct {
 	Size  float64
 	Value float64
 }
 
-// Fit is a straight line through measured points, value = Slope x size + Constant, by least squares.
+// Fit is the least-squares line through measured points: value = Slope x size + Constant.
 type Fit struct {
 	Slope       float64
 	Constant    float64
-	RMSResidual float64 // root of the mean squared distance of the points from the line, in units of the value
+	RMSResidual float64 // root mean square distance of the points from the line, in units of the value
 	MaxResidual float64 // largest distance of a point from the line, in units of the value
 }
 
-// ErrTooFewSizes is returned for points that do not determine a line.
-var ErrTooFewSizes = errors.New("scale: a line needs points at two different sizes at least; measure more sizes")
+// ErrTooFewSizes is returned if the points have too few distinct sizes to determine a line.
+var ErrTooFewSizes = errors.New("scale: fitting a line needs points of at least two different sizes; measure more sizes")
 
-// FitLine fits a line to points by least squares, each point with the same weight.
+// FitLine fits a line to points by least squares. All points have the same weight.
 func FitLine(points []Point) (Fit, error) {
 	sizes, values := split(points)
 	if distinct(sizes) < minFitSizes {
@@ -40,16 +40,16 @@
 	return fit, nil
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (f Fit) At(size float64) float64 { return f.Slope*size + f.Constant }
 
-// String gives the line and its residuals on one line.
+// String formats the line's equation and its residuals as one line of text.
 func (f Fit) String() string {
 	return fmt.Sprintf("%s x size %s; residual RMS %s, max %s",
 		FormatNumber(f.Slope), signed(f.Constant), FormatNumber(f.RMSResidual), FormatNumber(f.MaxResidual))
 }
 
-// residuals gives the RMS and the largest distance of the points from the line.
+// residuals returns the RMS distance and the largest distance of the points from the line.
 func (f Fit) residuals(points []Point) (rms, largest float64) {
 	var squares float64
 	for _, p := range points {
@@ -60,7 +60,7 @@
 	return math.Sqrt(squares / float64(len(points))), largest
 }
 
-// split separates sizes and values.
+// split returns the sizes and the values of points.
 func split(points []Point) (sizes, values []float64) {
 	for _, p := range points {
 		sizes = append(sizes, p.Size)
@@ -69,7 +69,7 @@
 	return sizes, values
 }
 
-// distinct counts the different sizes.
+// distinct counts the distinct sizes.
 func distinct(sizes []float64) int {
 	seen := map[float64]bool{}
 	for _, size := range sizes {
@@ -78,7 +78,7 @@
 	return len(seen)
 }
 
-// signed writes a summand with its sign.
+// signed formats a summand with its sign.
 func signed(v float64) string {
 	if v < 0 {
 		return "- " + FormatNumber(-v)
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestFitLineGivesResiduals(t *testing.T) {
-	// The line through these is 0 x size + 1, with distances 1, 1, 1, 1.
+	// The fitted line is 0 x size + 1; each point is at distance 1 from it.
 	fit, err := FitLine([]Point{{1, 0}, {1, 2}, {3, 0}, {3, 2}})
 	if err != nil {
 		t.Fatal(err)
