--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -41,8 +41,8 @@
 	Reloads      int           // at each node
 }
 
-// Added returns by how much the nodes increase a quantile of the latency. The quantile is given in percent.
-func (r DataPathResult) Added(percent float64) time.Duration {
+// AddedLatency returns by how much the nodes increase a quantile of the latency. The quantile is given in percent.
+func (r DataPathResult) AddedLatency(percent float64) time.Duration {
 	return r.Node.Quantile(percent) - r.Direct.Quantile(percent)
 }
 
@@ -182,8 +182,8 @@
 	return direct, node, errors.Join(directError, nodeError)
 }
 
-// changes makes changes of lists and configurations while a load runs, and counts them.
-type changes struct {
+// backgroundChanges makes backgroundChanges of lists and configurations while a load runs, and counts them.
+type backgroundChanges struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 	lists   int
@@ -192,8 +192,8 @@
 }
 
 // beginChanges begins to change lists and configurations at the rates of the options. The caller must call end.
-func (c *chain) beginChanges(ctx context.Context, options DataPathOptions) *changes {
-	made := &changes{}
+func (c *chain) beginChanges(ctx context.Context, options DataPathOptions) *backgroundChanges {
+	made := &backgroundChanges{}
 	ctx, made.stop = context.WithCancel(ctx)
 	made.running.Go(func() {
 		made.lists, made.errors[0] = periodically(ctx, options.ListChanges, c.changeLists)
@@ -205,7 +205,7 @@
 }
 
 // end stops the changes and returns how many were made at each node. It joins their errors to before.
-func (c *changes) end(before error) (lists, reloads int, err error) {
+func (c *backgroundChanges) end(before error) (lists, reloads int, err error) {
 	c.stop()
 	c.running.Wait()
 	return c.lists, c.reloads, errors.Join(before, c.errors[0], c.errors[1])
--- a/internal/lab/scale/datapath_test.go
+++ b/internal/lab/scale/datapath_test.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// moduleRoot is the folder of the module, seen from this package's.
+// moduleRoot is the module's folder, relative to the folder of this package.
 const moduleRoot = "../../.."
 
-// serviceProgram is the node, built for service once for all tests of the package.
+// serviceProgram builds the node's program as for deployment, once for all tests of the package, and returns its path.
 var serviceProgram = sync.OnceValues(func() (string, error) {
 	return BuildForService(context.Background(), moduleRoot, programFolder)
 })
 
-// programFolder holds it for as long as the tests run.
+// programFolder is the folder that holds the program while the tests run.
 var programFolder string
 
 func TestMain(m *testing.M) {
 	os.Exit(withProgramFolder(m.Run))
 }
 
-// withProgramFolder runs the tests with a folder for programs.
+// withProgramFolder runs the tests with a temporary folder for programs.
 func withProgramFolder(run func() int) int {
 	folder, err := os.MkdirTemp("", "hookwalk-scale-")
 	if err != nil {
@@ -38,7 +38,7 @@
 	return run()
 }
 
-// nodeProgram is the node's program and settings file.
+// nodeProgram returns the paths of the node's program and of its settings file.
 func nodeProgram(t *testing.T) (program, settings string) {
 	t.Helper()
 	program, err := serviceProgram()
@@ -52,7 +52,7 @@
 	return program, settings
 }
 
-// dataPathOptions are those that all runs of the data path share.
+// dataPathOptions returns the options that all measurements of the data path start from.
 func dataPathOptions(t *testing.T) DataPathOptions {
 	program, settings := nodeProgram(t)
 	return DataPathOptions{Program: program, SettingsFile: settings, Folder: t.TempDir(), Servers: 28, Depth: 1,
@@ -60,9 +60,9 @@
 		Duration: 8 * time.Second}
 }
 
-// A measurement of calls that fail, or that pass a service twice, would be one of something else. In the small form, a
-// chain of three nodes with changes going on, no call fails, each passes each service once, and no node holds more
-// descriptors than it is allowed.
+// Calls that fail, or that pass a service twice, would make the measurement invalid. In the small form, a chain of three
+// nodes whose lists and configurations change meanwhile, no call fails, each call passes each service once, and the
+// first node has no more descriptors open than its limit allows.
 func TestDataPathChain(t *testing.T) {
 	t.Parallel()
 	options := dataPathOptions(t)
@@ -93,8 +93,8 @@
 	}
 }
 
-// A rig whose list its node does not use would measure changes that cost nothing: a server that is taken out of the list
-// gets no more calls.
+// If the node ignored the rig's list, changes of the list would seem to cost nothing. A server that is taken out of service
+// in the list must receive no more calls.
 func TestDataPathFollowsTheList(t *testing.T) {
 	program, settings := nodeProgram(t)
 	service, err := NewService("tier", 2)
@@ -125,19 +125,19 @@
 		return service.Received(0) - before
 	}
 	if received() == 0 {
-		t.Error("the first server has had none of 20 calls while it is in service")
+		t.Error("the first server received none of 20 calls while it was in service")
 	}
 	node.Discovery.SetHealth(0, terminating)
 	limit := time.Now().Add(20 * time.Second)
 	for received() > 0 {
 		if time.Now().After(limit) {
-			t.Fatal("the first server still gets calls after it was taken out of service")
+			t.Fatal("the first server still receives calls 20 s after it was taken out of service")
 		}
 	}
 }
 
-// A reload that its node ignores would cost nothing: a configuration that a rig changes is applied by its node, also one
-// with a list that is a long line in its capture.
+// If the node ignored a reload, reloads would seem to cost nothing. The node must apply a configuration that the rig
+// changes, even if its list of servers is so long that it makes a long line in the node's capture.
 func TestReloadIsApplied(t *testing.T) {
 	program, settings := nodeProgram(t)
 	node, err := StartNode(t.Context(), NodeOptions{Program: program, SettingsFile: settings, Folder: t.TempDir(), Servers: ListedServers(1000)})
@@ -151,7 +151,7 @@
 	waitForLog(t, node, "configuration reloaded")
 }
 
-// waitForLog waits until a node has written something.
+// waitForLog waits until a node has written the text to its log.
 func waitForLog(t *testing.T, node *NodeProcess, text string) {
 	t.Helper()
 	limit, end := context.WithTimeout(t.Context(), 20*time.Second)
@@ -174,8 +174,8 @@
 	}
 }
 
-// Coordinated omission: a generator that waits for a stalled server sends fewer calls, and would record one slow call where
-// many were due. An open load counts the time from when a call was due.
+// Guards against coordinated omission: a generator that waits for a stalled server sends fewer calls, and records one slow
+// call where many were due. An open load counts latency from the time at which a call was due.
 func TestOpenLoadCountsTimeFromWhenDue(t *testing.T) {
 	record := newRecorder()
 	record.record(2*time.Millisecond, 5*time.Millisecond, nil)
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestServiceBuildIsTheDeployedOne(t *testing.T) {
+func TestServiceBuildUsesDeploymentCommand(t *testing.T) {
 	got, err := serviceBuild("x = 1\nbuild = \"mkdir -p bin && CGO_ENABLED=1 go build -tags=nolab -o bin/ ./cmd/...\"\n", "/tmp/p/hookwalk")
 	if want := "CGO_ENABLED=1 go build -tags=nolab -o '/tmp/p/hookwalk' ./cmd/hookwalk"; err != nil || got != want {
 		t.Errorf("%q, %v, want %q", got, err, want)
--- a/internal/lab/scale/discovery_large_test.go
+++ b/internal/lab/scale/discovery_large_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Sizes of the large form.
+// Numbers of nodes, service times and numbers of servers that the large form measures.
 var (
 	discoveryNodes        = []int{50, 100, 200, 400, 1900}
 	discoveryServiceTimes = []time.Duration{time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond}
 	discoveryServers      = []int{10, 28, 100, 300}
 )
 
-// Sizes of the target: one service in the mean, a zone, a region, everything.
+// Numbers of nodes in the target system: in an average service, in a zone, in a region, and in total.
 const (
 	oneServiceNodes = 28
 	oneZoneNodes    = 119
@@ -23,10 +23,10 @@
 	targetNodes     = 1900
 )
 
-// missedChanges is how many changes nodes have missed that were away for an hour, at 760 a day.
+// missedChanges is the number of changes that nodes miss in an absence of one hour, at 760 changes a day.
 const missedChanges = 32
 
-// measureOnLoopback runs the rig over TCP, and says so where not all nodes are served in time.
+// measureOnLoopback runs the rig over TCP and fails the test if, after the first phase, some node is not served in time.
 func measureOnLoopback(t *testing.T, options DiscoveryOptions) DiscoveryResult {
 	t.Helper()
 	options.Timeout = 45 * time.Second
@@ -40,13 +40,13 @@
 		t.Fatal(err)
 	}
 	if result.Change.Missing > 0 || result.WatchesEnd.Missing > 0 {
-		t.Errorf("%d nodes: %d without the change and %d without a list after the end of all watches, within %v",
+		t.Errorf("%d nodes: %d did not receive the change, and %d no list after the end of all watches, within %v",
 			options.Nodes, result.Change.Missing, result.WatchesEnd.Missing, options.Timeout)
 	}
 	return result
 }
 
-// discoverySeries collects the points of one line.
+// discoverySeries holds the points to which one line is fitted.
 type discoverySeries struct {
 	name   string
 	points []Point
@@ -56,7 +56,7 @@
 	s.points = append(s.points, Point{float64(size), value})
 }
 
-// printFits prints a line for each series, with its value at the sizes of the target.
+// printFits prints the line fitted to each series, with its values at the sizes of the target system.
 func printFits(t *testing.T, title string, series ...*discoverySeries) {
 	t.Helper()
 	table := Table{Title: title, Header: []string{"figure", "line", "at 28", "at 119", "at 475", "at 1,900"}}
@@ -70,8 +70,8 @@
 	table.Print(os.Stdout)
 }
 
-// The tables of discovery in docs/CAPACITY.md: n nodes come back at once, by n and by the service time of a call, with
-// lists of 28 servers; pushed and polled.
+// Prints the discovery tables of docs/CAPACITY.md: n nodes return at once, by n and by the service time of a call, with
+// lists of 28 servers, pushed and polled.
 func TestDiscoveryLargeReturn(t *testing.T) {
 	largeOnly(t)
 	for _, polled := range []bool{false, true} {
@@ -81,20 +81,20 @@
 	}
 }
 
-// discoveryMode names how lists come.
+// discoveryMode names how nodes receive their lists.
 func discoveryMode(polled bool) string {
 	if polled {
-		return "asked for"
+		return "polled"
 	}
 	return "pushed"
 }
 
-// measureReturns prints the table and the lines of one service time.
+// measureReturns measures the return of nodes for one service time, and prints the table and the fitted lines.
 func measureReturns(t *testing.T, polled bool, serviceTime time.Duration, sizes []int) {
 	t.Helper()
-	title := "n nodes come back at once, lists " + discoveryMode(polled) + ", " + serviceTime.String() + " a call, 28 servers"
-	table := Table{Title: title + "; " + Origin(), Header: []string{"nodes", "calls", "turned down", "payload B out", "payload B in",
-		"s until half", "s until 99%", "s until the last", "without", "processor ms", "change: s until the last", "change: B a node",
+	title := "n nodes return at once, lists " + discoveryMode(polled) + ", " + serviceTime.String() + " a call, 28 servers"
+	table := Table{Title: title + "; " + Origin(), Header: []string{"nodes", "calls", "rejected calls", "payload B out", "payload B in",
+		"s until half", "s until 99%", "s until the last", "nodes without a list", "processor ms", "change: s until the last", "change: B a node",
 		"watches end: calls", "s until the last"}}
 	calls, bytesOut, last := &discoverySeries{name: "calls"}, &discoverySeries{name: "payload B out"}, &discoverySeries{name: "s until the last"}
 	for _, nodes := range sizes {
@@ -113,13 +113,13 @@
 	printFits(t, "Lines of: "+title, calls, bytesOut, last)
 }
 
-// By the size of the list, complete and with 32 changes missed: a region comes back at once.
+// Prints the tables by the size of the list: a region returns at once, without a list or with 32 missed changes.
 func TestDiscoveryLargeLists(t *testing.T) {
 	largeOnly(t)
 	for _, missed := range []int{0, missedChanges} {
-		title := "475 nodes come back at once, lists pushed, 1ms a call, 0 changes missed (a whole list)"
+		title := "475 nodes return at once, lists pushed, 1ms a call, 0 changes missed (complete list)"
 		if missed > 0 {
-			title = "475 nodes come back at once, lists pushed, 1ms a call, 32 changes missed"
+			title = "475 nodes return at once, lists pushed, 1ms a call, 32 changes missed"
 		}
 		table := Table{Title: title + "; " + Origin(), Header: []string{"servers", "calls", "payload B out a node", "s until the last",
 			"processor µs a node"}}
@@ -138,11 +138,12 @@
 	}
 }
 
-// A zone and a region at once, measured beside the lines; and watches at rest, with memory and descriptors.
+// Prints the measurements at the sizes of the target system, for comparison with the fitted lines, and the cost of idle
+// watches, with memory and descriptors.
 func TestDiscoveryLargeTarget(t *testing.T) {
 	largeOnly(t)
 	table := Table{Title: "A service, a zone, a region, everything at once, lists pushed, 28 servers; " + Origin(), Header: []string{"nodes", "ms a call",
-		"calls", "turned down", "s until the last", "change: s until the last", "watches end: s until the last", "at rest: B/s a node out", "calls", "processor, % of a core a node and its watch", "RSS kB a node and its watch",
+		"calls", "rejected calls", "s until the last", "change: s until the last", "watches end: s until the last", "idle: B/s a node out", "idle: calls", "processor, % of a core a node and its watch", "RSS kB a node and its watch",
 		"descriptors a node and its watch"}}
 	for _, serviceTime := range discoveryServiceTimes {
 		for _, nodes := range []int{oneServiceNodes, oneZoneNodes, oneRegionNodes, targetNodes} {
--- a/internal/lab/scale/discovery_measure.go
+++ b/internal/lab/scale/discovery_measure.go
@@ -33,7 +33,7 @@
 // Last returns the delay until the last node had the awaited version.
 func (p DiscoveryPhase) Last() time.Duration { return p.Quantile(1) }
 
-// Quantile returns the delay within which a share (0 to 1) of the nodes had the awaited version. Missing nodes don't count.
+// Quantile returns the delay within which a share (0 to 1) of the nodes had the awaited version. It ignores missing nodes.
 func (p DiscoveryPhase) Quantile(share float64) time.Duration {
 	if len(p.Delays) == 0 {
 		return 0
@@ -62,8 +62,9 @@
 	fleet   *DiscoveryFleet
 }
 
-// MeasureDiscovery starts the stand-in for discovery on a listener and hollow nodes that connect to it by dial, measures all
-// phases, and stops the stand-in and the nodes. If it returns ErrDiscoveryNotServed, the result holds only the first phase.
+// MeasureDiscovery starts the stand-in for discovery on a listener and hollow nodes that connect to it with dial, measures
+// all phases, and stops the stand-in and the nodes. If it returns ErrDiscoveryNotServed, the result holds only the first
+// phase.
 func MeasureDiscovery(ctx context.Context, ln net.Listener, dial Dial, options DiscoveryOptions) (result DiscoveryResult, err error) {
 	run := &discoveryRun{options: options, queue: NewDiscoveryQueue(ln, options.Queue)}
 	defer func() { err = errors.Join(err, run.queue.Close()) }()
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -10,13 +10,15 @@
 	"hookwalk.example/hookwalk/internal/discovery/discoverytest"
 )
 
-// discoveryMaxQueueTime is how long a call waits at discovery before it is rejected, as in the tests of the source.
+// discoveryMaxQueueTime is the maximum time that a call waits at discovery before it is rejected, the same as in the tests
+// of package discovery's source.
 const discoveryMaxQueueTime = 2 * time.Second
 
-// maxOverheadBytes bounds what HTTP adds to the payload of a list: header of the answer, chunks and heartbeats.
+// maxOverheadBytes is the maximum that HTTP adds to the payload of a list: response header, chunk framing and heartbeats.
 const maxOverheadBytes = 400
 
-// measureInBubble runs the rig in virtual time, on a network without sockets: how fast the machine is changes nothing.
+// measureInBubble runs the rig in virtual time, on a network without sockets, so that the results do not depend on the
+// machine's speed.
 func measureInBubble(t *testing.T, options DiscoveryOptions, check func(t *testing.T, result DiscoveryResult)) {
 	t.Helper()
 	options.Timeout = time.Minute
@@ -32,7 +34,7 @@
 	})
 }
 
-// completeListLength is the length of a complete list as the stand-in writes it, in bytes.
+// completeListLength returns the length in bytes of a complete list in the form that the stand-in sends.
 func completeListLength(t *testing.T, servers int) int64 {
 	t.Helper()
 	q := NewDiscoveryQueue(discoverytest.NewPipeNetwork(), DiscoveryQueueOptions{Servers: servers})
@@ -43,9 +45,9 @@
 	return int64(len(text))
 }
 
-// A region that comes back at once must not overload discovery by retries or by complete lists that nobody needs. Where the
-// queue is shorter than a node's timeout, each node calls once and receives its list once, at a change each receives that
-// change alone, and after a reset of all watches nobody is sent the complete list again.
+// When all nodes of a region return at once, they must not overload discovery with retries or with complete lists that no
+// node needs. If the queue is shorter than a node's timeout, each node calls once and receives its list once. After a
+// change each node receives only that change, and after a reset of all watches no node receives the complete list again.
 func TestDiscoveryReturnCallsOnce(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		for _, servers := range []int{10, 300} {
@@ -57,10 +59,10 @@
 				wantCounts(t, "return", r.Start, nodes, nodes)
 				wantBytesOut(t, "return", r.Start, nodes*complete, nodes*(complete+maxOverheadBytes))
 				if got := r.Start.Last(); got != nodes*time.Millisecond {
-					t.Errorf("the last of %d has its list after %v of virtual time, at one call a millisecond", nodes, got)
+					t.Errorf("the last of %d nodes has its list after %v of virtual time, want one millisecond a node", nodes, got)
 				}
-				wantCounts(t, "rest", r.Idle, 0, 0)
-				wantBytesOut(t, "rest", r.Idle, 1, nodes*6*6) // six heartbeats at most, of an empty line in a chunk
+				wantCounts(t, "idle", r.Idle, 0, 0)
+				wantBytesOut(t, "idle", r.Idle, 1, nodes*6*6) // at most six heartbeats, each a chunk of 6 bytes
 				wantCounts(t, "change", r.Change, 0, nodes)
 				wantBytesOut(t, "change", r.Change, nodes*100, nodes*maxOverheadBytes)
 				wantCounts(t, "end of watches", r.WatchesEnd, nodes, nodes)
@@ -70,7 +72,7 @@
 	}
 }
 
-// Nodes that come back with a list that has missed 32 changes receive these, and not the complete list: it would cost
+// Nodes that return with a list that lacks 32 changes receive these changes and not the complete list, which would cost
 // discovery five times the bytes.
 func TestDiscoveryReturnWithMissedChanges(t *testing.T) {
 	const nodes, missed = 50, 32
@@ -82,23 +84,24 @@
 	})
 }
 
-// An overload that feeds itself: where the queue is longer than discovery lets a call wait, calls are rejected, and nodes
-// that poll again at once keep the queue full. All nodes receive their list, each with a bounded number of calls.
+// Guards against a self-sustaining overload: if the queue is longer than the maximum time that a call may wait, discovery
+// rejects calls, and nodes that poll again immediately keep the queue full. All nodes must receive their list with a
+// bounded number of calls on average.
 func TestDiscoveryReturnBeyondTheQueue(t *testing.T) {
 	const nodes, maxCallsPerNode = 400, 8
 	options := DiscoveryOptions{Nodes: nodes, Queue: DiscoveryQueueOptions{Servers: 28, ServiceTime: 10 * time.Millisecond}}
 	measureInBubble(t, options, func(t *testing.T, r DiscoveryResult) {
 		if r.Start.Rejected == 0 {
-			t.Error("no call was rejected, in a queue of 4 s that lets calls wait for 2 s")
+			t.Error("no call was rejected, although the queue is 4 s long and calls may wait for 2 s")
 		}
 		if r.Start.Calls > nodes*maxCallsPerNode {
-			t.Errorf("%d calls of %d nodes, at most %d a node are expected", r.Start.Calls, nodes, maxCallsPerNode)
+			t.Errorf("%d calls by %d nodes, want at most %d a node", r.Start.Calls, nodes, maxCallsPerNode)
 		}
 	})
 }
 
-// A measurement of nodes without a list would pass for a cheap one: if not all are served in time the rig says so, and
-// measures nothing else.
+// Nodes without a list would make discovery seem cheap. If some node does not receive its list in time, the rig returns an
+// error and measures nothing more.
 func TestDiscoveryTooSlowForAnyNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := discoverytest.NewPipeNetwork()
@@ -111,15 +114,15 @@
 	})
 }
 
-// wantCounts wants a phase to have had so many calls and lists, and no node without.
+// wantCounts checks the numbers of calls and lists of a phase, and that no node is missing.
 func wantCounts(t *testing.T, phase string, got DiscoveryPhase, calls, lists int64) {
 	t.Helper()
 	if got.Calls != calls || got.Lists != lists || got.Missing != 0 {
-		t.Errorf("%s: %d calls, %d lists, %d nodes without; want %d, %d, 0", phase, got.Calls, got.Lists, got.Missing, calls, lists)
+		t.Errorf("%s: %d calls, %d lists, %d nodes missing; want %d, %d, 0", phase, got.Calls, got.Lists, got.Missing, calls, lists)
 	}
 }
 
-// wantBytesOut wants a phase to have written a number of bytes within bounds.
+// wantBytesOut checks that the number of bytes written in a phase is within bounds.
 func wantBytesOut(t *testing.T, phase string, got DiscoveryPhase, least, most int64) {
 	t.Helper()
 	if got.BytesOut < least || got.BytesOut > most {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -30,8 +30,8 @@
 
 // FitLine fits a line to points by least squares. All points have the same weight.
 func FitLine(points []Point) (Fit, error) {
-	sizes, values := split(points)
-	if distinct(sizes) < minFitSizes {
+	sizes, values := splitPoints(points)
+	if countDistinct(sizes) < minFitSizes {
 		return Fit{}, ErrTooFewSizes
 	}
 	constant, slope := stat.LinearRegression(sizes, values, nil, false)
@@ -60,8 +60,8 @@
 	return math.Sqrt(squares / float64(len(points))), largest
 }
 
-// split returns the sizes and the values of points.
-func split(points []Point) (sizes, values []float64) {
+// splitPoints returns the sizes and the values of points.
+func splitPoints(points []Point) (sizes, values []float64) {
 	for _, p := range points {
 		sizes = append(sizes, p.Size)
 		values = append(values, p.Value)
@@ -69,8 +69,8 @@
 	return sizes, values
 }
 
-// distinct counts the distinct sizes.
-func distinct(sizes []float64) int {
+// countDistinct counts the countDistinct sizes.
+func countDistinct(sizes []float64) int {
 	seen := map[float64]bool{}
 	for _, size := range sizes {
 		seen[size] = true
--- a/internal/lab/scale/nodeload_large_test.go
+++ b/internal/lab/scale/nodeload_large_test.go
@@ -135,6 +135,6 @@
 
 // formatSpread is the difference between the largest and the smallest value of points.
 func spreadOf(points []Point) float64 {
-	_, values := split(points)
+	_, values := splitPoints(points)
 	return valueRange(values)
 }
