--- a/internal/lab/scale/hollowconn.go
+++ b/internal/lab/scale/hollowconn.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// segmentHeaderBytes is the estimate of what a TCP segment carries beside its payload: 20 bytes of IPv4 header, 20 of TCP
-// header and 12 of the timestamp option. What the link layer adds is not in it.
+// segmentHeaderBytes is the estimated size of a TCP segment without its payload: 20 bytes of IPv4 header, 20 of TCP
+// header and 12 of the timestamp option. Link-layer headers are not included.
 const segmentHeaderBytes = 52
 
 // SessionTraffic counts what the connections of hollow nodes' sessions have carried.
@@ -26,25 +26,25 @@
 	Watches     int64 `json:"watches"` // watches that were requested
 }
 
-// OnWire is the payload of both directions with the headers of all segments, in bytes.
+// OnWire returns the estimated bytes in both directions: the payload and the headers of all segments.
 func (t SessionTraffic) OnWire() int64 {
 	return t.BytesIn + t.BytesOut + segmentHeaderBytes*(t.SegmentsIn+t.SegmentsOut)
 }
 
-// Plus is the sum of two counts.
+// Plus returns the sum of two counts.
 func (t SessionTraffic) Plus(o SessionTraffic) SessionTraffic {
 	return SessionTraffic{t.BytesIn + o.BytesIn, t.BytesOut + o.BytesOut, t.SegmentsIn + o.SegmentsIn, t.SegmentsOut + o.SegmentsOut,
 		t.Dials + o.Dials, t.Watches + o.Watches}
 }
 
-// Minus is what was counted since an earlier count.
+// Minus returns the traffic since an earlier count.
 func (t SessionTraffic) Minus(o SessionTraffic) SessionTraffic {
 	return SessionTraffic{t.BytesIn - o.BytesIn, t.BytesOut - o.BytesOut, t.SegmentsIn - o.SegmentsIn, t.SegmentsOut - o.SegmentsOut,
 		t.Dials - o.Dials, t.Watches - o.Watches}
 }
 
-// Network dials for hollow nodes: it counts traffic, reports each watch that is opened, and makes addresses unreachable.
-// While an address is unreachable, connections to it that are up carry nothing, and no new one comes up.
+// Network opens the connections of hollow nodes. It counts traffic, reports each watch that is opened, and can make
+// addresses unreachable. While an address is unreachable, open connections to it stall and dials to it wait.
 type Network struct {
 	onWatch func(address string, at time.Time) // called when a watch is requested
 
@@ -55,7 +55,7 @@
 	closedTraffic SessionTraffic // of connections that are closed
 }
 
-// NewNetwork returns a network without faults. onWatch is called for each watch, from the goroutine that asks for it.
+// NewNetwork returns a network without faults. onWatch is called for each watch, from the goroutine that requests it.
 func NewNetwork(onWatch func(address string, at time.Time)) *Network {
 	return &Network{onWatch: onWatch, unreachable: map[string]bool{}, changed: make(chan struct{}), open: map[*meteredConn]bool{}}
 }
@@ -79,7 +79,7 @@
 	return n.unreachable[address], n.changed
 }
 
-// awaitReachable waits until an address is reachable. It returns false if ended was closed before.
+// awaitReachable waits until an address is reachable. It returns false if ended is closed first.
 func (n *Network) awaitReachable(address string, ended <-chan struct{}) bool {
 	for {
 		unreachable, changed := n.reachability(address)
@@ -111,7 +111,7 @@
 	return metered, nil
 }
 
-// Traffic is the count of all connections so far.
+// Traffic returns the traffic of all connections so far.
 func (n *Network) Traffic() SessionTraffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -134,10 +134,10 @@
 	closed chan struct{}
 }
 
-// watchRequest is how the request for a watch begins.
+// watchRequest is the prefix of a request for a watch.
 var watchRequest = []byte("GET /v1/config?")
 
-// Read holds back what arrives while the address is unreachable.
+// Read holds back received data while the address is unreachable.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if !c.network.awaitReachable(c.address, c.closed) {
@@ -161,7 +161,7 @@
 	return n, err
 }
 
-// Close ends the connection and keeps its count.
+// Close closes the connection and adds its traffic to that of the closed connections.
 func (c *meteredConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
@@ -179,7 +179,8 @@
 	return t
 }
 
-// tcpSegments asks the kernel how many TCP segments a connection has received and sent; 0 once it is closed.
+// tcpSegments returns the kernel's counts of the TCP segments that a connection has received and sent. Both are 0 after
+// it is closed.
 func tcpSegments(conn net.Conn) (in, out int64) {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/lab/scale/hollowconn_test.go
+++ b/internal/lab/scale/hollowconn_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A partition that open connections get through would let sessions go on that have lost their controller: what is sent
-// meanwhile arrives when the partition is over.
+// If open connections kept working during a partition, sessions that have lost their controller would continue. Data that
+// is sent during a partition must arrive only after it ends.
 func TestNetworkStallsOpenConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -20,27 +20,27 @@
 
 // Rig timings.
 const (
-	// pollInterval is the time between two looks at what a rig's processes have done.
+	// pollInterval is the time between two checks of an awaited condition.
 	pollInterval = 10 * time.Millisecond
-	// reportTimeout is how long a process of hollow nodes may take to answer, on a busy machine.
+	// reportTimeout limits how long a process of hollow nodes may take to answer. It allows for a busy machine.
 	reportTimeout = 20 * time.Second
-	// persistedAfter is how long a node may take to write a version to its disk. If it is killed afterwards, it starts
-	// again from that version or a later one.
+	// persistedAfter is how long a node may take to write a version to its disk. A node that is killed later than that
+	// must restart from that version or a later one.
 	persistedAfter = 5 * time.Second
 )
 
-// HollowOptions say how a fleet of hollow nodes is run.
+// HollowOptions configures a fleet of hollow nodes.
 type HollowOptions struct {
 	Program     func() *exec.Cmd // a process that calls ServeHollow with its standard input and output
 	Topology    Topology
 	Controllers []configapi.ControllerAddress
-	Folder      string // of last known good versions; "": nodes keep none
+	Folder      string // folder for last known good versions; if empty, nodes store none
 	Log         string // folder for standard error
 	Seed        uint64
 }
 
-// HollowFleet runs hollow nodes, a process for each zone, and audits what they do. Its methods may be called from any
-// goroutine.
+// HollowFleet runs hollow nodes, one process for each zone, and audits their observations. Its methods may be called from
+// any goroutine.
 type HollowFleet struct {
 	options HollowOptions
 
@@ -60,7 +60,7 @@
 	ended       chan struct{} // closed when the process has ended and all of its reports are read
 }
 
-// NewHollowFleet returns a fleet of which nothing runs yet. Stop must follow.
+// NewHollowFleet returns a fleet without running processes. The caller must call Stop.
 func NewHollowFleet(options HollowOptions) *HollowFleet {
 	fleet := &HollowFleet{options: options, audit: NewAudit()}
 	if options.Folder != "" {
@@ -76,7 +76,7 @@
 	return fleet
 }
 
-// Start starts the nodes of zones that do not run.
+// Start starts the nodes of zones, which must not be running.
 func (f *HollowFleet) Start(zones ...int) error {
 	for _, zone := range zones {
 		if err := f.startZone(zone); err != nil {
@@ -116,13 +116,13 @@
 		Incarnation: zone.incarnation, Seed: f.options.Seed + uint64(zone.incarnation)<<32 + uint64(number)<<16})
 }
 
-// readReports handles the reports of one incarnation of a process, to its end.
+// readReports handles the reports of one incarnation of a process until the process ends.
 func (f *HollowFleet) readReports(zone *hollowZone, output io.Reader) {
 	defer close(zone.ended)
 	reports := json.NewDecoder(bufio.NewReaderSize(output, 1<<16))
 	for {
 		var report HollowReport
-		if reports.Decode(&report) != nil { // the process has ended, perhaps within a report
+		if reports.Decode(&report) != nil { // the process has ended, perhaps in the middle of a report
 			break
 		}
 		f.handleReport(zone, report)
@@ -143,12 +143,12 @@
 	case report.Traffic != nil:
 		select {
 		case zone.traffic <- *report.Traffic:
-		default: // Traffic has given up
+		default: // Traffic has timed out and no longer receives
 		}
 	}
 }
 
-// Kill ends the processes of zones with SIGKILL, all at once, and returns when they have ended.
+// Kill sends SIGKILL to the processes of all given zones and waits until they have ended.
 func (f *HollowFleet) Kill(zones ...int) {
 	for _, zone := range zones {
 		f.zones[zone].command.Process.Kill()
@@ -163,7 +163,7 @@
 	return json.NewEncoder(f.zones[zone].input).Encode(HollowCommand{SetUnreachable: true, Unreachable: addresses})
 }
 
-// Traffic adds up what the nodes of all zones have carried in their present incarnations.
+// Traffic returns the total traffic of the nodes of all zones in their current incarnations.
 func (f *HollowFleet) Traffic() (total SessionTraffic, err error) {
 	for number, zone := range f.zones {
 		if zone.command == nil {
@@ -189,7 +189,7 @@
 	return total, nil
 }
 
-// Usage adds up what the processes of all zones have used.
+// Usage returns the total resource usage of the processes of all zones.
 func (f *HollowFleet) Usage() (total Usage, err error) {
 	for _, zone := range f.zones {
 		if zone.command == nil {
@@ -207,7 +207,7 @@
 	return total, nil
 }
 
-// Nodes are the names of the nodes of zones; none: of all.
+// Nodes returns the names of the nodes in the given zones, or in all zones if none is given.
 func (f *HollowFleet) Nodes(zones ...int) (list []string) {
 	if len(zones) == 0 {
 		zones = f.AllZones()
@@ -218,7 +218,7 @@
 	return list
 }
 
-// AllZones are the numbers of all zones.
+// AllZones returns the numbers of all zones.
 func (f *HollowFleet) AllZones() (zones []int) {
 	for zone := range f.zones {
 		zones = append(zones, zone)
@@ -226,14 +226,14 @@
 	return zones
 }
 
-// Audit calls a function with the audit, while nothing else uses it.
+// Audit calls inspect with exclusive access to the audit.
 func (f *HollowFleet) Audit(inspect func(*Audit)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	inspect(f.audit)
 }
 
-// Watches returns the watches that were opened since a moment, in order.
+// Watches returns the watches that were opened since the given time, in order.
 func (f *HollowFleet) Watches(since time.Time) []WatchOpened {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -247,7 +247,7 @@
 	return opened
 }
 
-// Await waits until all nodes of a list have answered for a version, applied or rejected.
+// Await waits until all given nodes have applied or rejected a version.
 func (f *HollowFleet) Await(ctx context.Context, version configapi.Version, nodes []string) error {
 	err := poll(ctx, func() (done bool) {
 		f.Audit(func(a *Audit) { done = a.AnsweredByAll(version, nodes) })
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// Stop ends all processes: they end when their input does, and are killed if they don't.
+// Stop ends all processes by closing their input. It kills those that do not end within reportTimeout.
 func (f *HollowFleet) Stop() error {
 	var failures []error
 	for _, zone := range f.zones {
@@ -284,7 +284,7 @@
 	return errors.Join(failures...)
 }
 
-// poll calls done until it returns true. It returns the cause if the context ends before.
+// poll calls done until it returns true. If the context ends first, it returns the context's cause.
 func poll(ctx context.Context, done func() bool) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/lab/scale/hollowprocess.go
+++ b/internal/lab/scale/hollowprocess.go
@@ -16,26 +16,26 @@
 type HollowSpec struct {
 	Nodes       []HollowNode                  `json:"nodes"`
 	Controllers []configapi.ControllerAddress `json:"controllers"`
-	Folder      string                        `json:"folder"` // of last known good versions; "": nodes keep none
-	Incarnation int                           `json:"life"`   // rises with each start
+	Folder      string                        `json:"folder"` // folder for last known good versions; if empty, nodes store none
+	Incarnation int                           `json:"life"`   // increases with each start
 	Seed        uint64                        `json:"seed"`
 }
 
-// HollowCommand is each further line that the process reads.
+// HollowCommand is one of the lines that the process reads after its HollowSpec.
 type HollowCommand struct {
 	SetUnreachable bool     `json:"set_cut,omitempty"`
 	Unreachable    []string `json:"cut,omitempty"`     // with SetUnreachable: the addresses that are unreachable from now on
-	Traffic        bool     `json:"traffic,omitempty"` // requests a report of it
+	Traffic        bool     `json:"traffic,omitempty"` // requests a traffic report
 }
 
-// HollowReport is each line that the process writes. One field is set.
+// HollowReport is one line that the process writes. Exactly one field is set.
 type HollowReport struct {
 	Observation *Observation    `json:"observation,omitempty"`
 	Watch       *WatchOpened    `json:"watch,omitempty"`
 	Traffic     *SessionTraffic `json:"traffic,omitempty"`
 }
 
-// WatchOpened is the moment when a node requested a watch.
+// WatchOpened reports that a node requested a watch.
 type WatchOpened struct {
 	Address string `json:"address"`
 	AtNS    int64  `json:"at_ns"` // Unix nanoseconds
@@ -55,15 +55,15 @@
 	written  sync.WaitGroup
 }
 
-// reportQueue is how many reports wait to be written before a session has to wait for the rig: several for each node of
-// the largest zone, so that sessions are not slowed by what is measured.
+// reportQueue is how many reports can wait to be written before sessions block. It holds several reports for each node of
+// the largest zone, so that reporting does not slow the sessions down.
 const reportQueue = 1 << 16
 
 // ServeHollow runs hollow nodes until its input ends: it reads a HollowSpec and then HollowCommands, one JSON object
 // each, and writes HollowReports.
 func ServeHollow(in io.Reader, out io.Writer) error { return serveHollow(in, out, startConfigSession) }
 
-// serveHollow is ServeHollow with a choice of what is started for each node.
+// serveHollow is ServeHollow with a replaceable function that starts each node's session.
 func serveHollow(in io.Reader, out io.Writer, start sessionStarter) error {
 	commands := json.NewDecoder(in)
 	var spec HollowSpec
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// runCommands carries out commands until the input ends.
+// runCommands executes commands until the input ends.
 func (p *hollowProcess) runCommands(commands *json.Decoder) error {
 	for {
 		var command HollowCommand
@@ -116,7 +116,7 @@
 	}
 }
 
-// close ends all sessions at once, for each may wait for its connections.
+// close ends all sessions concurrently, because each may wait for its connections.
 func (p *hollowProcess) close() error {
 	p.network.SetUnreachable(nil)
 	failures := make([]error, len(p.sessions))
@@ -130,8 +130,8 @@
 	return errors.Join(failures...)
 }
 
-// writeReports writes reports as they come, many at once where many wait. After an error it discards them: the rig has
-// ended and will end this process.
+// writeReports writes reports as they arrive and flushes when none is waiting. After an error it discards the rest: the
+// rig, which reads them, has ended and will end this process.
 func writeReports(out io.Writer, reports <-chan HollowReport) {
 	buffered := bufio.NewWriterSize(out, 1<<16)
 	encoder := json.NewEncoder(buffered)
--- a/internal/lab/scale/hollowprocess_test.go
+++ b/internal/lab/scale/hollowprocess_test.go
@@ -30,7 +30,7 @@
 	return session, nil
 }
 
-// lines is an input of JSON objects.
+// lines returns an input that contains the objects as JSON.
 func lines(t *testing.T, objects ...any) io.Reader {
 	t.Helper()
 	var text bytes.Buffer
@@ -42,7 +42,7 @@
 	return &text
 }
 
-// readReports reads all that a process has written.
+// readReports reads all reports that a process has written.
 func readReports(t *testing.T, from io.Reader) (reports []HollowReport) {
 	t.Helper()
 	decoder := json.NewDecoder(from)
--- a/internal/lab/scale/hollowsession.go
+++ b/internal/lab/scale/hollowsession.go
@@ -18,10 +18,10 @@
 	"hookwalk.example/hookwalk/internal/simwire"
 )
 
-// connectTimeout is how long a hollow node waits for a connection, as a real one does.
+// connectTimeout is how long a hollow node waits for a connection, the same as a real node.
 const connectTimeout = 2 * time.Second
 
-// configSession is a hollow node's session with a controller, the same as a real node's.
+// configSession is a hollow node's session with a controller. It runs the same code as a real node's session.
 type configSession struct{ session *configwatch.Session }
 
 // Close ends the session.
@@ -30,11 +30,11 @@
 	return nil
 }
 
-// hollowApplier applies configurations at a node that has no data path: it reads and checks them as a node does, and
-// remembers which publication they came from.
+// hollowApplier applies configurations at a node that has no data path: it parses and validates them as a node does, and
+// records which publication they belong to.
 type hollowApplier struct{ publication atomic.Pointer[string] }
 
-// Apply reads and checks a configuration. Its errors are of type *configapi.Rejection.
+// Apply parses and validates a configuration. Its errors are of type *configapi.Rejection.
 func (a *hollowApplier) Apply(_ context.Context, config configapi.ServiceConfig) error {
 	settings, err := simwire.ParseSettings(config.Settings)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// setInForce remembers a configuration's publication.
+// setInForce records a configuration's publication.
 func (a *hollowApplier) setInForce(config configapi.ServiceConfig) {
 	id := publicationOf(config.Settings)
 	a.publication.Store(&id)
 }
 
-// inForce is the publication whose settings are in force, "": none.
+// inForce returns the publication whose settings are in force, or "" if there is none.
 func (a *hollowApplier) inForce() string {
 	if id := a.publication.Load(); id != nil {
 		return *id
@@ -63,7 +63,7 @@
 
 // startConfigSession starts the session of a hollow node, from its last known good version if it has stored one.
 func startConfigSession(spec HollowSpec, node HollowNode, network *Network, observe func(Observation)) (hollowSession, error) {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // lines are formatted as at a real node, and discarded
+	log := slog.New(slog.NewTextHandler(io.Discard, nil)) // formats lines as a real node does, and discards them
 	applier := &hollowApplier{}
 	report := func(version, applied configapi.Version, outcome configapi.Outcome) {
 		observe(Observation{Node: node.Name, Service: node.Service, Incarnation: spec.Incarnation, Version: version, Outcome: outcome, InForce: applied,
@@ -76,7 +76,7 @@
 		options.Controllers = append(options.Controllers, controller.Address)
 	}
 	if spec.Folder != "" {
-		folder := filepath.Join(spec.Folder, node.Name) // one for each node: a write lists the whole folder
+		folder := filepath.Join(spec.Folder, node.Name) // one folder for each node, because a write lists the whole folder
 		err := os.MkdirAll(folder, 0o700)
 		if err != nil {
 			return nil, err
@@ -95,7 +95,7 @@
 	return configSession{configwatch.Start(options)}, nil
 }
 
-// dialThrough has a session dial through a network.
+// dialThrough returns a dial function that uses a network and limits each dial to connectTimeout.
 func dialThrough(through *Network) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeoutCause(ctx, connectTimeout, errors.New("no connection within the timeout"))
@@ -104,7 +104,7 @@
 	}
 }
 
-// nameHash gives each node a seed of its own.
+// nameHash returns a hash of a node's name, which gives each node a different seed.
 func nameHash(name string) uint64 {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/internal/lab/scale/membership_large_test.go
+++ b/internal/lab/scale/membership_large_test.go
@@ -9,19 +9,20 @@
 // membershipSize is one size of the large form.
 type membershipSize struct {
 	members int
-	batch   int   // that start at once; 0: all
-	deaths  []int // how many are closed at once, one group after another
+	batch   int   // members that start together; 0: all
+	deaths  []int // sizes of the groups that are closed, one group after another
 }
 
-// The sizes of the line, and those beyond it, for a machine that has nothing else to do: in one process members share the
-// processors, and where these don't suffice members take each other for failed. Those start in batches.
+// The sizes that the line is fitted to, and larger sizes, which need an otherwise idle machine: all members share the
+// processors of one process, and with too little processor time they report each other as failed. The larger sizes start
+// in batches.
 var (
-	membershipSizes = []membershipSize{{12, 0, []int{1}}, {24, 0, []int{1}}, {36, 0, []int{1}}, {48, 0, []int{1}}}
-	membershipMany  = []membershipSize{{96, 24, []int{1, oneServiceNodes}}, {192, 24, []int{1, oneServiceNodes}},
+	membershipSizes         = []membershipSize{{12, 0, []int{1}}, {24, 0, []int{1}}, {36, 0, []int{1}}, {48, 0, []int{1}}}
+	unfittedMembershipSizes = []membershipSize{{96, 24, []int{1, oneServiceNodes}}, {192, 24, []int{1, oneServiceNodes}},
 		{300, 24, []int{1, oneServiceNodes, oneZoneNodes}}}
 )
 
-// membershipMetrics are fitted by members, and printed for each size.
+// membershipMetrics are fitted against the number of members and printed for each size.
 var membershipMetrics = []struct {
 	name string
 	of   func(r MembershipResult, size membershipSize) float64
@@ -41,7 +42,7 @@
 	{"false alarms", func(r MembershipResult, _ membershipSize) float64 { return float64(r.FalseAlarms) }},
 }
 
-// The tables of membership in docs/CAPACITY.md.
+// Prints the tables of membership in docs/CAPACITY.md.
 func TestMembershipLarge(t *testing.T) {
 	largeOnly(t)
 	series := make([]*discoverySeries, len(membershipMetrics))
@@ -49,7 +50,7 @@
 		series[i] = &discoverySeries{name: metric.name}
 	}
 	for _, size := range membershipSizes {
-		result, ok := measureMembersAtRest(t, size)
+		result, ok := measureWithoutFalseAlarms(t, size)
 		if !ok {
 			continue
 		}
@@ -60,22 +61,22 @@
 	printFits(t, "Lines by members", series...)
 }
 
-// Beyond the sizes of the line: the measurements are printed beside it.
+// Prints the measurements of sizes that are too large for the fitted line.
 func TestMembershipLargeMany(t *testing.T) {
 	largeOnly(t)
-	for _, size := range membershipMany {
+	for _, size := range unfittedMembershipSizes {
 		if _, ok := measureMembers(t, size); !ok {
 			t.Errorf("%d members were not measured", size.members)
 		}
 	}
 }
 
-// maxRepeats is how often a size is measured at most until no member has taken another for failed that was not.
+// maxRepeats limits how often a size is measured until a run has no false alarms.
 const maxRepeats = 3
 
-// measureMembersAtRest measures one size until members were at rest: false alarms are work that a slow machine makes, and
-// what is sent because of them is no part of the line. Each attempt is printed.
-func measureMembersAtRest(t *testing.T, size membershipSize) (result MembershipResult, ok bool) {
+// measureWithoutFalseAlarms repeats the measurement of one size until a run has no false alarms: a slow machine causes
+// them, and their traffic must not affect the fitted line. Each attempt is printed.
+func measureWithoutFalseAlarms(t *testing.T, size membershipSize) (result MembershipResult, ok bool) {
 	t.Helper()
 	for range maxRepeats {
 		if result, ok = measureMembers(t, size); ok && result.FalseAlarms == 0 {
@@ -86,8 +87,8 @@
 	return result, false
 }
 
-// measureMembers measures one size and prints its table at once: a size that can't be measured must not take the others
-// with it.
+// measureMembers measures one size and prints its table immediately, so that a size that cannot be measured does not
+// discard the results of the others.
 func measureMembers(t *testing.T, size membershipSize) (result MembershipResult, ok bool) {
 	t.Helper()
 	result, err := MeasureMembership(t.Context(), MembershipOptions{Members: size.members, Batch: size.batch, Settle: 2 * time.Second,
--- a/internal/lab/scale/membership_rig.go
+++ b/internal/lab/scale/membership_rig.go
@@ -15,14 +15,14 @@
 	"hookwalk.example/hookwalk/membership"
 )
 
-// States in a member's view, as operators see them.
+// States in a member's view, as shown to operators.
 const (
-	viewAgreed   = "agreed" // of the member itself: it agrees with the running members that concern it
-	memberFailed = "failed" // of another member: it does not answer
-	memberLeft   = "left"   // of another member: it announced that it leaves
+	selfAgreed   = "agreed" // the member itself: it agrees with the running members that are relevant to it
+	memberFailed = "failed" // another member: it does not answer
+	memberLeft   = "left"   // another member: it announced that it was leaving
 )
 
-// viewPollInterval is the time between two looks at a view that does not hold yet.
+// viewPollInterval is the time between two checks of a view for an awaited condition.
 const viewPollInterval = 50 * time.Millisecond
 
 // The sites are a root and two below it, as in docs/sites.md. Members are spread over them in turn.
@@ -31,25 +31,25 @@
 	membershipTree  = membership.Tree{"dc": "", "okanagan": "dc", "similkameen": "dc"} // parents by site
 )
 
-// MembershipOptions say what is measured in one run.
+// MembershipOptions configures one run.
 type MembershipOptions struct {
 	Members  int
-	Batch    int           // how many start at once; the next ones start when these have met. 0: all start at once
-	Settle   time.Duration // between the agreement of all and the measurement
-	IdleTime time.Duration // the length of the measurement while nothing happens
-	Deaths   []int         // how many members are closed at once, one group after another, without an announcement
+	Batch    int           // members that start together; the next batch starts when all running members know each other. 0: one batch
+	Settle   time.Duration // time between the agreement of all members and the idle measurement
+	IdleTime time.Duration // length of the idle measurement
+	Deaths   []int         // sizes of the groups of members that are closed, one group after another, without announcing that they leave
 	Timeout  time.Duration // of each phase
 	Folder   string        // for the key
 }
 
-// MembershipTraffic is what all members have sent.
+// MembershipTraffic counts what all members have sent.
 type MembershipTraffic struct {
 	PacketBytes int64 // payload of UDP packets
 	Packets     int64
-	StreamBytes int64 // payload of TCP streams, both ways, each stream counted once
+	StreamBytes int64 // payload of TCP streams in both directions, each stream counted once
 }
 
-// Since is what was sent after an earlier count.
+// Since returns the traffic since an earlier count.
 func (t MembershipTraffic) Since(earlier MembershipTraffic) MembershipTraffic {
 	return MembershipTraffic{
 		PacketBytes: t.PacketBytes - earlier.PacketBytes,
@@ -58,28 +58,29 @@
 	}
 }
 
-// packetHeaderBytes is what IPv4 and UDP add to the payload of a packet.
+// packetHeaderBytes is the size of the IPv4 and UDP headers of a packet.
 const packetHeaderBytes = 20 + 8
 
-// Wire is the bytes of packets with their headers, and of streams without: their segments are not counted.
+// Wire returns the bytes of packets with their headers, and of streams without headers, because their segments are not
+// counted.
 func (t MembershipTraffic) Wire() int64 {
 	return t.PacketBytes + t.Packets*packetHeaderBytes + t.StreamBytes
 }
 
-// MembershipPhase is what one phase of a run has cost.
+// MembershipPhase is the cost of one phase of a run.
 type MembershipPhase struct {
 	MembershipTraffic
 	Running int           // members that ran
-	Elapsed time.Duration // until what was awaited held at all of them, or the length of the measurement
-	CPU     time.Duration // of this process: all members
+	Elapsed time.Duration // until the awaited condition held at all members, or the length of the measurement
+	CPU     time.Duration // of this process, which runs all members
 }
 
-// PerMember is a count as a rate for one member.
+// PerMember converts a count to a rate for one member.
 func (p MembershipPhase) PerMember(count int64) float64 {
 	return float64(count) / float64(p.Running) / p.Elapsed.Seconds()
 }
 
-// Core is the share of one core that one member uses.
+// Core returns the share of one core that one member uses.
 func (p MembershipPhase) Core() float64 {
 	return p.CPU.Seconds() / float64(p.Running) / p.Elapsed.Seconds()
 }
@@ -89,13 +90,13 @@
 	Agree       MembershipPhase   // from the start of the last batch until all agree
 	Idle        MembershipPhase   // nothing happens
 	Join        MembershipPhase   // from the start of one more member until all agree
-	Deaths      []MembershipPhase // from each group's end until all others call all of it failed
-	RSSBytes    int64             // added by all members, garbage aside
-	Descriptors int               // added likewise
-	FalseAlarms uint64            // times that a member was called failed that was not, before any death, by all members
+	Deaths      []MembershipPhase // from each group's end until all others report all of its members as failed
+	RSSBytes    int64             // increase caused by all members, without garbage
+	Descriptors int               // increase caused by all members
+	FalseAlarms uint64            // failures that members reported before the first death, counted over all members
 }
 
-// MembershipError says that something was not reached in time.
+// MembershipError reports that a member did not reach a state in time.
 type MembershipError struct {
 	Member string
 	What   string
@@ -106,7 +107,7 @@
 	return fmt.Sprintf("scale: member %s has not %s within %v: the machine may be too slow for so many members in one process", e.Member, e.What, e.Within)
 }
 
-// membershipRun is one run.
+// membershipRun holds the state of one run.
 type membershipRun struct {
 	options       MembershipOptions
 	keyFile       string
@@ -150,7 +151,7 @@
 	return result, nil
 }
 
-// formCluster starts all members and waits until each agrees and has all others.
+// formCluster starts all members and waits until each agrees and knows all others.
 func (r *membershipRun) formCluster(ctx context.Context) (MembershipPhase, error) {
 	if err := r.writeKey(); err != nil {
 		return MembershipPhase{}, err
@@ -184,16 +185,16 @@
 	return r.endPhase(), err
 }
 
-// awaitMet waits until each member that runs has all others.
+// awaitMet waits until each running member knows all others.
 func (r *membershipRun) awaitMet(ctx context.Context) error {
 	all := len(r.clusters)
 	return r.awaitEach(ctx, "met all others", func(v peers.View) bool { return countRunning(v) == all })
 }
 
-// awaitAgreed waits until each member that runs agrees, and has all others.
+// awaitAgreed waits until each running member agrees and knows all others.
 func (r *membershipRun) awaitAgreed(ctx context.Context) error {
 	all := len(r.clusters)
-	return r.awaitEach(ctx, "agreed with all others", func(v peers.View) bool { return v.Self == viewAgreed && countRunning(v) == all })
+	return r.awaitEach(ctx, "agreed with all others", func(v peers.View) bool { return v.Self == selfAgreed && countRunning(v) == all })
 }
 
 // idle measures while nothing happens.
@@ -206,7 +207,7 @@
 	return r.endPhase(), err
 }
 
-// killMembers closes members without an announcement, and waits until all others call them failed.
+// killMembers closes members without announcing that they leave, and waits until all others report them as failed.
 func (r *membershipRun) killMembers(ctx context.Context, count int) (MembershipPhase, error) {
 	dead := slices.Clone(r.clusters[len(r.clusters)-count:])
 	names := map[string]bool{}
@@ -220,18 +221,18 @@
 	return r.endPhase(), err
 }
 
-// beginPhase begins a phase: what is measured counts from here.
+// beginPhase records the counts at the start of a phase.
 func (r *membershipRun) beginPhase() {
 	r.trafficBefore, r.cpuBefore, r.phaseStart = r.traffic(), ownProcessorTime(), time.Now()
 }
 
-// endPhase ends a phase and returns what it has cost.
+// endPhase returns the cost of the phase since beginPhase.
 func (r *membershipRun) endPhase() MembershipPhase {
 	elapsed, cpu := time.Since(r.phaseStart), ownProcessorTime()-r.cpuBefore
 	return MembershipPhase{MembershipTraffic: r.traffic().Since(r.trafficBefore), Running: len(r.clusters), Elapsed: elapsed, CPU: cpu}
 }
 
-// traffic is what the members that run have sent so far.
+// traffic returns what the running members have sent so far.
 func (r *membershipRun) traffic() (sum MembershipTraffic) {
 	for _, cluster := range r.clusters {
 		view := cluster.View()
@@ -242,7 +243,7 @@
 	return sum
 }
 
-// failures is how often the members have called another failed so far.
+// failures returns how often the running members have reported another as failed so far.
 func (r *membershipRun) failures() (sum uint64) {
 	for _, cluster := range r.clusters {
 		sum += cluster.View().Failed
@@ -250,7 +251,7 @@
 	return sum
 }
 
-// awaitEach waits until holds has been true of each member's view. What says in an error what that means.
+// awaitEach waits until holds has returned true for each member's view. An error describes the condition as what.
 func (r *membershipRun) awaitEach(ctx context.Context, what string, holds func(peers.View) bool) error {
 	limit, stop := context.WithTimeout(ctx, r.options.Timeout)
 	defer stop()
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// close closes members at once.
+// close closes members concurrently.
 func (r *membershipRun) close(clusters []*peers.Cluster) {
 	var all sync.WaitGroup
 	for _, cluster := range clusters {
@@ -303,7 +304,7 @@
 
 // writeKey writes the key that all members share.
 func (r *membershipRun) writeKey() error {
-	const key = "0123456789abcdef" // it protects nothing but a measurement
+	const key = "0123456789abcdef" // not secret: only the members of this process use it
 	file, err := os.CreateTemp(r.options.Folder, "key-")
 	if err != nil {
 		return err
@@ -313,7 +314,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// countRunning counts the members that a view has as running, the member itself among them.
+// countRunning counts the running members in a view, including the member itself.
 func countRunning(v peers.View) int {
 	count := 1
 	for _, m := range v.Members {
@@ -324,7 +325,7 @@
 	return count
 }
 
-// countFailed counts those of some names that a view has as failed.
+// countFailed counts the named members that are failed in a view.
 func countFailed(v peers.View, names map[string]bool) (count int) {
 	for _, m := range v.Members {
 		if names[m.Name] && m.State == memberFailed {
@@ -334,7 +335,7 @@
 	return count
 }
 
-// sleep waits for a span of time. It returns the cause if ctx ends before.
+// sleep waits for a length of time. If ctx ends first, it returns the context's cause.
 func sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -346,13 +347,13 @@
 	}
 }
 
-// startCounter keeps the number of a member's start in memory.
+// startCounter keeps a member's start number in memory.
 type startCounter struct {
 	mu   sync.Mutex
 	last uint64
 }
 
-// Next is the number of the next start.
+// Next returns the number of the next start.
 func (s *startCounter) Next() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/scale/membership_test.go
+++ b/internal/lab/scale/membership_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Members that gossip without end, or that leave streams open, cost more with each node. In the small form all members
-// agree, what they send while nothing happens stays within bounds that follow from the detector's intervals, and a death is
-// noticed by all. How long any of it takes is not checked.
+// Members that never stop gossiping or that leave streams open would cost more with each node. The test checks that all
+// members agree, that idle traffic stays within the bounds that follow from the failure detector's intervals, and that
+// all members notice a death. It does not check durations.
 func TestMembershipSmall(t *testing.T) {
 	const count = 12 // and one that joins later
 	result, err := MeasureMembership(t.Context(), MembershipOptions{Members: count, Settle: 500 * time.Millisecond, IdleTime: 2 * time.Second,
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// In a second a member probes 4 others and answers 4, sends gossip 10 times to 3, and where probes are late asks 3 others
-	// for each and answers as many for others.
+	// Each second a member probes 4 others and answers 4 probes, and sends gossip 10 times to 3 others. For each late probe
+	// it sends an indirect probe through 3 others, and it does the same for other members.
 	const maxPacketsPerSecond = 4 + 4 + 10*3 + 4*3*4
 	if got := result.Idle.PerMember(result.Idle.Packets); got > maxPacketsPerSecond {
 		t.Errorf("%.0f packets a second from each member, at most %d are expected", got, maxPacketsPerSecond)
@@ -31,7 +31,7 @@
 	if len(result.Deaths) != 1 || result.Deaths[0].Running != count {
 		t.Errorf("deaths: %+v", result.Deaths)
 	}
-	const maxDescriptorsPerMember = 20 // two to listen, streams while they last
+	const maxDescriptorsPerMember = 20 // two listening sockets, and the open streams
 	if result.Descriptors > count*maxDescriptorsPerMember {
 		t.Errorf("%d descriptors for %d members", result.Descriptors, count)
 	}
--- a/internal/lab/scale/nodeload.go
+++ b/internal/lab/scale/nodeload.go
@@ -9,10 +9,10 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// placeholderPort is the first port of servers that are listed and never called.
+// placeholderPort is the first port of servers that are listed but never called.
 const placeholderPort = 1
 
-// NodeLoadOptions say what is measured at one node without requests.
+// NodeLoadOptions configures the measurement of one node that receives no requests.
 type NodeLoadOptions struct {
 	Program      string // the node, from BuildForService
 	SettingsFile string
@@ -23,24 +23,24 @@
 	Duration     time.Duration
 }
 
-// NodeLoadResult is what a node without calls has used.
+// NodeLoadResult is the resource usage of a node without calls.
 type NodeLoadResult struct {
 	Elapsed           time.Duration
-	CPU               time.Duration // meanwhile
+	CPU               time.Duration // during the measurement
 	Usage             Usage         // at the end
-	Traffic           Traffic       // of the list, meanwhile
-	Changes           int           // of the list, meanwhile
-	LogBytes          int64         // written to standard error meanwhile: metrics, capture and log
+	Traffic           Traffic       // of the list, during the measurement
+	Changes           int           // of the list, during the measurement
+	LogBytes          int64         // written to standard error during the measurement: metrics, capture and log
 	CompleteListBytes int           // of the complete list in JSON
 }
 
-// Core is the share of one core that the node has used.
+// Core returns the share of one core that the node has used.
 func (r NodeLoadResult) Core() float64 { return r.CPU.Seconds() / r.Elapsed.Seconds() }
 
-// PerSecond is a count of the measurement as a rate.
+// PerSecond converts a count of the measurement to a rate.
 func (r NodeLoadResult) PerSecond(count int64) float64 { return float64(count) / r.Elapsed.Seconds() }
 
-// ListedServers is a list of servers that exist in the list alone.
+// ListedServers returns a list of servers that do not run.
 func ListedServers(count int) []loopback.Endpoint {
 	hosts := make([]loopback.Endpoint, count)
 	for i := range hosts {
@@ -63,7 +63,7 @@
 	return node.measure(ctx, options)
 }
 
-// measure reads what a node uses for a while.
+// measure measures a node's usage for the duration of the options.
 func (n *NodeProcess) measure(ctx context.Context, options NodeLoadOptions) (result NodeLoadResult, err error) {
 	before, logBefore, err := n.usageAndLog()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return result, err
 }
 
-// usageAndLog reads what a node has used and written so far.
+// usageAndLog returns a node's usage and the length of its log so far.
 func (n *NodeProcess) usageAndLog() (Usage, int64, error) {
 	usage, err := n.Usage()
 	if err != nil {
@@ -94,7 +94,7 @@
 	return usage, written, err
 }
 
-// changeFor changes a node's list at a rate for a span of time, and returns how many changes that were.
+// changeFor changes a node's list at a rate for a length of time and returns the number of changes.
 func changeFor(ctx context.Context, node *NodeProcess, perMinute float64, length time.Duration) (changes int, err error) {
 	changing, end := context.WithTimeout(ctx, length)
 	defer end()
--- a/internal/lab/scale/nodeload_build.go
+++ b/internal/lab/scale/nodeload_build.go
@@ -11,26 +11,27 @@
 	"strings"
 )
 
-// deployFile, below the module's root, names the command of the build for service.
+// deployFile, below the module's root, contains the build command for deployment.
 const deployFile = "deploy/balancer.toml"
 
-// settingsFile, below the module's root, is the settings file of a node in service.
+// settingsFile, below the module's root, is the settings file of a deployed node.
 const settingsFile = "deploy/hookwalk.hcl"
 
-// deployOutput begins that command: it makes the folder for all programs. A rig builds the node alone, into another one.
-const deployOutput = "mkdir -p bin && "
+// outputFolderCommand is the start of the build command, which creates the output folder of all programs. A rig omits
+// it: it builds only the node, into another folder.
+const outputFolderCommand = "mkdir -p bin && "
 
-// Parts of deploy/balancer.toml: the line of the command, and the end of the command that says what is built.
+// Parts of deploy/balancer.toml: the line with the build command, and the command's output and package arguments.
 var (
-	buildCommand  = regexp.MustCompile(`(?m)^build = "(.*)"$`)
-	outputAndWhat = regexp.MustCompile(`-o bin/ \./cmd/\.\.\.$`)
+	buildCommand      = regexp.MustCompile(`(?m)^build = "(.*)"$`)
+	outputAndPackages = regexp.MustCompile(`-o bin/ \./cmd/\.\.\.$`)
 )
 
-// ErrNoBuildCommand is returned if deploy/balancer.toml has no build command of the form that is expected.
+// ErrNoBuildCommand is returned if deploy/balancer.toml has no build command of the expected form.
 var ErrNoBuildCommand = errors.New("scale: " + deployFile + " has no line build = \"... -o bin/ ./cmd/...\"; adapt BuildForService")
 
-// BuildForService builds the node as it is built for service, into a folder, and returns the program's path. root is
-// the folder of the module.
+// BuildForService builds the node with the deployment's build command into a folder, and returns the program's path. root
+// is the module's root folder.
 func BuildForService(ctx context.Context, root, folder string) (program string, err error) {
 	text, err := os.ReadFile(filepath.Join(root, deployFile))
 	if err != nil {
@@ -49,12 +50,12 @@
 	return program, nil
 }
 
-// serviceBuild is the command in the text of deploy/balancer.toml, with another output.
+// serviceBuild returns the build command from the text of deploy/balancer.toml, with program as its output.
 func serviceBuild(text, program string) (string, error) {
 	match := buildCommand.FindStringSubmatch(text)
-	if match == nil || !outputAndWhat.MatchString(match[1]) {
+	if match == nil || !outputAndPackages.MatchString(match[1]) {
 		return "", ErrNoBuildCommand
 	}
-	command := strings.TrimPrefix(match[1], deployOutput)
-	return outputAndWhat.ReplaceAllLiteralString(command, "-o '"+program+"' ./cmd/hookwalk"), nil
+	command := strings.TrimPrefix(match[1], outputFolderCommand)
+	return outputAndPackages.ReplaceAllLiteralString(command, "-o '"+program+"' ./cmd/hookwalk"), nil
 }
--- a/internal/lab/scale/nodeload_discovery.go
+++ b/internal/lab/scale/nodeload_discovery.go
@@ -13,9 +13,9 @@
 	"hookwalk.example/hookwalk/internal/lab/loopback"
 )
 
-// WatchServer is a stand-in for discovery that serves one list to one node and counts the bytes. Package loopback has a
-// stand-in too, which belongs to a world with model servers and a checker; this one costs little beside what is measured,
-// and writes the same form.
+// WatchServer is a stand-in for discovery that serves one list to one node and counts the bytes. Package loopback
+// also has a stand-in, which needs simulated servers and a checker. This one has a low cost compared with the measured
+// node, and uses the same format.
 type WatchServer struct {
 	listener *segmentListener
 	server   *http.Server
@@ -24,11 +24,11 @@
 	mu      sync.Mutex
 	version int64
 	hosts   []loopback.Endpoint
-	changed []int64       // by host: the version that changed it last
+	changed []int64       // by host: the version of its last change
 	updated chan struct{} // closed at the next change
 }
 
-// NewWatchServer serves a list of servers, all as they are given, as version 1. Close must follow.
+// NewWatchServer serves the given list of servers as version 1. The caller must call Close.
 func NewWatchServer(hosts []loopback.Endpoint) (*WatchServer, error) {
 	ln, err := link.Listen(0, link.ForDiscovery)
 	if err != nil {
@@ -39,14 +39,14 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", s.serve)
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	s.serving.Go(func() { _ = s.server.Serve(s.listener) }) // ends with Close, which is no error
+	s.serving.Go(func() { _ = s.server.Serve(s.listener) }) // returns an error after Close, which is expected
 	return s, nil
 }
 
-// Addr is where the list is served.
+// Addr returns the address that serves the list.
 func (s *WatchServer) Addr() string { return s.listener.Addr().String() }
 
-// Traffic is what the list's connections have carried so far.
+// Traffic returns the traffic of the list's connections so far.
 func (s *WatchServer) Traffic() Traffic { return s.listener.Traffic() }
 
 // Close ends all watches.
@@ -59,14 +59,14 @@
 	return err
 }
 
-// CompleteList is the list as it is.
+// CompleteList returns the current list.
 func (s *WatchServer) CompleteList() loopback.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return loopback.EndpointList{Seq: s.version, Complete: true, Endpoints: slices.Clone(s.hosts)}
 }
 
-// SetHealth changes one server's state, which is one new version.
+// SetHealth changes one server's health and increments the list's version.
 func (s *WatchServer) SetHealth(index int, health string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,8 +76,8 @@
 	s.updated = make(chan struct{})
 }
 
-// Change makes the next of a series of changes, numbered from 0: a server is taken out of service, the next change puts
-// it back, and so on through the list.
+// Change applies one of a series of changes, numbered from 0. Even numbers take a server out of service, odd numbers put
+// the same server back, and each pair moves on to the next server in the list.
 func (s *WatchServer) Change(number int) {
 	health := terminating
 	if number%2 == 1 {
@@ -86,7 +86,7 @@
 	s.SetHealth(number/2%len(s.hosts), health)
 }
 
-// changesSince returns the changes after a version; of version 0, and of one that is not known, the complete list.
+// changesSince returns the changes after a version, or the complete list if the version is 0 or unknown.
 func (s *WatchServer) changesSince(version int64) listUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,10 +102,10 @@
 	return listUpdate{list: list, version: s.version, updated: s.updated}
 }
 
-// serve answers a call for the complete list, or serves a watch.
+// serve answers a request for the complete list or for a watch.
 func (s *WatchServer) serve(w http.ResponseWriter, r *http.Request) { serveList(w, r, s.changesSince) }
 
-// completeListBytes is the length of the complete list as it is served, in bytes.
+// completeListBytes returns the length of the complete list in the form in which it is served.
 func completeListBytes(s *WatchServer) (int, error) {
 	text, err := json.Marshal(s.CompleteList())
 	return len(text) + len("\n"), err
--- a/internal/lab/scale/nodeload_large_test.go
+++ b/internal/lab/scale/nodeload_large_test.go
@@ -15,7 +15,8 @@
 	nodeLoadChanges = []float64{0, 6, 60, 600}
 )
 
-// nodeLoadMetrics are fitted against the servers in the list, for each rate of changes, and against the rate.
+// nodeLoadMetrics are fitted against the number of servers at each rate of changes, and against the rate of changes at
+// each number of servers.
 var nodeLoadMetrics = []struct {
 	name string
 	of   func(r NodeLoadResult) float64
@@ -34,8 +35,8 @@
 	changes float64
 }
 
-// The tables of a node without calls in docs/CAPACITY.md. All points are measured at once, each at a node of its own: a
-// node without calls leaves the machine nearly idle.
+// Prints the tables of a node without calls in docs/CAPACITY.md. All points are measured concurrently, each with its own
+// node: a node without calls leaves the machine nearly idle.
 func TestNodeLoadLarge(t *testing.T) {
 	largeOnly(t)
 	results := map[nodeLoadKey][]NodeLoadResult{}
@@ -109,7 +110,7 @@
 	}
 }
 
-// nodeLoadFits prints the line of each metric through the runs of each size.
+// nodeLoadFits prints the line that is fitted for each metric to the runs of all sizes.
 func nodeLoadFits(t *testing.T, title string, bySize map[float64][]NodeLoadResult) {
 	t.Helper()
 	table := Table{Title: title, Header: []string{"figure", "line", "most between two runs of a size"}}
@@ -125,7 +126,7 @@
 	table.Print(os.Stdout)
 }
 
-// nodeLoadPoints are the runs of one point, by a size.
+// nodeLoadPoints returns a metric's values in the runs of one size.
 func nodeLoadPoints(results []NodeLoadResult, size float64, of func(NodeLoadResult) float64) (points []Point) {
 	for _, result := range results {
 		points = append(points, Point{size, of(result)})
@@ -133,7 +134,7 @@
 	return points
 }
 
-// formatSpread is the difference between the largest and the smallest value of points.
+// spreadOf returns the difference between the largest and the smallest value of points.
 func spreadOf(points []Point) float64 {
 	_, values := split(points)
 	return valueRange(values)
--- a/internal/lab/scale/nodeload_process.go
+++ b/internal/lab/scale/nodeload_process.go
@@ -19,23 +19,23 @@
 
 // Classes of calls in the rigs.
 const (
-	// ReadClass is of idempotent requests. One without an answer long after others would have had theirs is retried at
+	// ReadClass contains idempotent requests. A request that is unanswered for much longer than usual is retried at
 	// another server.
 	ReadClass = "read"
 
-	// WriteClass is of non-idempotent requests. Each is one attempt, however busy the machine is.
+	// WriteClass contains non-idempotent requests. Each makes a single attempt, even on a busy machine.
 	WriteClass = "write"
 )
 
-// Times of a request. Both are long, so that measurements do not depend on the rejection of requests that would be late on
-// a busy machine.
+// Deadline and latency objective of a request. Both are long, so that a busy machine does not distort measurements by
+// rejecting requests that would be late.
 const (
-	callDeadline = 30 * time.Second // as in nodeScenario
-	targetMillis = 20000            // latency objective of both classes in ms, as in nodeScenario
+	callDeadline           = 30 * time.Second // as in nodeScenario
+	latencyObjectiveMillis = 20000            // latency objective of both classes in ms, as in nodeScenario
 )
 
-// nodeScenario is what a rig's node is configured for: a list that is pushed, and two classes of requests. The servers are
-// the rig's own; the tier has one because a scenario needs one.
+// nodeScenario configures a rig's node: a pushed list and two classes of requests. The rig provides the servers; the tier
+// has one server only because a scenario requires one.
 const nodeScenario = `
 scenario "scale" { policy = "deckrelay" }
 tier "servers" {
@@ -55,15 +55,15 @@
 discovery { mode = "push" }
 `
 
-// NodeOptions say how a node is started.
+// NodeOptions configures a node.
 type NodeOptions struct {
 	Program      string // the node, from BuildForService
 	SettingsFile string
-	Folder       string // of its configuration and log
+	Folder       string // for its configuration and log
 	Servers      []loopback.Endpoint
 }
 
-// NodeProcess is a real node process with a stand-in for discovery of its own.
+// NodeProcess is a real node process with its own stand-in for discovery.
 type NodeProcess struct {
 	Discovery *WatchServer
 
@@ -72,8 +72,8 @@
 	reloads int
 }
 
-// StartNode starts a node and returns once it is ready. The list of options is its bootstrap list. Stop must
-// watch unless there is an error.
+// StartNode starts a node and returns once it is ready. Its bootstrap list is options.Servers. The
+// caller must call Stop unless there is an error.
 func StartNode(ctx context.Context, options NodeOptions) (*NodeProcess, error) {
 	world, err := scenario.Parse("scale", []byte(nodeScenario), nil)
 	if err != nil {
@@ -90,7 +90,7 @@
 		return err
 	}
 	how := loopback.Options{Program: []string{options.Program}, StartCommand: begin, Dir: options.Folder}
-	node.nodes, err = loopback.NewNodes(ctx, world, how, stubWorld{node.Discovery})
+	node.nodes, err = loopback.NewNodes(ctx, world, how, stubDiscovery{node.Discovery})
 	if err == nil {
 		err = node.nodes.Start(ctx, 0, nil)
 	}
@@ -108,16 +108,16 @@
 	return n.Discovery.Close()
 }
 
-// Addr is where the node takes calls.
+// Addr returns the address at which the node accepts calls.
 func (n *NodeProcess) Addr() string { return n.nodes.Addr(0) }
 
-// Usage is what the node's process has used so far.
+// Usage returns the resource usage of the node's process so far.
 func (n *NodeProcess) Usage() (Usage, error) { return ReadUsage(n.process.Pid) }
 
-// Log is what the node has written to its standard error, its metrics and capture among it.
+// Log returns the node's standard error, which includes its metrics and capture.
 func (n *NodeProcess) Log() ([]byte, error) { return n.nodes.Log(0) }
 
-// LogBytes is the length of Log.
+// LogBytes returns the length of the node's log.
 func (n *NodeProcess) LogBytes() (int64, error) {
 	info, err := os.Stat(filepath.Join(n.nodes.Folder(), "n0.log"))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return info.Size(), nil
 }
 
-// Reload writes another configuration file and sends SIGHUP. Each differs from the one before in the latency
+// Reload writes a new configuration file and sends SIGHUP. Each file differs from the previous one in the latency
 // objective of the first class.
 func (n *NodeProcess) Reload() error {
 	path := filepath.Join(n.nodes.Folder(), "n0.json")
@@ -135,7 +135,7 @@
 		return fmt.Errorf("scale: reload: %w", err)
 	}
 	n.reloads++
-	if text, err = withTarget(text, targetMillis+float64(n.reloads%2)); err != nil {
+	if text, err = withLatencyObjective(text, latencyObjectiveMillis+float64(n.reloads%2)); err != nil {
 		return fmt.Errorf("scale: reload: %s: %w", path, err)
 	}
 	if err := renameio.WriteFile(path, text, 0o600); err != nil {
@@ -144,8 +144,8 @@
 	return n.process.Signal(syscall.SIGHUP)
 }
 
-// withTarget is a configuration with another latency objective, in ms, for the first class.
-func withTarget(configuration []byte, target float64) ([]byte, error) {
+// withLatencyObjective returns the configuration with another latency objective, in ms, for the first class.
+func withLatencyObjective(configuration []byte, objectiveMillis float64) ([]byte, error) {
 	var file map[string]any
 	if err := json.Unmarshal(configuration, &file); err != nil {
 		return nil, err
@@ -157,19 +157,19 @@
 	}
 	lane, ok := lanes[0].(map[string]any)
 	if !ok {
-		return nil, errors.New("settings.lanes[0] is no object")
+		return nil, errors.New("settings.lanes[0] is not an object")
 	}
-	lane["target-ms"] = target
+	lane["target-ms"] = objectiveMillis
 	return json.Marshal(file)
 }
 
-// stubWorld gives a node the address and the list of its stand-in for discovery.
-type stubWorld struct{ discovery *WatchServer }
+// stubDiscovery gives a node the address and the list of its stand-in for discovery.
+type stubDiscovery struct{ discovery *WatchServer }
 
-// DiscoveryAddr is the address of the list.
-func (l stubWorld) DiscoveryAddr(string) string { return l.discovery.Addr() }
+// DiscoveryAddr returns the address that serves the list.
+func (l stubDiscovery) DiscoveryAddr(string) string { return l.discovery.Addr() }
 
-// BootstrapList is the list that a node starts with.
-func (l stubWorld) BootstrapList(string, int) loopback.EndpointList {
+// BootstrapList returns the list that a node starts with.
+func (l stubDiscovery) BootstrapList(string, int) loopback.EndpointList {
 	return l.discovery.CompleteList()
 }
--- a/internal/lab/scale/nodeload_test.go
+++ b/internal/lab/scale/nodeload_test.go
@@ -8,8 +8,8 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// A node that requested complete lists, or opened watches again and again, would cost discovery more than docs/CAPACITY.md
-// says: what a list costs on the wire is bounded by its heartbeats and changes.
+// A node that requested complete lists or reopened its watch repeatedly would load discovery more than docs/CAPACITY.md
+// states. The test bounds the bytes sent by the number of heartbeats and changes of the list.
 func TestNodeLoadSmall(t *testing.T) {
 	t.Parallel()
 	program, settings := nodeProgram(t)
--- a/internal/lab/scale/nodeload_traffic.go
+++ b/internal/lab/scale/nodeload_traffic.go
@@ -6,18 +6,18 @@
 	"sync/atomic"
 )
 
-// Traffic counts what connections have carried, seen from the side that accepted them.
+// Traffic counts the traffic of connections, as seen by the side that accepted them.
 type Traffic struct {
 	PayloadOut  int64 // bytes written
 	PayloadIn   int64 // bytes read
-	Segments    int64 // TCP segments both ways, acknowledgements among them, as the kernel counts them
+	Segments    int64 // TCP segments in both directions, including acknowledgements, as the kernel counts them
 	Connections int64
 }
 
-// Wire is the estimate of the bytes on the wire, both ways: the payload, and headers by the count of segments.
+// Wire returns the estimated bytes on the wire in both directions: the payload and a header for each segment.
 func (t Traffic) Wire() int64 { return t.PayloadOut + t.PayloadIn + t.Segments*segmentHeaderBytes }
 
-// Since is the traffic after an earlier count.
+// Since returns the traffic since an earlier count.
 func (t Traffic) Since(earlier Traffic) Traffic {
 	return Traffic{
 		PayloadOut:  t.PayloadOut - earlier.PayloadOut,
@@ -55,7 +55,7 @@
 	return counted, nil
 }
 
-// Traffic is the sum over all connections so far.
+// Traffic returns the total of all connections so far.
 func (l *segmentListener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	return n, err
 }
 
-// Close closes the connection once its segments are counted.
+// Close counts the connection's segments and then closes it.
 func (c *segmentConn) Close() error {
 	c.listener.mu.Lock()
 	if c.listener.live[c] {
@@ -95,7 +95,7 @@
 	return c.TCPConn.Close()
 }
 
-// segments is the kernel's count for a connection, both ways; 0 once it is closed.
+// segments returns the kernel's count of a connection's segments in both directions, or 0 after it is closed.
 func (c *segmentConn) segments() int64 {
 	in, out := tcpSegments(c.TCPConn)
 	return in + out
--- a/internal/lab/scale/nodeload_usage.go
+++ b/internal/lab/scale/nodeload_usage.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, or holds, at one moment.
+// Usage is the resource usage of a process at one moment.
 type Usage struct {
 	CPU          time.Duration // processor time, user and system, of all threads since the start
 	RSSBytes     int64         // resident memory
-	PrivateBytes int64         // the part of it that no other process shares
+	PrivateBytes int64         // the part of RSSBytes that no other process shares
 	Descriptors  int           // open files and sockets
 }
 
-// ReadUsage reads what a process has used so far.
+// ReadUsage reads the resource usage of a process.
 func ReadUsage(pid int) (Usage, error) {
 	var usage Usage
 	var err error
@@ -40,10 +40,10 @@
 	return usage, nil
 }
 
-// processorTime reads the processor-time clock of a process, which counts nanoseconds; /proc/PID/stat has hundredths
-// of a second.
+// processorTime reads the processor-time clock of a process, which counts nanoseconds. /proc/PID/stat counts only
+// hundredths of a second.
 func processorTime(pid int) (time.Duration, error) {
-	const scheduled = 2 // CPUCLOCK_SCHED: the time that the scheduler has counted for all threads
+	const scheduled = 2 // CPUCLOCK_SCHED: the scheduler's count of the time of all threads
 	clock := int32(^pid)<<3 | scheduled
 	var spent unix.Timespec
 	if err := unix.ClockGettime(clock, &spent); err != nil {
@@ -52,7 +52,7 @@
 	return time.Duration(spent.Nano()), nil
 }
 
-// readKilobytes reads lines of the form "Name: 123 kB", in bytes.
+// readKilobytes reads lines of the form "Name: 123 kB" and returns the values in bytes, by name.
 func readKilobytes(path string) (map[string]int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
