--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -250,7 +250,7 @@
 // Await waits until all nodes of a list have answered for a version, applied or rejected.
 func (f *HollowFleet) Await(ctx context.Context, version configapi.Version, nodes []string) error {
 	err := poll(ctx, func() (done bool) {
-		f.Audit(func(a *Audit) { done = a.AnsweredByAll(version, nodes) })
+		f.Audit(func(a *Audit) { done = a.DecidedByAll(version, nodes) })
 		return done
 	})
 	if err != nil {
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -15,23 +15,24 @@
 // significantDigits is how many digits of a measurement are printed.
 const significantDigits = 4
 
-// Table is a table of measurements, printed as Markdown so that it can be copied into a page as it is.
+// Table is a table of measurements. It is printed as Markdown, so that it can be copied into a page unchanged.
 type Table struct {
 	Title  string
 	Header []string
 	rows   [][]string
 }
 
-// Add appends a row. Numbers are written by Figure, all else as fmt does.
+// Add appends a row. Floating-point numbers are formatted by FormatNumber, integers with grouped thousands, and all other
+// values by fmt.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
-		row[i] = text(cell)
+		row[i] = formatCell(cell)
 	}
 	t.rows = append(t.rows, row)
 }
 
-// Print writes the table.
+// Print writes the table to w.
 func (t *Table) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s\n\n", t.Title)
 	printRow(w, t.Header)
@@ -51,21 +52,21 @@
 	fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// text is a cell as it is printed.
-func text(cell any) string {
+// formatCell returns the printed form of a cell.
+func formatCell(cell any) string {
 	switch v := cell.(type) {
 	case float64:
 		return FormatNumber(v)
 	case int:
-		return group(strconv.Itoa(v))
+		return groupThousands(strconv.Itoa(v))
 	case int64:
-		return group(strconv.FormatInt(v, 10))
+		return groupThousands(strconv.FormatInt(v, 10))
 	default:
 		return fmt.Sprint(v)
 	}
 }
 
-// FormatNumber writes a number with four significant digits, thousands grouped by commas.
+// FormatNumber formats a number with four significant digits, thousands grouped by commas.
 func FormatNumber(v float64) string {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
@@ -75,13 +76,13 @@
 	whole, fraction, _ := strings.Cut(s, ".")
 	fraction = strings.TrimRight(fraction, "0")
 	if fraction == "" {
-		return group(whole)
+		return groupThousands(whole)
 	}
-	return group(whole) + "." + fraction
+	return groupThousands(whole) + "." + fraction
 }
 
-// group puts commas between the thousands of an integer in decimal.
-func group(digits string) string {
+// groupThousands separates the thousands of a decimal integer by commas.
+func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
 		sign, digits = "-", digits[1:]
@@ -92,14 +93,14 @@
 	return sign + digits
 }
 
-// Origin says where measurements come from: the commit, whether the working copy differs from it, the machine, the time, and
-// the machine's load average of the last minute, which shows whether the machine had other work.
+// Origin describes where measurements come from: the commit, whether the working copy differs from it, the machine, the
+// time, and the load average of the last minute, which shows whether the machine was busy with other work.
 func Origin() string {
 	return fmt.Sprintf("commit %s, %d cores, %s, %s/%s, %s, load average %s",
 		commit(), runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH, time.Now().UTC().Format(time.RFC3339), loadAverage())
 }
 
-// loadAverage is the kernel's of the last minute.
+// loadAverage returns the kernel's load average of the last minute.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -109,7 +110,7 @@
 	return minute
 }
 
-// commit is the commit of the working copy, marked if files differ from it.
+// commit returns the commit of the working copy, with the suffix "-dirty" if files differ from it.
 func commit() string {
 	out, err := exec.Command("git", "describe", "--always", "--dirty", "--exclude=*").Output()
 	if err != nil {
--- a/internal/lab/scale/versions_test.go
+++ b/internal/lab/scale/versions_test.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// TestVersions is the small form of the rigs of configuration versions: three controllers and 24 nodes go through what
-// the large forms measure, one thing after another. It holds what is in force, its order and counts to bounds, and no
-// speed.
+// TestVersions is the small form of the tests of configuration versions: three controllers and 24 nodes run the scenarios
+// of the large forms one after another. It checks which versions are in force, their order and counts, but no speed.
 func TestVersions(t *testing.T) {
 	rig := newVersionsRig(t, rigOptions{topology: SmallTopology, relays: true, folder: t.TempDir()})
 	for _, step := range []struct {
 		name string
 		run  func(*versionsRig)
 	}{
-		{"publishes at rest", checkRest},
+		{"publishes while idle", checkPublishesWhileIdle},
 		{"one service", checkOneService},
 		{"bad versions", checkBadVersions},
 		{"a leader killed", checkLeaderKilled},
 		{"a follower stalled", checkFollowerStalled},
-		{"a region cut off", checkRegionCutOff},
+		{"a region partitioned", checkRegionPartitioned},
 		{"zones killed", checkZonesKilled},
 		{"all controllers killed", checkAllControllersKilled},
 	} {
@@ -33,12 +32,12 @@
 	}
 }
 
-func checkRest(rig *versionsRig) {
+func checkPublishesWhileIdle(rig *versionsRig) {
 	const publishes = 3
 	before := rig.newest
 	publishAtRest(rig, publishes)
 	if rig.newest != before+publishes {
-		rig.Errorf("%d publishes led from version %d to %d", publishes, before, rig.newest)
+		rig.Errorf("%d publishes raised the version from %d to %d", publishes, before, rig.newest)
 	}
 }
 
@@ -47,13 +46,13 @@
 	rig.await(publication.Version, rig.fleet.Nodes())
 }
 
-// checkBadVersions has nodes reject a version and keep the one before.
+// checkBadVersions checks that nodes reject a bad version and keep the previous one in force.
 func checkBadVersions(rig *versionsRig) {
 	publication := rig.publishBad(rig.topology.ServiceNames())
 	rig.await(publication.Version, rig.fleet.Nodes())
 	rig.fleet.Audit(func(a *Audit) {
 		if a.CameIntoForce(publication.ID) {
-			rig.Error("a version that nodes can't read came into force")
+			rig.Error("a version that nodes cannot read came into force")
 		}
 	})
 	rig.verify()
@@ -64,7 +63,7 @@
 	fault := controllerFault{name: "leader killed", leader: true}
 	round := publishBesideFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
 	if round.final.Outcome != PublishAccepted {
-		rig.Errorf("a publish that is repeated is %s", round.final.Outcome)
+		rig.Errorf("the outcome of a repeated publish is %s", round.final.Outcome)
 	}
 }
 
@@ -73,21 +72,21 @@
 	publishBesideFault(rig, fault, rand.New(rand.NewPCG(2, 0)), true)
 }
 
-func checkRegionCutOff(rig *versionsRig) {
+func checkRegionPartitioned(rig *versionsRig) {
 	const publishes = 2
 	const length = 2 * time.Second
-	cut := newRegionPartition(rig, 0)
-	cut.set(true)
-	_, attempts := cut.publishDuringPartition(publishes, length)
-	cut.checkNothingAccepted(attempts, Publication{Version: rig.newest})
-	cut.set(false)
+	partition := newRegionPartition(rig, 0)
+	partition.set(true)
+	_, attempts := partition.publishDuringPartition(publishes, length)
+	partition.checkNothingAccepted(attempts, Publication{Version: rig.newest})
+	partition.set(false)
 	rig.await(rig.newest, rig.fleet.Nodes())
 }
 
 func checkZonesKilled(rig *versionsRig) {
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
 		if back := returnOfZones(rig, zones); back.watches < back.nodes {
-			rig.Errorf("%d nodes came back with %d watches", back.nodes, back.watches)
+			rig.Errorf("%d nodes restarted, but only %d watches were opened", back.nodes, back.watches)
 		}
 	}
 }
@@ -103,7 +102,7 @@
 		}
 	}
 	if newest := rig.awaitSameVersion(); newest < before {
-		rig.Errorf("version %d was accepted, the controllers came back with %d", before, newest)
+		rig.Errorf("version %d was accepted, but the controllers restarted with %d", before, newest)
 	}
 	rig.mustPublish(rig.topology.ServiceNames())
 }
--- a/internal/lab/scale/versionsaudit.go
+++ b/internal/lab/scale/versionsaudit.go
@@ -9,7 +9,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// PublishOutcome is what the sender of a publish knows about it in the end.
+// PublishOutcome is the final result of a publish, as far as its sender knows it.
 type PublishOutcome int
 
 // Outcomes of a publish.
@@ -19,29 +19,30 @@
 	PublishAccepted                       // a quorum has it on disk: it must never be lost
 )
 
-// String is the outcome as the tables of docs/CAPACITY.md write it.
+// String returns the outcome in the words of the tables in docs/CAPACITY.md.
 func (o PublishOutcome) String() string {
 	return [...]string{"unknown", "refused", "accepted"}[o]
 }
 
-// Publication is one publish as its sender saw it.
+// Publication is one publish as its sender observed it.
 type Publication struct {
-	ID       string   // written into the settings of every service that the document has
-	Services []string // that the document has
+	ID       string   // written into the settings of every service in the document
+	Services []string // services in the document
 	Outcome  PublishOutcome
-	Version  configapi.Version // where accepted
-	Answered time.Time         // when the last answer came
+	Version  configapi.Version // set if Outcome is PublishAccepted
+	Answered time.Time         // when the last answer arrived
 	Attempts int
 }
 
 // changes reports whether the publication changes a service's settings.
 func (p Publication) changes(service string) bool { return slices.Contains(p.Services, service) }
 
-// Observation is what a node does after it has answered for a version: what is in force there, not what the node reports.
+// Observation is the state of a node after it has applied or rejected a version: the settings that are in force, not those
+// that the node reports.
 type Observation struct {
 	Node        string            `json:"node"`
 	Service     string            `json:"service"`
-	Incarnation int               `json:"life"` // of the node's process; rises with each start
+	Incarnation int               `json:"life"` // of the node's process; increases with each start
 	Version     configapi.Version `json:"version"`
 	Outcome     configapi.Outcome `json:"outcome"`
 	InForce     configapi.Version `json:"in_force"` // newest version applied, 0: none
@@ -49,29 +50,29 @@
 	AtNS        int64             `json:"at_ns"`    // Unix nanoseconds
 }
 
-// At is when the observation was made.
+// At returns the time of the observation.
 func (o Observation) At() time.Time { return time.Unix(0, o.AtNS) }
 
-// Rule is a guarantee of configuration versions that the audit checks. Its text is what a violation prints.
+// Rule is a guarantee of configuration versions that the audit checks. Its text is printed with each violation.
 type Rule string
 
-// Rules, each with the failure that would break it.
+// Rules, each with a failure that would violate it.
 const (
-	// RuleNoRollback would be broken by a node that takes an old version from a lagging controller.
+	// RuleNoRollback is violated by a node that applies an old version from a lagging controller.
 	RuleNoRollback Rule = "no node goes back to an older version"
-	// RuleDurable would be broken by a controller that answers before a quorum has the version on disk.
+	// RuleDurable is violated by a controller that answers before a quorum has the version on disk.
 	RuleDurable Rule = "an accepted version is kept"
-	// RuleRejectedNeverApplied would be broken by a publish that is proposed after its sender was told otherwise.
+	// RuleRejectedNeverApplied is violated by a publish that is proposed after its sender was told that it was rejected.
 	RuleRejectedNeverApplied Rule = "a refused publish never comes into force"
-	// RuleSameContent would be broken by two leaders that give one number to two versions.
+	// RuleSameContent is violated by two leaders that give the same number to different versions.
 	RuleSameContent Rule = "a version is the same at every node"
-	// RuleConvergence would be broken by a watch that misses an update which is never repeated.
+	// RuleConvergence is violated by a watch that misses an update which is never sent again.
 	RuleConvergence Rule = "an accepted version is in force at every node that can be reached"
-	// RuleTruthfulAcknowledgement would be broken by a node that acknowledges a version before it has applied it.
+	// RuleTruthfulAcknowledgement is violated by a node that acknowledges a version before it has applied it.
 	RuleTruthfulAcknowledgement Rule = "an acknowledgement says what the node does"
 )
 
-// Violation is one breach of a rule.
+// Violation is one case in which a rule did not hold.
 type Violation struct {
 	Rule   Rule
 	Detail string
@@ -79,11 +80,11 @@
 
 func (v Violation) Error() string { return string(v.Rule) + ": " + v.Detail }
 
-// Audit collects publications and observations of one run and finds violations of the rules. It has no clock and no I/O,
+// Audit collects the publications and observations of one run and finds violations of the rules. It has no clock and no I/O,
 // and is not safe for concurrent use.
 type Audit struct {
-	// PersistedAfter is how long a version is in force until it is on the node's disk, so that a later incarnation may not
-	// start with an older one; 0: nodes have no disk.
+	// PersistedAfter is the time after which a version in force is on the node's disk. A later incarnation must not start
+	// with an older version. 0 means that nodes have no disk.
 	PersistedAfter time.Duration
 
 	publications []Publication
@@ -104,19 +105,19 @@
 	return &Audit{byID: map[string]Publication{}, byVersion: map[configapi.Version]Publication{}, nodes: map[string]*nodeHistory{}}
 }
 
-// violate adds a violation.
-func (a *Audit) violate(rule Rule, format string, args ...any) {
+// addViolation adds a violation.
+func (a *Audit) addViolation(rule Rule, format string, args ...any) {
 	a.violations = append(a.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// Expect adds a node, so that it is missed if it never reports.
+// Expect adds a node, so that Violations reports it if it never reports a version.
 func (a *Audit) Expect(node, service string) {
 	if a.nodes[node] == nil {
 		a.nodes[node] = &nodeHistory{service: service}
 	}
 }
 
-// Published records the end of a publish. Each ID is recorded once.
+// Published records the result of a publish. It must be called once for each ID.
 func (a *Audit) Published(p Publication) {
 	a.publications = append(a.publications, p)
 	a.byID[p.ID] = p
@@ -124,33 +125,33 @@
 		return
 	}
 	if other, taken := a.byVersion[p.Version]; taken {
-		a.violate(RuleDurable, "version %d was the answer to both %s and %s", p.Version, other.ID, p.ID)
+		a.addViolation(RuleDurable, "version %d was accepted for both %s and %s", p.Version, other.ID, p.ID)
 	}
 	a.byVersion[p.Version] = p
 }
 
-// Observed records what a node does. Observations of one node must come in the order in which they were made.
+// Observed records an observation. Observations of one node must be recorded in the order in which they were made.
 func (a *Audit) Observed(o Observation) {
 	a.Expect(o.Node, o.Service)
 	history := a.nodes[o.Node]
 	if n := len(history.observations); n > 0 {
-		a.checkOrder(history.observations[n-1], o)
+		a.checkNoRollback(history.observations[n-1], o)
 	}
 	history.observations = append(history.observations, o)
 }
 
-// checkOrder checks RuleNoRollback for an observation after a node's last one.
-func (a *Audit) checkOrder(last, o Observation) {
+// checkNoRollback checks RuleNoRollback for an observation against the node's previous one.
+func (a *Audit) checkNoRollback(last, o Observation) {
 	floor := last.InForce
 	if o.Incarnation > last.Incarnation {
 		floor = a.persistedVersion(o)
 	}
 	if o.InForce < floor {
-		a.violate(RuleNoRollback, "%s had version %d in force and then %d", o.Node, floor, o.InForce)
+		a.addViolation(RuleNoRollback, "%s had version %d in force and then %d", o.Node, floor, o.InForce)
 	}
 }
 
-// persistedVersion is the newest version that the node of an observation certainly had on disk when the observation's
+// persistedVersion returns the newest version that the node of an observation certainly had on disk when the observation's
 // incarnation began.
 func (a *Audit) persistedVersion(o Observation) (newest configapi.Version) {
 	if a.PersistedAfter == 0 {
@@ -164,22 +165,22 @@
 	return newest
 }
 
-// Violations checks what can only be known at the end, and returns all violations. Newest is the last version of the
-// controllers' log.
+// Violations checks the rules that can be checked only at the end of a run, and returns all violations. The parameter
+// newest is the last version in the controllers' log.
 func (a *Audit) Violations(newest configapi.Version) []Violation {
 	found := slices.Clone(a.violations)
 	end := &Audit{publications: a.publications, byID: a.byID, byVersion: a.byVersion, nodes: a.nodes}
-	end.checkLog(newest)
+	end.checkDurable(newest)
 	for _, node := range a.sortedNodes() {
 		for _, o := range a.nodes[node].observations {
 			end.checkContent(o)
 		}
-		end.checkLast(node, newest)
+		end.checkConvergence(node, newest)
 	}
 	return append(found, end.violations...)
 }
 
-// sortedNodes are the names of all nodes.
+// sortedNodes returns the names of all nodes in order.
 func (a *Audit) sortedNodes() []string {
 	names := make([]string, 0, len(a.nodes))
 	for name := range a.nodes {
@@ -189,16 +190,16 @@
 	return names
 }
 
-// checkLog checks RuleDurable against the end of the controllers' log.
-func (a *Audit) checkLog(newest configapi.Version) {
+// checkDurable checks RuleDurable against the end of the controllers' log.
+func (a *Audit) checkDurable(newest configapi.Version) {
 	for _, p := range a.publications {
 		if p.Outcome == PublishAccepted && p.Version > newest {
-			a.violate(RuleDurable, "%s was accepted as version %d, but the controllers' log ends at %d", p.ID, p.Version, newest)
+			a.addViolation(RuleDurable, "%s was accepted as version %d, but the controllers' log ends at %d", p.ID, p.Version, newest)
 		}
 	}
 }
 
-// checkContent checks what is in force at a node against what was published.
+// checkContent checks that the settings in force at a node are those that were published.
 func (a *Audit) checkContent(o Observation) {
 	want, exact := a.expected(o.Service, o.InForce)
 	if o.ID == want.ID {
@@ -207,16 +208,16 @@
 	p, known := a.byID[o.ID]
 	switch {
 	case known && p.Outcome == PublishRejected:
-		a.violate(RuleRejectedNeverApplied, "%s has %s in force at version %d", o.Node, o.ID, o.InForce)
+		a.addViolation(RuleRejectedNeverApplied, "%s has %s in force at version %d", o.Node, o.ID, o.InForce)
 	case known && p.Outcome == PublishUnknown && !exact:
-		// It was accepted though its sender has no answer, between two accepted versions.
+		// It was accepted between two accepted versions, but its sender received no answer.
 	default:
-		a.violate(RuleSameContent, "%s has %q in force at version %d, not %q", o.Node, o.ID, o.InForce, want.ID)
+		a.addViolation(RuleSameContent, "%s has %q in force at version %d, not %q", o.Node, o.ID, o.InForce, want.ID)
 	}
 }
 
-// expected is the newest accepted publication for a service up to a version. Exact means that it is the one of that
-// version, so that no publish without an answer can lie between.
+// expected returns the newest accepted publication for a service up to a version. The result exact reports whether it has
+// exactly that version, so that no publish with an unknown outcome can lie between them.
 func (a *Audit) expected(service string, at configapi.Version) (newest Publication, exact bool) {
 	for version := at; version > 0; version-- {
 		p, accepted := a.byVersion[version]
@@ -227,23 +228,23 @@
 	return Publication{}, at == 0
 }
 
-// checkLast checks RuleConvergence. Rejected versions are answered for, not in force.
-func (a *Audit) checkLast(node string, newest configapi.Version) {
+// checkConvergence checks RuleConvergence. A node that rejects a version has decided on it, although it is not in force.
+func (a *Audit) checkConvergence(node string, newest configapi.Version) {
 	observations := a.nodes[node].observations
 	if len(observations) == 0 {
 		if newest > 0 {
-			a.violate(RuleConvergence, "%s never reported a version; the log ends at %d", node, newest)
+			a.addViolation(RuleConvergence, "%s never reported a version; the log ends at %d", node, newest)
 		}
 		return
 	}
 	last := observations[len(observations)-1]
 	if last.Version < newest {
-		a.violate(RuleConvergence, "%s answered for version %d last; the log ends at %d", node, last.Version, newest)
+		a.addViolation(RuleConvergence, "%s last decided on version %d; the log ends at %d", node, last.Version, newest)
 	}
 }
 
-// CheckAcknowledgements checks what the controllers know of nodes against what the nodes do. Statuses are those of all
-// controllers; what is compared is what an operator sees.
+// CheckAcknowledgements compares the controllers' status of each node with the node's last observation. The parameter
+// statuses holds the answers of all controllers; they are merged as for an operator.
 func (a *Audit) CheckAcknowledgements(statuses []configapi.ControllerStatus) []Violation {
 	newest := newestNodeStatus(statuses)
 	check := &Audit{}
@@ -256,16 +257,16 @@
 		status, known := newest[node]
 		switch {
 		case !known:
-			check.violate(RuleTruthfulAcknowledgement, "no controller knows of %s", node)
+			check.addViolation(RuleTruthfulAcknowledgement, "no controller has a status of %s", node)
 		case status.Applied != last.InForce || status.LastDecided != last.Version || status.Outcome != last.Outcome:
-			check.violate(RuleTruthfulAcknowledgement, "%s answered for %d (%s) with %d in force; its controller has %d (%s) with %d",
+			check.addViolation(RuleTruthfulAcknowledgement, "%s decided on %d (%s) with %d in force; its controller has %d (%s) with %d",
 				node, last.Version, last.Outcome, last.InForce, status.LastDecided, status.Outcome, status.Applied)
 		}
 	}
 	return check.violations
 }
 
-// newestNodeStatus is what an operator sees of each node.
+// newestNodeStatus returns the status of each node as an operator sees it.
 func newestNodeStatus(statuses []configapi.ControllerStatus) map[string]configapi.NodeStatus {
 	newest := map[string]configapi.NodeStatus{}
 	for _, node := range configversion.MergeStatuses(statuses).Nodes {
@@ -274,8 +275,8 @@
 	return newest
 }
 
-// InForce returns, for each node of a list, how long after a moment it had a version or a later one in force; a node that
-// had it before that moment counts as 0. Missing are those that never had it.
+// InForce returns, for each node of a list, the time from since until the given version or a later one was in force, or 0
+// if it was in force before. The result missing lists the nodes where it never was.
 func (a *Audit) InForce(version configapi.Version, since time.Time, nodes []string) (delays []time.Duration, missing []string) {
 	for _, node := range nodes {
 		at, ok := a.firstInForce(node, version)
@@ -288,7 +289,7 @@
 	return delays, missing
 }
 
-// firstInForce is when a node first had a version or a later one in force.
+// firstInForce returns the time at which a version or a later one was first observed in force at a node.
 func (a *Audit) firstInForce(node string, version configapi.Version) (time.Time, bool) {
 	history := a.nodes[node]
 	if history == nil {
@@ -302,8 +303,8 @@
 	return time.Time{}, false
 }
 
-// AnsweredByAll reports whether each node of a list has answered for a version or a later one.
-func (a *Audit) AnsweredByAll(version configapi.Version, nodes []string) bool {
+// DecidedByAll reports whether each node of a list has applied or rejected a version or a later one.
+func (a *Audit) DecidedByAll(version configapi.Version, nodes []string) bool {
 	for _, node := range nodes {
 		history := a.nodes[node]
 		if history == nil || len(history.observations) == 0 {
--- a/internal/lab/scale/versionsaudit_test.go
+++ b/internal/lab/scale/versionsaudit_test.go
@@ -8,18 +8,18 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// auditStart is the first moment of the audits in these tests.
+// auditStart is the time at which the audits of these tests begin.
 var auditStart = time.Unix(1_000, 0)
 
 func accepted(id string, version configapi.Version) Publication {
 	return Publication{ID: id, Services: []string{"checkout"}, Outcome: PublishAccepted, Version: version, Answered: auditStart}
 }
 
-func unsettled(id string, outcome PublishOutcome) Publication {
+func notAccepted(id string, outcome PublishOutcome) Publication {
 	return Publication{ID: id, Services: []string{"checkout"}, Outcome: outcome}
 }
 
-// applied is a node's observation of a version in force, some time after the start.
+// applied returns an observation of a node with a version in force, made some time after auditStart.
 func applied(node string, version configapi.Version, id string, after time.Duration) Observation {
 	return Observation{Node: node, Service: "checkout", Incarnation: 1, Version: version, Outcome: configapi.Applied, InForce: version,
 		ID: id, AtNS: auditStart.Add(after).UnixNano()}
@@ -63,18 +63,18 @@
 			want:         []Rule{RuleDurable},
 		},
 		"a rejected publish in force": {
-			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishRejected)},
+			publications: []Publication{accepted("p1", 1), notAccepted("p2", PublishRejected)},
 			observations: []Observation{applied("a", 2, "p2", 0)},
 			newest:       2,
 			want:         []Rule{RuleRejectedNeverApplied},
 		},
 		"an unanswered publish in force": {
-			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishUnknown)},
+			publications: []Publication{accepted("p1", 1), notAccepted("p2", PublishUnknown)},
 			observations: []Observation{applied("a", 2, "p2", 0)},
 			newest:       2,
 		},
 		"an unanswered publish in the place of an accepted one": {
-			publications: []Publication{accepted("p1", 1), unsettled("p2", PublishUnknown)},
+			publications: []Publication{accepted("p1", 1), notAccepted("p2", PublishUnknown)},
 			observations: []Observation{applied("a", 1, "p2", 0)},
 			newest:       1,
 			want:         []Rule{RuleSameContent},
@@ -137,7 +137,7 @@
 func TestAuditOfALaterIncarnation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		persistedAfter time.Duration
-		back           time.Duration // when the later incarnation begins
+		back           time.Duration // time at which the later incarnation begins
 		want           []Rule
 	}{
 		"without a disk":                  {0, time.Minute, nil},
@@ -172,9 +172,9 @@
 	rejected := applied("a", 2, "p1", 1)
 	rejected.Outcome, rejected.InForce = configapi.Rejected, 1
 	audit.Observed(rejected)
-	status := func(held, applied configapi.Version, outcome configapi.Outcome) []configapi.ControllerStatus {
+	status := func(lastDecided, applied configapi.Version, outcome configapi.Outcome) []configapi.ControllerStatus {
 		older := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 1, LastDecided: 1, Applied: 1, Outcome: configapi.Applied}
-		newer := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastDecided: held, Applied: applied, Outcome: outcome}
+		newer := configapi.NodeStatus{Node: "a", StartedMS: 1, WatchNumber: 2, LastDecided: lastDecided, Applied: applied, Outcome: outcome}
 		return []configapi.ControllerStatus{{Nodes: []configapi.NodeStatus{newer}}, {Nodes: []configapi.NodeStatus{older}}}
 	}
 	if got := audit.CheckAcknowledgements(status(2, 1, configapi.Rejected)); len(got) != 0 {
@@ -204,10 +204,10 @@
 	if want := []string{"gone"}; !slices.Equal(missing, want) {
 		t.Errorf("missing %v, want %v", missing, want)
 	}
-	if !audit.AnsweredByAll(1, []string{"early", "late"}) || audit.AnsweredByAll(2, []string{"early", "late"}) {
-		t.Error("AnsweredByAll does not tell version 1 from version 2")
+	if !audit.DecidedByAll(1, []string{"early", "late"}) || audit.DecidedByAll(2, []string{"early", "late"}) {
+		t.Error("DecidedByAll does not distinguish version 1 from version 2")
 	}
 	if !audit.CameIntoForce("p1") || audit.CameIntoForce("p9") {
-		t.Error("CameIntoForce does not tell p1 from p9")
+		t.Error("CameIntoForce does not distinguish p1 from p9")
 	}
 }
--- a/internal/lab/scale/versionsbad_test.go
+++ b/internal/lab/scale/versionsbad_test.go
@@ -10,45 +10,46 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// badInterval is the number of versions of which one is bad.
+// badInterval is the interval between bad versions: one in badInterval is bad.
 const badInterval = 5
 
-// badVersion is a kind of settings that a node must reject, with a class of a name in it where it can have classes.
+// badVersion is a kind of settings that a node must reject. The settings contain a class with the given name if they can
+// contain classes.
 type badVersion struct {
 	name     string
 	settings func(class string) map[string]any
 }
 
-// badVersions are bad in turn.
+// badVersions are the kinds of bad versions, which versionSequence publishes in turn.
 var badVersions = []badVersion{
-	{"of another form", func(string) map[string]any { return nodeSettings("none") }},
-	{"refused by the checks", func(class string) map[string]any {
+	{"wrong type of a field", func(string) map[string]any { return nodeSettings("none") }},
+	{"rejected by validation", func(class string) map[string]any {
 		classes := classesWith(classSettings{Name: class})
 		classes[1].DeadlineMS = 0
 		return nodeSettings(classes)
 	}},
-	{"a part is missing", func(class string) map[string]any {
+	{"a required key is missing", func(class string) map[string]any {
 		return map[string]any{"lanes": classesWith(classSettings{Name: class})}
 	}},
 	{"a class without a server", func(class string) map[string]any {
 		return nodeSettings(classesWith(classSettings{Name: class, OnlyKinds: []string{"nowhere"}}))
 	}},
-	{"a class that is left with one server", func(class string) map[string]any {
+	{"a class with only one server", func(class string) map[string]any {
 		classes := classesWith(classSettings{Name: class})
 		classes[0].OnlyKinds = []string{"a"}
 		return nodeSettings(classes)
 	}},
 }
 
-// versionSequence publishes versions to real nodes and checks what nodes acknowledge of each against what they do.
+// versionSequence publishes versions to real nodes and compares the nodes' acknowledgements with their behavior.
 type versionSequence struct {
 	*versionNodes
 	publisher *Publisher
-	lastGood  string         // class that the newest good version has
+	lastGood  string         // class in the newest good version
 	rejected  map[string]int // by kind of version
 }
 
-// publish publishes a version with a class of its own and waits until every node has answered for it.
+// publish publishes a version with a new class and waits until every node has applied or rejected it.
 func (s *versionSequence) publish(number int, bad *badVersion) {
 	s.Helper()
 	class := fmt.Sprintf("class-%d", number)
@@ -68,7 +69,7 @@
 	defer cancel()
 	publication := s.publisher.Publish(ctx, configapi.PublishRequest{ID: class, Document: text}, nil, 0)
 	if publication.Outcome != PublishAccepted {
-		s.Fatalf("%s is %s", class, publication.Outcome)
+		s.Fatalf("outcome of publish %s is %s", class, publication.Outcome)
 	}
 	statuses := s.await(ctx, publication.Version)
 	if bad == nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// await waits until the controllers have each node's answer for a version.
+// await waits until the controllers know that each node has applied or rejected a version.
 func (s *versionSequence) await(ctx context.Context, version configapi.Version) (statuses map[string]configapi.NodeStatus) {
 	s.Helper()
 	err := poll(ctx, func() bool {
@@ -92,12 +93,12 @@
 		return true
 	})
 	if err != nil {
-		s.Fatalf("version %d is not answered for by all nodes: %v", version, err)
+		s.Fatalf("not all nodes decided on version %d: %v", version, err)
 	}
 	return statuses
 }
 
-// check checks a node's acknowledgement against what it does with requests.
+// check compares a node's acknowledgement with the way it handles requests.
 func (s *versionSequence) check(ctx context.Context, node *versionNode, status configapi.NodeStatus, class string, bad *badVersion) {
 	s.Helper()
 	want := configapi.Applied
@@ -115,7 +116,7 @@
 	s.checkClass(ctx, node, s.lastGood, true)
 }
 
-// checkClass checks by a request whether a node has a class.
+// checkClass sends a request to check whether a node has a class.
 func (s *versionSequence) checkClass(ctx context.Context, node *versionNode, class string, want bool) {
 	s.Helper()
 	known, err := s.hasClass(ctx, node, class)
@@ -128,7 +129,7 @@
 	}
 }
 
-// run publishes so many versions, one of each badInterval bad, with the kinds of bad ones in turn.
+// run publishes the given number of versions. One in badInterval is bad, with the kinds of badVersions in turn.
 func (s *versionSequence) run(versions int) {
 	s.Helper()
 	for number := 1; number <= versions && !s.Failed(); number++ {
--- a/internal/lab/scale/versionscluster.go
+++ b/internal/lab/scale/versionscluster.go
@@ -25,56 +25,57 @@
 	stopTimeout = 10 * time.Second
 )
 
-// Controller is one controller of a rig, over all of its incarnations.
+// Controller is one controller of a rig, across all incarnations of its process.
 type Controller struct {
 	Name     string
 	Region   string
 	Zone     string
-	Address  string // of configapi's calls
+	Address  string // for the calls of configapi
 	Raft     string
-	Folder   string            // of its data
-	Via      map[string]string // by address of another controller: at which it is dialed instead
-	settings string            // its settings file
+	Folder   string            // for its data
+	Via      map[string]string // relay address to dial instead, by the address of another controller
+	settings string            // path of its settings file
 	log      string
 	command  *exec.Cmd
 	ended    chan struct{}
 }
 
-// Endpoint is the controller as nodes know it.
+// Endpoint returns the address and location of the controller in the form that nodes are configured with.
 func (c *Controller) Endpoint() configapi.ControllerAddress {
 	return configapi.ControllerAddress{Address: c.Address, Region: c.Region, Zone: c.Zone}
 }
 
-// ClusterOptions say how controllers are run.
+// ClusterOptions configure a ControlCluster.
 type ClusterOptions struct {
-	Program  string // hookwalk
+	Program  string // path of the hookwalk binary
 	Topology Topology
 	Folder   string // for settings, data and logs
-	Relays   bool   // a relay between each pair of controllers in different regions, so that a region can be cut off
+	Relays   bool   // a relay between each pair of controllers in different regions, so that a region can be partitioned
 }
 
 // ControlCluster runs controllers as processes. Its methods are called from one goroutine.
 type ControlCluster struct {
 	Controllers []*Controller
 
-	options ClusterOptions
-	release func()
-	relays  map[regionPair][]*link.Link
-	client  *http.Client
+	options      ClusterOptions
+	releasePorts func()
+	relays       map[regionPair][]*link.Link
+	client       *http.Client
 }
 
 // regionPair is a direction between two regions.
 type regionPair struct{ from, to string }
 
-// NewControlCluster writes the settings of all controllers and starts none. Stop must follow, also after an error.
+// NewControlCluster writes the settings of all controllers but does not start them. The caller must call Stop, even after
+// an error.
 func NewControlCluster(ctx context.Context, options ClusterOptions) (*ControlCluster, error) {
-	cluster := &ControlCluster{options: options, release: func() {}, relays: map[regionPair][]*link.Link{},
+	cluster := &ControlCluster{options: options, releasePorts: func() {}, relays: map[regionPair][]*link.Link{},
 		client: &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	ports, release, err := link.ClaimPorts(ctx)
 	if err != nil {
 		return cluster, err
 	}
-	cluster.release = release
+	cluster.releasePorts = release
 	addresses, err := freeAddresses(ports, addressesPerController*options.Topology.Controllers)
 	if err != nil {
 		return cluster, err
@@ -99,10 +100,11 @@
 	return cluster, nil
 }
 
-// addressesPerController is how many addresses a controller has: for configapi's calls and for raft.
+// addressesPerController is the number of addresses of a controller: one for the calls of configapi, one for raft.
 const addressesPerController = 2
 
-// newController is the controller of a number. Regions take turns, and the zones of a region take turns.
+// newController returns the controller with the given number. Controllers are assigned to regions in turn, and within a
+// region to its zones in turn.
 func (c *ControlCluster) newController(number int, addresses []string) (*Controller, error) {
 	topology := c.options.Topology
 	region := number % topology.Regions
@@ -115,14 +117,14 @@
 	return controller, os.MkdirAll(controller.Folder, 0o700)
 }
 
-// freeAddresses are different addresses in a rig's block of ports where nobody listens.
+// freeAddresses returns distinct addresses in a rig's block of ports that no process listens on.
 func freeAddresses(ports, count int) (addresses []string, err error) {
 	for range count {
 		listener, err := link.Listen(ports, link.ForNode)
 		if err != nil {
 			return nil, err
 		}
-		defer listener.Close() // when all are found, so that none is found twice
+		defer listener.Close() // not before all addresses are found, so that none is returned twice
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses, nil
@@ -149,8 +151,8 @@
 	return nil
 }
 
-// SetRegionPartitioned partitions the controllers of a region from those of all others, or ends that. Bytes under way are
-// held until the partition ends.
+// SetRegionPartitioned begins or ends a partition between the controllers of a region and those of all other regions.
+// Bytes in transit are held until the partition ends.
 func (c *ControlCluster) SetRegionPartitioned(region string, partitioned bool) error {
 	for key, relays := range c.relays {
 		if key.from != region && key.to != region {
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// Endpoints are all controllers as nodes know them.
+// Endpoints returns the endpoints of all controllers.
 func (c *ControlCluster) Endpoints() (endpoints []configapi.ControllerAddress) {
 	for _, controller := range c.Controllers {
 		endpoints = append(endpoints, controller.Endpoint())
@@ -173,7 +175,7 @@
 	return endpoints
 }
 
-// Addresses are those of all controllers but some.
+// Addresses returns the addresses of all controllers except the excluded ones.
 func (c *ControlCluster) Addresses(excluded ...*Controller) (addresses []string) {
 	skip := map[string]bool{}
 	for _, controller := range excluded {
@@ -187,7 +189,7 @@
 	return addresses
 }
 
-// InRegion are the controllers of a region.
+// InRegion returns the controllers of a region.
 func (c *ControlCluster) InRegion(region string) (controllers []*Controller) {
 	for _, controller := range c.Controllers {
 		if controller.Region == region {
@@ -197,7 +199,7 @@
 	return controllers
 }
 
-// Start starts a controller that does not run.
+// Start starts a controller that is not running.
 func (c *ControlCluster) Start(controller *Controller) error {
 	log, err := os.OpenFile(controller.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -214,7 +216,7 @@
 	controller.command, controller.ended = command, ended
 	go func() {
 		defer close(ended)
-		command.Wait() // its log tells how it ended
+		command.Wait() // the error is not needed: the log shows how the process ended
 	}()
 	return nil
 }
@@ -237,17 +239,17 @@
 	controller.command = nil
 }
 
-// Stall stops a controller with SIGSTOP until Resume.
+// Stall suspends a controller with SIGSTOP until Resume is called.
 func (c *ControlCluster) Stall(controller *Controller) error {
 	return controller.command.Process.Signal(syscall.SIGSTOP)
 }
 
-// Resume ends a Stall.
+// Resume continues a controller that Stall has suspended.
 func (c *ControlCluster) Resume(controller *Controller) error {
 	return controller.command.Process.Signal(syscall.SIGCONT)
 }
 
-// Usage is what a controller's process has used.
+// Usage returns the resource usage of a controller's process.
 func (c *ControlCluster) Usage(controller *Controller) (Usage, error) {
 	return ReadUsage(controller.command.Process.Pid)
 }
@@ -266,7 +268,7 @@
 	return load, err
 }
 
-// get reads the JSON that a controller answers at a path.
+// get requests a path of a controller and decodes the JSON response.
 func (c *ControlCluster) get(ctx context.Context, controller *Controller, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+controller.Address+path, nil)
 	if err != nil {
@@ -283,21 +285,21 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// Statuses asks all controllers that run, and returns the answers that came.
+// Statuses asks all running controllers for their status and returns the successful answers.
 func (c *ControlCluster) Statuses(ctx context.Context) (statuses []configapi.ControllerStatus) {
 	answers := make([]*configapi.ControllerStatus, len(c.Controllers))
-	var asking sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, controller := range c.Controllers {
 		if controller.command == nil {
 			continue
 		}
-		asking.Go(func() {
+		pending.Go(func() {
 			if status, err := c.Status(ctx, controller); err == nil {
 				answers[i] = &status
 			}
 		})
 	}
-	asking.Wait()
+	pending.Wait()
 	for _, status := range answers {
 		if status != nil {
 			statuses = append(statuses, *status)
@@ -306,7 +308,7 @@
 	return statuses
 }
 
-// Leader asks the controllers who leads them; nil if more than half of them do not agree on one.
+// Leader asks the controllers which of them is the leader. It returns nil unless more than half of them agree.
 func (c *ControlCluster) Leader(ctx context.Context) *Controller {
 	votes := map[string]int{}
 	for _, status := range c.Statuses(ctx) {
@@ -353,7 +355,7 @@
 			relay.Close()
 		}
 	}
-	c.release()
+	c.releasePorts()
 	return errors.Join(failures...)
 }
 
--- a/internal/lab/scale/versionscost_test.go
+++ b/internal/lab/scale/versionscost_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Budgets of a node's control session.
+// Budgets for the control session of one node.
 const (
 	budgetCPUPercent = 1.0      // of one core
 	budgetRSS        = 64 << 20 // bytes
 	budgetWire       = 4 << 10  // bytes a second
 )
 
-// changesPerMinute is 760 changes a day, scaled up 100 times.
+// changesPerMinute is 100 times the rate of 760 changes a day.
 const changesPerMinute = 53
 
-// controlCost is what a system has used in one span of time.
+// controlCost is the resource usage of nodes and controllers during one span of time.
 type controlCost struct {
 	nodes                int
 	span                 time.Duration
@@ -24,11 +24,11 @@
 	nodeCPUPercent       float64 // of a core, per node
 	nodeWire             float64 // bytes a second, per node
 	nodePrivate          float64 // bytes, per node
-	controllerCPUPercent float64 // of a core, the mean controller
+	controllerCPUPercent float64 // of a core, mean over the controllers
 	controllerCPUMax     float64 // of a core, the busiest controller
-	controllerRSS        float64 // bytes, the largest
-	controllerFDs        float64 // the most
-	controllerWire       float64 // bytes a second of its sessions, the mean controller
+	controllerRSS        float64 // bytes, of the controller with the most
+	controllerFDs        float64 // of the controller with the most
+	controllerWire       float64 // bytes a second of its sessions, mean over the controllers
 }
 
 // usageReading is a reading of all counters.
@@ -39,8 +39,8 @@
 	controllers []Usage
 }
 
-// readUsageOf reads the counters of a rig.
-func readUsageOf(rig *versionsRig) usageReading {
+// readRigUsage reads the counters of a rig.
+func readRigUsage(rig *versionsRig) usageReading {
 	rig.Helper()
 	m := usageReading{at: time.Now()}
 	var err error
@@ -60,7 +60,7 @@
 	return m
 }
 
-// costBetween is what was used between two readings.
+// costBetween returns the usage between two readings.
 func costBetween(rig *versionsRig, from, to usageReading, versions int) controlCost {
 	nodes, seconds := float64(rig.topology.Nodes), to.at.Sub(from.at).Seconds()
 	c := controlCost{nodes: rig.topology.Nodes, span: to.at.Sub(from.at), versions: versions}
@@ -79,25 +79,25 @@
 	return c
 }
 
-// costAtRest measures a span without publishes.
-func costAtRest(rig *versionsRig, span time.Duration) controlCost {
-	from := readUsageOf(rig)
+// costWhileIdle measures a span without publishes.
+func costWhileIdle(rig *versionsRig, span time.Duration) controlCost {
+	from := readRigUsage(rig)
 	rig.sleep(span)
-	return costBetween(rig, from, readUsageOf(rig), 0)
+	return costBetween(rig, from, readRigUsage(rig), 0)
 }
 
-// costUnderChange measures a span in which versions are published at even distances, each for one service in turn.
+// costUnderChange measures a span in which versions are published at even intervals, each for one service in turn.
 func costUnderChange(rig *versionsRig, span time.Duration) controlCost {
 	versions := int(changesPerMinute * span / time.Minute)
-	from := readUsageOf(rig)
+	from := readRigUsage(rig)
 	for number := range versions {
 		rig.mustPublish([]string{serviceName(number % rig.topology.Services)})
 		rig.sleep(max(0, time.Until(from.at.Add(span*time.Duration(number+1)/time.Duration(versions)))))
 	}
-	return costBetween(rig, from, readUsageOf(rig), versions)
+	return costBetween(rig, from, readRigUsage(rig), versions)
 }
 
-// costSizes are the sizes that are measured, the target's for a whole minute.
+// costSizes are the fleet sizes to measure, with the span of the measurement under change.
 var costSizes = []struct {
 	nodes  int
 	change time.Duration
@@ -108,7 +108,7 @@
 	const rest, settle = 10 * time.Second, 5 * time.Second
 	header := []string{"nodes", "versions in the span", "node CPU, % of a core", "node bytes/s on the wire", "node private bytes",
 		"controller CPU, % of a core, mean", "most", "controller RSS, MB, most", "controller descriptors, most", "controller bytes/s of sessions, mean"}
-	table := &Table{Title: "control by size, 7 controllers: at rest for 10 s, and 53 changes a minute (760 a day, times 100), each for one service", Header: header}
+	table := &Table{Title: "control by size, 7 controllers: idle for 10 s, and 53 changes a minute (760 a day, times 100), each for one service", Header: header}
 	var changing []controlCost
 	for _, size := range costSizes {
 		topology := TargetTopology
@@ -116,7 +116,7 @@
 		t.Run(fmt.Sprint(size.nodes), func(t *testing.T) {
 			rig := newVersionsRig(t, rigOptions{topology: topology, folder: memoryFolder(t)})
 			rig.sleep(settle)
-			costs := []controlCost{costAtRest(rig, rest), costUnderChange(rig, size.change)}
+			costs := []controlCost{costWhileIdle(rig, rest), costUnderChange(rig, size.change)}
 			rig.verify()
 			for _, c := range costs {
 				table.Add(c.nodes, c.versions, c.nodeCPUPercent, c.nodeWire, c.nodePrivate, c.controllerCPUPercent, c.controllerCPUMax,
@@ -139,7 +139,7 @@
 	}
 }
 
-// printCostFits prints a line through each column by sessions of a controller.
+// printCostFits prints, for each column, the line fitted to its values by the number of sessions of a controller.
 func printCostFits(t *testing.T, costs []controlCost) {
 	t.Helper()
 	const target = 271
--- a/internal/lab/scale/versionscut_test.go
+++ b/internal/lab/scale/versionscut_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// regionPartition is a region of a rig that is partitioned from all others: controllers from controllers, nodes from
-// controllers.
+// regionPartition partitions one region of a rig from all others: its controllers and nodes cannot reach the controllers
+// of other regions, nor can those regions reach its controllers.
 type regionPartition struct {
 	rig          *versionsRig
 	region       int
@@ -17,18 +17,18 @@
 }
 
 func newRegionPartition(rig *versionsRig, region int) *regionPartition {
-	cut := &regionPartition{rig: rig, region: region, controllers: rig.cluster.InRegion(regionName(region))}
+	partition := &regionPartition{rig: rig, region: region, controllers: rig.cluster.InRegion(regionName(region))}
 	for _, zone := range rig.fleet.AllZones() {
 		if rig.topology.RegionOf(zone) == region {
-			cut.insideNodes = append(cut.insideNodes, rig.fleet.Nodes(zone)...)
+			partition.insideNodes = append(partition.insideNodes, rig.fleet.Nodes(zone)...)
 			continue
 		}
-		cut.outsideNodes = append(cut.outsideNodes, rig.fleet.Nodes(zone)...)
+		partition.outsideNodes = append(partition.outsideNodes, rig.fleet.Nodes(zone)...)
 	}
-	return cut
+	return partition
 }
 
-// addressesOf are the addresses of controllers.
+// addressesOf returns the addresses of controllers.
 func addressesOf(controllers []*Controller) (addresses []string) {
 	for _, controller := range controllers {
 		addresses = append(addresses, controller.Address)
@@ -57,8 +57,8 @@
 	}
 }
 
-// publishDuringPartition publishes on the majority's side, and with each publish asks the minority's side once. It returns
-// for each publish how long it took to the last node of the majority's side, and what became of the minority's.
+// publishDuringPartition publishes on the majority's side and, after each publish, attempts one on the minority's side. It
+// returns the time each publish took to reach the last node of the majority's side, and the results of the attempts.
 func (c *regionPartition) publishDuringPartition(times int, span time.Duration) (last []time.Duration, refused []Publication) {
 	c.rig.Helper()
 	majority, minority := NewPublisher(c.rig.cluster.Addresses(c.controllers...)), NewPublisher(addressesOf(c.controllers))
@@ -100,30 +100,30 @@
 	const publishes = 8
 	const length = 30 * time.Second
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, relays: true, folder: memoryFolder(t)})
-	cut := newRegionPartition(rig, 0)
-	cut.set(true)
-	last, attempts := cut.publishDuringPartition(publishes, length)
-	cut.checkNothingAccepted(attempts, Publication{Version: rig.newest})
+	partition := newRegionPartition(rig, 0)
+	partition.set(true)
+	last, attempts := partition.publishDuringPartition(publishes, length)
+	partition.checkNothingAccepted(attempts, Publication{Version: rig.newest})
 	healed := time.Now()
-	cut.set(false)
+	partition.set(false)
 	newest := rig.newest
 	rig.await(newest, rig.fleet.Nodes())
-	after := Summarize(rig.delays(newest, healed, cut.insideNodes))
+	after := Summarize(rig.delays(newest, healed, partition.insideNodes))
 	rig.verify()
-	table := &Table{Title: fmt.Sprintf("a region (%d nodes, %d controllers) cut off for %v, %d publishes meanwhile", len(cut.insideNodes), len(cut.controllers), length, publishes),
+	table := &Table{Title: fmt.Sprintf("a region (%d nodes, %d controllers) partitioned for %v, %d publishes meanwhile", len(partition.insideNodes), len(partition.controllers), length, publishes),
 		Header: []string{"", "count", "p50", "p99", "most"}}
 	during := Summarize(last)
-	table.Add("yes to in force at the last node of the majority's side", during.Count, Milliseconds(during.P50), Milliseconds(during.P99), Milliseconds(during.Max))
-	table.Add("heal to the newest version at a node that was cut off", after.Count, Milliseconds(after.P50), Milliseconds(after.P99), Milliseconds(after.Max))
-	table.Add("publishes at the side cut off", len(attempts), outcomes(attempts), "", "")
+	table.Add("accepted to in force at the last node of the majority's side", during.Count, Milliseconds(during.P50), Milliseconds(during.P99), Milliseconds(during.Max))
+	table.Add("end of the partition to the newest version at a node of the region", after.Count, Milliseconds(after.P50), Milliseconds(after.P99), Milliseconds(after.Max))
+	table.Add("publishes on the minority's side", len(attempts), formatOutcomeCounts(attempts), "", "")
 	printTable(table)
 	if most := max(during.Max, after.Max); most > InForceLimit {
 		t.Errorf("a version took %v, over %v", most, InForceLimit)
 	}
 }
 
-// outcomes counts the ends of publishes.
-func outcomes(publications []Publication) string {
+// formatOutcomeCounts counts the outcomes of publishes.
+func formatOutcomeCounts(publications []Publication) string {
 	count := map[PublishOutcome]int{}
 	for _, p := range publications {
 		count[p.Outcome]++
