--- a/internal/lab/scale/hollowfleet.go
+++ b/internal/lab/scale/hollowfleet.go
@@ -213,7 +213,7 @@
 		zones = f.AllZones()
 	}
 	for _, zone := range zones {
-		list = append(list, names(f.zones[zone].nodes)...)
+		list = append(list, nodeNames(f.zones[zone].nodes)...)
 	}
 	return list
 }
--- a/internal/lab/scale/versions_test.go
+++ b/internal/lab/scale/versions_test.go
@@ -36,7 +36,7 @@
 func checkRest(rig *versionsRig) {
 	const publishes = 3
 	before := rig.newest
-	publishAtRest(rig, publishes)
+	publishWithoutFaults(rig, publishes)
 	if rig.newest != before+publishes {
 		rig.Errorf("%d publishes led from version %d to %d", publishes, before, rig.newest)
 	}
@@ -62,7 +62,7 @@
 
 func checkLeaderKilled(rig *versionsRig) {
 	fault := controllerFault{name: "leader killed", leader: true}
-	round := publishBesideFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
+	round := publishDuringFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
 	if round.final.Outcome != PublishAccepted {
 		rig.Errorf("a publish that is repeated is %s", round.final.Outcome)
 	}
@@ -70,7 +70,7 @@
 
 func checkFollowerStalled(rig *versionsRig) {
 	fault := controllerFault{name: "follower stalled", stall: true}
-	publishBesideFault(rig, fault, rand.New(rand.NewPCG(2, 0)), true)
+	publishDuringFault(rig, fault, rand.New(rand.NewPCG(2, 0)), true)
 }
 
 func checkRegionCutOff(rig *versionsRig) {
@@ -86,7 +86,7 @@
 
 func checkZonesKilled(rig *versionsRig) {
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
-		if back := returnOfZones(rig, zones); back.watches < back.nodes {
+		if back := restartZones(rig, zones); back.watches < back.nodes {
 			rig.Errorf("%d nodes came back with %d watches", back.nodes, back.watches)
 		}
 	}
--- a/internal/lab/scale/versionsdisk_test.go
+++ b/internal/lab/scale/versionsdisk_test.go
@@ -8,8 +8,8 @@
 // diskTopology is seven controllers with a few nodes: these rows are about disks, not about size.
 var diskTopology = Topology{Regions: 4, ZonesPerRegion: 4, Controllers: 7, Nodes: 160, Services: 8}
 
-// publishSome publishes and waits until all is in force.
-func publishSome(rig *versionsRig, times int) {
+// publishAndAwait publishes and waits until all is in force.
+func publishAndAwait(rig *versionsRig, times int) {
 	rig.Helper()
 	for range times {
 		rig.await(rig.mustPublish(rig.topology.ServiceNames()).Version, rig.fleet.Nodes())
@@ -73,9 +73,9 @@
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		rig.cluster.Kill(victim)
 		replaceFolder(rig, victim, "")
-		publishSome(rig, publishesPerStep)
+		publishAndAwait(rig, publishesPerStep)
 		rig.start(victim)
-		publishSome(rig, publishesPerStep)
+		publishAndAwait(rig, publishesPerStep)
 		rig.awaitSameVersion()
 	}
 }
@@ -84,12 +84,12 @@
 func checkOldDisk(rig *versionsRig) {
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		old := copyFolder(rig, victim)
-		publishSome(rig, publishesPerStep)
+		publishAndAwait(rig, publishesPerStep)
 		rig.cluster.Kill(victim)
 		replaceFolder(rig, victim, old)
-		publishSome(rig, publishesPerStep)
+		publishAndAwait(rig, publishesPerStep)
 		rig.start(victim)
-		publishSome(rig, publishesPerStep)
+		publishAndAwait(rig, publishesPerStep)
 		rig.awaitSameVersion()
 	}
 }
@@ -102,11 +102,11 @@
 	rig.cluster.Kill(victim)
 	replaceFolder(rig, victim, copied)
 	rig.start(victim)
-	publishSome(rig, publishesPerStep)
+	publishAndAwait(rig, publishesPerStep)
 	rig.cluster.Kill(victim)
 	replaceFolder(rig, victim, "")
 	rig.start(victim)
-	publishSome(rig, publishesPerStep)
+	publishAndAwait(rig, publishesPerStep)
 	rig.awaitSameVersion()
 }
 
--- a/internal/lab/scale/versionsfault_test.go
+++ b/internal/lab/scale/versionsfault_test.go
@@ -73,13 +73,13 @@
 	first      Publication   // as its sender left it
 	final      Publication   // with further attempts, where that was unknown
 	toAccepted time.Duration // from the publish to its acceptance
-	last       time.Duration // from the acceptance to in force at the last node
+	toInForce  time.Duration // from the acceptance to in force at the last node
 }
 
-// publishBesideFault injects one fault at a drawn moment around one publish. A sender that repeats goes on until it is
+// publishDuringFault injects one fault at a drawn moment around one publish. A sender that repeats goes on until it is
 // accepted. One that asks once, the leader of before, finds out what became of an unknown publish by repeating it with the
 // same ID; what was rejected stays so.
-func publishBesideFault(rig *versionsRig, fault controllerFault, random *rand.Rand, repeats bool) faultRound {
+func publishDuringFault(rig *versionsRig, fault controllerFault, random *rand.Rand, repeats bool) faultRound {
 	rig.Helper()
 	publisher, attempts, span := rig.publisher, 0, aroundPublish
 	if !repeats {
@@ -114,42 +114,42 @@
 	if round.final.Outcome == PublishAccepted {
 		round.toAccepted = round.final.Answered.Sub(sent)
 		rig.await(round.final.Version, rig.fleet.Nodes())
-		round.last = Summarize(rig.delays(round.final.Version, round.final.Answered, rig.fleet.Nodes())).Max
+		round.toInForce = Summarize(rig.delays(round.final.Version, round.final.Answered, rig.fleet.Nodes())).Max
 	}
 	fault.end(rig, victim)
 	rig.await(rig.awaitSameVersion(), rig.fleet.Nodes())
 	return round
 }
 
-// publishBesideFaults runs so many rounds with senders that repeat, and half as many with senders that ask once.
-func publishBesideFaults(rig *versionsRig, fault controllerFault, seed uint64, rounds int) (played []faultRound) {
+// publishDuringFaults runs so many rounds with senders that repeat, and half as many with senders that ask once.
+func publishDuringFaults(rig *versionsRig, fault controllerFault, seed uint64, rounds int) (results []faultRound) {
 	rig.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range rounds {
-		played = append(played, publishBesideFault(rig, fault, random, true))
+		results = append(results, publishDuringFault(rig, fault, random, true))
 	}
 	for range rounds / 2 {
-		played = append(played, publishBesideFault(rig, fault, random, false))
+		results = append(results, publishDuringFault(rig, fault, random, false))
 	}
-	return played
+	return results
 }
 
 // tabulate writes rounds as one table, and returns the longest time to in force everywhere.
 func tabulate(fault controllerFault, rounds []faultRound) (table *Table, longest time.Duration) {
 	table = &Table{Title: fmt.Sprintf("publish beside a %s: 1,900 nodes, 7 controllers; 20 senders that repeat, then 10 that ask the leader once", fault.name),
 		Header: []string{"fault from the publish", "for its sender", "in the end", "attempts", "publish to yes", "yes to in force everywhere"}}
-	var last, toYes []time.Duration
+	var toInForce, toAccepted []time.Duration
 	for _, round := range rounds {
-		yes, inForce := "never", "never"
+		accepted, inForce := "never", "never"
 		if round.final.Outcome == PublishAccepted {
-			last, toYes = append(last, round.last), append(toYes, round.toAccepted)
-			yes, inForce = Milliseconds(round.toAccepted), Milliseconds(round.last)
+			toInForce, toAccepted = append(toInForce, round.toInForce), append(toAccepted, round.toAccepted)
+			accepted, inForce = Milliseconds(round.toAccepted), Milliseconds(round.toInForce)
 		}
-		table.Add(Milliseconds(round.offset), round.first.Outcome, round.final.Outcome, round.final.Attempts, yes, inForce)
+		table.Add(Milliseconds(round.offset), round.first.Outcome, round.final.Outcome, round.final.Attempts, accepted, inForce)
 	}
-	inForce, yes := Summarize(last), Summarize(toYes)
-	table.Add("p50", "", "", "", Milliseconds(yes.P50), Milliseconds(inForce.P50))
-	table.Add("most", "", "", "", Milliseconds(yes.Max), Milliseconds(inForce.Max))
+	inForce, accepted := Summarize(toInForce), Summarize(toAccepted)
+	table.Add("p50", "", "", "", Milliseconds(accepted.P50), Milliseconds(inForce.P50))
+	table.Add("most", "", "", "", Milliseconds(accepted.Max), Milliseconds(inForce.Max))
 	return table, inForce.Max
 }
 
@@ -158,9 +158,9 @@
 	largeOnly(t)
 	const rounds = 20
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
-	played := publishBesideFaults(rig, fault, 1, rounds)
+	results := publishDuringFaults(rig, fault, 1, rounds)
 	rig.verify()
-	table, longest := tabulate(fault, played)
+	table, longest := tabulate(fault, results)
 	printTable(table)
 	if longest > InForceLimit {
 		t.Errorf("a version took %v to be in force everywhere, over %v", longest, InForceLimit)
--- a/internal/lab/scale/versionsrest_test.go
+++ b/internal/lab/scale/versionsnofault_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// restPause is the time between a version that is in force everywhere and the next publish.
-const restPause = 100 * time.Millisecond
+// publishPause is the time between a version that is in force everywhere and the next publish.
+const publishPause = 100 * time.Millisecond
 
-// publishAtRest publishes so many times, each when the one before is in force everywhere, and returns for each publish
+// publishWithoutFaults publishes so many times, each when the one before is in force everywhere, and returns for each publish
 // how long it took to the last node, and for all nodes and publishes together.
-func publishAtRest(rig *versionsRig, times int) (last, all []time.Duration) {
+func publishWithoutFaults(rig *versionsRig, times int) (last, all []time.Duration) {
 	for range times {
 		publication := rig.mustPublish(rig.topology.ServiceNames())
 		rig.await(publication.Version, rig.fleet.Nodes())
 		delays := rig.delays(publication.Version, publication.Answered, rig.fleet.Nodes())
 		last = append(last, Summarize(delays).Max)
 		all = append(all, delays...)
-		rig.sleep(restPause)
+		rig.sleep(publishPause)
 	}
 	return last, all
 }
 
-func TestVersionsRest(t *testing.T) {
+func TestVersionsWithoutFaults(t *testing.T) {
 	largeOnly(t)
 	const publishes = 100
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
-	last, all := publishAtRest(rig, publishes)
+	last, all := publishWithoutFaults(rig, publishes)
 	rig.verify()
 	table := &Table{Title: "100 publishes at rest, each for all 68 services: from the yes to in force, 1,900 nodes, 7 controllers",
 		Header: []string{"", "count", "p50", "p99", "most"}}
--- a/internal/lab/scale/versionsoff_test.go
+++ b/internal/lab/scale/versionsoff_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestVersionsAreNotInTheBuildForService lists what the build for service is made of.
-func TestVersionsAreNotInTheBuildForService(t *testing.T) {
+// TestProductionBuildExcludesVersions lists what the build for service is made of.
+func TestProductionBuildExcludesVersions(t *testing.T) {
 	list := exec.CommandContext(t.Context(), "go", "list", "-deps", "-tags", "nolab", "hookwalk.example/hookwalk/cmd/hookwalk")
 	out, err := list.Output()
 	if err != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// nodesEach is how many real nodes run with a session, and as many without one.
-const nodesEach = 5
+// nodesPerGroup is how many real nodes run with a session, and as many without one.
+const nodesPerGroup = 5
 
 // meanUsage is the mean of what nodes have used.
 func meanUsage(t *testing.T, nodes []*versionNode) (mean Usage) {
@@ -52,11 +52,11 @@
 func TestVersionsNodeCost(t *testing.T) {
 	largeOnly(t)
 	const span, versions = time.Minute, changesPerMinute
-	sequence := newVersionSequence(t, TargetTopology, nodesEach)
+	sequence := newVersionSequence(t, TargetTopology, nodesPerGroup)
 	on := sequence.nodes
 	var off []*versionNode
-	for number := range nodesEach {
-		off = append(off, sequence.startNode(nodesEach+number, true))
+	for number := range nodesPerGroup {
+		off = append(off, sequence.startNode(nodesPerGroup+number, true))
 	}
 	sequence.publish(0, nil)
 	began := time.Now()
--- a/internal/lab/scale/versionspublish_test.go
+++ b/internal/lab/scale/versionspublish_test.go
@@ -36,7 +36,7 @@
 
 // An operator repeats a publish that was rejected with another document: if it was accepted all the same, both come into
 // force. Without an answer the outcome is unknown, and stays so whatever other controllers say later.
-func TestPublisherTellsUnknownFromRejected(t *testing.T) {
+func TestPublisherDistinguishesUnknownFromRejected(t *testing.T) {
 	for name, tc := range map[string]struct {
 		kinds       []configapi.ErrorKind
 		maxAttempts int
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestPublisherWhereNobodyListens(t *testing.T) {
+func TestPublisherConnectionRefused(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := server.Listener.Addr().String()
 	server.Close()
--- a/internal/lab/scale/versionsreturn_test.go
+++ b/internal/lab/scale/versionsrestart_test.go
@@ -10,19 +10,19 @@
 // arrivalSpan is the span within which the largest number of arrivals is counted.
 const arrivalSpan = 100 * time.Millisecond
 
-// zonesReturn is what was measured of zones that were killed and started again at once.
-type zonesReturn struct {
-	nodes    int
-	watches  int
-	maxTotal int // watches opened within arrivalSpan
-	maxOne   int // the same, at one controller
-	inForce  Delays
-	shares   []int
+// zonesRestart is what was measured of zones that were killed and started again at once.
+type zonesRestart struct {
+	nodes            int
+	watches          int
+	maxTotal         int // watches opened within arrivalSpan
+	maxPerController int // the same, at one controller
+	inForce          Delays
+	shares           []int
 }
 
-// returnOfZones kills zones, publishes while they are down, starts them again all at once and waits until all of their
+// restartZones kills zones, publishes while they are down, starts them again all at once and waits until all of their
 // nodes have the newest version.
-func returnOfZones(rig *versionsRig, zones []int) (back zonesReturn) {
+func restartZones(rig *versionsRig, zones []int) (back zonesRestart) {
 	rig.Helper()
 	nodes := rig.fleet.Nodes(zones...)
 	rig.fleet.Kill(zones...)
@@ -40,7 +40,7 @@
 }
 
 // countArrivals counts watches, in total and by controller.
-func (b *zonesReturn) countArrivals(watches []WatchOpened) {
+func (b *zonesRestart) countArrivals(watches []WatchOpened) {
 	var all []int64
 	at := map[string][]int64{}
 	for _, watch := range watches {
@@ -50,11 +50,11 @@
 	b.watches = len(watches)
 	b.maxTotal = MaxWithin(all, arrivalSpan)
 	for _, moments := range at {
-		b.maxOne = max(b.maxOne, MaxWithin(moments, arrivalSpan))
+		b.maxPerController = max(b.maxPerController, MaxWithin(moments, arrivalSpan))
 	}
 }
 
-func TestVersionsZonesReturn(t *testing.T) {
+func TestVersionsZonesRestart(t *testing.T) {
 	largeOnly(t)
 	const settle, readings = 10 * time.Second, 3
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
@@ -62,7 +62,7 @@
 	table := &Table{Title: "nodes killed and back at once, with a version published meanwhile: 1,900 nodes, 7 controllers", Header: []string{"nodes",
 		"watches opened", "most in 100 ms", "most in 100 ms at one controller", "start to in force p50", "p99", "most", "sessions at once, and furthest from the mean", "10 s later", "20 s later", "30 s later"}}
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
-		back := returnOfZones(rig, zones)
+		back := restartZones(rig, zones)
 		shares := []string{writeShares(back.shares)}
 		var later []int
 		for range readings {
@@ -70,7 +70,7 @@
 			later = rig.sessions()
 			shares = append(shares, writeShares(later))
 		}
-		table.Add(back.nodes, back.watches, back.maxTotal, back.maxOne, Milliseconds(back.inForce.P50), Milliseconds(back.inForce.P99),
+		table.Add(back.nodes, back.watches, back.maxTotal, back.maxPerController, Milliseconds(back.inForce.P50), Milliseconds(back.inForce.P99),
 			Milliseconds(back.inForce.Max), shares[0], shares[1], shares[2], shares[3])
 		if uneven := Unevenness(later); uneven > sharesTolerance {
 			t.Errorf("sessions %v: one share is %.1f%% from the mean", later, 100*uneven)
--- a/internal/lab/scale/versionstopology.go
+++ b/internal/lab/scale/versionstopology.go
@@ -79,8 +79,8 @@
 	return names
 }
 
-// names are the names of nodes.
-func names(nodes []HollowNode) (names []string) {
+// nodeNames are the nodeNames of nodes.
+func nodeNames(nodes []HollowNode) (names []string) {
 	for _, node := range nodes {
 		names = append(names, node.Name)
 	}
--- a/internal/lab/scale/versionstopology_test.go
+++ b/internal/lab/scale/versionstopology_test.go
@@ -8,7 +8,7 @@
 	"hookwalk.example/hookwalk/internal/simwire"
 )
 
-func TestTargetTopologyHasTheTargetsShares(t *testing.T) {
+func TestTargetTopologyCounts(t *testing.T) {
 	seen, services := map[string]bool{}, map[string]int{}
 	for zone := range TargetTopology.Zones() {
 		nodes := TargetTopology.ZoneNodes(zone)
