--- a/internal/lab/scale/versionsdelays_test.go
+++ b/internal/lab/scale/versionsdelays_test.go
@@ -16,10 +16,10 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if got := Summarize(nil); got != (Delays{}) {
-		t.Errorf("nothing is summarized as %+v", got)
+		t.Errorf("Summarize(nil) = %+v, want zero", got)
 	}
 	if got := Milliseconds(1500 * time.Microsecond); got != "1.5 ms" {
-		t.Errorf("written as %q", got)
+		t.Errorf("1.5 ms is formatted as %q", got)
 	}
 }
 
@@ -30,7 +30,7 @@
 		t.Errorf("%d within 100 ms, want 4", got)
 	}
 	if got := MaxWithin(nil, time.Second); got != 0 {
-		t.Errorf("%d of nothing", got)
+		t.Errorf("%d moments within an empty list, want 0", got)
 	}
 }
 
@@ -40,7 +40,7 @@
 		want   float64
 	}{{[]int{10, 10}, 0}, {[]int{9, 11}, 0.1}, {[]int{0, 0}, 0}, {[]int{20, 10, 30}, 0.5}} {
 		if got := Unevenness(tc.shares); math.Abs(got-tc.want) > 1e-9 {
-			t.Errorf("%v is uneven by %g, want %g", tc.shares, got, tc.want)
+			t.Errorf("unevenness of %v is %g, want %g", tc.shares, got, tc.want)
 		}
 	}
 }
--- a/internal/lab/scale/versionsdisk_test.go
+++ b/internal/lab/scale/versionsdisk_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// diskTopology is seven controllers with a few nodes: these rows are about disks, not about size.
+// diskTopology has seven controllers and few nodes, because these tests are about the controllers' disks, not about
+// size.
 var diskTopology = Topology{Regions: 4, ZonesPerRegion: 4, Controllers: 7, Nodes: 160, Services: 8}
 
-// publishAndAwait publishes and waits until all is in force.
+// publishAndAwait publishes versions one after another and waits after each until it is in force at all nodes.
 func publishAndAwait(rig *versionsRig, times int) {
 	rig.Helper()
 	for range times {
@@ -16,7 +17,8 @@
 	}
 }
 
-// replaceFolder gives a controller that does not run another folder of data; "": an empty one.
+// replaceFolder replaces the data folder of a stopped controller by a copy of another folder, or by an empty folder if
+// with is "".
 func replaceFolder(t testing.TB, controller *Controller, with string) {
 	t.Helper()
 	err := os.RemoveAll(controller.Folder)
@@ -31,7 +33,7 @@
 	}
 }
 
-// copyFolder makes a copy of a controller's data while it does not run.
+// copyFolder kills a controller, copies its data folder, restarts it, and waits until it has the newest version.
 func copyFolder(rig *versionsRig, controller *Controller) (copied string) {
 	rig.Helper()
 	copied = rig.TempDir()
@@ -52,7 +54,7 @@
 	}
 }
 
-// follower is a controller that does not lead.
+// follower returns a controller that is not the leader.
 func (r *versionsRig) follower() *Controller {
 	r.Helper()
 	leader := r.leader()
@@ -65,10 +67,10 @@
 	return nil
 }
 
-// publishesPerStep is how many versions are published between two steps.
+// publishesPerStep is the number of versions published between two steps of a disk fault.
 const publishesPerStep = 3
 
-// checkEmptiedDisk has a follower, and then the leader, come back with an empty folder.
+// checkEmptiedDisk restarts a follower, and then the leader, with an empty data folder.
 func checkEmptiedDisk(rig *versionsRig) {
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		rig.cluster.Kill(victim)
@@ -80,7 +82,7 @@
 	}
 }
 
-// checkOldDisk has a follower, and then the leader, come back with the folder that it had some versions ago.
+// checkOldDisk restarts a follower, and then the leader, with a copy of its data folder from some versions ago.
 func checkOldDisk(rig *versionsRig) {
 	for _, victim := range []*Controller{rig.follower(), rig.leader()} {
 		old := copyFolder(rig, victim)
@@ -94,8 +96,8 @@
 	}
 }
 
-// checkCopiedDisk has a controller come up with the folder of another one. It may refuse to start, but may not harm;
-// then it comes back with an empty folder.
+// checkCopiedDisk starts a follower with a copy of the leader's data folder. The follower may refuse to start, but must
+// not damage the cluster. Then it restarts with an empty data folder.
 func checkCopiedDisk(rig *versionsRig) {
 	source, victim := rig.leader(), rig.follower()
 	copied := copyFolder(rig, source)
@@ -110,8 +112,9 @@
 	rig.awaitSameVersion()
 }
 
-// A controller that has lost or mixed up its disk must neither lose an accepted version nor bring back an old one: its
-// folder is emptied, replaced by an older one, and by that of another controller.
+// A cluster must neither lose an accepted version nor return to an old one when a controller loses its disk or gets the
+// wrong one. The data folder of a controller is emptied, replaced by an older copy, and replaced by a copy of another
+// controller's.
 func TestVersionsDisks(t *testing.T) {
 	largeOnly(t)
 	rig := newVersionsRig(t, rigOptions{topology: diskTopology, folder: memoryFolder(t)})
--- a/internal/lab/scale/versionsfault_test.go
+++ b/internal/lab/scale/versionsfault_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// faultSpan is the span within which the moment of a fault is drawn, relative to the publish.
+// faultSpan is the range from which the time of a fault is drawn, relative to the publish.
 type faultSpan struct{ earliest, latest time.Duration }
 
 var (
-	// aroundPublish is the span for senders that repeat a publish until it is accepted, as an operator's command does.
+	// aroundPublish applies to senders that repeat a publish until it is accepted, as the operator's command does.
 	aroundPublish = faultSpan{-1500 * time.Millisecond, 500 * time.Millisecond}
-	// duringPublish is the span for senders that ask once: while the leader handles the publish.
+	// duringPublish applies to senders that make one attempt. The fault occurs about when the leader handles the publish.
 	duringPublish = faultSpan{-5 * time.Millisecond, 20 * time.Millisecond}
 )
 
-// draw draws a moment within the span.
+// draw draws a time from the range.
 func (s faultSpan) draw(random *rand.Rand) time.Duration {
 	return s.earliest + time.Duration(random.Int64N(int64(s.latest-s.earliest)))
 }
 
-// controllerFault is a fault of one controller.
+// controllerFault is a fault injected into one controller.
 type controllerFault struct {
 	name   string
-	leader bool // else a follower
-	stall  bool // SIGSTOP, else SIGKILL
+	leader bool // the fault affects the leader, else a follower
+	stall  bool // the fault is SIGSTOP, else SIGKILL
 }
 
 // begin kills or stalls a controller.
@@ -41,7 +41,7 @@
 	}
 }
 
-// end starts or resumes it.
+// end restarts or resumes the controller.
 func (f controllerFault) end(rig *versionsRig, victim *Controller) {
 	rig.Helper()
 	restore := rig.cluster.Start
@@ -53,7 +53,7 @@
 	}
 }
 
-// victim is the leader, or one of the others as drawn.
+// victim returns the leader, or a randomly drawn follower.
 func (f controllerFault) victim(rig *versionsRig, random *rand.Rand) *Controller {
 	leader := rig.leader()
 	if f.leader {
@@ -67,18 +67,18 @@
 	}
 }
 
-// faultRound is what became of one publish beside a fault.
+// faultRound is the result of one publish during a fault.
 type faultRound struct {
-	offset     time.Duration // of the fault, from the publish
-	first      Publication   // as its sender left it
-	final      Publication   // with further attempts, where that was unknown
+	offset     time.Duration // of the fault, relative to the publish
+	first      Publication   // result of the sender's attempts
+	final      Publication   // after further attempts, if the first outcome was unknown
 	toAccepted time.Duration // from the publish to its acceptance
-	toInForce  time.Duration // from the acceptance to in force at the last node
+	toInForce  time.Duration // from the acceptance until in force at the last node
 }
 
-// publishDuringFault injects one fault at a drawn moment around one publish. A sender that repeats goes on until it is
-// accepted. One that asks once, the leader of before, finds out what became of an unknown publish by repeating it with the
-// same ID; what was rejected stays so.
+// publishDuringFault injects one fault at a random time around one publish. A sender with repeats makes attempts until
+// the publish is accepted. A sender without repeats makes one attempt, at the controller that led before the fault. If
+// its outcome is unknown, the publish is repeated with the same ID to find out; a rejected publish is not repeated.
 func publishDuringFault(rig *versionsRig, fault controllerFault, random *rand.Rand, repeats bool) faultRound {
 	rig.Helper()
 	publisher, attempts, span := rig.publisher, 0, aroundPublish
@@ -121,7 +121,7 @@
 	return round
 }
 
-// publishDuringFaults runs so many rounds with senders that repeat, and half as many with senders that ask once.
+// publishDuringFaults runs rounds with senders that repeat, and half as many with senders that make one attempt.
 func publishDuringFaults(rig *versionsRig, fault controllerFault, seed uint64, rounds int) (results []faultRound) {
 	rig.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -134,10 +134,10 @@
 	return results
 }
 
-// tabulate writes rounds as one table, and returns the longest time to in force everywhere.
+// tabulate returns the rounds as a table, and the longest time from an acceptance until in force at all nodes.
 func tabulate(fault controllerFault, rounds []faultRound) (table *Table, longest time.Duration) {
-	table = &Table{Title: fmt.Sprintf("publish beside a %s: 1,900 nodes, 7 controllers; 20 senders that repeat, then 10 that ask the leader once", fault.name),
-		Header: []string{"fault from the publish", "for its sender", "in the end", "attempts", "publish to yes", "yes to in force everywhere"}}
+	table = &Table{Title: fmt.Sprintf("publish during fault %s: 1,900 nodes, 7 controllers; 20 senders that repeat, then 10 with one attempt at the leader", fault.name),
+		Header: []string{"fault relative to the publish", "outcome for the sender", "final outcome", "attempts", "publish to accepted", "accepted to in force everywhere"}}
 	var toInForce, toAccepted []time.Duration
 	for _, round := range rounds {
 		accepted, inForce := "never", "never"
@@ -153,7 +153,7 @@
 	return table, inForce.Max
 }
 
-// runFaultRow measures one row of docs/CAPACITY.md: publishes beside one kind of fault.
+// runFaultRow measures one row of docs/CAPACITY.md: publishes during one kind of fault.
 func runFaultRow(t *testing.T, fault controllerFault) {
 	largeOnly(t)
 	const rounds = 20
--- a/internal/lab/scale/versionsnode_test.go
+++ b/internal/lab/scale/versionsnode_test.go
@@ -24,7 +24,7 @@
 	"hookwalk.example/hookwalk/internal/discoveryapi"
 )
 
-// versionNodes are real nodes of one service, with servers and a discovery that pushes one list.
+// versionNodes runs real nodes of one service, their servers, and a discovery service that sends one endpoint list.
 type versionNodes struct {
 	testing.TB
 	program string
@@ -38,7 +38,7 @@
 // versionNode is one real node.
 type versionNode struct {
 	HollowNode
-	noSession bool // without a session
+	noSession bool // runs without a session
 	folder    string
 	command   *exec.Cmd
 	ended     chan struct{}
@@ -52,7 +52,7 @@
 // loadInterval is the time between two calls of the load at each node.
 const loadInterval = 20 * time.Millisecond
 
-// classSettings is a class in a node's settings, by the names of the wire.
+// classSettings is a class in a node's settings, with the names used on the wire.
 type classSettings struct {
 	Name       string   `json:"name"`
 	Effect     string   `json:"effect"`
@@ -63,7 +63,7 @@
 	OnlyZones  []string `json:"confined-to,omitempty"`
 }
 
-// classesWith are the class "read" and further ones, all of the same form.
+// classesWith returns the class "read" and further classes, all with the same effect, times and weight.
 func classesWith(further ...classSettings) []classSettings {
 	classes := []classSettings{{Name: "read"}}
 	classes = append(classes, further...)
@@ -73,13 +73,13 @@
 	return classes
 }
 
-// nodeSettings are settings that a real node can take from its start on. Classes may be anything, for bad settings.
+// nodeSettings returns settings with which a real node can start. Classes may have any type, to make invalid settings.
 func nodeSettings(classes any) map[string]any {
 	return map[string]any{"lanes": classes, "limits": map[string]any{"conn-idle-ms": 30000, "connect-timeout-ms": 1000, "max-attempts": 3,
 		"max-retry-after-ms": 1000, "retry-after": true}}
 }
 
-// startVersionNodes starts real nodes with sessions. They are stopped at the test's end.
+// startVersionNodes starts real nodes with sessions, and stops them at the end of the test.
 func startVersionNodes(t testing.TB, program string, cluster *ControlCluster, count int) *versionNodes {
 	t.Helper()
 	v := &versionNodes{TB: t, program: program, cluster: cluster, client: &http.Client{Timeout: rigTimeout}}
@@ -97,7 +97,7 @@
 	return v
 }
 
-// startDiscovery serves the list of servers as it is.
+// startDiscovery starts a discovery service that sends the endpoint list to each watch and never changes it.
 func (v *versionNodes) startDiscovery() {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(v.list)
@@ -111,7 +111,7 @@
 	})
 }
 
-// startNode starts the node of a number.
+// startNode starts the node with a number.
 func (v *versionNodes) startNode(number int, noSession bool) *versionNode {
 	v.Helper()
 	node := &versionNode{HollowNode: TargetTopology.Node(number), noSession: noSession, folder: v.TempDir()}
@@ -121,7 +121,7 @@
 	return node
 }
 
-// launch starts the node's process and returns when it is ready.
+// launch starts the node's process and returns when it accepts calls.
 func (v *versionNodes) launch(node *versionNode) {
 	v.Helper()
 	var session string
@@ -150,14 +150,14 @@
 	select {
 	case node.listen = <-serving:
 	case <-node.ended:
-		v.Fatalf("%s ended without serving: see its log in %s", node.Name, node.folder)
+		v.Fatalf("%s exited before it accepted calls: see its log in %s", node.Name, node.folder)
 	}
 }
 
-// servingLine is what a node writes when it takes calls.
+// servingLine matches the line that a node logs when it accepts calls.
 var servingLine = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
 
-// readLog writes what the node says to its log file, and waits for its end.
+// readLog copies the node's log to its log file, sends the listen address to serving, and waits for the process.
 func (n *versionNode) readLog(stderr io.Reader, serving chan<- string) {
 	defer close(n.ended)
 	log, err := os.OpenFile(filepath.Join(n.folder, "node.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -185,7 +185,7 @@
 	return path
 }
 
-// stop kills a node that was started.
+// stop kills a node, if it was started, and waits for its process to exit.
 func (v *versionNodes) stop(node *versionNode) {
 	if node.ended == nil {
 		return
@@ -194,7 +194,7 @@
 	<-node.ended
 }
 
-// hasClass asks a node by a request whether a class is one of its classes.
+// hasClass reports whether a node knows a class. It sends a request of the class; the answer to an unknown one is 400.
 func (v *versionNodes) hasClass(ctx context.Context, node *versionNode, class string) (bool, error) {
 	status, err := v.call(ctx, node, class)
 	if err != nil {
@@ -221,8 +221,8 @@
 	return response.StatusCode, err
 }
 
-// load calls each node at a steady rate until the context ends. The results wait for the last call, and return the calls
-// made and those that failed.
+// load calls each node at a constant rate until the context ends. The returned functions wait for the last call, and
+// return the number of calls made and of calls that failed.
 func (v *versionNodes) load(ctx context.Context) (calls, failed func() int64) {
 	var callers sync.WaitGroup
 	var made, lost atomic.Int64
@@ -252,12 +252,13 @@
 	return count(&made), count(&lost)
 }
 
-// nodeStatuses are what the controllers know of each node.
+// nodeStatuses returns the newest status of each node among those that the controllers report.
 func (v *versionNodes) nodeStatuses() map[string]configapi.NodeStatus {
 	return newestNodeStatus(v.cluster.Statuses(v.Context()))
 }
 
-// sessionSettings is a settings file with a session. The node keeps its last known good version in its folder.
+// sessionSettings returns the text of a settings file with a session. The node stores its last known good version
+// in its folder.
 func sessionSettings(node *versionNode, controllers []configapi.ControllerAddress) string {
 	var addresses []string
 	for _, controller := range controllers {
--- a/internal/lab/scale/versionsnofault_test.go
+++ b/internal/lab/scale/versionsnofault_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// publishPause is the time between a version that is in force everywhere and the next publish.
+// publishPause is the time from when a version is in force everywhere until the next publish.
 const publishPause = 100 * time.Millisecond
 
-// publishWithoutFaults publishes so many times, each when the one before is in force everywhere, and returns for each publish
-// how long it took to the last node, and for all nodes and publishes together.
+// publishWithoutFaults publishes versions one after another, each after the previous one is in force everywhere. It
+// returns the delay until in force at the last node of each version, and the delays at all nodes for all versions.
 func publishWithoutFaults(rig *versionsRig, times int) (last, all []time.Duration) {
 	for range times {
 		publication := rig.mustPublish(rig.topology.ServiceNames())
@@ -28,7 +28,7 @@
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
 	last, all := publishWithoutFaults(rig, publishes)
 	rig.verify()
-	table := &Table{Title: "100 publishes at rest, each for all 68 services: from the yes to in force, 1,900 nodes, 7 controllers",
+	table := &Table{Title: "100 publishes without faults, each for all 68 services: accepted to in force, 1,900 nodes, 7 controllers",
 		Header: []string{"", "count", "p50", "p99", "most"}}
 	for name, delays := range map[string][]time.Duration{"at a node": all, "at the last node of a version": last} {
 		s := Summarize(delays)
--- a/internal/lab/scale/versionsoff_test.go
+++ b/internal/lab/scale/versionsoff_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestProductionBuildExcludesVersions lists what the build for service is made of.
+// The production build (tag nolab) must not contain the packages of controllers, sessions and the lab.
 func TestProductionBuildExcludesVersions(t *testing.T) {
 	list := exec.CommandContext(t.Context(), "go", "list", "-deps", "-tags", "nolab", "hookwalk.example/hookwalk/cmd/hookwalk")
 	out, err := list.Output()
@@ -16,22 +16,22 @@
 	}
 	packages := strings.Fields(string(out))
 	if len(packages) < 50 {
-		t.Fatalf("only %d packages", len(packages))
+		t.Fatalf("the production build lists only %d packages, want at least 50", len(packages))
 	}
 	for _, unwanted := range []string{"hashicorp/raft", "bbolt", "boltdb", "hookwalk/internal/controller", "hookwalk/internal/configwatch",
 		"hookwalk/internal/configapi", "hookwalk/configversion", "hookwalk/internal/lab"} {
 		for _, name := range packages {
 			if strings.Contains(name, unwanted) {
-				t.Errorf("the build for service has %s", name)
+				t.Errorf("the production build contains %s", name)
 			}
 		}
 	}
 }
 
-// nodesPerGroup is how many real nodes run with a session, and as many without one.
+// nodesPerGroup is the number of real nodes with a session, and also of those without one.
 const nodesPerGroup = 5
 
-// meanUsage is the mean of what nodes have used.
+// meanUsage returns the mean resource usage of nodes.
 func meanUsage(t *testing.T, nodes []*versionNode) (mean Usage) {
 	t.Helper()
 	for _, node := range nodes {
@@ -48,7 +48,8 @@
 	return mean
 }
 
-// TestVersionsNodeCost measures real nodes without calls, with a session and without one, while versions are published.
+// TestVersionsNodeCost compares the resource usage of real nodes with a session and without one, while versions are
+// published and no client load runs.
 func TestVersionsNodeCost(t *testing.T) {
 	largeOnly(t)
 	const span, versions = time.Minute, changesPerMinute
@@ -69,13 +70,13 @@
 	}
 	onAfter, offAfter := meanUsage(t, on), meanUsage(t, off)
 	percent := func(from, to Usage) float64 { return 100 * (to.CPU - from.CPU).Seconds() / time.Since(began).Seconds() }
-	table := &Table{Title: "real nodes, 53 versions in a minute, each for their service and asked about twice by a request: mean of 5",
+	table := &Table{Title: "real nodes, 53 versions in a minute, each for their service and checked by two requests: mean of 5",
 		Header: []string{"session", "CPU, % of a core", "RSS, MB", "private, MB", "descriptors"}}
 	megabytes := func(bytes int64) float64 { return float64(bytes) / (1 << 20) }
 	table.Add("on", percent(onBefore, onAfter), megabytes(onAfter.RSSBytes), megabytes(onAfter.PrivateBytes), onAfter.Descriptors)
 	table.Add("off", percent(offBefore, offAfter), megabytes(offAfter.RSSBytes), megabytes(offAfter.PrivateBytes), offAfter.Descriptors)
 	printTable(table)
 	if above := onAfter.RSSBytes - offAfter.RSSBytes; above > budgetRSS {
-		t.Errorf("a session takes %d bytes, over %d", above, budgetRSS)
+		t.Errorf("a session adds %d bytes of RSS per node, over %d", above, budgetRSS)
 	}
 }
--- a/internal/lab/scale/versionspublish.go
+++ b/internal/lab/scale/versionspublish.go
@@ -20,20 +20,20 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// Publisher sends publishes to controllers as an operator's command does, and records what it learns of them.
+// Publisher sends publish requests to controllers, as the operator's command does, and records their outcomes.
 type Publisher struct {
-	Addresses []string // of controllers, asked in turn
+	Addresses []string // of controllers, tried in turn
 	client    *http.Client
 	next      int
 }
 
-// NewPublisher returns a Publisher that asks the controllers at these addresses.
+// NewPublisher returns a Publisher that sends to the controllers at these addresses.
 func NewPublisher(addresses []string) *Publisher {
 	return &Publisher{Addresses: addresses, client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // Publish sends a document to one controller after another, with the same ID, until one accepts it or the context
-// ends. At most maxAttempts are made; 0: any number.
+// ends. It makes at most maxAttempts attempts, or any number if maxAttempts is 0.
 func (p *Publisher) Publish(ctx context.Context, request configapi.PublishRequest, services []string, maxAttempts int) Publication {
 	publication := Publication{ID: request.ID, Services: services, Outcome: PublishRejected}
 	address := p.nextAddress()
@@ -58,14 +58,16 @@
 	return publication
 }
 
-// nextAddress is that of the next controller in turn.
+// nextAddress returns the address of the next controller in turn.
 func (p *Publisher) nextAddress() (address string) {
 	address = p.Addresses[p.next%len(p.Addresses)]
 	p.next++
 	return address
 }
 
-// attempt asks one controller once. A call that ends without an answer may have been accepted.
+// attempt sends the publish request to one controller once. It also returns the leader's address if the controller's
+// answer names it. The outcome of a call without an answer is unknown, because the controller may have accepted the
+// document.
 func (p *Publisher) attempt(ctx context.Context, address string, request configapi.PublishRequest) (PublishOutcome, configapi.PublishReply, string) {
 	var reply configapi.PublishReply
 	body, err := json.Marshal(request)
@@ -99,7 +101,7 @@
 	return outcomeOf(failure.Kind), reply, failure.Leader
 }
 
-// outcomeOf is what a controller's error says of the document.
+// outcomeOf returns the outcome of a publish that a controller answered with this kind of error.
 func outcomeOf(kind configapi.ErrorKind) PublishOutcome {
 	switch kind {
 	case configapi.ErrorInvalid, configapi.ErrorTooLarge, configapi.ErrorRateLimited, configapi.ErrorNotLeader, configapi.ErrorNoQuorum:
--- a/internal/lab/scale/versionspublish_test.go
+++ b/internal/lab/scale/versionspublish_test.go
@@ -9,8 +9,8 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// scriptedController is a controller that answers publishes with one kind of error after another; the kind "" accepts, and
-// hangUp closes the connection without an answer. The last kind repeats.
+// scriptedController starts a stand-in controller that answers publish requests with one kind of error after another.
+// The kind "" accepts the document, and hangUp closes the connection without an answer. The last kind repeats.
 func scriptedController(t *testing.T, kinds ...configapi.ErrorKind) (address string) {
 	t.Helper()
 	answered := 0
@@ -31,11 +31,12 @@
 	return server.Listener.Addr().String()
 }
 
-// hangUp is no kind of a real controller.
+// hangUp makes scriptedController close the connection. Real controllers have no such kind of error.
 const hangUp configapi.ErrorKind = "hang up"
 
-// An operator repeats a publish that was rejected with another document: if it was accepted all the same, both come into
-// force. Without an answer the outcome is unknown, and stays so whatever other controllers say later.
+// After a rejection, an operator publishes another document. If the rejected one had been accepted after all, both
+// would come into force. Without an answer the outcome is therefore unknown, and a later rejection by another controller
+// does not change that.
 func TestPublisherDistinguishesUnknownFromRejected(t *testing.T) {
 	for name, tc := range map[string]struct {
 		kinds       []configapi.ErrorKind
@@ -70,6 +71,6 @@
 	server.Close()
 	got := NewPublisher([]string{address}).Publish(t.Context(), configapi.PublishRequest{ID: "p1", Document: json.RawMessage(`{}`)}, nil, 1)
 	if got.Outcome != PublishRejected {
-		t.Errorf("a connection that was refused is %s", got.Outcome)
+		t.Errorf("outcome of a refused connection is %s, want %s", got.Outcome, PublishRejected)
 	}
 }
--- a/internal/lab/scale/versionsrestart_test.go
+++ b/internal/lab/scale/versionsrestart_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// arrivalSpan is the span within which the largest number of arrivals is counted.
+// arrivalSpan is the length of the interval in which the largest number of opened watches is counted.
 const arrivalSpan = 100 * time.Millisecond
 
-// zonesRestart is what was measured of zones that were killed and started again at once.
+// zonesRestart holds the measurements of zones that were killed and restarted all at once.
 type zonesRestart struct {
 	nodes            int
 	watches          int
 	maxTotal         int // watches opened within arrivalSpan
-	maxPerController int // the same, at one controller
+	maxPerController int // the same, at a single controller
 	inForce          Delays
 	shares           []int
 }
 
-// restartZones kills zones, publishes while they are down, starts them again all at once and waits until all of their
-// nodes have the newest version.
+// restartZones kills zones, publishes a version while they are down, restarts all of them at once, and waits until all
+// nodes have that version in force.
 func restartZones(rig *versionsRig, zones []int) (back zonesRestart) {
 	rig.Helper()
 	nodes := rig.fleet.Nodes(zones...)
@@ -39,7 +39,7 @@
 	return back
 }
 
-// countArrivals counts watches, in total and by controller.
+// countArrivals counts the opened watches, in total and by controller.
 func (b *zonesRestart) countArrivals(watches []WatchOpened) {
 	var all []int64
 	at := map[string][]int64{}
@@ -59,8 +59,8 @@
 	const settle, readings = 10 * time.Second, 3
 	rig := newVersionsRig(t, rigOptions{topology: TargetTopology, folder: memoryFolder(t)})
 	rig.sleep(settle)
-	table := &Table{Title: "nodes killed and back at once, with a version published meanwhile: 1,900 nodes, 7 controllers", Header: []string{"nodes",
-		"watches opened", "most in 100 ms", "most in 100 ms at one controller", "start to in force p50", "p99", "most", "sessions at once, and furthest from the mean", "10 s later", "20 s later", "30 s later"}}
+	table := &Table{Title: "nodes killed and restarted at once, with a version published while they are down: 1,900 nodes, 7 controllers", Header: []string{"nodes",
+		"watches opened", "most in 100 ms", "most in 100 ms at one controller", "start to in force p50", "p99", "most", "sessions at once, and largest deviation from the mean", "10 s later", "20 s later", "30 s later"}}
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
 		back := restartZones(rig, zones)
 		shares := []string{writeShares(back.shares)}
@@ -73,17 +73,17 @@
 		table.Add(back.nodes, back.watches, back.maxTotal, back.maxPerController, Milliseconds(back.inForce.P50), Milliseconds(back.inForce.P99),
 			Milliseconds(back.inForce.Max), shares[0], shares[1], shares[2], shares[3])
 		if uneven := Unevenness(later); uneven > sharesTolerance {
-			t.Errorf("sessions %v: one share is %.1f%% from the mean", later, 100*uneven)
+			t.Errorf("sessions per controller %v: one deviates by %.1f%% from the mean", later, 100*uneven)
 		}
 	}
 	rig.verify()
 	printTable(table)
 }
 
-// writeShares writes the sessions of controllers in order, and how far one is from the mean at most.
+// writeShares formats the session counts of controllers in ascending order, and their largest deviation from the mean.
 func writeShares(shares []int) string {
 	return fmt.Sprintf("%v, %.1f%%", slices.Sorted(slices.Values(shares)), 100*Unevenness(shares))
 }
 
-// sharesTolerance is how far a controller's sessions may be from the mean.
+// sharesTolerance is the largest allowed deviation of a controller's sessions from the mean, relative to the mean.
 const sharesTolerance = 0.1
--- a/internal/lab/scale/versionsrig_test.go
+++ b/internal/lab/scale/versionsrig_test.go
@@ -12,10 +12,10 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// hollowVariable is the environment variable that has the test binary serve hollow nodes.
+// hollowVariable is the environment variable that makes the test binary run hollow nodes.
 const hollowVariable = "HOOKWALK_SCALE_HOLLOW"
 
-// TestHollowProcess is not a test: it is the process of hollow nodes, when a rig runs it.
+// TestHollowProcess is not a test: it is the entry point of the process in which a rig runs hollow nodes.
 func TestHollowProcess(t *testing.T) {
 	if os.Getenv(hollowVariable) == "" {
 		return
@@ -27,14 +27,15 @@
 	os.Exit(0)
 }
 
-// hollowCommand is this test binary as a process of hollow nodes. Like a node in service it has two processors at most.
+// hollowCommand returns a command that runs this test binary as a process of hollow nodes. Like a production node, the
+// process uses at most two processors.
 func hollowCommand() *exec.Cmd {
 	command := exec.Command(os.Args[0], "-test.run=^TestHollowProcess$", "-test.timeout=30m")
 	command.Env = append(os.Environ(), hollowVariable+"=1", "GOMAXPROCS=2")
 	return command
 }
 
-// programWithControllers builds hookwalk, with controllers and sessions, and returns the program's path.
+// programWithControllers builds hookwalk with controllers and sessions, and returns the program's path.
 func programWithControllers(t testing.TB) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "hookwalk")
@@ -45,10 +46,10 @@
 	return program
 }
 
-// rigTimeout is how long anything awaited in a rig may take on a busy machine. It is no bound on speed.
+// rigTimeout limits each wait of a rig. It is long enough for a busy machine and does not check speed.
 const rigTimeout = time.Minute
 
-// versionsRig is a control cluster with hollow nodes, and what was published there.
+// versionsRig is a control cluster with hollow nodes, and a count of its publishes.
 type versionsRig struct {
 	testing.TB
 	topology  Topology
@@ -56,17 +57,17 @@
 	fleet     *HollowFleet
 	publisher *Publisher
 	published int
-	newest    configapi.Version // of those accepted
+	newest    configapi.Version // of the accepted versions
 }
 
-// rigOptions say what a rig is made of.
+// rigOptions configures a rig.
 type rigOptions struct {
 	topology Topology
 	relays   bool   // between regions
-	folder   string // of the nodes' last known good versions; "": they keep none
+	folder   string // for the nodes' last known good versions; "" if they store none
 }
 
-// newVersionsRig starts controllers and nodes, and has a first version in force everywhere.
+// newVersionsRig starts controllers and nodes, publishes a first version, and waits until it is in force everywhere.
 func newVersionsRig(t testing.TB, options rigOptions) *versionsRig {
 	t.Helper()
 	rig := &versionsRig{TB: t, topology: options.topology}
@@ -106,7 +107,7 @@
 	return rig
 }
 
-// printLogs shows the end of each log of a folder.
+// printLogs logs the end of each log file in a folder.
 func printLogs(t testing.TB, folder string) {
 	const shown = 3000
 	paths, _ := filepath.Glob(filepath.Join(folder, "*.log"))
@@ -116,13 +117,13 @@
 	}
 }
 
-// nextRequest is the next publish of a good document for services.
+// nextRequest returns a publish request with a new ID and a good document for services.
 func (r *versionsRig) nextRequest(services []string) configapi.PublishRequest {
 	r.Helper()
 	return r.newRequest(services, true)
 }
 
-// newRequest is the next publish of a document, good or unreadable, for services.
+// newRequest returns a publish request with a new ID and a document for services, good or invalid.
 func (r *versionsRig) newRequest(services []string, good bool) configapi.PublishRequest {
 	r.Helper()
 	r.published++
@@ -134,7 +135,7 @@
 	return configapi.PublishRequest{ID: id, Document: text}
 }
 
-// record enters the end of a publish in the audit.
+// record records the result of a publish in the audit.
 func (r *versionsRig) record(p Publication) Publication {
 	r.fleet.Audit(func(a *Audit) { a.Published(p) })
 	if p.Outcome == PublishAccepted {
@@ -149,25 +150,25 @@
 	return r.publishUntilAccepted(r.nextRequest(services), services)
 }
 
-// publishBad publishes a document that nodes can't read until it is accepted.
+// publishBad publishes a document that the nodes cannot parse until the controllers accept it.
 func (r *versionsRig) publishBad(services []string) Publication {
 	r.Helper()
 	return r.publishUntilAccepted(r.newRequest(services, false), nil) // it changes the settings of no service
 }
 
-// publishUntilAccepted publishes until a document is accepted. Services are those whose settings it changes.
+// publishUntilAccepted sends a publish request until it is accepted. Services are those whose settings it changes.
 func (r *versionsRig) publishUntilAccepted(request configapi.PublishRequest, services []string) Publication {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), rigTimeout)
 	defer cancel()
 	p := r.record(r.publisher.Publish(ctx, request, services, 0))
 	if p.Outcome != PublishAccepted {
-		r.Fatalf("%s is %s after %d attempts", p.ID, p.Outcome, p.Attempts)
+		r.Fatalf("publish %s: outcome %s after %d attempts", p.ID, p.Outcome, p.Attempts)
 	}
 	return p
 }
 
-// await waits until nodes have answered for a version.
+// await waits until nodes have acknowledged or rejected a version.
 func (r *versionsRig) await(version configapi.Version, nodes []string) {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), rigTimeout)
@@ -177,7 +178,7 @@
 	}
 }
 
-// leader waits for a leader.
+// leader waits until the cluster has a leader, and returns it.
 func (r *versionsRig) leader() *Controller {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), rigTimeout)
@@ -189,7 +190,7 @@
 	return leader
 }
 
-// delays are how long nodes took from a moment to a version.
+// delays returns how long after a point in time a version was in force at each node.
 func (r *versionsRig) delays(version configapi.Version, since time.Time, nodes []string) (delays []time.Duration) {
 	r.Helper()
 	var missing []string
@@ -235,10 +236,10 @@
 	r.verifyAcknowledgements()
 }
 
-// acknowledgedWithin is how long the nodes' last answers may take to reach the controllers on a busy machine.
+// acknowledgedWithin is how long the nodes' last acknowledgements may take to reach the controllers on a busy machine.
 const acknowledgedWithin = 20 * time.Second
 
-// verifyAcknowledgements waits until the controllers know what the nodes do.
+// verifyAcknowledgements waits until the acknowledgements that the controllers report match the nodes' versions.
 func (r *versionsRig) verifyAcknowledgements() {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(r.Context(), acknowledgedWithin)
@@ -247,14 +248,14 @@
 	err := poll(ctx, func() bool {
 		statuses := r.cluster.Statuses(ctx)
 		if len(statuses) < len(r.cluster.Controllers) {
-			return false // one did not answer in time: the violations found last stay
+			return false // a controller did not answer in time: keep the violations found last
 		}
 		r.fleet.Audit(func(a *Audit) { violations = a.CheckAcknowledgements(statuses) })
 		return len(violations) == 0
 	})
 	if err != nil {
 		r.reportViolations(violations)
-		r.Errorf("acknowledgements are not those of the nodes after %v", acknowledgedWithin)
+		r.Errorf("the acknowledgements at the controllers do not match the nodes after %v", acknowledgedWithin)
 	}
 }
 
@@ -270,7 +271,7 @@
 	}
 }
 
-// sessions are the numbers of sessions of all controllers that answer.
+// sessions returns the number of sessions of each controller that answers.
 func (r *versionsRig) sessions() (shares []int) {
 	r.Helper()
 	for _, controller := range r.cluster.Controllers {
@@ -284,7 +285,7 @@
 	return shares
 }
 
-// sleep waits for a span of time in which a rig measures, or a fault goes on.
+// sleep waits while a rig measures or a fault lasts.
 func (r *versionsRig) sleep(span time.Duration) {
 	r.Helper()
 	if err := sleep(r.Context(), span); err != nil {
@@ -292,7 +293,8 @@
 	}
 }
 
-// memoryFolder is a folder in memory for the nodes' last known good versions: one disk here would stand for 1,900.
+// memoryFolder creates a folder in memory for the nodes' last known good versions. On disk, all 1,900 nodes would share
+// the one disk of the test machine, where each real node has its own.
 func memoryFolder(t testing.TB) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("/dev/shm", "hookwalk-scale-")
@@ -303,7 +305,7 @@
 	return folder
 }
 
-// printTable prints a table below where it comes from.
+// printTable prints a table below a line with its origin.
 func printTable(table *Table) {
 	fmt.Printf("\n%s\n\n", Origin())
 	table.Print(os.Stdout)
--- a/internal/lab/scale/versionssettings.go
+++ b/internal/lab/scale/versionssettings.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// writeSettings writes the settings file of one controller. Each has a file of its own, in which the controllers of
-// other regions may stand with the addresses of relays.
+// writeSettings writes the settings file of one controller. Each controller has a separate file, which may list the
+// controllers of other regions with the addresses of relays.
 func (c *ControlCluster) writeSettings(self *Controller) error {
 	if err := os.WriteFile(self.settings, []byte(c.settingsOf(self)), 0o600); err != nil {
-		return fmt.Errorf("scale: settings of %s: %w", self.Name, err)
+		return fmt.Errorf("scale: write settings of controller %s: %w", self.Name, err)
 	}
 	return nil
 }
 
-// settingsOf is the text of a controller's settings file.
+// settingsOf returns the text of a controller's settings file.
 func (c *ControlCluster) settingsOf(self *Controller) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "controllers {\n  folder = %q\n}\n", filepath.Dir(self.Folder))
@@ -27,7 +27,8 @@
 	return text.String()
 }
 
-// dialAddress is where a controller reaches an address of another one.
+// dialAddress returns the address that this controller dials to reach an address of another controller: its relay if
+// there is one.
 func (c *Controller) dialAddress(address string) string {
 	if relay, ok := c.Via[address]; ok {
 		return relay
--- a/internal/lab/scale/versionstopology.go
+++ b/internal/lab/scale/versionstopology.go
@@ -7,7 +7,7 @@
 	"hookwalk.example/hookwalk/internal/configapi"
 )
 
-// Topology is the size of a system whose nodes take configuration versions.
+// Topology is the size of a system whose nodes receive configuration versions.
 type Topology struct {
 	Regions        int
 	ZonesPerRegion int
@@ -16,10 +16,10 @@
 	Services       int
 }
 
-// TargetTopology is the size of docs/CAPACITY.md.
+// TargetTopology is the size given in docs/CAPACITY.md.
 var TargetTopology = Topology{Regions: 4, ZonesPerRegion: 4, Controllers: 7, Nodes: 1900, Services: 68}
 
-// SmallTopology is what the small form of the rigs runs.
+// SmallTopology is the size for the short form of the tests.
 var SmallTopology = Topology{Regions: 3, ZonesPerRegion: 1, Controllers: 3, Nodes: 24, Services: 4}
 
 // HollowNode is a node without its data path: it has a session with a controller and applies versions to nothing.
@@ -30,22 +30,23 @@
 	Zone    string `json:"zone"`
 }
 
-// regionName is the name of a region, counted from 0.
+// regionName returns the name of a region, counted from 0.
 func regionName(region int) string { return fmt.Sprintf("region-%d", region+1) }
 
-// zoneName is the name of a zone of a region, both counted from 0.
+// zoneName returns the name of a zone of a region, both counted from 0.
 func zoneName(region, zone int) string { return fmt.Sprintf("region-%d-zone-%d", region+1, zone+1) }
 
-// serviceName is the name of a service, counted from 0.
+// serviceName returns the name of a service, counted from 0.
 func serviceName(service int) string { return fmt.Sprintf("service-%02d", service) }
 
-// Zones is the number of all zones.
+// Zones returns the number of zones in all regions.
 func (t Topology) Zones() int { return t.Regions * t.ZonesPerRegion }
 
-// RegionOf is the region of a zone, both counted from 0.
+// RegionOf returns the region of a zone, both counted from 0.
 func (t Topology) RegionOf(zone int) int { return zone / t.ZonesPerRegion }
 
-// Node is the node of a number; zones take turns, and services take turns in each zone.
+// Node returns the node with a number. Consecutive numbers rotate through the zones, and the nodes of a zone rotate
+// through the services.
 func (t Topology) Node(number int) HollowNode {
 	zone := number % t.Zones()
 	region := t.RegionOf(zone)
@@ -53,7 +54,7 @@
 		Region: regionName(region), Zone: zoneName(region, zone%t.ZonesPerRegion)}
 }
 
-// ZoneNodes are the nodes of a zone.
+// ZoneNodes returns the nodes of a zone.
 func (t Topology) ZoneNodes(zone int) (nodes []HollowNode) {
 	for number := zone; number < t.Nodes; number += t.Zones() {
 		nodes = append(nodes, t.Node(number))
@@ -61,7 +62,7 @@
 	return nodes
 }
 
-// RegionZones are the zones of a region.
+// RegionZones returns the zones of a region.
 func (t Topology) RegionZones(region int) (zones []int) {
 	for zone := range t.Zones() {
 		if t.RegionOf(zone) == region {
@@ -71,7 +72,7 @@
 	return zones
 }
 
-// ServiceNames are the names of all services.
+// ServiceNames returns the names of all services.
 func (t Topology) ServiceNames() (names []string) {
 	for service := range t.Services {
 		names = append(names, serviceName(service))
@@ -79,7 +80,7 @@
 	return names
 }
 
-// nodeNames are the nodeNames of nodes.
+// nodeNames returns the names of nodes.
 func nodeNames(nodes []HollowNode) (names []string) {
 	for _, node := range nodes {
 		names = append(names, node.Name)
@@ -87,12 +88,12 @@
 	return names
 }
 
-// publicationKey is the settings' key that names the publication which a node has in force. Nodes ignore keys that they
-// do not know.
+// publicationKey is the settings key that holds the ID of the publication in force at a node. Nodes ignore
+// unknown keys.
 const publicationKey = "publication"
 
-// document writes a document that gives each of the services the same settings, marked with the publication's ID. Good
-// settings have two classes, as those of a real tier; bad ones are of a form that a node can't read.
+// document returns a configuration document that gives each service the same settings, with the publication's ID. Good
+// settings have two classes, like those of a real tier. Bad settings have a form that a node cannot parse.
 func document(id string, services []string, good bool) (json.RawMessage, error) {
 	settings := map[string]any{publicationKey: id, "lanes": "none"}
 	if good {
@@ -114,7 +115,7 @@
 	return json.Marshal(doc)
 }
 
-// publicationOf reads the ID that document wrote into settings.
+// publicationOf returns the publication ID that document wrote into settings, or "" if the settings have none.
 func publicationOf(settings json.RawMessage) string {
 	var marked struct {
 		Publication string `json:"publication"`
--- a/internal/lab/scale/versionstopology_test.go
+++ b/internal/lab/scale/versionstopology_test.go
@@ -50,13 +50,13 @@
 		}
 		settings := doc.Services["service-00"].Settings
 		if id := publicationOf(settings); id != "p-7" {
-			t.Errorf("the mark is %q", id)
+			t.Errorf("the publication ID is %q, want p-7", id)
 		}
 		if _, err := simwire.ParseSettings(settings); (err == nil) != good {
-			t.Errorf("good %v settings are read with %v", good, err)
+			t.Errorf("settings with good=%v: parse error %v", good, err)
 		}
 	}
 	if id := publicationOf(json.RawMessage(`[`)); id != "" {
-		t.Errorf("unreadable settings are marked %q", id)
+		t.Errorf("invalid settings have the publication ID %q, want none", id)
 	}
 }
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -9,28 +9,28 @@
 	"hookwalk.example/hookwalk/internal/endpointlease"
 )
 
-// headerTimeout bounds the reading of a request's header at a stand-in.
+// headerTimeout limits how long a stand-in server reads a request's header.
 const headerTimeout = 5 * time.Second
 
-// Health of a server in a list, as discovery writes it.
+// Health values of a server in an endpoint list, as discovery sends them.
 const (
-	inService   = "in_service"  // it takes requests
-	terminating = "terminating" // it drains
+	inService   = "in_service"  // it accepts requests
+	terminating = "terminating" // it is draining
 )
 
-// listUpdate is the endpoint list, or the changes of it after a version, as a stand-in for discovery writes it.
+// listUpdate is the complete endpoint list, or its changes since a version, as the stand-in for discovery sends it.
 type listUpdate struct {
 	list    any
-	version int64           // that the update leads to
+	version int64           // of the list after the update
 	updated <-chan struct{} // closed at the next change
-	reset   <-chan struct{} // closed when all watches are reset; nil: never
+	reset   <-chan struct{} // closed when all watches are reset; nil if they never are
 }
 
-// serveList answers a call for the complete list, or serves a watch. changesSince returns the changes after a version; of
-// version 0 the complete list.
+// serveList answers a request for the complete list, or serves a watch. changesSince returns the changes since a
+// version, or the complete list for version 0.
 func serveList(w http.ResponseWriter, r *http.Request, changesSince func(version int64) listUpdate) {
 	if r.URL.Query().Get("watch") == "" {
-		_ = json.NewEncoder(w).Encode(changesSince(0).list) // a client that is gone reads nothing
+		_ = json.NewEncoder(w).Encode(changesSince(0).list) // an error means that the client has disconnected
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -41,8 +41,8 @@
 	serveWatch(w, r, from, changesSince)
 }
 
-// serveWatch writes the changes after a version, then each change as it comes, and an empty line in each heartbeat interval
-// without one, until the client is gone or the watches are reset.
+// serveWatch writes the changes since a version, then each further change when it occurs, and an empty line at each
+// heartbeat. It ends when the client disconnects or the watches are reset.
 func serveWatch(w http.ResponseWriter, r *http.Request, version int64, changesSince func(version int64) listUpdate) {
 	encoder, flusher := json.NewEncoder(w), w.(http.Flusher)
 	heartbeat := time.NewTicker(endpointlease.HeartbeatInterval)
