--- a/internal/lab/scale/versions_test.go
+++ b/internal/lab/scale/versions_test.go
@@ -35,7 +35,7 @@
 func checkPublishesWhileIdle(rig *versionsRig) {
 	const publishes = 3
 	before := rig.newest
-	publishAtRest(rig, publishes)
+	publishWithoutFaults(rig, publishes)
 	if rig.newest != before+publishes {
 		rig.Errorf("%d publishes raised the version from %d to %d", publishes, before, rig.newest)
 	}
@@ -61,7 +61,7 @@
 
 func checkLeaderKilled(rig *versionsRig) {
 	fault := controllerFault{name: "leader killed", leader: true}
-	round := publishBesideFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
+	round := publishDuringFault(rig, fault, rand.New(rand.NewPCG(1, 0)), true)
 	if round.final.Outcome != PublishAccepted {
 		rig.Errorf("the outcome of a repeated publish is %s", round.final.Outcome)
 	}
@@ -69,7 +69,7 @@
 
 func checkFollowerStalled(rig *versionsRig) {
 	fault := controllerFault{name: "follower stalled", stall: true}
-	publishBesideFault(rig, fault, rand.New(rand.NewPCG(2, 0)), true)
+	publishDuringFault(rig, fault, rand.New(rand.NewPCG(2, 0)), true)
 }
 
 func checkRegionPartitioned(rig *versionsRig) {
@@ -85,7 +85,7 @@
 
 func checkZonesKilled(rig *versionsRig) {
 	for _, zones := range [][]int{{0}, rig.fleet.AllZones()} {
-		if back := returnOfZones(rig, zones); back.watches < back.nodes {
+		if back := restartZones(rig, zones); back.watches < back.nodes {
 			rig.Errorf("%d nodes restarted, but only %d watches were opened", back.nodes, back.watches)
 		}
 	}
